--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -18,15 +18,16 @@
 
 /// One of 30 dispatchers over workers that answer at once, past the cold start and the first probes.
 fn steady(workers: u32) -> Node {
-    let mut node = Node::new(Settings { nodes: 30, may_probe: true, may_tell: true, ..Settings::default() });
-    let entry = |w: u32| RosterEntry {
+    let mut node =
+        Node::new(Settings { nodes: 30, may_probe: true, may_message_peers: true, ..Settings::default() });
+    let entry = |w: u32| EndpointEntry {
         tag: u64::from(w).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         zone: ZoneId((w % 3) as u16),
         cell: CellId(w % 16),
         ..worker(w)
     };
     let list = (0..workers).map(entry).collect();
-    let acts = node.feed(Event::Roster(RosterKind::Whole, list));
+    let acts = node.feed(Event::EndpointList(ListKind::Snapshot, list));
     follow(&mut node, acts);
     (0..WARM_UP).for_each(|n| cycle(&mut node, n));
     node
@@ -34,7 +35,8 @@
 
 /// Does what was asked, and what that leads to: probes and jobs are answered, with a report.
 fn follow(node: &mut Node, mut acts: Vec<Action>) {
-    let report = Report { cpu: Some(0.3), free_slots: Some(4.0), active: Some(1.0), ..Report::default() };
+    let report =
+        LoadReport { cpu: Some(0.3), free_slots: Some(4.0), active: Some(1.0), ..LoadReport::default() };
     while let Some(act) = acts.pop() {
         acts.extend(match act {
             Action::Probe(worker) => node.echo(worker.0, Outcome::Ok, Some(report)),
--- a/src/config.rs
+++ b/src/config.rs
@@ -354,9 +354,9 @@
         }
         settings.check().map_err(|e| ConfigError::BadSettings(e.to_string()))?;
         let peer_listen = optional("peer_listen")?;
-        let may_tell_state = settings.may_tell;
+        let may_tell_state = settings.may_message_peers;
         // Without everybody's address a group would take silence for idle workers.
-        settings.may_tell &= peer_listen.is_some() && peers.len() == settings.nodes as usize;
+        settings.may_message_peers &= peer_listen.is_some() && peers.len() == settings.nodes as usize;
         Ok(Config {
             file: file.to_owned(),
             shape: root.clone(),
--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,6 +1,6 @@
 //! All deadlines of the program in one sorted structure, swept each turn.
 
-use crate::interface::{AlarmId, Micros};
+use crate::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
 use super::SessionId;
@@ -15,7 +15,7 @@
     /// A session that should be over by now.
     Backstop(SessionId),
     /// An alarm of the module.
-    Alarm(AlarmId),
+    Policy(TimerId),
     /// Something of the program round the core; the number is its own.
     Outer(u64),
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -180,9 +180,9 @@
         Dispatch { worker, at, limit: None, out, started: None, never_ran, handed_back, withheld }
     }
 
-    fn past(&self) -> Past {
+    fn past(&self) -> PriorAttempt {
         let Dispatch { worker, at, out, started: running_since, never_ran, handed_back, .. } = *self;
-        Past { worker, at, out, running_since, never_ran, handed_back }
+        PriorAttempt { worker, at, out, running_since, never_ran, handed_back }
     }
 }
 
@@ -292,7 +292,7 @@
     /// Another service of discovery counts from now on. Its versions mean nothing beside the old one's.
     pub fn discovery_moved(&mut self) {
         self.servers.generation = 0;
-        self.events.push(Event::RosterMoved);
+        self.events.push(Event::DiscoveryMoved);
     }
 
     /// The clock's first reading.
@@ -351,10 +351,10 @@
             estimate: self
                 .traits(new.class, new.tenant, new.key)
                 .and_then(|job| self.learners.estimate(&job)),
-            worth: {
+            tenant_weight: {
                 let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
                 let points =
-                    self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.points);
+                    self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
                 self.learners.worth(now, tenant.map(String::as_str), new.class.0, points)
             },
         };
@@ -480,7 +480,7 @@
         if let Some(at) = this.limit.take() {
             self.deadlines.drop(at, Deadline::Limit(id, dispatch));
         }
-        self.events.push(Event::Unnoted { job: JobId(id), attempt: dispatch });
+        self.events.push(Event::NotPersisted { job: JobId(id), attempt: dispatch });
         self.forget(id);
     }
 
@@ -493,7 +493,7 @@
     pub fn hung_up(&mut self, now: Micros, id: SessionId) {
         if self.sessions.get(&id).is_some_and(|s| s.open) {
             self.close(now, id, Entry::Gone);
-            self.events.push(Event::HungUp(JobId(id)));
+            self.events.push(Event::ClientDisconnected(JobId(id)));
         }
     }
 
@@ -501,13 +501,13 @@
     pub fn listed(&mut self, told: Micros, list: &ServerList, cached: bool) {
         let named = self.servers.take(told, list);
         if std::mem::take(&mut self.servers.stale) {
-            return self.tell_all(RosterKind::Whole); // so far none of them took work for the module
+            return self.tell_all(ListKind::Snapshot); // so far none of them took work for the module
         }
         self.tell_roster(
             match (cached, list.reset) {
-                (true, _) => RosterKind::Cached,
-                (_, true) => RosterKind::Whole,
-                _ => RosterKind::Changes,
+                (true, _) => ListKind::Cached,
+                (_, true) => ListKind::Snapshot,
+                _ => ListKind::Delta,
             },
             named,
         );
@@ -526,17 +526,17 @@
     /// What was known before the start is used as it is, if that is still to be revalidated.
     pub fn use_stale(&mut self) {
         if std::mem::take(&mut self.servers.stale) {
-            self.tell_all(RosterKind::Cached);
+            self.tell_all(ListKind::Cached);
         }
     }
 
     /// Nothing more is sent by what was known before the start until discovery has told a list, or [`Core::use_stale`].
     pub fn withhold_stale(&mut self) {
         self.servers.stale = true;
-        self.tell_all(RosterKind::Changes);
+        self.tell_all(ListKind::Delta);
     }
 
-    fn tell_all(&mut self, kind: RosterKind) {
+    fn tell_all(&mut self, kind: ListKind) {
         let all = self.servers.iter().map(|(worker, _)| worker).collect();
         self.tell_roster(kind, all);
     }
@@ -547,30 +547,36 @@
         move |ms: f64| Micros::try_from((ms * 1000.0) as i128 + offset).ok().filter(|t| *t > 0 && ms > 0.0)
     }
 
-    fn tell_roster(&mut self, kind: RosterKind, workers: Vec<WorkerId>) {
+    fn tell_roster(&mut self, kind: ListKind, workers: Vec<WorkerId>) {
         let since_unix = self.since_unix();
         let (servers, names) = (&self.servers, &mut self.names.0);
         let entries = workers.into_iter().filter_map(|worker| servers.entry(worker, names, since_unix));
-        self.events.push(Event::Roster(kind, entries.collect()));
+        self.events.push(Event::EndpointList(kind, entries.collect()));
     }
 
     /// A call to discovery failed, or the watch broke.
     pub fn list_failed(&mut self) {
-        self.events.push(Event::RosterFailed);
+        self.events.push(Event::ListFailed);
     }
 
     /// A probe came back.
-    pub fn probed(&mut self, worker: WorkerId, outcome: Outcome, elapsed: Micros, report: Option<Report>) {
-        self.events.push(Event::Probed(Probed { worker, outcome, elapsed, report }));
+    pub fn probed(
+        &mut self,
+        worker: WorkerId,
+        outcome: Outcome,
+        elapsed: Micros,
+        report: Option<LoadReport>,
+    ) {
+        self.events.push(Event::ProbeResponse(ProbeResponse { worker, outcome, elapsed, report }));
     }
 
     /// A message of another dispatcher.
     pub fn mail(&mut self, from: u32, bytes: Vec<u8>) {
-        self.events.push(Event::Mail { from, bytes });
+        self.events.push(Event::PeerMessage { from, bytes });
     }
 
     /// What is believed of each dispatcher, by their numbers.
-    pub fn peers(&mut self, peers: Vec<Presence>) {
+    pub fn peers(&mut self, peers: Vec<PeerPresence>) {
         self.events.push(Event::Peers(peers));
     }
 
@@ -594,7 +600,7 @@
     /// How long a dispatch waits for its worker's first answer, where a connection may take `connect` to come up. `None`
     /// where it could not be sent again: then it is waited for until its deadline.
     pub fn take_time(&self, id: SessionId, connect: Micros) -> Option<Micros> {
-        let class = self.class(id).filter(|class| class.effect != Effect::SideEffect)?;
+        let class = self.class(id).filter(|class| class.idempotency != Idempotency::NonIdempotent)?;
         Some(connect.min(class.deadline / TAKE_PART))
     }
 
@@ -606,15 +612,24 @@
         let others = (0..).zip(&session.dispatches).filter(|(n, _)| *n != dispatch);
         let mut risky = others.map(|(_, d)| d).filter(|d| !d.never_ran);
         now < this.limit.unwrap_or(session.deadline)
-            && match self.class(id).map(|class| class.effect) {
-                Some(Effect::Token { memory, .. }) => risky.all(|d| now + self.tick + way < d.at + memory),
-                Some(Effect::SideEffect) => risky.next().is_none(),
-                Some(Effect::Pure) | None => true,
+            && match self.class(id).map(|class| class.idempotency) {
+                Some(Idempotency::IdempotentWithKey { window, .. }) => {
+                    risky.all(|d| now + self.tick + way < d.at + window)
+                }
+                Some(Idempotency::NonIdempotent) => risky.next().is_none(),
+                Some(Idempotency::Idempotent) | None => true,
             }
     }
 
     /// News of a job, by the names that the worker uses. Whether they told anything new.
-    pub fn news(&mut self, now: Micros, name: &str, from: &str, news: News, report: Option<Report>) -> bool {
+    pub fn news(
+        &mut self,
+        now: Micros,
+        name: &str,
+        from: &str,
+        news: News,
+        report: Option<LoadReport>,
+    ) -> bool {
         let result = match &news {
             News::Done(result) if self.keys.is_some() => Some(result.clone()),
             _ => None,
@@ -645,7 +660,7 @@
         id: SessionId,
         dispatch: u32,
         news: News,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> bool {
         let without = |outcome| Fate::Without(outcome);
         match news {
@@ -715,7 +730,7 @@
         id: SessionId,
         dispatch: u32,
         fate: Fate,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> bool {
         let Some(session) = self.sessions.get_mut(&id) else { return false };
         let Some(this) = session.dispatches.get_mut(dispatch as usize) else { return false };
@@ -739,7 +754,7 @@
                 });
                 self.close(now, id, Entry::Served);
                 if !was_out {
-                    self.events.push(Event::HungUp(JobId(id)));
+                    self.events.push(Event::ClientDisconnected(JobId(id)));
                     return true;
                 }
                 Outcome::Ok
@@ -753,7 +768,7 @@
         self.learners.ended(now, ticket(id, dispatch), outcome == Outcome::Ok);
         if let Some(this) = self.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(dispatch as usize)) {
             (this.never_ran, this.handed_back) = (outcome.never_ran(), outcome == Outcome::HandedBack);
-            this.withheld = outcome == Outcome::Moot;
+            this.withheld = outcome == Outcome::NeverSent;
         }
         self.tell_end(id, dispatch, worker, elapsed, outcome, report);
         true
@@ -766,11 +781,19 @@
         worker: WorkerId,
         elapsed: Micros,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let closed = self.sessions.get(&id).is_none_or(|s| !s.open);
         let job = JobId(id);
-        self.events.push(Event::Ended(Ended { job, attempt, worker, elapsed, closed, outcome, report }));
+        self.events.push(Event::AttemptEnded(AttemptEnded {
+            job,
+            attempt,
+            worker,
+            elapsed,
+            closed,
+            outcome,
+            report,
+        }));
         self.forget(id);
     }
 
@@ -786,7 +809,7 @@
         if entry == Entry::Served {
             let (new, took) = (session.new, now.saturating_sub(session.arrived));
             let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
-            let points = self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.points);
+            let points = self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
             self.learners.served(now, tenant.map(String::as_str), new.class.0, points, took);
         }
         let (class, sent) = (session.new.class, session.token.is_some() && !session.dispatches.is_empty());
@@ -865,7 +888,7 @@
         let mut at_once = false;
         while let Some(deadline) = self.deadlines.pop_due(now) {
             match deadline {
-                Deadline::Alarm(id) => self.events.push(Event::Alarm(id)),
+                Deadline::Policy(id) => self.events.push(Event::Timer(id)),
                 Deadline::Outer(token) => self.commands.push_back(Command::Due(token)),
                 Deadline::Limit(id, dispatch) => self.time_out(now, id, dispatch),
                 Deadline::Session(id) => {
@@ -882,7 +905,7 @@
                     // The module gives up in time by itself; this guards the rule should it ever not.
                     invariant!(false, "session {id} is past its deadline and open");
                     self.answer(now, id, Answer::TimedOut, Entry::Failed);
-                    self.events.push(Event::HungUp(JobId(id)));
+                    self.events.push(Event::ClientDisconnected(JobId(id)));
                 }
             }
         }
@@ -918,7 +941,7 @@
         if let Some(worker) = this.map(|d| d.worker) {
             if self.unnoted.remove(&ticket(id, dispatch)).is_some() {
                 // It waits to be noted and has not left.
-                self.ended(now, id, dispatch, Fate::Without(Outcome::Moot), None);
+                self.ended(now, id, dispatch, Fate::Without(Outcome::NeverSent), None);
                 return;
             }
             let name = session.name.clone();
@@ -933,7 +956,7 @@
             Action::Cancel { job, attempt } => {
                 self.give_up(now, job.0, attempt, Outcome::Cancelled);
             }
-            Action::Refuse { job, retry_after } => {
+            Action::Reject { job, retry_after } => {
                 self.answer(now, job.0, Answer::Deny(retry_after), Entry::Denied);
             }
             Action::Fail(job) => {
@@ -941,11 +964,11 @@
                 let answer = if late { Answer::TimedOut } else { Answer::Failed };
                 self.answer(now, job.0, answer, Entry::Failed);
             }
-            Action::SetAlarm(id, after) => self.deadlines.set(now + after.max(1), Deadline::Alarm(id)),
+            Action::SetTimer(id, after) => self.deadlines.set(now + after.max(1), Deadline::Policy(id)),
             Action::Probe(worker) => self.commands.push_back(Command::Probe(worker)),
-            Action::Tell { to, bytes } => self.commands.push_back(Command::Peer(to, bytes)),
-            Action::Watch => self.commands.push_back(Command::Watch),
-            Action::Fetch => self.commands.push_back(Command::Fetch),
+            Action::SendToPeer { to, bytes } => self.commands.push_back(Command::Peer(to, bytes)),
+            Action::OpenWatch => self.commands.push_back(Command::Watch),
+            Action::FetchList => self.commands.push_back(Command::Fetch),
         }
     }
 
@@ -958,9 +981,10 @@
         if !session.open {
             // The batch was fixed before its session ended: nothing goes out after a final answer.
             session.dispatches.push(Dispatch { never_ran: true, ..Dispatch::new(worker, now) });
-            let (job, outcome) = (JobId(id), Outcome::Moot);
-            let ended = Ended { job, attempt, worker, elapsed: 0, closed: true, outcome, report: None };
-            return self.events.push(Event::Ended(ended));
+            let (job, outcome) = (JobId(id), Outcome::NeverSent);
+            let ended =
+                AttemptEnded { job, attempt, worker, elapsed: 0, closed: true, outcome, report: None };
+            return self.events.push(Event::AttemptEnded(ended));
         }
         let doubled = session.dispatches.iter().any(|d| d.worker == worker && d.out);
         invariant!(!doubled, "worker {} has session {id} already", worker.0);
@@ -982,7 +1006,7 @@
     pub fn fail_all(&mut self, now: Micros) {
         for id in self.open_sessions() {
             self.answer(now, id, Answer::Failed, Entry::Failed);
-            self.events.push(Event::HungUp(JobId(id)));
+            self.events.push(Event::ClientDisconnected(JobId(id)));
         }
     }
 
@@ -1085,11 +1109,12 @@
         }
         self.ledger.moved += 1;
         let job = JobId(id);
-        self.events.push(Event::HungUp(job));
+        self.events.push(Event::ClientDisconnected(job));
         for (attempt, d) in (0..).zip(&session.dispatches).filter(|(_, d)| d.out) {
             let (worker, outcome) = (d.worker, Outcome::Cancelled);
-            let ended = Ended { job, attempt, worker, elapsed: 0, closed: true, outcome, report: None };
-            self.events.push(Event::Ended(ended));
+            let ended =
+                AttemptEnded { job, attempt, worker, elapsed: 0, closed: true, outcome, report: None };
+            self.events.push(Event::AttemptEnded(ended));
         }
         self.release_events = self.events.len();
         Some(moved)
@@ -1128,7 +1153,7 @@
             estimate: self
                 .traits(class, tenant, moved.key.map(KeyId))
                 .and_then(|job| self.learners.estimate(&job)),
-            worth: None,
+            tenant_weight: None,
         };
         let past = dispatches.iter().map(Dispatch::past).collect();
         self.events.push(Event::Adopted { new, since: arrived, past });
--- a/src/core/servers.rs
+++ b/src/core/servers.rs
@@ -175,9 +175,9 @@
         worker: WorkerId,
         names: &mut Names,
         since_unix: impl Fn(f64) -> Option<Micros>,
-    ) -> Option<RosterEntry> {
+    ) -> Option<EndpointEntry> {
         let Server { row, removed, .. } = self.get(worker)?;
-        Some(RosterEntry {
+        Some(EndpointEntry {
             worker,
             tag: tag(&row.instance_id),
             zone: ZoneId(names.zones.id(&row.zone) as u16),
--- a/src/core/silence.rs
+++ b/src/core/silence.rs
@@ -72,7 +72,7 @@
 impl Terms {
     /// As these settings have it.
     pub fn of(set: &Settings) -> Terms {
-        Terms { pushed: !set.roster_on_request, ask_within: set.ask_within, nodes: set.nodes }
+        Terms { pushed: !set.list_on_request, ask_within: set.ask_within, nodes: set.nodes }
     }
 
     /// The longest time between the beginnings of two calls. A dispatcher that has not asked for as long as the settings say
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -11,7 +11,7 @@
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
 
-use crate::interface::{Micros, Presence};
+use crate::interface::{Micros, PeerPresence};
 use mothproxy_membership::{
     Change, Config, ConfigError, Figures, Member, Membership, Output, OwnedFact, State, VERSION, View,
 };
@@ -37,7 +37,7 @@
         bytes: Vec<u8>,
     },
     /// What is believed of each place, for [`crate::Event::Peers`].
-    Peers(Vec<Presence>),
+    Peers(Vec<PeerPresence>),
     /// A member's state or epoch has changed: for the parts that are not in here.
     Changed(Change),
     /// What another member told, or this place at an earlier start, for the part that owns its kind.
@@ -83,7 +83,7 @@
     /// For how long a dead place's part is kept, if not for as long as it is dead.
     keep_part: Option<Micros>,
     /// What the module was told last.
-    told: Option<Vec<Presence>>,
+    told: Option<Vec<PeerPresence>>,
     /// When it is to be told again, if anything has changed.
     tell_at: Option<Micros>,
     lines: Lines,
@@ -137,14 +137,14 @@
 
     /// Which places may hold work: those alive or suspected, those never heard of for a while, and one's own. A dead one
     /// may be alive on the other side of a cut; one that has said that it leaves is not.
-    fn peers(&self, now: Micros) -> Vec<Presence> {
+    fn peers(&self, now: Micros) -> Vec<PeerPresence> {
         let kept = |since: Micros| self.keep_part.is_none_or(|keep| now < since.saturating_add(keep));
         let presence = |(place, member): (u16, &Member)| match member.state {
-            _ if usize::from(place) == self.me => Presence::Here,
-            State::Alive | State::Suspect => Presence::Here,
-            State::Unknown if now < self.unknown_until => Presence::Here,
-            State::Unknown | State::Dead if kept(member.since) => Presence::Away,
-            State::Unknown | State::Dead | State::Left => Presence::Gone,
+            _ if usize::from(place) == self.me => PeerPresence::Present,
+            State::Alive | State::Suspect => PeerPresence::Present,
+            State::Unknown if now < self.unknown_until => PeerPresence::Present,
+            State::Unknown | State::Dead if kept(member.since) => PeerPresence::Unreachable,
+            State::Unknown | State::Dead | State::Left => PeerPresence::Gone,
         };
         self.machine.view().iter().map(presence).collect()
     }
@@ -285,7 +285,7 @@
             members.tell_at = None;
             let peers = members.peers(now);
             // Until when a part is kept is looked at every now and then.
-            if members.keep_part.is_some() && peers.contains(&Presence::Away) {
+            if members.keep_part.is_some() && peers.contains(&PeerPresence::Unreachable) {
                 members.tell_at = Some(now + LOOK_AGAIN);
             }
             if members.told.as_ref() != Some(&peers) {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -147,7 +147,7 @@
     if named != Some(first) || name.is_empty() || name.len() > 128 || !name.bytes().all(plain) {
         return Err(Reject::Bad);
     }
-    let keyed = matches!(set[class].effect, Effect::Token { .. });
+    let keyed = matches!(set[class].idempotency, Idempotency::IdempotentWithKey { .. });
     if keyed && text(names::KEY).is_none_or(str::is_empty) {
         return Err(Reject::Bad);
     }
@@ -189,7 +189,7 @@
 
 /// The key of a keyed job, under its tenant, with its body's fingerprint.
 pub fn token(set: &[Class], raw: &Raw, class: ClassId) -> Option<Token> {
-    let keyed = matches!(set.get(usize::from(class.0))?.effect, Effect::Token { .. });
+    let keyed = matches!(set.get(usize::from(class.0))?.idempotency, Idempotency::IdempotentWithKey { .. });
     let text = |name| raw.head.fields.text(&raw.bytes, name);
     let key = text(names::KEY).filter(|_| keyed)?;
     let body = mothproxy_store::fingerprint(raw.body.bytes());
@@ -202,8 +202,8 @@
 }
 
 /// The load report in these name=value pairs, if any of them is a value that the settings name.
-pub fn report<'a>(site: &SiteNames, pairs: impl Iterator<Item = (&'a str, f64)>) -> Option<Report> {
-    let (mut report, mut any) = (Report::default(), false);
+pub fn report<'a>(site: &SiteNames, pairs: impl Iterator<Item = (&'a str, f64)>) -> Option<LoadReport> {
+    let (mut report, mut any) = (LoadReport::default(), false);
     for (name, number) in pairs {
         // On the sockets a value may go by its plain name.
         let settings_name = match name {
@@ -225,18 +225,18 @@
 }
 
 /// The load report in the head of a worker's answer.
-pub fn head_report(site: &SiteNames, buf: &[u8], fields: &http::head::Fields) -> Option<Report> {
+pub fn head_report(site: &SiteNames, buf: &[u8], fields: &http::head::Fields) -> Option<LoadReport> {
     report(site, http::load::pairs(fields.text(buf, names::LOAD)?))
 }
 
 /// The load report in a JSON object.
-pub fn json_report(site: &SiteNames, load: &serde_json::Value) -> Option<Report> {
+pub fn json_report(site: &SiteNames, load: &serde_json::Value) -> Option<LoadReport> {
     let pairs = load.as_object()?.iter().filter_map(|(name, v)| Some((name.as_str(), v.as_f64()?)));
     report(site, pairs)
 }
 
 /// The load report in the body of a probe's answer, JSON or pairs.
-pub fn body_report(site: &SiteNames, body: &[u8]) -> Option<Report> {
+pub fn body_report(site: &SiteNames, body: &[u8]) -> Option<LoadReport> {
     match serde_json::from_slice::<serde_json::Value>(body) {
         Ok(value) => json_report(site, value.get("load").unwrap_or(&value)),
         Err(_) => report(site, http::load::pairs(std::str::from_utf8(body).ok()?)),
@@ -263,7 +263,7 @@
     /// What it tells.
     pub news: News,
     /// Its load report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// Reads a call-back, or the data of a node's event, whose name then stands in for the state.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -31,13 +31,13 @@
 /// The subject of a job (a program or data set); jobs with the same key share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u32);
-/// Chosen by the module, returned by [`Event::Alarm`].
+/// Chosen by the module, returned by [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AlarmId(pub u64);
+pub struct TimerId(pub u64);
 
 /// Which workers drop the repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -46,49 +46,60 @@
     Cell,
 }
 
-impl Group {
+impl DeduplicationScope {
     /// Whether a worker drops the repeat of what this first one, if it is listed, may have run.
-    pub fn joins(self, first: Option<&RosterEntry>, to: &RosterEntry) -> bool {
+    pub fn covers(self, first: Option<&EndpointEntry>, to: &EndpointEntry) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => first.is_some_and(|first| first.zone == to.zone),
-            Group::Cell => first.is_some_and(|first| first.cell == to.cell),
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.is_some_and(|first| first.zone == to.zone),
+            DeduplicationScope::Cell => first.is_some_and(|first| first.cell == to.cell),
         }
     }
 }
 
 /// What may be done with a job that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeat and refuse it freely.
-    Pure,
-    /// Repeat it only within `group`, and within `memory` of the first send that may have run.
-    Token {
+    Idempotent,
+    /// Repeat it only within `scope`, and within `window` of the first send that may have run.
+    IdempotentWithKey {
         /// Who drops repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long.
-        memory: Micros,
+        window: Micros,
     },
     /// Repeat or refuse it only if no attempt may have run.
-    SideEffect,
+    NonIdempotent,
+}
+
+impl Idempotency {
+    /// Whether a repeat does no harm at whatever worker it comes to.
+    pub fn is_repeatable_anywhere(self) -> bool {
+        match self {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentWithKey { scope, .. } => scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => false,
+        }
+    }
 }
 
 /// One class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer is in time within this span of the arrival ...
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// ... plus this multiple of the job's own work.
-    pub stretch: f64,
+    pub latency_factor: f64,
     /// The client gives up after this, over all its tries.
     pub deadline: Micros,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Worth of a job.
-    pub points: f64,
+    pub weight: f64,
     /// Share of the worth of an answer after the aim.
-    pub late_worth: f64,
-    /// The answer is a stream ([`Event::Begun`] comes).
+    pub late_weight: f64,
+    /// The answer is a stream ([`Event::StreamStarted`] comes).
     pub stream: bool,
     /// The only kind of worker that runs it, if there is one.
     pub kind: Option<KindId>,
@@ -102,7 +113,7 @@
     /// Jobs a second, over all nodes, inside its share.
     pub quota_per_s: f64,
     /// Its portion of the service.
-    pub portion: f64,
+    pub share_weight: f64,
 }
 
 /// How load reports come.
@@ -130,27 +141,27 @@
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// The worth of a job beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Events come in batches at most this often.
     pub tick: Micros,
     /// Whether worth counts for each unit of work, not for each job.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How load reports come.
     pub reports: Reports,
     /// Workers say when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Running jobs tell their progress this often, if they do.
     pub progress: Option<Micros>,
     /// Whether changes of the roster come only when asked for.
-    pub roster_on_request: bool,
+    pub list_on_request: bool,
     /// [`Action::Cancel`] is allowed.
     pub may_cancel: bool,
     /// [`Action::Probe`] is allowed.
     pub may_probe: bool,
-    /// [`Action::Tell`] is allowed.
-    pub may_tell: bool,
+    /// [`Action::SendToPeer`] is allowed.
+    pub may_message_peers: bool,
     /// A job may have two attempts out at once.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// Attempts for a job, at most.
     pub max_attempts: u32,
     /// The longest retry-after that clients heed; `None` where they are given none.
@@ -162,13 +173,13 @@
     /// Without a subscription, ask for the roster within this.
     pub ask_within: Option<Micros>,
     /// A worker starts at this share of its capacity or more ...
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// ... and is warm after this at most.
-    pub cold_time: Micros,
+    pub warm_up_time: Micros,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... over this long, a cold worker falls over.
-    pub fall_window: Micros,
+    pub collapse_window: Micros,
     /// Points for one crossing of zones a job, out of 1.
     pub price_cross_zone: f64,
     /// Points for one probe a job.
@@ -182,12 +193,12 @@
 impl Default for Settings {
     fn default() -> Self {
         let class = Class {
-            aim: 200_000,
-            stretch: 2.0,
+            latency_objective: 200_000,
+            latency_factor: 2.0,
             deadline: 5_000_000,
-            effect: Effect::Pure,
-            points: 1.0,
-            late_worth: 0.0,
+            idempotency: Idempotency::Idempotent,
+            weight: 1.0,
+            late_weight: 0.0,
             stream: false,
             kind: None,
             priority: 0,
@@ -198,26 +209,26 @@
             zone: ZoneId(0),
             classes: vec![class],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             tick: 1_000,
-            worth_by_work: false,
+            weight_by_work: false,
             reports: Reports::Answers,
-            tells_start: false,
+            reports_start: false,
             progress: None,
-            roster_on_request: false,
+            list_on_request: false,
             may_cancel: true,
             may_probe: false,
-            may_tell: false,
-            second_copies: true,
+            may_message_peers: false,
+            may_hedge: true,
             max_attempts: 5,
             max_retry_after: None,
             answer_slack: 20_000,
             drain_grace: 500_000,
             ask_within: None,
-            cold_from: 0.2,
-            cold_time: 10_000_000,
-            fall_multiple: 2.5,
-            fall_window: 1_000_000,
+            initial_capacity: 0.2,
+            warm_up_time: 10_000_000,
+            collapse_multiple: 2.5,
+            collapse_window: 1_000_000,
             price_cross_zone: 0.0,
             price_probe: 0.0,
             price_waste: 0.05,
@@ -227,7 +238,7 @@
 }
 
 /// The most nodes there may be: each deals all workers out to all groups at every list.
-pub const MOST_NODES: u32 = 10_000;
+pub const MAX_NODES: u32 = 10_000;
 
 /// Why [`crate::Dispatcher::new`] did not take the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -236,7 +247,7 @@
     NoClasses,
     /// `me` is not below `nodes`.
     NotAmongNodes,
-    /// There are more than [`MOST_NODES`].
+    /// There are more than [`MAX_NODES`].
     TooManyNodes,
     /// No attempt is allowed.
     NoAttempts,
@@ -267,18 +278,18 @@
 impl Settings {
     /// Whether the settings agree with themselves.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let shares = [self.cold_from, self.over_share_worth];
-        let sizes = [self.fall_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
-        let classes = self.classes.iter().flat_map(|c| [c.points, c.late_worth, c.stretch]);
+        let shares = [self.initial_capacity, self.over_quota_weight];
+        let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
+        let classes = self.classes.iter().flat_map(|c| [c.weight, c.late_weight, c.latency_factor]);
         if self.classes.is_empty() {
             Err(SettingsError::NoClasses)
         } else if self.me >= self.nodes {
             Err(SettingsError::NotAmongNodes)
-        } else if self.nodes > MOST_NODES {
+        } else if self.nodes > MAX_NODES {
             Err(SettingsError::TooManyNodes)
         } else if self.max_attempts == 0 {
             Err(SettingsError::NoAttempts)
-        } else if self.classes.iter().any(|c| c.deadline == 0 || c.aim == 0) {
+        } else if self.classes.iter().any(|c| c.deadline == 0 || c.latency_objective == 0) {
             Err(SettingsError::NoTime)
         } else if shares.iter().any(|s| !(0.0..=1.0).contains(s))
             || sizes.into_iter().chain(classes).any(|s| !s.is_finite() || s < 0.0)
@@ -303,7 +314,7 @@
 
 /// One line of the roster.
 #[derive(Clone, Copy, Debug)]
-pub struct RosterEntry {
+pub struct EndpointEntry {
     /// The worker.
     pub worker: WorkerId,
     /// A number that every node gives to this worker, such as a hash of its address.
@@ -324,18 +335,18 @@
 
 /// How far a roster reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RosterKind {
+pub enum ListKind {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The complete list: whoever is missing is gone.
-    Whole,
+    Snapshot,
     /// The complete list as this instance last held it, perhaps out of date.
     Cached,
 }
 
 /// A load report. Values that are not finite count as absent; those out of range are clamped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of CPU busy.
     pub cpu: Option<f64>,
     /// Free slots.
@@ -354,11 +365,11 @@
     pub err_rps: Option<f64>,
 }
 
-impl Report {
+impl LoadReport {
     /// Without values that are not finite, and with the others in range.
-    pub fn clean(&self) -> Report {
+    pub fn clean(&self) -> LoadReport {
         let clean = |x: Option<f64>| x.filter(|v| v.is_finite()).map(|v| v.max(0.0));
-        Report {
+        LoadReport {
             cpu: clean(self.cpu).map(|v| v.min(1.0)),
             free_slots: clean(self.free_slots),
             free_memory: clean(self.free_memory),
@@ -404,7 +415,7 @@
     /// What is known of its work from similar jobs, where that is learned.
     pub estimate: Option<Estimate>,
     /// What one more job of its tenant is worth now, as a part of its class's worth, 0 to 1, where shares are kept.
-    pub worth: Option<f64>,
+    pub tenant_weight: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
@@ -427,29 +438,29 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never dispatched; it counts as no attempt.
-    Moot,
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        self.turned_away() || matches!(self, Outcome::ConnectFailed | Outcome::Moot)
+        self.is_rejection() || matches!(self, Outcome::ConnectFailed | Outcome::NeverSent)
     }
 
     /// Whether the same attempt may be welcome a little later, with nothing against its worker.
-    pub fn may_pass(self) -> bool {
-        self.turned_away() || self == Outcome::Moot
+    pub fn is_transient(self) -> bool {
+        self.is_rejection() || self == Outcome::NeverSent
     }
 
     /// Whether the worker was reached and did not want it.
-    pub fn turned_away(self) -> bool {
+    pub fn is_rejection(self) -> bool {
         matches!(self, Outcome::Full | Outcome::HandedBack)
     }
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The job.
     pub job: JobId,
     /// The attempt, from 0.
@@ -463,12 +474,12 @@
     /// How it ended.
     pub outcome: Outcome,
     /// A load report, if one came with it.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// The result of a probe.
 #[derive(Clone, Copy, Debug)]
-pub struct Probed {
+pub struct ProbeResponse {
     /// The worker.
     pub worker: WorkerId,
     /// Whether it answered.
@@ -476,12 +487,12 @@
     /// Time since it was sent.
     pub elapsed: Micros,
     /// Its load report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// An attempt that another process of this node made for a job.
 #[derive(Clone, Copy, Debug)]
-pub struct Past {
+pub struct PriorAttempt {
     /// To whom.
     pub worker: WorkerId,
     /// When.
@@ -498,11 +509,11 @@
 
 /// What is believed of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum PeerPresence {
     /// It may hold work.
-    Here,
+    Present,
     /// It is not heard of, and may hold work where this node does not see it: its part of each worker is kept for it.
-    Away,
+    Unreachable,
     /// It holds no work any more: its part is the others'.
     Gone,
 }
@@ -510,12 +521,12 @@
 /// What has happened. Events about unknown jobs, attempts, workers or alarms are ignored.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The roster, or a part of it.
-    Roster(RosterKind, Vec<RosterEntry>),
+    /// The endpoint list, or a part of it.
+    EndpointList(ListKind, Vec<EndpointEntry>),
     /// A request for the roster failed, or the subscription broke; the list stays in force.
-    RosterFailed,
+    ListFailed,
     /// Another service tells the roster from now on: it is to be asked at once. The list stays in force.
-    RosterMoved,
+    DiscoveryMoved,
     /// A job has arrived: exactly one final answer is owed before its deadline.
     Arrived(NewJob),
     /// A job that another process of this node had taken: this one owes the answer from now on.
@@ -525,10 +536,10 @@
         /// When it arrived.
         since: Micros,
         /// Its attempts, in the order sent.
-        past: Vec<Past>,
+        past: Vec<PriorAttempt>,
     },
     /// A stream has begun on this attempt.
-    Begun {
+    StreamStarted {
         /// The job.
         job: JobId,
         /// The attempt, from 0.
@@ -551,27 +562,27 @@
         done: f64,
     },
     /// An attempt ended. Every [`Action::Send`] gets exactly one.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// An attempt could not be noted, as it must be before it may leave: it never left. The job is given up at once.
-    Unnoted {
+    NotPersisted {
         /// The job.
         job: JobId,
         /// The attempt, from 0.
         attempt: u32,
     },
     /// The client left: the job is over and nothing more is owed.
-    HungUp(JobId),
+    ClientDisconnected(JobId),
     /// An alarm that the module set is due.
-    Alarm(AlarmId),
+    Timer(TimerId),
     /// A probe came back.
-    Probed(Probed),
+    ProbeResponse(ProbeResponse),
     /// What is believed of each node, by their numbers; where it never comes, all of them are here.
-    Peers(Vec<Presence>),
+    Peers(Vec<PeerPresence>),
     /// Another node's message.
-    Mail {
+    PeerMessage {
         /// The sender's number.
         from: u32,
-        /// The bytes of its [`Action::Tell`].
+        /// The bytes of its [`Action::SendToPeer`].
         bytes: Vec<u8>,
     },
 }
@@ -596,7 +607,7 @@
         attempt: u32,
     },
     /// Final answer: turned away; a retry does no harm.
-    Refuse {
+    Reject {
         /// The job.
         job: JobId,
         /// How long the client ought to stay away.
@@ -604,19 +615,19 @@
     },
     /// Final answer: failed, with no assurance.
     Fail(JobId),
-    /// Send [`Event::Alarm`] at the first batch at or after this time from now, never within this call.
-    SetAlarm(AlarmId, Micros),
+    /// Send [`Event::Timer`] at the first batch at or after this time from now, never within this call.
+    SetTimer(TimerId, Micros),
     /// Ask a worker for its load.
     Probe(WorkerId),
     /// Send bytes (256 at most) to another node; they may be lost.
-    Tell {
+    SendToPeer {
         /// Its number.
         to: u32,
         /// The bytes.
         bytes: Vec<u8>,
     },
     /// Subscribe to changes of the roster; one roster event or failure answers.
-    Watch,
+    OpenWatch,
     /// Ask once for the whole roster; one roster event or failure answers.
-    Fetch,
+    FetchList,
 }
--- a/src/net/ask.rs
+++ b/src/net/ask.rs
@@ -50,7 +50,7 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let unix = unix.saturating_sub(now);
         let hears = set.membership.is_some() && config.peer_listen.is_some();
-        let wanted = set.cold_start.as_ref().filter(|_| config.settings.roster_on_request);
+        let wanted = set.cold_start.as_ref().filter(|_| config.settings.list_on_request);
         let pacer = wanted.and_then(|set| {
             let pace = Pace {
                 place: u16::try_from(config.settings.me).ok()?,
--- a/src/net/backend.rs
+++ b/src/net/backend.rs
@@ -125,7 +125,7 @@
         }
         if !self.requests.contains_key(&session) {
             // Its client left in the meantime: nothing goes out any more, which shows nothing of the worker.
-            let fate = Fate::Without(Outcome::Moot);
+            let fate = Fate::Without(Outcome::NeverSent);
             self.core.ended(self.now, session, dispatch, fate, None);
             return;
         }
@@ -215,7 +215,7 @@
         if token.is_none() {
             self.counts.connect_failures += 1;
             // That all descriptors are at work here shows nothing of the worker.
-            let outcome = if room { Outcome::ConnectFailed } else { Outcome::Moot };
+            let outcome = if room { Outcome::ConnectFailed } else { Outcome::NeverSent };
             self.exchange_failed(None, worker, exchange, outcome);
         }
         token
@@ -395,7 +395,7 @@
                 conn.outbox.clear();
                 (back.state, back.unwritten) = (State::Idle, None);
                 self.counts.withheld += 1;
-                self.exchange_failed(Some(token), back.worker, exchange, Outcome::Moot);
+                self.exchange_failed(Some(token), back.worker, exchange, Outcome::NeverSent);
                 return usable && !begun;
             }
             if let Some(raw) = self.requests.get(&session).filter(|_| !begun) {
@@ -489,7 +489,7 @@
                 let outcome = match (written, back.reused) {
                     (true, true) => Outcome::Cancelled,
                     (true, false) => Outcome::Reset,
-                    (false, true) => Outcome::Moot,
+                    (false, true) => Outcome::NeverSent,
                     (false, false) => Outcome::ConnectFailed,
                 };
                 self.counts.resets += 1;
@@ -561,7 +561,7 @@
                 self.note_broken(session);
                 // Where no two attempts may be out, the next one leaves only after it was told.
                 let (worker, name) = (back.worker, self.core.name_of(session, dispatch));
-                let ends = Some((session, dispatch)).filter(|_| !self.config.settings.second_copies);
+                let ends = Some((session, dispatch)).filter(|_| !self.config.settings.may_hedge);
                 self.dispatching.remove(&(session, dispatch));
                 self.close(token, conn, Role::Back(back));
                 if ends.is_none() || name.is_none() {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,7 +4,7 @@
 //! where all are full, to the one that answers soonest.
 
 use crate::interface::*;
-use crate::share::{Heard, TELL_ALARM};
+use crate::share::{GOSSIP_TIMER_ID, Heard};
 use crate::state::*;
 
 /// The paper's freshness window, its ratio to the report interval, and how many times it may grow.
@@ -42,7 +42,7 @@
 const LEAST_SPARE: f64 = 0.1;
 /// A worker that reports more errors a second than this, and more than it can have served, is failing.
 const MOST_ERRORS: f64 = 1.0;
-const ROSTER_ALARM: u64 = 0; // and job n has alarm 1 + n
+const WATCH_TIMER_ID: u64 = 0; // and job n has alarm 1 + n
 
 /// The decision module of one node.
 pub struct Dispatcher {
@@ -80,7 +80,7 @@
         }
         self.m.refit(&set);
         self.set = set;
-        self.m.index(self.set.zone, self.set.cold_time);
+        self.m.index(self.set.zone, self.set.warm_up_time);
         Ok(())
     }
 
@@ -88,30 +88,30 @@
     pub fn handle(&mut self, now: Micros, event: Event, acts: &mut Vec<Action>) {
         self.m.now = self.m.now.max(now);
         match event {
-            Event::Roster(kind, entries) => self.roster(kind, &entries, acts),
-            Event::RosterFailed => self.ask_later(1, acts),
-            Event::RosterMoved => acts.push(Action::Watch),
+            Event::EndpointList(kind, entries) => self.roster(kind, &entries, acts),
+            Event::ListFailed => self.ask_later(1, acts),
+            Event::DiscoveryMoved => acts.push(Action::OpenWatch),
             Event::Arrived(new) => self.arrived(new, acts),
             Event::Adopted { new, since, past } => {
                 self.admit(new, since, acts);
                 self.m.take_over(new.job, &past);
                 self.review(new.job, acts);
             }
-            Event::Begun { job, attempt }
+            Event::StreamStarted { job, attempt }
             | Event::Started { job, attempt }
             | Event::Progress { job, attempt, .. } => self.sign(job, attempt, acts),
-            Event::Ended(ended) => self.ended(ended, acts),
-            Event::Unnoted { job, attempt } => {
+            Event::AttemptEnded(ended) => self.ended(ended, acts),
+            Event::NotPersisted { job, attempt } => {
                 self.m.never_left(job, attempt);
                 self.give_up(job, acts);
             }
-            Event::HungUp(job) => self.close(job, acts),
-            Event::Alarm(AlarmId(ROSTER_ALARM)) => acts.push(Action::Watch),
-            Event::Alarm(AlarmId(TELL_ALARM)) => self.m.tell(acts),
-            Event::Alarm(AlarmId(id)) => self.review(JobId(id - 1), acts),
-            Event::Probed(echo) => self.probed(echo, acts),
+            Event::ClientDisconnected(job) => self.close(job, acts),
+            Event::Timer(TimerId(WATCH_TIMER_ID)) => acts.push(Action::OpenWatch),
+            Event::Timer(TimerId(GOSSIP_TIMER_ID)) => self.m.tell(acts),
+            Event::Timer(TimerId(id)) => self.review(JobId(id - 1), acts),
+            Event::ProbeResponse(echo) => self.probed(echo, acts),
             Event::Peers(peers) => self.m.hold_by(&peers, &self.set),
-            Event::Mail { from, bytes } => match self.m.share.hear(self.m.now, from, &bytes) {
+            Event::PeerMessage { from, bytes } => match self.m.share.hear(self.m.now, from, &bytes) {
                 Heard::Wish(zone) => self.lend(from, zone, acts),
                 Heard::Offer => self.wake_held(acts),
                 Heard::Nothing => {}
@@ -132,7 +132,7 @@
         };
         let rooms = self.m.share.workers().filter_map(room);
         if let Some((.., best)) = rooms.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))) {
-            self.m.count(best.worker, 0.0, self.set.fall_window);
+            self.m.count(best.worker, 0.0, self.set.collapse_window);
             self.m.share.offer(self.m.now, to, &best, acts);
         }
     }
@@ -141,11 +141,11 @@
         &self.set.classes[usize::from(job.new.class.0)]
     }
 
-    fn roster(&mut self, kind: RosterKind, entries: &[RosterEntry], acts: &mut Vec<Action>) {
+    fn roster(&mut self, kind: ListKind, entries: &[EndpointEntry], acts: &mut Vec<Action>) {
         self.m.list(kind, entries);
-        self.m.index(self.set.zone, self.set.cold_time);
+        self.m.index(self.set.zone, self.set.warm_up_time);
         match kind {
-            RosterKind::Cached => self.ask_later(0, acts),
+            ListKind::Cached => self.ask_later(0, acts),
             _ => self.m.roster_failures = 0,
         }
     }
@@ -153,15 +153,15 @@
     /// Subscribes after a random wait, longer after each failure, so that nodes do not ask all at once.
     fn ask_later(&mut self, failed: u32, acts: &mut Vec<Action>) {
         self.m.roster_failures = (self.m.roster_failures + failed).min(3);
-        if let Some(within) = self.set.ask_within.filter(|_| self.set.roster_on_request) {
+        if let Some(within) = self.set.ask_within.filter(|_| self.set.list_on_request) {
             let span = (within / 8) << self.m.roster_failures;
-            acts.push(Action::SetAlarm(AlarmId(ROSTER_ALARM), self.rng.u64(0..=span)));
+            acts.push(Action::SetTimer(TimerId(WATCH_TIMER_ID), self.rng.u64(0..=span)));
         }
     }
 
     fn arrived(&mut self, new: NewJob, acts: &mut Vec<Action>) {
         if usize::from(new.class.0) >= self.set.classes.len() {
-            return acts.push(Action::Refuse { job: new.job, retry_after: self.stay_away() });
+            return acts.push(Action::Reject { job: new.job, retry_after: self.stay_away() });
         }
         self.admit(new, self.m.now, acts);
         self.wake_held(acts); // what waits here already goes first
@@ -171,17 +171,17 @@
     fn admit(&mut self, new: NewJob, since: Micros, acts: &mut Vec<Action>) {
         let Some(class) = self.set.classes.get(usize::from(new.class.0)) else { return };
         let seen = self.m.class_work[usize::from(new.class.0)];
-        let guess = if seen.count > 0.0 { seen.value } else { class.aim as f64 };
+        let guess = if seen.count > 0.0 { seen.value } else { class.latency_objective as f64 };
         let work = new.hint.map_or(guess, |h| h as f64).max(1.0);
         let longest = if new.hint.is_some() { 0.0 } else { class.deadline as f64 };
         self.m.note_arrival(usize::from(new.class.0), work, longest);
         self.m.jobs.insert(new.job, Job::new(new, since, work));
-        self.alarm(new.job, new.deadline.saturating_sub(self.set.tick), acts);
+        self.set_timer(new.job, new.deadline.saturating_sub(self.set.tick), acts);
     }
 
-    fn alarm(&self, job: JobId, at: Micros, acts: &mut Vec<Action>) {
+    fn set_timer(&self, job: JobId, at: Micros, acts: &mut Vec<Action>) {
         let after = at.saturating_sub(self.m.now).max(1);
-        acts.push(Action::SetAlarm(AlarmId(1 + job.0), after));
+        acts.push(Action::SetTimer(TimerId(1 + job.0), after));
     }
 
     /// Ends a job at this node: what is still out is called off.
@@ -198,10 +198,9 @@
     /// The node's final answer: a refusal only where nothing may have run or a repeat does no harm.
     fn give_up(&mut self, id: JobId, acts: &mut Vec<Action>) {
         let Some(job) = self.m.jobs.get(&id) else { return };
-        let harmless =
-            matches!(self.class(job).effect, Effect::Pure | Effect::Token { group: Group::All, .. })
-                || job.bounces() == job.attempts.len();
-        let refusal = Action::Refuse { job: id, retry_after: self.stay_away() };
+        let repeatable = self.class(job).idempotency.is_repeatable_anywhere();
+        let harmless = repeatable || job.bounces() == job.attempts.len();
+        let refusal = Action::Reject { job: id, retry_after: self.stay_away() };
         acts.push(if harmless { refusal } else { Action::Fail(id) });
         self.close(id, acts);
     }
@@ -217,17 +216,17 @@
     }
 
     /// Whether a job may be sent (again) to this worker, by its class and by what may have run.
-    fn may_send(&self, job: &Job, to: &RosterEntry) -> bool {
+    fn may_send(&self, job: &Job, to: &EndpointEntry) -> bool {
         let mut risky = job.attempts.iter().filter(|a| !a.never_ran());
-        if job.sent() >= self.set.max_attempts || (!self.set.second_copies && job.out() > 0) {
+        if job.sent() >= self.set.max_attempts || (!self.set.may_hedge && job.out() > 0) {
             return false;
         }
-        match self.class(job).effect {
-            Effect::Pure => true,
-            Effect::SideEffect => risky.next().is_none(),
-            Effect::Token { group, memory } => risky.all(|a| {
-                let in_time = self.m.now + self.set.tick < a.at + memory;
-                in_time && group.joins(self.m.at(a.worker).known.as_ref(), to)
+        match self.class(job).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => risky.next().is_none(),
+            Idempotency::IdempotentWithKey { scope, window } => risky.all(|a| {
+                let in_time = self.m.now + self.set.tick < a.at + window;
+                in_time && scope.covers(self.m.at(a.worker).known.as_ref(), to)
             }),
         }
     }
@@ -236,16 +235,18 @@
     fn latest_start(&self, job: &Job) -> Micros {
         let class = self.class(job);
         let work = job.work * if job.new.hint.is_some() { 1.0 } else { TYPICAL_PART };
-        job.arrived + class.aim + (work * (class.stretch - self.m.slow.value.max(1.0)).max(0.0)) as Micros
+        job.arrived
+            + class.latency_objective
+            + (work * (class.latency_factor - self.m.slow.value.max(1.0)).max(0.0)) as Micros
     }
 
     /// Whether the job may go to another zone: once it has waited here for that part of its slack which the
     /// price of crossing is of what it loses by being late; and, late, of what it loses by not being served.
     fn may_cross(&self, job: &Job) -> bool {
-        let (latest, late_worth) = (self.latest_start(job), self.class(job).late_worth);
+        let (latest, late_weight) = (self.latest_start(job), self.class(job).late_weight);
         let late = self.m.now >= latest;
         let (from, to) = if late { (latest, job.new.deadline) } else { (job.arrived, latest) };
-        let part = self.set.price_cross_zone / if late { late_worth } else { 1.0 - late_worth }.max(0.01);
+        let part = self.set.price_cross_zone / if late { late_weight } else { 1.0 - late_weight }.max(0.01);
         let wait = to.saturating_sub(from) as f64 * part.min(HOLD_PART);
         self.m.home.is_empty() || self.m.now >= from + wait as Micros
     }
@@ -253,7 +254,7 @@
     /// Looks at a job anew: answers it, waits, probes, holds, sends, or sends a copy.
     fn review(&mut self, id: JobId, acts: &mut Vec<Action>) {
         let Some(job) = self.m.jobs.get(&id).filter(|j| !j.closed) else { return };
-        let (effect, late_worth) = (self.class(job).effect, self.class(job).late_worth);
+        let (effect, late_weight) = (self.class(job).idempotency, self.class(job).late_weight);
         let (latest, soon) = (self.latest_start(job), self.m.now + self.set.tick);
         let streaming = self.class(job).stream && job.any(State::Running); // it has no deadline any more
         if soon >= job.new.deadline && !streaming {
@@ -262,9 +263,9 @@
             return;
         }
         let (out, spent) = (job.out(), job.sent() >= self.set.max_attempts);
-        let stuck = job.any(State::MayHaveRun) && effect == Effect::SideEffect;
+        let stuck = job.any(State::MayHaveRun) && effect == Idempotency::NonIdempotent;
         // A job that can no longer earn anything is not started: it would only delay the rest.
-        if out == 0 && ((late_worth == 0.0 && soon >= latest) || stuck || spent) {
+        if out == 0 && ((late_weight == 0.0 && soon >= latest) || stuck || spent) {
             return self.give_up(id, acts);
         }
         let (slack, left) = (latest.saturating_sub(self.m.now), job.new.deadline - self.m.now);
@@ -273,20 +274,20 @@
         if let Some(last) = self.m.jobs.get_mut(&id).and_then(Job::newest_unstarted) {
             let due = last.at + sign_due;
             if self.m.now < due {
-                return self.alarm(id, due, acts);
+                return self.set_timer(id, due, acts);
             }
             // A worker that does not start what its report had room for is not believed for a while.
             let (worker, job_at, promised) = (last.worker, last.at, std::mem::take(&mut last.promised));
             let alive = self.m.at(worker).heard > job_at;
-            if promised && self.set.tells_start && (grouped || !alive) {
+            if promised && self.set.reports_start && (grouped || !alive) {
                 self.strike(worker);
             }
             let patience = (latest.saturating_sub(job_at) as f64 * COPY_PART) as Micros;
             if self.m.now < job_at + patience {
-                return self.alarm(id, job_at + patience, acts);
+                return self.set_timer(id, job_at + patience, acts);
             }
             // A worker that was heard of since lives: the job is in its queue and will run there in any case.
-            if out > 1 || effect == Effect::SideEffect || spent || alive {
+            if out > 1 || effect == Idempotency::NonIdempotent || spent || alive {
                 return;
             }
         }
@@ -298,7 +299,7 @@
             return;
         }
         // A full one at once where starts are told, else after the hold; alone then even one not trusted.
-        let told = slack > 0 && self.set.tells_start && !grouped;
+        let told = slack > 0 && self.set.reports_start && !grouped;
         let queue = |rank| rank == Rank::Full && (told || held) || held && !grouped && rank != Rank::TooLong;
         let may = |rank| rank == Rank::Fresh || out == 0 && (rank == Rank::Unknown || queue(rank));
         match self.pick(id) {
@@ -313,7 +314,7 @@
                     self.m.hold(id, until);
                     self.m.share.wish(self.set.zone, self.rng.u32(..), acts);
                 }
-                self.alarm(id, until, acts);
+                self.set_timer(id, until, acts);
             }
         }
     }
@@ -322,7 +323,7 @@
     fn sign_due(&self, work: f64) -> Micros {
         let answer = OVERDUE * work * self.m.slow.value.max(1.0);
         let shown = self.set.progress.map_or(answer, |p| answer.min(OVERDUE * p as f64));
-        let usual = if self.set.tells_start { OVERDUE * self.m.sign_after } else { shown };
+        let usual = if self.set.reports_start { OVERDUE * self.m.sign_after } else { shown };
         usual as Micros + self.set.tick
     }
 
@@ -355,7 +356,7 @@
         let Some(job) = self.m.jobs.get_mut(&id) else { return false };
         (job.sample, job.echoes_due) = (pool, stale.len());
         job.wait_until = if stale.is_empty() { 0 } else { until };
-        self.alarm(id, until, acts);
+        self.set_timer(id, until, acts);
         !stale.is_empty()
     }
 
@@ -397,14 +398,15 @@
     /// The worker's inputs (CPU, second input, free slots), if it is known: what the group has out at one of
     /// its own; else its fresh entry, charged with own grants that the report cannot show yet, or every node
     /// would keep sending to one top score until it moves.
-    fn inputs(&self, worker: &Worker, known: &RosterEntry) -> Option<(f64, f64, f64)> {
+    fn inputs(&self, worker: &Worker, known: &EndpointEntry) -> Option<(f64, f64, f64)> {
         let slots = self.m.slots(known.kind).max(1.0);
         if self.m.share.on_offer(known.worker, self.m.now) {
             return Some((0.5, 0.5, 1.0));
         }
         let told = self.m.taken(known).map(|mates| {
-            let age = known.started_at.map_or(self.set.cold_time, |at| self.m.now.saturating_sub(at));
-            let planned = if age < self.set.cold_time { self.set.fall_multiple * COLD_SAFETY } else { 1.0 };
+            let age = known.started_at.map_or(self.set.warm_up_time, |at| self.m.now.saturating_sub(at));
+            let planned =
+                if age < self.set.warm_up_time { self.set.collapse_multiple * COLD_SAFETY } else { 1.0 };
             let room = slots * (planned * self.grown(age)).min(1.0);
             let (out, room) = (mates + worker.held(), room.max(1.0));
             (out / room, out / room, (room - out).floor())
@@ -431,12 +433,12 @@
         let pool = self.candidates(id, false);
         let job = self.m.jobs.get(&id)?;
         let (needs, memory) = (job.new.slots, job.new.memory);
-        let due = self.sign_due(job.work).min(if self.set.tells_start { QUEUED } else { Micros::MAX });
+        let due = self.sign_due(job.work).min(if self.set.reports_start { QUEUED } else { Micros::MAX });
         let mut ranked: Vec<(Rank, f64, f64, WorkerId)> = Vec::new();
         let mut lowest_cpu = f64::INFINITY;
         let slack = self.latest_start(job).saturating_sub(self.m.now) as f64;
         let grouped = self.m.share.on();
-        let queue_asked = self.m.tells_queue && !self.set.tells_start;
+        let queue_asked = self.m.tells_queue && !self.set.reports_start;
         // What only one kind can run comes first there: to other jobs it offers what that leaves.
         let spare = |k: KindId| (1.0 - self.m.bound_share(&self.set.classes, k)).clamp(LEAST_SPARE, 1.0);
         let kinds = self.set.classes.iter().filter_map(|c| c.kind.map(|k| (k, spare(k))));
@@ -467,7 +469,7 @@
                     let short = memory.zip(entry.and_then(|e| e.memory)).is_some_and(|(m, have)| have < m);
                     if free < needs || short {
                         // Of the group, or only of this node; where starts are told, one waits there at most.
-                        let told = self.set.tells_start && !grouped;
+                        let told = self.set.reports_start && !grouped;
                         let ahead = if told { 0.0 } else { held.max(-free) };
                         let behind = entry.and_then(|e| e.waiting).unwrap_or(0.0) + ahead + 1.0;
                         let wait = behind * self.m.mean_work() * slowness / self.m.slots(known.kind);
@@ -480,7 +482,7 @@
                     }
                 }
                 // A cold worker whose turn it is has room: it reads as half loaded.
-                None if !self.m.is_warm(&known, self.set.cold_time) => {
+                None if !self.m.is_warm(&known, self.set.warm_up_time) => {
                     (Rank::Fresh, -(capability(0.5, 0.5) * spare / TIE).round(), slowness)
                 }
                 None if held + needs > self.m.slots(known.kind).max(2.0) => (Rank::TooLong, soonest, luck),
@@ -501,13 +503,14 @@
 
     /// The part of its capacity that a worker has at least, this long after its start.
     fn grown(&self, age: Micros) -> f64 {
-        self.set.cold_from + (1.0 - self.set.cold_from) * (age as f64 / self.set.cold_time as f64).min(1.0)
+        self.set.initial_capacity
+            + (1.0 - self.set.initial_capacity) * (age as f64 / self.set.warm_up_time as f64).min(1.0)
     }
 
     /// Whether a worker is warm, or may get this too while it is cold. In a group each of its nodes has
     /// one job at most there, and all together what it can run.
-    fn warm_enough(&self, worker: &Worker, known: &RosterEntry, work: f64) -> bool {
-        let warm = self.m.is_warm(known, self.set.cold_time) || self.m.share.lent_cold(known, self.m.now);
+    fn warm_enough(&self, worker: &Worker, known: &EndpointEntry, work: f64) -> bool {
+        let warm = self.m.is_warm(known, self.set.warm_up_time) || self.m.share.lent_cold(known, self.m.now);
         let room = || self.inputs(worker, known).is_some_and(|(_, _, free)| free >= 1.0);
         let fits = || !self.m.share.on() || worker.out.is_empty() && room();
         warm || fits() && self.in_part(worker, known, work)
@@ -516,12 +519,12 @@
     /// Cold starts: all nodes keep within the fleet's budget. What they plan of it in any stretch of the fall
     /// window is dealt out call by call, by ranks that nothing they hear or are told changes; where mates are
     /// heard, their work there is known, and only what several send at once has to fit. The first has a job.
-    fn in_part(&self, worker: &Worker, known: &RosterEntry, work: f64) -> bool {
-        let (now, window, share) = (self.m.now, self.set.fall_window, &self.m.share);
-        let warm = self.m.is_warm(known, self.set.cold_time);
+    fn in_part(&self, worker: &Worker, known: &EndpointEntry, work: f64) -> bool {
+        let (now, window, share) = (self.m.now, self.set.collapse_window, &self.m.share);
+        let warm = self.m.is_warm(known, self.set.warm_up_time);
         let Some((rank, nodes)) = share.rank(known.tag) else { return warm };
         let age = now.saturating_sub(known.started_at.unwrap_or(0));
-        let grown = self.grown(age.saturating_sub(window)) * self.set.fall_multiple * window as f64;
+        let grown = self.grown(age.saturating_sub(window)) * self.set.collapse_multiple * window as f64;
         let budget = grown * self.m.slots(known.kind) / self.m.slowness(worker, known).max(1.0);
         let unheard = || (worker.sent_since(now.saturating_sub(window)), COLD_SAFETY);
         let (sent, safe) = if share.hears(now, window) { (0.0, 1.0) } else { unheard() };
@@ -530,7 +533,7 @@
     }
 
     fn send(&mut self, id: JobId, to: WorkerId, rank: Rank, acts: &mut Vec<Action>) {
-        let (now, window) = (self.m.now, self.set.fall_window);
+        let (now, window) = (self.m.now, self.set.collapse_window);
         let Some(job) = self.m.jobs.get_mut(&id) else { return };
         let (attempt, slots, work) = (job.attempts.len() as u32, job.new.slots, job.work);
         job.attempts.push(Attempt::new(to, now, rank));
@@ -538,7 +541,7 @@
         self.m.grant(to, Out { job: id, attempt, at: now, slots, started: false });
         self.m.held.retain(|h| *h != id);
         acts.push(Action::Send { job: id, worker: to, limit: None });
-        self.alarm(id, now + self.sign_due(work), acts);
+        self.set_timer(id, now + self.sign_due(work), acts);
     }
 
     /// A job runs: its worker is trusted again, and its other attempts are called off.
@@ -569,7 +572,7 @@
     fn turn(&self, id: JobId) -> Option<(bool, Micros, JobId)> {
         let job = self.m.jobs.get(&id).filter(|job| job.bounces() < QUICK_TRIES)?;
         let (latest, class) = (self.latest_start(job), self.class(job));
-        let last = class.late_worth > 0.0 && self.m.now >= job.arrived + class.aim;
+        let last = class.late_weight > 0.0 && self.m.now >= job.arrived + class.latency_objective;
         Some((last, if last { Micros::MAX - latest } else { latest }, id))
     }
 
@@ -587,18 +590,18 @@
         }
     }
 
-    fn ended(&mut self, end: Ended, acts: &mut Vec<Action>) {
-        let Ended { job: id, attempt, worker, elapsed, closed, outcome, report } = end;
+    fn ended(&mut self, end: AttemptEnded, acts: &mut Vec<Action>) {
+        let AttemptEnded { job: id, attempt, worker, elapsed, closed, outcome, report } = end;
         let (now, window) = (self.m.now, self.window());
         let Some(job) = self.m.jobs.get_mut(&id) else { return };
         let this = job.attempts.get_mut(attempt as usize).filter(|a| a.worker == worker);
         let Some(this) = this else { return };
-        let ran_for = this.running_since.filter(|_| self.set.tells_start).map(|s| now.saturating_sub(s));
+        let ran_for = this.running_since.filter(|_| self.set.reports_start).map(|s| now.saturating_sub(s));
         this.state = State::after(outcome);
         let (work, class, bounces) = (job.work, usize::from(job.new.class.0), job.bounces());
         self.m.returned(worker, id, attempt);
         let zone = self.m.worker(worker).known.map(|k| k.zone);
-        if outcome.turned_away() || matches!(outcome, Outcome::Ok | Outcome::Error) {
+        if outcome.is_rejection() || matches!(outcome, Outcome::Ok | Outcome::Error) {
             self.m.worker(worker).heard = now;
         }
         match outcome {
@@ -617,21 +620,21 @@
                 self.strike(worker);
                 // A cut shows as connections that fail to workers of another zone.
                 if let Some(zone) = zone.filter(|_| outcome == Outcome::ConnectFailed) {
-                    strike(self.m.zones.entry(zone).or_default(), now, window, true);
+                    self.m.zones.entry(zone).or_default().strike(now, window, MOST_STRIKES[1]);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NeverSent => {}
         }
         if closed {
             self.close(id, acts);
         } else if let Some(job) = self.m.jobs.get(&id).filter(|j| !j.closed) {
             let left = u64::from(self.set.max_attempts.saturating_sub(job.sent()));
             // Turned away, or not let out, again and again: the tries left are spread over the time left.
-            if bounces >= QUICK_TRIES && outcome.may_pass() && job.out() == 0 && left > 0 {
+            if bounces >= QUICK_TRIES && outcome.is_transient() && job.out() == 0 && left > 0 {
                 let span = self.latest_start(job).saturating_sub(now) / (left + 1);
-                let until = now + if outcome == Outcome::Moot { span.max(window) } else { span };
+                let until = now + if outcome == Outcome::NeverSent { span.max(window) } else { span };
                 self.m.hold(id, until);
-                self.alarm(id, until, acts);
+                self.set_timer(id, until, acts);
             }
             self.review(id, acts);
         }
@@ -645,11 +648,11 @@
     /// Distrust: the entry is cleared and the worker left alone, twice as long each time.
     fn strike(&mut self, id: WorkerId) {
         let (now, window, grouped) = (self.m.now, self.window(), self.m.share.on());
-        strike(&mut self.m.fail(id).trust, now, window, grouped);
+        self.m.fail(id).trust.strike(now, window, MOST_STRIKES[usize::from(grouped)]);
     }
 
-    fn probed(&mut self, echo: Probed, acts: &mut Vec<Action>) {
-        let Probed { worker: id, outcome, elapsed, report } = echo;
+    fn probed(&mut self, echo: ProbeResponse, acts: &mut Vec<Action>) {
+        let ProbeResponse { worker: id, outcome, elapsed, report } = echo;
         let Some(worker) = self.m.workers.get_mut(id.0 as usize) else { return };
         let askers = std::mem::take(&mut worker.askers);
         worker.probing = false;
@@ -671,8 +674,8 @@
     }
 
     /// Stores a report as a stamped entry and learns the report interval.
-    fn enter(&mut self, id: WorkerId, report: &Report) {
-        let Report { free_slots, waiting, free_memory: memory, .. } = report.clean();
+    fn enter(&mut self, id: WorkerId, report: &LoadReport) {
+        let LoadReport { free_slots, waiting, free_memory: memory, .. } = report.clean();
         // Noise aside, slots are whole: 0.96 free is one.
         let (cpu, free) = (report.clean().cpu.unwrap_or(0.5), free_slots.map(f64::round));
         let slots = self.m.at(id).known.map_or(1.0, |k| self.m.slots(k.kind));
@@ -683,8 +686,3 @@
         self.m.store(id, Entry { at: self.m.now, cpu, free, waiting, memory });
     }
 }
-
-fn strike(trust: &mut Trust, now: Micros, window: Micros, grouped: bool) {
-    (trust.since, trust.until) = (now, now + (window << trust.strikes));
-    trust.strikes = (trust.strikes + 1).min(MOST_STRIKES[usize::from(grouped)]);
-}
--- a/src/share.rs
+++ b/src/share.rs
@@ -22,7 +22,7 @@
 /// News is told this late, so that what happens at once is told at once.
 const NEWS_WITHIN: Micros = 2_000;
 /// The alarm at which a node tells its group what there is to tell.
-pub(crate) const TELL_ALARM: u64 = u64::MAX;
+pub(crate) const GOSSIP_TIMER_ID: u64 = u64::MAX;
 /// A slot that was offered is kept for this long, for a node that does not say whether it uses it.
 const OFFERED_FOR: Micros = 60_000;
 /// The first byte of a message: what its sender has out at the group's workers, and which of them it doubts; the same of
@@ -144,7 +144,7 @@
     /// The other nodes of the group.
     pub(crate) mates: Vec<u32>,
     /// What is believed of each node, by their numbers; all of them are here where it is empty.
-    peers: Vec<Presence>,
+    peers: Vec<PeerPresence>,
     /// The view has changed at this time, and the workers are not dealt by it yet.
     view_at: Option<Micros>,
     /// Of the group's workers: those that came from another group by a view, and when; and the ranks of parts that are
@@ -194,7 +194,7 @@
         let groups = set.nodes.div_ceil(GROUP).max(1);
         let group = set.me % groups;
         let mates = (group..set.nodes).step_by(groups as usize);
-        let mates = mates.filter(|n| set.may_tell && set.may_probe && *n != set.me).collect();
+        let mates = mates.filter(|n| set.may_message_peers && set.may_probe && *n != set.me).collect();
         Share { nodes: set.nodes, me: set.me, group, groups, mates, ..Share::default() }
     }
 
@@ -208,10 +208,10 @@
 
     /// What is believed of each node from now on. Whether that has changed anything: the workers are then to be dealt anew.
     /// A list that is not of this many nodes, or lacks this one, says nothing.
-    pub fn hold_by(&mut self, now: Micros, peers: &[Presence]) -> bool {
+    pub fn hold_by(&mut self, now: Micros, peers: &[PeerPresence]) -> bool {
         let sound =
-            peers.len() == self.nodes as usize && peers.get(self.me as usize) == Some(&Presence::Here);
-        let peers = if peers.iter().all(|p| *p == Presence::Here) { &[][..] } else { peers };
+            peers.len() == self.nodes as usize && peers.get(self.me as usize) == Some(&PeerPresence::Present);
+        let peers = if peers.iter().all(|p| *p == PeerPresence::Present) { &[][..] } else { peers };
         let changed = sound && self.on() && self.peers != peers;
         if changed {
             (self.peers, self.view_at) = (peers.to_vec(), Some(now));
@@ -221,7 +221,7 @@
 
     /// Whether a node may hold work.
     fn holds(&self, node: u32) -> bool {
-        self.peers.get(node as usize).is_none_or(|p| *p == Presence::Here)
+        self.peers.get(node as usize).is_none_or(|p| *p == PeerPresence::Present)
     }
 
     /// The group that has a worker which is this group's while all nodes hold work. Each worker is held by one node of its
@@ -247,7 +247,8 @@
         order.sort_unstable_by_key(|n| (mix(tag ^ mix(RANK + u64::from(*n))), *n));
         let believed = |n: &u32| self.peers[*n as usize];
         let heir = |at: usize| order.iter().cycle().skip(at).take(order.len()).map(believed);
-        let away = |at: &usize| heir(*at).find(|p| *p != Presence::Gone) == Some(Presence::Away);
+        let away =
+            |at: &usize| heir(*at).find(|p| *p != PeerPresence::Gone) == Some(PeerPresence::Unreachable);
         (0..order.len()).filter(away).filter_map(|rank| u16::try_from(rank).ok()).collect()
     }
 
@@ -289,7 +290,7 @@
     /// Deals the ready workers out to the groups, zone by zone, the oldest first: each goes to the group that ranks highest
     /// for it among those that have not had their part yet, so that one more or less moves few others. But a cold one goes to
     /// the group that ranks highest of all: whoever is told of whichever others, and whoever is gone, it has the same group.
-    pub fn deal(&mut self, ready: &[RosterEntry], cold: &[WorkerId]) {
+    pub fn deal(&mut self, ready: &[EndpointEntry], cold: &[WorkerId]) {
         if !self.on() {
             return; // there are no parts
         }
@@ -318,7 +319,7 @@
                     if let Some(now) = view_at.filter(|_| came) {
                         self.gained.insert(known.worker, now);
                     }
-                    if self.peers.contains(&Presence::Away) {
+                    if self.peers.contains(&PeerPresence::Unreachable) {
                         self.kept.insert(known.worker, self.kept_ranks(known.tag));
                     }
                 }
@@ -338,7 +339,7 @@
     /// Gives each ready worker a short tag of its own. Where several would have the same, the first by its whole tag has it, and
     /// the others, in order, the next ones that are free. So whoever holds the same list names all alike, and while lists
     /// differ only workers that share one can be taken for each other. (Beyond 65,536 workers some have none.)
-    fn name(&mut self, ready: &[RosterEntry]) {
+    fn name(&mut self, ready: &[EndpointEntry]) {
         let mut order: Vec<_> = ready.iter().map(|k| (short(k.tag), k.tag, k.worker)).collect();
         order.sort_unstable();
         let mut late = Vec::new();
@@ -372,7 +373,7 @@
     }
 
     /// Whether a slot at a cold worker is on offer by its group: another one has not been told that it started.
-    pub(crate) fn lent_cold(&self, known: &RosterEntry, now: Micros) -> bool {
+    pub(crate) fn lent_cold(&self, known: &EndpointEntry, now: Micros) -> bool {
         let by_group = |(by, until): &(u32, Micros)| now < *until && by % self.groups == self.top(known.tag);
         self.offers.get(&known.worker).is_some_and(by_group)
     }
@@ -425,7 +426,7 @@
     }
 
     /// What others have out, by what they have said, at a worker of the group, in slots; `None` for another worker.
-    pub fn load(&self, known: &RosterEntry, now: Micros) -> Option<f64> {
+    pub fn load(&self, known: &EndpointEntry, now: Micros) -> Option<f64> {
         // As `has` would say, in one step: this is asked for every worker that is ranked.
         if !self.on() || !self.named.get(known.worker.0 as usize).is_some_and(|named| *named) {
             return None;
@@ -456,7 +457,7 @@
     }
 
     /// Whether another has said that it doubts this worker, later than this.
-    pub(crate) fn doubted(&self, known: &RosterEntry, since: Micros, now: Micros) -> bool {
+    pub(crate) fn doubted(&self, known: &EndpointEntry, since: Micros, now: Micros) -> bool {
         let tag = self.short(known.worker, known.tag);
         self.fresh(now).any(|(_, said)| said.at > since && said.doubted.contains(&tag))
     }
@@ -490,7 +491,7 @@
             // One of the other groups, and one of its nodes.
             let group = (self.group + 1 + luck % (groups - 1)) % groups;
             let to = self.one_of(group, luck / groups);
-            acts.push(Action::Tell { to, bytes: vec![WISH, zone.0 as u8] });
+            acts.push(Action::SendToPeer { to, bytes: vec![WISH, zone.0 as u8] });
         }
     }
 
@@ -515,18 +516,18 @@
     }
 
     /// Offers a slot at a worker of the group.
-    pub(crate) fn offer(&mut self, now: Micros, to: u32, known: &RosterEntry, acts: &mut Vec<Action>) {
+    pub(crate) fn offer(&mut self, now: Micros, to: u32, known: &EndpointEntry, acts: &mut Vec<Action>) {
         let tag = self.short(known.worker, known.tag);
         self.offered.push((to, tag, now + OFFERED_FOR));
         self.news = true;
         let [high, low] = tag.to_be_bytes();
-        acts.push(Action::Tell { to, bytes: vec![OFFER, high, low] });
+        acts.push(Action::SendToPeer { to, bytes: vec![OFFER, high, low] });
     }
 
     /// Has the alarm set at which news is told.
     pub(crate) fn tell_soon(&mut self, acts: &mut Vec<Action>) {
         if std::mem::take(&mut self.news) && self.on() {
-            acts.push(Action::SetAlarm(AlarmId(TELL_ALARM), NEWS_WITHIN));
+            acts.push(Action::SetTimer(TimerId(GOSSIP_TIMER_ID), NEWS_WITHIN));
         }
     }
 
@@ -580,12 +581,14 @@
             }
             let bytes = part.bytes(kind);
             let mates = self.mates.iter().copied().filter(|mate| to.is_none() && self.holds(*mate));
-            acts.extend(to.into_iter().chain(mates).map(|to| Action::Tell { to, bytes: bytes.clone() }));
+            acts.extend(
+                to.into_iter().chain(mates).map(|to| Action::SendToPeer { to, bytes: bytes.clone() }),
+            );
             (news, again) = (true, again || !part.out.is_empty());
             told.push(part);
         }
         if again {
-            acts.push(Action::SetAlarm(AlarmId(TELL_ALARM), SAID_FOR / 2));
+            acts.push(Action::SetTimer(TimerId(GOSSIP_TIMER_ID), SAID_FOR / 2));
         }
         match to.filter(|_| news && nothing) {
             Some(lender) => self.lenders.retain(|_, by| *by != lender),
@@ -629,15 +632,15 @@
 
 impl crate::state::Memory {
     /// What is believed of each node: the workers are dealt out by it.
-    pub fn hold_by(&mut self, peers: &[Presence], set: &Settings) {
+    pub fn hold_by(&mut self, peers: &[PeerPresence], set: &Settings) {
         if self.share.hold_by(self.now, peers) {
-            self.index(set.zone, set.cold_time);
+            self.index(set.zone, set.warm_up_time);
         }
     }
 
     /// What this node may not take at a worker of the group, in slots: what mates have out, and what is kept for nodes that
     /// are away; `None` for another worker.
-    pub fn taken(&self, known: &RosterEntry) -> Option<f64> {
+    pub fn taken(&self, known: &EndpointEntry) -> Option<f64> {
         let out = self.share.load(known, self.now)?;
         Some(out + f64::from(self.share.kept(known.worker, self.slots(known.kind).max(1.0) as u32, self.now)))
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -62,10 +62,18 @@
     pub until: Micros,
 }
 
+impl Trust {
+    /// One more failure: left alone for a window, twice as long for each strike before it, up to `most` of them.
+    pub fn strike(&mut self, now: Micros, window: Micros, most: u32) {
+        (self.since, self.until) = (now, now + (window << self.strikes));
+        self.strikes = (self.strikes + 1).min(most);
+    }
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct Worker {
     /// Its line in the roster; `None` when it is not on it.
-    pub known: Option<RosterEntry>,
+    pub known: Option<EndpointEntry>,
     /// Its start as last listed, also while it is on no list; `None` before it was on one.
     pub start: Option<Option<Micros>>,
     pub entry: Option<Entry>,
@@ -138,7 +146,7 @@
 impl State {
     pub fn after(outcome: Outcome) -> State {
         match outcome {
-            Outcome::Moot => State::NeverLeft,
+            Outcome::NeverSent => State::NeverLeft,
             Outcome::HandedBack => State::HandedBack,
             _ if outcome.never_ran() => State::NeverRan,
             _ => State::MayHaveRun,
@@ -301,13 +309,13 @@
     }
 
     /// Lists the ready workers anew.
-    pub fn index(&mut self, zone: ZoneId, cold_time: Micros) {
+    pub fn index(&mut self, zone: ZoneId, warm_up_time: Micros) {
         let ready = self.workers.iter().filter_map(|w| w.known.filter(|k| k.status == Status::Ready));
         let now = self.now;
         let ids =
-            |keep: &dyn Fn(&RosterEntry) -> bool| ready.clone().filter(keep).map(|k| k.worker).collect();
+            |keep: &dyn Fn(&EndpointEntry) -> bool| ready.clone().filter(keep).map(|k| k.worker).collect();
         self.home = ids(&|k| k.zone == zone);
-        self.cold = ids(&|k| k.started_at.is_some_and(|s| now < s.saturating_add(cold_time)));
+        self.cold = ids(&|k| k.started_at.is_some_and(|s| now < s.saturating_add(warm_up_time)));
         self.ready = ids(&|_| true);
         self.weights.clear();
         for known in ready.clone() {
@@ -350,9 +358,9 @@
     }
 
     /// Enters the attempts that another process of this node made for a job.
-    pub fn take_over(&mut self, id: JobId, past: &[Past]) {
+    pub fn take_over(&mut self, id: JobId, past: &[PriorAttempt]) {
         for (attempt, past) in (0..).zip(past) {
-            let Past { worker, at, running_since, .. } = *past;
+            let PriorAttempt { worker, at, running_since, .. } = *past;
             let Some(job) = self.jobs.get_mut(&id) else { return };
             let state = match (past.out, running_since, past.never_ran) {
                 (true, None, _) => State::Out,
@@ -401,8 +409,8 @@
     }
 
     /// Enters what the roster says. One that has started anew is known no longer.
-    pub fn list(&mut self, kind: RosterKind, entries: &[RosterEntry]) {
-        if kind != RosterKind::Changes {
+    pub fn list(&mut self, kind: ListKind, entries: &[EndpointEntry]) {
+        if kind != ListKind::Delta {
             self.workers.iter_mut().for_each(|w| w.known = None);
         }
         for entry in entries {
@@ -486,8 +494,8 @@
         }
     }
 
-    pub fn is_warm(&self, known: &RosterEntry, cold_time: Micros) -> bool {
-        known.started_at.is_none_or(|s| self.now >= s.saturating_add(cold_time))
+    pub fn is_warm(&self, known: &EndpointEntry, warm_up_time: Micros) -> bool {
+        known.started_at.is_none_or(|s| self.now >= s.saturating_add(warm_up_time))
     }
 
     /// Whether a report has told how much workers of its kind can run, or that none tells it.
@@ -501,7 +509,7 @@
     }
 
     /// Answer time for each unit of expected work; an untried worker counts at the mean of its like.
-    pub fn slowness(&self, worker: &Worker, known: &RosterEntry) -> f64 {
+    pub fn slowness(&self, worker: &Worker, known: &EndpointEntry) -> f64 {
         worker.slow.blend(self.kind_slowness(known.kind), Self::PRIOR)
     }
 
@@ -579,7 +587,7 @@
     pub fn avoided(&self, now: Micros) -> usize {
         let cut = |zone| self.m.zones.get(&zone).is_some_and(|z| now < z.until);
         let struck = |w: &Worker| w.trust.strikes > 0 && now < w.trust.until;
-        let avoids = |w: &Worker, k: RosterEntry| {
+        let avoids = |w: &Worker, k: EndpointEntry| {
             k.status != Status::Ready || struck(w) || (k.zone != self.set.zone && cut(k.zone))
         };
         self.m.workers.iter().filter(|w| w.known.is_some_and(|k| avoids(w, k))).count()
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -173,7 +173,7 @@
 
 impl Value {
     /// Puts a number where it belongs in a report; one that is not finite counts as absent.
-    pub(crate) fn enter(self, report: &mut Report, number: f64) {
+    pub(crate) fn enter(self, report: &mut LoadReport, number: f64) {
         let slot = match self {
             Value::Cpu => &mut report.cpu,
             Value::FreeSlots => &mut report.free_slots,
@@ -256,28 +256,28 @@
     for i in 0..count.min(p.0.len()) {
         let at = |name: &str| format!("Grades.{i}.{name}");
         let deadline = p.micros(&at("DeadlineMs"), 1e12)?;
-        let effect = match p.text(&at("Semantics")) {
-            Some("pure") => Effect::Pure,
-            Some("token") => Effect::Token {
-                group: match p.text(&at("Group")) {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    _ => Group::Cell,
+        let idempotency = match p.text(&at("Semantics")) {
+            Some("pure") => Idempotency::Idempotent,
+            Some("token") => Idempotency::IdempotentWithKey {
+                scope: match p.text(&at("Group")) {
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 },
-                memory: p.micros(&at("MemorySpanMs"), 0.0)?,
+                window: p.micros(&at("MemorySpanMs"), 0.0)?,
             },
-            _ => Effect::SideEffect,
+            _ => Idempotency::NonIdempotent,
         };
         let own_stretch = p.number(&at("AimStretch"), 0.0)?;
         let stretch = stretches.get(i).and_then(|s| s.parse().ok()).unwrap_or(own_stretch);
         names.classes.id(p.text(&at("Name")).unwrap_or(""));
         classes.push(Class {
-            aim: p.micros(&at("TargetMs"), ms(deadline))?,
-            stretch,
+            latency_objective: p.micros(&at("TargetMs"), ms(deadline))?,
+            latency_factor: stretch,
             deadline,
-            effect,
-            points: p.number(&at("Points"), 1.0)?,
-            late_worth: p.number(&at("LateWorth"), 0.0)?,
+            idempotency,
+            weight: p.number(&at("Points"), 1.0)?,
+            late_weight: p.number(&at("LateWorth"), 0.0)?,
             stream: p.flag(&at("Stream"), false),
             kind: class_kinds.get(i).and_then(|s| s.parse::<u16>().ok()).map(KindId),
             priority: priorities.get(i).and_then(|s| s.parse().ok()).unwrap_or(0),
@@ -288,7 +288,7 @@
         names.tenants.id(p.text(&format!("Projects.{i}.Name")).unwrap_or(""));
         tenants.push(Tenant {
             quota_per_s: p.number(&format!("Projects.{i}.QuotaPerS"), 0.0)?,
-            portion: p.number(&format!("Projects.{i}.Portion"), 0.0)?,
+            share_weight: p.number(&format!("Projects.{i}.Portion"), 0.0)?,
         });
     }
     let progress = p.micros("Domain.ProgressMs", 0.0)?;
@@ -313,21 +313,21 @@
         zone: ZoneId(names.zones.id(p.text("Zone").unwrap_or("")) as u16),
         classes,
         tenants,
-        over_share_worth: p.number("OverShareWorth", 1.0)?,
+        over_quota_weight: p.number("OverShareWorth", 1.0)?,
         tick: p.micros("GranularityMs", 1.0)?,
-        worth_by_work: p.text("CountedBy") == Some("work"),
+        weight_by_work: p.text("CountedBy") == Some("work"),
         reports: match p.text("LoadInfo.Source") {
             Some("piggyback") => Reports::Answers,
             Some("pull") => Reports::Probes,
             _ => Reports::Silent,
         },
-        tells_start: p.flag("Domain.TellsStart", false),
+        reports_start: p.flag("Domain.TellsStart", false),
         progress: (progress > 0).then_some(progress),
-        roster_on_request: on_request,
+        list_on_request: on_request,
         may_cancel: p.flag("Limits.Cancel", false),
         may_probe: p.flag("Limits.Probing", false),
-        may_tell: p.flag("Limits.Peers", false),
-        second_copies: p.flag("Limits.SecondCopies", false),
+        may_message_peers: p.flag("Limits.Peers", false),
+        may_hedge: p.flag("Limits.SecondCopies", false),
         max_attempts: p.number("Limits.MaxAttempts", 1.0)? as u32,
         max_retry_after: match p.flag("Limits.RetryAfter", false) {
             true => Some(p.micros("Limits.MaxRetryAfterMs", 1000.0)?),
@@ -339,10 +339,10 @@
             true => Some(p.micros("Obligations.AskWithinMs", 10_000.0)?),
             false => None,
         },
-        cold_from: p.number("Obligations.ColdFrom", 0.1)?,
-        cold_time: p.micros("Obligations.ColdMs", 0.0)?,
-        fall_multiple: p.number("Obligations.FallMultiple", 1.0)?,
-        fall_window: p.micros("Obligations.FallMs", 1000.0)?,
+        initial_capacity: p.number("Obligations.ColdFrom", 0.1)?,
+        warm_up_time: p.micros("Obligations.ColdMs", 0.0)?,
+        collapse_multiple: p.number("Obligations.FallMultiple", 1.0)?,
+        collapse_window: p.micros("Obligations.FallMs", 1000.0)?,
         price_cross_zone: p.number("Prices.CrossZone", 0.0)?,
         price_probe: p.number("Prices.Probe", 0.0)?,
         price_waste: p.number("Prices.Waste", 0.0)?,
@@ -392,11 +392,11 @@
         WorkerId(id)
     }
 
-    fn report(&self, f: &Fields) -> Parsed<Option<Report>> {
+    fn report(&self, f: &Fields) -> Parsed<Option<LoadReport>> {
         let Some(row) = f.find("Feedback").filter(|row| !row.is_empty() && *row != "-") else {
             return Ok(None);
         };
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (text, (_, value)) in row.split(',').zip(&self.names.values) {
             if text.is_empty() {
                 continue;
@@ -417,14 +417,14 @@
             "connect_failed" => Outcome::ConnectFailed,
             "reset" => Outcome::Reset,
             "cancelled" => Outcome::Cancelled,
-            "moot" => Outcome::Moot,
+            "moot" => Outcome::NeverSent,
             other => return Err(format!("{}: unknown Ending {other:?}", f.message)),
         })
     }
 
-    fn roster_entry(&mut self, f: &Fields) -> Parsed<RosterEntry> {
+    fn roster_entry(&mut self, f: &Fields) -> Parsed<EndpointEntry> {
         let name = f.text("Executor")?;
-        Ok(RosterEntry {
+        Ok(EndpointEntry {
             worker: self.worker(name),
             tag: tag(name),
             zone: ZoneId(self.names.zones.id(f.find("RackZone").unwrap_or("")) as u16),
@@ -447,10 +447,10 @@
         Ok(Some(match f.message {
             "announce" => {
                 let kind = match f.need::<i64>("Kind")? {
-                    0 => RosterKind::Changes,
-                    1 => RosterKind::Whole,
-                    2 => RosterKind::Cached,
-                    3 => return Ok(Some(Event::RosterFailed)),
+                    0 => ListKind::Delta,
+                    1 => ListKind::Snapshot,
+                    2 => ListKind::Cached,
+                    3 => return Ok(Some(Event::ListFailed)),
                     other => return Err(format!("announce: unknown Kind {other}")),
                 };
                 let number: usize = f.need("Table")?;
@@ -461,7 +461,7 @@
                 for line in lines {
                     entries.push(self.roster_entry(&Fields::parse(line))?);
                 }
-                Event::Roster(kind, entries)
+                Event::EndpointList(kind, entries)
             }
             "accept" => {
                 let name = f.text("Job")?;
@@ -480,7 +480,7 @@
                     memory: f.finite("MemNeeded")?,
                     repeat: flags & 2 == 2,
                     estimate: None,
-                    worth: None,
+                    tenant_weight: None,
                 };
                 self.next_job += 1;
                 self.job_ids.insert(name.to_owned(), id);
@@ -488,7 +488,7 @@
                 Event::Arrived(new)
             }
             "begun" => match job(self)? {
-                Some(job) => Event::Begun { job, attempt: attempt()? },
+                Some(job) => Event::StreamStarted { job, attempt: attempt()? },
                 None => return Ok(None),
             },
             "change" => match (job(self)?, f.need::<i64>("Topic")?) {
@@ -508,25 +508,25 @@
                     open.ended += 1;
                     open.closed |= closed;
                 }
-                Event::Ended(Ended { job, attempt, worker, elapsed, closed, outcome, report })
+                Event::AttemptEnded(AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report })
             }
             "hangup" => match job(self)? {
                 Some(job) => {
                     if let Some(open) = self.jobs.get_mut(&job) {
                         open.closed = true;
                     }
-                    Event::HungUp(job)
+                    Event::ClientDisconnected(job)
                 }
                 None => return Ok(None),
             },
-            "wake" => Event::Alarm(AlarmId(f.need("Ctx")?)),
-            "echo" => Event::Probed(Probed {
+            "wake" => Event::Timer(TimerId(f.need("Ctx")?)),
+            "echo" => Event::ProbeResponse(ProbeResponse {
                 worker: self.worker(f.text("Executor")?),
                 outcome: Self::outcome(f)?,
                 elapsed: f.micros("TimeTakenMs")?.unwrap_or(0),
                 report: self.report(f)?,
             }),
-            "mail" => Event::Mail {
+            "mail" => Event::PeerMessage {
                 from: f.need("Who")?,
                 bytes: f.find("Blob").and_then(from_hex).ok_or("mail: Blob is not hex")?,
             },
@@ -563,7 +563,7 @@
                 let Some(open) = self.jobs.get(job) else { return };
                 writeln!(out, "abandon\tJob={}\tRoundNo={attempt}", open.name)
             }
-            Action::Refuse { job, retry_after } => {
+            Action::Reject { job, retry_after } => {
                 let Some(open) = self.jobs.get_mut(job) else { return };
                 open.closed = true;
                 writeln!(out, "push_back\tJob={}\tStayAwayMs={}", open.name, ms(retry_after.unwrap_or(0)))
@@ -573,16 +573,16 @@
                 open.closed = true;
                 writeln!(out, "surrender\tJob={}", open.name)
             }
-            Action::SetAlarm(id, after) => writeln!(out, "set_alarm\tCtx={}\tInMs={}", id.0, ms(*after)),
+            Action::SetTimer(id, after) => writeln!(out, "set_alarm\tCtx={}\tInMs={}", id.0, ms(*after)),
             Action::Probe(worker) => {
                 writeln!(out, "inspect\tExecutor={}", self.worker_names[worker.0 as usize])
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 let hex = bytes.iter().fold(String::new(), |hex, b| hex + &format!("{b:02x}"));
                 writeln!(out, "notify\tWhom={to}\tBlob={}", if hex.is_empty() { "-" } else { &hex })
             }
-            Action::Watch => writeln!(out, "stream_changes\tWant=1"),
-            Action::Fetch => writeln!(out, "reload"),
+            Action::OpenWatch => writeln!(out, "stream_changes\tWant=1"),
+            Action::FetchList => writeln!(out, "reload"),
         };
         line.expect("a string takes any text");
     }
@@ -695,7 +695,9 @@
                 };
                 let Some(event) = instance.event(f, &self.tables)? else { return Ok(false) };
                 let ended = match event {
-                    Event::Ended(Ended { job, .. }) | Event::HungUp(job) => Some(job),
+                    Event::AttemptEnded(AttemptEnded { job, .. }) | Event::ClientDisconnected(job) => {
+                        Some(job)
+                    }
                     _ => None,
                 };
                 self.actions.clear();
@@ -715,7 +717,7 @@
                     reply.push_str("bail_out\tMessage=the decision code panicked, see standard error\n");
                 }
                 let answered = self.actions.iter().filter_map(|action| match action {
-                    Action::Refuse { job, .. } | Action::Fail(job) => Some(*job),
+                    Action::Reject { job, .. } | Action::Fail(job) => Some(*job),
                     _ => None,
                 });
                 for job in answered.chain(ended) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,8 +11,8 @@
     pub dispatcher: Dispatcher,
     pub now: Micros,
     /// When they are due, the first set first, and how many were set.
-    pub alarms: BinaryHeap<Reverse<(Micros, u64, AlarmId)>>,
-    pub alarms_set: u64,
+    pub timers: BinaryHeap<Reverse<(Micros, u64, TimerId)>>,
+    pub timers_set: u64,
     /// The time that the module has taken.
     pub spent: std::time::Duration,
 }
@@ -25,7 +25,7 @@
     pub fn seeded(settings: Settings, seed: u64) -> Node {
         let dispatcher = Dispatcher::new(settings, seed).expect("settings agree");
         let spent = std::time::Duration::ZERO;
-        Node { dispatcher, now: 1_000 * MS, alarms: BinaryHeap::new(), alarms_set: 0, spent }
+        Node { dispatcher, now: 1_000 * MS, timers: BinaryHeap::new(), timers_set: 0, spent }
     }
 
     /// Feeds one event and returns what it led to; alarms are kept for `pass`.
@@ -35,9 +35,9 @@
         self.dispatcher.handle(self.now, event, &mut actions);
         self.spent += begun.elapsed();
         for action in &actions {
-            if let Action::SetAlarm(id, after) = action {
-                self.alarms.push(Reverse((self.now + after, self.alarms_set, *id)));
-                self.alarms_set += 1;
+            if let Action::SetTimer(id, after) = action {
+                self.timers.push(Reverse((self.now + after, self.timers_set, *id)));
+                self.timers_set += 1;
             }
         }
         actions
@@ -47,21 +47,21 @@
     pub fn pass(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
-        while let Some(Reverse((at, _, id))) = self.alarms.peek().copied().filter(|next| next.0.0 <= until) {
-            self.alarms.pop();
+        while let Some(Reverse((at, _, id))) = self.timers.peek().copied().filter(|next| next.0.0 <= until) {
+            self.timers.pop();
             self.now = self.now.max(at);
-            all.extend(self.feed(Event::Alarm(id)));
+            all.extend(self.feed(Event::Timer(id)));
         }
         self.now = until;
         all
     }
 
-    pub fn roster(&mut self, entries: Vec<RosterEntry>) -> Vec<Action> {
-        self.feed(Event::Roster(RosterKind::Cached, entries))
+    pub fn roster(&mut self, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.feed(Event::EndpointList(ListKind::Cached, entries))
     }
 
     pub fn report(&mut self, id: u32, cpu: f64, free: f64) -> Vec<Action> {
-        let report = Report { cpu: Some(cpu), free_slots: Some(free), ..Report::default() };
+        let report = LoadReport { cpu: Some(cpu), free_slots: Some(free), ..LoadReport::default() };
         self.echo(id, Outcome::Ok, Some(report))
     }
 
@@ -70,8 +70,8 @@
         if id == silent.0 { Vec::new() } else { self.report(id, 0.1, 4.0) }
     }
 
-    pub fn echo(&mut self, id: u32, outcome: Outcome, report: Option<Report>) -> Vec<Action> {
-        self.feed(Event::Probed(Probed { worker: WorkerId(id), outcome, elapsed: 300, report }))
+    pub fn echo(&mut self, id: u32, outcome: Outcome, report: Option<LoadReport>) -> Vec<Action> {
+        self.feed(Event::ProbeResponse(ProbeResponse { worker: WorkerId(id), outcome, elapsed: 300, report }))
     }
 
     pub fn arrive(&mut self, job: u64, class: u16, patience: Micros) -> Vec<Action> {
@@ -90,7 +90,7 @@
             memory: None,
             repeat: false,
             estimate: None,
-            worth: None,
+            tenant_weight: None,
         };
         self.feed(Event::Arrived(new))
     }
@@ -107,15 +107,23 @@
         worker: WorkerId,
         outcome: Outcome,
         elapsed: Micros,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Action> {
         let (job, closed) = (JobId(job), outcome == Outcome::Ok);
-        self.feed(Event::Ended(Ended { job, attempt, worker, elapsed, closed, outcome, report }))
+        self.feed(Event::AttemptEnded(AttemptEnded {
+            job,
+            attempt,
+            worker,
+            elapsed,
+            closed,
+            outcome,
+            report,
+        }))
     }
 }
 
-pub fn worker(id: u32) -> RosterEntry {
-    RosterEntry {
+pub fn worker(id: u32) -> EndpointEntry {
+    EndpointEntry {
         worker: WorkerId(id),
         tag: u64::from(id),
         zone: ZoneId(0),
@@ -139,6 +147,6 @@
     actions.iter().filter_map(|a| if let Action::Probe(w) = a { Some(*w) } else { None }).collect()
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { effect, late_worth: 0.5, ..Settings::default().classes[0].clone() }
+pub fn class(effect: Idempotency) -> Class {
+    Class { idempotency: effect, late_weight: 0.5, ..Settings::default().classes[0].clone() }
 }
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -10,8 +10,9 @@
 const SLOTS: f64 = 24.0;
 
 fn settings(me: u32) -> Settings {
-    let class = Class { aim: 250 * MS, deadline: 7_500 * MS, ..class(Effect::Pure) };
-    let base = Settings { may_probe: true, may_tell: true, tells_start: true, ..Settings::default() };
+    let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
+    let base =
+        Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
     Settings { me, nodes: NODES, classes: vec![class], zone: ZoneId((me % 3) as u16), ..base }
 }
 
@@ -45,14 +46,17 @@
                 }
                 Action::Probe(worker) => {
                     let free = SLOTS - self.running.get(&worker.0).map_or(0, VecDeque::len) as f64;
-                    let report =
-                        Report { cpu: Some(0.2), free_slots: Some(free.max(0.0)), ..Report::default() };
+                    let report = LoadReport {
+                        cpu: Some(0.2),
+                        free_slots: Some(free.max(0.0)),
+                        ..LoadReport::default()
+                    };
                     let outcome = if worker.0 % 7 == 3 { Outcome::Timeout } else { Outcome::Ok };
                     let report = (outcome == Outcome::Ok).then_some(report);
                     let echoed = self.nodes[from as usize].echo(worker.0, outcome, report);
                     self.act(from, echoed);
                 }
-                Action::Tell { to, bytes } => self.mail.push_back((from, to, bytes)),
+                Action::SendToPeer { to, bytes } => self.mail.push_back((from, to, bytes)),
                 _ => {}
             }
         }
@@ -66,7 +70,7 @@
             if *seen <= 12 || *seen % 101 == 0 {
                 self.sent += &format!("{from} {to} {}\n", to_hex(&bytes));
             }
-            let heard = self.nodes[to as usize].feed(Event::Mail { from, bytes });
+            let heard = self.nodes[to as usize].feed(Event::PeerMessage { from, bytes });
             self.act(to, heard);
         }
     }
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -4,7 +4,7 @@
 use mothproxy::core::keys::Token;
 use mothproxy::core::moved::{Lesson, Moved, MovedDispatch};
 use mothproxy::core::{Arrival, Command, Core, Fate, News};
-use mothproxy::{ClassId, Micros, Outcome, Report, TenantId};
+use mothproxy::{ClassId, LoadReport, Micros, Outcome, TenantId};
 use mothproxy_stand_ins::site;
 use serde_json::json;
 
@@ -46,8 +46,12 @@
         }
         for (id, attempt, worker) in sent {
             now += 8 * MS;
-            let report =
-                Report { cpu: Some(0.25), free_slots: Some(4.0), waiting: Some(0.0), ..Report::default() };
+            let report = LoadReport {
+                cpu: Some(0.25),
+                free_slots: Some(4.0),
+                waiting: Some(0.0),
+                ..LoadReport::default()
+            };
             if n % 7 == 3 {
                 core.ended(now, id, attempt, Fate::Without(Outcome::Reset), None);
             } else if n % 7 == 5 {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -13,8 +13,11 @@
         site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([site::row("s", "127.0.0.1:3", "up")])));
     let set = &config.settings;
     assert_eq!((set.tick, set.classes.len(), set.tenants.len(), set.max_attempts), (2_000, 2, 1, 3));
-    assert_eq!((set.classes[0].stretch, set.classes[1].aim), (2.0, 600_000));
-    assert_eq!(set.classes[1].effect, Effect::Token { group: Group::Cell, memory: 40_000_000 });
+    assert_eq!((set.classes[0].latency_factor, set.classes[1].latency_objective), (2.0, 600_000));
+    assert_eq!(
+        set.classes[1].idempotency,
+        Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 40_000_000 }
+    );
     assert_eq!((set.ask_within, set.max_retry_after), (Some(400_000), Some(2_000_000)));
     assert_eq!((config.conn_idle, config.connect_timeout, config.known.rows.len()), (5_000_000, 250_000, 1));
 }
@@ -24,7 +27,8 @@
 #[test]
 fn the_free_slots_of_a_load_report_are_read() {
     let config = site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([])));
-    let expected = Report { cpu: Some(0.5), free_slots: Some(3.0), err_rps: Some(0.1), ..Report::default() };
+    let expected =
+        LoadReport { cpu: Some(0.5), free_slots: Some(3.0), err_rps: Some(0.1), ..LoadReport::default() };
     let pairs = |text| platform::report(&config.names, http::load::pairs(text));
     assert_eq!(pairs("eps=0.1,util=0.5,x0=3,unheard=9"), Some(expected));
     assert_eq!(pairs("err_rps=0.1,cpu=0.5,x0=3"), Some(expected));
@@ -59,7 +63,7 @@
             text.as_object_mut().map(|text| text.remove("peer_listen"));
         }
         let config = site::read(&text);
-        (config.settings.may_tell, config.may_tell_state)
+        (config.settings.may_message_peers, config.may_tell_state)
     };
     assert_eq!(told(3, true), (true, true));
     assert_eq!((told(2, true), told(0, true), told(3, false)), ((false, true), (false, true), (false, true)));
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -184,10 +184,10 @@
     memory: Option<f64>,
 }
 
-impl From<Load> for Report {
-    fn from(load: Load) -> Report {
+impl From<Load> for LoadReport {
+    fn from(load: Load) -> LoadReport {
         let Load { cpu, free, waiting, memory } = load;
-        Report { cpu, free_slots: free, waiting, free_memory: memory, ..Report::default() }
+        LoadReport { cpu, free_slots: free, waiting, free_memory: memory, ..LoadReport::default() }
     }
 }
 
@@ -202,7 +202,7 @@
 }
 
 impl Told {
-    fn load(self) -> Report {
+    fn load(self) -> LoadReport {
         let Told { cpu, free, waiting, memory, .. } = self;
         Load { cpu, free, waiting, memory }.into()
     }
@@ -273,8 +273,8 @@
     }
 }
 
-fn list(lines: &[Listed], now: Micros) -> Vec<RosterEntry> {
-    let entry = |(n, line): (usize, &Listed)| RosterEntry {
+fn list(lines: &[Listed], now: Micros) -> Vec<EndpointEntry> {
+    let entry = |(n, line): (usize, &Listed)| EndpointEntry {
         zone: ZoneId(line.zone),
         kind: KindId(line.kind),
         cell: CellId(line.cell),
@@ -290,19 +290,19 @@
 }
 
 fn class(kind: &Kind) -> Class {
-    let group = match kind.group {
-        Drops::All => Group::All,
-        Drops::Zone => Group::Zone,
-        Drops::Cell => Group::Cell,
+    let scope = match kind.group {
+        Drops::All => DeduplicationScope::All,
+        Drops::Zone => DeduplicationScope::Zone,
+        Drops::Cell => DeduplicationScope::Cell,
     };
     Class {
-        effect: match kind.effect {
-            Does::Pure => Effect::Pure,
-            Does::Unsafe => Effect::SideEffect,
-            Does::Token => Effect::Token { group, memory: kind.memory * MS },
+        idempotency: match kind.effect {
+            Does::Pure => Idempotency::Idempotent,
+            Does::Unsafe => Idempotency::NonIdempotent,
+            Does::Token => Idempotency::IdempotentWithKey { scope, window: kind.memory * MS },
         },
-        aim: kind.aim * MS,
-        late_worth: kind.late_worth,
+        latency_objective: kind.aim * MS,
+        late_weight: kind.late_worth,
         kind: kind.kind.map(KindId),
         ..Settings::default().classes[0].clone()
     }
@@ -316,19 +316,19 @@
             nodes: given.nodes,
             classes: given.classes.iter().map(class).collect(),
             may_probe: given.probe,
-            tells_start: given.tells_start,
-            second_copies: given.copies,
+            reports_start: given.tells_start,
+            may_hedge: given.copies,
             max_attempts: given.attempts,
-            cold_time: given.cold_time * MS,
-            cold_from: given.cold_from,
-            fall_multiple: given.fall_multiple,
-            fall_window: given.fall_window * MS,
+            warm_up_time: given.cold_time * MS,
+            initial_capacity: given.cold_from,
+            collapse_multiple: given.fall_multiple,
+            collapse_window: given.fall_window * MS,
             ..Settings::default()
         };
         settings.check().map_err(|e| e.to_string())?;
         let mut node = Node::seeded(settings, seed);
         node.now = 1_000_000 * MS;
-        node.feed(Event::Roster(RosterKind::Whole, list(&given.workers, node.now)));
+        node.feed(Event::EndpointList(ListKind::Snapshot, list(&given.workers, node.now)));
         let ready = list(&given.workers, node.now).iter().map(|line| (line.worker.0, 0)).collect();
         Ok(Decision { node, jobs: BTreeMap::new(), sends: Vec::new(), rival: None, ready })
     }
@@ -365,7 +365,7 @@
                     memory: new.memory,
                     repeat: false,
                     estimate: None,
-                    worth: None,
+                    tenant_weight: None,
                 }))
             }
             Verb::End { job, outcome, attempt, took, report } => {
@@ -380,9 +380,17 @@
                 if let Some(at) = self.ready.iter_mut().find(|r| r.0 == worker.0) {
                     at.1 = at.1.saturating_sub(1);
                 }
-                let (job, attempt, report) = (JobId(job), attempt as u32, report.map(Report::from));
+                let (job, attempt, report) = (JobId(job), attempt as u32, report.map(LoadReport::from));
                 let elapsed = took * MS;
-                self.node.feed(Event::Ended(Ended { job, attempt, worker, elapsed, closed, outcome, report }))
+                self.node.feed(Event::AttemptEnded(AttemptEnded {
+                    job,
+                    attempt,
+                    worker,
+                    elapsed,
+                    closed,
+                    outcome,
+                    report,
+                }))
             }
             Verb::Start { job } => {
                 let attempt = self.jobs.get(&job).map_or(0, |held| held.sent.len() as u32).saturating_sub(1);
@@ -390,11 +398,11 @@
             }
             Verb::HangUp(job) => {
                 self.jobs.entry(job).or_default().over = true;
-                self.node.feed(Event::HungUp(JobId(job)))
+                self.node.feed(Event::ClientDisconnected(JobId(job)))
             }
-            Verb::List(lines) => self.node.feed(Event::Roster(RosterKind::Whole, list(&lines, now))),
-            Verb::Changes(lines) => self.node.feed(Event::Roster(RosterKind::Changes, list(&lines, now))),
-            Verb::ListFailed(times) => (0..times).flat_map(|_| self.node.feed(Event::RosterFailed)).collect(),
+            Verb::List(lines) => self.node.feed(Event::EndpointList(ListKind::Snapshot, list(&lines, now))),
+            Verb::Changes(lines) => self.node.feed(Event::EndpointList(ListKind::Delta, list(&lines, now))),
+            Verb::ListFailed(times) => (0..times).flat_map(|_| self.node.feed(Event::ListFailed)).collect(),
             Verb::Pass(span) => self.node.pass(span * MS),
             Verb::Spread(last) => {
                 let places: BTreeSet<WorkerId> = self.sends.iter().rev().take(last).copied().collect();
@@ -446,7 +454,7 @@
                     }
                     words.push(self.sent(job.0, worker));
                 }
-                Action::Refuse { job, .. } => {
+                Action::Reject { job, .. } => {
                     self.jobs.entry(job.0).or_default().over = true;
                     words.push(format!("{} refused", job.0));
                 }
@@ -456,9 +464,9 @@
                 }
                 Action::Cancel { job, attempt } => words.push(format!("{} calls off {attempt}", job.0)),
                 Action::Probe(worker) => words.push(format!("probe {}", worker.0)),
-                Action::Watch => words.push("watch".to_owned()),
-                Action::Fetch => words.push("fetch".to_owned()),
-                Action::SetAlarm(..) | Action::Tell { .. } => {}
+                Action::OpenWatch => words.push("watch".to_owned()),
+                Action::FetchList => words.push("fetch".to_owned()),
+                Action::SetTimer(..) | Action::SendToPeer { .. } => {}
             }
         }
         if let Some((rival, job)) = self.rival.zip(looked_at).filter(|_| words.is_empty()) {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -359,7 +359,7 @@
                 }
                 4 | 5 if !out.is_empty() => {
                     let (id, dispatch, worker) = out[usize::arbitrary(g) % out.len()];
-                    let free = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
+                    let free = [Outcome::Full, Outcome::ConnectFailed, Outcome::NeverSent];
                     let outcomes = [&free[..], &[Outcome::Reset, Outcome::Error]].concat();
                     let fate = match g.choose(&outcomes) {
                         Some(outcome) if bool::arbitrary(g) => Fate::Without(*outcome),
@@ -430,7 +430,7 @@
         assert!([0, 1].iter().all(|n| under_way.iter().any(|sent| sent.2 == WorkerId(*n))), "{under_way:?}");
         for (id, _, worker) in under_way {
             let (cpu, free) = if worker == full { (1.0, 0.0) } else { (0.1, 4.0) };
-            let report = Report { cpu: Some(cpu), free_slots: Some(free), ..Report::default() };
+            let report = LoadReport { cpu: Some(cpu), free_slots: Some(free), ..LoadReport::default() };
             let (name, from) = (format!("job-{}", id + 1), format!("s-{}", worker.0));
             assert!(elder.core.news(elder.now, &name, &from, News::Done(b"x".to_vec()), Some(report)));
         }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,14 +4,14 @@
 use common::*;
 use mothproxy::*;
 
-fn answers(effect: Effect) -> Node {
+fn answers(effect: Idempotency) -> Node {
     Node::new(Settings { classes: vec![class(effect)], ..Settings::default() })
 }
 
 /// Found on overloaded days: one free slot read as 0.96 and counted as none.
 #[test]
 fn a_noisy_free_slot_is_a_slot() {
-    let mut node = answers(Effect::Pure);
+    let mut node = answers(Idempotency::Idempotent);
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.4, 0.96);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(0))]);
@@ -20,7 +20,7 @@
 /// Found on deploy days: all attempts were spent on bounces within milliseconds, and the job refused.
 #[test]
 fn tries_after_bounces_are_spread_over_the_time_left() {
-    let mut node = answers(Effect::SideEffect);
+    let mut node = answers(Idempotency::NonIdempotent);
     node.roster((0..8).map(worker).collect());
     let mut sent = sends(&node.arrive(1, 0, 5_000 * MS));
     for attempt in 0..2 {
@@ -34,7 +34,7 @@
 /// What never leaves is no attempt, however often: all of them are left, and are not spent in a rush either.
 #[test]
 fn a_dispatch_that_never_left_uses_up_no_attempt() {
-    let mut node = answers(Effect::SideEffect);
+    let mut node = answers(Idempotency::NonIdempotent);
     node.roster((0..8).map(worker).collect());
     let mut sent = sends(&node.arrive(1, 0, 5_000 * MS));
     let mut end = |outcome| {
@@ -43,7 +43,7 @@
         sent.extend(now.iter().chain(&later));
         (now.len(), later.len())
     };
-    assert_eq!([0; 6].map(|_| end(Outcome::Moot)), [(1, 0), (0, 1), (0, 1), (0, 1), (0, 1), (0, 1)]);
+    assert_eq!([0; 6].map(|_| end(Outcome::NeverSent)), [(1, 0), (0, 1), (0, 1), (0, 1), (0, 1), (0, 1)]);
     let left = (0..200).map(|_| end(Outcome::Full)).map(|(now, later)| now + later).sum::<usize>();
     assert_eq!(left + 1, Settings::default().max_attempts as usize, "one of them is out already");
 }
@@ -51,10 +51,10 @@
 /// Found on deploy days: jobs that any kind may run filled the one kind that others need.
 #[test]
 fn a_kind_that_others_need_is_spared() {
-    let mut classes = vec![class(Effect::Pure), class(Effect::Pure)];
+    let mut classes = vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)];
     classes[1].kind = Some(KindId(1));
     let mut node = Node::new(Settings { classes, ..Settings::default() });
-    let kinds = |id: u32| RosterEntry { kind: KindId((id % 2) as u16), ..worker(id) };
+    let kinds = |id: u32| EndpointEntry { kind: KindId((id % 2) as u16), ..worker(id) };
     node.roster((0..8).map(kinds).collect());
     let (mut job, mut bound_kind) = (0, 0);
     for _ in 0..200 {
@@ -73,9 +73,9 @@
 fn a_worker_that_does_not_start_work_in_time_is_shunned() {
     let settings = Settings {
         may_probe: true,
-        tells_start: true,
+        reports_start: true,
         reports: Reports::Probes,
-        classes: vec![class(Effect::SideEffect)],
+        classes: vec![class(Idempotency::NonIdempotent)],
         ..Settings::default()
     };
     let mut node = Node::new(settings);
@@ -100,7 +100,11 @@
 /// a worker that was heard of since keeps the job.
 #[test]
 fn an_unstarted_job_is_copied_once_its_worker_is_silent_and_the_loser_called_off() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings.clone());
     node.roster((0..3).map(worker).collect());
     let first = sends(&node.arrive(1, 0, 5_000 * MS))[0].1;
@@ -122,22 +126,22 @@
 /// Found in overload: work that starts too late to count delays all the rest.
 #[test]
 fn work_that_can_no_longer_count_is_dropped() {
-    let mut node = answers(Effect::Pure);
-    let mut classes = vec![class(Effect::Pure)];
-    classes[0].late_worth = 0.0;
+    let mut node = answers(Idempotency::Idempotent);
+    let mut classes = vec![class(Idempotency::Idempotent)];
+    classes[0].late_weight = 0.0;
     node.dispatcher =
         Dispatcher::new(Settings { classes, ..Settings::default() }, 7).expect("settings agree");
     node.roster(vec![]);
     node.arrive(1, 0, 5_000 * MS);
     let actions = node.pass(1_000 * MS);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
 }
 
 /// Found with a cut zone: each attempt into it costs a connect time-out.
 #[test]
 fn a_zone_that_cannot_be_reached_is_left_alone() {
-    let mut node = answers(Effect::Pure);
-    let zones = |id: u32| RosterEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
+    let mut node = answers(Idempotency::Idempotent);
+    let zones = |id: u32| EndpointEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
     node.roster((0..6).map(zones).collect());
     node.report(0, 1.0, 0.0);
     let to = sends(&node.arrive(1, 0, 5_000 * MS))[0].1;
@@ -152,10 +156,10 @@
 #[test]
 fn all_nodes_together_keep_a_cold_worker_within_its_budget() {
     let nodes = 12;
-    let base = Settings { nodes, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let base = Settings { nodes, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut fleet: Vec<Node> = (0..nodes).map(|me| Node::new(Settings { me, ..base.clone() })).collect();
     let start = fleet[0].now;
-    let cold = RosterEntry { started_at: Some(start), ..worker(0) };
+    let cold = EndpointEntry { started_at: Some(start), ..worker(0) };
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     let mut job = 0;
     for node in &mut fleet {
@@ -176,20 +180,20 @@
     }
     assert!(!sent.is_empty(), "a cold worker takes work as its turns come");
     for &(from, _) in &sent {
-        let until = from + base.fall_window;
+        let until = from + base.collapse_window;
         let work: f64 = sent.iter().filter(|s| s.0 >= from && s.0 < until).map(|s| s.1).sum();
-        let grown = (from - start) as f64 / base.cold_time as f64;
-        let share = base.cold_from + (1.0 - base.cold_from) * grown;
-        assert!(work <= base.fall_multiple * share * 4.0, "{work} from {from}");
+        let grown = (from - start) as f64 / base.warm_up_time as f64;
+        let share = base.initial_capacity + (1.0 - base.initial_capacity) * grown;
+        assert!(work <= base.collapse_multiple * share * 4.0, "{work} from {from}");
     }
 }
 
 /// Found on overloaded days: the small jobs that a small turn admits pushed a cold worker over in numbers.
 #[test]
 fn small_jobs_count_as_their_class_mean_on_a_cold_worker() {
-    let mut node = answers(Effect::Pure);
+    let mut node = answers(Idempotency::Idempotent);
     let start = node.now;
-    node.roster(vec![RosterEntry { started_at: Some(start), ..worker(0) }, worker(1)]);
+    node.roster(vec![EndpointEntry { started_at: Some(start), ..worker(0) }, worker(1)]);
     node.report(1, 0.5, 4.0); // workers of this kind have four slots
     let mut taken = 0.0;
     for job in 0..100 {
@@ -201,17 +205,17 @@
         sent.iter().for_each(|s| drop(node.end(job, 0, s.1, Outcome::Ok)));
     }
     let settings = Settings::default();
-    assert!(taken > 0.0 && taken <= settings.fall_multiple * settings.cold_from * 4.0, "{taken}");
+    assert!(taken > 0.0 && taken <= settings.collapse_multiple * settings.initial_capacity * 4.0, "{taken}");
 }
 
 #[test]
 fn discovery_is_asked_for_with_jitter_and_again_after_failure() {
-    let settings = Settings { roster_on_request: true, ask_within: Some(10_000 * MS), ..Settings::default() };
+    let settings = Settings { list_on_request: true, ask_within: Some(10_000 * MS), ..Settings::default() };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
-    assert!(node.pass(10_000 * MS).contains(&Action::Watch));
-    node.feed(Event::RosterFailed);
-    assert!(node.pass(10_000 * MS).contains(&Action::Watch));
+    assert!(node.pass(10_000 * MS).contains(&Action::OpenWatch));
+    node.feed(Event::ListFailed);
+    assert!(node.pass(10_000 * MS).contains(&Action::OpenWatch));
 }
 
 #[test]
@@ -228,7 +232,7 @@
     );
     assert_eq!(refused(Settings { max_attempts: 0, ..Settings::default() }), Some(SettingsError::NoAttempts));
     assert_eq!(
-        refused(Settings { fall_multiple: f64::NAN, ..Settings::default() }),
+        refused(Settings { collapse_multiple: f64::NAN, ..Settings::default() }),
         Some(SettingsError::OutOfRange)
     );
 }
@@ -236,7 +240,11 @@
 /// Found on overloaded days: with the usual wait as the measure, queues at the workers grew with what was usual.
 #[test]
 fn a_worker_that_has_not_started_a_job_is_not_sent_another() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
     node.report(0, 0.2, 8.0);
@@ -252,35 +260,39 @@
 /// Found on overloaded days: sent work was given up while it went on at the worker, where a cancel stops nothing.
 #[test]
 fn a_job_that_was_sent_is_waited_for() {
-    let mut classes = vec![class(Effect::Pure)];
-    classes[0].late_worth = 0.0;
+    let mut classes = vec![class(Idempotency::Idempotent)];
+    classes[0].late_weight = 0.0;
     let mut node = Node::new(Settings { classes, ..Settings::default() });
     node.roster(vec![worker(0)]);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)).len(), 1);
     let before = node.pass(4_900 * MS);
-    assert!(!before.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Cancel { .. })), "{before:?}");
+    assert!(!before.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Cancel { .. })), "{before:?}");
     let last = node.pass(100 * MS);
-    assert!(last.iter().any(|a| matches!(a, Action::Refuse { .. })), "{last:?}");
+    assert!(last.iter().any(|a| matches!(a, Action::Reject { .. })), "{last:?}");
 }
 
 /// Found by a flood of timers: each look at an unstarted job set two alarms, and each alarm looked again.
 #[test]
 fn a_job_that_waits_does_not_multiply_its_alarms() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings);
     node.roster((0..3).map(worker).collect());
     node.arrive(1, 0, 5_000 * MS);
     node.pass(4_900 * MS);
-    assert!(node.alarms.len() < 20, "{} alarms are set", node.alarms.len());
+    assert!(node.timers.len() < 20, "{} alarms are set", node.timers.len());
 }
 
 /// Clients that are turned away are told when to come back, later the more waits here and never beyond the most.
 #[test]
 fn a_refusal_says_when_to_come_back() {
-    let mut classes = vec![class(Effect::Pure)];
-    classes[0].late_worth = 0.0;
+    let mut classes = vec![class(Idempotency::Idempotent)];
+    classes[0].late_weight = 0.0;
     let most = Some(2_000 * MS);
-    let base = Settings { classes, tells_start: true, max_retry_after: most, ..Settings::default() };
+    let base = Settings { classes, reports_start: true, max_retry_after: most, ..Settings::default() };
     let after = |jobs: u64| {
         let mut node = Node::new(base.clone());
         node.roster(vec![worker(0)]);
@@ -289,7 +301,7 @@
         (0..jobs).for_each(|job| drop(node.arrive(job, 0, 5_000 * MS)));
         let all = node.pass(4_000 * MS);
         let first = all.iter().find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(retry_after.expect("the site allows one")),
+            Action::Reject { retry_after, .. } => Some(retry_after.expect("the site allows one")),
             _ => None,
         });
         first.expect("nothing has room")
@@ -298,14 +310,18 @@
     assert!(after(200) <= 2_000 * MS);
     let mut node = Node::new(Settings { max_retry_after: None, ..base.clone() });
     node.arrive(1, 0, 5_000 * MS);
-    assert!(node.pass(5_000 * MS).contains(&Action::Refuse { job: JobId(1), retry_after: None }));
+    assert!(node.pass(5_000 * MS).contains(&Action::Reject { job: JobId(1), retry_after: None }));
 }
 
 /// Found on overloaded days: a worker with the other nodes' jobs in its queue got the next job as soon as it had
 /// started ours, and that one queued for as long again.
 #[test]
 fn a_worker_whose_queue_a_job_waited_in_rests_for_as_long_again() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)).len(), 1);
@@ -321,7 +337,11 @@
 /// that had just failed got them as well: 67 waited at a hung one.
 #[test]
 fn a_full_worker_has_one_job_ready_to_follow_and_one_that_failed_has_none() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
     node.report(0, 0.1, 8.0);
@@ -344,8 +364,8 @@
 #[test]
 fn a_job_crosses_only_to_room_that_is_known() {
     let settings = Settings { may_probe: true, price_cross_zone: 0.1, ..Settings::default() };
-    let mut node = Node::new(Settings { classes: vec![class(Effect::Pure)], ..settings });
-    let zones = |id: u32| RosterEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
+    let mut node = Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..settings });
+    let zones = |id: u32| EndpointEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
     node.roster((0..2).map(zones).collect());
     node.report(0, 1.0, 0.0);
     let mut seen = node.arrive(1, 0, 5_000 * MS);
@@ -362,7 +382,7 @@
 #[test]
 fn a_worker_that_is_not_trusted_comes_after_those_that_are_full() {
     let settings =
-        Settings { second_copies: false, classes: vec![class(Effect::Pure)], ..Settings::default() };
+        Settings { may_hedge: false, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut node = Node::new(settings);
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.1, 4.0);
@@ -383,8 +403,11 @@
 #[test]
 fn a_probe_that_timed_out_at_a_worker_that_answers_does_not_strike_it() {
     for (heard, trusted) in [(true, 1), (false, 0)] {
-        let settings =
-            Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+        let settings = Settings {
+            reports_start: true,
+            classes: vec![class(Idempotency::Idempotent)],
+            ..Settings::default()
+        };
         let mut node = Node::new(settings);
         node.roster(vec![worker(0)]);
         node.report(0, 0.1, 4.0);
@@ -393,8 +416,9 @@
         if heard {
             node.feed(Event::Started { job: JobId(1), attempt: 0 });
         }
-        let probed = Probed { worker: WorkerId(0), outcome: Outcome::Timeout, elapsed: 4 * MS, report: None };
-        node.feed(Event::Probed(probed));
+        let probed =
+            ProbeResponse { worker: WorkerId(0), outcome: Outcome::Timeout, elapsed: 4 * MS, report: None };
+        node.feed(Event::ProbeResponse(probed));
         assert_eq!(sends(&node.arrive(2, 0, 5_000 * MS)).len(), trusted, "heard of since: {heard}");
     }
 }
@@ -403,7 +427,7 @@
 /// others had more than they could run. A node without a group learns it only from a job of its own.
 #[test]
 fn alone_a_node_soon_tries_a_worker_again_that_failed_often() {
-    let mut node = answers(Effect::Pure);
+    let mut node = answers(Idempotency::Idempotent);
     node.roster(vec![worker(0)]);
     node.report(0, 0.1, 4.0);
     (0..8).for_each(|_| drop(node.echo(0, Outcome::Timeout, None)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,10 +10,10 @@
 const WORKERS: u32 = 60;
 const SLOTS: f64 = 4.0;
 
-fn settings(me: u32, may_tell: bool) -> Settings {
-    let class = Class { aim: 250 * MS, deadline: 7_500 * MS, ..class(Effect::Pure) };
-    let base = Settings { may_probe: true, tells_start: true, ..Settings::default() };
-    Settings { me, nodes: NODES, classes: vec![class], may_tell, ..base }
+fn settings(me: u32, may_message_peers: bool) -> Settings {
+    let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
+    let base = Settings { may_probe: true, reports_start: true, ..Settings::default() };
+    Settings { me, nodes: NODES, classes: vec![class], may_message_peers, ..base }
 }
 
 /// A node whose group has this worker and no other.
@@ -23,13 +23,18 @@
     node
 }
 
-fn report(cpu: f64, free: f64, errors: f64) -> Option<Report> {
-    Some(Report { cpu: Some(cpu), free_slots: Some(free), err_rps: Some(errors), ..Report::default() })
+fn report(cpu: f64, free: f64, errors: f64) -> Option<LoadReport> {
+    Some(LoadReport {
+        cpu: Some(cpu),
+        free_slots: Some(free),
+        err_rps: Some(errors),
+        ..LoadReport::default()
+    })
 }
 
 fn tells(actions: &[Action]) -> Vec<(u32, Vec<u8>)> {
     let tell = |a: &Action| match a {
-        Action::Tell { to, bytes } => Some((*to, bytes.clone())),
+        Action::SendToPeer { to, bytes } => Some((*to, bytes.clone())),
         _ => None,
     };
     actions.iter().filter_map(tell).collect()
@@ -48,14 +53,18 @@
 }
 
 impl Fleet {
-    fn new(may_tell: bool) -> Fleet {
-        Fleet::of(NODES, may_tell)
+    fn new(may_message_peers: bool) -> Fleet {
+        Fleet::of(NODES, may_message_peers)
     }
 
-    fn of(count: u32, may_tell: bool) -> Fleet {
+    fn of(count: u32, may_message_peers: bool) -> Fleet {
         let ask_within = Some(2_000 * MS);
-        let set =
-            |me| Settings { nodes: count, roster_on_request: true, ask_within, ..settings(me, may_tell) };
+        let set = |me| Settings {
+            nodes: count,
+            list_on_request: true,
+            ask_within,
+            ..settings(me, may_message_peers)
+        };
         let node = |me| Node::seeded(set(me), u64::from(me));
         let mut nodes: Vec<Node> = (0..count).map(node).collect();
         for node in &mut nodes {
@@ -83,14 +92,14 @@
             let echo = self.nodes[from as usize].echo(worker.0, Outcome::Ok, report(0.0, SLOTS, 0.0));
             self.act(from, echo);
         }
-        if actions.iter().any(|a| matches!(a, Action::Watch)) {
+        if actions.iter().any(|a| matches!(a, Action::OpenWatch)) {
             self.asked += 1;
-            let refused = self.nodes[from as usize].feed(Event::RosterFailed);
+            let refused = self.nodes[from as usize].feed(Event::ListFailed);
             self.act(from, refused);
         }
         for (to, bytes) in tells(&actions) {
             self.told += 1;
-            let heard = self.nodes[to as usize].feed(Event::Mail { from, bytes });
+            let heard = self.nodes[to as usize].feed(Event::PeerMessage { from, bytes });
             self.act(to, heard);
         }
     }
@@ -175,7 +184,7 @@
         (3, vec![b'w', 1, 0, 0, 0, 0, 0, 0]),
         (3, vec![b'w', 1, 0, 0, 2, 0, 0]),
     ] {
-        assert!(node.feed(Event::Mail { from, bytes }).is_empty());
+        assert!(node.feed(Event::PeerMessage { from, bytes }).is_empty());
     }
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)).len(), 1);
 }
@@ -194,7 +203,7 @@
     let mine = |told: &[(u32, Vec<u8>)]| told.iter().find(|t| t.0 == 7).map(|t| t.1.clone());
     let bytes = mine(&first).expect("it is told");
     assert!(bytes.len() <= 16, "a longer datagram has a higher price: {bytes:?}");
-    node.feed(Event::Mail { from: 3, bytes });
+    node.feed(Event::PeerMessage { from: 3, bytes });
     node.arrive(1, 0, 60_000 * MS);
     let sent = sends(&node.pass(100 * MS));
     assert!(sent.is_empty(), "the only slot is taken: {sent:?}");
@@ -261,7 +270,7 @@
 fn work_at_a_worker_that_goes_to_another_group_is_known_there() {
     let mut fleet = Fleet::new(true);
     fleet.fill(2);
-    let listed: Vec<RosterEntry> = (20..80).map(worker).collect();
+    let listed: Vec<EndpointEntry> = (20..80).map(worker).collect();
     fleet.each(|node| node.roster(listed.clone()));
     fleet.pass(3 * MS);
     fleet.fill(1);
@@ -280,7 +289,7 @@
         node.roster(part);
         node.report(0, 0.0, 1.0);
     }
-    let wish = Event::Mail { from: 1, bytes: vec![b'A', 0] };
+    let wish = Event::PeerMessage { from: 1, bytes: vec![b'A', 0] };
     let offers =
         |actions: &[Action]| tells(actions).iter().filter(|(to, b)| *to == 1 && b[0] == b'O').count();
     // Six workers with one slot each, then none.
@@ -288,7 +297,7 @@
     assert_eq!(made, 6);
     for (to, bytes) in tells(&lender.pass(5 * MS)) {
         if to == 10 {
-            mate.feed(Event::Mail { from: 0, bytes });
+            mate.feed(Event::PeerMessage { from: 0, bytes });
         }
     }
     assert_eq!(offers(&mate.feed(wish.clone())), 0, "the mate knows of them");
@@ -319,7 +328,7 @@
     let told = tells(&first.pass(5 * MS));
     let mut mate = node();
     for (_, bytes) in told.into_iter().filter(|t| t.0 == 7) {
-        mate.feed(Event::Mail { from: 3, bytes });
+        mate.feed(Event::PeerMessage { from: 3, bytes });
     }
     let asked = mate.arrive(1, 0, 5_000 * MS);
     assert!(sends(&asked).is_empty(), "{asked:?}");
@@ -346,7 +355,7 @@
 /// Without a group: a fair share of a cold worker's budget was smaller than a large job, and no node ever sent one.
 #[test]
 fn a_share_smaller_than_a_job_still_lets_a_job_through() {
-    let (cold, warm) = (RosterEntry { started_at: Some(1_000 * MS), ..worker(0) }, worker(1));
+    let (cold, warm) = (EndpointEntry { started_at: Some(1_000 * MS), ..worker(0) }, worker(1));
     let mut taken = 0;
     for me in 0..NODES {
         let mut node = Node::new(settings(me, false));
@@ -354,7 +363,7 @@
         // Small jobs, so that a large one is far above the mean.
         for job in 0..10 {
             node.arrive_sized(job, 0, 5_000 * MS, 100 * MS);
-            node.feed(Event::HungUp(JobId(job)));
+            node.feed(Event::ClientDisconnected(JobId(job)));
         }
         node.report(1, 0.5, SLOTS); // workers of this kind have four slots
         node.report(1, 1.0, 0.0);
@@ -369,7 +378,7 @@
 #[test]
 fn a_group_fills_a_cold_worker_no_further_than_it_can_run() {
     let mut fleet = Fleet::new(true);
-    let cold = |w| RosterEntry { started_at: Some(900 * MS), ..worker(w) };
+    let cold = |w| EndpointEntry { started_at: Some(900 * MS), ..worker(w) };
     for node in &mut fleet.nodes {
         node.roster((0..WORKERS).map(cold).collect());
     }
@@ -409,7 +418,7 @@
         fleet.fits(0);
         // A start and an end, each to the other nine of the group.
         assert!(told <= 2.5 * 9.0 && probes <= 0.1, "{count}: {told} datagrams and {probes} probes a job");
-        fleet.each(|node| node.feed(Event::RosterFailed));
+        fleet.each(|node| node.feed(Event::ListFailed));
         let asked: Vec<usize> = (0..80)
             .map(|_| {
                 let before = fleet.asked;
@@ -459,7 +468,7 @@
 /// 20 workers as among 4,000 (1.2 to 1.5 times in a debug build; 82 times when every worker was walked).
 #[test]
 fn telling_the_group_passes_over_workers_with_nothing_out() {
-    let tell = || Event::Alarm(AlarmId(u64::MAX)); // the module's own alarm of telling
+    let tell = || Event::Timer(TimerId(u64::MAX)); // the module's own alarm of telling
     let tellings = |node: &mut Node, _| (0..=200).for_each(|_| drop(node.feed(tell())));
     let (small, large) = (least_of_five(20, tellings), least_of_five(4_000, tellings));
     assert!(large < small * 10, "200 tellings: {small:?} among 20 workers, {large:?} among 4,000");
@@ -475,7 +484,7 @@
     assert_eq!(sends(&mate.arrive(1, 0, 5_000 * MS)).len(), 1);
     let told = tells(&mate.pass(5 * MS));
     let (_, bytes) = told.into_iter().find(|(to, _)| *to == 7).expect("its mate is told");
-    node.feed(Event::Mail { from: 3, bytes: bytes.clone() });
+    node.feed(Event::PeerMessage { from: 3, bytes: bytes.clone() });
     assert_eq!(sends(&node.arrive(2, 0, 5_000 * MS)).len(), 1, "three slots are free");
     node.end(2, 0, WorkerId(0), Outcome::Ok);
     // It has not said so again after 2 s: what it has out now is not known, and the worker is asked.
@@ -484,7 +493,7 @@
     assert_eq!((sends(&asked).len(), probes(&asked)), (0, vec![WorkerId(0)]));
     assert_eq!(sends(&node.echo(0, Outcome::Ok, report(1.0, 0.0, 0.0))), [], "it is full");
     // Heard again, its word counts.
-    node.feed(Event::Mail { from: 3, bytes });
+    node.feed(Event::PeerMessage { from: 3, bytes });
     assert_eq!(sends(&node.arrive(4, 0, 5_000 * MS)).len(), 2, "the one that was held goes as well");
 }
 
--- a/tests/four_rules.rs
+++ b/tests/four_rules.rs
@@ -23,7 +23,7 @@
     Arrive(u16),
     End(usize, usize),
     Start(usize),
-    Report(u32, u8, u8),
+    LoadReport(u32, u8, u8),
     Roster(u32, u8),
     HangUp(usize),
     Pass(u64),
@@ -34,7 +34,7 @@
         4 => (0u16..4).prop_map(Step::Arrive),
         5 => (any::<usize>(), any::<usize>()).prop_map(|(n, o)| Step::End(n, o)),
         2 => any::<usize>().prop_map(Step::Start),
-        3 => (0u32..6, any::<u8>(), 0u8..4).prop_map(|(w, c, f)| Step::Report(w, c, f)),
+        3 => (0u32..6, any::<u8>(), 0u8..4).prop_map(|(w, c, f)| Step::LoadReport(w, c, f)),
         1 => (0u32..6, 0u8..4).prop_map(|(w, s)| Step::Roster(w, s)),
         1 => any::<usize>().prop_map(Step::HangUp),
         5 => (1u64..200).prop_map(Step::Pass),
@@ -72,18 +72,23 @@
     (worker % 2) as u16
 }
 
-fn entry(id: u32, status: Status, started_at: Option<Micros>) -> RosterEntry {
-    RosterEntry { zone: ZoneId(group_of(id)), status, started_at, ..worker(id) }
+fn entry(id: u32, status: Status, started_at: Option<Micros>) -> EndpointEntry {
+    EndpointEntry { zone: ZoneId(group_of(id)), status, started_at, ..worker(id) }
 }
 
 impl World {
-    fn new(copies: bool, tells_start: bool, may_probe: bool) -> World {
-        let token = |group| Effect::Token { group, memory: MEMORY };
-        let effects = [Effect::Pure, Effect::SideEffect, token(Group::Zone), token(Group::All)];
+    fn new(copies: bool, reports_start: bool, may_probe: bool) -> World {
+        let token = |group| Idempotency::IdempotentWithKey { scope: group, window: MEMORY };
+        let effects = [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            token(DeduplicationScope::Zone),
+            token(DeduplicationScope::All),
+        ];
         let settings = Settings {
             classes: effects.into_iter().map(class).collect(),
-            second_copies: copies,
-            tells_start,
+            may_hedge: copies,
+            reports_start,
             may_probe,
             ..Settings::default()
         };
@@ -99,7 +104,7 @@
         for action in actions {
             match action {
                 Action::Send { job, worker, .. } => self.judge_send(now, job.0, worker.0),
-                Action::Refuse { job, .. } => {
+                Action::Reject { job, .. } => {
                     self.answer(now, job.0);
                     let job = &self.jobs[&job.0];
                     let proven = job.sent.iter().all(|s| s.ended.is_some_and(Outcome::never_ran));
@@ -123,7 +128,7 @@
         assert!(!job.answered && !job.over, "sent after the end");
         assert!(job.sent.len() < self.settings.max_attempts as usize, "too many attempts");
         let out = job.sent.iter().any(|s| s.ended.is_none());
-        assert!(!out || self.settings.second_copies, "two attempts out");
+        assert!(!out || self.settings.may_hedge, "two attempts out");
         for old in job.sent.iter().filter(|s| !s.ended.is_some_and(Outcome::never_ran)) {
             match job.class {
                 0 => {}
@@ -141,13 +146,13 @@
         if let Some(told) = self.stopped.get(&worker) {
             assert!(now <= told + self.settings.drain_grace, "sent to a stopped worker");
         }
-        if let Some(&start) = self.cold.get(&worker).filter(|s| now < **s + self.settings.cold_time) {
+        if let Some(&start) = self.cold.get(&worker).filter(|s| now < **s + self.settings.warm_up_time) {
             self.cold_sent.push((worker, now));
-            let since = now.saturating_sub(self.settings.fall_window).max(start);
+            let since = now.saturating_sub(self.settings.collapse_window).max(start);
             let work = self.cold_sent.iter().filter(|s| s.0 == worker && s.1 > since).count() as f64 * 0.1;
-            let grown = (now - start) as f64 / self.settings.cold_time as f64;
-            let share = self.settings.cold_from + (1.0 - self.settings.cold_from) * grown;
-            assert!(work <= self.settings.fall_multiple * share * 4.0, "a cold worker is pushed over");
+            let grown = (now - start) as f64 / self.settings.warm_up_time as f64;
+            let share = self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown;
+            assert!(work <= self.settings.collapse_multiple * share * 4.0, "a cold worker is pushed over");
         }
     }
 
@@ -166,8 +171,8 @@
         let done = job.answered || job.over || outcome == Outcome::Ok;
         job.over |= outcome == Outcome::Ok;
         let (job, worker) = (JobId(id), WorkerId(worker));
-        let end = Ended { job, attempt, worker, elapsed: 5 * MS, closed: done, outcome, report: None };
-        let actions = self.node.feed(Event::Ended(end));
+        let end = AttemptEnded { job, attempt, worker, elapsed: 5 * MS, closed: done, outcome, report: None };
+        let actions = self.node.feed(Event::AttemptEnded(end));
         self.judge(actions);
     }
 
@@ -191,7 +196,7 @@
                 Some((job, attempt, _)) => self.node.feed(Event::Started { job: JobId(job), attempt }),
                 None => return,
             },
-            Step::Report(id, cpu, free) => self.node.report(id, f64::from(cpu) / 255.0, f64::from(free)),
+            Step::LoadReport(id, cpu, free) => self.node.report(id, f64::from(cpu) / 255.0, f64::from(free)),
             Step::Roster(id, status) => {
                 let now = self.node.now;
                 let (status, started) = match status {
@@ -206,14 +211,14 @@
                 } else {
                     self.stopped.entry(id).or_insert(now);
                 }
-                self.node.feed(Event::Roster(RosterKind::Changes, vec![entry(id, status, started)]))
+                self.node.feed(Event::EndpointList(ListKind::Delta, vec![entry(id, status, started)]))
             }
             Step::HangUp(n) => {
                 let open: Vec<u64> =
                     self.jobs.iter().filter(|(_, j)| !j.answered && !j.over).map(|(id, _)| *id).collect();
                 let Some(id) = open.get(n % open.len().max(1)) else { return };
                 self.jobs.get_mut(id).expect("a known job").over = true;
-                self.node.feed(Event::HungUp(JobId(*id)))
+                self.node.feed(Event::ClientDisconnected(JobId(*id)))
             }
             Step::Pass(span) => {
                 // Step by step, so that each action is judged at its own time.
@@ -240,10 +245,10 @@
     fn four_rules_hold(
         steps in prop::collection::vec(step(), 1..150),
         copies: bool,
-        tells_start: bool,
+        reports_start: bool,
         may_probe: bool,
     ) {
-        let mut world = World::new(copies, tells_start, may_probe);
+        let mut world = World::new(copies, reports_start, may_probe);
         for step in steps {
             world.take(step);
         }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -8,7 +8,7 @@
 use common::{MS, Node, sends, worker};
 use members::*;
 use mothproxy::fleet::{Birth, Effect, Fleet as Parts, FleetSettings, MembershipSettings};
-use mothproxy::interface::Presence::{self, Away, Here};
+use mothproxy::interface::PeerPresence::{self, Present, Unreachable};
 use mothproxy::interface::{Action, Event, JobId};
 use mothproxy_stand_ins::fleet::*;
 use std::time::Duration;
@@ -156,7 +156,7 @@
 struct Pair {
     parts: Vec<Parts>,
     now: u64,
-    peers: Vec<Vec<Vec<Presence>>>,
+    peers: Vec<Vec<Vec<PeerPresence>>>,
     lines: Vec<Vec<u64>>,
 }
 
@@ -199,14 +199,18 @@
 fn what_the_module_is_told_of_places() {
     let mut pair = Pair::new(3);
     pair.run(400 * MS, true);
-    assert_eq!(pair.peers[0], [[Here; 3]], "all may, at first");
+    assert_eq!(pair.peers[0], [[Present; 3]], "all may, at first");
     pair.run(10_000 * MS, true);
-    assert_eq!(pair.peers[0].last(), Some(&vec![Here, Here, Away]), "one was never heard of");
+    assert_eq!(pair.peers[0].last(), Some(&vec![Present, Present, Unreachable]), "one was never heard of");
     pair.run(20_000 * MS, false);
-    let alone = [vec![Here, Away, Away], vec![Away, Here, Away]];
+    let alone = [vec![Present, Unreachable, Unreachable], vec![Unreachable, Present, Unreachable]];
     assert!((0..2).all(|me| pair.peers[me].last() == Some(&alone[me])), "{:?}", pair.peers);
     pair.run(20_000 * MS, true);
-    assert!(pair.peers.iter().all(|told| told.last() == Some(&vec![Here, Here, Away])), "{:?}", pair.peers);
+    assert!(
+        pair.peers.iter().all(|told| told.last() == Some(&vec![Present, Present, Unreachable])),
+        "{:?}",
+        pair.peers
+    );
     let told = pair.peers[0].len();
     pair.run(20_000 * MS, true);
     assert_eq!(pair.peers[0].len(), told, "nothing is said twice");
@@ -256,9 +260,14 @@
 
     /// `told` of the cut or not: each then has seen the others die.
     fn new(told: bool) -> Cut {
-        let base = mothproxy::Settings { may_probe: true, tells_start: true, ..Default::default() };
-        let class = mothproxy::Class { aim: 20_000 * MS, deadline: 60_000 * MS, ..base.classes[0].clone() };
-        let base = mothproxy::Settings { nodes: Cut::NODES, may_tell: true, classes: vec![class], ..base };
+        let base = mothproxy::Settings { may_probe: true, reports_start: true, ..Default::default() };
+        let class = mothproxy::Class {
+            latency_objective: 20_000 * MS,
+            deadline: 60_000 * MS,
+            ..base.classes[0].clone()
+        };
+        let base =
+            mothproxy::Settings { nodes: Cut::NODES, may_message_peers: true, classes: vec![class], ..base };
         let node = |me| Node::seeded(mothproxy::Settings { me, ..base.clone() }, u64::from(me));
         let mut cut = Cut { nodes: (0..Cut::NODES).map(node).collect(), running: vec![0; 12] };
         for me in 0..Cut::NODES {
@@ -266,7 +275,7 @@
             node.roster((0..12).map(worker).collect());
             node.report(0, 0.0, 4.0); // workers of this kind have four slots
             if told {
-                let believed = |n| if Cut::side(n) == Cut::side(me) { Here } else { Away };
+                let believed = |n| if Cut::side(n) == Cut::side(me) { Present } else { Unreachable };
                 node.feed(Event::Peers((0..Cut::NODES).map(believed).collect()));
             }
         }
@@ -281,10 +290,10 @@
             self.act(from, started);
         }
         for action in actions {
-            if let Action::Tell { to, bytes } = action
+            if let Action::SendToPeer { to, bytes } = action
                 && Cut::side(to) == Cut::side(from)
             {
-                let heard = self.nodes[to as usize].feed(Event::Mail { from, bytes });
+                let heard = self.nodes[to as usize].feed(Event::PeerMessage { from, bytes });
                 self.act(to, heard);
             }
         }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -29,15 +29,15 @@
     }
 }
 
-fn patient(effect: Effect) -> Class {
-    Class { aim: 2_000 * MS, ..class(effect) }
+fn patient(effect: Idempotency) -> Class {
+    Class { latency_objective: 2_000 * MS, ..class(effect) }
 }
 
 fn probing_node() -> Node {
     let settings = Settings {
         reports: Reports::Probes,
         may_probe: true,
-        classes: vec![patient(Effect::SideEffect), patient(Effect::Pure)],
+        classes: vec![patient(Idempotency::NonIdempotent), patient(Idempotency::Idempotent)],
         ..Settings::default()
     };
     Node::new(settings)
@@ -55,11 +55,13 @@
 
 #[test]
 fn unknown_ranks_after_fresh_and_before_full() {
-    let mut node = Node::new(Settings { classes: vec![class(Effect::Pure)], ..Settings::default() });
+    let mut node =
+        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.9, 1.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(0))]);
-    let mut node = Node::new(Settings { classes: vec![class(Effect::Pure)], ..Settings::default() });
+    let mut node =
+        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.9, 0.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(1))]);
@@ -101,8 +103,8 @@
         node.report(1 - slow, 0.9, 1.0);
         assert_eq!(sends(&node.arrive(job, 1, 5_000 * MS)), [(job, WorkerId(slow))]);
         let (job, worker, outcome) = (JobId(job), WorkerId(slow), Outcome::Ok);
-        let end = Ended { job, attempt: 0, worker, elapsed, closed: true, outcome, report: None };
-        node.feed(Event::Ended(end));
+        let end = AttemptEnded { job, attempt: 0, worker, elapsed, closed: true, outcome, report: None };
+        node.feed(Event::AttemptEnded(end));
     }
     node.report(0, 1.0, 0.0);
     node.report(1, 1.0, 0.0);
@@ -117,7 +119,8 @@
 
 #[test]
 fn a_worker_with_fewer_free_slots_than_needed_reads_as_full() {
-    let mut node = Node::new(Settings { classes: vec![class(Effect::Pure)], ..Settings::default() });
+    let mut node =
+        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.0, 1.0);
     node.report(1, 0.8, 3.0);
@@ -132,7 +135,7 @@
         memory: None,
         repeat: false,
         estimate: None,
-        worth: None,
+        tenant_weight: None,
     };
     assert_eq!(sends(&node.feed(Event::Arrived(new))), [(1, WorkerId(1))]);
 }
@@ -141,12 +144,12 @@
 /// free well within their slack. A job waits at home for the part of it which that price is of what lateness loses.
 #[test]
 fn a_job_crosses_zones_only_after_the_wait_that_the_price_is_worth() {
-    for (price, late_worth, wait) in
+    for (price, late_weight, wait) in
         [(0.0, 0.5, 0), (0.1, 0.5, 60 * MS), (0.2, 0.5, 120 * MS), (0.2, 0.0, 60 * MS)]
     {
-        let classes = vec![Class { late_worth, ..class(Effect::Pure) }];
+        let classes = vec![Class { late_weight, ..class(Idempotency::Idempotent) }];
         let mut node = Node::new(Settings { classes, price_cross_zone: price, ..Settings::default() });
-        let zones = |id: u32| RosterEntry { zone: ZoneId(id as u16), ..worker(id) };
+        let zones = |id: u32| EndpointEntry { zone: ZoneId(id as u16), ..worker(id) };
         node.roster((0..2).map(zones).collect());
         node.report(0, 1.0, 0.0);
         node.report(1, 0.1, 4.0);
@@ -159,7 +162,7 @@
         }
         let waited = node.now - begun;
         assert_eq!(sent, [(1, WorkerId(1))], "price {price}");
-        assert!((wait..=wait + 25 * MS).contains(&waited), "price {price}, {late_worth}: {waited}");
+        assert!((wait..=wait + 25 * MS).contains(&waited), "price {price}, {late_weight}: {waited}");
     }
 }
 
@@ -167,7 +170,11 @@
 /// already went first and made the next ones late.
 #[test]
 fn jobs_that_are_late_go_after_those_that_can_be_in_time() {
-    let settings = Settings { tells_start: true, classes: vec![class(Effect::Pure)], ..Settings::default() };
+    let settings = Settings {
+        reports_start: true,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
     let mut actions = Vec::new();
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -58,18 +58,23 @@
     }
 
     fn settings(&self, me: u32) -> Settings {
-        let class = Class { aim: 250 * MS, deadline: 7_500 * MS, late_worth: 0.5, ..class(Effect::Pure) };
+        let class = Class {
+            latency_objective: 250 * MS,
+            deadline: 7_500 * MS,
+            late_weight: 0.5,
+            ..class(Idempotency::Idempotent)
+        };
         Settings {
             me,
             nodes: self.nodes,
             classes: vec![class],
             may_probe: true,
-            may_tell: self.peers,
-            tells_start: true,
-            cold_from: FROM,
-            cold_time: COLD,
-            fall_multiple: MULTIPLE,
-            fall_window: WINDOW,
+            may_message_peers: self.peers,
+            reports_start: true,
+            initial_capacity: FROM,
+            warm_up_time: COLD,
+            collapse_multiple: MULTIPLE,
+            collapse_window: WINDOW,
             max_attempts: 3,
             ..Settings::default()
         }
@@ -89,14 +94,14 @@
     Arrive(u32),
     Replace(u32),
     Restart(u32),
-    Told(u32, RosterEntry),
+    Told(u32, EndpointEntry),
     Hear { node: u32, life: u64, event: Event },
     Reach(u32, Call),
     Over { worker: u32, life: u64, call: Call, took: Micros },
 }
 
 struct Machine {
-    entry: RosterEntry,
+    entry: EndpointEntry,
     life: u64,
     running: usize,
     queue: VecDeque<Call>,
@@ -106,9 +111,13 @@
 }
 
 impl Machine {
-    fn report(&self) -> Report {
+    fn report(&self) -> LoadReport {
         let free = (SLOTS - self.running) as f64;
-        Report { cpu: Some(self.running as f64 / SLOTS as f64), free_slots: Some(free), ..Report::default() }
+        LoadReport {
+            cpu: Some(self.running as f64 / SLOTS as f64),
+            free_slots: Some(free),
+            ..LoadReport::default()
+        }
     }
 
     /// The part of its capacity that it has.
@@ -143,7 +152,7 @@
     nodes: Vec<Node>,
     lives: Vec<u64>,
     /// What each dispatcher has been told, and thus a new process of it.
-    lists: Vec<BTreeMap<u32, RosterEntry>>,
+    lists: Vec<BTreeMap<u32, EndpointEntry>>,
     machines: Vec<Machine>,
     linked: BTreeMap<(u32, u64, u32), Micros>,
     sent: BTreeMap<(u32, u64, JobId), u32>,
@@ -157,13 +166,13 @@
         // A worker's weight is what it may get in a window at its start; the module only compares weights.
         let entry = |n: u32| {
             let tag = u64::from(n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            RosterEntry { tag, zone: ZoneId((n % 2) as u16), weight: day.calls, ..worker(n) }
+            EndpointEntry { tag, zone: ZoneId((n % 2) as u16), weight: day.calls, ..worker(n) }
         };
         let machine = |n| {
             let (queue, got) = Default::default();
             Machine { entry: entry(n), life: 0, running: 0, queue, got, unknowing: 0 }
         };
-        let list: BTreeMap<u32, RosterEntry> = (0..day.workers).map(|n| (n, entry(n))).collect();
+        let list: BTreeMap<u32, EndpointEntry> = (0..day.workers).map(|n| (n, entry(n))).collect();
         let (due, linked, sent) = Default::default();
         let mut fleet = Fleet {
             day,
@@ -206,7 +215,7 @@
         let mut node = Node::seeded(self.day.settings(n), self.day.seed << 32 | u64::from(n));
         node.now = self.now;
         let list = self.lists[n as usize].values().copied().collect();
-        node.feed(Event::Roster(RosterKind::Whole, list));
+        node.feed(Event::EndpointList(ListKind::Snapshot, list));
         node
     }
 
@@ -245,13 +254,13 @@
                 }
                 Action::Probe(worker) => {
                     let report = Some(self.machines[worker.0 as usize].report());
-                    let echo = Probed { worker, outcome: Outcome::Ok, elapsed: MS, report };
-                    self.hear(MS, node, Event::Probed(echo));
+                    let echo = ProbeResponse { worker, outcome: Outcome::Ok, elapsed: MS, report };
+                    self.hear(MS, node, Event::ProbeResponse(echo));
                 }
-                Action::Tell { to, bytes } => {
+                Action::SendToPeer { to, bytes } => {
                     let side = |n: u32| n % 7 % self.day.sides;
                     if self.day.sides > 0 && side(node) == side(to) {
-                        self.hear(2 * MS, to, Event::Mail { from: node, bytes });
+                        self.hear(2 * MS, to, Event::PeerMessage { from: node, bytes });
                     }
                 }
                 _ => {}
@@ -265,8 +274,8 @@
             self.served += u64::from(outcome == Outcome::Ok);
             let Call { job, attempt, .. } = call;
             let (worker, closed) = (WorkerId(worker), outcome == Outcome::Ok);
-            let ended = Ended { job, attempt, worker, elapsed: took, closed, outcome, report };
-            self.hear(MS, call.node, Event::Ended(ended));
+            let ended = AttemptEnded { job, attempt, worker, elapsed: took, closed, outcome, report };
+            self.hear(MS, call.node, Event::AttemptEnded(ended));
         }
     }
 
@@ -309,12 +318,12 @@
                     memory: None,
                     repeat: false,
                     estimate: None,
-                    worth: None,
+                    tenant_weight: None,
                 };
                 self.feed(node, Event::Arrived(new));
             }
             Due::Replace(n) => {
-                let fresh = RosterEntry { started_at: Some(self.now), ..self.machines[n as usize].entry };
+                let fresh = EndpointEntry { started_at: Some(self.now), ..self.machines[n as usize].entry };
                 let changed = if self.day.in_place {
                     let machine = &mut self.machines[n as usize];
                     (machine.entry, machine.life, machine.running) = (fresh, machine.life + 1, 0);
@@ -324,7 +333,7 @@
                 } else {
                     let id = self.machines.len() as u32;
                     let tag = u64::from(id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-                    let fresh = RosterEntry { worker: WorkerId(id), tag, ..fresh };
+                    let fresh = EndpointEntry { worker: WorkerId(id), tag, ..fresh };
                     let (queue, got) = Default::default();
                     self.machines.push(Machine {
                         entry: fresh,
@@ -334,7 +343,7 @@
                         got,
                         unknowing: 0,
                     });
-                    vec![fresh, RosterEntry { status: Status::Draining, ..self.machines[n as usize].entry }]
+                    vec![fresh, EndpointEntry { status: Status::Draining, ..self.machines[n as usize].entry }]
                 };
                 for node in 0..self.day.nodes {
                     let late = self.rng.u64(0..=self.day.late);
@@ -343,7 +352,7 @@
             }
             Due::Told(node, entry) => {
                 self.lists[node as usize].insert(entry.worker.0, entry);
-                self.feed(node, Event::Roster(RosterKind::Changes, vec![entry]));
+                self.feed(node, Event::EndpointList(ListKind::Delta, vec![entry]));
             }
             Due::Restart(node) => {
                 self.lives[node as usize] += 1;
@@ -378,7 +387,7 @@
     fn play(mut self) -> (Vec<(f64, usize)>, f64) {
         loop {
             let next = self.due.first_key_value().map_or(END, |((at, _), _)| *at);
-            let rings = |n: &Node| n.alarms.peek().map_or(END, |next| next.0.0);
+            let rings = |n: &Node| n.timers.peek().map_or(END, |next| next.0.0);
             let ring = self.nodes.iter().map(rings).min().unwrap_or(END);
             self.now = next.min(ring).max(self.now);
             if self.now >= END {
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings(me: u32) -> Settings {
-    Settings { me, nodes: 100, may_tell: true, may_probe: true, ..Settings::default() }
+    Settings { me, nodes: 100, may_message_peers: true, may_probe: true, ..Settings::default() }
 }
 
-fn listed(n: u32) -> RosterEntry {
-    RosterEntry {
+fn listed(n: u32) -> EndpointEntry {
+    EndpointEntry {
         worker: WorkerId(n),
         tag: u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         zone: ZoneId((n % 2) as u16),
@@ -22,7 +22,7 @@
 }
 
 /// Who has which worker, by one node of each group.
-fn parts(workers: &[RosterEntry]) -> BTreeMap<WorkerId, u32> {
+fn parts(workers: &[EndpointEntry]) -> BTreeMap<WorkerId, u32> {
     let mut owner = BTreeMap::new();
     for me in 0..10 {
         let mut share = Share::of(&settings(me));
@@ -36,7 +36,7 @@
 
 #[test]
 fn every_worker_has_one_group_and_one_that_leaves_moves_few() {
-    let all: Vec<RosterEntry> = (0..60).map(listed).collect();
+    let all: Vec<EndpointEntry> = (0..60).map(listed).collect();
     let before = parts(&all);
     assert_eq!(before.len(), 60);
     let after = parts(&all[1..]);
@@ -75,10 +75,10 @@
 }
 
 /// Who has which worker where only these nodes hold work, by the word of each of them.
-fn held(nodes: u32, holders: &[bool], workers: &[RosterEntry]) -> BTreeMap<WorkerId, u32> {
+fn held(nodes: u32, holders: &[bool], workers: &[EndpointEntry]) -> BTreeMap<WorkerId, u32> {
     let mut owner: BTreeMap<WorkerId, u32> = BTreeMap::new();
-    let believed = |here: &bool| if *here { Presence::Here } else { Presence::Gone };
-    let peers: Vec<Presence> = holders.iter().map(believed).collect();
+    let believed = |here: &bool| if *here { PeerPresence::Present } else { PeerPresence::Gone };
+    let peers: Vec<PeerPresence> = holders.iter().map(believed).collect();
     for me in (0..nodes).filter(|n| holders[*n as usize]) {
         let mut share = Share::of(&Settings { nodes, ..settings(me) });
         share.hold_by(1, &peers);
@@ -94,7 +94,7 @@
 /// One death moves the workers that the dead node held, one in n, and its return moves these back; whole groups may die.
 #[test]
 fn the_end_of_a_node_moves_its_part_alone() {
-    let (nodes, all): (u32, Vec<RosterEntry>) = (30, (0..300).map(listed).collect());
+    let (nodes, all): (u32, Vec<EndpointEntry>) = (30, (0..300).map(listed).collect());
     let mut rng = fastrand::Rng::with_seed(11);
     let mut holders = vec![true; nodes as usize];
     let (mut moved, mut deaths, mut before) = (0, 0, held(nodes, &holders, &all));
@@ -133,7 +133,7 @@
 #[test]
 fn what_the_sides_of_a_cut_may_take_is_within_the_slots() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let all: Vec<RosterEntry> = (0..40).map(listed).collect();
+    let all: Vec<EndpointEntry> = (0..40).map(listed).collect();
     for round in 0..60 {
         let (nodes, sides, slots) = (rng.u32(2..40), rng.u32(1..4), rng.u32(1..12));
         let side: Vec<u32> = (0..nodes).map(|_| rng.u32(0..sides)).collect();
@@ -143,14 +143,14 @@
         for here in 0..sides {
             let heard: Vec<bool> = left.iter().map(|left| *left && rng.bool()).collect();
             let believed = |n: usize| match (side[n] == here && !left[n], heard[n]) {
-                (true, _) => Presence::Here,
-                (_, true) => Presence::Gone,
-                _ => Presence::Away,
+                (true, _) => PeerPresence::Present,
+                (_, true) => PeerPresence::Gone,
+                _ => PeerPresence::Unreachable,
             };
-            let peers: Vec<Presence> = (0..nodes as usize).map(believed).collect();
+            let peers: Vec<PeerPresence> = (0..nodes as usize).map(believed).collect();
             // One node of each group that has somebody on this side; the rest of it does what it does.
             let mut groups = BTreeSet::new();
-            for me in (0..nodes).filter(|n| peers[*n as usize] == Presence::Here) {
+            for me in (0..nodes).filter(|n| peers[*n as usize] == PeerPresence::Present) {
                 let mut share = Share::of(&Settings { nodes, ..settings(me) });
                 if share.on() && groups.insert(share.group()) {
                     share.deal(&all, &[]);
@@ -177,15 +177,18 @@
 #[test]
 fn a_view_of_another_size_or_without_oneself_says_nothing() {
     let mut share = Share::of(&settings(3));
-    let here = Presence::Here;
-    assert!(!share.hold_by(1, &[here; 7]) && !share.hold_by(1, &[Presence::Gone; 100]), "neither is heeded");
+    let here = PeerPresence::Present;
+    assert!(
+        !share.hold_by(1, &[here; 7]) && !share.hold_by(1, &[PeerPresence::Gone; 100]),
+        "neither is heeded"
+    );
     assert!(!share.hold_by(1, &[here; 100]), "all hold work anyway");
     let mut peers = vec![here; 100];
-    peers[4] = Presence::Gone;
+    peers[4] = PeerPresence::Gone;
     assert!(share.hold_by(1, &peers) && !share.hold_by(1, &peers), "heeded once");
     let mut acts = Vec::new();
     (0..1_000).for_each(|luck| share.wish(ZoneId(0), luck, &mut acts));
-    let asked = |node| acts.iter().any(|act| matches!(act, Action::Tell { to, .. } if *to == node));
+    let asked = |node| acts.iter().any(|act| matches!(act, Action::SendToPeer { to, .. } if *to == node));
     assert!(
         !asked(4) && (14..100).step_by(10).all(asked),
         "no wish goes to one that is gone, of its group's"
@@ -194,9 +197,9 @@
 
 #[test]
 fn new_ones_take_the_places_that_are_left() {
-    let mut all: Vec<RosterEntry> = (0..52).map(listed).collect();
+    let mut all: Vec<EndpointEntry> = (0..52).map(listed).collect();
     let before = parts(&all);
-    all.extend((52..60).map(|n| RosterEntry { started_at: Some(1), ..listed(n) }));
+    all.extend((52..60).map(|n| EndpointEntry { started_at: Some(1), ..listed(n) }));
     let after = parts(&all);
     let moved = before.iter().filter(|(w, group)| after[w] != **group).count();
     assert_eq!(moved, 0, "the older ones stay where they are");
@@ -209,12 +212,12 @@
     share.regroup(&Settings { nodes: 91, ..settings(0) });
     let mut acts = Vec::new();
     (0..1_000).for_each(|luck| share.wish(ZoneId(0), luck, &mut acts));
-    assert!(acts.iter().all(|act| matches!(act, Action::Tell { to, .. } if *to < 91)), "{acts:?}");
+    assert!(acts.iter().all(|act| matches!(act, Action::SendToPeer { to, .. } if *to < 91)), "{acts:?}");
 }
 
 #[test]
 fn a_node_by_itself_or_without_messages_has_no_group() {
-    for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_tell: false, ..settings(0) }] {
+    for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_message_peers: false, ..settings(0) }] {
         let mut share = Share::of(&set);
         share.deal(&[listed(1)], &[]);
         assert!(!share.on() && share.workers().next().is_none() && share.load(&listed(1), 0).is_none());
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -191,13 +191,14 @@
 }
 
 fn settings(me: u32, nodes: u32) -> Settings {
-    let class = Class { aim: 250 * MS, deadline: 7_500 * MS, ..class(Effect::Pure) };
-    let base = Settings { may_probe: true, may_tell: true, tells_start: true, ..Settings::default() };
+    let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
+    let base =
+        Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
     Settings { me, nodes, classes: vec![class], ..base }
 }
 
 /// So many workers, each two of which have a tag that messages shorten to the same 16 bits.
-fn alike(count: u32) -> Vec<RosterEntry> {
+fn alike(count: u32) -> Vec<EndpointEntry> {
     let mix = |x: u64| {
         let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -213,11 +214,11 @@
             break;
         }
     }
-    (0..).zip(tags).map(|(n, tag)| RosterEntry { tag, ..worker(n) }).collect()
+    (0..).zip(tags).map(|(n, tag)| EndpointEntry { tag, ..worker(n) }).collect()
 }
 
 /// One of so many nodes, among workers that have one slot each.
-fn among(me: u32, nodes: u32, workers: &[RosterEntry]) -> Module {
+fn among(me: u32, nodes: u32, workers: &[EndpointEntry]) -> Module {
     let mut node = Module::seeded(settings(me, nodes), me.into());
     node.roster(workers.to_vec());
     node.report(0, 0.0, 1.0);
@@ -241,13 +242,13 @@
 
 fn tells(acts: Vec<Action>, whom: u32) -> impl Iterator<Item = Vec<u8>> {
     acts.into_iter().filter_map(move |act| match act {
-        Action::Tell { to, bytes } if to == whom => Some(bytes),
+        Action::SendToPeer { to, bytes } if to == whom => Some(bytes),
         _ => None,
     })
 }
 
 fn hear(node: &mut Module, from: u32, told: impl IntoIterator<Item = Vec<u8>>) -> Vec<Action> {
-    told.into_iter().flat_map(|bytes| node.feed(Event::Mail { from, bytes })).collect()
+    told.into_iter().flat_map(|bytes| node.feed(Event::PeerMessage { from, bytes })).collect()
 }
 
 /// A message names 120 workers at most, and what was beyond that was left out: always the same ones, which the mates took for
@@ -297,7 +298,7 @@
     group.deal(&workers, &[]);
     let (own, _) = load(&mut asker, 0, 160, 0);
     assert!((90..=110).contains(&own.len()), "{} workers in its part", own.len());
-    let offers = (0..50).flat_map(|_| lender.feed(Event::Mail { from: 1, bytes: vec![b'A', 0] }));
+    let offers = (0..50).flat_map(|_| lender.feed(Event::PeerMessage { from: 1, bytes: vec![b'A', 0] }));
     let offers: Vec<Vec<u8>> = tells(offers.collect(), 1).filter(|bytes| bytes[0] == b'O').collect();
     let lent = sends(&hear(&mut asker, 0, offers));
     assert!(lent.len() >= 45, "{} of 50 offers are taken", lent.len());
@@ -308,8 +309,8 @@
 /// Whatever the sizes, each worker has one group, by the word of any of its nodes, and no group far more than its part.
 #[test]
 fn each_of_a_thousand_workers_is_somebodys() {
-    let workers: Vec<RosterEntry> =
-        (0..SIZE).map(|n| RosterEntry { zone: ZoneId((n % 3) as u16), ..worker(n) }).collect();
+    let workers: Vec<EndpointEntry> =
+        (0..SIZE).map(|n| EndpointEntry { zone: ZoneId((n % 3) as u16), ..worker(n) }).collect();
     for (nodes, listed) in [(2, SIZE), (17, SIZE), (300, SIZE), (SIZE, SIZE), (SIZE, 60), (SIZE, 1)] {
         let (listed, groups) = (&workers[..listed as usize], nodes.div_ceil(10));
         let parts = (0..groups.min(nodes)).flat_map(|me| {
@@ -350,8 +351,8 @@
 /// lent a slot once, a job took 172 us instead of 4. And where a class has a kind of worker, all workers were summed up.
 #[test]
 fn a_job_costs_the_module_no_more_for_a_thousand_that_were_lent_a_slot_nor_for_workers_of_many_kinds() {
-    let workers: Vec<RosterEntry> =
-        (0..SIZE).map(|n| RosterEntry { kind: KindId((n % 2) as u16), ..worker(n) }).collect();
+    let workers: Vec<EndpointEntry> =
+        (0..SIZE).map(|n| EndpointEntry { kind: KindId((n % 2) as u16), ..worker(n) }).collect();
     let of = |kinds: bool| {
         let mut set = settings(0, SIZE);
         set.classes.extend((kinds).then(|| Class { kind: Some(KindId(1)), ..set.classes[0].clone() }));
@@ -363,7 +364,7 @@
     let mut node = of(false);
     let (before, kinds) = (least(&mut node), least(&mut of(true)));
     for from in (0..SIZE).filter(|from| from % 103 != 0) {
-        node.feed(Event::Mail { from, bytes: vec![b'G', 0, 0, 1] });
+        node.feed(Event::PeerMessage { from, bytes: vec![b'G', 0, 0, 1] });
     }
     node.pass(11_000 * MS);
     let after = least(&mut node);
@@ -384,15 +385,15 @@
         let kind = *rng.choice(b"WwGgAOUS").expect("one of them");
         let mut acts = Vec::new();
         if step % 10 == 0 {
-            let entry = RosterEntry {
+            let entry = EndpointEntry {
                 status: rng.choice([Status::Ready, Status::Draining, Status::Gone]).expect("one"),
                 ..worker(rng.u32(..SIZE * 2))
             };
             ready.remove(&entry.worker);
             ready.extend((entry.status == Status::Ready).then_some(entry.worker));
-            acts.extend(node.feed(Event::Roster(RosterKind::Changes, vec![entry])));
+            acts.extend(node.feed(Event::EndpointList(ListKind::Delta, vec![entry])));
         }
-        let mail = Event::Mail { from: rng.u32(..SIZE + 9), bytes: [&[kind], &said[..]].concat() };
+        let mail = Event::PeerMessage { from: rng.u32(..SIZE + 9), bytes: [&[kind], &said[..]].concat() };
         acts.extend(node.feed(mail));
         if step % 500 == 499 {
             node.dispatcher.reconfigure(settings(0, SIZE - step as u32 / 20)).expect("sound settings");
@@ -403,7 +404,7 @@
             assert!(ready.contains(&at), "{at:?} is not ready");
             (sent, _) = (sent + 1, node.end(job, 0, at, Outcome::Ok));
         }
-        assert!(acts.iter().all(|act| !matches!(act, Action::Tell { bytes, .. } if bytes.len() > 256)));
+        assert!(acts.iter().all(|act| !matches!(act, Action::SendToPeer { bytes, .. } if bytes.len() > 256)));
     }
     assert!(sent > 1_000, "{sent} of 2,000 jobs are sent");
 }
