--- a/tests/conformance/silence.rs
+++ b/tests/conformance/silence.rs
@@ -2,7 +2,7 @@
 //! start), `open`, `as it is`, `stale` and `usable`.
 
 use crate::table::{Machine, beyond};
-use mothproxy::core::silence::{Broken, Objects, Terms, WatchClock};
+use mothproxy::core::watch_liveness::{DiscoveryTerms, Objects, WatchFailure, WatchLiveness};
 use serde::Deserialize;
 use toml::{Table, Value};
 
@@ -71,8 +71,8 @@
 }
 
 pub struct Silence {
-    clock: WatchClock,
-    terms: Terms,
+    clock: WatchLiveness,
+    terms: DiscoveryTerms,
     objects: Objects,
     now: u64,
 }
@@ -80,9 +80,12 @@
 impl Machine for Silence {
     fn new(given: Value, seed: u64) -> Result<Silence, String> {
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
-        let terms =
-            Terms { pushed: given.pushed, ask_within: Some(given.within * 1_000), nodes: given.nodes };
-        let mut clock = WatchClock::new(terms, seed);
+        let terms = DiscoveryTerms {
+            pushed: given.pushed,
+            ask_within: Some(given.within * 1_000),
+            nodes: given.nodes,
+        };
+        let mut clock = WatchLiveness::new(terms, seed);
         if given.open {
             clock.called(START);
             clock.connected(START);
@@ -104,7 +107,7 @@
         let now = self.now;
         let due = |at: u64| vec![format!("due {}", (at - now) / 1_000)];
         let stale =
-            |clock: &WatchClock| vec![if clock.is_stale(now) { "stale" } else { "usable" }.to_owned()];
+            |clock: &WatchLiveness| vec![if clock.is_stale(now) { "stale" } else { "usable" }.to_owned()];
         let again = |at: u64| vec![format!("again {}", (at - now) / 1_000)];
         Ok(match Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())? {
             Verb::Pass(span) => {
@@ -120,14 +123,14 @@
             Verb::Told {} => vec![format!("told {}", (self.clock.told(now) - START) / 1_000)],
             Verb::Broke(why) => {
                 let why = match why {
-                    Why::Silent => Broken::Silent,
-                    Why::Ended => Broken::Ended,
-                    Why::Unreachable => Broken::Unreachable,
+                    Why::Silent => WatchFailure::Silent,
+                    Why::Ended => WatchFailure::Ended,
+                    Why::Unreachable => WatchFailure::Unreachable,
                 };
                 again(self.clock.broke(now, why))
             }
             Verb::Retune { pushed } => {
-                let terms = Terms { pushed, ..self.terms };
+                let terms = DiscoveryTerms { pushed, ..self.terms };
                 vec![if self.clock.retune(terms) { "open" } else { "as it is" }.to_owned()]
             }
             Verb::Moved {} => again(self.clock.moved(now)),
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop and closes that cross what is on its way, on real connections. Each story forces its order by what was
 //! seen before: an end that was read, a job that has arrived, a process that stands still.
 
-use mothproxy::core::planned_stop::PlannedStop;
+use mothproxy::core::shutdown_plan::ShutdownPlan;
 use mothproxy_stand_ins::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -16,12 +16,12 @@
 fn what_comes_late_is_answered_before_the_process_may_be_killed() {
     let spans = [1, 50, 120, 400, 800, 1_500, 2_999, 3_000, 3_001, 7_500, 25_000].map(|ms| ms * MS);
     for (longest, ever) in spans.into_iter().flat_map(|longest| spans.map(|ever| (longest, ever))) {
-        let plan = PlannedStop::new(0, longest, ever);
+        let plan = ShutdownPlan::new(0, longest, ever);
         let (counted, killed) = (longest.min(3_000 * MS), longest.min(3_000 * MS) + 700 * MS);
         assert!(plan.hold + counted / 2 <= plan.answered && plan.answered < killed, "{plan:?}");
         assert!(plan.last >= longest.max(ever) + 700 * MS, "{plan:?}");
         for came in (0..killed).step_by(10 * MS as usize) {
-            let answered = came + plan.patience(came, longest);
+            let answered = came + plan.time_budget(came, longest);
             assert!(came <= 700 * MS || answered < killed.max(came + 1), "{came} {answered} {plan:?}");
             // Those that came with the last new connections are not cut short.
             assert!(came > 400 * MS || answered == came + longest, "{came} {answered} {plan:?}");
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -5,7 +5,7 @@
 
 use lists::{Day, MS, Pays, S, Scenario, play};
 use mothproxy::Micros;
-use mothproxy::core::silence::{Broken, Objects, Terms, WatchClock};
+use mothproxy::core::watch_liveness::{DiscoveryTerms, Objects, WatchFailure, WatchLiveness};
 
 /// A change counts as told so long after discovery had it and could be reached (PROTOCOL, "Figures").
 const BOUND: Micros = 6 * S;
@@ -14,7 +14,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum AttemptOutcome {
     /// Its connection never comes up.
     NoConnection,
     /// Refused, or its connection reset or ended, so long after it began.
@@ -31,12 +31,12 @@
 
 /// A watch on its way, played by rules that are the driver's: what is due is waited for, and never missed.
 struct Play {
-    clock: WatchClock,
+    clock: WatchLiveness,
     rng: fastrand::Rng,
     now: Micros,
     calls: Vec<Micros>,
     /// How the last watch ended, and when, if it had told something.
-    lost: Option<(Broken, Micros)>,
+    lost: Option<(WatchFailure, Micros)>,
     /// No wait is longer.
     longest: Micros,
     /// So many calls in a row were kept waiting in vain, the last one too: the service may be too slow for all.
@@ -44,37 +44,37 @@
 }
 
 impl Play {
-    fn new(terms: Terms, seed: u64) -> Play {
-        let (clock, rng) = (WatchClock::new(terms, seed), fastrand::Rng::with_seed(seed));
+    fn new(terms: DiscoveryTerms, seed: u64) -> Play {
+        let (clock, rng) = (WatchLiveness::new(terms, seed), fastrand::Rng::with_seed(seed));
         Play { clock, rng, now: 1_000 * S, calls: Vec::new(), lost: None, longest: period(terms), kept: 0 }
     }
 
-    fn bad(&mut self, slowest: Micros) -> Fate {
+    fn bad(&mut self, slowest: Micros) -> AttemptOutcome {
         let at = self.rng.u64(0..=slowest);
         match self.rng.u8(0..6) {
-            0 => Fate::NoConnection,
-            1 => Fate::Hangs,
-            2 => Fate::Partly(at),
-            _ => Fate::Refused(at),
+            0 => AttemptOutcome::NoConnection,
+            1 => AttemptOutcome::Hangs,
+            2 => AttemptOutcome::Partly(at),
+            _ => AttemptOutcome::Refused(at),
         }
     }
 
     /// A call is made and its fate met. Returns when the next is due, or None: a list was told.
-    fn call(&mut self, fate: Fate) -> Option<Micros> {
+    fn call(&mut self, fate: AttemptOutcome) -> Option<Micros> {
         let floor = self.calls.last().map_or(0, |last| last + 200 * MS);
         assert!(self.now >= floor, "sooner after the one before than anybody may ask");
         self.calls.push(self.now);
         self.lost = None;
         let before = self.kept;
         self.kept = match fate {
-            Fate::Refused(at) if at >= 200 * MS => before + 1,
-            Fate::Hangs => before + 1,
+            AttemptOutcome::Refused(at) if at >= 200 * MS => before + 1,
+            AttemptOutcome::Hangs => before + 1,
             _ => 0,
         };
         let (began, up_by) = (self.now, self.clock.called(self.now));
         assert!(up_by > began && up_by <= began + 2 * S, "a connection waits for nothing");
-        if matches!(fate, Fate::NoConnection) {
-            return Some(self.broke(up_by, Broken::Unreachable));
+        if matches!(fate, AttemptOutcome::NoConnection) {
+            return Some(self.broke(up_by, WatchFailure::Unreachable));
         }
         let mut due = self.clock.connected(began + self.rng.u64(0..=MS));
         // In its queue the service keeps as many calls as there are dispatchers: more have as long as a turn of all takes; and each
@@ -85,31 +85,34 @@
             "an answer is waited for without end"
         );
         match fate {
-            Fate::List(at) if began + at < due => {
+            AttemptOutcome::List(at) if began + at < due => {
                 self.now = began + at;
                 assert!(self.clock.told(self.now) <= self.now);
                 assert_eq!(self.clock.heard(self.now, false), Some(self.now + 2_500 * MS));
                 return None;
             }
-            Fate::Partly(at) if began + at < due => {
+            AttemptOutcome::Partly(at) if began + at < due => {
                 self.now = began + at;
                 due = self.clock.heard(self.now, true).expect("an object that has begun has its time");
                 assert!(due > self.now && due <= self.now + S);
             }
-            Fate::EmptyLine(at, then) if began + at < due => {
+            AttemptOutcome::EmptyLine(at, then) if began + at < due => {
                 self.now = began + at;
                 let told = self.clock.heard(self.now, false);
                 due = told.unwrap_or(due);
                 let ends = self.now + then < due;
-                let (at, why) = if ends { (self.now + then, Broken::Ended) } else { (due, Broken::Silent) };
+                let (at, why) =
+                    if ends { (self.now + then, WatchFailure::Ended) } else { (due, WatchFailure::Silent) };
                 let next = self.broke(at, why);
                 self.lost = told.map(|_| (why, at));
                 return Some(next);
             }
-            Fate::Refused(at) if began + at < due => return Some(self.broke(began + at, Broken::Ended)),
+            AttemptOutcome::Refused(at) if began + at < due => {
+                return Some(self.broke(began + at, WatchFailure::Ended));
+            }
             _ => {}
         }
-        Some(self.broke(due, Broken::Silent))
+        Some(self.broke(due, WatchFailure::Silent))
     }
 
     /// Another service counts, which was never called.
@@ -118,7 +121,7 @@
         self.clock.moved(self.now)
     }
 
-    fn broke(&mut self, at: Micros, why: Broken) -> Micros {
+    fn broke(&mut self, at: Micros, why: WatchFailure) -> Micros {
         self.now = at;
         let next = self.clock.broke(at, why);
         assert!((at..=at + self.longest).contains(&next), "{next} after {at}");
@@ -126,19 +129,19 @@
     }
 }
 
-fn terms(rng: &mut fastrand::Rng) -> Terms {
+fn terms(rng: &mut fastrand::Rng) -> DiscoveryTerms {
     let (nodes, within) = (if rng.bool() { rng.u32(1..=10) } else { rng.u32(1..=300) }, rng.u64(3..=60) * S);
-    Terms { pushed: false, ask_within: Some(within), nodes }
+    DiscoveryTerms { pushed: false, ask_within: Some(within), nodes }
 }
 
 /// How many refused calls the 6 s hold beside one that is answered, though the service may be too slow for all: two up to ten
 /// dispatchers; more of them ask less often.
-fn refusals(terms: Terms) -> u8 {
+fn refusals(terms: DiscoveryTerms) -> u8 {
     ((BOUND - 1_500 * MS) / period(terms) - 1) as u8
 }
 
 /// The longest time from one call to the next: up to ten dispatchers may ask in 1.5 s.
-fn period(terms: Terms) -> Micros {
+fn period(terms: DiscoveryTerms) -> Micros {
     (150 * MS * u64::from(terms.nodes)).clamp(1_500 * MS, 4_500 * MS)
 }
 
@@ -162,15 +165,15 @@
                 break;
             }
             let fate = match rng.u8(0..8) {
-                0 => Fate::EmptyLine(rng.u64(0..=QUEUE), rng.u64(0..=2 * S)),
-                1 if play.now + 3 * S < back => Fate::List(rng.u64(0..=QUEUE)),
+                0 => AttemptOutcome::EmptyLine(rng.u64(0..=QUEUE), rng.u64(0..=2 * S)),
+                1 if play.now + 3 * S < back => AttemptOutcome::List(rng.u64(0..=QUEUE)),
                 _ => play.bad(QUEUE),
             };
             play.now = match play.call(fate) {
                 Some(next) => next,
                 None => {
-                    let why = if rng.bool() { Broken::Ended } else { Broken::Silent };
-                    let after = if why == Broken::Ended { rng.u64(0..=2 * S) } else { 2_500 * MS };
+                    let why = if rng.bool() { WatchFailure::Ended } else { WatchFailure::Silent };
+                    let after = if why == WatchFailure::Ended { rng.u64(0..=2 * S) } else { 2_500 * MS };
                     let next = play.broke(play.now + after, why);
                     play.lost = Some((why, play.now));
                     next
@@ -179,8 +182,8 @@
         }
         // A watch that was open at the return: it counts from its end, or from its silence, of which 2.5 s are gone.
         let (back, most_tries) = match play.lost {
-            Some((Broken::Ended | Broken::Unreachable, at)) => (back.max(at), 2),
-            Some((Broken::Silent, _)) => (back, 1),
+            Some((WatchFailure::Ended | WatchFailure::Unreachable, at)) => (back.max(at), 2),
+            Some((WatchFailure::Silent, _)) => (back, 1),
             None => (back, 2),
         };
         // The first call after the return, and the second, are refused.
@@ -188,9 +191,13 @@
         let tries = rng.u8(0..=most_tries.min(left));
         for _ in 0..tries {
             let at = rng.u64(0..=QUEUE);
-            play.now = play.call(Fate::Refused(at)).expect("refused");
+            play.now = play.call(AttemptOutcome::Refused(at)).expect("refused");
         }
-        assert_eq!(play.call(Fate::List(rng.u64(0..=QUEUE))), None, "seed {seed}: answered in time");
+        assert_eq!(
+            play.call(AttemptOutcome::List(rng.u64(0..=QUEUE))),
+            None,
+            "seed {seed}: answered in time"
+        );
         most = most.max(play.now - back);
         assert!(play.now <= back + BOUND, "seed {seed}: {} after", play.now - back);
     }
@@ -205,15 +212,15 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let moves = rng.bool();
         let mut play = Play::new(terms(&mut rng), seed);
-        play.call(Fate::List(0));
+        play.call(AttemptOutcome::List(0));
         let from = play.now;
         play.now = match moves {
             true => play.moves(),
-            false => play.broke(from + 2_500 * MS, Broken::Silent),
+            false => play.broke(from + 2_500 * MS, WatchFailure::Silent),
         };
         let fate = play.bad(QUEUE);
         play.now = play.call(fate).expect("it failed");
-        assert_eq!(play.call(Fate::List(QUEUE)), None, "seed {seed}: answered in time");
+        assert_eq!(play.call(AttemptOutcome::List(QUEUE)), None, "seed {seed}: answered in time");
         let bound = if moves { 4 * S } else { BOUND };
         assert!(play.now <= from + bound, "seed {seed}: {fate:?}, {} after", play.now - from);
     }
@@ -226,15 +233,16 @@
     let (nodes, outage) = (300, 8 * S);
     let (mut calls, mut times) = (0, vec![0_u32; 130]);
     for me in 0..nodes {
-        let mut play = Play::new(Terms { pushed: false, ask_within: Some(10 * S), nodes }, u64::from(me));
-        play.call(Fate::List(0));
+        let mut play =
+            Play::new(DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes }, u64::from(me));
+        play.call(AttemptOutcome::List(0));
         play.now += 3 * S;
         let from = play.now;
-        play.now = play.broke(from, Broken::Ended);
+        play.now = play.broke(from, WatchFailure::Ended);
         while play.now < from + outage {
             times[((play.now - from) / (100 * MS)) as usize] += 1;
             calls += 1;
-            play.now = play.call(Fate::Refused(MS)).expect("refused");
+            play.now = play.call(AttemptOutcome::Refused(MS)).expect("refused");
         }
         times[((play.now - from) / (100 * MS)) as usize] += 1;
     }
@@ -257,7 +265,7 @@
                 let o = play(day);
                 let own = u64::from(callers) * call * MS * 2;
                 // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
-                let hurried = matches!(scenario, Scenario::Silent | Scenario::Moved);
+                let hurried = matches!(scenario, Scenario::Silent | Scenario::TransferredRequest);
                 let (waste, room) = if wait > 4_500 { (2, 2) } else { (1, if hurried { 3 } else { 4 }) };
                 assert!(o.never == 0 && o.max <= 4 * own && o.wasted <= waste * own, "{day:?}: {o:?}");
                 let late = if scenario == Scenario::Restarts { callers } else { o.beyond + callers / room };
@@ -284,24 +292,24 @@
 /// A watch that is opened and lost at once, over and over, is a call that failed: it is not asked for in a busy loop.
 #[test]
 fn a_watch_that_never_holds_is_not_opened_in_a_busy_loop() {
-    let mut play = Play::new(Terms { pushed: false, ask_within: Some(10 * S), nodes: 1 }, 1);
+    let mut play = Play::new(DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes: 1 }, 1);
     let from = play.now;
     while play.now < from + 60 * S {
-        play.call(Fate::List(MS));
-        play.now = play.broke(play.now + MS, Broken::Ended);
+        play.call(AttemptOutcome::List(MS));
+        play.now = play.broke(play.now + MS, WatchFailure::Ended);
     }
     assert!(play.calls.len() <= 60, "{} calls in a minute", play.calls.len());
 }
 
 #[test]
 fn an_agent_is_asked_for_ever_and_never_in_a_busy_loop() {
-    let terms = Terms { pushed: true, ask_within: None, nodes: 3 };
-    let mut clock = WatchClock::new(terms, 1);
+    let terms = DiscoveryTerms { pushed: true, ask_within: None, nodes: 3 };
+    let mut clock = WatchLiveness::new(terms, 1);
     assert!(clock.retune(terms), "one is opened at the start");
     let mut now = 0;
     for n in 0..1_000 {
         now = clock.called(now);
-        now = clock.broke(now, if n % 2 == 0 { Broken::Silent } else { Broken::Ended });
+        now = clock.broke(now, if n % 2 == 0 { WatchFailure::Silent } else { WatchFailure::Ended });
     }
     assert!((200 * S..=250 * S).contains(&now), "{now}");
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{MS, Node as Module, class, sends, worker};
-use mothproxy::core::peer_states::PeerStates;
+use mothproxy::core::peer_lifecycle::PeerLifecycle;
 use mothproxy::share::Share;
 use mothproxy::*;
 use mothproxy_stand_ins::*;
@@ -16,7 +16,8 @@
 
 /// Datagrams of one round in which all dispatchers say that they stop, and how many take it then that all do.
 fn round(count: u32, stops: impl Fn(u32) -> bool) -> (usize, usize) {
-    let mut states: Vec<PeerStates> = (0..count).map(|me| PeerStates::new(me, count as usize)).collect();
+    let mut states: Vec<PeerLifecycle> =
+        (0..count).map(|me| PeerLifecycle::new(me, count as usize)).collect();
     let mut datagrams = 0;
     for me in (0..count).filter(|n| stops(*n)) {
         for to in states[me as usize].told() {
@@ -100,7 +101,7 @@
 #[test]
 fn one_of_a_thousand_starts_serves_reloads_and_stops_with_the_others() {
     let node = Node::start("s-0000");
-    let told = PeerStates::new(0, SIZE as usize).told();
+    let told = PeerLifecycle::new(0, SIZE as usize).told();
     // Those that it tells, a mate of its group, and two that it has nothing to say to.
     let bound = |n| {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
