--- a/Makefile
+++ b/Makefile
@@ -50,7 +50,7 @@
 
 # A stand-in fleet, the dispatcher and a small load on loopback, with a page that follows a job.
 demo: build
-	cargo run --locked --release -q -p mothproxy-stand-ins --bin demo
+	cargo run --locked --release -q -p mothproxy-testkit --bin demo
 
 # The module's time for one job at 10 to 10,000 workers; the last line gives the ratio of 10,000 to 10.
 bench-decision:
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -2,7 +2,7 @@
 //!
 //! Each job is one whole cycle through [`Dispatcher::handle`]: it arrives, is sent, ends served with a load report,
 //! and the clock moves on by a millisecond, ringing whatever alarms fall due and answering probes at once. The
-//! dispatcher is one of 30 in a fleet, so that the groups of `src/share.rs` are dealt and reviewed as on the mass
+//! dispatcher is one of 30 in a fleet, so that the groups of `src/policy/gossip.rs` are dealt and reviewed as on the mass
 //! days. The last line gives the ratio of the time a job at 10,000 workers to that at 10 (issue 21 asks 4 or less).
 
 #[path = "../tests/common/mod.rs"]
@@ -10,7 +10,7 @@
 
 use common::{MS, Node, worker};
 use criterion::{BenchmarkId, Criterion, Throughput};
-use mothproxy::interface::*;
+use mothproxy::policy::interface::*;
 use std::time::Duration;
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 10_000];
--- a/crates/stand-ins/src/bin/demo.rs
+++ b/crates/testkit/src/bin/demo.rs
@@ -1,6 +1,6 @@
 //! `make demo`: a stand-in fleet, the dispatcher and a small steady load on loopback, and a page that follows a job.
 
-use mothproxy_stand_ins::{Discovery, Node, job, read_reply, start_given};
+use mothproxy_testkit::{Discovery, Node, job, read_reply, start_given};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/stand-ins/src/bin/streams-load.rs
+++ b/crates/testkit/src/bin/streams-load.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use mothproxy_stand_ins::{Node, Program, job, send, since, stamp, start_given};
+use mothproxy_testkit::{Node, Program, job, send, since, stamp, start_given};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/crates/stand-ins/tests/auditor.rs
+++ b/crates/testkit/tests/auditor.rs
@@ -1,8 +1,8 @@
 //! The auditor over records made by hand: a sound one in which it finds nothing, and for each thing that must not happen a
 //! change of that record, in which it finds that and nothing else.
 
-use mothproxy_stand_ins::fleet::record::ToldRow;
-use mothproxy_stand_ins::fleet::{Entry, Event, Finding, Life, Rules, audit};
+use mothproxy_testkit::fleet::record::ToldRow;
+use mothproxy_testkit::fleet::{Entry, Event, Finding, Life, Rules, audit};
 
 const MS: u64 = 1_000;
 
--- a/crates/stand-ins/tests/harness.rs
+++ b/crates/testkit/tests/harness.rs
@@ -1,8 +1,8 @@
 //! The harness itself, without the program: each fault does what its name says, and the list service and the workers count
 //! what came. The test plays the dispatchers with plain sockets at the addresses that the processes would have.
 
-use mothproxy_stand_ins::PATIENCE;
-use mothproxy_stand_ins::fleet::*;
+use mothproxy_testkit::PATIENCE;
+use mothproxy_testkit::fleet::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -4,7 +4,7 @@
 //! hold. `proof_coldstart SEED` plays with another seed.
 
 use mothproxy_coldstart::model::{Behaviour, Outcome, Scenario, play};
-use mothproxy_stand_ins::fleet::{Fleet, ListMode, ListScript, Plan, Rules};
+use mothproxy_testkit::fleet::{Fleet, ListMode, ListScript, Plan, Rules};
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -23,7 +23,7 @@
 
 /// Thirty processes that start while the service is down; the figures, and what did not hold.
 fn real(name: &str, settings: Option<&str>, ask_within: f64, seed: u64) -> (Value, Vec<String>) {
-    let mut plan = Plan::new(mothproxy_stand_ins::program(), SIZE, 6, seed);
+    let mut plan = Plan::new(mothproxy_testkit::program(), SIZE, 6, seed);
     plan.settings = settings.map(str::to_owned);
     let service_time = Duration::from_micros(CALL);
     plan.lists = ListScript { mode: ListMode::Down, service_time, ..ListScript::default() };
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use members::*;
 use mothproxy_membership::model::{run, story::Extent};
-use mothproxy_stand_ins::fleet::{Fleet, Plan, Rules};
+use mothproxy_testkit::fleet::{Fleet, Plan, Rules};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
@@ -54,7 +54,7 @@
 
 impl<'a> Story<'a> {
     fn new(name: &'static str, size: usize, seed: u64, report: &'a Report) -> Story<'a> {
-        let program = mothproxy_stand_ins::program();
+        let program = mothproxy_testkit::program();
         let plan = Plan { settings: Some(SETTINGS.to_owned()), ..Plan::new(program, size, 2, seed) };
         let fleet = Fleet::start(plan).expect("a fleet");
         report.seeds.lock().expect("a lock").insert(seed);
@@ -161,7 +161,7 @@
     for victim in [7, 19] {
         story.kill_one(victim);
     }
-    story.fleet.datagrams.set_all(mothproxy_stand_ins::fleet::Faults::loss(0.1));
+    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::Faults::loss(0.1));
     let load = story.fleet.plain_load(&[0, 1, 2], 30.0, Duration::from_secs(30));
     let rubbish = |story: &Story, n: usize, rng: &mut fastrand::Rng| {
         let mut bytes: Vec<u8> = (0..rng.usize(1..400)).map(|_| rng.u8(..)).collect();
@@ -175,7 +175,7 @@
         n += 1;
         std::thread::sleep(Duration::from_micros(500));
     }
-    story.fleet.datagrams.set_all(mothproxy_stand_ins::fleet::Faults::NONE);
+    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::Faults::NONE);
     let refused = figure(&story.fleet, 29, "refused");
     report.put("rubbish_sent", n);
     report.put("rubbish_refused", refused);
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -4,7 +4,7 @@
 //! calls and 2 x root of N + 2. The last line is JSON; exit code 1 where something did not hold. `proof_ramp SEED` plays
 //! with another seed.
 
-use mothproxy_stand_ins::fleet::{Event, Faults, Fleet, Plan, Rules, seed_or};
+use mothproxy_testkit::fleet::{Event, Faults, Fleet, Plan, Rules, seed_or};
 use serde_json::json;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 
 fn main() -> ExitCode {
     let seed = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| seed_or(0x7261_6d70));
-    let mut plan = Plan::new(mothproxy_stand_ins::program(), SIZE, WORKERS, seed);
+    let mut plan = Plan::new(mothproxy_testkit::program(), SIZE, WORKERS, seed);
     for worker in &mut plan.workers {
         (worker.work, worker.random_work) = (WORK, true);
     }
--- a/src/bin/mothproxy-simhost.rs
+++ b/src/bin/mothproxy-simhost.rs
@@ -1,7 +1,7 @@
-//! Hosts dispatchers behind the line protocol of [`mothproxy::wire`] on standard input and output.
+//! Hosts dispatchers behind the line protocol of [`mothproxy::policy::simulator`] on standard input and output.
 #![forbid(unsafe_code)]
 
-use mothproxy::wire::Host;
+use mothproxy::policy::simulator::Host;
 use std::io::{self, BufWriter, Write};
 use std::process::ExitCode;
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use mothproxy::config::{Config, SseConfig};
-use mothproxy::net::{NetError, Server, StateDir};
+use mothproxy::server::{NetError, Server, StateDir};
 use mothproxy::settings::{self, Settings};
 use mothproxy_store::SyncMode;
 use std::path::PathBuf;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,10 +1,10 @@
 //! What a dispatcher is told at its start: the JSON file that `GW_CONFIG` names, and the file of the SSE front.
 //!
 //! The settings are nested JSON under the names of the simulator's first message; they are flattened to the
-//! same name=value form and mapped by the same code ([`crate::wire`]).
+//! same name=value form and mapped by the same code ([`crate::policy::simulator`]).
 
-use crate::interface::Settings;
-use crate::wire::{Names, Profile, settings, to_micros};
+use crate::policy::interface::Settings;
+use crate::policy::simulator::{Names, Profile, settings, to_micros};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::HashMap;
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -1,8 +1,8 @@
 //! The server table: discovery's list under the numbers that the module knows.
 
 use crate::config::{EndpointList, EndpointRow, Lifecycle};
-use crate::interface::*;
-use crate::wire::{Names, tag};
+use crate::policy::interface::*;
+use crate::policy::simulator::{Names, tag};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
--- a/src/core/idempotency.rs
+++ b/src/core/idempotency.rs
@@ -1,7 +1,7 @@
 //! What is remembered of keyed jobs, so that a repeat of an `Idempotency-Key` is answered, or sent on only where and as long as
 //! the rules allow, also after a crash. Pure: whoever owns it writes what it hands out, and gives back what was written.
 
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -13,8 +13,8 @@
 use crate::Dispatcher;
 use crate::config::{EndpointList, SiteNames};
 use crate::fleet::{Learners, Traits};
-use crate::interface::*;
 use crate::invariant;
+use crate::policy::interface::*;
 use endpoint_table::EndpointTable;
 use idempotency::{AttemptRecord, IdempotencyKey, IdempotencyStore, Lookup};
 use ledger::{Completion, Ledger, Tally};
@@ -480,7 +480,7 @@
         if let Some(at) = this.limit.take() {
             self.timers.drop(at, Timer::AttemptLimit(id, attempt));
         }
-        self.events.push(Event::NotPersisted { job: JobId(id), attempt: attempt });
+        self.events.push(Event::NotPersisted { job: JobId(id), attempt });
         self.forget(id);
     }
 
@@ -703,8 +703,8 @@
         }
         let job = JobId(id);
         self.events.push(match share {
-            None => Event::Started { job, attempt: attempt },
-            Some(done) => Event::Progress { job, attempt: attempt, done },
+            None => Event::Started { job, attempt },
+            Some(done) => Event::Progress { job, attempt, done },
         });
         true
     }
@@ -1029,7 +1029,7 @@
     /// Begins with what another process has learned. The server table must have been taken already.
     pub fn restore(&mut self, lesson: LearnedState) {
         let names = &self.names.0;
-        let places = crate::state::Places {
+        let places = crate::policy::state::Places {
             workers: lesson.workers.iter().map(|name| self.endpoints.find(name)).collect(),
             kinds: lesson.kinds.iter().map(|k| names.kinds.find(k).map(|n| KindId(n as u16))).collect(),
             classes: lesson
--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -1,6 +1,6 @@
 //! What a planned stop does when: all of it from the protocol's figures and the longest deadline in force.
 
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
 
 /// New connections keep arriving for this long after the signal at most.
 const ARRIVALS: Micros = 400_000;
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,6 +1,6 @@
 //! All deadlines of the program in one sorted structure, swept each turn.
 
-use crate::interface::{Micros, TimerId};
+use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
 use super::RequestId;
--- a/src/core/watch_liveness.rs
+++ b/src/core/watch_liveness.rs
@@ -2,7 +2,7 @@
 //! (the first one, and the next after any end), since when what was missed counts as told, and whether the list that the
 //! program started with is still to be revalidated. It has no clock and no socket of its own. From every state something is due: a dispatcher is never without a watch and without a time for its next call.
 
-use crate::interface::{Micros, Settings};
+use crate::policy::interface::{Micros, Settings};
 use std::ops::Range;
 
 /// As long as nothing changes, a watch sends an empty line this often (PROTOCOL, "Discovery").
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -2,7 +2,7 @@
 //! to the decision module come from here; it decides.
 
 use super::{Birth, FairShareSettings, FleetSettings};
-use crate::interface::{Estimate, Micros};
+use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Use};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -11,7 +11,7 @@
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
 
-use crate::interface::{Micros, PeerPresence};
+use crate::policy::interface::{Micros, PeerPresence};
 use mothproxy_membership::{
     Change, Config, ConfigError, Figures, Member, Membership, Output, OwnedFact, State, VERSION, View,
 };
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,6 +1,6 @@
 //! What the operators' file says of the parts; [`crate::settings`] reads it.
 
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
 use mothproxy_fairshare::Shares;
 use mothproxy_membership::Config;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,16 +5,12 @@
 pub mod config;
 pub mod core;
 pub mod fleet;
-pub mod front;
 pub mod http;
-pub mod interface;
 pub mod invariant;
-pub mod net;
-pub mod rules;
+pub mod policy;
+pub mod protocol;
+pub mod server;
 pub mod settings;
-pub mod share;
-mod state;
-pub mod wire;
 
-pub use interface::*;
-pub use rules::Dispatcher;
+pub use policy::interface::*;
+pub use policy::rules::Dispatcher;
--- a/src/share.rs
+++ b/src/policy/gossip.rs
@@ -2,9 +2,9 @@
 //!
 //! The nodes are grouped by number, and every group has its part of the workers, which all nodes work out alike from
 //! the list. What a group has out at a worker of its own is then known within a datagram's time, while a report tells
-//! of it about a second later. Knowledge only: what follows from it is decided in src/rules.rs.
+//! of it about a second later. Knowledge only: what follows from it is decided in src/policy/rules.rs.
 
-use crate::interface::*;
+use crate::policy::interface::*;
 use mothproxy_membership::share;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -630,7 +630,7 @@
     }
 }
 
-impl crate::state::Memory {
+impl crate::policy::state::Memory {
     /// What is believed of each node: the workers are dealt out by it.
     pub fn hold_by(&mut self, peers: &[PeerPresence], set: &Settings) {
         if self.share.hold_by(self.now, peers) {
--- a/src/rules.rs
+++ b/src/policy/rules.rs
@@ -1,11 +1,11 @@
-//! Every decision of the dispatcher. Its interface is src/interface.rs; src/state.rs has what it remembers,
-//! src/share.rs what the nodes of a group tell each other. On the ordinary path reports become stamped
+//! Every decision of the dispatcher. Its interface is src/policy/interface.rs; src/policy/state.rs has what it remembers,
+//! src/policy/gossip.rs what the nodes of a group tell each other. On the ordinary path reports become stamped
 //! entries, and a job goes to the worker with the best fresh fuzzy capability, then to an unknown one, then,
 //! where all are full, to the one that answers soonest.
 
-use crate::interface::*;
-use crate::share::{GOSSIP_TIMER_ID, Heard};
-use crate::state::*;
+use crate::policy::gossip::{GOSSIP_TIMER_ID, Heard};
+use crate::policy::interface::*;
+use crate::policy::state::*;
 
 /// The paper's freshness window, its ratio to the report interval, and how many times it may grow.
 const PAPER_WINDOW: f64 = 150_000.0;
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -1,8 +1,8 @@
-//! What the decision module remembers: types only; every decision on them is in src/rules.rs.
+//! What the decision module remembers: types only; every decision on them is in src/policy/rules.rs.
 
-use crate::interface::*;
-use crate::rules::Dispatcher;
-use crate::share::{Seen, Share};
+use crate::policy::gossip::{Seen, Share};
+use crate::policy::interface::*;
+use crate::policy::rules::Dispatcher;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/net/admin.rs
+++ b/src/server/admin.rs
@@ -1,12 +1,12 @@
 //! Connections to the second address. They have descriptors of their own and are served before anything else of a turn, so
 //! that neither a crowd of clients nor callers that stop half way keep a call waiting.
 
-use super::conn::{Conn, ReadEnd};
-use super::{ADMIN, Role, Server, Token};
-use crate::front::admin::{self, Call, ClassFigures, Figures};
-use crate::front::platform::{self, Reject};
 use crate::http::{self, Framing};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::admin::{self, Call, ClassFigures, Figures};
+use crate::protocol::platform::{self, Reject};
+use crate::server::connection::{Conn, ReadEnd};
+use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
 use std::net::TcpStream;
@@ -19,14 +19,14 @@
 const MOST_BYTES: usize = 16 * 1024;
 
 /// A connection to the second address.
-pub(super) struct Caller {
+pub(in crate::server) struct Caller {
     /// Its answer is being written.
     answered: bool,
 }
 
 impl Server {
-    pub(super) fn accept_admin(&mut self) {
-        for _ in 0..super::ACCEPTS {
+    pub(in crate::server) fn accept_admin(&mut self) {
+        for _ in 0..crate::server::ACCEPTS {
             let Some(listener) = &self.admin else { return };
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
             let Ok(fd) = rustix::net::accept_with(listener, flags) else { return };
@@ -46,11 +46,11 @@
     }
 
     /// Whether this event is the second address's.
-    pub(super) fn is_admin(&self, token: Token) -> bool {
+    pub(in crate::server) fn is_admin(&self, token: Token) -> bool {
         token == ADMIN || self.callers.contains(&token)
     }
 
-    pub(super) fn admin_ready(
+    pub(in crate::server) fn admin_ready(
         &mut self,
         token: Token,
         mut conn: Conn,
--- a/src/net/discovery.rs
+++ b/src/server/discovery/mod.rs
@@ -1,14 +1,16 @@
 //! Calls to discovery: the watch, and the whole list once.
 
-use super::ask::CallEnd;
-use super::conn::{Conn, ReadEnd};
-use super::{Role, STALE_TIMER, Server, Token, WATCH_TIMER, WHOLE_TIMER};
+pub(in crate::server) mod pacing;
+
 use crate::config::EndpointList;
 use crate::core::endpoint_table::{Refusal, Source};
 use crate::core::watch_liveness::{CONNECT, DiscoveryTerms, Objects, WatchFailure, WatchLiveness};
-use crate::front::platform;
 use crate::http::{self, Body, MAX_HEAD};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::platform;
+use crate::server::connection::{Conn, ReadEnd};
+use crate::server::discovery::pacing::CallEnd;
+use crate::server::{Role, STALE_TIMER, Server, Token, WATCH_TIMER, WHOLE_TIMER};
 use rustix::event::epoll::EventFlags;
 
 /// The longest object of a watch, or whole list.
@@ -19,7 +21,7 @@
 /// Failed calls that told nothing are logged this far apart.
 const QUIET: Micros = 1_000_000;
 
-pub(super) struct Call {
+pub(in crate::server) struct Call {
     watch: bool,
     connecting: bool,
     body: Option<Body>,
@@ -43,7 +45,7 @@
 }
 
 /// The watch of this dispatcher.
-pub(super) struct Lists {
+pub(in crate::server) struct Lists {
     /// Its connection.
     watch: Option<Token>,
     clock: WatchLiveness,
@@ -70,7 +72,7 @@
 impl Server {
     /// The program begins: from now on the clock of silence says when a watch is opened.
     /// `newest` is when the last worker started of the list that is known so far.
-    pub(super) fn watch_begins(&mut self, newest: Option<Micros>) {
+    pub(in crate::server) fn watch_begins(&mut self, newest: Option<Micros>) {
         let at = self.lists.clock.begin(self.now);
         self.watch_at(at);
         if self.core.endpoints.stale {
@@ -85,7 +87,7 @@
 
     /// Another dispatcher heard of this one's work at this time, before it started: until some time after that the list that it
     /// started with lacks nothing that counts. Once that is used the work heard of may be this process's own.
-    pub(super) fn was_heard(&mut self, at: Micros) {
+    pub(in crate::server) fn was_heard(&mut self, at: Micros) {
         if !self.core.endpoints.stale {
             return;
         }
@@ -97,7 +99,7 @@
 
     /// As long as the list that the program started with is to be revalidated, and discovery has not told one, nothing is sent by
     /// it. Where discovery cannot be reached, or has had its time, it is used as it is.
-    pub(super) fn check_stale(&mut self) {
+    pub(in crate::server) fn check_stale(&mut self) {
         match (self.core.endpoints.stale, self.lists.clock.is_stale(self.now)) {
             (true, false) => {
                 tracing::warn!(
@@ -111,7 +113,7 @@
     }
 
     /// Other settings count.
-    pub(super) fn watch_retuned(&mut self) {
+    pub(in crate::server) fn watch_retuned(&mut self) {
         if self.lists.clock.retune(DiscoveryTerms::of(&self.config.settings)) {
             self.watch_at(self.now);
         }
@@ -126,13 +128,13 @@
 
     /// The module wants a watch: it is open, or the clock of silence or the pacer has scheduled it. The module's own waits
     /// grow beyond what a change may take to be told.
-    pub(super) fn watch_wanted(&mut self) {
+    pub(in crate::server) fn watch_wanted(&mut self) {
         if self.lists.again.is_none() {
             self.watch_due();
         }
     }
 
-    pub(super) fn watch_due(&mut self) {
+    pub(in crate::server) fn watch_due(&mut self) {
         self.lists.again = None;
         if self.lists.watch.is_none() && !self.ask.on() {
             self.call(true);
@@ -147,7 +149,7 @@
         }
     }
 
-    pub(super) fn whole_due(&mut self) {
+    pub(in crate::server) fn whole_due(&mut self) {
         if self.lists.whole == Whole::Again {
             self.lists.whole = Whole::Due;
             self.ask_whole();
@@ -155,7 +157,7 @@
     }
 
     /// Starts a watch, or asks for the list once.
-    pub(super) fn call(&mut self, watch: bool) {
+    pub(in crate::server) fn call(&mut self, watch: bool) {
         if let Some(old) = self.lists.watch.take_if(|_| watch) {
             self.close_token(old);
         }
@@ -185,7 +187,13 @@
         }
     }
 
-    pub(super) fn call_ready(&mut self, token: Token, mut conn: Conn, mut call: Call, flags: EventFlags) {
+    pub(in crate::server) fn call_ready(
+        &mut self,
+        token: Token,
+        mut conn: Conn,
+        mut call: Call,
+        flags: EventFlags,
+    ) {
         if call.connecting {
             let failed = conn.stream.take_error().map_or(true, |error| error.is_some());
             if failed || flags.contains(EventFlags::ERR) {
@@ -321,7 +329,7 @@
         Ok(())
     }
 
-    pub(super) fn call_failed(&mut self, token: Token, conn: Conn, call: Call, why: &str) {
+    pub(in crate::server) fn call_failed(&mut self, token: Token, conn: Conn, call: Call, why: &str) {
         self.log_failed(&call, why);
         if !call.watch || self.lists.watch.take_if(|watch| *watch == token).is_some() {
             let end = if call.connecting { CallEnd::Unreachable } else { CallEnd::Failed };
@@ -331,7 +339,7 @@
     }
 
     /// A call that has said nothing for too long.
-    pub(super) fn call_due(&mut self, token: Token, mut conn: Conn, mut call: Call) {
+    pub(in crate::server) fn call_due(&mut self, token: Token, mut conn: Conn, mut call: Call) {
         // After a long turn what it has said may be here, unread.
         if !call.connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.call_read(token, &mut conn, &mut call) {
@@ -383,7 +391,7 @@
     }
 
     /// Drops all calls to a service of discovery that no longer counts, and whatever it may still say.
-    pub(super) fn leave_discovery(&mut self) {
+    pub(in crate::server) fn leave_discovery(&mut self) {
         self.lists.watch = None;
         let at = self.lists.clock.moved(self.now);
         self.watch_at(at);
--- a/src/net/ask.rs
+++ b/src/server/discovery/pacing.rs
@@ -2,10 +2,10 @@
 //!
 //! The module's and the clock of silence's own waits are then not added: what they wish for, the pacer has scheduled.
 
-use super::{ASK_TIMER, Server};
 use crate::config::Config;
 use crate::fleet::FleetSettings;
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::server::{ASK_TIMER, Server};
 use mothproxy_coldstart::pacer::{Config as Pace, Event, Pacer};
 use mothproxy_coldstart::{Findings, KIND, Origin};
 use mothproxy_membership::{Change, OwnedFact, State};
@@ -19,7 +19,7 @@
 
 /// How a call, or the watch that it opened, came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallEnd {
+pub(in crate::server) enum CallEnd {
     /// Refused; with what `Retry-After` says.
     Refused(Option<Micros>),
     /// No connection came up.
@@ -32,7 +32,7 @@
 
 /// The pacer of this dispatcher, where it is on.
 #[derive(Default)]
-pub(super) struct Asker {
+pub(in crate::server) struct Asker {
     pacer: Option<Pacer>,
     /// What the members say of the service, where membership is on.
     findings: Option<Findings>,
@@ -78,7 +78,7 @@
 
 impl Server {
     /// Tells the others what the pacer found, and sets the timer; called after each event for it.
-    pub(super) fn ask_go_on(&mut self) {
+    pub(in crate::server) fn ask_go_on(&mut self) {
         let mut told = None;
         if let (Some(pacer), Some(findings)) = (&self.ask.pacer, &mut self.ask.findings) {
             findings.say(pacer.news(), pacer.is_news());
@@ -102,7 +102,7 @@
     }
 
     /// A member's state or epoch has changed: what it said counts no longer if it is another process, or none.
-    pub(super) fn ask_changed(&mut self, change: Change) {
+    pub(in crate::server) fn ask_changed(&mut self, change: Change) {
         let Some(pacer) = &mut self.ask.pacer else { return };
         let before = self.ask.epochs.insert(change.place, change.epoch);
         let another = before.is_some_and(|epoch| epoch < change.epoch);
@@ -118,7 +118,7 @@
     }
 
     /// A fact has come; those of other kinds are not for this.
-    pub(super) fn ask_hears(&mut self, fact: &OwnedFact) {
+    pub(in crate::server) fn ask_hears(&mut self, fact: &OwnedFact) {
         let (Some(pacer), Some(findings)) = (&mut self.ask.pacer, &mut self.ask.findings) else { return };
         let origin = Origin { place: fact.place, epoch: fact.epoch };
         if fact.kind != KIND || u32::from(fact.place) == self.config.settings.me {
@@ -133,7 +133,7 @@
         self.ask_go_on();
     }
 
-    pub(super) fn ask_due(&mut self) {
+    pub(in crate::server) fn ask_due(&mut self) {
         self.ask.timer = None;
         if self.ask.pacer.as_mut().is_some_and(|pacer| pacer.tick(self.now).is_some()) {
             (self.ask.asked, self.ask.told) = (self.now, false);
@@ -144,7 +144,7 @@
     }
 
     /// The watch told a list.
-    pub(super) fn ask_listed(&mut self, generation: u64) {
+    pub(in crate::server) fn ask_listed(&mut self, generation: u64) {
         let waited = self.now.saturating_sub(self.ask.asked);
         let first = !std::mem::replace(&mut self.ask.told, true);
         self.ask_event(match first {
@@ -154,7 +154,7 @@
     }
 
     /// The call for a watch, or the watch, is over.
-    pub(super) fn ask_over(&mut self, end: CallEnd) {
+    pub(in crate::server) fn ask_over(&mut self, end: CallEnd) {
         let waited = self.now.saturating_sub(self.ask.asked);
         let told = std::mem::take(&mut self.ask.told);
         self.ask_event(match (told, end) {
@@ -167,7 +167,7 @@
     }
 
     /// Another service counts from now on.
-    pub(super) fn ask_moved(&mut self) {
+    pub(in crate::server) fn ask_moved(&mut self) {
         self.ask.told = false;
         self.ask_event(Event::Moved { by: Some(self.now + MOVED) });
     }
--- a/src/net/watch.rs
+++ b/src/server/downstream/event_streams.rs
@@ -1,20 +1,20 @@
 //! Jobs apart from their streams, on connections: what `mothproxy_streams` decides is written here, and nothing is decided.
 
-use super::conn::Conn;
-use super::frontend::{Front, State, Watching};
-use super::handover::{Note, TransferredExchange};
-use super::{RELAY_TIMER, Role, Server, Token};
 use crate::core::{FinalResponse, NewRequest, RequestId};
-use crate::front::platform::{Raw, Reject};
-use crate::front::{admin::StreamFigures, watch};
 use crate::http::Piece;
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::platform::{Raw, Reject};
+use crate::protocol::{admin::StreamFigures, watch};
+use crate::server::connection::Conn;
+use crate::server::downstream::{Front, State, Watching};
+use crate::server::lifecycle::hot_restart::{Note, TransferredExchange};
+use crate::server::{RELAY_TIMER, Role, Server, Token};
 use mothproxy_streams::{Carried, Denied, Effect, JobId, Limits, Next, Relay, WatcherId};
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// Frontends of sessions that no connection waits for: this and the job's number.
-pub(super) const JOB: u64 = 1 << 63;
+pub(in crate::server) const JOB: u64 = 1 << 63;
 /// Time passes for the relay this often.
 const SWEEP: Micros = 500_000;
 /// A watcher's connection is given more once it has less than this left to write.
@@ -34,7 +34,7 @@
 }
 
 /// Jobs and their watchers, where the SSE front is on.
-pub(super) struct Watch {
+pub(in crate::server) struct Watch {
     relay: Relay,
     origins: Vec<String>,
     requests: HashMap<JobId, RequestId>,
@@ -72,7 +72,7 @@
 
 /// A job with its session, on its way to the younger process.
 #[derive(serde::Deserialize, serde::Serialize)]
-pub(super) struct HandedJob {
+pub(in crate::server) struct HandedJob {
     job: Carried,
     #[serde(rename = "session")]
     request: Option<TransferredExchange>,
@@ -86,7 +86,7 @@
 
 impl Server {
     /// Takes a job whose client will watch it later. What is written is its answer; an error refuses it.
-    pub(super) fn hand_in(
+    pub(in crate::server) fn hand_in(
         &mut self,
         conn: &mut Conn,
         raw: Raw,
@@ -115,7 +115,7 @@
     }
 
     /// A request at a job's place, or a preflight. False where it is neither.
-    pub(super) fn watch_request(
+    pub(in crate::server) fn watch_request(
         &mut self,
         token: Token,
         conn: &mut Conn,
@@ -198,7 +198,7 @@
     }
 
     /// Gives a watcher's connection what comes next, as much as it can write soon.
-    pub(super) fn pump(&mut self, conn: &mut Conn, front: &mut Front) {
+    pub(in crate::server) fn pump(&mut self, conn: &mut Conn, front: &mut Front) {
         let State::Watching(held) = &mut front.state else { return };
         let Some(watching) = &mut self.watch_jobs else { return };
         while conn.outbox.len() < AHEAD {
@@ -229,13 +229,13 @@
     }
 
     /// Whether a watcher could be given more at once.
-    pub(super) fn has_more(&self, front: &Front) -> bool {
+    pub(in crate::server) fn has_more(&self, front: &Front) -> bool {
         let State::Watching(held) = &front.state else { return false };
         self.watch_jobs.as_ref().is_some_and(|w| w.relay.has_more(held.watcher))
     }
 
     /// A watcher's connection is over.
-    pub(super) fn watcher_gone(&mut self, watcher: WatcherId) {
+    pub(in crate::server) fn watcher_gone(&mut self, watcher: WatcherId) {
         let now = self.now;
         if let Some(watching) = &mut self.watch_jobs {
             watching.tokens.remove(&watcher);
@@ -245,7 +245,7 @@
     }
 
     /// A job without a connection of its own has got on.
-    pub(super) fn job_told(&mut self, job: JobId, share: Option<f64>) {
+    pub(in crate::server) fn job_told(&mut self, job: JobId, share: Option<f64>) {
         let Some(watching) = &mut self.watch_jobs else { return };
         let effects = &mut watching.effects;
         match share {
@@ -258,7 +258,7 @@
     }
 
     /// A job without a connection of its own has its final answer.
-    pub(super) fn job_answered(&mut self, job: JobId, answer: FinalResponse) {
+    pub(in crate::server) fn job_answered(&mut self, job: JobId, answer: FinalResponse) {
         let now = self.now;
         let Some(watching) = &mut self.watch_jobs else { return };
         watching.requests.remove(&job);
@@ -268,7 +268,7 @@
     }
 
     /// Once a turn: a watcher whose job got on several times meanwhile is woken once, and pulls the newest progress.
-    pub(super) fn wake_watchers(&mut self) {
+    pub(in crate::server) fn wake_watchers(&mut self) {
         let Some(watching) = self.watch_jobs.as_mut().filter(|w| !w.effects.is_empty()) else { return };
         let mut effects = std::mem::take(&mut watching.effects);
         effects.sort_unstable();
@@ -305,7 +305,7 @@
     }
 
     /// Lets time pass for jobs and watchers.
-    pub(super) fn sweep_jobs(&mut self) {
+    pub(in crate::server) fn sweep_jobs(&mut self) {
         let now = self.now;
         let Some(watching) = &mut self.watch_jobs else { return };
         watching.sweeping = false;
@@ -315,7 +315,7 @@
     }
 
     /// Hands jobs over to the younger process, and tells their watchers to come back there.
-    pub(super) fn hand_jobs(&mut self) {
+    pub(in crate::server) fn hand_jobs(&mut self) {
         let jobs = self.watch_jobs.as_ref().map_or(Vec::new(), |w| w.relay.jobs());
         for job in jobs {
             let request_id = self.watch_jobs.as_ref().and_then(|w| w.requests.get(&job).copied());
@@ -370,7 +370,7 @@
     }
 
     /// Takes over a job that the elder hands over.
-    pub(super) fn take_job(&mut self, handed: HandedJob, raw: Option<Raw>) {
+    pub(in crate::server) fn take_job(&mut self, handed: HandedJob, raw: Option<Raw>) {
         let HandedJob { job, request: request_id } = handed;
         let Some(watching) = &mut self.watch_jobs else {
             self.counts.rejects += 1;
@@ -397,7 +397,7 @@
     }
 
     /// What the second address tells of streams, where they are on.
-    pub(super) fn stream_figures(&self) -> Option<StreamFigures> {
+    pub(in crate::server) fn stream_figures(&self) -> Option<StreamFigures> {
         let watching = self.watch_jobs.as_ref()?;
         let (jobs, watchers) = watching.relay.counts();
         Some(StreamFigures {
--- a/src/net/linger.rs
+++ b/src/server/downstream/linger.rs
@@ -2,11 +2,11 @@
 //! closing over bytes that were not read would reset it, and take an answer with it. Nothing read here is ever sent on; a
 //! client whose request crossed the end sends it again elsewhere.
 
-use super::conn::{Conn, ReadEnd};
-use super::frontend::{Front, State};
-use super::{Role, Server, Token};
 use crate::http::{MAX_BODY, MAX_HEAD};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::server::connection::{Conn, ReadEnd};
+use crate::server::downstream::{Front, State};
+use crate::server::{Role, Server, Token};
 use std::collections::BTreeSet;
 use std::net::Shutdown;
 
@@ -15,7 +15,7 @@
 
 /// Those connections, the oldest first.
 #[derive(Default)]
-pub(super) struct Lingering(BTreeSet<(Micros, Token)>);
+pub(in crate::server) struct Lingering(BTreeSet<(Micros, Token)>);
 
 impl Lingering {
     pub fn len(&self) -> usize {
@@ -30,7 +30,7 @@
 
 impl Server {
     /// Ends this side of a connection on which all is written.
-    pub(super) fn half_close(&mut self, token: Token, conn: &mut Conn, front: &mut Front) {
+    pub(in crate::server) fn half_close(&mut self, token: Token, conn: &mut Conn, front: &mut Front) {
         let _ = conn.stream.shutdown(Shutdown::Write); // it may be gone; the timer ends it
         self.settle_idle(token, front);
         conn.inbox = Vec::new();
@@ -44,7 +44,7 @@
     }
 
     /// Closes the connection that has lingered for longest, for its descriptor.
-    pub(super) fn drop_lingering(&mut self) -> bool {
+    pub(in crate::server) fn drop_lingering(&mut self) -> bool {
         let Some((_, token)) = self.lingering.0.pop_first() else { return false };
         match self.take(token) {
             Some((conn, Role::Front(front))) => self.linger_over(token, conn, front),
@@ -56,7 +56,7 @@
     }
 
     /// Closes a connection whose client has had its time; what it has sent by now is read.
-    pub(super) fn linger_over(&mut self, token: Token, mut conn: Conn, front: Front) {
+    pub(in crate::server) fn linger_over(&mut self, token: Token, mut conn: Conn, front: Front) {
         conn.inbox.clear();
         let _: ReadEnd = conn.fill(MAX_HEAD + MAX_BODY);
         self.front_gone(token, conn, front);
--- a/src/net/frontend.rs
+++ b/src/server/downstream/mod.rs
@@ -1,16 +1,19 @@
 //! Connections of frontends: clients, and workers with their call-backs.
 
-use super::conn::{Conn, ReadEnd};
-use super::handover::TransferredExchange;
-use super::stop::FRESH;
-use super::watch::JOB;
-use super::{ACCEPT_TIMER, ACCEPTS, Role, Server, Token};
+pub(in crate::server) mod event_streams;
+pub(in crate::server) mod linger;
+
 use crate::core::{FinalResponse, RequestId};
-use crate::front::platform::{self, Raw, Reject, Route};
-use crate::front::watch::Frame;
-use crate::front::{sse, watch};
 use crate::http::{self, Chunked, Framing, MAX_BODY, MAX_HEAD, Piece};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::platform::{self, Raw, Reject, Route};
+use crate::protocol::watch::Frame;
+use crate::protocol::{sse, watch};
+use crate::server::connection::{Conn, ReadEnd};
+use crate::server::downstream::event_streams::JOB;
+use crate::server::lifecycle::hot_restart::TransferredExchange;
+use crate::server::lifecycle::shutdown::FRESH;
+use crate::server::{ACCEPT_TIMER, ACCEPTS, Role, Server, Token};
 use mothproxy_streams::WatcherId;
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
@@ -23,10 +26,10 @@
 /// first request must be complete this long after it connected, later ones this long after their first byte.
 const REQUEST_TIME: Micros = 2_500_000;
 /// A connection that has asked for nothing whole, and has been silent for this long, gives way to others ...
-pub(super) const UNASKED_GRACE: Micros = 300_000;
+pub(in crate::server) const UNASKED_GRACE: Micros = 300_000;
 /// ... but if it has sent a part of a request, only after idle ones, until it has been silent for this long. Usual clients
 /// that write slowly go on writing; those that stop half way do not.
-pub(super) const HALF_GRACE: Micros = 1_000_000;
+pub(in crate::server) const HALF_GRACE: Micros = 1_000_000;
 /// An idle connection is closed after this.
 const IDLE: Micros = 120_000_000;
 /// A client that reads nothing of a finished answer for this long is given up: it is owed a close within 3 s as well.
@@ -47,7 +50,7 @@
 
 /// When all connections were last looked at for what has come on them.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Look {
+pub(in crate::server) struct Look {
     at: Micros,
     /// More may have come than was shown.
     partial: bool,
@@ -65,7 +68,7 @@
     }
 }
 
-pub(super) enum State {
+pub(in crate::server) enum State {
     Reading,
     Chunks {
         bytes: Rc<Vec<u8>>,
@@ -87,7 +90,7 @@
 }
 
 /// A stream of a job that goes its own way.
-pub(super) struct Watching {
+pub(in crate::server) struct Watching {
     pub watcher: WatcherId,
     pub keep: bool,
     pub frame: Frame,
@@ -96,27 +99,27 @@
 }
 
 #[derive(Clone, Copy)]
-pub(super) struct Stream {
+pub(in crate::server) struct Stream {
     begun: bool,
     /// When something was last written on it.
     last: Micros,
 }
 
-pub(super) struct Front {
+pub(in crate::server) struct Front {
     sse: bool,
-    pub(super) state: State,
+    pub(in crate::server) state: State,
     idle_since: Option<Micros>,
     /// When it was accepted, until its first whole request; and when a later one began, until that is whole.
     unasked_since: Option<Micros>,
     /// When that was, or its last bytes came.
     heard: Micros,
     /// A worker tells of its jobs on it.
-    pub(super) calls_back: bool,
+    pub(in crate::server) calls_back: bool,
 }
 
 /// What another process must know of a connection to go on with it.
 #[derive(Deserialize, Serialize)]
-pub(super) struct Handed {
+pub(in crate::server) struct Handed {
     sse: bool,
     unasked: bool,
     calls_back: bool,
@@ -126,17 +129,17 @@
 
 impl Front {
     /// Whether it holds no session: idle, or with a part of a request.
-    pub(super) fn is_reading(&self) -> bool {
+    pub(in crate::server) fn is_reading(&self) -> bool {
         matches!(self.state, State::Reading)
     }
 
     /// The session whose answer it waits for.
-    pub(super) fn waits_for(&self) -> Option<RequestId> {
+    pub(in crate::server) fn waits_for(&self) -> Option<RequestId> {
         if let State::Waiting { request_id, .. } = self.state { Some(request_id) } else { None }
     }
 
     /// Whether it is kept after that answer, and whether that is a stream that has begun.
-    pub(super) fn answers_how(&self) -> (bool, Option<bool>) {
+    pub(in crate::server) fn answers_how(&self) -> (bool, Option<bool>) {
         match &self.state {
             State::Waiting { keep_alive, stream, .. } => (*keep_alive, stream.map(|s| s.begun)),
             _ => (true, None),
@@ -144,13 +147,13 @@
     }
 
     /// What it waited for goes by another number now.
-    pub(super) fn waits_now_for(&mut self, new: RequestId) {
+    pub(in crate::server) fn waits_now_for(&mut self, new: RequestId) {
         if let State::Waiting { request_id, .. } = &mut self.state {
             *request_id = new;
         }
     }
 
-    pub(super) fn waits_from_now(
+    pub(in crate::server) fn waits_from_now(
         &mut self,
         request_id: RequestId,
         keep_alive: bool,
@@ -166,16 +169,16 @@
         matches!(self.state, State::Waiting { .. } | State::Watching(_))
     }
 
-    pub(super) fn is_unasked(&self) -> bool {
+    pub(in crate::server) fn is_unasked(&self) -> bool {
         self.unasked_since.is_some()
     }
 
-    pub(super) fn handed(&self) -> Handed {
+    pub(in crate::server) fn handed(&self) -> Handed {
         let (sse, unasked, calls_back) = (self.sse, self.unasked_since.is_some(), self.calls_back);
         Handed { sse, unasked, calls_back, request: None }
     }
 
-    pub(super) fn taken(handed: &Handed, now: Micros) -> Front {
+    pub(in crate::server) fn taken(handed: &Handed, now: Micros) -> Front {
         let unasked_since = handed.unasked.then_some(now);
         let (sse, calls_back) = (handed.sse, handed.calls_back);
         Front { sse, state: State::Reading, idle_since: None, unasked_since, heard: now, calls_back }
@@ -183,13 +186,13 @@
 
     /// Whether it holds a request that is not answered, or a part of one, or its client has not ended yet, or was idle
     /// later than `settled`.
-    pub(super) fn is_busy(&self, settled: Micros) -> bool {
+    pub(in crate::server) fn is_busy(&self, settled: Micros) -> bool {
         self.idle_since.is_none_or(|since| since > settled)
     }
 }
 
 impl Server {
-    pub(super) fn accept(&mut self, sse: bool) {
+    pub(in crate::server) fn accept(&mut self, sse: bool) {
         for _ in 0..ACCEPTS {
             // Idle connections give way before accepting fails; a client with nothing to say loses nothing. Those
             // that never asked for anything go first, or they would use up what usual clients need.
@@ -247,7 +250,7 @@
         }
     }
 
-    pub(super) fn accept_again(&mut self) {
+    pub(in crate::server) fn accept_again(&mut self) {
         if self.handed {
             return;
         }
@@ -257,14 +260,21 @@
 
     fn listen_for(&mut self, flags: EventFlags) {
         use rustix::event::epoll::{EventData, modify};
-        let platform = modify(&self.epoll, &self.platform, EventData::new_u64(super::PLATFORM.0), flags);
+        let platform =
+            modify(&self.epoll, &self.platform, EventData::new_u64(crate::server::PLATFORM.0), flags);
         let sse = self.sse.as_ref().map_or(Ok(()), |(listener, _)| {
-            modify(&self.epoll, listener, EventData::new_u64(super::SSE.0), flags)
+            modify(&self.epoll, listener, EventData::new_u64(crate::server::SSE.0), flags)
         });
         crate::invariant!(platform.is_ok() && sse.is_ok(), "epoll does not know a listener");
     }
 
-    pub(super) fn front_ready(&mut self, token: Token, mut conn: Conn, mut front: Front, flags: EventFlags) {
+    pub(in crate::server) fn front_ready(
+        &mut self,
+        token: Token,
+        mut conn: Conn,
+        mut front: Front,
+        flags: EventFlags,
+    ) {
         if let Some(since) = front.idle_since.take() {
             self.idle_fronts.remove(&(since, token));
             self.set_timer(token, &mut conn, None); // what comes now has a time of its own
@@ -303,7 +313,7 @@
     }
 
     /// Where a client has left, as these flags say, that counts before what other connections bring.
-    pub(super) fn front_left(&mut self, token: Token, flags: EventFlags) {
+    pub(in crate::server) fn front_left(&mut self, token: Token, flags: EventFlags) {
         let held = self.slots.get(token.slot()).and_then(|slot| slot.held.as_ref());
         if flags.intersects(ENDED) && matches!(held, Some((_, Role::Front(_)))) {
             self.ready(token, flags);
@@ -311,7 +321,7 @@
     }
 
     /// Looks whether the client has gone that awaits an answer on this connection; then its session has lost it.
-    pub(super) fn has_left(&mut self, token: Token) -> bool {
+    pub(in crate::server) fn has_left(&mut self, token: Token) -> bool {
         let Some((mut conn, role)) = self.take(token) else { return false };
         match role {
             Role::Front(front) if front.waits() => {
@@ -330,13 +340,13 @@
     }
 
     /// Whether the client of a session has gone, as a look at its connection shows; nothing more is sent for it then.
-    pub(super) fn client_left(&mut self, request_id: RequestId) -> bool {
+    pub(in crate::server) fn client_left(&mut self, request_id: RequestId) -> bool {
         let token = self.core.downstream(request_id).filter(|to| to & JOB == 0).map(Token);
         token.is_some_and(|token| self.has_left(token)) || !self.requests.contains_key(&request_id)
     }
 
     /// Uses what was read, writes what is there to write, and settles what to wait for.
-    pub(super) fn front_go_on(&mut self, token: Token, mut conn: Conn, mut front: Front) {
+    pub(in crate::server) fn front_go_on(&mut self, token: Token, mut conn: Conn, mut front: Front) {
         loop {
             match &mut front.state {
                 State::Ending { .. } => {
@@ -582,7 +592,7 @@
     }
 
     /// The connection is over; a session it waited for has lost its client.
-    pub(super) fn front_gone(&mut self, token: Token, conn: Conn, front: Front) {
+    pub(in crate::server) fn front_gone(&mut self, token: Token, conn: Conn, front: Front) {
         match &front.state {
             State::Waiting { request_id, .. } => {
                 self.drop_request(*request_id);
@@ -599,13 +609,13 @@
     }
 
     /// Drops a connection that has gone over to another process.
-    pub(super) fn forget_front(&mut self, token: Token, conn: Conn, mut front: Front) {
+    pub(in crate::server) fn forget_front(&mut self, token: Token, conn: Conn, mut front: Front) {
         self.settle_idle(token, &mut front);
         self.close(token, conn, Role::Front(front));
     }
 
     /// It is neither idle nor without a request any more.
-    pub(super) fn settle_idle(&mut self, token: Token, front: &mut Front) {
+    pub(in crate::server) fn settle_idle(&mut self, token: Token, front: &mut Front) {
         if let Some(since) = front.idle_since.take() {
             self.idle_fronts.remove(&(since, token));
         }
@@ -615,7 +625,7 @@
     }
 
     /// Ends an idle connection, unless a request has arrived on it that was not read yet: that one is taken.
-    pub(super) fn close_idle(&mut self, token: Token, mut conn: Conn, mut front: Front) -> bool {
+    pub(in crate::server) fn close_idle(&mut self, token: Token, mut conn: Conn, mut front: Front) -> bool {
         match conn.stream.peek(&mut [0]) {
             Ok(read) if read > 0 => {
                 self.front_ready(token, conn, front, EventFlags::IN);
@@ -642,7 +652,7 @@
 
     /// Closes the connection of a frontend that has been idle for longest, and for at least so long, of those that have
     /// been served: a request that the close crosses is sent once more, while a new client would count it as refused.
-    pub(super) fn drop_kept_front(&mut self, least: Micros) -> bool {
+    pub(in crate::server) fn drop_kept_front(&mut self, least: Micros) -> bool {
         loop {
             let mut idle = self.idle_fronts.iter().take_while(|(since, _)| since + least <= self.now);
             let kept = idle.find(|(_, token)| {
@@ -682,7 +692,7 @@
 
     /// Closes the connection that has been silent for longest of those that have had their time to ask: with a part of a
     /// request that is `half`.
-    pub(super) fn drop_unasked(&mut self, half: Micros) -> bool {
+    pub(in crate::server) fn drop_unasked(&mut self, half: Micros) -> bool {
         let due = |heard: Micros, grace: Micros| heard + grace <= self.now;
         let silent = self.unasked_fronts.iter().take_while(|(heard, _)| due(*heard, UNASKED_GRACE));
         let silent: Vec<(Micros, Token)> = silent.copied().collect();
@@ -720,7 +730,7 @@
         false
     }
 
-    pub(super) fn front_due(&mut self, token: Token, mut conn: Conn, mut front: Front) {
+    pub(in crate::server) fn front_due(&mut self, token: Token, mut conn: Conn, mut front: Front) {
         if front.idle_since.is_some() {
             self.close_idle(token, conn, front);
             return;
@@ -756,7 +766,7 @@
     }
 
     /// Writes the final answer of a session.
-    pub(super) fn answer(&mut self, token: Token, request_id: RequestId, answer: FinalResponse) {
+    pub(in crate::server) fn answer(&mut self, token: Token, request_id: RequestId, answer: FinalResponse) {
         let Some((mut conn, role)) = self.take(token) else { return };
         let Role::Front(mut front) = role else {
             crate::invariant!(false, "an answer for a connection that is no frontend's");
@@ -783,7 +793,7 @@
     }
 
     /// Tells a client that listens for it how its job gets on.
-    pub(super) fn tell(&mut self, token: Token, share: Option<f64>) {
+    pub(in crate::server) fn tell(&mut self, token: Token, share: Option<f64>) {
         let Some((mut conn, mut role)) = self.take(token) else { return };
         let Role::Front(Front { state: State::Waiting { keep_alive, stream: Some(stream), .. }, .. }) =
             &mut role
--- a/src/net/notes.rs
+++ b/src/server/idempotency_store.rs
@@ -1,10 +1,10 @@
 //! The store of keyed jobs' notes, beside the loop: what the core wants noted goes to the store's own threads, and what became of
 //! it comes back over a socket that the loop watches. The loop never waits for the disk.
 
-use super::handover::Note;
-use super::{NOTES, NetError, Server, StateDir};
-use crate::front::admin::StateFigures;
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::admin::StateFigures;
+use crate::server::lifecycle::hot_restart::Note;
+use crate::server::{NOTES, NetError, Server, StateDir};
 use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::io::{Read, Write};
@@ -20,12 +20,12 @@
 /// A store that cannot be opened is tried again after this.
 const REOPEN: Micros = 1_000_000;
 /// The store may have so many files open.
-pub(super) const FDS: usize = 48;
+pub(in crate::server) const FDS: usize = 48;
 
 /// A ticket, and why it could not be noted, if it could not.
 type Settled = (Option<u64>, Result<(), String>);
 
-pub(super) struct Notes {
+pub(in crate::server) struct Notes {
     dir: StateDir,
     store: Option<Store>,
     settled: Arc<Mutex<Vec<Settled>>>,
@@ -39,7 +39,7 @@
 }
 
 /// What is in the store at the start.
-pub(super) struct Found {
+pub(in crate::server) struct Found {
     pub notes: Vec<(String, Vec<u8>)>,
     /// The clock has not fallen behind what the store has seen.
     pub clock_sound: bool,
@@ -155,19 +155,19 @@
 
 impl Server {
     /// Opens the store before anything else is promised to clients.
-    pub(super) fn open_notes(&mut self, dir: StateDir) -> Result<(), NetError> {
+    pub(in crate::server) fn open_notes(&mut self, dir: StateDir) -> Result<(), NetError> {
         let (notes, found) = Notes::open(dir)?;
         for (key, why) in self.core.enable_idempotency(self.now, found.notes.into_iter(), found.clock_sound) {
             tracing::error!("state: the note of {key:?} cannot be read: {why}");
         }
         let watched = epoll::add(&self.epoll, &notes.woken, EventData::new_u64(NOTES.0), EventFlags::IN);
-        watched.map_err(super::system("epoll"))?;
+        watched.map_err(crate::server::system("epoll"))?;
         self.notes = Some(notes);
         Ok(())
     }
 
     /// Notes something of a keyed job: in the store, or with the process that has taken it over.
-    pub(super) fn note(&mut self, ticket: Option<u64>, key: String, note: Option<Vec<u8>>) {
+    pub(in crate::server) fn note(&mut self, ticket: Option<u64>, key: String, note: Option<Vec<u8>>) {
         if self.handed {
             let bytes = note.as_deref().unwrap_or_default();
             let word = Note::Write { ticket, key, kept: note.is_some() };
@@ -185,7 +185,7 @@
     }
 
     /// The store has written, or could not.
-    pub(super) fn notes_ready(&mut self) {
+    pub(in crate::server) fn notes_ready(&mut self) {
         let Some(notes) = &mut self.notes else { return };
         for (ticket, result) in notes.settled() {
             let Some(notes) = &mut self.notes else { return };
@@ -208,7 +208,12 @@
     }
 
     /// The elder wants something noted.
-    pub(super) fn note_for_elder(&mut self, ticket: Option<u64>, key: &str, note: Option<Vec<u8>>) {
+    pub(in crate::server) fn note_for_elder(
+        &mut self,
+        ticket: Option<u64>,
+        key: &str,
+        note: Option<Vec<u8>>,
+    ) {
         self.core.load_record(self.now, key, note.as_deref());
         let now = self.now;
         match (&mut self.notes, ticket) {
@@ -220,14 +225,14 @@
     }
 
     /// The process that was to note these has ended.
-    pub(super) fn notes_back(&mut self) {
+    pub(in crate::server) fn notes_back(&mut self) {
         for ticket in self.core.pending_tickets() {
             self.core.on_record_persisted(ticket, false);
         }
     }
 
     /// What the second address and the log tell of it, where it is on.
-    pub(super) fn state_figures(&self) -> Option<StateFigures> {
+    pub(in crate::server) fn state_figures(&self) -> Option<StateFigures> {
         let (notes, book) = self.notes.as_ref().zip(self.core.idempotency())?;
         Some(StateFigures {
             keys: book.len(),
--- a/src/net/handover.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -3,16 +3,16 @@
 //! The elder passes its listening sockets, and then each connection with all that is known of it, over a Unix socket in
 //! `$TMPDIR`; see docs/designs.md. Packets keep descriptors and their messages together.
 
-use super::backend::Back;
-use super::conn::Conn;
-use super::frontend::{Front, Handed};
-use super::watch::HandedJob;
-use super::{HAND_TIMER, HOME, Role, Server, TWIN, Token};
 use crate::config::EndpointList;
 use crate::core::transfer::{LearnedState, TransferredRequest};
-use crate::front::platform::{self, Raw};
 use crate::http::{self, Piece};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::platform::{self, Raw};
+use crate::server::connection::Conn;
+use crate::server::downstream::event_streams::HandedJob;
+use crate::server::downstream::{Front, Handed};
+use crate::server::upstream::Back;
+use crate::server::{HAND_TIMER, HOME, Role, Server, TWIN, Token};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::fs::MemfdFlags;
 use rustix::io::Errno;
@@ -40,7 +40,7 @@
 /// What is longer, or longer than the system lets a packet be, such as the list and what was learned of a thousand workers, goes
 /// in a file without a name. This stands for its length, and the file's descriptor comes last.
 const IN_FILE: [u8; 4] = [u8::MAX; 4];
-/// The longest such file: of lists, `MOST` of src/net/discovery.rs many times over.
+/// The longest such file: of lists, `MOST` of src/server/discovery/mod.rs many times over.
 const MOST_IN_FILE: u64 = 64 << 20;
 /// Packets read in one go.
 const PACKETS: usize = 64;
@@ -49,7 +49,7 @@
 
 /// What one process tells the other; bytes of a connection follow in the same packet.
 #[derive(Deserialize, Serialize)]
-pub(super) enum Note {
+pub(in crate::server) enum Note {
     /// The younger is there and asks for everything.
     Hello,
     /// The elder accepts no more: its listening sockets come with this.
@@ -84,7 +84,7 @@
 
 /// What a process still holds: the ids open with it, and its connections.
 #[derive(Deserialize, Serialize, Clone, PartialEq, Default)]
-pub(super) struct Open {
+pub(in crate::server) struct Open {
     names: HashSet<String>,
     live: usize,
 }
@@ -92,7 +92,7 @@
 /// A session that goes over with its client's connection. The request's bytes, its body if that is not among them, and
 /// what was read behind it follow.
 #[derive(Deserialize, Serialize)]
-pub(super) struct TransferredExchange {
+pub(in crate::server) struct TransferredExchange {
     pub moved: TransferredRequest,
     pub keep_alive: bool,
     /// It answers by a stream, and whether that has begun.
@@ -125,10 +125,10 @@
 }
 
 /// The socket where the next version asks for what this one has.
-pub(super) struct Home(OwnedFd);
+pub(in crate::server) struct Home(OwnedFd);
 
 /// The other process.
-pub(super) struct Twin {
+pub(in crate::server) struct Twin {
     link: OwnedFd,
     /// What it holds, where it is the elder.
     open: Open,
@@ -138,13 +138,13 @@
 
 impl Twin {
     /// A session of this id is here now.
-    pub(super) fn forget_name(&mut self, name: &str) {
+    pub(in crate::server) fn forget_name(&mut self, name: &str) {
         self.open.names.remove(name);
     }
 }
 
 /// What the younger gets at its start.
-pub(super) struct Inherited {
+pub(in crate::server) struct Inherited {
     link: OwnedFd,
     pub platform: Option<TcpListener>,
     pub sse: Option<TcpListener>,
@@ -157,7 +157,7 @@
 }
 
 /// Where the processes of this dispatcher meet.
-pub(super) fn path(folder: &Path, name: &str) -> PathBuf {
+pub(in crate::server) fn path(folder: &Path, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     folder.join(format!("mothproxy-{}.sock", name.chars().map(plain).collect::<String>()))
 }
@@ -229,7 +229,7 @@
 }
 
 /// What became of asking.
-pub(super) enum Asked {
+pub(in crate::server) enum Asked {
     /// Nobody serves.
     Nobody,
     /// Somebody does or did, and hands nothing over: its address may be free in a moment.
@@ -239,7 +239,7 @@
 }
 
 /// Asks a process that serves already for all it has.
-pub(super) fn ask(path: &Path) -> Asked {
+pub(in crate::server) fn ask(path: &Path) -> Asked {
     let Some((link, address)) = socket().ok().zip(SocketAddrUnix::new(path).ok()) else {
         return Asked::Nobody;
     };
@@ -275,7 +275,7 @@
 
 impl Server {
     /// Takes up its place in the folder where the next version will look, and the link to the elder if there is one.
-    pub(super) fn settle_in(&mut self, path: Option<PathBuf>, inherited: Option<Inherited>) {
+    pub(in crate::server) fn settle_in(&mut self, path: Option<PathBuf>, inherited: Option<Inherited>) {
         self.home_path = path;
         self.open_home();
         let Some(Inherited { link, drained, open, .. }) = inherited else { return };
@@ -317,7 +317,7 @@
     }
 
     /// Another process has connected; it says what it wants in its first packet.
-    pub(super) fn twin_comes(&mut self) {
+    pub(in crate::server) fn twin_comes(&mut self) {
         let Some(home) = &self.home else { return };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let Ok(link) = rustix::net::accept_with(&home.0, flags) else { return };
@@ -326,7 +326,7 @@
         } // a third one finds its link closed
     }
 
-    pub(super) fn twin_ready(&mut self) {
+    pub(in crate::server) fn twin_ready(&mut self) {
         for _ in 0..PACKETS {
             let Some(twin) = &self.twin else { return };
             match receive(&twin.link) {
@@ -423,7 +423,7 @@
     }
 
     /// Hands over what can go now.
-    pub(super) fn hand_step(&mut self) {
+    pub(in crate::server) fn hand_step(&mut self) {
         if !self.handed {
             return;
         }
@@ -548,22 +548,22 @@
     }
 
     /// Whether a session of this id is open with the other process.
-    pub(super) fn open_elsewhere(&self, name: &str) -> bool {
+    pub(in crate::server) fn open_elsewhere(&self, name: &str) -> bool {
         self.twin.as_ref().is_some_and(|twin| twin.open.names.contains(name))
     }
 
     /// Connections that the other process still holds, with its own few descriptors.
-    pub(super) fn held_elsewhere(&self) -> usize {
-        self.twin.as_ref().map_or(0, |twin| twin.open.live + super::SPARE_FDS)
+    pub(in crate::server) fn held_elsewhere(&self) -> usize {
+        self.twin.as_ref().map_or(0, |twin| twin.open.live + crate::server::SPARE_FDS)
     }
 
     /// Tells the other process something.
-    pub(super) fn send_twin(&mut self, note: &Note, bytes: &[&[u8]]) -> bool {
+    pub(in crate::server) fn send_twin(&mut self, note: &Note, bytes: &[&[u8]]) -> bool {
         self.twin.as_ref().is_some_and(|twin| send(&twin.link, note, bytes, &[]).is_ok())
     }
 
     /// Passes a call-back to the other process. False if it cannot be: the worker has to try again.
-    pub(super) fn pass_news(&mut self, body: &[u8]) -> bool {
+    pub(in crate::server) fn pass_news(&mut self, body: &[u8]) -> bool {
         self.twin.as_ref().is_some_and(|twin| send(&twin.link, &Note::Status, &[body], &[]).is_ok())
     }
 
@@ -576,9 +576,11 @@
         }
         // The younger died with what it had. The listening sockets are still open here.
         tracing::info!("upgrade: the new process has ended; this one serves again");
-        let platform = self.watch_fd(self.platform.as_fd(), super::PLATFORM);
-        let sse = self.sse.as_ref().is_none_or(|(listener, _)| self.watch_fd(listener.as_fd(), super::SSE));
-        let peers = self.peers.as_ref().is_none_or(|socket| self.watch_fd(socket.as_fd(), super::PEERS));
+        let platform = self.watch_fd(self.platform.as_fd(), crate::server::PLATFORM);
+        let sse =
+            self.sse.as_ref().is_none_or(|(listener, _)| self.watch_fd(listener.as_fd(), crate::server::SSE));
+        let peers =
+            self.peers.as_ref().is_none_or(|socket| self.watch_fd(socket.as_fd(), crate::server::PEERS));
         crate::invariant!(platform && sse && peers, "epoll does not take its listeners back");
         self.accepting = true;
         self.notes_back();
--- a/src/net/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,6 +1,6 @@
 //! Signals, and the new configuration that SIGHUP asks for.
 
-use super::{Budget, Server};
+use crate::server::{Budget, Server};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{PipeFlags, pipe_with};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
@@ -11,7 +11,7 @@
 /// What signals have asked for. Each raises its flag before it wakes the loop, so that two close together, in
 /// either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only TCP
 /// and UDP sockets over IPv4 may be made (STANDING, "In step with the bench").
-pub(super) struct Signals {
+pub(in crate::server) struct Signals {
     pub woken: OwnedFd,
     reload: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
@@ -32,7 +32,7 @@
 }
 
 impl Server {
-    pub(super) fn signalled(&mut self) {
+    pub(in crate::server) fn signalled(&mut self) {
         let mut buf = [0; 64];
         while matches!(rustix::io::read(&self.signals.woken, &mut buf), Ok(n) if n > 0) {}
         if self.signals.stop.swap(false, Ordering::Relaxed) {
@@ -63,7 +63,10 @@
         self.counts.reloads += 1;
         tracing::info!("reloaded: discovery {}", new.discovery);
         self.classes = new.settings.classes.clone();
-        self.budget = Budget::of(new.limits, if self.notes.is_some() { super::notes::FDS } else { 0 });
+        self.budget = Budget::of(
+            new.limits,
+            if self.notes.is_some() { crate::server::idempotency_store::FDS } else { 0 },
+        );
         let moved = new.discovery != self.config.discovery;
         let regroup = (new.settings.me, &new.peers) != (self.config.settings.me, &self.config.peers);
         let old = std::mem::replace(&mut self.config, new);
--- a/src/net/stop.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -1,20 +1,20 @@
 //! A planned stop. Connections keep arriving for a while after the signal, and what arrives is owed an answer.
 
-use super::conn::Conn;
-use super::{DRAIN_TIMER, Role, STOP_TIMER, Server, Token};
 use crate::core::shutdown_plan::ShutdownPlan;
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::server::connection::Conn;
+use crate::server::{DRAIN_TIMER, Role, STOP_TIMER, Server, Token};
 
 /// Out of service, clients' connections are closed from now on: the front has been told by then.
 const CLOSE_IDLE: Micros = 450_000;
 /// Out of service, a connection is closed once it has been idle for this long.
 const DRAIN_IDLE: Micros = 250_000;
 /// A connection that has been idle for less than this may have its request on the way.
-pub(super) const FRESH: Micros = 30_000;
+pub(in crate::server) const FRESH: Micros = 30_000;
 const STEP: Micros = 25_000;
 
 impl Server {
-    pub(super) fn stop(&mut self) {
+    pub(in crate::server) fn stop(&mut self) {
         if self.stopping.is_none() {
             // A class that a reload took away has kept its number, but goes by no name.
             let names = &self.core.names().0.classes;
@@ -31,7 +31,7 @@
     }
 
     /// Sends clients elsewhere while the program goes on, or takes them again. Whatever comes is still served.
-    pub(super) fn drain(&mut self, on: bool) {
+    pub(in crate::server) fn drain(&mut self, on: bool) {
         if on == self.drained.is_some() {
             return; // asked for again: nothing starts anew
         }
@@ -48,13 +48,13 @@
     }
 
     /// Goes on with the drain of the process that this one takes over from.
-    pub(super) fn drain_again(&mut self) {
+    pub(in crate::server) fn drain_again(&mut self) {
         self.drain_due = true;
         self.core.set_timer(self.now + STEP, DRAIN_TIMER);
     }
 
     /// While out of service, closes connections of clients that have asked for nothing since the front could know.
-    pub(super) fn drain_step(&mut self) {
+    pub(in crate::server) fn drain_step(&mut self) {
         self.drain_due = false;
         let Some(since) = self.drained.filter(|_| self.stopping.is_none()) else { return };
         if self.now >= since + CLOSE_IDLE {
@@ -79,20 +79,20 @@
     }
 
     /// Whether clients are to turn to other dispatchers.
-    pub(super) fn takes_leave(&self) -> bool {
+    pub(in crate::server) fn takes_leave(&self) -> bool {
         self.stopping.is_some() || self.drained.is_some()
     }
 
     /// Whether clients keep their connections: all the time while serving, and while stopping as long as no other
     /// dispatcher could take them. Out of service they are let go in any case.
-    pub(super) fn keeps_clients(&self) -> bool {
+    pub(in crate::server) fn keeps_clients(&self) -> bool {
         // They go over to the younger process as they are.
         self.handed
             || self.drained.is_none()
                 && self.stopping.is_none_or(|plan| self.now < plan.hold && self.peers_stopped())
     }
 
-    pub(super) fn stop_step(&mut self) {
+    pub(in crate::server) fn stop_step(&mut self) {
         let Some(plan) = self.stopping else { return };
         let keeps = self.keeps_clients();
         if self.now >= plan.close_idle && !keeps {
@@ -133,7 +133,7 @@
     }
 
     /// Closes the connection of a frontend that has been idle for longest, and for at least so long.
-    pub(super) fn drop_idle_front(&mut self, least: Micros) -> bool {
+    pub(in crate::server) fn drop_idle_front(&mut self, least: Micros) -> bool {
         while let Some((since, token)) = self.idle_fronts.first().copied() {
             if since + least > self.now {
                 return false; // nor is any other that came later
@@ -153,7 +153,7 @@
         false
     }
 
-    pub(super) fn close_token(&mut self, token: Token) {
+    pub(in crate::server) fn close_token(&mut self, token: Token) {
         if let Some((conn, role)) = self.take(token) {
             self.close(token, conn, role);
         }
--- a/src/net/fleet.rs
+++ b/src/server/membership.rs
@@ -1,16 +1,16 @@
 //! The dispatcher's part in the fleet: its datagrams on the peer socket, its timer, its lines of the log, its page.
 
-use super::{FLEET_TIMER, Server};
 use crate::config::Config;
 use crate::fleet::{Birth, Effect, Fleet, FleetError, FleetSettings, Learners};
-use crate::front::admin::{MemberRow, MembersPage};
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::protocol::admin::{MemberRow, MembersPage};
+use crate::server::{FLEET_TIMER, Server};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The state machine, and when its timer is set to.
 #[derive(Default)]
-pub(super) struct Link {
-    pub(super) fleet: Fleet,
+pub(in crate::server) struct Link {
+    pub(in crate::server) fleet: Fleet,
     timer: Option<Micros>,
     /// When what was learned is looked through next for what there is to tell.
     look: Option<Micros>,
@@ -25,7 +25,7 @@
 }
 
 /// What learns of jobs, where any of it is on.
-pub(super) fn learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
+pub(in crate::server) fn learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
     Learners::new(settings, birth(config), now)
 }
 
@@ -42,7 +42,7 @@
 
 impl Server {
     /// Whether a datagram belongs to the fleet's parts; if so, it has been taken.
-    pub(super) fn fleet_hears(&mut self, from: u32, bytes: &[u8]) -> bool {
+    pub(in crate::server) fn fleet_hears(&mut self, from: u32, bytes: &[u8]) -> bool {
         let understood = self.link.fleet.understands(bytes);
         if understood {
             self.link.fleet.hear(self.now, from, bytes);
@@ -51,7 +51,7 @@
         understood
     }
 
-    pub(super) fn fleet_due(&mut self) {
+    pub(in crate::server) fn fleet_due(&mut self) {
         self.link.timer = None;
         self.link.fleet.due(self.now);
         if self.link.fleet.tells() && self.link.look.is_some_and(|at| at <= self.now) {
@@ -64,7 +64,7 @@
     }
 
     /// This dispatcher stops. One that another process has taken over from says nothing.
-    pub(super) fn fleet_leaves(&mut self) {
+    pub(in crate::server) fn fleet_leaves(&mut self) {
         if !self.handed {
             self.link.fleet.leave(self.now);
             self.fleet_go_on();
@@ -72,18 +72,18 @@
     }
 
     /// Another process speaks for this place from now on.
-    pub(super) fn fleet_falls_silent(&mut self) {
+    pub(in crate::server) fn fleet_falls_silent(&mut self) {
         self.link.fleet.fall_silent();
         self.fleet_go_on();
     }
 
     /// Whether the parts that are on could begin anew under this configuration.
-    pub(super) fn fleet_could_begin(&self, config: &Config) -> Result<(), FleetError> {
+    pub(in crate::server) fn fleet_could_begin(&self, config: &Config) -> Result<(), FleetError> {
         self.link.fleet.check(birth(config), self.now)
     }
 
     /// Begins anew, with a new epoch: among other peers, or since the process that spoke for this place has ended.
-    pub(super) fn fleet_speaks_again(&mut self) {
+    pub(in crate::server) fn fleet_speaks_again(&mut self) {
         if !self.handed {
             let birth = birth(&self.config);
             let again = self.link.fleet.renew(birth, self.now);
@@ -94,7 +94,7 @@
     }
 
     /// Does what the parts want done, and sets the timer.
-    pub(super) fn fleet_go_on(&mut self) {
+    pub(in crate::server) fn fleet_go_on(&mut self) {
         while let Some(effect) = self.link.fleet.poll() {
             match effect {
                 Effect::Send { to, bytes } => self.tell_peer(to, &bytes),
@@ -137,7 +137,7 @@
     }
 
     /// The members as this process sees them, where membership is on.
-    pub(super) fn members_page(&self) -> Option<MembersPage> {
+    pub(in crate::server) fn members_page(&self) -> Option<MembersPage> {
         let (view, figures) = self.link.fleet.view().zip(self.link.fleet.figures())?;
         let row = |(place, m): (u16, &mothproxy_membership::Member)| MemberRow {
             place,
--- a/src/net/mod.rs
+++ b/src/server/mod.rs
@@ -1,41 +1,36 @@
 //! The sockets: one epoll loop that turns what arrives into events of the core and its commands into bytes.
 
 mod admin;
-mod ask;
-mod backend;
-mod conn;
+mod connection;
 mod discovery;
-mod fleet;
-mod frontend;
-mod handover;
-mod linger;
-mod notes;
+mod downstream;
+mod idempotency_store;
+mod lifecycle;
+mod membership;
 mod peers;
-mod reload;
-mod stop;
-mod watch;
+mod upstream;
 
 use crate::config::{Config, ConfigError, MachineLimits, SseSettings};
 use crate::core::shutdown_plan::ShutdownPlan;
 use crate::core::watch_liveness::DiscoveryTerms;
 use crate::core::{Command, Core, RequestId};
 use crate::fleet::FleetSettings;
-use crate::interface::{Class, Micros, WorkerId};
 use crate::invariant;
+use crate::policy::interface::{Class, Micros, WorkerId};
 use admin::Caller;
-use backend::{Back, Probe};
-use conn::Conn;
+use connection::Conn;
 use discovery::{Call, Lists};
-use frontend::{Front, Look};
-use handover::{Asked, Home, Twin};
-use notes::Notes;
-use reload::Signals;
+use downstream::event_streams::{Streams, Watch};
+use downstream::{Front, Look};
+use idempotency_store::Notes;
+use lifecycle::hot_restart::{Asked, Home, Twin};
+use lifecycle::reload::Signals;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use watch::{Streams, Watch};
+use upstream::{Back, Probe};
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
 /// the places where processes of one dispatcher meet (2), those of a packet between them (4), callers of the second address
@@ -114,7 +109,7 @@
     /// The configuration is out of order.
     Config(ConfigError),
     /// The module did not take the settings.
-    Settings(crate::interface::SettingsError),
+    Settings(crate::policy::interface::SettingsError),
     /// An address cannot be listened on.
     Listen(SocketAddr, std::io::Error),
     /// The system refused something else.
@@ -210,8 +205,8 @@
     handed: bool,
     peers: Option<UdpSocket>,
     /// What this dispatcher and the others know of each other.
-    link: fleet::Link,
-    ask: ask::Asker,
+    link: membership::Link,
+    ask: discovery::pacing::Asker,
     /// Where keyed jobs are noted, if they are.
     notes: Option<Notes>,
     /// Jobs apart from their streams, where the SSE front is on.
@@ -228,9 +223,9 @@
     /// last heard of.
     unasked_fronts: std::collections::BTreeSet<(Micros, Token)>,
     /// Connections of frontends that this side has ended.
-    lingering: linger::Lingering,
+    lingering: downstream::linger::Lingering,
     /// Requests of open sessions.
-    requests: HashMap<RequestId, crate::front::platform::Raw>,
+    requests: HashMap<RequestId, crate::protocol::platform::Raw>,
     /// Open sessions that have lost a dispatch with its connection.
     broken: HashSet<RequestId>,
     /// Connections on which a dispatch awaits its first answer, or streams.
@@ -300,12 +295,13 @@
         let io = |what| move |error| NetError::System(what, error);
         // First of all: a SIGHUP that no handler awaits ends the program, with all it has taken.
         let signals = Signals::register().map_err(io("signals"))?;
-        let path = folder.map(|folder| handover::path(folder, &config.name));
-        let (mut inherited, patient) = match path.as_deref().map_or(Asked::Nobody, handover::ask) {
-            Asked::All(from) => (Some(*from), false),
-            Asked::NoAnswer => (None, true),
-            Asked::Nobody => (None, false),
-        };
+        let path = folder.map(|folder| lifecycle::hot_restart::path(folder, &config.name));
+        let (mut inherited, patient) =
+            match path.as_deref().map_or(Asked::Nobody, lifecycle::hot_restart::ask) {
+                Asked::All(from) => (Some(*from), false),
+                Asked::NoAnswer => (None, true),
+                Asked::Nobody => (None, false),
+            };
         let (started, unix_now) = (Instant::now(), SystemTime::now());
         let unix_now = unix_now.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros();
         let names = std::mem::take(&mut config.names);
@@ -357,10 +353,10 @@
             core.restore(lesson);
         }
         core.set_timer(now + SUMMARY, SUMMARY_TIMER);
-        let budget = Budget::of(config.limits, if state.is_some() { notes::FDS } else { 0 });
-        let ask = ask::Asker::open(&fleet, &config, now, core.endpoints.generation);
-        core.learners = fleet::learners(&fleet, &config, now);
-        let link = fleet::Link::open(fleet, &config, now);
+        let budget = Budget::of(config.limits, if state.is_some() { idempotency_store::FDS } else { 0 });
+        let ask = discovery::pacing::Asker::open(&fleet, &config, now, core.endpoints.generation);
+        core.learners = membership::learners(&fleet, &config, now);
+        let link = membership::Link::open(fleet, &config, now);
         let mut server = Server {
             classes,
             core,
@@ -502,13 +498,15 @@
                 }
                 Command::Respond { request_id, downstream, response } => {
                     self.drop_request(request_id);
-                    match downstream & watch::JOB {
+                    match downstream & downstream::event_streams::JOB {
                         0 => self.answer(Token(downstream), request_id, response),
-                        _ => self.job_answered(downstream & !watch::JOB, response),
+                        _ => self.job_answered(downstream & !downstream::event_streams::JOB, response),
                     }
                 }
-                Command::NotifyProgress { downstream, share } if downstream & watch::JOB != 0 => {
-                    self.job_told(downstream & !watch::JOB, share);
+                Command::NotifyProgress { downstream, share }
+                    if downstream & downstream::event_streams::JOB != 0 =>
+                {
+                    self.job_told(downstream & !downstream::event_streams::JOB, share);
                 }
                 Command::NotifyProgress { downstream, share } => self.tell(Token(downstream), share),
                 Command::Probe(worker) => self.probe(worker),
@@ -655,11 +653,11 @@
         }
         // Half requests that were heard of lately come last: usual clients may be writing them.
         let ended = self.drop_lingering()
-            || self.drop_unasked(frontend::HALF_GRACE)
+            || self.drop_unasked(downstream::HALF_GRACE)
             || self.drop_idle_backend()
             || self.drop_kept_front(least)
             || self.drop_idle_front(least)
-            || self.drop_unasked(frontend::UNASKED_GRACE);
+            || self.drop_unasked(downstream::UNASKED_GRACE);
         // Where its end has only begun, it gives its descriptor now.
         ended && (!full(self) || self.drop_lingering() && !full(self))
     }
--- a/src/net/peers.rs
+++ b/src/server/peers.rs
@@ -1,9 +1,9 @@
 //! Datagrams between dispatchers: the module's own, and whether each of them serves or is about to stop.
 
-use super::{PEER_TIMER, Server};
 use crate::config::Config;
 use crate::core::peer_lifecycle::PeerLifecycle;
-use crate::interface::Micros;
+use crate::policy::interface::Micros;
+use crate::server::{PEER_TIMER, Server};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 const REPEAT_AFTER: Micros = 150_000;
 
 /// Where the dispatchers are, and which of them have said that they stop.
-pub(super) struct Standing {
+pub(in crate::server) struct Standing {
     places: HashMap<SocketAddr, u32>,
     states: PeerLifecycle,
     /// When each other last spoke of its work.
@@ -57,7 +57,7 @@
 
 impl Server {
     /// The module's own, to one of the others.
-    pub(super) fn tell_peer(&self, to: u32, bytes: &[u8]) {
+    pub(in crate::server) fn tell_peer(&self, to: u32, bytes: &[u8]) {
         let to = self.config.peers.get(to as usize).filter(|_| bytes.len() <= MOST && !self.handed);
         if let Some((socket, to)) = self.peers.as_ref().zip(to) {
             drop(socket.send_to(bytes, to));
@@ -75,7 +75,7 @@
     }
 
     /// Says whether this dispatcher serves or stops, now and a few times more.
-    pub(super) fn tell_state(&mut self) {
+    pub(in crate::server) fn tell_state(&mut self) {
         if self.peers.is_some() && self.config.may_tell_state {
             self.standing.repeats = REPEATS;
             self.tell_state_once();
@@ -91,7 +91,7 @@
         self.core.set_timer(self.now + REPEAT_AFTER, PEER_TIMER);
     }
 
-    pub(super) fn tell_state_again(&mut self) {
+    pub(in crate::server) fn tell_state_again(&mut self) {
         if self.stopping.is_some() || self.standing.repeats > 0 {
             self.standing.repeats = self.standing.repeats.saturating_sub(1);
             self.tell_state_once();
@@ -99,13 +99,13 @@
     }
 
     /// Whether every other dispatcher that tells this one has said that it stops.
-    pub(super) fn peers_stopped(&self) -> bool {
+    pub(in crate::server) fn peers_stopped(&self) -> bool {
         self.standing.states.all_stop()
     }
 
-    pub(super) fn hear_peers(&mut self) {
+    pub(in crate::server) fn hear_peers(&mut self) {
         let mut buf = [0; MOST + 1];
-        for _ in 0..super::ACCEPTS {
+        for _ in 0..crate::server::ACCEPTS {
             let Some(Ok((len, from))) = self.peers.as_ref().map(|socket| socket.recv_from(&mut buf)) else {
                 return;
             };
--- a/src/net/backend.rs
+++ b/src/server/upstream/mod.rs
@@ -1,11 +1,11 @@
 //! Connections to workers: dispatches, cancels and probes, and the pool of idle ones.
 
-use super::conn::{Conn, ReadEnd};
-use super::{Role, Server, Token};
 use crate::core::{AttemptOutcome, RequestId, endpoint_table};
-use crate::front::{names, platform};
 use crate::http::{self, Body, EventStream, Framing, MAX_BODY, MAX_HEAD, Piece, StreamEvent};
-use crate::interface::{Micros, Outcome, WorkerId};
+use crate::policy::interface::{Micros, Outcome, WorkerId};
+use crate::protocol::{names, platform};
+use crate::server::connection::{Conn, ReadEnd};
+use crate::server::{Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
     Idle,
 }
 
-pub(super) struct Back {
+pub(in crate::server) struct Back {
     worker: WorkerId,
     /// Where it leads: its worker may have come back elsewhere since.
     address: Option<SocketAddr>,
@@ -71,14 +71,14 @@
 }
 
 /// When a probe was sent.
-pub(super) struct Probe {
+pub(in crate::server) struct Probe {
     worker: WorkerId,
     at: Micros,
 }
 
 impl Back {
     /// Its worker, if it is idle and may be used.
-    pub(super) fn idle_worker(&self) -> Option<WorkerId> {
+    pub(in crate::server) fn idle_worker(&self) -> Option<WorkerId> {
         (matches!(self.state, State::Idle) && self.rest == 0).then_some(self.worker)
     }
 }
@@ -97,7 +97,7 @@
 
 impl Server {
     /// Takes an idle connection over from another process; it may stay idle for so long.
-    pub(super) fn take_back(&mut self, worker: WorkerId, conn: Conn, left: Micros) {
+    pub(in crate::server) fn take_back(&mut self, worker: WorkerId, conn: Conn, left: Micros) {
         let back = Back {
             worker,
             address: conn.stream.peer_addr().ok(),
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(super) fn attempt(&mut self, request_id: RequestId, attempt: u32, worker: WorkerId) {
+    pub(in crate::server) fn attempt(&mut self, request_id: RequestId, attempt: u32, worker: WorkerId) {
         if self.looked.is_old(self.reading()) {
             self.client_left(request_id);
         }
@@ -143,7 +143,13 @@
         }
     }
 
-    pub(super) fn give_up(&mut self, request_id: RequestId, attempt: u32, worker: WorkerId, name: &str) {
+    pub(in crate::server) fn give_up(
+        &mut self,
+        request_id: RequestId,
+        attempt: u32,
+        worker: WorkerId,
+        name: &str,
+    ) {
         match self.dispatching.remove(&(request_id, attempt)) {
             // Not taken yet, or streaming: closing the connection says it all.
             Some(token) => self.close_token(token),
@@ -166,7 +172,7 @@
         }
     }
 
-    pub(super) fn probe(&mut self, worker: WorkerId) {
+    pub(in crate::server) fn probe(&mut self, worker: WorkerId) {
         if let Some(token) = self.exchange(worker, Exchange::Probe, Some(SIDE_TIME), platform::probe(), false)
         {
             self.probes.insert(token, Probe { worker, at: self.now });
@@ -238,7 +244,13 @@
         self.back_settle(token, conn, back);
     }
 
-    pub(super) fn back_ready(&mut self, token: Token, mut conn: Conn, mut back: Back, flags: EventFlags) {
+    pub(in crate::server) fn back_ready(
+        &mut self,
+        token: Token,
+        mut conn: Conn,
+        mut back: Back,
+        flags: EventFlags,
+    ) {
         if let State::Connecting(exchange) = back.state {
             let failed = conn.stream.take_error().map_or(true, |error| error.is_some());
             if failed || flags.contains(EventFlags::ERR) {
@@ -549,7 +561,7 @@
         }
     }
 
-    pub(super) fn back_due(&mut self, token: Token, mut conn: Conn, mut back: Back) {
+    pub(in crate::server) fn back_due(&mut self, token: Token, mut conn: Conn, mut back: Back) {
         if conn.outbox.is_empty()
             && let State::Awaiting(Exchange::Dispatch { .. }) = back.state
         {
@@ -591,14 +603,14 @@
         }
     }
 
-    pub(super) fn unpool(&mut self, worker: WorkerId, token: Token) {
+    pub(in crate::server) fn unpool(&mut self, worker: WorkerId, token: Token) {
         if let Some(idle) = self.pool.get_mut(&worker) {
             idle.retain(|t| *t != token);
         }
     }
 
     /// Closes the idle connection to a worker that has been idle for longest, of the worker with the most.
-    pub(super) fn drop_idle_backend(&mut self) -> bool {
+    pub(in crate::server) fn drop_idle_backend(&mut self) -> bool {
         let most = self.pool.values_mut().max_by_key(|idle| idle.len()).filter(|idle| !idle.is_empty());
         let Some(token) = most.map(|idle| idle.remove(0)) else { return false };
         self.close_token(token);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
-use crate::net::StateDir;
+use crate::server::StateDir;
 use miette::Diagnostic;
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant};
 use mothproxy_store::SyncMode;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,6 +1,6 @@
 //! The adapter's parser: plain messages on malformed input, never a panic.
 
-use mothproxy::wire::Host;
+use mothproxy::policy::simulator::Host;
 use proptest::prelude::*;
 
 fn serve(input: &[u8]) -> (Result<(), String>, String) {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! What an attempt at a worker may be mistaken for. The worker `s-1` is the test itself: it takes each connection, reads each
 //! request and says each byte when its turn has come.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that send what cannot be read, or nothing, on both fronts: each gets an error or a close, and usual
 //! clients are served beside them.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -2,7 +2,7 @@
 //! it takes at size is `make proof-coldstart`.
 
 use mothproxy_coldstart::model::{Behaviour, Outcome, Scenario, play};
-use mothproxy_stand_ins::fleet::*;
+use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
 const S: u64 = 1_000_000;
--- a/tests/common/members.rs
+++ b/tests/common/members.rs
@@ -2,7 +2,7 @@
 //! examples/proof_membership.rs.
 #![allow(dead_code)]
 
-use mothproxy_stand_ins::fleet::Fleet;
+use mothproxy_testkit::fleet::Fleet;
 use serde_json::Value;
 
 /// The page of one dispatcher, if it answers.
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -2,11 +2,11 @@
 
 use crate::assert_kept;
 use mothproxy::fleet::{LearnerFigures, LearnersFigures};
-use mothproxy::front::admin::{
+use mothproxy::http::{Piece, read_request};
+use mothproxy::protocol::admin::{
     Call, ClassFigures, Figures, MemberRow, MembersPage, StateFigures, StreamFigures, figures, members, no,
     route, yes,
 };
-use mothproxy::http::{Piece, read_request};
 
 fn text(pieces: &[Piece]) -> String {
     let bytes: Vec<u8> = pieces.iter().flat_map(|piece| piece.bytes().to_vec()).collect();
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -5,7 +5,7 @@
 use mothproxy::core::transfer::{LearnedState, TransferredAttempt, TransferredRequest};
 use mothproxy::core::{AttemptOutcome, Command, Core, JobStatus, NewRequest};
 use mothproxy::{ClassId, LoadReport, Micros, Outcome, TenantId};
-use mothproxy_stand_ins::site;
+use mothproxy_testkit::site;
 use serde_json::json;
 
 const MS: Micros = 1_000;
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,7 +1,7 @@
 //! Bytes that other versions of the program, other dispatchers and scripts read, kept as files.
 //!
 //! Each file was written by the sources before the names in them were changed. A test reads it with the present code and writes
-//! it again alike. The messages of a handover are private to the program; `src/net/handover/tests.rs` reads those files.
+//! it again alike. The messages of a handover are private to the program; `src/server/lifecycle/hot_restart/tests.rs` reads those files.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/compatibility/process.rs
+++ b/tests/compatibility/process.rs
@@ -1,7 +1,7 @@
 //! What a running process says to scripts and to the other dispatchers: its figures line and its datagrams of state.
 
 use crate::{assert_kept, from_hex, kept};
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,10 +1,10 @@
 //! The real configuration: nested JSON under the simulator's names.
 
 use mothproxy::config::{Config, SseConfig, SseSettings, flatten};
-use mothproxy::front::platform;
 use mothproxy::http;
+use mothproxy::protocol::platform;
 use mothproxy::*;
-use mothproxy_stand_ins::site;
+use mothproxy_testkit::site;
 use serde_json::json;
 
 #[test]
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -409,7 +409,8 @@
                 return Ok(vec![format!("spread {}", places.len())]);
             }
             Verb::Score(cpu, load) => {
-                let score = self.rival.map_or_else(|| mothproxy::rules::capability(cpu, load), |_| 1.0 - cpu);
+                let score =
+                    self.rival.map_or_else(|| mothproxy::policy::rules::capability(cpu, load), |_| 1.0 - cpu);
                 return Ok(vec![format!("score {score:.3}")]);
             }
         };
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,6 +1,6 @@
 //! The second address: readiness, figures and drain, also while callers and clients keep it busy.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -5,7 +5,7 @@
 use mothproxy::core::watch_liveness::Objects;
 use mothproxy::core::{AttemptOutcome, Command, Core, FinalResponse, JobStatus, NewRequest};
 use mothproxy::*;
-use mothproxy_stand_ins::site;
+use mothproxy_testkit::site;
 use quickcheck::{Arbitrary, Gen};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! Descriptors: whatever clients hold, discovery, workers and new clients find room. The limit is the system's or the
 //! configuration's, whichever is lower. These tests change the limit of their own process while they start the program.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use rustix::net::{AddressFamily, SocketType};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use serde_json::{Value, json};
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -1,7 +1,7 @@
 //! The real program with a state directory: killed at random points under load, upgraded, and with a disk that fails.
 //! `DURABLE_RUNS` says how many times it is killed; `DURABLE_SEED` replays one.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsStr;
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -1,7 +1,7 @@
 //! A dispatch leaves only if it still may at its first byte, whatever was true when it was decided. The worker `s-late` takes
 //! no connection until the test lets it: its accept queue is full, so a connection comes up only later, however long that is.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -1,7 +1,7 @@
 //! Stories of several processes: the built program on loopback, faults between them, and an auditor that reads what crossed
-//! the wires. The harness is `crates/stand-ins` (`docs/design/harness.md`).
+//! the wires. The harness is `crates/testkit` (`docs/design/harness.md`).
 
-use mothproxy_stand_ins::fleet::*;
+use mothproxy_testkit::fleet::*;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,6 +1,6 @@
 //! Two dispatchers stopping at once: clients are let go only where another one can take them.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::{SocketAddr, UdpSocket};
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! Clients that leave: whatever of their going is there to be read counts before an attempt begins for them.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
 use std::io::{Read, Write};
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -1,7 +1,7 @@
 //! Twenty processes before one list service that is slow, refuses, is down, silent, cut off and moved (`docs/design/lists.md`): from
 //! the moment at which it can be reached all are told within 6 s, within 4 s of SIGHUP, and nobody sends to a worker that left.
 
-use mothproxy_stand_ins::fleet::*;
+use mothproxy_testkit::fleet::*;
 use serde_json::json;
 use std::io::copy;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, pushed and asked for, however they are cut and whenever they fall silent.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -8,9 +8,9 @@
 use common::{MS, Node, sends, worker};
 use members::*;
 use mothproxy::fleet::{Birth, Effect, Fleet as Parts, FleetSettings, MembershipSettings};
-use mothproxy::interface::PeerPresence::{self, Present, Unreachable};
-use mothproxy::interface::{Action, Event, JobId};
-use mothproxy_stand_ins::fleet::*;
+use mothproxy::policy::interface::PeerPresence::{self, Present, Unreachable};
+use mothproxy::policy::interface::{Action, Event, JobId};
+use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
 const ON: &str = "fleet { membership { probe_interval_ms: 100 } }";
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use mothproxy::rules::capability;
+use mothproxy::policy::rules::capability;
 use mothproxy::*;
 
 #[test]
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -2,7 +2,7 @@
 //! seen before: an end that was read, a job that has arrived, a process that stands still.
 
 use mothproxy::core::shutdown_plan::ShutdownPlan;
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: a new configuration under a running program, and signals close together.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::sync::Arc;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,6 +1,6 @@
 //! What a process that has just started may send by: the list that it was started with may be older than all that counts as told.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::UdpSocket;
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -1,6 +1,6 @@
 //! The groups' parts of the workers, as every node works them out by itself, and what sides of a cut may take of them.
 
-use mothproxy::share::{SAID_FOR, Share};
+use mothproxy::policy::gossip::{SAID_FOR, Share};
 use mothproxy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -3,9 +3,9 @@
 mod common;
 use common::{MS, Node as Module, class, sends, worker};
 use mothproxy::core::peer_lifecycle::PeerLifecycle;
-use mothproxy::share::Share;
+use mothproxy::policy::gossip::Share;
 use mothproxy::*;
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The program over real sockets: the platform's front, workers, discovery, bad input, a planned stop.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::Write;
 use std::process::Command;
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,7 +1,7 @@
 //! Progress streams over real sockets, with stand-in clients and card nodes: each job gets exactly one final event.
 
 use mothproxy::http::{self, Body, EventStream, StreamEvent};
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! A second process takes over from a running one: no client is turned away, no call-back is lost, no id is open twice.
 
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -2,7 +2,7 @@
 
 use eventsource_stream::Eventsource;
 use mothproxy::http::{self, Body, EventStream, StreamEvent};
-use mothproxy_stand_ins::*;
+use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
