--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run ci build-proof proof-store proof-sse proof-membership proof-coldstart proof-ramp proof-runtimes proof-fairshare proof-lists demo bench-decision
+.PHONY: build test lint doc run ci build-proof proof-store proof-sse proof-membership proof-coldstart proof-ramp proof-runtimes proof-fairshare proof-lists demo bench-decision
 
 build:
 	cargo build --locked --release
@@ -10,6 +10,9 @@
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 
+doc:
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
+
 # GW_CONFIG names the configuration; ARGS are passed on, such as ARGS="--sse my-sse.toml".
 run: build
 	target/release/mothproxy $(ARGS)
@@ -48,7 +51,7 @@
 proof-lists: build-proof
 	target/release/examples/proof_lists
 
-# A stand-in fleet, the dispatcher and a small load on loopback, with a page that follows a job.
+# A fleet of test doubles, the dispatcher and a small load on loopback, with a page that follows a job.
 demo: build
 	cargo run --locked --release -q -p mothproxy-testkit --bin demo
 
