--- a/crates/testkit/src/bin/demo.rs
+++ b/crates/testkit/src/bin/demo.rs
@@ -1,6 +1,6 @@
 //! `make demo`: a stand-in fleet, the dispatcher and a small steady load on loopback, and a page that follows a job.
 
-use mothproxy_testkit::{Discovery, Node, job, read_reply, start_given};
+use mothproxy_testkit::{DispatcherProcess, FakeDiscovery, FakeWorker, job_request, read_reply};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -55,7 +55,7 @@
 /// One job on a connection of its own; whether it was served.
 fn one(to: SocketAddr, id: &str) -> bool {
     let Ok(mut stream) = TcpStream::connect(to) else { return false };
-    let text = job(id, "balance", "take started pause=20 done=12.50", "Connection: close\r\n");
+    let text = job_request(id, "balance", "take started pause=20 done=12.50", "Connection: close\r\n");
     stream.write_all(text.as_bytes()).is_ok()
         && read_reply(&mut stream).is_some_and(|reply| reply.status == 200)
 }
@@ -65,18 +65,22 @@
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, stop.clone()).expect("a signal");
     }
-    let nodes: Vec<Arc<Node>> = (0..3).map(|n| Node::start(&format!("node-{n}"))).collect();
-    let rows: Vec<_> = nodes.iter().map(|node| node.row("up")).collect();
-    let discovery = Discovery::start(json!({"generation": 1, "reset": true, "instances": rows}));
+    let nodes: Vec<Arc<FakeWorker>> = (0..3).map(|n| FakeWorker::start(&format!("node-{n}"))).collect();
+    let rows: Vec<_> = nodes.iter().map(|node| node.endpoint_entry("up")).collect();
+    let discovery = FakeDiscovery::start(json!({"generation": 1, "reset": true, "instances": rows}));
     let pages = TcpListener::bind("127.0.0.1:0").expect("a port");
     let origin = format!("http://{}", pages.local_addr().expect("an address"));
     let file = std::env::temp_dir().join(format!("mothproxy-demo-{}.toml", std::process::id()));
     std::fs::write(&file, format!("listen = \"127.0.0.1:0\"\norigins = [\"{origin}\"]\n"))
         .expect("a temporary file");
     let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-    let program = start_given(&nodes, Some(discovery.address), false, None, &args, |config| {
-        config["admin_addr"] = json!("127.0.0.1:0");
-    });
+    let program = DispatcherProcess::builder(&nodes)
+        .discovery(discovery.address)
+        .args(&args)
+        .configure(|config| {
+            config["admin_addr"] = json!("127.0.0.1:0");
+        })
+        .start();
     let _ = std::fs::remove_file(&file);
     let (platform, sse) = (program.platform, program.sse.expect("the SSE front is on"));
     let page = PAGE.replace("FRONT", &format!("http://{sse}")).replace("BODY", BODY);
@@ -86,7 +90,7 @@
     println!("Jobs and streams (SSE):     http://{sse}/redeem");
     println!(
         "Figures:                    curl http://{}/control/counters",
-        program.control.expect("a second address")
+        program.admin.expect("a second address")
     );
     println!("A stream by hand:");
     println!("  curl -N http://{sse}/redeem -H 'Accept: text/event-stream' -H 'X-Correlation-Id: a1' \\");
@@ -112,14 +116,16 @@
         }
     }
     program.terminate();
-    let (clean, _) = program.wait();
+    let (clean, _) = program.wait_for_exit();
     let (done, served) = (done.load(Ordering::Relaxed), served.load(Ordering::Relaxed));
     println!("stopped {}: {served} of {done} jobs served", if clean { "cleanly" } else { "with a fault" });
     std::process::exit(i32::from(!clean));
 }
 
-fn report(handed: u64, to: SocketAddr, nodes: &[Arc<Node>]) {
-    let shares: Vec<String> =
-        nodes.iter().map(|node| format!("{} {}", node.name, node.jobs.load(Ordering::Relaxed))).collect();
+fn report(handed: u64, to: SocketAddr, nodes: &[Arc<FakeWorker>]) {
+    let shares: Vec<String> = nodes
+        .iter()
+        .map(|node| format!("{} {}", node.name, node.job_count.load(Ordering::Relaxed)))
+        .collect();
     println!("{handed} jobs handed to {to}; taken by {}", shares.join(", "));
 }
--- a/crates/testkit/src/bin/streams-load.rs
+++ b/crates/testkit/src/bin/streams-load.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use mothproxy_testkit::{Node, Program, job, send, since, stamp, start_given};
+use mothproxy_testkit::{DispatcherProcess, FakeWorker, job_request, micros_since, send, timestamp_fraction};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -85,7 +85,8 @@
         conn.set_nodelay(true).expect("a socket option");
         for _ in 0..events.max(200) {
             std::thread::sleep(Duration::from_millis(2));
-            conn.write_all(format!("data: {{\"share\":{}}}\n\n", stamp()).as_bytes()).expect("written");
+            conn.write_all(format!("data: {{\"share\":{}}}\n\n", timestamp_fraction()).as_bytes())
+                .expect("written");
         }
     });
     let (mut conn, mut took, mut buf) = (TcpStream::connect(at).expect("connected"), histogram(), [0; 4096]);
@@ -93,7 +94,7 @@
         if n == 0 {
             break;
         }
-        shares(&buf[..n]).for_each(|share| took.saturating_record(since(share).max(1)));
+        shares(&buf[..n]).for_each(|share| took.saturating_record(micros_since(share).max(1)));
     }
     writer.join().expect("the writer ends");
     took
@@ -125,7 +126,7 @@
         client.last = id;
         match event.as_str() {
             "progress" if client.drops == 0 => {
-                shares(&block).for_each(|share| delays.saturating_record(since(share).max(1)));
+                shares(&block).for_each(|share| delays.saturating_record(micros_since(share).max(1)));
             }
             "done" | "deny" | "failed" => client.finals += 1,
             _ => {}
@@ -134,16 +135,19 @@
 }
 
 fn run(args: &Args) -> Value {
-    let nodes: Vec<Arc<Node>> = (0..8).map(|n| Node::start(&format!("s-{n}"))).collect();
+    let nodes: Vec<Arc<FakeWorker>> = (0..8).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
     let file = std::env::temp_dir().join(format!("mothproxy-load-{}.toml", std::process::id()));
     std::fs::write(&file, "listen = \"127.0.0.1:0\"\nstreams_per_tenant = 20000\n")
         .expect("a temporary file");
     let flags = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-    let program: Program = start_given(&nodes, None, false, None, &flags, |config| {
-        config["limits"] = json!({"cores": 1.0, "memory_mb": 8192, "sockets": 30_000});
-        config["settings"]["Grades"][1]["DeadlineMs"] = json!(120_000.0);
-        config["settings"]["Grades"][1]["TargetMs"] = json!(100_000.0);
-    });
+    let program = DispatcherProcess::builder(&nodes)
+        .args(&flags)
+        .configure(|config| {
+            config["limits"] = json!({"cores": 1.0, "memory_mb": 8192, "sockets": 30_000});
+            config["settings"]["Grades"][1]["DeadlineMs"] = json!(120_000.0);
+            config["settings"]["Grades"][1]["TargetMs"] = json!(100_000.0);
+        })
+        .start();
     let _ = std::fs::remove_file(&file);
     let (sse, pid) = (program.sse.expect("the SSE front is on"), program.pid());
     let jobs = args.jobs.unwrap_or(args.streams).max(1);
@@ -160,10 +164,11 @@
                 (from..jobs)
                     .step_by(8)
                     .map(|n| {
-                        let text = job(&format!("j{n}"), "redeem", &body(n), "Prefer: respond-async\r\n");
+                        let text =
+                            job_request(&format!("j{n}"), "redeem", &body(n), "Prefer: respond-async\r\n");
                         let reply = send(sse, &text).expect("an answer");
                         assert_eq!(reply.status, 202, "{}", reply.head);
-                        (n, reply.field("Location").expect("a place").to_owned())
+                        (n, reply.header("Location").expect("a place").to_owned())
                     })
                     .collect()
             }
@@ -188,7 +193,7 @@
     std::thread::sleep(Duration::from_millis(1500));
     let quiet = rss(pid);
     let (cpu_before, started) = (cpu(pid), Instant::now());
-    nodes.iter().for_each(|node| node.open("go"));
+    nodes.iter().for_each(|node| node.open_gate("go"));
     let (mut delays, mut missed, mut open_count) = (histogram(), 0, args.streams);
     let (mut dice, mut events, mut buf) =
         (fastrand::Rng::with_seed(args.seed), Vec::with_capacity(1024), [0; 16_384]);
@@ -228,7 +233,7 @@
     let finals: u32 = clients.iter().map(|c| c.finals).sum();
     let doubled = clients.iter().filter(|c| c.finals > 1).count();
     drop(clients);
-    let figures: BTreeMap<String, u64> = program.figures();
+    let figures: BTreeMap<String, u64> = program.shut_down_for_metrics();
     let ended = figures["served"] + figures["denied"] + figures["failed"] + figures["gone"];
     let us = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
     let base = baseline(args.events);
--- /dev/null
+++ b/crates/testkit/src/discovery.rs
@@ -0,0 +1,223 @@
+//! A fake discovery service: watches and calls for the full endpoint list, with scripted failures.
+
+use crate::http::chunk;
+use crate::wait_until;
+use serde_json::Value;
+use std::collections::VecDeque;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// What a call gets instead of its usual response.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ScriptedResponse {
+    /// 503.
+    Refuse,
+    /// Nothing before [`FakeDiscovery::release_list_calls`] or [`FakeDiscovery::release_watches`]; the connection stays open.
+    Hold,
+    /// The connection ends in the middle of the list.
+    Truncate,
+    /// These bytes; the connection of a watch stays open.
+    Raw(Vec<u8>),
+}
+
+/// Bytes that a response lacks when it is truncated.
+const TRUNCATED_BYTES: usize = 30;
+
+/// Responses to come.
+#[derive(Default)]
+struct ScriptedResponses {
+    list_calls: VecDeque<ScriptedResponse>,
+    watches: VecDeque<ScriptedResponse>,
+}
+
+/// Discovery: each watch first gets the full list, then the lines that the test pushes.
+pub struct FakeDiscovery {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Calls and watches that have had their response.
+    pub calls: AtomicU64,
+    /// The request line of each call and watch.
+    pub request_lines: Mutex<Vec<String>>,
+    scripted: Mutex<ScriptedResponses>,
+    held: Mutex<Vec<TcpStream>>,
+    list: Mutex<Value>,
+    /// What calls without a watch get, where that is another list.
+    full_list: Mutex<Option<Value>>,
+    watches: Mutex<Vec<TcpStream>>,
+}
+
+impl FakeDiscovery {
+    /// Starts one with this list, on loopback.
+    ///
+    /// # Panics
+    ///
+    /// If no port can be bound.
+    pub fn start(list: Value) -> Arc<FakeDiscovery> {
+        FakeDiscovery::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), list)
+    }
+
+    /// Starts one on a listener of the test's.
+    ///
+    /// # Panics
+    ///
+    /// If the listener has no address.
+    pub fn start_on(listener: TcpListener, list: Value) -> Arc<FakeDiscovery> {
+        let address = listener.local_addr().expect("an address");
+        let discovery = Arc::new(FakeDiscovery {
+            address,
+            calls: AtomicU64::new(0),
+            request_lines: Mutex::default(),
+            scripted: Mutex::default(),
+            held: Mutex::default(),
+            list: Mutex::new(list),
+            full_list: Mutex::default(),
+            watches: Mutex::default(),
+        });
+        let shared = discovery.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                shared.answer(stream);
+                shared.calls.fetch_add(1, Ordering::SeqCst); // only now can a test push to it
+            }
+        });
+        discovery
+    }
+
+    fn answer(&self, mut stream: TcpStream) {
+        let mut buffer = [0; 2048];
+        let length = stream.read(&mut buffer).unwrap_or(0);
+        let request_line = String::from_utf8_lossy(&buffer[..length]).lines().next().unwrap_or("").to_owned();
+        let is_watch = is_watch(&request_line);
+        let scripted = self.next_scripted_response(is_watch);
+        self.request_lines.lock().expect("a lock").push(request_line);
+        let usual = self.usual_response(is_watch);
+        let response = match scripted {
+            Some(ScriptedResponse::Refuse) => {
+                let _ = stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                return;
+            }
+            Some(ScriptedResponse::Truncate) => {
+                let _ = stream.write_all(&usual.as_bytes()[..usual.len() - TRUNCATED_BYTES]);
+                return;
+            }
+            Some(ScriptedResponse::Hold) => return self.held.lock().expect("a lock").push(stream),
+            Some(ScriptedResponse::Raw(bytes)) => bytes,
+            None => usual.into_bytes(),
+        };
+        let _ = stream.write_all(&response);
+        if is_watch {
+            self.watches.lock().expect("a lock").push(stream);
+        }
+    }
+
+    fn next_scripted_response(&self, is_watch: bool) -> Option<ScriptedResponse> {
+        let mut scripted = self.scripted.lock().expect("a lock");
+        if is_watch { scripted.watches.pop_front() } else { scripted.list_calls.pop_front() }
+    }
+
+    fn usual_response(&self, is_watch: bool) -> String {
+        let list = self.list.lock().expect("a lock").clone();
+        if is_watch {
+            return watch_response(&list);
+        }
+        list_response(&self.full_list.lock().expect("a lock").clone().unwrap_or(list))
+    }
+
+    /// Scripts the next watches; those after them get `list`.
+    ///
+    /// # Panics
+    ///
+    /// If the service's thread has panicked, as the other methods do.
+    pub fn script_watches(&self, responses: &[ScriptedResponse], list: Value) {
+        self.scripted.lock().expect("a lock").watches.extend(responses.iter().cloned());
+        *self.list.lock().expect("a lock") = list;
+    }
+
+    /// Scripts the next calls for the full list; those after them get `list`.
+    pub fn script_list_calls(&self, responses: &[ScriptedResponse], list: Value) {
+        self.scripted.lock().expect("a lock").list_calls.extend(responses.iter().cloned());
+        *self.full_list.lock().expect("a lock") = Some(list);
+    }
+
+    /// Calls for the full list so far.
+    pub fn list_call_count(&self) -> usize {
+        self.request_lines.lock().expect("a lock").iter().filter(|line| !is_watch(line)).count()
+    }
+
+    /// The versions after which watches were requested so far, once the last of them has had its response.
+    pub fn watch_indices(&self) -> Vec<u64> {
+        wait_until("an answer", || {
+            self.calls.load(Ordering::SeqCst) == self.request_lines.lock().expect("a lock").len() as u64
+        });
+        let index = |line: &String| line.split_once("index=")?.1.split_once(' ')?.0.parse().ok();
+        self.request_lines.lock().expect("a lock").iter().filter_map(index).collect()
+    }
+
+    /// Answers the held calls for the full list.
+    pub fn release_list_calls(&self, list: &Value) {
+        for mut stream in self.held.lock().expect("a lock").drain(..) {
+            let _ = stream.write_all(list_response(list).as_bytes());
+        }
+    }
+
+    /// Answers the held watches.
+    pub fn release_watches(&self, list: &Value) {
+        let mut watches = self.watches.lock().expect("a lock");
+        for mut stream in self.held.lock().expect("a lock").drain(..) {
+            let _ = stream.write_all(watch_response(list).as_bytes());
+            watches.push(stream);
+        }
+    }
+
+    /// Sends a change to all watches as one line; later calls get `list`.
+    pub fn push_change(&self, change: &str, list: Value) {
+        *self.list.lock().expect("a lock") = list;
+        self.write_to_watches(chunk(&format!("{change}\n")).as_bytes());
+    }
+
+    /// Sends these bytes to all watches.
+    pub fn write_to_watches(&self, bytes: &[u8]) {
+        for watch in self.watches.lock().expect("a lock").iter_mut() {
+            let _ = watch.write_all(bytes);
+        }
+    }
+
+    /// Sends an empty line to all watches every 500 ms until the test's process ends.
+    pub fn start_heartbeats(self: &Arc<Self>) {
+        const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+        let shared = self.clone();
+        std::thread::spawn(move || {
+            loop {
+                std::thread::sleep(HEARTBEAT_INTERVAL);
+                shared.write_to_watches(chunk("\n").as_bytes());
+            }
+        });
+    }
+
+    /// Closes all watches.
+    pub fn close_watches(&self) {
+        for watch in self.watches.lock().expect("a lock").drain(..) {
+            let _ = watch.shutdown(Shutdown::Both);
+        }
+    }
+}
+
+fn is_watch(request_line: &str) -> bool {
+    request_line.contains("stream=1")
+}
+
+/// What the response to a watch begins with.
+pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+fn watch_response(list: &Value) -> String {
+    format!("{WATCH_RESPONSE_HEAD}{}", chunk(&format!("{list}\n")))
+}
+
+/// The response to a call for the full list.
+pub fn list_response(list: &Value) -> String {
+    let text = list.to_string();
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
+}
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -604,9 +604,9 @@
         found
     }
 
-    /// Waits for something that others bring about; panics after [`crate::PATIENCE`].
+    /// Waits for something that others bring about; panics after [`crate::WAIT_TIMEOUT`].
     pub fn until(&self, what: &str, holds: impl FnMut() -> bool) {
-        crate::until(what, holds);
+        crate::wait_until(what, holds);
     }
 
     /// Waits for something, at most so long: after which time it came, if it did.
--- /dev/null
+++ b/crates/testkit/src/http.rs
@@ -0,0 +1,198 @@
+//! HTTP/1.1 over blocking sockets, as far as clients and workers in tests need it: requests, replies, body framing.
+
+use crate::WAIT_TIMEOUT;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// Header fields that a message may have.
+pub(crate) const MAX_HEADERS: usize = 64;
+
+/// A reply as a client read it.
+pub struct HttpReply {
+    /// The status code.
+    pub status: u16,
+    /// The status line and the header fields, as they came.
+    pub head: String,
+    /// The body without its framing.
+    pub body: String,
+}
+
+impl HttpReply {
+    /// A header field's value; names compare without regard to case.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let fields = self.head.lines().filter_map(|line| line.split_once(':'));
+        fields.filter(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim()).next()
+    }
+}
+
+/// How the end of a body is marked.
+#[derive(Clone, Copy)]
+pub(crate) enum BodyFraming {
+    /// By its length in bytes.
+    Length(usize),
+    /// By an empty chunk.
+    Chunked,
+    /// By the end of the connection.
+    UntilClose,
+}
+
+impl BodyFraming {
+    /// What these header fields say; `default` if they name neither a length nor a transfer encoding.
+    pub(crate) fn from_headers(headers: &[httparse::Header<'_>], default: BodyFraming) -> BodyFraming {
+        let value = |name: &str| headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+        match (value("transfer-encoding"), value("content-length")) {
+            (Some(_), _) => BodyFraming::Chunked,
+            (None, Some(length)) => {
+                let text = std::str::from_utf8(length).expect("a number");
+                BodyFraming::Length(text.trim().parse().expect("a number"))
+            }
+            (None, None) => default,
+        }
+    }
+}
+
+/// Reads once and appends to the buffer; false at the end of the connection.
+pub(crate) fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
+    let mut piece = [0; 4096];
+    let length = stream.read(&mut piece).unwrap_or(0);
+    buffer.extend(&piece[..length]);
+    length > 0
+}
+
+/// Takes a body off a connection and its buffer; `None` if the connection ends before the body does.
+pub(crate) fn read_body(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    framing: BodyFraming,
+) -> Option<Vec<u8>> {
+    match framing {
+        BodyFraming::Length(length) => {
+            while buffer.len() < length {
+                read_more(stream, buffer).then_some(())?;
+            }
+            Some(buffer.drain(..length).collect())
+        }
+        BodyFraming::Chunked => read_chunked_body(stream, buffer),
+        BodyFraming::UntilClose => {
+            while read_more(stream, buffer) {}
+            Some(std::mem::take(buffer))
+        }
+    }
+}
+
+fn read_chunked_body(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        if let Some(chunk) = take_chunk(buffer) {
+            if chunk.is_empty() {
+                return Some(body);
+            }
+            body.extend(chunk);
+        } else if !read_more(stream, buffer) {
+            return None;
+        }
+    }
+}
+
+/// Takes the next chunk off the buffer, if all of it has come; the last chunk is empty.
+fn take_chunk(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
+    const LINE_END: usize = 2;
+    let httparse::Status::Complete((head, size)) =
+        httparse::parse_chunk_size(buffer).expect("a well-formed chunk")
+    else {
+        return None;
+    };
+    let end = head + usize::try_from(size).expect("a small chunk");
+    if buffer.len() < end + LINE_END {
+        return None;
+    }
+    let chunk = buffer[head..end].to_vec();
+    buffer.drain(..end + LINE_END);
+    Some(chunk)
+}
+
+/// Reads one reply off a connection; `None` if the connection ends before the reply does.
+///
+/// # Panics
+///
+/// If what comes is not an HTTP reply.
+pub fn read_reply(stream: &mut TcpStream) -> Option<HttpReply> {
+    read_next_reply(stream, &mut Vec::new())
+}
+
+/// As [`read_reply`], for pipelined requests: `buffer` holds the bytes that came after the previous reply.
+///
+/// # Panics
+///
+/// If what comes is not an HTTP reply.
+pub fn read_next_reply(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<HttpReply> {
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    let (length, status, framing) = loop {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Response::new(&mut headers);
+        if let httparse::Status::Complete(length) = head.parse(buffer).expect("an HTTP reply") {
+            match head.code.unwrap_or(0) {
+                100 => drop(buffer.drain(..length)),
+                status @ (204 | 304) => break (length, status, BodyFraming::Length(0)),
+                status => {
+                    let framing = BodyFraming::from_headers(head.headers, BodyFraming::UntilClose);
+                    break (length, status, framing);
+                }
+            }
+        } else if !read_more(stream, buffer) {
+            return None;
+        }
+    };
+    let head = String::from_utf8_lossy(&buffer[..length]).into_owned();
+    buffer.drain(..length);
+    let body = read_body(stream, buffer, framing)?;
+    Some(HttpReply { status, head, body: String::from_utf8_lossy(&body).into_owned() })
+}
+
+/// Opens a connection to the dispatcher.
+///
+/// # Panics
+///
+/// If nothing listens there.
+pub fn connect(address: SocketAddr) -> TcpStream {
+    TcpStream::connect(address).expect("the dispatcher listens")
+}
+
+/// Whether the other side has closed or reset this connection.
+///
+/// # Panics
+///
+/// If the socket's options cannot be set.
+pub fn is_closed(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).expect("a socket option");
+    let peeked = stream.peek(&mut [0]);
+    stream.set_nonblocking(false).expect("a socket option");
+    peeked.map_or_else(|error| error.kind() != ErrorKind::WouldBlock, |length| length == 0)
+}
+
+/// Sends a request on a new connection and reads the reply; `None` if the connection ends before it.
+///
+/// # Panics
+///
+/// If nothing listens there, or what comes back is not an HTTP reply.
+pub fn send(address: SocketAddr, request: &str) -> Option<HttpReply> {
+    let mut stream = connect(address);
+    // The dispatcher may reply and close before it has read everything: then the write fails and the reply counts.
+    let _ = stream.write_all(request.as_bytes());
+    read_reply(&mut stream)
+}
+
+/// A job as clients send it. Its body is the script that the [`crate::FakeWorker`] which gets it runs; `headers` are further
+/// header lines, each with its line end.
+pub fn job_request(id: &str, class: &str, script: &str, headers: &str) -> String {
+    format!(
+        "POST /{class} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
+         X-Account: steppe-mart\r\nIdempotency-Key: key-{id}\r\n{headers}Content-Length: {}\r\n\r\n{script}",
+        script.len()
+    )
+}
+
+/// A chunk of a body in chunked encoding.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
--- /dev/null
+++ b/crates/testkit/src/process.rs
@@ -0,0 +1,321 @@
+//! The built program as a child process over real sockets, with a configuration of [`crate::site`].
+
+use crate::{FakeWorker, WAIT_TIMEOUT, site, wait_until};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::ffi::OsStr;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{Receiver, channel};
+use std::time::{Duration, Instant};
+
+/// The built program: beside this one, or beside the folder of the tests.
+///
+/// # Panics
+///
+/// If it has not been built.
+pub fn program_path() -> PathBuf {
+    let own = std::env::current_exe().expect("this program's own place");
+    let folders = own.ancestors().skip(1).take(2);
+    let found = folders.map(|folder| folder.join("mothproxy")).find(|path| path.is_file());
+    found.expect("the program has been built: cargo build")
+}
+
+/// The flag that names the settings file of the event-stream listener.
+const EVENT_STREAMS_FLAG: &str = "--sse";
+
+type ConfigChange<'a> = Box<dyn FnOnce(&mut Value) + 'a>;
+
+/// How a [`DispatcherProcess`] is started.
+pub struct DispatcherBuilder<'a> {
+    workers: &'a [Arc<FakeWorker>],
+    discovery: Option<SocketAddr>,
+    has_event_streams: bool,
+    temp_dir: Option<&'a Path>,
+    args: &'a [&'a OsStr],
+    configure: Option<ConfigChange<'a>>,
+}
+
+impl<'a> DispatcherBuilder<'a> {
+    /// Uses this discovery service; otherwise nothing listens at the address that it is given.
+    #[must_use]
+    pub fn discovery(mut self, address: SocketAddr) -> Self {
+        self.discovery = Some(address);
+        self
+    }
+
+    /// Whether it listens for clients that follow jobs by event streams, with a heartbeat of 200 ms.
+    #[must_use]
+    pub fn event_streams(mut self, on: bool) -> Self {
+        self.has_event_streams = on;
+        self
+    }
+
+    /// Sets `$TMPDIR`: there it finds its predecessor, and its successor finds it.
+    #[must_use]
+    pub fn temp_dir(mut self, folder: impl Into<Option<&'a Path>>) -> Self {
+        self.temp_dir = folder.into();
+        self
+    }
+
+    /// Passes further arguments. With `--sse FILE` among them the file of [`Self::event_streams`] is not used.
+    #[must_use]
+    pub fn args(mut self, args: &'a [&'a OsStr]) -> Self {
+        self.args = args;
+        self
+    }
+
+    /// Changes the configuration before it is written.
+    #[must_use]
+    pub fn configure(mut self, change: impl FnOnce(&mut Value) + 'a) -> Self {
+        self.configure = Some(Box::new(change));
+        self
+    }
+
+    /// Starts the process and waits until it serves; without discovery, until it has found that nobody listens there.
+    ///
+    /// # Panics
+    ///
+    /// If it cannot be started or does not serve within [`WAIT_TIMEOUT`].
+    pub fn start(self) -> DispatcherProcess {
+        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let entries: Vec<Value> = self.workers.iter().map(|worker| worker.endpoint_entry("up")).collect();
+        let discovery = self.discovery.map_or("127.0.0.1:1".to_owned(), |address| address.to_string());
+        let mut config = site::config("127.0.0.1:0", &discovery, json!(entries));
+        if let Some(configure) = self.configure {
+            configure(&mut config);
+        }
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+        let stem = std::env::temp_dir().join(format!("mothproxy-test-{}-{number}", std::process::id()));
+        let (config_file, streams_file) = (stem.with_extension("json"), stem.with_extension("toml"));
+        std::fs::write(&config_file, config.to_string()).expect("a temporary file");
+        let streams =
+            if self.has_event_streams { "listen = \"127.0.0.1:0\"\nheartbeat_ms = 200\n" } else { "" };
+        std::fs::write(&streams_file, streams).expect("a temporary file");
+        let own_args = [OsStr::new(EVENT_STREAMS_FLAG), streams_file.as_os_str()];
+        let own_args = if self.args.contains(&own_args[0]) { &[][..] } else { &own_args[..] };
+        let mut child = Command::new(program_path())
+            .args(own_args.iter().chain(self.args))
+            .env_remove("GW_NAME")
+            .env_remove("GW_LISTEN")
+            .env_remove("GW_ADMIN_ADDR")
+            .env_remove("TMPDIR")
+            .envs(self.temp_dir.map(|folder| ("TMPDIR", folder)))
+            .env("GW_DISCOVERY", &discovery) // as on the platform, where it says what the file says
+            .env("GW_CONFIG", &config_file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
+        let mut log = ProcessLog::follow(&mut child);
+        let listeners = Listeners::wait(&mut log, self.discovery.is_none());
+        let _ = std::fs::remove_file(streams_file);
+        for worker in self.workers {
+            worker.set_callback_address(listeners.platform);
+        }
+        let Listeners { platform, sse, admin } = listeners;
+        DispatcherProcess { child, config_file, config, platform, sse, admin, log }
+    }
+}
+
+/// The lines of a process's standard error.
+struct ProcessLog {
+    lines: Receiver<String>,
+    /// Lines that were waited for and those before them.
+    read: Vec<String>,
+}
+
+impl ProcessLog {
+    fn follow(child: &mut Child) -> ProcessLog {
+        let stderr = BufReader::new(child.stderr.take().expect("a pipe"));
+        let (sender, lines) = channel();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
+        });
+        ProcessLog { lines, read: Vec::new() }
+    }
+
+    /// The next line while the process starts.
+    fn next_startup_line(&mut self) -> String {
+        let line = self.lines.recv_timeout(WAIT_TIMEOUT);
+        let line = line.unwrap_or_else(|_| panic!("it does not serve: {:?}", self.read));
+        self.read.push(line.clone());
+        line
+    }
+}
+
+/// Where a process serves, as its log says.
+struct Listeners {
+    platform: SocketAddr,
+    sse: Option<SocketAddr>,
+    admin: Option<SocketAddr>,
+}
+
+impl Listeners {
+    /// Waits until it serves. Clients come once it is ready: where nobody listens for it to call, once it has found that.
+    fn wait(log: &mut ProcessLog, is_without_discovery: bool) -> Listeners {
+        let first = loop {
+            let line = log.next_startup_line();
+            if !line.starts_with("upgrade: ") && !line.starts_with("state: ") {
+                break line;
+            }
+        };
+        let is_successor = log.read.iter().any(|line| line.starts_with("upgrade: taking over"));
+        while is_without_discovery
+            && !is_successor
+            && !log.next_startup_line().starts_with("discovery: not heard since the start")
+        {}
+        Listeners::parse(&first).unwrap_or_else(|| panic!("{first}"))
+    }
+
+    fn parse(line: &str) -> Option<Listeners> {
+        let (platform, rest) = line.strip_prefix("serving: n0 on ")?.split_once(", SSE ")?;
+        let (sse, admin) = rest.split_once(", control ")?;
+        Some(Listeners { platform: platform.parse().ok()?, sse: sse.parse().ok(), admin: admin.parse().ok() })
+    }
+}
+
+/// A running dispatcher. Dropping it kills it; after a panic its log goes to standard error.
+pub struct DispatcherProcess {
+    child: Child,
+    /// The configuration's file.
+    pub config_file: PathBuf,
+    /// The configuration that it was started with.
+    pub config: Value,
+    /// Where it takes jobs and callbacks.
+    pub platform: SocketAddr,
+    /// Where it takes jobs and serves event streams.
+    pub sse: Option<SocketAddr>,
+    /// Its second address: readiness, counters, drain.
+    pub admin: Option<SocketAddr>,
+    log: ProcessLog,
+}
+
+impl DispatcherProcess {
+    /// A builder with these workers in `known`.
+    pub fn builder(workers: &[Arc<FakeWorker>]) -> DispatcherBuilder<'_> {
+        DispatcherBuilder {
+            workers,
+            discovery: None,
+            has_event_streams: false,
+            temp_dir: None,
+            args: &[],
+            configure: None,
+        }
+    }
+
+    /// Sends a signal, named as `kill` takes it (`-TERM`).
+    ///
+    /// # Panics
+    ///
+    /// If it cannot be sent.
+    pub fn signal(&self, name: &str) {
+        let pid = self.child.id().to_string();
+        let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
+        assert!(sent.success());
+    }
+
+    /// Its process id.
+    pub fn pid(&self) -> u32 {
+        self.child.id()
+    }
+
+    /// Begins its shutdown (SIGTERM).
+    pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    /// Stops its execution (SIGSTOP) and waits until it has stopped.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        let stat = format!("/proc/{}/stat", self.pid());
+        wait_until("it is held up", || {
+            std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T "))
+        });
+    }
+
+    /// Continues its execution (SIGCONT).
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
+
+    /// Suspends it for this long, with `meanwhile` done as soon as it has stopped.
+    pub fn suspend_for(&self, duration: Duration, meanwhile: impl FnOnce()) {
+        self.suspend();
+        let suspended = Instant::now();
+        meanwhile();
+        wait_until("its time is over", || suspended.elapsed() > duration);
+        self.resume();
+    }
+
+    /// Replaces its configuration file.
+    ///
+    /// # Panics
+    ///
+    /// If the file cannot be written.
+    pub fn replace_config(&self, text: &str) {
+        let fresh = self.config_file.with_extension("new");
+        std::fs::write(&fresh, text).expect("a temporary file");
+        std::fs::rename(fresh, &self.config_file).expect("the same folder");
+    }
+
+    /// Waits for a line of the log that starts with this.
+    ///
+    /// # Panics
+    ///
+    /// If none comes within [`WAIT_TIMEOUT`].
+    pub fn wait_for_log(&mut self, prefix: &str) -> String {
+        let deadline = Instant::now() + WAIT_TIMEOUT; // other lines may come without end
+        loop {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let line = self.log.lines.recv_timeout(remaining);
+            let line = line.unwrap_or_else(|_| panic!("never logged: {prefix}"));
+            self.log.read.push(line.clone());
+            if line.starts_with(prefix) {
+                return line;
+            }
+        }
+    }
+
+    /// Waits for its end. Returns whether it exited with code 0, and its log.
+    ///
+    /// # Panics
+    ///
+    /// If the system cannot say how it ended.
+    pub fn wait_for_exit(mut self) -> (bool, Vec<String>) {
+        let mut log = std::mem::take(&mut self.log.read);
+        log.extend(std::iter::from_fn(|| self.log.lines.recv_timeout(WAIT_TIMEOUT).ok()));
+        (self.child.wait().expect("it ends").success(), log)
+    }
+
+    /// Shuts it down and returns the metrics of its last `figures` line.
+    ///
+    /// # Panics
+    ///
+    /// If it does not exit with code 0, or logs no such line.
+    pub fn shut_down_for_metrics(self) -> BTreeMap<String, u64> {
+        self.terminate();
+        let (is_clean, log) = self.wait_for_exit();
+        assert!(is_clean, "{log:?}");
+        let last = log.iter().rev().find_map(|line| line.strip_prefix("figures ")).expect("a summary");
+        last.split(' ')
+            .filter_map(|part| part.split_once('='))
+            .map(|(name, value)| (name.into(), value.parse().expect("a number")))
+            .collect()
+    }
+}
+
+impl Drop for DispatcherProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        if std::thread::panicking() {
+            self.log.read.extend(self.log.lines.iter());
+            eprintln!("the program's log:\n{}", self.log.read.join("\n"));
+        }
+        let _ = std::fs::remove_file(&self.config_file);
+    }
+}
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -30,8 +30,8 @@
     })
 }
 
-/// A row of the server table.
-pub fn row(id: &str, address: &str, lifecycle: &str) -> Value {
+/// An endpoint's entry in a list.
+pub fn endpoint_entry(id: &str, address: &str, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address, "zone": "alm 1", "machineType": "k-mid", "cell": 1,
            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
--- a/crates/testkit/tests/harness.rs
+++ b/crates/testkit/tests/harness.rs
@@ -1,7 +1,7 @@
 //! The harness itself, without the program: each fault does what its name says, and the list service and the workers count
 //! what came. The test plays the dispatchers with plain sockets at the addresses that the processes would have.
 
-use mothproxy_testkit::PATIENCE;
+use mothproxy_testkit::WAIT_TIMEOUT;
 use mothproxy_testkit::fleet::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -163,7 +163,7 @@
     fleet.until("new ones never come up", || connect().is_err_and(|e| e.kind() == ErrorKind::TimedOut));
     assert!(is_silent(exchange(&mut kept, JOB)));
     link.cut(false);
-    kept.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    kept.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     assert!(kept.read(&mut [0; 512]).is_ok_and(|length| length > 0), "the answer comes late");
     fleet.until("new ones come up again", || connect().is_ok_and(|mut s| takes(&mut s)));
     // Slow: never quicker than it was set to be.
@@ -203,7 +203,7 @@
     };
     let status =
         |answer: Result<String, ErrorKind>| answer.map(|a| a[9..12].parse::<u16>().expect("a status"));
-    worker.change(|script| (script.slots, script.queue, script.work) = (1, 1, PATIENCE));
+    worker.change(|script| (script.slots, script.queue, script.work) = (1, 1, WAIT_TIMEOUT));
     let job = |n: u32| JOB.replace("Id: a", &format!("Id: j{n}"));
     assert_eq!([1, 2, 3].map(|n| status(ask(&job(n)))), [Ok(202), Ok(202), Ok(503)]);
     assert_eq!(status(ask("DELETE /jobs/j2 HTTP/1.1\r\n\r\n")), Ok(204));
@@ -231,7 +231,7 @@
 /// Reads until so much of the text has come, or nothing more does.
 fn read_until(stream: &mut TcpStream, what: &str) -> String {
     stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a socket option");
-    let (mut text, mut buf, end) = (String::new(), [0; 4096], Instant::now() + PATIENCE);
+    let (mut text, mut buf, end) = (String::new(), [0; 4096], Instant::now() + WAIT_TIMEOUT);
     while !text.contains(what) && Instant::now() < end {
         match stream.read(&mut buf) {
             Ok(length @ 1..) => text.push_str(&String::from_utf8_lossy(&buf[..length])),
@@ -295,7 +295,7 @@
             end => return end.map_err(|error| error.kind()),
         }
     };
-    watch.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    watch.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     assert_eq!(ended(&mut watch), Err(ErrorKind::ConnectionReset));
     assert_eq!(ended(&mut call(1, "")), Err(ErrorKind::ConnectionReset));
     fleet.lists.set_mode(ListMode::Silent);
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -23,7 +23,7 @@
 
 /// Thirty processes that start while the service is down; the figures, and what did not hold.
 fn real(name: &str, settings: Option<&str>, ask_within: f64, seed: u64) -> (Value, Vec<String>) {
-    let mut plan = Plan::new(mothproxy_testkit::program(), SIZE, 6, seed);
+    let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, 6, seed);
     plan.settings = settings.map(str::to_owned);
     let service_time = Duration::from_micros(CALL);
     plan.lists = ListScript { mode: ListMode::Down, service_time, ..ListScript::default() };
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -54,7 +54,7 @@
 
 impl<'a> Story<'a> {
     fn new(name: &'static str, size: usize, seed: u64, report: &'a Report) -> Story<'a> {
-        let program = mothproxy_testkit::program();
+        let program = mothproxy_testkit::program_path();
         let plan = Plan { settings: Some(SETTINGS.to_owned()), ..Plan::new(program, size, 2, seed) };
         let fleet = Fleet::start(plan).expect("a fleet");
         report.seeds.lock().expect("a lock").insert(seed);
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -32,7 +32,7 @@
 
 fn main() -> ExitCode {
     let seed = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| seed_or(0x7261_6d70));
-    let mut plan = Plan::new(mothproxy_testkit::program(), SIZE, WORKERS, seed);
+    let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, WORKERS, seed);
     for worker in &mut plan.workers {
         (worker.work, worker.random_work) = (WORK, true);
     }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -17,14 +17,16 @@
 struct Worker(TcpListener);
 
 impl Worker {
-    fn start(change: impl FnOnce(&mut Value)) -> (Worker, Program) {
+    fn start(change: impl FnOnce(&mut Value)) -> (Worker, DispatcherProcess) {
         let worker = Worker(TcpListener::bind("127.0.0.1:0").expect("a port"));
         let address = worker.0.local_addr().expect("an address").to_string();
-        let program = start_with(&[], None, false, |config| {
-            config["known"]["instances"] = json!([site::row("s-1", &address, "up")]);
-            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(TAKE_MS);
-            change(config);
-        });
+        let program = DispatcherProcess::builder(&[])
+            .configure(|config| {
+                config["known"]["instances"] = json!([site::endpoint_entry("s-1", &address, "up")]);
+                config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(TAKE_MS);
+                change(config);
+            })
+            .start();
         (worker, program)
     }
 
@@ -32,13 +34,13 @@
         self.0.set_nonblocking(true).expect("a socket option");
         let (stream, _) = self.0.accept().ok()?;
         stream.set_nonblocking(false).expect("a socket option");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         Some(Wire(stream))
     }
 
     fn wire(&self) -> Wire {
         let mut wire = None;
-        until("a connection of the program", || {
+        wait_until("a connection of the program", || {
             wire = self.accept();
             wire.is_some()
         });
@@ -59,11 +61,11 @@
             seen.push(byte[0]);
         }
         let head =
-            Reply { status: 0, head: String::from_utf8_lossy(&seen).into_owned(), body: String::new() };
-        let length = head.field("content-length").map_or(0, |n| n.parse().expect("a length"));
+            HttpReply { status: 0, head: String::from_utf8_lossy(&seen).into_owned(), body: String::new() };
+        let length = head.header("content-length").map_or(0, |n| n.parse().expect("a length"));
         self.0.read_exact(&mut vec![0; length]).ok()?;
         let line = head.head.lines().next().expect("a line").trim_end_matches(" HTTP/1.1").to_owned();
-        Some(format!("{line} {}", head.field("x-correlation-id").unwrap_or("")).trim_end().to_owned())
+        Some(format!("{line} {}", head.header("x-correlation-id").unwrap_or("")).trim_end().to_owned())
     }
 
     fn say(&mut self, text: &str) {
@@ -71,38 +73,36 @@
     }
 }
 
-fn hand_in(program: &Program, request: &str) -> TcpStream {
+fn hand_in(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
     client.write_all(request.as_bytes()).expect("written");
     client
 }
 
 /// Further clients, which the program has met.
-fn others(program: &Program, count: usize) -> Vec<TcpStream> {
+fn others(program: &DispatcherProcess, count: usize) -> Vec<TcpStream> {
     let mut clients: Vec<TcpStream> = (0..count).map(|_| hand_in(program, UP)).collect();
     clients.iter_mut().for_each(|client| assert_eq!(read_reply(client).expect("an answer").status, 200));
     clients
 }
 
 /// A client hands in a job, and the worker has read it.
-fn attempt(worker: &Worker, program: &Program, id: &str, extra: &str) -> (TcpStream, Wire) {
-    let client = hand_in(program, &job(id, "balance", "", extra));
+fn attempt(worker: &Worker, program: &DispatcherProcess, id: &str, extra: &str) -> (TcpStream, Wire) {
+    let client = hand_in(program, &job_request(id, "balance", "", extra));
     let mut wire = worker.wire();
     assert_eq!(wire.request(), Some(format!("POST /balance {id}")));
     (client, wire)
 }
 
 /// Has all this happen in this order before the program sees any of it.
-fn in_one_turn(program: &Program, what: impl FnOnce()) {
-    program.signal("-STOP");
-    let stat = format!("/proc/{}/stat", program.pid());
-    until("it is held up", || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T ")));
+fn in_one_turn(program: &DispatcherProcess, what: impl FnOnce()) {
+    program.suspend();
     what();
-    program.signal("-CONT");
+    program.resume();
 }
 
 /// Calls back.
-fn news(program: &Program, id: &str, state: &str) {
+fn news(program: &DispatcherProcess, id: &str, state: &str) {
     let text = json!({"id": id, "from": "s-1", "state": state, "result": "x"}).to_string();
     let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close";
     let call = format!("{head}\r\nContent-Length: {}\r\n\r\n{text}", text.len());
@@ -117,7 +117,7 @@
     news(&program, "a0", "returned");
     assert_eq!(wire.request(), None, "it is closed once it has had its time");
     assert_eq!(read_reply(&mut client).expect("an answer").status, 503);
-    assert_eq!((program.figures()["connects"], wire.request()), (1, None));
+    assert_eq!((program.shut_down_for_metrics()["connects"], wire.request()), (1, None));
 }
 
 /// However an attempt ends that its worker may have taken, it gets no other of that request, also where copies are allowed and
@@ -143,7 +143,7 @@
             news(&program, "b0", state);
         }
         assert_eq!(read_reply(&mut client).expect("an answer").status / 100, 5, "{answer}{state}");
-        assert_eq!(program.figures()["dispatches"], 1, "{answer}{state}");
+        assert_eq!(program.shut_down_for_metrics()["dispatches"], 1, "{answer}{state}");
     }
 }
 
@@ -151,22 +151,22 @@
 /// that was told to give it up, which the test holds up.
 #[test]
 fn where_no_copies_are_allowed_the_next_attempt_waits_until_the_last_is_given_up() {
-    let other = Node::start("s-2");
+    let other = FakeWorker::start("s-2");
     let (worker, program) = Worker::start(|config| {
         config["settings"]["Limits"]["SecondCopies"] = json!(false);
         config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(3_000.0);
-        config["known"]["instances"].as_array_mut().expect("a list").push(other.row("up"));
+        config["known"]["instances"].as_array_mut().expect("a list").push(other.endpoint_entry("up"));
     });
-    other.calls_back_to(program.platform);
+    other.set_callback_address(program.platform);
     rustix::net::listen(&worker.0, 0).expect("a shorter queue");
     // The other worker serves what it gets; the first job that comes here is the one.
     let (mut taken, mut wire) = (0, None);
     let (id, mut client) = loop {
         let id = format!("c{taken}");
-        let mut client = hand_in(&program, &job(&id, "balance", "take started done=x", ""));
-        until("an attempt", || {
+        let mut client = hand_in(&program, &job_request(&id, "balance", "take started done=x", ""));
+        wait_until("an attempt", || {
             wire = worker.accept();
-            wire.is_some() || other.jobs.load(Ordering::SeqCst) > taken
+            wire.is_some() || other.job_count.load(Ordering::SeqCst) > taken
         });
         if wire.is_some() {
             break (id, client);
@@ -175,10 +175,10 @@
         taken += 1;
     };
     let filler = connect(worker.0.local_addr().expect("an address"));
-    until_tried(&worker.0);
+    wait_for_connection_attempt(&worker.0);
     let tried = Instant::now();
-    until("another attempt has had its time", || tried.elapsed() > Duration::from_millis(300));
-    assert_eq!(other.jobs.load(Ordering::SeqCst), taken);
+    wait_until("another attempt has had its time", || tried.elapsed() > Duration::from_millis(300));
+    assert_eq!(other.job_count.load(Ordering::SeqCst), taken);
     drop((worker.wire(), filler));
     assert_eq!(worker.wire().request(), Some(format!("DELETE /jobs/{id}")));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
@@ -195,7 +195,7 @@
     assert_eq!(read_reply(&mut first).expect("an answer").status, 200);
     let mut others = others(&program, 300);
     in_one_turn(&program, || {
-        first.write_all(job("d1", "balance", "", "").as_bytes()).expect("written");
+        first.write_all(job_request("d1", "balance", "", "").as_bytes()).expect("written");
         for other in &mut others {
             other.write_all(UP.as_bytes()).expect("written");
         }
@@ -207,7 +207,7 @@
     wire.say(TAKEN);
     news(&program, "d1", "done");
     assert_eq!(read_reply(&mut first).expect("an answer").status, 200);
-    assert_eq!(program.figures()["dispatches"], 2);
+    assert_eq!(program.shut_down_for_metrics()["dispatches"], 2);
 }
 
 /// The second answer has time to come before the connection of one that turned a job away is used again.
@@ -218,7 +218,7 @@
     let mut clients = others(&program, 1);
     clients.insert(0, first);
     in_one_turn(&program, || {
-        clients[1].write_all(job("e1", "balance", "", "").as_bytes()).expect("written");
+        clients[1].write_all(job_request("e1", "balance", "", "").as_bytes()).expect("written");
         wire.say(FULL);
     });
     let mut other = worker.wire();
@@ -233,7 +233,7 @@
         news(&program, &format!("e{n}"), "done");
         assert_eq!(read_reply(client).expect("an answer").status, 200);
     }
-    assert_eq!(program.figures()["dispatches"], 3);
+    assert_eq!(program.shut_down_for_metrics()["dispatches"], 3);
 }
 
 /// No dispatch is answered so: it is what was answered to something before it. The worker may have taken this one.
@@ -245,5 +245,5 @@
     assert_eq!(wire.request(), None);
     assert_eq!(worker.wire().request().as_deref(), Some("DELETE /jobs/f0"));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 503);
-    assert_eq!(program.figures()["dispatches"], 1);
+    assert_eq!(program.shut_down_for_metrics()["dispatches"], 1);
 }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -8,7 +8,7 @@
 
 /// Reads until the other side closes: what it said.
 fn to_the_end(mut stream: TcpStream) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let (mut seen, mut buf) = (Vec::new(), [0; 4096]);
     loop {
         match stream.read(&mut buf) {
@@ -21,22 +21,22 @@
     String::from_utf8_lossy(&seen).into_owned()
 }
 
-fn fronts(program: &Program) -> [SocketAddr; 2] {
+fn fronts(program: &DispatcherProcess) -> [SocketAddr; 2] {
     [program.platform, program.sse.expect("the SSE front is on")]
 }
 
 /// These were kept for 20 s, and silent ones for 120 s; the limit is a fact of the program, not of the test.
 #[test]
 fn what_never_becomes_a_request_is_answered_or_closed() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, true);
-    let whole = job("a0", "balance", "take started done=x", "");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
+    let whole = job_request("a0", "balance", "take started done=x", "");
     let half_body = &whole[..whole.len() - 5];
     let chunks = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab";
     for (n, to) in fronts(&program).into_iter().enumerate() {
         // A connection that has been served once is kept, however long it says nothing.
         let mut kept = connect(to);
-        let ask = |id: &str| job(id, "balance", "take started done=x", "");
+        let ask = |id: &str| job_request(id, "balance", "take started done=x", "");
         kept.write_all(ask(&format!("k{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
         let waiting: Vec<TcpStream> = ["", "POST /bal", half_body, chunks]
@@ -55,8 +55,8 @@
         kept.write_all(ask(&format!("l{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
     }
-    assert!(!node.saw("a0"));
-    let figures = program.figures();
+    assert!(!node.has_received("a0"));
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["open"], figures["broken_invariants"]), (4, 0, 0));
 }
 
@@ -64,10 +64,11 @@
 /// still sending.
 #[test]
 fn endless_heads_and_huge_bodies_are_refused_while_they_are_sent() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, true);
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
     for to in fronts(&program) {
-        let huge = job("b0", "balance", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
+        let huge =
+            job_request("b0", "balance", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
         let endless = "POST /balance HTTP/1.1\r\nHost: h\r\n".to_owned();
         let filler = "X-Filler: 0123456789abcdef0123456789abcdef\r\n".repeat(1500);
         for (start, status) in [(huge, "413"), (endless, "431")] {
@@ -84,18 +85,20 @@
             sender.join().expect("it has sent what it could");
         }
     }
-    assert_eq!(program.figures()["taken"], 0);
+    assert_eq!(program.shut_down_for_metrics()["taken"], 0);
 }
 
 /// Half requests used to hold every descriptor that usual clients need: nothing could be closed for those.
 #[test]
 fn half_requests_do_not_use_up_the_descriptors() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = start_with(&[node], None, false, few);
+    let program = DispatcherProcess::builder(&[node]).configure(few).start();
     let half = |n: usize| {
         let mut stream = connect(program.platform);
-        stream.write_all(&job(&format!("c{n}"), "balance", "x", "").as_bytes()[..40]).expect("written");
+        stream
+            .write_all(&job_request(&format!("c{n}"), "balance", "x", "").as_bytes()[..40])
+            .expect("written");
         stream
     };
     let _rude: Vec<TcpStream> = (0..30).map(half).collect();
@@ -103,23 +106,25 @@
     let (mut usual, mut statuses) = (Vec::new(), Vec::new());
     for n in 0..20 {
         let mut stream = connect(program.platform);
-        let request = job(&format!("d{n}"), "balance", "take started done=x", "");
+        let request = job_request(&format!("d{n}"), "balance", "take started done=x", "");
         stream.write_all(request.as_bytes()).expect("written");
         statuses.push(read_reply(&mut stream).map(|reply| reply.status));
         usual.push(stream);
     }
     assert_eq!(statuses, vec![Some(200); 20]);
-    assert_eq!(program.figures()["served"], 20);
+    assert_eq!(program.shut_down_for_metrics()["served"], 20);
 }
 
 /// Half requests gave way by when they were accepted: in a crowd, usual clients that write slowly were cut off first.
 #[test]
 fn a_client_that_goes_on_writing_outlasts_a_crowd_that_stops_half_way() {
-    let node = Node::start("s-1");
-    let program = start_with(std::slice::from_ref(&node), None, false, |config| {
-        config["limits"]["sockets"] = json!(80);
-    });
-    let request = job("slow-0", "balance", "take started done=whole", "");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+        .configure(|config| {
+            config["limits"]["sockets"] = json!(80);
+        })
+        .start();
+    let request = job_request("slow-0", "balance", "take started done=whole", "");
     let mut slow = connect(program.platform);
     let mut crowd = Vec::new();
     for piece in request.as_bytes().chunks(request.len() / 24) {
@@ -138,7 +143,7 @@
         let said = matches!(half.peek(&mut [0]), Ok(read) if read > 0);
         half.set_nonblocking(false).expect("a socket option");
         let reply = said.then(|| read_reply(half).expect("an answer"));
-        let away = |reply: &Reply| (reply.status, reply.field("Connection")) == (503, Some("close"));
+        let away = |reply: &HttpReply| (reply.status, reply.header("Connection")) == (503, Some("close"));
         reply.is_none_or(|reply| away(&reply)) && is_closed(half)
     };
     assert!(crowd.iter_mut().map(gave_way).filter(|gave| *gave).count() > 30, "the crowd has given way");
@@ -150,9 +155,11 @@
 fn a_connection_that_has_just_come_is_not_closed_as_idle_in_a_crowd() {
     // It asks in time unless this machine is kept from it, which is no fault of the program's: then it tries again.
     let answered = (0..10).any(|_| {
-        let node = Node::start("s-1");
+        let node = FakeWorker::start("s-1");
         // Of 40 connections 26 may be those of clients before some are closed for new ones.
-        let program = start_with(&[node], None, false, |config| config["limits"]["sockets"] = json!(80));
+        let program = DispatcherProcess::builder(&[node])
+            .configure(|config| config["limits"]["sockets"] = json!(80))
+            .start();
         let half = || {
             let mut stream = connect(program.platform);
             let _ = stream.write_all(b"POST /balance HTTP/1.1\r\nHost: or");
@@ -171,7 +178,7 @@
 
 /// Reads what is said until the other side closes, and no more than so much of it.
 fn said_by(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let mut seen = Vec::new();
     let ended = stream.take(1 << 20).read_to_end(&mut seen);
     let reset = ended.is_err_and(|error| error.kind() != std::io::ErrorKind::ConnectionReset);
@@ -194,11 +201,13 @@
     let usual = |when: &str| {
         let (mut tries, mut served) = (0, None);
         // While the machine is busy with floods a worker may take nothing in time: then one is refused, and tries again.
-        until("a usual client is served", || {
+        wait_until("a usual client is served", || {
             tries += 1;
             let mut stream = connect(to);
             let id = format!("{name}, {when}, {tries}").replace([' ', ','], "-");
-            stream.write_all(job(&id, "balance", "take started done=x", "").as_bytes()).expect("written");
+            stream
+                .write_all(job_request(&id, "balance", "take started done=x", "").as_bytes())
+                .expect("written");
             let status = read_reply(&mut stream).expect("an answer").status;
             assert!(matches!(status, 200 | 503), "{name}: {status}");
             served = Some(stream).filter(|_| status == 200);
@@ -207,7 +216,7 @@
         served.expect("it was served")
     };
     let mut stream = if kept { usual("before") } else { connect(to) };
-    stream.set_write_timeout(Some(PATIENCE)).expect("a socket option");
+    stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     match bad {
         Bad::Stops(sent, status) => {
             stream.write_all(sent.as_bytes()).expect("written");
@@ -221,7 +230,7 @@
                 rounds += 1;
                 assert!(rounds < 1_000_000, "{name}: it goes on and on");
             }
-            until("it is closed", || is_closed(&stream) || stream.write(b"x").is_err());
+            wait_until("it is closed", || is_closed(&stream) || stream.write(b"x").is_err());
         }
         Bad::Goes(sent) => {
             let _ = stream.write_all(sent.as_bytes());
@@ -235,8 +244,8 @@
 /// read on while none of their answers were, and those piled up.
 #[test]
 fn bad_clients_end_in_an_error_or_a_close_on_new_and_on_kept_connections() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, true);
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
     let chunked = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
     let up = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n".to_owned();
     let cases = [
@@ -267,11 +276,13 @@
         ("endless requests", Bad::Floods(up.repeat(100))),
         (
             "endless jobs",
-            Bad::Floods(job("q", "balance", "take started hang", "X-Time-Left-Ms: 7000\r\n").repeat(100)),
+            Bad::Floods(
+                job_request("q", "balance", "take started hang", "X-Time-Left-Ms: 7000\r\n").repeat(100),
+            ),
         ),
         ("much, and gone", Bad::Goes(up.repeat(1000))),
         ("much of a head, and gone", Bad::Goes("X-Filler: 0123456789abcdef\r\n".repeat(3000))),
-        ("jobs, and gone", Bad::Goes(job("r", "balance", "take started hang", "").repeat(300))),
+        ("jobs, and gone", Bad::Goes(job_request("r", "balance", "take started hang", "").repeat(300))),
     ];
     std::thread::scope(|scope| {
         for (side, to) in fronts(&program).into_iter().enumerate() {
@@ -289,9 +300,9 @@
     assert!(peak < 64 * 1024, "{peak} kB");
     let (clean, log) = {
         program.terminate();
-        program.wait()
+        program.wait_for_exit()
     };
     assert!(clean, "{log:?}");
     assert!(log.len() < 40, "no line of the log is one client's: {}", log.len());
-    assert!(log.iter().any(|line| line.contains("broken_invariants=0")) && !node.saw("ab"));
+    assert!(log.iter().any(|line| line.contains("broken_invariants=0")) && !node.has_received("ab"));
 }
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -12,8 +12,9 @@
 
 /// A core that has served, been refused and failed on three workers.
 fn taught() -> Core {
-    let mut rows: Vec<_> =
-        (0..3).map(|n| site::row(&format!("s-{n}"), &format!("127.0.0.1:{}", 9000 + n), "up")).collect();
+    let mut rows: Vec<_> = (0..3)
+        .map(|n| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:{}", 9000 + n), "up"))
+        .collect();
     rows[2]["startedAtMs"] = json!(1_790_000_000_500.0);
     let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
     let unix = 1_790_000_000_000_000;
--- a/tests/compatibility/process.rs
+++ b/tests/compatibility/process.rs
@@ -6,16 +6,18 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// A process beside a stand-in for the other dispatcher.
-fn beside_a_peer(node: &std::sync::Arc<Node>) -> (Program, UdpSocket) {
+fn beside_a_peer(node: &std::sync::Arc<FakeWorker>) -> (DispatcherProcess, UdpSocket) {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    peer.set_read_timeout(Some(PATIENCE)).expect("a socket option");
-    let program = start_with(std::slice::from_ref(node), None, false, |config| {
-        config["peer_listen"] = json!("127.0.0.1:0");
-        config["peers"] = json!(["127.8.0.1:9", peer.local_addr().expect("an address").to_string()]);
-        config["settings"]["Siblings"] = json!(2);
-        config["settings"]["Limits"]["Peers"] = json!(true);
-        config["settings"]["Limits"]["Probing"] = json!(true);
-    });
+    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    let program = DispatcherProcess::builder(std::slice::from_ref(node))
+        .configure(|config| {
+            config["peer_listen"] = json!("127.0.0.1:0");
+            config["peers"] = json!(["127.8.0.1:9", peer.local_addr().expect("an address").to_string()]);
+            config["settings"]["Siblings"] = json!(2);
+            config["settings"]["Limits"]["Peers"] = json!(true);
+            config["settings"]["Limits"]["Probing"] = json!(true);
+        })
+        .start();
     (program, peer)
 }
 
@@ -34,7 +36,7 @@
 fn datagrams_of_state_keep_their_bytes() {
     let words: Vec<Vec<u8>> = kept("state-datagrams.hex").lines().map(from_hex).collect();
     let [serving, stopping, heard, work] = &words[..] else { panic!("four datagrams: {words:?}") };
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, peer) = beside_a_peer(&node);
     let (word, at) = receive(&peer, serving);
     assert_eq!(&word, serving);
@@ -45,17 +47,18 @@
     assert_eq!((word.len(), &word[..3]), (heard.len(), &heard[..3]));
     program.terminate();
     assert_eq!(&receive(&peer, stopping).0, stopping);
-    assert!(program.wait().0);
+    assert!(program.wait_for_exit().0);
 }
 
 #[test]
 fn the_figures_line_keeps_its_keys_in_order() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, false);
-    let reply = send(program.platform, &job("a", "balance", "take started done=x", "")).expect("an answer");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+    let reply =
+        send(program.platform, &job_request("a", "balance", "take started done=x", "")).expect("an answer");
     assert_eq!(reply.status, 200);
     program.terminate();
-    let (clean, log) = program.wait();
+    let (clean, log) = program.wait_for_exit();
     assert!(clean, "{log:?}");
     let line = log.iter().rev().find(|line| line.starts_with("figures ")).expect("a line of figures");
     let fields = line.split(' ').map(|field| field.split('=').next().unwrap_or(field));
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -9,8 +9,11 @@
 
 #[test]
 fn settings_come_out_as_the_module_needs_them() {
-    let config =
-        site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([site::row("s", "127.0.0.1:3", "up")])));
+    let config = site::read(&site::config(
+        "127.0.0.1:1",
+        "127.0.0.1:2",
+        json!([site::endpoint_entry("s", "127.0.0.1:3", "up")]),
+    ));
     let set = &config.settings;
     assert_eq!((set.tick, set.classes.len(), set.tenants.len(), set.max_attempts), (2_000, 2, 1, 3));
     assert_eq!((set.classes[0].latency_factor, set.classes[1].latency_objective), (2.0, 600_000));
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -7,19 +7,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-fn with_control(nodes: &[Arc<Node>], sse: bool) -> (Program, SocketAddr) {
-    let program = start_with(nodes, None, sse, |config| config["admin_addr"] = json!("127.0.0.1:0"));
-    let control = program.control.expect("a second address");
+fn with_control(nodes: &[Arc<FakeWorker>], sse: bool) -> (DispatcherProcess, SocketAddr) {
+    let program = DispatcherProcess::builder(nodes)
+        .event_streams(sse)
+        .configure(|config| config["admin_addr"] = json!("127.0.0.1:0"))
+        .start();
+    let control = program.admin.expect("a second address");
     (program, control)
 }
 
-fn call(control: SocketAddr, method: &str, path: &str) -> Reply {
+fn call(control: SocketAddr, method: &str, path: &str) -> HttpReply {
     send(control, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("an answer")
 }
 
 fn counters(control: SocketAddr) -> BTreeMap<String, (u64, char)> {
     let reply = call(control, "GET", "/control/counters");
-    assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
+    assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     let line = |line: &str| {
         let (name, rest) = line.strip_prefix("dispatcher.")?.split_once(':')?;
         let (value, kind) = rest.split_once('|')?;
@@ -28,18 +31,18 @@
     reply.body.lines().map(|text| line(text).unwrap_or_else(|| panic!("{text}"))).collect()
 }
 
-fn ask(to: SocketAddr, id: &str, class: &str, body: &str) -> Reply {
-    send(to, &job(id, class, body, "")).expect("an answer")
+fn ask(to: SocketAddr, id: &str, class: &str, body: &str) -> HttpReply {
+    send(to, &job_request(id, class, body, "")).expect("an answer")
 }
 
-fn up(program: &Program) -> u16 {
+fn up(program: &DispatcherProcess) -> u16 {
     send(program.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
 }
 
 /// Figures that count a job twice, or before it has ended, are untrue to what its client saw.
 #[test]
 fn figures_are_what_peers_saw() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, control) = with_control(std::slice::from_ref(&node), true);
     let before = counters(control);
     for name in ["success.balance", "busy.balance", "failure.redeem", "backend_calls", "reconfig_failed"] {
@@ -51,13 +54,14 @@
         assert_eq!(ask(program.platform, &format!("a{n}"), "balance", "take started done=x").status, 200);
     }
     // It may have run and nobody else can repeat it: it fails once its client gives up.
-    let failing = job("b0", "redeem", "take started failed", "X-Time-Left-Ms: 300\r\n");
+    let failing = job_request("b0", "redeem", "take started failed", "X-Time-Left-Ms: 300\r\n");
     assert!(send(program.platform, &failing).expect("an answer").status >= 500);
     assert_eq!(ask(program.platform, "b1", "nothing", "take").status, 400);
     let mut open = connect(program.sse.expect("the SSE front is on"));
-    open.write_all(job("c0", "redeem", "take started wait=counted done=x", "").as_bytes()).expect("written");
-    until("the open job is counted", || counters(control)["inflight"] == (1, 'g'));
-    node.open("counted");
+    open.write_all(job_request("c0", "redeem", "take started wait=counted done=x", "").as_bytes())
+        .expect("written");
+    wait_until("the open job is counted", || counters(control)["inflight"] == (1, 'g'));
+    node.open_gate("counted");
     assert_eq!(read_reply(&mut open).expect("an answer").status, 200);
     let after = counters(control);
     let expected =
@@ -67,7 +71,7 @@
     }
     assert_eq!(
         (after["backend_calls"].0, after["inflight"].0),
-        (node.jobs.load(std::sync::atomic::Ordering::SeqCst), 0)
+        (node.job_count.load(std::sync::atomic::Ordering::SeqCst), 0)
     );
     assert!(after["hosts_down"].0 <= after["hosts_listed"].0);
 }
@@ -75,12 +79,14 @@
 /// Callers that stop half way, more of them than there are descriptors for, must not keep a call waiting.
 #[test]
 fn half_calls_and_crowds_of_clients_do_not_keep_calls_waiting() {
-    let node = Node::start("s-1");
-    let program = start_with(std::slice::from_ref(&node), None, false, |config| {
-        config["admin_addr"] = json!("127.0.0.1:0");
-        config["limits"]["sockets"] = json!(80);
-    });
-    let control = program.control.expect("a second address");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+        .configure(|config| {
+            config["admin_addr"] = json!("127.0.0.1:0");
+            config["limits"]["sockets"] = json!(80);
+        })
+        .start();
+    let control = program.admin.expect("a second address");
     let mut half: Vec<_> = (0..40).map(|_| connect(control)).collect();
     half.iter_mut().for_each(|stream| stream.write_all(b"GET /control/rea").expect("written"));
     let mut crowd: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
@@ -92,13 +98,14 @@
     let mut newest = half.pop().expect("one of them");
     newest.write_all(b"dy HTTP/1.1\r\nHost: n0\r\n\r\n").expect("written");
     assert_eq!(read_reply(&mut newest).expect("an answer").status, 200);
-    until("the oldest is closed", || is_closed(&half[0]));
+    wait_until("the oldest is closed", || is_closed(&half[0]));
     // While the crowd's half requests are young a job is turned away at once; as they age, one is served.
     let mut asked = 0;
-    until("a job is served", || {
+    wait_until("a job is served", || {
         asked += 1;
         let reply = ask(program.platform, &format!("d{asked}"), "balance", "take started done=x");
-        let turned_away = reply.status == 503 && node.jobs.load(std::sync::atomic::Ordering::SeqCst) == 0;
+        let turned_away =
+            reply.status == 503 && node.job_count.load(std::sync::atomic::Ordering::SeqCst) == 0;
         assert!(turned_away || (reply.status, reply.body.as_str()) == (200, "x"), "{}", reply.head);
         !turned_away
     });
@@ -106,7 +113,7 @@
 
 #[test]
 fn what_is_no_call_is_answered_with_a_no() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, control) = with_control(std::slice::from_ref(&node), false);
     assert_eq!(call(control, "GET", "/control/nothing").status, 404);
     assert_eq!(call(control, "GET", "/control/out-of-service").status, 405);
@@ -122,41 +129,41 @@
 #[test]
 fn a_drained_dispatcher_lets_its_clients_go_and_comes_back() {
     // Two, since one without a report yet is not given a third job beside two.
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
     let (program, control) = with_control(&nodes, true);
     let (sse, keep) = (program.sse.expect("the SSE front is on"), "Accept: text/event-stream\r\n");
     let idle = [connect(program.platform), connect(program.platform), connect(sse)];
     let mut busy = [connect(program.platform), connect(sse)];
     for (n, stream) in busy.iter_mut().enumerate() {
-        let text = job(&format!("f{n}"), "balance", "take started wait=drained done=kept", keep);
+        let text = job_request(&format!("f{n}"), "balance", "take started wait=drained done=kept", keep);
         stream.write_all(text.as_bytes()).expect("written");
     }
-    let jobs = |node: &Arc<Node>| node.jobs.load(std::sync::atomic::Ordering::SeqCst);
-    until("both jobs arrive", || nodes.iter().map(jobs).sum::<u64>() == 2);
+    let jobs = |node: &Arc<FakeWorker>| node.job_count.load(std::sync::atomic::Ordering::SeqCst);
+    wait_until("both jobs arrive", || nodes.iter().map(jobs).sum::<u64>() == 2);
     assert_eq!(call(control, "PUT", "/control/out-of-service").status, 200);
     assert_eq!(call(control, "PUT", "/control/out-of-service").status, 200, "again changes nothing");
     assert_eq!(up(&program), 503);
     for (n, to) in [program.platform, sse].into_iter().enumerate() {
         let reply = ask(to, &format!("g{n}"), "balance", "take started done=x");
-        assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
+        assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     }
-    until("idle connections are closed", || idle.iter().all(is_closed));
-    nodes.iter().for_each(|node| node.open("drained"));
+    wait_until("idle connections are closed", || idle.iter().all(is_closed));
+    nodes.iter().for_each(|node| node.open_gate("drained"));
     for stream in &mut busy {
         let reply = read_reply(stream).expect("an answer");
         assert!(reply.body.contains("kept"), "{} {}", reply.status, reply.body);
-        until("and those with a job after it", || is_closed(stream));
+        wait_until("and those with a job after it", || is_closed(stream));
     }
     assert_eq!(call(control, "GET", "/control/ready").status, 200, "the process still takes clients");
     assert_eq!(call(control, "PUT", "/control/in-service").status, 200);
     assert_eq!(up(&program), 200);
     let mut kept = connect(program.platform);
     for n in 0..2 {
-        let text = job(&format!("h{n}"), "balance", "take started done=x", "");
+        let text = job_request(&format!("h{n}"), "balance", "take started done=x", "");
         kept.write_all(text.as_bytes()).expect("written");
         let reply = read_reply(&mut kept).expect("an answer on a kept connection");
-        assert_eq!((reply.status, reply.field("Connection")), (200, None));
+        assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["open"], figures["gone"], figures["broken_invariants"]), (0, 0, 0));
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -26,7 +26,7 @@
     /// One whose clock starts at this Unix time; two workers a pod.
     fn new_at(workers: usize, unix: u128) -> Bench {
         let rows: Vec<_> = (0..workers)
-            .map(|n| site::row(&format!("s-{n}"), &format!("127.0.0.1:{}", 9000 + n), "up"))
+            .map(|n| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:{}", 9000 + n), "up"))
             .collect();
         let rows: Vec<_> = rows
             .into_iter()
@@ -264,19 +264,20 @@
     let mut bench = Bench::new(2);
     bench.core.on_endpoint_list(
         bench.now,
-        &site::list(2, true, json!([site::row("s-1", "127.0.0.1:9101", "up")])),
+        &site::list(2, true, json!([site::endpoint_entry("s-1", "127.0.0.1:9101", "up")])),
         false,
     );
     bench.core.on_endpoint_list(
         bench.now,
-        &site::list(3, false, json!([site::row("s-7", "127.0.0.1:9107", "up")])),
+        &site::list(3, false, json!([site::endpoint_entry("s-7", "127.0.0.1:9107", "up")])),
         false,
     );
     let table = &bench.core.endpoints;
     assert!(table.get(WorkerId(0)).is_some_and(|s| s.removed && s.stopped.is_some()));
     assert_eq!(table.get(WorkerId(1)).map(|s| s.address.port()), Some(9101));
     assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
-    let bad = json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::row("s-9", "nowhere", "up"), 5]);
+    let bad =
+        json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::endpoint_entry("s-9", "nowhere", "up"), 5]);
     bench.core.on_endpoint_list(bench.now, &site::list(4, false, bad), false);
     assert_eq!(bench.core.endpoints.bad_rows, 4);
 }
@@ -284,7 +285,7 @@
 /// Wherever what a watch sends is cut, the table is that of the last whole list and never between two.
 #[test]
 fn no_part_of_a_list_is_in_the_table_before_all_of_it_has_come() {
-    let row = |n: u64, state| site::row(&format!("s-{n}"), &format!("127.0.0.1:910{n}"), state);
+    let row = |n: u64, state| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:910{n}"), state);
     let lists = [
         json!({"generation": 2, "reset": false, "instances": [row(0, "draining"), row(2, "up")]}),
         json!({"generation": 3, "reset": true, "instances": [row(1, "draining"), row(3, "up")]}),
@@ -596,7 +597,7 @@
     let mut next = Bench::new(0);
     next.core.enable_idempotency(next.now, notes.into_iter(), true);
     let row = |n: u32, cell: u32| {
-        let mut row = site::row(&format!("new-{n}"), &format!("127.0.0.1:{}", 9500 + n), "up");
+        let mut row = site::endpoint_entry(&format!("new-{n}"), &format!("127.0.0.1:{}", 9500 + n), "up");
         row["cell"] = json!(cell);
         row
     };
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -10,7 +10,7 @@
 use std::os::fd::OwnedFd;
 
 /// Starts the program under a limit of the system's.
-fn start_under(limit: u64, start: impl FnOnce() -> Program) -> Program {
+fn start_under(limit: u64, start: impl FnOnce() -> DispatcherProcess) -> DispatcherProcess {
     static ONE: std::sync::Mutex<()> = std::sync::Mutex::new(());
     let one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let before = getrlimit(Resource::Nofile);
@@ -38,28 +38,32 @@
 fn clients_that_hold_all_descriptors_keep_nobody_else_out() {
     for (limit, sockets) in [(110, 1024), (20_000, 110)] {
         for hold in HOLDS {
-            let node = Node::start("s-1");
+            let node = FakeWorker::start("s-1");
             let (socket, discovery) = reserved();
             let program = start_under(limit, || {
-                start_with(std::slice::from_ref(&node), Some(discovery), true, |config| {
-                    config["limits"]["sockets"] = json!(sockets);
-                    if hold != "kept-half" {
-                        config["known"]["instances"] = json!([]); // nothing can be served before the list is read
-                    }
-                })
+                DispatcherProcess::builder(std::slice::from_ref(&node))
+                    .discovery(discovery)
+                    .event_streams(true)
+                    .configure(|config| {
+                        config["limits"]["sockets"] = json!(sockets);
+                        if hold != "kept-half" {
+                            config["known"]["instances"] = json!([]); // nothing can be served before the list is read
+                        }
+                    })
+                    .start()
             });
             let platform = program.platform;
             let held: Vec<TcpStream> = (0..90).map(|n| holder(platform, hold, n)).collect();
-            let list = json!({"generation": 2, "reset": true, "instances": [node.row("up")]});
+            let list = json!({"generation": 2, "reset": true, "instances": [node.endpoint_entry("up")]});
             rustix::net::listen(&socket, 16).expect("it listens");
-            let discovery = Discovery::start_on(TcpListener::from(socket), list);
-            until("the list is read", || discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > 0);
+            let discovery = FakeDiscovery::start_on(TcpListener::from(socket), list);
+            wait_until("the list is read", || discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > 0);
             let mut usual = Vec::new();
             for n in 0..20 {
                 // While those that hold them may still go on, one is told that there is no room.
-                until("a usual client is served", || {
+                wait_until("a usual client is served", || {
                     let mut stream = connect(platform);
-                    let request = job(&format!("u{n}"), "balance", "take started done=x", "");
+                    let request = job_request(&format!("u{n}"), "balance", "take started done=x", "");
                     stream.write_all(request.as_bytes()).expect("written");
                     let status = read_reply(&mut stream).map(|reply| reply.status);
                     assert!(matches!(status, Some(200 | 503)), "{limit} {sockets} {hold} {n}: {status:?}");
@@ -68,7 +72,7 @@
                 });
             }
             drop(held);
-            let figures = program.figures();
+            let figures = program.shut_down_for_metrics();
             assert_eq!((figures["open"], figures["broken_invariants"]), (0, 0));
         }
     }
@@ -77,7 +81,7 @@
 fn holder(to: SocketAddr, hold: &str, n: usize) -> TcpStream {
     let mut stream = connect(to);
     if hold == "kept-half" && n < 55 {
-        let request = job(&format!("k{n}"), "balance", "take started done=x", "");
+        let request = job_request(&format!("k{n}"), "balance", "take started done=x", "");
         // Beyond the budget it is not let in before others have given way.
         stream.write_all(request.as_bytes()).expect("written");
         let _ = read_reply(&mut stream);
@@ -95,10 +99,10 @@
 fn served_connections_give_way_before_new_ones() {
     // New ones count as such for a while only; a machine that is kept from this for longer tries again.
     let spared = (0..10).any(|_| {
-        let node = Node::start("s-1");
+        let node = FakeWorker::start("s-1");
         // Of 60 connections 40 may be those of clients before some are closed for new ones.
         let few = |config: &mut Value| config["limits"]["sockets"] = json!(100);
-        let program = start_with(std::slice::from_ref(&node), None, false, few);
+        let program = DispatcherProcess::builder(std::slice::from_ref(&node)).configure(few).start();
         let up = |stream: &mut TcpStream| -> bool {
             let sent = stream.write_all(b"GET /up HTTP/1.1\r\nHost: n0\r\n\r\n");
             sent.is_ok() && read_reply(stream).is_some_and(|reply| reply.status == 200)
@@ -120,13 +124,13 @@
 /// here 10 of 60, and one that is just being told.
 #[test]
 fn a_flood_of_clients_that_never_end_holds_no_more_than_its_share() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let few = |config: &mut Value| config["limits"]["sockets"] = json!(100);
-    let program = start_with(std::slice::from_ref(&node), None, false, few);
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).configure(few).start();
     let open = || std::fs::read_dir(format!("/proc/{}/fd", program.pid())).expect("its descriptors").count();
     let mut usual = connect(program.platform);
     let mut serve = |n| {
-        let request = job(&format!("u{n}"), "balance", "take started done=x", "");
+        let request = job_request(&format!("u{n}"), "balance", "take started done=x", "");
         usual.write_all(request.as_bytes()).expect("written");
         assert_eq!(read_reply(&mut usual).expect("an answer").status, 200);
     };
@@ -143,6 +147,6 @@
     }
     serve(1);
     drop(flood);
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["served"], figures["open"], figures["broken_invariants"]), (2, 0, 0));
 }
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -12,35 +12,44 @@
 use std::time::Duration;
 
 /// Two pods of two nodes.
-fn pods() -> Vec<Arc<Node>> {
-    (0..4).map(|n| Node::start(&format!("s-{n}"))).collect()
+fn pods() -> Vec<Arc<FakeWorker>> {
+    (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect()
 }
 
-fn start_on(nodes: &[Arc<Node>], state: &Path, folder: Option<&Path>, listen: &str) -> Program {
+fn start_on(
+    nodes: &[Arc<FakeWorker>],
+    state: &Path,
+    folder: Option<&Path>,
+    listen: &str,
+) -> DispatcherProcess {
     let args = [OsStr::new("--state"), state.as_os_str()];
-    start_given(nodes, None, false, folder, &args, |config| {
-        config["listen"] = json!(listen);
-        config["admin_addr"] = json!("127.0.0.1:0");
-        for n in 0..nodes.len() {
-            config["known"]["instances"][n]["cell"] = json!(1 + n / 2);
-        }
-    })
+    DispatcherProcess::builder(nodes)
+        .temp_dir(folder)
+        .args(&args)
+        .configure(|config| {
+            config["listen"] = json!(listen);
+            config["admin_addr"] = json!("127.0.0.1:0");
+            for n in 0..nodes.len() {
+                config["known"]["instances"][n]["cell"] = json!(1 + n / 2);
+            }
+        })
+        .start()
 }
 
 /// Hands a redeem in; `None` where no whole answer came.
-fn redeem(to: SocketAddr, id: &str, key: &str, body: &str) -> Option<Reply> {
+fn redeem(to: SocketAddr, id: &str, key: &str, body: &str) -> Option<HttpReply> {
     use std::io::Write;
-    let text = job(id, "redeem", body, "").replace(&format!("key-{id}"), key);
+    let text = job_request(id, "redeem", body, "").replace(&format!("key-{id}"), key);
     let mut stream = TcpStream::connect(to).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
     read_reply(&mut stream)
 }
 
 /// In which pods each key was seen, and how often in all.
-fn seen(nodes: &[Arc<Node>]) -> BTreeMap<String, (BTreeSet<usize>, usize)> {
+fn seen(nodes: &[Arc<FakeWorker>]) -> BTreeMap<String, (BTreeSet<usize>, usize)> {
     let mut keys: BTreeMap<String, (BTreeSet<usize>, usize)> = BTreeMap::new();
     for (n, node) in nodes.iter().enumerate() {
-        for line in node.seen.lock().expect("a lock").iter().filter(|l| l.starts_with("POST ")) {
+        for line in node.received.lock().expect("a lock").iter().filter(|l| l.starts_with("POST ")) {
             let key = line.rsplit(' ').next().unwrap_or("").to_owned();
             let entry = keys.entry(key).or_default();
             entry.0.insert(n / 2);
@@ -50,9 +59,9 @@
     keys
 }
 
-fn counter(program: &Program, name: &str) -> u64 {
+fn counter(program: &DispatcherProcess, name: &str) -> u64 {
     let call = "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n";
-    let text = send(program.control.expect("a second address"), call).expect("figures").body;
+    let text = send(program.admin.expect("a second address"), call).expect("figures").body;
     let line = text.lines().find_map(|l| l.strip_prefix(&format!("dispatcher.{name}:")));
     line.and_then(|l| l.split('|').next()?.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
 }
@@ -60,7 +69,7 @@
 /// What a crash must not change: a result that a client got comes again and runs nothing, and no key gets to a second pod.
 fn killed_once(seed: u64) -> (usize, usize) {
     let state = tempfile::tempdir().expect("a folder");
-    let (nodes, program) = (pods(), None::<Program>);
+    let (nodes, program) = (pods(), None::<DispatcherProcess>);
     drop(program);
     let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
     let platform = program.platform;
@@ -144,11 +153,11 @@
     assert_eq!(redeem(platform, "a1", "k1", "take started done=one").expect("an answer").status, 200);
     // This one waits over the upgrade: its result comes to the younger, which notes it.
     let waiting = std::thread::spawn(move || redeem(platform, "a2", "k2", "take started wait=go done=two"));
-    until("it arrives", || seen(&nodes).contains_key("k2"));
+    wait_until("it arrives", || seen(&nodes).contains_key("k2"));
     let younger = start_on(&nodes, state.path(), Some(folder.path()), &platform.to_string());
     elder.terminate();
-    assert!(elder.wait().0, "the elder ends cleanly");
-    nodes.iter().for_each(|node| node.open("go"));
+    assert!(elder.wait_for_exit().0, "the elder ends cleanly");
+    nodes.iter().for_each(|node| node.open_gate("go"));
     let reply = waiting.join().expect("a thread").expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "two"));
     let runs = seen(&nodes);
@@ -192,10 +201,10 @@
         let reply = redeem(program.platform, &format!("b{n}"), &format!("x{n}"), "take started done=no")
             .expect("an answer");
         assert_eq!(reply.status, 503, "nothing of it may have run");
-        assert!(reply.field("Retry-After").is_some());
+        assert!(reply.header("Retry-After").is_some());
     }
-    let plain =
-        send(program.platform, &job("c1", "balance", "take started done=yes", "")).expect("an answer");
+    let plain = send(program.platform, &job_request("c1", "balance", "take started done=yes", ""))
+        .expect("an answer");
     assert_eq!((plain.status, plain.body.as_str()), (200, "yes"));
     assert!(counter(&program, "state_failures") >= 3);
     assert!(!seen(&nodes).keys().any(|key| key.starts_with('x')), "one that was not noted was sent");
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -25,22 +25,26 @@
         Late { listener, filler }
     }
 
-    fn row(&self, lifecycle: &str) -> Value {
-        site::row("s-late", &self.listener.local_addr().expect("an address").to_string(), lifecycle)
+    fn endpoint_entry(&self, lifecycle: &str) -> Value {
+        site::endpoint_entry(
+            "s-late",
+            &self.listener.local_addr().expect("an address").to_string(),
+            lifecycle,
+        )
     }
 
     /// Lets the connection come up and returns what was written to it until the program ended or closed it.
-    fn written(self, program: Program) -> (String, std::collections::BTreeMap<String, u64>) {
+    fn written(self, program: DispatcherProcess) -> (String, std::collections::BTreeMap<String, u64>) {
         let (first, _) = self.listener.accept().expect("the filler");
         drop((first, self.filler));
         let (mut stream, _) = self.listener.accept().expect("the program's");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         let mut seen = Vec::new();
         let reader = std::thread::spawn(move || {
             let _ = stream.read_to_end(&mut seen);
             String::from_utf8_lossy(&seen).into_owned()
         });
-        let figures = program.figures();
+        let figures = program.shut_down_for_metrics();
         (reader.join().expect("a reader"), figures)
     }
 }
@@ -52,24 +56,27 @@
 /// A program that knows only the late worker, and the discovery that tells it of others.
 fn only_late(
     late: &Late,
-    others: &[&Arc<Node>],
+    others: &[&Arc<FakeWorker>],
     change: impl FnOnce(&mut Value),
-) -> (Program, Arc<Discovery>) {
-    let first = list(2, &[late.row("up")]);
-    let discovery = Discovery::start(first.clone());
-    let program = start_with(&[], Some(discovery.address), false, |config| {
-        config["known"] = first;
-        config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(LONG_MS);
-        config["settings"]["Limits"]["SecondCopies"] = json!(false);
-        config["settings"]["Obligations"]["StopSendingWithinMs"] = json!(LONG_MS);
-        change(config);
-    });
-    others.iter().for_each(|node| node.calls_back_to(program.platform));
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+) -> (DispatcherProcess, Arc<FakeDiscovery>) {
+    let first = list(2, &[late.endpoint_entry("up")]);
+    let discovery = FakeDiscovery::start(first.clone());
+    let program = DispatcherProcess::builder(&[])
+        .discovery(discovery.address)
+        .configure(|config| {
+            config["known"] = first;
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(LONG_MS);
+            config["settings"]["Limits"]["SecondCopies"] = json!(false);
+            config["settings"]["Obligations"]["StopSendingWithinMs"] = json!(LONG_MS);
+            change(config);
+        })
+        .start();
+    others.iter().for_each(|node| node.set_callback_address(program.platform));
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     (program, discovery)
 }
 
-fn hand_in(program: &Program, request: &str) -> TcpStream {
+fn hand_in(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
     client.write_all(request.as_bytes()).expect("written");
     client
@@ -79,27 +86,27 @@
 #[test]
 fn a_connection_that_comes_up_after_its_worker_was_told_to_stop_carries_nothing() {
     for case in ["draining", "unnamed", "elsewhere"] {
-        let (late, node, back) = (Late::start(), Node::start("s-1"), Node::start("s-late"));
+        let (late, node, back) = (Late::start(), FakeWorker::start("s-1"), FakeWorker::start("s-late"));
         // What did not leave is no attempt: the only one is left for the other worker.
         let (program, discovery) = only_late(&late, &[&node, &back], |config| {
             config["settings"]["Limits"]["MaxAttempts"] = json!(1);
         });
-        let mut client = hand_in(&program, &job("a0", "redeem", "take started done=x", ""));
-        until_tried(&late.listener);
+        let mut client = hand_in(&program, &job_request("a0", "redeem", "take started done=x", ""));
+        wait_for_connection_attempt(&late.listener);
         let (rows, server) = match case {
-            "draining" => (vec![node.row("up"), late.row("draining")], &node),
-            "unnamed" => (vec![node.row("up")], &node),
-            _ => (vec![back.row("up")], &back),
+            "draining" => (vec![node.endpoint_entry("up"), late.endpoint_entry("draining")], &node),
+            "unnamed" => (vec![node.endpoint_entry("up")], &node),
+            _ => (vec![back.endpoint_entry("up")], &back),
         };
-        discovery.push(&list(3, &rows).to_string(), list(3, &rows));
+        discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
         let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
         let listener = late.listener.try_clone().expect("a descriptor");
         let (first, _) = listener.accept().expect("the filler");
         drop(first);
         assert_eq!(reader.join().expect("a reader"), 200, "{case}");
-        assert!(server.saw("a0"), "{case}: {} has served it", server.name);
+        assert!(server.has_received("a0"), "{case}: {} has served it", server.name);
         let (mut stream, _) = listener.accept().expect("the program's");
-        let figures = program.figures();
+        let figures = program.shut_down_for_metrics();
         let mut seen = String::new();
         let _ = stream.read_to_string(&mut seen);
         assert_eq!(seen, "", "{case}");
@@ -113,8 +120,8 @@
     let late = Late::start();
     let (program, _discovery) =
         only_late(&late, &[], |config| config["settings"]["Limits"]["Cancel"] = json!(false));
-    let client = hand_in(&program, &job("b0", "balance", "take started done=x", ""));
-    until_tried(&late.listener);
+    let client = hand_in(&program, &job_request("b0", "balance", "take started done=x", ""));
+    wait_for_connection_attempt(&late.listener);
     drop(client);
     let (seen, figures) = late.written(program);
     assert_eq!((seen.as_str(), figures["gone"]), ("", 1));
@@ -126,10 +133,10 @@
 fn a_connection_that_comes_up_late_tells_what_is_left_then() {
     let late = Late::start();
     let (program, _discovery) = only_late(&late, &[], |_| {});
-    let _client = hand_in(&program, &job("e0", "balance", "", "X-Time-Left-Ms: 2500\r\n"));
-    until_tried(&late.listener);
+    let _client = hand_in(&program, &job_request("e0", "balance", "", "X-Time-Left-Ms: 2500\r\n"));
+    wait_for_connection_attempt(&late.listener);
     let tried = Instant::now();
-    until("some of its time is over", || tried.elapsed() > Duration::from_millis(500));
+    wait_until("some of its time is over", || tried.elapsed() > Duration::from_millis(500));
     let (seen, _) = late.written(program);
     let told = seen
         .lines()
@@ -140,27 +147,27 @@
 /// An attempt may have run, and the window in which its repeat is dropped ends while the next one's connection is on its way.
 #[test]
 fn a_connection_that_comes_up_after_the_window_of_repeat_carries_nothing() {
-    let (late, node) = (Late::start(), Node::start("s-1"));
+    let (late, node) = (Late::start(), FakeWorker::start("s-1"));
     let (program, discovery) = only_late(&late, &[&node], |config| {
         config["settings"]["Grades"][1]["MemorySpanMs"] = json!(2_000.0);
     });
-    let rows = [node.row("up"), late.row("draining")];
-    discovery.push(&list(3, &rows).to_string(), list(3, &rows));
+    let rows = [node.endpoint_entry("up"), late.endpoint_entry("draining")];
+    discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
     let mut client =
-        hand_in(&program, &job("c0", "redeem", "take wait=told lost", "X-Time-Left-Ms: 7000\r\n"));
-    until("a job arrives", || node.jobs.load(Ordering::SeqCst) == 1);
+        hand_in(&program, &job_request("c0", "redeem", "take wait=told lost", "X-Time-Left-Ms: 7000\r\n"));
+    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) == 1);
     let sent = Instant::now();
-    let rows = [node.row("draining"), late.row("up")];
-    discovery.push(&list(4, &rows).to_string(), list(4, &rows));
-    node.open("told");
-    until_tried(&late.listener);
-    until("the window's end", || sent.elapsed() > Duration::from_millis(2_000));
+    let rows = [node.endpoint_entry("draining"), late.endpoint_entry("up")];
+    discovery.push_change(&list(4, &rows).to_string(), list(4, &rows));
+    node.open_gate("told");
+    wait_for_connection_attempt(&late.listener);
+    wait_until("the window's end", || sent.elapsed() > Duration::from_millis(2_000));
     let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
     let (first, _) = late.listener.accept().expect("the filler");
     drop(first);
     let (mut stream, _) = late.listener.accept().expect("the program's");
     let status = reader.join().expect("a reader");
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     let mut seen = String::new();
     let _ = stream.read_to_string(&mut seen);
     assert_eq!((seen.as_str(), status / 100), ("", 5), "{status}");
@@ -171,16 +178,20 @@
 /// closing the connection would not give it up, and another attempt would be a second one out.
 #[test]
 fn an_answer_that_waits_to_be_read_is_in_time() {
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
-    let program = start_with(&nodes, None, false, |config| {
-        config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(2_000.0);
-        config["settings"]["Limits"]["SecondCopies"] = json!(false);
-    });
-    let mut client = hand_in(&program, &job("d0", "balance", "wait=held take wait=read started done=x", ""));
-    let jobs = || nodes.iter().map(|node| node.jobs.load(Ordering::SeqCst)).sum::<u64>();
-    until("a job arrives", || jobs() == 1);
-    program.hold_up(Duration::from_millis(2_000), || nodes.iter().for_each(|node| node.open("held")));
-    nodes.iter().for_each(|node| node.open("read"));
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&nodes)
+        .configure(|config| {
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(2_000.0);
+            config["settings"]["Limits"]["SecondCopies"] = json!(false);
+        })
+        .start();
+    let mut client =
+        hand_in(&program, &job_request("d0", "balance", "wait=held take wait=read started done=x", ""));
+    let jobs = || nodes.iter().map(|node| node.job_count.load(Ordering::SeqCst)).sum::<u64>();
+    wait_until("a job arrives", || jobs() == 1);
+    program
+        .suspend_for(Duration::from_millis(2_000), || nodes.iter().for_each(|node| node.open_gate("held")));
+    nodes.iter().for_each(|node| node.open_gate("read"));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
-    assert_eq!((jobs(), program.figures()["untaken"]), (1, 0));
+    assert_eq!((jobs(), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -6,15 +6,17 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// The program with a stand-in for the other dispatcher, and where its datagrams come from.
-fn beside_a_peer(nodes: &[std::sync::Arc<Node>]) -> (Program, UdpSocket, SocketAddr) {
+fn beside_a_peer(nodes: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    peer.set_read_timeout(Some(PATIENCE)).expect("a socket option");
-    let program = start_with(nodes, None, false, |config| {
-        config["peer_listen"] = json!("127.0.0.1:0");
-        config["peers"] = json!(["127.0.0.1:9", peer.local_addr().expect("an address").to_string()]);
-        config["settings"]["Siblings"] = json!(2);
-        config["settings"]["Limits"]["Peers"] = json!(true);
-    });
+    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    let program = DispatcherProcess::builder(nodes)
+        .configure(|config| {
+            config["peer_listen"] = json!("127.0.0.1:0");
+            config["peers"] = json!(["127.0.0.1:9", peer.local_addr().expect("an address").to_string()]);
+            config["settings"]["Siblings"] = json!(2);
+            config["settings"]["Limits"]["Peers"] = json!(true);
+        })
+        .start();
     let mut buf = [0; 16];
     let (len, home) = peer.recv_from(&mut buf).expect("a datagram");
     assert_eq!(&buf[..len], b"U", "it says that it serves");
@@ -29,12 +31,12 @@
 /// Both closed their clients' connections although neither could take the other's: those clients found nobody.
 #[test]
 fn clients_are_kept_until_another_dispatcher_serves() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, peer, home) = beside_a_peer(std::slice::from_ref(&node));
     let mut client = connect(program.platform);
     let mut ask = |id: String| {
         client
-            .write_all(job(&id, "balance", "take started pause=150 done=x", "").as_bytes())
+            .write_all(job_request(&id, "balance", "take started pause=150 done=x", "").as_bytes())
             .expect("written");
         read_reply(&mut client).expect("an answer on a kept connection")
     };
@@ -44,26 +46,27 @@
     hears(&peer, b"S");
     for n in 0..6 {
         let reply = ask(format!("b{n}"));
-        assert_eq!((reply.status, reply.field("Connection")), (200, None));
+        assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
     peer.send_to(b"U", home).expect("sent");
     hears(&peer, b"S"); // the one that has come back is told
-    assert_eq!(ask("c0".into()).field("Connection"), Some("close"));
+    assert_eq!(ask("c0".into()).header("Connection"), Some("close"));
     // Datagrams get lost: it goes on saying that it stops.
     (0..3).for_each(|_| hears(&peer, b"S"));
-    let (clean, log) = program.wait();
+    let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
 }
 
 #[test]
 fn clients_are_let_go_while_the_other_dispatcher_serves() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, peer, home) = beside_a_peer(std::slice::from_ref(&node));
     peer.send_to(b"S", home).expect("sent");
     peer.send_to(b"U", home).expect("sent");
     program.terminate();
     hears(&peer, b"S");
-    let reply = send(program.platform, &job("d0", "balance", "take started done=x", "")).expect("an answer");
-    assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
-    assert!(program.wait().0);
+    let reply =
+        send(program.platform, &job_request("d0", "balance", "take started done=x", "")).expect("an answer");
+    assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
+    assert!(program.wait_for_exit().0);
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -11,13 +11,13 @@
 }
 
 /// Hands in jobs until this node has had one more.
-fn until_used(program: &Program, node: &Node, name: &str) {
-    let (before, mut n) = (node.jobs.load(Ordering::SeqCst), 0);
-    until(&format!("{} gets work", node.name), || {
+fn until_used(program: &DispatcherProcess, node: &FakeWorker, name: &str) {
+    let (before, mut n) = (node.job_count.load(Ordering::SeqCst), 0);
+    wait_until(&format!("{} gets work", node.name), || {
         n += 1;
-        let request = job(&format!("{name}{n}"), "balance", "take started done=x", "");
+        let request = job_request(&format!("{name}{n}"), "balance", "take started done=x", "");
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
-        node.jobs.load(Ordering::SeqCst) > before
+        node.job_count.load(Ordering::SeqCst) > before
     });
 }
 
@@ -25,38 +25,42 @@
 /// agent had long said were draining (on the second deployment's upgrade day 568 times).
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_whenever_the_watch_ends_or_falls_silent() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let agent = Discovery::start(list(2, true, &[old.row("draining"), new.row("up")]));
-    let program = start_with(std::slice::from_ref(&old), Some(agent.address), false, |config| {
-        config["settings"]["Discovery"] = json!("pushed");
-    });
-    new.calls_back_to(program.platform);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let agent =
+        FakeDiscovery::start(list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]));
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(agent.address)
+        .configure(|config| {
+            config["settings"]["Discovery"] = json!("pushed");
+        })
+        .start();
+    new.set_callback_address(program.platform);
     until_used(&program, &new, "a");
-    let used = old.jobs.load(Ordering::SeqCst);
+    let used = old.job_count.load(Ordering::SeqCst);
     // An end is followed by another watch, and so is a silence: this agent sends no empty lines.
-    agent.cut();
-    until("a watch after the end", || agent.calls.load(Ordering::SeqCst) >= 2);
-    until("a watch after the silence", || agent.calls.load(Ordering::SeqCst) >= 3);
+    agent.close_watches();
+    wait_until("a watch after the end", || agent.calls.load(Ordering::SeqCst) >= 2);
+    wait_until("a watch after the silence", || agent.calls.load(Ordering::SeqCst) >= 3);
     // Changes may come over many lines.
-    let change = list(3, false, &[old.row("up"), new.row("draining")]);
+    let change = list(3, false, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]);
     let indented = serde_json::to_string_pretty(&change).expect("JSON");
-    agent.push(&indented, list(3, true, &[old.row("up"), new.row("draining")]));
-    assert_eq!(old.jobs.load(Ordering::SeqCst), used, "it drained until now");
+    agent.push_change(&indented, list(3, true, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]));
+    assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drained until now");
     until_used(&program, &old, "b");
 }
 
 /// An indented list was cut at its line ends into as many bad lists.
 #[test]
 fn an_indented_list_of_a_watch_that_was_asked_for_is_read_whole() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let discovery = Discovery::start(list(1, true, &[old.row("up")]));
-    let program = start(std::slice::from_ref(&old), Some(discovery.address), false);
-    new.calls_back_to(program.platform);
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    let whole = list(2, true, &[new.row("up")]);
-    discovery.push(&serde_json::to_string_pretty(&whole).expect("JSON"), whole);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
+    new.set_callback_address(program.platform);
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    let whole = list(2, true, &[new.endpoint_entry("up")]);
+    discovery.push_change(&serde_json::to_string_pretty(&whole).expect("JSON"), whole);
     until_used(&program, &new, "a");
-    assert_eq!(program.figures()["bad_lists"], 0);
+    assert_eq!(program.shut_down_for_metrics()["bad_lists"], 0);
 }
 
 /// An asking time under which the module's own waits are long beside what a change may take to be told.
@@ -68,25 +72,28 @@
 /// time: a worker that drained meanwhile went on getting jobs long after the 6 s that discovery's word takes to count.
 #[test]
 fn after_any_failure_discovery_is_asked_again_soon() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let before = list(1, true, &[old.row("up")]);
-    let after = list(2, true, &[old.row("draining"), new.row("up")]);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let before = list(1, true, &[old.endpoint_entry("up")]);
+    let after = list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     for (had_watch, turns) in [
-        (true, [Turn::Refuse, Turn::Refuse]),
-        (true, [Turn::Cut, Turn::Refuse]),
-        (false, [Turn::Hold, Turn::Hold]),
-        (false, [Turn::Hold, Turn::Cut]),
+        (true, [ScriptedResponse::Refuse, ScriptedResponse::Refuse]),
+        (true, [ScriptedResponse::Truncate, ScriptedResponse::Refuse]),
+        (false, [ScriptedResponse::Hold, ScriptedResponse::Hold]),
+        (false, [ScriptedResponse::Hold, ScriptedResponse::Truncate]),
     ] {
-        let (turns, discovery) = (&turns, Discovery::start(before.clone()));
+        let (turns, discovery) = (&turns, FakeDiscovery::start(before.clone()));
         if !had_watch {
-            discovery.then(turns, after.clone());
+            discovery.script_watches(turns, after.clone());
         }
-        let program = start_with(std::slice::from_ref(&old), Some(discovery.address), false, patient);
-        new.calls_back_to(program.platform);
-        until("a call", || discovery.calls.load(Ordering::SeqCst) > 0);
+        let program = DispatcherProcess::builder(std::slice::from_ref(&old))
+            .discovery(discovery.address)
+            .configure(patient)
+            .start();
+        new.set_callback_address(program.platform);
+        wait_until("a call", || discovery.calls.load(Ordering::SeqCst) > 0);
         if had_watch {
-            discovery.then(turns, after.clone());
-            discovery.cut();
+            discovery.script_watches(turns, after.clone());
+            discovery.close_watches();
         }
         until_used(&program, &new, "a");
         let calls = 1 + u64::from(had_watch) + turns.len() as u64;
@@ -95,7 +102,7 @@
 }
 
 /// SIGHUP names this service.
-fn move_to(program: &mut Program, to: &Discovery) {
+fn move_to(program: &mut DispatcherProcess, to: &FakeDiscovery) {
     let mut config = program.config.clone();
     config["discovery"] = json!(to.address.to_string());
     program.replace_config(&config.to_string());
@@ -103,12 +110,12 @@
 }
 
 /// Hands in jobs until none of twenty in a row has gone to this node; how many it has had then.
-fn until_unused(program: &Program, node: &Node, other: &Node) -> u64 {
-    let (mut used, mut row, mut n) = (node.jobs.load(Ordering::SeqCst), 0, 0);
+fn until_unused(program: &DispatcherProcess, node: &FakeWorker, other: &FakeWorker) -> u64 {
+    let (mut used, mut row, mut n) = (node.job_count.load(Ordering::SeqCst), 0, 0);
     while row < 20 {
         n += 1;
         until_used(program, other, &format!("u{n}-"));
-        let jobs = node.jobs.load(Ordering::SeqCst);
+        let jobs = node.job_count.load(Ordering::SeqCst);
         (used, row) = (jobs, if jobs == used { row + 1 } else { 0 });
     }
     used
@@ -119,68 +126,84 @@
 /// end with its connection.
 #[test]
 fn a_whole_list_that_is_cut_or_none_is_asked_for_again() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let first = Discovery::start(list(100, true, &[old.row("up")])); // its versions mean nothing at the other
-    let second = Discovery::start(list(9, false, &[new.row("up")]));
-    let mut program = start(std::slice::from_ref(&old), Some(first.address), false);
-    new.calls_back_to(program.platform);
-    until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
-    let whole = list(9, true, &[new.row("up")]);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let first = FakeDiscovery::start(list(100, true, &[old.endpoint_entry("up")])); // its versions mean nothing at the other
+    let second = FakeDiscovery::start(list(9, false, &[new.endpoint_entry("up")]));
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
+    new.set_callback_address(program.platform);
+    wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
+    let whole = list(9, true, &[new.endpoint_entry("up")]);
     let to_the_end = format!("HTTP/1.1 200 OK\r\n\r\n{whole}");
-    let [changes, nobody, busy] = [list(9, false, &[new.row("up")]), list(9, true, &[]), json!("busy")]
-        .map(|value| Turn::Say(answered(&value).into_bytes()));
-    let turns = [Turn::Cut, changes, nobody, busy, Turn::Refuse, Turn::Say(to_the_end.into_bytes())];
-    second.then_whole(&turns, whole);
+    let [changes, nobody, busy] =
+        [list(9, false, &[new.endpoint_entry("up")]), list(9, true, &[]), json!("busy")]
+            .map(|value| ScriptedResponse::Raw(list_response(&value).into_bytes()));
+    let turns = [
+        ScriptedResponse::Truncate,
+        changes,
+        nobody,
+        busy,
+        ScriptedResponse::Refuse,
+        ScriptedResponse::Raw(to_the_end.into_bytes()),
+    ];
+    second.script_list_calls(&turns, whole);
     move_to(&mut program, &second);
-    until("the whole list is asked for again", || second.whole_calls() == turns.len());
+    wait_until("the whole list is asked for again", || second.list_call_count() == turns.len());
     until_unused(&program, &old, &new); // its answer has been read
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!(figures["workers"], 1, "the old one is not of this service");
-    assert_eq!((figures["bad_lists"], second.whole_calls()), (4, turns.len()));
+    assert_eq!((figures["bad_lists"], second.list_call_count()), (4, turns.len()));
 }
 
 /// The whole list travels beside the watch, and may be older than what that has told meanwhile: it took back a drain.
 #[test]
 fn a_whole_list_older_than_what_the_watch_told_takes_nothing_back() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let first = Discovery::start(list(1, true, &[old.row("up")]));
-    let second = Discovery::start(list(9, false, &[old.row("up"), new.row("up")]));
-    let mut program = start_with(std::slice::from_ref(&old), Some(first.address), false, patient);
-    new.calls_back_to(program.platform);
-    until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
-    second.then_whole(&[Turn::Hold], list(10, true, &[old.row("draining"), new.row("up")]));
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let first = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
+    let second = FakeDiscovery::start(list(9, false, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(first.address)
+        .configure(patient)
+        .start();
+    new.set_callback_address(program.platform);
+    wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
+    second.script_list_calls(
+        &[ScriptedResponse::Hold],
+        list(10, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]),
+    );
     move_to(&mut program, &second);
-    until("the whole list is asked for", || second.whole_calls() == 1);
-    let drains = list(10, false, &[old.row("draining")]);
-    second.push(&drains.to_string(), drains.clone());
+    wait_until("the whole list is asked for", || second.list_call_count() == 1);
+    let drains = list(10, false, &[old.endpoint_entry("draining")]);
+    second.push_change(&drains.to_string(), drains.clone());
     let used = until_unused(&program, &old, &new); // the drain has been heard, and the older list arrives
-    second.release(&list(9, true, &[old.row("up"), new.row("up")]));
-    until("the whole list is asked for again", || second.whole_calls() == 2);
+    second.release_list_calls(&list(9, true, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
+    wait_until("the whole list is asked for again", || second.list_call_count() == 2);
     (0..20).for_each(|n| until_used(&program, &new, &format!("c{n}-")));
-    assert_eq!(old.jobs.load(Ordering::SeqCst), used, "it drains");
+    assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drains");
 }
 
 /// After a long turn a watch, or a call, was silent though its list was there, unread.
 #[test]
 fn what_came_while_the_program_was_held_up_is_read_before_its_watch_is_silent() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let discovery = Discovery::start(list(1, true, &[old.row("up")]));
-    discovery.keep_alive();
-    let program = start(std::slice::from_ref(&old), Some(discovery.address), false);
-    new.calls_back_to(program.platform);
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
+    discovery.start_heartbeats();
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
+    new.set_callback_address(program.platform);
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     until_used(&program, &old, "a");
-    let change = list(2, false, &[old.row("draining"), new.row("up")]);
-    program.hold_up(Duration::from_millis(2_600), || discovery.push(&change.to_string(), change.clone()));
+    let change = list(2, false, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
+    program.suspend_for(Duration::from_millis(2_600), || {
+        discovery.push_change(&change.to_string(), change.clone())
+    });
     until_used(&program, &new, "b");
-    assert_eq!(discovery.watched_after(), [1], "the watch goes on");
+    assert_eq!(discovery.watch_indices(), [1], "the watch goes on");
 }
 
 /// The workers of the table below: s-1 to s-3, and where s-2 has gone.
 struct Site {
-    nodes: [Arc<Node>; 4],
-    discovery: Arc<Discovery>,
-    program: Program,
+    nodes: [Arc<FakeWorker>; 4],
+    discovery: Arc<FakeDiscovery>,
+    program: DispatcherProcess,
 }
 
 /// Where this worker is among them.
@@ -190,8 +213,8 @@
 
 /// A worker as a row words it: `2u` is s-2 and up, `2m` the same at its other address; `d` drains, `?` is in a state that nobody
 /// knows, `x` up and without an address.
-fn worded(nodes: &[Arc<Node>; 4], word: &str) -> Value {
-    let mut row = nodes[place(word)].row(match &word[1..] {
+fn worded(nodes: &[Arc<FakeWorker>; 4], word: &str) -> Value {
+    let mut row = nodes[place(word)].endpoint_entry(match &word[1..] {
         "d" => "draining",
         "?" => "resting",
         _ => "up",
@@ -204,12 +227,15 @@
 
 impl Site {
     fn start() -> Site {
-        let nodes = ["s-1", "s-2", "s-3", "s-2"].map(Node::start);
-        let discovery = Discovery::start(list(1, true, &[nodes[1].row("up")]));
-        let program = start_with(&nodes[1..2], Some(discovery.address), false, |config| {
-            config["settings"]["Discovery"] = json!("pushed"); // an agent is asked again at once
-        });
-        nodes.iter().for_each(|node| node.calls_back_to(program.platform));
+        let nodes = ["s-1", "s-2", "s-3", "s-2"].map(FakeWorker::start);
+        let discovery = FakeDiscovery::start(list(1, true, &[nodes[1].endpoint_entry("up")]));
+        let program = DispatcherProcess::builder(&nodes[1..2])
+            .discovery(discovery.address)
+            .configure(|config| {
+                config["settings"]["Discovery"] = json!("pushed"); // an agent is asked again at once
+            })
+            .start();
+        nodes.iter().for_each(|node| node.set_callback_address(program.platform));
         Site { nodes, discovery, program }
     }
 
@@ -225,7 +251,7 @@
     /// The bytes of what a row says is sent, its parts apart by `|`.
     fn bytes(&self, held: u64, sent: &str) -> Vec<u8> {
         let part = |part: &str| match part.trim().split_once(' ').unwrap_or((part.trim(), "")) {
-            ("watch", _) => WATCHED.to_owned(),
+            ("watch", _) => WATCH_RESPONSE_HEAD.to_owned(),
             ("indented", text) => chunk(&format!("{:#}\r\n\n", self.list(held, text))),
             ("half", text) => {
                 let text = self.list(held, text).to_string();
@@ -248,16 +274,16 @@
     /// Waits until a watch is asked for once more than this often, and returns after which version. An open one is kept alive
     /// meanwhile by these bytes.
     fn asked_after(&self, calls: usize, alive: &str, what: &str) -> u64 {
-        until(what, || {
-            self.discovery.say(alive.as_bytes());
-            self.discovery.watched_after().len() > calls
+        wait_until(what, || {
+            self.discovery.write_to_watches(alive.as_bytes());
+            self.discovery.watch_indices().len() > calls
         });
-        self.discovery.watched_after()[calls]
+        self.discovery.watch_indices()[calls]
     }
 
     /// Each of these, and nobody else, gets jobs.
     fn check_takers(&self, takers: &str, held: u64, row: &str) {
-        let jobs = || self.nodes.each_ref().map(|node| node.jobs.load(Ordering::SeqCst));
+        let jobs = || self.nodes.each_ref().map(|node| node.job_count.load(Ordering::SeqCst));
         let before = jobs();
         for (n, word) in takers.split(' ').cycle().take(6).enumerate() {
             until_used(&self.program, &self.nodes[place(word)], &format!("t{held}-{n}-"));
@@ -317,16 +343,16 @@
 #[test]
 fn whatever_a_watch_says_the_table_goes_from_one_sound_list_to_the_next() {
     let site = Site::start();
-    until("a watch", || !site.discovery.watched_after().is_empty());
+    wait_until("a watch", || !site.discovery.watch_indices().is_empty());
     let (mut held, mut counted) = (0, vec![0; 3]);
     for case in CASES.trim().lines() {
         let fields: Vec<&str> = case.split("; ").collect();
         let [when, after, takers, counts, sent, then @ ..] = &fields[..] else { panic!("{case}") };
         let (first, goes_on) = (*when == "first", *after == "goes on");
         held += 100;
-        let calls = site.discovery.watched_after().len();
-        site.discovery.then(&[], site.list(held, "+0 whole 1d 2u"));
-        site.discovery.cut();
+        let calls = site.discovery.watch_indices().len();
+        site.discovery.script_watches(&[], site.list(held, "+0 whole 1d 2u"));
+        site.discovery.close_watches();
         site.asked_after(calls, "", case);
         let mut said = site.bytes(held, sent);
         if goes_on {
@@ -335,15 +361,15 @@
         let index = if goes_on { held + 50 } else { after.parse().map_or(0, |after: u64| held + after) };
         let told = then.first().map_or_else(|| site.list(index, "+0 change"), |then| site.list(held, then));
         if first {
-            site.discovery.then(&[Turn::Say(said)], told);
-            site.discovery.cut();
+            site.discovery.script_watches(&[ScriptedResponse::Raw(said)], told);
+            site.discovery.close_watches();
             assert_eq!(site.asked_after(calls + 1, "", case), held, "before {case}");
         } else {
-            site.discovery.then(&[], told);
-            site.discovery.say(&said);
+            site.discovery.script_watches(&[], told);
+            site.discovery.write_to_watches(&said);
         }
         if goes_on {
-            site.discovery.cut();
+            site.discovery.close_watches();
         }
         let (calls, alive) = if first { (calls + 2, "") } else { (calls + 1, "1\r\n\n\r\n") };
         assert_eq!(site.asked_after(calls, alive, case), index, "{case}");
@@ -351,7 +377,7 @@
         let counts = counts.split(' ').map(|count| count.parse::<u64>().expect("a count"));
         counted.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
     }
-    let figures = site.program.figures();
+    let figures = site.program.shut_down_for_metrics();
     let names = ["bad_lists", "stale_lists", "bad_rows"];
     assert_eq!(names.map(|name| figures[name]).to_vec(), counted, "{figures:?}");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-fn whole(nodes: &[&Arc<Node>]) -> Value {
-    let rows: Vec<Value> = nodes.iter().map(|n| n.row("up")).collect();
+fn whole(nodes: &[&Arc<FakeWorker>]) -> Value {
+    let rows: Vec<Value> = nodes.iter().map(|n| n.endpoint_entry("up")).collect();
     json!({"generation": 1, "reset": true, "instances": rows})
 }
 
@@ -15,83 +15,90 @@
     object.as_object_mut().expect("an object").remove(key)
 }
 
-fn naming(program: &Program, discovery: &Discovery) -> String {
+fn naming(program: &DispatcherProcess, discovery: &FakeDiscovery) -> String {
     let mut config = program.config.clone();
     config["discovery"] = json!(discovery.address.to_string());
     config.to_string()
 }
 
-fn served(program: &Program, id: &str) {
-    let reply = send(program.platform, &job(id, "balance", "take started done=x", "")).expect("an answer");
+fn served(program: &DispatcherProcess, id: &str) {
+    let reply =
+        send(program.platform, &job_request(id, "balance", "take started done=x", "")).expect("an answer");
     assert_eq!(reply.status, 200);
 }
 
 /// SIGHUP used to end the program, and what it had taken was lost. `GW_DISCOVERY` still says the old address.
 #[test]
 fn the_newly_named_discovery_counts_and_what_is_under_way_goes_on() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let first = Discovery::start(whole(&[&old]));
-    let second = Discovery::start(whole(&[&new]));
-    let mut program = start(std::slice::from_ref(&old), Some(first.address), true);
-    new.calls_back_to(program.platform);
-    let request = |id| job(id, "redeem", "take started wait=moved done=kept", "");
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let first = FakeDiscovery::start(whole(&[&old]));
+    let second = FakeDiscovery::start(whole(&[&new]));
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(first.address)
+        .event_streams(true)
+        .start();
+    new.set_callback_address(program.platform);
+    let request = |id| job_request(id, "redeem", "take started wait=moved done=kept", "");
     let mut plain = connect(program.platform);
     plain.write_all(request("a0").as_bytes()).expect("written");
     let mut stream = connect(program.sse.expect("the SSE front is on"));
     stream.write_all(request("a1").as_bytes()).expect("written");
-    until("both jobs arrive", || old.jobs.load(Ordering::SeqCst) == 2);
-    until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
+    wait_until("both jobs arrive", || old.job_count.load(Ordering::SeqCst) == 2);
+    wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
     program.replace_config(&naming(&program, &second));
     program.signal("-HUP");
-    assert_eq!(program.logged("reloaded"), format!("reloaded: discovery {}", second.address));
-    until("a watch of the new one", || second.calls.load(Ordering::SeqCst) > 0);
+    assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", second.address));
+    wait_until("a watch of the new one", || second.calls.load(Ordering::SeqCst) > 0);
     // Versions of another service need not compare: everything is asked for.
-    let asked = second.asked.lock().expect("a lock").clone();
+    let asked = second.request_lines.lock().expect("a lock").clone();
     assert_eq!(asked, ["GET /discovery/hosts?stream=1&index=0 HTTP/1.1"]);
     let mut n = 0;
-    while new.jobs.load(Ordering::SeqCst) == 0 {
+    while new.job_count.load(Ordering::SeqCst) == 0 {
         served(&program, &format!("b{n}"));
         n += 1;
     }
-    let before = old.jobs.load(Ordering::SeqCst);
+    let before = old.job_count.load(Ordering::SeqCst);
     (0..5).for_each(|n| served(&program, &format!("c{n}")));
-    assert_eq!(old.jobs.load(Ordering::SeqCst), before, "the new list does not name it");
+    assert_eq!(old.job_count.load(Ordering::SeqCst), before, "the new list does not name it");
     // The old service may end its watches now: nothing of it counts, and the new one keeps its own.
-    first.cut();
+    first.close_watches();
     let calls = first.calls.load(Ordering::SeqCst);
-    old.open("moved");
+    old.open_gate("moved");
     for stream in [&mut plain, &mut stream] {
         assert_eq!(read_reply(stream).expect("an answer").body, "kept");
     }
     served(&program, "d0");
     assert_eq!(first.calls.load(Ordering::SeqCst), calls);
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["open"], figures["failed"], figures["broken_invariants"]), (0, 0, 0));
 }
 
 /// A service may answer even a call from the start with changes: workers it does not know would stay for good.
 #[test]
 fn a_new_discovery_that_tells_changes_is_asked_for_its_whole_list() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let first = Discovery::start(whole(&[&old]));
-    let second = Discovery::start(json!({"generation": 9, "reset": false, "instances": [new.row("up")]}));
-    let mut program = start(std::slice::from_ref(&old), Some(first.address), false);
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let first = FakeDiscovery::start(whole(&[&old]));
+    let second = FakeDiscovery::start(
+        json!({"generation": 9, "reset": false, "instances": [new.endpoint_entry("up")]}),
+    );
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
     program.replace_config(&naming(&program, &second));
     program.signal("-HUP");
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     let whole = "GET /discovery/hosts HTTP/1.1";
-    until("the whole list is asked for", || {
-        second.asked.lock().expect("a lock").iter().any(|line| line == whole)
+    wait_until("the whole list is asked for", || {
+        second.request_lines.lock().expect("a lock").iter().any(|line| line == whole)
     });
 }
 
 #[test]
 fn a_bad_or_missing_configuration_changes_nothing() {
-    let node = Node::start("s-1");
-    let discovery = Discovery::start(whole(&[&node]));
-    discovery.keep_alive(); // else the watch is silent after 2.5 s, and asked for again
-    let mut program = start(std::slice::from_ref(&node), Some(discovery.address), false);
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    let node = FakeWorker::start("s-1");
+    let discovery = FakeDiscovery::start(whole(&[&node]));
+    discovery.start_heartbeats(); // else the watch is silent after 2.5 s, and asked for again
+    let mut program =
+        DispatcherProcess::builder(std::slice::from_ref(&node)).discovery(discovery.address).start();
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     let good = program.config.clone();
     let changed = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
@@ -117,17 +124,17 @@
     for (n, (text, why)) in cases.into_iter().enumerate() {
         program.replace_config(&text);
         program.signal("-HUP");
-        let line = program.logged("reload");
+        let line = program.wait_for_log("reload");
         assert!(line.contains(why) && line.ends_with("the old configuration stays"), "{why}: {line}");
         served(&program, &format!("e{n}"));
     }
     std::fs::remove_file(&program.config_file).expect("it was there");
     program.signal("-HUP");
-    assert!(program.logged("reload").contains("cannot read"));
+    assert!(program.wait_for_log("reload").contains("cannot read"));
     // The same file again names no other discovery: the watch stays, and the environment's address with it.
     program.replace_config(&good.to_string());
     program.signal("-HUP");
-    assert_eq!(program.logged("reloaded"), format!("reloaded: discovery {}", discovery.address));
+    assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", discovery.address));
     served(&program, "f0");
     assert_eq!(discovery.calls.load(Ordering::SeqCst), 1);
 }
@@ -137,13 +144,16 @@
 #[test]
 fn classes_appear_vanish_and_change_under_the_jobs_that_have_them() {
     // Two, since one without a report yet is not given a third job beside two.
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
-    let mut program = start_with(&nodes, None, true, |config| {
-        config["admin_addr"] = json!("127.0.0.1:0");
-    });
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let mut program = DispatcherProcess::builder(&nodes)
+        .event_streams(true)
+        .configure(|config| {
+            config["admin_addr"] = json!("127.0.0.1:0");
+        })
+        .start();
     let (platform, sse) = (program.platform, program.sse.expect("the SSE front is on"));
     let status = |to, id: &str, class: &str| {
-        send(to, &job(id, class, "take started done=x", "")).expect("an answer").status
+        send(to, &job_request(id, class, "take started done=x", "")).expect("an answer").status
     };
     let good = program.config.clone();
     let mut config = good.clone();
@@ -157,16 +167,23 @@
         .into_iter()
         .map(|(to, id, class)| {
             let mut stream = connect(to);
-            let text = job(id, class, "take started wait=retuned done=kept", "Accept: text/event-stream\r\n");
+            let text = job_request(
+                id,
+                class,
+                "take started wait=retuned done=kept",
+                "Accept: text/event-stream\r\n",
+            );
             stream.write_all(text.as_bytes()).expect("written");
             stream
         })
         .collect();
-    until("the jobs arrive", || nodes.iter().map(|n| n.jobs.load(Ordering::SeqCst)).sum::<u64>() == 3);
+    wait_until("the jobs arrive", || {
+        nodes.iter().map(|n| n.job_count.load(Ordering::SeqCst)).sum::<u64>() == 3
+    });
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.logged("reloaded");
-    nodes.iter().for_each(|node| node.open("retuned"));
+    program.wait_for_log("reloaded");
+    nodes.iter().for_each(|node| node.open_gate("retuned"));
     for stream in &mut open {
         let reply = read_reply(stream).expect("an answer");
         assert!(reply.status == 200 && reply.body.contains("kept"), "{}", reply.body);
@@ -178,13 +195,13 @@
     }
     program.replace_config("{");
     program.signal("-HUP");
-    program.logged("reload: ");
+    program.wait_for_log("reload: ");
     program.replace_config(&good.to_string());
     program.signal("-HUP");
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     assert_eq!((status(platform, "e0", "balance"), status(platform, "e1", "check")), (200, 400));
     let call = "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n";
-    let figures = send(program.control.expect("a second address"), call).expect("an answer").body;
+    let figures = send(program.admin.expect("a second address"), call).expect("an answer").body;
     for line in [
         "dispatcher.success.balance:3|c",
         "dispatcher.success.redeem:3|c",
@@ -199,42 +216,43 @@
 /// Limits and settings of the new file count as well: with few descriptors, idle connections give way.
 #[test]
 fn limits_and_settings_of_the_new_file_count() {
-    let node = Node::start("s-1");
-    let mut program = start(std::slice::from_ref(&node), None, false);
+    let node = FakeWorker::start("s-1");
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     let mut config = program.config.clone();
     config["limits"]["sockets"] = json!(80);
     config["settings"]["Grades"].as_array_mut().expect("a list").push(json!(
         {"Name": "check", "Semantics": "pure", "TargetMs": 250.0, "DeadlineMs": 7500.0, "Points": 1.0,
          "LateWorth": 1.0}));
-    let request = |id| job(id, "check", "take started done=x", "");
+    let request = |id| job_request(id, "check", "take started done=x", "");
     assert_eq!(send(program.platform, &request("g0")).expect("an answer").status, 400, "unknown so far");
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     assert_eq!(send(program.platform, &request("g1")).expect("an answer").status, 200);
     let idle: Vec<_> = (0..60).map(|_| connect(program.platform)).collect();
     served(&program, "g2");
-    until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 30);
+    wait_until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 30);
 }
 
 /// Each signal raises its own flag: with one byte for both, the second would have been taken for the first.
 #[test]
 fn signals_close_together_are_both_seen() {
     for order in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let node = Node::start("s-1");
-        let first = Discovery::start(whole(&[&node]));
-        let second = Discovery::start(whole(&[&node]));
-        let program = start(std::slice::from_ref(&node), Some(first.address), false);
+        let node = FakeWorker::start("s-1");
+        let first = FakeDiscovery::start(whole(&[&node]));
+        let second = FakeDiscovery::start(whole(&[&node]));
+        let program =
+            DispatcherProcess::builder(std::slice::from_ref(&node)).discovery(first.address).start();
         let mut before = connect(program.platform);
         before
-            .write_all(job("h0", "balance", "take started wait=told done=x", "").as_bytes())
+            .write_all(job_request("h0", "balance", "take started wait=told done=x", "").as_bytes())
             .expect("written");
-        until("a job arrives", || node.jobs.load(Ordering::SeqCst) > 0);
+        wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
         program.replace_config(&naming(&program, &second));
         order.iter().for_each(|signal| program.signal(signal));
-        node.open("told");
+        node.open_gate("told");
         assert_eq!(read_reply(&mut before).expect("an answer").status, 200, "{order:?}");
-        let (clean, log) = program.wait();
+        let (clean, log) = program.wait_for_exit();
         let has = |start: &str| log.iter().any(|line| line.starts_with(start));
         assert!(clean && has("reloaded: ") && has("stopped: open=0"), "{order:?}: {log:?}");
     }
@@ -244,8 +262,8 @@
 /// SIGHUP and SIGTERM was a pair of Unix sockets; a running program on the default settings now holds none.
 #[test]
 fn a_running_program_holds_no_unix_socket() {
-    let node = Node::start("u-1");
-    let program = start(std::slice::from_ref(&node), None, false);
+    let node = FakeWorker::start("u-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     served(&program, "u0");
     let unix = std::fs::read_to_string("/proc/net/unix").expect("the kernel lists Unix sockets");
     let inodes: Vec<&str> = unix.lines().skip(1).filter_map(|line| line.split_whitespace().nth(6)).collect();
@@ -260,6 +278,6 @@
     program.signal("-HUP");
     served(&program, "u1");
     program.terminate();
-    let (clean, log) = program.wait();
+    let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|line| line.starts_with("reloaded: ")), "{log:?}");
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -7,27 +7,33 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-fn ready(program: &Program) -> u16 {
+fn ready(program: &DispatcherProcess) -> u16 {
     send(program.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
 }
 
-fn serve(program: &Program, id: &str) -> u16 {
-    send(program.platform, &job(id, "balance", "take started done=x", "")).expect("an answer").status
+fn serve(program: &DispatcherProcess, id: &str) -> u16 {
+    send(program.platform, &job_request(id, "balance", "take started done=x", "")).expect("an answer").status
 }
 
 /// A process that knows `old` alone, asked or pushed, before a discovery that says nothing to the first calls, and then that
 /// `old` drains and `new` is there.
-fn restarted(mode: &str, silent: usize) -> (Program, Arc<Node>, Arc<Node>, Arc<Discovery>) {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let list = json!({"generation": 2, "reset": true, "instances": [old.row("draining"), new.row("up")]});
-    let discovery = Discovery::start(list.clone());
-    discovery.then(&vec![Turn::Hold; silent], list);
-    let program = start_with(std::slice::from_ref(&old), Some(discovery.address), false, |config| {
-        config["settings"]["Discovery"] = json!(mode);
-        config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
-    });
-    new.calls_back_to(program.platform);
-    until("a call", || discovery.calls.load(Ordering::SeqCst) > 0);
+fn restarted(
+    mode: &str,
+    silent: usize,
+) -> (DispatcherProcess, Arc<FakeWorker>, Arc<FakeWorker>, Arc<FakeDiscovery>) {
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    let discovery = FakeDiscovery::start(list.clone());
+    discovery.script_watches(&vec![ScriptedResponse::Hold; silent], list);
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(discovery.address)
+        .configure(|config| {
+            config["settings"]["Discovery"] = json!(mode);
+            config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
+        })
+        .start();
+    new.set_callback_address(program.platform);
+    wait_until("a call", || discovery.calls.load(Ordering::SeqCst) > 0);
     (program, old, new, discovery)
 }
 
@@ -39,7 +45,7 @@
     assert_eq!(ready(&program), 503, "a front sends its clients elsewhere meanwhile");
     let served = (0..5).map(|n| serve(&program, &format!("a{n}"))).collect::<Vec<_>>();
     assert_eq!(served, [200; 5], "they wait for the list");
-    assert_eq!((old.jobs.load(Ordering::SeqCst), new.jobs.load(Ordering::SeqCst)), (0, 5));
+    assert_eq!((old.job_count.load(Ordering::SeqCst), new.job_count.load(Ordering::SeqCst)), (0, 5));
     assert_eq!(ready(&program), 200);
 }
 
@@ -48,25 +54,28 @@
 /// once it does, nothing more is sent by it until discovery speaks.
 #[test]
 fn a_list_of_a_moment_ago_is_used_until_what_it_lacks_may_count() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
-    let list = json!({"generation": 2, "reset": true, "instances": [old.row("draining"), new.row("up")]});
-    let discovery = Discovery::start(list.clone());
-    discovery.then(&vec![Turn::Hold; 50], list.clone());
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    let discovery = FakeDiscovery::start(list.clone());
+    discovery.script_watches(&vec![ScriptedResponse::Hold; 50], list.clone());
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    let program = start_with(std::slice::from_ref(&old), Some(discovery.address), false, |config| {
-        // 2 s of the 6 are left.
-        config["known"]["instances"][0]["startedAtMs"] = json!((unix.as_millis() - 4_000) as u64);
-        config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
-    });
-    new.calls_back_to(program.platform);
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(discovery.address)
+        .configure(|config| {
+            // 2 s of the 6 are left.
+            config["known"]["instances"][0]["startedAtMs"] = json!((unix.as_millis() - 4_000) as u64);
+            config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
+        })
+        .start();
+    new.set_callback_address(program.platform);
     assert_eq!((ready(&program), serve(&program, "a")), (200, 200));
-    until("it counts by now", || ready(&program) == 503);
-    let before = old.jobs.load(Ordering::SeqCst);
+    wait_until("it counts by now", || ready(&program) == 503);
+    let before = old.job_count.load(Ordering::SeqCst);
     let mut client = connect(program.platform);
-    client.write_all(job("b", "balance", "take started done=x", "").as_bytes()).expect("written");
+    client.write_all(job_request("b", "balance", "take started done=x", "").as_bytes()).expect("written");
     discovery.release_watches(&list);
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
-    assert_eq!((old.jobs.load(Ordering::SeqCst), new.jobs.load(Ordering::SeqCst)), (before, 1));
+    assert_eq!((old.job_count.load(Ordering::SeqCst), new.job_count.load(Ordering::SeqCst)), (before, 1));
 }
 
 /// The list says nothing of its age where no worker has started lately. Others that heard of the process before this one's work do:
@@ -74,19 +83,22 @@
 #[test]
 fn others_that_heard_of_the_process_before_say_whether_the_list_may_be_used() {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    peer.set_read_timeout(Some(PATIENCE)).expect("a socket option");
-    let old = Node::start("s-1");
-    let list = json!({"generation": 2, "reset": true, "instances": [old.row("up")]});
-    let discovery = Discovery::start(list.clone());
-    discovery.then(&vec![Turn::Hold; 50], list.clone());
-    let program = start_with(std::slice::from_ref(&old), Some(discovery.address), false, |config| {
-        config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
-        config["settings"]["Siblings"] = json!(2);
-        config["settings"]["Limits"]["Peers"] = json!(true);
-        config["settings"]["Limits"]["Probing"] = json!(true);
-        config["peer_listen"] = json!("127.0.0.1:0");
-        config["peers"] = json!(["127.8.0.1:9", peer.local_addr().expect("an address").to_string()]);
-    });
+    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    let old = FakeWorker::start("s-1");
+    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("up")]});
+    let discovery = FakeDiscovery::start(list.clone());
+    discovery.script_watches(&vec![ScriptedResponse::Hold; 50], list.clone());
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old))
+        .discovery(discovery.address)
+        .configure(|config| {
+            config["settings"]["Obligations"]["AskWithinMs"] = json!(80_000.0);
+            config["settings"]["Siblings"] = json!(2);
+            config["settings"]["Limits"]["Peers"] = json!(true);
+            config["settings"]["Limits"]["Probing"] = json!(true);
+            config["peer_listen"] = json!("127.0.0.1:0");
+            config["peers"] = json!(["127.8.0.1:9", peer.local_addr().expect("an address").to_string()]);
+        })
+        .start();
     let mut buf = [0; 256];
     let mut hears = |what: &dyn Fn(&[u8]) -> bool| loop {
         let (len, from) = peer.recv_from(&mut buf).expect("a datagram");
@@ -102,7 +114,7 @@
     hears(&|word| word == b"U"); // they came before this was said again
     assert_eq!(ready(&program), 503, "3.6 s ago");
     peer.send_to(b"H\0\0\x03\xe8", program_at).expect("sent");
-    until("it serves: 1 s ago", || ready(&program) == 200);
+    wait_until("it serves: 1 s ago", || ready(&program) == 200);
     assert_eq!(serve(&program, "a"), 200);
     // The program says so as well: of a peer that spoke of its work, and none that only said that it serves.
     peer.send_to(b"U", program_at).expect("sent");
@@ -118,23 +130,23 @@
     let unheard = "discovery: not heard since the start";
     for (mode, silent) in [("on_request", 50), ("pushed", 50)] {
         let (mut program, old, ..) = restarted(mode, silent);
-        program.logged(unheard);
+        program.wait_for_log(unheard);
         assert_eq!((ready(&program), serve(&program, "a")), (200, 200), "{mode}");
-        assert_eq!(old.jobs.load(Ordering::SeqCst), 1, "{mode}");
+        assert_eq!(old.job_count.load(Ordering::SeqCst), 1, "{mode}");
     }
-    let old = Node::start("s-1");
-    let program = start(std::slice::from_ref(&old), None, false); // nobody listens there: it returns once that is found
+    let old = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old)).start(); // nobody listens there: it returns once that is found
     assert_eq!((ready(&program), serve(&program, "a")), (200, 200));
 }
 
 /// A list that names nobody says that discovery has lost its table, not that its workers are gone.
 #[test]
 fn a_process_serves_by_the_list_of_before_where_discovery_knows_nobody() {
-    let old = Node::start("s-1");
+    let old = FakeWorker::start("s-1");
     let nobody: Value = json!({"generation": 2, "reset": true, "instances": []});
-    let discovery = Discovery::start(nobody);
-    let program = start(std::slice::from_ref(&old), Some(discovery.address), false);
-    until("it is ready", || ready(&program) == 200);
+    let discovery = FakeDiscovery::start(nobody);
+    let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
+    wait_until("it is ready", || ready(&program) == 200);
     assert_eq!(serve(&program, "a"), 200);
 }
 
@@ -142,18 +154,21 @@
 #[test]
 fn a_process_that_knows_only_the_dead_serves_once_the_list_comes() {
     for mode in ["on_request", "pushed"] {
-        let new = Node::start("s-2");
-        let list = json!({"generation": 2, "reset": true, "instances": [new.row("up")]});
-        let discovery = Discovery::start(list.clone());
-        discovery.then(&[Turn::Hold, Turn::Hold], list);
-        let program = start_with(&[], Some(discovery.address), false, |config| {
-            config["settings"]["Discovery"] = json!(mode);
-            config["known"]["instances"] = json!([site::row("s-1", "127.0.0.1:1", "up")]);
-        });
-        new.calls_back_to(program.platform);
-        until("it is ready", || ready(&program) == 200);
+        let new = FakeWorker::start("s-2");
+        let list = json!({"generation": 2, "reset": true, "instances": [new.endpoint_entry("up")]});
+        let discovery = FakeDiscovery::start(list.clone());
+        discovery.script_watches(&[ScriptedResponse::Hold, ScriptedResponse::Hold], list);
+        let program = DispatcherProcess::builder(&[])
+            .discovery(discovery.address)
+            .configure(|config| {
+                config["settings"]["Discovery"] = json!(mode);
+                config["known"]["instances"] = json!([site::endpoint_entry("s-1", "127.0.0.1:1", "up")]);
+            })
+            .start();
+        new.set_callback_address(program.platform);
+        wait_until("it is ready", || ready(&program) == 200);
         let mut n = 0;
-        until("a job is served", || {
+        wait_until("a job is served", || {
             n += 1;
             serve(&program, &format!("a{n}")) == 200
         });
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -52,7 +52,7 @@
 
 /// Makes a configuration one of this many dispatchers and workers: all workers are this node, and the other dispatchers are
 /// sockets where these are given, by number.
-fn thousandfold(config: &mut Value, node: &Node, others: &BTreeMap<u32, UdpSocket>) {
+fn thousandfold(config: &mut Value, node: &FakeWorker, others: &BTreeMap<u32, UdpSocket>) {
     let at = |n| match others.get(&n) {
         Some(socket) => socket.local_addr().expect("an address"),
         None => SocketAddr::from(([127, 8, (n >> 8) as u8, n as u8], 9)),
@@ -66,8 +66,8 @@
 }
 
 /// Rows of the list for workers of these numbers, all of them this node.
-fn rows(numbers: std::ops::Range<u32>, node: &Node, lifecycle: &str) -> Vec<Value> {
-    let row = |n| site::row(&format!("s-{n:04}"), &node.address.to_string(), lifecycle);
+fn rows(numbers: std::ops::Range<u32>, node: &FakeWorker, lifecycle: &str) -> Vec<Value> {
+    let row = |n| site::endpoint_entry(&format!("s-{n:04}"), &node.address.to_string(), lifecycle);
     numbers.map(row).collect()
 }
 
@@ -82,16 +82,18 @@
     }
 }
 
-fn served(client: &mut std::net::TcpStream, id: &str) -> Reply {
+fn served(client: &mut std::net::TcpStream, id: &str) -> HttpReply {
     use std::io::Write;
-    client.write_all(job(id, "balance", "stream started pause=5 done=x", "").as_bytes()).expect("written");
+    client
+        .write_all(job_request(id, "balance", "stream started pause=5 done=x", "").as_bytes())
+        .expect("written");
     let reply = read_reply(client).expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "x"), "{id}");
     reply
 }
 
 /// What a program has in memory, in KiB.
-fn resident(program: &Program) -> u64 {
+fn resident(program: &DispatcherProcess) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.pid())).expect("it runs");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its size");
     line.trim().trim_end_matches(" kB").parse().expect("a number")
@@ -100,33 +102,35 @@
 /// Beyond 16 dispatchers one said nothing of its stop, and closed its clients' connections though all others stopped too.
 #[test]
 fn one_of_a_thousand_starts_serves_reloads_and_stops_with_the_others() {
-    let node = Node::start("s-0000");
+    let node = FakeWorker::start("s-0000");
     let told = PeerLifecycle::new(0, SIZE as usize).told();
     // Those that it tells, a mate of its group, and two that it has nothing to say to.
     let bound = |n| {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         (n, socket)
     };
     let mut others: BTreeMap<u32, UdpSocket> = told.iter().copied().chain([103, 5, 500]).map(bound).collect();
-    let (new, half) = (Node::start("s-new"), rows(0..SIZE / 2, &node, "up"));
+    let (new, half) = (FakeWorker::start("s-new"), rows(0..SIZE / 2, &node, "up"));
     let whole = half.into_iter().chain(rows(SIZE..SIZE * 3 / 2, &new, "up"));
     let list = json!({"generation": 2, "reset": true, "instances": whole.collect::<Vec<_>>()});
-    let discovery = Discovery::start(list.clone());
-    let mut program =
-        start_with(&[], Some(discovery.address), false, |config| thousandfold(config, &node, &others));
+    let discovery = FakeDiscovery::start(list.clone());
+    let mut program = DispatcherProcess::builder(&[])
+        .discovery(discovery.address)
+        .configure(|config| thousandfold(config, &node, &others))
+        .start();
     let home = hears(&others[&told[0]], |bytes| bytes == b"U");
     let mut client = connect(program.platform);
     let mut names = 0..;
     let mut jobs = |client: &mut _| served(client, &format!("a{}", names.next().unwrap_or(0))).status == 200;
     assert!(jobs(&mut client));
     // Another whole list, with new ones for half of them; then the others are told to drain.
-    until("the new list counts", || jobs(&mut client) && new.jobs.load(SeqCst) > 0);
+    wait_until("the new list counts", || jobs(&mut client) && new.job_count.load(SeqCst) > 0);
     let drained = json!({"generation": 3, "reset": false, "instances": rows(0..SIZE / 2, &node, "draining")});
-    discovery.push(&drained.to_string(), list);
-    until("the change counts", || {
-        let before = node.jobs.load(SeqCst);
-        (0..10).all(|_| jobs(&mut client)) && node.jobs.load(SeqCst) == before
+    discovery.push_change(&drained.to_string(), list);
+    wait_until("the change counts", || {
+        let before = node.job_count.load(SeqCst);
+        (0..10).all(|_| jobs(&mut client)) && node.job_count.load(SeqCst) == before
     });
     assert_eq!(hears(&others[&103], |bytes| bytes[0] == b'W'), home, "its group knows of its work");
     // What was said counts for an address, whatever its number is after a reload.
@@ -139,13 +143,13 @@
     served(&mut client, "b0"); // and the datagrams have been read
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.logged("reloaded");
+    program.wait_for_log("reloaded");
     told[1..].iter().for_each(|n| {
         others[n].send_to(b"S", home).expect("sent");
     });
     served(&mut client, "c0");
     // A row of the list is in the configuration, in the table and in what was read last; the module knows a worker by less.
-    let small = start(std::slice::from_ref(&node), None, false);
+    let small = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     let more = resident(&program).saturating_sub(resident(&small));
     let ever_listed = u64::from(SIZE) * 3 / 2;
     assert!(more < ever_listed * 8, "{more} KiB more than with one worker");
@@ -153,11 +157,11 @@
     told.iter().for_each(|n| {
         hears(&others[n], |bytes| bytes == b"S");
     });
-    assert_eq!(served(&mut client, "d0").field("Connection"), None, "nobody else could take its client");
+    assert_eq!(served(&mut client, "d0").header("Connection"), None, "nobody else could take its client");
     others[&told[1]].send_to(b"U", home).expect("sent");
     hears(&others[&told[1]], |bytes| bytes == b"S");
-    assert_eq!(served(&mut client, "d1").field("Connection"), Some("close"));
-    let (clean, log) = program.wait();
+    assert_eq!(served(&mut client, "d1").header("Connection"), Some("close"));
+    let (clean, log) = program.wait_for_exit();
     let last = log.iter().rev().find(|line| line.starts_with("figures ")).expect("a summary");
     let figures =
         [" bad_datagrams=0 ", " bad_lists=0 ", " bad_rows=0 ", " workers=512 ", " broken_invariants=0"];
@@ -170,24 +174,27 @@
 /// younger process waited for an address that the elder kept.
 #[test]
 fn a_thousand_workers_go_over_to_a_younger_process() {
-    let (node, folder) = (Node::start("s-0000"), tempfile::tempdir().expect("a folder"));
+    let (node, folder) = (FakeWorker::start("s-0000"), tempfile::tempdir().expect("a folder"));
     let start = |listen: String| {
-        start_beside(&[], None, false, Some(folder.path()), |config| {
-            thousandfold(config, &node, &BTreeMap::new());
-            config["listen"] = json!(listen);
-        })
+        DispatcherProcess::builder(&[])
+            .temp_dir(folder.path())
+            .configure(|config| {
+                thousandfold(config, &node, &BTreeMap::new());
+                config["listen"] = json!(listen);
+            })
+            .start()
     };
     let mut elder = start("127.0.0.1:0".to_owned());
     let mut client = connect(elder.platform);
     (0..5).for_each(|n| drop(served(&mut client, &format!("a{n}"))));
     let younger = start(elder.platform.to_string());
-    elder.logged("upgrade: handing over");
+    elder.wait_for_log("upgrade: handing over");
     // On the same connection, by the younger: the elder holds nothing and ends.
     served(&mut client, "b0");
     elder.terminate();
-    assert!(elder.wait().0);
+    assert!(elder.wait_for_exit().0);
     served(&mut client, "b1");
-    let figures = younger.figures();
+    let figures = younger.shut_down_for_metrics();
     assert_eq!((figures["served"], figures["broken_invariants"]), (2, 0), "{figures:?}");
 }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn a_job_is_served_with_the_workers_result() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, false);
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     assert_eq!(
         send(program.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status,
         200
@@ -19,22 +19,24 @@
         ["take started running=0.5 done=a", "done=b take", "take done=c done=c"].iter().enumerate()
     {
         let id = format!("00000000000000a{n}");
-        stream.write_all(job(&id, "redeem", body, "").as_bytes()).expect("written");
+        stream.write_all(job_request(&id, "redeem", body, "").as_bytes()).expect("written");
         let reply = read_reply(&mut stream).expect("an answer on the same connection");
         assert_eq!((reply.status, reply.body), (200, "abc"[n..n + 1].to_owned()), "{body}");
-        assert!(node.saw(&format!("POST /redeem {id} key-{id}")), "id and key pass on unchanged");
+        assert!(node.has_received(&format!("POST /redeem {id} key-{id}")), "id and key pass on unchanged");
     }
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["served"], figures["broken_invariants"]), (3, 3, 0));
 }
 
 #[test]
 fn outcomes_follow_the_table() {
-    let node = Node::start("s-1");
-    let program = start_with(std::slice::from_ref(&node), None, false, |config| {
-        // A worker on a busy machine takes its time: that is another row of the table.
-        config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
-    });
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+        .configure(|config| {
+            // A worker on a busy machine takes its time: that is another row of the table.
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
+        })
+        .start();
     let cases = [
         // Not run: a redeem may be refused. May have run: it must not be.
         ("redeem", "full", 503),
@@ -49,37 +51,42 @@
     ];
     for (n, (class, body, status)) in cases.into_iter().enumerate() {
         let id = format!("00000000000000b{n}");
-        let request = job(&id, class, body, "X-Time-Left-Ms: 1200\r\n");
+        let request = job_request(&id, class, body, "X-Time-Left-Ms: 1200\r\n");
         let reply = send(program.platform, &request).expect("an answer");
         let fits = reply.status == status || (status == 500 && reply.status == 504);
         assert!(fits, "{body}: {} instead of {status}", reply.status);
-        let after = reply.field("Retry-After").map(|s| s.parse::<f64>().expect("seconds"));
+        let after = reply.header("Retry-After").map(|s| s.parse::<f64>().expect("seconds"));
         assert_eq!(after.is_some_and(|s| s > 0.0 && s <= 2.0), status == 503, "{body}: {after:?}");
     }
-    until("a dispatch that is given up is cancelled", || node.saw("DELETE /jobs/00000000000000b7"));
+    wait_until("a dispatch that is given up is cancelled", || {
+        node.has_received("DELETE /jobs/00000000000000b7")
+    });
 }
 
 #[test]
 fn a_refused_connection_is_no_attempt_and_another_worker_serves() {
-    let dead = Node::start("s-0");
+    let dead = FakeWorker::start("s-0");
     let closed =
         std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-    let node = Node::start("s-1");
-    let program = start_with(&[node], None, false, |config| {
-        let row = site::row(&dead.name, &closed.to_string(), "up");
-        config["known"]["instances"].as_array_mut().expect("a list").push(row);
-    });
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(&[node])
+        .configure(|config| {
+            let row = site::endpoint_entry(&dead.name, &closed.to_string(), "up");
+            config["known"]["instances"].as_array_mut().expect("a list").push(row);
+        })
+        .start();
     for n in 0..6 {
-        let reply = send(program.platform, &job(&format!("c{n}"), "redeem", "take started done=x", ""));
+        let reply =
+            send(program.platform, &job_request(&format!("c{n}"), "redeem", "take started done=x", ""));
         assert_eq!(reply.expect("an answer").status, 200);
     }
 }
 
 #[test]
 fn bad_requests_get_their_status() {
-    let node = Node::start("s-1");
-    let program = start(&[node], None, false);
-    let good = job("d0", "balance", "done=x", "");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(&[node]).start();
+    let good = job_request("d0", "balance", "done=x", "");
     let big = "x".repeat(70_000);
     let cases = [
         ("nonsense\r\n\r\n".to_owned(), 400),
@@ -91,18 +98,18 @@
         (good.replace("POST /balance", "PUT /balance"), 405),
         ("POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".to_owned(), 405),
         (good.replace("Content-Length: 6\r\n", ""), 411),
-        (job("d1", "balance", &big, ""), 413),
-        (job("d2", "balance", "x", &format!("X-Long: {big}\r\n")), 431),
+        (job_request("d1", "balance", &big, ""), 413),
+        (job_request("d2", "balance", "x", &format!("X-Long: {big}\r\n")), 431),
         (good.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400),
         (good.replace("Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), 400),
-        (job("d3", "redeem", "done=x", "").replace("Idempotency-Key: key-d3\r\n", ""), 400),
+        (job_request("d3", "redeem", "done=x", "").replace("Idempotency-Key: key-d3\r\n", ""), 400),
         // A deadline that is no number of milliseconds; the last of these used to reach a worker.
-        (job("d4", "balance", "done=x", "X-Time-Left-Ms: soon\r\n"), 400),
-        (job("d5", "balance", "done=x", "X-Time-Left-Ms: -5\r\n"), 400),
-        (job("d6", "balance", "done=x", "X-Time-Left-Ms: 1e3\r\n"), 400),
-        (job("d7", "balance", "done=x", "X-Time-Left-Ms: 99999999999999999999999\r\n"), 400),
+        (job_request("d4", "balance", "done=x", "X-Time-Left-Ms: soon\r\n"), 400),
+        (job_request("d5", "balance", "done=x", "X-Time-Left-Ms: -5\r\n"), 400),
+        (job_request("d6", "balance", "done=x", "X-Time-Left-Ms: 1e3\r\n"), 400),
+        (job_request("d7", "balance", "done=x", "X-Time-Left-Ms: 99999999999999999999999\r\n"), 400),
         // A body longer than its length: the rest cannot be another request.
-        (job("d8", "balance", "done=x", "") + "yyyy", 400),
+        (job_request("d8", "balance", "done=x", "") + "yyyy", 400),
         (good.replace("Content-Length: 6", "Content-Length: -6"), 400),
         (good.replace("Content-Length: 6", "Content-Length: 60000000"), 413),
         ("POST /_jobs/news HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}".to_owned(), 400),
@@ -118,15 +125,15 @@
         204,
         "an unknown id is heard"
     );
-    assert_eq!(program.figures()["taken"], 0);
+    assert_eq!(program.shut_down_for_metrics()["taken"], 0);
 }
 
 #[test]
 fn chunked_and_cut_requests_are_read() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, false);
-    let chunked =
-        job("e0", "balance", "", "Transfer-Encoding: chunked\r\n").replace("Content-Length: 0\r\n", "");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+    let chunked = job_request("e0", "balance", "", "Transfer-Encoding: chunked\r\n")
+        .replace("Content-Length: 0\r\n", "");
     let request = chunked + "8\r\ntake sta\r\nb\r\nrted done=x\r\n0\r\n\r\n";
     let mut stream = connect(program.platform);
     for byte in request.as_bytes().chunks(3) {
@@ -134,7 +141,8 @@
     }
     assert_eq!(read_reply(&mut stream).expect("an answer").body, "x");
     // Two requests at once are answered in turn.
-    let two = job("e1", "balance", "take done=1", "") + &job("e2", "balance", "take done=2", "");
+    let two =
+        job_request("e1", "balance", "take done=1", "") + &job_request("e2", "balance", "take done=2", "");
     stream.write_all(two.as_bytes()).expect("written");
     let mut seen = Vec::new(); // both may come at once
     let bodies = [(); 2].map(|()| read_next_reply(&mut stream, &mut seen).expect("an answer").body);
@@ -144,178 +152,191 @@
 /// A connection that fell silent, of a worker that lives: its jobs were waited for until their deadlines.
 #[test]
 fn a_dispatch_that_is_not_taken_goes_elsewhere() {
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
     let no_copies =
         |config: &mut serde_json::Value| config["settings"]["Limits"]["SecondCopies"] = json!(false);
-    let program = start_with(&nodes, None, false, no_copies);
+    let program = DispatcherProcess::builder(&nodes).configure(no_copies).start();
     // On a machine that is very busy the other one may not take it in time either: then another job shows it.
     let served_elsewhere = (0..30).any(|n| {
         let name = format!("m{n}");
-        let request = job(&name, "balance", "mute=s-1 take started done=x", "");
+        let request = job_request(&name, "balance", "mute=s-1 take started done=x", "");
         let status = send(program.platform, &request).expect("an answer").status;
-        status == 200 && nodes.iter().all(|node| node.saw(&name))
+        status == 200 && nodes.iter().all(|node| node.has_received(&name))
     });
     assert!(served_elsewhere);
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert!(figures["untaken"] >= 1 && figures["broken_invariants"] == 0, "{figures:?}");
 }
 
 /// A job that is unsafe to repeat gained nothing by being given up after 150 ms: nobody else could have it.
 #[test]
 fn an_unsafe_dispatch_is_waited_for_as_long_as_its_client_waits() {
-    let node = Node::start("s-1");
-    let program = start_with(std::slice::from_ref(&node), None, false, |config| {
-        config["settings"]["Grades"][1]["Semantics"] = json!("side_effect");
-    });
-    let request = job("k0", "redeem", "pause=700 take started done=x", "X-Time-Left-Ms: 15000\r\n");
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+        .configure(|config| {
+            config["settings"]["Grades"][1]["Semantics"] = json!("side_effect");
+        })
+        .start();
+    let request = job_request("k0", "redeem", "pause=700 take started done=x", "X-Time-Left-Ms: 15000\r\n");
     assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
-    assert_eq!((node.jobs.load(Ordering::SeqCst), program.figures()["untaken"]), (1, 0));
+    assert_eq!((node.job_count.load(Ordering::SeqCst), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
 
 /// Kept connections that break under the next request show nothing of their worker. Each one used to be a strike, so
 /// that on a day of many the workers that could have served were left alone.
 #[test]
 fn a_worker_is_not_blamed_for_its_stale_connections() {
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
-    let program = start(&nodes, None, false);
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&nodes).start();
     for n in 0..40 {
-        let request = job(&format!("n{n}"), "balance", "stale=s-1 take started done=x", "");
+        let request = job_request(&format!("n{n}"), "balance", "stale=s-1 take started done=x", "");
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
     }
-    let stale = nodes[0].seen.lock().expect("a lock").iter().filter(|line| line.starts_with("stale")).count();
+    let stale =
+        nodes[0].received.lock().expect("a lock").iter().filter(|line| line.starts_with("stale")).count();
     assert!(stale >= 6, "it went on getting jobs, every second of them on a stale connection: {stale}");
-    assert_eq!(program.figures()["served"], 40);
+    assert_eq!(program.shut_down_for_metrics()["served"], 40);
 }
 
 /// A session's few attempts used to go on one stale connection after the other, within milliseconds.
 #[test]
 fn a_session_that_lost_a_connection_goes_on_over_new_ones() {
-    let nodes = [Node::start("s-1"), Node::start("s-2")];
-    let program = start(&nodes, None, false);
+    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&nodes).start();
     for n in 0..20 {
-        let request = job(&format!("o{n}"), "balance", "stale=s-1 stale=s-2 take started done=x", "");
+        let request = job_request(&format!("o{n}"), "balance", "stale=s-1 stale=s-2 take started done=x", "");
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200, "job {n}");
     }
-    assert!(program.figures()["resets"] > 0);
+    assert!(program.shut_down_for_metrics()["resets"] > 0);
 }
 
 #[test]
 fn a_client_that_leaves_is_gone() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, false);
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     let mut stream = connect(program.platform);
-    stream.write_all(job("f0", "balance", "take hang", "").as_bytes()).expect("written");
-    until("a job arrives", || node.jobs.load(Ordering::SeqCst) > 0);
+    stream.write_all(job_request("f0", "balance", "take hang", "").as_bytes()).expect("written");
+    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
     drop(stream);
-    until("the job is cancelled", || node.saw("DELETE /jobs/f0"));
-    let figures = program.figures();
+    wait_until("the job is cancelled", || node.has_received("DELETE /jobs/f0"));
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["gone"], figures["open"]), (1, 1, 0));
 }
 
 #[test]
 fn a_drained_worker_gets_nothing_new_and_a_cut_watch_is_taken_up_again() {
-    let (old, new) = (Node::start("s-1"), Node::start("s-2"));
+    let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
-    let discovery = Discovery::start(whole(json!([old.row("up")])));
+    let discovery = FakeDiscovery::start(whole(json!([old.endpoint_entry("up")])));
     // At first it knows only the old one: the new one gets a job only once the change was heard.
-    let known = |config: &mut serde_json::Value| config["known"]["instances"] = json!([old.row("up")]);
-    let program = start_with(&[old.clone(), new.clone()], Some(discovery.address), false, known);
+    let known =
+        |config: &mut serde_json::Value| config["known"]["instances"] = json!([old.endpoint_entry("up")]);
+    let program = DispatcherProcess::builder(&[old.clone(), new.clone()])
+        .discovery(discovery.address)
+        .configure(known)
+        .start();
     let served = |id: &str| {
-        let reply =
-            send(program.platform, &job(id, "balance", "take started done=x", "")).expect("an answer");
+        let reply = send(program.platform, &job_request(id, "balance", "take started done=x", ""))
+            .expect("an answer");
         assert_eq!(reply.status, 200);
     };
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     // The list has only the old one. It drains, the new one comes up; bad lines between change nothing.
-    let after = whole(json!([old.row("draining"), new.row("up")]));
-    let change = json!({"generation": 2, "reset": false, "instances": [old.row("draining"), new.row("up")]});
-    discovery.push("this is no list", after.clone());
-    discovery.push(&change.to_string(), after);
+    let after = whole(json!([old.endpoint_entry("draining"), new.endpoint_entry("up")]));
+    let change = json!({"generation": 2, "reset": false, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    discovery.push_change("this is no list", after.clone());
+    discovery.push_change(&change.to_string(), after);
     let mut n = 0;
-    while new.jobs.load(Ordering::SeqCst) == 0 {
+    while new.job_count.load(Ordering::SeqCst) == 0 {
         served(&format!("g{n}"));
         n += 1;
     }
-    let before = old.jobs.load(Ordering::SeqCst);
+    let before = old.job_count.load(Ordering::SeqCst);
     (0..10).for_each(|n| served(&format!("h{n}")));
-    assert_eq!(old.jobs.load(Ordering::SeqCst), before, "the old one has been told to drain");
+    assert_eq!(old.job_count.load(Ordering::SeqCst), before, "the old one has been told to drain");
     let calls = discovery.calls.load(Ordering::SeqCst);
-    discovery.cut();
-    until("another watch", || discovery.calls.load(Ordering::SeqCst) > calls);
-    assert_eq!(program.figures()["bad_lists"], 1);
+    discovery.close_watches();
+    wait_until("another watch", || discovery.calls.load(Ordering::SeqCst) > calls);
+    assert_eq!(program.shut_down_for_metrics()["bad_lists"], 1);
 }
 
 /// Discovery that has lost its table says that there is nobody: no dispatcher may believe that, or the whole fleet stops.
 #[test]
 fn a_whole_list_of_nobody_empties_nothing() {
-    let (node, other) = (Node::start("s-1"), Node::start("s-2"));
+    let (node, other) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
-    let discovery = Discovery::start(whole(json!([node.row("up")])));
-    let program = start_with(&[node.clone(), other.clone()], Some(discovery.address), false, |config| {
-        config["known"]["instances"] = json!([node.row("up")]);
-    });
+    let discovery = FakeDiscovery::start(whole(json!([node.endpoint_entry("up")])));
+    let program = DispatcherProcess::builder(&[node.clone(), other.clone()])
+        .discovery(discovery.address)
+        .configure(|config| {
+            config["known"]["instances"] = json!([node.endpoint_entry("up")]);
+        })
+        .start();
     let served = |id: String| {
-        let reply = send(program.platform, &job(&id, "balance", "take started done=x", ""));
+        let reply = send(program.platform, &job_request(&id, "balance", "take started done=x", ""));
         assert_eq!(reply.expect("an answer").status, 200);
     };
-    until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    let change = json!({"generation": 2, "reset": false, "instances": [other.row("up")]});
-    discovery.push(&whole(json!([])).to_string(), whole(json!([])));
-    discovery.push(&change.to_string(), whole(json!([])));
+    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    let change = json!({"generation": 2, "reset": false, "instances": [other.endpoint_entry("up")]});
+    discovery.push_change(&whole(json!([])).to_string(), whole(json!([])));
+    discovery.push_change(&change.to_string(), whole(json!([])));
     let mut n = 0..;
-    until("the other one has a job", || {
+    wait_until("the other one has a job", || {
         served(format!("e{}", n.next().unwrap_or(0)));
-        other.jobs.load(Ordering::SeqCst) > 0
+        other.job_count.load(Ordering::SeqCst) > 0
     });
-    let before = node.jobs.load(Ordering::SeqCst);
-    until("the first one still has jobs", || {
+    let before = node.job_count.load(Ordering::SeqCst);
+    wait_until("the first one still has jobs", || {
         served(format!("e{}", n.next().unwrap_or(0)));
-        node.jobs.load(Ordering::SeqCst) > before
+        node.job_count.load(Ordering::SeqCst) > before
     });
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert!(figures["bad_lists"] >= 1 && figures["workers"] == 2, "{figures:?}");
 }
 
 #[test]
 fn at_a_planned_stop_everything_taken_is_answered() {
-    let node = Node::start("s-1");
-    let program = start(std::slice::from_ref(&node), None, false);
+    let node = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
     let mut before = connect(program.platform);
-    before.write_all(job("i0", "balance", "take started wait=stop done=x", "").as_bytes()).expect("written");
-    until("a job arrives", || node.jobs.load(Ordering::SeqCst) > 0);
+    before
+        .write_all(job_request("i0", "balance", "take started wait=stop done=x", "").as_bytes())
+        .expect("written");
+    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
     program.terminate();
     let to = program.platform;
     // New connections are still taken, and told not to stay.
-    let reply = send(to, &job("i1", "balance", "take started done=y", "")).expect("an answer");
-    assert_eq!((reply.status, reply.field("Connection")), (200, Some("close")));
+    let reply = send(to, &job_request("i1", "balance", "take started done=y", "")).expect("an answer");
+    assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     assert_eq!(send(to, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status, 503);
-    node.open("stop");
+    node.open_gate("stop");
     assert_eq!(read_reply(&mut before).expect("an answer").status, 200);
-    let (clean, log) = program.wait();
+    let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
 }
 
 /// Descriptors are budgeted: idle connections give way to those that come with work.
 #[test]
 fn idle_connections_give_way_when_descriptors_are_short() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = start_with(&[node], None, false, few);
+    let program = DispatcherProcess::builder(&[node]).configure(few).start();
     let idle: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
     for n in 0..5 {
-        let reply = send(program.platform, &job(&format!("j{n}"), "balance", "take started done=x", ""));
+        let reply =
+            send(program.platform, &job_request(&format!("j{n}"), "balance", "take started done=x", ""));
         assert_eq!(reply.expect("an answer").status, 200);
     }
-    until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 70);
+    wait_until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 70);
 }
 
 /// With every descriptor at work a job is turned away while nothing of it has run, and the others are answered.
 #[test]
 fn a_job_beyond_the_descriptors_is_turned_away() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = start_with(&[node], None, false, few);
-    let request = |n: usize| job(&format!("k{n}"), "redeem", "take hang", "X-Time-Left-Ms: 3000\r\n");
+    let program = DispatcherProcess::builder(&[node]).configure(few).start();
+    let request = |n: usize| job_request(&format!("k{n}"), "redeem", "take hang", "X-Time-Left-Ms: 3000\r\n");
     let mut clients: Vec<_> = (0..32).map(|_| connect(program.platform)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(request(n).as_bytes()).expect("written");
@@ -323,7 +344,7 @@
     let statuses: Vec<u16> =
         clients.iter_mut().map(|client| read_reply(client).expect("an answer").status).collect();
     assert_eq!(statuses.iter().filter(|s| **s == 503 || **s == 504).count(), 32, "{statuses:?}");
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert!(figures["rejects"] > 0 && figures["taken"] + figures["rejects"] == 32, "{figures:?}");
     assert_eq!((figures["open"], figures["gone"]), (0, 0));
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -46,7 +46,7 @@
 }
 
 fn read_stream(stream: &mut TcpStream, enough: impl Fn(&Seen) -> bool) -> Seen {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let (mut seen, mut inbox, mut buf) = (Seen::default(), Vec::new(), [0; 16 * 1024]);
     let (mut body, mut events) = (None::<Body>, EventStream::default());
     loop {
@@ -74,9 +74,9 @@
     }
 }
 
-fn fleet(nodes: usize) -> (Vec<Arc<Node>>, Program, SocketAddr) {
-    let nodes: Vec<Arc<Node>> = (0..nodes).map(|n| Node::start(&format!("s-{n}"))).collect();
-    let program = start(&nodes, None, true);
+fn fleet(nodes: usize) -> (Vec<Arc<FakeWorker>>, DispatcherProcess, SocketAddr) {
+    let nodes: Vec<Arc<FakeWorker>> = (0..nodes).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let program = DispatcherProcess::builder(&nodes).event_streams(true).start();
     let sse = program.sse.expect("the SSE front is on");
     (nodes, program, sse)
 }
@@ -87,7 +87,7 @@
     for (id, body) in
         [("a0", "stream started running=0.25 done=x"), ("a1", "take started running=0.25 done=x")]
     {
-        let seen = watch(sse, &job(id, "redeem", body, ACCEPT), |_| false);
+        let seen = watch(sse, &job_request(id, "redeem", body, ACCEPT), |_| false);
         assert_eq!((seen.status, seen.streams, seen.whole), (200, true, true));
         assert_eq!(seen.names(), ["started", "progress", "done"], "{body}");
         assert_eq!(
@@ -96,10 +96,10 @@
         );
     }
     // Without the field the answer is a plain one, and on the platform's front it always is.
-    let plain = send(sse, &job("a2", "redeem", "stream started done=x", "")).expect("an answer");
+    let plain = send(sse, &job_request("a2", "redeem", "stream started done=x", "")).expect("an answer");
     assert_eq!((plain.status, plain.body.as_str()), (200, "x"));
-    let plain =
-        send(program.platform, &job("a3", "redeem", "stream started done=x", ACCEPT)).expect("an answer");
+    let plain = send(program.platform, &job_request("a3", "redeem", "stream started done=x", ACCEPT))
+        .expect("an answer");
     assert_eq!((plain.status, plain.body.as_str()), (200, "x"));
     // Call-backs and the front layer's question belong to the platform's front alone.
     assert_eq!(send(sse, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n").expect("an answer").status, 404);
@@ -112,7 +112,7 @@
         // Only what ends by its deadline needs a short one.
         let left = if ["full", "stream started running=0.1 returned"].contains(&body) { 7000 } else { 1500 };
         let extra = format!("{ACCEPT}X-Time-Left-Ms: {left}\r\n");
-        watch(sse, &job(id, class, body, &extra), |_| false)
+        watch(sse, &job_request(id, class, body, &extra), |_| false)
     };
     // Of a class that may be denied even if a dispatch was not taken in time, as happens on a machine that is very busy.
     let seen = ask("b0", "balance", "full");
@@ -138,19 +138,19 @@
 fn a_slow_reader_loses_progress_and_never_the_final_event() {
     const FLOOD: usize = 15_000;
     // Two: on a machine that is very busy, one may not take the job in time.
-    let nodes = [Node::start("s-0"), Node::start("s-1")];
+    let nodes = [FakeWorker::start("s-0"), FakeWorker::start("s-1")];
     let with_control = |config: &mut serde_json::Value| config["admin_addr"] = "127.0.0.1:0".into();
-    let program = start_with(&nodes, None, true, with_control);
-    let control = program.control.expect("a second address");
+    let program = DispatcherProcess::builder(&nodes).event_streams(true).configure(with_control).start();
+    let control = program.admin.expect("a second address");
     let mut stream = connect(program.sse.expect("the SSE front is on"));
     // Far less than the flood. What waits here and in the kernel is read within some milliseconds; through a window of 4 KB it took
     // over a second, and an answer of which nothing can be written for 2.5 s is given up.
     rustix::net::sockopt::set_socket_recv_buffer_size(&stream, 64 * 1024).expect("a socket option");
     let body = format!("stream started flood={FLOOD} done=x");
-    stream.write_all(job("c0", "balance", &body, ACCEPT).as_bytes()).expect("written");
-    until("a node has told all", || nodes.iter().any(|node| node.saw("flooded")));
+    stream.write_all(job_request("c0", "balance", &body, ACCEPT).as_bytes()).expect("written");
+    wait_until("a node has told all", || nodes.iter().any(|node| node.has_received("flooded")));
     // Nothing is read before the program has seen all of it, or it might pass on all it is told, at its leisure.
-    until("the session ends", || {
+    wait_until("the session ends", || {
         let figures = send(control, "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n").expect("figures");
         figures.body.contains("dispatcher.inflight:0|g")
     });
@@ -158,7 +158,7 @@
     assert_eq!((seen.finals(), seen.names().last(), seen.whole), (1, Some(&"done"), true));
     let progress = seen.events.iter().filter(|e| e.name == "progress").count();
     assert!(progress > 0 && progress < FLOOD, "{progress} of {FLOOD}");
-    assert_eq!(program.figures()["served"], 1);
+    assert_eq!(program.shut_down_for_metrics()["served"], 1);
 }
 
 /// What a node sends in one event is bounded: past 128 KiB its stream is given up like one that broke, and nothing else is.
@@ -167,19 +167,23 @@
     let (nodes, program, sse) = fleet(2);
     let mut other = connect(sse);
     let other_body = "stream started wait=big running=0.5 done=y";
-    other.write_all(job("f0", "balance", other_body, ACCEPT).as_bytes()).expect("written");
-    until("it runs", || nodes.iter().any(|node| node.jobs.load(std::sync::atomic::Ordering::SeqCst) > 0));
+    other.write_all(job_request("f0", "balance", other_body, ACCEPT).as_bytes()).expect("written");
+    wait_until("it runs", || {
+        nodes.iter().any(|node| node.job_count.load(std::sync::atomic::Ordering::SeqCst) > 0)
+    });
     // The job is held for another worker until its time is over.
     let extra = format!("{ACCEPT}X-Time-Left-Ms: 1500\r\n");
-    let seen = watch(sse, &job("f1", "redeem", "stream started big=1048576 done=x", &extra), |_| false);
+    let seen =
+        watch(sse, &job_request("f1", "redeem", "stream started big=1048576 done=x", &extra), |_| false);
     assert_eq!((seen.names().last(), seen.finals(), seen.whole), (Some(&"failed"), 1, true));
     // One that just fits is read whole, and says nothing that is passed on but that the job runs.
-    let seen = watch(sse, &job("f2", "redeem", "stream started big=100000 done=x", ACCEPT), |_| false);
+    let seen =
+        watch(sse, &job_request("f2", "redeem", "stream started big=100000 done=x", ACCEPT), |_| false);
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"done"), 1));
-    nodes.iter().for_each(|node| node.open("big"));
+    nodes.iter().for_each(|node| node.open_gate("big"));
     let seen = read_stream(&mut other, |_| false);
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"done"), 1));
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["served"], figures["failed"], figures["open"]), (2, 1, 0));
 }
 
@@ -188,7 +192,7 @@
 fn a_client_of_one_byte_a_second_gets_its_final_event() {
     let (_nodes, program, sse) = fleet(2);
     let mut slow = connect(sse);
-    slow.write_all(job("g0", "balance", "stream started tick=10,20 done=x", ACCEPT).as_bytes())
+    slow.write_all(job_request("g0", "balance", "stream started tick=10,20 done=x", ACCEPT).as_bytes())
         .expect("written");
     let mut first = [0; 4];
     for byte in &mut first {
@@ -196,7 +200,9 @@
         slow.read_exact(std::slice::from_mut(byte)).expect("a byte");
         // Others are served meanwhile.
         let quick =
-            watch(sse, &job(&format!("g{byte}"), "balance", "stream started done=y", ACCEPT), |_| false);
+            watch(sse, &job_request(&format!("g{byte}"), "balance", "stream started done=y", ACCEPT), |_| {
+                false
+            });
         assert_eq!((quick.names().last(), quick.finals()), (Some(&"done"), 1));
     }
     assert_eq!(&first, b"HTTP");
@@ -213,7 +219,7 @@
         at("event: started") < at("event: progress") && at("event: progress") < at("event: done"),
         "{text}"
     );
-    assert_eq!(program.figures()["served"], 5);
+    assert_eq!(program.shut_down_for_metrics()["served"], 5);
 }
 
 /// The proof asked for: some hundred streams at once, drops and stalls among them. Finals seen and clients gone
@@ -236,7 +242,7 @@
         .map(|n| {
             let (class, body, patience, drops) = kinds[n % kinds.len()];
             let extra = format!("{ACCEPT}X-Time-Left-Ms: {patience}\r\n");
-            let request = job(&format!("{n:016x}"), class, body, &extra);
+            let request = job_request(&format!("{n:016x}"), class, body, &extra);
             thread::spawn(move || {
                 let seen = watch(sse, &request, |seen| drops && !seen.events.is_empty());
                 let dropped = drops && seen.finals() == 0;
@@ -254,7 +260,7 @@
         let (f, d) = client.join().expect("a client's checks hold");
         (finals, dropped) = (finals + f, dropped + d);
     }
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((finals + dropped, figures["taken"]), (STREAMS as u64, STREAMS as u64));
     assert_eq!((figures["gone"], figures["open"], figures["broken_invariants"]), (dropped, 0, 0));
     assert_eq!(figures["served"] + figures["denied"] + figures["failed"], finals);
