--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -12,10 +12,10 @@
 
 /// Hands a job in; the place of its streams.
 fn hand_in(to: SocketAddr, id: &str, body: &str, extra: &str) -> String {
-    let reply =
-        send(to, &job(id, "redeem", body, &format!("Prefer: respond-async\r\n{extra}"))).expect("an answer");
+    let reply = send(to, &job_request(id, "redeem", body, &format!("Prefer: respond-async\r\n{extra}")))
+        .expect("an answer");
     assert_eq!(reply.status, 202, "{}", reply.head);
-    let place = reply.field("Location").expect("a place").to_owned();
+    let place = reply.header("Location").expect("a place").to_owned();
     let told: serde_json::Value = serde_json::from_str(&reply.body).expect("JSON");
     assert_eq!(told["stream"].as_str(), Some(place.as_str()));
     place
@@ -45,7 +45,7 @@
 
     fn on(mut conn: TcpStream, place: &str, extra: &str) -> Stream {
         conn.write_all(get(place, extra).as_bytes()).expect("written");
-        conn.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        conn.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         let mut stream = Stream {
             conn,
             events: EventStream::default(),
@@ -93,7 +93,7 @@
         !self.ended
     }
 
-    fn until(&mut self, count: usize) -> Vec<String> {
+    fn read_until(&mut self, count: usize) -> Vec<String> {
         while self.seen.len() < count && self.step() {}
         self.names()
     }
@@ -108,27 +108,27 @@
     }
 }
 
-fn front(nodes: &[Arc<Node>]) -> (Program, SocketAddr) {
-    let program = start(nodes, None, true);
+fn front(nodes: &[Arc<FakeWorker>]) -> (DispatcherProcess, SocketAddr) {
+    let program = DispatcherProcess::builder(nodes).event_streams(true).start();
     let sse = program.sse.expect("the SSE front is on");
     (program, sse)
 }
 
 #[test]
 fn a_job_handed_in_is_watched_resumed_and_over() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, sse) = front(std::slice::from_ref(&node));
     let place = hand_in(sse, "a1", "take started running=0.2 wait=more running=0.7 done=paid", "");
     let mut first = Stream::open(sse, &place, "Accept: text/event-stream\r\n");
-    assert_eq!((first.status, first.until(2)), (200, vec!["1 started".into(), "2 progress".into()]));
+    assert_eq!((first.status, first.read_until(2)), (200, vec!["1 started".into(), "2 progress".into()]));
     assert!(
         first.head.contains("Cache-Control: no-store") && first.events.retry() == Some(500),
         "{}",
         first.head
     );
     drop(first); // it drops; the job goes on
-    node.open("more");
-    until("the job is done", || {
+    node.open_gate("more");
+    wait_until("the job is done", || {
         let again = Stream::open(sse, &place, "Last-Event-ID: 3\r\n").read_out();
         again.names() == ["4 done"]
     });
@@ -148,14 +148,14 @@
     }
     // It has the final event: there is nothing to come back for.
     assert_eq!(send(sse, &get(&place, "Last-Event-ID: 4\r\n")).expect("an answer").status, 204);
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["served"]), (1, 1));
 }
 
 /// Read by a library of somebody else's.
 #[test]
 fn an_independent_reader_gets_the_same_events() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (_program, sse) = front(std::slice::from_ref(&node));
     let place = hand_in(sse, "a1", "take started running=0.5 done=two\\nlines", "");
     let mut stream = Stream::open(sse, &place, "").read_out();
@@ -180,12 +180,12 @@
 
 #[test]
 fn the_edges_are_answered_as_the_protocols_say() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let file = std::env::temp_dir().join(format!("mothproxy-origins-{}.toml", std::process::id()));
     std::fs::write(&file, "listen = \"127.0.0.1:0\"\norigins = [\"https://pay.example\"]\n")
         .expect("written");
     let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-    let program = start_given(std::slice::from_ref(&node), None, false, None, &args, |_| {});
+    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).args(&args).start();
     let sse = program.sse.expect("the SSE front is on");
     let place = hand_in(sse, "a1", "take started wait=end done=x", "Origin: https://pay.example\r\n");
     let (path, token) = place.split_once("?token=").expect("a token");
@@ -218,8 +218,8 @@
             "Access-Control-Allow-Origin: https://pay.example",
         ),
         (get(&place, ok).replacen("GET", "HEAD", 1), 200, "Access-Control-Allow-Origin: https://pay.example"),
-        (job("a3", "redeem", "x", "Prefer: respond-async\r\nX-Unwatched: perhaps\r\n"), 400, ""),
-        (job("a1", "redeem", "x", "Prefer: respond-async\r\n"), 409, ""), // that id is open
+        (job_request("a3", "redeem", "x", "Prefer: respond-async\r\nX-Unwatched: perhaps\r\n"), 400, ""),
+        (job_request("a1", "redeem", "x", "Prefer: respond-async\r\n"), 409, ""), // that id is open
     ];
     for (request, status, holds) in cases {
         let head = request.lines().next().unwrap_or("").to_owned();
@@ -251,7 +251,7 @@
         assert!(text.contains(holds), "{head}: no {holds:?} in {text}");
     }
     // HTTP/1.0 knows no chunks: the stream is as it is, and ends with its connection.
-    node.open("end");
+    node.open_gate("end");
     let mut old = connect(sse);
     old.write_all(get(&place, "").replace("HTTP/1.1", "HTTP/1.0").as_bytes()).expect("written");
     let mut text = String::new();
@@ -263,51 +263,55 @@
 
 #[test]
 fn a_job_that_ends_unwatched_is_given_up_and_another_goes_on() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, sse) = front(std::slice::from_ref(&node));
     let ends = hand_in(sse, "a1", "take started hang", "X-Unwatched: end\r\n");
     let goes_on = hand_in(sse, "a2", "take started wait=go done=x", "");
     let mut watched = Stream::open(sse, &ends, "");
-    assert_eq!(watched.until(1), ["1 started"]);
+    assert_eq!(watched.read_until(1), ["1 started"]);
     drop(watched);
-    until("it is given up", || node.saw("DELETE /jobs/a1"));
-    node.open("go");
-    until("the other is served", || {
+    wait_until("it is given up", || node.has_received("DELETE /jobs/a1"));
+    node.open_gate("go");
+    wait_until("the other is served", || {
         Stream::open(sse, &goes_on, "").read_out().names().last().is_some_and(|n| n == "2 done")
     });
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["served"], figures["gone"]), (2, 1, 1));
 }
 
 #[test]
 fn an_upgrade_sends_watchers_to_the_younger_process_which_has_the_job() {
-    let (folder, node) = (tempfile::tempdir().expect("a folder"), Node::start("s-1"));
+    let (folder, node) = (tempfile::tempdir().expect("a folder"), FakeWorker::start("s-1"));
     let nodes = std::slice::from_ref(&node);
     let begin = |listen: &str, sse: Option<SocketAddr>| {
         let file = folder.path().join("sse.toml");
         let at = sse.map_or("127.0.0.1:0".to_owned(), |at| at.to_string());
         std::fs::write(&file, format!("listen = \"{at}\"\n")).expect("written");
         let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-        start_given(nodes, None, false, Some(folder.path()), &args, |config| config["listen"] = json!(listen))
+        DispatcherProcess::builder(nodes)
+            .temp_dir(folder.path())
+            .args(&args)
+            .configure(|config| config["listen"] = json!(listen))
+            .start()
     };
     let elder = begin("127.0.0.1:0", None);
     let sse = elder.sse.expect("the SSE front is on");
     let done = hand_in(sse, "a1", "take started done=before", "");
-    until("it is done", || {
+    wait_until("it is done", || {
         Stream::open(sse, &done, "").read_out().names().last().is_some_and(|n| n == "2 done")
     });
     let place = hand_in(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
     let mut watching = Stream::open(sse, &place, "");
-    assert_eq!(watching.until(2), ["1 started", "2 progress"]);
+    assert_eq!(watching.read_until(2), ["1 started", "2 progress"]);
     let younger = begin(&elder.platform.to_string(), Some(sse));
     assert_eq!(younger.sse, Some(sse));
     let told = watching.read_out();
     assert_eq!(told.names(), ["1 started", "2 progress"], "its stream ended without its final event");
     elder.terminate();
-    assert!(elder.wait().0, "the elder ends cleanly");
+    assert!(elder.wait_for_exit().0, "the elder ends cleanly");
     let mut back = Stream::open(sse, &place, "Last-Event-ID: 2\r\n");
     assert_eq!(back.status, 200);
-    node.open("go");
+    node.open_gate("go");
     back = back.read_out();
     // Progress that the end overtakes within one turn is left out.
     let names = back.names();
@@ -355,7 +359,7 @@
         "stream started running=0.5 pause=2 done=x cut",
         "stream started running=0.6 done=x failed",
     ];
-    let nodes: Vec<Arc<Node>> = (0..4).map(|n| Node::start(&format!("s-{n}"))).collect();
+    let nodes: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
     let (program, sse) = front(&nodes);
     let (clients, each) = (8, 16);
     let ends: Vec<String> = std::thread::scope(|scope| {
@@ -373,7 +377,7 @@
     });
     let count = |name: &str| ends.iter().filter(|end| *end == name).count() as u64;
     assert!(count("done") > 0 && count("done") < clients * each, "{ends:?}");
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["open"]), (clients * each, 0));
     assert_eq!(
         (figures["served"], figures["denied"] + figures["failed"]),
@@ -384,7 +388,7 @@
 /// Several hundred jobs, clients that drop and come back at any point: each gets one final event, in order, none twice.
 #[test]
 fn as_many_final_events_as_jobs_under_drops_on_the_clients_side() {
-    let nodes: Vec<Arc<Node>> = (0..4).map(|n| Node::start(&format!("s-{n}"))).collect();
+    let nodes: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
     let (program, sse) = front(&nodes);
     let (clients, each) = (12, 25);
     let finals: usize = std::thread::scope(|scope| {
@@ -403,7 +407,7 @@
         threads.into_iter().map(|t| t.join().expect("a client")).sum()
     });
     assert_eq!(finals as u64, clients * each);
-    let figures = program.figures();
+    let figures = program.shut_down_for_metrics();
     assert_eq!((figures["taken"], figures["open"]), (clients * each, 0));
     let ended = figures["served"] + figures["denied"] + figures["failed"] + figures["gone"];
     assert_eq!(ended, clients * each);
@@ -412,18 +416,18 @@
 /// A reader that takes a few bytes now and then loses progress, and never the end; the program holds little for it.
 #[test]
 fn a_slow_reader_loses_progress_and_not_the_end() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, sse) = front(std::slice::from_ref(&node));
     let place = hand_in(sse, "a1", "stream started wait=go flood=20000 wait=end done=x", "");
     let mut slow = connect(sse);
     slow.write_all(get(&place, "").as_bytes()).expect("written");
     let mut buf = [0; 64];
     assert!(slow.read(&mut buf).expect("read") > 0);
-    node.open("go");
-    until("the flood is over", || node.saw("flooded"));
+    node.open_gate("go");
+    wait_until("the flood is over", || node.has_received("flooded"));
     std::thread::sleep(Duration::from_millis(300));
-    node.open("end");
-    slow.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    node.open_gate("end");
+    slow.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let (mut all, mut bytes) = (Vec::new(), [0; 4096]);
     while !all.ends_with(b"0\r\n\r\n") {
         let n = slow.read(&mut bytes).expect("read");
@@ -434,22 +438,22 @@
     assert!(text.contains("event: done"), "its end is there");
     let progress = text.matches("event: progress").count();
     assert!(progress < 20_000, "{progress} progress events were held for it");
-    assert_eq!(node.jobs.load(Ordering::SeqCst), 1);
+    assert_eq!(node.job_count.load(Ordering::SeqCst), 1);
     drop(program);
 }
 
 /// A watcher whose final event is still on its way to it comes back on another connection: it has the end on both, once on each.
 #[test]
 fn a_reconnect_while_the_final_event_is_being_written_gets_it_too() {
-    let node = Node::start("s-1");
+    let node = FakeWorker::start("s-1");
     let (program, sse) = front(std::slice::from_ref(&node));
     let place = hand_in(sse, "a1", "stream started wait=go flood=20000 done=x", "");
     let slow = connect(sse);
     rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("a socket option");
     let mut slow = Stream::on(slow, &place, "");
-    assert_eq!(slow.until(1), ["1 started"]);
+    assert_eq!(slow.read_until(1), ["1 started"]);
     let quick = Stream::open(sse, &place, "");
-    node.open("go");
+    node.open_gate("go");
     // Another has the whole of it: the job is over, and the slow one has read nothing since its start.
     let quick = quick.read_out();
     let end = quick.names().last().cloned().unwrap_or_default();
@@ -467,5 +471,5 @@
     }
     let last = end.split(' ').next().unwrap_or_default();
     let over = send(sse, &get(&place, &format!("Last-Event-ID: {last}\r\n"))).expect("an answer");
-    assert_eq!((over.status, program.figures()["served"]), (204, 1));
+    assert_eq!((over.status, program.shut_down_for_metrics()["served"]), (204, 1));
 }
