--- /dev/null
+++ b/src/core/clock.rs
@@ -0,0 +1,43 @@
+//! The module's clock beside Unix time. Two processes of one dispatcher have different module clocks, so whatever passes between
+//! them or is stored is in Unix time.
+
+use crate::policy::interface::Micros;
+
+/// The first reading of the module's clock. It is not 0 so that a worker that started before the process has a start time, long
+/// ago.
+pub(super) const CLOCK_START: Micros = 3_600_000_000;
+
+/// Converts between the module's clock and Unix time.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct UnixClock {
+    /// The module's time less Unix time, in microseconds.
+    offset: i128,
+}
+
+impl UnixClock {
+    /// A clock that reads [`CLOCK_START`] at this Unix time, in microseconds.
+    pub fn starting_at(unix_now: u128) -> UnixClock {
+        UnixClock { offset: CLOCK_START as i128 - unix_now as i128 }
+    }
+
+    /// The module's time less Unix time, in microseconds.
+    pub fn offset(self) -> i64 {
+        self.offset as i64
+    }
+
+    /// A moment of the module as Unix time, in microseconds.
+    pub fn unix_time(self, at: Micros) -> i64 {
+        (i128::from(at) - self.offset) as i64
+    }
+
+    /// Unix time in microseconds as the module's time; what lies before its clock began is 0.
+    pub fn module_time(self, unix: i64) -> Micros {
+        Micros::try_from(i128::from(unix) + self.offset).unwrap_or(0)
+    }
+
+    /// Unix time in milliseconds as the module's time; `None` where it is unset or lies before the clock began.
+    pub fn module_time_of_millis(self, unix_millis: f64) -> Option<Micros> {
+        let at = Micros::try_from((unix_millis * 1000.0) as i128 + self.offset).ok()?;
+        (at > 0 && unix_millis > 0.0).then_some(at)
+    }
+}
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -1,89 +1,97 @@
-//! The server table: discovery's list under the numbers that the module knows.
+//! The endpoint table: discovery's list of workers, under the numbers that the decision module knows them by.
 
+use super::clock::UnixClock;
+use super::idempotency::AttemptRecord;
 use crate::config::{EndpointList, EndpointRow, Lifecycle};
-use crate::policy::interface::*;
+use crate::policy::interface::{CellId, EndpointEntry, KindId, Micros, Status, WorkerId, ZoneId};
 use crate::policy::simulator::{Names, tag};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A worker as the table holds it. Its number is never given to another.
+/// A worker. Its number is never given to another.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its row, as discovery last worded it.
+    /// Its row, as discovery last sent it.
     pub row: EndpointRow,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     /// Since when it has been known not to take work.
     pub stopped: Option<Micros>,
-    /// Whether it is gone.
+    /// Whether it is off discovery's list.
     pub removed: bool,
 }
 
-/// How a list came.
+/// Where a list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// The first list of a watch: the changes since the version that is held, or the whole list.
+    /// The first list of a watch: the changes since the version held here, or the whole list.
     WatchStart,
-    /// A later one.
+    /// A later list of a watch.
     WatchUpdate,
-    /// The answer to a call for the whole list, which travels beside a watch.
+    /// The response to a call for the whole list, which may cross a watch's lists.
     FullList,
 }
 
-/// Why a list is not taken in. Nothing of it counts.
+/// Why a list is rejected. Nothing of it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRejection {
-    /// A whole list names nobody though some are known: discovery has lost its table, not the fleet its workers.
+    /// It is a whole list without workers though some are known: discovery has lost its table, not the fleet its workers.
     Empty,
-    /// It is older than what is held: late, or said twice.
+    /// It is older than what is held: delayed, or a duplicate.
     Stale,
-    /// A new call was answered with changes up to an older version than the one asked after: the service counts anew. From now
-    /// on its versions mean nothing beside the one that was held.
+    /// A new watch was answered with changes up to an older version than the one asked after: the service has begun to count
+    /// again. From now on its versions mean nothing beside the one that was held.
     GenerationReset,
-    /// Changes came where the whole list was asked for.
+    /// It has changes where the whole list was asked for.
     Partial,
 }
 
-/// The table, and what discovery said that could not be read.
+/// All workers ever listed, the list's version, and what of it could not be used.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
     ids: HashMap<String, WorkerId>,
     /// The version of the list that is held.
     pub generation: u64,
-    /// Rows dropped since the start.
+    /// Rows that could not be used, since the start.
     pub bad_rows: u64,
-    /// Lists that were older than what was held, and not taken in.
+    /// Lists rejected for being older than what was held, since the start.
     pub stale_lists: u64,
-    /// Its rows were known before the start and are still to be revalidated: for the module none of them takes work.
+    /// Whether its rows were known before the start and are still to be revalidated: for the decision module none of them takes
+    /// work.
     pub stale: bool,
 }
 
 impl EndpointTable {
-    /// The worker of this name.
+    /// The worker of this instance id.
     pub fn find(&self, instance_id: &str) -> Option<WorkerId> {
         self.ids.get(instance_id).copied()
     }
 
-    /// The number of a worker that may be on no list any more: what was sent to it is still to be reckoned with.
-    pub(crate) fn id_or_placeholder(&mut self, sent: &super::idempotency::AttemptRecord) -> WorkerId {
-        if let Some(id) = self.find(&sent.worker) {
+    /// The worker of a recorded attempt. One that is on no list any more gets a number and a placeholder row: what was sent to it
+    /// still counts.
+    pub(super) fn id_or_placeholder(&mut self, attempt: &AttemptRecord) -> WorkerId {
+        if let Some(id) = self.find(&attempt.worker) {
             return id;
         }
         let row = EndpointRow {
-            instance_id: sent.worker.clone(),
+            instance_id: attempt.worker.clone(),
             host_port: String::new(),
-            zone: sent.zone.clone(),
+            zone: attempt.zone.clone(),
             machine_type: String::new(),
-            cell: sent.cell,
+            cell: attempt.cell,
             lifecycle: Lifecycle::Removed,
             weight: None,
             started_at_ms: 0.0,
         };
-        let id = WorkerId(self.endpoints.len() as u32);
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.endpoints.push(Endpoint { row, address, stopped: Some(0), removed: true });
-        self.ids.insert(sent.worker.clone(), id);
+        self.add(Endpoint { row, address, stopped: Some(0), removed: true })
+    }
+
+    fn add(&mut self, endpoint: Endpoint) -> WorkerId {
+        let id = WorkerId(self.endpoints.len() as u32);
+        self.ids.insert(endpoint.row.instance_id.clone(), id);
+        self.endpoints.push(endpoint);
         id
     }
 
@@ -94,87 +102,98 @@
 
     /// How many workers take work.
     pub fn ready(&self) -> usize {
-        self.endpoints.iter().filter(|s| s.stopped.is_none()).count()
+        self.endpoints.iter().filter(|endpoint| endpoint.stopped.is_none()).count()
     }
 
-    /// The table in discovery's form, with those that are gone.
+    /// The table as rows of discovery's list, with those that are off it as removed.
     pub fn rows(&self) -> Vec<EndpointRow> {
-        let worded = |s: &Endpoint| match s.removed {
-            true => EndpointRow { lifecycle: Lifecycle::Removed, ..s.row.clone() },
-            false => s.row.clone(),
+        let to_row = |endpoint: &Endpoint| {
+            let mut row = endpoint.row.clone();
+            if endpoint.removed {
+                row.lifecycle = Lifecycle::Removed;
+            }
+            row
         };
-        self.endpoints.iter().map(worded).collect()
+        self.endpoints.iter().map(to_row).collect()
     }
 
-    /// How many workers are in discovery's list.
+    /// How many workers are on discovery's list.
     pub fn listed(&self) -> usize {
-        self.endpoints.iter().filter(|s| !s.removed).count()
+        self.endpoints.iter().filter(|endpoint| !endpoint.removed).count()
     }
 
-    /// Every worker ever named, by number.
+    /// Every worker ever listed, by number.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Endpoint)> {
-        self.endpoints.iter().enumerate().map(|(n, s)| (WorkerId(n as u32), s))
+        (0..).map(WorkerId).zip(&self.endpoints)
     }
 
-    /// Whether a list that came in this way is not to be taken in, and why. This is the one place that says which version may
-    /// follow which: nothing takes the table back but a whole list with which a service answers a new call, for one that has
-    /// started anew counts anew.
+    /// Why a list from this source is to be rejected, if it is. This is the one place that says which version may follow which:
+    /// nothing takes the table back to an older version but a whole list in answer to a new watch, for a service that was
+    /// restarted begins to count again.
     pub(crate) fn rejection(&mut self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
-        let older = list.generation < self.generation;
-        let why = match source {
+        let is_older = list.generation < self.generation;
+        let rejection = match source {
             _ if list.reset && list.rows.is_empty() && self.listed() > 0 => ListRejection::Empty,
             ListSource::FullList if !list.reset => ListRejection::Partial,
             ListSource::WatchStart if list.reset => return None,
-            ListSource::WatchStart if older => ListRejection::GenerationReset,
-            _ if older => ListRejection::Stale,
+            ListSource::WatchStart if is_older => ListRejection::GenerationReset,
+            _ if is_older => ListRejection::Stale,
             _ => return None,
         };
-        self.stale_lists += u64::from(matches!(why, ListRejection::Stale | ListRejection::GenerationReset));
-        if why == ListRejection::GenerationReset {
+        if matches!(rejection, ListRejection::Stale | ListRejection::GenerationReset) {
+            self.stale_lists += 1;
+        }
+        if rejection == ListRejection::GenerationReset {
             self.generation = 0; // the next call asks for everything
         }
-        Some(why)
+        Some(rejection)
     }
 
-    /// Takes a list in that counts as told since `now`. Returns the workers that it names, in its order.
-    pub(crate) fn apply(&mut self, now: Micros, list: &EndpointList) -> Vec<WorkerId> {
+    /// Applies a list that counts as notified since `notified_at`. Returns the workers that it names, in its order.
+    pub(super) fn apply(&mut self, notified_at: Micros, list: &EndpointList) -> Vec<WorkerId> {
         self.generation = list.generation;
         self.bad_rows += list.bad_rows;
         if list.reset {
-            // Whoever a whole list does not name is gone.
-            let rows = list.rows.iter().map(|row| &row.instance_id);
-            let named: HashSet<&String> = rows.chain(&list.unread).collect();
-            for server in self.endpoints.iter_mut().filter(|s| !named.contains(&s.row.instance_id)) {
-                server.stopped.get_or_insert(now);
-                server.removed = true;
-            }
+            self.remove_unlisted(notified_at, list);
         }
         let mut workers = Vec::with_capacity(list.rows.len());
         for row in &list.rows {
-            let Some(worker) = self.enter(row) else {
+            let Some(worker) = self.upsert(row) else {
                 self.bad_rows += 1;
                 workers.extend(self.find(&row.instance_id));
                 continue;
             };
-            let server = &mut self.endpoints[worker.0 as usize];
-            server.removed = row.lifecycle == Lifecycle::Removed;
-            server.stopped = match row.lifecycle {
+            let endpoint = &mut self.endpoints[worker.0 as usize];
+            endpoint.removed = row.lifecycle == Lifecycle::Removed;
+            endpoint.stopped = match row.lifecycle {
                 Lifecycle::Up => None,
-                _ => server.stopped.or(Some(now)),
+                Lifecycle::Draining | Lifecycle::Removed => endpoint.stopped.or(Some(notified_at)),
             };
             workers.push(worker);
         }
-        // A row that cannot be used changes nothing: its worker stays as it is held.
+        // A row that cannot be used changes nothing: its worker stays as it is.
         workers.extend(list.unread.iter().filter_map(|name| self.find(name)));
         workers
     }
 
-    /// Words a worker for the module. `since_unix` turns Unix time in milliseconds into the module's time.
-    pub(crate) fn to_entry(
+    /// Removes the workers that a whole list does not name.
+    fn remove_unlisted(&mut self, notified_at: Micros, list: &EndpointList) {
+        let readable = list.rows.iter().map(|row| &row.instance_id);
+        let listed: HashSet<&String> = readable.chain(&list.unread).collect();
+        for endpoint in &mut self.endpoints {
+            if !listed.contains(&endpoint.row.instance_id) {
+                endpoint.stopped.get_or_insert(notified_at);
+                endpoint.removed = true;
+            }
+        }
+    }
+
+    /// A worker as the decision module's list has it.
+    pub(super) fn to_entry(
         &self,
         worker: WorkerId,
         names: &mut Names,
-        since_unix: impl Fn(f64) -> Option<Micros>,
+        clock: UnixClock,
     ) -> Option<EndpointEntry> {
         let Endpoint { row, removed, .. } = self.get(worker)?;
         Some(EndpointEntry {
@@ -190,27 +209,29 @@
                 Lifecycle::Draining => Status::Draining,
                 Lifecycle::Removed => Status::Gone,
             },
-            weight: row.weight.filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
-            started_at: Some(row.started_at_ms).filter(|ms| *ms > 0.0).and_then(since_unix),
+            weight: row.weight.filter(|weight| weight.is_finite() && *weight > 0.0).unwrap_or(1.0),
+            started_at: clock.module_time_of_millis(row.started_at_ms),
         })
     }
 
-    /// The number of a row's worker; a known one may have a new address. None where the row names no address
-    /// and the worker has none.
-    fn enter(&mut self, row: &EndpointRow) -> Option<WorkerId> {
+    /// Adds a row's worker, or updates its row and address. `None` where a row names no address and its worker has none, or
+    /// needs one to take work.
+    fn upsert(&mut self, row: &EndpointRow) -> Option<WorkerId> {
         let address = row.host_port.parse::<SocketAddr>().ok();
-        if let Some(id) = self.ids.get(&row.instance_id) {
-            let server = &mut self.endpoints[id.0 as usize];
-            if row.lifecycle == Lifecycle::Up && address.is_none() {
-                return None;
-            }
-            server.address = address.unwrap_or(server.address);
-            server.row = EndpointRow { host_port: server.address.to_string(), ..row.clone() };
-            return Some(*id);
+        let Some(id) = self.find(&row.instance_id) else {
+            return Some(self.add(Endpoint {
+                row: row.clone(),
+                address: address?,
+                stopped: None,
+                removed: false,
+            }));
+        };
+        if row.lifecycle == Lifecycle::Up && address.is_none() {
+            return None;
         }
-        let id = WorkerId(self.endpoints.len() as u32);
-        self.endpoints.push(Endpoint { row: row.clone(), address: address?, stopped: None, removed: false });
-        self.ids.insert(row.instance_id.clone(), id);
+        let endpoint = &mut self.endpoints[id.0 as usize];
+        endpoint.address = address.unwrap_or(endpoint.address);
+        endpoint.row = EndpointRow { host_port: endpoint.address.to_string(), ..row.clone() };
         Some(id)
     }
 }
--- /dev/null
+++ b/src/core/engine/endpoint_list.rs
@@ -0,0 +1,73 @@
+//! Discovery's lists: into the endpoint table, and from there to the decision module.
+
+use super::Core;
+use crate::config::EndpointList;
+use crate::policy::interface::{Event, ListKind, Micros, WorkerId};
+
+impl Core {
+    /// Discovery sent a list; its changes count as notified since `notified_at`.
+    pub fn on_endpoint_list(&mut self, notified_at: Micros, list: &EndpointList) {
+        let kind = if list.reset { ListKind::Snapshot } else { ListKind::Delta };
+        self.apply_list(notified_at, list, kind);
+    }
+
+    /// A process that held a watch handed its list over.
+    pub fn on_cached_list(&mut self, now: Micros, list: &EndpointList) {
+        self.apply_list(now, list, ListKind::Cached);
+    }
+
+    fn apply_list(&mut self, notified_at: Micros, list: &EndpointList, kind: ListKind) {
+        let named = self.endpoints.apply(notified_at, list);
+        if std::mem::take(&mut self.endpoints.stale) {
+            // Until now none of the workers took work for the module: it needs all of them.
+            self.push_all_endpoints(ListKind::Snapshot);
+        } else {
+            self.push_endpoints(kind, named);
+        }
+    }
+
+    /// Loads a list that was known before the start, perhaps long before. Its workers get their numbers, and discovery is asked with its
+    /// version; but nothing is sent to them before discovery has sent a list, or [`Core::use_stale_list`]. Returns when the last
+    /// of its workers started.
+    pub fn load_known_list(&mut self, now: Micros, list: &EndpointList) -> Option<Micros> {
+        self.endpoints.apply(now, list);
+        self.endpoints.stale = true;
+        let clock = self.clock;
+        list.rows.iter().filter_map(|row| clock.module_time_of_millis(row.started_at_ms)).max()
+    }
+
+    /// Uses a list from before the start as it is, if it is still to be revalidated.
+    pub fn use_stale_list(&mut self) {
+        if std::mem::take(&mut self.endpoints.stale) {
+            self.push_all_endpoints(ListKind::Cached);
+        }
+    }
+
+    /// Sends nothing more by the list from before the start until discovery has sent one, or [`Core::use_stale_list`].
+    pub fn suspend_stale_list(&mut self) {
+        self.endpoints.stale = true;
+        self.push_all_endpoints(ListKind::Delta);
+    }
+
+    fn push_all_endpoints(&mut self, kind: ListKind) {
+        let workers = self.endpoints.iter().map(|(worker, _)| worker).collect();
+        self.push_endpoints(kind, workers);
+    }
+
+    fn push_endpoints(&mut self, kind: ListKind, workers: Vec<WorkerId>) {
+        let (endpoints, names, clock) = (&self.endpoints, &mut self.names.0, self.clock);
+        let entries = workers.into_iter().filter_map(|worker| endpoints.to_entry(worker, names, clock));
+        self.events.push(Event::EndpointList(kind, entries.collect()));
+    }
+
+    /// A call to discovery failed, or the watch broke.
+    pub fn on_list_failed(&mut self) {
+        self.events.push(Event::ListFailed);
+    }
+
+    /// Another discovery service counts from now on. Its versions mean nothing beside the old one's.
+    pub fn on_discovery_moved(&mut self) {
+        self.endpoints.generation = 0;
+        self.events.push(Event::DiscoveryMoved);
+    }
+}
--- /dev/null
+++ b/src/core/engine/restart.rs
@@ -0,0 +1,176 @@
+//! Hot restart: open requests and learned state pass from one process of a dispatcher to its successor.
+
+use super::Core;
+use crate::core::attempt::{Attempt, AttemptEnd};
+use crate::core::names::{class_name, job_traits, tenant_name};
+use crate::core::request::{PendingRequest, RequestId, RequestPhase};
+use crate::core::timers::Timer;
+use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredRequest};
+use crate::policy::interface::{
+    AttemptEnded, ClassId, Event, JobId, KeyId, KindId, NewJob, Outcome, TenantId,
+};
+
+impl Core {
+    /// What the decision module has learned, for the successor.
+    pub fn learned_state(&self) -> LearnedState {
+        let names = &self.names.0;
+        LearnedState {
+            clock_offset: self.clock.offset(),
+            workers: self.endpoints.iter().map(|(_, endpoint)| endpoint.row.instance_id.clone()).collect(),
+            kinds: names.kinds.names().to_vec(),
+            classes: names.classes.names().to_vec(),
+            learned: self.dispatcher.learned(),
+        }
+    }
+
+    /// Begins with what another process has learned. The endpoint list must have been loaded already.
+    pub fn restore(&mut self, state: LearnedState) {
+        let names = &self.names.0;
+        let kind = |name: &String| names.kinds.find(name).map(|number| KindId(number as u16));
+        let class = |name: &String| names.classes.find(name).map(|number| ClassId(number as u16));
+        let places = crate::policy::state::Places {
+            workers: state.workers.iter().map(|name| self.endpoints.find(name)).collect(),
+            kinds: state.kinds.iter().map(kind).collect(),
+            classes: state.classes.iter().map(class).collect(),
+        };
+        let clock_shift = self.clock.offset().saturating_sub(state.clock_offset);
+        self.dispatcher.recall(state.learned, &places, clock_shift);
+    }
+
+    /// Hands an open request to another process of this dispatcher. Nothing more is done for it here. `None` where that is not
+    /// possible now: an event of any request still waits for the decision module, an attempt of this one waits for its record,
+    /// or its class or a worker is no more, so that the other process could not know it.
+    pub fn transfer(&mut self, id: RequestId) -> Option<TransferredRequest> {
+        let request = self.requests.get(id).filter(|request| request.is_open())?;
+        if !self.events.has_only_transfers()
+            || self.unpersisted.values().any(|waiting| waiting.request_id == id)
+        {
+            return None;
+        }
+        let transferred = self.to_transferred(request)?;
+        let request = self.requests.remove(id)?;
+        self.cancel_request_timers(id, request.job.deadline, request.phase);
+        self.ledger.transferred += 1;
+        let job = JobId(id);
+        self.events.push(Event::ClientDisconnected(job));
+        for (attempt, Attempt { worker, .. }) in
+            (0..).zip(&request.attempts).filter(|(_, attempt)| attempt.is_in_flight())
+        {
+            self.events.push(Event::AttemptEnded(AttemptEnded {
+                job,
+                attempt,
+                worker: *worker,
+                elapsed: 0,
+                closed: true,
+                outcome: Outcome::Cancelled,
+                report: None,
+            }));
+        }
+        self.events.mark_transfers();
+        Some(transferred)
+    }
+
+    fn to_transferred(&self, request: &PendingRequest) -> Option<TransferredRequest> {
+        let job = &request.job;
+        let class = class_name(&self.names, job.class)?;
+        // A class that was defined again keeps its old number here; there its name means the new one.
+        if self.names.0.classes.find(class) != Some(u32::from(job.class.0)) {
+            return None;
+        }
+        // What never left is no attempt there either, and both sides number them anew.
+        let sent = request.attempts.iter().filter(|attempt| !attempt.has_ended_as(AttemptEnd::NeverSent));
+        Some(TransferredRequest {
+            name: request.name.clone(),
+            class: class.to_owned(),
+            tenant: tenant_name(&self.names, job.tenant).map(str::to_owned),
+            key: job.key.map(|key| key.0),
+            arrived_at: self.clock.unix_time(request.arrived_at),
+            deadline: self.clock.unix_time(job.deadline),
+            hint: job.hint,
+            slots: job.slots,
+            memory: job.memory,
+            repeat: job.repeat,
+            is_start_notified: request.is_start_notified,
+            idempotency_key: request.idempotency_key.clone(),
+            attempts: sent.map(|attempt| self.to_transferred_attempt(attempt)).collect::<Option<_>>()?,
+        })
+    }
+
+    fn to_transferred_attempt(&self, attempt: &Attempt) -> Option<TransferredAttempt> {
+        Some(TransferredAttempt {
+            worker: self.endpoints.get(attempt.worker)?.row.instance_id.clone(),
+            sent_at: self.clock.unix_time(attempt.sent_at),
+            started_at: attempt.started_at.map(|at| self.clock.unix_time(at)),
+            is_in_flight: attempt.is_in_flight(),
+            never_ran: attempt.has_never_run(),
+            is_handed_back: attempt.is_handed_back(),
+        })
+    }
+
+    /// Takes over a request that another process of this dispatcher has transferred; its final response goes to `downstream`.
+    /// `None` where its class or one of its workers is not known here, or a request of its name is.
+    pub fn adopt(&mut self, transferred: TransferredRequest, downstream: u64) -> Option<RequestId> {
+        let class = ClassId(self.names.0.classes.find(&transferred.class)? as u16);
+        if self.knows(&transferred.name) {
+            return None;
+        }
+        let attempts = transferred.attempts.iter().map(|attempt| self.to_attempt(attempt));
+        let attempts: Vec<Attempt> = attempts.collect::<Option<_>>()?;
+        let id = self.requests.allocate_id();
+        self.ledger.accepted += 1;
+        let job = self.adopted_job(id, class, &transferred);
+        let arrived_at = self.clock.module_time(transferred.arrived_at);
+        let past = attempts.iter().map(Attempt::to_prior).collect();
+        self.events.push(Event::Adopted { new: job, since: arrived_at, past });
+        self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
+        let request = PendingRequest {
+            name: transferred.name,
+            job,
+            arrived_at,
+            downstream,
+            phase: RequestPhase::Open,
+            is_start_notified: transferred.is_start_notified,
+            idempotency_key: transferred.idempotency_key.filter(|_| self.idempotency.is_some()),
+            attempts,
+        };
+        self.requests.insert(id, request);
+        Some(id)
+    }
+
+    /// A transferred request as the decision module of this process sees it.
+    fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
+        let names = &self.names;
+        let tenant = transferred.tenant.as_ref().and_then(|name| names.0.tenants.find(name));
+        let tenant = tenant.map(|number| TenantId(number as u16));
+        let key = transferred.key.map(KeyId);
+        NewJob {
+            job: JobId(id),
+            class,
+            tenant,
+            key,
+            deadline: self.clock.module_time(transferred.deadline),
+            hint: transferred.hint,
+            slots: transferred.slots,
+            memory: transferred.memory,
+            repeat: transferred.repeat,
+            estimate: job_traits(names, class, tenant, key).and_then(|job| self.learners.estimate(&job)),
+            tenant_weight: None,
+        }
+    }
+
+    fn to_attempt(&self, transferred: &TransferredAttempt) -> Option<Attempt> {
+        let worker = self.endpoints.find(&transferred.worker)?;
+        let sent_at = self.clock.module_time(transferred.sent_at);
+        let mut attempt = if transferred.is_in_flight {
+            Attempt::in_flight(worker, sent_at, None)
+        } else if transferred.is_handed_back {
+            Attempt::ended(worker, sent_at, AttemptEnd::HandedBack)
+        } else if transferred.never_ran {
+            Attempt::ended(worker, sent_at, AttemptEnd::NeverRan)
+        } else {
+            Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun)
+        };
+        attempt.started_at = transferred.started_at.map(|at| self.clock.module_time(at));
+        Some(attempt)
+    }
+}
--- /dev/null
+++ b/src/core/idempotency/record.rs
@@ -0,0 +1,112 @@
+//! One key's record, and its encoding: a version byte, then postcard, which goes by the order of the fields.
+
+use serde::{Deserialize, Serialize};
+
+/// The first byte of an encoded record.
+const VERSION: u8 = 1;
+
+/// The key that a client gave a request, under its tenant, and a fingerprint of the request's body.
+#[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
+pub struct IdempotencyKey {
+    /// Tenant and key.
+    pub key: String,
+    /// The body's fingerprint: a key stands for one body.
+    #[serde(rename = "body")]
+    pub body_fingerprint: u64,
+}
+
+/// One attempt of a keyed request.
+#[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
+pub struct AttemptRecord {
+    /// The worker's instance id.
+    pub worker: String,
+    /// Its cell.
+    pub cell: u32,
+    /// Its zone.
+    pub zone: String,
+    /// When it was decided: Unix time in microseconds.
+    pub sent_at: i64,
+    /// Whether it is known that it never ran.
+    pub never_ran: bool,
+}
+
+/// What is recorded of one key.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
+pub struct IdempotencyRecord {
+    /// The class's name.
+    pub class: String,
+    /// The body's fingerprint.
+    pub body_fingerprint: u64,
+    /// The newest request's name, by which workers name it in callbacks.
+    pub request_name: String,
+    /// Where it was sent, oldest first.
+    pub attempts: Vec<AttemptRecord>,
+    /// A worker's result.
+    pub result: Option<Vec<u8>>,
+}
+
+/// Why the bytes of a record cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RecordDecodeError {
+    /// There are none.
+    #[error("an empty note")]
+    Empty,
+    /// They are of another version.
+    #[error("a note of version {found}; this program reads version {VERSION}")]
+    UnknownVersion {
+        /// Its number.
+        found: u8,
+    },
+    /// They do not follow the format.
+    #[error("not a note: {0}")]
+    Malformed(#[from] postcard::Error),
+}
+
+impl IdempotencyRecord {
+    /// Its bytes.
+    pub fn encode(&self) -> Vec<u8> {
+        let bytes = postcard::to_extend(self, vec![VERSION]);
+        crate::invariant!(bytes.is_ok(), "a record that cannot be written");
+        bytes.unwrap_or_default()
+    }
+
+    /// Reads the bytes of [`IdempotencyRecord::encode`].
+    ///
+    /// # Errors
+    /// If they are empty, of another version, or malformed.
+    pub fn decode(bytes: &[u8]) -> Result<IdempotencyRecord, RecordDecodeError> {
+        match bytes.split_first() {
+            Some((&VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
+            Some((&found, _)) => Err(RecordDecodeError::UnknownVersion { found }),
+            None => Err(RecordDecodeError::Empty),
+        }
+    }
+
+    /// Whether any attempt may have run.
+    pub fn may_have_run(&self) -> bool {
+        self.first_that_may_have_run().is_some()
+    }
+
+    /// The oldest attempt that may have run.
+    pub fn first_that_may_have_run(&self) -> Option<&AttemptRecord> {
+        self.attempts.iter().filter(|attempt| !attempt.never_ran).min_by_key(|attempt| attempt.sent_at)
+    }
+
+    /// Whether it is of a request with this body and class.
+    pub(super) fn matches(&self, key: &IdempotencyKey, class: &str) -> bool {
+        self.body_fingerprint == key.body_fingerprint && self.class == class
+    }
+
+    /// Updates the attempts that it has, and adds the others.
+    pub(super) fn merge(&mut self, attempts: Vec<AttemptRecord>) {
+        for attempt in attempts {
+            let is_same = |known: &&mut AttemptRecord| {
+                known.worker == attempt.worker && known.sent_at == attempt.sent_at
+            };
+            match self.attempts.iter_mut().find(is_same) {
+                Some(known) => known.never_ran = attempt.never_ran,
+                None => self.attempts.push(attempt),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/core/idempotency/store.rs
@@ -0,0 +1,188 @@
+//! The records that are kept, bounded in number, bytes and time.
+
+use super::record::{AttemptRecord, IdempotencyKey, IdempotencyRecord, RecordDecodeError};
+use crate::policy::interface::Micros;
+use std::collections::{BTreeSet, HashMap};
+
+/// A record is kept for this long after it was last written: far beyond what clients wait and workers remember.
+pub const RECORD_TTL: Micros = 3_600_000_000;
+/// Records kept; beyond that the oldest are evicted.
+const MAX_RECORDS: usize = 50_000;
+/// Bytes of records and keys kept; beyond that the oldest are evicted.
+const MAX_RECORD_BYTES: usize = 16 << 20;
+
+/// What is known of a key that comes with a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LookupResult {
+    /// Nothing: the request is handled like any other.
+    Unknown,
+    /// A worker's result.
+    Answered(Vec<u8>),
+    /// It may have run; the first attempt that may have.
+    MayHaveRun(AttemptRecord),
+}
+
+/// What has become of a keyed request.
+#[derive(Debug)]
+pub struct RecordUpdate<'a> {
+    /// The class's name.
+    pub class: &'a str,
+    /// The request's name.
+    pub request_name: &'a str,
+    /// Its attempts.
+    pub attempts: Vec<AttemptRecord>,
+    /// A worker's result, if there is one.
+    pub result: Option<Vec<u8>>,
+}
+
+#[derive(Debug)]
+struct StoredRecord {
+    record: IdempotencyRecord,
+    encoded_len: usize,
+    expires_at: Micros,
+}
+
+/// The records that are kept, by key.
+#[derive(Debug, Default)]
+pub struct IdempotencyStore {
+    records: HashMap<String, StoredRecord>,
+    key_by_request: HashMap<String, String>,
+    by_expiry: BTreeSet<(Micros, String)>,
+    bytes: usize,
+    /// Records dropped before their time, for want of space.
+    pub evicted: u64,
+    /// Repeats that got a recorded result.
+    pub repeats_answered: u64,
+    /// Repeats of requests that may have run.
+    pub repeats_bound: u64,
+}
+
+impl IdempotencyStore {
+    /// How many records there are.
+    pub fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.records.is_empty()
+    }
+
+    /// The record of a key.
+    pub fn get(&self, key: &str) -> Option<&IdempotencyRecord> {
+        self.records.get(key).map(|stored| &stored.record)
+    }
+
+    /// The key whose newest request has this name.
+    pub fn key_of_request(&self, request_name: &str) -> Option<String> {
+        self.key_by_request.get(request_name).cloned()
+    }
+
+    /// Whether a key was given to a request of another body or class.
+    pub fn is_reused(&mut self, now: Micros, key: &IdempotencyKey, class: &str) -> bool {
+        self.remove_expired(now);
+        self.get(&key.key).is_some_and(|record| !record.matches(key, class))
+    }
+
+    /// What is known of a key that comes with a request of this class.
+    pub fn look_up(&mut self, now: Micros, key: &IdempotencyKey, class: &str) -> LookupResult {
+        self.remove_expired(now);
+        // A request that reuses a key has been rejected before, see `is_reused`.
+        let Some(record) = self.get(&key.key).filter(|record| record.matches(key, class)) else {
+            return LookupResult::Unknown;
+        };
+        if let Some(result) = record.result.clone() {
+            self.repeats_answered += 1;
+            return LookupResult::Answered(result);
+        }
+        // The oldest attempt decides for how long a repeat is safe; by the rules all of them went to one cell.
+        match record.first_that_may_have_run().cloned() {
+            Some(first) => {
+                self.repeats_bound += 1;
+                LookupResult::MayHaveRun(first)
+            }
+            None => LookupResult::Unknown,
+        }
+    }
+
+    /// Records what has become of a keyed request. Returns the bytes to be written; `None` where nothing needs to be remembered any
+    /// more, and the key's record is deleted.
+    pub fn record(&mut self, now: Micros, key: &IdempotencyKey, update: RecordUpdate<'_>) -> Option<Vec<u8>> {
+        let mut record = self.remove(&key.key).unwrap_or_default();
+        record.class = update.class.to_owned();
+        record.request_name = update.request_name.to_owned();
+        record.body_fingerprint = key.body_fingerprint;
+        record.merge(update.attempts);
+        record.result = update.result.or(record.result);
+        if record.result.is_none() && !record.may_have_run() {
+            return None;
+        }
+        Some(self.encode_and_insert(now, key.key.clone(), record))
+    }
+
+    /// Records a result that a worker reported after its request was gone. Returns the bytes to be written, if the key has a
+    /// record.
+    pub fn record_result(&mut self, now: Micros, key: &str, result: Vec<u8>) -> Option<Vec<u8>> {
+        let mut record = self.remove(key)?;
+        record.result.get_or_insert(result);
+        Some(self.encode_and_insert(now, key.to_owned(), record))
+    }
+
+    /// Loads what was written earlier, or by another process of this dispatcher; `None` deletes the key's record.
+    ///
+    /// # Errors
+    /// If the bytes cannot be read; then nothing changes.
+    pub fn load(&mut self, now: Micros, key: &str, bytes: Option<&[u8]>) -> Result<(), RecordDecodeError> {
+        let record = bytes.map(IdempotencyRecord::decode).transpose()?;
+        self.remove(key);
+        if let Some((record, bytes)) = record.zip(bytes) {
+            self.insert(now, key.to_owned(), record, bytes.len());
+        }
+        Ok(())
+    }
+
+    /// Treats the window of every recorded attempt as over: how much time has passed since is not known.
+    pub fn distrust_clock(&mut self) {
+        for stored in self.records.values_mut() {
+            for attempt in &mut stored.record.attempts {
+                attempt.sent_at = i64::MIN;
+            }
+        }
+    }
+
+    fn encode_and_insert(&mut self, now: Micros, key: String, record: IdempotencyRecord) -> Vec<u8> {
+        let bytes = record.encode();
+        self.insert(now, key, record, bytes.len());
+        bytes
+    }
+
+    fn insert(&mut self, now: Micros, key: String, record: IdempotencyRecord, encoded_len: usize) {
+        let expires_at = now + RECORD_TTL;
+        self.key_by_request.insert(record.request_name.clone(), key.clone());
+        self.by_expiry.insert((expires_at, key.clone()));
+        self.bytes += encoded_len + key.len();
+        self.records.insert(key, StoredRecord { record, encoded_len, expires_at });
+        while self.records.len() > MAX_RECORDS || self.bytes > MAX_RECORD_BYTES {
+            let Some((_, oldest)) = self.by_expiry.first().cloned() else { return };
+            self.remove(&oldest);
+            self.evicted += 1;
+        }
+    }
+
+    fn remove_expired(&mut self, now: Micros) {
+        while let Some((_, key)) = self.by_expiry.first().filter(|(at, _)| *at <= now).cloned() {
+            self.remove(&key);
+        }
+    }
+
+    fn remove(&mut self, key: &str) -> Option<IdempotencyRecord> {
+        let stored = self.records.remove(key)?;
+        self.by_expiry.remove(&(stored.expires_at, key.to_owned()));
+        let request_name = &stored.record.request_name;
+        if self.key_by_request.get(request_name).is_some_and(|newest| newest == key) {
+            self.key_by_request.remove(request_name);
+        }
+        self.bytes -= stored.encoded_len + key.len();
+        Some(stored.record)
+    }
+}
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,82 +1,115 @@
-//! The ledger: each session taken gets exactly one entry.
+//! The ledger: each request that is accepted has exactly one completion.
 
 use crate::invariant;
+use crate::policy::interface::ClassId;
+use std::collections::BTreeMap;
 
-/// How a session ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// With a worker's result.
     Served,
-    /// Turned away.
+    /// Rejected.
     Rejected,
     /// Failed.
     Failed,
-    /// Its client left before any answer.
+    /// Its client disconnected before any response.
     ClientDisconnected,
 }
 
-/// What became of the sessions of one class. Those that their clients left are in none of these.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Served.
-    pub served: u64,
-    /// Turned away.
-    pub rejected: u64,
-    /// Failed.
-    pub failed: u64,
-}
-
-impl Tally {
-    /// Counts the end of a session of this class.
-    pub fn count(&mut self, entry: Completion) {
-        match entry {
-            Completion::Served => self.served += 1,
-            Completion::Rejected => self.rejected += 1,
-            Completion::Failed => self.failed += 1,
-            Completion::ClientDisconnected => {}
-        }
-    }
-}
-
-/// Counts of sessions.
+/// Counts of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
-    /// Taken.
+    /// Accepted.
     pub accepted: u64,
     /// Ended with a worker's result.
     pub served: u64,
-    /// Turned away.
+    /// Rejected.
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Left by their clients.
+    /// Ended by their clients' disconnecting.
     pub disconnected: u64,
-    /// Handed to another process of this dispatcher, which owes the answer.
+    /// Transferred to another process of this dispatcher, which owes the response.
     pub transferred: u64,
 }
 
 impl Ledger {
-    /// Enters the end of a session.
-    pub fn enter(&mut self, entry: Completion) {
-        *match entry {
+    /// Counts the end of a request.
+    pub fn record(&mut self, completion: Completion) {
+        let count = match completion {
             Completion::Served => &mut self.served,
             Completion::Rejected => &mut self.rejected,
             Completion::Failed => &mut self.failed,
             Completion::ClientDisconnected => &mut self.disconnected,
-        } += 1;
+        };
+        *count += 1;
         invariant!(
             self.ended() + self.transferred <= self.accepted,
-            "more final answers than sessions: {self:?}"
+            "more final responses than requests: {self:?}"
         );
     }
 
-    /// Sessions that have their entry.
+    /// Requests that have ended.
     pub fn ended(&self) -> u64 {
         self.served + self.rejected + self.failed + self.disconnected
     }
 
-    /// Sessions that are owed one.
+    /// Requests that are owed a response.
     pub fn open(&self) -> u64 {
         self.accepted.saturating_sub(self.ended() + self.transferred)
     }
 }
+
+/// How the requests of one class ended. Those whose clients disconnected are in none of these counts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Tally {
+    /// Served.
+    pub served: u64,
+    /// Rejected.
+    pub rejected: u64,
+    /// Failed.
+    pub failed: u64,
+}
+
+impl Tally {
+    fn record(&mut self, completion: Completion) {
+        match completion {
+            Completion::Served => self.served += 1,
+            Completion::Rejected => self.rejected += 1,
+            Completion::Failed => self.failed += 1,
+            Completion::ClientDisconnected => {}
+        }
+    }
+
+    fn add(&mut self, other: Tally) {
+        self.served += other.served;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+    }
+}
+
+/// The tallies of all classes, by their numbers.
+#[derive(Debug, Default)]
+pub struct ClassTallies(Vec<Tally>);
+
+impl ClassTallies {
+    /// Counts the end of a request of this class.
+    pub fn record(&mut self, class: ClassId, completion: Completion) {
+        let class = usize::from(class.0);
+        if self.0.len() <= class {
+            self.0.resize(class + 1, Tally::default());
+        }
+        self.0[class].record(completion);
+    }
+
+    /// The tallies by the classes' names, which are given by number. Numbers with the same name are added up.
+    pub fn by_name<'a>(&self, names: &'a [String]) -> BTreeMap<&'a str, Tally> {
+        let mut by_name: BTreeMap<&str, Tally> = BTreeMap::new();
+        for (number, name) in names.iter().enumerate() {
+            let tally = self.0.get(number).copied().unwrap_or_default();
+            by_name.entry(name).or_default().add(tally);
+        }
+        by_name
+    }
+}
--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -1,68 +1,72 @@
-//! Which of the other dispatchers have said that they stop, and to which of them this one says so.
+//! Which of the other dispatchers have announced that they stop, and to which of them this one announces it.
 //!
-//! What hangs on it is one question of a planned stop: whether every other dispatcher stops too, so that clients have nowhere
+//! A graceful shutdown depends on it in one question: whether every other dispatcher stops too, so that clients have nowhere
 //! else to go. In a small fleet each asks it of all others. In a larger one each asks it of a few that lie far apart among the
 //! numbers: a release that goes through them in order, in steps or group by group never takes all of these at once, and a stop
-//! of all dispatchers does. What it costs a dispatcher does not grow with the fleet.
+//! of all dispatchers does. So its cost to a dispatcher does not grow with the fleet.
 
 use std::collections::BTreeSet;
 
-/// In a fleet of so many each dispatcher tells all others.
-const SMALL: u32 = 16;
-/// Beyond that, those so far from it in both directions, in thousandths of the numbers (the golden section and its powers: no
-/// two are near each other), and the next ones, which no release in steps takes along.
-const APART: [u64; 3] = [382, 236, 146];
+/// In a fleet of up to this many, every dispatcher is a neighbor of every other.
+const MAX_SMALL_FLEET: u32 = 16;
+/// In a larger one, the neighbors are this far away in both directions, in thousandths of the numbers (the golden section and its
+/// powers, so that no two are near each other), ...
+const NEIGHBOR_DISTANCES_PERMILLE: [u64; 3] = [382, 236, 146];
+/// ... and this far, which no release in steps takes along.
+const NEAREST_NEIGHBOR_DISTANCE: u64 = 1;
 
-/// What the others have said, by their numbers.
+/// What the neighbors have announced, by their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerLifecycle {
     me: u32,
-    count: u32,
+    fleet_size: u32,
     stopping: BTreeSet<u32>,
 }
 
 impl PeerLifecycle {
-    /// Of so many dispatchers, this one included; nobody has said anything.
-    pub fn new(me: u32, count: usize) -> PeerLifecycle {
-        PeerLifecycle { me, count: u32::try_from(count).unwrap_or(u32::MAX), stopping: BTreeSet::new() }
+    /// That of dispatcher `me` of `fleet_size`, itself included; nobody has announced anything.
+    pub fn new(me: u32, fleet_size: usize) -> PeerLifecycle {
+        let fleet_size = u32::try_from(fleet_size).unwrap_or(u32::MAX);
+        PeerLifecycle { me, fleet_size, stopping: BTreeSet::new() }
     }
 
-    /// Whether each tells all others.
+    /// Whether every dispatcher is a neighbor of every other.
     pub fn is_small(&self) -> bool {
-        self.count <= SMALL
+        self.fleet_size <= MAX_SMALL_FLEET
     }
 
-    /// The others that this one tells, which are also those that tell it.
-    pub fn told(&self) -> Vec<u32> {
-        let (me, count) = (u64::from(self.me), u64::from(self.count));
+    /// The dispatchers that this one announces its state to, which are also those that announce theirs to it.
+    pub fn neighbors(&self) -> Vec<u32> {
         if self.is_small() {
-            return (0..self.count).filter(|n| *n != self.me).collect();
+            return (0..self.fleet_size).filter(|peer| *peer != self.me).collect();
         }
-        let steps = APART.map(|part| count * part / 1_000).into_iter().chain([1]);
-        steps
-            .flat_map(|step| [me + step, me + count - step])
-            .map(|n| u32::try_from(n % count).unwrap_or(0))
+        let (me, fleet_size) = (u64::from(self.me), u64::from(self.fleet_size));
+        let far = NEIGHBOR_DISTANCES_PERMILLE.map(|permille| fleet_size * permille / 1_000);
+        far.into_iter()
+            .chain([NEAREST_NEIGHBOR_DISTANCE])
+            .flat_map(|distance| [me + distance, me + fleet_size - distance])
+            .map(|peer| u32::try_from(peer % fleet_size).unwrap_or(0))
             .collect()
     }
 
-    /// Another one has said that it stops, or that it serves.
-    pub fn heard(&mut self, from: u32, stops: bool) {
-        if stops {
+    /// A peer announced that it stops, or that it serves.
+    pub fn on_announcement(&mut self, from: u32, is_stopping: bool) {
+        if is_stopping {
             self.stopping.insert(from);
         } else {
             self.stopping.remove(&from);
         }
     }
 
-    /// Whether all that tell it have said that they stop, and none that it serves again.
-    pub fn all_stop(&self) -> bool {
-        let told = self.told();
-        !told.is_empty() && told.iter().all(|n| self.stopping.contains(n))
+    /// Whether there are neighbors, and the last that each has announced is that it stops.
+    pub fn are_all_stopping(&self) -> bool {
+        let neighbors = self.neighbors();
+        !neighbors.is_empty() && neighbors.iter().all(|peer| self.stopping.contains(peer))
     }
 
-    /// The same under other numbers: `place` has the new one of each that is still there.
-    pub fn renumber(&mut self, me: u32, count: usize, place: impl Fn(u32) -> Option<u32>) {
-        let stopping = self.stopping.iter().filter_map(|n| place(*n)).collect();
-        *self = PeerLifecycle { stopping, ..PeerLifecycle::new(me, count) };
+    /// Changes the numbers of all dispatchers: `new_number` has the new one of each that is still there.
+    pub fn renumber(&mut self, me: u32, fleet_size: usize, new_number: impl Fn(u32) -> Option<u32>) {
+        let stopping = self.stopping.iter().filter_map(|peer| new_number(*peer)).collect();
+        *self = PeerLifecycle { stopping, ..PeerLifecycle::new(me, fleet_size) };
     }
 }
--- /dev/null
+++ b/src/core/request.rs
@@ -0,0 +1,155 @@
+//! A client's request, from its last byte to its final response, and the table of all of them.
+
+use super::attempt::{Attempt, AttemptId};
+use super::idempotency::IdempotencyKey;
+use crate::policy::interface::{Micros, NewJob, WorkerId};
+use std::collections::HashMap;
+
+/// A request of a client; numbered from 0 in the order of arrival at this process.
+pub type RequestId = u64;
+
+/// A request that is open, or that still has attempts in flight.
+#[derive(Debug)]
+pub(super) struct PendingRequest {
+    /// The client's id of it, by which workers name it.
+    pub name: String,
+    /// What the decision module knows of it.
+    pub job: NewJob,
+    pub arrived_at: Micros,
+    /// Where the final response goes.
+    pub downstream: u64,
+    pub phase: RequestPhase,
+    /// Whether its client was notified that it has started.
+    pub is_start_notified: bool,
+    pub idempotency_key: Option<IdempotencyKey>,
+    /// Its attempts, by their numbers.
+    pub attempts: Vec<Attempt>,
+}
+
+/// How far a request has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestPhase {
+    /// Its final response is owed.
+    Open,
+    /// The same, and its deadline has passed: the core itself responds at this time.
+    Overdue {
+        /// When.
+        respond_at: Micros,
+    },
+    /// It has its final response, or its client has disconnected.
+    Closed,
+}
+
+impl PendingRequest {
+    /// Whether its final response is still owed.
+    pub fn is_open(&self) -> bool {
+        self.phase != RequestPhase::Closed
+    }
+
+    /// Whether it is over: closed, with nothing in flight.
+    fn is_over(&self) -> bool {
+        !self.is_open() && !self.attempts.iter().any(Attempt::is_in_flight)
+    }
+
+    /// An attempt that is in flight.
+    pub fn in_flight(&self, attempt: u32) -> Option<&Attempt> {
+        self.attempts.get(attempt as usize).filter(|attempt| attempt.is_in_flight())
+    }
+
+    /// Whether this worker has an attempt of it.
+    pub fn is_in_flight_at(&self, worker: WorkerId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.worker == worker && attempt.is_in_flight())
+    }
+}
+
+/// All requests that are not over.
+#[derive(Debug, Default)]
+pub(super) struct RequestTable {
+    requests: HashMap<RequestId, PendingRequest>,
+    by_name: HashMap<String, RequestId>,
+    /// Those that may be over, until the next sweep.
+    finished: Vec<RequestId>,
+    next_id: RequestId,
+}
+
+impl RequestTable {
+    /// The id of the next request.
+    pub fn allocate_id(&mut self) -> RequestId {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
+    }
+
+    /// Adds a request, under an id of [`RequestTable::allocate_id`].
+    pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
+        self.by_name.insert(request.name.clone(), id);
+        self.requests.insert(id, request);
+    }
+
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.requests.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// An attempt, in flight or ended.
+    pub fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
+        self.get(id.request_id)?.attempts.get(id.attempt as usize)
+    }
+
+    /// The same, to be changed.
+    pub fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.get_mut(id.request_id)?.attempts.get_mut(id.attempt as usize)
+    }
+
+    /// The request of this name.
+    pub fn find(&self, name: &str) -> Option<RequestId> {
+        self.by_name.get(name).copied()
+    }
+
+    /// The latest attempt of the request of this name at this worker.
+    pub fn find_attempt(&self, name: &str, worker: WorkerId) -> Option<AttemptId> {
+        let request_id = self.find(name)?;
+        let attempts = &self.get(request_id)?.attempts;
+        let attempt = attempts.iter().rposition(|attempt| attempt.worker == worker)? as u32;
+        Some(AttemptId { request_id, attempt })
+    }
+
+    pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.requests.remove(&id)?;
+        self.by_name.remove(&request.name);
+        Some(request)
+    }
+
+    /// Remembers a request that may be over for the next [`RequestTable::remove_finished`].
+    ///
+    /// It may not be removed at once: until the decision module has handled the request's end it may still send an attempt of
+    /// it, and that attempt must get the number that the module gives it.
+    pub fn mark_finished(&mut self, id: RequestId) {
+        self.finished.push(id);
+    }
+
+    /// Removes the requests that are over. To be called once the module has handled all events.
+    pub fn remove_finished(&mut self) {
+        for id in std::mem::take(&mut self.finished) {
+            if self.get(id).is_some_and(PendingRequest::is_over) {
+                self.remove(id);
+            }
+        }
+    }
+
+    /// The open requests, in the order of their arrival.
+    pub fn open_ids(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| request.is_open());
+        let mut ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
+        ids.sort_unstable();
+        ids
+    }
+
+    /// The names of all requests in the table.
+    pub fn names(&self) -> impl Iterator<Item = &String> {
+        self.by_name.keys()
+    }
+}
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,50 +1,49 @@
-//! All deadlines of the program in one sorted structure, swept each turn.
+//! All timers of the program, in one sorted queue.
 
+use super::{AttemptId, RequestId};
 use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
-use super::RequestId;
-
-/// What falls due.
+/// What a timer is for. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A dispatch's time limit.
-    AttemptLimit(RequestId, u32),
-    /// The client of a session gives up.
+    /// An attempt times out.
+    AttemptTimeout(AttemptId),
+    /// A request's client gives up.
     RequestDeadline(RequestId),
-    /// A session that should be over by now.
-    Backstop(RequestId),
-    /// An alarm of the module.
+    /// The decision module should have ended the request by now: the core does.
+    OverdueResponse(RequestId),
+    /// A timer of the decision module.
     Policy(TimerId),
-    /// Something of the program round the core; the number is its own.
+    /// A timer of the program round the core; the token is its own.
     Program(u64),
 }
 
-/// Deadlines in order of time.
+/// Timers in the order of their times.
 #[derive(Debug, Default)]
 pub struct TimerQueue(BTreeSet<(Micros, Timer)>);
 
 impl TimerQueue {
-    /// Adds one.
-    pub fn set(&mut self, at: Micros, what: Timer) {
-        self.0.insert((at, what));
+    /// Adds a timer. One that is there already is not added twice.
+    pub fn schedule(&mut self, at: Micros, timer: Timer) {
+        self.0.insert((at, timer));
     }
 
-    /// Takes one back.
-    pub fn drop(&mut self, at: Micros, what: Timer) {
-        self.0.remove(&(at, what));
+    /// Removes a timer, if it is there.
+    pub fn cancel(&mut self, at: Micros, timer: Timer) {
+        self.0.remove(&(at, timer));
     }
 
-    /// The earliest.
-    pub fn next(&self) -> Option<Micros> {
-        self.0.first().map(|first| first.0)
+    /// When the earliest is due.
+    pub fn next_due(&self) -> Option<Micros> {
+        self.0.first().map(|(at, _)| *at)
     }
 
-    /// Takes the earliest that is due.
+    /// Removes the earliest that is due, if there is one.
     pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
-        if self.next()? > now {
+        if self.next_due()? > now {
             return None;
         }
-        self.0.pop_first().map(|first| first.1)
+        self.0.pop_first().map(|(_, timer)| timer)
     }
 }
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -1,71 +1,80 @@
-//! A session on its way from one process of a dispatcher to another. Times are Unix times in microseconds: the two clocks
-//! start at different moments.
+//! What one process of a dispatcher hands to its successor: requests under way, and the decision module's learned state.
+//!
+//! It travels as JSON, whose keys are kept for other versions. Times are Unix times in microseconds, since the two processes' clocks
+//! start at different moments; classes, tenants and workers go by name, since their numbers may differ.
 
+use super::idempotency::IdempotencyKey;
 use crate::policy::interface::Micros;
 use crate::policy::state::Learned;
 use serde::{Deserialize, Serialize};
 
-/// The session.
+/// A request under way.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TransferredRequest {
-    /// The request's id.
+    /// The client's id of the request.
     pub name: String,
-    /// Its class, by name: the other process may number them otherwise.
+    /// Its class.
     pub class: String,
-    /// Its tenant, by name.
+    /// Its tenant.
     pub tenant: Option<String>,
-    /// What it concerns.
+    /// The subject that it concerns.
     pub key: Option<u32>,
     /// When it arrived.
-    pub arrived: i64,
+    #[serde(rename = "arrived")]
+    pub arrived_at: i64,
     /// When its client gives up.
     pub deadline: i64,
     /// Expected work.
     pub hint: Option<Micros>,
-    /// Slots it needs.
+    /// Slots that it needs.
     pub slots: f64,
-    /// Memory it needs.
+    /// Memory that it needs.
     pub memory: Option<f64>,
-    /// Whether it is marked as a repeat.
+    /// Whether its client marked it as a repeat.
     pub repeat: bool,
-    /// Whether its client has been told that it started.
-    pub told_started: bool,
-    /// The key that its client gave it, where keyed jobs are noted.
-    #[serde(default)]
-    pub token: Option<super::idempotency::IdempotencyKey>,
-    /// What became of it so far.
+    /// Whether its client was notified that it has started.
+    #[serde(rename = "told_started")]
+    pub is_start_notified: bool,
+    /// The idempotency key that its client gave it, where such keys are recorded.
+    #[serde(default, rename = "token")]
+    pub idempotency_key: Option<IdempotencyKey>,
+    /// Its attempts so far, in the order sent.
     #[serde(rename = "dispatches")]
     pub attempts: Vec<TransferredAttempt>,
 }
 
-/// One of its dispatches.
+/// An attempt of a transferred request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TransferredAttempt {
-    /// The worker, by discovery's name.
+    /// The worker's instance id.
     pub worker: String,
     /// When it was sent.
-    pub at: i64,
+    #[serde(rename = "at")]
+    pub sent_at: i64,
     /// When it started to run.
-    pub started: Option<i64>,
-    /// Its end is still to come.
-    pub out: bool,
-    /// It has ended and never ran.
+    #[serde(rename = "started")]
+    pub started_at: Option<i64>,
+    /// Whether its end is still to come.
+    #[serde(rename = "out")]
+    pub is_in_flight: bool,
+    /// Whether it has ended and never ran.
     pub never_ran: bool,
-    /// Its worker handed it back by a call.
-    #[serde(default)]
-    pub handed_back: bool,
+    /// Whether its worker handed it back by a callback.
+    #[serde(default, rename = "handed_back")]
+    pub is_handed_back: bool,
 }
 
-/// What the module of one process has learned, with the names behind its numbers.
+/// What the decision module has learned, with the names behind its numbers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LearnedState {
-    /// Its clock less Unix time.
-    pub offset: i64,
+    /// The module's clock less Unix time, in microseconds.
+    #[serde(rename = "offset")]
+    pub clock_offset: i64,
     /// Workers by number.
     pub workers: Vec<String>,
-    /// Kinds by number.
+    /// Kinds of machines by number.
     pub kinds: Vec<String>,
-    /// Classes by number. Where one was defined anew, the later number counts.
+    /// Classes by number. Where a class was defined again, its later number counts.
     pub classes: Vec<String>,
     /// What was learned.
     pub learned: Learned,
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -183,7 +183,7 @@
         slots: fact(["slots", "Needs"]).unwrap_or(1.0),
         memory: fact(["memory", "MemNeeded"]),
         repeat: text(names::REPEAT) == Some("1"),
-        token: None,
+        idempotency_key: None,
     }))
 }
 
@@ -193,7 +193,10 @@
     let text = |name| raw.head.fields.text(&raw.bytes, name);
     let key = text(names::KEY).filter(|_| keyed)?;
     let body = mothproxy_store::fingerprint(raw.body.bytes());
-    Some(IdempotencyKey { key: format!("{}\0{key}", text(names::TENANT).unwrap_or("")), body })
+    Some(IdempotencyKey {
+        key: format!("{}\0{key}", text(names::TENANT).unwrap_or("")),
+        body_fingerprint: body,
+    })
 }
 
 fn cookie(header: &str) -> Option<&str> {
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -324,7 +324,7 @@
         }
         call.answered = true;
         let told = self.lists.clock.on_list(self.now);
-        self.core.on_endpoint_list(told, &list, false);
+        self.core.on_endpoint_list(told, &list);
         if call.watch {
             self.ask_listed(list.generation);
         }
--- a/src/server/downstream/event_streams.rs
+++ b/src/server/downstream/event_streams.rs
@@ -290,7 +290,7 @@
                     if let Some(request_id) = watching.requests.remove(&job) {
                         watching.relay.carry(job); // nobody can ask for it any more
                         self.drop_request(request_id);
-                        self.core.client_disconnected(self.now, request_id);
+                        self.core.on_client_disconnected(self.now, request_id);
                     }
                 }
             }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -509,7 +509,7 @@
                 let elsewhere = self.open_elsewhere(&arrival.name);
                 let mut arrival = arrival;
                 if self.core.idempotency().is_some() {
-                    arrival.token = platform::idempotency_key(&self.classes, &raw, arrival.class);
+                    arrival.idempotency_key = platform::idempotency_key(&self.classes, &raw, arrival.class);
                 }
                 match (elsewhere, self.core.is_key_reused(self.now, &arrival)) {
                     (true, _) => Some(Reject::DuplicateId),
@@ -520,7 +520,7 @@
             Ok(Route::Submit(mut arrival)) => {
                 arrival.downstream = token.0;
                 if self.core.idempotency().is_some() {
-                    arrival.token = platform::idempotency_key(&self.classes, &raw, arrival.class);
+                    arrival.idempotency_key = platform::idempotency_key(&self.classes, &raw, arrival.class);
                 }
                 let stream =
                     (front.sse && sse::wants_stream(&raw)).then_some(Stream { begun: false, last: self.now });
@@ -597,7 +597,7 @@
         match &front.state {
             State::Waiting { request_id, .. } => {
                 self.drop_request(*request_id);
-                self.core.client_disconnected(self.now, *request_id);
+                self.core.on_client_disconnected(self.now, *request_id);
             }
             State::Watching(held) => self.watcher_gone(held.watcher),
             State::Ending { since: Some(since) } => self.lingering.forget(*since, token),
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -89,21 +89,21 @@
         // They go over to the younger process as they are.
         self.handed
             || self.drained.is_none()
-                && self.stopping.is_none_or(|plan| self.now < plan.hold && self.peers_stopped())
+                && self.stopping.is_none_or(|plan| self.now < plan.keep_clients_until && self.peers_stopped())
     }
 
     pub(in crate::server) fn stop_step(&mut self) {
         let Some(plan) = self.stopping else { return };
         let keeps = self.keeps_clients();
-        if self.now >= plan.close_idle && !keeps {
+        if self.now >= plan.close_idle_at && !keeps {
             // Workers tell of their jobs until the last one is done.
             self.close_quiet(FRESH, self.core.ledger.open() == 0);
         }
-        if self.now >= plan.last {
+        if self.now >= plan.give_up_at {
             self.core.fail_all(self.now);
             self.run_commands();
         }
-        if (self.handed || self.now >= plan.quiet && !keeps) && self.is_quiet(plan) {
+        if (self.handed || self.now >= plan.arrivals_end_at && !keeps) && self.is_quiet(plan) {
             // A client whose last connection has just ended may be back with a new one.
             if self.now >= *self.quiet_since.get_or_insert(self.now) + FRESH {
                 tracing::info!("stopped: open={}", self.core.ledger.open());
@@ -129,7 +129,7 @@
         };
         let mut held = self.slots.iter().filter_map(|slot| slot.held.as_ref());
         let left = self.core.ledger.open() > 0 || held.any(|(conn, role)| busy(conn, role));
-        !left || self.now >= plan.last + STEP * 8
+        !left || self.now >= plan.give_up_at + STEP * 8
     }
 
     /// Closes the connection of a frontend that has been idle for longest, and for at least so long.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -345,7 +345,7 @@
         // What the elder was last told is newer than what this file holds.
         let mut newest = None;
         match &inherited {
-            Some(from) if !from.stale => core.on_endpoint_list(now, &from.table, true),
+            Some(from) if !from.stale => core.on_cached_list(now, &from.table),
             Some(from) => drop(core.load_known_list(now, &from.table)),
             None => newest = core.load_known_list(now, &config.known),
         }
@@ -492,7 +492,7 @@
                 Command::StartAttempt { request_id, attempt, worker } => {
                     self.attempt(request_id, attempt, worker)
                 }
-                Command::PersistRecord { ticket, key, note } => self.note(ticket, key, note),
+                Command::PersistRecord { ticket, key, record } => self.note(ticket, key, record),
                 Command::CancelAttempt { request_id, attempt, worker, name } => {
                     self.give_up(request_id, attempt, worker, &name);
                 }
@@ -503,12 +503,12 @@
                         _ => self.job_answered(downstream & !downstream::event_streams::JOB, response),
                     }
                 }
-                Command::NotifyProgress { downstream, share }
+                Command::NotifyProgress { downstream, fraction: share }
                     if downstream & downstream::event_streams::JOB != 0 =>
                 {
                     self.job_told(downstream & !downstream::event_streams::JOB, share);
                 }
-                Command::NotifyProgress { downstream, share } => self.tell(Token(downstream), share),
+                Command::NotifyProgress { downstream, fraction } => self.tell(Token(downstream), fraction),
                 Command::Probe(worker) => self.probe(worker),
                 Command::SendToPeer(to, bytes) => self.tell_peer(to, &bytes),
                 Command::OpenWatch => self.watch_wanted(),
@@ -699,7 +699,7 @@
             c.bad_reloads,
             self.live,
             self.core.endpoints.ready(),
-            invariant::broken(),
+            invariant::violations(),
         );
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -70,7 +70,7 @@
         let all = self.config.peers_all.filter(|_| self.standing.states.is_small() && !self.handed);
         match self.peers.as_ref().zip(all) {
             Some((socket, all)) => drop(socket.send_to(&[word], all)),
-            None => self.standing.states.told().into_iter().for_each(|to| self.tell_peer(to, &[word])),
+            None => self.standing.states.neighbors().into_iter().for_each(|to| self.tell_peer(to, &[word])),
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// Whether every other dispatcher that tells this one has said that it stops.
     pub(in crate::server) fn peers_stopped(&self) -> bool {
-        self.standing.states.all_stop()
+        self.standing.states.are_all_stopping()
     }
 
     pub(in crate::server) fn hear_peers(&mut self) {
@@ -115,7 +115,7 @@
             };
             match buf[..len] {
                 [SERVING] => {
-                    self.standing.states.heard(peer, false);
+                    self.standing.states.on_announcement(peer, false);
                     // One that has just started cannot know who is about to stop.
                     if self.takes_leave() {
                         self.tell_peer(peer, &[STOPPING]);
@@ -129,7 +129,7 @@
                     let ago = Micros::from(u32::from_be_bytes([a, b, c, d])) * 1_000;
                     self.was_heard(self.now.saturating_sub(ago));
                 }
-                [STOPPING] => self.standing.states.heard(peer, true),
+                [STOPPING] => self.standing.states.on_announcement(peer, true),
                 _ if self.fleet_hears(peer, &buf[..len]) => {}
                 _ => {
                     self.standing.heard.insert(peer, self.now);
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -19,7 +19,7 @@
     let unix = 1_790_000_000_000_000;
     let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
     let mut now = Core::clock_start();
-    core.on_endpoint_list(now, &config.known, true);
+    core.on_cached_list(now, &config.known);
     for n in 0..20_u64 {
         now += 40 * MS;
         let name = format!("job-{n}");
@@ -34,7 +34,7 @@
             slots: 1.0,
             memory: None,
             repeat: false,
-            token: None,
+            idempotency_key: None,
         };
         core.accept(now, arrival).expect("a request");
         core.turn(now);
@@ -111,27 +111,27 @@
 
 #[test]
 fn a_request_under_way_keeps_its_form() {
-    let attempt = |worker: &str, started, out, never_ran, handed_back| TransferredAttempt {
+    let attempt = |worker: &str, started_at, is_in_flight, never_ran, is_handed_back| TransferredAttempt {
         worker: worker.to_owned(),
-        at: 1_790_000_000_000_000,
-        started,
-        out,
+        sent_at: 1_790_000_000_000_000,
+        started_at,
+        is_in_flight,
         never_ran,
-        handed_back,
+        is_handed_back,
     };
     let moved = TransferredRequest {
         name: "job-1".into(),
         class: "redeem".into(),
         tenant: Some("steppe-mart".into()),
         key: Some(9),
-        arrived: 1_790_000_000_000_000,
+        arrived_at: 1_790_000_000_000_000,
         deadline: 1_790_000_025_000_000,
         hint: Some(120_000),
         slots: 1.0,
         memory: Some(0.5),
         repeat: true,
-        told_started: true,
-        token: Some(IdempotencyKey { key: "steppe-mart/k".into(), body: 77 }),
+        is_start_notified: true,
+        idempotency_key: Some(IdempotencyKey { key: "steppe-mart/k".into(), body_fingerprint: 77 }),
         attempts: vec![
             attempt("s-1", None, false, true, true),
             attempt("s-2", Some(1_790_000_000_100_000), true, false, false),
--- a/tests/compatibility/records.rs
+++ b/tests/compatibility/records.rs
@@ -4,12 +4,18 @@
 use mothproxy::core::idempotency::{AttemptRecord, IdempotencyRecord};
 
 fn sent(worker: &str, at: i64, never_ran: bool) -> AttemptRecord {
-    AttemptRecord { worker: worker.to_owned(), cell: 7, zone: "alm 1".to_owned(), at, never_ran }
+    AttemptRecord { worker: worker.to_owned(), cell: 7, zone: "alm 1".to_owned(), sent_at: at, never_ran }
 }
 
 fn record(sent: Vec<AttemptRecord>, result: Option<&[u8]>) -> IdempotencyRecord {
     let (class, id) = ("redeem".to_owned(), "job-1".to_owned());
-    IdempotencyRecord { class, body: 0x1122_3344_5566_7788, id, sent, result: result.map(<[u8]>::to_vec) }
+    IdempotencyRecord {
+        class,
+        body_fingerprint: 0x1122_3344_5566_7788,
+        request_name: id,
+        attempts: sent,
+        result: result.map(<[u8]>::to_vec),
+    }
 }
 
 #[test]
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -39,7 +39,7 @@
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
         let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
         let now = Core::clock_start();
-        core.on_endpoint_list(now, &config.known, true);
+        core.on_cached_list(now, &config.known);
         Bench { core, now, next: 0 }
     }
 
@@ -61,7 +61,7 @@
             slots: 1.0,
             memory: None,
             repeat: false,
-            token: None,
+            idempotency_key: None,
         };
         self.core.accept(self.now, arrival)
     }
@@ -79,7 +79,7 @@
             slots: 1.0,
             memory: None,
             repeat: false,
-            token: Some(IdempotencyKey { key: key.to_owned(), body }),
+            idempotency_key: Some(IdempotencyKey { key: key.to_owned(), body_fingerprint: body }),
         };
         let reused = self.core.is_key_reused(self.now, &arrival);
         if reused { None } else { self.core.accept(self.now, arrival) }
@@ -194,7 +194,7 @@
     let (_, second, _) = (0..100).find_map(|_| sent(&bench.pass(20 * MS)).pop()).expect("in the same cell");
     assert!(bench.core.may_write(bench.now, id, second, 0));
     assert!(!bench.core.may_write(bench.now, id, second, 40_000 * MS), "it would come after the window");
-    bench.core.client_disconnected(bench.now, id);
+    bench.core.on_client_disconnected(bench.now, id);
     assert!(!bench.core.may_write(bench.now, id, second, 0), "its client has left");
 }
 
@@ -253,7 +253,7 @@
 fn a_client_that_leaves_is_gone_and_nothing_is_sent_for_it_later() {
     let mut bench = Bench::new(1);
     let id = bench.arrive(0, 5_000 * MS).expect("new");
-    bench.core.client_disconnected(bench.now, id);
+    bench.core.on_client_disconnected(bench.now, id);
     let all = bench.pass(6_000 * MS);
     assert_eq!((sent(&all), answers(&all)), (vec![], vec![]));
     assert_eq!((bench.core.ledger.disconnected, bench.core.ledger.open()), (1, 0));
@@ -262,22 +262,19 @@
 #[test]
 fn a_whole_list_ends_whoever_it_does_not_name_and_numbers_are_not_used_twice() {
     let mut bench = Bench::new(2);
-    bench.core.on_endpoint_list(
-        bench.now,
-        &site::list(2, true, json!([site::row("s-1", "127.0.0.1:9101", "up")])),
-        false,
-    );
+    bench
+        .core
+        .on_endpoint_list(bench.now, &site::list(2, true, json!([site::row("s-1", "127.0.0.1:9101", "up")])));
     bench.core.on_endpoint_list(
         bench.now,
         &site::list(3, false, json!([site::row("s-7", "127.0.0.1:9107", "up")])),
-        false,
     );
     let table = &bench.core.endpoints;
     assert!(table.get(WorkerId(0)).is_some_and(|s| s.removed && s.stopped.is_some()));
     assert_eq!(table.get(WorkerId(1)).map(|s| s.address.port()), Some(9101));
     assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
     let bad = json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::row("s-9", "nowhere", "up"), 5]);
-    bench.core.on_endpoint_list(bench.now, &site::list(4, false, bad), false);
+    bench.core.on_endpoint_list(bench.now, &site::list(4, false, bad));
     assert_eq!(bench.core.endpoints.bad_rows, 4);
 }
 
@@ -297,7 +294,7 @@
         objects.feed(bytes);
         while let Some(object) = objects.next_object() {
             let value = serde_json::from_slice(&object).expect("JSON");
-            bench.core.on_endpoint_list(bench.now, &EndpointList::read(&value).expect("a list"), false);
+            bench.core.on_endpoint_list(bench.now, &EndpointList::read(&value).expect("a list"));
         }
         bench.core.endpoints.rows()
     };
@@ -359,7 +356,7 @@
                 0..=2 => drop(bench.arrive(u16::from(bool::arbitrary(g)), 400 * MS)),
                 3 if bench.next > 0 => {
                     let id = u64::arbitrary(g) % bench.next;
-                    bench.core.client_disconnected(bench.now, id);
+                    bench.core.on_client_disconnected(bench.now, id);
                     gone.push(id);
                 }
                 4 | 5 if !out.is_empty() => {
@@ -488,9 +485,9 @@
 fn enter(notes: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<u64> {
     let mut tickets = Vec::new();
     for command in commands {
-        if let Command::PersistRecord { ticket, key, note } = command {
-            match note {
-                Some(note) => drop(notes.insert(key.clone(), note.clone())),
+        if let Command::PersistRecord { ticket, key, record } = command {
+            match record {
+                Some(record) => drop(notes.insert(key.clone(), record.clone())),
                 None => drop(notes.remove(key)),
             }
             tickets.extend(*ticket);
@@ -601,11 +598,7 @@
         row
     };
     let old = bench.core.endpoints.get(worker).expect("known").row.cell;
-    next.core.on_endpoint_list(
-        next.now,
-        &site::list(2, true, json!([row(0, old + 10), row(1, old + 11)])),
-        false,
-    );
+    next.core.on_endpoint_list(next.now, &site::list(2, true, json!([row(0, old + 10), row(1, old + 11)])));
     let id = next.arrive_keyed("r-2", "k", 5).expect("new");
     let commands = next.pass(26_000 * MS);
     assert_eq!(sent(&commands), []);
@@ -620,7 +613,7 @@
     let notes = [("a", vec![]), ("b", vec![9, 1, 2]), ("c", vec![1, 0xff, 0xff])];
     let bad =
         bench.core.enable_idempotency(bench.now, notes.into_iter().map(|(k, v)| (k.to_owned(), v)), true);
-    let reasons: Vec<&str> = bad.iter().map(|(_, why)| why.as_str()).collect();
+    let reasons: Vec<String> = bad.iter().map(|(_, error)| error.to_string()).collect();
     assert_eq!(bad.len(), 3, "{bad:?}");
     assert!(reasons[1].contains("version 9") && reasons[0].contains("empty"), "{reasons:?}");
 }
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -18,8 +18,11 @@
     for (longest, ever) in spans.into_iter().flat_map(|longest| spans.map(|ever| (longest, ever))) {
         let plan = ShutdownPlan::new(0, longest, ever);
         let (counted, killed) = (longest.min(3_000 * MS), longest.min(3_000 * MS) + 700 * MS);
-        assert!(plan.hold + counted / 2 <= plan.answered && plan.answered < killed, "{plan:?}");
-        assert!(plan.last >= longest.max(ever) + 700 * MS, "{plan:?}");
+        assert!(
+            plan.keep_clients_until + counted / 2 <= plan.answer_late_by && plan.answer_late_by < killed,
+            "{plan:?}"
+        );
+        assert!(plan.give_up_at >= longest.max(ever) + 700 * MS, "{plan:?}");
         for came in (0..killed).step_by(10 * MS as usize) {
             let answered = came + plan.time_budget(came, longest);
             assert!(came <= 700 * MS || answered < killed.max(came + 1), "{came} {answered} {plan:?}");
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -20,13 +20,13 @@
         (0..count).map(|me| PeerLifecycle::new(me, count as usize)).collect();
     let mut datagrams = 0;
     for me in (0..count).filter(|n| stops(*n)) {
-        for to in states[me as usize].told() {
-            assert!(to != me && states[to as usize].told().contains(&me), "{me} tells {to} of {count}");
-            states[to as usize].heard(me, true);
+        for to in states[me as usize].neighbors() {
+            assert!(to != me && states[to as usize].neighbors().contains(&me), "{me} tells {to} of {count}");
+            states[to as usize].on_announcement(me, true);
             datagrams += 1;
         }
     }
-    (datagrams, (0..count).filter(|n| stops(*n) && states[*n as usize].all_stop()).count())
+    (datagrams, (0..count).filter(|n| stops(*n) && states[*n as usize].are_all_stopping()).count())
 }
 
 /// Beyond 16 dispatchers nobody said anything, so that in a stop of all each sent its clients to others that stopped too. StatusCallback
@@ -101,7 +101,7 @@
 #[test]
 fn one_of_a_thousand_starts_serves_reloads_and_stops_with_the_others() {
     let node = Node::start("s-0000");
-    let told = PeerLifecycle::new(0, SIZE as usize).told();
+    let told = PeerLifecycle::new(0, SIZE as usize).neighbors();
     // Those that it tells, a mate of its group, and two that it has nothing to say to.
     let bound = |n| {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
