--- /dev/null
+++ b/src/policy/interface/mod.rs
@@ -0,0 +1,20 @@
+//! The whole interface of the decision module: settings, events, actions, ids.
+//!
+//! Time is a whole number of microseconds on any clock that only goes forward. Ids are small numbers that the
+//! embedding node hands out; the module compares them and never interprets them. Whatever a deployment may leave
+//! out is an `Option`.
+
+mod actions;
+mod events;
+mod ids;
+mod settings;
+
+pub use actions::Action;
+pub use events::{
+    AttemptEnded, EndpointEntry, Estimate, Event, ListKind, LoadReport, NewJob, Outcome, PeerPresence,
+    PriorAttempt, ProbeResponse, Status,
+};
+pub use ids::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
+pub use settings::{
+    Class, DeduplicationScope, Idempotency, MAX_NODES, Reports, Settings, SettingsError, Tenant,
+};
--- /dev/null
+++ b/src/policy/interface/settings.rs
@@ -0,0 +1,273 @@
+//! What a deployment fixes for the decision module: job classes, tenants, abilities, limits and prices.
+
+use super::{EndpointEntry, KindId, Micros, ZoneId};
+
+/// Which workers recognise and drop the repeats of a job with an idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeduplicationScope {
+    /// All of them.
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+impl DeduplicationScope {
+    /// Whether the worker `to` drops the repeat of a job that the worker `first`, if it is listed, may have run.
+    pub fn covers(self, first: Option<&EndpointEntry>, to: &EndpointEntry) -> bool {
+        match self {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.is_some_and(|first| first.zone == to.zone),
+            DeduplicationScope::Cell => first.is_some_and(|first| first.cell == to.cell),
+        }
+    }
+}
+
+/// Whether a job that may have run may be repeated or refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// It may be repeated and refused freely.
+    Idempotent,
+    /// It may be repeated only within `scope`, and within `window` of the first attempt that may have run.
+    IdempotentWithKey {
+        /// Which workers drop repeats.
+        scope: DeduplicationScope,
+        /// How long they remember a key.
+        window: Micros,
+    },
+    /// It may be repeated or refused only if no attempt may have run.
+    NonIdempotent,
+}
+
+impl Idempotency {
+    /// Whether a repeat does no harm, whichever worker receives it.
+    pub fn is_repeatable_anywhere(self) -> bool {
+        match self {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentWithKey { scope, .. } => scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => false,
+        }
+    }
+}
+
+/// One class of jobs.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Class {
+    /// An answer is in time within this span of the arrival, plus `latency_factor` times the job's own work.
+    pub latency_objective: Micros,
+    /// The multiple of the job's own work that is added to `latency_objective`.
+    pub latency_factor: f64,
+    /// The client gives up after this, over all its retries.
+    pub deadline: Micros,
+    /// Whether the class's jobs may be repeated.
+    pub idempotency: Idempotency,
+    /// The priority weight of a job.
+    pub weight: f64,
+    /// The fraction of `weight` that an answer after the latency objective still has.
+    pub late_weight: f64,
+    /// The answer is a stream, whose start [`super::Event::StreamStarted`] reports.
+    pub stream: bool,
+    /// The only kind of worker that can run it; `None` for any.
+    pub kind: Option<KindId>,
+    /// Its priority in the workers' queues.
+    pub priority: i32,
+}
+
+/// One tenant.
+#[derive(Clone, Debug)]
+pub struct Tenant {
+    /// Its quota: jobs a second over all nodes.
+    pub quota_per_s: f64,
+    /// Its fair-share weight.
+    pub share_weight: f64,
+}
+
+/// How load reports reach the node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reports {
+    /// With attempt outcomes and probe responses.
+    Answers,
+    /// With probe responses only.
+    Probes,
+    /// Not at all.
+    Silent,
+}
+
+/// The settings of one instance. [`Settings::default`] is a single node with one idempotent class.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// This node's number among `nodes`, from 0.
+    pub me: u32,
+    /// How many nodes there are.
+    pub nodes: u32,
+    /// This node's zone.
+    pub zone: ZoneId,
+    /// The classes of jobs.
+    pub classes: Vec<Class>,
+    /// The tenants, if any.
+    pub tenants: Vec<Tenant>,
+    /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight.
+    pub over_quota_weight: f64,
+    /// Events come in batches at most this often.
+    pub tick: Micros,
+    /// Whether weight counts for each unit of work, not for each job.
+    pub weight_by_work: bool,
+    /// How load reports reach the node.
+    pub reports: Reports,
+    /// Workers report when a job starts ([`super::Event::Started`]).
+    pub reports_start: bool,
+    /// Running jobs report their progress this often, if they do.
+    pub progress: Option<Micros>,
+    /// Whether changes of the endpoint list are sent only on request.
+    pub list_on_request: bool,
+    /// [`super::Action::Cancel`] is allowed.
+    pub may_cancel: bool,
+    /// [`super::Action::Probe`] is allowed.
+    pub may_probe: bool,
+    /// [`super::Action::SendToPeer`] is allowed.
+    pub may_message_peers: bool,
+    /// A job may have a hedged attempt beside its first one.
+    pub may_hedge: bool,
+    /// The most attempts for a job.
+    pub max_attempts: u32,
+    /// The longest `retry_after` that clients respect; `None` where they are given none.
+    pub max_retry_after: Option<Micros>,
+    /// Final answers still count this long after the client's deadline.
+    pub answer_slack: Micros,
+    /// No attempt may be sent to a draining or gone worker after this.
+    pub drain_grace: Micros,
+    /// Where lists are sent only on request, the longest time between requests.
+    pub ask_within: Option<Micros>,
+    /// The fraction of its capacity that a worker has at its start, at least.
+    pub initial_capacity: f64,
+    /// The longest time that a worker takes to warm up.
+    pub warm_up_time: Micros,
+    /// The multiple of its present capacity at which a worker that is warming up collapses.
+    pub collapse_multiple: f64,
+    /// How long that load must last for the collapse.
+    pub collapse_window: Micros,
+    /// The price of sending each job to another zone once, out of 1.
+    pub price_cross_zone: f64,
+    /// The price of one probe for each job.
+    pub price_probe: f64,
+    /// The price of as much wasted work as was requested.
+    pub price_waste: f64,
+    /// The price if all weight ended unserved after its latency objective.
+    pub price_late_fail: f64,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        let class = Class {
+            latency_objective: 200_000,
+            latency_factor: 2.0,
+            deadline: 5_000_000,
+            idempotency: Idempotency::Idempotent,
+            weight: 1.0,
+            late_weight: 0.0,
+            stream: false,
+            kind: None,
+            priority: 0,
+        };
+        Settings {
+            me: 0,
+            nodes: 1,
+            zone: ZoneId(0),
+            classes: vec![class],
+            tenants: Vec::new(),
+            over_quota_weight: 1.0,
+            tick: 1_000,
+            weight_by_work: false,
+            reports: Reports::Answers,
+            reports_start: false,
+            progress: None,
+            list_on_request: false,
+            may_cancel: true,
+            may_probe: false,
+            may_message_peers: false,
+            may_hedge: true,
+            max_attempts: 5,
+            max_retry_after: None,
+            answer_slack: 20_000,
+            drain_grace: 500_000,
+            ask_within: None,
+            initial_capacity: 0.2,
+            warm_up_time: 10_000_000,
+            collapse_multiple: 2.5,
+            collapse_window: 1_000_000,
+            price_cross_zone: 0.0,
+            price_probe: 0.0,
+            price_waste: 0.05,
+            price_late_fail: 0.0,
+        }
+    }
+}
+
+/// The most nodes there may be: each assigns all workers to all groups at every endpoint list.
+pub const MAX_NODES: u32 = 10_000;
+
+/// Why [`crate::Dispatcher::new`] refused the settings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// There is no class.
+    #[error("settings name no class of jobs")]
+    NoClasses,
+    /// `me` is not below `nodes`.
+    #[error("this node's number is not below the count of nodes")]
+    NotAmongNodes,
+    /// There are more than [`MAX_NODES`].
+    #[error("there are more than 10,000 nodes")]
+    TooManyNodes,
+    /// No attempt is allowed.
+    #[error("settings allow no attempt")]
+    NoAttempts,
+    /// A class leaves no time.
+    #[error("a class has a deadline or an aim that is not above 0")]
+    NoTime,
+    /// A running module was given settings that lack a class of its own.
+    #[error("settings lack a class of the running module")]
+    ClassGone,
+    /// A number is negative or not finite, or a fraction is above 1.
+    #[error("a figure of the settings is out of range")]
+    OutOfRange,
+}
+
+impl Settings {
+    /// Checks that the settings are consistent.
+    ///
+    /// # Errors
+    ///
+    /// The first fault found, in the order of the variants of [`SettingsError`].
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        if self.me >= self.nodes {
+            return Err(SettingsError::NotAmongNodes);
+        }
+        if self.nodes > MAX_NODES {
+            return Err(SettingsError::TooManyNodes);
+        }
+        if self.max_attempts == 0 {
+            return Err(SettingsError::NoAttempts);
+        }
+        if self.classes.iter().any(|class| class.deadline == 0 || class.latency_objective == 0) {
+            return Err(SettingsError::NoTime);
+        }
+        if !self.has_numbers_in_range() {
+            return Err(SettingsError::OutOfRange);
+        }
+        Ok(())
+    }
+
+    fn has_numbers_in_range(&self) -> bool {
+        let fractions = [self.initial_capacity, self.over_quota_weight];
+        let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
+        let class_sizes =
+            self.classes.iter().flat_map(|class| [class.weight, class.late_weight, class.latency_factor]);
+        let is_size = |size: f64| size.is_finite() && size >= 0.0;
+        fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction))
+            && sizes.into_iter().chain(class_sizes).all(is_size)
+    }
+}
