--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::Dispatcher;
 use crate::config::{EndpointList, SiteNames};
-use crate::fleet::{Learners, Traits};
+use crate::fleet::{JobFeatures, Learners};
 use crate::invariant;
 use crate::policy::interface::*;
 use endpoint_table::EndpointTable;
@@ -355,7 +355,7 @@
                 let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
                 let points =
                     self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
-                self.learners.worth(now, tenant.map(String::as_str), new.class.0, points)
+                self.learners.tenant_weight(now, tenant.map(String::as_str), new.class.0, points)
             },
         };
         let request = PendingRequest {
@@ -392,11 +392,16 @@
     }
 
     /// What a job is called by what learns of it. A subject's number is a hash, the same at every dispatcher.
-    fn traits(&self, class: ClassId, tenant: Option<TenantId>, key: Option<KeyId>) -> Option<Traits<'_>> {
+    fn traits(
+        &self,
+        class: ClassId,
+        tenant: Option<TenantId>,
+        key: Option<KeyId>,
+    ) -> Option<JobFeatures<'_>> {
         let names = &self.names.0;
         let class = names.classes.names().get(usize::from(class.0))?;
         let tenant = tenant.and_then(|t| names.tenants.names().get(usize::from(t.0)));
-        Some(Traits { class, tenant: tenant.map(String::as_str), subject: key.map(|k| u64::from(k.0)) })
+        Some(JobFeatures { class, tenant: tenant.map(String::as_str), subject: key.map(|k| u64::from(k.0)) })
     }
 
     /// Remembers keyed jobs from now on, beginning with these notes; `clock_sound` unless time may have passed that the
@@ -689,7 +694,7 @@
         }
         match share {
             None => self.learn_start(now, id, attempt),
-            Some(share) => self.learners.progress(now, ticket(id, attempt), share),
+            Some(share) => self.learners.on_progress(now, ticket(id, attempt), share),
         }
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.open {
@@ -711,7 +716,7 @@
 
     /// An attempt has begun to run: what learns of run times is told where, and of what kind that is.
     fn learn_start(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        if !self.learners.on() {
+        if !self.learners.is_enabled() {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
@@ -722,9 +727,9 @@
         let tenant = new.tenant.and_then(|t| names.tenants.names().get(usize::from(t.0)));
         if let Some((server, class)) = server.zip(class) {
             let (tenant, subject) = (tenant.map(String::as_str), new.key.map(|k| u64::from(k.0)));
-            let job = Traits { class, tenant, subject };
+            let job = JobFeatures { class, tenant, subject };
             let (worker, kind) = (&server.row.instance_id, &server.row.machine_type);
-            self.learners.started(now, ticket(id, attempt), &job, worker, kind);
+            self.learners.on_started(now, ticket(id, attempt), &job, worker, kind);
         }
     }
 
@@ -770,7 +775,7 @@
         if !was_out {
             return false;
         }
-        self.learners.ended(now, ticket(id, attempt), outcome == Outcome::Ok);
+        self.learners.on_ended(now, ticket(id, attempt), outcome == Outcome::Ok);
         if let Some(this) = self.requests.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt as usize)) {
             (this.never_ran, this.handed_back) = (outcome.never_ran(), outcome == Outcome::HandedBack);
             this.withheld = outcome == Outcome::NeverSent;
@@ -815,7 +820,7 @@
             let (new, took) = (request.new, now.saturating_sub(request.arrived));
             let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
             let points = self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
-            self.learners.served(now, tenant.map(String::as_str), new.class.0, points, took);
+            self.learners.on_served(now, tenant.map(String::as_str), new.class.0, points, took);
         }
         let (class, sent) = (request.new.class, request.token.is_some() && !request.attempts.is_empty());
         if sent && entry != Completion::Served {
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,42 +1,44 @@
-//! What a dispatcher learns of its jobs and shares with the others: how long they run, and what tenants have used. Inputs
-//! to the decision module come from here; it decides.
+//! What a dispatcher learns of its jobs and shares with the others: how long jobs run, and what tenants have used. The
+//! decision module gets inputs from here and decides itself.
 
-use super::{Birth, FairShareSettings, FleetSettings};
+use super::{FairShareSettings, FleetSettings, ProcessIdentity};
 use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Use};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
 
-/// Facts are looked for this often.
-const LOOK: Micros = 250_000;
-/// Facts told in one go at most.
-const FACTS: usize = 16;
+/// Facts to publish are collected this often.
+const PUBLISH_INTERVAL: Micros = 250_000;
+/// Facts that one learner publishes in one go at most.
+const MAX_FACTS_PER_ROUND: usize = 16;
+/// The ledger counts use in thousandths of a point.
+const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
 
-/// What was counted, of the parts that are on.
+/// What was counted of each learner that is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LearnersFigures {
+pub struct LearnersMetrics {
     /// How long jobs run.
-    pub runtimes: Option<LearnerFigures>,
+    pub runtimes: Option<LearnerMetrics>,
     /// What tenants have used.
-    pub shares: Option<LearnerFigures>,
+    pub shares: Option<LearnerMetrics>,
 }
 
-/// What was counted of one part.
+/// What was counted of one learner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LearnerFigures {
+pub struct LearnerMetrics {
     /// Attempts whose end was seen; or tenants that are held.
     pub seen: u64,
-    /// Facts told.
-    pub told: u64,
+    /// Facts published.
+    pub published: u64,
     /// Facts of others that changed what is held.
-    pub taken: u64,
-    /// Facts that could not be taken in.
+    pub absorbed: u64,
+    /// Facts that could not be absorbed.
     pub refused: u64,
 }
 
-/// What a job is called by those that tell of it.
+/// What jobs that run alike have in common.
 #[derive(Clone, Copy, Debug)]
-pub struct Traits<'a> {
+pub struct JobFeatures<'a> {
     /// The name of its class.
     pub class: &'a str,
     /// The name of its tenant.
@@ -45,128 +47,148 @@
     pub subject: Option<u64>,
 }
 
-impl Traits<'_> {
+impl JobFeatures<'_> {
     fn likeness(&self) -> Likeness {
-        let name = |name: &str| number(name.as_bytes());
+        let hash = |name: &str| number(name.as_bytes());
         Likeness {
-            tenant: self.tenant.map(name),
+            tenant: self.tenant.map(hash),
             subject: self.subject,
-            ..Likeness::of_class(name(self.class))
+            ..Likeness::of_class(hash(self.class))
         }
     }
 }
 
-/// The parts that learn, those that are on.
+/// A fact for the other members.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingFact {
+    /// Which learner owns it.
+    pub kind: u8,
+    /// The slot that it replaces.
+    pub slot: u32,
+    /// Its content, in the learner's own encoding.
+    pub bytes: Vec<u8>,
+}
+
+/// The learners, those that are on.
 #[derive(Default)]
 pub struct Learners {
     runtimes: Option<Runtimes>,
     shares: Option<Ledger>,
-    share_set: Option<FairShareSettings>,
+    share_settings: Option<FairShareSettings>,
 }
 
-/// A point, in the units in which use is told.
-const POINT: f64 = 1_000.0;
-
 impl Learners {
-    /// The parts that the settings name. What they teach is told under the epoch of `birth`.
-    pub fn new(settings: &FleetSettings, birth: Birth, now: Micros) -> Learners {
-        let place = u16::try_from(birth.me).unwrap_or(u16::MAX);
-        let runtimes = settings.runtimes.as_ref().and_then(|set| {
-            let config = Config { long: set.long, ..Config::new(place, birth.epoch) };
-            let made = Runtimes::new(config, now);
-            crate::invariant!(made.is_ok(), "settings that were checked");
-            made.ok()
+    /// The learners that the settings name; `identity` signs what they publish.
+    pub fn new(settings: &FleetSettings, identity: ProcessIdentity, now: Micros) -> Learners {
+        let place = place_of(identity);
+        let runtimes = settings.runtimes.as_ref().and_then(|settings| {
+            let config = Config { long: settings.long_quantile, ..Config::new(place, identity.epoch) };
+            let runtimes = Runtimes::new(config, now);
+            crate::invariant!(runtimes.is_ok(), "settings that were checked");
+            runtimes.ok()
         });
-        let mut learners = Learners { runtimes, shares: None, share_set: settings.fair_share.clone() };
-        learners.begin_anew(birth, now);
+        let mut learners = Learners { runtimes, shares: None, share_settings: settings.fair_share.clone() };
+        learners.restart(identity, now);
         learners
     }
 
-    /// What is told from now on is told under another epoch. Reports of use are told apart by it, so they begin anew too: what
-    /// was told before comes back from the others, and is not told twice. Estimates name their run themselves.
-    pub fn begin_anew(&mut self, birth: Birth, now: Micros) {
-        let place = u16::try_from(birth.me).unwrap_or(u16::MAX);
-        self.shares = self.share_set.as_ref().and_then(|set| {
-            let wall = (birth.epoch * 1_000).saturating_sub(now);
-            let made = Ledger::new(set.config(place, birth.peers, birth.epoch, wall), &set.shares, now);
-            crate::invariant!(made.is_ok(), "shares that were checked");
-            made.ok()
+    /// Publishes under another epoch from now on. Reports of use are told apart by their epoch, so the ledger starts empty:
+    /// what was published before comes back from the others, and is not counted twice. Estimates of run times name their run
+    /// themselves and stay.
+    pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
+        let place = place_of(identity);
+        self.shares = self.share_settings.as_ref().and_then(|settings| {
+            let unix_at_zero = (identity.epoch * 1_000).saturating_sub(now);
+            let config = settings.config(place, identity.peers, identity.epoch, unix_at_zero);
+            let ledger = Ledger::new(config, &settings.shares, now);
+            crate::invariant!(ledger.is_ok(), "shares that were checked");
+            ledger.ok()
         });
     }
 
-    /// Whether any part is on.
-    pub fn on(&self) -> bool {
+    /// Whether any learner is on.
+    pub fn is_enabled(&self) -> bool {
         self.runtimes.is_some() || self.shares.is_some()
     }
 
-    /// What one more job of this tenant and class, of so many points, is worth as a part of them, where shares are kept.
-    pub fn worth(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64) -> Option<f64> {
-        let class = u8::try_from(class).unwrap_or(u8::MAX);
-        let amount = (points * POINT).max(0.0) as u64; // the measure is worth: see `Config::new` of the crate
-        let worth = self.shares.as_mut()?.worth(TenantKey::of(tenant?), class, amount, now);
+    /// The weight of one more job of this tenant and class, as a fraction of its `points`; `None` where no shares are kept.
+    pub fn tenant_weight(
+        &mut self,
+        now: Micros,
+        tenant: Option<&str>,
+        class: u16,
+        points: f64,
+    ) -> Option<f64> {
+        // What is measured is the weight: see `Config::new` of the crate.
+        let worth = self.shares.as_mut()?.worth(
+            TenantKey::of(tenant?),
+            ledger_class(class),
+            millipoints(points),
+            now,
+        );
         Some(worth.part)
     }
 
-    /// A job was served: it was worth so many points, and took so long.
-    pub fn served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, took: Micros) {
+    /// A job of so many `points` was served, and ran for `runtime`.
+    pub fn on_served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, runtime: Micros) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Use { worth: (points * POINT).max(0.0) as u64, work: took / 1_000 };
-            let class = u8::try_from(class).unwrap_or(u8::MAX);
+            let used = Use { worth: millipoints(points), work: runtime / 1_000 };
             // What has no room is counted there.
-            let _ = shares.record(now, now, TenantKey::of(tenant), class, used);
+            let _ = shares.record(now, now, TenantKey::of(tenant), ledger_class(class), used);
         }
     }
 
-    /// What is believed of a member has changed: one that is gone reports no more.
-    pub fn changed(&mut self, now: Micros, change: Change) {
+    /// The belief about a member has changed: one that has left reports no more.
+    pub fn on_member_changed(&mut self, now: Micros, change: Change) {
         if let Some(shares) = self.shares.as_mut().filter(|_| change.to == State::Left) {
             shares.left(now, mothproxy_fairshare::Origin { place: change.place, epoch: change.epoch });
         }
     }
 
-    /// The work of such a job, where that is learned.
-    pub fn estimate(&self, job: &Traits<'_>) -> Option<Estimate> {
+    /// How long such a job will run, where that is learned.
+    pub fn estimate(&self, job: &JobFeatures<'_>) -> Option<Estimate> {
         let work = self.runtimes.as_ref()?.work(&job.likeness());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
-    pub fn started(&mut self, now: Micros, attempt: u64, job: &Traits<'_>, worker: &str, kind: &str) {
+    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobFeatures<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
             let (worker, kind) = (number(worker.as_bytes()), number(kind.as_bytes()) as u32);
             runtimes.started(attempt, &job.likeness(), kind, worker, now);
         }
     }
 
-    /// It has told the share done.
-    pub fn progress(&mut self, now: Micros, attempt: u64, share: f64) {
+    /// An attempt has reported that this fraction of it is done.
+    pub fn on_progress(&mut self, now: Micros, attempt: u64, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.progress(attempt, share, now);
+            runtimes.progress(attempt, fraction, now);
         }
     }
 
-    /// It has ended; `done` where it ran to its end. One that never began to run teaches nothing.
-    pub fn ended(&mut self, now: Micros, attempt: u64, done: bool) {
+    /// An attempt has ended, having run to completion or not. One that never began to run teaches nothing.
+    pub fn on_ended(&mut self, now: Micros, attempt: u64, ran_to_completion: bool) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.ended(attempt, if done { Outcome::Done } else { Outcome::Censored }, now);
+            let outcome = if ran_to_completion { Outcome::Done } else { Outcome::Censored };
+            runtimes.ended(attempt, outcome, now);
         }
     }
 
-    /// What there is to tell the others now: kind, slot and bytes.
-    pub fn publish(&mut self, now: Micros) -> Vec<(u8, u32, Vec<u8>)> {
+    /// The facts to publish now.
+    pub fn publish(&mut self, now: Micros) -> Vec<OutgoingFact> {
         let mut facts = Vec::new();
         if let Some(runtimes) = &mut self.runtimes {
-            let told = std::iter::from_fn(|| runtimes.publish(now)).take(FACTS);
-            facts.extend(told.map(|(slot, bytes)| (mothproxy_runtimes::KIND, slot, bytes)));
+            let next = || runtimes.publish(now);
+            facts.extend(round_of_facts(mothproxy_runtimes::KIND, next));
         }
         if let Some(shares) = &mut self.shares {
-            let told = std::iter::from_fn(|| shares.publish(now)).take(FACTS);
-            facts.extend(told.map(|(slot, bytes)| (mothproxy_fairshare::KIND, slot, bytes)));
+            let next = || shares.publish(now);
+            facts.extend(round_of_facts(mothproxy_fairshare::KIND, next));
         }
         facts
     }
 
-    /// Takes in what another has told, or this place at an earlier start.
+    /// Takes in what another member has published, or this place at an earlier start.
     pub fn absorb(&mut self, now: Micros, fact: &OwnedFact) {
         if fact.kind == mothproxy_runtimes::KIND
             && let Some(runtimes) = &mut self.runtimes
@@ -183,22 +205,55 @@
         }
     }
 
-    /// When [`Learners::publish`] is to be asked next, if a part is on.
-    pub fn next_look(&self, now: Micros) -> Option<Micros> {
-        self.on().then_some(now + LOOK)
+    /// When [`Learners::publish`] is due next, if a learner is on.
+    pub fn next_publish(&self, now: Micros) -> Option<Micros> {
+        self.is_enabled().then_some(now + PUBLISH_INTERVAL)
     }
 
-    /// What was counted, of the parts that are on.
-    pub fn figures(&self) -> LearnersFigures {
+    /// What was counted of each learner that is on.
+    pub fn metrics(&self) -> LearnersMetrics {
         let runtimes = self.runtimes.as_ref().map(|runtimes| {
-            let f = runtimes.figures();
-            LearnerFigures { seen: f.seen, told: f.told, taken: f.taken, refused: f.refused }
+            let counts = runtimes.figures();
+            LearnerMetrics {
+                seen: counts.seen,
+                published: counts.told,
+                absorbed: counts.taken,
+                refused: counts.refused,
+            }
         });
         let shares = self.shares.as_ref().map(|shares| {
-            let f = shares.figures();
-            let refused = f.late + f.future + f.malformed + f.foreign + f.full;
-            LearnerFigures { seen: f.books, told: f.told, taken: f.absorbed - f.stale, refused }
+            let counts = shares.figures();
+            LearnerMetrics {
+                seen: counts.books,
+                published: counts.told,
+                absorbed: counts.absorbed - counts.stale,
+                refused: counts.late + counts.future + counts.malformed + counts.foreign + counts.full,
+            }
         });
-        LearnersFigures { runtimes, shares }
+        LearnersMetrics { runtimes, shares }
     }
 }
+
+/// The place in the form that facts carry.
+fn place_of(identity: ProcessIdentity) -> u16 {
+    u16::try_from(identity.place).unwrap_or(u16::MAX)
+}
+
+/// The class in the form that the ledger keeps.
+fn ledger_class(class: u16) -> u8 {
+    u8::try_from(class).unwrap_or(u8::MAX)
+}
+
+/// Points in the unit that the ledger keeps.
+fn millipoints(points: f64) -> u64 {
+    (points * MILLIPOINTS_PER_POINT).max(0.0) as u64
+}
+
+/// Takes facts of one learner until it has no more, or a round is full.
+fn round_of_facts(
+    kind: u8,
+    next: impl FnMut() -> Option<(u32, Vec<u8>)>,
+) -> impl Iterator<Item = OutgoingFact> {
+    let to_fact = move |(slot, bytes)| OutgoingFact { kind, slot, bytes };
+    std::iter::from_fn(next).take(MAX_FACTS_PER_ROUND).map(to_fact)
+}
--- /dev/null
+++ b/src/fleet/members.rs
@@ -0,0 +1,153 @@
+//! The membership protocol of this dispatcher, and what its view means for the peers that may hold work.
+
+use super::log_limiter::LogLimiter;
+use super::{FleetError, FleetOutput, MembershipSettings, ProcessIdentity};
+use crate::policy::interface::{Micros, PeerPresence};
+use mothproxy_membership::{Change, Figures, Member, Membership, Output, State, View};
+use std::collections::VecDeque;
+
+/// Changes of the view reach the decision module at most this often: after a heal they come by the dozen, and each makes
+/// it assign the workers anew.
+const PRESENCE_INTERVAL: Micros = 200_000;
+/// While a dead member's assignment is kept for a limited time, its expiry is checked this often.
+const EXPIRY_CHECK_INTERVAL: Micros = 1_000_000;
+/// Membership needs at least this many places.
+const MIN_PEERS: usize = 2;
+
+/// The membership state machine of one process, and the presence of each place that is derived from its view.
+#[derive(Debug)]
+pub(super) struct Members {
+    own_place: usize,
+    membership: Membership,
+    /// Until when a place that was never heard of counts as present; 0 once that time has passed.
+    unknown_until: Micros,
+    /// For how long a dead place's assignment is kept, if not for as long as it is dead.
+    dead_assignment_ttl: Option<Micros>,
+    /// The presence that was reported last.
+    reported: Option<Vec<PeerPresence>>,
+    /// When the presence is derived anew, if anything may have changed it.
+    report_at: Option<Micros>,
+    log_limiter: LogLimiter,
+}
+
+impl Members {
+    /// A member that starts now.
+    ///
+    /// # Errors
+    /// If there are too few or too many places, or the settings do not agree with each other.
+    pub(super) fn new(
+        settings: &MembershipSettings,
+        identity: ProcessIdentity,
+        now: Micros,
+    ) -> Result<Members, FleetError> {
+        if identity.peers < MIN_PEERS {
+            return Err(FleetError::Peers(identity.peers));
+        }
+        let to_place = |place: usize| u16::try_from(place).map_err(|_| FleetError::Peers(identity.peers));
+        let own_place = identity.place as usize;
+        let config =
+            settings.config(to_place(own_place)?, to_place(identity.peers)?, identity.epoch, identity.seed);
+        let unknown_until = now + settings.unknown_member_ttl(&config);
+        Ok(Members {
+            own_place,
+            membership: Membership::new(config, now)?,
+            unknown_until,
+            dead_assignment_ttl: settings.dead_assignment_ttl,
+            reported: None,
+            report_at: Some(now),
+            log_limiter: LogLimiter::new(now),
+        })
+    }
+
+    /// A datagram came from the address of this place.
+    pub(super) fn on_datagram(&mut self, now: Micros, from: u16, bytes: &[u8]) {
+        self.membership.receive(now, from, bytes);
+    }
+
+    /// The time of [`Members::next_wake`] has come.
+    pub(super) fn on_timer(&mut self, now: Micros) {
+        if now >= self.membership.next_wake() {
+            self.membership.tick(now);
+        }
+        if now >= self.unknown_until && self.unknown_until > 0 {
+            self.unknown_until = 0;
+            self.report_at.get_or_insert(now);
+        }
+    }
+
+    /// When [`Members::on_timer`] is due.
+    pub(super) fn next_wake(&self, now: Micros) -> Micros {
+        let unknown_expiry = (now < self.unknown_until).then_some(self.unknown_until);
+        unknown_expiry.into_iter().chain(self.report_at).fold(self.membership.next_wake(), Micros::min)
+    }
+
+    /// Tells the other members that this one leaves.
+    pub(super) fn leave(&mut self, now: Micros) {
+        self.membership.leave(now);
+    }
+
+    /// Publishes a fact to the other members.
+    pub(super) fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
+        // Refused where the facts are full or this member has left: then nobody receives it.
+        let _ = self.membership.tell(now, kind, slot, bytes);
+    }
+
+    /// What is believed of all places.
+    pub(super) fn view(&self) -> &View {
+        self.membership.view()
+    }
+
+    /// What was counted.
+    pub(super) fn metrics(&self) -> Figures {
+        self.membership.figures()
+    }
+
+    /// Moves what the protocol wants done, and a presence that has changed, to `outputs`.
+    pub(super) fn collect_outputs(&mut self, now: Micros, outputs: &mut VecDeque<FleetOutput>) {
+        while let Some(output) = self.membership.poll() {
+            match output {
+                Output::Send { to, bytes } => {
+                    outputs.push_back(FleetOutput::Send { to: u32::from(to), bytes });
+                }
+                Output::Changed(change) => self.on_change(now, change, outputs),
+                Output::Fact(fact) => outputs.push_back(FleetOutput::Fact(fact)),
+            }
+        }
+        if self.report_at.is_some_and(|at| at <= now) {
+            self.report_presence(now, outputs);
+        }
+    }
+
+    fn on_change(&mut self, now: Micros, change: Change, outputs: &mut VecDeque<FleetOutput>) {
+        outputs.push_back(FleetOutput::MemberChanged(change));
+        self.report_at.get_or_insert(now + PRESENCE_INTERVAL);
+        if let Some(suppressed) = self.log_limiter.admit(now) {
+            outputs.push_back(FleetOutput::LogChange { change, suppressed });
+        }
+    }
+
+    fn report_presence(&mut self, now: Micros, outputs: &mut VecDeque<FleetOutput>) {
+        let presence = self.presence(now);
+        let may_expire = self.dead_assignment_ttl.is_some() && presence.contains(&PeerPresence::Unreachable);
+        self.report_at = may_expire.then_some(now + EXPIRY_CHECK_INTERVAL);
+        if self.reported.as_ref() != Some(&presence) {
+            self.reported = Some(presence.clone());
+            outputs.push_back(FleetOutput::PeerPresence(presence));
+        }
+    }
+
+    /// Which places may hold work: those alive or suspected, those never heard of for a while, and one's own. A dead one
+    /// may be alive on the other side of a partition; one that has said that it leaves is not.
+    fn presence(&self, now: Micros) -> Vec<PeerPresence> {
+        let keeps_assignment =
+            |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
+        let presence_of = |(place, member): (u16, &Member)| match member.state {
+            _ if usize::from(place) == self.own_place => PeerPresence::Present,
+            State::Alive | State::Suspect => PeerPresence::Present,
+            State::Unknown if now < self.unknown_until => PeerPresence::Present,
+            State::Unknown | State::Dead if keeps_assignment(member.since) => PeerPresence::Unreachable,
+            State::Unknown | State::Dead | State::Left => PeerPresence::Gone,
+        };
+        self.view().iter().map(presence_of).collect()
+    }
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,34 +1,28 @@
-//! What the dispatchers of a site know of each other: the parts that share what they learn, behind one state machine.
+//! What the dispatchers of a site know of each other, and what they learn together.
 //!
-//! Datagrams and time go in, [`Effect`]s come out ([`Fleet::poll`]); it knows no socket and reads no clock. A part that
-//! is off is not there: with all of them off nothing ever comes out. `docs/design/parts.md` has what crosses between them.
+//! [`Fleet`] is a state machine without socket or clock: datagrams and time go in, [`FleetOutput`]s come out
+//! ([`Fleet::poll`]). It owns the membership protocol; [`Learners`] owns what is learned of jobs and tenants, which travels
+//! as facts of the membership. A part that the settings leave off does not exist: with all of them off nothing ever comes
+//! out. `docs/design/parts.md` has what crosses between the parts.
 
 mod learners;
+mod log_limiter;
+mod members;
 mod settings;
 
-pub use learners::{LearnerFigures, Learners, LearnersFigures, Traits};
+pub use learners::{JobFeatures, LearnerMetrics, Learners, LearnersMetrics, OutgoingFact};
 pub use settings::{
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
 
 use crate::policy::interface::{Micros, PeerPresence};
-use mothproxy_membership::{
-    Change, Config, ConfigError, Figures, Member, Membership, Output, OwnedFact, State, VERSION, View,
-};
+use members::Members;
+use mothproxy_membership::{Change, ConfigError, Figures, OwnedFact, VERSION, View};
 use std::collections::VecDeque;
 
-/// Changes of the view reach the module at most this often: after a heal they come by the dozen, and each deals the
-/// workers anew.
-const SETTLE: Micros = 200_000;
-/// Parts that are kept for a time are looked at this often.
-const LOOK_AGAIN: Micros = 1_000_000;
-/// So many lines of changes in one go, and then one each `LINE_EVERY`.
-const LINES: u64 = 16;
-const LINE_EVERY: Micros = 500_000;
-
-/// What there is to do, in this order.
+/// What the driver has to do or to pass on, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
+pub enum FleetOutput {
     /// Send these bytes to the dispatcher of this place; they may be lost.
     Send {
         /// Its place.
@@ -36,126 +30,34 @@
         /// The bytes, 256 at most.
         bytes: Vec<u8>,
     },
-    /// What is believed of each place, for [`crate::Event::Peers`].
-    Peers(Vec<PeerPresence>),
-    /// A member's state or epoch has changed: for the parts that are not in here.
-    Changed(Change),
-    /// What another member told, or this place at an earlier start, for the part that owns its kind.
+    /// The presence of each place has changed, for [`crate::Event::Peers`].
+    PeerPresence(Vec<PeerPresence>),
+    /// A member's state or epoch has changed, for the parts that are not owned by [`Fleet`].
+    MemberChanged(Change),
+    /// A fact published by another member, or by this place at an earlier start, for the part that owns its kind.
     Fact(OwnedFact),
-    /// A change of the view that is worth a line of the log.
-    Line {
+    /// A change of the view that gets a line of the log.
+    LogChange {
         /// The change.
         change: Change,
-        /// Changes since the last line that got none.
-        hidden: u64,
+        /// Changes without a line since the last one that got one.
+        suppressed: u64,
     },
 }
 
-/// The start of a process at a place.
+/// One start of a dispatcher process at its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Birth {
+pub struct ProcessIdentity {
     /// Its place among the peers.
-    pub me: u32,
+    pub place: u32,
     /// How many places there are.
     pub peers: usize,
-    /// Milliseconds of Unix time.
+    /// When it started, in milliseconds of Unix time: it tells the processes at one place apart.
     pub epoch: u64,
-    /// Where all that looks random comes from.
+    /// The seed of all that is random.
     pub seed: u64,
 }
 
-/// The dispatcher's part in the fleet.
-#[derive(Debug, Default)]
-pub struct Fleet {
-    settings: FleetSettings,
-    members: Option<Members>,
-    effects: VecDeque<Effect>,
-    /// Another process speaks for this place.
-    quiet: bool,
-}
-
-#[derive(Debug)]
-struct Members {
-    me: usize,
-    machine: Membership,
-    /// Until when a place that was never heard of counts as here.
-    unknown_until: Micros,
-    /// For how long a dead place's part is kept, if not for as long as it is dead.
-    keep_part: Option<Micros>,
-    /// What the module was told last.
-    told: Option<Vec<PeerPresence>>,
-    /// When it is to be told again, if anything has changed.
-    tell_at: Option<Micros>,
-    lines: Lines,
-}
-
-/// Which changes get a line.
-#[derive(Debug)]
-struct Lines {
-    spare: u64,
-    refilled: Micros,
-    hidden: u64,
-}
-
-impl Lines {
-    /// Whether a change gets a line now: how many before it got none.
-    fn take(&mut self, now: Micros) -> Option<u64> {
-        let fresh = now.saturating_sub(self.refilled) / LINE_EVERY;
-        (self.spare, self.refilled) = ((self.spare + fresh).min(LINES), self.refilled + fresh * LINE_EVERY);
-        match self.spare.checked_sub(1) {
-            Some(left) => {
-                self.spare = left;
-                Some(std::mem::take(&mut self.hidden))
-            }
-            None => {
-                self.hidden += 1;
-                None
-            }
-        }
-    }
-}
-
-impl Members {
-    fn new(set: &MembershipSettings, birth: Birth, now: Micros) -> Result<Members, FleetError> {
-        let place = |n: usize| u16::try_from(n).map_err(|_| FleetError::Peers(birth.peers));
-        if birth.peers < 2 {
-            return Err(FleetError::Peers(birth.peers));
-        }
-        let config: Config =
-            set.config(place(birth.me as usize)?, place(birth.peers)?, birth.epoch, birth.seed);
-        let unknown_until = now + set.unknown_for(&config);
-        Ok(Members {
-            me: birth.me as usize,
-            machine: Membership::new(config, now)?,
-            unknown_until,
-            keep_part: set.keep_part,
-            told: None,
-            tell_at: Some(now),
-            lines: Lines { spare: LINES, refilled: now, hidden: 0 },
-        })
-    }
-
-    /// Which places may hold work: those alive or suspected, those never heard of for a while, and one's own. A dead one
-    /// may be alive on the other side of a cut; one that has said that it leaves is not.
-    fn peers(&self, now: Micros) -> Vec<PeerPresence> {
-        let kept = |since: Micros| self.keep_part.is_none_or(|keep| now < since.saturating_add(keep));
-        let presence = |(place, member): (u16, &Member)| match member.state {
-            _ if usize::from(place) == self.me => PeerPresence::Present,
-            State::Alive | State::Suspect => PeerPresence::Present,
-            State::Unknown if now < self.unknown_until => PeerPresence::Present,
-            State::Unknown | State::Dead if kept(member.since) => PeerPresence::Unreachable,
-            State::Unknown | State::Dead | State::Left => PeerPresence::Gone,
-        };
-        self.machine.view().iter().map(presence).collect()
-    }
-
-    fn next_wake(&self, now: Micros) -> Micros {
-        let unknown = (now < self.unknown_until).then_some(self.unknown_until);
-        let wakes = unknown.into_iter().chain(self.tell_at);
-        wakes.fold(self.machine.next_wake(), Micros::min)
-    }
-}
-
 /// Why the parts cannot start.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetError {
@@ -167,131 +69,128 @@
     Membership(#[from] ConfigError),
 }
 
+/// This dispatcher as a member of the fleet.
+#[derive(Debug, Default)]
+pub struct Fleet {
+    settings: FleetSettings,
+    members: Option<Members>,
+    outputs: VecDeque<FleetOutput>,
+    /// Another process speaks for this place: nothing is sent.
+    is_suspended: bool,
+}
+
 impl Fleet {
     /// The parts that the settings name, for a process that starts now.
-    pub fn new(settings: FleetSettings, birth: Birth, now: Micros) -> Result<Fleet, FleetError> {
+    ///
+    /// # Errors
+    /// If a part cannot start with these settings among so many peers.
+    pub fn new(settings: FleetSettings, identity: ProcessIdentity, now: Micros) -> Result<Fleet, FleetError> {
         let mut fleet = Fleet { settings, ..Fleet::default() };
-        fleet.renew(birth, now)?;
+        fleet.restart(identity, now)?;
         Ok(fleet)
     }
 
-    /// Whether [`Fleet::renew`] would begin.
-    pub fn check(&self, birth: Birth, now: Micros) -> Result<(), FleetError> {
-        let members = self.settings.membership.as_ref().map(|set| Members::new(set, birth, now));
-        members.transpose().map(|_| ())
+    /// Whether [`Fleet::restart`] would succeed.
+    ///
+    /// # Errors
+    /// Those of [`Fleet::restart`].
+    pub fn check_restart(&self, identity: ProcessIdentity, now: Micros) -> Result<(), FleetError> {
+        self.new_members(identity, now).map(drop)
     }
 
-    /// Begins anew, with another epoch, among other peers perhaps. Nothing changes where that fails.
-    pub fn renew(&mut self, birth: Birth, now: Micros) -> Result<(), FleetError> {
-        let members = self.settings.membership.as_ref().map(|set| Members::new(set, birth, now));
-        self.members = members.transpose()?;
-        self.quiet = false;
-        self.drain(now);
+    /// Starts anew, with another epoch and perhaps among other peers, and ends a suspension.
+    ///
+    /// # Errors
+    /// If a part cannot start; then nothing changes.
+    pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) -> Result<(), FleetError> {
+        self.members = self.new_members(identity, now)?;
+        self.is_suspended = false;
+        self.collect_outputs(now);
         Ok(())
     }
 
+    fn new_members(&self, identity: ProcessIdentity, now: Micros) -> Result<Option<Members>, FleetError> {
+        let settings = self.settings.membership.as_ref();
+        settings.map(|settings| Members::new(settings, identity, now)).transpose()
+    }
+
     /// Whether a datagram is for this struct: by its first byte, where membership is on.
-    pub fn understands(&self, bytes: &[u8]) -> bool {
+    pub fn accepts(&self, bytes: &[u8]) -> bool {
         self.members.is_some() && bytes.first() == Some(&VERSION)
     }
 
     /// A datagram came from the address of this place.
-    pub fn hear(&mut self, now: Micros, from: u32, bytes: &[u8]) {
-        if let (Some(members), Ok(from), false) = (&mut self.members, u16::try_from(from), self.quiet) {
-            members.machine.receive(now, from, bytes);
-            self.drain(now);
+    pub fn on_datagram(&mut self, now: Micros, from: u32, bytes: &[u8]) {
+        let Ok(from) = u16::try_from(from) else { return };
+        if let Some(members) = self.active_members() {
+            members.on_datagram(now, from, bytes);
+            self.collect_outputs(now);
         }
     }
 
     /// The time of [`Fleet::next_wake`] has come.
-    pub fn due(&mut self, now: Micros) {
-        if let (Some(members), false) = (&mut self.members, self.quiet) {
-            if now >= members.machine.next_wake() {
-                members.machine.tick(now);
-            }
-            if now >= members.unknown_until && members.unknown_until > 0 {
-                (members.unknown_until, members.tell_at) = (0, members.tell_at.or(Some(now)));
-            }
-            self.drain(now);
+    pub fn on_timer(&mut self, now: Micros) {
+        if let Some(members) = self.active_members() {
+            members.on_timer(now);
+            self.collect_outputs(now);
         }
     }
 
-    /// When to call [`Fleet::due`] at the latest; changes with every call.
+    /// When to call [`Fleet::on_timer`] at the latest; changes with every call.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
-        self.members.as_ref().filter(|_| !self.quiet).map(|members| members.next_wake(now))
+        self.members.as_ref().filter(|_| !self.is_suspended).map(|members| members.next_wake(now))
     }
 
-    /// Whether there is anybody to tell anything.
-    pub fn tells(&self) -> bool {
-        self.members.is_some() && !self.quiet
+    /// Whether a fact that is published may reach anybody.
+    pub fn can_publish(&self) -> bool {
+        self.members.is_some() && !self.is_suspended
     }
 
-    /// This dispatcher takes its leave of the others.
-    pub fn leave(&mut self, now: Micros) {
-        if let (Some(members), false) = (&mut self.members, self.quiet) {
-            members.machine.leave(now);
-            self.drain(now);
+    /// Publishes a fact to the other members.
+    pub fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
+        if let Some(members) = self.active_members() {
+            members.publish(now, kind, slot, bytes);
+            self.collect_outputs(now);
         }
     }
 
-    /// Another process speaks for this place from now on: this one says nothing more, no farewell either.
-    pub fn fall_silent(&mut self) {
-        self.quiet = true;
-        self.effects.retain(|effect| !matches!(effect, Effect::Send { .. }));
+    /// Tells the other members that this dispatcher leaves.
+    pub fn leave(&mut self, now: Micros) {
+        if let Some(members) = self.active_members() {
+            members.leave(now);
+            self.collect_outputs(now);
+        }
     }
 
-    /// What there is to do, until `None`; to be asked after each call of the others.
-    pub fn poll(&mut self) -> Option<Effect> {
-        self.effects.pop_front()
+    /// Another process speaks for this place from now on: this one sends nothing more, until [`Fleet::restart`].
+    pub fn suspend(&mut self) {
+        self.is_suspended = true;
+        self.outputs.retain(|output| !matches!(output, FleetOutput::Send { .. }));
     }
 
-    /// Tells the others a fact.
-    pub fn tell(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
-        if let (Some(members), false) = (&mut self.members, self.quiet) {
-            let _ = members.machine.tell(now, kind, slot, bytes); // full, or it has left: then nobody hears of it
-            self.drain(now);
-        }
+    /// The next thing to do; to be called until `None` after each call of the other methods.
+    pub fn poll(&mut self) -> Option<FleetOutput> {
+        self.outputs.pop_front()
     }
 
     /// What is believed of all places, where membership is on.
     pub fn view(&self) -> Option<&View> {
-        self.members.as_ref().map(|members| members.machine.view())
+        self.members.as_ref().map(Members::view)
     }
 
     /// What was counted, where membership is on.
-    pub fn figures(&self) -> Option<Figures> {
-        self.members.as_ref().map(|members| members.machine.figures())
+    pub fn metrics(&self) -> Option<Figures> {
+        self.members.as_ref().map(Members::metrics)
     }
 
-    /// Turns what the parts put out into effects.
-    fn drain(&mut self, now: Micros) {
-        let Some(members) = &mut self.members else { return };
-        while let Some(output) = members.machine.poll() {
-            match output {
-                Output::Send { to, bytes } => {
-                    self.effects.push_back(Effect::Send { to: u32::from(to), bytes })
-                }
-                Output::Changed(change) => {
-                    self.effects.push_back(Effect::Changed(change));
-                    members.tell_at.get_or_insert(now + SETTLE);
-                    if let Some(hidden) = members.lines.take(now) {
-                        self.effects.push_back(Effect::Line { change, hidden });
-                    }
-                }
-                Output::Fact(fact) => self.effects.push_back(Effect::Fact(fact)),
-            }
-        }
-        if members.tell_at.is_some_and(|at| at <= now) {
-            members.tell_at = None;
-            let peers = members.peers(now);
-            // Until when a part is kept is looked at every now and then.
-            if members.keep_part.is_some() && peers.contains(&PeerPresence::Unreachable) {
-                members.tell_at = Some(now + LOOK_AGAIN);
-            }
-            if members.told.as_ref() != Some(&peers) {
-                members.told = Some(peers.clone());
-                self.effects.push_back(Effect::Peers(peers));
-            }
+    /// The membership, unless it is off or suspended.
+    fn active_members(&mut self) -> Option<&mut Members> {
+        self.members.as_mut().filter(|_| !self.is_suspended)
+    }
+
+    fn collect_outputs(&mut self, now: Micros) {
+        if let Some(members) = &mut self.members {
+            members.collect_outputs(now, &mut self.outputs);
         }
     }
 }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,15 +1,18 @@
-//! What the operators' file says of the parts; [`crate::settings`] reads it.
+//! The settings of the fleet's parts; [`crate::settings`] reads them from the operators' file.
 
 use crate::policy::interface::Micros;
 use mothproxy_fairshare::Shares;
 use mothproxy_membership::Config;
 
-/// The parts that are on.
+/// The shortest span that a scaled interval of the membership may have, in microseconds.
+const MIN_SCALED_INTERVAL: Micros = 1_000;
+
+/// The settings of each part that is on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSettings {
-    /// Who is there.
+    /// Which members there are, and which of them are alive.
     pub membership: Option<MembershipSettings>,
-    /// Who asks discovery when.
+    /// When each dispatcher calls discovery.
     pub cold_start: Option<ColdStartSettings>,
     /// How long jobs run.
     pub runtimes: Option<RuntimesSettings>,
@@ -17,10 +20,10 @@
     pub fair_share: Option<FairShareSettings>,
 }
 
-/// How a cold start spares discovery; all of a site must have the same.
+/// How a cold start spares discovery; all dispatchers of a site must have the same.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ColdStartSettings {
-    /// What a call is taken to cost discovery, in microseconds.
+    /// What one call is assumed to cost discovery, in microseconds.
     pub call_time: Micros,
 }
 
@@ -33,97 +36,107 @@
 /// How run times are learned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuntimesSettings {
-    /// The quantile that counts as long, 0.5 to 0.99.
-    pub long: f64,
+    /// The quantile of run times that counts as long, 0.5 to 0.99.
+    pub long_quantile: f64,
 }
 
 impl Default for RuntimesSettings {
     fn default() -> Self {
-        RuntimesSettings { long: mothproxy_runtimes::Config::new(0, 0).long }
+        RuntimesSettings { long_quantile: mothproxy_runtimes::Config::new(0, 0).long }
     }
 }
 
-/// Who has what share; all of a federation must have the same.
+/// The quotas of tenants; all dispatchers of a federation must have the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FairShareSettings {
     /// The tree of shares.
     pub shares: Shares,
     /// What the whole federation can serve, in thousandths of a point a second.
-    pub rate: u64,
-    /// The worth of a job beyond all that its tenant may have, as a part of its class's worth.
-    pub over_share: f64,
+    pub millipoints_per_s: u64,
+    /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight, 0 to 1.
+    pub over_quota_weight: f64,
 }
 
 impl FairShareSettings {
-    /// The settings of the member at a place; `wall` is the Unix time of the caller's zero, in microseconds.
-    pub fn config(&self, me: u16, peers: usize, epoch: u64, wall: u64) -> mothproxy_fairshare::Config {
-        let peers = u16::try_from(peers).unwrap_or(u16::MAX).max(me.saturating_add(1));
+    /// The ledger's configuration for the member at a place. `unix_at_zero` is the Unix time, in microseconds, at which the
+    /// caller's clock showed 0.
+    pub fn config(
+        &self,
+        place: u16,
+        peers: usize,
+        epoch: u64,
+        unix_at_zero: u64,
+    ) -> mothproxy_fairshare::Config {
+        let peers = u16::try_from(peers).unwrap_or(u16::MAX).max(place.saturating_add(1));
         mothproxy_fairshare::Config {
-            me,
+            me: place,
             epoch,
-            wall_at_zero: wall,
+            wall_at_zero: unix_at_zero,
             peers,
-            rate: self.rate,
-            over_share_worth: self.over_share,
+            rate: self.millipoints_per_s,
+            over_share_worth: self.over_quota_weight,
             ..mothproxy_fairshare::Config::default()
         }
     }
 }
 
-/// How the members find out about each other; all of a site must have the same.
+/// How the members detect each other's failures; all dispatchers of a site must have the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// Each member probes another so often, in microseconds.
+    /// The time from one probe of another member to the next, in microseconds.
     pub probe_interval: Micros,
-    /// A probe that is not answered within this goes through others, in microseconds.
+    /// A probe without an answer for this long is repeated through other members; in microseconds.
     pub probe_timeout: Micros,
-    /// A suspicion that others confirm lasts this times `2 + ln(members + 1)` intervals.
-    pub suspicion_mult: f64,
-    /// The most bytes of datagrams that a member sends a second.
+    /// A suspicion that others confirm lasts this many times `2 + ln(members + 1)` probe intervals.
+    pub suspicion_multiplier: f64,
+    /// The most bytes of datagrams that a member sends in a second.
     pub bytes_per_s: u32,
-    /// For how long a dead member's part of each worker is kept for it, in microseconds; for as long as it is dead if absent.
-    pub keep_part: Option<Micros>,
-    /// What a member that died has taught is kept for so long, in microseconds.
-    pub forget_after: Micros,
+    /// For how long a dead member's assignment of each worker is kept for it, in microseconds; `None` keeps it for as long as
+    /// the member is dead.
+    pub dead_assignment_ttl: Option<Micros>,
+    /// For how long the facts of a dead member are kept, in microseconds.
+    pub dead_facts_ttl: Micros,
 }
 
 impl Default for MembershipSettings {
     fn default() -> Self {
-        let set = Config::new(0, 1, 0, 0);
+        let config = Config::new(0, 1, 0, 0);
         MembershipSettings {
-            probe_interval: set.probe_period,
-            probe_timeout: set.probe_timeout,
-            suspicion_mult: set.suspicion_factor,
-            bytes_per_s: set.budget,
-            keep_part: None,
-            forget_after: set.forget_after,
+            probe_interval: config.probe_period,
+            probe_timeout: config.probe_timeout,
+            suspicion_multiplier: config.suspicion_factor,
+            bytes_per_s: config.budget,
+            dead_assignment_ttl: None,
+            dead_facts_ttl: config.forget_after,
         }
     }
 }
 
 impl MembershipSettings {
-    /// The settings of the member at a place. The other spans keep their proportion to the interval.
-    pub fn config(&self, me: u16, peers: u16, epoch: u64, seed: u64) -> Config {
-        let set = Config::new(me, peers, epoch, seed);
+    /// The configuration of the member at a place. The spans that have no setting keep their proportion to the probe
+    /// interval.
+    pub fn config(&self, place: u16, peers: u16, epoch: u64, seed: u64) -> Config {
+        let default = Config::new(place, peers, epoch, seed);
         let scaled = |span: Micros| {
-            let part = span as f64 / set.probe_period as f64;
-            ((self.probe_interval as f64 * part) as Micros).max(1_000)
+            let factor = span as f64 / default.probe_period as f64;
+            ((self.probe_interval as f64 * factor) as Micros).max(MIN_SCALED_INTERVAL)
         };
         Config {
             probe_period: self.probe_interval,
             probe_timeout: self.probe_timeout,
-            suspicion_factor: self.suspicion_mult,
-            gossip_period: scaled(set.gossip_period),
-            sync_period: scaled(set.sync_period),
-            meet_period: scaled(set.meet_period),
+            suspicion_factor: self.suspicion_multiplier,
+            gossip_period: scaled(default.gossip_period),
+            sync_period: scaled(default.sync_period),
+            meet_period: scaled(default.meet_period),
             budget: self.bytes_per_s,
-            forget_after: self.forget_after,
-            ..set
+            forget_after: self.dead_facts_ttl,
+            ..default
         }
     }
 
-    /// A place that was never heard of may hold work for this long after one's own start: as long as the longest suspicion.
-    pub fn unknown_for(&self, config: &Config) -> Micros {
+    /// For how long after one's own start a place that was never heard of may hold work, in microseconds: as long as the
+    /// longest suspicion.
+    pub fn unknown_member_ttl(&self, config: &Config) -> Micros {
         let factor = config.suspicion_factor * (2.0 + f64::from(config.peers + 1).ln());
         (factor * config.suspicion_spread * config.probe_period as f64) as Micros + 2 * config.meet_period
     }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -2,7 +2,7 @@
 //! a connection; a 2xx answer means yes, any other no.
 
 use super::platform::Reject;
-use crate::fleet::LearnersFigures;
+use crate::fleet::LearnersMetrics;
 use crate::http::{Piece, Request};
 use mothproxy_membership::Figures as MemberFigures;
 use serde_json::json;
@@ -137,7 +137,7 @@
     /// Where membership is on.
     pub members: Option<MembersPage>,
     /// What is learned of jobs and tenants.
-    pub learners: LearnersFigures,
+    pub learners: LearnersMetrics,
 }
 
 /// The figures, a line each.
@@ -192,8 +192,8 @@
     for (name, part) in [("runtimes", figures.learners.runtimes), ("shares", figures.learners.shares)] {
         let Some(f) = part else { continue };
         line(&format!("{name}_seen"), f.seen, 'c');
-        line(&format!("{name}_told"), f.told, 'c');
-        line(&format!("{name}_taken"), f.taken, 'c');
+        line(&format!("{name}_told"), f.published, 'c');
+        line(&format!("{name}_taken"), f.absorbed, 'c');
         line(&format!("{name}_refused"), f.refused, 'c');
     }
     answer("200 OK", "text/plain", text)
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -1,7 +1,7 @@
-//! Connections to the second address. They have descriptors of their own and are served before anything else of a turn, so
-//! that neither a crowd of clients nor callers that stop half way keep a call waiting.
+//! The admin address. Its connections have descriptors of their own and are served before anything else of a turn, so that
+//! neither a crowd of clients nor callers that stop half way keep a call waiting.
 
-use crate::http::{self, Framing};
+use crate::http::{self, Framing, Piece};
 use crate::policy::interface::Micros;
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
@@ -9,100 +9,137 @@
 use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
-use std::net::TcpStream;
+use std::collections::VecDeque;
+use std::net::{TcpListener, TcpStream};
 
-/// Connections held at most, out of the descriptors that no other connection may use. The oldest half call gives way.
-const MOST: usize = 16;
-/// A call must be complete by then, and its answer read.
-const CALL_TIME: Micros = 5_000_000;
+/// Connections held at most, out of the descriptors that no other connection may use. The oldest one gives way.
+const MAX_CONNECTIONS: usize = 16;
+/// A call must be complete, and its response read, this long after its connection was accepted.
+const CALL_TIMEOUT: Micros = 5_000_000;
 /// The largest call: its head, and a body that nobody reads.
-const MOST_BYTES: usize = 16 * 1024;
+const MAX_CALL_BYTES: usize = 16 * 1024;
 
-/// A connection to the second address.
-pub(in crate::server) struct Caller {
-    /// Its answer is being written.
-    answered: bool,
+/// The listening socket of the admin address, where it is on, and the connections to it.
+pub(in crate::server) struct AdminServer {
+    listener: Option<TcpListener>,
+    /// The oldest first.
+    connections: VecDeque<Token>,
+}
+
+/// A connection to the admin address; it carries one call.
+pub(in crate::server) struct AdminConnection {
+    /// Its response is being written.
+    is_answered: bool,
+}
+
+impl AdminServer {
+    pub(in crate::server) fn new(listener: Option<TcpListener>) -> AdminServer {
+        AdminServer { listener, connections: VecDeque::new() }
+    }
+
+    pub(in crate::server) fn listener(&self) -> Option<&TcpListener> {
+        self.listener.as_ref()
+    }
+
+    /// Whether an event is for the listening socket or one of the connections.
+    pub(in crate::server) fn owns(&self, token: Token) -> bool {
+        token == ADMIN || self.connections.contains(&token)
+    }
+
+    /// A connection has been closed.
+    pub(in crate::server) fn on_closed(&mut self, token: Token) {
+        self.connections.retain(|connection| *connection != token);
+    }
+
+    /// The next connection that waits to be accepted.
+    fn accept(&self) -> Option<Conn> {
+        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+        let fd = rustix::net::accept_with(self.listener.as_ref()?, flags).ok()?;
+        Some(Conn::new(TcpStream::from(fd)))
+    }
+
+    /// The connection that gives way to a new one, where no more may be held.
+    fn take_excess(&mut self) -> Option<Token> {
+        if self.connections.len() >= MAX_CONNECTIONS { self.connections.pop_front() } else { None }
+    }
+}
+
+/// Reads a call. `None` until it is whole, or known to be none.
+fn parse_call(inbox: &[u8], end: ReadEnd) -> Option<Result<AdminCall, Reject>> {
+    let head = match http::read_request(inbox) {
+        Ok(Some(head)) => head,
+        Ok(None) if end == ReadEnd::Enough => return Some(Err(Reject::HeadTooLarge)),
+        Ok(None) => return None,
+        Err(error) => return Some(Err(error.into())),
+    };
+    let length = match head.framing {
+        Framing::Length(length) => head.len + length,
+        Framing::Absent => head.len,
+        Framing::Chunked => return Some(Err(Reject::BadRequest)), // no call has a body to speak of
+    };
+    if length > MAX_CALL_BYTES {
+        return Some(Err(Reject::BodyTooLarge));
+    }
+    if inbox.len() < length {
+        return None;
+    }
+    Some(admin::route(inbox, &head))
 }
 
 impl Server {
     pub(in crate::server) fn accept_admin(&mut self) {
         for _ in 0..crate::server::ACCEPTS {
-            let Some(listener) = &self.admin else { return };
-            let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-            let Ok(fd) = rustix::net::accept_with(listener, flags) else { return };
-            if self.callers.len() >= MOST
-                && let Some(oldest) = self.callers.pop_front()
-            {
+            let Some(conn) = self.admin.accept() else { return };
+            if let Some(oldest) = self.admin.take_excess() {
                 self.close_token(oldest);
             }
-            let conn = Conn::new(TcpStream::from(fd));
-            let Some(token) = self.add(conn, |_| Role::Admin(Caller { answered: false })) else { continue };
-            self.callers.push_back(token);
-            if let Some((mut conn, Role::Admin(caller))) = self.take(token) {
-                self.set_timer(token, &mut conn, Some(self.now + CALL_TIME));
-                self.admin_ready(token, conn, caller, EventFlags::IN);
+            let connection = AdminConnection { is_answered: false };
+            let Some(token) = self.add(conn, |_| Role::Admin(connection)) else { continue };
+            self.admin.connections.push_back(token);
+            if let Some((mut conn, Role::Admin(connection))) = self.take(token) {
+                self.set_timer(token, &mut conn, Some(self.now + CALL_TIMEOUT));
+                self.on_admin_ready(token, conn, connection, EventFlags::IN);
             }
         }
     }
 
-    /// Whether this event is the second address's.
-    pub(in crate::server) fn is_admin(&self, token: Token) -> bool {
-        token == ADMIN || self.callers.contains(&token)
-    }
-
-    pub(in crate::server) fn admin_ready(
+    pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
         mut conn: Conn,
-        mut caller: Caller,
+        mut connection: AdminConnection,
         flags: EventFlags,
     ) {
-        if !caller.answered && flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP) {
-            let end = conn.fill(MOST_BYTES);
-            if let Some(answer) = self.admin_call(&conn, end) {
-                conn.outbox.push(answer);
-                caller.answered = true;
+        let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
+        if !connection.is_answered && is_readable {
+            let end = conn.fill(MAX_CALL_BYTES);
+            if let Some(call) = parse_call(&conn.inbox, end) {
+                conn.outbox.push(self.answer_admin_call(call));
+                connection.is_answered = true;
             } else if end != ReadEnd::Dry {
-                return self.close(token, conn, Role::Admin(caller));
+                return self.close(token, conn, Role::Admin(connection));
             }
         }
-        let broken = !conn.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
-        if broken || caller.answered && conn.outbox.is_empty() {
-            return self.close(token, conn, Role::Admin(caller));
+        let is_broken = !conn.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
+        if is_broken || connection.is_answered && conn.outbox.is_empty() {
+            return self.close(token, conn, Role::Admin(connection));
         }
-        self.watch_for(token, &mut conn, !caller.answered);
-        self.put(token, conn, Role::Admin(caller));
+        self.watch_for(token, &mut conn, !connection.is_answered);
+        self.put(token, conn, Role::Admin(connection));
     }
 
-    /// The answer to what has been read, once it is a whole call or can be none.
-    fn admin_call(&mut self, conn: &Conn, end: ReadEnd) -> Option<Vec<http::Piece>> {
-        let refused = |why: Reject| Some(platform::reject(why, false));
-        let head = match http::read_request(&conn.inbox) {
-            Ok(Some(head)) => head,
-            Ok(None) if end == ReadEnd::Enough => return refused(Reject::HeadTooLarge),
-            Ok(None) => return None,
-            Err(error) => return refused(error.into()),
-        };
-        let length = match head.framing {
-            Framing::Length(length) => head.len + length,
-            Framing::Absent => head.len,
-            Framing::Chunked => return refused(Reject::BadRequest), // no call has a body to speak of
-        };
-        if length > MOST_BYTES {
-            return refused(Reject::BodyTooLarge);
-        }
-        if conn.inbox.len() < length {
-            return None;
-        }
-        Some(match admin::route(&conn.inbox, &head) {
-            Ok(AdminCall::Ready) if self.handed => admin::unavailable_page(), // its successor takes them
+    fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
+        match call {
+            // Whether it takes clients is up to its successor.
+            Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService) if self.handed => {
+                admin::unavailable_page()
+            }
             Ok(AdminCall::Ready) => admin::ok_page(),
-            Ok(AdminCall::Counters) => admin::counters_page(&self.figures()),
+            Ok(AdminCall::Counters) => admin::counters_page(&self.metrics_snapshot()),
             Ok(AdminCall::Members) => match self.members_page() {
                 Some(page) => admin::members_page(&page),
                 None => platform::reject(Reject::NoSuchPath, false),
             },
-            Ok(AdminCall::OutOfService | AdminCall::InService) if self.handed => admin::unavailable_page(), // that is up to its successor
             Ok(AdminCall::OutOfService) => {
                 self.drain(true);
                 admin::ok_page()
@@ -111,11 +148,11 @@
                 self.drain(false);
                 admin::ok_page()
             }
-            Err(why) => platform::reject(why, false),
-        })
+            Err(reason) => platform::reject(reason, false),
+        }
     }
 
-    fn figures(&self) -> MetricsSnapshot {
+    fn metrics_snapshot(&self) -> MetricsSnapshot {
         let tallies = self.core.tallies();
         let classes = tallies.into_iter().map(|(name, tally)| ClassMetrics {
             name: name.to_owned(),
@@ -131,10 +168,10 @@
             avoided: self.core.ejected_endpoints(self.now),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
-            state: self.state_figures(),
+            state: self.idempotency_metrics(),
             streams: self.stream_figures(),
             members: self.members_page(),
-            learners: self.core.learners.figures(),
+            learners: self.core.learners.metrics(),
         }
     }
 }
--- /dev/null
+++ b/src/server/discovery/call/tests.rs
@@ -0,0 +1,64 @@
+use super::{CallError, CallKind, CallProgress, DiscoveryCall};
+
+/// Feeds a response to a call and returns the error of its head or body, the objects, and what follows.
+fn read(call: &mut DiscoveryCall, response: &str) -> (Result<(), CallError>, Vec<String>) {
+    let mut inbox = response.as_bytes().to_vec();
+    let read = match call.read_head(&mut inbox) {
+        Ok(true) => call.read_body(&mut inbox),
+        Ok(false) => Ok(()),
+        Err(error) => Err(error),
+    };
+    let objects = std::iter::from_fn(|| call.next_object());
+    (read, objects.map(|object| String::from_utf8_lossy(&object).into_owned()).collect())
+}
+
+#[test]
+fn a_refusal_carries_the_retry_after_that_is_heeded() {
+    for (field, retry_after) in [
+        ("", None),
+        ("Retry-After: 2\r\n", Some(2_000_000)),
+        ("Retry-After: 0.5\r\n", Some(500_000)),
+        ("Retry-After: 10\r\n", Some(10_000_000)),
+        ("Retry-After: 10.1\r\n", None),
+        ("Retry-After: -1\r\n", None),
+        ("Retry-After: Wed, 21 Oct 2026 07:28:00 GMT\r\n", None),
+    ] {
+        let response = format!("HTTP/1.1 503 Busy\r\n{field}Content-Length: 0\r\n\r\n");
+        let (result, objects) = read(&mut DiscoveryCall::new(CallKind::Watch), &response);
+        assert_eq!(result, Err(CallError::Refused { retry_after }), "{field}");
+        assert!(objects.is_empty());
+    }
+}
+
+#[test]
+fn objects_before_broken_framing_are_still_taken() {
+    let mut call = DiscoveryCall::new(CallKind::Watch);
+    let response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\nno chunk\r\n";
+    let (result, objects) = read(&mut call, response);
+    assert_eq!(result, Err(CallError::BrokenFraming));
+    assert_eq!(objects.len(), 1, "{objects:?}");
+}
+
+#[test]
+fn the_end_of_a_response_is_an_error_unless_its_list_was_taken() {
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n";
+    for (kind, error) in [(CallKind::Watch, CallError::Ended), (CallKind::FullList, CallError::NoList)] {
+        let mut call = DiscoveryCall::new(kind);
+        assert_eq!(call.progress(), Ok(CallProgress::Pending));
+        assert_eq!(read(&mut call, response).0, Ok(()));
+        assert_eq!(call.progress(), Err(error));
+    }
+    let mut call = DiscoveryCall::new(CallKind::FullList);
+    read(&mut call, response).0.expect("a response");
+    call.is_answered = true;
+    assert_eq!(call.progress(), Ok(CallProgress::Complete));
+}
+
+#[test]
+fn a_response_that_is_not_http_fails_and_half_a_head_is_waited_for() {
+    let mut call = DiscoveryCall::new(CallKind::Watch);
+    assert_eq!(read(&mut call, "HTTP/1.1 200 OK\r\nContent-"), (Ok(()), Vec::new()));
+    assert_eq!(call.progress(), Ok(CallProgress::Pending));
+    let mut call = DiscoveryCall::new(CallKind::Watch);
+    assert_eq!(read(&mut call, "hello, this is no HTTP\r\n\r\n").0, Err(CallError::NotHttp));
+}
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -1,414 +1,383 @@
-//! Calls to discovery: the watch, and the whole list once.
+//! The client of discovery: the watch of the endpoint list, and the call for the whole list once.
+//!
+//! [`DiscoveryClient`] owns what is known of both beside their connections: when the watch is opened (`watch`, `pacing`) and
+//! whether a whole list is still to be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
+//! methods of [`Server`] here drive the connections and hand lists to the core.
 
-pub(in crate::server) mod pacing;
+mod call;
+mod full_list;
+mod pacing;
+mod watch;
 
-use crate::config::EndpointList;
-use crate::core::endpoint_table::{ListRejection, ListSource};
-use crate::core::watch_liveness::{
-    CONNECT_TIMEOUT, DiscoveryTerms, ObjectSplitter, WatchFailure, WatchLiveness,
-};
-use crate::http::{self, Body, MAX_HEAD};
+pub(in crate::server) use call::{CallKind, DiscoveryCall};
+
+use crate::config::{Config, EndpointList};
+use crate::core::endpoint_table::ListRejection;
+use crate::core::watch_liveness::{CONNECT_TIMEOUT, DiscoveryTerms, WatchLiveness};
+use crate::fleet::FleetSettings;
+use crate::http::MAX_HEAD;
 use crate::policy::interface::Micros;
 use crate::protocol::platform;
 use crate::server::connection::{Conn, ReadEnd};
-use crate::server::discovery::pacing::CallEnd;
-use crate::server::{Role, STALE_TIMER, Server, Token, WATCH_TIMER, WHOLE_TIMER};
+use crate::server::timer_slot::TimerSlot;
+use crate::server::{Role, Server, Token, WATCH_TIMER, WHOLE_TIMER};
+use call::{CallError, CallProgress};
+use full_list::FullListState;
+use pacing::{CallEnd, CallPacing};
 use rustix::event::epoll::EventFlags;
 
-/// The longest object of a watch, or whole list.
-const MOST: usize = 4 * 1024 * 1024;
-
-/// A longer `Retry-After` is not heeded, in seconds: what changes meanwhile counts as told.
-const MOST_RETRY_AFTER: f64 = 10.0;
-/// Failed calls that told nothing are logged this far apart.
-const QUIET: Micros = 1_000_000;
+/// Failed calls that were not answered by a list are logged this far apart.
+const FAILURE_LOG_INTERVAL: Micros = 1_000_000;
 
-pub(in crate::server) struct Call {
-    watch: bool,
-    connecting: bool,
-    body: Option<Body>,
-    text: ObjectSplitter,
-    /// It counts as answered by a list.
-    answered: bool,
-    /// It was refused, and when to come again if the answer says so.
-    refused: Option<Option<Micros>>,
-}
-
-/// Whether a new service of discovery has told its whole list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Whole {
-    Known,
-    /// Its watch has told nothing yet.
-    Due,
-    /// It is asked for.
-    Asked,
-    /// That failed; it is asked for again soon.
-    Again,
-}
-
-/// The watch of this dispatcher.
-pub(in crate::server) struct Lists {
-    /// Its connection.
+/// This dispatcher's calls to discovery.
+pub(in crate::server) struct DiscoveryClient {
+    /// The connection of the watch, or of the call for it.
     watch: Option<Token>,
-    clock: WatchLiveness,
-    /// When it is opened, as long as none is.
-    again: Option<Micros>,
-    whole: Whole,
-    /// No failure of a call that told nothing is logged before this.
-    quiet_until: Micros,
+    liveness: WatchLiveness,
+    /// When the watch is opened, while none is open.
+    watch_timer: TimerSlot,
+    full_list: FullListState,
+    pacing: CallPacing,
+    /// No failure of a call without an answer is logged before this.
+    next_failure_log: Micros,
 }
 
-impl Lists {
-    /// Nothing is asked for yet.
-    pub fn new(terms: DiscoveryTerms, seed: u64) -> Lists {
-        let clock = WatchLiveness::new(terms, seed);
-        Lists { watch: None, clock, again: None, whole: Whole::Known, quiet_until: 0 }
+impl DiscoveryClient {
+    /// Nothing is asked for yet; `generation` is that of the list that is known.
+    pub(in crate::server) fn open(
+        settings: &FleetSettings,
+        config: &Config,
+        now: Micros,
+        generation: u64,
+    ) -> DiscoveryClient {
+        DiscoveryClient {
+            watch: None,
+            liveness: WatchLiveness::new(DiscoveryTerms::of(&config.settings), config.seed),
+            watch_timer: TimerSlot::new(WATCH_TIMER),
+            full_list: FullListState::Known,
+            pacing: CallPacing::open(settings, config, now, generation),
+            next_failure_log: 0,
+        }
     }
 
-    /// The watch's connection.
-    pub fn watch(&self) -> Option<Token> {
+    /// The connection of the watch.
+    pub(in crate::server) fn watch(&self) -> Option<Token> {
         self.watch
     }
-}
-
-impl Server {
-    /// The program begins: from now on the clock of silence says when a watch is opened.
-    /// `newest` is when the last worker started of the list that is known so far.
-    pub(in crate::server) fn watch_begins(&mut self, newest: Option<Micros>) {
-        let at = self.lists.clock.start(self.now);
-        self.watch_at(at);
-        if self.core.endpoints.stale {
-            let span = self.lists.clock.revalidate(self.now, newest);
-            self.core.set_timer(span.end, STALE_TIMER);
-            if span.start > self.now {
-                self.core.set_timer(span.start, STALE_TIMER);
-                self.core.use_stale_list();
-            }
-        }
-    }
 
-    /// Another dispatcher heard of this one's work at this time, before it started: until some time after that the list that it
-    /// started with lacks nothing that counts. Once that is used the work heard of may be this process's own.
-    pub(in crate::server) fn was_heard(&mut self, at: Micros) {
-        if !self.core.endpoints.stale {
-            return;
-        }
-        if let Some(from) =
-            self.lists.clock.on_predecessor_seen(at.min(self.now)).filter(|from| *from > self.now)
-        {
-            self.core.set_timer(from, STALE_TIMER);
-            self.core.use_stale_list();
-        }
+    /// Forgets the watch if this is its connection; returns whether it was.
+    fn take_watch(&mut self, token: Token) -> bool {
+        self.watch.take_if(|watch| *watch == token).is_some()
     }
 
-    /// As long as the list that the program started with is to be revalidated, and discovery has not told one, nothing is sent by
-    /// it. Where discovery cannot be reached, or has had its time, it is used as it is.
-    pub(in crate::server) fn check_stale(&mut self) {
-        match (self.core.endpoints.stale, self.lists.clock.is_stale(self.now)) {
-            (true, false) => {
-                tracing::warn!(
-                    "discovery: not heard since the start; the list known before it is used as it is"
-                );
-                self.core.use_stale_list();
-            }
-            (false, true) => self.core.suspend_stale_list(),
-            _ => {}
-        }
+    /// A call for the whole list has failed. Returns when it is retried, if the client had started it of its own accord.
+    fn on_full_list_failed(&mut self, now: Micros) -> Option<Micros> {
+        self.full_list.on_request_failed().then(|| self.liveness.on_full_list_failed(now))
     }
 
-    /// Other settings count.
-    pub(in crate::server) fn watch_retuned(&mut self) {
-        if self.lists.clock.reconfigure(DiscoveryTerms::of(&self.config.settings)) {
-            self.watch_at(self.now);
+    /// Whether the failure of a call gets a line of the log: one that was answered always does, the others now and then, as
+    /// an agent of the own machine is called again at once.
+    fn is_failure_logged(&mut self, now: Micros, was_answered: bool) -> bool {
+        let is_logged = was_answered || now >= self.next_failure_log;
+        if is_logged {
+            self.next_failure_log = now + FAILURE_LOG_INTERVAL;
         }
+        is_logged
     }
+}
 
-    fn watch_at(&mut self, at: Micros) {
-        if let Some(old) = self.lists.again.replace(at) {
-            self.core.cancel_timer(old, WATCH_TIMER);
+impl Server {
+    /// The decision module wants a watch. It is open already, or a time for it is set: the module's own waits grow beyond
+    /// what a change may take to be notified.
+    pub(in crate::server) fn on_watch_wanted(&mut self) {
+        if !self.discovery.is_watch_scheduled() {
+            self.on_watch_timer();
         }
-        self.core.set_timer(at, WATCH_TIMER);
     }
 
-    /// The module wants a watch: it is open, or the clock of silence or the pacer has scheduled it. The module's own waits
-    /// grow beyond what a change may take to be told.
-    pub(in crate::server) fn watch_wanted(&mut self) {
-        if self.lists.again.is_none() {
-            self.watch_due();
+    pub(in crate::server) fn on_watch_timer(&mut self) {
+        if self.discovery.on_watch_timer() {
+            self.open_discovery_call(CallKind::Watch);
         }
     }
 
-    pub(in crate::server) fn watch_due(&mut self) {
-        self.lists.again = None;
-        if self.lists.watch.is_none() && !self.ask.on() {
-            self.call(true);
-        }
+    pub(in crate::server) fn on_stale_list_timer(&mut self) {
+        self.discovery.check_stale_list(&mut self.core, self.now);
     }
 
-    /// Asks a new service for its whole list, unless that is known or under way.
-    fn ask_whole(&mut self) {
-        if self.lists.whole == Whole::Due {
-            self.lists.whole = Whole::Asked;
-            self.call(false);
-        }
+    pub(in crate::server) fn on_full_list_timer(&mut self) {
+        self.discovery.full_list.on_retry_timer();
+        self.fetch_needed_list();
     }
 
-    pub(in crate::server) fn whole_due(&mut self) {
-        if self.lists.whole == Whole::Again {
-            self.lists.whole = Whole::Due;
-            self.ask_whole();
+    /// Calls a new service for its whole list, unless that is known or under way.
+    fn fetch_needed_list(&mut self) {
+        if self.discovery.full_list.start_request() {
+            self.open_discovery_call(CallKind::FullList);
         }
     }
 
-    /// Starts a watch, or asks for the list once.
-    pub(in crate::server) fn call(&mut self, watch: bool) {
-        if let Some(old) = self.lists.watch.take_if(|_| watch) {
-            self.close_token(old);
-        }
-        let after = watch.then_some(self.core.endpoints.generation);
-        let conn = Conn::connect(self.config.discovery).ok(); // its descriptor is kept for it: see `SPARE_FDS`
-        let token = conn.and_then(|mut conn| {
-            conn.outbox.push(platform::discovery_call(after));
-            let call = Call {
-                watch,
-                connecting: true,
-                body: None,
-                text: ObjectSplitter::default(),
-                answered: false,
-                refused: None,
-            };
-            self.add(conn, |_| Role::Call(call))
-        });
-        let up_by =
-            if watch { self.lists.clock.on_call_started(self.now) } else { self.now + CONNECT_TIMEOUT };
-        let Some(token) = token else { return self.watch_over(watch, CallEnd::Unreachable) };
-        if watch {
-            self.lists.watch = Some(token);
+    /// Starts a call. One for a watch ends the watch that is open.
+    pub(in crate::server) fn open_discovery_call(&mut self, kind: CallKind) {
+        let token = match kind {
+            CallKind::Watch => {
+                if let Some(old) = self.discovery.watch.take() {
+                    self.close_token(old);
+                }
+                self.connect_to_discovery(kind, Some(self.core.endpoints.generation))
+            }
+            CallKind::FullList => self.connect_to_discovery(kind, None),
+        };
+        let connected_by = match kind {
+            CallKind::Watch => self.discovery.liveness.on_call_started(self.now),
+            CallKind::FullList => self.now + CONNECT_TIMEOUT,
+        };
+        let Some(token) = token else { return self.on_discovery_call_ended(kind, CallEnd::Unreachable) };
+        if kind == CallKind::Watch {
+            self.discovery.watch = Some(token);
         }
         if let Some((mut conn, role)) = self.take(token) {
-            self.set_timer(token, &mut conn, Some(up_by));
+            self.set_timer(token, &mut conn, Some(connected_by));
             self.watch_for(token, &mut conn, true);
             self.put(token, conn, role);
         }
     }
 
-    pub(in crate::server) fn call_ready(
+    /// Begins to connect, with the request in the outbox; `after` is the generation after which changes are asked for.
+    fn connect_to_discovery(&mut self, kind: CallKind, after: Option<u64>) -> Option<Token> {
+        let mut conn = Conn::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `SPARE_FDS`
+        conn.outbox.push(platform::discovery_call(after));
+        self.add(conn, |_| Role::Call(DiscoveryCall::new(kind)))
+    }
+
+    pub(in crate::server) fn on_discovery_ready(
         &mut self,
         token: Token,
         mut conn: Conn,
-        mut call: Call,
+        mut call: DiscoveryCall,
         flags: EventFlags,
     ) {
-        if call.connecting {
-            let failed = conn.stream.take_error().map_or(true, |error| error.is_some());
-            if failed || flags.contains(EventFlags::ERR) {
-                return self.call_failed(token, conn, call, "no connection");
+        if call.is_connecting {
+            let has_failed = conn.stream.take_error().map_or(true, |error| error.is_some());
+            if has_failed || flags.contains(EventFlags::ERR) {
+                return self.fail_discovery_call(token, conn, call, CallError::NotConnected);
             }
-            call.connecting = false;
-            let due = match call.watch {
-                true => self.lists.clock.on_connected(self.now),
-                false => self.lists.clock.full_list_deadline(self.now),
-            };
-            self.set_timer(token, &mut conn, Some(due));
+            self.on_discovery_connected(token, &mut conn, &mut call);
         }
         if !conn.flush() {
-            return self.call_failed(token, conn, call, "connection lost");
+            return self.fail_discovery_call(token, conn, call, CallError::ConnectionLost);
         }
         loop {
             let end = conn.fill(MAX_HEAD);
-            let read_some = !conn.inbox.is_empty();
-            match self.call_read(token, &mut conn, &mut call) {
-                Ok(false) => {}
-                Ok(true) => return self.close(token, conn, Role::Call(call)),
-                Err(why) => return self.call_failed(token, conn, call, why),
+            let has_read = !conn.inbox.is_empty();
+            match self.read_discovery_call(token, &mut conn, &mut call) {
+                Ok(CallProgress::Pending) => {}
+                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Call(call)),
+                Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
             match end {
                 ReadEnd::Dry => break,
-                ReadEnd::Enough if read_some => {}
-                _ => return self.call_failed(token, conn, call, "ended"),
+                ReadEnd::Enough if has_read => {}
+                _ => return self.fail_discovery_call(token, conn, call, CallError::Ended),
             }
         }
         self.watch_for(token, &mut conn, true);
         self.put(token, conn, Role::Call(call));
     }
 
-    /// Uses what was read; true once the call has done its work.
-    fn call_read(&mut self, token: Token, conn: &mut Conn, call: &mut Call) -> Result<bool, &'static str> {
-        if call.body.is_none() {
-            match http::read_response(&conn.inbox) {
-                Ok(None) => return Ok(false),
-                Ok(Some(head)) if head.status == 200 => {
-                    conn.inbox.drain(..head.len);
-                    call.body = Some(Body::new(head.framing));
-                }
-                Ok(Some(head)) => {
-                    let seconds =
-                        head.fields.text(&conn.inbox, "Retry-After").and_then(|t| t.trim().parse().ok());
-                    let within = |s: &f64| (0.0..=MOST_RETRY_AFTER).contains(s);
-                    call.refused = Some(seconds.filter(within).map(|s| (s * 1e6) as Micros));
-                    return Err("refused");
-                }
-                Err(_) => return Err("not HTTP"),
+    fn on_discovery_connected(&mut self, token: Token, conn: &mut Conn, call: &mut DiscoveryCall) {
+        call.is_connecting = false;
+        let answered_by = match call.kind {
+            CallKind::Watch => self.discovery.liveness.on_connected(self.now),
+            CallKind::FullList => self.discovery.liveness.full_list_deadline(self.now),
+        };
+        self.set_timer(token, conn, Some(answered_by));
+    }
+
+    /// A call has sent nothing for too long.
+    pub(in crate::server) fn on_discovery_timer(
+        &mut self,
+        token: Token,
+        mut conn: Conn,
+        mut call: DiscoveryCall,
+    ) {
+        // After a long turn what it has sent may be here, unread.
+        if !call.is_connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
+            match self.read_discovery_call(token, &mut conn, &mut call) {
+                Ok(CallProgress::Pending) if conn.timer.is_none() => {}
+                Ok(CallProgress::Pending) => return self.put(token, conn, Role::Call(call)),
+                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Call(call)),
+                Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
         }
-        let Some(body) = &mut call.body else { return Ok(false) };
-        let (mut read, partly) = (Vec::new(), call.text.is_partial());
-        // What came before the framing broke counts.
-        let framed = body.feed(&mut conn.inbox, &mut read).map_err(|_| "broken chunks");
-        let done = body.is_done();
-        call.text.feed(&read);
-        let (mut said, mut taken) = (false, Ok(()));
-        while taken.is_ok()
-            && let Some(object) = call.text.next_object()
-        {
-            taken = self.listed(call, &object);
-            said |= taken.is_ok();
+        if !self.discovery.take_watch(token) {
+            return self.fail_discovery_call(token, conn, call, CallError::TimedOut);
+        }
+        let error = if call.is_answered { CallError::FellSilent } else { CallError::TimedOut };
+        self.report_failed_call(&call, error);
+        let end = if call.is_connecting { CallEnd::Unreachable } else { CallEnd::Silent };
+        self.close(token, conn, Role::Call(call));
+        self.on_discovery_call_ended(CallKind::Watch, end);
+    }
+
+    /// Uses what has been read of a call.
+    fn read_discovery_call(
+        &mut self,
+        token: Token,
+        conn: &mut Conn,
+        call: &mut DiscoveryCall,
+    ) -> Result<CallProgress, CallError> {
+        if !call.read_head(&mut conn.inbox)? {
+            return Ok(CallProgress::Pending);
+        }
+        let had_partial_object = call.has_partial_object();
+        let framing = call.read_body(&mut conn.inbox);
+        let (has_lists, lists) = self.take_discovery_lists(call);
+        let has_data = call.take_heartbeat() || has_lists;
+        if call.is_watch() {
+            self.on_watch_data(token, conn, call, has_data, had_partial_object);
+        }
+        lists.and(framing)?;
+        let progress = call.progress();
+        // A list that has begun is counted at the call's end.
+        if let Err(CallError::TooLong | CallError::NoList) = progress {
+            self.metrics.bad_lists += u64::from(!call.has_partial_object());
         }
-        said |= call.text.take_empty_line();
-        // Only lists and empty lines show that it lives. An object that has begun must be whole in the time it was given when
-        // it began.
-        if call.watch && said {
-            match self.lists.clock.on_data(self.now, false) {
-                Some(due) => self.set_timer(token, conn, Some(due)),
-                None => self.ask_whole(),
+        progress
+    }
+
+    /// Takes whole objects in until none is left or one fails. Returns whether one was taken in, and the failure.
+    fn take_discovery_lists(&mut self, call: &mut DiscoveryCall) -> (bool, Result<(), CallError>) {
+        let mut has_lists = false;
+        while let Some(object) = call.next_object() {
+            if let Err(error) = self.on_discovery_object(call, &object) {
+                return (has_lists, Err(error));
             }
+            has_lists = true;
         }
-        if call.watch && call.text.is_partial() && (said || !partly) {
-            let due = self.lists.clock.on_data(self.now, true);
-            self.set_timer(token, conn, due);
+        (has_lists, Ok(()))
+    }
+
+    /// The watch has sent something: only lists and empty lines (`has_data`) show that it lives. An object that has begun must
+    /// be whole in the time it was given when it began.
+    fn on_watch_data(
+        &mut self,
+        token: Token,
+        conn: &mut Conn,
+        call: &DiscoveryCall,
+        has_data: bool,
+        had_partial_object: bool,
+    ) {
+        if has_data {
+            match self.discovery.liveness.on_data(self.now, false) {
+                Some(deadline) => self.set_timer(token, conn, Some(deadline)),
+                None => self.fetch_needed_list(),
+            }
+        }
+        if call.has_partial_object() && (has_data || !had_partial_object) {
+            let deadline = self.discovery.liveness.on_data(self.now, true);
+            self.set_timer(token, conn, deadline);
         }
-        taken.and(framed)?;
-        let why = match call.watch {
-            false if call.answered => return Ok(true),
-            _ if call.text.len() > MOST => "list too long",
-            false if done => "no list in it",
-            true if done => return Err("ended"),
-            _ => return Ok(false),
-        };
-        self.metrics.bad_lists += u64::from(!call.text.is_partial()); // one that has begun is counted at the call's end
-        Err(why)
     }
 
-    /// Takes an object in. One that is refused, or cannot be read, may have told a change that no later one tells again: then
-    /// the call is over, and the next one asks for what came after the list that is held.
-    fn listed(&mut self, call: &mut Call, object: &[u8]) -> Result<(), &'static str> {
+    /// Takes an object of a call in. One that is rejected, or cannot be read, may hold a change that no later one repeats:
+    /// then the call is over, and the next one asks for what came after the list that is held.
+    fn on_discovery_object(&mut self, call: &mut DiscoveryCall, object: &[u8]) -> Result<(), CallError> {
         let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::read(&value));
         let Some(list) = list else {
             self.metrics.bad_lists += 1;
-            return Err("not a list");
-        };
-        let source = match (call.watch, call.answered) {
-            (false, _) => ListSource::FullList,
-            (true, false) => ListSource::WatchStart,
-            (true, true) => ListSource::WatchUpdate,
+            return Err(CallError::NotAList);
         };
-        let refusal = self.core.endpoints.rejection(&list, source);
-        self.metrics.bad_lists +=
-            u64::from(matches!(refusal, Some(ListRejection::Empty | ListRejection::Partial)));
-        match refusal {
-            Some(ListRejection::GenerationReset) if self.lists.whole == Whole::Known => {
-                self.lists.whole = Whole::Due
+        match self.core.endpoints.rejection(&list, call.list_source()) {
+            Some(rejection) => self.on_list_rejected(call, rejection),
+            None => {
+                self.on_list_accepted(call, &list);
+                Ok(())
             }
-            Some(ListRejection::Empty) if call.watch => {
-                self.lists.clock.on_list(self.now);
-                self.check_stale();
-                return Ok(());
-            }
-            _ => {}
         }
-        if let Some(why) = refusal {
-            return Err(match why {
-                ListRejection::Stale | ListRejection::GenerationReset => "list out of date",
-                ListRejection::Empty | ListRejection::Partial => "no whole list",
-            });
+    }
+
+    /// A watch goes on after a list that names nobody: discovery is alive, and has lost its table.
+    fn on_list_rejected(&mut self, call: &DiscoveryCall, rejection: ListRejection) -> Result<(), CallError> {
+        match rejection {
+            ListRejection::Empty | ListRejection::Partial => self.metrics.bad_lists += 1,
+            ListRejection::GenerationReset => self.discovery.full_list.on_generation_reset(),
+            ListRejection::Stale => {}
         }
-        call.answered = true;
-        let told = self.lists.clock.on_list(self.now);
-        self.core.on_endpoint_list(told, &list, false);
-        if call.watch {
-            self.ask_listed(list.generation);
+        if rejection == ListRejection::Empty && call.is_watch() {
+            self.discovery.liveness.on_list(self.now);
+            self.discovery.check_stale_list(&mut self.core, self.now);
+            return Ok(());
+        }
+        Err(rejection.into())
+    }
+
+    fn on_list_accepted(&mut self, call: &mut DiscoveryCall, list: &EndpointList) {
+        call.is_answered = true;
+        let notified_at = self.discovery.liveness.on_list(self.now);
+        self.core.on_endpoint_list(notified_at, list, false);
+        if call.is_watch() {
+            self.pace_on_list(list.generation);
         }
-        // A new service may answer with changes though it was asked for everything. Workers that it has
-        // never heard of would then stay in the table: the whole list is asked for.
         if list.reset {
-            self.lists.whole = Whole::Known;
+            self.discovery.full_list = FullListState::Known;
         }
-        self.ask_whole();
-        Ok(())
+        self.fetch_needed_list();
     }
 
-    pub(in crate::server) fn call_failed(&mut self, token: Token, conn: Conn, call: Call, why: &str) {
-        self.log_failed(&call, why);
-        if !call.watch || self.lists.watch.take_if(|watch| *watch == token).is_some() {
-            let end = if call.connecting { CallEnd::Unreachable } else { CallEnd::Failed };
-            self.watch_over(call.watch, call.refused.map_or(end, CallEnd::Refused));
+    fn fail_discovery_call(&mut self, token: Token, conn: Conn, call: DiscoveryCall, error: CallError) {
+        self.report_failed_call(&call, error);
+        if !call.is_watch() || self.discovery.take_watch(token) {
+            let end = match error {
+                CallError::Refused { retry_after } => CallEnd::Refused { retry_after },
+                _ if call.is_connecting => CallEnd::Unreachable,
+                _ => CallEnd::Failed,
+            };
+            self.on_discovery_call_ended(call.kind, end);
         }
         self.close(token, conn, Role::Call(call));
     }
 
-    /// A call that has said nothing for too long.
-    pub(in crate::server) fn call_due(&mut self, token: Token, mut conn: Conn, mut call: Call) {
-        // After a long turn what it has said may be here, unread.
-        if !call.connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
-            match self.call_read(token, &mut conn, &mut call) {
-                Ok(false) if conn.timer.is_none() => {}
-                Ok(false) => return self.put(token, conn, Role::Call(call)),
-                Ok(true) => return self.close(token, conn, Role::Call(call)),
-                Err(why) => return self.call_failed(token, conn, call, why),
-            }
+    /// Logs a call that failed, and counts the list that broke off with it.
+    fn report_failed_call(&mut self, call: &DiscoveryCall, error: CallError) {
+        self.metrics.bad_lists += u64::from(call.has_partial_object());
+        if self.discovery.is_failure_logged(self.now, call.is_answered) {
+            tracing::warn!("discovery: {} failed: {error}", call.kind.log_name());
         }
-        if self.lists.watch.take_if(|watch| *watch == token).is_none() {
-            return self.call_failed(token, conn, call, "no answer in time");
-        }
-        self.log_failed(&call, if call.answered { "fell silent" } else { "no answer in time" });
-        let end = if call.connecting { CallEnd::Unreachable } else { CallEnd::Silent };
-        self.close(token, conn, Role::Call(call));
-        self.watch_over(true, end);
     }
 
-    /// A line for each call that failed; of those that told nothing, one in so long: an agent is asked again at once. A list that
-    /// broke off is a bad one.
-    fn log_failed(&mut self, call: &Call, why: &str) {
-        self.metrics.bad_lists += u64::from(call.text.is_partial());
-        if call.answered || self.now >= self.lists.quiet_until {
-            self.lists.quiet_until = self.now + QUIET;
-            let what = if call.watch { "watch" } else { "list" };
-            tracing::warn!("discovery: {what} failed: {why}");
+    /// A call is no longer under way: sets when the next one is made.
+    fn on_discovery_call_ended(&mut self, kind: CallKind, end: CallEnd) {
+        match kind {
+            CallKind::Watch => self.on_watch_ended(end),
+            CallKind::FullList => match self.discovery.on_full_list_failed(self.now) {
+                Some(retry_at) => self.core.set_timer(retry_at, WHOLE_TIMER),
+                None => self.core.on_list_failed(),
+            },
         }
     }
 
-    /// No call is under way any more: the clock of silence, or the pacer, says when it is asked anew.
-    fn watch_over(&mut self, watch: bool, end: CallEnd) {
-        if watch {
-            let why = match end {
-                CallEnd::Silent => WatchFailure::Silent,
-                CallEnd::Unreachable => WatchFailure::Unreachable,
-                CallEnd::Refused(_) | CallEnd::Failed => WatchFailure::Ended,
-            };
-            match (self.lists.clock.on_watch_failed(self.now, why), self.ask.on()) {
-                (_, true) => self.ask_over(end),
-                (again, false) => self.watch_at(again),
-            }
-            self.check_stale();
-        } else if self.lists.whole == Whole::Asked {
-            self.lists.whole = Whole::Again;
-            self.core.set_timer(self.lists.clock.on_full_list_failed(self.now), WHOLE_TIMER);
+    fn on_watch_ended(&mut self, end: CallEnd) {
+        let reopen_at = self.discovery.on_watch_ended(self.now, end);
+        if self.discovery.pacing.is_enabled() {
+            self.pace_on_call_ended(end);
         } else {
-            self.core.on_list_failed();
+            self.discovery.schedule_watch(&mut self.core, reopen_at);
         }
+        self.discovery.check_stale_list(&mut self.core, self.now);
     }
 
-    /// Drops all calls to a service of discovery that no longer counts, and whatever it may still say.
-    pub(in crate::server) fn leave_discovery(&mut self) {
-        self.lists.watch = None;
-        let at = self.lists.clock.on_discovery_moved(self.now);
-        self.watch_at(at);
-        self.ask_moved();
+    /// Another service counts from now on: drops all calls to the former one, and whatever they may still bring.
+    pub(in crate::server) fn on_discovery_moved(&mut self) {
+        self.discovery.watch = None;
+        let opens_at = self.discovery.liveness.on_discovery_moved(self.now);
+        self.discovery.schedule_watch(&mut self.core, opens_at);
+        self.pace_on_discovery_moved();
         for slot in 0..self.slots.len() {
             if let Some((_, Role::Call(_))) = self.slots[slot].held {
                 self.close_token(Token::new(slot, self.slots[slot].used));
             }
         }
-        self.lists.whole = Whole::Due;
+        self.discovery.full_list = FullListState::Needed;
     }
 }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -1,182 +1,250 @@
-//! When discovery is called, where the operators' file has `fleet.cold_start`: the pacer decides it, beside the calls.
+//! When discovery is called, where the operators' file has `fleet.cold_start`: the dispatchers of a site then take turns, by
+//! what each tells the others of the service.
 //!
-//! The module's and the clock of silence's own waits are then not added: what they wish for, the pacer has scheduled.
+//! The waits of the decision module and of the watch's liveness are not added to that: the pacer has scheduled the calls that
+//! they wish for.
 
 use crate::config::Config;
+use crate::core::Core;
 use crate::fleet::FleetSettings;
 use crate::policy::interface::Micros;
+use crate::server::membership::MembershipLink;
+use crate::server::timer_slot::TimerSlot;
 use crate::server::{ASK_TIMER, Server};
-use mothproxy_coldstart::pacer::{Config as Pace, Event, Pacer};
+use mothproxy_coldstart::pacer::{Config as PacerConfig, Event, Pacer};
 use mothproxy_coldstart::{Findings, KIND, Origin};
-use mothproxy_membership::{Change, OwnedFact, State};
+use mothproxy_membership::{Change, OwnedFact, State, View};
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A watch is noticed to be silent this long before what it missed counts as told; a call and its answer take a part of that.
-const AFTER_SILENCE: Micros = 2_500_000;
-/// A service that has just taken over is asked within this.
-const MOVED: Micros = 2_000_000;
+use super::CallKind;
 
-/// How a call, or the watch that it opened, came to its end.
+/// A watch's silence is noticed this long before what it missed counts as notified; a call and its answer take a part of that.
+const SILENCE_RECOVERY_TIME: Micros = 2_500_000;
+/// A service that has just taken over is called within this.
+const MOVE_RECOVERY_TIME: Micros = 2_000_000;
+
+/// How a call for a watch, or the watch that it opened, came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::server) enum CallEnd {
-    /// Refused; with what `Retry-After` says.
-    Refused(Option<Micros>),
+pub(super) enum CallEnd {
+    /// Refused; `retry_after` is what the service asks for, if that is heeded.
+    Refused { retry_after: Option<Micros> },
     /// No connection came up.
     Unreachable,
     /// The connection ended.
     Failed,
-    /// It said nothing for too long.
+    /// It sent nothing for too long.
     Silent,
 }
 
-/// The pacer of this dispatcher, where it is on.
-#[derive(Default)]
-pub(in crate::server) struct Asker {
+/// Whether and when the pacer has this dispatcher call discovery.
+pub(super) struct CallPacing {
+    /// `None` where pacing is off.
     pacer: Option<Pacer>,
-    /// What the members say of the service, where membership is on.
+    /// What the members say of the service, where membership is on as well.
     findings: Option<Findings>,
-    /// The epochs of the members by place, as last heard.
+    /// The epoch of each member that was last reported, by its place.
     epochs: HashMap<u16, u64>,
-    timer: Option<Micros>,
-    asked: Micros,
-    /// The present watch has told a list.
-    told: bool,
+    timer: TimerSlot,
+    call_started: Micros,
+    /// The present watch has sent a list.
+    is_answered: bool,
 }
 
-impl Asker {
-    /// The pacer begins now, holding this generation. Where lists are pushed there is nothing to pace.
-    pub fn open(set: &FleetSettings, config: &Config, now: Micros, generation: u64) -> Asker {
+impl CallPacing {
+    /// Pacing that begins now, where it is on; `generation` is that of the list that is held. Where lists are pushed there
+    /// is nothing to pace.
+    pub(super) fn open(
+        settings: &FleetSettings,
+        config: &Config,
+        now: Micros,
+        generation: u64,
+    ) -> CallPacing {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        let unix = unix.saturating_sub(now);
-        let hears = set.membership.is_some() && config.peer_listen.is_some();
-        let wanted = set.cold_start.as_ref().filter(|_| config.settings.list_on_request);
-        let pacer = wanted.and_then(|set| {
-            let pace = Pace {
-                place: u16::try_from(config.settings.me).ok()?,
-                count: u16::try_from(config.settings.nodes).ok()?,
-                service_time: set.call_time,
-                ask_within: config.settings.ask_within,
-                unix,
-                seed: config.seed,
-                hears,
-                ask_without_pacer: false,
-            };
-            let made = Pacer::new(pace, now, generation);
-            made.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
+        let unix_at_zero = unix.saturating_sub(now);
+        let pacer_config = pacer_config(settings, config, unix_at_zero);
+        let pacer = pacer_config.and_then(|pacer_config| {
+            let pacer = Pacer::new(pacer_config, now, generation);
+            pacer.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
         });
         let place = u16::try_from(config.settings.me).unwrap_or(u16::MAX);
-        let findings = pacer.as_ref().filter(|_| hears).map(|_| Findings::new(place, unix, now));
-        Asker { pacer, findings, ..Asker::default() }
+        let hears_members = hears_members(settings, config);
+        let findings =
+            pacer.as_ref().filter(|_| hears_members).map(|_| Findings::new(place, unix_at_zero, now));
+        CallPacing {
+            pacer,
+            findings,
+            epochs: HashMap::new(),
+            timer: TimerSlot::new(ASK_TIMER),
+            call_started: 0,
+            is_answered: false,
+        }
     }
 
     /// Whether the pacer decides when discovery is called.
-    pub fn on(&self) -> bool {
+    pub(super) fn is_enabled(&self) -> bool {
         self.pacer.is_some()
     }
-}
 
-impl Server {
-    /// Tells the others what the pacer found, and sets the timer; called after each event for it.
-    pub(in crate::server) fn ask_go_on(&mut self) {
-        let mut told = None;
-        if let (Some(pacer), Some(findings)) = (&self.ask.pacer, &mut self.ask.findings) {
+    /// Publishes what was found of the service, and sets the timer; to be called after each event.
+    fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
+        let mut next_publish = None;
+        if let (Some(pacer), Some(findings)) = (&self.pacer, &mut self.findings) {
             findings.say(pacer.news(), pacer.is_news());
-            while let Some((slot, bytes)) = findings.publish(self.now) {
-                self.link.fleet.tell(self.now, KIND, slot, &bytes);
+            while let Some((slot, bytes)) = findings.publish(now) {
+                membership.publish(now, KIND, slot, &bytes);
             }
-            told = findings.next_wake();
+            next_publish = findings.next_wake();
         }
-        let asks = self.ask.pacer.as_ref().and_then(Pacer::next_wake);
-        let wake = asks.into_iter().chain(told).min();
-        if wake == self.ask.timer {
-            return;
+        let next_call = self.pacer.as_ref().and_then(Pacer::next_wake);
+        self.timer.set(core, next_call.into_iter().chain(next_publish).min());
+    }
+
+    /// The timer has come. Whether a call is to be started now; it then counts as started.
+    fn on_timer(&mut self, now: Micros) -> bool {
+        self.timer.on_fired();
+        let is_due = self.pacer.as_mut().is_some_and(|pacer| pacer.tick(now).is_some());
+        if is_due {
+            self.call_started = now;
+            self.is_answered = false;
         }
-        if let Some(old) = self.ask.timer.take() {
-            self.core.cancel_timer(old, ASK_TIMER);
+        is_due
+    }
+
+    /// A member's state or epoch has changed: what it said no longer counts if its process has ended or another has taken its
+    /// place. Returns whether the pacer was told.
+    fn on_member_changed(&mut self, now: Micros, change: Change, view: Option<&View>) -> bool {
+        let Some(pacer) = &mut self.pacer else { return false };
+        let previous = self.epochs.insert(change.place, change.epoch);
+        let is_replaced = previous.is_some_and(|epoch| epoch < change.epoch);
+        if is_replaced || matches!(change.to, State::Dead | State::Left) {
+            pacer.handle(now, Event::Gone(change.place));
         }
-        if let Some(at) = wake {
-            self.core.set_timer(at, ASK_TIMER);
+        if let Some(view) = view {
+            let may_be_alive = |state| matches!(state, State::Alive | State::Suspect);
+            let alive = view.iter().map(|(_, member)| may_be_alive(member.state)).collect();
+            pacer.handle(now, Event::View(alive));
         }
-        self.ask.timer = wake;
+        true
     }
 
-    /// A member's state or epoch has changed: what it said counts no longer if it is another process, or none.
-    pub(in crate::server) fn ask_changed(&mut self, change: Change) {
-        let Some(pacer) = &mut self.ask.pacer else { return };
-        let before = self.ask.epochs.insert(change.place, change.epoch);
-        let another = before.is_some_and(|epoch| epoch < change.epoch);
-        if another || matches!(change.to, State::Dead | State::Left) {
-            pacer.handle(self.now, Event::Gone(change.place));
+    /// Another member has published a fact. Returns whether it is of this kind and the pacer was told.
+    fn on_fact(&mut self, now: Micros, fact: &OwnedFact) -> bool {
+        let (Some(pacer), Some(findings)) = (&mut self.pacer, &mut self.findings) else { return false };
+        if fact.kind != KIND {
+            return false;
         }
-        let here = |state| matches!(state, State::Alive | State::Suspect);
-        if let Some(view) = self.link.fleet.view() {
-            let alive = view.iter().map(|(_, member)| here(member.state)).collect();
-            pacer.handle(self.now, Event::View(alive));
+        let origin = Origin { place: fact.place, epoch: fact.epoch };
+        if let Err(error) = findings.absorb(now, origin, fact.slot, fact.number, &fact.bytes) {
+            tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
+            return false;
         }
-        self.ask_go_on();
+        for (place, news) in findings.service_news() {
+            pacer.handle(now, Event::Peer { place, news });
+        }
+        true
     }
 
-    /// A fact has come; those of other kinds are not for this.
-    pub(in crate::server) fn ask_hears(&mut self, fact: &OwnedFact) {
-        let (Some(pacer), Some(findings)) = (&mut self.ask.pacer, &mut self.ask.findings) else { return };
-        let origin = Origin { place: fact.place, epoch: fact.epoch };
-        if fact.kind != KIND || u32::from(fact.place) == self.config.settings.me {
-            return;
+    /// The event of a list that the watch has sent.
+    fn list_event(&mut self, now: Micros, generation: u64) -> Event {
+        if std::mem::replace(&mut self.is_answered, true) {
+            Event::Listed { generation }
+        } else {
+            Event::Answered { generation, waited: now.saturating_sub(self.call_started) }
         }
-        if let Err(error) = findings.absorb(self.now, origin, fact.slot, fact.number, &fact.bytes) {
-            return tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
+    }
+
+    /// The event of the end of a call for a watch, or of the watch.
+    fn end_event(&mut self, now: Micros, end: CallEnd) -> Event {
+        let waited = now.saturating_sub(self.call_started);
+        let was_answered = std::mem::take(&mut self.is_answered);
+        match (was_answered, end) {
+            (true, CallEnd::Silent) => Event::WatchSilent { by: now + SILENCE_RECOVERY_TIME },
+            (true, _) => Event::WatchEnded,
+            (false, CallEnd::Refused { retry_after }) => Event::Refused { waited, retry_after },
+            (false, CallEnd::Failed | CallEnd::Unreachable) => Event::Failed,
+            (false, CallEnd::Silent) => Event::TimedOut,
         }
-        for (place, news) in findings.service_news() {
-            pacer.handle(self.now, Event::Peer { place, news });
+    }
+
+    /// The event of another service that counts from now on.
+    fn move_event(&mut self, now: Micros) -> Event {
+        self.is_answered = false;
+        Event::Moved { by: Some(now + MOVE_RECOVERY_TIME) }
+    }
+}
+
+/// Whether what other members say of the service arrives here.
+fn hears_members(settings: &FleetSettings, config: &Config) -> bool {
+    settings.membership.is_some() && config.peer_listen.is_some()
+}
+
+/// The pacer's configuration; `None` where pacing is off, lists are pushed, or the place is none that the pacer knows.
+fn pacer_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<PacerConfig> {
+    let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
+    Some(PacerConfig {
+        place: u16::try_from(config.settings.me).ok()?,
+        count: u16::try_from(config.settings.nodes).ok()?,
+        service_time: cold_start.call_time,
+        ask_within: config.settings.ask_within,
+        unix: unix_at_zero,
+        seed: config.seed,
+        hears: hears_members(settings, config),
+        ask_without_pacer: false,
+    })
+}
+
+impl Server {
+    /// Publishes what the pacing has found, and sets its timer.
+    pub(in crate::server) fn update_pacing(&mut self) {
+        self.discovery.pacing.update(self.now, &mut self.membership, &mut self.core);
+    }
+
+    pub(in crate::server) fn pace_on_member_changed(&mut self, change: Change) {
+        let view = self.membership.view();
+        if self.discovery.pacing.on_member_changed(self.now, change, view) {
+            self.update_pacing();
         }
-        self.ask_go_on();
     }
 
-    pub(in crate::server) fn ask_due(&mut self) {
-        self.ask.timer = None;
-        if self.ask.pacer.as_mut().is_some_and(|pacer| pacer.tick(self.now).is_some()) {
-            (self.ask.asked, self.ask.told) = (self.now, false);
-            self.call(true);
+    pub(in crate::server) fn pace_on_fact(&mut self, fact: &OwnedFact) {
+        let is_own = u32::from(fact.place) == self.config.settings.me;
+        if !is_own && self.discovery.pacing.on_fact(self.now, fact) {
+            self.update_pacing();
         }
-        self.ask_go_on();
-        self.fleet_go_on();
     }
 
-    /// The watch told a list.
-    pub(in crate::server) fn ask_listed(&mut self, generation: u64) {
-        let waited = self.now.saturating_sub(self.ask.asked);
-        let first = !std::mem::replace(&mut self.ask.told, true);
-        self.ask_event(match first {
-            true => Event::Answered { generation, waited },
-            false => Event::Listed { generation },
-        });
+    pub(in crate::server) fn on_pacing_timer(&mut self) {
+        if self.discovery.pacing.on_timer(self.now) {
+            self.open_discovery_call(CallKind::Watch);
+        }
+        self.update_pacing();
+        self.apply_fleet_outputs();
+    }
+
+    /// The watch has sent a list.
+    pub(super) fn pace_on_list(&mut self, generation: u64) {
+        let event = self.discovery.pacing.list_event(self.now, generation);
+        self.pace_on_event(event);
     }
 
     /// The call for a watch, or the watch, is over.
-    pub(in crate::server) fn ask_over(&mut self, end: CallEnd) {
-        let waited = self.now.saturating_sub(self.ask.asked);
-        let told = std::mem::take(&mut self.ask.told);
-        self.ask_event(match (told, end) {
-            (true, CallEnd::Silent) => Event::WatchSilent { by: self.now + AFTER_SILENCE },
-            (true, _) => Event::WatchEnded,
-            (false, CallEnd::Refused(retry_after)) => Event::Refused { waited, retry_after },
-            (false, CallEnd::Failed | CallEnd::Unreachable) => Event::Failed,
-            (false, CallEnd::Silent) => Event::TimedOut,
-        });
+    pub(super) fn pace_on_call_ended(&mut self, end: CallEnd) {
+        let event = self.discovery.pacing.end_event(self.now, end);
+        self.pace_on_event(event);
     }
 
     /// Another service counts from now on.
-    pub(in crate::server) fn ask_moved(&mut self) {
-        self.ask.told = false;
-        self.ask_event(Event::Moved { by: Some(self.now + MOVED) });
+    pub(super) fn pace_on_discovery_moved(&mut self) {
+        let event = self.discovery.pacing.move_event(self.now);
+        self.pace_on_event(event);
     }
 
-    fn ask_event(&mut self, event: Event) {
-        if let Some(pacer) = &mut self.ask.pacer {
+    fn pace_on_event(&mut self, event: Event) {
+        if let Some(pacer) = &mut self.discovery.pacing.pacer {
             pacer.handle(self.now, event);
-            self.ask_go_on();
-            self.fleet_go_on();
+            self.update_pacing();
+            self.apply_fleet_outputs();
         }
     }
 }
--- /dev/null
+++ b/src/server/discovery/watch.rs
@@ -0,0 +1,87 @@
+//! When the watch is opened, and for how long the list that the program started with may be used. [`WatchLiveness`] decides
+//! both; this sets its timers and tells the core.
+
+use super::DiscoveryClient;
+use super::pacing::CallEnd;
+use crate::core::Core;
+use crate::core::watch_liveness::{DiscoveryTerms, WatchFailure};
+use crate::policy::interface::Micros;
+use crate::server::STALE_TIMER;
+
+impl DiscoveryClient {
+    /// The program begins. `newest_start` is when the last of the endpoints on the list that is known so far started.
+    pub(in crate::server) fn start(&mut self, core: &mut Core, now: Micros, newest_start: Option<Micros>) {
+        let opens_at = self.liveness.start(now);
+        self.schedule_watch(core, opens_at);
+        if !core.endpoints.stale {
+            return;
+        }
+        let stale_span = self.liveness.revalidate(now, newest_start);
+        core.set_timer(stale_span.end, STALE_TIMER);
+        if stale_span.start > now {
+            core.set_timer(stale_span.start, STALE_TIMER);
+            core.use_stale_list();
+        }
+    }
+
+    /// Another dispatcher received a message of this one's predecessor at this time: until some time after that, the list that
+    /// this process started with lacks nothing that counts. Once that list is used, the message may have been this process's
+    /// own.
+    pub(in crate::server) fn on_predecessor_seen(&mut self, core: &mut Core, now: Micros, seen_at: Micros) {
+        if !core.endpoints.stale {
+            return;
+        }
+        let stale_from = self.liveness.on_predecessor_seen(seen_at.min(now));
+        if let Some(stale_from) = stale_from.filter(|from| *from > now) {
+            core.set_timer(stale_from, STALE_TIMER);
+            core.use_stale_list();
+        }
+    }
+
+    /// Suspends the list that the program started with, or uses it. Nothing is sent by it while it is to be revalidated and
+    /// discovery has sent none; where discovery cannot be reached, or has had its time, it is used as it is.
+    pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
+        match (core.endpoints.stale, self.liveness.is_stale(now)) {
+            (true, false) => {
+                tracing::warn!(
+                    "discovery: not heard since the start; the list known before it is used as it is"
+                );
+                core.use_stale_list();
+            }
+            (false, true) => core.suspend_stale_list(),
+            _ => {}
+        }
+    }
+
+    /// Other settings count.
+    pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoveryTerms) {
+        if self.liveness.reconfigure(terms) {
+            self.schedule_watch(core, now);
+        }
+    }
+
+    /// Whether a time is set at which the watch is opened.
+    pub(super) fn is_watch_scheduled(&self) -> bool {
+        self.watch_timer.is_set()
+    }
+
+    /// The time has come to open the watch. Whether that is to be done: none is open, and the pacer does not decide it.
+    pub(super) fn on_watch_timer(&mut self) -> bool {
+        self.watch_timer.on_fired();
+        self.watch.is_none() && !self.pacing.is_enabled()
+    }
+
+    pub(super) fn schedule_watch(&mut self, core: &mut Core, at: Micros) {
+        self.watch_timer.set(core, Some(at));
+    }
+
+    /// The watch, or the call for it, is over. Returns when it is to be opened anew, unless the pacer decides that.
+    pub(super) fn on_watch_ended(&mut self, now: Micros, end: CallEnd) -> Micros {
+        let failure = match end {
+            CallEnd::Silent => WatchFailure::Silent,
+            CallEnd::Unreachable => WatchFailure::Unreachable,
+            CallEnd::Refused { .. } | CallEnd::Failed => WatchFailure::Ended,
+        };
+        self.liveness.on_watch_failed(now, failure)
+    }
+}
--- /dev/null
+++ b/src/server/idempotency_store/completion.rs
@@ -0,0 +1,96 @@
+//! What the store's threads report back to the loop: a queue of completions, and a socket that wakes the loop.
+
+use mothproxy_store::StoreError;
+use std::io::{Read, Write};
+use std::os::unix::net::UnixStream;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Why a record could not be written.
+#[derive(Clone, Debug, thiserror::Error)]
+pub(in crate::server) enum RecordWriteError {
+    /// The store is not open, and opening it has not been tried yet.
+    #[error("not open")]
+    NotOpen,
+    /// The store could not be opened.
+    #[error(transparent)]
+    Open(Arc<StoreError>),
+    /// The store did not take the write.
+    #[error(transparent)]
+    Submit(Arc<StoreError>),
+    /// The store took the write and reported that it failed.
+    #[error("{0}")]
+    Write(String),
+}
+
+/// Who waits for a record to be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::server) enum Waiter {
+    /// Nobody.
+    Nobody,
+    /// The core of this process, by its ticket.
+    Core(u64),
+    /// The process before this one, by the ticket of its core.
+    Predecessor(u64),
+}
+
+/// The end of a write.
+#[derive(Debug)]
+pub(in crate::server) struct WriteCompletion {
+    pub(in crate::server) waiter: Waiter,
+    pub(in crate::server) result: Result<(), RecordWriteError>,
+}
+
+/// The end of the queue that the store's threads use.
+#[derive(Clone)]
+pub(super) struct CompletionSender {
+    queue: Arc<Mutex<Vec<WriteCompletion>>>,
+    waker: Arc<UnixStream>,
+}
+
+/// The end of the queue that the loop uses.
+pub(super) struct CompletionReceiver {
+    queue: Arc<Mutex<Vec<WriteCompletion>>>,
+    woken: UnixStream,
+}
+
+/// A new queue.
+///
+/// # Errors
+/// If the system gives no pair of sockets.
+pub(super) fn completion_queue() -> std::io::Result<(CompletionSender, CompletionReceiver)> {
+    let (woken, waker) = UnixStream::pair()?;
+    woken.set_nonblocking(true)?;
+    waker.set_nonblocking(true)?;
+    let queue = Arc::default();
+    let sender = CompletionSender { queue: Arc::clone(&queue), waker: Arc::new(waker) };
+    Ok((sender, CompletionReceiver { queue, woken }))
+}
+
+impl CompletionSender {
+    /// Queues a completion and wakes the loop, if that has nothing to take yet.
+    pub(super) fn send(&self, completion: WriteCompletion) {
+        let mut queue = lock(&self.queue);
+        queue.push(completion);
+        if queue.len() == 1 {
+            let _ = (&*self.waker).write(&[1]); // full: the loop is woken already
+        }
+    }
+}
+
+impl CompletionReceiver {
+    /// What to watch: it is readable while there may be completions.
+    pub(super) fn socket(&self) -> &UnixStream {
+        &self.woken
+    }
+
+    /// Takes all completions.
+    pub(super) fn drain(&mut self) -> Vec<WriteCompletion> {
+        let mut buffer = [0; 64];
+        while matches!((&self.woken).read(&mut buffer), Ok(length) if length > 0) {}
+        std::mem::take(&mut lock(&self.queue))
+    }
+}
+
+fn lock(queue: &Mutex<Vec<WriteCompletion>>) -> MutexGuard<'_, Vec<WriteCompletion>> {
+    queue.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- /dev/null
+++ b/src/server/idempotency_store/record_store.rs
@@ -0,0 +1,214 @@
+//! The idempotency records on disk. Writes go to the store's own threads, so that the loop never waits for the disk; their
+//! ends come back as [`WriteCompletion`]s over a socket that the loop watches.
+
+use super::completion::{
+    CompletionReceiver, CompletionSender, RecordWriteError, Waiter, WriteCompletion, completion_queue,
+};
+use crate::core::idempotency::RECORD_TTL;
+use crate::policy::interface::Micros;
+use crate::server::{NetError, StateDir};
+use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
+use std::os::unix::net::UnixStream;
+use std::sync::Arc;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// The store's keys of records begin with this.
+const KEY_PREFIX: &str = "key/";
+/// The process that had the store before may need this long to close it.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(3);
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// A store that cannot be opened is tried again after this.
+const REOPEN_INTERVAL: Micros = 1_000_000;
+/// The clock may lie this far behind the newest time in the store.
+const CLOCK_TOLERANCE_MS: u64 = 1_000;
+const MICROS_PER_MS: Micros = 1_000;
+
+/// The store of records, and whether writing to it works.
+pub(in crate::server) struct RecordStore {
+    settings: StateDir,
+    /// `None` while it cannot be opened, or once it was given up.
+    store: Option<Store>,
+    sender: CompletionSender,
+    receiver: CompletionReceiver,
+    /// Why the last record could not be written, until one is.
+    last_error: Option<RecordWriteError>,
+    /// Records that could not be written.
+    failures: u64,
+    last_open_attempt: Option<Micros>,
+}
+
+/// What is in the store at the start.
+pub(in crate::server) struct LoadedRecords {
+    /// The records as they were written, by their keys.
+    pub(in crate::server) records: Vec<(String, Vec<u8>)>,
+    /// The clock has not fallen behind what the store has seen.
+    pub(in crate::server) is_clock_sound: bool,
+}
+
+impl RecordStore {
+    /// Opens the store and reads what is in it. A process that is handing over may still be closing it, which is waited for.
+    ///
+    /// # Errors
+    /// If the store cannot be opened, or the system gives no sockets.
+    pub(in crate::server) fn open(settings: StateDir) -> Result<(RecordStore, LoadedRecords), NetError> {
+        let started = Instant::now();
+        let opened = open_when_unlocked(&settings, started);
+        let (store, recovery) = opened.map_err(|error| NetError::State(settings.dir.clone(), error))?;
+        let read_in = started.elapsed().as_millis();
+        for damage in recovery.damage.iter().chain(&recovery.notes) {
+            tracing::error!("state: damaged: {damage}");
+        }
+        let records = read_records(&store);
+        let is_clock_sound = is_clock_sound(&store);
+        if !is_clock_sound {
+            tracing::warn!("state: the clock is behind what was noted; jobs noted before are not sent again");
+        }
+        let (count, directory) = (records.len(), settings.dir.display());
+        tracing::info!("state: {count} keys noted in {directory}, read in {read_in} ms");
+        let (sender, receiver) = completion_queue().map_err(|error| NetError::System("state", error))?;
+        let record_store = RecordStore {
+            settings,
+            store: Some(store),
+            sender,
+            receiver,
+            last_error: None,
+            failures: 0,
+            last_open_attempt: None,
+        };
+        Ok((record_store, LoadedRecords { records, is_clock_sound }))
+    }
+
+    /// What to watch: it is readable while there may be completions.
+    pub(in crate::server) fn socket(&self) -> &UnixStream {
+        self.receiver.socket()
+    }
+
+    /// Records that could not be written.
+    pub(in crate::server) fn failures(&self) -> u64 {
+        self.failures
+    }
+
+    /// Gives the store up to another process, without waiting for the disk here. Writes under way still complete.
+    pub(in crate::server) fn give_up(&mut self) {
+        if let Some(store) = self.store.take() {
+            // Were there no thread for it, it would be closed here, with a wait.
+            let closing = std::thread::Builder::new().name("store-close".to_owned());
+            let _ = closing.spawn(move || drop(store));
+        }
+    }
+
+    /// Writes a record, or deletes it where there is none; a completion follows in any case.
+    pub(in crate::server) fn write(
+        &mut self,
+        now: Micros,
+        waiter: Waiter,
+        key: &str,
+        record: Option<Vec<u8>>,
+    ) {
+        if self.store.is_none() {
+            self.reopen(now);
+        }
+        if let Err(error) = self.submit(waiter, key, record) {
+            self.sender.send(WriteCompletion { waiter, result: Err(error) });
+        }
+    }
+
+    fn submit(&self, waiter: Waiter, key: &str, record: Option<Vec<u8>>) -> Result<(), RecordWriteError> {
+        let Some(store) = &self.store else {
+            return Err(self.last_error.clone().unwrap_or(RecordWriteError::NotOpen));
+        };
+        let key = format!("{KEY_PREFIX}{key}");
+        let batch = match record {
+            Some(record) => Batch::new().put_for(key, record, RECORD_TTL / MICROS_PER_MS),
+            None => Batch::new().delete(key),
+        };
+        let sender = self.sender.clone();
+        let on_written = move |result: Result<(), String>| {
+            sender.send(WriteCompletion { waiter, result: result.map_err(RecordWriteError::Write) });
+        };
+        store.submit(batch, Box::new(on_written)).map_err(|error| RecordWriteError::Submit(Arc::new(error)))
+    }
+
+    fn reopen(&mut self, now: Micros) {
+        if self.last_open_attempt.is_some_and(|at| now < at + REOPEN_INTERVAL) {
+            return;
+        }
+        self.last_open_attempt = Some(now);
+        match open_store(&self.settings) {
+            Ok((store, _)) => self.store = Some(store),
+            Err(error) => self.set_failing(RecordWriteError::Open(Arc::new(error))),
+        }
+    }
+
+    /// Takes the completions that have come, and counts those of writes that failed.
+    pub(in crate::server) fn drain_completions(&mut self) -> Vec<WriteCompletion> {
+        let completions = self.receiver.drain();
+        for completion in &completions {
+            match &completion.result {
+                Ok(()) => self.set_working(),
+                Err(error) => {
+                    self.failures += 1;
+                    self.set_failing(error.clone());
+                }
+            }
+        }
+        completions
+    }
+
+    /// One line of the log when writing begins to fail, one when it works again.
+    fn set_failing(&mut self, error: RecordWriteError) {
+        if self.last_error.is_none() {
+            tracing::error!(
+                "state: cannot note keyed jobs, which are turned away or failed meanwhile: {error}"
+            );
+        }
+        self.last_error = Some(error);
+    }
+
+    fn set_working(&mut self) {
+        if self.last_error.take().is_some() {
+            tracing::info!("state: keyed jobs are noted again, after {} that could not be", self.failures);
+        }
+    }
+}
+
+fn open_store(settings: &StateDir) -> Result<(Store, Recovery), StoreError> {
+    Store::open(&settings.dir, Options { sync: settings.sync, ..Options::default() })
+}
+
+fn open_when_unlocked(settings: &StateDir, started: Instant) -> Result<(Store, Recovery), StoreError> {
+    loop {
+        match open_store(settings) {
+            Err(StoreError::Locked(_)) if started.elapsed() < LOCK_TIMEOUT => {
+                std::thread::sleep(LOCK_RETRY_INTERVAL);
+            }
+            opened => return opened,
+        }
+    }
+}
+
+/// All records, without the prefix of their keys; those that are damaged are logged.
+fn read_records(store: &Store) -> Vec<(String, Vec<u8>)> {
+    let mut records = Vec::new();
+    for entry in store.snapshot().iter_from(KEY_PREFIX.as_bytes()) {
+        let (key, record) = match entry {
+            Ok(entry) => entry,
+            Err(error) => {
+                tracing::error!("state: damaged: {error}");
+                continue;
+            }
+        };
+        if let Ok(key) = std::str::from_utf8(&key)
+            && let Some(key) = key.strip_prefix(KEY_PREFIX)
+        {
+            records.push((key.to_owned(), record));
+        }
+    }
+    records
+}
+
+/// Whether the system's clock has not fallen behind the newest time in the store.
+fn is_clock_sound(store: &Store) -> bool {
+    let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+    store.now() <= unix_ms + CLOCK_TOLERANCE_MS
+}
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -374,7 +374,7 @@
                 None => self.metrics.rejects += 1,
             },
             Note::Write { ticket, key, kept } => {
-                self.note_for_elder(ticket, &key, kept.then(|| bytes.to_vec()))
+                self.persist_for_predecessor(ticket, &key, kept.then(|| bytes.to_vec()))
             }
             Note::Written { ticket, written } => self.core.on_record_persisted(ticket, written),
             Note::Hello | Note::Listeners { .. } => self.metrics.rejects += 1,
@@ -387,8 +387,8 @@
 
     /// The younger is there: it accepts from now on, and gets one connection after the other.
     fn hand_over(&mut self) {
-        if let Some(notes) = &mut self.notes {
-            notes.give_up(); // the younger waits until it is closed
+        if let Some(records) = &mut self.records {
+            records.give_up(); // the younger waits until it is closed
         }
         let open = self.open_here();
         let Some(twin) = &mut self.twin else { return };
@@ -400,13 +400,13 @@
             bad_rows: 0,
         };
         let lesson = serde_json::to_value(self.core.learned_state()).unwrap_or_default();
-        let (sse, peers) = (self.sse.is_some(), self.peers.is_some());
+        let (sse, peers) = (self.sse.is_some(), self.peers.socket().is_some());
         let drained = self.drained.is_some();
         let stale = self.core.endpoints.stale;
         let note = Note::Listeners { sse, peers, drained, table, stale, open: open.clone(), lesson };
         let mut fds = vec![self.platform.as_fd()];
         fds.extend(self.sse.as_ref().map(|(listener, _)| listener.as_fd()));
-        fds.extend(self.peers.as_ref().map(|socket| socket.as_fd()));
+        fds.extend(self.peers.socket().map(|socket| socket.as_fd()));
         if send(&twin.link, &note, &[], &fds).is_err() {
             return self.twin_gone();
         }
@@ -416,7 +416,7 @@
             let _ = epoll::delete(&self.epoll, fd);
         }
         (self.handed, self.accepting) = (true, false);
-        self.fleet_falls_silent();
+        self.suspend_fleet();
         self.home = None;
         tracing::info!("upgrade: handing over to a new process, open={}", self.core.ledger.open());
         self.core.set_timer(self.now + 1, HAND_TIMER);
@@ -580,13 +580,13 @@
         let sse =
             self.sse.as_ref().is_none_or(|(listener, _)| self.watch_fd(listener.as_fd(), crate::server::SSE));
         let peers =
-            self.peers.as_ref().is_none_or(|socket| self.watch_fd(socket.as_fd(), crate::server::PEERS));
+            self.peers.socket().is_none_or(|socket| self.watch_fd(socket.as_fd(), crate::server::PEERS));
         crate::invariant!(platform && sse && peers, "epoll does not take its listeners back");
         self.accepting = true;
-        self.notes_back();
+        self.fail_pending_records();
         self.open_home();
-        self.tell_state();
-        self.fleet_speaks_again();
+        self.announce_state();
+        self.restart_fleet();
     }
 }
 
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,5 +1,6 @@
 //! Signals, and the new configuration that SIGHUP asks for.
 
+use crate::core::watch_liveness::DiscoveryTerms;
 use crate::server::{Budget, Server};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{PipeFlags, pipe_with};
@@ -37,7 +38,7 @@
         while matches!(rustix::io::read(&self.signals.woken, &mut buf), Ok(n) if n > 0) {}
         if self.signals.stop.swap(false, Ordering::Relaxed) {
             self.stop();
-            self.fleet_leaves();
+            self.leave_fleet();
         }
         // Also while stopping: what discovery tells until the end still counts.
         if self.signals.reload.swap(false, Ordering::Relaxed) {
@@ -49,7 +50,7 @@
     fn reload(&mut self) {
         let taken = self.config.reread(self.core.names()).map_err(|e| e.to_string()).and_then(|mut new| {
             let names = std::mem::take(&mut new.names);
-            self.fleet_could_begin(&new).map_err(|e| e.to_string())?;
+            self.check_fleet_restart(&new).map_err(|e| e.to_string())?;
             self.core.reconfigure(new.settings.clone(), names).map_err(|e| e.to_string())?;
             Ok(new)
         });
@@ -65,19 +66,19 @@
         self.classes = new.settings.classes.clone();
         self.budget = Budget::of(
             new.limits,
-            if self.notes.is_some() { crate::server::idempotency_store::FDS } else { 0 },
+            if self.records.is_some() { crate::server::idempotency_store::FDS } else { 0 },
         );
         let moved = new.discovery != self.config.discovery;
         let regroup = (new.settings.me, &new.peers) != (self.config.settings.me, &self.config.peers);
         let old = std::mem::replace(&mut self.config, new);
         if regroup {
-            self.standing.renumber(&old.peers, &self.config);
-            self.fleet_speaks_again();
+            self.peers.renumber(&old.peers, &self.config);
+            self.restart_fleet();
         }
         if moved {
-            self.leave_discovery();
+            self.on_discovery_moved();
             self.core.on_discovery_moved();
         }
-        self.watch_retuned();
+        self.discovery.reconfigure(&mut self.core, self.now, DiscoveryTerms::of(&self.config.settings));
     }
 }
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -26,7 +26,7 @@
             self.stopping = Some(ShutdownPlan::new(self.now, longest.unwrap_or(0), ever.unwrap_or(0)));
             tracing::info!("stopping: asked to; open={}", self.core.ledger.open());
             self.core.set_timer(self.now + STEP, STOP_TIMER);
-            self.tell_state();
+            self.announce_state();
         }
     }
 
@@ -44,7 +44,7 @@
         if !std::mem::replace(&mut self.drain_due, true) {
             self.core.set_timer(self.now + STEP, DRAIN_TIMER);
         }
-        self.tell_state();
+        self.announce_state();
     }
 
     /// Goes on with the drain of the process that this one takes over from.
@@ -89,7 +89,7 @@
         // They go over to the younger process as they are.
         self.handed
             || self.drained.is_none()
-                && self.stopping.is_none_or(|plan| self.now < plan.hold && self.peers_stopped())
+                && self.stopping.is_none_or(|plan| self.now < plan.hold && self.peers.have_all_stopped())
     }
 
     pub(in crate::server) fn stop_step(&mut self) {
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -1,151 +1,168 @@
-//! The dispatcher's part in the fleet: its datagrams on the peer socket, its timer, its lines of the log, its page.
+//! The driver of [`Fleet`]: its datagrams go over the peer socket, its timer is one of the core's, and what it says about
+//! the members goes to the decision module, to the learners, to the pacing of discovery calls, to the log and to the admin
+//! page.
 
 use crate::config::Config;
-use crate::fleet::{Birth, Effect, Fleet, FleetError, FleetSettings, Learners};
+use crate::core::Core;
+use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, ProcessIdentity};
 use crate::policy::interface::Micros;
 use crate::protocol::admin::{MemberRow, MembersPage};
+use crate::server::timer_slot::TimerSlot;
 use crate::server::{FLEET_TIMER, Server};
+use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The state machine, and when its timer is set to.
-#[derive(Default)]
-pub(in crate::server) struct Link {
-    pub(in crate::server) fleet: Fleet,
-    timer: Option<Micros>,
-    /// When what was learned is looked through next for what there is to tell.
-    look: Option<Micros>,
+/// The state machine of the fleet, its timer, and when the learners are asked for facts.
+pub(in crate::server) struct MembershipLink {
+    fleet: Fleet,
+    timer: TimerSlot,
+    next_publish: Option<Micros>,
 }
 
-/// The start of this process, or of what goes on in its place, at its place of a configuration.
-fn birth(config: &Config) -> Birth {
+/// The identity of this process, or of its continuation, that starts now at its place of a configuration.
+fn new_identity(config: &Config) -> ProcessIdentity {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     // A dispatcher without an address for datagrams has no peers that it could hear.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
-    Birth { me: config.settings.me, peers, epoch: unix.as_millis() as u64, seed: config.seed }
+    ProcessIdentity { place: config.settings.me, peers, epoch: unix.as_millis() as u64, seed: config.seed }
 }
 
-/// What learns of jobs, where any of it is on.
-pub(in crate::server) fn learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
-    Learners::new(settings, birth(config), now)
+/// The learners that the settings name, for a process that starts now.
+pub(in crate::server) fn new_learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
+    Learners::new(settings, new_identity(config), now)
 }
 
-impl Link {
-    /// The parts that are on. Those that lack what they need stay off, with a line of the log that says why.
-    pub fn open(settings: FleetSettings, config: &Config, now: Micros) -> Link {
-        let fleet = Fleet::new(settings, birth(config), now).unwrap_or_else(|error| {
+impl MembershipLink {
+    /// Starts the parts that are on. Where they lack what they need they stay off, and a line of the log says why.
+    pub(in crate::server) fn open(settings: FleetSettings, config: &Config, now: Micros) -> MembershipLink {
+        let fleet = Fleet::new(settings, new_identity(config), now).unwrap_or_else(|error| {
             tracing::warn!("members: off: {error} in this configuration with peer_listen");
             Fleet::default()
         });
-        Link { fleet, timer: None, look: Some(now) }
+        MembershipLink { fleet, timer: TimerSlot::new(FLEET_TIMER), next_publish: Some(now) }
+    }
+
+    /// What is believed of all places, where membership is on.
+    pub(in crate::server) fn view(&self) -> Option<&View> {
+        self.fleet.view()
+    }
+
+    /// Publishes a fact to the other members.
+    pub(in crate::server) fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
+        self.fleet.publish(now, kind, slot, bytes);
+    }
+
+    fn on_timer(&mut self, now: Micros, learners: &mut Learners) {
+        self.timer.on_fired();
+        self.fleet.on_timer(now);
+        if self.fleet.can_publish() && self.next_publish.is_some_and(|at| at <= now) {
+            for fact in learners.publish(now) {
+                self.fleet.publish(now, fact.kind, fact.slot, &fact.bytes);
+            }
+            self.next_publish = learners.next_publish(now);
+        }
+    }
+
+    fn update_timer(&mut self, now: Micros, core: &mut Core) {
+        let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
+        let wake = self.fleet.next_wake(now).into_iter().chain(next_publish).min();
+        self.timer.set(core, wake);
     }
 }
 
 impl Server {
-    /// Whether a datagram belongs to the fleet's parts; if so, it has been taken.
-    pub(in crate::server) fn fleet_hears(&mut self, from: u32, bytes: &[u8]) -> bool {
-        let understood = self.link.fleet.understands(bytes);
-        if understood {
-            self.link.fleet.hear(self.now, from, bytes);
-            self.fleet_go_on();
+    /// Takes a datagram if it belongs to the fleet; returns whether it does.
+    pub(in crate::server) fn on_fleet_datagram(&mut self, from: u32, bytes: &[u8]) -> bool {
+        let is_accepted = self.membership.fleet.accepts(bytes);
+        if is_accepted {
+            self.membership.fleet.on_datagram(self.now, from, bytes);
+            self.apply_fleet_outputs();
         }
-        understood
+        is_accepted
     }
 
-    pub(in crate::server) fn fleet_due(&mut self) {
-        self.link.timer = None;
-        self.link.fleet.due(self.now);
-        if self.link.fleet.tells() && self.link.look.is_some_and(|at| at <= self.now) {
-            for (kind, slot, bytes) in self.core.learners.publish(self.now) {
-                self.link.fleet.tell(self.now, kind, slot, &bytes);
-            }
-            self.link.look = self.core.learners.next_look(self.now);
-        }
-        self.fleet_go_on();
+    pub(in crate::server) fn on_fleet_timer(&mut self) {
+        self.membership.on_timer(self.now, &mut self.core.learners);
+        self.apply_fleet_outputs();
     }
 
-    /// This dispatcher stops. One that another process has taken over from says nothing.
-    pub(in crate::server) fn fleet_leaves(&mut self) {
+    /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
+    pub(in crate::server) fn leave_fleet(&mut self) {
         if !self.handed {
-            self.link.fleet.leave(self.now);
-            self.fleet_go_on();
+            self.membership.fleet.leave(self.now);
+            self.apply_fleet_outputs();
         }
     }
 
     /// Another process speaks for this place from now on.
-    pub(in crate::server) fn fleet_falls_silent(&mut self) {
-        self.link.fleet.fall_silent();
-        self.fleet_go_on();
+    pub(in crate::server) fn suspend_fleet(&mut self) {
+        self.membership.fleet.suspend();
+        self.apply_fleet_outputs();
     }
 
-    /// Whether the parts that are on could begin anew under this configuration.
-    pub(in crate::server) fn fleet_could_begin(&self, config: &Config) -> Result<(), FleetError> {
-        self.link.fleet.check(birth(config), self.now)
+    /// Whether the parts that are on could restart under this configuration.
+    pub(in crate::server) fn check_fleet_restart(&self, config: &Config) -> Result<(), FleetError> {
+        self.membership.fleet.check_restart(new_identity(config), self.now)
     }
 
-    /// Begins anew, with a new epoch: among other peers, or since the process that spoke for this place has ended.
-    pub(in crate::server) fn fleet_speaks_again(&mut self) {
-        if !self.handed {
-            let birth = birth(&self.config);
-            let again = self.link.fleet.renew(birth, self.now);
-            self.core.learners.begin_anew(birth, self.now);
-            crate::invariant!(again.is_ok(), "a configuration that was checked");
-            self.fleet_go_on();
+    /// Restarts with a new epoch: among other peers, or since the process that spoke for this place has ended.
+    pub(in crate::server) fn restart_fleet(&mut self) {
+        if self.handed {
+            return;
         }
+        let identity = new_identity(&self.config);
+        let restarted = self.membership.fleet.restart(identity, self.now);
+        self.core.learners.restart(identity, self.now);
+        crate::invariant!(restarted.is_ok(), "a configuration that was checked");
+        self.apply_fleet_outputs();
     }
 
-    /// Does what the parts want done, and sets the timer.
-    pub(in crate::server) fn fleet_go_on(&mut self) {
-        while let Some(effect) = self.link.fleet.poll() {
-            match effect {
-                Effect::Send { to, bytes } => self.tell_peer(to, &bytes),
-                Effect::Peers(peers) => self.core.on_peer_presence(peers),
-                Effect::Changed(change) => {
-                    self.core.learners.changed(self.now, change);
-                    self.ask_changed(change);
+    /// Does what the fleet wants done, and sets its timer.
+    pub(in crate::server) fn apply_fleet_outputs(&mut self) {
+        while let Some(output) = self.membership.fleet.poll() {
+            match output {
+                FleetOutput::Send { to, bytes } => self.send_to_peer(to, &bytes),
+                FleetOutput::PeerPresence(peers) => self.core.on_peer_presence(peers),
+                FleetOutput::MemberChanged(change) => {
+                    self.core.learners.on_member_changed(self.now, change);
+                    self.pace_on_member_changed(change);
                 }
-                Effect::Fact(fact) => {
+                FleetOutput::Fact(fact) => {
                     self.core.learners.absorb(self.now, &fact);
-                    self.ask_hears(&fact);
+                    self.pace_on_fact(&fact);
                 }
-                Effect::Line { change, hidden } => {
-                    let at = self.config.peers.get(usize::from(change.place));
-                    let at = at.map_or("?".to_owned(), |at| at.to_string());
-                    let more =
-                        if hidden > 0 { format!(", {hidden} not shown before") } else { String::new() };
-                    tracing::info!(
-                        "member {} at {at}: {:?} to {:?}, epoch {}, view {}{more}",
-                        change.place,
-                        change.from,
-                        change.to,
-                        change.epoch,
-                        change.version
-                    );
+                FleetOutput::LogChange { change, suppressed } => {
+                    self.log_member_change(change, suppressed);
                 }
             }
         }
-        let look = self.link.look.filter(|_| self.link.fleet.tells());
-        let wake = self.link.fleet.next_wake(self.now).into_iter().chain(look).min();
-        if wake != self.link.timer {
-            if let Some(old) = self.link.timer.take() {
-                self.core.cancel_timer(old, FLEET_TIMER);
-            }
-            if let Some(at) = wake {
-                self.core.set_timer(at, FLEET_TIMER);
-            }
-            self.link.timer = wake;
-        }
+        self.membership.update_timer(self.now, &mut self.core);
+    }
+
+    fn log_member_change(&self, change: Change, suppressed: u64) {
+        let address = self.config.peers.get(usize::from(change.place));
+        let address = address.map_or("?".to_owned(), ToString::to_string);
+        let more = if suppressed > 0 { format!(", {suppressed} not shown before") } else { String::new() };
+        tracing::info!(
+            "member {} at {address}: {:?} to {:?}, epoch {}, view {}{more}",
+            change.place,
+            change.from,
+            change.to,
+            change.epoch,
+            change.version
+        );
     }
 
     /// The members as this process sees them, where membership is on.
     pub(in crate::server) fn members_page(&self) -> Option<MembersPage> {
-        let (view, figures) = self.link.fleet.view().zip(self.link.fleet.figures())?;
-        let row = |(place, m): (u16, &mothproxy_membership::Member)| MemberRow {
+        let (view, figures) = self.membership.fleet.view().zip(self.membership.fleet.metrics())?;
+        let row = |(place, member): (u16, &Member)| MemberRow {
             place,
-            address: self.config.peers.get(usize::from(place)).map(|at| at.to_string()).unwrap_or_default(),
-            state: format!("{:?}", m.state).to_lowercase(),
-            epoch: m.epoch,
-            incarnation: m.incarnation,
-            for_ms: self.now.saturating_sub(m.since) / 1000,
+            address: self.config.peers.get(usize::from(place)).map(ToString::to_string).unwrap_or_default(),
+            state: format!("{:?}", member.state).to_lowercase(),
+            epoch: member.epoch,
+            incarnation: member.incarnation,
+            for_ms: self.now.saturating_sub(member.since) / 1_000,
         };
         Some(MembersPage {
             me: self.config.settings.me,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -8,23 +8,24 @@
 mod lifecycle;
 mod membership;
 mod peers;
+mod timer_slot;
 mod upstream;
 
 use crate::config::{Config, ConfigError, MachineLimits, SseSettings};
 use crate::core::shutdown_plan::ShutdownPlan;
-use crate::core::watch_liveness::DiscoveryTerms;
 use crate::core::{Command, Core, RequestId};
 use crate::fleet::FleetSettings;
 use crate::invariant;
 use crate::policy::interface::{Class, Micros, WorkerId};
-use admin::Caller;
+use admin::{AdminConnection, AdminServer};
 use connection::Conn;
-use discovery::{Call, Lists};
+use discovery::{CallKind, DiscoveryCall, DiscoveryClient};
 use downstream::event_streams::{Streams, Watch};
 use downstream::{Front, Look};
-use idempotency_store::Notes;
+use idempotency_store::RecordStore;
 use lifecycle::hot_restart::{Asked, Home, Twin};
 use lifecycle::reload::Signals;
+use peers::PeerLink;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -85,8 +86,8 @@
 enum Role {
     Front(Front),
     Back(Back),
-    Call(Call),
-    Admin(Caller),
+    Call(DiscoveryCall),
+    Admin(AdminConnection),
 }
 
 struct Slot {
@@ -192,9 +193,7 @@
     epoll: OwnedFd,
     platform: TcpListener,
     sse: Option<(TcpListener, Micros)>,
-    admin: Option<TcpListener>,
-    /// Connections to it, the oldest first.
-    callers: std::collections::VecDeque<Token>,
+    admin: AdminServer,
     signals: Signals,
     /// Where the next version asks for a handover.
     home_path: Option<std::path::PathBuf>,
@@ -203,12 +202,11 @@
     twin: Option<Twin>,
     /// This one has handed its listening sockets over.
     handed: bool,
-    peers: Option<UdpSocket>,
-    /// What this dispatcher and the others know of each other.
-    link: membership::Link,
-    ask: discovery::pacing::Asker,
-    /// Where keyed jobs are noted, if they are.
-    notes: Option<Notes>,
+    /// The datagrams between dispatchers.
+    peers: PeerLink,
+    membership: membership::MembershipLink,
+    /// Where the records of keyed jobs are persisted, if they are.
+    records: Option<RecordStore>,
     /// Jobs apart from their streams, where the SSE front is on.
     watch_jobs: Option<Watch>,
     slots: Vec<Slot>,
@@ -233,7 +231,7 @@
     /// Idle connections to workers, the freshest last.
     pool: HashMap<WorkerId, Vec<Token>>,
     probes: HashMap<Token, Probe>,
-    lists: Lists,
+    discovery: DiscoveryClient,
     stopping: Option<ShutdownPlan>,
     /// While stopping, since when nothing is left.
     quiet_since: Option<Micros>,
@@ -241,8 +239,6 @@
     drained: Option<Micros>,
     /// Whether the next look at them is due by a timer.
     drain_due: bool,
-    /// Where the other dispatchers are, and which of them stop.
-    standing: peers::Standing,
     done: bool,
     metrics: Metrics,
     reported: (Metrics, crate::core::ledger::Ledger),
@@ -354,9 +350,9 @@
         }
         core.set_timer(now + SUMMARY, SUMMARY_TIMER);
         let budget = Budget::of(config.limits, if state.is_some() { idempotency_store::FDS } else { 0 });
-        let ask = discovery::pacing::Asker::open(&fleet, &config, now, core.endpoints.generation);
-        core.learners = membership::learners(&fleet, &config, now);
-        let link = membership::Link::open(fleet, &config, now);
+        let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints.generation);
+        core.learners = membership::new_learners(&fleet, &config, now);
+        let membership = membership::MembershipLink::open(fleet, &config, now);
         let mut server = Server {
             classes,
             core,
@@ -366,17 +362,15 @@
             epoll,
             platform,
             sse,
-            admin,
-            callers: Default::default(),
+            admin: AdminServer::new(admin),
             signals,
             home_path: None,
             home: None,
             twin: None,
             handed: false,
-            peers,
-            link,
-            ask,
-            notes: None,
+            peers: PeerLink::new(peers, &config),
+            membership,
+            records: None,
             watch_jobs,
             slots: Vec::new(),
             free: Vec::new(),
@@ -392,29 +386,28 @@
             dispatching: HashMap::new(),
             pool: HashMap::new(),
             probes: HashMap::new(),
-            lists: Lists::new(DiscoveryTerms::of(&config.settings), config.seed),
+            discovery,
             stopping: None,
             quiet_since: None,
             drained: None,
             drain_due: false,
-            standing: peers::Standing::of(&config),
             done: false,
             metrics: Metrics::default(),
             reported: Default::default(),
             config,
         };
         if let Some(dir) = state {
-            server.open_notes(dir)?;
+            server.open_record_store(dir)?;
         }
         server.settle_in(path, inherited);
-        server.watch_begins(newest);
+        server.discovery.start(&mut server.core, server.now, newest);
         Ok(server)
     }
 
     /// Where the program listens: the platform's front, the SSE front and the second address, where they are on.
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>, Option<SocketAddr>) {
         let of = |listener: &TcpListener| listener.local_addr().ok();
-        (of(&self.platform), self.sse.as_ref().and_then(|(l, _)| of(l)), self.admin.as_ref().and_then(of))
+        (of(&self.platform), self.sse.as_ref().and_then(|(l, _)| of(l)), self.admin.listener().and_then(of))
     }
 
     fn clock(&mut self) {
@@ -430,9 +423,9 @@
     pub fn serve(&mut self) -> Result<(), NetError> {
         let mut events = Vec::with_capacity(EVENTS);
         self.clock();
-        self.tell_state();
-        self.fleet_go_on();
-        self.ask_go_on();
+        self.announce_state();
+        self.apply_fleet_outputs();
+        self.update_pacing();
         while !self.done {
             self.clock();
             self.core.turn(self.now);
@@ -453,11 +446,11 @@
             self.looked = Look::new(self.now, events.len() == EVENTS);
             // A call to the second address does not wait for what the clients of this turn ask. And what discovery has
             // told counts before anything of this turn is sent.
-            let watch = self.lists.watch();
+            let watch = self.discovery.watch();
             for event in &events {
                 match (Token(event.data.u64()), event.flags) {
                     (ADMIN, _) => self.accept_admin(),
-                    (token, flags) if self.is_admin(token) || watch == Some(token) => {
+                    (token, flags) if self.admin.owns(token) || watch == Some(token) => {
                         self.ready(token, flags)
                     }
                     _ => {}
@@ -470,14 +463,14 @@
             for event in events.drain(..) {
                 let (data, flags) = (event.data, event.flags);
                 match Token(data.u64()) {
-                    token if self.is_admin(token) || watch == Some(token) => {}
+                    token if self.admin.owns(token) || watch == Some(token) => {}
                     PLATFORM => self.accept(false),
                     SSE => self.accept(true),
                     SIGNAL => self.signalled(),
-                    PEERS => self.hear_peers(),
+                    PEERS => self.on_peers_readable(),
                     HOME => self.twin_comes(),
                     TWIN => self.twin_ready(),
-                    NOTES => self.notes_ready(),
+                    NOTES => self.on_records_written(),
                     token => self.ready(token, flags),
                 }
             }
@@ -492,7 +485,7 @@
                 Command::StartAttempt { request_id, attempt, worker } => {
                     self.attempt(request_id, attempt, worker)
                 }
-                Command::PersistRecord { ticket, key, note } => self.note(ticket, key, note),
+                Command::PersistRecord { ticket, key, note } => self.persist_record(ticket, key, note),
                 Command::CancelAttempt { request_id, attempt, worker, name } => {
                     self.give_up(request_id, attempt, worker, &name);
                 }
@@ -510,12 +503,12 @@
                 }
                 Command::NotifyProgress { downstream, share } => self.tell(Token(downstream), share),
                 Command::Probe(worker) => self.probe(worker),
-                Command::SendToPeer(to, bytes) => self.tell_peer(to, &bytes),
-                Command::OpenWatch => self.watch_wanted(),
-                Command::TimerFired(WATCH_TIMER) => self.watch_due(),
-                Command::TimerFired(WHOLE_TIMER) => self.whole_due(),
-                Command::TimerFired(STALE_TIMER) => self.check_stale(),
-                Command::FetchList => self.call(false),
+                Command::SendToPeer(to, bytes) => self.send_to_peer(to, &bytes),
+                Command::OpenWatch => self.on_watch_wanted(),
+                Command::TimerFired(WATCH_TIMER) => self.on_watch_timer(),
+                Command::TimerFired(WHOLE_TIMER) => self.on_full_list_timer(),
+                Command::TimerFired(STALE_TIMER) => self.on_stale_list_timer(),
+                Command::FetchList => self.open_discovery_call(CallKind::FullList),
                 Command::TimerFired(SUMMARY_TIMER) => {
                     self.summary();
                     self.core.set_timer(self.now + SUMMARY, SUMMARY_TIMER);
@@ -524,9 +517,9 @@
                 Command::TimerFired(STOP_TIMER) => self.stop_step(),
                 Command::TimerFired(HAND_TIMER) => self.hand_step(),
                 Command::TimerFired(DRAIN_TIMER) => self.drain_step(),
-                Command::TimerFired(FLEET_TIMER) => self.fleet_due(),
-                Command::TimerFired(ASK_TIMER) => self.ask_due(),
-                Command::TimerFired(PEER_TIMER) => self.tell_state_again(),
+                Command::TimerFired(FLEET_TIMER) => self.on_fleet_timer(),
+                Command::TimerFired(ASK_TIMER) => self.on_pacing_timer(),
+                Command::TimerFired(PEER_TIMER) => self.on_peer_timer(),
                 Command::TimerFired(ACCEPT_TIMER) => self.accept_again(),
                 Command::TimerFired(token) => self.due(Token(token)),
             }
@@ -587,7 +580,7 @@
         self.free.push(token.slot());
         match role {
             // Outside the budget of the others.
-            Role::Admin(_) => return self.callers.retain(|t| *t != token),
+            Role::Admin(_) => return self.admin.on_closed(token),
             Role::Call(_) => return,
             Role::Front(_) => self.fronts -= 1,
             _ => {}
@@ -629,8 +622,8 @@
         match role {
             Role::Front(front) => self.front_ready(token, conn, front, flags),
             Role::Back(back) => self.back_ready(token, conn, back, flags),
-            Role::Call(call) => self.call_ready(token, conn, call, flags),
-            Role::Admin(caller) => self.admin_ready(token, conn, caller, flags),
+            Role::Call(call) => self.on_discovery_ready(token, conn, call, flags),
+            Role::Admin(caller) => self.on_admin_ready(token, conn, caller, flags),
         }
     }
 
@@ -640,7 +633,7 @@
         match role {
             Role::Front(front) => self.front_due(token, conn, front),
             Role::Back(back) => self.back_due(token, conn, back),
-            Role::Call(call) => self.call_due(token, conn, call),
+            Role::Call(call) => self.on_discovery_timer(token, conn, call),
             Role::Admin(caller) => self.close(token, conn, Role::Admin(caller)),
         }
     }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,141 +1,186 @@
-//! Datagrams between dispatchers: the module's own, and whether each of them serves or is about to stop.
+//! The datagram socket between dispatchers. Each tells the others whether it serves or is about to stop; the messages of the
+//! decision module and of the membership travel over the same socket.
+
+mod datagram;
 
 use crate::config::Config;
 use crate::core::peer_lifecycle::PeerLifecycle;
 use crate::policy::interface::Micros;
 use crate::server::{PEER_TIMER, Server};
+use datagram::{MAX_DATAGRAM, PeerDatagram};
 use std::collections::HashMap;
-use std::net::SocketAddr;
-
-/// The longest datagram that may be sent.
-const MOST: usize = 256;
-/// A datagram of this one byte says that its sender serves from now on ...
-const SERVING: u8 = b'U';
-/// ... or that it takes its leave. All others belong to the module.
-const STOPPING: u8 = b'S';
-/// To one that says it serves: how many milliseconds ago its work was heard of last, four bytes, the highest first.
-const HEARD: u8 = b'H';
-/// Datagrams get lost, now and then all for a while: serving is said again so often, stopping until the end, and each
-/// time so long after.
-const REPEATS: u32 = 4;
-const REPEAT_AFTER: Micros = 150_000;
-
-/// Where the dispatchers are, and which of them have said that they stop.
-pub(in crate::server) struct Standing {
+use std::net::{SocketAddr, UdpSocket};
+
+/// Datagrams get lost, now and then all of them for a while: that this dispatcher serves is repeated this often, that it
+/// stops until the end, each time [`REPEAT_INTERVAL`] after the last.
+const MAX_REPEATS: u32 = 4;
+const REPEAT_INTERVAL: Micros = 150_000;
+const MICROS_PER_MS: Micros = 1_000;
+
+/// The socket, the addresses that count as dispatchers, and what these have said of themselves.
+pub(in crate::server) struct PeerLink {
+    socket: Option<UdpSocket>,
     places: HashMap<SocketAddr, u32>,
-    states: PeerLifecycle,
-    /// When each other last spoke of its work.
-    heard: HashMap<u32, Micros>,
-    /// How often this one's own state is still to be said.
-    repeats: u32,
+    lifecycle: PeerLifecycle,
+    /// When each other dispatcher's last message of its decision module arrived.
+    last_message_at: HashMap<u32, Micros>,
+    /// How often the own state is still to be repeated.
+    repeats_left: u32,
+}
+
+/// A datagram that came from a dispatcher.
+struct ReceivedDatagram<'a> {
+    from: u32,
+    bytes: &'a [u8],
 }
 
-impl Standing {
-    pub fn of(config: &Config) -> Standing {
-        let states = PeerLifecycle::new(config.settings.me, config.peers.len());
-        Standing { places: places(&config.peers), states, heard: HashMap::new(), repeats: 0 }
+/// A datagram that is too long, or did not come from a dispatcher.
+struct BadDatagram;
+
+impl PeerLink {
+    /// The dispatchers of a configuration, over this socket if datagrams are on.
+    pub(in crate::server) fn new(socket: Option<UdpSocket>, config: &Config) -> PeerLink {
+        PeerLink {
+            socket,
+            places: places_by_address(&config.peers),
+            lifecycle: PeerLifecycle::new(config.settings.me, config.peers.len()),
+            last_message_at: HashMap::new(),
+            repeats_left: 0,
+        }
+    }
+
+    /// The socket, where datagrams are on.
+    pub(in crate::server) fn socket(&self) -> Option<&UdpSocket> {
+        self.socket.as_ref()
+    }
+
+    /// Takes over the dispatchers of another configuration: what a dispatcher has said counts for the place that has its
+    /// address there.
+    pub(in crate::server) fn renumber(&mut self, old_peers: &[SocketAddr], config: &Config) {
+        self.places = places_by_address(&config.peers);
+        let new_place =
+            |old: u32| old_peers.get(old as usize).and_then(|address| self.places.get(address)).copied();
+        self.lifecycle.renumber(config.settings.me, config.peers.len(), new_place);
+        let messages = std::mem::take(&mut self.last_message_at).into_iter();
+        self.last_message_at = messages.filter_map(|(old, at)| Some((new_place(old)?, at))).collect();
+    }
+
+    /// Whether every other dispatcher that reports to this one has said that it stops.
+    pub(in crate::server) fn have_all_stopped(&self) -> bool {
+        self.lifecycle.all_stop()
+    }
+
+    /// Sends a datagram, which may get lost; one that is too long is not sent.
+    fn send(&self, config: &Config, to: u32, bytes: &[u8]) {
+        let address = config.peers.get(to as usize).filter(|_| bytes.len() <= MAX_DATAGRAM);
+        if let Some((socket, address)) = self.socket.as_ref().zip(address) {
+            drop(socket.send_to(bytes, address));
+        }
+    }
+
+    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet to the address of all, if there is one.
+    fn announce(&self, config: &Config, datagram: PeerDatagram<'_>) {
+        let bytes = datagram.encode();
+        let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
+        match self.socket.as_ref().zip(shared_address) {
+            // It may be lost in any case; one that cannot be sent now is.
+            Some((socket, address)) => drop(socket.send_to(&bytes, address)),
+            None => self.lifecycle.told().into_iter().for_each(|to| self.send(config, to, &bytes)),
+        }
     }
 
-    /// The dispatchers of another configuration: what was said counts for whoever has the same address there.
-    pub fn renumber(&mut self, old: &[SocketAddr], config: &Config) {
-        self.places = places(&config.peers);
-        let place = |n: u32| old.get(n as usize).and_then(|at| self.places.get(at)).copied();
-        self.states.renumber(config.settings.me, config.peers.len(), place);
-        let heard = std::mem::take(&mut self.heard).into_iter();
-        self.heard = heard.filter_map(|(n, at)| Some((place(n)?, at))).collect();
+    /// The next datagram, if one has come.
+    fn receive<'a>(
+        &self,
+        buffer: &'a mut [u8; MAX_DATAGRAM + 1],
+    ) -> Option<Result<ReceivedDatagram<'a>, BadDatagram>> {
+        let (length, address) = self.socket.as_ref()?.recv_from(buffer).ok()?;
+        let from = self.places.get(&address).copied().filter(|_| length <= MAX_DATAGRAM);
+        Some(from.map(|from| ReceivedDatagram { from, bytes: &buffer[..length] }).ok_or(BadDatagram))
     }
 }
 
-/// The first number of each address.
-fn places(peers: &[SocketAddr]) -> HashMap<SocketAddr, u32> {
+/// The first place of each address.
+fn places_by_address(peers: &[SocketAddr]) -> HashMap<SocketAddr, u32> {
     let mut places = HashMap::with_capacity(peers.len());
-    for (n, at) in (0..).zip(peers) {
-        places.entry(*at).or_insert(n);
+    for (place, address) in (0..).zip(peers) {
+        places.entry(*address).or_insert(place);
     }
     places
 }
 
 impl Server {
-    /// The module's own, to one of the others.
-    pub(in crate::server) fn tell_peer(&self, to: u32, bytes: &[u8]) {
-        let to = self.config.peers.get(to as usize).filter(|_| bytes.len() <= MOST && !self.handed);
-        if let Some((socket, to)) = self.peers.as_ref().zip(to) {
-            drop(socket.send_to(bytes, to));
+    /// Sends a message to another dispatcher. During an upgrade the successor speaks for both processes.
+    pub(in crate::server) fn send_to_peer(&self, to: u32, bytes: &[u8]) {
+        if !self.handed {
+            self.peers.send(&self.config, to, bytes);
         }
     }
 
-    /// One word, to each that is to know it.
-    fn tell_peers(&self, word: u8) {
-        // A datagram may be lost in any case; one that cannot be sent now is. During an upgrade the younger process speaks for both.
-        let all = self.config.peers_all.filter(|_| self.standing.states.is_small() && !self.handed);
-        match self.peers.as_ref().zip(all) {
-            Some((socket, all)) => drop(socket.send_to(&[word], all)),
-            None => self.standing.states.told().into_iter().for_each(|to| self.tell_peer(to, &[word])),
+    /// Announces whether this dispatcher serves or stops, now and a few times more.
+    pub(in crate::server) fn announce_state(&mut self) {
+        if self.peers.socket.is_some() && self.config.may_tell_state {
+            self.peers.repeats_left = MAX_REPEATS;
+            self.announce_state_once();
         }
     }
 
-    /// Says whether this dispatcher serves or stops, now and a few times more.
-    pub(in crate::server) fn tell_state(&mut self) {
-        if self.peers.is_some() && self.config.may_tell_state {
-            self.standing.repeats = REPEATS;
-            self.tell_state_once();
+    fn announce_state_once(&mut self) {
+        let state = if self.takes_leave() { PeerDatagram::Stopping } else { PeerDatagram::Serving };
+        if !self.handed {
+            self.peers.announce(&self.config, state);
         }
-    }
-
-    fn tell_state_once(&mut self) {
-        self.tell_peers(if self.takes_leave() { STOPPING } else { SERVING });
         // One that has just started, and may not use the list it knows, asks those for it that heard of the process before it.
-        if self.core.endpoints.stale && !self.standing.states.is_small() {
-            self.core.peer_group().iter().for_each(|to| self.tell_peer(*to, &[SERVING]));
+        if self.core.endpoints.stale && !self.peers.lifecycle.is_small() {
+            let question = PeerDatagram::Serving.encode();
+            self.core.peer_group().iter().for_each(|to| self.send_to_peer(*to, &question));
         }
-        self.core.set_timer(self.now + REPEAT_AFTER, PEER_TIMER);
+        self.core.set_timer(self.now + REPEAT_INTERVAL, PEER_TIMER);
     }
 
-    pub(in crate::server) fn tell_state_again(&mut self) {
-        if self.stopping.is_some() || self.standing.repeats > 0 {
-            self.standing.repeats = self.standing.repeats.saturating_sub(1);
-            self.tell_state_once();
+    pub(in crate::server) fn on_peer_timer(&mut self) {
+        if self.stopping.is_some() || self.peers.repeats_left > 0 {
+            self.peers.repeats_left = self.peers.repeats_left.saturating_sub(1);
+            self.announce_state_once();
         }
     }
 
-    /// Whether every other dispatcher that tells this one has said that it stops.
-    pub(in crate::server) fn peers_stopped(&self) -> bool {
-        self.standing.states.all_stop()
+    pub(in crate::server) fn on_peers_readable(&mut self) {
+        let mut buffer = [0; MAX_DATAGRAM + 1];
+        for _ in 0..crate::server::ACCEPTS {
+            match self.peers.receive(&mut buffer) {
+                None => return,
+                Some(Ok(datagram)) => self.on_peer_datagram(datagram.from, datagram.bytes),
+                Some(Err(BadDatagram)) => self.metrics.bad_datagrams += 1,
+            }
+        }
     }
 
-    pub(in crate::server) fn hear_peers(&mut self) {
-        let mut buf = [0; MOST + 1];
-        for _ in 0..crate::server::ACCEPTS {
-            let Some(Ok((len, from))) = self.peers.as_ref().map(|socket| socket.recv_from(&mut buf)) else {
-                return;
-            };
-            let Some(peer) = self.standing.places.get(&from).copied().filter(|_| len <= MOST) else {
-                self.metrics.bad_datagrams += 1;
-                continue;
-            };
-            match buf[..len] {
-                [SERVING] => {
-                    self.standing.states.heard(peer, false);
-                    // One that has just started cannot know who is about to stop.
-                    if self.takes_leave() {
-                        self.tell_peer(peer, &[STOPPING]);
-                    }
-                    if let Some(at) = self.standing.heard.get(&peer) {
-                        let ago = u32::try_from(self.now.saturating_sub(*at) / 1_000).unwrap_or(u32::MAX);
-                        self.tell_peer(peer, &[&[HEARD][..], &ago.to_be_bytes()].concat());
-                    }
-                }
-                [HEARD, a, b, c, d] => {
-                    let ago = Micros::from(u32::from_be_bytes([a, b, c, d])) * 1_000;
-                    self.was_heard(self.now.saturating_sub(ago));
-                }
-                [STOPPING] => self.standing.states.heard(peer, true),
-                _ if self.fleet_hears(peer, &buf[..len]) => {}
-                _ => {
-                    self.standing.heard.insert(peer, self.now);
-                    self.core.on_peer_message(peer, buf[..len].to_vec());
-                }
+    fn on_peer_datagram(&mut self, from: u32, bytes: &[u8]) {
+        match PeerDatagram::decode(bytes) {
+            PeerDatagram::Serving => self.on_peer_serving(from),
+            PeerDatagram::Stopping => self.peers.lifecycle.heard(from, true),
+            PeerDatagram::LastHeard { age_ms } => {
+                let heard_at = self.now.saturating_sub(Micros::from(age_ms) * MICROS_PER_MS);
+                self.discovery.on_predecessor_seen(&mut self.core, self.now, heard_at);
             }
+            PeerDatagram::Message(message) if self.on_fleet_datagram(from, message) => {}
+            PeerDatagram::Message(message) => {
+                self.peers.last_message_at.insert(from, self.now);
+                self.core.on_peer_message(from, message.to_vec());
+            }
+        }
+    }
+
+    fn on_peer_serving(&mut self, from: u32) {
+        self.peers.lifecycle.heard(from, false);
+        // One that has just started cannot know who is about to stop.
+        if self.takes_leave() {
+            self.send_to_peer(from, &PeerDatagram::Stopping.encode());
+        }
+        if let Some(at) = self.peers.last_message_at.get(&from) {
+            let age_ms = u32::try_from(self.now.saturating_sub(*at) / MICROS_PER_MS).unwrap_or(u32::MAX);
+            self.send_to_peer(from, &PeerDatagram::LastHeard { age_ms }.encode());
         }
     }
 }
--- /dev/null
+++ b/src/server/timer_slot.rs
@@ -0,0 +1,41 @@
+//! One timer of a part of the server, kept in the core's timer queue.
+
+use crate::core::Core;
+use crate::policy::interface::Micros;
+
+/// A timer that is set to one time at most. Its owner calls [`TimerSlot::on_fired`] when the core reports it.
+pub(in crate::server) struct TimerSlot {
+    token: u64,
+    at: Option<Micros>,
+}
+
+impl TimerSlot {
+    /// The timer of this token, not set.
+    pub(in crate::server) fn new(token: u64) -> TimerSlot {
+        TimerSlot { token, at: None }
+    }
+
+    /// Sets it to another time, or cancels it.
+    pub(in crate::server) fn set(&mut self, core: &mut Core, at: Option<Micros>) {
+        if at == self.at {
+            return;
+        }
+        if let Some(old) = self.at {
+            core.cancel_timer(old, self.token);
+        }
+        if let Some(new) = at {
+            core.set_timer(new, self.token);
+        }
+        self.at = at;
+    }
+
+    /// Whether it is set.
+    pub(in crate::server) fn is_set(&self) -> bool {
+        self.at.is_some()
+    }
+
+    /// The core has reported it: it is no longer set.
+    pub(in crate::server) fn on_fired(&mut self) {
+        self.at = None;
+    }
+}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -303,7 +303,11 @@
     if !(0.0..=1.0).contains(&over_share) {
         reader.fault("fleet.fair_share.over_share", "is not 0 to 1".to_owned());
     }
-    let set = FairShareSettings { shares, rate: (points * 1_000.0).clamp(1.0, 1e9) as u64, over_share };
+    let set = FairShareSettings {
+        shares,
+        millipoints_per_s: (points * 1_000.0).clamp(1.0, 1e9) as u64,
+        over_quota_weight: over_share,
+    };
     let names = set.shares.installations.iter().flat_map(|i| i.tenants.iter().map(|t| &t.name));
     if names.clone().any(String::is_empty) {
         reader.fault("fleet.fair_share.installations.tenants", "one has no name".to_owned());
@@ -315,11 +319,11 @@
 }
 
 fn runtimes(reader: &mut Reader<'_>, message: &DynamicMessage) -> RuntimesSettings {
-    let long = real(message, "long").unwrap_or(RuntimesSettings::default().long);
+    let long = real(message, "long").unwrap_or(RuntimesSettings::default().long_quantile);
     if !(0.5..=0.99).contains(&long) {
         reader.fault("fleet.runtimes.long", "is not 0.5 to 0.99".to_owned());
     }
-    RuntimesSettings { long }
+    RuntimesSettings { long_quantile: long }
 }
 
 fn membership(reader: &mut Reader<'_>, message: &DynamicMessage) -> MembershipSettings {
@@ -338,17 +342,17 @@
     if let Some(ms) = whole("probe_timeout_ms", 5, 59_999) {
         set.probe_timeout = u64::from(ms) * 1000;
     }
-    set.keep_part = whole("keep_part_s", 1, 86_400).map(|seconds| u64::from(seconds) * 1_000_000);
+    set.dead_assignment_ttl = whole("keep_part_s", 1, 86_400).map(|seconds| u64::from(seconds) * 1_000_000);
     set.bytes_per_s = whole("bytes_per_s", 1_024, 100_000_000).unwrap_or(set.bytes_per_s);
     if let Some(seconds) = whole("forget_after_s", 1, 86_400) {
-        set.forget_after = u64::from(seconds) * 1_000_000;
+        set.dead_facts_ttl = u64::from(seconds) * 1_000_000;
     }
     if set.probe_timeout >= set.probe_interval {
         let what = "is not below probe_interval_ms (500 where that is absent)".to_owned();
         reader.fault("fleet.membership.probe_timeout_ms", what);
     }
-    set.suspicion_mult = real(message, "suspicion_mult").unwrap_or(set.suspicion_mult);
-    if !(0.1..=100.0).contains(&set.suspicion_mult) {
+    set.suspicion_multiplier = real(message, "suspicion_mult").unwrap_or(set.suspicion_multiplier);
+    if !(0.1..=100.0).contains(&set.suspicion_multiplier) {
         reader.fault("fleet.membership.suspicion_mult", "is not 0.1 to 100".to_owned());
     }
     set
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -1,7 +1,7 @@
 //! The pages of the second address.
 
 use crate::assert_kept;
-use mothproxy::fleet::{LearnerFigures, LearnersFigures};
+use mothproxy::fleet::{LearnerMetrics, LearnersMetrics};
 use mothproxy::http::{Piece, read_request};
 use mothproxy::protocol::admin::{
     AdminCall, ClassMetrics, IdempotencyMetrics, MemberRow, MembersPage, MetricsSnapshot, StreamMetrics,
@@ -54,8 +54,8 @@
     }
 }
 
-fn learner(first: u64) -> Option<LearnerFigures> {
-    Some(LearnerFigures { seen: first, told: first + 1, taken: first + 2, refused: first + 3 })
+fn learner(first: u64) -> Option<LearnerMetrics> {
+    Some(LearnerMetrics { seen: first, published: first + 1, absorbed: first + 2, refused: first + 3 })
 }
 
 fn all_figures() -> MetricsSnapshot {
@@ -85,7 +85,7 @@
             evicted: 76,
         }),
         members: Some(members_page_values()),
-        learners: LearnersFigures { runtimes: learner(80), shares: learner(90) },
+        learners: LearnersMetrics { runtimes: learner(80), shares: learner(90) },
     }
 }
 
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -7,7 +7,7 @@
 
 use common::{MS, Node, sends, worker};
 use members::*;
-use mothproxy::fleet::{Birth, Effect, Fleet as Parts, FleetSettings, MembershipSettings};
+use mothproxy::fleet::{Fleet as Parts, FleetOutput, FleetSettings, MembershipSettings, ProcessIdentity};
 use mothproxy::policy::interface::PeerPresence::{self, Present, Unreachable};
 use mothproxy::policy::interface::{Action, Event, JobId};
 use mothproxy_testkit::fleet::*;
@@ -165,7 +165,7 @@
         let set =
             MembershipSettings { probe_interval: 100 * MS, probe_timeout: 30 * MS, ..Default::default() };
         let settings = FleetSettings { membership: Some(set), ..FleetSettings::default() };
-        let birth = |me| Birth { me, peers: places, epoch: 1_000 + u64::from(me), seed: 3 };
+        let birth = |me| ProcessIdentity { place: me, peers: places, epoch: 1_000 + u64::from(me), seed: 3 };
         let parts = (0..2).map(|me| Parts::new(settings.clone(), birth(me), 0).expect("it starts"));
         Pair { parts: parts.collect(), now: 0, peers: vec![Vec::new(); 2], lines: vec![Vec::new(); 2] }
     }
@@ -176,17 +176,17 @@
             self.now += MS;
             for me in 0..2 {
                 if self.parts[me].next_wake(self.now).is_some_and(|at| at <= self.now) {
-                    self.parts[me].due(self.now);
+                    self.parts[me].on_timer(self.now);
                 }
                 while let Some(effect) = self.parts[me].poll() {
                     match effect {
-                        Effect::Send { to, bytes } if connected && to < 2 => {
-                            assert!(self.parts[to as usize].understands(&bytes) && bytes.len() <= 256);
-                            self.parts[to as usize].hear(self.now, me as u32, &bytes);
+                        FleetOutput::Send { to, bytes } if connected && to < 2 => {
+                            assert!(self.parts[to as usize].accepts(&bytes) && bytes.len() <= 256);
+                            self.parts[to as usize].on_datagram(self.now, me as u32, &bytes);
                         }
-                        Effect::Send { .. } | Effect::Changed(_) | Effect::Fact(_) => {}
-                        Effect::Peers(peers) => self.peers[me].push(peers),
-                        Effect::Line { hidden, .. } => self.lines[me].push(hidden),
+                        FleetOutput::Send { .. } | FleetOutput::MemberChanged(_) | FleetOutput::Fact(_) => {}
+                        FleetOutput::PeerPresence(peers) => self.peers[me].push(peers),
+                        FleetOutput::LogChange { suppressed: hidden, .. } => self.lines[me].push(hidden),
                     }
                 }
             }
@@ -215,11 +215,11 @@
     pair.run(20_000 * MS, true);
     assert_eq!(pair.peers[0].len(), told, "nothing is said twice");
     // Another process speaks for the first: it says nothing more, no farewell either, until it begins anew.
-    pair.parts[0].fall_silent();
+    pair.parts[0].suspend();
     pair.parts[0].leave(pair.now);
     assert!(pair.parts[0].next_wake(pair.now).is_none() && pair.parts[0].poll().is_none());
-    let birth = Birth { me: 0, peers: 3, epoch: 9_000, seed: 4 };
-    pair.parts[0].renew(birth, pair.now).expect("it begins anew");
+    let birth = ProcessIdentity { place: 0, peers: 3, epoch: 9_000, seed: 4 };
+    pair.parts[0].restart(birth, pair.now).expect("it begins anew");
     pair.run(2_000 * MS, true);
     let seen = pair.parts[1].view().and_then(|view| view.member(0).copied()).expect("a view");
     assert_eq!((seen.epoch, seen.state), (9_000, mothproxy_membership::State::Alive));
@@ -231,7 +231,7 @@
     let mut pair = Pair::new(2);
     for _ in 0..60 {
         pair.parts[1]
-            .renew(Birth { me: 1, peers: 2, epoch: 2_000 + pair.now, seed: 3 }, pair.now)
+            .restart(ProcessIdentity { place: 1, peers: 2, epoch: 2_000 + pair.now, seed: 3 }, pair.now)
             .expect("anew");
         pair.run(100 * MS, true);
     }
