--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -33,10 +33,12 @@
 }
 
 impl AdminServer {
+    /// The admin address over this listening socket, if it is on.
     pub(in crate::server) fn new(listener: Option<TcpListener>) -> AdminServer {
         AdminServer { listener, connections: VecDeque::new() }
     }
 
+    /// The listening socket.
     pub(in crate::server) fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
@@ -87,6 +89,7 @@
 }
 
 impl Server {
+    /// Connections wait to be accepted.
     pub(in crate::server) fn accept_admin(&mut self) {
         for _ in 0..crate::server::ACCEPTS {
             let Some(conn) = self.admin.accept() else { return };
@@ -103,6 +106,7 @@
         }
     }
 
+    /// A connection is readable, writable or closed.
     pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -2,17 +2,17 @@
 //!
 //! [`DiscoveryClient`] owns what is known of both beside their connections: when the watch is opened (`watch`, `pacing`) and
 //! whether a whole list is still to be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
-//! methods of [`Server`] here drive the connections and hand lists to the core.
+//! methods of [`Server`] here drive the connections; those in `lists` hand what arrives to the core.
 
 mod call;
 mod full_list;
+mod lists;
 mod pacing;
 mod watch;
 
 pub(in crate::server) use call::{CallKind, DiscoveryCall};
 
-use crate::config::{Config, EndpointList};
-use crate::core::endpoint_table::ListRejection;
+use crate::config::Config;
 use crate::core::watch_liveness::{CONNECT_TIMEOUT, DiscoveryTerms, WatchLiveness};
 use crate::fleet::FleetSettings;
 use crate::http::MAX_HEAD;
@@ -23,7 +23,7 @@
 use crate::server::{Role, Server, Token, WATCH_TIMER, WHOLE_TIMER};
 use call::{CallError, CallProgress};
 use full_list::FullListState;
-use pacing::{CallEnd, CallPacing};
+use pacing::{CallEnd, CallPacing, WatchEvent};
 use rustix::event::epoll::EventFlags;
 
 /// Failed calls that were not answered by a list are logged this far apart.
@@ -77,12 +77,12 @@
 
     /// Whether the failure of a call gets a line of the log: one that was answered always does, the others now and then, as
     /// an agent of the own machine is called again at once.
-    fn is_failure_logged(&mut self, now: Micros, was_answered: bool) -> bool {
-        let is_logged = was_answered || now >= self.next_failure_log;
-        if is_logged {
+    fn admit_failure_log(&mut self, now: Micros, was_answered: bool) -> bool {
+        let is_admitted = was_answered || now >= self.next_failure_log;
+        if is_admitted {
             self.next_failure_log = now + FAILURE_LOG_INTERVAL;
         }
-        is_logged
+        is_admitted
     }
 }
 
@@ -240,89 +240,12 @@
         lists.and(framing)?;
         let progress = call.progress();
         // A list that has begun is counted at the call's end.
-        if let Err(CallError::TooLong | CallError::NoList) = progress {
-            self.metrics.bad_lists += u64::from(!call.has_partial_object());
-        }
-        progress
-    }
-
-    /// Takes whole objects in until none is left or one fails. Returns whether one was taken in, and the failure.
-    fn take_discovery_lists(&mut self, call: &mut DiscoveryCall) -> (bool, Result<(), CallError>) {
-        let mut has_lists = false;
-        while let Some(object) = call.next_object() {
-            if let Err(error) = self.on_discovery_object(call, &object) {
-                return (has_lists, Err(error));
-            }
-            has_lists = true;
-        }
-        (has_lists, Ok(()))
-    }
-
-    /// The watch has sent something: only lists and empty lines (`has_data`) show that it lives. An object that has begun must
-    /// be whole in the time it was given when it began.
-    fn on_watch_data(
-        &mut self,
-        token: Token,
-        conn: &mut Conn,
-        call: &DiscoveryCall,
-        has_data: bool,
-        had_partial_object: bool,
-    ) {
-        if has_data {
-            match self.discovery.liveness.on_data(self.now, false) {
-                Some(deadline) => self.set_timer(token, conn, Some(deadline)),
-                None => self.fetch_needed_list(),
-            }
-        }
-        if call.has_partial_object() && (has_data || !had_partial_object) {
-            let deadline = self.discovery.liveness.on_data(self.now, true);
-            self.set_timer(token, conn, deadline);
-        }
-    }
-
-    /// Takes an object of a call in. One that is rejected, or cannot be read, may hold a change that no later one repeats:
-    /// then the call is over, and the next one asks for what came after the list that is held.
-    fn on_discovery_object(&mut self, call: &mut DiscoveryCall, object: &[u8]) -> Result<(), CallError> {
-        let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::read(&value));
-        let Some(list) = list else {
+        if let Err(CallError::TooLong | CallError::NoList) = progress
+            && !call.has_partial_object()
+        {
             self.metrics.bad_lists += 1;
-            return Err(CallError::NotAList);
-        };
-        match self.core.endpoints.rejection(&list, call.list_source()) {
-            Some(rejection) => self.on_list_rejected(call, rejection),
-            None => {
-                self.on_list_accepted(call, &list);
-                Ok(())
-            }
-        }
-    }
-
-    /// A watch goes on after a list that names nobody: discovery is alive, and has lost its table.
-    fn on_list_rejected(&mut self, call: &DiscoveryCall, rejection: ListRejection) -> Result<(), CallError> {
-        match rejection {
-            ListRejection::Empty | ListRejection::Partial => self.metrics.bad_lists += 1,
-            ListRejection::GenerationReset => self.discovery.full_list.on_generation_reset(),
-            ListRejection::Stale => {}
-        }
-        if rejection == ListRejection::Empty && call.is_watch() {
-            self.discovery.liveness.on_list(self.now);
-            self.discovery.check_stale_list(&mut self.core, self.now);
-            return Ok(());
-        }
-        Err(rejection.into())
-    }
-
-    fn on_list_accepted(&mut self, call: &mut DiscoveryCall, list: &EndpointList) {
-        call.is_answered = true;
-        let notified_at = self.discovery.liveness.on_list(self.now);
-        self.core.on_endpoint_list(notified_at, list, false);
-        if call.is_watch() {
-            self.pace_on_list(list.generation);
-        }
-        if list.reset {
-            self.discovery.full_list = FullListState::Known;
         }
-        self.fetch_needed_list();
+        progress
     }
 
     fn fail_discovery_call(&mut self, token: Token, conn: Conn, call: DiscoveryCall, error: CallError) {
@@ -340,8 +263,10 @@
 
     /// Logs a call that failed, and counts the list that broke off with it.
     fn report_failed_call(&mut self, call: &DiscoveryCall, error: CallError) {
-        self.metrics.bad_lists += u64::from(call.has_partial_object());
-        if self.discovery.is_failure_logged(self.now, call.is_answered) {
+        if call.has_partial_object() {
+            self.metrics.bad_lists += 1;
+        }
+        if self.discovery.admit_failure_log(self.now, call.is_answered) {
             tracing::warn!("discovery: {} failed: {error}", call.kind.log_name());
         }
     }
@@ -360,7 +285,7 @@
     fn on_watch_ended(&mut self, end: CallEnd) {
         let reopen_at = self.discovery.on_watch_ended(self.now, end);
         if self.discovery.pacing.is_enabled() {
-            self.pace_on_call_ended(end);
+            self.pace_on_watch_event(WatchEvent::Ended(end));
         } else {
             self.discovery.schedule_watch(&mut self.core, reopen_at);
         }
@@ -372,7 +297,7 @@
         self.discovery.watch = None;
         let opens_at = self.discovery.liveness.on_discovery_moved(self.now);
         self.discovery.schedule_watch(&mut self.core, opens_at);
-        self.pace_on_discovery_moved();
+        self.pace_on_watch_event(WatchEvent::DiscoveryMoved);
         for slot in 0..self.slots.len() {
             if let Some((_, Role::Call(_))) = self.slots[slot].held {
                 self.close_token(Token::new(slot, self.slots[slot].used));
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -37,6 +37,17 @@
     Silent,
 }
 
+/// What the pacer is told of the watch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WatchEvent {
+    /// It has sent a list of this generation.
+    List { generation: u64 },
+    /// It, or the call for it, is over.
+    Ended(CallEnd),
+    /// Another service counts from now on.
+    DiscoveryMoved,
+}
+
 /// Whether and when the pacer has this dispatcher call discovery.
 pub(super) struct CallPacing {
     /// `None` where pacing is off.
@@ -145,32 +156,27 @@
         true
     }
 
-    /// The event of a list that the watch has sent.
-    fn list_event(&mut self, now: Micros, generation: u64) -> Event {
-        if std::mem::replace(&mut self.is_answered, true) {
-            Event::Listed { generation }
-        } else {
-            Event::Answered { generation, waited: now.saturating_sub(self.call_started) }
-        }
-    }
-
-    /// The event of the end of a call for a watch, or of the watch.
-    fn end_event(&mut self, now: Micros, end: CallEnd) -> Event {
+    /// Something has happened to the watch. Returns whether the pacer was told.
+    fn on_watch_event(&mut self, now: Micros, event: WatchEvent) -> bool {
+        let Some(pacer) = &mut self.pacer else { return false };
         let waited = now.saturating_sub(self.call_started);
-        let was_answered = std::mem::take(&mut self.is_answered);
-        match (was_answered, end) {
-            (true, CallEnd::Silent) => Event::WatchSilent { by: now + SILENCE_RECOVERY_TIME },
-            (true, _) => Event::WatchEnded,
-            (false, CallEnd::Refused { retry_after }) => Event::Refused { waited, retry_after },
-            (false, CallEnd::Failed | CallEnd::Unreachable) => Event::Failed,
-            (false, CallEnd::Silent) => Event::TimedOut,
-        }
-    }
-
-    /// The event of another service that counts from now on.
-    fn move_event(&mut self, now: Micros) -> Event {
-        self.is_answered = false;
-        Event::Moved { by: Some(now + MOVE_RECOVERY_TIME) }
+        let was_answered = std::mem::replace(&mut self.is_answered, matches!(event, WatchEvent::List { .. }));
+        let event = match (event, was_answered) {
+            (WatchEvent::List { generation }, false) => Event::Answered { generation, waited },
+            (WatchEvent::List { generation }, true) => Event::Listed { generation },
+            (WatchEvent::Ended(CallEnd::Silent), true) => {
+                Event::WatchSilent { by: now + SILENCE_RECOVERY_TIME }
+            }
+            (WatchEvent::Ended(_), true) => Event::WatchEnded,
+            (WatchEvent::Ended(CallEnd::Refused { retry_after }), false) => {
+                Event::Refused { waited, retry_after }
+            }
+            (WatchEvent::Ended(CallEnd::Failed | CallEnd::Unreachable), false) => Event::Failed,
+            (WatchEvent::Ended(CallEnd::Silent), false) => Event::TimedOut,
+            (WatchEvent::DiscoveryMoved, _) => Event::Moved { by: Some(now + MOVE_RECOVERY_TIME) },
+        };
+        pacer.handle(now, event);
+        true
     }
 }
 
@@ -200,6 +206,7 @@
         self.discovery.pacing.update(self.now, &mut self.membership, &mut self.core);
     }
 
+    /// A member's state or epoch has changed.
     pub(in crate::server) fn pace_on_member_changed(&mut self, change: Change) {
         let view = self.membership.view();
         if self.discovery.pacing.on_member_changed(self.now, change, view) {
@@ -207,6 +214,7 @@
         }
     }
 
+    /// A fact has come, of whatever kind and from whatever place.
     pub(in crate::server) fn pace_on_fact(&mut self, fact: &OwnedFact) {
         let is_own = u32::from(fact.place) == self.config.settings.me;
         if !is_own && self.discovery.pacing.on_fact(self.now, fact) {
@@ -214,6 +222,7 @@
         }
     }
 
+    /// The pacing's timer has come.
     pub(in crate::server) fn on_pacing_timer(&mut self) {
         if self.discovery.pacing.on_timer(self.now) {
             self.open_discovery_call(CallKind::Watch);
@@ -222,27 +231,9 @@
         self.apply_fleet_outputs();
     }
 
-    /// The watch has sent a list.
-    pub(super) fn pace_on_list(&mut self, generation: u64) {
-        let event = self.discovery.pacing.list_event(self.now, generation);
-        self.pace_on_event(event);
-    }
-
-    /// The call for a watch, or the watch, is over.
-    pub(super) fn pace_on_call_ended(&mut self, end: CallEnd) {
-        let event = self.discovery.pacing.end_event(self.now, end);
-        self.pace_on_event(event);
-    }
-
-    /// Another service counts from now on.
-    pub(super) fn pace_on_discovery_moved(&mut self) {
-        let event = self.discovery.pacing.move_event(self.now);
-        self.pace_on_event(event);
-    }
-
-    fn pace_on_event(&mut self, event: Event) {
-        if let Some(pacer) = &mut self.discovery.pacing.pacer {
-            pacer.handle(self.now, event);
+    /// Tells the pacer what has happened to the watch.
+    pub(super) fn pace_on_watch_event(&mut self, event: WatchEvent) {
+        if self.discovery.pacing.on_watch_event(self.now, event) {
             self.update_pacing();
             self.apply_fleet_outputs();
         }
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -13,7 +13,7 @@
 use rustix::event::epoll::{self, EventData, EventFlags};
 
 /// Files that the store may have open at a time.
-pub(in crate::server) const FDS: usize = 48;
+pub(in crate::server) const MAX_OPEN_FILES: usize = 48;
 
 impl Server {
     /// Opens the store before anything else is promised to clients.
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -66,7 +66,7 @@
         self.classes = new.settings.classes.clone();
         self.budget = Budget::of(
             new.limits,
-            if self.records.is_some() { crate::server::idempotency_store::FDS } else { 0 },
+            if self.records.is_some() { crate::server::idempotency_store::MAX_OPEN_FILES } else { 0 },
         );
         let moved = new.discovery != self.config.discovery;
         let regroup = (new.settings.me, &new.peers) != (self.config.settings.me, &self.config.peers);
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -81,6 +81,7 @@
         is_accepted
     }
 
+    /// The fleet's timer has come.
     pub(in crate::server) fn on_fleet_timer(&mut self) {
         self.membership.on_timer(self.now, &mut self.core.learners);
         self.apply_fleet_outputs();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -349,7 +349,8 @@
             core.restore(lesson);
         }
         core.set_timer(now + SUMMARY, SUMMARY_TIMER);
-        let budget = Budget::of(config.limits, if state.is_some() { idempotency_store::FDS } else { 0 });
+        let budget =
+            Budget::of(config.limits, if state.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 });
         let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints.generation);
         core.learners = membership::new_learners(&fleet, &config, now);
         let membership = membership::MembershipLink::open(fleet, &config, now);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -138,6 +138,7 @@
         self.core.set_timer(self.now + REPEAT_INTERVAL, PEER_TIMER);
     }
 
+    /// The time has come to repeat the state of this dispatcher.
     pub(in crate::server) fn on_peer_timer(&mut self) {
         if self.stopping.is_some() || self.peers.repeats_left > 0 {
             self.peers.repeats_left = self.peers.repeats_left.saturating_sub(1);
@@ -145,6 +146,7 @@
         }
     }
 
+    /// Datagrams have come.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
         for _ in 0..crate::server::ACCEPTS {
@@ -172,6 +174,7 @@
         }
     }
 
+    /// Another dispatcher says that it serves; it may have just started.
     fn on_peer_serving(&mut self, from: u32) {
         self.peers.lifecycle.heard(from, false);
         // One that has just started cannot know who is about to stop.
