--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -126,7 +126,7 @@
         }
         match fraction {
             None => self.learn_start(now, id),
-            Some(fraction) => self.learners.progress(now, id.ticket(), fraction),
+            Some(fraction) => self.learners.on_progress(now, id.ticket(), fraction),
         }
         self.notify_progress(request_id, fraction);
         let job = JobId(request_id);
@@ -151,7 +151,7 @@
 
     /// An attempt has begun to run: what learns of run times needs its worker and that worker's kind of machine.
     fn learn_start(&mut self, now: Micros, id: AttemptId) {
-        if !self.learners.on() {
+        if !self.learners.is_enabled() {
             return;
         }
         let Some(request) = self.requests.get(id.request_id) else { return };
@@ -159,7 +159,7 @@
         let job = job_traits(&self.names, request.job.class, request.job.tenant, request.job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (&endpoint.row.instance_id, &endpoint.row.machine_type);
-            self.learners.started(now, id.ticket(), &job, worker, machine_type);
+            self.learners.on_started(now, id.ticket(), &job, worker, machine_type);
         }
     }
 
@@ -189,7 +189,7 @@
             }
             return is_response;
         }
-        self.learners.ended(now, id.ticket(), outcome == Outcome::Ok);
+        self.learners.on_ended(now, id.ticket(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = JobId(request_id);
         let ended = AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report };
--- a/src/core/names.rs
+++ b/src/core/names.rs
@@ -1,7 +1,7 @@
 //! The names behind the settings' numbers, for what is stored, transferred or learned under names.
 
 use crate::config::SiteNames;
-use crate::fleet::Traits;
+use crate::fleet::JobFeatures;
 use crate::policy::interface::{ClassId, KeyId, TenantId};
 
 /// The name of a class.
@@ -20,8 +20,8 @@
     class: ClassId,
     tenant: Option<TenantId>,
     key: Option<KeyId>,
-) -> Option<Traits<'_>> {
-    Some(Traits {
+) -> Option<JobFeatures<'_>> {
+    Some(JobFeatures {
         class: class_name(names, class)?,
         tenant: tenant_name(names, tenant),
         subject: key.map(|key| u64::from(key.0)),
