--- a/src/http/chunked.rs
+++ b/src/http/chunked.rs
@@ -1,48 +1,81 @@
-//! Chunked bodies, read piece by piece.
+//! The chunked transfer coding (RFC 9112, 7.1), decoded as its bytes arrive.
 
-/// A line that gives a chunk's size, extensions included, is no longer than this; nor is a trailer.
-const MAX_LINE: usize = 1024;
+use thiserror::Error;
 
-/// The coding is broken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The longest line with the size of a chunk, its extensions included, and the longest trailer field, in bytes.
+const MAX_LINE_LENGTH: usize = 1024;
+/// The most hexadecimal digits of a chunk's size.
+const MAX_SIZE_DIGITS: usize = 8;
+
+/// The chunked coding is broken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the chunked coding is broken")]
 pub struct ChunkError;
 
+/// What the decoder reads next.
 #[derive(Clone, Copy, Debug, Default)]
-enum Place {
+enum State {
+    /// The line with the size of a chunk.
     #[default]
     Size,
+    /// The data of a chunk, of which this many bytes are still to come.
     Data(usize),
+    /// The end of line that follows the data of a chunk.
     DataEnd,
+    /// Trailer fields, up to a blank line.
     Trailer,
+    /// Nothing: the body is complete.
     Done,
 }
 
-/// Decodes a chunked body across any cuts.
+/// Decodes a chunked body, across any cuts of its bytes.
 #[derive(Debug, Default)]
 pub struct Chunked {
-    place: Place,
-    line: Vec<u8>,
+    state: State,
+    /// The beginning of a line whose end is still to come.
+    partial_line: Vec<u8>,
 }
 
 impl Chunked {
     /// Whether the last chunk and its trailer have been read.
     pub fn is_done(&self) -> bool {
-        matches!(self.place, Place::Done)
+        matches!(self.state, State::Done)
+    }
+
+    /// Appends decoded bytes to `out` and returns how many bytes of the input belong to this body.
+    ///
+    /// # Errors
+    /// [`ChunkError`] where the coding is broken or a line too long. The decoder is of no use after that.
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
+        let mut rest = input;
+        while !rest.is_empty() && !self.is_done() {
+            if let State::Data(remaining) = self.state {
+                let (data, after) = rest.split_at(remaining.min(rest.len()));
+                out.extend_from_slice(data);
+                rest = after;
+                let remaining = remaining - data.len();
+                self.state = if remaining == 0 { State::DataEnd } else { State::Data(remaining) };
+            } else {
+                let Some(line) = self.take_line(&mut rest)? else { break };
+                self.state = self.on_line(&line)?;
+            }
+        }
+        Ok(input.len() - rest.len())
     }
 
-    /// Takes a line if it is complete; otherwise keeps its beginning.
-    fn line(&mut self, input: &mut &[u8]) -> Result<Option<Vec<u8>>, ChunkError> {
-        let end = input.iter().position(|b| *b == b'\n');
+    /// Takes a line without its end, if it is complete; otherwise keeps its beginning.
+    fn take_line(&mut self, input: &mut &[u8]) -> Result<Option<Vec<u8>>, ChunkError> {
+        let end = input.iter().position(|byte| *byte == b'\n');
         let (piece, rest) = input.split_at(end.map_or(input.len(), |at| at + 1));
         *input = rest;
-        self.line.extend_from_slice(piece);
-        if self.line.len() > MAX_LINE {
+        self.partial_line.extend_from_slice(piece);
+        if self.partial_line.len() > MAX_LINE_LENGTH {
             return Err(ChunkError);
         }
         if end.is_none() {
             return Ok(None);
         }
-        let mut line = std::mem::take(&mut self.line);
+        let mut line = std::mem::take(&mut self.partial_line);
         line.pop();
         if line.last() == Some(&b'\r') {
             line.pop();
@@ -50,41 +83,28 @@
         Ok(Some(line))
     }
 
-    /// Appends decoded bytes to `out` and returns how much of the input belongs to this body.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
-        let mut rest = input;
-        while !rest.is_empty() {
-            match self.place {
-                Place::Size => {
-                    let Some(line) = self.line(&mut rest)? else { break };
-                    let digits = line.split(|b| *b == b';').next().unwrap_or(b"").trim_ascii();
-                    let hex = std::str::from_utf8(digits).map_err(|_| ChunkError)?;
-                    if hex.is_empty() || hex.len() > 8 || !digits.iter().all(u8::is_ascii_hexdigit) {
-                        return Err(ChunkError);
-                    }
-                    let size = usize::from_str_radix(hex, 16).map_err(|_| ChunkError)?;
-                    self.place = if size == 0 { Place::Trailer } else { Place::Data(size) };
-                }
-                Place::Data(left) => {
-                    let (piece, after) = rest.split_at(left.min(rest.len()));
-                    out.extend_from_slice(piece);
-                    rest = after;
-                    let left = left - piece.len();
-                    self.place = if left == 0 { Place::DataEnd } else { Place::Data(left) };
-                }
-                Place::DataEnd => match self.line(&mut rest)? {
-                    Some(line) if line.is_empty() => self.place = Place::Size,
-                    Some(_) => return Err(ChunkError),
-                    None => break,
-                },
-                Place::Trailer => match self.line(&mut rest)? {
-                    Some(line) if line.is_empty() => self.place = Place::Done,
-                    Some(_) => {}
-                    None => break,
-                },
-                Place::Done => break,
-            }
+    /// The state after a line outside a chunk's data.
+    fn on_line(&self, line: &[u8]) -> Result<State, ChunkError> {
+        match self.state {
+            State::Size => match parse_size(line)? {
+                0 => Ok(State::Trailer),
+                size => Ok(State::Data(size)),
+            },
+            State::DataEnd if line.is_empty() => Ok(State::Size),
+            State::DataEnd => Err(ChunkError),
+            State::Trailer if line.is_empty() => Ok(State::Done),
+            unchanged @ (State::Trailer | State::Data(_) | State::Done) => Ok(unchanged),
         }
-        Ok(input.len() - rest.len())
     }
 }
+
+/// The size of a chunk; extensions behind it are skipped.
+fn parse_size(line: &[u8]) -> Result<usize, ChunkError> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or(b"").trim_ascii();
+    let has_valid_length = (1..=MAX_SIZE_DIGITS).contains(&digits.len());
+    if !has_valid_length || !digits.iter().all(u8::is_ascii_hexdigit) {
+        return Err(ChunkError);
+    }
+    let text = std::str::from_utf8(digits).map_err(|_| ChunkError)?;
+    usize::from_str_radix(text, 16).map_err(|_| ChunkError)
+}
--- a/src/http/events.rs
+++ b/src/http/events.rs
@@ -1,79 +1,100 @@
-//! Event streams (`text/event-stream`), read as the WHATWG HTML standard words it, and written.
+//! Event streams (`text/event-stream`): a parser and a writer as the WHATWG HTML standard, "Server-sent events", defines them.
 
-/// The longest event that is kept; the result of a job fits.
-const MAX_EVENT: usize = 2 * super::MAX_BODY;
+use thiserror::Error;
+
+/// The longest event that is kept, in bytes; the result of a job fits.
+const MAX_EVENT_LENGTH: usize = 2 * super::MAX_BODY;
+const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its name; empty where the stream gives none.
+    /// The event's name; empty where the stream gives none.
     pub name: String,
-    /// Its data, lines joined by a line feed.
+    /// The event's data, its lines joined by a line feed.
     pub data: String,
-    /// The stream's last event id when it was dispatched; it holds for later events until another comes.
+    /// The stream's last event id when the event was dispatched; it holds for later events until another id comes.
     pub id: String,
 }
 
-/// An event grew past all bounds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// An event is longer than any that is kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("an event of the stream is too long")]
 pub struct EventTooLarge;
 
-/// Reads an event stream across any cuts.
+/// Parses an event stream, across any cuts of its bytes.
 #[derive(Debug, Default)]
 pub struct EventStream {
+    /// The line that is being read.
     line: Vec<u8>,
-    after_cr: bool,
-    past_start: bool,
+    /// Whether the last byte was a carriage return, which a line feed may complete.
+    ended_with_cr: bool,
+    /// Whether the first line has been read, which may begin with a byte order mark.
+    is_past_first_line: bool,
+    /// The event that is being read.
     event: StreamEvent,
+    /// Whether it has any data; without data it is not dispatched.
     has_data: bool,
-    last_id: String,
-    retry: Option<u64>,
+    last_event_id: String,
+    retry_ms: Option<u64>,
 }
 
 impl EventStream {
-    /// Takes bytes and hands each complete event on.
-    pub fn feed(&mut self, input: &[u8], mut each: impl FnMut(StreamEvent)) -> Result<(), EventTooLarge> {
+    /// Takes bytes of the stream and calls `on_event` for each complete event.
+    ///
+    /// # Errors
+    /// [`EventTooLarge`]; the parser is of no use after that.
+    pub fn feed(&mut self, input: &[u8], mut on_event: impl FnMut(StreamEvent)) -> Result<(), EventTooLarge> {
         for &byte in input {
-            let after_cr = std::mem::take(&mut self.after_cr);
+            let completes_crlf = std::mem::take(&mut self.ended_with_cr) && byte == b'\n';
             match byte {
-                b'\n' if after_cr => {}
+                b'\n' if completes_crlf => {}
                 b'\r' | b'\n' => {
-                    self.after_cr = byte == b'\r';
+                    self.ended_with_cr = byte == b'\r';
                     let line = std::mem::take(&mut self.line);
-                    each_complete(self.end_line(&line), &mut each);
+                    if let Some(event) = self.on_line(&line) {
+                        on_event(event);
+                    }
                 }
                 _ => self.line.push(byte),
             }
-            if self.line.len() + self.event.data.len() > MAX_EVENT {
+            if self.line.len() + self.event.data.len() > MAX_EVENT_LENGTH {
                 return Err(EventTooLarge);
             }
         }
         Ok(())
     }
 
-    /// The last event id that a reconnect would send; empty where there is none.
+    /// The last event id, which a client sends when it reconnects; empty where there is none.
     pub fn last_id(&self) -> &str {
-        &self.last_id
+        &self.last_event_id
     }
 
-    /// How long the stream wants a reconnect to wait, in milliseconds, if it said so.
+    /// How long the stream asks a client to wait before it reconnects, in milliseconds, if it said so.
     pub fn retry(&self) -> Option<u64> {
-        self.retry
+        self.retry_ms
     }
 
-    fn end_line(&mut self, line: &[u8]) -> Option<StreamEvent> {
-        let line = match std::mem::replace(&mut self.past_start, true) {
-            false => line.strip_prefix(b"\xef\xbb\xbf").unwrap_or(line),
-            true => line,
-        };
+    /// Takes a line without its end; a blank one dispatches the event.
+    fn on_line(&mut self, line: &[u8]) -> Option<StreamEvent> {
+        let is_first_line = !std::mem::replace(&mut self.is_past_first_line, true);
+        let line = line.strip_prefix(BYTE_ORDER_MARK).filter(|_| is_first_line).unwrap_or(line);
         if line.is_empty() {
-            let mut event = std::mem::take(&mut self.event);
-            event.id.clone_from(&self.last_id);
-            return std::mem::take(&mut self.has_data).then_some(event);
+            return self.dispatch();
         }
         let text = String::from_utf8_lossy(line);
         let (field, value) = text.split_once(':').unwrap_or((&text, ""));
-        let value = value.strip_prefix(' ').unwrap_or(value);
+        self.on_field(field, value.strip_prefix(' ').unwrap_or(value));
+        None
+    }
+
+    fn dispatch(&mut self) -> Option<StreamEvent> {
+        let mut event = std::mem::take(&mut self.event);
+        event.id.clone_from(&self.last_event_id);
+        std::mem::take(&mut self.has_data).then_some(event)
+    }
+
+    fn on_field(&mut self, field: &str, value: &str) {
         match field {
             "event" => self.event.name = value.to_owned(),
             "data" => {
@@ -83,19 +104,12 @@
                 self.event.data.push_str(value);
                 self.has_data = true;
             }
-            "id" if !value.contains('\0') => self.last_id = value.to_owned(),
-            "retry" if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) => {
-                self.retry = value.parse().ok().or(self.retry);
+            "id" if !value.contains('\0') => self.last_event_id = value.to_owned(),
+            "retry" if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit()) => {
+                self.retry_ms = value.parse().ok().or(self.retry_ms);
             }
             _ => {} // comments (an empty field name), ids with NUL, and whatever is unknown
         }
-        None
-    }
-}
-
-fn each_complete(event: Option<StreamEvent>, each: &mut impl FnMut(StreamEvent)) {
-    if let Some(event) = event {
-        each(event);
     }
 }
 
--- /dev/null
+++ b/src/http/fields.rs
@@ -0,0 +1,85 @@
+//! The header fields of a message (RFC 9112, 5), as ranges of the buffer that holds it.
+
+use super::head::HeadError;
+use std::ops::Range;
+
+/// The most fields of a head.
+const MAX_FIELDS: usize = 100;
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Field {
+    name: Range<usize>,
+    value: Range<usize>,
+}
+
+/// The fields of a head, in their order. All methods take the buffer from which the head was read.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Fields(Vec<Field>);
+
+impl Fields {
+    /// Parses the lines of a head behind its first; `lines` are ranges of `buffer`.
+    pub(super) fn parse(
+        buffer: &[u8],
+        lines: impl Iterator<Item = Range<usize>>,
+    ) -> Result<Fields, HeadError> {
+        let mut fields = Vec::new();
+        for line in lines.filter(|line| !line.is_empty()) {
+            let field = parse_field(buffer, line)?;
+            if fields.len() == MAX_FIELDS {
+                return Err(HeadError::TooLarge);
+            }
+            fields.push(field);
+        }
+        Ok(Fields(fields))
+    }
+
+    /// The value of the first field of this name.
+    pub fn find(&self, buffer: &[u8], name: &str) -> Option<Range<usize>> {
+        self.find_all(buffer, name).next()
+    }
+
+    /// The values of all fields of this name. Names are the same whatever their case.
+    pub(super) fn find_all<'a>(
+        &'a self,
+        buffer: &'a [u8],
+        name: &'a str,
+    ) -> impl Iterator<Item = Range<usize>> + 'a {
+        let has_name = move |field: &&Field| buffer[field.name.clone()].eq_ignore_ascii_case(name.as_bytes());
+        self.0.iter().filter(has_name).map(|field| field.value.clone())
+    }
+
+    /// The value of the first field of this name, where it is UTF-8.
+    pub fn text<'a>(&self, buffer: &'a [u8], name: &str) -> Option<&'a str> {
+        self.find(buffer, name).and_then(|range| std::str::from_utf8(&buffer[range]).ok())
+    }
+
+    /// Whether the comma-separated list in the fields of this name has such an item, whatever its case.
+    pub fn lists(&self, buffer: &[u8], name: &str, item: &str) -> bool {
+        self.find_all(buffer, name).any(|range| {
+            let mut items = buffer[range].split(|byte| *byte == b',');
+            items.any(|found| found.trim_ascii().eq_ignore_ascii_case(item.as_bytes()))
+        })
+    }
+}
+
+fn parse_field(buffer: &[u8], line: Range<usize>) -> Result<Field, HeadError> {
+    let text = &buffer[line.clone()];
+    let colon = text.iter().position(|byte| *byte == b':').ok_or(HeadError::Malformed)?;
+    let (name, value) = (&text[..colon], &text[colon + 1..]);
+    // A folded line, a space before the colon and a control byte are all ways to smuggle a request.
+    let is_control = |byte: &u8| (*byte < 0x20 && *byte != b'\t') || *byte == 0x7f;
+    if name.is_empty() || !name.iter().all(|byte| is_token(*byte)) || value.iter().any(is_control) {
+        return Err(HeadError::Malformed);
+    }
+    let leading_blanks = value.len() - value.trim_ascii_start().len();
+    let value_start = line.start + colon + 1 + leading_blanks;
+    Ok(Field {
+        name: line.start..line.start + colon,
+        value: value_start..value_start + value.trim_ascii().len(),
+    })
+}
+
+/// Whether a byte may stand in a token: a method or the name of a field (RFC 9110, 5.6.2).
+pub(super) fn is_token(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
+}
--- /dev/null
+++ b/src/http/framing.rs
@@ -0,0 +1,61 @@
+//! Where the body of a message ends (RFC 9112, 6), and whether its connection stays open (RFC 9112, 9.3).
+
+use super::fields::Fields;
+use super::head::{HeadError, HttpVersion, MAX_BODY};
+use std::ops::Range;
+
+/// How the body of a message is delimited.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Framing {
+    /// Neither a length nor a transfer coding was given.
+    Absent,
+    /// This many bytes.
+    Length(usize),
+    /// Chunks.
+    Chunked,
+}
+
+/// Reads the framing from the fields of a head. Where two of them could disagree, the message is refused: a server behind this
+/// one might believe the other.
+pub(super) fn parse_framing(buffer: &[u8], fields: &Fields) -> Result<Framing, HeadError> {
+    let length = find_only(buffer, fields, "content-length")?;
+    let coding = find_only(buffer, fields, "transfer-encoding")?;
+    match (length, coding) {
+        (None, None) => Ok(Framing::Absent),
+        (Some(_), Some(_)) => Err(HeadError::Ambiguous),
+        (Some(length), None) => parse_content_length(&buffer[length]).map(Framing::Length),
+        (None, Some(coding)) if buffer[coding.clone()].eq_ignore_ascii_case(b"chunked") => {
+            Ok(Framing::Chunked)
+        }
+        (None, Some(_)) => Err(HeadError::UnknownCoding),
+    }
+}
+
+/// The value of a field that may stand in a head only once.
+fn find_only(buffer: &[u8], fields: &Fields, name: &str) -> Result<Option<Range<usize>>, HeadError> {
+    let mut values = fields.find_all(buffer, name);
+    let first = values.next();
+    if values.next().is_some() { Err(HeadError::Ambiguous) } else { Ok(first) }
+}
+
+fn parse_content_length(digits: &[u8]) -> Result<usize, HeadError> {
+    if digits.contains(&b',') {
+        return Err(HeadError::Ambiguous);
+    }
+    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
+        return Err(HeadError::Malformed);
+    }
+    let text = std::str::from_utf8(digits).map_err(|_| HeadError::Malformed)?;
+    match text.parse::<usize>() {
+        Ok(length) if length <= MAX_BODY => Ok(length),
+        _ => Err(HeadError::BodyTooLarge),
+    }
+}
+
+/// Whether the connection stays open after a message of this version.
+pub(super) fn keeps_alive(buffer: &[u8], fields: &Fields, version: HttpVersion) -> bool {
+    match version {
+        HttpVersion::Http10 => fields.lists(buffer, "connection", "keep-alive"),
+        HttpVersion::Http11 => !fields.lists(buffer, "connection", "close"),
+    }
+}
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,9 +1,11 @@
-//! Parsers of the wires: HTTP/1.1 heads, chunked bodies, load reports and event streams. All of them work on
-//! byte slices, keep what they need to go on after any cut, and do no input or output.
+//! Parsers of HTTP/1.1 heads and bodies, load reports and event streams, and the pieces of messages to be written. They work
+//! on byte slices, keep what they need to continue after any cut, and do no input or output.
 
 pub mod body;
 pub mod chunked;
 pub mod events;
+pub mod fields;
+pub mod framing;
 pub mod head;
 pub mod load;
 pub mod piece;
@@ -11,7 +13,8 @@
 pub use body::Body;
 pub use chunked::Chunked;
 pub use events::{EventStream, StreamEvent};
+pub use framing::Framing;
 pub use head::{
-    Framing, HeadError, MAX_BODY, MAX_HEAD, Request, Response, may_begin_request, read_request, read_response,
+    HeadError, MAX_BODY, MAX_HEAD, RequestHead, ResponseHead, may_begin_request, read_request, read_response,
 };
 pub use piece::Piece;
--- a/src/http/piece.rs
+++ b/src/http/piece.rs
@@ -1,38 +1,38 @@
-//! What is to be written: pieces that go out together by a gathered write, none of them copied.
+//! Messages to be written, as pieces that go out together by a gathered write without being copied.
 
 use std::ops::Range;
 use std::rc::Rc;
 
-/// One piece.
+/// One contiguous piece of a message.
 #[derive(Clone, Debug)]
 pub enum Piece {
     /// Text of the program.
-    Fixed(&'static [u8]),
-    /// Bytes made for this message.
-    Made(Vec<u8>),
-    /// A part of a message that was read.
-    Part(Rc<Vec<u8>>, Range<usize>),
+    Static(&'static [u8]),
+    /// Bytes of this message alone.
+    Owned(Vec<u8>),
+    /// A range of a buffer that other messages may share.
+    Shared(Rc<Vec<u8>>, Range<usize>),
 }
 
 impl Piece {
-    /// Its bytes.
+    /// The bytes of the piece.
     pub fn bytes(&self) -> &[u8] {
         match self {
-            Piece::Fixed(bytes) => bytes,
-            Piece::Made(bytes) => bytes,
-            Piece::Part(bytes, range) => &bytes[range.clone()],
+            Piece::Static(bytes) => bytes,
+            Piece::Owned(bytes) => bytes,
+            Piece::Shared(buffer, range) => &buffer[range.clone()],
         }
     }
 }
 
 impl From<&'static str> for Piece {
     fn from(text: &'static str) -> Piece {
-        Piece::Fixed(text.as_bytes())
+        Piece::Static(text.as_bytes())
     }
 }
 
 impl From<String> for Piece {
     fn from(text: String) -> Piece {
-        Piece::Made(text.into_bytes())
+        Piece::Owned(text.into_bytes())
     }
 }
--- /dev/null
+++ b/src/protocol/admin/pages.rs
@@ -0,0 +1,186 @@
+//! The wording of the pages. The lines of the counters page and the keys of the members page are read by scripts.
+
+use super::{ClassMetrics, IdempotencyMetrics, MemberRow, MembersPage, MetricsSnapshot, StreamMetrics};
+use crate::fleet::LearnerFigures;
+use crate::http::Piece;
+use mothproxy_membership::Figures as MemberFigures;
+use serde_json::json;
+use std::fmt::Write;
+
+/// The states of a member, in the order of their lines.
+const MEMBER_STATES: [&str; 5] = ["unknown", "alive", "suspect", "dead", "left"];
+
+/// The counters page, a line a metric: `dispatcher.NAME:VALUE|KIND`.
+#[derive(Default)]
+struct CounterLines(String);
+
+impl CounterLines {
+    /// A value that only grows.
+    fn counter(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'c');
+    }
+
+    /// A value that goes up and down.
+    fn gauge(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'g');
+    }
+
+    fn line(&mut self, name: &str, value: u64, kind: char) {
+        let _ = writeln!(self.0, "dispatcher.{name}:{value}|{kind}"); // a String takes all
+    }
+
+    fn class(&mut self, class: &ClassMetrics) {
+        self.counter(&format!("success.{}", class.name), class.served);
+        self.counter(&format!("busy.{}", class.name), class.rejected);
+        self.counter(&format!("failure.{}", class.name), class.failed);
+    }
+
+    fn idempotency(&mut self, store: &IdempotencyMetrics) {
+        self.gauge("state_keys", store.keys as u64);
+        self.counter("state_failures", store.failures);
+        self.counter("state_repeats_answered", store.repeats_answered);
+        self.counter("state_repeats_bound", store.repeats_bound);
+        self.counter("state_evicted", store.evicted);
+    }
+
+    fn streams(&mut self, streams: &StreamMetrics) {
+        self.gauge("streams_jobs", streams.jobs as u64);
+        self.gauge("streams_watchers", streams.watchers as u64);
+        self.gauge("streams_bytes", streams.bytes as u64);
+        self.counter("streams_handed_in", streams.submitted);
+        self.counter("streams_missed", streams.missed);
+        self.counter("streams_coalesced", streams.coalesced);
+        self.counter("streams_evicted", streams.evicted);
+    }
+
+    fn members(&mut self, page: &MembersPage) {
+        for state in MEMBER_STATES {
+            let count = page.members.iter().filter(|member| member.state == state).count();
+            self.gauge(&format!("members_{state}"), count as u64);
+        }
+        let figures = &page.figures;
+        self.gauge("members_view", page.version);
+        self.counter("members_sent_bytes", figures.sent_bytes);
+        self.counter("members_received_bytes", figures.received_bytes);
+        self.counter("members_refused", refused(figures));
+        self.counter("members_over_budget", figures.over_budget);
+        self.counter("members_declared_dead", figures.declared_dead);
+        self.counter("members_refuted", figures.refuted);
+        self.gauge("members_health", u64::from(figures.health));
+        self.gauge("members_facts", figures.facts_held);
+    }
+
+    fn learner(&mut self, name: &str, learner: &LearnerFigures) {
+        self.counter(&format!("{name}_seen"), learner.seen);
+        self.counter(&format!("{name}_told"), learner.told);
+        self.counter(&format!("{name}_taken"), learner.taken);
+        self.counter(&format!("{name}_refused"), learner.refused);
+    }
+}
+
+/// The page of all metrics.
+pub fn counters_page(metrics: &MetricsSnapshot) -> Vec<Piece> {
+    let mut lines = CounterLines::default();
+    for class in &metrics.classes {
+        lines.class(class);
+    }
+    lines.counter("backend_calls", metrics.attempts_written);
+    lines.gauge("inflight", metrics.open);
+    lines.gauge("hosts_listed", metrics.listed as u64);
+    lines.gauge("hosts_down", metrics.avoided as u64);
+    lines.counter("reconfig_ok", metrics.reloads);
+    lines.counter("reconfig_failed", metrics.bad_reloads);
+    if let Some(store) = &metrics.idempotency {
+        lines.idempotency(store);
+    }
+    if let Some(streams) = &metrics.streams {
+        lines.streams(streams);
+    }
+    if let Some(page) = &metrics.members {
+        lines.members(page);
+    }
+    if let Some(runtimes) = &metrics.learners.runtimes {
+        lines.learner("runtimes", runtimes);
+    }
+    if let Some(shares) = &metrics.learners.shares {
+        lines.learner("shares", shares);
+    }
+    page("200 OK", "text/plain", lines.0)
+}
+
+/// All datagrams that were refused, whatever the reason.
+fn refused(figures: &MemberFigures) -> u64 {
+    figures.refused_long
+        + figures.refused_version
+        + figures.refused_foreign
+        + figures.refused_malformed
+        + figures.refused_stale
+}
+
+/// The page of the peer group, as JSON.
+pub fn members_page(members: &MembersPage) -> Vec<Piece> {
+    let text = json!({
+        "me": members.me,
+        "version": members.version,
+        "members": members.members.iter().map(member_json).collect::<Vec<_>>(),
+        "figures": figures_json(&members.figures),
+    });
+    page("200 OK", "application/json", format!("{text}\n"))
+}
+
+fn member_json(member: &MemberRow) -> serde_json::Value {
+    json!({
+        "place": member.place,
+        "address": member.address,
+        "state": member.state,
+        "epoch": member.epoch,
+        "incarnation": member.incarnation,
+        "for_ms": member.for_ms,
+    })
+}
+
+fn figures_json(figures: &MemberFigures) -> serde_json::Value {
+    json!({
+        "sent": figures.sent,
+        "sent_bytes": figures.sent_bytes,
+        "received": figures.received,
+        "received_bytes": figures.received_bytes,
+        "refused": refused(figures),
+        "refused_long": figures.refused_long,
+        "refused_version": figures.refused_version,
+        "refused_foreign": figures.refused_foreign,
+        "refused_malformed": figures.refused_malformed,
+        "refused_stale": figures.refused_stale,
+        "over_budget": figures.over_budget,
+        "probes": figures.probes,
+        "probes_failed": figures.probes_failed,
+        "suspected": figures.suspected,
+        "declared_dead": figures.declared_dead,
+        "refuted": figures.refuted,
+        "starved": figures.starved,
+        "health": figures.health,
+        "facts_told": figures.facts_told,
+        "facts_taken": figures.facts_taken,
+        "facts_refused": figures.facts_refused,
+        "facts_held": figures.facts_held,
+        "syncs": figures.syncs,
+    })
+}
+
+/// The page that says yes.
+pub fn ok_page() -> Vec<Piece> {
+    page("200 OK", "text/plain", "yes\n".to_owned())
+}
+
+/// The page that says no, for now.
+pub fn unavailable_page() -> Vec<Piece> {
+    page("503 Service Unavailable", "text/plain", "no\n".to_owned())
+}
+
+fn page(status: &str, content_type: &str, text: String) -> Vec<Piece> {
+    let content_length = text.len();
+    let head = format!(
+        "HTTP/1.1 {status}\r\nContent-Type: {content_type}\r\nConnection: close\r\nContent-Length: {content_length}\r\n\r\n"
+    );
+    vec![head.into(), text.into()]
+}
--- /dev/null
+++ b/src/protocol/event_streams/responses.rs
@@ -0,0 +1,84 @@
+//! Responses at the path of a stream and to a job submitted with `Prefer: respond-async`.
+
+use super::StreamFraming;
+use crate::http::Piece;
+use crate::protocol::message::connection_line;
+use crate::protocol::names::STREAM_PATH_PREFIX;
+use crate::protocol::platform::RawRequest;
+use serde_json::json;
+
+/// Methods that the path of a stream takes.
+const STREAM_METHODS: &str = "GET, HEAD, OPTIONS";
+
+/// The header lines that let pages of an allowed origin read the response (Fetch standard, "CORS protocol"); empty where the
+/// request's origin is not among `allowed_origins`.
+pub fn cors(request: &RawRequest, allowed_origins: &[String]) -> String {
+    let origin = request.field("origin").unwrap_or("");
+    if !allowed_origins.iter().any(|allowed| allowed == origin) {
+        return String::new();
+    }
+    format!(
+        "Access-Control-Allow-Origin: {origin}\r\nAccess-Control-Expose-Headers: Location\r\nVary: Origin\r\n"
+    )
+}
+
+/// The response to a preflight: what may be sent, or 403 where `cors` is empty because the origin is not allowed.
+pub fn preflight(cors: &str, keep_alive: bool) -> Vec<Piece> {
+    let connection = connection_line(keep_alive);
+    let head = if cors.is_empty() {
+        format!("HTTP/1.1 403 Forbidden\r\n{connection}Content-Length: 0\r\n\r\n")
+    } else {
+        format!(
+            "HTTP/1.1 204 No Content\r\n{cors}Access-Control-Allow-Methods: GET, HEAD, POST\r\n\
+             Access-Control-Allow-Headers: authorization, content-type, idempotency-key, last-event-id, prefer, \
+             x-account, x-correlation-id, x-service-class, x-time-left-ms, x-unwatched\r\n\
+             Access-Control-Max-Age: 600\r\n{connection}\r\n"
+        )
+    };
+    vec![head.into()]
+}
+
+/// A response of plain text at the path of a stream. `extra` are further header lines; `has_body` is false for `HEAD`.
+pub fn plain(status: &str, extra: &str, text: &str, keep_alive: bool, has_body: bool) -> Vec<Piece> {
+    let connection = connection_line(keep_alive);
+    let content = if status.starts_with("204") {
+        String::new()
+    } else {
+        format!("Content-Type: text/plain\r\nContent-Length: {}\r\n", text.len())
+    };
+    let head = format!("HTTP/1.1 {status}\r\nCache-Control: no-store\r\n{extra}{connection}{content}\r\n");
+    let body: Piece = if has_body { text.to_owned().into() } else { "".into() };
+    vec![head.into(), body]
+}
+
+/// The response to a method that the path of a stream does not take.
+pub fn wrong_method(keep_alive: bool) -> Vec<Piece> {
+    let allow = format!("Allow: {STREAM_METHODS}\r\n");
+    plain("405 Method Not Allowed", &allow, "Method Not Allowed", keep_alive, true)
+}
+
+/// The response to a job that was submitted to be watched: the path of its stream.
+pub fn submitted(public_id: u64, token: u128, cors: &str, keep_alive: bool) -> Vec<Piece> {
+    let location = format!("{STREAM_PATH_PREFIX}{public_id:016x}?token={token:032x}");
+    let body =
+        json!({ "stream": location, "id": format!("{public_id:016x}"), "token": format!("{token:032x}") })
+            .to_string();
+    let connection = connection_line(keep_alive);
+    let head = format!(
+        "HTTP/1.1 202 Accepted\r\nLocation: {location}\r\nPreference-Applied: respond-async\r\nCache-Control: no-store\r\n\
+         {cors}{connection}Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    vec![head.into(), body.into()]
+}
+
+/// The head of a stream.
+pub fn stream_head(framing: StreamFraming, cors: &str, keep_alive: bool) -> Vec<Piece> {
+    let coding = match framing {
+        StreamFraming::Chunked => "Transfer-Encoding: chunked\r\n",
+        StreamFraming::UntilClose => "",
+    };
+    let connection = connection_line(keep_alive);
+    let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n";
+    vec![format!("{head}X-Accel-Buffering: no\r\n{cors}{connection}{coding}\r\n").into()]
+}
--- /dev/null
+++ b/src/protocol/names.rs
@@ -0,0 +1,40 @@
+//! Names that the deployment gives to headers, paths, cookies and hosts.
+
+/// Header: the id of a request.
+pub const REQUEST_ID: &str = "X-Correlation-Id";
+/// Header: the class of a request.
+pub const CLASS: &str = "X-Service-Class";
+/// Header: the tenant of a request.
+pub const TENANT: &str = "X-Account";
+/// Header: how long the client will wait, in milliseconds.
+pub const TIME_LEFT: &str = "X-Time-Left-Ms";
+/// Header: `1` marks a client's retry.
+pub const REPEAT: &str = "X-Repeat";
+/// Header: the expected work in milliseconds, where clients know it.
+pub const WORK_HINT: &str = "X-Weight-Hint";
+/// Header: further figures of a request, as name=value pairs.
+pub const FACTS: &str = "X-Facts";
+/// Header: the idempotency key of a request, where its class requires one.
+pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
+/// Cookie: the object that a request concerns.
+pub const OBJECT_COOKIE: &str = "obj";
+/// Header of a worker's response: its load report.
+pub const LOAD_REPORT: &str = "X-Backend-Load";
+/// Header of a worker's response: `1` says that it has not begun the request.
+pub const UNPROCESSED: &str = "X-Unprocessed";
+/// Header: whether a submitted job ends once nobody watches its stream, `end` or `go-on`.
+pub const UNWATCHED: &str = "X-Unwatched";
+
+/// Path: whether this dispatcher takes requests.
+pub const READY_PATH: &str = "/up";
+/// Path: where workers report what becomes of a job.
+pub const STATUS_CALLBACK_PATH: &str = "/_jobs/news";
+/// Path on a worker: its load report.
+pub const LOAD_PROBE_PATH: &str = "/metrics/load";
+/// Path of discovery: the endpoint list.
+pub const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
+/// Prefix of the paths of event streams; a job's public id follows.
+pub const STREAM_PATH_PREFIX: &str = "/streams/";
+
+/// The value of `Host` in every request that this dispatcher sends.
+pub const UPSTREAM_HOST: &str = "origin.svc";
--- /dev/null
+++ b/src/protocol/platform/callbacks.rs
@@ -0,0 +1,60 @@
+//! Status callbacks: what a worker reports of a job, as JSON.
+
+use super::load_reports::load_report_from_json;
+use crate::config::SiteNames;
+use crate::core::JobStatus;
+use crate::policy::interface::LoadReport;
+use serde::Deserialize;
+
+#[derive(Deserialize)]
+struct StatusCallbackJson {
+    id: Option<String>,
+    from: Option<String>,
+    state: Option<String>,
+    share: Option<f64>,
+    result: Option<serde_json::Value>,
+    load: Option<serde_json::Value>,
+}
+
+/// A status callback.
+#[derive(Debug, PartialEq)]
+pub struct StatusCallback {
+    /// The id of the request; empty where the callback names none.
+    pub id: String,
+    /// The name of the worker; empty where the callback names none.
+    pub from: String,
+    /// What has become of the job.
+    pub status: JobStatus,
+    /// The worker's load report.
+    pub report: Option<LoadReport>,
+}
+
+/// Parses a status callback, or the data of a worker's stream event, whose name is then the `state`. `None` where it is not
+/// in order.
+pub fn parse_status_callback(site: &SiteNames, json: &[u8], state: Option<&str>) -> Option<StatusCallback> {
+    let object: StatusCallbackJson = serde_json::from_slice(json).ok()?;
+    let status = match state.or(object.state.as_deref())? {
+        "started" => JobStatus::Started,
+        "running" | "progress" => JobStatus::Progress(object.share.unwrap_or(0.0).clamp(0.0, 1.0)),
+        "done" => JobStatus::Done(result_bytes(object.result?)), // a 200 needs a worker's result
+        "failed" => JobStatus::Failed,
+        "returned" => JobStatus::Returned,
+        "lost" => JobStatus::Lost,
+        _ => return None,
+    };
+    let report = object.load.as_ref().and_then(|load| load_report_from_json(site, load));
+    Some(StatusCallback {
+        id: object.id.unwrap_or_default(),
+        from: object.from.unwrap_or_default(),
+        status,
+        report,
+    })
+}
+
+/// A text as it is; any other value as JSON.
+fn result_bytes(result: serde_json::Value) -> Vec<u8> {
+    match result {
+        serde_json::Value::String(text) => text.into_bytes(),
+        value => value.to_string().into_bytes(),
+    }
+}
--- /dev/null
+++ b/src/protocol/platform/mod.rs
@@ -0,0 +1,18 @@
+//! The platform's protocol: a client submits a job by one `POST` and gets one plain response; workers send load reports and
+//! status callbacks; discovery serves the endpoint list.
+
+mod callbacks;
+mod forwarding;
+mod load_reports;
+mod responses;
+mod routing;
+
+pub use super::raw_request::RawRequest;
+pub use super::reject::Reject;
+pub use callbacks::{StatusCallback, parse_status_callback};
+pub use forwarding::{cancel, discovery_call, forwarded_request, load_probe};
+pub use load_reports::{
+    load_report_from_body, load_report_from_head, load_report_from_json, load_report_from_pairs,
+};
+pub use responses::{callback_accepted, final_response, ready, reject, seconds};
+pub use routing::{Route, idempotency_key, route};
--- /dev/null
+++ b/src/protocol/raw_request.rs
@@ -0,0 +1,32 @@
+//! A request as it was read, before its meaning is known.
+
+use crate::http::{Piece, RequestHead};
+use std::rc::Rc;
+use std::str::Utf8Error;
+
+/// A complete request: its head as it was read, and its body.
+#[derive(Clone, Debug)]
+pub struct RawRequest {
+    /// The head's bytes; the ranges of `head` point into them.
+    pub bytes: Rc<Vec<u8>>,
+    /// The head, parsed in place.
+    pub head: RequestHead,
+    /// The body: a range of `bytes` as well, or decoded chunks.
+    pub body: Piece,
+}
+
+impl RawRequest {
+    pub(super) fn method(&self) -> &[u8] {
+        &self.bytes[self.head.method.clone()]
+    }
+
+    /// Path and query, as text.
+    pub(super) fn target(&self) -> Result<&str, Utf8Error> {
+        std::str::from_utf8(&self.bytes[self.head.target.clone()])
+    }
+
+    /// The value of the first field of this name, where it is text.
+    pub(super) fn field(&self, name: &str) -> Option<&str> {
+        self.head.fields.text(&self.bytes, name)
+    }
+}
--- /dev/null
+++ b/src/protocol/reject.rs
@@ -0,0 +1,79 @@
+//! Why a request is not taken, and the status that says so.
+
+use crate::http::HeadError;
+
+/// Why a request is not taken; each reason has its status.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reject {
+    /// 400: the request is malformed, or its class or tenant is unknown.
+    BadRequest,
+    /// 404: nothing is served at this path.
+    NoSuchPath,
+    /// 405: the path takes only the method that is given here.
+    WrongMethod(&'static str),
+    /// 408: the request was not complete in time.
+    TooSlow,
+    /// 409: a request of this id is still open.
+    DuplicateId,
+    /// 411: the request states no length of its body.
+    NoLength,
+    /// 422: the idempotency key belongs to a request with another body.
+    KeyReused,
+    /// 413: the body is too large.
+    BodyTooLarge,
+    /// 431: the head is too large.
+    HeadTooLarge,
+    /// 501: the transfer coding is not supported.
+    UnknownCoding,
+    /// 503: the machine has no descriptors left for the request.
+    Overloaded,
+    /// 503 at `/up`: this dispatcher is not ready, or about to stop.
+    NotReady,
+    /// 505: the request is of an unsupported version of HTTP.
+    Version,
+}
+
+impl Reject {
+    /// The status code and reason phrase.
+    pub(super) fn status(self) -> &'static str {
+        match self {
+            Reject::BadRequest => "400 Bad Request",
+            Reject::NoSuchPath => "404 Not Found",
+            Reject::WrongMethod(_) => "405 Method Not Allowed",
+            Reject::TooSlow => "408 Request Timeout",
+            Reject::DuplicateId => "409 Conflict",
+            Reject::NoLength => "411 Length Required",
+            Reject::BodyTooLarge => "413 Content Too Large",
+            Reject::KeyReused => "422 Unprocessable Content",
+            Reject::HeadTooLarge => "431 Request Header Fields Too Large",
+            Reject::UnknownCoding => "501 Not Implemented",
+            Reject::Overloaded | Reject::NotReady => "503 Service Unavailable",
+            Reject::Version => "505 HTTP Version Not Supported",
+        }
+    }
+
+    /// Whether the connection closes after this response, because the start of the next request is not known.
+    pub fn closes(self) -> bool {
+        !matches!(
+            self,
+            Reject::BadRequest
+                | Reject::NoSuchPath
+                | Reject::WrongMethod(_)
+                | Reject::DuplicateId
+                | Reject::KeyReused
+                | Reject::NotReady
+        )
+    }
+}
+
+impl From<HeadError> for Reject {
+    fn from(error: HeadError) -> Reject {
+        match error {
+            HeadError::Malformed | HeadError::Ambiguous => Reject::BadRequest,
+            HeadError::TooLarge => Reject::HeadTooLarge,
+            HeadError::BodyTooLarge => Reject::BodyTooLarge,
+            HeadError::UnknownCoding => Reject::UnknownCoding,
+            HeadError::Version => Reject::Version,
+        }
+    }
+}
--- a/src/protocol/sse.rs
+++ b/src/protocol/sse.rs
@@ -1,50 +1,49 @@
-//! Server-sent events: the same requests, with `Accept: text/event-stream`, and progress on the way to the one
-//! final event.
+//! Server-sent events in the response to a submitted job: a plain `POST` with `Accept: text/event-stream` gets its progress
+//! and one final event.
 
-use super::platform;
-use super::watch::Frame;
+use super::event_streams::{self, StreamFraming};
+use super::message::connection_line;
+use super::platform::RawRequest;
 use crate::core::FinalResponse;
 use crate::http::{Piece, events::write_event};
 use serde_json::json;
 
 /// Whether a request asks for a stream.
-pub fn wants_stream(raw: &platform::RawRequest) -> bool {
-    let listed = raw.head.fields.text(&raw.bytes, "accept").unwrap_or("");
-    let mut types = listed.split(',').map(|item| item.split(';').next().unwrap_or("").trim());
-    types.any(|item| item.eq_ignore_ascii_case("text/event-stream"))
+pub fn wants_stream(request: &RawRequest) -> bool {
+    let accept = request.field("accept").unwrap_or("");
+    let mut media_types = accept.split(',').map(|item| item.split(';').next().unwrap_or("").trim());
+    media_types.any(|media_type| media_type.eq_ignore_ascii_case("text/event-stream"))
 }
 
-/// The head of a stream.
+/// The head of the response.
 pub fn head(keep_alive: bool) -> Vec<Piece> {
-    let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n";
-    vec![head.into(), close.into(), "Transfer-Encoding: chunked\r\n\r\n".into()]
+    vec![head.into(), connection_line(keep_alive).into(), "Transfer-Encoding: chunked\r\n\r\n".into()]
 }
 
-/// Bytes of the stream as one chunk.
-fn chunk(bytes: Vec<u8>) -> Vec<Piece> {
-    Frame::Chunked.wrap(bytes)
+fn event(name: &str, data: &str) -> Vec<Piece> {
+    StreamFraming::Chunked.frame(write_event(name, data))
 }
 
-/// The job has started.
+/// The event that says that the job has started.
 pub fn started() -> Vec<Piece> {
-    chunk(write_event("started", "{}"))
+    event("started", "{}")
 }
 
-/// The share done.
-pub fn progress(share: f64) -> Vec<Piece> {
-    chunk(write_event("progress", &json!({ "share": share }).to_string()))
+/// The event that says which fraction of the job is done, 0 to 1.
+pub fn progress(fraction: f64) -> Vec<Piece> {
+    event("progress", &json!({ "share": fraction }).to_string())
 }
 
 /// A comment that keeps the stream alive.
 pub fn heartbeat() -> Vec<Piece> {
-    super::watch::heartbeat(Frame::Chunked)
+    event_streams::heartbeat(StreamFraming::Chunked)
 }
 
 /// The final event and the end of the stream.
-pub fn last(answer: FinalResponse) -> Vec<Piece> {
-    let (name, data) = super::watch::final_event(answer);
-    let mut out = chunk(write_event(name, &data));
-    out.push("0\r\n\r\n".into());
-    out
+pub fn final_event(response: FinalResponse) -> Vec<Piece> {
+    let (name, data) = event_streams::final_event(response);
+    let mut pieces = event(name, &data);
+    pieces.extend(StreamFraming::Chunked.end());
+    pieces
 }
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -131,7 +131,7 @@
             avoided: self.core.ejected_endpoints(self.now),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
-            state: self.state_figures(),
+            idempotency: self.state_figures(),
             streams: self.stream_figures(),
             members: self.members_page(),
             learners: self.core.learners.figures(),
--- a/src/server/downstream/event_streams.rs
+++ b/src/server/downstream/event_streams.rs
@@ -4,7 +4,7 @@
 use crate::http::Piece;
 use crate::policy::interface::Micros;
 use crate::protocol::platform::{RawRequest, Reject};
-use crate::protocol::{admin::StreamMetrics, watch};
+use crate::protocol::{admin::StreamMetrics, event_streams};
 use crate::server::connection::Conn;
 use crate::server::downstream::{Front, State, Watching};
 use crate::server::lifecycle::hot_restart::{Note, TransferredExchange};
@@ -43,7 +43,7 @@
     sweeping: bool,
     effects: Vec<Effect>,
     /// The event that was worded last: a job's watchers get the same bytes.
-    worded: Option<(JobId, u64, watch::Frame, Rc<Vec<u8>>)>,
+    worded: Option<(JobId, u64, event_streams::StreamFraming, Rc<Vec<u8>>)>,
     handed_in: u64,
 }
 
@@ -93,9 +93,9 @@
         mut arrival: NewRequest,
         keep_alive: bool,
     ) -> Result<(), Reject> {
-        let ends = watch::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
+        let ends = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
         let Some(watching) = &mut self.watch_jobs else { return Err(Reject::NoSuchPath) };
-        let cors = watch::cors(&raw, &watching.origins);
+        let cors = event_streams::cors(&raw, &watching.origins);
         let (Some(public), Some(token)) = (secret::<8>(), secret::<16>()) else {
             return Err(Reject::Overloaded);
         };
@@ -112,7 +112,7 @@
         watching.handed_in += 1;
         self.requests.insert(request_id, raw);
         self.sweep_later();
-        conn.outbox.push(watch::handed_in(public, token, &cors, keep_alive));
+        conn.outbox.push(event_streams::submitted(public, token, &cors, keep_alive));
         Ok(())
     }
 
@@ -126,11 +126,11 @@
         keep: bool,
     ) -> bool {
         let Some(watching) = &mut self.watch_jobs else { return false };
-        let cors = watch::cors(raw, &watching.origins);
+        let cors = event_streams::cors(raw, &watching.origins);
         let method = &raw.bytes[raw.head.method.clone()];
-        let Some(wanted) = watch::wanted(raw) else {
+        let Some(wanted) = event_streams::stream_request(raw) else {
             if method == b"OPTIONS" {
-                conn.outbox.push(watch::preflight(&cors, keep));
+                conn.outbox.push(event_streams::preflight(&cors, keep));
             }
             return method == b"OPTIONS";
         };
@@ -138,52 +138,60 @@
         match method {
             b"GET" | b"HEAD" => {}
             b"OPTIONS" => {
-                conn.outbox.push(watch::preflight(&cors, keep));
+                conn.outbox.push(event_streams::preflight(&cors, keep));
                 return true;
             }
             _ => {
-                conn.outbox.push(watch::wrong_method(keep));
+                conn.outbox.push(event_streams::wrong_method(keep));
                 return true;
             }
         }
-        if !watch::takes_streams(raw) {
+        if !event_streams::accepts_event_stream(raw) {
             let text = "it comes as text/event-stream only";
-            conn.outbox.push(watch::plain("406 Not Acceptable", &cors, text, keep, body));
+            conn.outbox.push(event_streams::plain("406 Not Acceptable", &cors, text, keep, body));
             return true;
         }
         // An id or token that cannot be read is as wrong as any other.
-        let (public, secret) = (wanted.public.unwrap_or(0), wanted.token.unwrap_or(0));
-        let watched = match (wanted.public, wanted.token) {
-            (Some(_), Some(_)) => watching.relay.watch(public, secret, wanted.after),
+        let (public, secret) = (wanted.public_id.unwrap_or(0), wanted.token.unwrap_or(0));
+        let watched = match (wanted.public_id, wanted.token) {
+            (Some(_), Some(_)) => watching.relay.watch(public, secret, wanted.last_event_id),
             _ => Err(Denied::Unknown),
         };
         let watcher = match watched {
             Ok(watcher) => watcher,
             Err(why) => {
                 let answer = match why {
-                    Denied::Unknown => {
-                        watch::plain("403 Forbidden", &cors, "no such stream for this token", keep, body)
-                    }
-                    Denied::Over => watch::plain("204 No Content", &cors, "", keep, false),
+                    Denied::Unknown => event_streams::plain(
+                        "403 Forbidden",
+                        &cors,
+                        "no such stream for this token",
+                        keep,
+                        body,
+                    ),
+                    Denied::Over => event_streams::plain("204 No Content", &cors, "", keep, false),
                     Denied::TooManyStreams | Denied::Full => {
                         let extra = format!("Retry-After: 2\r\n{cors}");
-                        watch::plain("429 Too Many Requests", &extra, "too many streams", keep, body)
+                        event_streams::plain("429 Too Many Requests", &extra, "too many streams", keep, body)
                     }
                 };
                 conn.outbox.push(answer);
                 return true;
             }
         };
-        let frame = if watch::is_old(raw) { watch::Frame::Plain } else { watch::Frame::Chunked };
-        let keep = keep && frame == watch::Frame::Chunked;
+        let frame = if event_streams::is_http_1_0(raw) {
+            event_streams::StreamFraming::UntilClose
+        } else {
+            event_streams::StreamFraming::Chunked
+        };
+        let keep = keep && frame == event_streams::StreamFraming::Chunked;
         if !body {
             watching.relay.leave(self.now, watcher);
-            conn.outbox.push(watch::stream_head(frame, &cors, keep));
+            conn.outbox.push(event_streams::stream_head(frame, &cors, keep));
             return true;
         }
         watching.tokens.insert(watcher, token);
-        conn.outbox.push(watch::stream_head(frame, &cors, keep));
-        conn.outbox.push(watch::retry(frame, self.retry()));
+        conn.outbox.push(event_streams::stream_head(frame, &cors, keep));
+        conn.outbox.push(event_streams::retry(frame, self.retry()));
         front.state = State::Watching(Watching { watcher, keep, frame, last: self.now });
         true
     }
@@ -206,13 +214,14 @@
         while conn.outbox.len() < AHEAD {
             let pieces = match watching.relay.pull(held.watcher) {
                 Next::Nothing => return,
-                Next::Missed(count) => watch::missed(held.frame, count),
+                Next::Missed(count) => event_streams::missed(held.frame, count),
                 Next::Event { job, event, last } => {
                     let known =
                         watching.worded.take().filter(|w| (w.0, w.1, w.2) == (job, event.id, held.frame));
-                    let worded =
-                        known.unwrap_or_else(|| (job, event.id, held.frame, watch::event(held.frame, event)));
-                    let piece = Piece::Part(worded.3.clone(), 0..worded.3.len());
+                    let worded = known.unwrap_or_else(|| {
+                        (job, event.id, held.frame, event_streams::event(held.frame, event))
+                    });
+                    let piece = Piece::Shared(worded.3.clone(), 0..worded.3.len());
                     watching.worded = Some(worded);
                     if last {
                         conn.outbox.push(vec![piece]);
@@ -264,7 +273,7 @@
         let now = self.now;
         let Some(watching) = &mut self.watch_jobs else { return };
         watching.requests.remove(&job);
-        let (name, data) = watch::final_event(answer);
+        let (name, data) = event_streams::final_event(answer);
         watching.relay.finish(now, job, name, data, &mut watching.effects);
         self.sweep_later();
     }
@@ -358,7 +367,7 @@
             match token.and_then(|token| Some((token, self.take(token)?))) {
                 Some((token, (mut conn, Role::Front(mut front)))) => {
                     if let State::Watching(held) = &front.state {
-                        conn.outbox.push(watch::retry(held.frame, RETRY));
+                        conn.outbox.push(event_streams::retry(held.frame, RETRY));
                         conn.outbox.push(held.frame.end());
                     }
                     front.state = State::Ending { since: None };
@@ -406,7 +415,7 @@
             jobs,
             watchers,
             bytes: watching.relay.bytes(),
-            handed_in: watching.handed_in,
+            submitted: watching.handed_in,
             missed: watching.relay.missed,
             coalesced: watching.relay.coalesced,
             evicted: watching.relay.evicted,
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -6,9 +6,9 @@
 use crate::core::{FinalResponse, RequestId};
 use crate::http::{self, Chunked, Framing, MAX_BODY, MAX_HEAD, Piece};
 use crate::policy::interface::Micros;
+use crate::protocol::event_streams::StreamFraming;
 use crate::protocol::platform::{self, RawRequest, Reject, Route};
-use crate::protocol::watch::Frame;
-use crate::protocol::{sse, watch};
+use crate::protocol::{self, sse};
 use crate::server::connection::{Conn, ReadEnd};
 use crate::server::downstream::event_streams::JOB;
 use crate::server::lifecycle::hot_restart::TransferredExchange;
@@ -72,7 +72,7 @@
     Reading,
     Chunks {
         bytes: Rc<Vec<u8>>,
-        head: http::Request,
+        head: http::RequestHead,
         decoder: Chunked,
         body: Vec<u8>,
     },
@@ -93,7 +93,7 @@
 pub(in crate::server) struct Watching {
     pub watcher: WatcherId,
     pub keep: bool,
-    pub frame: Frame,
+    pub frame: StreamFraming,
     /// When something was last written on it.
     pub last: Micros,
 }
@@ -400,7 +400,7 @@
                         } else {
                             let rest = conn.inbox.split_off(length);
                             let bytes = Rc::new(std::mem::replace(&mut conn.inbox, rest));
-                            let body = Piece::Part(bytes.clone(), head.len..length);
+                            let body = Piece::Shared(bytes.clone(), head.len..length);
                             self.requested(token, &mut conn, &mut front, RawRequest { bytes, head, body });
                         }
                     }
@@ -419,7 +419,7 @@
                             }
                             let state = std::mem::replace(&mut front.state, State::Reading);
                             if let State::Chunks { bytes, head, body, .. } = state {
-                                let raw = RawRequest { bytes, head, body: Piece::Made(body) };
+                                let raw = RawRequest { bytes, head, body: Piece::Owned(body) };
                                 self.requested(token, &mut conn, &mut front, raw);
                             }
                         }
@@ -505,7 +505,7 @@
                 self.core.count_rejected(arrival.class);
                 Some(Reject::Overloaded)
             }
-            Ok(Route::Submit(arrival)) if front.sse && watch::wants_async(&raw) => {
+            Ok(Route::Submit(arrival)) if front.sse && protocol::event_streams::prefers_async(&raw) => {
                 let elsewhere = self.open_elsewhere(&arrival.name);
                 let mut arrival = arrival;
                 if self.core.idempotency().is_some() {
@@ -750,7 +750,7 @@
                 if held.last + every <= self.now {
                     held.last = self.now;
                     if conn.outbox.is_empty() {
-                        conn.outbox.push(watch::heartbeat(held.frame));
+                        conn.outbox.push(protocol::event_streams::heartbeat(held.frame));
                     }
                 }
                 self.front_settle(token, conn, front);
@@ -780,11 +780,11 @@
         crate::invariant!(waiting == request_id, "an answer for another session");
         let keep_alive = keep_alive && (self.keeps_clients() || stream.is_some_and(|s| s.begun));
         match (stream, &answer) {
-            (Some(stream), _) if stream.begun => conn.outbox.push(sse::last(answer)),
+            (Some(stream), _) if stream.begun => conn.outbox.push(sse::final_event(answer)),
             (Some(_), FinalResponse::Served(_)) => {
                 conn.outbox.push(sse::head(keep_alive));
                 conn.outbox.push(sse::started());
-                conn.outbox.push(sse::last(answer));
+                conn.outbox.push(sse::final_event(answer));
             }
             _ => conn.outbox.push(platform::final_response(answer, keep_alive)),
         }
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -112,14 +112,14 @@
         stream: Option<bool>,
         broken: bool,
     ) -> TransferredExchange {
-        let apart = !matches!(request.body, Piece::Part(..));
+        let apart = !matches!(request.body, Piece::Shared(..));
         let body = apart.then(|| request.body.bytes().len());
         TransferredExchange { moved, keep_alive, stream, broken, bytes: request.bytes.len(), body }
     }
 
     /// The bytes of that request, as [`split`] reads them.
     pub fn request(raw: &RawRequest) -> impl Iterator<Item = &[u8]> {
-        let apart = !matches!(raw.body, Piece::Part(..));
+        let apart = !matches!(raw.body, Piece::Shared(..));
         std::iter::once(raw.bytes.as_slice()).chain(apart.then(|| raw.body.bytes()))
     }
 }
@@ -600,10 +600,10 @@
     let head = http::read_request(request).ok().flatten()?;
     let request = Rc::new(request.to_vec());
     let (body, rest) = match request_id.body {
-        None => (Piece::Part(request.clone(), head.len..request.len()), rest),
+        None => (Piece::Shared(request.clone(), head.len..request.len()), rest),
         Some(length) => {
             let (body, rest) = rest.split_at_checked(length)?;
-            (Piece::Made(body.to_vec()), rest)
+            (Piece::Owned(body.to_vec()), rest)
         }
     };
     Some((Some(RawRequest { bytes: request, head, body }), rest))
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -85,7 +85,7 @@
 
 /// Whether an answer may be that of an exchange. To a dispatch no success is answered but 202 and an event stream: another is what
 /// a probe or a cancel got before it, said twice.
-fn is_of(exchange: Exchange, head: &http::Response, conn: &Conn) -> bool {
+fn is_of(exchange: Exchange, head: &http::ResponseHead, conn: &Conn) -> bool {
     let stream =
         || head.fields.text(&conn.inbox, "content-type").unwrap_or("").trim_start().to_ascii_lowercase();
     match (exchange, head.status) {
@@ -344,7 +344,7 @@
 
     /// The head of a worker's answer: what it says of a dispatch counts at once. With it, how long its connection is to rest: an
     /// answer that turns a job away would turn away the next one too, were it said twice, so the second has time to come.
-    fn answered(&mut self, conn: &mut Conn, exchange: Exchange, head: http::Response) -> (State, Micros) {
+    fn answered(&mut self, conn: &mut Conn, exchange: Exchange, head: http::ResponseHead) -> (State, Micros) {
         let text = |name| head.fields.text(&conn.inbox, name);
         let mut rest = 0;
         if let Exchange::Dispatch { request_id, attempt } = exchange {
@@ -362,7 +362,7 @@
             };
             if let Some(outcome) = outcome {
                 rest = self.config.connect_timeout;
-                let report = platform::head_report(self.core.names(), &conn.inbox, &head.fields);
+                let report = platform::load_report_from_head(self.core.names(), &conn.inbox, &head.fields);
                 self.core.on_attempt_ended(
                     self.now,
                     request_id,
@@ -381,7 +381,7 @@
     fn echoed(&mut self, token: Token, status: u16, body: &[u8]) {
         let Some(Probe { worker, at }) = self.probes.remove(&token) else { return };
         let outcome = if status == 200 { Outcome::Ok } else { Outcome::Error };
-        let report = platform::body_report(self.core.names(), body);
+        let report = platform::load_report_from_body(self.core.names(), body);
         self.core.on_probe_response(worker, outcome, self.now.saturating_sub(at), report);
     }
 
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -68,7 +68,7 @@
         avoided: 53,
         reloads: 54,
         bad_reloads: 55,
-        state: Some(IdempotencyMetrics {
+        idempotency: Some(IdempotencyMetrics {
             keys: 60,
             failures: 61,
             repeats_answered: 62,
@@ -79,7 +79,7 @@
             jobs: 70,
             watchers: 71,
             bytes: 72,
-            handed_in: 73,
+            submitted: 73,
             missed: 74,
             coalesced: 75,
             evicted: 76,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -29,7 +29,7 @@
     let config = site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([])));
     let expected =
         LoadReport { cpu: Some(0.5), free_slots: Some(3.0), err_rps: Some(0.1), ..LoadReport::default() };
-    let pairs = |text| platform::report(&config.names, http::load::pairs(text));
+    let pairs = |text| platform::load_report_from_pairs(&config.names, http::load::parse_pairs(text));
     assert_eq!(pairs("eps=0.1,util=0.5,x0=3,unheard=9"), Some(expected));
     assert_eq!(pairs("err_rps=0.1,cpu=0.5,x0=3"), Some(expected));
     assert_eq!(pairs("unheard=9,x0=many"), None);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -130,7 +130,7 @@
         let mut data = 0;
         let _ = EventStream::default().feed(&bytes, |event| data += event.data.len());
         assert!(data <= 3 * bytes.len()); // a byte that is no UTF-8 becomes three
-        assert!(load::pairs(&String::from_utf8_lossy(&bytes)).all(|(_, value)| value.is_finite()));
+        assert!(load::parse_pairs(&String::from_utf8_lossy(&bytes)).all(|(_, value)| value.is_finite()));
     });
 }
 
