--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -44,5 +44,5 @@
 /// A list of discovery's.
 pub fn list(generation: u64, reset: bool, instances: Value) -> EndpointList {
     let list = json!({"generation": generation, "reset": reset, "instances": instances});
-    EndpointList::read(&list).expect("a list")
+    EndpointList::from_json(&list).expect("a list")
 }
--- /dev/null
+++ b/src/config/document.rs
@@ -0,0 +1,137 @@
+//! The JSON document of a configuration file, together with the environment variables that win over it.
+
+use super::flatten::flatten;
+use super::{ConfigError, EndpointList, FileProblem, MachineLimits, SettingsProblem, SiteNames};
+use crate::policy::interface::{Micros, Settings};
+use crate::policy::simulator::{Names, Profile, settings, to_micros};
+use serde::Deserialize;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// A configuration file and the environment.
+pub(super) struct Document<'a, Env> {
+    root: Value,
+    file: &'a str,
+    env: Env,
+}
+
+impl<'a, Env: Fn(&str) -> Option<String>> Document<'a, Env> {
+    /// Parses the text of a file; `file` names it in messages.
+    pub(super) fn parse(text: &str, file: &'a str, env: Env) -> Result<Self, ConfigError> {
+        match serde_json::from_str(text) {
+            Ok(root) => Ok(Document { root, file, env }),
+            Err(error) => {
+                Err(ConfigError::Malformed { file: file.to_owned(), problem: FileProblem::NotJson(error) })
+            }
+        }
+    }
+
+    /// The document itself.
+    pub(super) fn into_root(self) -> Value {
+        self.root
+    }
+
+    fn malformed(&self, problem: FileProblem) -> ConfigError {
+        ConfigError::Malformed { file: self.file.to_owned(), problem }
+    }
+
+    fn text(&self, key: &str) -> Option<&str> {
+        self.root.get(key).and_then(Value::as_str)
+    }
+
+    /// A value that must be there.
+    pub(super) fn require(&self, key: &'static str) -> Result<&Value, ConfigError> {
+        self.root.get(key).ok_or(ConfigError::Missing(key))
+    }
+
+    /// A text that an environment variable may give in the file's place.
+    pub(super) fn variable_or_text(&self, variable: &str, key: &str) -> Option<String> {
+        (self.env)(variable).or_else(|| self.text(key).map(str::to_owned))
+    }
+
+    /// Likewise, where it must be given.
+    pub(super) fn required_text(&self, variable: &str, key: &'static str) -> Result<String, ConfigError> {
+        self.variable_or_text(variable, key).ok_or(ConfigError::Missing(key))
+    }
+
+    /// An address that the file may give.
+    pub(super) fn optional_address(&self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+        self.text(key).map(|text| parse_address(key, text)).transpose()
+    }
+
+    /// The seed: a number, or a text of hexadecimal digits.
+    pub(super) fn seed(&self) -> Result<u64, ConfigError> {
+        let seed = match self.require("seed")? {
+            Value::String(digits) => u64::from_str_radix(digits, 16).ok(),
+            number => number.as_u64(),
+        };
+        seed.ok_or_else(|| self.malformed(FileProblem::BadSeed))
+    }
+
+    pub(super) fn limits(&self) -> Result<MachineLimits, ConfigError> {
+        let Some(value) = self.root.get("limits") else { return Ok(MachineLimits::default()) };
+        MachineLimits::deserialize(value).map_err(|error| self.malformed(FileProblem::BadLimits(error)))
+    }
+
+    pub(super) fn peers(&self) -> Result<Vec<SocketAddr>, ConfigError> {
+        let peers = self.root.get("peers").and_then(Value::as_array);
+        let addresses = peers.into_iter().flatten().map(|peer| match peer.as_str() {
+            Some(text) => parse_address("peers", text),
+            None => Err(self.malformed(FileProblem::BadPeer)),
+        });
+        addresses.collect()
+    }
+
+    /// The endpoint list last known.
+    pub(super) fn known_endpoints(&self) -> Result<EndpointList, ConfigError> {
+        let known = self.require("known")?;
+        EndpointList::from_json(known).ok_or_else(|| self.malformed(FileProblem::BadKnownList))
+    }
+
+    /// The settings as path=value.
+    pub(super) fn settings(&self) -> Result<Vec<(String, String)>, ConfigError> {
+        self.require("settings").map(flatten)
+    }
+}
+
+/// The settings of the decision module and the names that they give. Zones and kinds in `known_names` keep their ids.
+pub(super) fn parse_settings(
+    profile: &Profile<'_>,
+    known_names: &SiteNames,
+) -> Result<(Settings, SiteNames), ConfigError> {
+    let (settings, names) = settings(profile, &known_names.0).map_err(|error| unreadable(&error))?;
+    check(&settings, &names).map_err(ConfigError::BadSettings)?;
+    Ok((settings, SiteNames(names)))
+}
+
+fn unreadable(error: &impl ToString) -> ConfigError {
+    ConfigError::BadSettings(SettingsProblem::Unreadable(error.to_string()))
+}
+
+fn check(settings: &Settings, names: &Names) -> Result<(), SettingsProblem> {
+    let has_class_names = names.classes.names().len() == settings.classes.len();
+    let has_tenant_names = names.tenants.names().len() == settings.tenants.len();
+    if !has_class_names || !has_tenant_names {
+        return Err(SettingsProblem::DuplicateName);
+    }
+    settings.check().map_err(SettingsProblem::Refused)
+}
+
+/// A duration of the settings, given in milliseconds.
+pub(super) fn positive_duration(
+    profile: &Profile<'_>,
+    path: &'static str,
+    default_ms: f64,
+) -> Result<Micros, ConfigError> {
+    let ms = profile.number(path, default_ms).map_err(|error| unreadable(&error))?;
+    if ms > 0.0 {
+        Ok(to_micros(ms))
+    } else {
+        Err(ConfigError::BadSettings(SettingsProblem::NotPositive(path)))
+    }
+}
+
+/// Reads an address; `what` names it in messages.
+pub(super) fn parse_address(what: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::BadAddress(what, text.to_owned()))
+}
--- /dev/null
+++ b/src/config/endpoint_list.rs
@@ -0,0 +1,91 @@
+//! Discovery's endpoint list, in its JSON form.
+
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use std::collections::HashMap;
+
+/// One row of an endpoint list.
+#[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
+#[serde(rename_all = "camelCase")]
+pub struct EndpointRow {
+    /// The worker's name, the same at every dispatcher.
+    pub instance_id: String,
+    /// The address at which this dispatcher reaches it.
+    #[serde(default)]
+    pub host_port: String,
+    /// The worker's zone.
+    #[serde(default)]
+    pub zone: String,
+    /// The worker's kind of machine.
+    #[serde(default)]
+    pub machine_type: String,
+    /// The worker's cell.
+    #[serde(default)]
+    pub cell: u32,
+    /// `up`, `draining` or `removed`.
+    pub lifecycle: Lifecycle,
+    /// The worker's size relative to others.
+    #[serde(default)]
+    pub weight: Option<f64>,
+    /// The worker's last start in Unix milliseconds, 0 for long ago.
+    #[serde(default)]
+    pub started_at_ms: f64,
+}
+
+/// Whether a worker takes work.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum Lifecycle {
+    /// It takes work.
+    Up,
+    /// It finishes the work that it has.
+    Draining,
+    /// It is gone.
+    Removed,
+}
+
+/// An endpoint list: a snapshot or a delta.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct EndpointList {
+    /// The list's version.
+    pub generation: u64,
+    /// Whether the list is a snapshot.
+    pub reset: bool,
+    /// The rows that could be read.
+    pub rows: Vec<EndpointRow>,
+    /// Names of workers whose rows could not be read.
+    #[serde(default)]
+    pub unread: Vec<String>,
+    /// Rows that were dropped, because they could not be read or a later row of the same worker replaced them.
+    pub bad_rows: u64,
+}
+
+impl EndpointList {
+    /// Reads a list from discovery's JSON. Bad rows are dropped and counted; of two rows of one worker the later one counts,
+    /// in the place of the first. `None` where the object itself is not in order.
+    pub fn from_json(value: &Value) -> Option<EndpointList> {
+        let generation = value.get("generation")?.as_u64()?;
+        let reset = value.get("reset")?.as_bool()?;
+        let mut list = EndpointList { generation, reset, rows: Vec::new(), unread: Vec::new(), bad_rows: 0 };
+        let mut index_by_worker = HashMap::new();
+        for value in value.get("instances")?.as_array()? {
+            let Some(row) = read_row(value) else {
+                list.bad_rows += 1;
+                list.unread.extend(value.get("instanceId").and_then(Value::as_str).map(str::to_owned));
+                continue;
+            };
+            let index = *index_by_worker.entry(row.instance_id.clone()).or_insert(list.rows.len());
+            if let Some(earlier) = list.rows.get_mut(index) {
+                *earlier = row;
+                list.bad_rows += 1;
+            } else {
+                list.rows.push(row);
+            }
+        }
+        Some(list)
+    }
+}
+
+fn read_row(value: &Value) -> Option<EndpointRow> {
+    EndpointRow::deserialize(value).ok().filter(|row| !row.instance_id.is_empty())
+}
--- /dev/null
+++ b/src/config/sse.rs
@@ -0,0 +1,92 @@
+//! The settings of the SSE listener, and the TOML file that holds nothing else.
+
+use super::{ConfigError, FileProblem, parse_address, read_file};
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::Path;
+
+/// The heartbeat interval where none is set, in milliseconds.
+pub(crate) const DEFAULT_HEARTBEAT_MS: u32 = 5_000;
+/// The streams of one tenant where no limit is set.
+pub(crate) const DEFAULT_STREAMS_PER_TENANT: u32 = 1_024;
+
+/// The TOML file that `--sse` names.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct SseConfig {
+    /// Where the listener is; without it there is none.
+    pub listen: Option<String>,
+    /// A comment is sent on a stream that has been quiet for this long, in milliseconds.
+    #[serde(default = "default_heartbeat_ms")]
+    pub heartbeat_ms: u64,
+    /// Pages of these origins may use the listener, such as `https://pay.example`; of none, where it is empty.
+    #[serde(default)]
+    pub origins: Vec<String>,
+    /// The most streams of one tenant's submitted jobs.
+    #[serde(default = "default_streams_per_tenant")]
+    pub streams_per_tenant: usize,
+}
+
+/// The settings of the SSE listener, where there is one.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SseSettings {
+    /// Where the listener is.
+    pub listen: SocketAddr,
+    /// The longest quiet time of a stream, in microseconds.
+    pub heartbeat: u64,
+    /// Pages of these origins may use the listener.
+    pub origins: Vec<String>,
+    /// The most streams of one tenant.
+    pub streams_per_tenant: usize,
+}
+
+fn default_heartbeat_ms() -> u64 {
+    u64::from(DEFAULT_HEARTBEAT_MS)
+}
+
+fn default_streams_per_tenant() -> usize {
+    DEFAULT_STREAMS_PER_TENANT as usize
+}
+
+impl SseConfig {
+    /// Reads the file. Without it there is no listener, unless the user `named` the file.
+    ///
+    /// # Errors
+    /// [`ConfigError`] where the file cannot be read or is not in order.
+    pub fn load(file: &Path, named: bool) -> Result<Option<SseSettings>, ConfigError> {
+        if !named && !file.exists() {
+            return Ok(None);
+        }
+        let malformed = |problem| ConfigError::Malformed { file: file.display().to_string(), problem };
+        let text = read_file(file)?;
+        let config: SseConfig = toml::from_str(&text).map_err(|e| malformed(FileProblem::NotToml(e)))?;
+        config.check().map_err(malformed)?;
+        let Some(listen) = config.listen else { return Ok(None) };
+        Ok(Some(SseSettings {
+            listen: parse_address("listen of the SSE front", &listen)?,
+            heartbeat: config.heartbeat_ms * 1000,
+            origins: config.origins,
+            streams_per_tenant: config.streams_per_tenant,
+        }))
+    }
+
+    fn check(&self) -> Result<(), FileProblem> {
+        if self.heartbeat_ms == 0 {
+            return Err(FileProblem::NotPositive("heartbeat_ms"));
+        }
+        if self.streams_per_tenant == 0 {
+            return Err(FileProblem::NotPositive("streams_per_tenant"));
+        }
+        match self.origins.iter().find(|origin| !is_origin(origin)) {
+            Some(bad) => Err(FileProblem::BadOrigin(bad.clone())),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Whether a text is what a browser sends as its origin: scheme and host, nothing behind it.
+pub(crate) fn is_origin(text: &str) -> bool {
+    let parts = text.split_once("://");
+    parts.is_some_and(|(scheme, host)| !scheme.is_empty() && !host.is_empty() && !host.contains('/'))
+        && text.bytes().all(|byte| byte.is_ascii_graphic())
+}
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -292,7 +292,7 @@
     /// Takes an object in. One that is refused, or cannot be read, may have told a change that no later one tells again: then
     /// the call is over, and the next one asks for what came after the list that is held.
     fn listed(&mut self, call: &mut Call, object: &[u8]) -> Result<(), &'static str> {
-        let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::read(&value));
+        let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::from_json(&value));
         let Some(list) = list else {
             self.metrics.bad_lists += 1;
             return Err("not a list");
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -47,7 +47,7 @@
 
     /// Rereads the configuration. One that is out of order changes nothing.
     fn reload(&mut self) {
-        let taken = self.config.reread(self.core.names()).map_err(|e| e.to_string()).and_then(|mut new| {
+        let taken = self.config.reload(self.core.names()).map_err(|e| e.to_string()).and_then(|mut new| {
             let names = std::mem::take(&mut new.names);
             self.fleet_could_begin(&new).map_err(|e| e.to_string())?;
             self.core.reconfigure(new.settings.clone(), names).map_err(|e| e.to_string())?;
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -347,7 +347,7 @@
         match &inherited {
             Some(from) if !from.stale => core.on_endpoint_list(now, &from.table, true),
             Some(from) => drop(core.load_known_list(now, &from.table)),
-            None => newest = core.load_known_list(now, &config.known),
+            None => newest = core.load_known_list(now, &config.known_endpoints),
         }
         if let Some(lesson) = inherited.as_mut().and_then(|from| from.lesson.take()) {
             core.restore(lesson);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -76,7 +76,7 @@
 
     /// Says whether this dispatcher serves or stops, now and a few times more.
     pub(in crate::server) fn tell_state(&mut self) {
-        if self.peers.is_some() && self.config.may_tell_state {
+        if self.peers.is_some() && self.config.may_announce_lifecycle {
             self.standing.repeats = REPEATS;
             self.tell_state_once();
         }
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -113,7 +113,7 @@
         let Some((conn, Role::Back(back))) = self.take(token) else { return };
         self.back_settle(token, conn, back);
         if let Some((mut conn, role)) = self.take(token) {
-            let until = self.now + left.min(self.config.conn_idle / 2);
+            let until = self.now + left.min(self.config.idle_timeout / 2);
             self.set_timer(token, &mut conn, Some(until));
             self.put(token, conn, role);
         }
@@ -451,7 +451,7 @@
         }
         if matches!(back.state, State::Idle) {
             // Workers close connections idle for this long; a request written to one then ends as a reset.
-            let idle_time = self.config.conn_idle / 2;
+            let idle_time = self.config.idle_timeout / 2;
             let rest = back.rest.min(idle_time / 2);
             let until = self.now + if rest > 0 { rest } else { idle_time };
             self.set_timer(token, &mut conn, Some(until));
--- /dev/null
+++ b/src/settings/mod.rs
@@ -0,0 +1,104 @@
+//! The operators' file, `deploy/mothproxy.txtpb`: protobuf text format by the schema in `proto/mothproxy.proto`.
+//!
+//! All faults of a file are collected, each with its line and its field.
+
+mod fault;
+mod fleet;
+mod location;
+mod reader;
+mod serving;
+
+pub use fault::{FaultKind, SettingsFault, SettingsFileError};
+
+use crate::config::SseSettings;
+use crate::fleet::FleetSettings;
+use crate::server::StateDir;
+use location::field_at;
+use miette::Diagnostic;
+use prost_reflect::text_format::ParseError;
+use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
+use reader::{Reader, Section};
+use std::path::Path;
+
+/// The schema, compiled when the program was built.
+const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/mothproxy.desc"));
+/// The message that the file holds.
+const MESSAGE: &str = "mothproxy.v1.Settings";
+/// The number of `JSON` in the schema's `Log.Form`.
+const LOG_FORM_JSON: i32 = 1;
+
+/// What the file sets.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Settings {
+    /// The SSE listener, where there is one.
+    pub streams: Option<SseSettings>,
+    /// The directory of the idempotency store, where there is one.
+    pub state: Option<StateDir>,
+    /// Whether log lines are JSON objects.
+    pub json_log: bool,
+    /// What the dispatchers of a site know of each other, and do together.
+    pub fleet: FleetSettings,
+}
+
+/// Reads the text of an operators' file; `file` names it in messages.
+///
+/// # Errors
+/// All faults of the text.
+pub fn read(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
+    let descriptor = descriptor();
+    crate::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
+    let Some(descriptor) = descriptor else { return Ok(Settings::default()) };
+    let message = DynamicMessage::parse_text_format(descriptor, text)
+        .map_err(|error| SettingsFileError::single(syntax_fault(error, text, file)))?;
+    let root = Section::root(message);
+    let mut reader = Reader::new(file, text);
+    let settings = Settings {
+        streams: root.section("streams").and_then(|section| serving::read_streams(&mut reader, &section)),
+        state: root.section("state").and_then(|section| serving::read_state(&mut reader, &section)),
+        json_log: root.section("log").is_some_and(|section| section.enum_number("form") == LOG_FORM_JSON),
+        fleet: root
+            .section("fleet")
+            .map(|section| fleet::read_fleet(&mut reader, &section))
+            .unwrap_or_default(),
+    };
+    reader.finish(settings)
+}
+
+/// Reads an operators' file. Without it nothing is set, unless the user `named` the file.
+///
+/// # Errors
+/// All faults of the file.
+pub fn load(file: &Path, named: bool) -> Result<Settings, SettingsFileError> {
+    if !named && !file.exists() {
+        return Ok(Settings::default());
+    }
+    let file_name = file.display().to_string();
+    match std::fs::read_to_string(file) {
+        Ok(text) => read(&text, &file_name),
+        Err(error) => {
+            let kind = FaultKind::Unreadable(error);
+            Err(SettingsFileError::single(SettingsFault {
+                file: file_name,
+                line: 1,
+                field: String::new(),
+                kind,
+            }))
+        }
+    }
+}
+
+fn descriptor() -> Option<MessageDescriptor> {
+    DescriptorPool::decode(SCHEMA).ok()?.get_message_by_name(MESSAGE)
+}
+
+fn syntax_fault(error: ParseError, text: &str, file: &str) -> SettingsFault {
+    let label = error.labels().and_then(|mut labels| labels.next());
+    let offset = label.map_or(0, |label| label.offset());
+    let text_before = text.get(..offset).unwrap_or(text);
+    SettingsFault {
+        file: file.to_owned(),
+        line: text_before.matches('\n').count() + 1,
+        field: field_at(text, offset),
+        kind: FaultKind::Syntax(error),
+    }
+}
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -19,7 +19,7 @@
     let unix = 1_790_000_000_000_000;
     let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
     let mut now = Core::clock_start();
-    core.on_endpoint_list(now, &config.known, true);
+    core.on_endpoint_list(now, &config.known_endpoints, true);
     for n in 0..20_u64 {
         now += 40 * MS;
         let name = format!("job-{n}");
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -19,7 +19,10 @@
         Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 40_000_000 }
     );
     assert_eq!((set.ask_within, set.max_retry_after), (Some(400_000), Some(2_000_000)));
-    assert_eq!((config.conn_idle, config.connect_timeout, config.known.rows.len()), (5_000_000, 250_000, 1));
+    assert_eq!(
+        (config.idle_timeout, config.connect_timeout, config.known_endpoints.rows.len()),
+        (5_000_000, 250_000, 1)
+    );
 }
 
 /// Found on an overloaded day: "free slots" has a space here and "_" on the simulator's wire, so that the free
@@ -64,7 +67,7 @@
             text.as_object_mut().map(|text| text.remove("peer_listen"));
         }
         let config = site::read(&text);
-        (config.settings.may_message_peers, config.may_tell_state)
+        (config.settings.may_message_peers, config.may_announce_lifecycle)
     };
     assert_eq!(told(3, true), (true, true));
     assert_eq!((told(2, true), told(0, true), told(3, false)), ((false, true), (false, true), (false, true)));
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -39,7 +39,7 @@
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
         let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
         let now = Core::clock_start();
-        core.on_endpoint_list(now, &config.known, true);
+        core.on_endpoint_list(now, &config.known_endpoints, true);
         Bench { core, now, next: 0 }
     }
 
@@ -297,7 +297,7 @@
         objects.feed(bytes);
         while let Some(object) = objects.next_object() {
             let value = serde_json::from_slice(&object).expect("JSON");
-            bench.core.on_endpoint_list(bench.now, &EndpointList::read(&value).expect("a list"), false);
+            bench.core.on_endpoint_list(bench.now, &EndpointList::from_json(&value).expect("a list"), false);
         }
         bench.core.endpoints.rows()
     };
