--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -172,7 +172,7 @@
             avoided: self.core.ejected_endpoints(self.now),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
-            state: self.idempotency_metrics(),
+            idempotency: self.idempotency_metrics(),
             streams: self.stream_figures(),
             members: self.members_page(),
             learners: self.core.learners.metrics(),
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -3,7 +3,7 @@
 
 use crate::core::endpoint_table::{ListRejection, ListSource};
 use crate::core::watch_liveness::ObjectSplitter;
-use crate::http::{self, Body, Response};
+use crate::http::{self, Body, ResponseHead};
 use crate::policy::interface::Micros;
 
 /// The longest object of a watch, or whole list, in bytes.
@@ -187,7 +187,7 @@
 }
 
 /// What `Retry-After` says, unless it is too long or no number of seconds.
-fn retry_after(inbox: &[u8], head: &Response) -> Option<Micros> {
+fn retry_after(inbox: &[u8], head: &ResponseHead) -> Option<Micros> {
     let seconds: f64 = head.fields.text(inbox, "Retry-After")?.trim().parse().ok()?;
     let is_heeded = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
     is_heeded.then_some((seconds * MICROS_PER_SECOND) as Micros)
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -46,7 +46,7 @@
     /// Takes an object of a call in. One that is rejected, or cannot be read, may hold a change that no later one repeats:
     /// then the call is over, and the next one asks for what came after the list that is held.
     fn on_discovery_object(&mut self, call: &mut DiscoveryCall, object: &[u8]) -> Result<(), CallError> {
-        let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::read(&value));
+        let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::from_json(&value));
         let Some(list) = list else {
             self.metrics.bad_lists += 1;
             return Err(CallError::NotAList);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -119,7 +119,7 @@
 
     /// Announces whether this dispatcher serves or stops, now and a few times more.
     pub(in crate::server) fn announce_state(&mut self) {
-        if self.peers.socket.is_some() && self.config.may_tell_state {
+        if self.peers.socket.is_some() && self.config.may_announce_lifecycle {
             self.peers.repeats_left = MAX_REPEATS;
             self.announce_state_once();
         }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -22,7 +22,10 @@
         Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 40_000_000 }
     );
     assert_eq!((set.ask_within, set.max_retry_after), (Some(400_000), Some(2_000_000)));
-    assert_eq!((config.conn_idle, config.connect_timeout, config.known.rows.len()), (5_000_000, 250_000, 1));
+    assert_eq!(
+        (config.idle_timeout, config.connect_timeout, config.known_endpoints.rows.len()),
+        (5_000_000, 250_000, 1)
+    );
 }
 
 /// Found on an overloaded day: "free slots" has a space here and "_" on the simulator's wire, so that the free
@@ -32,7 +35,7 @@
     let config = site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([])));
     let expected =
         LoadReport { cpu: Some(0.5), free_slots: Some(3.0), err_rps: Some(0.1), ..LoadReport::default() };
-    let pairs = |text| platform::report(&config.names, http::load::pairs(text));
+    let pairs = |text| platform::load_report_from_pairs(&config.names, http::load::parse_pairs(text));
     assert_eq!(pairs("eps=0.1,util=0.5,x0=3,unheard=9"), Some(expected));
     assert_eq!(pairs("err_rps=0.1,cpu=0.5,x0=3"), Some(expected));
     assert_eq!(pairs("unheard=9,x0=many"), None);
@@ -67,7 +70,7 @@
             text.as_object_mut().map(|text| text.remove("peer_listen"));
         }
         let config = site::read(&text);
-        (config.settings.may_message_peers, config.may_tell_state)
+        (config.settings.may_message_peers, config.may_announce_lifecycle)
     };
     assert_eq!(told(3, true), (true, true));
     assert_eq!((told(2, true), told(0, true), told(3, false)), ((false, true), (false, true), (false, true)));
