--- a/crates/membership/examples/membership_model.rs
+++ b/crates/membership/examples/membership_model.rs
@@ -1,7 +1,7 @@
 //! The model's stories. `membership_model [SEEDS] [LARGE] [FIRST] [skip]`: seeds of each story, seeds with 3,000 members,
 //! the first seed, and the seeded mistake. The last line is JSON; the exit code is 1 where something did not hold.
 
-use mothproxy_membership::model::{Extent, proof, run};
+use mothproxy_membership::simulation::{Extent, proof, run};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- /dev/null
+++ b/crates/membership/src/hash.rs
@@ -0,0 +1,30 @@
+//! The hash that all members compute alike: for digests, checksums of datagrams and ranks of rendezvous hashing.
+//!
+//! It is SplitMix64 (Steele, Lea, Flood 2014) run over words. It is part of the wire format: another hash would be another
+//! [`crate::VERSION`].
+
+/// The increment of SplitMix64: 2^64 divided by the golden ratio.
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The finalizer of SplitMix64, which spreads each bit over all 64.
+fn mix(x: u64) -> u64 {
+    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    x ^ (x >> 31)
+}
+
+/// Adds a word to a hash.
+pub(crate) fn extend(hash: u64, word: u64) -> u64 {
+    mix(hash ^ word).wrapping_add(GOLDEN_GAMMA)
+}
+
+/// The hash of several words.
+pub(crate) fn hash(words: &[u64]) -> u64 {
+    words.iter().fold(GOLDEN_GAMMA, |hash, word| extend(hash, *word))
+}
+
+/// Thirty-two bits of a hash, different ones for each salt: two states whose salted hashes collide once differ under the
+/// salt of the next exchange.
+pub(crate) fn salted(digest: u64, salt: u16) -> u32 {
+    (hash(&[digest, salt.into()]) >> 32) as u32
+}
--- /dev/null
+++ b/crates/membership/src/member/probing.rs
@@ -0,0 +1,377 @@
+//! Probing: whether the others are there.
+//!
+//! Each probe period one present member, in turn, gets a ping. One that does not answer in time is pinged through a few
+//! others, and one that answers to nobody is suspected. Two more reasons to probe: others hold a place dead that is alive
+//! here, and a place that is not present may have come back.
+
+use super::{Membership, Priority};
+use crate::view::MemberVersion;
+use crate::wire::{Body, Record, StateRecord};
+use crate::{Micros, State};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The most probes under way for others.
+const MAX_RELAYED_PROBES: usize = 256;
+/// Places that others hold dead are checked one at a time, this long one after another.
+const CHECK_INTERVAL: Micros = 50_000;
+/// Sequence numbers of probes wrap around here.
+const SEQ_MASK: u32 = 0xffff;
+
+/// Why a place is probed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ProbeReason {
+    /// Its turn in the round has come.
+    Round,
+    /// Others hold it dead.
+    Accused,
+    /// It is not present here and may have come back.
+    Absent,
+}
+
+/// A probe under way.
+#[derive(Debug)]
+struct Probe {
+    seq: u32,
+    target: u16,
+    reason: ProbeReason,
+    started_at: Micros,
+    /// When others are asked to probe, if that is still to come.
+    indirect_at: Option<Micros>,
+    ends_at: Micros,
+    /// Who was asked to probe.
+    relays: Vec<u16>,
+    /// How many of them got no answer either.
+    nacks: u32,
+}
+
+/// A probe under way for another member.
+#[derive(Debug)]
+struct RelayedProbe {
+    origin: u16,
+    /// The origin's sequence number.
+    origin_seq: u32,
+    target: u16,
+    nack_at: Micros,
+}
+
+/// The probes under way, and which come next.
+#[derive(Debug)]
+pub(super) struct Probing {
+    seq: u32,
+    pending: Vec<Probe>,
+    /// By this member's own sequence number.
+    relayed: BTreeMap<u32, RelayedProbe>,
+    /// The members to probe in this round, in a random order.
+    round: Vec<u16>,
+    /// Where the round stands.
+    position: usize,
+    /// Alive here, but held dead elsewhere, at this version.
+    accusations: BTreeMap<u16, MemberVersion>,
+    /// Accused places that wait to be checked.
+    checks: VecDeque<u16>,
+    next_probe: Micros,
+    next_check: Micros,
+    next_lookup: Micros,
+}
+
+impl Probing {
+    /// No probe is under way; the first sequence number comes after `seq`.
+    pub fn new(seq: u32, now: Micros, next_probe: Micros, next_lookup: Micros) -> Probing {
+        Probing {
+            seq,
+            pending: Vec::new(),
+            relayed: BTreeMap::new(),
+            round: Vec::new(),
+            position: 0,
+            accusations: BTreeMap::new(),
+            checks: VecDeque::new(),
+            next_probe,
+            next_check: now,
+            next_lookup,
+        }
+    }
+
+    /// The earliest time at which a probe begins, goes on or ends.
+    pub fn next_wake(&self) -> Micros {
+        let probes =
+            self.pending.iter().map(|probe| probe.indirect_at.unwrap_or(u64::MAX).min(probe.ends_at));
+        let relayed = self.relayed.values().map(|relayed| relayed.nack_at);
+        let check = (!self.checks.is_empty()).then_some(self.next_check);
+        let timers = probes.chain(relayed).chain(check);
+        timers.fold(self.next_probe.min(self.next_lookup), Micros::min)
+    }
+
+    /// Begins a round over these, in a random order.
+    pub fn start_round(&mut self, targets: Vec<u16>, rng: &mut fastrand::Rng) {
+        self.round = targets;
+        rng.shuffle(&mut self.round);
+        self.position = 0;
+    }
+
+    /// Puts a member that has just become present at a random place in the rest of the round.
+    pub fn insert_target(&mut self, place: u16, rng: &mut fastrand::Rng) {
+        let at = rng.usize(self.position.min(self.round.len())..=self.round.len());
+        self.round.insert(at, place);
+    }
+
+    /// Nothing is probed any more.
+    pub fn stop(&mut self) {
+        self.pending.clear();
+        self.relayed.clear();
+    }
+
+    /// Moves all probes on by the time that was lost; the next does not begin before `earliest`.
+    pub fn postpone(&mut self, lost: Micros, earliest: Micros) {
+        for probe in &mut self.pending {
+            probe.indirect_at = probe.indirect_at.map(|at| at + lost);
+            probe.ends_at += lost;
+        }
+        // The origins have given up by now.
+        self.relayed.clear();
+        self.next_probe = self.next_probe.max(earliest);
+    }
+
+    /// Others hold a place dead that is present here: it is to be checked.
+    pub fn accuse(&mut self, place: u16, version: MemberVersion) {
+        if self.accusations.insert(place, version).is_none() {
+            self.checks.push_back(place);
+        }
+    }
+
+    /// A newer record about a place has come.
+    pub fn clear_accusation(&mut self, place: u16) {
+        self.accusations.remove(&place);
+    }
+
+    /// A relay got no answer either, but is there itself.
+    pub fn on_nack(&mut self, from: u16, seq: u32) {
+        let is_asked = |probe: &&mut Probe| probe.seq == seq && probe.relays.contains(&from);
+        if let Some(probe) = self.pending.iter_mut().find(is_asked) {
+            probe.nacks += 1;
+        }
+    }
+
+    fn next_seq(&mut self) -> u32 {
+        self.seq = self.seq.wrapping_add(1);
+        self.seq & SEQ_MASK
+    }
+
+    /// The next accused place that is still alive here.
+    fn next_accused(&mut self, is_alive: impl Fn(u16) -> bool) -> Option<u16> {
+        while let Some(place) = self.checks.pop_front() {
+            if self.accusations.contains_key(&place) && is_alive(place) {
+                return Some(place);
+            }
+        }
+        None
+    }
+
+    fn is_probed(&self, place: u16) -> bool {
+        self.pending.iter().any(|probe| probe.target == place)
+    }
+
+    /// Takes out the relayed probes that got no answer in time.
+    fn take_unanswered_relayed(&mut self, now: Micros) -> Vec<RelayedProbe> {
+        let late = |relayed: &RelayedProbe| relayed.nack_at <= now;
+        let late: Vec<u32> =
+            self.relayed.iter().filter(|(_, relayed)| late(relayed)).map(|(seq, _)| *seq).collect();
+        late.iter().filter_map(|seq| self.relayed.remove(seq)).collect()
+    }
+
+    /// Takes out the probes whose time is over.
+    fn take_ended(&mut self, now: Micros) -> Vec<Probe> {
+        let pending = std::mem::take(&mut self.pending);
+        let (ended, pending) = pending.into_iter().partition(|probe| probe.ends_at <= now);
+        self.pending = pending;
+        ended
+    }
+}
+
+impl Membership {
+    /// Begins the probes whose time has come.
+    pub(super) fn begin_due_probes(&mut self) {
+        if self.now >= self.probing.next_probe {
+            self.probe_next();
+        }
+        if self.now >= self.probing.next_check {
+            self.check_next_accused();
+        }
+        if self.now >= self.probing.next_lookup {
+            self.look_up_absent();
+        }
+    }
+
+    /// Probes the next member of the round, or of the next round.
+    fn probe_next(&mut self) {
+        self.probing.next_probe = self.now + self.health.scale(self.config.probe_period);
+        let target = self.next_target().or_else(|| {
+            let own_place = self.config.place;
+            let present =
+                self.view.iter().filter(|(place, member)| *place != own_place && member.state.is_present());
+            let targets = present.map(|(place, _)| place).collect();
+            self.probing.start_round(targets, &mut self.rng);
+            self.next_target()
+        });
+        if let Some(target) = target {
+            self.probe(target, ProbeReason::Round);
+        }
+    }
+
+    /// The next member of the round that is worth a probe. A suspect with all its accusers is not: it has its time to
+    /// refute, and what it says will be received without a probe.
+    fn next_target(&mut self) -> Option<u16> {
+        while let Some(target) = self.probing.round.get(self.probing.position).copied() {
+            self.probing.position += 1;
+            let is_present = self.view.state(target).is_present();
+            if is_present && !self.is_fully_accused(target) && !self.probing.is_probed(target) {
+                return Some(target);
+            }
+        }
+        None
+    }
+
+    fn check_next_accused(&mut self) {
+        let view = &self.view;
+        if let Some(place) = self.probing.next_accused(|place| view.state(place) == State::Alive) {
+            self.probing.next_check = self.now + self.health.scale(CHECK_INTERVAL);
+            self.probe(place, ProbeReason::Accused);
+        }
+    }
+
+    /// Probes one place that is not present: that is how the two sides of a network partition find each other again.
+    fn look_up_absent(&mut self) {
+        let is_alone = self.present == 1;
+        let period = if is_alone { self.config.probe_period } else { self.config.meet_period };
+        self.probing.next_lookup = self.now + self.rng.u64(period - period / 4..=period + period / 4);
+        let peers = self.config.peers;
+        let start = self.rng.u16(0..peers);
+        let is_absent = |place: &u16| !self.view.state(*place).is_present();
+        if let Some(place) = (start..peers).chain(0..start).find(is_absent) {
+            self.probe(place, ProbeReason::Absent);
+        }
+    }
+
+    fn probe(&mut self, target: u16, reason: ProbeReason) {
+        let seq = self.probing.next_seq();
+        let indirect_at = self.now + self.health.scale(self.config.probe_timeout);
+        self.metrics.probes += 1;
+        self.probing.pending.push(Probe {
+            seq,
+            target,
+            reason,
+            started_at: self.now,
+            indirect_at: (reason != ProbeReason::Absent).then_some(indirect_at),
+            ends_at: self.now + self.health.scale(self.config.probe_period),
+            relays: Vec::new(),
+            nacks: 0,
+        });
+        // An accused member can refute only what it knows of.
+        let accusation = self.probing.accusations.get(&target).map(|version| {
+            Record::State(StateRecord {
+                place: target,
+                state: State::Dead,
+                version: *version,
+                accusers: Vec::new(),
+            })
+        });
+        self.send_with_records(target, &Body::Ping { seq }, Priority::Urgent, accusation.as_slice());
+    }
+
+    /// Goes on with the probes under way: own ones through others, or to their end; others' ones to a negative answer.
+    pub(super) fn follow_up_probes(&mut self) {
+        let now = self.now;
+        for relayed in self.probing.take_unanswered_relayed(now) {
+            self.send(relayed.origin, &Body::Nack { seq: relayed.origin_seq }, Priority::Urgent);
+        }
+        for index in 0..self.probing.pending.len() {
+            if self.probing.pending[index].indirect_at.is_some_and(|at| at <= now) {
+                self.probe_indirectly(index);
+            }
+        }
+        for probe in self.probing.take_ended(now) {
+            self.on_probe_failed(&probe);
+        }
+    }
+
+    /// Asks others to probe the target of the pending probe with this index.
+    fn probe_indirectly(&mut self, index: usize) {
+        let Probe { seq, target, .. } = self.probing.pending[index];
+        let relays = self.choose_relays(target);
+        let probe = &mut self.probing.pending[index];
+        probe.indirect_at = None;
+        probe.relays.clone_from(&relays);
+        for relay in relays {
+            self.send(relay, &Body::PingRequest { seq, target }, Priority::Urgent);
+        }
+    }
+
+    /// Whom to ask for an indirect probe: of twice as many random members those that were heard from last.
+    fn choose_relays(&mut self, target: u16) -> Vec<u16> {
+        let wanted = self.config.indirect_probes as usize;
+        let mut chosen = vec![target];
+        for _ in 0..2 * wanted {
+            let next = self.random_present(&chosen);
+            chosen.extend(next);
+        }
+        let mut relays = chosen.split_off(1);
+        relays.sort_by_key(|place| std::cmp::Reverse(self.last_received[usize::from(*place)]));
+        relays.truncate(wanted);
+        relays
+    }
+
+    fn on_probe_failed(&mut self, probe: &Probe) {
+        if probe.reason == ProbeReason::Absent {
+            return;
+        }
+        self.metrics.probes_failed += 1;
+        // No datagram came from anybody meanwhile: that is rather this member's fault.
+        if probe.nacks == 0 && self.last_received_any <= probe.started_at && self.present > 2 {
+            self.health.degrade();
+        }
+        let target = probe.target;
+        let member = self.view.at(target);
+        let was_accused = self.probing.accusations.remove(&target).is_some();
+        if !member.state.is_present() {
+            return;
+        }
+        if self.config.skip_suspicion {
+            self.metrics.declared_dead += 1;
+            return self.set_state(target, State::Dead, member.version());
+        }
+        self.suspect(target, member.version(), &[self.config.place]);
+        if was_accused && probe.reason == ProbeReason::Accused {
+            self.confirm_suspicion(target);
+        }
+        self.send(target, &Body::Gossip, Priority::Urgent);
+    }
+
+    /// A probe was answered, an own one or one for another.
+    pub(super) fn on_ack(&mut self, from: u16, seq: u32) {
+        let is_answered =
+            |probe: &Probe| probe.seq == seq && (probe.target == from || probe.relays.contains(&from));
+        if let Some(index) = self.probing.pending.iter().position(is_answered) {
+            let probe = self.probing.pending.swap_remove(index);
+            if probe.reason != ProbeReason::Absent {
+                self.health.improve();
+            }
+        } else if self.probing.relayed.get(&seq).is_some_and(|relayed| relayed.target == from) {
+            if let Some(relayed) = self.probing.relayed.remove(&seq) {
+                self.send(relayed.origin, &Body::Ack { seq: relayed.origin_seq }, Priority::Urgent);
+            }
+        }
+    }
+
+    /// Another member asks for a probe of a place, perhaps of this member itself.
+    pub(super) fn on_ping_request(&mut self, from: u16, seq: u32, target: u16) {
+        if target == self.config.place {
+            return self.send(from, &Body::Ack { seq }, Priority::Urgent);
+        }
+        if self.probing.relayed.len() < MAX_RELAYED_PROBES && target != from {
+            let own_seq = self.probing.next_seq();
+            let nack_at = self.now + self.config.probe_timeout;
+            let relayed = RelayedProbe { origin: from, origin_seq: seq, target, nack_at };
+            self.probing.relayed.insert(own_seq, relayed);
+            self.send(target, &Body::Ping { seq: own_seq }, Priority::Urgent);
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/member/suspicion.rs
@@ -0,0 +1,164 @@
+//! Suspicion: a member that does not answer has some time to refute before it is declared dead.
+//!
+//! The timeout shrinks as independent members confirm the suspicion (Lifeguard), from `suspicion_spread` times the least
+//! down to the least of [`Config::suspicion_span`](crate::Config::suspicion_span).
+
+use super::Membership;
+use crate::invariant::invariant;
+use crate::view::MemberVersion;
+use crate::{Micros, State};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// One suspicion.
+#[derive(Debug)]
+struct Suspicion {
+    since: Micros,
+    expires_at: Micros,
+    /// Who found it not answering, the first few of them.
+    accusers: Vec<u16>,
+}
+
+/// What an accusation changed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Accusation {
+    /// It began a suspicion.
+    Started,
+    /// It added accusers to one.
+    Confirmed,
+    /// All accusers are known already, or there are enough.
+    Redundant,
+}
+
+/// All suspicions under way, by place.
+#[derive(Debug, Default)]
+pub(super) struct Suspicions {
+    by_place: BTreeMap<u16, Suspicion>,
+    expiries: BTreeSet<(Micros, u16)>,
+}
+
+impl Suspicions {
+    /// Moves all timeouts on by the time that was lost.
+    pub fn postpone(&mut self, lost: Micros) {
+        self.expiries.clear();
+        for (place, suspicion) in &mut self.by_place {
+            suspicion.since += lost;
+            suspicion.expires_at += lost;
+            self.expiries.insert((suspicion.expires_at, *place));
+        }
+    }
+
+    /// Who accuses a place.
+    pub fn accusers(&self, place: u16) -> &[u16] {
+        self.by_place.get(&place).map_or(&[], |suspicion| &suspicion.accusers)
+    }
+
+    /// When the next suspicion times out.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.expiries.first().map(|(at, _)| *at)
+    }
+
+    /// The suspicion of a place is over.
+    pub fn end(&mut self, place: u16) {
+        if let Some(suspicion) = self.by_place.remove(&place) {
+            self.expiries.remove(&(suspicion.expires_at, place));
+        }
+    }
+
+    fn accuse(&mut self, place: u16, accusers: &[u16], max_accusers: usize, now: Micros) -> Accusation {
+        let is_new = !self.by_place.contains_key(&place);
+        let new = Suspicion { since: now, expires_at: u64::MAX, accusers: Vec::new() };
+        let suspicion = self.by_place.entry(place).or_insert(new);
+        let before = suspicion.accusers.len();
+        for accuser in accusers {
+            if suspicion.accusers.len() < max_accusers && !suspicion.accusers.contains(accuser) {
+                suspicion.accusers.push(*accuser);
+            }
+        }
+        if is_new {
+            Accusation::Started
+        } else if suspicion.accusers.len() > before {
+            Accusation::Confirmed
+        } else {
+            Accusation::Redundant
+        }
+    }
+
+    /// Lets a suspicion time out `span` after its begin, though not before `earliest` and never later than before.
+    fn shorten(&mut self, place: u16, span: Micros, earliest: Micros) {
+        let Some(suspicion) = self.by_place.get_mut(&place) else { return };
+        let expires_at = (suspicion.since + span).max(earliest).min(suspicion.expires_at);
+        self.expiries.remove(&(suspicion.expires_at, place));
+        suspicion.expires_at = expires_at;
+        self.expiries.insert((expires_at, place));
+    }
+
+    fn next_expired(&self, now: Micros) -> Option<u16> {
+        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, place)| *place)
+    }
+}
+
+impl Membership {
+    /// A place is suspected by these.
+    pub(super) fn suspect(&mut self, place: u16, version: MemberVersion, accusers: &[u16]) {
+        let known = self.view.at(place);
+        if known.state != State::Suspect || known.incarnation != version.incarnation {
+            self.set_state(place, State::Suspect, version);
+        }
+        let max_accusers = self.required_confirmations() + 1;
+        let accusation = self.suspicions.accuse(place, accusers, max_accusers, self.now);
+        if accusation == Accusation::Started {
+            self.metrics.suspected += 1;
+        }
+        if accusation != Accusation::Redundant {
+            let confirmations = self.suspicions.accusers(place).len().saturating_sub(1);
+            self.shorten_suspicion(place, confirmations);
+            self.dissemination.push_state(place);
+        }
+    }
+
+    /// Somebody has declared a suspect dead already: that counts as all the confirmations there could be.
+    pub(super) fn confirm_suspicion(&mut self, place: u16) {
+        self.shorten_suspicion(place, self.required_confirmations());
+    }
+
+    /// Whether a suspicion has all accusers that count, so that one more probe would change nothing.
+    pub(super) fn is_fully_accused(&self, place: u16) -> bool {
+        self.suspicions.accusers(place).len() > self.required_confirmations()
+    }
+
+    /// Confirmations shorten a suspicion, but leave the suspect one probe period to refute.
+    fn shorten_suspicion(&mut self, place: u16, confirmations: usize) {
+        let span = self.suspicion_timeout(confirmations);
+        self.suspicions.shorten(place, span, self.now + self.config.probe_period);
+    }
+
+    /// After so many confirmations a suspicion lasts no longer than the least.
+    fn required_confirmations(&self) -> usize {
+        (self.config.confirmations as usize).min(self.present.saturating_sub(2))
+    }
+
+    /// How long a suspicion with so many confirmations lasts (Lifeguard's rule: each one counts less).
+    fn suspicion_timeout(&self, confirmations: usize) -> Micros {
+        let least = self.config.suspicion_span(self.present) as f64;
+        let most = least * self.config.suspicion_spread;
+        let fraction = match self.required_confirmations() {
+            0 => 1.0,
+            required => (confirmations as f64 + 1.0).ln() / (required as f64 + 1.0).ln(),
+        };
+        (most - (most - least) * fraction).max(least) as Micros
+    }
+
+    /// Declares dead whoever did not refute in time.
+    pub(super) fn expire_suspicions(&mut self) {
+        while let Some(place) = self.suspicions.next_expired(self.now) {
+            let member = self.view.at(place);
+            let least = self.config.suspicion_span(self.present).min(self.config.probe_period);
+            let suspicion = self.suspicions.by_place.get(&place);
+            let had_time = suspicion.is_some_and(|suspicion| self.now >= suspicion.since + least);
+            invariant!(member.state == State::Suspect && had_time, "place {place} dies before its time");
+            self.suspicions.expiries.pop_first();
+            self.metrics.declared_dead += 1;
+            self.set_state(place, State::Dead, member.version());
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/member/tests.rs
@@ -0,0 +1,196 @@
+//! The state machine of one member, driven by datagrams and time.
+
+use super::*;
+use crate::wire::{FactRecord, StateRecord, Writer};
+use State::{Alive, Dead, Left, Suspect, Unknown};
+
+/// A member at place 0 of 5, started at epoch 100, and the others at epoch 50.
+fn member() -> Membership {
+    let mut member = Membership::new(Config::new(0, 5, 100, 1), 1_000_000).unwrap();
+    member.assume(&[100, 50, 50, 50, 50]);
+    member
+}
+
+fn version(epoch: u64, incarnation: u32) -> MemberVersion {
+    MemberVersion { epoch, incarnation }
+}
+
+fn gossip(from: u16, sender: MemberVersion, records: &[Record]) -> Vec<u8> {
+    let mut writer = Writer::new(sender, &Body::Gossip);
+    assert!(records.iter().all(|record| writer.add(record)));
+    writer.finish(Route { from, to: 0, peers: 5 })
+}
+
+fn record(place: u16, state: State, version: MemberVersion) -> Record {
+    let accusers = if state == Suspect { vec![2] } else { Vec::new() };
+    Record::State(StateRecord { place, state, version, accusers })
+}
+
+/// What is known of place 3, what place 1 says of it, and what is believed then.
+#[test]
+fn applies_records_about_a_member() {
+    let table = [
+        // Of somebody unknown anything is believed.
+        ((Unknown, 0, 0), (Alive, 50, 0), (Alive, 50, 0)),
+        ((Unknown, 0, 0), (Suspect, 50, 0), (Suspect, 50, 0)),
+        ((Unknown, 0, 0), (Dead, 50, 2), (Dead, 50, 2)),
+        ((Unknown, 0, 0), (Left, 50, 2), (Left, 50, 2)),
+        // A doubt counts, a death alone does not: this member asks for itself.
+        ((Alive, 50, 1), (Suspect, 50, 1), (Suspect, 50, 1)),
+        ((Alive, 50, 1), (Suspect, 50, 0), (Alive, 50, 1)),
+        ((Alive, 50, 1), (Dead, 50, 1), (Alive, 50, 1)),
+        ((Alive, 50, 1), (Dead, 50, 3), (Alive, 50, 3)),
+        ((Alive, 50, 1), (Left, 50, 2), (Left, 50, 2)),
+        // Only what the suspect itself has said since clears it.
+        ((Suspect, 50, 1), (Alive, 50, 1), (Suspect, 50, 1)),
+        ((Suspect, 50, 1), (Alive, 50, 2), (Alive, 50, 2)),
+        ((Suspect, 50, 1), (Dead, 50, 1), (Suspect, 50, 1)),
+        ((Dead, 50, 1), (Alive, 50, 1), (Dead, 50, 1)),
+        ((Dead, 50, 1), (Suspect, 50, 1), (Dead, 50, 1)),
+        ((Dead, 50, 1), (Alive, 50, 2), (Alive, 50, 2)),
+        // Who has left is back with another epoch only.
+        ((Left, 50, 1), (Alive, 50, 9), (Left, 50, 1)),
+        ((Left, 50, 1), (Dead, 50, 9), (Left, 50, 1)),
+        ((Left, 50, 1), (Alive, 51, 0), (Alive, 51, 0)),
+        // A restart replaces whatever was before it; news of an earlier epoch is refused.
+        ((Dead, 50, 7), (Alive, 51, 0), (Alive, 51, 0)),
+        ((Alive, 50, 7), (Suspect, 51, 0), (Suspect, 51, 0)),
+        ((Alive, 50, 7), (Dead, 51, 0), (Alive, 51, 0)),
+        ((Alive, 50, 0), (Suspect, 49, 9), (Alive, 50, 0)),
+        ((Alive, 50, 0), (Left, 49, 9), (Alive, 50, 0)),
+    ];
+    for (known, said, then) in table {
+        let mut member = member();
+        let (state, epoch, incarnation) = known;
+        if state == Unknown {
+            member.view.members[3].state = Unknown;
+            member.view.members[3].epoch = 0;
+            member.present -= 1;
+        } else {
+            if state == Suspect {
+                member.suspect(3, version(epoch, incarnation), &[4]);
+            } else {
+                member.set_state(3, state, version(epoch, incarnation));
+            }
+        }
+        let (state, epoch, incarnation) = said;
+        member.receive(
+            1_000_100,
+            1,
+            &gossip(1, version(50, 0), &[record(3, state, version(epoch, incarnation))]),
+        );
+        let is = member.view().members[3];
+        assert_eq!((is.state, is.epoch, is.incarnation), then, "{known:?} and {said:?}");
+        let holds = member.view().holders().iter().filter(|h| **h).count();
+        assert_eq!(holds, member.present, "{known:?} and {said:?}");
+    }
+}
+
+/// What is said of this member, at epoch 100 and incarnation 0, and what it is then.
+#[test]
+fn refutes_wrong_records_about_itself() {
+    let table = [
+        ((Suspect, 100, 0), (100, 1)),
+        ((Dead, 100, 4), (100, 5)),
+        ((Alive, 100, 0), (100, 0)),
+        ((Left, 100, 0), (101, 0)),
+        ((Suspect, 99, 5), (100, 0)),
+        // Its clock went back: it raises its epoch above the one it is known by.
+        ((Alive, 200, 0), (201, 0)),
+    ];
+    for ((state, epoch, incarnation), then) in table {
+        let mut member = member();
+        member.publish(1_000_000, 1, 7, b"x").unwrap();
+        member.receive(
+            1_000_100,
+            1,
+            &gossip(1, version(50, 0), &[record(0, state, version(epoch, incarnation))]),
+        );
+        assert_eq!(
+            (member.own_version().epoch, member.own_version().incarnation),
+            then,
+            "{state:?} {epoch} {incarnation}"
+        );
+        assert_eq!(member.view().state(0), Alive);
+        // What it told goes along to the new epoch.
+        assert_eq!(member.facts().map(|f| f.epoch).collect::<Vec<_>>(), [then.0]);
+    }
+}
+
+/// A datagram of a sender's earlier epoch has no effect, and its sender hears why.
+#[test]
+fn refuses_a_datagram_of_an_earlier_epoch_and_answers_why() {
+    let mut member = member();
+    let mut writer = Writer::new(version(49, 9), &Body::Ping { seq: 3 });
+    assert!(writer.add(&record(3, Suspect, version(50, 0))));
+    member.receive(1_000_100, 1, &writer.finish(Route { from: 1, to: 0, peers: 5 }));
+    assert_eq!((member.view().state(3), member.metrics().refused_stale), (Alive, 1));
+    let Some(Output::Send { to: 1, bytes }) = member.poll() else { panic!("nothing was said") };
+    let said = wire::read(&bytes, Route { from: 0, to: 1, peers: 5 }).unwrap();
+    assert_eq!(said.records.first(), Some(&record(1, Alive, version(50, 0))));
+}
+
+/// Whatever comes, no more is sent than the budget allows; and facts are refused beyond their bounds.
+#[test]
+fn keeps_to_the_send_budget_and_the_bounds_of_facts() {
+    let mut member = member();
+    let (mut now, mut sent) = (1_000_000, 0);
+    let ping =
+        |seq| Writer::new(version(50, 0), &Body::Ping { seq }).finish(Route { from: 1, to: 0, peers: 5 });
+    for n in 0..10_000 {
+        now += 200;
+        member.receive(now, 1, &ping(n));
+        member.tick(now);
+        while let Some(output) = member.poll() {
+            sent += if let Output::Send { bytes, .. } = output { bytes.len() } else { 0 };
+        }
+    }
+    assert!(sent <= member.config.budget as usize * 5 / 2, "{sent} bytes in two seconds");
+    assert!(member.metrics().over_budget > 0);
+    assert_eq!(
+        member.publish(now, 1, 0, &[0; MAX_FACT_BYTES + 1]),
+        Err(FactError::TooLong(MAX_FACT_BYTES + 1))
+    );
+    assert!((0..MAX_FACTS_PER_MEMBER as u32).all(|slot| member.publish(now, 1, slot, b"x").is_ok()));
+    assert_eq!(member.publish(now, 2, 0, b"x"), Err(FactError::Full));
+    assert_eq!(member.publish(now, 1, 0, b"y"), Ok(()));
+    member.leave(now);
+    assert_eq!(member.publish(now, 1, 0, b"y"), Err(FactError::Left));
+}
+
+/// Facts of the dead stay for a while, and come anew with who comes back.
+#[test]
+fn forgets_facts_of_the_departed_after_their_retention() {
+    let mut member = member();
+    let fact = Record::Fact(FactRecord {
+        place: 3,
+        key: FactKey { kind: 1, slot: 7 },
+        stamp: Stamp { epoch: 50, number: 1 },
+        bytes: vec![1],
+    });
+    member.receive(
+        1_000_100,
+        1,
+        &gossip(1, version(50, 0), &[fact.clone(), record(3, Left, version(50, 1))]),
+    );
+    let gone = 1_000_100 + member.config.forget_after;
+    for (now, held) in [(gone - 1, 1), (gone, 0)] {
+        member.tick(now);
+        assert_eq!(member.facts().count(), held);
+    }
+    member.receive(gone + 10, 1, &gossip(1, version(50, 0), std::slice::from_ref(&fact)));
+    assert_eq!(member.facts().count(), 0);
+    member.receive(gone + 20, 1, &gossip(1, version(50, 0), &[record(3, Alive, version(60, 0)), fact]));
+    assert_eq!(member.facts().count(), 1);
+}
+
+/// A process that did not run blames nobody for what it did not hear.
+#[test]
+fn a_starved_member_gives_suspects_the_time_it_lost() {
+    let mut member = member();
+    member.suspect(3, version(50, 0), &[1, 2, 4]);
+    member.tick(member.next_wake());
+    let until = member.suspicions.next_expiry().unwrap();
+    member.tick(until + 10_000_000);
+    assert_eq!((member.view().state(3), member.metrics().starved, member.metrics().health), (Suspect, 1, 1));
+}
--- a/crates/membership/src/model.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,16 +1,16 @@
 //! Many members and the net between them, in one process and on a clock of its own: an event queue over the same state
 //! machines that run on sockets. Everything follows from a seed.
 //!
-//! [`Net`] is the model, [`story`] what was asked of it, [`proof`] all stories with their verdict, which
+//! [`Network`] is the model, [`scenarios`] what was asked of it, [`proof`] all stories with their verdict, which
 //! `examples/membership_model.rs` prints.
 
-pub mod story;
+pub mod scenarios;
 
 use crate::{Change, Config, Membership, Micros, Output, OwnedFact, State, VERSION};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-pub use story::{Extent, Report, proof, run};
+pub use scenarios::{Extent, Report, proof, run};
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
@@ -63,7 +63,7 @@
 }
 
 /// The members and the net.
-pub struct Net {
+pub struct Network {
     /// The time.
     pub now: Micros,
     /// What the net does from now on.
@@ -78,9 +78,9 @@
     seed: u64,
 }
 
-impl Net {
+impl Network {
     /// So many members that all know each other already, or (not `warm`) that start within a second and know nobody.
-    pub fn new(members: u16, seed: u64, warm: bool, set: impl Fn(&mut Config) + Send + 'static) -> Net {
+    pub fn new(members: u16, seed: u64, warm: bool, set: impl Fn(&mut Config) + Send + 'static) -> Network {
         let faults = Faults {
             loss: 0.0,
             repeat: 0.0,
@@ -92,7 +92,7 @@
         let rng = fastrand::Rng::with_seed(seed);
         let set = Box::new(set);
         let queue = BinaryHeap::new();
-        let mut net = Net {
+        let mut net = Network {
             now: SECOND,
             faults,
             seen: Vec::new(),
@@ -198,7 +198,7 @@
 
     /// Runs to this time, or until this does not hold any more, as asked within 5 ms after a change. Returns whether it
     /// ended early.
-    pub fn run_while(&mut self, until: Micros, mut holds: impl FnMut(&Net) -> bool) -> bool {
+    pub fn run_while(&mut self, until: Micros, mut holds: impl FnMut(&Network) -> bool) -> bool {
         let (mut changes, mut asked) = (usize::MAX, 0);
         loop {
             if changes != self.seen.len() && self.now >= asked + 5_000 {
@@ -312,7 +312,7 @@
 
     /// Bytes sent by all members so far.
     pub fn sent_bytes(&self) -> u64 {
-        self.members().map(|(_, m)| m.figures().sent_bytes).sum()
+        self.members().map(|(_, m)| m.metrics().sent_bytes).sum()
     }
 
     /// Bytes that no version of the protocol sent: some random, some almost right, some old datagrams turned round.
--- a/crates/membership/src/model/story.rs
+++ b/crates/membership/src/simulation/scenarios.rs
@@ -1,7 +1,10 @@
 //! What was asked of the model, and whether it held.
 
-use super::{Net, SECOND};
-use crate::{Membership, Micros, State, share};
+#[cfg(test)]
+mod tests;
+
+use super::{Network, SECOND};
+use crate::{Membership, Micros, State, partition};
 use std::collections::BTreeMap;
 
 /// How much to run.
@@ -79,8 +82,8 @@
     all.into_iter().flatten().collect()
 }
 
-fn net(extent: Extent, members: u16, seed: u64, warm: bool) -> Net {
-    Net::new(members, seed, warm, move |config| config.skip_suspicion = extent.skip_suspicion)
+fn net(extent: Extent, members: u16, seed: u64, warm: bool) -> Network {
+    Network::new(members, seed, warm, move |config| config.skip_suspicion = extent.skip_suspicion)
 }
 
 /// Bytes a second a member at rest; then one is killed: when each of the others holds it dead, and how many others die.
@@ -95,7 +98,7 @@
         let victim = (net.lot(members.into())) as u16;
         net.kill(victim);
         let killed = net.now;
-        let done = |net: &Net| {
+        let done = |net: &Network| {
             net.seen.iter().filter(|s| s.change.to == State::Dead && s.change.place == victim).count()
         };
         net.run_while(killed + 60 * SECOND, |net| done(net) + 1 < members.into());
@@ -140,7 +143,7 @@
         }
         net.faults.loss = 0.0;
         net.run_to(end + 20 * SECOND);
-        let figures = net.members().map(|(_, m)| m.figures());
+        let figures = net.members().map(|(_, m)| m.metrics());
         let refuted: u64 = figures.map(|f| f.refuted).sum();
         (net.deaths(0, |_| true), refuted, net.agreed())
     };
@@ -314,7 +317,7 @@
             }
             net.run_to(end);
             for (place, m) in net.members() {
-                let sent = m.figures().sent_bytes;
+                let sent = m.metrics().sent_bytes;
                 most = most.max(sent - before[usize::from(place)]);
                 before[usize::from(place)] = sent;
             }
@@ -353,7 +356,7 @@
             let until = net.now + 500;
             net.run_to(until);
         }
-        let f = net.member(a).map(|m| m.figures()).unwrap_or_default();
+        let f = net.member(a).map(|m| m.metrics()).unwrap_or_default();
         let refused = f.refused_long + f.refused_version + f.refused_foreign + f.refused_malformed;
         let quiet = net.seen.iter().filter(|s| s.at > calm).count();
         net.with(b, |m, now| m.leave(now));
@@ -393,14 +396,14 @@
             }
             for place in 0..members {
                 let bytes = [second as u8, place as u8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
-                net.with(place, |m, now| m.tell(now, 1, (second % 16) as u32, &bytes));
+                net.with(place, |m, now| m.publish(now, 1, (second % 16) as u32, &bytes));
             }
             let until = net.now + SECOND;
             net.run_to(until);
         }
         let told = net.now;
         let rate = (net.sent_bytes() - before) as f64 / f64::from(members) / seconds(told - begun);
-        let all = |net: &Net, p: u16| -> Vec<(u8, u16, u64, u32, u64, Vec<u8>)> {
+        let all = |net: &Network, p: u16| -> Vec<(u8, u16, u64, u32, u64, Vec<u8>)> {
             let facts = net.member(p).into_iter().flat_map(|m| m.facts());
             facts.map(|f| (f.kind, f.place, f.epoch, f.slot, f.number, f.bytes.to_vec())).collect()
         };
@@ -436,14 +439,14 @@
         for step in 0..200_u64 {
             for place in 0..members {
                 let bytes = [step as u8; 150];
-                net.with(place, |m, now| m.tell(now, 1, (step % 16) as u32, &bytes));
+                net.with(place, |m, now| m.publish(now, 1, (step % 16) as u32, &bytes));
             }
             let until = net.now + SECOND / 10;
             net.run_to(until);
         }
         let told = net.now;
         let rate = (net.sent_bytes() - before) as f64 / f64::from(members) / seconds(told - begun);
-        let last = |net: &Net| {
+        let last = |net: &Network| {
             let all = |(_, m): (u16, &Membership)| {
                 m.facts().filter(|f| f.number > 184).count() == usize::from(members) * 16
             };
@@ -470,28 +473,46 @@
 /// ever had beyond its limit, and what part of it the three in ten that survive come to use.
 fn bound(extent: Extent, seeds: u64) -> Report {
     let searched = 3_000.max(seeds * 100);
-    let over: u32 = (0..searched).map(|n| share::adversary(extent.first + n, 1.0)).max().unwrap_or(0);
-    let short = (0..searched).filter(|n| share::adversary(extent.first + n, 0.0) > 0).count();
+    let over: u32 =
+        (0..searched).map(|n| partition::worst_overcommit(extent.first + n, 1.0)).max().unwrap_or(0);
+    let short = (0..searched).filter(|n| partition::worst_overcommit(extent.first + n, 0.0) > 0).count();
     let one = |seed| {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (limit, peers) = (64_u32, 30_u16);
-        let bound = share::Bound { peers, age: 2 * SECOND, flight: SECOND / 10, reserve: 16 };
-        let mut takes = vec![share::Takes::default(); peers.into()];
-        let (mut ends, mut reports): (Vec<Micros>, Vec<share::Room>) = (Vec::new(), Vec::new());
+        let bound = partition::StalenessBound {
+            peers,
+            max_report_age: 2 * SECOND,
+            max_flight_time: SECOND / 10,
+            reserve: 16,
+        };
+        let mut takes = vec![partition::TakenSlots::default(); peers.into()];
+        let (mut ends, mut reports): (Vec<Micros>, Vec<partition::ReportedCapacity>) =
+            (Vec::new(), Vec::new());
         let (mut most, mut late) = (0, 0.0);
         for step in 1..=400_u64 {
             let now = step * SECOND / 10;
             ends.retain(|at| *at > now);
             if step % 7 == 0 {
-                reports.push(share::Room { free: limit - (ends.len() as u32).min(limit), measured: now });
+                reports.push(partition::ReportedCapacity {
+                    free: limit - (ends.len() as u32).min(limit),
+                    measured_at: now,
+                });
             }
             for place in (0..peers).filter(|p| step < 200 || p % 10 < 3) {
                 // It came within 0.4 s, and the one before it may be the last that came.
-                let heard =
-                    reports.iter().rev().filter(|r| r.measured + SECOND * 2 / 5 <= now).nth(rng.usize(0..2));
+                let heard = reports
+                    .iter()
+                    .rev()
+                    .filter(|r| r.measured_at + SECOND * 2 / 5 <= now)
+                    .nth(rng.usize(0..2));
                 let Some(room) = heard.copied() else { continue };
-                let n = takes[usize::from(place)].may(now, room, &bound, share::rank(seed, place, peers));
-                takes[usize::from(place)].took(now, n);
+                let n = takes[usize::from(place)].available(
+                    now,
+                    room,
+                    &bound,
+                    partition::rank(seed, place, peers),
+                );
+                takes[usize::from(place)].record_taken(now, n);
                 ends.extend((0..n).map(|_| now + rng.u64(SECOND..20 * SECOND)));
             }
             most = most.max(ends.len() as u32);
@@ -551,29 +572,3 @@
     report.hold(deaths > 0.0 && !wrong.broken.is_empty(), "a missing suspicion is not caught");
     report
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const FEW: Extent = Extent { seeds: 2, large: 0, first: 7, skip_suspicion: false };
-
-    #[test]
-    fn stories_hold_and_a_missing_suspicion_is_caught() {
-        for part in
-            [kill(FEW, 10, 2), loss(FEW, 10, 2), heal(FEW, 10, 3, 2), mass(FEW, 10, 2), pause(FEW, 3, 2)]
-        {
-            assert_eq!(part.broken, Vec::<String>::new(), "{}", part.json());
-        }
-        for part in [one_way(FEW, 10, 2), cold(FEW, 30, 1), rest(FEW, 5, 1), facts(FEW, 10, 1)] {
-            assert_eq!(part.broken, Vec::<String>::new(), "{}", part.json());
-        }
-        let wrong = Extent { skip_suspicion: true, ..FEW };
-        assert!(!loss(wrong, 10, 2).broken.is_empty());
-    }
-
-    #[test]
-    fn the_same_seed_gives_the_same_story() {
-        assert_eq!(kill(FEW, 10, 2).json(), kill(FEW, 10, 2).json());
-    }
-}
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -2,27 +2,48 @@
 
 use crate::Micros;
 
-/// What is believed of a place. The order is the one in which news of the same epoch and incarnation replaces other news.
+/// What is believed of a place. The order is the one in which a record replaces another of the same epoch and incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// Never heard of.
+    /// No datagram or record of it was ever received.
     Unknown,
-    /// Heard of, and not doubted.
+    /// Known, and not suspected.
     Alive,
-    /// Doubted: it did not answer; it keeps its share until its time is out.
+    /// It did not answer a probe; it keeps its part of the work until the suspicion times out.
     Suspect,
-    /// It did not refute in time.
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It has said that it leaves.
+    /// It has announced that it leaves.
     Left,
 }
 
+impl State {
+    /// Whether a member in this state may hold work.
+    pub(crate) fn is_present(self) -> bool {
+        matches!(self, State::Alive | State::Suspect)
+    }
+
+    /// Whether a member in this state was there and is no more.
+    pub(crate) fn is_gone(self) -> bool {
+        matches!(self, State::Dead | State::Left)
+    }
+}
+
+/// Which of two records about a place is newer: the one of the later start, and of one start the later incarnation.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub(crate) struct MemberVersion {
+    /// The start of the process, in milliseconds of Unix time.
+    pub epoch: u64,
+    /// Raised by the member itself, to refute.
+    pub incarnation: u32,
+}
+
 /// A place as it is believed to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
     /// What is believed.
     pub state: State,
-    /// The start of the process there, 0 while unknown.
+    /// The start of the process there in milliseconds of Unix time, 0 while unknown.
     pub epoch: u64,
     /// Raised by the member itself, to refute.
     pub incarnation: u32,
@@ -30,6 +51,12 @@
     pub since: Micros,
 }
 
+impl Member {
+    pub(crate) fn version(&self) -> MemberVersion {
+        MemberVersion { epoch: self.epoch, incarnation: self.incarnation }
+    }
+}
+
 /// A change of the view. A restart that was not noticed before goes from `Alive` to `Alive`, with a greater epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
@@ -68,9 +95,14 @@
         self.members.get(usize::from(place))
     }
 
+    /// A place that is known to be one: panics where it is not.
+    pub(crate) fn at(&self, place: u16) -> Member {
+        self.members[usize::from(place)]
+    }
+
     /// What is believed of a place; one that is not among the peers is unknown.
     pub fn state(&self, place: u16) -> State {
-        self.member(place).map_or(State::Unknown, |m| m.state)
+        self.member(place).map_or(State::Unknown, |member| member.state)
     }
 
     /// All places in order.
@@ -80,11 +112,11 @@
 
     /// Which places may hold work: alive or suspect.
     pub fn holders(&self) -> Vec<bool> {
-        self.members.iter().map(|m| matches!(m.state, State::Alive | State::Suspect)).collect()
+        self.members.iter().map(|member| member.state.is_present()).collect()
     }
 
     /// How many places are in this state.
     pub fn count(&self, state: State) -> usize {
-        self.members.iter().filter(|m| m.state == state).count()
+        self.members.iter().filter(|member| member.state == state).count()
     }
 }
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use members::*;
-use mothproxy_membership::model::{run, story::Extent};
+use mothproxy_membership::simulation::{Extent, run};
 use mothproxy_testkit::fleet::{Fleet, Plan, Rules};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::policy::interface::{Micros, PeerPresence};
 use mothproxy_membership::{
-    Change, Config, ConfigError, Figures, Member, Membership, Output, OwnedFact, State, VERSION, View,
+    Change, Config, ConfigError, Member, Membership, Metrics, Output, OwnedFact, State, VERSION, View,
 };
 use std::collections::VecDeque;
 
@@ -248,7 +248,7 @@
     /// Tells the others a fact.
     pub fn tell(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
         if let (Some(members), false) = (&mut self.members, self.quiet) {
-            let _ = members.machine.tell(now, kind, slot, bytes); // full, or it has left: then nobody hears of it
+            let _ = members.machine.publish(now, kind, slot, bytes); // full, or it has left: then nobody hears of it
             self.drain(now);
         }
     }
@@ -259,8 +259,8 @@
     }
 
     /// What was counted, where membership is on.
-    pub fn figures(&self) -> Option<Figures> {
-        self.members.as_ref().map(|members| members.machine.figures())
+    pub fn figures(&self) -> Option<Metrics> {
+        self.members.as_ref().map(|members| members.machine.metrics())
     }
 
     /// Turns what the parts put out into effects.
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -5,7 +5,7 @@
 //! of it about a second later. Knowledge only: what follows from it is decided in src/policy/rules.rs.
 
 use crate::policy::interface::*;
-use mothproxy_membership::share;
+use mothproxy_membership::partition;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
@@ -261,7 +261,7 @@
         if self.gained.get(&worker).is_some_and(|since| now < since + SAID_FOR) {
             return slots;
         }
-        let part = |rank: u16| share::part(slots, self.nodes.min(u32::from(u16::MAX)) as u16, rank);
+        let part = |rank: u16| partition::allotment(slots, self.nodes.min(u32::from(u16::MAX)) as u16, rank);
         let kept = self.kept.get(&worker).map_or(0, |ranks| ranks.iter().map(|r| part(*r)).sum());
         crate::invariant!(kept <= slots, "{kept} of {slots} slots are kept for others at {worker:?}");
         kept
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -4,7 +4,7 @@
 use super::platform::Reject;
 use crate::fleet::LearnersFigures;
 use crate::http::{Piece, Request};
-use mothproxy_membership::Figures as MemberFigures;
+use mothproxy_membership::Metrics as MemberMetrics;
 use serde_json::json;
 
 /// What is asked for.
@@ -110,7 +110,7 @@
     /// All places.
     pub members: Vec<MemberRow>,
     /// What was counted.
-    pub figures: MemberFigures,
+    pub figures: MemberMetrics,
 }
 
 /// The figures of this process, counted from its start.
@@ -199,7 +199,7 @@
     answer("200 OK", "text/plain", text)
 }
 
-fn refused(f: &MemberFigures) -> u64 {
+fn refused(f: &MemberMetrics) -> u64 {
     f.refused_long + f.refused_version + f.refused_foreign + f.refused_malformed + f.refused_stale
 }
 
@@ -219,8 +219,8 @@
             "refused_foreign": f.refused_foreign, "refused_malformed": f.refused_malformed,
             "refused_stale": f.refused_stale, "over_budget": f.over_budget, "probes": f.probes,
             "probes_failed": f.probes_failed, "suspected": f.suspected, "declared_dead": f.declared_dead,
-            "refuted": f.refuted, "starved": f.starved, "health": f.health, "facts_told": f.facts_told,
-            "facts_taken": f.facts_taken, "facts_refused": f.facts_refused, "facts_held": f.facts_held,
+            "refuted": f.refuted, "starved": f.starved, "health": f.health, "facts_told": f.facts_published,
+            "facts_taken": f.facts_received, "facts_refused": f.facts_refused, "facts_held": f.facts_held,
             "syncs": f.syncs,
         },
     });
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -27,7 +27,7 @@
         me: 1,
         version: 77,
         members: (0..).zip(states).map(|(place, state)| row(place, state)).collect(),
-        figures: mothproxy_membership::Figures {
+        figures: mothproxy_membership::Metrics {
             sent: 1,
             sent_bytes: 2,
             received: 3,
@@ -45,8 +45,8 @@
             refuted: 15,
             starved: 16,
             health: 17,
-            facts_told: 18,
-            facts_taken: 19,
+            facts_published: 18,
+            facts_received: 19,
             facts_refused: 20,
             facts_held: 21,
             syncs: 22,
--- a/tests/compatibility/membership.rs
+++ b/tests/compatibility/membership.rs
@@ -28,7 +28,7 @@
         }
         if step % 40 == 7 {
             let fact = step.to_be_bytes();
-            machines[usize::from(step as u16 / 40 % 4)].tell(now, 9, (step / 40 % 3) as u32, &fact).ok();
+            machines[usize::from(step as u16 / 40 % 4)].publish(now, 9, (step / 40 % 3) as u32, &fact).ok();
         }
         for place in 0..MEMBERS {
             let machine = &mut machines[usize::from(place)];
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -3,7 +3,7 @@
 //! of them saw since the last `seen`.
 
 use crate::table::{Machine, beyond};
-use mothproxy_membership::model::Net;
+use mothproxy_membership::simulation::Network;
 use mothproxy_membership::{Config, Membership, Output, State, VERSION};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -84,7 +84,7 @@
 }
 
 pub struct Members {
-    net: Net,
+    net: Network,
     /// Changes up to here have been asked for.
     asked: usize,
 }
@@ -104,14 +104,14 @@
 
     fn new(given: Value, seed: u64) -> Result<Members, String> {
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
-        let mut net = Net::new(given.members, seed, given.warm, |_| {});
+        let mut net = Network::new(given.members, seed, given.warm, |_| {});
         net.faults.loss = given.loss;
         Ok(Members { net, asked: 0 })
     }
 
     fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
         let net = &mut self.net;
-        let all = |net: &Net, but: u16, what: &dyn Fn(&Membership) -> String| {
+        let all = |net: &Network, but: u16, what: &dyn Fn(&Membership) -> String| {
             let words: BTreeSet<String> =
                 net.members().filter(|(place, _)| *place != but).map(|(_, m)| what(m)).collect();
             words.into_iter().map(|word| format!("{but} {word}")).collect()
@@ -150,7 +150,7 @@
                 return Ok(vec![format!("{of} {own}")]);
             }
             Verb::Refuted(of) => {
-                let times = net.member(of).map_or(0, |m| m.figures().refuted);
+                let times = net.member(of).map_or(0, |m| m.metrics().refuted);
                 return Ok(vec![format!("{of} refuted {times}")]);
             }
             Verb::Seen(of) => {
@@ -169,7 +169,7 @@
                     Bytes::OtherVersion => [&[VERSION + 1], &sound[1..]].concat(),
                     Bytes::Sound => sound,
                 };
-                let figures = |net: &Net| net.member(to).map(|m| m.figures()).unwrap_or_default();
+                let figures = |net: &Network| net.member(to).map(|m| m.metrics()).unwrap_or_default();
                 let before = figures(net);
                 net.forge(to, from, &bytes);
                 let after = figures(net);
@@ -183,7 +183,7 @@
                 return Ok(counts.iter().filter(|c| c.1 > 0).map(|c| c.0.to_owned()).collect());
             }
             Verb::Tell { by, slot, text } => {
-                let told = net.with(by, |member, now| member.tell(now, 1, slot, text.as_bytes()));
+                let told = net.with(by, |member, now| member.publish(now, 1, slot, text.as_bytes()));
                 if let Some(Err(fault)) = told {
                     return Err(fault.to_string());
                 }
@@ -224,7 +224,7 @@
 }
 
 /// A datagram as a member might have sent it.
-fn sound(net: &Net, to: u16) -> Result<Vec<u8>, String> {
+fn sound(net: &Network, to: u16) -> Result<Vec<u8>, String> {
     let from = u16::from(to == 0);
     let epoch = net.member(from).and_then(|m| m.view().member(from)).map_or(0, |m| m.epoch);
     let config = Config::new(from, net.members().count() as u16, epoch, 1);
