--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,8 +1,8 @@
-//! Many members and the net between them, in one process and on a clock of its own: an event queue over the same state
+//! Many members and the network between them, in one process and on a clock of its own: an event queue over the same state
 //! machines that run on sockets. Everything follows from a seed.
 //!
-//! [`Network`] is the model, [`scenarios`] what was asked of it, [`proof`] all stories with their verdict, which
-//! `examples/membership_model.rs` prints.
+//! [`Network`] is the simulation, [`scenarios`] what is asked of it; [`proof`] runs all scenarios and gives their verdict,
+//! which `examples/membership_model.rs` prints.
 
 pub mod scenarios;
 
@@ -14,29 +14,37 @@
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
-/// What a socket keeps for a process that does not read.
-const INBOX: usize = 256;
+/// How many datagrams a socket keeps for a process that does not read.
+const PAUSED_INBOX_CAPACITY: usize = 256;
+/// [`Network::run_while`] asks its condition at most this often.
+const CONDITION_INTERVAL: Micros = 5_000;
+/// Members that start cold do so within this many milliseconds.
+const COLD_START_MS: u64 = 5_000;
+/// The epoch of a restarted process is this much after that of the one before, in milliseconds.
+const RESTART_MS: u64 = 10_000;
+/// The epoch of the member at place 0, in milliseconds of Unix time.
+const FIRST_EPOCH: u64 = 1_700_000_000_000;
 
-/// What the net does to datagrams.
+/// What the network does to datagrams.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// This part is lost.
+    /// This fraction is lost.
     pub loss: f64,
-    /// This part comes twice.
+    /// This fraction arrives twice.
     pub repeat: f64,
-    /// Under way for at least and at most this long.
+    /// The least and the most time that a datagram is under way.
     pub latency: (Micros, Micros),
-    /// The side of each place; what would cross is lost.
+    /// The side of each place; what would cross from one side to another is lost.
     pub sides: Vec<u8>,
-    /// Places that nothing reaches, though what they send arrives.
-    pub deaf: Vec<bool>,
-    /// From here to there nothing comes through; the other way it does.
+    /// Places that no datagram reaches, though what they send arrives.
+    pub inbound_blocked: Vec<bool>,
+    /// From the first place of a pair to the second nothing comes through; the other way it does.
     pub one_way: Vec<(u16, u16)>,
 }
 
 /// A change that a member saw.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct ObservedChange {
     /// When.
     pub at: Micros,
     /// By whom.
@@ -45,150 +53,183 @@
     pub change: Change,
 }
 
+/// How the members of a network start.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Start {
+    /// They all know each other already.
+    Warm,
+    /// They start within a short time and know nobody.
+    Cold,
+}
+
+/// A place and the process there, if one runs.
 struct Node {
     member: Option<Membership>,
     epoch: u64,
     starts: u64,
-    paused: bool,
+    is_paused: bool,
+    /// Sender and datagram, received while paused.
     inbox: VecDeque<(u16, Vec<u8>)>,
     /// The earliest wake in the queue.
     wake: Micros,
     facts: Vec<OwnedFact>,
 }
 
+/// What happens at a time of the queue.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives { to: u16, from: u16, bytes: Vec<u8> },
-    Wakes { place: u16 },
+    DatagramArrives { to: u16, from: u16, bytes: Vec<u8> },
+    Wake { place: u16 },
 }
 
-/// The members and the net.
+/// The members and the network.
 pub struct Network {
     /// The time.
     pub now: Micros,
-    /// What the net does from now on.
+    /// What the network does from now on.
     pub faults: Faults,
-    /// Every change that any member saw.
-    pub seen: Vec<Seen>,
+    /// Every change that any member saw, in order.
+    pub changes: Vec<ObservedChange>,
     rng: fastrand::Rng,
     nodes: Vec<Node>,
+    /// By time, and of one time by the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    events: u64,
-    set: Box<dyn Fn(&mut Config) + Send>,
+    scheduled: u64,
+    adjust_config: Box<dyn Fn(&mut Config) + Send>,
     seed: u64,
 }
 
 impl Network {
-    /// So many members that all know each other already, or (not `warm`) that start within a second and know nobody.
-    pub fn new(members: u16, seed: u64, warm: bool, set: impl Fn(&mut Config) + Send + 'static) -> Network {
+    /// So many members; `adjust_config` changes the configuration of each before it starts.
+    pub fn new(
+        members: u16,
+        seed: u64,
+        start: Start,
+        adjust_config: impl Fn(&mut Config) + Send + 'static,
+    ) -> Network {
         let faults = Faults {
             loss: 0.0,
             repeat: 0.0,
             latency: (200, 2_000),
             sides: vec![0; members.into()],
-            deaf: vec![false; members.into()],
+            inbound_blocked: vec![false; members.into()],
             one_way: Vec::new(),
         };
-        let rng = fastrand::Rng::with_seed(seed);
-        let set = Box::new(set);
-        let queue = BinaryHeap::new();
-        let mut net = Network {
+        let mut network = Network {
             now: SECOND,
             faults,
-            seen: Vec::new(),
-            rng,
+            changes: Vec::new(),
+            rng: fastrand::Rng::with_seed(seed),
             nodes: Vec::new(),
-            queue,
-            events: 0,
-            set,
+            queue: BinaryHeap::new(),
+            scheduled: 0,
+            adjust_config: Box::new(adjust_config),
             seed,
         };
+        network.add_nodes(members, start);
+        network
+    }
+
+    fn add_nodes(&mut self, members: u16, start: Start) {
         for place in 0..members {
-            let epoch = 1_700_000_000_000 + net.rng.u64(0..5_000) * u64::from(!warm) + u64::from(place);
-            let inbox = VecDeque::new();
-            let facts = Vec::new();
-            net.nodes.push(Node {
+            let delay = self.rng.u64(0..COLD_START_MS);
+            let delay = if start == Start::Cold { delay } else { 0 };
+            self.nodes.push(Node {
                 member: None,
-                epoch,
+                epoch: FIRST_EPOCH + delay + u64::from(place),
                 starts: 0,
-                paused: false,
-                inbox,
+                is_paused: false,
+                inbox: VecDeque::new(),
                 wake: u64::MAX,
-                facts,
+                facts: Vec::new(),
             });
         }
-        let epochs: Vec<u64> = net.nodes.iter().map(|n| n.epoch).collect();
+        let epochs: Vec<u64> = self.nodes.iter().map(|node| node.epoch).collect();
         for place in 0..members {
-            net.start(place);
-            if warm {
-                let member = net.nodes[usize::from(place)].member.as_mut();
-                member.into_iter().for_each(|m| m.assume(&epochs));
-                net.act(place);
+            self.start(place);
+            if start == Start::Warm {
+                if let Some(member) = &mut self.node_mut(place).member {
+                    member.assume(&epochs);
+                }
+                self.carry_out_outputs(place);
             }
         }
-        net
+    }
+
+    fn node(&self, place: u16) -> &Node {
+        &self.nodes[usize::from(place)]
+    }
+
+    fn node_mut(&mut self, place: u16) -> &mut Node {
+        &mut self.nodes[usize::from(place)]
     }
 
     /// Starts a process at this place, with an epoch after that of the one before.
     pub fn start(&mut self, place: u16) {
         let peers = self.nodes.len() as u16;
-        let now = self.now;
-        let node = &mut self.nodes[usize::from(place)];
-        node.epoch += 10_000 * u64::from(node.starts > 0);
+        let (now, seed) = (self.now, self.seed);
+        let node = self.node_mut(place);
+        if node.starts > 0 {
+            node.epoch += RESTART_MS;
+        }
         node.starts += 1;
         node.facts.clear();
-        let seed = self.seed ^ node.starts << 40;
-        let mut config = Config::new(place, peers, node.epoch, seed);
-        (self.set)(&mut config);
+        let mut config = Config::new(place, peers, node.epoch, seed ^ node.starts << 40);
+        (self.adjust_config)(&mut config);
+        let node = self.node_mut(place);
         node.member = Membership::new(config, now).ok();
         node.wake = u64::MAX;
-        self.act(place);
+        self.carry_out_outputs(place);
     }
 
-    /// Ends the process at this place, without a word.
+    /// Ends the process at this place; it announces nothing.
     pub fn kill(&mut self, place: u16) {
-        let node = &mut self.nodes[usize::from(place)];
+        let node = self.node_mut(place);
         node.member = None;
         node.inbox.clear();
-        node.paused = false;
+        node.is_paused = false;
     }
 
-    /// Stops it (SIGSTOP) or lets it go on; what came meanwhile then waits for it, the first few.
-    pub fn pause(&mut self, place: u16, paused: bool) {
-        self.nodes[usize::from(place)].paused = paused;
-        if !paused {
-            let inbox = std::mem::take(&mut self.nodes[usize::from(place)].inbox);
-            inbox.into_iter().for_each(|(from, bytes)| self.arrive(place, from, &bytes));
-            self.wake(place);
-        }
+    /// Stops a process, as by SIGSTOP. The first few datagrams that come meanwhile wait for it.
+    pub fn pause(&mut self, place: u16) {
+        self.node_mut(place).is_paused = true;
+    }
+
+    /// Lets a paused process go on.
+    pub fn resume(&mut self, place: u16) {
+        let node = self.node_mut(place);
+        node.is_paused = false;
+        let inbox = std::mem::take(&mut node.inbox);
+        inbox.into_iter().for_each(|(from, bytes)| self.on_datagram(place, from, &bytes));
+        self.on_wake(place);
     }
 
-    /// Does something to a member, and what follows from it.
-    pub fn with<T>(&mut self, place: u16, what: impl FnOnce(&mut Membership, Micros) -> T) -> Option<T> {
+    /// Does something to a member, and carries out what follows from it.
+    pub fn with<T>(&mut self, place: u16, action: impl FnOnce(&mut Membership, Micros) -> T) -> Option<T> {
         let now = self.now;
-        let done = self.nodes[usize::from(place)].member.as_mut().map(|m| what(m, now));
-        self.act(place);
-        done
+        let result = self.node_mut(place).member.as_mut().map(|member| action(member, now));
+        self.carry_out_outputs(place);
+        result
     }
 
     /// The member at this place, if its process runs (or is paused).
     pub fn member(&self, place: u16) -> Option<&Membership> {
-        self.nodes[usize::from(place)].member.as_ref()
+        self.node(place).member.as_ref()
     }
 
-    /// All processes there are, paused ones too.
+    /// All members whose processes run, paused ones too.
     pub fn members(&self) -> impl Iterator<Item = (u16, &Membership)> {
-        (0..).zip(&self.nodes).filter_map(|(place, n)| n.member.as_ref().map(|m| (place, m)))
+        (0..).zip(&self.nodes).filter_map(|(place, node)| node.member.as_ref().map(|member| (place, member)))
     }
 
-    /// What this member was told of facts, in order.
+    /// The facts that this member received, in order.
     pub fn facts(&self, place: u16) -> &[OwnedFact] {
-        &self.nodes[usize::from(place)].facts
+        &self.node(place).facts
     }
 
-    /// A datagram that no member has sent.
+    /// Delivers a datagram that no member has sent.
     pub fn forge(&mut self, to: u16, from: u16, bytes: &[u8]) {
-        self.arrive(to, from, bytes);
+        self.on_datagram(to, from, bytes);
     }
 
     /// Runs to this time.
@@ -196,136 +237,152 @@
         self.run_while(until, |_| true);
     }
 
-    /// Runs to this time, or until this does not hold any more, as asked within 5 ms after a change. Returns whether it
+    /// Runs for this long.
+    pub fn run_for(&mut self, span: Micros) {
+        self.run_to(self.now + span);
+    }
+
+    /// Runs to this time, or until `holds` returns false, which is called within 5 ms after a change. Returns whether it
     /// ended early.
     pub fn run_while(&mut self, until: Micros, mut holds: impl FnMut(&Network) -> bool) -> bool {
-        let (mut changes, mut asked) = (usize::MAX, 0);
+        let (mut changes_checked, mut checked_at) = (usize::MAX, 0);
         loop {
-            if changes != self.seen.len() && self.now >= asked + 5_000 {
-                (changes, asked) = (self.seen.len(), self.now);
+            let has_changed = changes_checked != self.changes.len();
+            if has_changed && self.now >= checked_at + CONDITION_INTERVAL {
+                (changes_checked, checked_at) = (self.changes.len(), self.now);
                 if !holds(self) {
                     return true;
                 }
             }
-            match self.queue.peek() {
-                Some(Reverse((at, ..))) if *at <= until => {}
-                _ => {
-                    self.now = until;
-                    return false;
-                }
+            if self.queue.peek().is_none_or(|Reverse((at, ..))| *at > until) {
+                self.now = until;
+                return false;
             }
             let Some(Reverse((at, _, event))) = self.queue.pop() else { return false };
             self.now = at;
             match event {
-                Event::Arrives { to, from, bytes } => self.arrive(to, from, &bytes),
-                Event::Wakes { place } => {
-                    if self.nodes[usize::from(place)].wake == at {
-                        self.nodes[usize::from(place)].wake = u64::MAX;
-                        self.wake(place);
-                    }
+                Event::DatagramArrives { to, from, bytes } => self.on_datagram(to, from, &bytes),
+                // A wake that an earlier one has replaced does not count.
+                Event::Wake { place } if self.node(place).wake == at => {
+                    self.node_mut(place).wake = u64::MAX;
+                    self.on_wake(place);
                 }
+                Event::Wake { .. } => {}
             }
         }
     }
 
-    fn arrive(&mut self, to: u16, from: u16, bytes: &[u8]) {
+    fn on_datagram(&mut self, to: u16, from: u16, bytes: &[u8]) {
         let now = self.now;
-        let node = &mut self.nodes[usize::from(to)];
-        if node.paused {
-            if node.inbox.len() < INBOX {
+        let node = self.node_mut(to);
+        if node.is_paused {
+            if node.inbox.len() < PAUSED_INBOX_CAPACITY {
                 node.inbox.push_back((from, bytes.to_vec()));
             }
         } else if let Some(member) = &mut node.member {
             member.receive(now, from, bytes);
-            self.act(to);
+            self.carry_out_outputs(to);
         }
     }
 
-    fn wake(&mut self, place: u16) {
+    fn on_wake(&mut self, place: u16) {
         let now = self.now;
-        let node = &mut self.nodes[usize::from(place)];
-        if let Some(member) = node.member.as_mut().filter(|_| !node.paused) {
+        let node = self.node_mut(place);
+        if let Some(member) = node.member.as_mut().filter(|_| !node.is_paused) {
             if member.next_wake() <= now {
                 member.tick(now);
             }
-            self.act(place);
+            self.carry_out_outputs(place);
         }
     }
 
-    fn push(&mut self, at: Micros, event: Event) {
-        self.events += 1;
-        self.queue.push(Reverse((at, self.events, event)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled, event)));
     }
 
-    fn act(&mut self, place: u16) {
+    /// Sends what a member wants sent, keeps what it saw, and schedules its next wake.
+    fn carry_out_outputs(&mut self, place: u16) {
         let now = self.now;
-        while let Some(output) = self.nodes[usize::from(place)].member.as_mut().and_then(Membership::poll) {
+        while let Some(output) = self.node_mut(place).member.as_mut().and_then(Membership::poll) {
             match output {
-                Output::Send { to, bytes } => self.carry(place, to, bytes),
-                Output::Changed(change) => self.seen.push(Seen { at: now, by: place, change }),
-                Output::Fact(fact) => self.nodes[usize::from(place)].facts.push(fact),
+                Output::Send { to, bytes } => self.transmit(place, to, &bytes),
+                Output::Changed(change) => self.changes.push(ObservedChange { at: now, by: place, change }),
+                Output::Fact(fact) => self.node_mut(place).facts.push(fact),
             }
         }
-        let node = &mut self.nodes[usize::from(place)];
+        let node = self.node_mut(place);
         let wake = node.member.as_ref().map_or(u64::MAX, Membership::next_wake).max(now + 1);
         if wake < node.wake {
             node.wake = wake;
-            self.push(wake, Event::Wakes { place });
+            self.schedule(wake, Event::Wake { place });
         }
     }
 
-    fn carry(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
+    fn transmit(&mut self, from: u16, to: u16, bytes: &[u8]) {
         let faults = &self.faults;
-        let cut = faults.sides[usize::from(from)] != faults.sides[usize::from(to)]
-            || faults.deaf[usize::from(to)]
+        let is_cut = faults.sides[usize::from(from)] != faults.sides[usize::from(to)]
+            || faults.inbound_blocked[usize::from(to)]
             || faults.one_way.contains(&(from, to));
-        let (loss, repeat, (least, most)) = (faults.loss, faults.repeat, faults.latency);
-        if cut || self.rng.f64() < loss {
+        let (loss, repeat, (min_latency, max_latency)) = (faults.loss, faults.repeat, faults.latency);
+        if is_cut || self.rng.f64() < loss {
             return;
         }
-        let twice = self.rng.f64() < repeat;
-        for _ in 0..=u8::from(twice) {
-            let at = self.now + self.rng.u64(least..=most);
-            self.push(at, Event::Arrives { to, from, bytes: bytes.clone() });
+        let copies = if self.rng.f64() < repeat { 2 } else { 1 };
+        for _ in 0..copies {
+            let at = self.now + self.rng.u64(min_latency..=max_latency);
+            self.schedule(at, Event::DatagramArrives { to, from, bytes: bytes.to_vec() });
         }
     }
 
     /// Whether all processes that run hold all others that run alive, at their present epochs, and all the rest gone.
-    pub fn agreed(&self) -> bool {
-        self.members().all(|(_, m)| {
-            m.view().iter().zip(&self.nodes).all(|((_, member), node)| match &node.member {
-                Some(there) => {
-                    member.state == State::Alive
-                        && Some(member.epoch) == there.view().member(there.place()).map(|m| m.epoch)
+    pub fn has_agreement(&self) -> bool {
+        self.members().all(|(_, observer)| {
+            observer.view().iter().zip(&self.nodes).all(|((_, believed), node)| match &node.member {
+                Some(member) => {
+                    let own = member.view().member(member.place());
+                    believed.state == State::Alive && Some(believed.epoch) == own.map(|own| own.epoch)
                 }
-                None => !matches!(member.state, State::Alive | State::Suspect),
+                None => !believed.state.is_present(),
             })
         })
     }
 
-    /// Deaths seen of places whose process ran all the while and was never cut off: by the caller's word, `live`.
-    pub fn deaths(&self, since: Micros, live: impl Fn(u16) -> bool) -> usize {
-        let dead =
-            |s: &&Seen| s.at >= since && s.change.to == State::Dead && live(s.change.place) && live(s.by);
-        self.seen.iter().filter(dead).count()
+    /// Whether all other members that run hold a place in this state.
+    pub fn others_hold(&self, place: u16, state: State) -> bool {
+        let mut others = self.members().filter(|(other, _)| *other != place);
+        others.all(|(_, member)| member.view().state(place) == state)
+    }
+
+    /// Deaths seen since a time, by and of members for which `is_live` holds: those that ran all the while and were never
+    /// cut off.
+    pub fn false_deaths(&self, since: Micros, is_live: impl Fn(u16) -> bool) -> usize {
+        let deaths = self.changes.iter().filter(|seen| seen.at >= since && seen.change.to == State::Dead);
+        deaths.filter(|seen| is_live(seen.change.place) && is_live(seen.by)).count()
     }
 
     /// Bytes sent by all members so far.
     pub fn sent_bytes(&self) -> u64 {
-        self.members().map(|(_, m)| m.metrics().sent_bytes).sum()
+        self.members().map(|(_, member)| member.metrics().sent_bytes).sum()
     }
 
-    /// Bytes that no version of the protocol sent: some random, some almost right, some old datagrams turned round.
-    pub fn rubbish(&mut self) -> Vec<u8> {
-        let mut bytes: Vec<u8> = (0..self.rng.usize(0..400)).map(|_| self.rng.u8(..)).collect();
+    /// Random bytes, half of them with the version of a datagram in front.
+    pub fn random_datagram(&mut self) -> Vec<u8> {
+        let length = self.rng.usize(0..400);
+        let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.u8(..)).collect();
         if let Some(first) = bytes.first_mut() {
             *first = if self.rng.bool() { VERSION } else { *first };
         }
         bytes
     }
 
-    /// A number below this, from the net's seed.
-    pub fn lot(&mut self, below: u64) -> u64 {
-        self.rng.u64(0..below)
+    /// A random number below this.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.u64(0..bound)
+    }
+
+    /// The place of a random member.
+    pub fn random_place(&mut self) -> u16 {
+        self.random_below(self.nodes.len() as u64) as u16
     }
 }
--- /dev/null
+++ b/crates/membership/src/simulation/scenarios/overcommit.rs
@@ -0,0 +1,80 @@
+//! Places that take slots of one worker, each by the last report that it has.
+
+use super::{Extent, Report};
+use crate::Micros;
+use crate::partition::{ReportedCapacity, StalenessBound, TakenSlots, rank, worst_overcommit};
+use crate::simulation::SECOND;
+
+/// Places that take of the worker.
+const PEERS: u16 = 30;
+/// Slots of the worker.
+const LIMIT: u32 = 64;
+/// How long a step of the run is.
+const STEP: Micros = SECOND / 10;
+/// Steps of a run; from half of them on only three in ten places live.
+const STEPS: u64 = 400;
+/// The last steps, over which the use by the survivors is measured.
+const MEASURED_STEPS: u64 = 100;
+
+struct OvercommitRun {
+    /// The most that the worker had beyond its limit.
+    beyond_limit: u32,
+    /// The fraction of the worker that the survivors used in the end.
+    used_by_survivors: f64,
+}
+
+/// A worker that 30 places take of, each by the last report it has, cut off and killed as may be: the most it ever had
+/// beyond its limit, and the fraction of it that the three in ten that survive come to use.
+pub(super) fn overcommit(extent: Extent, seeds: u64) -> Report {
+    let searched = 3_000.max(seeds * 100);
+    let worst_by_search =
+        (0..searched).map(|n| worst_overcommit(extent.first_seed + n, 1.0)).max().unwrap_or(0);
+    let found_with_short_window =
+        (0..searched).filter(|n| worst_overcommit(extent.first_seed + n, 0.0) > 0).count();
+    let runs = extent.for_each_seed(seeds, overcommit_run);
+    let mut report = Report::default();
+    let beyond = runs.iter().map(|run| run.beyond_limit).max().unwrap_or(0).max(worst_by_search);
+    report.record("bound_beyond_limit", f64::from(beyond));
+    report.record("bound_found_with_a_short_window", found_with_short_window as f64);
+    report.record_mean("bound_used_by_three_in_ten", runs.iter().map(|run| run.used_by_survivors));
+    report.check(beyond == 0, format!("a worker had {beyond} more than its limit"));
+    report.check(found_with_short_window > 0, "the search for a broken bound finds none where there is one");
+    report
+}
+
+fn overcommit_run(seed: u64) -> OvercommitRun {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let bound = StalenessBound {
+        peers: PEERS,
+        max_report_age: 2 * SECOND,
+        max_flight_time: SECOND / 10,
+        reserve: 16,
+    };
+    let mut taken = vec![TakenSlots::default(); PEERS.into()];
+    let mut job_ends: Vec<Micros> = Vec::new();
+    let mut reports: Vec<ReportedCapacity> = Vec::new();
+    let (mut most, mut used_by_survivors) = (0, 0.0);
+    for step in 1..=STEPS {
+        let now = step * STEP;
+        job_ends.retain(|at| *at > now);
+        if step % 7 == 0 {
+            let used = (job_ends.len() as u32).min(LIMIT);
+            reports.push(ReportedCapacity { free: LIMIT - used, measured_at: now });
+        }
+        for place in (0..PEERS).filter(|place| step < STEPS / 2 || place % 10 < 3) {
+            // A report comes within 0.4 s, and the one before it may be the last that came.
+            let has_come = |report: &&ReportedCapacity| report.measured_at + SECOND * 2 / 5 <= now;
+            let mut received = reports.iter().rev().filter(has_come);
+            let Some(reported) = received.nth(rng.usize(0..2)).copied() else { continue };
+            let taken = &mut taken[usize::from(place)];
+            let slots = taken.available(now, reported, &bound, rank(seed, place, PEERS));
+            taken.record_taken(now, slots);
+            job_ends.extend((0..slots).map(|_| now + rng.u64(SECOND..20 * SECOND)));
+        }
+        most = most.max(job_ends.len() as u32);
+        if step > STEPS - MEASURED_STEPS {
+            used_by_survivors += job_ends.len() as f64 / f64::from(LIMIT) / MEASURED_STEPS as f64;
+        }
+    }
+    OvercommitRun { beyond_limit: most.saturating_sub(LIMIT), used_by_survivors }
+}
--- /dev/null
+++ b/crates/membership/src/simulation/scenarios/publishing.rs
@@ -0,0 +1,137 @@
+//! Facts that all members publish.
+
+use super::{Extent, Report, seconds};
+use crate::simulation::{Network, SECOND};
+use crate::{Micros, OwnedFact};
+
+/// Each member publishes to so many slots, in turn.
+const SLOTS: u64 = 16;
+/// The kind of the facts.
+const KIND: u8 = 1;
+
+struct FactsRun {
+    bytes_a_second: f64,
+    /// Seconds from the last fact until all hold the same; infinite where they never did.
+    same_after: f64,
+}
+
+/// Bytes a second a member since a time.
+fn bytes_a_second(network: &Network, members: u16, since: Micros, sent_before: u64) -> f64 {
+    let sent = (network.sent_bytes() - sent_before) as f64;
+    sent / f64::from(members) / seconds(network.now - since)
+}
+
+/// Each publishes a fact a second, one in ten datagrams is lost, two sides are cut for a while and one is restarted: in the
+/// end all hold the same, and what was published for each slot last.
+pub(super) fn facts(extent: Extent, members: u16, seeds: u64) -> Report {
+    let runs = extent.for_each_seed(seeds, |seed| facts_run(extent, members, seed));
+    let mut report = Report::default();
+    let same_after = runs.iter().map(|run| run.same_after);
+    report.record_quantile(format!("facts_same_p99_s_{members}"), 0.99, same_after);
+    report.record_mean(format!("facts_bytes_a_second_{members}"), runs.iter().map(|run| run.bytes_a_second));
+    report.check(
+        runs.iter().all(|run| run.same_after.is_finite()),
+        format!("facts among {members} differ 60 s later"),
+    );
+    report
+}
+
+fn facts_run(extent: Extent, members: u16, seed: u64) -> FactsRun {
+    let mut network = extent.settled_network(members, seed);
+    network.faults.loss = 0.1;
+    let (sent_before, started_at) = (network.sent_bytes(), network.now);
+    for second in 0..40_u64 {
+        let is_cut = (10..25).contains(&second);
+        network.faults.sides = (0..members).map(|place| u8::from(is_cut && place % 2 == 0)).collect();
+        if second == 30 {
+            network.kill(1);
+            network.start(1);
+        }
+        for place in 0..members {
+            let mut bytes = [0; 20];
+            bytes[..2].copy_from_slice(&[second as u8, place as u8]);
+            network.with(place, |member, now| member.publish(now, KIND, (second % SLOTS) as u32, &bytes));
+        }
+        network.run_for(SECOND);
+    }
+    let published_at = network.now;
+    let bytes_a_second = bytes_a_second(&network, members, started_at, sent_before);
+    let mut same_after = f64::INFINITY;
+    for quarter in 0..240_u64 {
+        network.run_to(published_at + quarter * SECOND / 4);
+        let first = facts_held(&network, 0);
+        let is_complete = first.len() == usize::from(members) * SLOTS as usize;
+        if is_complete && (1..members).all(|place| facts_held(&network, place) == first) {
+            same_after = seconds(network.now - published_at);
+            break;
+        }
+    }
+    FactsRun { bytes_a_second, same_after }
+}
+
+/// All facts that a member holds.
+fn facts_held(network: &Network, place: u16) -> Vec<OwnedFact> {
+    let facts = network.member(place).into_iter().flat_map(crate::Membership::facts);
+    let owned = |fact: crate::Fact<'_>| OwnedFact {
+        kind: fact.kind,
+        place: fact.place,
+        epoch: fact.epoch,
+        slot: fact.slot,
+        number: fact.number,
+        bytes: fact.bytes.to_vec(),
+    };
+    facts.map(owned).collect()
+}
+
+struct FloodRun {
+    bytes_a_second: f64,
+    /// Seconds from the last fact until all hold the last of each slot, or until this was given up.
+    ended_after: f64,
+    are_same: bool,
+    false_deaths: usize,
+}
+
+/// Each publishes ten long facts a second, many times what the budget carries: probes do not suffer, nobody sends more than
+/// the budget, and once the publishing ends all come to hold the same.
+pub(super) fn flood(extent: Extent, members: u16, seeds: u64) -> Report {
+    let runs = extent.for_each_seed(seeds, |seed| flood_run(extent, members, seed));
+    let mut report = Report::default();
+    let rate = runs.iter().map(|run| run.bytes_a_second).fold(0.0, f64::max);
+    let ended_after = runs.iter().map(|run| run.ended_after);
+    report.record(format!("flood_bytes_a_second_{members}"), rate);
+    report.record_quantile(format!("flood_same_p99_s_{members}"), 0.99, ended_after);
+    report.check(rate < 16_384.0 * 1.1, format!("{rate} bytes a second under a flood of facts"));
+    report.check(runs.iter().all(|run| run.are_same), "facts differ two minutes after a flood of them");
+    report.check(runs.iter().all(|run| run.false_deaths == 0), "a flood of facts made members die");
+    report
+}
+
+fn flood_run(extent: Extent, members: u16, seed: u64) -> FloodRun {
+    const ROUNDS: u64 = 200;
+    let mut network = extent.settled_network(members, seed);
+    let (sent_before, started_at) = (network.sent_bytes(), network.now);
+    for round in 0..ROUNDS {
+        for place in 0..members {
+            let bytes = [round as u8; 150];
+            network.with(place, |member, now| member.publish(now, KIND, (round % SLOTS) as u32, &bytes));
+        }
+        network.run_for(SECOND / 10);
+    }
+    let published_at = network.now;
+    let bytes_a_second = bytes_a_second(&network, members, started_at, sent_before);
+    let all_hold_the_last = |network: &Network| {
+        network.members().all(|(_, member)| {
+            let last = member.facts().filter(|fact| fact.number > ROUNDS - SLOTS).count();
+            last == usize::from(members) * SLOTS as usize
+        })
+    };
+    while !all_hold_the_last(&network) && network.now < published_at + 120 * SECOND {
+        network.run_for(SECOND);
+    }
+    FloodRun {
+        bytes_a_second,
+        ended_after: seconds(network.now - published_at),
+        are_same: all_hold_the_last(&network),
+        false_deaths: network.false_deaths(0, |_| true),
+    }
+}
--- /dev/null
+++ b/crates/membership/src/simulation/scenarios/report.rs
@@ -0,0 +1,61 @@
+//! What scenarios measured, and what did not hold.
+
+use std::collections::BTreeMap;
+
+/// What was measured, by name, and what did not hold.
+#[derive(Debug, Default, Clone)]
+pub struct Report {
+    /// What was measured, rounded to thousandths.
+    pub metrics: BTreeMap<String, f64>,
+    /// What did not hold.
+    pub violations: Vec<String>,
+}
+
+impl Report {
+    pub(super) fn record(&mut self, name: impl Into<String>, value: f64) {
+        self.metrics.insert(name.into(), (value * 1000.0).round() / 1000.0);
+    }
+
+    /// Records the quantile of some values, under this name.
+    pub(super) fn record_quantile(&mut self, name: String, fraction: f64, values: impl Iterator<Item = f64>) {
+        self.record(name, quantile(&mut values.collect::<Vec<f64>>(), fraction));
+    }
+
+    /// Records the mean of some values, under this name.
+    pub(super) fn record_mean(
+        &mut self,
+        name: impl Into<String>,
+        values: impl ExactSizeIterator<Item = f64>,
+    ) {
+        let count = values.len() as f64;
+        self.record(name, values.sum::<f64>() / count);
+    }
+
+    /// Notes a violation where something does not hold.
+    pub(super) fn check(&mut self, holds: bool, violation: impl Into<String>) {
+        if !holds {
+            self.violations.push(violation.into());
+        }
+    }
+
+    pub(super) fn merge(&mut self, other: Report) {
+        self.metrics.extend(other.metrics);
+        self.violations.extend(other.violations);
+    }
+
+    /// As one line of JSON.
+    pub fn json(&self) -> String {
+        let metrics: Vec<String> =
+            self.metrics.iter().map(|(name, value)| format!("{name:?}:{value}")).collect();
+        let violations: Vec<String> =
+            self.violations.iter().map(|violation| format!("{violation:?}")).collect();
+        format!("{{{},\"broken\":[{}]}}", metrics.join(","), violations.join(","))
+    }
+}
+
+/// The least value that this fraction of the values does not exceed; NaN where there are none.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let rank = ((values.len() as f64 * fraction).ceil() as usize).clamp(1, values.len().max(1));
+    values.get(rank - 1).copied().unwrap_or(f64::NAN)
+}
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -284,14 +284,14 @@
     report.put("seeds", seeds);
     report.hold(seeds >= 20, &format!("{seeds} seeds, and 20 are asked for"));
     // The model of the same machine, and the seeded mistake: without suspicion its checks must fail.
-    let model = run(Extent { seeds: 2, large: 1, first, skip_suspicion: false });
-    for (name, value) in model.figures.iter().filter(|(name, _)| name.contains("300")) {
+    let model = run(Extent { seeds: 2, large_seeds: 1, first_seed: first, skip_suspicion: false });
+    for (name, value) in model.metrics.iter().filter(|(name, _)| name.contains("300")) {
         report.put(&format!("model_{name}"), *value);
     }
-    model.broken.iter().for_each(|what| report.hold(false, &format!("model: {what}")));
-    let mistaken = run(Extent { seeds: 1, large: 0, first, skip_suspicion: true });
-    report.put("mutation_skip_suspicion_broke", mistaken.broken.len());
-    report.hold(!mistaken.broken.is_empty(), "the mutation skip_suspicion was not caught");
+    model.violations.iter().for_each(|what| report.hold(false, &format!("model: {what}")));
+    let mistaken = run(Extent { seeds: 1, large_seeds: 0, first_seed: first, skip_suspicion: true });
+    report.put("mutation_skip_suspicion_broke", mistaken.violations.len());
+    report.hold(!mistaken.violations.is_empty(), "the mutation skip_suspicion was not caught");
     report.put("all_s", (begun.elapsed().as_secs_f64() * 10.0).round() / 10.0);
     let (figures, broken) = (report.figures.into_inner(), report.broken.into_inner());
     let (figures, broken) = (figures.expect("a lock"), broken.expect("a lock"));
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -3,7 +3,7 @@
 //! of them saw since the last `seen`.
 
 use crate::table::{Machine, beyond};
-use mothproxy_membership::simulation::Network;
+use mothproxy_membership::simulation::{Network, Start};
 use mothproxy_membership::{Config, Membership, Output, State, VERSION};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -104,7 +104,8 @@
 
     fn new(given: Value, seed: u64) -> Result<Members, String> {
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
-        let mut net = Network::new(given.members, seed, given.warm, |_| {});
+        let start = if given.warm { Start::Warm } else { Start::Cold };
+        let mut net = Network::new(given.members, seed, start, |_| {});
         net.faults.loss = given.loss;
         Ok(Members { net, asked: 0 })
     }
@@ -123,10 +124,10 @@
             Verb::Leave(place) => {
                 net.with(place, |member, now| member.leave(now));
             }
-            Verb::Stop(place) => net.pause(place, true),
-            Verb::Resume(place) => net.pause(place, false),
-            Verb::Deaf(place) => net.faults.deaf[usize::from(place)] = true,
-            Verb::Hears(place) => net.faults.deaf[usize::from(place)] = false,
+            Verb::Stop(place) => net.pause(place),
+            Verb::Resume(place) => net.resume(place),
+            Verb::Deaf(place) => net.faults.inbound_blocked[usize::from(place)] = true,
+            Verb::Hears(place) => net.faults.inbound_blocked[usize::from(place)] = false,
             Verb::OneWay(from, to) => net.faults.one_way.push((from, to)),
             Verb::Sides(sides) => net.faults.sides = sides,
             Verb::Held(of) => return Ok(all(net, of, &|m| name(m.view().state(of)).to_owned())),
@@ -154,11 +155,11 @@
                 return Ok(vec![format!("{of} refuted {times}")]);
             }
             Verb::Seen(of) => {
-                let new = &net.seen[self.asked..];
+                let new = &net.changes[self.asked..];
                 let of = new.iter().filter(|s| s.change.place == of && s.by != of).map(|s| s.change);
                 let words: BTreeSet<String> =
                     of.map(|c| format!("{} {} to {}", c.place, name(c.from), name(c.to))).collect();
-                self.asked = net.seen.len();
+                self.asked = net.changes.len();
                 return Ok(words.into_iter().collect());
             }
             Verb::Forge { to, from, bytes } => {
