--- /dev/null
+++ b/crates/membership/src/simulation.rs
@@ -0,0 +1,388 @@
+//! Many members and the network between them, in one process and on a clock of its own: an event queue over the same state
+//! machines that run on sockets. Everything follows from a seed.
+//!
+//! [`Network`] is the simulation, [`scenarios`] what is asked of it; [`proof`] runs all scenarios and gives their verdict,
+//! which `examples/membership_model.rs` prints.
+
+pub mod scenarios;
+
+use crate::{Change, Config, Membership, Micros, Output, OwnedFact, State, VERSION};
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, VecDeque};
+
+pub use scenarios::{Extent, Report, proof, run};
+
+/// One second.
+pub const SECOND: Micros = 1_000_000;
+/// How many datagrams a socket keeps for a process that does not read.
+const PAUSED_INBOX_CAPACITY: usize = 256;
+/// [`Network::run_while`] asks its condition at most this often.
+const CONDITION_INTERVAL: Micros = 5_000;
+/// Members that start cold do so within this many milliseconds.
+const COLD_START_MS: u64 = 5_000;
+/// The epoch of a restarted process is this much after that of the one before, in milliseconds.
+const RESTART_MS: u64 = 10_000;
+/// The epoch of the member at place 0, in milliseconds of Unix time.
+const FIRST_EPOCH: u64 = 1_700_000_000_000;
+
+/// What the network does to datagrams.
+#[derive(Debug, Clone)]
+pub struct Faults {
+    /// This fraction is lost.
+    pub loss: f64,
+    /// This fraction arrives twice.
+    pub repeat: f64,
+    /// The least and the most time that a datagram is under way.
+    pub latency: (Micros, Micros),
+    /// The side of each place; what would cross from one side to another is lost.
+    pub sides: Vec<u8>,
+    /// Places that no datagram reaches, though what they send arrives.
+    pub inbound_blocked: Vec<bool>,
+    /// From the first place of a pair to the second nothing comes through; the other way it does.
+    pub one_way: Vec<(u16, u16)>,
+}
+
+/// A change that a member saw.
+#[derive(Debug, Clone, Copy)]
+pub struct ObservedChange {
+    /// When.
+    pub at: Micros,
+    /// By whom.
+    pub by: u16,
+    /// What.
+    pub change: Change,
+}
+
+/// How the members of a network start.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Start {
+    /// They all know each other already.
+    Warm,
+    /// They start within a short time and know nobody.
+    Cold,
+}
+
+/// A place and the process there, if one runs.
+struct Node {
+    member: Option<Membership>,
+    epoch: u64,
+    starts: u64,
+    is_paused: bool,
+    /// Sender and datagram, received while paused.
+    inbox: VecDeque<(u16, Vec<u8>)>,
+    /// The earliest wake in the queue.
+    wake: Micros,
+    facts: Vec<OwnedFact>,
+}
+
+/// What happens at a time of the queue.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    DatagramArrives { to: u16, from: u16, bytes: Vec<u8> },
+    Wake { place: u16 },
+}
+
+/// The members and the network.
+pub struct Network {
+    /// The time.
+    pub now: Micros,
+    /// What the network does from now on.
+    pub faults: Faults,
+    /// Every change that any member saw, in order.
+    pub changes: Vec<ObservedChange>,
+    rng: fastrand::Rng,
+    nodes: Vec<Node>,
+    /// By time, and of one time by the order in which they were scheduled.
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    scheduled: u64,
+    adjust_config: Box<dyn Fn(&mut Config) + Send>,
+    seed: u64,
+}
+
+impl Network {
+    /// So many members; `adjust_config` changes the configuration of each before it starts.
+    pub fn new(
+        members: u16,
+        seed: u64,
+        start: Start,
+        adjust_config: impl Fn(&mut Config) + Send + 'static,
+    ) -> Network {
+        let faults = Faults {
+            loss: 0.0,
+            repeat: 0.0,
+            latency: (200, 2_000),
+            sides: vec![0; members.into()],
+            inbound_blocked: vec![false; members.into()],
+            one_way: Vec::new(),
+        };
+        let mut network = Network {
+            now: SECOND,
+            faults,
+            changes: Vec::new(),
+            rng: fastrand::Rng::with_seed(seed),
+            nodes: Vec::new(),
+            queue: BinaryHeap::new(),
+            scheduled: 0,
+            adjust_config: Box::new(adjust_config),
+            seed,
+        };
+        network.add_nodes(members, start);
+        network
+    }
+
+    fn add_nodes(&mut self, members: u16, start: Start) {
+        for place in 0..members {
+            let delay = self.rng.u64(0..COLD_START_MS);
+            let delay = if start == Start::Cold { delay } else { 0 };
+            self.nodes.push(Node {
+                member: None,
+                epoch: FIRST_EPOCH + delay + u64::from(place),
+                starts: 0,
+                is_paused: false,
+                inbox: VecDeque::new(),
+                wake: u64::MAX,
+                facts: Vec::new(),
+            });
+        }
+        let epochs: Vec<u64> = self.nodes.iter().map(|node| node.epoch).collect();
+        for place in 0..members {
+            self.start(place);
+            if start == Start::Warm {
+                if let Some(member) = &mut self.node_mut(place).member {
+                    member.assume(&epochs);
+                }
+                self.carry_out_outputs(place);
+            }
+        }
+    }
+
+    fn node(&self, place: u16) -> &Node {
+        &self.nodes[usize::from(place)]
+    }
+
+    fn node_mut(&mut self, place: u16) -> &mut Node {
+        &mut self.nodes[usize::from(place)]
+    }
+
+    /// Starts a process at this place, with an epoch after that of the one before.
+    pub fn start(&mut self, place: u16) {
+        let peers = self.nodes.len() as u16;
+        let (now, seed) = (self.now, self.seed);
+        let node = self.node_mut(place);
+        if node.starts > 0 {
+            node.epoch += RESTART_MS;
+        }
+        node.starts += 1;
+        node.facts.clear();
+        let mut config = Config::new(place, peers, node.epoch, seed ^ node.starts << 40);
+        (self.adjust_config)(&mut config);
+        let node = self.node_mut(place);
+        node.member = Membership::new(config, now).ok();
+        node.wake = u64::MAX;
+        self.carry_out_outputs(place);
+    }
+
+    /// Ends the process at this place; it announces nothing.
+    pub fn kill(&mut self, place: u16) {
+        let node = self.node_mut(place);
+        node.member = None;
+        node.inbox.clear();
+        node.is_paused = false;
+    }
+
+    /// Stops a process, as by SIGSTOP. The first few datagrams that come meanwhile wait for it.
+    pub fn pause(&mut self, place: u16) {
+        self.node_mut(place).is_paused = true;
+    }
+
+    /// Lets a paused process go on.
+    pub fn resume(&mut self, place: u16) {
+        let node = self.node_mut(place);
+        node.is_paused = false;
+        let inbox = std::mem::take(&mut node.inbox);
+        inbox.into_iter().for_each(|(from, bytes)| self.on_datagram(place, from, &bytes));
+        self.on_wake(place);
+    }
+
+    /// Does something to a member, and carries out what follows from it.
+    pub fn with<T>(&mut self, place: u16, action: impl FnOnce(&mut Membership, Micros) -> T) -> Option<T> {
+        let now = self.now;
+        let result = self.node_mut(place).member.as_mut().map(|member| action(member, now));
+        self.carry_out_outputs(place);
+        result
+    }
+
+    /// The member at this place, if its process runs (or is paused).
+    pub fn member(&self, place: u16) -> Option<&Membership> {
+        self.node(place).member.as_ref()
+    }
+
+    /// All members whose processes run, paused ones too.
+    pub fn members(&self) -> impl Iterator<Item = (u16, &Membership)> {
+        (0..).zip(&self.nodes).filter_map(|(place, node)| node.member.as_ref().map(|member| (place, member)))
+    }
+
+    /// The facts that this member received, in order.
+    pub fn facts(&self, place: u16) -> &[OwnedFact] {
+        &self.node(place).facts
+    }
+
+    /// Delivers a datagram that no member has sent.
+    pub fn forge(&mut self, to: u16, from: u16, bytes: &[u8]) {
+        self.on_datagram(to, from, bytes);
+    }
+
+    /// Runs to this time.
+    pub fn run_to(&mut self, until: Micros) {
+        self.run_while(until, |_| true);
+    }
+
+    /// Runs for this long.
+    pub fn run_for(&mut self, span: Micros) {
+        self.run_to(self.now + span);
+    }
+
+    /// Runs to this time, or until `holds` returns false, which is called within 5 ms after a change. Returns whether it
+    /// ended early.
+    pub fn run_while(&mut self, until: Micros, mut holds: impl FnMut(&Network) -> bool) -> bool {
+        let (mut changes_checked, mut checked_at) = (usize::MAX, 0);
+        loop {
+            let has_changed = changes_checked != self.changes.len();
+            if has_changed && self.now >= checked_at + CONDITION_INTERVAL {
+                (changes_checked, checked_at) = (self.changes.len(), self.now);
+                if !holds(self) {
+                    return true;
+                }
+            }
+            if self.queue.peek().is_none_or(|Reverse((at, ..))| *at > until) {
+                self.now = until;
+                return false;
+            }
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { return false };
+            self.now = at;
+            match event {
+                Event::DatagramArrives { to, from, bytes } => self.on_datagram(to, from, &bytes),
+                // A wake that an earlier one has replaced does not count.
+                Event::Wake { place } if self.node(place).wake == at => {
+                    self.node_mut(place).wake = u64::MAX;
+                    self.on_wake(place);
+                }
+                Event::Wake { .. } => {}
+            }
+        }
+    }
+
+    fn on_datagram(&mut self, to: u16, from: u16, bytes: &[u8]) {
+        let now = self.now;
+        let node = self.node_mut(to);
+        if node.is_paused {
+            if node.inbox.len() < PAUSED_INBOX_CAPACITY {
+                node.inbox.push_back((from, bytes.to_vec()));
+            }
+        } else if let Some(member) = &mut node.member {
+            member.receive(now, from, bytes);
+            self.carry_out_outputs(to);
+        }
+    }
+
+    fn on_wake(&mut self, place: u16) {
+        let now = self.now;
+        let node = self.node_mut(place);
+        if let Some(member) = node.member.as_mut().filter(|_| !node.is_paused) {
+            if member.next_wake() <= now {
+                member.tick(now);
+            }
+            self.carry_out_outputs(place);
+        }
+    }
+
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled, event)));
+    }
+
+    /// Sends what a member wants sent, keeps what it saw, and schedules its next wake.
+    fn carry_out_outputs(&mut self, place: u16) {
+        let now = self.now;
+        while let Some(output) = self.node_mut(place).member.as_mut().and_then(Membership::poll) {
+            match output {
+                Output::Send { to, bytes } => self.transmit(place, to, &bytes),
+                Output::Changed(change) => self.changes.push(ObservedChange { at: now, by: place, change }),
+                Output::Fact(fact) => self.node_mut(place).facts.push(fact),
+            }
+        }
+        let node = self.node_mut(place);
+        let wake = node.member.as_ref().map_or(u64::MAX, Membership::next_wake).max(now + 1);
+        if wake < node.wake {
+            node.wake = wake;
+            self.schedule(wake, Event::Wake { place });
+        }
+    }
+
+    fn transmit(&mut self, from: u16, to: u16, bytes: &[u8]) {
+        let faults = &self.faults;
+        let is_cut = faults.sides[usize::from(from)] != faults.sides[usize::from(to)]
+            || faults.inbound_blocked[usize::from(to)]
+            || faults.one_way.contains(&(from, to));
+        let (loss, repeat, (min_latency, max_latency)) = (faults.loss, faults.repeat, faults.latency);
+        if is_cut || self.rng.f64() < loss {
+            return;
+        }
+        let copies = if self.rng.f64() < repeat { 2 } else { 1 };
+        for _ in 0..copies {
+            let at = self.now + self.rng.u64(min_latency..=max_latency);
+            self.schedule(at, Event::DatagramArrives { to, from, bytes: bytes.to_vec() });
+        }
+    }
+
+    /// Whether all processes that run hold all others that run alive, at their present epochs, and all the rest gone.
+    pub fn has_agreement(&self) -> bool {
+        self.members().all(|(_, observer)| {
+            observer.view().iter().zip(&self.nodes).all(|((_, believed), node)| match &node.member {
+                Some(member) => {
+                    let own = member.view().member(member.place());
+                    believed.state == State::Alive && Some(believed.epoch) == own.map(|own| own.epoch)
+                }
+                None => !believed.state.is_present(),
+            })
+        })
+    }
+
+    /// Whether all other members that run hold a place in this state.
+    pub fn others_hold(&self, place: u16, state: State) -> bool {
+        let mut others = self.members().filter(|(other, _)| *other != place);
+        others.all(|(_, member)| member.view().state(place) == state)
+    }
+
+    /// Deaths seen since a time, by and of members for which `is_live` holds: those that ran all the while and were never
+    /// cut off.
+    pub fn false_deaths(&self, since: Micros, is_live: impl Fn(u16) -> bool) -> usize {
+        let deaths = self.changes.iter().filter(|seen| seen.at >= since && seen.change.to == State::Dead);
+        deaths.filter(|seen| is_live(seen.change.place) && is_live(seen.by)).count()
+    }
+
+    /// Bytes sent by all members so far.
+    pub fn sent_bytes(&self) -> u64 {
+        self.members().map(|(_, member)| member.metrics().sent_bytes).sum()
+    }
+
+    /// Random bytes, half of them with the version of a datagram in front.
+    pub fn random_datagram(&mut self) -> Vec<u8> {
+        let length = self.rng.usize(0..400);
+        let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.u8(..)).collect();
+        if let Some(first) = bytes.first_mut() {
+            *first = if self.rng.bool() { VERSION } else { *first };
+        }
+        bytes
+    }
+
+    /// A random number below this.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.u64(0..bound)
+    }
+
+    /// The place of a random member.
+    pub fn random_place(&mut self) -> u16 {
+        self.random_below(self.nodes.len() as u64) as u16
+    }
+}
--- /dev/null
+++ b/crates/membership/src/simulation/scenarios.rs
@@ -0,0 +1,106 @@
+//! The scenarios of the simulation, and whether what must hold did.
+//!
+//! Each scenario is a function that plays a [`Network`] for several seeds, measures, and checks. What it measures carries the
+//! number of members in its name.
+
+mod failures;
+mod network_faults;
+mod overcommit;
+mod publishing;
+mod report;
+mod startup;
+#[cfg(test)]
+mod tests;
+
+pub use report::Report;
+
+use super::{Network, SECOND, Start};
+use crate::Micros;
+
+/// How much to run.
+#[derive(Debug, Clone, Copy)]
+pub struct Extent {
+    /// Seeds of each scenario with up to 300 members.
+    pub seeds: u64,
+    /// Seeds with 3,000 members; none if 0.
+    pub large_seeds: u64,
+    /// The first seed.
+    pub first_seed: u64,
+    /// A deliberate fault: no suspicion before death.
+    pub skip_suspicion: bool,
+}
+
+impl Extent {
+    fn network(self, members: u16, seed: u64, start: Start) -> Network {
+        Network::new(members, seed, start, move |config| config.skip_suspicion = self.skip_suspicion)
+    }
+
+    /// A network of members that know each other, after two quiet seconds.
+    fn settled_network(self, members: u16, seed: u64) -> Network {
+        let mut network = self.network(members, seed, Start::Warm);
+        network.run_to(2 * SECOND);
+        network
+    }
+
+    /// Runs one thing for many seeds, on a few threads, and gives the results in the order of the seeds.
+    fn for_each_seed<T: Send>(self, seeds: u64, run_one: impl Fn(u64) -> T + Sync) -> Vec<T> {
+        const MAX_THREADS: usize = 8;
+        let seeds: Vec<u64> = (self.first_seed..self.first_seed + seeds).collect();
+        let threads = std::thread::available_parallelism().map_or(1, |count| count.get().min(MAX_THREADS));
+        let run_chunk = |chunk: &[u64]| chunk.iter().map(|seed| run_one(*seed)).collect::<Vec<T>>();
+        let mut results: Vec<T> = Vec::new();
+        std::thread::scope(|scope| {
+            let chunks = seeds.chunks(seeds.len().div_ceil(threads).max(1));
+            let running: Vec<_> = chunks.map(|chunk| scope.spawn(|| run_chunk(chunk))).collect();
+            results.extend(running.into_iter().filter_map(|thread| thread.join().ok()).flatten());
+        });
+        results
+    }
+}
+
+fn seconds(span: Micros) -> f64 {
+    span as f64 / SECOND as f64
+}
+
+/// Runs all scenarios.
+pub fn run(extent: Extent) -> Report {
+    let mut report = Report::default();
+    let seeds = extent.seeds;
+    for members in [3, 10, 30] {
+        report.merge(failures::kill(extent, members, seeds));
+        report.merge(network_faults::loss(extent, members, seeds.div_ceil(2)));
+        report.merge(failures::pause(extent, members, seeds.div_ceil(2)));
+        report.merge(network_faults::heal(extent, members, 2, seeds));
+        report.merge(network_faults::heal(extent, members, 3, seeds));
+        report.merge(network_faults::one_way(extent, members, seeds.div_ceil(2)));
+        report.merge(startup::restart_leave_and_garbage(extent, members, seeds.div_ceil(4)));
+        report.merge(startup::cold_start(extent, members, seeds.div_ceil(2)));
+    }
+    for members in [10, 30] {
+        report.merge(failures::mass_kill(extent, members, seeds));
+        report.merge(publishing::facts(extent, members, seeds.div_ceil(4)));
+    }
+    report.merge(publishing::flood(extent, 30, seeds.div_ceil(8)));
+    report.merge(overcommit::overcommit(extent, seeds));
+    report.merge(failures::kill(extent, 300, seeds));
+    if extent.large_seeds > 0 {
+        report.merge(network_faults::loss(extent, 300, 2));
+        report.merge(network_faults::heal(extent, 300, 2, 2));
+        report.merge(failures::mass_kill(extent, 300, 2));
+        report.merge(startup::cold_start(extent, 300, 2));
+        report.merge(failures::kill(extent, 3_000, extent.large_seeds));
+    }
+    report.check(crate::broken() == 0, format!("{} invariants were broken", crate::broken()));
+    report
+}
+
+/// Runs all scenarios, and checks that the deliberate fault is caught by the same checks.
+pub fn proof(extent: Extent) -> Report {
+    let mut report = run(extent);
+    let faulty = network_faults::loss(Extent { skip_suspicion: true, ..extent }, 10, 2);
+    let deaths = faulty.metrics.get("false_deaths_loss_10").copied().unwrap_or(0.0);
+    report.record("skip_suspicion_false_deaths", deaths);
+    let is_caught = deaths > 0.0 && !faulty.violations.is_empty();
+    report.check(is_caught, "a missing suspicion is not caught");
+    report
+}
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -3,7 +3,7 @@
 use super::log_limiter::LogLimiter;
 use super::{FleetError, FleetOutput, MembershipSettings, ProcessIdentity};
 use crate::policy::interface::{Micros, PeerPresence};
-use mothproxy_membership::{Change, Figures, Member, Membership, Output, State, View};
+use mothproxy_membership::{Change, Member, Membership, Metrics, Output, State, View};
 use std::collections::VecDeque;
 
 /// Changes of the view reach the decision module at most this often: after a heal they come by the dozen, and each makes
@@ -89,7 +89,7 @@
     /// Publishes a fact to the other members.
     pub(super) fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
         // Refused where the facts are full or this member has left: then nobody receives it.
-        let _ = self.membership.tell(now, kind, slot, bytes);
+        let _ = self.membership.publish(now, kind, slot, bytes);
     }
 
     /// What is believed of all places.
@@ -98,8 +98,8 @@
     }
 
     /// What was counted.
-    pub(super) fn metrics(&self) -> Figures {
-        self.membership.figures()
+    pub(super) fn metrics(&self) -> Metrics {
+        self.membership.metrics()
     }
 
     /// Moves what the protocol wants done, and a presence that has changed, to `outputs`.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::policy::interface::{Micros, PeerPresence};
 use members::Members;
-use mothproxy_membership::{Change, ConfigError, Figures, OwnedFact, VERSION, View};
+use mothproxy_membership::{Change, ConfigError, Metrics, OwnedFact, VERSION, View};
 use std::collections::VecDeque;
 
 /// What the driver has to do or to pass on, in this order.
@@ -179,7 +179,7 @@
     }
 
     /// What was counted, where membership is on.
-    pub fn metrics(&self) -> Option<Figures> {
+    pub fn metrics(&self) -> Option<Metrics> {
         self.members.as_ref().map(Members::metrics)
     }
 
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -1,7 +1,7 @@
 //! What the pages of the admin address show: a snapshot of the metrics of this process, and its view of its peers.
 
 use crate::fleet::LearnersMetrics;
-use mothproxy_membership::Figures as MemberFigures;
+use mothproxy_membership::Metrics as MemberMetrics;
 
 /// The metrics of one class.
 #[derive(Clone, Debug, PartialEq)]
@@ -77,7 +77,7 @@
     /// All slots.
     pub members: Vec<MemberRow>,
     /// The metrics of the membership protocol.
-    pub figures: MemberFigures,
+    pub figures: MemberMetrics,
 }
 
 /// The metrics of this process, counted from its start.
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -3,7 +3,7 @@
 use super::{ClassMetrics, IdempotencyMetrics, MemberRow, MembersPage, MetricsSnapshot, StreamMetrics};
 use crate::fleet::LearnerMetrics;
 use crate::http::Piece;
-use mothproxy_membership::Figures as MemberFigures;
+use mothproxy_membership::Metrics as MemberMetrics;
 use serde_json::json;
 use std::fmt::Write;
 
@@ -109,7 +109,7 @@
 }
 
 /// All datagrams that were refused, whatever the reason.
-fn refused(figures: &MemberFigures) -> u64 {
+fn refused(figures: &MemberMetrics) -> u64 {
     figures.refused_long
         + figures.refused_version
         + figures.refused_foreign
@@ -139,7 +139,7 @@
     })
 }
 
-fn figures_json(figures: &MemberFigures) -> serde_json::Value {
+fn figures_json(figures: &MemberMetrics) -> serde_json::Value {
     json!({
         "sent": figures.sent,
         "sent_bytes": figures.sent_bytes,
@@ -159,8 +159,8 @@
         "refuted": figures.refuted,
         "starved": figures.starved,
         "health": figures.health,
-        "facts_told": figures.facts_told,
-        "facts_taken": figures.facts_taken,
+        "facts_told": figures.facts_published,
+        "facts_taken": figures.facts_received,
         "facts_refused": figures.facts_refused,
         "facts_held": figures.facts_held,
         "syncs": figures.syncs,
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -89,7 +89,9 @@
         // They go over to the younger process as they are.
         self.handed
             || self.drained.is_none()
-                && self.stopping.is_none_or(|plan| self.now < plan.keep_clients_until && self.peers.have_all_stopped())
+                && self
+                    .stopping
+                    .is_none_or(|plan| self.now < plan.keep_clients_until && self.peers.have_all_stopped())
     }
 
     pub(in crate::server) fn stop_step(&mut self) {
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -3,7 +3,7 @@
 //! of them saw since the last `seen`.
 
 use crate::table::{Machine, beyond};
-use mothproxy_membership::model::Net;
+use mothproxy_membership::simulation::{Network, Start};
 use mothproxy_membership::{Config, Membership, Output, State, VERSION};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -84,7 +84,7 @@
 }
 
 pub struct Members {
-    net: Net,
+    net: Network,
     /// Changes up to here have been asked for.
     asked: usize,
 }
@@ -104,14 +104,15 @@
 
     fn new(given: Value, seed: u64) -> Result<Members, String> {
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
-        let mut net = Net::new(given.members, seed, given.warm, |_| {});
+        let start = if given.warm { Start::Warm } else { Start::Cold };
+        let mut net = Network::new(given.members, seed, start, |_| {});
         net.faults.loss = given.loss;
         Ok(Members { net, asked: 0 })
     }
 
     fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
         let net = &mut self.net;
-        let all = |net: &Net, but: u16, what: &dyn Fn(&Membership) -> String| {
+        let all = |net: &Network, but: u16, what: &dyn Fn(&Membership) -> String| {
             let words: BTreeSet<String> =
                 net.members().filter(|(place, _)| *place != but).map(|(_, m)| what(m)).collect();
             words.into_iter().map(|word| format!("{but} {word}")).collect()
@@ -123,10 +124,10 @@
             Verb::Leave(place) => {
                 net.with(place, |member, now| member.leave(now));
             }
-            Verb::Stop(place) => net.pause(place, true),
-            Verb::Resume(place) => net.pause(place, false),
-            Verb::Deaf(place) => net.faults.deaf[usize::from(place)] = true,
-            Verb::Hears(place) => net.faults.deaf[usize::from(place)] = false,
+            Verb::Stop(place) => net.pause(place),
+            Verb::Resume(place) => net.resume(place),
+            Verb::Deaf(place) => net.faults.inbound_blocked[usize::from(place)] = true,
+            Verb::Hears(place) => net.faults.inbound_blocked[usize::from(place)] = false,
             Verb::OneWay(from, to) => net.faults.one_way.push((from, to)),
             Verb::Sides(sides) => net.faults.sides = sides,
             Verb::Held(of) => return Ok(all(net, of, &|m| name(m.view().state(of)).to_owned())),
@@ -150,15 +151,15 @@
                 return Ok(vec![format!("{of} {own}")]);
             }
             Verb::Refuted(of) => {
-                let times = net.member(of).map_or(0, |m| m.figures().refuted);
+                let times = net.member(of).map_or(0, |m| m.metrics().refuted);
                 return Ok(vec![format!("{of} refuted {times}")]);
             }
             Verb::Seen(of) => {
-                let new = &net.seen[self.asked..];
+                let new = &net.changes[self.asked..];
                 let of = new.iter().filter(|s| s.change.place == of && s.by != of).map(|s| s.change);
                 let words: BTreeSet<String> =
                     of.map(|c| format!("{} {} to {}", c.place, name(c.from), name(c.to))).collect();
-                self.asked = net.seen.len();
+                self.asked = net.changes.len();
                 return Ok(words.into_iter().collect());
             }
             Verb::Forge { to, from, bytes } => {
@@ -169,7 +170,7 @@
                     Bytes::OtherVersion => [&[VERSION + 1], &sound[1..]].concat(),
                     Bytes::Sound => sound,
                 };
-                let figures = |net: &Net| net.member(to).map(|m| m.figures()).unwrap_or_default();
+                let figures = |net: &Network| net.member(to).map(|m| m.metrics()).unwrap_or_default();
                 let before = figures(net);
                 net.forge(to, from, &bytes);
                 let after = figures(net);
@@ -183,7 +184,7 @@
                 return Ok(counts.iter().filter(|c| c.1 > 0).map(|c| c.0.to_owned()).collect());
             }
             Verb::Tell { by, slot, text } => {
-                let told = net.with(by, |member, now| member.tell(now, 1, slot, text.as_bytes()));
+                let told = net.with(by, |member, now| member.publish(now, 1, slot, text.as_bytes()));
                 if let Some(Err(fault)) = told {
                     return Err(fault.to_string());
                 }
@@ -224,7 +225,7 @@
 }
 
 /// A datagram as a member might have sent it.
-fn sound(net: &Net, to: u16) -> Result<Vec<u8>, String> {
+fn sound(net: &Network, to: u16) -> Result<Vec<u8>, String> {
     let from = u16::from(to == 0);
     let epoch = net.member(from).and_then(|m| m.view().member(from)).map_or(0, |m| m.epoch);
     let config = Config::new(from, net.members().count() as u16, epoch, 1);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -262,9 +262,10 @@
 #[test]
 fn a_whole_list_ends_whoever_it_does_not_name_and_numbers_are_not_used_twice() {
     let mut bench = Bench::new(2);
-    bench
-        .core
-        .on_endpoint_list(bench.now, &site::list(2, true, json!([site::endpoint_entry("s-1", "127.0.0.1:9101", "up")])));
+    bench.core.on_endpoint_list(
+        bench.now,
+        &site::list(2, true, json!([site::endpoint_entry("s-1", "127.0.0.1:9101", "up")])),
+    );
     bench.core.on_endpoint_list(
         bench.now,
         &site::list(3, false, json!([site::endpoint_entry("s-7", "127.0.0.1:9107", "up")])),
@@ -273,7 +274,8 @@
     assert!(table.get(WorkerId(0)).is_some_and(|s| s.removed && s.stopped.is_some()));
     assert_eq!(table.get(WorkerId(1)).map(|s| s.address.port()), Some(9101));
     assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
-    let bad = json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::endpoint_entry("s-9", "nowhere", "up"), 5]);
+    let bad =
+        json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::endpoint_entry("s-9", "nowhere", "up"), 5]);
     bench.core.on_endpoint_list(bench.now, &site::list(4, false, bad));
     assert_eq!(bench.core.endpoints.bad_rows, 4);
 }
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -36,7 +36,9 @@
     let folders = ["src/", "crates/", "tests/", "benches/", "examples/", "proto/", "deploy/"];
     let is_part = |c: char| c.is_ascii_alphanumeric() || "_-./".contains(c);
     let words = text.split(move |c| !is_part(c)).map(|word| word.trim_end_matches(['.', '/', '-']));
-    words.filter(move |word| folders.iter().any(|folder| word.starts_with(folder) && word.len() > folder.len()))
+    words.filter(move |word| {
+        folders.iter().any(|folder| word.starts_with(folder) && word.len() > folder.len())
+    })
 }
 
 #[test]
