--- /dev/null
+++ b/crates/fairshare/src/accounts.rs
@@ -0,0 +1,292 @@
+//! The accounts of all tenants: for each tenant and class, exact sums of usage times the weight of its bucket.
+//!
+//! A tenant's accounts are opened when it gets a share or usage, and closed once it has neither.
+
+use crate::decay::Decay;
+use crate::valuation::PaceCredit;
+use crate::{Measure, Usage};
+use rustc_hash::FxHashMap;
+
+/// Index of a tenant in [`Accounts`], valid as long as the tenant has a share or a line.
+pub(crate) type TenantIndex = u32;
+
+/// The account of a tenant and class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct AccountId {
+    pub tenant: TenantIndex,
+    pub class: u8,
+}
+
+/// An account and usage that belongs to it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Entry {
+    pub account: AccountId,
+    pub usage: Usage,
+}
+
+/// Where usage happened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Source {
+    /// At this member.
+    Own,
+    /// At another member, or at this one before a restart.
+    Reported,
+}
+
+/// A member's usage in the buckets from which its rate is taken.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RecentUsage {
+    pub member: u32,
+    pub amount: u64,
+}
+
+/// Sums of one account, each amount times the weight of its bucket.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClassAccount {
+    pub class: u8,
+    value: i128,
+    work: i128,
+    /// The own usage in the measure.
+    own: i128,
+    /// Members with recent usage, in the measure.
+    pub recent: Vec<RecentUsage>,
+}
+
+impl ClassAccount {
+    fn apply(&mut self, usage: Usage, weight: i128) {
+        self.value += weight * i128::from(usage.value);
+        self.work += weight * i128::from(usage.work);
+    }
+
+    /// Shifts the sums right; whether a bit was lost.
+    fn shift(&mut self, bits: u32) -> bool {
+        let is_lossy = [self.value, self.work, self.own].iter().any(|sum| sum & ((1 << bits) - 1) != 0);
+        self.value >>= bits;
+        self.work >>= bits;
+        self.own >>= bits;
+        is_lossy
+    }
+}
+
+/// All accounts of one tenant.
+#[derive(Clone, Debug, Default)]
+struct TenantAccounts {
+    key: u32,
+    has_share: bool,
+    classes: Vec<ClassAccount>,
+    /// What this member may still give at full value. Local, in no report.
+    credit: PaceCredit,
+    /// Lines of members, and own accounts by bucket, that are summed here.
+    lines: u32,
+}
+
+/// Weighted sums of some accounts of a tenant.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct AccountTotal {
+    measured: i128,
+    own: i128,
+}
+
+/// The accounts of all tenants.
+#[derive(Clone, Debug)]
+pub(crate) struct Accounts {
+    tenants: Vec<TenantAccounts>,
+    free: Vec<TenantIndex>,
+    by_key: FxHashMap<u32, TenantIndex>,
+    decay: Decay,
+    measure: Measure,
+    broken: u64,
+}
+
+impl Accounts {
+    pub fn new(decay: Decay, measure: Measure) -> Accounts {
+        Accounts {
+            tenants: Vec::new(),
+            free: Vec::new(),
+            by_key: FxHashMap::default(),
+            decay,
+            measure,
+            broken: 0,
+        }
+    }
+
+    pub fn decay(&self) -> &Decay {
+        &self.decay
+    }
+
+    /// Number of tenants.
+    pub fn len(&self) -> usize {
+        self.by_key.len()
+    }
+
+    /// Invariants that did not hold.
+    pub fn broken(&self) -> u64 {
+        self.broken
+    }
+
+    /// The tenant of a key, if it is open.
+    pub fn find(&self, key: u32) -> Option<TenantIndex> {
+        self.by_key.get(&key).copied()
+    }
+
+    /// The key of a tenant.
+    pub fn key(&self, tenant: TenantIndex) -> u32 {
+        self.tenants[tenant as usize].key
+    }
+
+    /// The tenant of a key, opened if it is not.
+    pub fn open(&mut self, key: u32) -> TenantIndex {
+        if let Some(tenant) = self.find(key) {
+            return tenant;
+        }
+        let opened = TenantAccounts { key, ..TenantAccounts::default() };
+        let tenant = if let Some(tenant) = self.free.pop() {
+            self.tenants[tenant as usize] = opened;
+            tenant
+        } else {
+            self.tenants.push(opened);
+            self.tenants.len() as TenantIndex - 1
+        };
+        self.by_key.insert(key, tenant);
+        tenant
+    }
+
+    /// Says whether a tenant has a share. One that lost it is closed by [`Accounts::release`] once it has no line.
+    pub fn set_share(&mut self, tenant: TenantIndex, has_share: bool) {
+        self.tenants[tenant as usize].has_share = has_share;
+    }
+
+    /// Counts a line that is summed in this tenant's accounts.
+    pub fn retain(&mut self, tenant: TenantIndex) {
+        self.tenants[tenant as usize].lines += 1;
+    }
+
+    /// Lets go of so many lines, and closes the tenant once nothing is left of it.
+    pub fn release(&mut self, tenant: TenantIndex, lines: u32) {
+        let accounts = &mut self.tenants[tenant as usize];
+        let is_held = accounts.lines >= lines;
+        accounts.lines = accounts.lines.saturating_sub(lines);
+        if accounts.lines == 0 && !accounts.has_share {
+            self.by_key.remove(&accounts.key);
+            self.tenants[tenant as usize] = TenantAccounts::default();
+            self.free.push(tenant);
+        }
+        self.check(is_held, "a tenant lost more lines than it had");
+    }
+
+    /// Adds usage of a bucket.
+    pub fn add(&mut self, entry: Entry, bucket: u64, source: Source) {
+        self.apply(entry, self.decay.weight(bucket), source);
+    }
+
+    /// Takes usage of a bucket away that was added before.
+    pub fn subtract(&mut self, entry: Entry, bucket: u64, source: Source) {
+        self.apply(entry, -self.decay.weight(bucket), source);
+    }
+
+    fn apply(&mut self, entry: Entry, weight: i128, source: Source) {
+        let measured = i128::from(entry.usage.measured(self.measure));
+        let account = self.class_account(entry.account);
+        account.apply(entry.usage, weight);
+        if source == Source::Own {
+            account.own += weight * measured;
+        }
+    }
+
+    fn class_account(&mut self, id: AccountId) -> &mut ClassAccount {
+        let classes = &mut self.tenants[id.tenant as usize].classes;
+        let at = classes.iter().position(|account| account.class == id.class).unwrap_or_else(|| {
+            classes.push(ClassAccount { class: id.class, ..ClassAccount::default() });
+            classes.len() - 1
+        });
+        &mut classes[at]
+    }
+
+    /// Adds entries to a member's recent usage.
+    pub fn add_recent(&mut self, member: u32, entries: &[Entry]) {
+        for entry in entries {
+            let amount = entry.usage.measured(self.measure);
+            if amount == 0 {
+                continue;
+            }
+            let recent = &mut self.class_account(entry.account).recent;
+            match recent.iter_mut().find(|usage| usage.member == member) {
+                Some(usage) => usage.amount += amount,
+                None => recent.push(RecentUsage { member, amount }),
+            }
+        }
+    }
+
+    /// Takes entries away from a member's recent usage.
+    pub fn subtract_recent(&mut self, member: u32, entries: &[Entry]) {
+        for entry in entries {
+            let amount = entry.usage.measured(self.measure);
+            if amount == 0 {
+                continue;
+            }
+            let recent = &mut self.class_account(entry.account).recent;
+            let Some(at) = recent.iter().position(|usage| usage.member == member) else {
+                self.check(false, "recent usage that was never added");
+                continue;
+            };
+            recent[at].amount = recent[at].amount.saturating_sub(amount);
+            if recent[at].amount == 0 {
+                recent.swap_remove(at);
+            }
+        }
+    }
+
+    /// Moves the landmark of the decay up where nothing before the bucket `oldest` counts.
+    pub fn advance(&mut self, oldest: u64) {
+        let shift = self.decay.advance(oldest);
+        if shift == 0 {
+            return;
+        }
+        let mut lossy = 0;
+        for account in self.tenants.iter_mut().flat_map(|tenant| &mut tenant.classes) {
+            lossy += u64::from(account.shift(shift));
+        }
+        debug_assert!(lossy == 0, "a moved landmark lost a part of a sum");
+        self.broken += lossy;
+    }
+
+    /// A tenant's accounts, or that of one class only.
+    pub fn classes(&self, tenant: TenantIndex, class: Option<u8>) -> impl Iterator<Item = &ClassAccount> {
+        let classes = self.tenants[tenant as usize].classes.iter();
+        classes.filter(move |account| class.is_none_or(|class| account.class == class))
+    }
+
+    /// Adds an account to a total.
+    pub fn add_to_total(&self, total: &mut AccountTotal, account: &ClassAccount) {
+        total.measured += match self.measure {
+            Measure::Value => account.value,
+            Measure::Work => account.work,
+        };
+        total.own += account.own;
+    }
+
+    /// A total as it stands at a sub-step: the usage of all members, and the own part of it.
+    pub fn decayed_total(&self, total: AccountTotal, step: u64) -> (u64, u64) {
+        (self.decay.decayed(total.measured, step), self.decay.decayed(total.own, step))
+    }
+
+    /// All known usage of a tenant as it stands at a sub-step.
+    pub fn known_usage(&self, tenant: TenantIndex, step: u64) -> Usage {
+        let classes = &self.tenants[tenant as usize].classes;
+        Usage {
+            value: self.decay.decayed(classes.iter().map(|account| account.value).sum(), step),
+            work: self.decay.decayed(classes.iter().map(|account| account.work).sum(), step),
+        }
+    }
+
+    /// What a tenant may still get at full value.
+    pub fn credit_mut(&mut self, tenant: TenantIndex) -> &mut PaceCredit {
+        &mut self.tenants[tenant as usize].credit
+    }
+
+    /// Asserts an invariant: a debug build panics where it does not hold, a release build counts it.
+    fn check(&mut self, holds: bool, what: &str) {
+        debug_assert!(holds, "{what}");
+        self.broken += u64::from(!holds);
+    }
+}
--- /dev/null
+++ b/crates/fairshare/src/config.rs
@@ -0,0 +1,154 @@
+//! Settings of a ledger and the check they pass before it is built.
+
+use crate::shares::SharesError;
+use crate::wire;
+use thiserror::Error;
+
+/// Most pages on which the usage of one bucket may be published.
+pub const MAX_PAGES: u8 = 32;
+/// Longest half-life, in buckets.
+const MAX_HALF_LIFE: u32 = 32;
+/// Longest horizon, in half-lives: weights must stay within 127 bits.
+const MAX_HORIZON_HALF_LIVES: u32 = 30;
+
+/// What shares are counted in.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Measure {
+    /// Value served.
+    #[default]
+    Value,
+    /// Work done.
+    Work,
+}
+
+/// Settings of a ledger. All members of a fleet have the same, except for the first group, which names the member.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Config {
+    /// This member's index among the peers.
+    pub me: u16,
+    /// This member's epoch: milliseconds of Unix time at its start.
+    pub epoch: u64,
+    /// The Unix time, in microseconds, at the caller's time 0. Buckets are counted by it, the same at every member.
+    pub wall_at_zero: u64,
+
+    /// Number of peers, this one included.
+    pub peers: u16,
+    /// Width of a bucket of time, in microseconds.
+    pub bucket: u64,
+    /// Usage counts for this many buckets; a report of an older bucket is refused. 64 at most.
+    pub horizon: u32,
+    /// Usage weighs half after this many buckets: 1, 2, 4 .. 32.
+    pub half_life: u32,
+    /// A report of a bucket further than this ahead, in buckets, is refused: clocks differ by less.
+    pub future: u32,
+    /// Capacity of the whole federation, in units of the measure per second.
+    pub rate: u64,
+    /// What shares are counted in.
+    pub measure: Measure,
+    /// Value of a job beyond all that its tenant may have, as a fraction of its class's value.
+    pub over_quota_value: f64,
+    /// Largest discount, as a fraction of its class's value, on a job whose tenant may or may not be within its share.
+    pub uncertainty_discount: f64,
+    /// A tenant that pays back gets at least this fraction of its share.
+    pub floor: f64,
+    /// The upper estimate for a silent member is twice its likely usage after this long, in microseconds.
+    pub widen: u64,
+    /// The usage of a silent member is extrapolated over at most this many buckets.
+    pub extrapolation: u32,
+    /// Interval between two rounds of published facts, in microseconds.
+    pub publish_interval: u64,
+    /// Most page facts of one round.
+    pub facts_per_round: u32,
+    /// Pages on which the usage of a bucket is published, [`MAX_PAGES`] at most; what does not fit goes into the next
+    /// bucket.
+    pub pages: u8,
+    /// Most tenants, with usage or a share, that are kept.
+    pub max_tenants: usize,
+    /// Seeded fault for the proof: a later report is added to the earlier one.
+    #[doc(hidden)]
+    pub count_twice: bool,
+}
+
+impl Default for Config {
+    fn default() -> Config {
+        Config {
+            me: 0,
+            epoch: 0,
+            wall_at_zero: 0,
+            peers: 1,
+            bucket: 2_000_000,
+            horizon: 60,
+            half_life: 8,
+            future: 3,
+            rate: 0,
+            measure: Measure::Value,
+            over_quota_value: 0.1,
+            uncertainty_discount: 0.1,
+            floor: 0.5,
+            widen: 10_000_000,
+            extrapolation: 60,
+            publish_interval: 1_000_000,
+            facts_per_round: 24,
+            pages: MAX_PAGES,
+            max_tenants: 200_000,
+            count_twice: false,
+        }
+    }
+}
+
+impl Config {
+    /// Checks every setting but `rate`, whose bound depends on the decay.
+    pub(crate) fn validate(&self) -> Result<(), ConfigError> {
+        let spans = [self.bucket, self.publish_interval, self.widen];
+        let fractions = [self.over_quota_value, self.uncertainty_discount, self.floor];
+        let max_buckets = wire::MAX_HEAD_BUCKETS as u32;
+        let max_horizon = (MAX_HORIZON_HALF_LIVES * self.half_life.min(MAX_HALF_LIFE)).min(max_buckets);
+        if self.me >= self.peers {
+            Err(ConfigError::Place)
+        } else if spans.contains(&0) {
+            Err(ConfigError::ZeroSpan)
+        } else if !self.half_life.is_power_of_two() || self.half_life > MAX_HALF_LIFE {
+            Err(ConfigError::HalfLife)
+        } else if self.horizon == 0
+            || self.horizon > max_horizon
+            || self.future.max(self.extrapolation) > max_buckets
+        {
+            Err(ConfigError::Horizon)
+        } else if fractions.iter().any(|fraction| !(0.0..=1.0).contains(fraction)) {
+            Err(ConfigError::Fraction)
+        } else if self.pages == 0 || self.pages > MAX_PAGES || self.facts_per_round == 0 {
+            Err(ConfigError::Pages)
+        } else {
+            Ok(())
+        }
+    }
+}
+
+/// Why a configuration was refused.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ConfigError {
+    /// The tree of shares is not valid.
+    #[error(transparent)]
+    Shares(#[from] SharesError),
+    /// `me` is not below `peers`.
+    #[error("the own place is not among the peers")]
+    Place,
+    /// A span of time is 0.
+    #[error("a span of time is 0")]
+    ZeroSpan,
+    /// The half-life is no power of two from 1 to 32.
+    #[error("a half-life is not 1, 2, 4, 8, 16 or 32 buckets")]
+    HalfLife,
+    /// The horizon is 0, above 64, or more than 30 half-lives; or `future` or `extrapolation` is above 64.
+    #[error("the horizon is out of range")]
+    Horizon,
+    /// A fraction is not from 0 to 1.
+    #[error("a part is not from 0 to 1")]
+    Fraction,
+    /// `pages` is 0 or above [`MAX_PAGES`], or `facts_per_round` is 0.
+    #[error("no or too many pages")]
+    Pages,
+    /// `rate` is above 2^36, or the federation's capacity over a horizon is out of range.
+    #[error("the rate is out of range")]
+    Rate,
+}
--- /dev/null
+++ b/crates/fairshare/src/decay/tests.rs
@@ -0,0 +1,25 @@
+//! The weights, and sums of an even flow.
+
+use super::{Decay, FRACTION_BITS, SPAN_BITS, SUB_STEPS};
+
+#[test]
+fn weights_are_powers_of_two_and_an_even_flow_reads_even() {
+    for half in [1, 2, 8, 32] {
+        let decay = Decay::new(half, 60, 0);
+        for step in 0..60 {
+            let bucket = decay.weight(step) as f64 / f64::from(1 << FRACTION_BITS);
+            let want = (step as f64 / f64::from(half)).exp2();
+            assert!((bucket / want - 1.0).abs() < 1e-8, "{half} {step}: {bucket} {want}");
+        }
+        // An even flow reads the same at every moment of a bucket.
+        let flow = |step: u64| {
+            let whole: i128 = (0..step / SUB_STEPS).map(|b| decay.weight(b) * 16_000).sum();
+            let begun = decay.weight(step / SUB_STEPS) * (step % SUB_STEPS) as i128 * 1_000;
+            decay.decayed(whole + begun, step) as f64
+                / (decay.memory() as f64 / f64::from(1 << SPAN_BITS) * 16e3)
+        };
+        for step in 60 * SUB_STEPS..61 * SUB_STEPS {
+            assert!((flow(step) - 1.0).abs() < (0.08 / f64::from(half)).max(0.012), "{half} {}", flow(step));
+        }
+    }
+}
--- /dev/null
+++ b/crates/fairshare/src/members.rs
@@ -0,0 +1,377 @@
+//! What the other members reported, and this one before a restart: pages by bucket, and how much may still be missing.
+//!
+//! A page is a register: one with a higher number replaces it, so the order of reports does not matter.
+
+use crate::accounts::{Accounts, Entry, Source};
+use crate::clock::Clock;
+use crate::decay::{Decay, SUB_STEPS};
+use crate::wire::Head;
+use crate::{AbsorbError, Config, Origin};
+use std::collections::BTreeMap;
+
+/// A member's recent rate is taken over this many whole buckets.
+pub(crate) const RATE_WINDOW: u64 = 4;
+/// Most epochs of a place that are kept: the latest ones.
+const MAX_EPOCHS: usize = 8;
+/// The upper estimate for a silent member grows to at most its likely usage plus this many times as much.
+const MAX_WIDENING: u64 = 3;
+
+/// A page as it was reported.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ReportedPage {
+    /// The number of the fact that it came in.
+    pub number: u64,
+    pub revision: u32,
+    pub entries: Vec<Entry>,
+}
+
+#[derive(Clone, Debug, Default)]
+struct ReportedBucket {
+    pages: BTreeMap<u8, ReportedPage>,
+    /// Revisions of all pages added up.
+    revisions: u32,
+}
+
+/// Decayed time that a member has not reported, in buckets with [`crate::decay::SPAN_BITS`] fractional bits.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Unreported {
+    pub likely: u64,
+    pub high: u64,
+}
+
+/// A bucket of which a member published more revisions than have arrived.
+#[derive(Clone, Copy, Debug)]
+struct Gap {
+    bucket: u64,
+    missing: u32,
+    published: u32,
+}
+
+/// What one start of a member reported.
+#[derive(Clone, Debug)]
+struct Member {
+    origin: Origin,
+    /// The sub-step up to which it reported.
+    reported_until: u64,
+    /// Its recent rate is taken from the buckets before this one.
+    rated_before: u64,
+    head_number: Option<u64>,
+    head_bucket: u64,
+    /// Published revisions of `head_bucket` and the buckets before it.
+    head_revisions: Vec<u32>,
+    buckets: BTreeMap<u64, ReportedBucket>,
+    /// The sub-step at which it left.
+    left_at: Option<u64>,
+    /// Its unreported time as of a sub-step; `None` where something has changed since.
+    unreported: Option<(u64, Unreported)>,
+}
+
+impl Member {
+    fn new(origin: Origin) -> Member {
+        Member {
+            origin,
+            reported_until: 0,
+            rated_before: 0,
+            head_number: None,
+            head_bucket: 0,
+            head_revisions: Vec::new(),
+            buckets: BTreeMap::new(),
+            left_at: None,
+            unreported: None,
+        }
+    }
+
+    /// Buckets of which something is missing, the latest first.
+    fn gaps(&self, oldest: u64) -> impl Iterator<Item = Gap> + '_ {
+        self.head_revisions.iter().enumerate().filter_map(move |(back, published)| {
+            let bucket = self.head_bucket.checked_sub(back as u64).filter(|bucket| *bucket >= oldest)?;
+            let arrived = self.buckets.get(&bucket).map_or(0, |reported| reported.revisions);
+            (arrived < *published).then(|| Gap {
+                bucket,
+                missing: published - arrived,
+                published: *published,
+            })
+        })
+    }
+
+    fn is_recent(&self, bucket: u64) -> bool {
+        is_recent(self.rated_before, bucket)
+    }
+
+    /// The end of the latest whole buckets of which nothing published is missing.
+    fn complete_until(&self, oldest: u64) -> u64 {
+        let last = self.reported_until / SUB_STEPS;
+        let mut rated_before = last;
+        for gap in self.gaps(oldest) {
+            if gap.bucket + RATE_WINDOW < rated_before {
+                break;
+            }
+            rated_before = rated_before.min(gap.bucket);
+        }
+        if rated_before < oldest + RATE_WINDOW {
+            last // there is nothing better
+        } else {
+            rated_before
+        }
+    }
+}
+
+/// Whether a rate taken from the buckets before `rated_before` covers this one.
+fn is_recent(rated_before: u64, bucket: u64) -> bool {
+    bucket < rated_before && bucket + RATE_WINDOW >= rated_before
+}
+
+/// All members that reported something within the horizon.
+#[derive(Clone, Debug)]
+pub(crate) struct Members {
+    config: Config,
+    slots: Vec<Option<Member>>,
+    by_origin: BTreeMap<Origin, u32>,
+}
+
+impl Members {
+    pub fn new(config: Config) -> Members {
+        Members { config, slots: Vec::new(), by_origin: BTreeMap::new() }
+    }
+
+    fn get(&self, index: u32) -> Option<&Member> {
+        self.slots[index as usize].as_ref()
+    }
+
+    fn get_mut(&mut self, index: u32) -> Option<&mut Member> {
+        self.slots[index as usize].as_mut()
+    }
+
+    /// Number of members.
+    pub fn count(&self) -> u64 {
+        self.slots.iter().flatten().count() as u64
+    }
+
+    /// Members that have reported nothing for so many sub-steps.
+    pub fn silent(&self, step: u64, timeout: u64) -> u64 {
+        self.slots.iter().flatten().filter(|member| member.reported_until + timeout < step).count() as u64
+    }
+
+    /// Buckets of which something published has not arrived.
+    pub fn gaps(&self, oldest: u64) -> u64 {
+        self.slots.iter().flatten().map(|member| member.gaps(oldest).count() as u64).sum()
+    }
+
+    /// Number of places, this one included, that reported within the horizon.
+    pub fn active_places(&self) -> u64 {
+        let origins = self.by_origin.keys();
+        let mut places: Vec<u16> =
+            origins.map(|origin| origin.place).filter(|place| *place != self.config.me).collect();
+        places.dedup();
+        places.len() as u64 + 1
+    }
+
+    /// The index of a member, added if it is new.
+    pub fn find_or_add(
+        &mut self,
+        origin: Origin,
+        clock: &Clock,
+        accounts: &mut Accounts,
+    ) -> Result<u32, AbsorbError> {
+        if let Some(index) = self.by_origin.get(&origin) {
+            return Ok(*index);
+        }
+        let first = Origin { epoch: 0, ..origin };
+        let epochs = self.by_origin.range(first..).take_while(|(known, _)| known.place == origin.place);
+        let known: Vec<(Origin, u32)> = epochs.map(|(origin, index)| (*origin, *index)).collect();
+        // The latest epochs are kept, whichever came first.
+        if known.len() >= MAX_EPOCHS {
+            let (oldest, index) = known[0];
+            if origin < oldest {
+                return Err(AbsorbError::Epoch);
+            }
+            self.expire(index, u64::MAX, clock, accounts);
+        }
+        for index in self.by_origin.range(first..origin).map(|(_, index)| *index as usize) {
+            if let Some(before) = &mut self.slots[index] {
+                before.unreported = None; // it ended when this one began
+            }
+        }
+        let free = self.slots.iter().position(Option::is_none).unwrap_or(self.slots.len());
+        if free == self.slots.len() {
+            self.slots.push(None);
+        }
+        self.slots[free] = Some(Member::new(origin));
+        self.by_origin.insert(origin, free as u32);
+        Ok(free as u32)
+    }
+
+    /// Takes a head; `false` where it is no later than the one known.
+    pub fn take_head(
+        &mut self,
+        index: u32,
+        number: u64,
+        head: Head,
+        clock: &Clock,
+        accounts: &mut Accounts,
+    ) -> bool {
+        let Some(member) = self.get_mut(index) else { return true };
+        if member.head_number >= Some(number) {
+            return false;
+        }
+        member.head_number = Some(number);
+        member.head_bucket = head.at / SUB_STEPS;
+        member.head_revisions = head.revisions;
+        self.reported_until(index, head.at);
+        self.update_rate(index, clock, accounts);
+        true
+    }
+
+    /// Whether a page of this number, or of a later one, is known.
+    pub fn has_page(&self, index: u32, bucket: u64, page: u8, number: u64) -> bool {
+        let reported = self.get(index).and_then(|member| member.buckets.get(&bucket)?.pages.get(&page));
+        reported.is_some_and(|reported| reported.number >= number)
+    }
+
+    /// Replaces a page whose entries have been added to the accounts. Returns the entries that it replaces, which the caller
+    /// takes off the accounts.
+    pub fn replace_page(
+        &mut self,
+        index: u32,
+        bucket: u64,
+        page: u8,
+        new: ReportedPage,
+        accounts: &mut Accounts,
+    ) -> Vec<Entry> {
+        let Some(member) = self.get_mut(index) else { return Vec::new() };
+        let is_recent = member.is_recent(bucket);
+        if is_recent {
+            accounts.add_recent(index, &new.entries);
+        }
+        let reported = member.buckets.entry(bucket).or_default();
+        let revision = new.revision;
+        let old = reported.pages.insert(page, new).unwrap_or_default();
+        reported.revisions = reported.revisions.wrapping_sub(old.revision).wrapping_add(revision);
+        member.unreported = None;
+        if is_recent {
+            accounts.subtract_recent(index, &old.entries);
+        }
+        old.entries
+    }
+
+    /// A member has reported everything up to this sub-step.
+    pub fn reported_until(&mut self, index: u32, until: u64) {
+        if let Some(member) = self.get_mut(index) {
+            member.reported_until = member.reported_until.max(until);
+            member.unreported = None;
+        }
+    }
+
+    /// Takes a member's recent rate from its latest whole buckets of which nothing published is missing.
+    pub fn update_rate(&mut self, index: u32, clock: &Clock, accounts: &mut Accounts) {
+        let Some(member) = self.get_mut(index) else { return };
+        let after = member.complete_until(clock.oldest_bucket());
+        let before = std::mem::replace(&mut member.rated_before, after);
+        if before == after {
+            return;
+        }
+        let first = before.min(after).saturating_sub(RATE_WINDOW);
+        for (bucket, reported) in member.buckets.range(first..before.max(after)) {
+            let is_recent_now = is_recent(after, *bucket);
+            if is_recent(before, *bucket) == is_recent_now {
+                continue;
+            }
+            for page in reported.pages.values() {
+                if is_recent_now {
+                    accounts.add_recent(index, &page.entries);
+                } else {
+                    accounts.subtract_recent(index, &page.entries);
+                }
+            }
+        }
+    }
+
+    /// Drops from all members what is before the bucket `oldest`.
+    pub fn expire_all(&mut self, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
+        for index in 0..self.slots.len() as u32 {
+            self.expire(index, oldest, clock, accounts);
+        }
+    }
+
+    /// Drops what a member reported of buckets before `oldest`, and the member once nothing of it counts.
+    fn expire(&mut self, index: u32, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
+        let extrapolation = u64::from(self.config.extrapolation);
+        let Some(member) = self.get_mut(index) else { return };
+        let kept = member.buckets.split_off(&oldest);
+        let expired = std::mem::replace(&mut member.buckets, kept);
+        for (bucket, reported) in expired {
+            let is_recent = member.is_recent(bucket);
+            for entries in reported.pages.into_values().map(|page| page.entries) {
+                if is_recent {
+                    accounts.subtract_recent(index, &entries);
+                }
+                for entry in entries {
+                    accounts.subtract(entry, bucket, Source::Reported);
+                    accounts.release(entry.account.tenant, 1);
+                }
+            }
+        }
+        let last = member.reported_until / SUB_STEPS;
+        if member.buckets.is_empty() && last + extrapolation < oldest {
+            let origin = member.origin;
+            self.slots[index as usize] = None;
+            self.by_origin.remove(&origin);
+        }
+        self.update_rate(index, clock, accounts);
+    }
+
+    /// A member left at this sub-step: nothing is extrapolated beyond it.
+    pub fn left(&mut self, origin: Origin, step: u64) {
+        let Some(index) = self.by_origin.get(&origin).copied() else { return };
+        if let Some(member) = self.get_mut(index) {
+            member.left_at = Some(member.left_at.map_or(step, |earlier| earlier.min(step)));
+            member.unreported = None;
+        }
+    }
+
+    /// The sub-step at which a member ended: its place restarted, or it left.
+    fn ended_at(&self, member: &Member, clock: &Clock) -> Option<u64> {
+        let Origin { place, epoch } = member.origin;
+        let after = Origin { epoch: epoch.saturating_add(1), place };
+        let next = self.by_origin.range(after..).next().map(|(origin, _)| *origin);
+        let next = next.filter(|origin| origin.place == place).map(|origin| origin.epoch);
+        let is_own = place == self.config.me && self.config.epoch > epoch;
+        let own = is_own.then_some(self.config.epoch);
+        let restarted = next.into_iter().chain(own).min();
+        let restarted = restarted.map(|millis| clock.sub_steps(u128::from(millis) * 1000));
+        restarted.into_iter().chain(member.left_at).min()
+    }
+
+    /// Decayed time that a member has not reported.
+    pub fn unreported(&mut self, index: u32, clock: &Clock, decay: &Decay) -> Unreported {
+        let Some(member) = self.get(index) else { return Unreported::default() };
+        if let Some((_, unreported)) = member.unreported.filter(|(step, _)| *step == clock.step()) {
+            return unreported;
+        }
+        let unreported = self.compute_unreported(member, clock, decay);
+        if let Some(member) = self.get_mut(index) {
+            member.unreported = Some((clock.step(), unreported));
+        }
+        unreported
+    }
+
+    fn compute_unreported(&self, member: &Member, clock: &Clock, decay: &Decay) -> Unreported {
+        let step = clock.step();
+        let from = member.reported_until;
+        let extrapolated = from + u64::from(self.config.extrapolation) * SUB_STEPS;
+        let ended = self.ended_at(member, clock).unwrap_or(u64::MAX);
+        let until = step.min(extrapolated).min(ended).max(from);
+        let decayed = |from: u64, to: u64| decay.span(step.saturating_sub(to), step.saturating_sub(from));
+        let silence = clock.micros(until - from);
+        let mut likely = decayed(from, until);
+        let widened = u128::from(likely) * u128::from(silence) / u128::from(self.config.widen);
+        let mut high = likely + (widened as u64).min(MAX_WIDENING * likely);
+        for gap in member.gaps(clock.oldest_bucket()) {
+            let begin = gap.bucket * SUB_STEPS;
+            let span = decayed(begin, ((gap.bucket + 1) * SUB_STEPS).min(from.max(begin)));
+            likely += span * u64::from(gap.missing) / u64::from(gap.published.max(1));
+            high += span;
+        }
+        Unreported { likely, high }
+    }
+}
--- /dev/null
+++ b/crates/fairshare/src/metrics.rs
@@ -0,0 +1,40 @@
+//! Counters and sizes of a ledger.
+
+/// Counters since the start, and present sizes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Metrics {
+    /// Facts absorbed, stale ones included.
+    pub absorbed: u64,
+    /// Absorbed facts that were no later than what was known.
+    pub stale: u64,
+    /// Refused: older than the horizon.
+    pub late: u64,
+    /// Refused: from the future.
+    pub future: u64,
+    /// Refused: too long, of another version, or unreadable.
+    pub malformed: u64,
+    /// Refused: of a place that is not listed, or of an epoch too far back.
+    pub foreign: u64,
+    /// Refused: no room for more tenants.
+    pub full: u64,
+    /// Own usage that was refused as too old or from the future.
+    pub own_refused: u64,
+    /// Jobs valued whose tenant has no share.
+    pub unknown: u64,
+    /// Amounts that were moved to a later bucket because the pages were full.
+    pub carried: u64,
+    /// Facts published.
+    pub published: u64,
+    /// Bytes of the published facts.
+    pub published_bytes: u64,
+    /// Members (place and epoch) that are known.
+    pub members: u64,
+    /// Known members that have been silent for more than two rounds and a bucket.
+    pub silent: u64,
+    /// Buckets of which a published page has not arrived.
+    pub gaps: u64,
+    /// Tenants that are kept, with a share or without.
+    pub tenants: u64,
+    /// Invariants that did not hold (counted in release builds; a debug build panics).
+    pub broken: u64,
+}
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -3,13 +3,13 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-/// The most tenants of a tree, and the most classes of a tenant.
-pub const MOST_TENANTS: usize = 100_000;
-/// The most classes of a tenant.
-pub const MOST_CLASSES: usize = 64;
+/// Most tenants of a tree.
+pub const MAX_TENANTS: usize = 100_000;
+/// Most classes of a tenant.
+pub const MAX_CLASSES: usize = 64;
 
-/// Who has a share of the federation, and how much of it. Weights count beside those of the same level only; a weight of 0
-/// is promised nothing and gets what is left.
+/// Who has a share of the federation, and how much of it. A weight is relative to the other weights of its level; a weight of
+/// 0 is promised nothing and gets what is left over.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shares {
     /// The installations.
@@ -21,7 +21,7 @@
 pub struct Installation {
     /// Its name, for messages.
     pub name: String,
-    /// Its part of the federation.
+    /// Its weight within the federation.
     pub weight: u32,
     /// Its tenants.
     pub tenants: Vec<Tenant>,
@@ -32,24 +32,24 @@
 pub struct Tenant {
     /// Its name, the same in the whole federation.
     pub name: String,
-    /// Its part of its installation.
+    /// Its weight within its installation.
     pub weight: u32,
-    /// The parts that its classes have of its share, by the number of the class. Empty: its classes have one account.
+    /// Weights of its classes within its share, by the number of the class. Empty: all its classes have one account.
     pub classes: Vec<u32>,
 }
 
-/// What names a tenant in reports: FNV-1a over its name, the same at every member whatever its file lists.
+/// A tenant's identifier in reports: FNV-1a over its name, the same at every member whatever its settings list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u32);
 
 impl TenantKey {
     /// The key of a name.
-    pub fn of(name: &str) -> TenantKey {
+    pub fn from_name(name: &str) -> TenantKey {
         TenantKey(name.bytes().fold(0x811c_9dc5, |hash, b| (hash ^ u32::from(b)).wrapping_mul(0x0100_0193)))
     }
 }
 
-/// Why a tree of shares was not taken.
+/// Why a tree of shares was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SharesError {
     /// A name is listed twice.
@@ -58,15 +58,15 @@
     /// Two names have the same key.
     #[error("tenants {0:?} and {1:?} have the same key: rename one")]
     SameKey(String, String),
-    /// There are more than [`MOST_TENANTS`].
-    #[error("there are {0} tenants, {MOST_TENANTS} at most")]
+    /// There are more than [`MAX_TENANTS`].
+    #[error("there are {0} tenants, {MAX_TENANTS} at most")]
     TooMany(usize),
-    /// A tenant has more than [`MOST_CLASSES`].
-    #[error("tenant {0:?} has {1} classes, {MOST_CLASSES} at most")]
+    /// A tenant has more than [`MAX_CLASSES`].
+    #[error("tenant {0:?} has {1} classes, {MAX_CLASSES} at most")]
     TooManyClasses(String, usize),
 }
 
-/// A tenant of the tree, with what it is promised and what it may have, in units as they stand in the account.
+/// A tenant of the tree with its share and its allowance, in units as they stand in the account.
 #[derive(Clone, Debug)]
 pub(crate) struct Leaf {
     pub key: u32,
@@ -76,7 +76,7 @@
     /// What the weights alone give it.
     pub share: u64,
     /// The share, and what is lent to it on top.
-    pub due: u64,
+    pub allowance: u64,
 }
 
 impl Leaf {
@@ -84,154 +84,175 @@
     pub fn class_share(&self, class: u8) -> u64 {
         let all: u64 = self.classes.iter().map(|w| u64::from(*w)).sum();
         let weight = self.classes.get(usize::from(class)).copied().unwrap_or(0);
-        part(self.share, u64::from(weight), all)
+        proportion(self.share, u64::from(weight), all)
     }
 }
 
+/// The tree of shares with everything that was derived from the weights.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tree {
+pub(crate) struct ShareTree {
     pub leaves: Vec<Leaf>,
     pub by_key: FxHashMap<u32, u32>,
-    weights: Vec<u64>,
-    shares: Vec<u64>,
+    installations: Vec<InstallationShare>,
 }
 
-/// What a weight is of a whole.
-fn part(whole: u64, weight: u64, of: u64) -> u64 {
-    (u128::from(whole) * u128::from(weight)).checked_div(u128::from(of)).unwrap_or(0) as u64
+#[derive(Clone, Copy, Debug)]
+struct InstallationShare {
+    weight: u64,
+    share: u64,
 }
 
-/// What a level of the tree wants: the needs of those that use less than their share, and the weights of the others.
+/// The part of `whole` that goes to a weight out of `total_weight`; 0 where nobody has a weight.
+fn proportion(whole: u64, weight: u64, total_weight: u64) -> u64 {
+    (u128::from(whole) * u128::from(weight)).checked_div(u128::from(total_weight)).unwrap_or(0) as u64
+}
+
+/// One participant of a level of the tree: its weight, its share and how much it needs.
+#[derive(Clone, Copy, Debug)]
+struct Participant {
+    weight: u64,
+    share: u64,
+    need: u64,
+}
+
+impl Participant {
+    /// Whether it could use all of its share or more.
+    fn is_unsatisfied(self) -> bool {
+        self.need >= self.share.max(1)
+    }
+}
+
+/// The demand of one level of the tree.
 #[derive(Clone, Copy, Debug, Default)]
-struct Wants {
-    settled: u64,
-    hungry: u64,
-    /// Of weight 0, and use something.
-    beggars: u64,
-}
-
-impl Wants {
-    fn add(&mut self, weight: u64, share: u64, need: u64) {
-        match (weight, need >= share.max(1)) {
-            (0, _) => self.beggars += u64::from(need > 0),
-            (_, true) => self.hungry += weight,
-            (_, false) => self.settled += need,
+struct Demand {
+    /// Needs of the participants that use less than their share.
+    satisfied_need: u64,
+    /// Weights of all others.
+    unsatisfied_weight: u64,
+    /// Participants of weight 0 that use something.
+    weightless: u64,
+}
+
+impl Demand {
+    fn add(&mut self, participant: Participant) {
+        if participant.weight == 0 {
+            self.weightless += u64::from(participant.need > 0);
+        } else if participant.is_unsatisfied() {
+            self.unsatisfied_weight += participant.weight;
+        } else {
+            self.satisfied_need += participant.need;
         }
     }
 
-    /// What one of the level may have of `whole`, were it to want all it can get. Max-min: who needs less than its share is
-    /// satisfied at once, since the level of the water only rises, and the rest divide what is left by their weights.
-    fn due(&self, whole: u64, weight: u64, share: u64, need: u64) -> u64 {
-        let left = whole.saturating_sub(self.settled);
-        match (weight, need >= share.max(1)) {
-            (0, _) if self.hungry > 0 => 0,
-            (0, _) => left / self.beggars.max(1),
-            (_, true) => part(left, weight, self.hungry),
-            (_, false) => part(left.saturating_add(need), weight, self.hungry + weight).max(share),
+    /// What one participant may have of `whole`, were it to want all it can get. Max-min fairness by water-filling: who needs
+    /// less than its share is satisfied at once, since the level of the water only rises, and the rest divide what is left by
+    /// their weights.
+    fn allowance(&self, whole: u64, participant: Participant) -> u64 {
+        let Participant { weight, share, need } = participant;
+        let left = whole.saturating_sub(self.satisfied_need);
+        if weight == 0 {
+            return if self.unsatisfied_weight > 0 { 0 } else { left / self.weightless.max(1) };
         }
+        if participant.is_unsatisfied() {
+            return proportion(left, weight, self.unsatisfied_weight);
+        }
+        proportion(left.saturating_add(need), weight, self.unsatisfied_weight + weight).max(share)
     }
 }
 
-impl Tree {
+impl ShareTree {
     /// The tree of these shares of `whole`.
-    pub fn of(shares: &Shares, whole: u64) -> Result<Tree, SharesError> {
-        let all = shares.installations.iter().map(|i| i.tenants.len()).sum();
-        if all > MOST_TENANTS {
-            return Err(SharesError::TooMany(all));
+    pub fn new(shares: &Shares, whole: u64) -> Result<ShareTree, SharesError> {
+        let tenants = shares.installations.iter().map(|i| i.tenants.len()).sum();
+        if tenants > MAX_TENANTS {
+            return Err(SharesError::TooMany(tenants));
         }
-        let mut tree = Tree::default();
+        let mut tree = ShareTree::default();
         let mut names: FxHashMap<u32, &str> = FxHashMap::default();
-        let sum: u64 = shares.installations.iter().map(|i| u64::from(i.weight)).sum();
-        for (installation, listed) in shares.installations.iter().enumerate() {
-            let own = part(whole, u64::from(listed.weight), sum);
-            let within: u64 = listed.tenants.iter().map(|t| u64::from(t.weight)).sum();
-            tree.weights.push(u64::from(listed.weight));
-            tree.shares.push(own);
-            for tenant in &listed.tenants {
-                let TenantKey(key) = TenantKey::of(&tenant.name);
-                match names.insert(key, &tenant.name) {
-                    Some(other) if other == tenant.name => return Err(SharesError::Twice(other.to_owned())),
-                    Some(other) => return Err(SharesError::SameKey(other.to_owned(), tenant.name.clone())),
-                    None if tenant.classes.len() > MOST_CLASSES => {
-                        return Err(SharesError::TooManyClasses(tenant.name.clone(), tenant.classes.len()));
-                    }
-                    None => {}
-                }
-                let weight = u64::from(tenant.weight);
-                let share = part(own, weight, within);
-                tree.by_key.insert(key, tree.leaves.len() as u32);
-                let classes = tenant.classes.clone();
-                tree.leaves.push(Leaf { key, installation, weight, classes, share, due: share });
+        let total_weight: u64 = shares.installations.iter().map(|i| u64::from(i.weight)).sum();
+        for installation in &shares.installations {
+            let weight = u64::from(installation.weight);
+            let share = proportion(whole, weight, total_weight);
+            let tenant_weight: u64 = installation.tenants.iter().map(|t| u64::from(t.weight)).sum();
+            for tenant in &installation.tenants {
+                let key = checked_key(tenant, &mut names)?;
+                let share = proportion(share, u64::from(tenant.weight), tenant_weight);
+                tree.add_leaf(key, tenant, share);
             }
+            tree.installations.push(InstallationShare { weight, share });
         }
         Ok(tree)
     }
 
+    /// Adds a tenant of the installation that is about to be pushed.
+    fn add_leaf(&mut self, key: u32, tenant: &Tenant, share: u64) {
+        self.by_key.insert(key, self.leaves.len() as u32);
+        self.leaves.push(Leaf {
+            key,
+            installation: self.installations.len(),
+            weight: u64::from(tenant.weight),
+            classes: tenant.classes.clone(),
+            share,
+            allowance: share,
+        });
+    }
+
+    /// The tenant of a key, if it has a share.
+    pub fn leaf(&self, key: u32) -> Option<&Leaf> {
+        self.by_key.get(&key).map(|leaf| &self.leaves[*leaf as usize])
+    }
+
     /// Lends what is not used: first within each installation, then between them. `needs` are the high ends of what the
     /// leaves use, in their order: what may be in use is not lent.
     pub fn lend(&mut self, whole: u64, needs: &[u64]) {
-        let mut within = vec![Wants::default(); self.weights.len()];
+        let mut within = vec![Demand::default(); self.installations.len()];
         for (leaf, need) in self.leaves.iter().zip(needs) {
-            within[leaf.installation].add(leaf.weight, leaf.share, *need);
+            within[leaf.installation].add(leaf.participant(*need));
         }
-        // An installation with a hungry tenant is hungry itself.
-        let need = |i: usize| {
-            let w: &Wants = &within[i];
-            if w.hungry > 0 || (w.beggars > 0 && self.weights[i] > 0) { u64::MAX } else { w.settled }
-        };
-        let mut level = Wants::default();
-        for (i, wants) in within.iter().enumerate() {
-            let least = u64::from(wants.beggars > 0);
-            level.add(self.weights[i], self.shares[i], need(i).max(least));
+        let mut level = Demand::default();
+        for (installation, demand) in self.installations.iter().zip(&within) {
+            let mut participant = installation.participant(demand);
+            participant.need = participant.need.max(u64::from(demand.weightless > 0));
+            level.add(participant);
         }
-        let wholes = (0..within.len()).map(|i| level.due(whole, self.weights[i], self.shares[i], need(i)));
-        let wholes: Vec<u64> = wholes.collect();
+        let wholes: Vec<u64> = (self.installations.iter().zip(&within))
+            .map(|(installation, demand)| level.allowance(whole, installation.participant(demand)))
+            .collect();
         for (leaf, need) in self.leaves.iter_mut().zip(needs) {
-            let due =
-                within[leaf.installation].due(wholes[leaf.installation], leaf.weight, leaf.share, *need);
-            leaf.due = due.max(leaf.share);
+            let whole = wholes[leaf.installation];
+            let allowance = within[leaf.installation].allowance(whole, leaf.participant(*need));
+            leaf.allowance = allowance.max(leaf.share);
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn tree(installations: &[(u32, &[u32])]) -> Tree {
-        let tenant =
-            |i: usize, t: usize, weight| Tenant { name: format!("{i}/{t}"), weight, classes: vec![] };
-        let installations = installations.iter().enumerate().map(|(i, (weight, tenants))| Installation {
-            name: i.to_string(),
-            weight: *weight,
-            tenants: tenants.iter().enumerate().map(|(t, w)| tenant(i, t, *w)).collect(),
-        });
-        Tree::of(&Shares { installations: installations.collect() }, 1_200).unwrap()
+impl Leaf {
+    fn participant(&self, need: u64) -> Participant {
+        Participant { weight: self.weight, share: self.share, need }
     }
+}
+
+impl InstallationShare {
+    /// An installation with an unsatisfied tenant is unsatisfied itself.
+    fn participant(&self, demand: &Demand) -> Participant {
+        let is_unsatisfied = demand.unsatisfied_weight > 0 || (demand.weightless > 0 && self.weight > 0);
+        let need = if is_unsatisfied { u64::MAX } else { demand.satisfied_need };
+        Participant { weight: self.weight, share: self.share, need }
+    }
+}
 
-    /// Weights, needs, then what each may have.
-    type Row = (&'static [(u32, &'static [u32])], &'static [u64], &'static [u64]);
-
-    #[test]
-    fn what_is_not_used_is_lent_down_the_tree() {
-        let rows: &[Row] = &[
-            // All hungry: shares.
-            (&[(1, &[1, 1]), (2, &[1])], &[900, 900, 900], &[200, 200, 800]),
-            // One idle: first to its sibling, which does not need a tree to get it.
-            (&[(1, &[1, 1]), (2, &[1])], &[0, 900, 900], &[200, 400, 800]),
-            // A whole installation uses half: the rest goes to the other, by weight.
-            (&[(1, &[1, 3]), (2, &[1])], &[900, 900, 400], &[200, 600, 800]),
-            // Weight 0: nothing while another wants it, else all that is left.
-            (&[(1, &[0, 1])], &[500, 1_200], &[0, 1_200]),
-            (&[(1, &[0, 1])], &[500, 300], &[900, 1_200]),
-            (&[(1, &[0, 0])], &[5, 5], &[600, 600]),
-            (&[(0, &[1]), (1, &[1])], &[5, 200], &[1_000, 1_200]),
-        ];
-        for (n, (weights, needs, dues)) in rows.iter().enumerate() {
-            let mut tree = tree(weights);
-            tree.lend(1_200, needs);
-            let got: Vec<u64> = tree.leaves.iter().map(|l| l.due).collect();
-            assert_eq!(&got, dues, "row {n}");
+/// The key of a tenant that is listed once, with a key of its own and not too many classes.
+fn checked_key<'a>(tenant: &'a Tenant, names: &mut FxHashMap<u32, &'a str>) -> Result<u32, SharesError> {
+    let TenantKey(key) = TenantKey::from_name(&tenant.name);
+    match names.insert(key, &tenant.name) {
+        Some(other) if other == tenant.name => Err(SharesError::Twice(other.to_owned())),
+        Some(other) => Err(SharesError::SameKey(other.to_owned(), tenant.name.clone())),
+        None if tenant.classes.len() > MAX_CLASSES => {
+            Err(SharesError::TooManyClasses(tenant.name.clone(), tenant.classes.len()))
         }
+        None => Ok(key),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/examples/proof_fairshare.rs
+++ b/examples/proof_fairshare.rs
@@ -71,7 +71,7 @@
         wall_at_zero: WALL,
         peers: DISPATCHERS as u16,
         rate: CAPACITY * JOB,
-        over_share_worth: OVER_SHARE_WORTH,
+        over_quota_value: OVER_SHARE_WORTH,
         ..Config::default()
     }
 }
@@ -228,16 +228,16 @@
     t: usize,
     key: TenantKey,
     now: u64,
-) -> Worth {
+) -> JobValue {
     match policy {
-        Policy::Today => Worth { part: 1.0, tier: Tier::Within },
+        Policy::Today => JobValue { fraction: 1.0, tier: Tier::Within },
         Policy::QuotaByNode if at.tokens[t] >= 1.0 => {
             at.tokens[t] -= 1.0;
-            Worth { part: 1.0, tier: Tier::Within }
+            JobValue { fraction: 1.0, tier: Tier::Within }
         }
-        Policy::QuotaByNode => Worth { part: OVER_SHARE_WORTH, tier: Tier::Over },
-        Policy::OneLedger => truth.worth(key, 0, JOB, now),
-        Policy::FairShare | Policy::Mutated => at.ledger.worth(key, 0, JOB, now),
+        Policy::QuotaByNode => JobValue { fraction: OVER_SHARE_WORTH, tier: Tier::Over },
+        Policy::OneLedger => truth.job_value(key, 0, JOB, now),
+        Policy::FairShare | Policy::Mutated => at.ledger.job_value(key, 0, JOB, now),
     }
 }
 
@@ -260,7 +260,7 @@
     };
     let mut all: Vec<Dispatcher> = (0..DISPATCHERS).map(|me| new(me, 0)).collect();
     let mut truth = Ledger::new(config(0, 0), &shares, 0).expect("settings");
-    let keys: Vec<TenantKey> = TENANTS.iter().map(|t| TenantKey::of(t.name)).collect();
+    let keys: Vec<TenantKey> = TENANTS.iter().map(|t| TenantKey::from_name(t.name)).collect();
     let weights: f64 = TENANTS.iter().map(|t| f64::from(t.weight)).sum();
     let mut carrier =
         Carrier { held: vec![BTreeMap::new(); DISPATCHERS], under_way: BTreeMap::new(), bytes: 0 };
@@ -301,7 +301,7 @@
                 let part = CAPACITY as f64 * f64::from(tenant.weight) / weights / DISPATCHERS as f64;
                 at.tokens[t] = (at.tokens[t] + part / TICKS as f64).min(part);
                 for _ in 0..jobs {
-                    let Worth { part, tier } = worth_of(policy, at, &mut truth, t, keys[t], now);
+                    let JobValue { fraction: part, tier } = worth_of(policy, at, &mut truth, t, keys[t], now);
                     let (worth, came) = ((part * 1e6) as u32, Reverse(tick));
                     at.waiting.push(Job { worth, came, dice: rng.u32(..), tenant: t, tier });
                 }
@@ -339,7 +339,7 @@
         // Jobs are answered, and count from then on.
         while let Some((_, d, epoch, t)) = running.front().copied().filter(|job| job.0 <= tick) {
             running.pop_front();
-            let used = Use { worth: JOB, work: 10 };
+            let used = Usage { value: JOB, work: 10 };
             truth.record(now, now, keys[t], 0, used).expect("recorded");
             if all[d].up && all[d].epoch == epoch {
                 all[d].ledger.record(now, now, keys[t], 0, used).expect("recorded");
@@ -396,12 +396,12 @@
     }
     out.told.2 = carrier.bytes;
     let end = quiet * SECOND;
-    let known = |l: &mut Ledger| -> Vec<Use> { keys.iter().map(|k| l.known(*k, end)).collect() };
+    let known = |l: &mut Ledger| -> Vec<Usage> { keys.iter().map(|k| l.known_usage(*k, end)).collect() };
     let want = known(&mut truth);
-    let views: Vec<Vec<Use>> = all.iter_mut().map(|d| known(&mut d.ledger)).collect();
+    let views: Vec<Vec<Usage>> = all.iter_mut().map(|d| known(&mut d.ledger)).collect();
     out.agree = views.iter().all(|v| *v == views[0]);
     out.exact = views.iter().all(|v| *v == want);
-    out.broken = all.iter().map(|d| d.ledger.figures().broken).sum();
+    out.broken = all.iter().map(|d| d.ledger.metrics().broken).sum();
     out
 }
 
@@ -446,8 +446,8 @@
         for second in 1..20u64 {
             for _ in 0..200 {
                 let name = &names[rng.usize(0..tenants)];
-                let used = Use { worth: rng.u64(1..100_000), work: rng.u64(1..1_000) };
-                let _ = teller.record(second * SECOND, second * SECOND, TenantKey::of(name), 0, used);
+                let used = Usage { value: rng.u64(1..100_000), work: rng.u64(1..1_000) };
+                let _ = teller.record(second * SECOND, second * SECOND, TenantKey::from_name(name), 0, used);
             }
             while let Some((slot, told)) = teller.publish(second * SECOND) {
                 number += 1;
@@ -462,14 +462,14 @@
         let _ = reader.absorb(second * SECOND, *origin, *slot, *number, told);
     }
     let report = begun.elapsed().as_secs_f64() * 1e6 / facts.len() as f64;
-    let keys: Vec<TenantKey> = names.iter().map(|n| TenantKey::of(n)).collect();
+    let keys: Vec<TenantKey> = names.iter().map(|n| TenantKey::from_name(n)).collect();
     let begun = Instant::now();
-    let mut sum = reader.worth(keys[0], 0, 1, 21 * SECOND).part;
+    let mut sum = reader.job_value(keys[0], 0, 1, 21 * SECOND).fraction;
     let lend = begun.elapsed().as_secs_f64() * 1e6;
     let asked = 200_000;
     let begun = Instant::now();
     for _ in 0..asked {
-        sum += reader.worth(keys[rng.usize(0..tenants)], 0, 1, 21 * SECOND).part;
+        sum += reader.job_value(keys[rng.usize(0..tenants)], 0, 1, 21 * SECOND).fraction;
     }
     let query = begun.elapsed().as_secs_f64() * 1e6 / f64::from(asked);
     let second = 30.0 * 19.0;
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -3,7 +3,7 @@
 
 use super::{Birth, FairShareSettings, FleetSettings};
 use crate::policy::interface::{Estimate, Micros};
-use mothproxy_fairshare::{Ledger, TenantKey, Use};
+use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
 
@@ -103,24 +103,27 @@
     pub fn worth(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64) -> Option<f64> {
         let class = u8::try_from(class).unwrap_or(u8::MAX);
         let amount = (points * POINT).max(0.0) as u64; // the measure is worth: see `Config::new` of the crate
-        let worth = self.shares.as_mut()?.worth(TenantKey::of(tenant?), class, amount, now);
-        Some(worth.part)
+        let worth = self.shares.as_mut()?.job_value(TenantKey::from_name(tenant?), class, amount, now);
+        Some(worth.fraction)
     }
 
     /// A job was served: it was worth so many points, and took so long.
     pub fn served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, took: Micros) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Use { worth: (points * POINT).max(0.0) as u64, work: took / 1_000 };
+            let used = Usage { value: (points * POINT).max(0.0) as u64, work: took / 1_000 };
             let class = u8::try_from(class).unwrap_or(u8::MAX);
             // What has no room is counted there.
-            let _ = shares.record(now, now, TenantKey::of(tenant), class, used);
+            let _ = shares.record(now, now, TenantKey::from_name(tenant), class, used);
         }
     }
 
     /// What is believed of a member has changed: one that is gone reports no more.
     pub fn changed(&mut self, now: Micros, change: Change) {
         if let Some(shares) = self.shares.as_mut().filter(|_| change.to == State::Left) {
-            shares.left(now, mothproxy_fairshare::Origin { place: change.place, epoch: change.epoch });
+            shares.on_member_left(
+                now,
+                mothproxy_fairshare::Origin { place: change.place, epoch: change.epoch },
+            );
         }
     }
 
@@ -195,9 +198,9 @@
             LearnerFigures { seen: f.seen, told: f.told, taken: f.taken, refused: f.refused }
         });
         let shares = self.shares.as_ref().map(|shares| {
-            let f = shares.figures();
+            let f = shares.metrics();
             let refused = f.late + f.future + f.malformed + f.foreign + f.full;
-            LearnerFigures { seen: f.books, told: f.told, taken: f.absorbed - f.stale, refused }
+            LearnerFigures { seen: f.tenants, told: f.published, taken: f.absorbed - f.stale, refused }
         });
         LearnersFigures { runtimes, shares }
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -64,7 +64,7 @@
             wall_at_zero: wall,
             peers,
             rate: self.rate,
-            over_share_worth: self.over_share,
+            over_quota_value: self.over_share,
             ..mothproxy_fairshare::Config::default()
         }
     }
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -3,7 +3,7 @@
 use crate::{assert_kept, to_hex};
 use mothproxy_coldstart::pacer::Service;
 use mothproxy_coldstart::{Findings, Report, Seen, Trouble};
-use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Use};
+use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Usage};
 use mothproxy_runtimes::{Likeness, Outcome, Runtimes};
 
 const SECOND: u64 = 1_000_000;
@@ -53,9 +53,9 @@
     let mut written = String::new();
     for n in 0..60 {
         let now = n * SECOND * 2;
-        let key = TenantKey::of(if n % 3 == 0 { "a" } else { "b" });
+        let key = TenantKey::from_name(if n % 3 == 0 { "a" } else { "b" });
         let class = u8::try_from(n % 2).expect("small");
-        ledger.record(now, now, key, class, Use { worth: 1_000 + n, work: 300 * n }).expect("in time");
+        ledger.record(now, now, key, class, Usage { value: 1_000 + n, work: 300 * n }).expect("in time");
         written.extend(std::iter::from_fn(|| ledger.publish(now)).map(line));
     }
     assert_kept("facts/fairshare.txt", &written);
--- a/tests/conformance/fairshare.rs
+++ b/tests/conformance/fairshare.rs
@@ -3,7 +3,7 @@
 
 use crate::table::{Machine, beyond};
 use mothproxy_fairshare::{
-    AbsorbError, Config, Installation, Ledger, Origin, RecordError, Shares, Tenant, TenantKey, Tier, Use,
+    AbsorbError, Config, Installation, Ledger, Origin, RecordError, Shares, Tenant, TenantKey, Tier, Usage,
 };
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,19 +118,19 @@
     fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
         let now = self.now;
         let at = |ago: i64| now.saturating_add_signed(-ago * SECOND as i64);
-        let key = |tenant: &str| TenantKey::of(tenant);
+        let key = |tenant: &str| TenantKey::from_name(tenant);
         match Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())? {
             Verb::Serve { seconds, rates, cut } => self.serve(seconds, &rates, &cut)?,
             Verb::Record { by, tenant, worth, ago } => {
-                let used = Use { worth, work: worth };
+                let used = Usage { value: worth, work: worth };
                 let done = self.members[by].ledger.record(now, at(ago), key(&tenant), 0, used);
                 self.tenants.insert(tenant);
                 return Ok(vec![recorded(done.err()).to_owned()]);
             }
             Verb::Correct { by, tenant, worth, ago } => {
-                let less = Use { worth, work: worth };
+                let less = Usage { value: worth, work: worth };
                 return Ok(match self.members[by].ledger.correct(now, at(ago), key(&tenant), 0, less) {
-                    Ok(taken) => vec![format!("took {}", taken.worth)],
+                    Ok(taken) => vec![format!("took {}", taken.value)],
                     Err(fault) => vec![recorded(Some(fault)).to_owned()],
                 });
             }
@@ -159,7 +159,7 @@
             Verb::Weights(weights) => {
                 self.shares = shares(&weights);
                 for member in &mut self.members {
-                    member.ledger.reshare(&self.shares).map_err(|e| e.to_string())?;
+                    member.ledger.set_shares(&self.shares).map_err(|e| e.to_string())?;
                 }
                 self.tenants.extend(weights.into_keys());
             }
@@ -171,21 +171,21 @@
             }
             Verb::Worth { at, tenant, beyond_pace } => {
                 if beyond_pace {
-                    self.members[at].ledger.worth(key(&tenant), 0, u64::MAX >> 16, now);
+                    self.members[at].ledger.job_value(key(&tenant), 0, u64::MAX >> 16, now);
                 }
-                let worth = self.members[at].ledger.worth(key(&tenant), 0, 1, now);
+                let worth = self.members[at].ledger.job_value(key(&tenant), 0, 1, now);
                 let tier = match worth.tier {
                     Tier::Within => "within",
                     Tier::Floor => "floor",
                     Tier::Lent => "lent",
                     Tier::Over => "over",
                 };
-                return Ok(vec![tier.to_owned(), format!("part {:.0}", worth.part * 100.0)]);
+                return Ok(vec![tier.to_owned(), format!("part {:.0}", worth.fraction * 100.0)]);
             }
             Verb::Same(a, b) => {
                 let tenants: Vec<TenantKey> = self.tenants.iter().map(|name| key(name)).collect();
-                let mut all = |at: usize| -> Vec<Use> {
-                    tenants.iter().map(|tenant| self.members[at].ledger.known(*tenant, now)).collect()
+                let mut all = |at: usize| -> Vec<Usage> {
+                    tenants.iter().map(|tenant| self.members[at].ledger.known_usage(*tenant, now)).collect()
                 };
                 return Ok(vec![if all(a) == all(b) { "same" } else { "different" }.to_owned()]);
             }
@@ -236,9 +236,14 @@
         for _ in 0..seconds * 4 {
             self.now += SECOND / 4;
             for (member, tenant, rate) in rates {
-                let used = Use { worth: rate / 4, work: rate / 4 };
-                let done =
-                    self.members[*member].ledger.record(self.now, self.now, TenantKey::of(tenant), 0, used);
+                let used = Usage { value: rate / 4, work: rate / 4 };
+                let done = self.members[*member].ledger.record(
+                    self.now,
+                    self.now,
+                    TenantKey::from_name(tenant),
+                    0,
+                    used,
+                );
                 done.map_err(|e| e.to_string())?;
             }
             for from in 0..self.members.len() {
