--- /dev/null
+++ b/crates/streams/src/event_log.rs
@@ -0,0 +1,126 @@
+//! The bounded log of one job's events: the first and the final event, and a ring of those between.
+
+use crate::Limits;
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
+
+/// One event of a job.
+#[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
+pub struct JobEvent {
+    /// Its number within the job, from 1.
+    pub id: u64,
+    /// Its name.
+    pub name: String,
+    /// Its data.
+    pub data: String,
+    /// A later event makes it obsolete, as with progress.
+    #[serde(rename = "stale_soon")]
+    pub is_replaceable: bool,
+}
+
+impl JobEvent {
+    fn bytes(&self) -> usize {
+        self.name.len() + self.data.len() + size_of::<JobEvent>()
+    }
+}
+
+/// The events of one job that are kept.
+pub(crate) struct EventLog {
+    /// The event with the number 1: it is never evicted.
+    first: Option<JobEvent>,
+    ring: VecDeque<JobEvent>,
+    ring_bytes: usize,
+    /// The number of the next event.
+    next_id: u64,
+    final_event: Option<JobEvent>,
+}
+
+impl EventLog {
+    /// A log of these events, in order; the last of them is the final one if `is_finished`.
+    pub fn new(events: Vec<JobEvent>, next_id: u64, is_finished: bool) -> EventLog {
+        let mut ring = VecDeque::from(events);
+        let final_event = if is_finished { ring.pop_back() } else { None };
+        let has_first = ring.front().is_some_and(|event| event.id == 1);
+        let first = if has_first { ring.pop_front() } else { None };
+        let ring_bytes = ring.iter().map(JobEvent::bytes).sum();
+        EventLog { first, ring, ring_bytes, next_id, final_event }
+    }
+
+    /// Bytes that the events take.
+    pub fn bytes(&self) -> usize {
+        self.ring_bytes + self.first.iter().chain(&self.final_event).map(JobEvent::bytes).sum::<usize>()
+    }
+
+    /// The number of the next event.
+    pub fn next_id(&self) -> u64 {
+        self.next_id
+    }
+
+    /// Whether the final event is in the log.
+    pub fn is_finished(&self) -> bool {
+        self.final_event.is_some()
+    }
+
+    /// The number of the final event, if it is in the log.
+    pub fn final_id(&self) -> Option<u64> {
+        self.final_event.as_ref().map(|event| event.id)
+    }
+
+    /// All events, in order.
+    pub fn events(&self) -> Vec<JobEvent> {
+        self.first.iter().chain(&self.ring).chain(&self.final_event).cloned().collect()
+    }
+
+    /// The event with this number, if it is kept.
+    pub fn get(&self, id: u64) -> Option<&JobEvent> {
+        for event in self.first.iter().chain(&self.final_event) {
+            if event.id == id {
+                return Some(event);
+            }
+        }
+        let start = self.ring.front()?.id;
+        self.ring.get(usize::try_from(id.checked_sub(start)?).ok()?)
+    }
+
+    /// The number of the first event that is kept after an evicted one; the next number if there is none.
+    pub fn first_kept_after(&self, evicted: u64) -> u64 {
+        let in_ring = self.ring.front().map(|event| event.id).filter(|id| *id > evicted);
+        in_ring.or(self.final_id()).unwrap_or(self.next_id)
+    }
+
+    fn next_event(&mut self, name: &str, data: String, is_replaceable: bool) -> JobEvent {
+        let event = JobEvent { id: self.next_id, name: name.to_owned(), data, is_replaceable };
+        self.next_id += 1;
+        event
+    }
+
+    /// Appends an event, and evicts the oldest of the ring beyond the limits.
+    pub fn push(&mut self, name: &str, data: String, is_replaceable: bool, limits: &Limits) {
+        let event = self.next_event(name, data, is_replaceable);
+        if self.first.is_none() && event.id == 1 {
+            self.first = Some(event);
+            return;
+        }
+        self.ring_bytes += event.bytes();
+        self.ring.push_back(event);
+        while self.ring.len() > limits.ring_events
+            || self.ring_bytes > limits.ring_bytes && self.ring.len() > 1
+        {
+            self.ring_bytes -= self.ring.pop_front().map_or(0, |event| event.bytes());
+        }
+    }
+
+    /// Appends the final event.
+    pub fn finish(&mut self, name: &str, data: String) {
+        let event = self.next_event(name, data, false);
+        self.final_event = Some(event);
+    }
+
+    /// Drops all events; the numbers go on.
+    pub fn clear(&mut self) {
+        self.first = None;
+        self.final_event = None;
+        self.ring = VecDeque::new();
+        self.ring_bytes = 0;
+    }
+}
--- /dev/null
+++ b/crates/streams/tests/broker.rs
@@ -0,0 +1,240 @@
+//! The broker by tables and by seeded histories against a model: nothing lost, doubled or out of order.
+
+use mothproxy_streams::{
+    BrokerError, Effect, EventBroker, JobEvent, Limits, NewJob, Next, TransferredJob, WatcherId,
+};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+
+const TOKEN: u128 = 77;
+
+fn new_job(public_id: u64, token: u128, tenant: u32, ends_unwatched: bool) -> NewJob {
+    NewJob { public_id, token, tenant, ends_unwatched }
+}
+
+fn broker(limits: Limits) -> (EventBroker, u64) {
+    let mut broker = EventBroker::new(limits);
+    let job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("room");
+    (broker, job)
+}
+
+fn progress(broker: &mut EventBroker, job: u64, n: u64) -> Vec<Effect> {
+    let mut effects = Vec::new();
+    broker.publish_progress(job, "progress", n.to_string(), &mut effects);
+    effects
+}
+
+/// All that a watcher gets now: ids of events, and negative counts of what it missed.
+fn pulled(broker: &mut EventBroker, watcher: WatcherId) -> Vec<i64> {
+    let mut all = Vec::new();
+    loop {
+        match broker.pull(watcher) {
+            Next::Event { event, .. } => all.push(event.id as i64),
+            Next::Missed(n) => all.push(-(n as i64)),
+            Next::Nothing => return all,
+        }
+    }
+}
+
+#[test]
+fn a_watcher_resumes_exactly_after_what_it_has() {
+    let (mut broker, job) = broker(Limits::default());
+    broker.publish(job, "started", "{}".into(), &mut Vec::new());
+    (2..=6).for_each(|n| drop(progress(&mut broker, job, n)));
+    // Garbage and ids from the future count as none.
+    for (after, first) in [(None, 1), (Some(3), 4), (Some(6), 7), (Some(99), 1)] {
+        let watcher = broker.watch(1, TOKEN, after).expect("known");
+        assert_eq!(pulled(&mut broker, watcher), (first..7).collect::<Vec<i64>>(), "after {after:?}");
+    }
+}
+
+#[test]
+fn evicted_events_are_counted_and_the_first_and_final_are_kept() {
+    let (mut broker, job) = broker(Limits { ring_events: 3, ..Limits::default() });
+    broker.publish(job, "started", "{}".into(), &mut Vec::new());
+    (2..=10).for_each(|n| drop(progress(&mut broker, job, n)));
+    broker.finish(0, job, "done", "x".into(), &mut Vec::new());
+    let fresh = broker.watch(1, TOKEN, None).expect("known");
+    assert_eq!(pulled(&mut broker, fresh), [1, -6, 8, 9, 10, 11]);
+    let later = broker.watch(1, TOKEN, Some(4)).expect("known");
+    assert_eq!(pulled(&mut broker, later), [-3, 8, 9, 10, 11]);
+    assert_eq!(broker.missed, 9);
+}
+
+#[test]
+fn a_slow_reader_gets_the_newest_progress_and_always_the_end() {
+    let (mut broker, job) = broker(Limits::default());
+    let watcher = broker.watch(1, TOKEN, None).expect("known");
+    broker.publish(job, "started", "{}".into(), &mut Vec::new());
+    (2..=9).for_each(|n| drop(progress(&mut broker, job, n)));
+    assert_eq!(pulled(&mut broker, watcher), [1, 9]);
+    (10..=200).for_each(|n| drop(progress(&mut broker, job, n)));
+    broker.finish(0, job, "done", "x".into(), &mut Vec::new());
+    assert_eq!(pulled(&mut broker, watcher), [201], "progress before the end is stale");
+    assert_eq!(broker.missed, 0);
+}
+
+#[test]
+fn a_wrong_token_and_an_unknown_job_get_the_same_error() {
+    let (mut broker, job) = broker(Limits::default());
+    for (public, token) in [(1, TOKEN + 1), (2, TOKEN), (1, !TOKEN), (2, 0), (9, u128::MAX)] {
+        assert_eq!(broker.watch(public, token, None), Err(BrokerError::Unknown));
+    }
+    // A token of another job's is a wrong one.
+    broker.add_job(0, new_job(2, TOKEN + 5, 0, false)).expect("room");
+    assert_eq!(broker.watch(1, TOKEN + 5, None), Err(BrokerError::Unknown));
+    broker.finish(0, job, "done", "x".into(), &mut Vec::new());
+    assert_eq!(broker.watch(1, TOKEN + 1, Some(1)), Err(BrokerError::Unknown));
+}
+
+#[test]
+fn a_finished_job_expires_in_two_steps() {
+    let limits = Limits::default();
+    let (mut broker, job) = broker(limits);
+    broker.finish(0, job, "done", "x".into(), &mut Vec::new());
+    let again = broker.watch(1, TOKEN, None).expect("known");
+    assert_eq!(pulled(&mut broker, again), [1]);
+    broker.remove_watcher(1, again);
+    assert_eq!(broker.watch(1, TOKEN, Some(1)), Err(BrokerError::Over), "it has it");
+    broker.on_timer(limits.final_event_ttl, &mut Vec::new());
+    assert_eq!(broker.watch(1, TOKEN, None), Err(BrokerError::Over));
+    assert_eq!(broker.watch(1, TOKEN + 1, None), Err(BrokerError::Unknown));
+    assert_eq!(broker.bytes(), 0);
+    broker.on_timer(limits.final_event_ttl + limits.token_ttl, &mut Vec::new());
+    assert_eq!((broker.watch(1, TOKEN, None), broker.counts()), (Err(BrokerError::Unknown), (0, 0)));
+}
+
+#[test]
+fn a_job_ends_unwatched_only_after_its_last_watcher() {
+    let limits = Limits::default();
+    let mut broker = EventBroker::new(limits);
+    let job = broker.add_job(0, new_job(1, TOKEN, 0, true)).expect("room");
+    let other = broker.add_job(0, new_job(2, TOKEN, 0, false)).expect("room");
+    let mut effects = Vec::new();
+    let (one, two) =
+        (broker.watch(1, TOKEN, None).expect("known"), broker.watch(1, TOKEN, None).expect("known"));
+    broker.remove_watcher(10, one);
+    broker.on_timer(10 + limits.unwatched_timeout, &mut effects);
+    assert_eq!(effects, [], "one still watches");
+    broker.remove_watcher(20, two);
+    let back = broker.watch(1, TOKEN, None).expect("known");
+    broker.on_timer(20 + limits.unwatched_timeout, &mut effects);
+    assert_eq!(effects, [], "it came back in time");
+    broker.remove_watcher(30, back);
+    broker.on_timer(30 + limits.unwatched_timeout, &mut effects);
+    assert_eq!(effects, [Effect::End(job)]);
+    assert!(broker.jobs().contains(&other));
+}
+
+#[test]
+fn limits_hold_and_finished_jobs_are_evicted_first() {
+    let limits = Limits { jobs: 3, streams_per_tenant: 2, ..Limits::default() };
+    let mut broker = EventBroker::new(limits);
+    let ids: Vec<u64> =
+        (0..3).map(|n| broker.add_job(0, new_job(n, TOKEN, 0, false)).expect("room")).collect();
+    assert_eq!(
+        broker.add_job(0, new_job(9, TOKEN, 0, false)),
+        Err(BrokerError::Full),
+        "none of them is finished"
+    );
+    broker.finish(5, ids[1], "done", "x".into(), &mut Vec::new());
+    broker.add_job(6, new_job(9, TOKEN, 1, false)).expect("the finished one gave way");
+    assert_eq!((broker.watch(1, TOKEN, None), broker.evicted), (Err(BrokerError::Unknown), 1));
+    let held = [broker.watch(0, TOKEN, None), broker.watch(2, TOKEN, None)].map(|w| w.expect("room"));
+    assert_eq!(broker.watch(0, TOKEN, None), Err(BrokerError::TooManyStreams));
+    assert!(broker.watch(9, TOKEN, None).is_ok(), "another tenant's");
+    broker.remove_watcher(7, held[0]);
+    assert!(broker.watch(0, TOKEN, None).is_ok());
+}
+
+/// A client as a browser is: it keeps the id of the last event that it got whole, and comes back with it.
+#[derive(Default)]
+struct Client {
+    watcher: Option<WatcherId>,
+    last: Option<u64>,
+    names: Vec<String>,
+    finals: usize,
+    missed: u64,
+}
+
+/// Several watchers of one job under drops, evictions, slow reading and transfer to another broker.
+fn history(seed: u64) {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let limits = Limits { ring_events: 2 + rng.random_range(0..6), ..Limits::default() };
+    let mut broker = EventBroker::new(limits);
+    let mut job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("room");
+    let mut clients: Vec<Client> = (0..4).map(|_| Client::default()).collect();
+    let (mut published, total) = (0u64, 2 + rng.random_range(0..40));
+    for now in 0..10_000u64 {
+        match rng.random_range(0..10) {
+            0..3 if published < total => {
+                published += 1;
+                match published {
+                    1 => broker.publish(job, "started", "{}".into(), &mut Vec::new()),
+                    n if n == total => broker.finish(now, job, "done", "x".into(), &mut Vec::new()),
+                    n => drop(progress(&mut broker, job, n)),
+                }
+            }
+            3 if rng.random_ratio(1, 3) => {
+                // An upgrade: every stream ends, the job goes to another process.
+                let transferred: TransferredJob = broker.transfer(job).expect("it is there");
+                broker = EventBroker::new(limits);
+                job = broker.restore(now, transferred).expect("nobody has its id");
+                clients.iter_mut().for_each(|c| c.watcher = None);
+            }
+            _ => {
+                let client = &mut clients[rng.random_range(0..4)];
+                let Some(watcher) = client.watcher else {
+                    match broker.watch(1, TOKEN, client.last) {
+                        Ok(watcher) => client.watcher = Some(watcher),
+                        Err(BrokerError::Over) => {
+                            assert_eq!(client.finals, 1, "seed {seed}: over without its end")
+                        }
+                        Err(why) => panic!("seed {seed}: {why:?}"),
+                    }
+                    continue;
+                };
+                let drops = rng.random_ratio(1, 6);
+                match broker.pull(watcher) {
+                    // What was on its way when the client dropped is lost.
+                    _ if drops => {
+                        broker.remove_watcher(now, watcher);
+                        client.watcher = None;
+                    }
+                    Next::Event { event: &JobEvent { id, ref name, .. }, last, .. } => {
+                        assert!(
+                            client.last.is_none_or(|had| id > had),
+                            "seed {seed}: {id} after {:?}",
+                            client.last
+                        );
+                        client.last = Some(id);
+                        client.finals += usize::from(last);
+                        client.names.push(name.clone());
+                        if last {
+                            broker.remove_watcher(now, watcher);
+                            client.watcher = None;
+                        }
+                    }
+                    Next::Missed(n) => client.missed += n,
+                    Next::Nothing => {}
+                }
+            }
+        }
+        if published == total && clients.iter().all(|c| c.finals == 1) {
+            break;
+        }
+    }
+    for client in &clients {
+        assert_eq!(client.finals, 1, "seed {seed}: finals");
+        assert_eq!(client.last, Some(total), "seed {seed}");
+        let starts = client.names.iter().filter(|n| *n == "started").count();
+        assert_eq!(starts, usize::from(total > 1), "seed {seed}: the start came {starts} times");
+    }
+}
+
+#[test]
+fn seeded_histories_give_each_client_one_end_and_nothing_twice() {
+    let count = std::env::var("STREAM_HISTORIES").ok().and_then(|t| t.parse().ok()).unwrap_or(3_000);
+    (0..count).for_each(history);
+    println!("histories: {count}");
+}
--- a/src/server/downstream/event_streams.rs
+++ b/src/server/downstream/event_streams.rs
@@ -9,7 +9,9 @@
 use crate::server::downstream::{Front, State, Watching};
 use crate::server::lifecycle::hot_restart::{Note, TransferredExchange};
 use crate::server::{RELAY_TIMER, Role, Server, Token};
-use mothproxy_streams::{Carried, Denied, Effect, JobId, Limits, Next, Relay, WatcherId};
+use mothproxy_streams::{
+    BrokerError, Effect, EventBroker, JobId, Limits, NewJob, Next, TransferredJob, WatcherId,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -35,7 +37,7 @@
 
 /// Jobs and their watchers, where the SSE front is on.
 pub(in crate::server) struct Watch {
-    relay: Relay,
+    relay: EventBroker,
     origins: Vec<String>,
     requests: HashMap<JobId, RequestId>,
     /// Connections by watcher.
@@ -51,7 +53,7 @@
     pub fn new(streams: Streams) -> Watch {
         let limits = Limits { streams_per_tenant: streams.per_tenant, ..Limits::default() };
         Watch {
-            relay: Relay::new(limits),
+            relay: EventBroker::new(limits),
             origins: streams.origins,
             requests: HashMap::new(),
             tokens: HashMap::new(),
@@ -73,7 +75,7 @@
 /// A job with its session, on its way to the younger process.
 #[derive(serde::Deserialize, serde::Serialize)]
 pub(in crate::server) struct HandedJob {
-    job: Carried,
+    job: TransferredJob,
     #[serde(rename = "session")]
     request: Option<TransferredExchange>,
 }
@@ -101,11 +103,12 @@
         };
         let (public, token) = (u64::from_le_bytes(public), u128::from_le_bytes(token));
         let tenant = arrival.tenant.map_or(0, |t| 1 + u32::from(t.0));
-        let taken = watching.relay.take(self.now, public, token, tenant, ends);
+        let new = NewJob { public_id: public, token, tenant, ends_unwatched: ends };
+        let taken = watching.relay.add_job(self.now, new);
         let job = taken.map_err(|_| Reject::Overloaded)?;
         arrival.downstream = JOB | job;
         let Some(request_id) = self.core.accept(self.now, arrival) else {
-            watching.relay.carry(job);
+            watching.relay.transfer(job);
             return Err(Reject::DuplicateId);
         };
         watching.requests.insert(job, request_id);
@@ -155,17 +158,17 @@
         let (public, secret) = (wanted.public.unwrap_or(0), wanted.token.unwrap_or(0));
         let watched = match (wanted.public, wanted.token) {
             (Some(_), Some(_)) => watching.relay.watch(public, secret, wanted.after),
-            _ => Err(Denied::Unknown),
+            _ => Err(BrokerError::Unknown),
         };
         let watcher = match watched {
             Ok(watcher) => watcher,
             Err(why) => {
                 let answer = match why {
-                    Denied::Unknown => {
+                    BrokerError::Unknown => {
                         watch::plain("403 Forbidden", &cors, "no such stream for this token", keep, body)
                     }
-                    Denied::Over => watch::plain("204 No Content", &cors, "", keep, false),
-                    Denied::TooManyStreams | Denied::Full => {
+                    BrokerError::Over => watch::plain("204 No Content", &cors, "", keep, false),
+                    BrokerError::TooManyStreams | BrokerError::Full => {
                         let extra = format!("Retry-After: 2\r\n{cors}");
                         watch::plain("429 Too Many Requests", &extra, "too many streams", keep, body)
                     }
@@ -177,7 +180,7 @@
         let frame = if watch::is_old(raw) { watch::Frame::Plain } else { watch::Frame::Chunked };
         let keep = keep && frame == watch::Frame::Chunked;
         if !body {
-            watching.relay.leave(self.now, watcher);
+            watching.relay.remove_watcher(self.now, watcher);
             conn.outbox.push(watch::stream_head(frame, &cors, keep));
             return true;
         }
@@ -217,7 +220,7 @@
                     if last {
                         conn.outbox.push(vec![piece]);
                         conn.outbox.push(held.frame.end());
-                        watching.relay.leave(self.now, held.watcher);
+                        watching.relay.remove_watcher(self.now, held.watcher);
                         watching.tokens.remove(&held.watcher);
                         front.state = if held.keep { State::Reading } else { State::Ending { since: None } };
                         return;
@@ -241,7 +244,7 @@
         let now = self.now;
         if let Some(watching) = &mut self.watch_jobs {
             watching.tokens.remove(&watcher);
-            watching.relay.leave(now, watcher);
+            watching.relay.remove_watcher(now, watcher);
             self.sweep_later();
         }
     }
@@ -251,10 +254,10 @@
         let Some(watching) = &mut self.watch_jobs else { return };
         let effects = &mut watching.effects;
         match share {
-            None => watching.relay.publish(job, "started", "{}".to_owned(), false, effects),
+            None => watching.relay.publish(job, "started", "{}".to_owned(), effects),
             Some(share) => {
                 let data = serde_json::json!({ "share": share }).to_string();
-                watching.relay.publish(job, "progress", data, true, effects);
+                watching.relay.publish_progress(job, "progress", data, effects);
             }
         }
     }
@@ -288,7 +291,7 @@
                 }
                 Effect::End(job) => {
                     if let Some(request_id) = watching.requests.remove(&job) {
-                        watching.relay.carry(job); // nobody can ask for it any more
+                        watching.relay.transfer(job); // nobody can ask for it any more
                         self.drop_request(request_id);
                         self.core.client_disconnected(self.now, request_id);
                     }
@@ -311,7 +314,7 @@
         let now = self.now;
         let Some(watching) = &mut self.watch_jobs else { return };
         watching.sweeping = false;
-        watching.relay.sweep(now, &mut watching.effects);
+        watching.relay.on_timer(now, &mut watching.effects);
         self.wake_watchers();
         self.sweep_later();
     }
@@ -335,7 +338,7 @@
             }
             self.dismiss(job);
             let Some(watching) = &mut self.watch_jobs else { return };
-            let Some(carried) = watching.relay.carry(job) else { continue };
+            let Some(carried) = watching.relay.transfer(job) else { continue };
             watching.requests.remove(&job);
             let bytes: Vec<&[u8]> = raw.iter().flat_map(TransferredExchange::request).collect();
             let note = Note::Job(HandedJob { job: carried, request: handed });
@@ -353,7 +356,7 @@
     /// Ends the streams of a job's watchers in an orderly way.
     fn dismiss(&mut self, job: JobId) {
         let Some(watching) = &self.watch_jobs else { return };
-        for watcher in watching.relay.watchers_of(job) {
+        for watcher in watching.relay.watchers(job) {
             let token = self.watch_jobs.as_ref().and_then(|w| w.tokens.get(&watcher).copied());
             match token.and_then(|token| Some((token, self.take(token)?))) {
                 Some((token, (mut conn, Role::Front(mut front)))) => {
@@ -378,7 +381,7 @@
             self.metrics.rejects += 1;
             return;
         };
-        let Some(job) = watching.relay.receive(self.now, job) else { return };
+        let Some(job) = watching.relay.restore(self.now, job) else { return };
         if let Some((request_id, raw)) = request_id.zip(raw) {
             if let Some(twin) = &mut self.twin {
                 twin.forget_name(&request_id.moved.name);
