--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -3,7 +3,7 @@
 
 use super::{FairShareSettings, FleetSettings, ProcessIdentity};
 use crate::policy::interface::{Estimate, Micros};
-use mothproxy_fairshare::{Ledger, TenantKey, Use};
+use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
 
@@ -120,28 +120,31 @@
         points: f64,
     ) -> Option<f64> {
         // What is measured is the weight: see `Config::new` of the crate.
-        let worth = self.shares.as_mut()?.worth(
-            TenantKey::of(tenant?),
+        let worth = self.shares.as_mut()?.job_value(
+            TenantKey::from_name(tenant?),
             ledger_class(class),
             millipoints(points),
             now,
         );
-        Some(worth.part)
+        Some(worth.fraction)
     }
 
     /// A job of so many `points` was served, and ran for `runtime`.
     pub fn on_served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, runtime: Micros) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Use { worth: millipoints(points), work: runtime / 1_000 };
+            let used = Usage { value: millipoints(points), work: runtime / 1_000 };
             // What has no room is counted there.
-            let _ = shares.record(now, now, TenantKey::of(tenant), ledger_class(class), used);
+            let _ = shares.record(now, now, TenantKey::from_name(tenant), ledger_class(class), used);
         }
     }
 
     /// The belief about a member has changed: one that has left reports no more.
     pub fn on_member_changed(&mut self, now: Micros, change: Change) {
         if let Some(shares) = self.shares.as_mut().filter(|_| change.to == State::Left) {
-            shares.left(now, mothproxy_fairshare::Origin { place: change.place, epoch: change.epoch });
+            shares.on_member_left(
+                now,
+                mothproxy_fairshare::Origin { place: change.place, epoch: change.epoch },
+            );
         }
     }
 
@@ -222,10 +225,10 @@
             }
         });
         let shares = self.shares.as_ref().map(|shares| {
-            let counts = shares.figures();
+            let counts = shares.metrics();
             LearnerMetrics {
-                seen: counts.books,
-                published: counts.told,
+                seen: counts.tenants,
+                published: counts.published,
                 absorbed: counts.absorbed - counts.stale,
                 refused: counts.late + counts.future + counts.malformed + counts.foreign + counts.full,
             }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -74,7 +74,7 @@
             wall_at_zero: unix_at_zero,
             peers,
             rate: self.millipoints_per_s,
-            over_share_worth: self.over_quota_weight,
+            over_quota_value: self.over_quota_weight,
             ..mothproxy_fairshare::Config::default()
         }
     }
