--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -5,7 +5,7 @@
 use crate::config::EndpointList;
 use crate::core::endpoint_table::{ListRejection, ListSource};
 use crate::core::watch_liveness::{
-    CONNECT_TIMEOUT, DiscoveryTerms, ObjectSplitter, WatchFailure, WatchLiveness,
+    CONNECT_TIMEOUT, DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness,
 };
 use crate::http::{self, Body, MAX_HEAD};
 use crate::policy::interface::Micros;
@@ -60,7 +60,7 @@
 
 impl Lists {
     /// Nothing is asked for yet.
-    pub fn new(terms: DiscoveryTerms, seed: u64) -> Lists {
+    pub fn new(terms: DiscoverySettings, seed: u64) -> Lists {
         let clock = WatchLiveness::new(terms, seed);
         Lists { watch: None, clock, again: None, whole: Whole::Known, quiet_until: 0 }
     }
@@ -118,7 +118,7 @@
 
     /// Other settings count.
     pub(in crate::server) fn watch_retuned(&mut self) {
-        if self.lists.clock.reconfigure(DiscoveryTerms::of(&self.config.settings)) {
+        if self.lists.clock.reconfigure(DiscoverySettings::from(&self.config.settings)) {
             self.watch_at(self.now);
         }
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::config::{Config, ConfigError, MachineLimits, SseSettings};
 use crate::core::shutdown_plan::ShutdownPlan;
-use crate::core::watch_liveness::DiscoveryTerms;
+use crate::core::watch_liveness::DiscoverySettings;
 use crate::core::{Command, Core, RequestId};
 use crate::fleet::FleetSettings;
 use crate::invariant;
@@ -392,7 +392,7 @@
             dispatching: HashMap::new(),
             pool: HashMap::new(),
             probes: HashMap::new(),
-            lists: Lists::new(DiscoveryTerms::of(&config.settings), config.seed),
+            lists: Lists::new(DiscoverySettings::from(&config.settings), config.seed),
             stopping: None,
             quiet_since: None,
             drained: None,
--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, dead_code)] // each of its users reads a part of an outcome
 
 use mothproxy::Micros;
-use mothproxy::core::watch_liveness::{DiscoveryTerms, WatchFailure, WatchLiveness};
+use mothproxy::core::watch_liveness::{DiscoverySettings, WatchFailure, WatchLiveness};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -234,7 +234,8 @@
     }
 
     fn clock(&mut self) -> WatchLiveness {
-        let terms = DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes: self.day.callers };
+        let terms =
+            DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes: self.day.callers };
         WatchLiveness::new(terms, self.rng.u64(..))
     }
 
--- a/tests/conformance/silence.rs
+++ b/tests/conformance/silence.rs
@@ -2,7 +2,7 @@
 //! start), `open`, `as it is`, `stale` and `usable`.
 
 use crate::table::{Machine, beyond};
-use mothproxy::core::watch_liveness::{DiscoveryTerms, ObjectSplitter, WatchFailure, WatchLiveness};
+use mothproxy::core::watch_liveness::{DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness};
 use serde::Deserialize;
 use toml::{Table, Value};
 
@@ -72,7 +72,7 @@
 
 pub struct Silence {
     clock: WatchLiveness,
-    terms: DiscoveryTerms,
+    terms: DiscoverySettings,
     objects: ObjectSplitter,
     now: u64,
 }
@@ -80,9 +80,9 @@
 impl Machine for Silence {
     fn new(given: Value, seed: u64) -> Result<Silence, String> {
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
-        let terms = DiscoveryTerms {
-            pushed: given.pushed,
-            ask_within: Some(given.within * 1_000),
+        let terms = DiscoverySettings {
+            is_pushed: given.pushed,
+            max_poll_interval: Some(given.within * 1_000),
             nodes: given.nodes,
         };
         let mut clock = WatchLiveness::new(terms, seed);
@@ -130,7 +130,7 @@
                 again(self.clock.on_watch_failed(now, why))
             }
             Verb::Retune { pushed } => {
-                let terms = DiscoveryTerms { pushed, ..self.terms };
+                let terms = DiscoverySettings { is_pushed: pushed, ..self.terms };
                 vec![if self.clock.reconfigure(terms) { "open" } else { "as it is" }.to_owned()]
             }
             Verb::Moved {} => again(self.clock.on_discovery_moved(now)),
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -5,7 +5,7 @@
 
 use lists::{Day, MS, Pays, S, Scenario, play};
 use mothproxy::Micros;
-use mothproxy::core::watch_liveness::{DiscoveryTerms, ObjectSplitter, WatchFailure, WatchLiveness};
+use mothproxy::core::watch_liveness::{DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness};
 
 /// A change counts as told so long after discovery had it and could be reached (PROTOCOL, "Figures").
 const BOUND: Micros = 6 * S;
@@ -44,7 +44,7 @@
 }
 
 impl Play {
-    fn new(terms: DiscoveryTerms, seed: u64) -> Play {
+    fn new(terms: DiscoverySettings, seed: u64) -> Play {
         let (clock, rng) = (WatchLiveness::new(terms, seed), fastrand::Rng::with_seed(seed));
         Play { clock, rng, now: 1_000 * S, calls: Vec::new(), lost: None, longest: period(terms), kept: 0 }
     }
@@ -129,19 +129,19 @@
     }
 }
 
-fn terms(rng: &mut fastrand::Rng) -> DiscoveryTerms {
+fn terms(rng: &mut fastrand::Rng) -> DiscoverySettings {
     let (nodes, within) = (if rng.bool() { rng.u32(1..=10) } else { rng.u32(1..=300) }, rng.u64(3..=60) * S);
-    DiscoveryTerms { pushed: false, ask_within: Some(within), nodes }
+    DiscoverySettings { is_pushed: false, max_poll_interval: Some(within), nodes }
 }
 
 /// How many refused calls the 6 s hold beside one that is answered, though the service may be too slow for all: two up to ten
 /// dispatchers; more of them ask less often.
-fn refusals(terms: DiscoveryTerms) -> u8 {
+fn refusals(terms: DiscoverySettings) -> u8 {
     ((BOUND - 1_500 * MS) / period(terms) - 1) as u8
 }
 
 /// The longest time from one call to the next: up to ten dispatchers may ask in 1.5 s.
-fn period(terms: DiscoveryTerms) -> Micros {
+fn period(terms: DiscoverySettings) -> Micros {
     (150 * MS * u64::from(terms.nodes)).clamp(1_500 * MS, 4_500 * MS)
 }
 
@@ -233,8 +233,10 @@
     let (nodes, outage) = (300, 8 * S);
     let (mut calls, mut times) = (0, vec![0_u32; 130]);
     for me in 0..nodes {
-        let mut play =
-            Play::new(DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes }, u64::from(me));
+        let mut play = Play::new(
+            DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes },
+            u64::from(me),
+        );
         play.call(AttemptOutcome::List(0));
         play.now += 3 * S;
         let from = play.now;
@@ -292,7 +294,8 @@
 /// A watch that is opened and lost at once, over and over, is a call that failed: it is not asked for in a busy loop.
 #[test]
 fn a_watch_that_never_holds_is_not_opened_in_a_busy_loop() {
-    let mut play = Play::new(DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes: 1 }, 1);
+    let mut play =
+        Play::new(DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes: 1 }, 1);
     let from = play.now;
     while play.now < from + 60 * S {
         play.call(AttemptOutcome::List(MS));
@@ -303,7 +306,7 @@
 
 #[test]
 fn an_agent_is_asked_for_ever_and_never_in_a_busy_loop() {
-    let terms = DiscoveryTerms { pushed: true, ask_within: None, nodes: 3 };
+    let terms = DiscoverySettings { is_pushed: true, max_poll_interval: None, nodes: 3 };
     let mut clock = WatchLiveness::new(terms, 1);
     assert!(clock.reconfigure(terms), "one is opened at the start");
     let mut now = 0;
