--- /dev/null
+++ b/tests/core/endpoint_list.rs
@@ -0,0 +1,58 @@
+//! Discovery's lists in the endpoint table.
+
+use crate::harness::CoreHarness;
+use mothproxy::WorkerId;
+use mothproxy::config::EndpointList;
+use mothproxy::core::watch_liveness::ObjectSplitter;
+use mothproxy_testkit::site;
+use serde_json::json;
+
+#[test]
+fn removes_unlisted_workers_and_never_reuses_their_numbers() {
+    let mut harness = CoreHarness::new(2);
+    let whole = site::list(2, true, json!([site::row("s-1", "127.0.0.1:9101", "up")]));
+    harness.core.on_endpoint_list(harness.now, &whole);
+    let changes = site::list(3, false, json!([site::row("s-7", "127.0.0.1:9107", "up")]));
+    harness.core.on_endpoint_list(harness.now, &changes);
+    let table = &harness.core.endpoints;
+    assert!(table.get(WorkerId(0)).is_some_and(|endpoint| endpoint.removed && endpoint.stopped.is_some()));
+    assert_eq!(table.get(WorkerId(1)).map(|endpoint| endpoint.address.port()), Some(9101));
+    assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
+    let bad = json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::row("s-9", "nowhere", "up"), 5]);
+    harness.core.on_endpoint_list(harness.now, &site::list(4, false, bad));
+    assert_eq!(harness.core.endpoints.bad_rows, 4);
+}
+
+/// Wherever what a watch sends is cut, the table is that of the last whole list and never between two.
+#[test]
+fn applies_no_part_of_a_list_before_all_of_it_has_arrived() {
+    let row = |n: u64, state| site::row(&format!("s-{n}"), &format!("127.0.0.1:910{n}"), state);
+    let lists = [
+        json!({"generation": 2, "reset": false, "instances": [row(0, "draining"), row(2, "up")]}),
+        json!({"generation": 3, "reset": true, "instances": [row(1, "draining"), row(3, "up")]}),
+        json!({"generation": 4, "reset": false, "instances": [row(3, "removed"), row(0, "up")]}),
+    ];
+    let texts = [format!("{}\n\n", lists[0]), format!("{:#}\r\n", lists[1]), format!("{:#}\n", lists[2])];
+    let text = texts.concat();
+    let ends = [texts[0].len() - 2, texts[0].len() + texts[1].len() - 2, text.len() - 1];
+    let feed = |harness: &mut CoreHarness, objects: &mut ObjectSplitter, bytes: &[u8]| {
+        objects.feed(bytes);
+        while let Some(object) = objects.next_object() {
+            let value = serde_json::from_slice(&object).expect("JSON");
+            harness.core.on_endpoint_list(harness.now, &EndpointList::read(&value).expect("a list"));
+        }
+        harness.core.endpoints.rows()
+    };
+    let after_lists = |count: usize| {
+        let text = texts[..count].concat();
+        feed(&mut CoreHarness::new(2), &mut ObjectSplitter::default(), text.as_bytes())
+    };
+    let expected: Vec<_> = (0..=3).map(after_lists).collect();
+    for cut in 0..=text.len() {
+        let (mut harness, mut objects) = (CoreHarness::new(2), ObjectSplitter::default());
+        let (before, after) = text.as_bytes().split_at(cut);
+        let whole = ends.iter().filter(|end| **end <= cut).count();
+        assert_eq!(feed(&mut harness, &mut objects, before), expected[whole], "cut at {cut}");
+        assert_eq!(feed(&mut harness, &mut objects, after), expected[3], "cut at {cut}");
+    }
+}
--- /dev/null
+++ b/tests/core/requests.rs
@@ -0,0 +1,241 @@
+//! The life of a request: attempts, callbacks, deadlines, and exactly one final response.
+
+use crate::harness::{CoreHarness, MS, StartedAttempt, responses, started};
+use mothproxy::core::{AttemptOutcome, Command, FinalResponse, JobStatus, RequestId};
+use mothproxy::{Outcome, WorkerId};
+use quickcheck::{Arbitrary, Gen};
+use std::collections::{BTreeMap, BTreeSet};
+
+#[test]
+fn responds_with_the_first_result_and_ignores_later_ones() {
+    let mut harness = CoreHarness::new(2);
+    let id = harness.accept(0, 5_000 * MS).expect("new");
+    let worker = started(&harness.advance(5 * MS))[0].worker;
+    // The callback may come before the worker's 202; each of its ten tries is answered, one counts.
+    assert!(harness.report_status("job-1", worker, JobStatus::Done(b"ok".to_vec())));
+    assert!(!harness.report_status("job-1", worker, JobStatus::Done(b"again".to_vec())));
+    let served = FinalResponse::Served(b"ok".to_vec());
+    assert_eq!(responses(&harness.advance(20 * MS)), [(id, served)]);
+    assert!(!harness.report_status("job-1", worker, JobStatus::Done(b"late".to_vec())));
+    assert_eq!(
+        (harness.core.ledger.served, harness.core.ledger.open(), harness.core.stale_status_updates),
+        (1, 0, 2)
+    );
+}
+
+#[test]
+fn ignores_status_of_unknown_requests_and_from_other_workers() {
+    let mut harness = CoreHarness::new(2);
+    harness.accept(0, 5_000 * MS);
+    let worker = started(&harness.advance(5 * MS))[0].worker;
+    let other = WorkerId(1 - worker.0);
+    assert!(!harness.report_status("job-1", other, JobStatus::Done(b"no".to_vec())));
+    assert!(!harness.core.on_job_status(harness.now, "job-9", "s-0", JobStatus::Lost, None));
+    assert!(!harness.core.on_job_status(harness.now, "job-1", "s-9", JobStatus::Lost, None));
+    assert_eq!(responses(&harness.advance(5 * MS)), []);
+}
+
+#[test]
+fn does_not_accept_a_name_that_is_still_open() {
+    let mut harness = CoreHarness::new(1);
+    assert!(harness.accept_named("x", 0, 5_000 * MS).is_some());
+    assert!(harness.accept_named("x", 0, 5_000 * MS).is_none());
+    assert_eq!(harness.core.ledger.accepted, 1);
+}
+
+/// A client takes a rejection for the assurance that nothing ran.
+#[test]
+fn fails_and_does_not_reject_what_may_have_run() {
+    let mut harness = CoreHarness::new(1);
+    let id = harness.accept(1, 1_000 * MS).expect("new");
+    let attempt = started(&harness.advance(5 * MS))[0].attempt;
+    harness.core.on_attempt_ended(harness.now, id, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
+    let all = responses(&harness.advance(1_050 * MS));
+    assert!(matches!(all[..], [(_, FinalResponse::Failed | FinalResponse::TimedOut)]), "{all:?}");
+}
+
+/// What was decided may no longer hold when the bytes can leave.
+#[test]
+fn writes_only_before_the_deadline_and_within_the_idempotency_window() {
+    let mut harness = CoreHarness::new(2);
+    let id = harness.accept(1, 5_000 * MS).expect("new");
+    let first = started(&harness.advance(5 * MS))[0].attempt;
+    let at = harness.now;
+    assert!(harness.core.may_write(at, id, first, 0));
+    assert!(!harness.core.may_write(at + 5_000 * MS, id, first, 0), "its time is over");
+    harness.core.on_attempt_ended(harness.now, id, first, AttemptOutcome::Unserved(Outcome::Reset), None);
+    assert!(!harness.core.may_write(at, id, first, 0), "it has ended");
+    let second = (0..100).find_map(|_| started(&harness.advance(20 * MS)).pop());
+    let second = second.expect("in the same cell").attempt;
+    assert!(harness.core.may_write(harness.now, id, second, 0));
+    assert!(!harness.core.may_write(harness.now, id, second, 40_000 * MS), "it would come after the window");
+    harness.core.on_client_disconnected(harness.now, id);
+    assert!(!harness.core.may_write(harness.now, id, second, 0), "its client has disconnected");
+}
+
+#[test]
+fn times_out_at_the_deadline_when_the_worker_is_silent() {
+    let mut harness = CoreHarness::new(1);
+    let id = harness.accept(1, 800 * MS).expect("new");
+    let from = harness.now;
+    assert_eq!(started(&harness.advance(5 * MS)).len(), 1);
+    assert_eq!(responses(&harness.advance(780 * MS)), []);
+    let all = harness.advance(30 * MS);
+    assert_eq!(responses(&all), [(id, FinalResponse::TimedOut)]);
+    assert!(all.iter().any(|c| matches!(c, Command::CancelAttempt { .. })), "the worker is sent a cancel");
+    assert!(harness.now <= from + 850 * MS);
+}
+
+/// On a starved machine a turn comes late. The core then responded by itself, before the decision module had its say, and debug
+/// builds stopped at an invariant.
+#[test]
+fn a_late_turn_asks_the_decision_module_first() {
+    let mut harness = CoreHarness::new(1);
+    let id = harness.accept(1, 200 * MS).expect("a request");
+    let worker = started(&harness.advance(10 * MS))[0].worker;
+    assert!(harness.report_status("job-1", worker, JobStatus::Started));
+    harness.advance(0);
+    harness.now += 900 * MS;
+    assert_eq!(responses(&harness.advance(0)), [(id, FinalResponse::TimedOut)]);
+    assert!(responses(&harness.advance(100 * MS)).is_empty());
+}
+
+#[test]
+fn serves_an_open_request_with_the_result_of_an_ended_attempt() {
+    let mut harness = CoreHarness::new(3);
+    let id = harness.accept(0, 7_000 * MS).expect("new");
+    let first = started(&harness.advance(5 * MS))[0].worker;
+    harness.core.on_attempt_ended(harness.now, id, 0, AttemptOutcome::Unserved(Outcome::Timeout), None);
+    assert!(harness.report_status("job-1", first, JobStatus::Done(b"late".to_vec())));
+    assert_eq!(responses(&harness.advance(10 * MS)), [(id, FinalResponse::Served(b"late".to_vec()))]);
+    assert_eq!(harness.core.ledger.served, 1);
+}
+
+#[test]
+fn sends_nothing_after_the_client_disconnected() {
+    let mut harness = CoreHarness::new(1);
+    let id = harness.accept(0, 5_000 * MS).expect("new");
+    harness.core.on_client_disconnected(harness.now, id);
+    let all = harness.advance(6_000 * MS);
+    assert_eq!((started(&all), responses(&all)), (vec![], vec![]));
+    assert_eq!((harness.core.ledger.disconnected, harness.core.ledger.open()), (1, 0));
+}
+
+#[test]
+fn the_next_batch_waits_for_the_batch_interval() {
+    let mut harness = CoreHarness::new(1);
+    harness.advance(10 * MS);
+    harness.core.turn(harness.now);
+    harness.accept(0, 5_000 * MS);
+    harness.core.turn(harness.now);
+    let first = std::iter::from_fn(|| harness.core.next_command()).count();
+    assert!(first > 0, "a quiet core takes the event at once");
+    harness.accept(0, 5_000 * MS);
+    harness.core.turn(harness.now + MS);
+    assert_eq!(harness.core.next_command(), None, "the next batch is 2 ms later");
+    harness.core.turn(harness.now + 2 * MS);
+    assert!(harness.core.next_command().is_some());
+}
+
+#[test]
+fn fails_all_open_requests_at_once() {
+    let mut harness = CoreHarness::new(1);
+    for _ in 0..5 {
+        harness.accept(0, 5_000 * MS);
+    }
+    harness.advance(10 * MS);
+    harness.core.fail_all(harness.now);
+    assert_eq!((harness.core.ledger.failed, harness.core.ledger.open()), (5, 0));
+}
+
+/// Random lives of requests: each has exactly one entry in the ledger and at most one final response, and nothing is sent after it.
+/// Nor is anything sent to a worker that may have an attempt of it, whatever that reports again.
+#[test]
+fn each_request_gets_exactly_one_final_response() {
+    for seed in 0..150 {
+        let random = &mut Gen::from_size_and_seed(32, seed);
+        let mut harness = CoreHarness::new(3);
+        let mut audit = Audit::default();
+        for _ in 0..80 {
+            random_event(random, &mut harness, &mut audit);
+            audit.check(&harness.advance(u64::from(u8::arbitrary(random)) * MS));
+        }
+        audit.check(&harness.advance(1_000 * MS));
+        let ledger = harness.core.ledger;
+        assert_eq!((ledger.accepted, ledger.open()), (harness.offered, 0), "seed {seed}: {ledger:?}");
+        assert!(audit.responses.values().all(|count| *count == 1), "seed {seed}");
+        let responses = audit.responses.len() as u64;
+        assert_eq!(responses + ledger.disconnected, ledger.accepted, "seed {seed}");
+    }
+}
+
+fn random_event(random: &mut Gen, harness: &mut CoreHarness, audit: &mut Audit) {
+    match u8::arbitrary(random) % 9 {
+        0..=2 => drop(harness.accept(u16::from(bool::arbitrary(random)), 400 * MS)),
+        3 if harness.offered > 0 => {
+            let id = u64::arbitrary(random) % harness.offered;
+            harness.core.on_client_disconnected(harness.now, id);
+        }
+        4 | 5 if !audit.started.is_empty() => {
+            let attempt = audit.random_attempt(random);
+            end_attempt(random, harness, audit, attempt);
+        }
+        7 if !audit.started.is_empty() => {
+            let attempt = audit.random_attempt(random);
+            let name = format!("job-{}", attempt.request_id + 1);
+            harness.report_status(&name, attempt.worker, JobStatus::Returned);
+        }
+        6 if !audit.started.is_empty() => {
+            let StartedAttempt { request_id, attempt, .. } = audit.random_attempt(random);
+            harness.core.on_attempt_status(harness.now, request_id, attempt, JobStatus::Started, None);
+        }
+        _ => {}
+    }
+}
+
+fn end_attempt(random: &mut Gen, harness: &mut CoreHarness, audit: &mut Audit, ended: StartedAttempt) {
+    let never_ran = [Outcome::Full, Outcome::ConnectFailed, Outcome::NeverSent];
+    let outcomes = [&never_ran[..], &[Outcome::Reset, Outcome::Error]].concat();
+    let outcome = match random.choose(&outcomes) {
+        Some(outcome) if bool::arbitrary(random) => AttemptOutcome::Unserved(*outcome),
+        _ => AttemptOutcome::Done(Vec::new()),
+    };
+    let has_never_run = matches!(outcome, AttemptOutcome::Unserved(outcome) if never_ran.contains(&outcome));
+    let StartedAttempt { request_id, attempt, worker } = ended;
+    if harness.core.on_attempt_ended(harness.now, request_id, attempt, outcome, None) && has_never_run {
+        audit.may_have_run.remove(&(request_id, worker));
+    }
+}
+
+/// What the core has commanded so far.
+#[derive(Default)]
+struct Audit {
+    started: Vec<StartedAttempt>,
+    /// Workers that may have run, or may still run, a request.
+    may_have_run: BTreeSet<(RequestId, WorkerId)>,
+    /// How many final responses each request got.
+    responses: BTreeMap<RequestId, u32>,
+}
+
+impl Audit {
+    fn random_attempt(&self, random: &mut Gen) -> StartedAttempt {
+        self.started[usize::arbitrary(random) % self.started.len()]
+    }
+
+    fn check(&mut self, commands: &[Command]) {
+        for command in commands {
+            match *command {
+                Command::StartAttempt { request_id, attempt, worker } => {
+                    assert!(!self.responses.contains_key(&request_id), "sent after its final response");
+                    let is_first = self.may_have_run.insert((request_id, worker));
+                    assert!(is_first, "a second attempt where the first may be");
+                    self.started.push(StartedAttempt { request_id, attempt, worker });
+                }
+                Command::Respond { request_id, .. } => {
+                    *self.responses.entry(request_id).or_default() += 1;
+                }
+                _ => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/core/transfer.rs
@@ -0,0 +1,83 @@
+//! Requests and learned state on their way from one process to its successor.
+
+use crate::harness::{CoreHarness, MS, StartedAttempt, responses, started};
+use mothproxy::core::{Command, FinalResponse, JobStatus};
+use mothproxy::{LoadReport, WorkerId};
+
+/// The callback that hands a job back may be repeated: its worker gets no other attempt of it, also from the next process.
+#[test]
+fn does_not_retry_at_a_worker_that_handed_back_before_a_transfer() {
+    let mut harness = CoreHarness::new(1);
+    let id = harness.accept(1, 5_000 * MS).expect("new");
+    let worker = started(&harness.advance(5 * MS))[0].worker;
+    assert!(harness.report_status("job-1", worker, JobStatus::Returned));
+    harness.core.batch(harness.now);
+    let transferred = through_json(&harness.core.transfer(id).expect("it may go"));
+    harness.core.adopt(transferred, 70).expect("its worker is known");
+    assert_eq!(started(&harness.advance(2_000 * MS)), []);
+}
+
+/// The value after its way, as bytes, from one process to another.
+fn through_json<T: serde::Serialize + serde::de::DeserializeOwned>(value: &T) -> T {
+    serde_json::from_str(&serde_json::to_string(value).expect("it can be written")).expect("and read")
+}
+
+/// A decision module that starts from nothing at each upgrade sends to workers that are known to be full.
+#[test]
+fn learned_state_guides_the_successor() {
+    for full in [WorkerId(0), WorkerId(1)] {
+        let (mut predecessor, mut successor) = (CoreHarness::new(2), CoreHarness::new(2));
+        // Some requests on each worker, so that both send a load report at the end.
+        let mut attempts = Vec::new();
+        for _ in 0..8 {
+            predecessor.accept(0, 5_000 * MS).expect("a request");
+            attempts.extend(started(&predecessor.advance(10 * MS)));
+        }
+        let has_attempt = |worker| attempts.iter().any(|attempt| attempt.worker == worker);
+        assert!([WorkerId(0), WorkerId(1)].into_iter().all(has_attempt), "{attempts:?}");
+        for StartedAttempt { request_id, worker, .. } in attempts {
+            let (cpu, free) = if worker == full { (1.0, 0.0) } else { (0.1, 4.0) };
+            let report = LoadReport { cpu: Some(cpu), free_slots: Some(free), ..LoadReport::default() };
+            let (name, from) = (format!("job-{}", request_id + 1), format!("s-{}", worker.0));
+            let done = JobStatus::Done(b"x".to_vec());
+            assert!(predecessor.core.on_job_status(predecessor.now, &name, &from, done, Some(report)));
+        }
+        predecessor.advance(10 * MS);
+        successor.advance(1);
+        successor.now = predecessor.now;
+        successor.core.restore(through_json(&predecessor.core.learned_state()));
+        for _ in 0..3 {
+            successor.accept(0, 5_000 * MS).expect("a request");
+            for StartedAttempt { request_id, worker, .. } in started(&successor.advance(10 * MS)) {
+                assert_ne!(worker, full, "it is full");
+                let name = format!("job-{}", request_id + 1);
+                assert!(successor.report_status(&name, worker, JobStatus::Started));
+            }
+        }
+    }
+}
+
+/// The predecessor must not cancel at the worker what the successor waits for, nor the successor send it there again.
+#[test]
+fn a_transferred_request_keeps_its_attempts() {
+    let (mut predecessor, mut successor) = (CoreHarness::new(1), CoreHarness::new(1));
+    let id = predecessor.accept(1, 3_000 * MS).expect("a request");
+    assert_eq!(predecessor.core.transfer(id), None, "its event still waits for the module");
+    let worker = started(&predecessor.advance(10 * MS))[0].worker;
+    assert!(predecessor.report_status("job-1", worker, JobStatus::Started));
+    predecessor.advance(10 * MS);
+    let transferred = through_json(&predecessor.core.transfer(id).expect("it can go"));
+    assert!(!predecessor.core.knows("job-1") && predecessor.core.ledger.open() == 0);
+    let more = predecessor.advance(5_000 * MS);
+    let for_it = |c: &Command| {
+        matches!(c, Command::CancelAttempt { .. } | Command::StartAttempt { .. } | Command::Respond { .. })
+    };
+    assert!(!more.iter().any(for_it), "nothing more is done for it: {more:?}");
+    let id = successor.core.adopt(transferred.clone(), 7).expect("taken over");
+    assert_eq!(successor.core.adopt(transferred, 7), None, "once");
+    assert!(started(&successor.advance(1_000 * MS)).is_empty());
+    assert!(successor.report_status("job-1", worker, JobStatus::Done(b"x".to_vec())));
+    assert_eq!(responses(&successor.advance(10 * MS)), [(id, FinalResponse::Served(b"x".to_vec()))]);
+    let ledger = successor.core.ledger;
+    assert_eq!((ledger.accepted, ledger.served, ledger.open()), (1, 1, 0));
+}
