--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -10,22 +10,22 @@
 mod fairshare;
 mod membership;
 mod runtimes;
-mod silence;
 mod table;
+mod watch_liveness;
 
 use decision::Decision;
 use fairshare::Fair;
 use membership::Members;
 use runtimes::Estimates;
-use silence::Silence;
 use table::{hold, report, turn_round};
+use watch_liveness::Watch;
 
 const DESIGN: &str = include_str!("design.toml");
 const RULES: &str = include_str!("rules.toml");
 const FAIRSHARE: &str = include_str!("fairshare.toml");
 const MEMBERSHIP: &str = include_str!("membership.toml");
 const RUNTIMES: &str = include_str!("runtimes.toml");
-const SILENCE: &str = include_str!("silence.toml");
+const WATCH_LIVENESS: &str = include_str!("watch_liveness.toml");
 
 #[test]
 fn the_design_page_holds() {
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn the_clock_of_silence_holds() {
-    hold::<Silence>("silence", SILENCE);
+fn the_liveness_of_a_watch_holds() {
+    hold::<Watch>("watch_liveness", WATCH_LIVENESS);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn an_expectation_turned_round_fails() {
     turn_round::<Decision>("design", DESIGN);
     turn_round::<Decision>("rules", RULES);
-    turn_round::<Silence>("silence", SILENCE);
+    turn_round::<Watch>("watch_liveness", WATCH_LIVENESS);
     turn_round::<Members>("membership", MEMBERSHIP);
     turn_round::<Estimates>("runtimes", RUNTIMES);
     turn_round::<Fair>("fairshare", FAIRSHARE);
