--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -17,7 +17,7 @@
     /// The same as one number, for a store's ticket and for what learns of run times. Attempts of one request are told apart up
     /// to 256 of them; the settings allow far fewer.
     pub(super) fn ticket(self) -> u64 {
-        self.request_id << 8 | u64::from(self.attempt & 0xff)
+        self.request_id.0 << 8 | u64::from(self.attempt & 0xff)
     }
 }
 
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -6,7 +6,7 @@
 use crate::core::ledger::Completion;
 use crate::core::names::job_traits;
 use crate::core::request::RequestId;
-use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, JobId, LoadReport, Micros, Outcome};
+use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
 /// An attempt waits for its worker's first answer for at most the class's deadline divided by this: the rest is for another
 /// worker.
@@ -129,7 +129,7 @@
             Some(fraction) => self.learners.progress(now, id.ticket(), fraction),
         }
         self.notify_progress(request_id, fraction);
-        let job = JobId(request_id);
+        let job = request_id.job();
         self.events.push(match fraction {
             None => Event::Started { job, attempt },
             Some(done) => Event::Progress { job, attempt, done },
@@ -185,13 +185,13 @@
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
             if is_response {
-                self.events.push(Event::ClientDisconnected(JobId(request_id)));
+                self.events.push(Event::ClientDisconnected(request_id.job()));
             }
             return is_response;
         }
         self.learners.ended(now, id.ticket(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
-        let job = JobId(request_id);
+        let job = request_id.job();
         let ended = AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report };
         self.events.push(Event::AttemptEnded(ended));
         self.requests.mark_finished(request_id);
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -9,7 +9,7 @@
 use crate::core::names::class_name;
 use crate::core::request::RequestId;
 use crate::invariant;
-use crate::policy::interface::{Event, JobId, Micros};
+use crate::policy::interface::{Event, Micros};
 
 impl Core {
     /// Keeps records of keyed requests from now on, beginning with these. `is_clock_sound` unless time may have passed that the
@@ -120,7 +120,7 @@
             return self.commands.push_back(Command::StartAttempt { request_id, attempt, worker });
         }
         this.finish(id, AttemptEnd::NeverRan, &mut self.timers);
-        self.events.push(Event::NotPersisted { job: JobId(request_id), attempt });
+        self.events.push(Event::NotPersisted { job: request_id.job(), attempt });
         self.requests.mark_finished(request_id);
     }
 }
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -29,7 +29,7 @@
 use crate::fleet::Learners;
 use crate::invariant;
 use crate::policy::interface::{
-    Action, Class, ClassId, Event, JobId, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
+    Action, Class, ClassId, Event, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
     Settings, SettingsError, WorkerId,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -188,7 +188,7 @@
         let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
         let tenant_name = tenant_name(&self.names, tenant);
         NewJob {
-            job: JobId(id),
+            job: id.job(),
             class,
             tenant,
             key,
@@ -209,7 +209,7 @@
         let worker = self.endpoints.id_or_placeholder(first);
         let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
         self.events.push(Event::Adopted { new: job, since: now, past: vec![attempt.to_prior()] });
-        if let Some(request) = self.requests.get_mut(job.job.0) {
+        if let Some(request) = self.requests.get_mut(job.job.into()) {
             request.attempts.push(attempt);
         }
     }
@@ -218,7 +218,7 @@
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         if self.requests.get(id).is_some_and(PendingRequest::is_open) {
             self.close(now, id, Completion::ClientDisconnected);
-            self.events.push(Event::ClientDisconnected(JobId(id)));
+            self.events.push(Event::ClientDisconnected(id.job()));
         }
     }
 
@@ -247,7 +247,7 @@
     pub fn fail_all(&mut self, now: Micros) {
         for id in self.open_requests() {
             self.respond(now, id, FinalResponse::Failed, Completion::Failed);
-            self.events.push(Event::ClientDisconnected(JobId(id)));
+            self.events.push(Event::ClientDisconnected(id.job()));
         }
     }
 
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -6,9 +6,7 @@
 use crate::core::request::{PendingRequest, RequestId, RequestPhase};
 use crate::core::timers::Timer;
 use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredRequest};
-use crate::policy::interface::{
-    AttemptEnded, ClassId, Event, JobId, KeyId, KindId, NewJob, Outcome, TenantId,
-};
+use crate::policy::interface::{AttemptEnded, ClassId, Event, KeyId, KindId, NewJob, Outcome, TenantId};
 
 impl Core {
     /// What the decision module has learned, for the successor.
@@ -51,7 +49,7 @@
         let request = self.requests.remove(id)?;
         self.cancel_request_timers(id, request.job.deadline, request.phase);
         self.ledger.transferred += 1;
-        let job = JobId(id);
+        let job = id.job();
         self.events.push(Event::ClientDisconnected(job));
         for (attempt, Attempt { worker, .. }) in
             (0..).zip(&request.attempts).filter(|(_, attempt)| attempt.is_in_flight())
@@ -144,7 +142,7 @@
         let tenant = tenant.map(|number| TenantId(number as u16));
         let key = transferred.key.map(KeyId);
         NewJob {
-            job: JobId(id),
+            job: id.job(),
             class,
             tenant,
             key,
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -7,7 +7,7 @@
 use crate::core::request::{RequestId, RequestPhase};
 use crate::core::timers::Timer;
 use crate::invariant;
-use crate::policy::interface::{Action, AttemptEnded, Event, JobId, Micros, Outcome, WorkerId};
+use crate::policy::interface::{Action, AttemptEnded, Event, Micros, Outcome, WorkerId};
 
 /// The core itself fails a request that is still open this long after its deadline.
 const OVERDUE_GRACE: Micros = 15_000;
@@ -35,7 +35,7 @@
                 // The module ends a request in time by itself; this guards the rule should it ever not.
                 invariant!(false, "request {id} is past its deadline and open");
                 self.respond(now, id, FinalResponse::TimedOut, Completion::Failed);
-                self.events.push(Event::ClientDisconnected(JobId(id)));
+                self.events.push(Event::ClientDisconnected(id.job()));
             }
         }
     }
@@ -68,16 +68,16 @@
 
     fn on_action(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { job, worker, limit } => self.start_attempt(now, job.0, worker, limit),
+            Action::Send { job, worker, limit } => self.start_attempt(now, job.into(), worker, limit),
             Action::Cancel { job, attempt } => {
-                self.cancel_attempt(now, AttemptId { request_id: job.0, attempt }, Outcome::Cancelled);
+                self.cancel_attempt(now, AttemptId { request_id: job.into(), attempt }, Outcome::Cancelled);
             }
             Action::Reject { job, retry_after } => {
-                self.respond(now, job.0, FinalResponse::Rejected(retry_after), Completion::Rejected);
+                self.respond(now, job.into(), FinalResponse::Rejected(retry_after), Completion::Rejected);
             }
             Action::Fail(job) => {
-                let response = self.failure_response(now, job.0);
-                self.respond(now, job.0, response, Completion::Failed);
+                let response = self.failure_response(now, job.into());
+                self.respond(now, job.into(), response, Completion::Failed);
             }
             Action::SetTimer(id, after) => self.timers.schedule(now + after.max(1), Timer::Policy(id)),
             Action::Probe(worker) => self.commands.push_back(Command::Probe(worker)),
@@ -113,7 +113,7 @@
             // The batch was fixed before its request was closed: nothing is sent after a final response.
             request.attempts.push(Attempt::ended(worker, now, AttemptEnd::NeverSent));
             return self.events.push(Event::AttemptEnded(AttemptEnded {
-                job: JobId(request_id),
+                job: request_id.job(),
                 attempt,
                 worker,
                 elapsed: 0,
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -2,11 +2,32 @@
 
 use super::attempt::{Attempt, AttemptId};
 use super::idempotency::IdempotencyKey;
-use crate::policy::interface::{Micros, NewJob, WorkerId};
+use crate::policy::interface::{JobId, Micros, NewJob, WorkerId};
 use std::collections::HashMap;
+use std::fmt::{self, Display, Formatter};
 
 /// A request of a client; numbered from 0 in the order of arrival at this process.
-pub type RequestId = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+impl RequestId {
+    /// The request's id in the decision module.
+    pub(super) fn job(self) -> JobId {
+        JobId(self.0)
+    }
+}
+
+impl From<JobId> for RequestId {
+    fn from(job: JobId) -> RequestId {
+        RequestId(job.0)
+    }
+}
+
+impl Display for RequestId {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
 
 /// A request that is open, or that still has attempts in flight.
 #[derive(Debug)]
@@ -69,13 +90,13 @@
     by_name: HashMap<String, RequestId>,
     /// Those that may be over, until the next sweep.
     finished: Vec<RequestId>,
-    next_id: RequestId,
+    next_id: u64,
 }
 
 impl RequestTable {
     /// The id of the next request.
     pub fn allocate_id(&mut self) -> RequestId {
-        let id = self.next_id;
+        let id = RequestId(self.next_id);
         self.next_id += 1;
         id
     }
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -123,6 +123,13 @@
     pub worker: WorkerId,
 }
 
+impl StartedAttempt {
+    /// The request's name, if it was accepted by [`CoreHarness::accept`].
+    pub fn request_name(&self) -> String {
+        format!("job-{}", self.request_id.0 + 1)
+    }
+}
+
 pub fn started(commands: &[Command]) -> Vec<StartedAttempt> {
     let started = |command: &Command| match *command {
         Command::StartAttempt { request_id, attempt, worker } => {
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -173,7 +173,7 @@
     match u8::arbitrary(random) % 9 {
         0..=2 => drop(harness.accept(u16::from(bool::arbitrary(random)), 400 * MS)),
         3 if harness.offered > 0 => {
-            let id = u64::arbitrary(random) % harness.offered;
+            let id = RequestId(u64::arbitrary(random) % harness.offered);
             harness.core.on_client_disconnected(harness.now, id);
         }
         4 | 5 if !audit.started.is_empty() => {
@@ -182,8 +182,7 @@
         }
         7 if !audit.started.is_empty() => {
             let attempt = audit.random_attempt(random);
-            let name = format!("job-{}", attempt.request_id + 1);
-            harness.report_status(&name, attempt.worker, JobStatus::Returned);
+            harness.report_status(&attempt.request_name(), attempt.worker, JobStatus::Returned);
         }
         6 if !audit.started.is_empty() => {
             let StartedAttempt { request_id, attempt, .. } = audit.random_attempt(random);
--- a/tests/core/transfer.rs
+++ b/tests/core/transfer.rs
@@ -1,6 +1,6 @@
 //! Requests and learned state on their way from one process to its successor.
 
-use crate::harness::{CoreHarness, MS, StartedAttempt, responses, started};
+use crate::harness::{CoreHarness, MS, responses, started};
 use mothproxy::core::{Command, FinalResponse, JobStatus};
 use mothproxy::{LoadReport, WorkerId};
 
@@ -35,10 +35,11 @@
         }
         let has_attempt = |worker| attempts.iter().any(|attempt| attempt.worker == worker);
         assert!([WorkerId(0), WorkerId(1)].into_iter().all(has_attempt), "{attempts:?}");
-        for StartedAttempt { request_id, worker, .. } in attempts {
-            let (cpu, free) = if worker == full { (1.0, 0.0) } else { (0.1, 4.0) };
+        for attempt in attempts {
+            let (cpu, free) = if attempt.worker == full { (1.0, 0.0) } else { (0.1, 4.0) };
             let report = LoadReport { cpu: Some(cpu), free_slots: Some(free), ..LoadReport::default() };
-            let (name, from) = (format!("job-{}", request_id + 1), format!("s-{}", worker.0));
+            let from = format!("s-{}", attempt.worker.0);
+            let name = attempt.request_name();
             let done = JobStatus::Done(b"x".to_vec());
             assert!(predecessor.core.on_job_status(predecessor.now, &name, &from, done, Some(report)));
         }
@@ -48,10 +49,10 @@
         successor.core.restore(through_json(&predecessor.core.learned_state()));
         for _ in 0..3 {
             successor.accept(0, 5_000 * MS).expect("a request");
-            for StartedAttempt { request_id, worker, .. } in started(&successor.advance(10 * MS)) {
-                assert_ne!(worker, full, "it is full");
-                let name = format!("job-{}", request_id + 1);
-                assert!(successor.report_status(&name, worker, JobStatus::Started));
+            for attempt in started(&successor.advance(10 * MS)) {
+                assert_ne!(attempt.worker, full, "it is full");
+                let name = attempt.request_name();
+                assert!(successor.report_status(&name, attempt.worker, JobStatus::Started));
             }
         }
     }
