--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: a single dispatch to one worker.
+//! One attempt of a request: it is forwarded once, to one worker.
 
 use super::RequestId;
 use super::timers::{Timer, TimerQueue};
@@ -14,8 +14,8 @@
 }
 
 impl AttemptId {
-    /// The same as one number, for a store's ticket and for what learns of run times. Attempts of one request are told apart up
-    /// to 256 of them; the settings allow far fewer.
+    /// The same as one number, for a store's ticket and for what learns of run times. It is unique as long as a request has at most
+    /// 256 attempts; the settings allow far fewer.
     pub(super) fn ticket(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.attempt & 0xff)
     }
@@ -48,7 +48,7 @@
 pub(super) enum AttemptEnd {
     /// It ran, or may have run.
     MayHaveRun,
-    /// It reached the worker or not, but never ran.
+    /// It never ran: the worker rejected it, or was not reached, or its record could not be persisted.
     NeverRan,
     /// The worker handed it back by a callback, which it may repeat.
     HandedBack,
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,4 +1,4 @@
-//! What the program round the core tells it of requests and attempts, and the commands that it gets back.
+//! The messages between the core and the program round it: requests and reports on attempts go in, commands come out.
 
 use super::RequestId;
 use super::idempotency::IdempotencyKey;
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Reports on attempts: what workers and upstream connections say of them, and whether they may still be written.
+//! Attempts under way: reports of workers and upstream connections on them, and whether they may still be written.
 
 use super::Core;
 use crate::core::attempt::{AttemptEnd, AttemptId};
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A worker's callback about a job, by the names that the worker uses. Whether it said anything new.
+    /// A worker's callback about a job, by the names that the worker uses. Returns whether it changed anything.
     pub fn on_job_status(
         &mut self,
         now: Micros,
@@ -87,7 +87,7 @@
         is_new
     }
 
-    /// A report on one attempt, over the connection that it was sent on. Whether it said anything new.
+    /// A report on one attempt, over the connection that it was sent on. Returns whether it changed anything.
     pub fn on_attempt_status(
         &mut self,
         now: Micros,
@@ -107,7 +107,7 @@
         self.on_attempt_ended(now, id, attempt, outcome, report)
     }
 
-    /// An attempt has started, or has reported its progress, which implies that it has. Whether that is new.
+    /// An attempt has started, or has reported its progress, which implies that it has. Returns whether that is new.
     fn on_started(
         &mut self,
         now: Micros,
@@ -164,7 +164,8 @@
     }
 
     /// An attempt ended. Only its first end counts, but a result is the request's final response as long as it has none, also
-    /// where it comes after the attempt was given up: it is as good as any. Whether it changed anything.
+    /// where it comes after the attempt was given up: it is as good as any. Returns whether
+    /// it changed anything.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -198,7 +199,7 @@
         true
     }
 
-    /// A worker gave a result. Whether it became the request's final response.
+    /// A worker gave a result. Returns whether it became the request's final response.
     fn on_result(&mut self, now: Micros, id: RequestId, result: Vec<u8>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_open = request.is_open();
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Loads a list that was known before the start, perhaps long before. Its workers get their numbers, and discovery is asked with its
-    /// version; but nothing is sent to them before discovery has sent a list, or [`Core::use_stale_list`]. Returns when the last
-    /// of its workers started.
+    /// Loads a list that was known before the start, perhaps long before. Its workers get their numbers, and discovery is called
+    /// with its version; but nothing is sent to them before discovery has sent a list, or [`Core::use_stale_list`]. Returns when
+    /// the last of its workers started.
     pub fn load_known_list(&mut self, now: Micros, list: &EndpointList) -> Option<Micros> {
         self.endpoints.apply(now, list);
         self.endpoints.stale = true;
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The engine: takes timed events, hands them to the decision module in batches, and turns its actions into commands.
 //!
-//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger); this module has its construction, the arrival
-//! and the end of requests, and the queries. The submodules handle what else happens:
+//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module has its construction, the
+//! arrival and the end of requests, and the queries. The submodules handle what else happens:
 //! - `turn`: timers, batches, and the module's actions;
 //! - `attempts`: reports on attempts, and how they end;
 //! - `endpoint_list`: discovery's lists;
@@ -37,8 +37,8 @@
 /// The core of a dispatcher, as one state machine.
 ///
 /// Events come in through `on_*` methods and [`Core::accept`]; [`Core::turn`] runs what is due, at the time of
-/// [`Core::next_wake`]; [`Core::next_command`] hands out what follows. Each accepted request gets exactly one final response, unless its
-/// client disconnects or it is transferred.
+/// [`Core::next_wake`]; [`Core::next_command`] hands out what follows. Each accepted request gets exactly one final response,
+/// unless its client disconnects or it is transferred.
 pub struct Core {
     dispatcher: Dispatcher,
     names: SiteNames,
@@ -149,7 +149,7 @@
         self.timers.cancel(at, Timer::Program(token));
     }
 
-    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be told apart.
+    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be distinguished.
     pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
         if self.knows(&request.name) {
             return None;
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -64,7 +64,7 @@
                 report: None,
             }));
         }
-        self.events.mark_transfers();
+        self.events.mark_transfer();
         Some(transferred)
     }
 
--- a/src/core/event_queue.rs
+++ b/src/core/event_queue.rs
@@ -6,8 +6,8 @@
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: Vec<Event>,
-    /// So many of them, up to the last, only tell of requests that were transferred.
-    transfer_events: usize,
+    /// How many there were right after the last transfer of a request, or 0 if none was since the last batch.
+    len_after_transfer: usize,
     /// The next batch begins no sooner.
     next_batch: Micros,
 }
@@ -22,20 +22,20 @@
         (!self.events.is_empty()).then_some(self.next_batch)
     }
 
-    /// Whether the module has handled everything but the transfers of requests.
+    /// Whether the module has handled everything but the ends of requests that were transferred. Then another one may be: the
+    /// module decides nothing more that concerns it.
     pub fn has_only_transfers(&self) -> bool {
-        self.events.len() == self.transfer_events
+        self.events.len() == self.len_after_transfer
     }
 
-    /// Everything that waits now tells of transfers only. Requires that [`EventQueue::has_only_transfers`] held before the
-    /// last transfer.
-    pub fn mark_transfers(&mut self) {
-        self.transfer_events = self.events.len();
+    /// A transfer's events were pushed. Requires that [`EventQueue::has_only_transfers`] held before it.
+    pub fn mark_transfer(&mut self) {
+        self.len_after_transfer = self.events.len();
     }
 
     /// Takes the events of a batch that begins now; the next one begins `tick` later at the soonest.
     pub fn take_batch(&mut self, now: Micros, tick: Micros) -> Vec<Event> {
-        self.transfer_events = 0;
+        self.len_after_transfer = 0;
         self.next_batch = now + tick;
         std::mem::take(&mut self.events)
     }
--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -1,9 +1,9 @@
 //! Which of the other dispatchers have announced that they stop, and to which of them this one announces it.
 //!
-//! A graceful shutdown depends on it in one question: whether every other dispatcher stops too, so that clients have nowhere
-//! else to go. In a small fleet each asks it of all others. In a larger one each asks it of a few that lie far apart among the
-//! numbers: a release that goes through them in order, in steps or group by group never takes all of these at once, and a stop
-//! of all dispatchers does. So its cost to a dispatcher does not grow with the fleet.
+//! A graceful shutdown needs it for one decision: whether every other dispatcher stops too, so that clients have nowhere else to
+//! go. In a small fleet each concludes that from all others. In a larger one each concludes it from a few that lie far apart
+//! among the numbers: a release that goes through them in order, in steps or group by group never stops all of these at once,
+//! and a stop of all dispatchers does. So the cost to a dispatcher does not grow with the fleet.
 
 use std::collections::BTreeSet;
 
@@ -49,13 +49,14 @@
             .collect()
     }
 
-    /// A peer announced that it stops, or that it serves.
-    pub fn on_announcement(&mut self, from: u32, is_stopping: bool) {
-        if is_stopping {
-            self.stopping.insert(from);
-        } else {
-            self.stopping.remove(&from);
-        }
+    /// A peer announced that it stops.
+    pub fn on_stopping(&mut self, from: u32) {
+        self.stopping.insert(from);
+    }
+
+    /// A peer announced that it serves.
+    pub fn on_serving(&mut self, from: u32) {
+        self.stopping.remove(&from);
     }
 
     /// Whether there are neighbors, and the last that each has announced is that it stops.
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -1,7 +1,7 @@
 //! What one process of a dispatcher hands to its successor: requests under way, and the decision module's learned state.
 //!
-//! It travels as JSON, whose keys are kept for other versions. Times are Unix times in microseconds, since the two processes' clocks
-//! start at different moments; classes, tenants and workers go by name, since their numbers may differ.
+//! It travels as JSON, whose keys are kept for other versions. Times are Unix times in microseconds, since the clocks of the two
+//! processes start at different moments; classes, tenants and workers go by name, since their numbers may differ.
 
 use super::idempotency::IdempotencyKey;
 use crate::policy::interface::Micros;
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -19,16 +19,16 @@
 
 /// As long as nothing changes, a watch sends an empty line this often (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
-/// A watch that has sent nothing for this long is broken: the heartbeat, and a quarter of its interval for the network and a busy
-/// core. More would leave too little of [`NOTIFICATION_DEADLINE`] to be answered by a service that has many callers.
+/// A watch that has sent nothing for this long is broken: the heartbeat, and a quarter of its interval for the network and a
+/// busy core. More would leave too little of [`NOTIFICATION_DEADLINE`] to be answered by a service that has many callers.
 const LIVENESS_TIMEOUT: Micros = HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4;
 /// After SIGHUP a change counts as notified this soon (STANDING, "The whole fleet").
 const MOVED_NOTIFICATION_DEADLINE: Micros = 4_000_000;
 /// The last call that fits into [`NOTIFICATION_DEADLINE`], which is answered, is given this much of it: services are known that let
 /// none wait for longer.
 const LAST_CALL_RESERVE: Micros = 1_000_000;
-/// However many dispatchers there are, a refusal is made good within [`NOTIFICATION_DEADLINE`]: the rest of a wait under way, one call
-/// that is refused, and the last.
+/// However many dispatchers there are, a refusal is made good within [`NOTIFICATION_DEADLINE`]: the rest of a wait under way,
+/// one call that is refused, and the last.
 const MAX_REFUSED_INTERVAL: Micros = (NOTIFICATION_DEADLINE - LAST_CALL_RESERVE) / 2;
 /// The connection of a call, of a watch or for the whole list, must be up within this.
 pub const CONNECT_TIMEOUT: Micros = 500_000;
@@ -128,8 +128,8 @@
         self.first_call_at(now, self.settings.spread())
     }
 
-    /// The list that the program starts with is to be revalidated: it may lack changes that count as notified (a process that comes
-    /// back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no older,
+    /// The list that the program starts with is to be revalidated: it may lack changes that count as notified (a process that
+    /// comes back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no older,
     /// so what it lacks counts as notified [`NOTIFICATION_DEADLINE`] after that at the soonest. Returns the span in which nothing
     /// may be sent by it.
     pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
@@ -147,8 +147,8 @@
         Some(span.start)
     }
 
-    /// Whether nothing may be sent by that list: discovery has sent none, what it would send may count as notified, and nothing shows
-    /// that it cannot be reached (an agent of the own machine sends nothing as long as that is so).
+    /// Whether nothing may be sent by that list: discovery has sent none, what it would send may count as notified, and nothing
+    /// shows that it cannot be reached (an agent of the own machine sends nothing as long as that is so).
     pub fn is_stale(&self, now: Micros) -> bool {
         self.stale.as_ref().is_some_and(|span| span.contains(&now))
     }
@@ -195,10 +195,10 @@
         called_at + self.answer_timeout(called_at)
     }
 
-    /// How long a call that began at `called_at` may wait for its answer, once its connection is up. Given up, it would lose its place in
-    /// the service's queue, and many services would answer it though nobody reads it. So it is given up only once the next one
-    /// is due, and later where the service has let a call wait for longer; but while what was missed can still be received in time,
-    /// there must be time for another call.
+    /// How long a call that began at `called_at` may wait for its answer, once its connection is up. Given up, it would lose its
+    /// place in the service's queue, and many services would answer it though nobody reads it. So it is given up only once the
+    /// next one is due, and later where the service has let a call wait for longer; but while what was missed can still be
+    /// received in time, there must be time for another call.
     fn answer_timeout(&self, called_at: Micros) -> Micros {
         let longest = self.load.answer_timeout(called_at, &self.settings);
         let timeout = match self.freshness.counts_from() {
@@ -210,16 +210,10 @@
         timeout.max(self.load.observed_timeout())
     }
 
-    /// The watch sent data: whole lists (after [`WatchLiveness::on_list`]) or empty lines, or the beginning of an object
-    /// (`is_partial`). Returns when it must send more, unless an object began earlier: that one's deadline stays. `None` keeps the
-    /// present deadline.
-    pub fn on_data(&mut self, now: Micros, is_partial: bool) -> Option<Micros> {
-        if let (WatchPhase::Requested, Some(called_at)) = (self.phase, self.last_call) {
-            self.load.on_answered(now.saturating_sub(called_at));
-        }
-        if is_partial {
-            return Some(self.on_partial_object(now));
-        }
+    /// The watch sent whole lists (after [`WatchLiveness::on_list`]) or empty lines. Returns when it must send more; `None` keeps
+    /// the present deadline.
+    pub fn on_data(&mut self, now: Micros) -> Option<Micros> {
+        self.observe_answer(now);
         if let Freshness::Moved { .. } = self.freshness {
             // A service that has sent no list yet cannot say by an empty line that nothing was missed.
             self.phase = WatchPhase::Partial;
@@ -230,8 +224,9 @@
         Some(now + LIVENESS_TIMEOUT)
     }
 
-    /// An object has begun. Returns when it must be whole.
-    fn on_partial_object(&mut self, now: Micros) -> Micros {
+    /// The watch sent the beginning of an object. Returns when the object must be whole.
+    pub fn on_partial_object(&mut self, now: Micros) -> Micros {
+        self.observe_answer(now);
         if let WatchPhase::Live { .. } = self.phase {
             return now + OBJECT_TIMEOUT;
         }
@@ -240,6 +235,13 @@
         self.answer_deadline(now).max(now + OBJECT_TIMEOUT / 2).min(now + OBJECT_TIMEOUT)
     }
 
+    /// Learns of the service's load from the first data of a call.
+    fn observe_answer(&mut self, now: Micros) {
+        if let (WatchPhase::Requested, Some(called_at)) = (self.phase, self.last_call) {
+            self.load.on_answered(now.saturating_sub(called_at));
+        }
+    }
+
     /// A list was received. Returns since when its changes count as notified: after a silence, or a move, from a fixed time on at
     /// the latest.
     pub fn on_list(&mut self, now: Micros) -> Micros {
@@ -306,7 +308,8 @@
         }
     }
 
-    /// When the next call may begin, which is due by `call_by`. `None` where that is over or near: then it begins as soon as it may.
+    /// When the next call may begin, which is due by `call_by`. `None` where that is over or near: then it begins after
+    /// [`MIN_RETRY_INTERVAL`].
     fn retry_window(
         &self,
         now: Micros,
@@ -331,7 +334,8 @@
         Some(earliest..=call_by)
     }
 
-    /// The window moved forward, if what was missed can still be received in time: then there is time for another call after this one.
+    /// The window, moved forward if what was missed can still be received in time: then there is time for another call after this
+    /// one.
     fn hurried_window(
         &self,
         now: Micros,
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -3,13 +3,14 @@
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
 use crate::policy::interface::Micros;
 
-/// A call that failed sooner than this was refused at once. It also is the least time between the beginnings of two calls where
-/// they draw nearer to each other.
+/// Where calls draw nearer to each other, one begins no sooner than this after the one before. A call that failed sooner was refused
+/// at once, and shows no overload.
 pub(super) const MIN_CALL_SPACING: Micros = 200_000;
 /// The answer timeout is doubled at most this often.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
-/// After a call that failed, the decision module uses the list for four times the poll interval; the next call has the last of them.
-const LIST_VALIDITY_INTERVALS: Micros = 3;
+/// After a call that failed, the decision module uses the list for four poll intervals, of which the last is left for the next
+/// call.
+const MAX_BACKOFF_INTERVALS: Micros = 3;
 
 /// How long the service has let calls wait.
 #[derive(Debug, Default)]
@@ -76,9 +77,9 @@
     /// for a very slow service.
     pub fn backoff(&self, now: Micros, settings: &DiscoverySettings) -> Micros {
         let overloaded_for = self.overload.map_or(0, |overload| now.saturating_sub(overload.since));
-        let list_validity =
-            settings.max_poll_interval.map_or(Micros::MAX, |interval| LIST_VALIDITY_INTERVALS * interval);
-        let longest = settings.slow_turn().min(list_validity);
+        let while_list_is_valid =
+            settings.max_poll_interval.map_or(Micros::MAX, |interval| MAX_BACKOFF_INTERVALS * interval);
+        let longest = settings.slow_turn().min(while_list_is_valid);
         overloaded_for.saturating_sub(2 * NOTIFICATION_DEADLINE).min(longest).max(settings.call_interval())
     }
 
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -9,8 +9,8 @@
 /// way, two calls that are refused, and one that is answered: a quarter each. Among a few dispatchers a call begins at the latest
 /// this long after the one before it, and is given up this long after it began.
 pub(super) const POLL_INTERVAL: Micros = NOTIFICATION_DEADLINE / 4;
-/// This many dispatchers may call within one [`POLL_INTERVAL`]. More of them take turns, or a slow service would be kept from answering
-/// any by those that call again; at most, the turns leave time for one call, which is answered, within [`NOTIFICATION_DEADLINE`].
+/// This many dispatchers may call within one [`POLL_INTERVAL`]. More of them take turns, or a slow service would be kept from
+/// answering any by those that call again; at most, the turns leave time for one call, which is answered, within [`NOTIFICATION_DEADLINE`].
 const MAX_UNCOORDINATED_CALLERS: Micros = 10;
 /// What the service is taken to need for a call, where the operators' file says nothing else: it handles calls in turn, so
 /// those of n dispatchers that lost their watches together are spread over n times this.
@@ -21,7 +21,7 @@
 pub struct DiscoverySettings {
     /// Lists are pushed to an agent of the own machine, which answers at once and at no cost.
     pub is_pushed: bool,
-    /// Without a watch, the list must be asked for within this.
+    /// Without a watch, the list must be fetched within this.
     pub max_poll_interval: Option<Micros>,
     /// How many dispatchers share the service.
     pub nodes: u32,
@@ -38,8 +38,8 @@
 }
 
 impl DiscoverySettings {
-    /// The longest time between the beginnings of two calls. A dispatcher that has not called for as long as the settings say
-    /// counts as notified then, if that is sooner: both a call that failed and the next one lie within it.
+    /// The longest time between the beginnings of two calls. Both a call that failed and the next one lie within the settings'
+    /// poll interval: a dispatcher that has not called for so long counts as notified.
     pub(super) fn call_interval(&self) -> Micros {
         let fair = self.slow_turn().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
         self.max_poll_interval.map_or(fair, |within| fair.min(within / 2))
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -268,14 +268,14 @@
         // Only lists and empty lines show that it lives. An object that has begun must be whole in the time it was given when
         // it began.
         if call.watch && said {
-            match self.lists.clock.on_data(self.now, false) {
+            match self.lists.clock.on_data(self.now) {
                 Some(due) => self.set_timer(token, conn, Some(due)),
                 None => self.ask_whole(),
             }
         }
         if call.watch && call.text.is_partial() && (said || !partly) {
-            let due = self.lists.clock.on_data(self.now, true);
-            self.set_timer(token, conn, due);
+            let due = self.lists.clock.on_partial_object(self.now);
+            self.set_timer(token, conn, Some(due));
         }
         taken.and(framed)?;
         let why = match call.watch {
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -115,7 +115,7 @@
             };
             match buf[..len] {
                 [SERVING] => {
-                    self.standing.states.on_announcement(peer, false);
+                    self.standing.states.on_serving(peer);
                     // One that has just started cannot know who is about to stop.
                     if self.takes_leave() {
                         self.tell_peer(peer, &[STOPPING]);
@@ -129,7 +129,7 @@
                     let ago = Micros::from(u32::from_be_bytes([a, b, c, d])) * 1_000;
                     self.was_heard(self.now.saturating_sub(ago));
                 }
-                [STOPPING] => self.standing.states.on_announcement(peer, true),
+                [STOPPING] => self.standing.states.on_stopping(peer),
                 _ if self.fleet_hears(peer, &buf[..len]) => {}
                 _ => {
                     self.standing.heard.insert(peer, self.now);
--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -205,7 +205,7 @@
             caller.clock.on_call_started(before);
             caller.clock.on_connected(before + WAY);
             caller.clock.on_list(before + call);
-            caller.clock.on_data(before + call, false);
+            caller.clock.on_data(before + call);
             caller.fresh = false;
             let beat = self.beats(me);
             match scenario {
@@ -305,7 +305,7 @@
             Event::Says(me, turn, true) if self.callers[me].turn == turn => {
                 let caller = &mut self.callers[me];
                 caller.clock.on_list(self.now);
-                caller.clock.on_data(self.now, false);
+                caller.clock.on_data(self.now);
                 (caller.phase, caller.fresh) = (Phase::Holds, false);
                 caller.turn += 1;
                 if let Some(owed) = caller.owed.take() {
@@ -333,7 +333,7 @@
     /// An empty line has come within the two seconds before now (PROTOCOL, "Discovery"): how long ago.
     fn beats(&mut self, me: usize) -> Micros {
         let ago = self.rng.u64(0..2 * S);
-        self.callers[me].clock.on_data(self.now - ago, false);
+        self.callers[me].clock.on_data(self.now - ago);
         ago
     }
 
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -151,7 +151,7 @@
         if given.is_open {
             liveness.on_call_started(START);
             liveness.on_connected(START);
-            liveness.on_data(START, false);
+            liveness.on_data(START);
         }
         if let Some(phase) = given.call {
             liveness.on_call_started(START);
@@ -159,7 +159,7 @@
                 liveness.on_connected(START);
             }
             if phase >= CallPhase::Partial {
-                liveness.on_data(START, true);
+                liveness.on_partial_object(START);
             }
         }
         Ok(Watch { liveness, settings, objects: ObjectSplitter::default(), now: START })
@@ -185,7 +185,11 @@
                 let at = self.liveness.on_connected(now);
                 self.due(at)
             }
-            Step::Data { is_partial } => match self.liveness.on_data(now, is_partial) {
+            Step::Data { is_partial: true } => {
+                let at = self.liveness.on_partial_object(now);
+                self.due(at)
+            }
+            Step::Data { is_partial: false } => match self.liveness.on_data(now) {
                 Some(at) => self.due(at),
                 None => vec!["as it is".to_owned()],
             },
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -86,7 +86,7 @@
     assert!(harness.now <= from + 850 * MS);
 }
 
-/// On a starved machine a turn comes late. The core then responded by itself, before the decision module had its say, and debug
+/// On a starved machine a turn comes late. The core then responded by itself, before the decision module could, and debug
 /// builds stopped at an invariant.
 #[test]
 fn a_late_turn_asks_the_decision_module_first() {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown, and connections that are closed while a request is on its way, over real sockets. Each test forces its order by
-//! what was seen before: an end that was read, a job that has arrived, a process that stands still.
+//! Graceful shutdown, and connections that are closed while a request is on its way, over real sockets. Each test forces its
+//! order by what was seen before: an end that was read, a job that has arrived, a process that stands still.
 
 use mothproxy::core::shutdown_plan::ShutdownPlan;
 use mothproxy_testkit::*;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -22,7 +22,7 @@
     for me in (0..count).filter(|n| stops(*n)) {
         for to in states[me as usize].neighbors() {
             assert!(to != me && states[to as usize].neighbors().contains(&me), "{me} tells {to} of {count}");
-            states[to as usize].on_announcement(me, true);
+            states[to as usize].on_stopping(me);
             datagrams += 1;
         }
     }
--- a/tests/watch_liveness.rs
+++ b/tests/watch_liveness.rs
@@ -100,19 +100,18 @@
             CallOutcome::List(after) if began + after < answered_by => {
                 self.now = began + after;
                 assert!(self.watch.on_list(self.now) <= self.now);
-                assert_eq!(self.watch.on_data(self.now, false), Some(self.now + 2_500 * MS));
+                assert_eq!(self.watch.on_data(self.now), Some(self.now + 2_500 * MS));
                 None
             }
             CallOutcome::Partial(after) if began + after < answered_by => {
                 self.now = began + after;
-                let due =
-                    self.watch.on_data(self.now, true).expect("an object that has begun has a deadline");
+                let due = self.watch.on_partial_object(self.now);
                 assert!(due > self.now && due <= self.now + S);
                 Some(self.fail(due, WatchFailure::Silent))
             }
             CallOutcome::EmptyLine { after, then_ends } if began + after < answered_by => {
                 self.now = began + after;
-                let live_until = self.watch.on_data(self.now, false);
+                let live_until = self.watch.on_data(self.now);
                 let due = live_until.unwrap_or(answered_by);
                 let ends_at = self.now + then_ends;
                 let (at, failure) =
@@ -284,8 +283,8 @@
     assert!(peak(0) < 70 && peak(60) < 50, "{calls_by_tenth:?}");
 }
 
-/// Hundreds of dispatchers before a service that cannot answer all within the 6 s: as many as it can answer are notified in time, the
-/// last not long after the service's own time for all, and it hardly works for calls that nobody reads.
+/// Hundreds of dispatchers before a service that cannot answer all within the 6 s: as many as it can answer are notified in time,
+/// the last not long after the service's own time for all, and it hardly works for calls that nobody reads.
 #[test]
 fn hundreds_of_callers_are_all_served_by_a_slow_service() {
     for scenario in Scenario::ALL {
