--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Reports on attempts: what workers and upstream connections say of them, and whether they may still be written.
+//! Attempts under way: reports of workers and upstream connections on them, and whether they may still be written.
 
 use super::Core;
 use crate::core::attempt::{AttemptEnd, AttemptId};
@@ -6,7 +6,7 @@
 use crate::core::ledger::Completion;
 use crate::core::names::job_traits;
 use crate::core::request::RequestId;
-use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, JobId, LoadReport, Micros, Outcome};
+use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
 /// An attempt waits for its worker's first answer for at most the class's deadline divided by this: the rest is for another
 /// worker.
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A worker's callback about a job, by the names that the worker uses. Whether it said anything new.
+    /// A worker's callback about a job, by the names that the worker uses. Returns whether it changed anything.
     pub fn on_job_status(
         &mut self,
         now: Micros,
@@ -87,7 +87,7 @@
         is_new
     }
 
-    /// A report on one attempt, over the connection that it was sent on. Whether it said anything new.
+    /// A report on one attempt, over the connection that it was sent on. Returns whether it changed anything.
     pub fn on_attempt_status(
         &mut self,
         now: Micros,
@@ -107,7 +107,7 @@
         self.on_attempt_ended(now, id, attempt, outcome, report)
     }
 
-    /// An attempt has started, or has reported its progress, which implies that it has. Whether that is new.
+    /// An attempt has started, or has reported its progress, which implies that it has. Returns whether that is new.
     fn on_started(
         &mut self,
         now: Micros,
@@ -129,7 +129,7 @@
             Some(fraction) => self.learners.on_progress(now, id.ticket(), fraction),
         }
         self.notify_progress(request_id, fraction);
-        let job = JobId(request_id);
+        let job = request_id.job();
         self.events.push(match fraction {
             None => Event::Started { job, attempt },
             Some(done) => Event::Progress { job, attempt, done },
@@ -164,7 +164,8 @@
     }
 
     /// An attempt ended. Only its first end counts, but a result is the request's final response as long as it has none, also
-    /// where it comes after the attempt was given up: it is as good as any. Whether it changed anything.
+    /// where it comes after the attempt was given up: it is as good as any. Returns whether
+    /// it changed anything.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -185,20 +186,20 @@
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
             if is_response {
-                self.events.push(Event::ClientDisconnected(JobId(request_id)));
+                self.events.push(Event::ClientDisconnected(request_id.job()));
             }
             return is_response;
         }
         self.learners.on_ended(now, id.ticket(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
-        let job = JobId(request_id);
+        let job = request_id.job();
         let ended = AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report };
         self.events.push(Event::AttemptEnded(ended));
         self.requests.mark_finished(request_id);
         true
     }
 
-    /// A worker gave a result. Whether it became the request's final response.
+    /// A worker gave a result. Returns whether it became the request's final response.
     fn on_result(&mut self, now: Micros, id: RequestId, result: Vec<u8>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_open = request.is_open();
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The engine: takes timed events, hands them to the decision module in batches, and turns its actions into commands.
 //!
-//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger); this module has its construction, the arrival
-//! and the end of requests, and the queries. The submodules handle what else happens:
+//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module has its construction, the
+//! arrival and the end of requests, and the queries. The submodules handle what else happens:
 //! - `turn`: timers, batches, and the module's actions;
 //! - `attempts`: reports on attempts, and how they end;
 //! - `endpoint_list`: discovery's lists;
@@ -29,7 +29,7 @@
 use crate::fleet::Learners;
 use crate::invariant;
 use crate::policy::interface::{
-    Action, Class, ClassId, Event, JobId, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
+    Action, Class, ClassId, Event, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
     Settings, SettingsError, WorkerId,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -37,8 +37,8 @@
 /// The core of a dispatcher, as one state machine.
 ///
 /// Events come in through `on_*` methods and [`Core::accept`]; [`Core::turn`] runs what is due, at the time of
-/// [`Core::next_wake`]; [`Core::next_command`] hands out what follows. Each accepted request gets exactly one final response, unless its
-/// client disconnects or it is transferred.
+/// [`Core::next_wake`]; [`Core::next_command`] hands out what follows. Each accepted request gets exactly one final response,
+/// unless its client disconnects or it is transferred.
 pub struct Core {
     dispatcher: Dispatcher,
     names: SiteNames,
@@ -149,7 +149,7 @@
         self.timers.cancel(at, Timer::Program(token));
     }
 
-    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be told apart.
+    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be distinguished.
     pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
         if self.knows(&request.name) {
             return None;
@@ -188,7 +188,7 @@
         let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
         let tenant_name = tenant_name(&self.names, tenant);
         NewJob {
-            job: JobId(id),
+            job: id.job(),
             class,
             tenant,
             key,
@@ -209,7 +209,7 @@
         let worker = self.endpoints.id_or_placeholder(first);
         let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
         self.events.push(Event::Adopted { new: job, since: now, past: vec![attempt.to_prior()] });
-        if let Some(request) = self.requests.get_mut(job.job.0) {
+        if let Some(request) = self.requests.get_mut(job.job.into()) {
             request.attempts.push(attempt);
         }
     }
@@ -218,7 +218,7 @@
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         if self.requests.get(id).is_some_and(PendingRequest::is_open) {
             self.close(now, id, Completion::ClientDisconnected);
-            self.events.push(Event::ClientDisconnected(JobId(id)));
+            self.events.push(Event::ClientDisconnected(id.job()));
         }
     }
 
@@ -247,7 +247,7 @@
     pub fn fail_all(&mut self, now: Micros) {
         for id in self.open_requests() {
             self.respond(now, id, FinalResponse::Failed, Completion::Failed);
-            self.events.push(Event::ClientDisconnected(JobId(id)));
+            self.events.push(Event::ClientDisconnected(id.job()));
         }
     }
 
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -32,14 +32,14 @@
         had_partial_object: bool,
     ) {
         if has_data {
-            match self.discovery.liveness.on_data(self.now, false) {
+            match self.discovery.liveness.on_data(self.now) {
                 Some(deadline) => self.set_timer(token, conn, Some(deadline)),
                 None => self.fetch_needed_list(),
             }
         }
         if call.has_partial_object() && (has_data || !had_partial_object) {
-            let deadline = self.discovery.liveness.on_data(self.now, true);
-            self.set_timer(token, conn, deadline);
+            let deadline = self.discovery.liveness.on_partial_object(self.now);
+            self.set_timer(token, conn, Some(deadline));
         }
     }
 
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -13,7 +13,7 @@
 pub(in crate::server) use call::{CallKind, DiscoveryCall};
 
 use crate::config::Config;
-use crate::core::watch_liveness::{CONNECT_TIMEOUT, DiscoveryTerms, WatchLiveness};
+use crate::core::watch_liveness::{CONNECT_TIMEOUT, DiscoverySettings, WatchLiveness};
 use crate::fleet::FleetSettings;
 use crate::http::MAX_HEAD;
 use crate::policy::interface::Micros;
@@ -52,7 +52,7 @@
     ) -> DiscoveryClient {
         DiscoveryClient {
             watch: None,
-            liveness: WatchLiveness::new(DiscoveryTerms::of(&config.settings), config.seed),
+            liveness: WatchLiveness::new(DiscoverySettings::from(&config.settings), config.seed),
             watch_timer: TimerSlot::new(WATCH_TIMER),
             full_list: FullListState::Known,
             pacing: CallPacing::open(settings, config, now, generation),
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -4,7 +4,7 @@
 use super::DiscoveryClient;
 use super::pacing::CallEnd;
 use crate::core::Core;
-use crate::core::watch_liveness::{DiscoveryTerms, WatchFailure};
+use crate::core::watch_liveness::{DiscoverySettings, WatchFailure};
 use crate::policy::interface::Micros;
 use crate::server::STALE_TIMER;
 
@@ -54,7 +54,7 @@
     }
 
     /// Other settings count.
-    pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoveryTerms) {
+    pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoverySettings) {
         if self.liveness.reconfigure(terms) {
             self.schedule_watch(core, now);
         }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,6 +1,6 @@
 //! Signals, and the new configuration that SIGHUP asks for.
 
-use crate::core::watch_liveness::DiscoveryTerms;
+use crate::core::watch_liveness::DiscoverySettings;
 use crate::server::{Budget, Server};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{PipeFlags, pipe_with};
@@ -79,6 +79,6 @@
             self.on_discovery_moved();
             self.core.on_discovery_moved();
         }
-        self.discovery.reconfigure(&mut self.core, self.now, DiscoveryTerms::of(&self.config.settings));
+        self.discovery.reconfigure(&mut self.core, self.now, DiscoverySettings::from(&self.config.settings));
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -161,7 +161,7 @@
     fn on_peer_datagram(&mut self, from: u32, bytes: &[u8]) {
         match PeerDatagram::decode(bytes) {
             PeerDatagram::Serving => self.on_peer_serving(from),
-            PeerDatagram::Stopping => self.peers.lifecycle.on_announcement(from, true),
+            PeerDatagram::Stopping => self.peers.lifecycle.on_stopping(from),
             PeerDatagram::LastHeard { age_ms } => {
                 let heard_at = self.now.saturating_sub(Micros::from(age_ms) * MICROS_PER_MS);
                 self.discovery.on_predecessor_seen(&mut self.core, self.now, heard_at);
@@ -176,7 +176,7 @@
 
     /// Another dispatcher says that it serves; it may have just started.
     fn on_peer_serving(&mut self, from: u32) {
-        self.peers.lifecycle.on_announcement(from, false);
+        self.peers.lifecycle.on_serving(from);
         // One that has just started cannot know who is about to stop.
         if self.takes_leave() {
             self.send_to_peer(from, &PeerDatagram::Stopping.encode());
--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, dead_code)] // each of its users reads a part of an outcome
 
 use mothproxy::Micros;
-use mothproxy::core::watch_liveness::{DiscoveryTerms, WatchFailure, WatchLiveness};
+use mothproxy::core::watch_liveness::{DiscoverySettings, WatchFailure, WatchLiveness};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -205,7 +205,7 @@
             caller.clock.on_call_started(before);
             caller.clock.on_connected(before + WAY);
             caller.clock.on_list(before + call);
-            caller.clock.on_data(before + call, false);
+            caller.clock.on_data(before + call);
             caller.fresh = false;
             let beat = self.beats(me);
             match scenario {
@@ -234,7 +234,8 @@
     }
 
     fn clock(&mut self) -> WatchLiveness {
-        let terms = DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes: self.day.callers };
+        let terms =
+            DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes: self.day.callers };
         WatchLiveness::new(terms, self.rng.u64(..))
     }
 
@@ -304,7 +305,7 @@
             Event::Says(me, turn, true) if self.callers[me].turn == turn => {
                 let caller = &mut self.callers[me];
                 caller.clock.on_list(self.now);
-                caller.clock.on_data(self.now, false);
+                caller.clock.on_data(self.now);
                 (caller.phase, caller.fresh) = (Phase::Holds, false);
                 caller.turn += 1;
                 if let Some(owed) = caller.owed.take() {
@@ -332,7 +333,7 @@
     /// An empty line has come within the two seconds before now (PROTOCOL, "Discovery"): how long ago.
     fn beats(&mut self, me: usize) -> Micros {
         let ago = self.rng.u64(0..2 * S);
-        self.callers[me].clock.on_data(self.now - ago, false);
+        self.callers[me].clock.on_data(self.now - ago);
         ago
     }
 
