--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -282,7 +282,7 @@
         for new in before..classes.len() {
             // A class that was defined anew begins with what was learned of it.
             if let Some(old) = (0..new).rev().find(|old| classes[*old] == classes[new]) {
-                self.dispatcher.liken(new, old);
+                self.dispatcher.copy_class(new, old);
             }
         }
         (self.tick, self.names) = (tick, names);
@@ -353,8 +353,12 @@
                 .and_then(|job| self.learners.estimate(&job)),
             tenant_weight: {
                 let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
-                let points =
-                    self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
+                let points = self
+                    .dispatcher
+                    .settings()
+                    .classes
+                    .get(usize::from(new.class.0))
+                    .map_or(0.0, |c| c.weight);
                 self.learners.worth(now, tenant.map(String::as_str), new.class.0, points)
             },
         };
@@ -587,7 +591,7 @@
     }
 
     fn class(&self, id: RequestId) -> Option<&Class> {
-        self.dispatcher.set.classes.get(usize::from(self.requests.get(&id)?.new.class.0))
+        self.dispatcher.settings().classes.get(usize::from(self.requests.get(&id)?.new.class.0))
     }
 
     /// How long the answer to a dispatch will be waited for from now on.
@@ -814,7 +818,8 @@
         if entry == Completion::Served {
             let (new, took) = (request.new, now.saturating_sub(request.arrived));
             let tenant = new.tenant.and_then(|t| self.names.0.tenants.names().get(usize::from(t.0)));
-            let points = self.dispatcher.set.classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
+            let points =
+                self.dispatcher.settings().classes.get(usize::from(new.class.0)).map_or(0.0, |c| c.weight);
             self.learners.served(now, tenant.map(String::as_str), new.class.0, points, took);
         }
         let (class, sent) = (request.new.class, request.token.is_some() && !request.attempts.is_empty());
@@ -855,12 +860,12 @@
 
     /// The other dispatchers of this one's group, which tell each other of their work.
     pub fn peer_group(&self) -> &[u32] {
-        &self.dispatcher.m.share.mates
+        self.dispatcher.group_peers()
     }
 
     /// How many listed workers the module is avoiding.
     pub fn ejected_endpoints(&self, now: Micros) -> usize {
-        self.dispatcher.avoided(now)
+        self.dispatcher.unavailable_count(now)
     }
 
     /// Notes a session that may be over. It is dropped only after the next batch: until the module has been
@@ -1028,7 +1033,7 @@
     /// Begins with what another process has learned. The server table must have been taken already.
     pub fn restore(&mut self, lesson: LearnedState) {
         let names = &self.names.0;
-        let places = crate::policy::state::Places {
+        let places = crate::policy::IdMap {
             workers: lesson.workers.iter().map(|name| self.endpoints.find(name)).collect(),
             kinds: lesson.kinds.iter().map(|k| names.kinds.find(k).map(|n| KindId(n as u16))).collect(),
             classes: lesson
@@ -1037,7 +1042,7 @@
                 .map(|c| names.classes.find(c).map(|n| ClassId(n as u16)))
                 .collect(),
         };
-        self.dispatcher.recall(
+        self.dispatcher.restore(
             lesson.learned,
             &places,
             (self.unix_offset as i64).saturating_sub(lesson.offset),
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -1,8 +1,8 @@
 //! A session on its way from one process of a dispatcher to another. Times are Unix times in microseconds: the two clocks
 //! start at different moments.
 
+use crate::policy::Learned;
 use crate::policy::interface::Micros;
-use crate::policy::state::Learned;
 use serde::{Deserialize, Serialize};
 
 /// The session.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod server;
 pub mod settings;
 
+pub use policy::Dispatcher;
 pub use policy::interface::*;
-pub use policy::rules::Dispatcher;
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -2,9 +2,10 @@
 //!
 //! The nodes are grouped by number, and every group has its part of the workers, which all nodes work out alike from
 //! the list. What a group has out at a worker of its own is then known within a datagram's time, while a report tells
-//! of it about a second later. Knowledge only: what follows from it is decided in src/policy/rules.rs.
+//! of it about a second later. Knowledge only: what follows from it is decided in src/policy/rules.
 
 use crate::policy::interface::*;
+use crate::policy::timer::Timer;
 use mothproxy_membership::share;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -12,17 +13,15 @@
 /// Nodes that tell each other: each message goes to all but one of them.
 const GROUP: u32 = 10;
 /// What a mate has said counts for this long; whoever has work out says so again in half the time.
-pub const SAID_FOR: Micros = 4_000_000;
+pub const ADVERTISEMENT_TTL: Micros = 4_000_000;
 /// Whoever has work out and has not said so again after this, one and a half times the time for it, is missed; for so long,
 /// by when a dead one's work has ended and one that is back has spoken.
-const MISSED_AFTER: Micros = SAID_FOR / 4 * 3;
-const MISSED_FOR: Micros = 5 * SAID_FOR / 2;
+const MISSED_AFTER: Micros = ADVERTISEMENT_TTL / 4 * 3;
+const MISSED_FOR: Micros = 5 * ADVERTISEMENT_TTL / 2;
 /// Mates are heard that have spoken within this part of the fall window.
 const HEARD_PART: Micros = 4;
 /// News is told this late, so that what happens at once is told at once.
 const NEWS_WITHIN: Micros = 2_000;
-/// The alarm at which a node tells its group what there is to tell.
-pub(crate) const GOSSIP_TIMER_ID: u64 = u64::MAX;
 /// A slot that was offered is kept for this long, for a node that does not say whether it uses it.
 const OFFERED_FOR: Micros = 60_000;
 /// The first byte of a message: what its sender has out at the group's workers, and which of them it doubts; the same of
@@ -42,12 +41,11 @@
 /// The most workers that a message names; it is no longer than a datagram may be.
 const MOST: usize = 120;
 
-/// What a message leaves to be decided.
+/// What a message asks of this node.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Heard {
-    Nothing,
-    /// A node of another group wants a slot, in this zone if there is one.
-    Wish(ZoneId),
+pub(crate) enum PeerRequest {
+    /// A node of another group asks for a slot, in this zone if there is one.
+    Slot(ZoneId),
     /// A node of another group offers a slot.
     Offer,
 }
@@ -127,22 +125,28 @@
 }
 
 /// A worker as this node sees it: its tag, the slots of each own attempt that is out there, and whether it is doubted.
-pub(crate) struct Seen {
+pub(crate) struct OwnLoad {
     pub worker: WorkerId,
     pub tag: u64,
-    pub out: Vec<f64>,
-    pub doubted: bool,
+    pub outstanding: Vec<f64>,
+    pub is_suspect: bool,
+}
+
+/// A node's place among those that may send to a worker that is warming up.
+pub(crate) struct SlowStartRank {
+    pub rank: u32,
+    pub nodes: u32,
 }
 
 /// What one node knows of its group: who is in it, which workers are the group's, and what its mates have said.
 #[derive(Debug, Default)]
-pub struct Share {
+pub struct GroupGossip {
     nodes: u32,
     me: u32,
     group: u32,
     groups: u32,
     /// The other nodes of the group.
-    pub(crate) mates: Vec<u32>,
+    mates: Vec<u32>,
     /// What is believed of each node, by their numbers; all of them are here where it is empty.
     peers: Vec<PeerPresence>,
     /// The view has changed at this time, and the workers are not dealt by it yet.
@@ -174,7 +178,7 @@
     /// What was told last: to the mates, and to each lender.
     told: BTreeMap<Option<u32>, Vec<Said>>,
     /// Something has changed that may be worth a message.
-    pub(crate) news: bool,
+    news: bool,
 }
 
 fn short(tag: u64) -> u16 {
@@ -188,19 +192,20 @@
     x ^ (x >> 31)
 }
 
-impl Share {
+impl GroupGossip {
     /// The group of a node. A node by itself, or one that may tell nothing or ask no worker about itself, has none.
-    pub fn of(set: &Settings) -> Share {
-        let groups = set.nodes.div_ceil(GROUP).max(1);
-        let group = set.me % groups;
-        let mates = (group..set.nodes).step_by(groups as usize);
-        let mates = mates.filter(|n| set.may_message_peers && set.may_probe && *n != set.me).collect();
-        Share { nodes: set.nodes, me: set.me, group, groups, mates, ..Share::default() }
+    pub fn new(settings: &Settings) -> GroupGossip {
+        let groups = settings.nodes.div_ceil(GROUP).max(1);
+        let group = settings.me % groups;
+        let mates = (group..settings.nodes).step_by(groups as usize);
+        let mates =
+            mates.filter(|n| settings.may_message_peers && settings.may_probe && *n != settings.me).collect();
+        GroupGossip { nodes: settings.nodes, me: settings.me, group, groups, mates, ..GroupGossip::default() }
     }
 
     /// The group under other settings; what was said is kept if it is the same.
-    pub fn regroup(&mut self, set: &Settings) {
-        let new = Share::of(set);
+    pub fn regroup(&mut self, settings: &Settings) {
+        let new = GroupGossip::new(settings);
         if (&new.mates, new.nodes) != (&self.mates, self.nodes) {
             *self = new;
         }
@@ -208,11 +213,11 @@
 
     /// What is believed of each node from now on. Whether that has changed anything: the workers are then to be dealt anew.
     /// A list that is not of this many nodes, or lacks this one, says nothing.
-    pub fn hold_by(&mut self, now: Micros, peers: &[PeerPresence]) -> bool {
+    pub fn set_presence(&mut self, now: Micros, peers: &[PeerPresence]) -> bool {
         let sound =
             peers.len() == self.nodes as usize && peers.get(self.me as usize) == Some(&PeerPresence::Present);
         let peers = if peers.iter().all(|p| *p == PeerPresence::Present) { &[][..] } else { peers };
-        let changed = sound && self.on() && self.peers != peers;
+        let changed = sound && self.is_grouped() && self.peers != peers;
         if changed {
             (self.peers, self.view_at) = (peers.to_vec(), Some(now));
         }
@@ -257,8 +262,8 @@
     ///
     /// So the sum over the sides of a cut is never above `slots`: the parts of all nodes add up to it, and a node is here on
     /// one side alone.
-    pub fn kept(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
-        if self.gained.get(&worker).is_some_and(|since| now < since + SAID_FOR) {
+    pub fn reserved_slots(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
+        if self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL) {
             return slots;
         }
         let part = |rank: u16| share::part(slots, self.nodes.min(u32::from(u16::MAX)) as u16, rank);
@@ -273,25 +278,35 @@
     }
 
     /// The group's part of the ready workers, by their numbers.
-    pub fn part(&self) -> &[WorkerId] {
+    pub fn assigned(&self) -> &[WorkerId] {
         &self.part
     }
 
+    /// The other nodes of the group.
+    pub(crate) fn peers(&self) -> &[u32] {
+        &self.mates
+    }
+
+    /// Something has changed that is worth an advertisement.
+    pub(crate) fn mark_changed(&mut self) {
+        self.news = true;
+    }
+
     /// Whether there is a group.
-    pub fn on(&self) -> bool {
+    pub fn is_grouped(&self) -> bool {
         !self.mates.is_empty()
     }
 
     /// Whether there are other groups to ask for a slot.
-    pub(crate) fn lends(&self) -> bool {
-        self.on() && self.groups > 1
+    pub(crate) fn can_borrow(&self) -> bool {
+        self.is_grouped() && self.groups > 1
     }
 
     /// Deals the ready workers out to the groups, zone by zone, the oldest first: each goes to the group that ranks highest
     /// for it among those that have not had their part yet, so that one more or less moves few others. But a cold one goes to
     /// the group that ranks highest of all: whoever is told of whichever others, and whoever is gone, it has the same group.
-    pub fn deal(&mut self, ready: &[EndpointEntry], cold: &[WorkerId]) {
-        if !self.on() {
+    pub fn assign(&mut self, ready: &[EndpointEntry], cold: &[WorkerId]) {
+        if !self.is_grouped() {
             return; // there are no parts
         }
         let (mut sorted, groups) = (ready.to_vec(), u64::from(self.groups.max(1)));
@@ -300,7 +315,7 @@
         self.kept.clear();
         let (mut dealt, mut owners) = (Vec::new(), Vec::with_capacity(sorted.len()));
         let ranks: Vec<u64> = (0..groups).map(|g| mix(g + 1)).collect();
-        self.news |= self.lends();
+        self.news |= self.can_borrow();
         self.name(ready);
         for zone in sorted.chunk_by(|a, b| a.zone == b.zone) {
             let part = zone.len().div_ceil(groups as usize);
@@ -373,28 +388,28 @@
     }
 
     /// Whether a slot at a cold worker is on offer by its group: another one has not been told that it started.
-    pub(crate) fn lent_cold(&self, known: &EndpointEntry, now: Micros) -> bool {
+    pub(crate) fn is_offered_by_slow_start_group(&self, known: &EndpointEntry, now: Micros) -> bool {
         let by_group = |(by, until): &(u32, Micros)| now < *until && by % self.groups == self.top(known.tag);
         self.offers.get(&known.worker).is_some_and(by_group)
     }
 
     /// This node's rank for a cold worker, of so many that may send to it: those of its group, or where there are no groups
     /// all of them; `None` for one of another group. It follows from the settings and the worker's tag alone.
-    pub(crate) fn rank(&self, tag: u64) -> Option<(u32, u32)> {
-        let (nodes, place) = match self.on() {
+    pub(crate) fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
+        let (nodes, place) = match self.is_grouped() {
             true if self.top(tag) == self.group => (self.mates.len() as u32 + 1, self.me / self.groups),
             true => return None,
             false => (self.nodes.max(1), self.me),
         };
         let first = (mix(tag ^ RANK) % u64::from(nodes)) as u32;
-        Some(((place + first) % nodes, nodes))
+        Some(SlowStartRank { rank: (place + first) % nodes, nodes })
     }
 
     /// `most` of the group's workers drawn at random, every set of that size as likely; all of them if there are no
     /// more, with no number drawn; in the order of their numbers. Floyd's algorithm (Bentley and Floyd, "A sample of
     /// brilliance", CACM 30(9), 1987): `most` draws and no walk through the part, so the cost does not grow with the fleet.
     pub fn sample(&self, rng: &mut fastrand::Rng, most: usize) -> Vec<WorkerId> {
-        let part: &[WorkerId] = if self.on() { &self.part } else { &[] };
+        let part: &[WorkerId] = if self.is_grouped() { &self.part } else { &[] };
         if part.len() <= most {
             return part.to_vec();
         }
@@ -417,7 +432,7 @@
 
     /// The group's workers.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
-        self.workers.values().copied().filter(|_| self.on())
+        self.workers.values().copied().filter(|_| self.is_grouped())
     }
 
     /// Whether this worker, of this short tag, is one of the group's.
@@ -426,9 +441,9 @@
     }
 
     /// What others have out, by what they have said, at a worker of the group, in slots; `None` for another worker.
-    pub fn load(&self, known: &EndpointEntry, now: Micros) -> Option<f64> {
+    pub fn peer_load(&self, known: &EndpointEntry, now: Micros) -> Option<f64> {
         // As `has` would say, in one step: this is asked for every worker that is ranked.
-        if !self.on() || !self.named.get(known.worker.0 as usize).is_some_and(|named| *named) {
+        if !self.is_grouped() || !self.named.get(known.worker.0 as usize).is_some_and(|named| *named) {
             return None;
         }
         let tag = self.short(known.worker, known.tag);
@@ -439,7 +454,7 @@
 
     /// Whether a mate that had work out when it last spoke has missed saying so again: it may be cut off, or dead, and what
     /// it has out at the group's workers is not known.
-    pub(crate) fn deaf(&self, now: Micros) -> bool {
+    pub(crate) fn has_silent_peer(&self, now: Micros) -> bool {
         let missed = |said: &Said| now >= said.at + MISSED_AFTER && now < said.at + MISSED_FOR;
         self.mates
             .iter()
@@ -450,30 +465,30 @@
 
     /// Whether at least half of the mates have spoken so lately that what they have sent since is a small part of what a
     /// cold worker bears in its fall window.
-    pub(crate) fn hears(&self, now: Micros, window: Micros) -> bool {
+    pub(crate) fn hears_peers(&self, now: Micros, window: Micros) -> bool {
         let late = |parts: &&Vec<Said>| parts.iter().any(|said| now < said.at + window / HEARD_PART);
         let heard = self.mates.iter().filter_map(|mate| self.said.get(mate)).filter(late);
-        self.on() && 2 * heard.count() >= self.mates.len()
+        self.is_grouped() && 2 * heard.count() >= self.mates.len()
     }
 
     /// Whether another has said that it doubts this worker, later than this.
-    pub(crate) fn doubted(&self, known: &EndpointEntry, since: Micros, now: Micros) -> bool {
+    pub(crate) fn is_suspect(&self, known: &EndpointEntry, since: Micros, now: Micros) -> bool {
         let tag = self.short(known.worker, known.tag);
         self.fresh(now).any(|(_, said)| said.at > since && said.doubted.contains(&tag))
     }
 
     fn fresh(&self, now: Micros) -> impl Iterator<Item = (&u32, &Said)> {
         let parts = self.said.iter().flat_map(|(node, parts)| parts.iter().map(move |said| (node, said)));
-        parts.filter(move |(_, said)| now < said.at + SAID_FOR)
+        parts.filter(move |(_, said)| now < said.at + ADVERTISEMENT_TTL)
     }
 
     /// The workers at which slots are on offer.
-    pub(crate) fn offers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
+    pub(crate) fn offered_workers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
         self.offers.iter().filter(move |(_, (_, until))| now < *until).map(|(worker, _)| *worker)
     }
 
     /// Whether a slot at this worker is on offer.
-    pub(crate) fn on_offer(&self, worker: WorkerId, now: Micros) -> bool {
+    pub(crate) fn has_offer(&self, worker: WorkerId, now: Micros) -> bool {
         self.offers.get(&worker).is_some_and(|(_, until)| now < *until)
     }
 
@@ -485,27 +500,29 @@
     }
 
     /// Asks a node of another group, any, for a slot.
-    pub fn wish(&self, zone: ZoneId, luck: u32, acts: &mut Vec<Action>) {
+    pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         let groups = self.groups;
-        if self.lends() {
+        if self.can_borrow() {
             // One of the other groups, and one of its nodes.
-            let group = (self.group + 1 + luck % (groups - 1)) % groups;
-            let to = self.one_of(group, luck / groups);
-            acts.push(Action::SendToPeer { to, bytes: vec![WISH, zone.0 as u8] });
+            let group = (self.group + 1 + random % (groups - 1)) % groups;
+            let to = self.one_of(group, random / groups);
+            actions.push(Action::SendToPeer { to, bytes: vec![WISH, zone.0 as u8] });
         }
     }
 
     /// A node of this group, any.
-    fn one_of(&self, group: u32, luck: u32) -> u32 {
+    fn one_of(&self, group: u32, random: u32) -> u32 {
         let size = (self.nodes - group).div_ceil(self.groups);
-        let at = |n: u32| group + (luck % size + n) % size * self.groups;
+        let at = |n: u32| group + (random % size + n) % size * self.groups;
         (0..size).map(at).find(|node| self.holds(*node)).unwrap_or_else(|| at(0))
     }
 
     /// Work at a worker that another group has now, since the list has changed, goes on as if that group had lent it.
-    fn follow(&mut self, seen: &[Seen]) {
-        for worker in seen.iter().filter(|s| !s.out.is_empty()).map(|s| s.worker) {
-            let Some(owner) = self.owners.get(&worker).copied().filter(|_| self.lends()) else { continue };
+    fn follow(&mut self, seen: &[OwnLoad]) {
+        for worker in seen.iter().filter(|s| !s.outstanding.is_empty()).map(|s| s.worker) {
+            let Some(owner) = self.owners.get(&worker).copied().filter(|_| self.can_borrow()) else {
+                continue;
+            };
             if owner == self.group {
                 self.lenders.remove(&worker);
             } else if self.lenders.get(&worker).is_none_or(|by| by % self.groups != owner) {
@@ -516,33 +533,40 @@
     }
 
     /// Offers a slot at a worker of the group.
-    pub(crate) fn offer(&mut self, now: Micros, to: u32, known: &EndpointEntry, acts: &mut Vec<Action>) {
+    pub(crate) fn offer_slot(
+        &mut self,
+        now: Micros,
+        to: u32,
+        known: &EndpointEntry,
+        actions: &mut Vec<Action>,
+    ) {
         let tag = self.short(known.worker, known.tag);
         self.offered.push((to, tag, now + OFFERED_FOR));
         self.news = true;
         let [high, low] = tag.to_be_bytes();
-        acts.push(Action::SendToPeer { to, bytes: vec![OFFER, high, low] });
+        actions.push(Action::SendToPeer { to, bytes: vec![OFFER, high, low] });
     }
 
     /// Has the alarm set at which news is told.
-    pub(crate) fn tell_soon(&mut self, acts: &mut Vec<Action>) {
-        if std::mem::take(&mut self.news) && self.on() {
-            acts.push(Action::SetTimer(TimerId(GOSSIP_TIMER_ID), NEWS_WITHIN));
+    pub(crate) fn schedule_advertisement(&mut self, actions: &mut Vec<Action>) {
+        if std::mem::take(&mut self.news) && self.is_grouped() {
+            actions.push(Action::SetTimer(Timer::Advertise.into(), NEWS_WITHIN));
         }
     }
 
     /// Tells the mates, and lenders, what there is to know of their workers if that is news or is to be said again.
-    pub(crate) fn tell(&mut self, now: Micros, seen: &[Seen], acts: &mut Vec<Action>) {
-        if !self.on() {
+    pub(crate) fn advertise(&mut self, now: Micros, seen: &[OwnLoad], actions: &mut Vec<Action>) {
+        if !self.is_grouped() {
             return;
         }
         self.follow(seen);
         let times = |slots: &f64| slots.ceil().clamp(1.0, 16.0) as usize;
-        let tag = |s: &Seen| self.short(s.worker, s.tag);
-        let of = |here: &dyn Fn(&Seen) -> bool| {
-            let here: Vec<&Seen> = seen.iter().filter(|s| here(s)).collect();
-            let out = here.iter().flat_map(|s| std::iter::repeat_n(tag(s), s.out.iter().map(times).sum()));
-            let doubted = here.iter().filter(|s| s.doubted).map(|s| tag(s));
+        let tag = |s: &OwnLoad| self.short(s.worker, s.tag);
+        let of = |here: &dyn Fn(&OwnLoad) -> bool| {
+            let here: Vec<&OwnLoad> = seen.iter().filter(|s| here(s)).collect();
+            let out =
+                here.iter().flat_map(|s| std::iter::repeat_n(tag(s), s.outstanding.iter().map(times).sum()));
+            let doubted = here.iter().filter(|s| s.is_suspect).map(|s| tag(s));
             (out.collect::<Vec<u16>>(), doubted.collect::<Vec<u16>>())
         };
         let (mut own, doubted) = of(&|s| self.has(tag(s), s.worker));
@@ -556,15 +580,15 @@
         self.offered.retain(|(.., until)| now < *until);
         self.offers.retain(|_, (_, until)| now < *until);
         let mates = &self.mates;
-        let counts = |parts: &[Said]| parts.iter().any(|said| now < said.at + SAID_FOR);
+        let counts = |parts: &[Said]| parts.iter().any(|said| now < said.at + ADVERTISEMENT_TTL);
         self.said.retain(|node, parts| mates.contains(node) || counts(parts));
         for (to, (out, doubted)) in all {
-            self.tell_all(to, Said::new(now, 0..=u16::MAX, out, doubted), acts);
+            self.tell_all(to, Said::new(now, 0..=u16::MAX, out, doubted), actions);
         }
     }
 
     /// Tells the mates, or a lender, those parts of it that are news or are to be said again.
-    fn tell_all(&mut self, to: Option<u32>, said: Said, acts: &mut Vec<Action>) {
+    fn tell_all(&mut self, to: Option<u32>, said: Said, actions: &mut Vec<Action>) {
         let (now, nothing, kind) = (said.at, said.out.is_empty(), if to.is_some() { GUEST } else { OUT });
         let (before, mut told) = (self.told.remove(&to).unwrap_or_default(), Vec::new());
         let (mut news, mut again) = (false, false);
@@ -575,20 +599,20 @@
                 None => before.is_empty() && part.is_empty(),
             };
             let at = last.map_or(0, |last| last.at);
-            if same && (part.out.is_empty() || now < at + SAID_FOR / 2) {
+            if same && (part.out.is_empty() || now < at + ADVERTISEMENT_TTL / 2) {
                 told.push(Said { at, ..part });
                 continue;
             }
             let bytes = part.bytes(kind);
             let mates = self.mates.iter().copied().filter(|mate| to.is_none() && self.holds(*mate));
-            acts.extend(
+            actions.extend(
                 to.into_iter().chain(mates).map(|to| Action::SendToPeer { to, bytes: bytes.clone() }),
             );
             (news, again) = (true, again || !part.out.is_empty());
             told.push(part);
         }
         if again {
-            acts.push(Action::SetTimer(TimerId(GOSSIP_TIMER_ID), SAID_FOR / 2));
+            actions.push(Action::SetTimer(Timer::Advertise.into(), ADVERTISEMENT_TTL / 2));
         }
         match to.filter(|_| news && nothing) {
             Some(lender) => self.lenders.retain(|_, by| *by != lender),
@@ -597,9 +621,9 @@
     }
 
     /// A message. One that is not understood says nothing.
-    pub(crate) fn hear(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Heard {
+    pub(crate) fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         let mate = self.mates.contains(&from);
-        let said = Said::read(now, bytes).filter(|(kind, _)| mate == (*kind == OUT) && self.on());
+        let said = Said::read(now, bytes).filter(|(kind, _)| mate == (*kind == OUT) && self.is_grouped());
         if let Some((_, said)) = said {
             // What it says of these workers now is all that it has out there and doubts of them.
             let parts = self.said.entry(from).or_default();
@@ -613,35 +637,19 @@
                 self.offered.retain(|(to, ..)| *to != from);
                 self.news = true;
             }
-            return Heard::Nothing;
+            return None;
         }
         match bytes {
-            [WISH, zone] if !mate => return Heard::Wish(ZoneId(u16::from(*zone))),
+            [WISH, zone] if !mate => return Some(PeerRequest::Slot(ZoneId(u16::from(*zone)))),
             [OFFER, high, low] if !mate => {
                 let tag = u16::from_be_bytes([*high, *low]);
                 if let Some(worker) = self.listed.get(&tag).copied().filter(|w| !self.has(tag, *w)) {
                     self.offers.insert(worker, (from, now + OFFERED_FOR / 2));
-                    return Heard::Offer;
+                    return Some(PeerRequest::Offer);
                 }
             }
             _ => {}
         }
-        Heard::Nothing
-    }
-}
-
-impl crate::policy::state::Memory {
-    /// What is believed of each node: the workers are dealt out by it.
-    pub fn hold_by(&mut self, peers: &[PeerPresence], set: &Settings) {
-        if self.share.hold_by(self.now, peers) {
-            self.index(set.zone, set.warm_up_time);
-        }
-    }
-
-    /// What this node may not take at a worker of the group, in slots: what mates have out, and what is kept for nodes that
-    /// are away; `None` for another worker.
-    pub fn taken(&self, known: &EndpointEntry) -> Option<f64> {
-        let out = self.share.load(known, self.now)?;
-        Some(out + f64::from(self.share.kept(known.worker, self.slots(known.kind).max(1.0) as u32, self.now)))
+        None
     }
 }
--- /dev/null
+++ b/src/policy/ranking.rs
@@ -0,0 +1,143 @@
+//! The types of the choice of a worker. What makes one better than another is decided in `src/policy/rules`.
+
+use crate::policy::interface::{EndpointEntry, JobId, KindId, Micros, WorkerId};
+use crate::policy::state::{LoadSample, Worker};
+use std::cmp::Ordering;
+
+/// The load inputs where nothing is reported.
+const HALF_LOADED: f64 = 0.5;
+
+/// How suitable a worker is for a job, best first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Rank {
+    /// Its load is known and below full.
+    Fresh,
+    /// Its load is unknown.
+    Unknown,
+    Full,
+    /// Full, with a queue longer than the job can wait.
+    Overloaded,
+    /// Its load is unknown where a probe would report it, and the job could not be moved away again.
+    Unprobed,
+    /// Ejected for now: the last resort, where there is no other.
+    Ejected,
+}
+
+/// What candidates are wanted for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Purpose {
+    Placing,
+    Probing,
+}
+
+/// A worker's place in the choice: by rank, then the lowest cost, then the lowest tie-break.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Candidate {
+    pub rank: Rank,
+    pub cost: f64,
+    pub tie_break: f64,
+    pub worker: WorkerId,
+}
+
+impl Candidate {
+    pub fn compare(&self, other: &Candidate) -> Ordering {
+        let by_cost = || self.cost.total_cmp(&other.cost);
+        let by_tie_break = || self.tie_break.total_cmp(&other.tie_break);
+        self.rank.cmp(&other.rank).then_with(by_cost).then_with(by_tie_break)
+    }
+}
+
+/// What a job needs of a worker, the same for all candidates.
+pub(crate) struct Needs {
+    pub slots: f64,
+    pub memory: Option<f64>,
+    /// Time left until its latest start, in microseconds.
+    pub slack: f64,
+    /// How long an attempt may go unstarted before its worker counts as full.
+    pub start_timeout: Micros,
+    /// What the jobs that only one kind can run leave of it, for kinds that have such jobs.
+    pub spare_by_kind: Vec<(KindId, f64)>,
+}
+
+impl Needs {
+    /// The fraction of a kind's capacity that this job may count on.
+    pub fn spare(&self, kind: KindId) -> f64 {
+        self.spare_by_kind.iter().find(|(bound, _)| *bound == kind).map_or(1.0, |(_, spare)| *spare)
+    }
+}
+
+/// The place of a job among those queued here; the least goes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Turn {
+    pub is_late: bool,
+    pub order: Micros,
+    pub job: JobId,
+}
+
+/// What the choice of a worker takes of its load.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LoadInputs {
+    /// CPU utilisation, 0 to 1.
+    pub cpu: f64,
+    /// The second input of the fuzzy rules, 0 to 1.
+    pub load: f64,
+    pub free_slots: f64,
+}
+
+impl LoadInputs {
+    /// A worker of which nothing but this many free slots is known.
+    pub fn half_loaded(free_slots: f64) -> LoadInputs {
+        LoadInputs { cpu: HALF_LOADED, load: HALF_LOADED, free_slots }
+    }
+
+    /// A worker with this many occupied slots.
+    pub fn of_occupied(occupied: f64, capacity: f64) -> LoadInputs {
+        let utilisation = occupied / capacity;
+        LoadInputs { cpu: utilisation, load: utilisation, free_slots: (capacity - occupied).floor() }
+    }
+
+    /// A worker's load sample, charged with own attempts that it cannot show yet.
+    pub fn of_sample(sample: &LoadSample, worker: &Worker, window: Micros, slots: f64) -> LoadInputs {
+        let unseen = worker.slots_sent_since(sample.at.saturating_sub(window));
+        let cpu = (sample.cpu + unseen / slots).min(1.0);
+        let unlimited = if sample.cpu < 1.0 { f64::INFINITY } else { 0.0 };
+        let (load, free_slots) = match (sample.free_slots, sample.waiting) {
+            (Some(free), _) => (1.0 - (free - unseen) / slots, free - unseen),
+            (None, Some(waiting)) => ((waiting + unseen) / (waiting + unseen + slots), unlimited),
+            (None, None) => (HALF_LOADED, unlimited),
+        };
+        LoadInputs { cpu, load, free_slots }
+    }
+
+    /// The higher load of the two, input by input.
+    pub fn worst(self, other: LoadInputs) -> LoadInputs {
+        LoadInputs {
+            cpu: self.cpu.max(other.cpu),
+            load: self.load.max(other.load),
+            free_slots: self.free_slots.min(other.free_slots),
+        }
+    }
+}
+
+/// A worker that is considered for a job, with what its rank depends on.
+pub(crate) struct Considered<'a> {
+    pub worker: &'a Worker,
+    pub listed: &'a EndpointEntry,
+    pub is_remote: bool,
+    /// Response time for each unit of expected work.
+    pub slowness: f64,
+    /// The slots that own attempts occupy or wait for there.
+    pub occupied: f64,
+    pub random: f64,
+}
+
+impl Considered<'_> {
+    pub fn candidate(&self, rank: Rank, cost: f64, tie_break: f64) -> Candidate {
+        Candidate { rank, cost, tie_break, worker: self.listed.worker }
+    }
+
+    /// A candidate without capacity: the one that will respond soonest goes first.
+    pub fn inferior(&self, rank: Rank) -> Candidate {
+        self.candidate(rank, self.slowness * (1.0 + self.occupied), self.random)
+    }
+}
--- /dev/null
+++ b/src/policy/rules/placement.rs
@@ -0,0 +1,165 @@
+//! The choice of a worker for a job.
+
+use super::*;
+
+/// Scores this close are a tie: report noise is as large. Another zone costs a job as much.
+const TIE: f64 = 0.1;
+/// Workers ranked for a job, half of the own zone.
+const MAX_RANKED: usize = 32;
+/// A kind keeps at least this fraction of its fair load for jobs that other kinds can run too.
+const MIN_SPARE: f64 = 0.1;
+/// A worker of unknown load gets so many slots' work at least.
+const MIN_UNKNOWN_SLOTS: f64 = 2.0;
+
+/// A worker's capability in units of a tie.
+fn score(inputs: &LoadInputs, spare: f64) -> f64 {
+    (capability(inputs.cpu, inputs.load) * spare / TIE).round()
+}
+
+impl Policy {
+    /// Workers to rank for a job: its sample and the group's ([`MAX_RANKED`] at random of a larger part);
+    /// without a group, or to probe, workers that warm up and have their turn and some at random, the home
+    /// zone's first.
+    pub(super) fn candidates(&mut self, id: JobId, purpose: Purpose) -> Vec<WorkerId> {
+        let gossip = &self.state.gossip;
+        let mut pool = gossip.sample(&mut self.random, MAX_RANKED);
+        if purpose == Purpose::Probing && !gossip.can_borrow() || !gossip.is_grouped() {
+            self.state.ready.draw(&mut pool, MAX_RANKED / 2, &mut self.random);
+        }
+        let Some(job) = self.state.jobs.get(&id) else { return Vec::new() };
+        pool.extend(&job.sample);
+        pool.extend(gossip.offered_workers(self.state.now));
+        pool.sort_unstable();
+        pool.dedup();
+        let may_cross = self.is_grouped() || self.may_cross_zones(job);
+        pool.retain(|id| self.is_eligible(job, self.state.worker(*id), may_cross));
+        pool
+    }
+
+    /// Whether the job may go to this worker at all.
+    fn is_eligible(&self, job: &Job, worker: &Worker, may_cross: bool) -> bool {
+        let Some(listed) = worker.ready_entry() else { return false };
+        self.class(job).kind.is_none_or(|kind| kind == listed.kind)
+            && (may_cross || listed.zone == self.settings.zone)
+            && !job.excludes(listed.worker)
+            && self.may_send(job, &listed)
+            && self.is_warm_enough(worker, &listed, job.work)
+    }
+
+    /// The worker that wins the job, and whether it may have capacity.
+    pub(super) fn pick(&mut self, id: JobId) -> Option<Candidate> {
+        let pool = self.candidates(id, Purpose::Placing);
+        let needs = self.needs(self.state.jobs.get(&id)?);
+        let (mut ranked, mut lowest_cpu, window) = (Vec::new(), f64::INFINITY, self.window());
+        for id in pool {
+            let worker = self.state.worker(id);
+            let Some(listed) = &worker.listed else { continue };
+            let random = -(1.0 - self.random.f64()).ln();
+            let candidate =
+                self.rank(&needs, &self.state.consider(worker, listed, self.settings.zone, random));
+            if let Some(load) = self.state.fresh_load(id, window).filter(|_| candidate.rank == Rank::Fresh) {
+                lowest_cpu = lowest_cpu.min(load.cpu);
+            }
+            ranked.push(candidate);
+        }
+        ranked.sort_by(Candidate::compare);
+        self.winner(&ranked, lowest_cpu).copied()
+    }
+
+    /// The first candidate; but the same worker twice in a row only if its utilisation has changed since its
+    /// last assignment and is the lowest of all.
+    fn winner<'a>(&self, ranked: &'a [Candidate], lowest_cpu: f64) -> Option<&'a Candidate> {
+        let first = ranked.first()?;
+        let is_repeat = self.state.last_assigned == Some(first.worker);
+        let next = ranked.get(1).filter(|next| next.rank <= Rank::Unknown && is_repeat);
+        let worker = self.state.worker(first.worker);
+        let has_changed = |load: &LoadSample| worker.cpu_at_last_assignment != Some(load.cpu);
+        let may_repeat = worker.load.as_ref().is_none_or(|load| has_changed(load) && load.cpu <= lowest_cpu);
+        Some(next.filter(|_| !may_repeat).unwrap_or(first))
+    }
+
+    fn needs(&self, job: &Job) -> Needs {
+        let max_start_timeout = if self.settings.reports_start { QUEUE_EVIDENT_AFTER } else { Micros::MAX };
+        let classes = &self.settings.classes;
+        let spare = |kind| (1.0 - self.state.bound_fraction(classes, kind)).clamp(MIN_SPARE, 1.0);
+        let bound_kinds = classes.iter().filter_map(|class| class.kind);
+        let is_unbound = self.class(job).kind.is_none();
+        Needs {
+            slots: job.request.slots,
+            memory: job.request.memory,
+            slack: self.slack(job) as f64,
+            start_timeout: self.start_timeout(job.work).min(max_start_timeout),
+            spare_by_kind: bound_kinds.filter(|_| is_unbound).map(|kind| (kind, spare(kind))).collect(),
+        }
+    }
+
+    fn rank(&self, needs: &Needs, considered: &Considered) -> Candidate {
+        let Considered { worker, listed, slowness, occupied, random, .. } = *considered;
+        // An attempt that it has not started in time shows it full, whatever it reports.
+        let is_late = worker.has_unstarted_before(self.state.now, needs.start_timeout);
+        let is_held_back = self.state.is_ejected(worker) || is_late;
+        if self.is_last_resort(considered, is_held_back) {
+            return considered.inferior(Rank::Ejected);
+        }
+        if is_held_back {
+            return considered.inferior(Rank::Overloaded);
+        }
+        let spare = needs.spare(listed.kind);
+        if let Some(inputs) = self.load_inputs(worker, listed) {
+            if self.is_short(needs, listed, &inputs) {
+                return considered.inferior(self.rank_of_full(needs, considered, &inputs));
+            }
+            let score = score(&inputs, spare) - f64::from(u8::from(considered.is_remote));
+            let tie_break = if self.is_grouped() { random * slowness } else { slowness };
+            return considered.candidate(Rank::Fresh, -score, tie_break);
+        }
+        if !self.is_warm(listed) {
+            // A worker that is warming up and has its turn counts as half loaded.
+            return considered.candidate(Rank::Fresh, -score(&LoadInputs::half_loaded(1.0), spare), slowness);
+        }
+        if occupied + needs.slots > self.state.slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
+            return considered.inferior(Rank::Overloaded);
+        }
+        if self.must_probe_first(considered.is_remote) {
+            return considered.inferior(Rank::Unprobed);
+        }
+        let cost = (occupied + random) * slowness / (listed.weight.max(MIN_WEIGHT) * spare);
+        considered.candidate(Rank::Unknown, cost, random)
+    }
+
+    /// Whether a worker gets the job only where there is no other. In a group, one that failed must show that
+    /// it is alive before it gets work again.
+    fn is_last_resort(&self, considered: &Considered, is_held_back: bool) -> bool {
+        let has_failed = considered.worker.outlier.consecutive_failures > 0;
+        has_failed && is_held_back
+            || self.is_grouped() && self.state.is_suspect(considered.worker)
+            || considered.is_remote && self.state.is_zone_ejected(considered.listed.zone)
+    }
+
+    /// Whether a worker of known load has too little of something for the job.
+    fn is_short(&self, needs: &Needs, listed: &EndpointEntry, inputs: &LoadInputs) -> bool {
+        let sample = self.state.fresh_load(listed.worker, self.window());
+        let free_memory = sample.and_then(|sample| sample.memory);
+        let is_memory_short = needs.memory.zip(free_memory).is_some_and(|(memory, free)| free < memory);
+        inputs.free_slots < needs.slots || is_memory_short
+    }
+
+    /// How full a worker without a free slot is: its queue is the group's, or only this node's; where starts
+    /// are reported, one job waits there at most.
+    fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
+        let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
+        let is_start_reported = self.settings.reports_start && !self.is_grouped();
+        let ahead = if is_start_reported { 0.0 } else { occupied.max(-inputs.free_slots) };
+        let sample = self.state.fresh_load(listed.worker, self.window());
+        let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + ahead + 1.0;
+        let wait = queue * self.state.mean_work() * slowness / self.state.slots(listed.kind);
+        let is_queue_barred = is_start_reported && (is_remote || worker.has_unstarted());
+        if wait * OVERDUE > needs.slack || is_queue_barred { Rank::Overloaded } else { Rank::Full }
+    }
+
+    /// Where a probe would show a queue, or capacity worth crossing zones, nothing is sent without it.
+    fn must_probe_first(&self, is_remote: bool) -> bool {
+        let shows_queue = self.state.reports_queue_length && !self.settings.reports_start;
+        self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
+    }
+}
--- a/src/policy/simulator.rs
+++ b/src/policy/simulator.rs
@@ -3,8 +3,8 @@
 //! Each instance interns its own ids in order of appearance, so what one instance does never depends on
 //! which others share its process.
 
+use crate::policy::Dispatcher;
 use crate::policy::interface::*;
-use crate::policy::rules::Dispatcher;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
--- /dev/null
+++ b/src/policy/state/mean.rs
@@ -0,0 +1,30 @@
+//! A running mean that adapts to change.
+
+use serde::{Deserialize, Serialize};
+
+/// A running mean; the newest observation weighs at least `1 / MAX_COUNT`.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
+pub(crate) struct Mean {
+    pub value: f64,
+    /// How many observations the mean rests on, [`Mean::MAX_COUNT`] at most.
+    pub count: f64,
+}
+
+impl Mean {
+    const MAX_COUNT: f64 = 40.0;
+
+    pub fn add(&mut self, observation: f64) {
+        self.count = (self.count + 1.0).min(Self::MAX_COUNT);
+        self.value += (observation - self.value) / self.count;
+    }
+
+    /// The mean, or `default` where there is no observation yet.
+    pub fn value_or(&self, default: f64) -> f64 {
+        if self.count > 0.0 { self.value } else { default }
+    }
+
+    /// The mean, blended with `weight` observations of `prior`.
+    pub fn blend(&self, prior: f64, weight: f64) -> f64 {
+        (self.value * self.count + prior * weight) / (self.count + weight)
+    }
+}
--- /dev/null
+++ b/src/policy/state/ready_workers.rs
@@ -0,0 +1,58 @@
+//! The ready workers of the endpoint list, sorted by what placement asks for.
+
+use super::Worker;
+use crate::policy::interface::{EndpointEntry, KindId, Micros, WorkerId, ZoneId};
+use std::collections::BTreeMap;
+
+/// The ready workers, each list by ascending id.
+#[derive(Debug, Default)]
+pub(crate) struct ReadyWorkers {
+    pub all: Vec<WorkerId>,
+    /// Those of the node's own zone.
+    pub home: Vec<WorkerId>,
+    /// Those that are not warm yet.
+    pub warming_up: Vec<WorkerId>,
+    /// The sizes of the workers of each kind, together.
+    pub weight_by_kind: BTreeMap<KindId, f64>,
+}
+
+/// The smallest size that a worker counts with.
+pub(crate) const MIN_WEIGHT: f64 = 0.01;
+
+impl ReadyWorkers {
+    pub fn new(entries: &[EndpointEntry], zone: ZoneId, now: Micros, warm_up_time: Micros) -> ReadyWorkers {
+        let ids =
+            |keep: &dyn Fn(&&EndpointEntry) -> bool| entries.iter().filter(keep).map(|e| e.worker).collect();
+        let mut ready = ReadyWorkers {
+            all: ids(&|_| true),
+            home: ids(&|entry| entry.zone == zone),
+            warming_up: ids(&|entry| !is_warm(entry, now, warm_up_time)),
+            weight_by_kind: BTreeMap::new(),
+        };
+        for entry in entries {
+            *ready.weight_by_kind.entry(entry.kind).or_default() += entry.weight.max(MIN_WEIGHT);
+        }
+        ready
+    }
+
+    /// Adds the workers that warm up, those of the home zone and all of them to a pool; `max` at random of a longer list.
+    pub fn draw(&self, pool: &mut Vec<WorkerId>, max: usize, random: &mut fastrand::Rng) {
+        for list in [&self.warming_up, &self.home, &self.all] {
+            if list.len() <= max {
+                pool.extend(list);
+            } else {
+                pool.extend((0..max).map(|_| list[random.usize(..list.len())]));
+            }
+        }
+    }
+}
+
+/// The list entries of the ready workers.
+pub(crate) fn ready_entries(workers: &[Worker]) -> Vec<EndpointEntry> {
+    workers.iter().filter_map(Worker::ready_entry).collect()
+}
+
+/// Whether a worker has been running for its whole warm-up time.
+pub(crate) fn is_warm(entry: &EndpointEntry, now: Micros, warm_up_time: Micros) -> bool {
+    entry.started_at.is_none_or(|start| now >= start.saturating_add(warm_up_time))
+}
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -410,7 +410,7 @@
             }
             Verb::Score(cpu, load) => {
                 let score =
-                    self.rival.map_or_else(|| mothproxy::policy::rules::capability(cpu, load), |_| 1.0 - cpu);
+                    self.rival.map_or_else(|| mothproxy::policy::capability(cpu, load), |_| 1.0 - cpu);
                 return Ok(vec![format!("score {score:.3}")]);
             }
         };
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use mothproxy::policy::rules::capability;
+use mothproxy::policy::capability;
 use mothproxy::*;
 
 #[test]
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -1,6 +1,6 @@
 //! The groups' parts of the workers, as every node works them out by itself, and what sides of a cut may take of them.
 
-use mothproxy::policy::gossip::{SAID_FOR, Share};
+use mothproxy::policy::gossip::{ADVERTISEMENT_TTL, GroupGossip};
 use mothproxy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
 fn parts(workers: &[EndpointEntry]) -> BTreeMap<WorkerId, u32> {
     let mut owner = BTreeMap::new();
     for me in 0..10 {
-        let mut share = Share::of(&settings(me));
-        share.deal(workers, &[]);
+        let mut share = GroupGossip::new(&settings(me));
+        share.assign(workers, &[]);
         let part: Vec<WorkerId> = share.workers().collect();
         assert!((3..=8).contains(&part.len()), "group {me} has {part:?}");
         part.into_iter().for_each(|w| assert_eq!(owner.insert(w, me), None, "{w:?} has two groups"));
@@ -51,12 +51,12 @@
 /// and each worker about as often as any other.
 #[test]
 fn a_sample_of_the_part_costs_what_it_draws_and_favours_no_worker() {
-    let mut share = Share::of(&settings(0));
-    share.deal(&(0..3_000).map(listed).collect::<Vec<_>>(), &[]);
-    let size = share.part().len();
+    let mut share = GroupGossip::new(&settings(0));
+    share.assign(&(0..3_000).map(listed).collect::<Vec<_>>(), &[]);
+    let size = share.assigned().len();
     assert!(size > 100, "{size} in the part");
     let (mut rng, mut counted) = (fastrand::Rng::with_seed(5), fastrand::Rng::with_seed(5));
-    let mut times: BTreeMap<WorkerId, u32> = share.part().iter().map(|w| (*w, 0)).collect();
+    let mut times: BTreeMap<WorkerId, u32> = share.assigned().iter().map(|w| (*w, 0)).collect();
     for _ in 0..2_000 {
         let drawn = share.sample(&mut rng, 8);
         for _ in 0..8 {
@@ -80,10 +80,10 @@
     let believed = |here: &bool| if *here { PeerPresence::Present } else { PeerPresence::Gone };
     let peers: Vec<PeerPresence> = holders.iter().map(believed).collect();
     for me in (0..nodes).filter(|n| holders[*n as usize]) {
-        let mut share = Share::of(&Settings { nodes, ..settings(me) });
-        share.hold_by(1, &peers);
-        share.deal(workers, &[]);
-        for worker in share.part().iter().copied() {
+        let mut share = GroupGossip::new(&Settings { nodes, ..settings(me) });
+        share.set_presence(1, &peers);
+        share.assign(workers, &[]);
+        for worker in share.assigned().iter().copied() {
             let group = *owner.entry(worker).or_insert(share.group());
             assert_eq!(group, share.group(), "{worker:?} has two groups by the word of {me}");
         }
@@ -151,17 +151,21 @@
             // One node of each group that has somebody on this side; the rest of it does what it does.
             let mut groups = BTreeSet::new();
             for me in (0..nodes).filter(|n| peers[*n as usize] == PeerPresence::Present) {
-                let mut share = Share::of(&Settings { nodes, ..settings(me) });
-                if share.on() && groups.insert(share.group()) {
-                    share.deal(&all, &[]);
-                    let before = share.part().to_vec();
-                    share.hold_by(1, &peers);
-                    share.deal(&all, &[]);
-                    let later = 1 + SAID_FOR;
-                    for worker in share.part() {
-                        *taken.entry(*worker).or_default() += slots - share.kept(*worker, slots, later);
+                let mut share = GroupGossip::new(&Settings { nodes, ..settings(me) });
+                if share.is_grouped() && groups.insert(share.group()) {
+                    share.assign(&all, &[]);
+                    let before = share.assigned().to_vec();
+                    share.set_presence(1, &peers);
+                    share.assign(&all, &[]);
+                    let later = 1 + ADVERTISEMENT_TTL;
+                    for worker in share.assigned() {
+                        *taken.entry(*worker).or_default() +=
+                            slots - share.reserved_slots(*worker, slots, later);
                         let came = !before.contains(worker);
-                        assert!(!came || share.kept(*worker, slots, later - 1) == slots, "taken at once");
+                        assert!(
+                            !came || share.reserved_slots(*worker, slots, later - 1) == slots,
+                            "taken at once"
+                        );
                     }
                 }
             }
@@ -176,18 +180,18 @@
 
 #[test]
 fn a_view_of_another_size_or_without_oneself_says_nothing() {
-    let mut share = Share::of(&settings(3));
+    let mut share = GroupGossip::new(&settings(3));
     let here = PeerPresence::Present;
     assert!(
-        !share.hold_by(1, &[here; 7]) && !share.hold_by(1, &[PeerPresence::Gone; 100]),
+        !share.set_presence(1, &[here; 7]) && !share.set_presence(1, &[PeerPresence::Gone; 100]),
         "neither is heeded"
     );
-    assert!(!share.hold_by(1, &[here; 100]), "all hold work anyway");
+    assert!(!share.set_presence(1, &[here; 100]), "all hold work anyway");
     let mut peers = vec![here; 100];
     peers[4] = PeerPresence::Gone;
-    assert!(share.hold_by(1, &peers) && !share.hold_by(1, &peers), "heeded once");
+    assert!(share.set_presence(1, &peers) && !share.set_presence(1, &peers), "heeded once");
     let mut acts = Vec::new();
-    (0..1_000).for_each(|luck| share.wish(ZoneId(0), luck, &mut acts));
+    (0..1_000).for_each(|luck| share.request_slot(ZoneId(0), luck, &mut acts));
     let asked = |node| acts.iter().any(|act| matches!(act, Action::SendToPeer { to, .. } if *to == node));
     assert!(
         !asked(4) && (14..100).step_by(10).all(asked),
@@ -208,18 +212,22 @@
 /// The group of node 0 is the same with 92 nodes and with 91; who may be asked for a slot is not.
 #[test]
 fn no_wish_goes_to_a_node_that_is_no_more() {
-    let mut share = Share::of(&Settings { nodes: 92, ..settings(0) });
+    let mut share = GroupGossip::new(&Settings { nodes: 92, ..settings(0) });
     share.regroup(&Settings { nodes: 91, ..settings(0) });
     let mut acts = Vec::new();
-    (0..1_000).for_each(|luck| share.wish(ZoneId(0), luck, &mut acts));
+    (0..1_000).for_each(|luck| share.request_slot(ZoneId(0), luck, &mut acts));
     assert!(acts.iter().all(|act| matches!(act, Action::SendToPeer { to, .. } if *to < 91)), "{acts:?}");
 }
 
 #[test]
 fn a_node_by_itself_or_without_messages_has_no_group() {
     for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_message_peers: false, ..settings(0) }] {
-        let mut share = Share::of(&set);
-        share.deal(&[listed(1)], &[]);
-        assert!(!share.on() && share.workers().next().is_none() && share.load(&listed(1), 0).is_none());
+        let mut share = GroupGossip::new(&set);
+        share.assign(&[listed(1)], &[]);
+        assert!(
+            !share.is_grouped()
+                && share.workers().next().is_none()
+                && share.peer_load(&listed(1), 0).is_none()
+        );
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::{MS, Node as Module, class, sends, worker};
 use mothproxy::core::peer_lifecycle::PeerLifecycle;
-use mothproxy::policy::gossip::Share;
+use mothproxy::policy::gossip::GroupGossip;
 use mothproxy::*;
 use mothproxy_testkit::*;
 use serde_json::{Value, json};
@@ -295,15 +295,15 @@
 fn an_offer_is_taken_at_the_worker_that_was_meant() {
     let workers = alike(300);
     let [mut lender, mut asker] = [0, 1].map(|me| among(me, 30, &workers));
-    let mut group = Share::of(&settings(0, 30));
-    group.deal(&workers, &[]);
+    let mut group = GroupGossip::new(&settings(0, 30));
+    group.assign(&workers, &[]);
     let (own, _) = load(&mut asker, 0, 160, 0);
     assert!((90..=110).contains(&own.len()), "{} workers in its part", own.len());
     let offers = (0..50).flat_map(|_| lender.feed(Event::PeerMessage { from: 1, bytes: vec![b'A', 0] }));
     let offers: Vec<Vec<u8>> = tells(offers.collect(), 1).filter(|bytes| bytes[0] == b'O').collect();
     let lent = sends(&hear(&mut asker, 0, offers));
     assert!(lent.len() >= 45, "{} of 50 offers are taken", lent.len());
-    let strays = lent.iter().filter(|(_, worker)| !group.part().contains(worker)).count();
+    let strays = lent.iter().filter(|(_, worker)| !group.assigned().contains(worker)).count();
     assert_eq!(strays, 0, "at workers of another group than the lender's");
 }
 
@@ -315,13 +315,13 @@
     for (nodes, listed) in [(2, SIZE), (17, SIZE), (300, SIZE), (SIZE, SIZE), (SIZE, 60), (SIZE, 1)] {
         let (listed, groups) = (&workers[..listed as usize], nodes.div_ceil(10));
         let parts = (0..groups.min(nodes)).flat_map(|me| {
-            let mut shares =
-                [me, me + (nodes - 1 - me) / groups * groups].map(|me| Share::of(&settings(me, nodes)));
-            shares.iter_mut().for_each(|share| share.deal(listed, &[]));
-            assert_eq!(shares[0].part(), shares[1].part(), "two nodes of group {me} of {nodes}");
+            let mut shares = [me, me + (nodes - 1 - me) / groups * groups]
+                .map(|me| GroupGossip::new(&settings(me, nodes)));
+            shares.iter_mut().for_each(|share| share.assign(listed, &[]));
+            assert_eq!(shares[0].assigned(), shares[1].assigned(), "two nodes of group {me} of {nodes}");
             // Of each of three zones one more than the mean.
-            assert!(shares[0].part().len() <= listed.len() / groups as usize + 3);
-            shares[0].part().to_vec()
+            assert!(shares[0].assigned().len() <= listed.len() / groups as usize + 3);
+            shares[0].assigned().to_vec()
         });
         let mut parts: Vec<WorkerId> = parts.collect();
         parts.sort_unstable();
