--- /dev/null
+++ b/src/policy/gossip/assignment.rs
@@ -0,0 +1,153 @@
+//! Which workers are assigned to this node's group, and how much of them is reserved for nodes that are away.
+
+use super::ADVERTISEMENT_TTL;
+use super::group::{PeerGroup, group_hash};
+use super::hash::mix;
+use super::short_tags::ShortTags;
+use crate::policy::interface::{EndpointEntry, Micros, WorkerId};
+use std::collections::BTreeMap;
+
+/// The assignment of the ready workers to the groups.
+#[derive(Debug, Default)]
+pub(super) struct Assignment {
+    /// The group's workers by the short tags that messages name them by.
+    workers: BTreeMap<u16, WorkerId>,
+    /// The same workers by id.
+    assigned: Vec<WorkerId>,
+    /// The positions in `assigned` in the order of assignment, to draw by.
+    positions: Vec<usize>,
+    /// Whether a worker, by its id, is in `workers`.
+    is_member: Vec<bool>,
+    /// The group of each ready worker.
+    owners: BTreeMap<WorkerId, u32>,
+    /// Of the group's workers those that came from another group by a change of presence, and when.
+    gained: BTreeMap<WorkerId, Micros>,
+    /// The ranks of parts that are reserved for unreachable nodes, where there are any.
+    reserved_ranks: BTreeMap<WorkerId, Vec<u16>>,
+    /// The presence of nodes has changed at this time, and the workers are not assigned by it yet.
+    pub presence_changed_at: Option<Micros>,
+}
+
+impl Assignment {
+    /// Assigns the ready workers to the groups, zone by zone, the oldest first: each goes to the group that ranks highest for
+    /// it among those that have not had their part yet, so that one more or less moves few others. But one that warms up goes
+    /// to the group that ranks highest of all: whichever lists and presence a node has, that worker has the same group.
+    pub fn assign(
+        &mut self,
+        group: &PeerGroup,
+        tags: &ShortTags,
+        ready: &[EndpointEntry],
+        warming_up: &[WorkerId],
+    ) {
+        let previous = std::mem::take(&mut self.owners);
+        let changed_at = self.presence_changed_at.take();
+        self.reserved_ranks.clear();
+        let mut sorted = ready.to_vec();
+        sorted.sort_unstable_by_key(|entry| (entry.zone, entry.started_at, entry.tag));
+        let owners = assign_groups(group, &sorted, warming_up);
+        self.owners = sorted.iter().map(|entry| entry.worker).zip(owners.iter().copied()).collect();
+        let with_owners = sorted.iter().zip(owners);
+        let own: Vec<&EndpointEntry> =
+            with_owners.filter(|(_, owner)| *owner == group.index).map(|(entry, _)| entry).collect();
+        for entry in &own {
+            let was_other_group = previous.get(&entry.worker).is_some_and(|owner| *owner != group.index);
+            if let Some(now) = changed_at.filter(|_| was_other_group) {
+                self.gained.insert(entry.worker, now);
+            }
+            if group.has_unreachable() {
+                self.reserved_ranks.insert(entry.worker, group.reserved_ranks(entry.tag));
+            }
+        }
+        self.gained.retain(|worker, _| self.owners.get(worker) == Some(&group.index));
+        self.index(tags, &own);
+    }
+
+    fn index(&mut self, tags: &ShortTags, own: &[&EndpointEntry]) {
+        self.workers = own.iter().map(|entry| (tags.of(entry.worker, entry.tag), entry.worker)).collect();
+        self.assigned = own.iter().map(|entry| entry.worker).collect();
+        self.assigned.sort_unstable();
+        let position = |entry: &&EndpointEntry| self.assigned.binary_search(&entry.worker).ok();
+        self.positions = own.iter().filter_map(position).collect();
+        self.is_member = vec![false; self.assigned.last().map_or(0, |worker| worker.0 as usize + 1)];
+        self.workers.values().for_each(|worker| self.is_member[worker.0 as usize] = true);
+    }
+
+    /// `max` of the group's workers drawn at random, every set of that size as likely; all of them if there are no more, with
+    /// no number drawn; in the order of their ids. Floyd's algorithm (Bentley and Floyd, "A sample of brilliance", CACM 30(9),
+    /// 1987): `max` draws and no walk through the workers, so the cost does not grow with the fleet.
+    pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
+        let assigned = &self.assigned;
+        if assigned.len() <= max {
+            return assigned.clone();
+        }
+        let mut drawn = vec![0_u64; assigned.len().div_ceil(64)];
+        let bit = |place: usize| (self.positions[place] / 64, 1_u64 << (self.positions[place] % 64));
+        for last in assigned.len() - max..assigned.len() {
+            let (word, mask) = bit(random.usize(..=last));
+            let (word, mask) = if drawn[word] & mask == 0 { (word, mask) } else { bit(last) };
+            drawn[word] |= mask;
+        }
+        let mut sample = Vec::with_capacity(max);
+        for (word, mut bits) in drawn.into_iter().enumerate() {
+            while bits != 0 {
+                sample.push(assigned[word * 64 + bits.trailing_zeros() as usize]);
+                bits &= bits - 1;
+            }
+        }
+        sample
+    }
+
+    /// The group's workers by id.
+    pub fn assigned(&self) -> &[WorkerId] {
+        &self.assigned
+    }
+
+    /// The group's workers by short tag.
+    pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
+        self.workers.values().copied()
+    }
+
+    /// Whether this worker, of this short tag, is one of the group's.
+    pub fn has(&self, tag: u16, worker: WorkerId) -> bool {
+        self.workers.get(&tag) == Some(&worker)
+    }
+
+    /// The same in one step, for a worker that is listed.
+    pub fn is_member(&self, worker: WorkerId) -> bool {
+        self.is_member.get(worker.0 as usize).is_some_and(|is_member| *is_member)
+    }
+
+    /// The group of a ready worker.
+    pub fn owner(&self, worker: WorkerId) -> Option<u32> {
+        self.owners.get(&worker).copied()
+    }
+
+    /// Whether a worker came from another group so lately that others may not know it yet.
+    pub fn is_newly_gained(&self, worker: WorkerId, now: Micros) -> bool {
+        self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
+    }
+
+    /// The ranks of the parts of a worker that are reserved for unreachable nodes.
+    pub fn reserved_ranks(&self, worker: WorkerId) -> &[u16] {
+        self.reserved_ranks.get(&worker).map_or(&[], Vec::as_slice)
+    }
+}
+
+/// The group of each worker, of a list sorted by zone.
+fn assign_groups(group: &PeerGroup, sorted: &[EndpointEntry], warming_up: &[WorkerId]) -> Vec<u32> {
+    let group_count = u64::from(group.count.max(1));
+    let hashes: Vec<u64> = (0..group_count).map(group_hash).collect();
+    let mut owners = Vec::with_capacity(sorted.len());
+    for zone in sorted.chunk_by(|a, b| a.zone == b.zone) {
+        let part = zone.len().div_ceil(group_count as usize);
+        let mut counts = vec![0; group_count as usize];
+        for entry in zone {
+            let is_warming_up = warming_up.binary_search(&entry.worker).is_ok();
+            let open = (0..group_count).filter(|g| is_warming_up || counts[*g as usize] < part);
+            let best = open.max_by_key(|g| mix(entry.tag ^ hashes[*g as usize])).unwrap_or(0);
+            counts[best as usize] += 1;
+            owners.push(if is_warming_up { best as u32 } else { group.owner(entry.tag, best as u32) });
+        }
+    }
+    owners
+}
--- /dev/null
+++ b/src/policy/gossip/hash.rs
@@ -0,0 +1,8 @@
+//! Hashes that are the same at every node.
+
+/// A number that looks random and is the same at every node (the finish of splitmix64).
+pub(super) fn mix(x: u64) -> u64 {
+    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    x ^ (x >> 31)
+}
--- /dev/null
+++ b/src/policy/gossip/mod.rs
@@ -0,0 +1,383 @@
+//! What the nodes of one group advertise to each other: the work that each has outstanding at the group's workers.
+//!
+//! The nodes are grouped by index, and every group has its part of the workers, which all nodes work out alike from the
+//! endpoint list. What a group has outstanding at a worker of its own is then known within a datagram's time, while a load
+//! report shows it about a second later. Knowledge only: what follows from it is decided in `src/policy/rules`.
+
+mod advertisements;
+mod assignment;
+mod borrowed_slots;
+mod group;
+mod hash;
+mod messages;
+mod short_tags;
+
+use crate::policy::interface::{Action, EndpointEntry, Micros, PeerPresence, Settings, WorkerId, ZoneId};
+use crate::policy::timer::Timer;
+use advertisements::{Advertisements, Recipient};
+use assignment::Assignment;
+use borrowed_slots::BorrowedSlots;
+use group::{PeerGroup, SlowStartRank};
+use messages::{Audience, LoadAdvertisement, Message};
+use mothproxy_membership::share;
+use short_tags::ShortTags;
+
+/// What a peer has advertised is valid for this long.
+pub const ADVERTISEMENT_TTL: Micros = 4_000_000;
+/// Whoever has outstanding work advertises it again after this.
+const REPEAT_INTERVAL: Micros = ADVERTISEMENT_TTL / 2;
+/// A change is advertised this late, so that what happens at once is advertised at once.
+const ADVERTISEMENT_DELAY: Micros = 2_000;
+/// Peers count as heard that have advertised within this part of the collapse window.
+const RECENT_WINDOW_DIVISOR: Micros = 4;
+/// The most slots that one attempt is advertised with.
+const MAX_SLOTS_PER_ATTEMPT: f64 = 16.0;
+
+/// What a message asks of this node.
+#[derive(Debug, PartialEq)]
+pub(crate) enum PeerRequest {
+    /// A node of another group asks for a slot, in this zone if there is one.
+    Slot(ZoneId),
+    /// A node of another group offers a slot.
+    Offer,
+}
+
+/// A worker as this node sees it.
+pub(crate) struct OwnLoad {
+    pub worker: WorkerId,
+    pub tag: u64,
+    /// The slots of each own attempt that is outstanding there.
+    pub outstanding: Vec<f64>,
+    pub is_suspect: bool,
+}
+
+/// What one node knows of its group: who is in it, which workers are the group's, and what its peers have advertised.
+#[derive(Debug, Default)]
+pub struct GroupGossip {
+    group: PeerGroup,
+    assignment: Assignment,
+    tags: ShortTags,
+    advertisements: Advertisements,
+    slots: BorrowedSlots,
+    /// Something has changed that may be worth a message.
+    is_changed: bool,
+}
+
+/// Nodes, groups and the workers assigned to them.
+impl GroupGossip {
+    /// The group of a node. A node by itself, or one that may send no messages or probe no worker, has none.
+    pub fn new(settings: &Settings) -> GroupGossip {
+        GroupGossip { group: PeerGroup::new(settings), ..GroupGossip::default() }
+    }
+
+    /// The group under other settings; what was advertised is kept if it is the same.
+    pub fn regroup(&mut self, settings: &Settings) {
+        let new = GroupGossip::new(settings);
+        if !new.group.is_same(&self.group) {
+            *self = new;
+        }
+    }
+
+    /// Takes the presence of each node. Whether that has changed anything: the workers must then be assigned anew. A list that
+    /// is not of this many nodes, or in which this one is not present, is ignored.
+    pub fn set_presence(&mut self, now: Micros, presence: &[PeerPresence]) -> bool {
+        let is_changed = self.group.set_presence(presence);
+        if is_changed {
+            self.assignment.presence_changed_at = Some(now);
+        }
+        is_changed
+    }
+
+    /// Whether there is a group.
+    pub fn is_grouped(&self) -> bool {
+        self.group.is_grouped()
+    }
+
+    /// Whether there are other groups to ask for a slot.
+    pub(crate) fn can_borrow(&self) -> bool {
+        self.group.can_borrow()
+    }
+
+    /// The index of the node's group.
+    pub fn group(&self) -> u32 {
+        self.group.index
+    }
+
+    /// The other nodes of the group.
+    pub(crate) fn peers(&self) -> &[u32] {
+        &self.group.peers
+    }
+
+    /// Assigns the ready workers to the groups; `warming_up` lists some of them by ascending id.
+    pub fn assign(&mut self, ready: &[EndpointEntry], warming_up: &[WorkerId]) {
+        if self.is_grouped() {
+            self.is_changed |= self.can_borrow();
+            self.tags.assign(ready);
+            self.assignment.assign(&self.group, &self.tags, ready, warming_up);
+        }
+    }
+
+    /// The group's part of the ready workers, by their ids.
+    pub fn assigned(&self) -> &[WorkerId] {
+        self.assignment.assigned()
+    }
+
+    /// The group's workers, by their short tags.
+    pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
+        self.assignment.workers().filter(|_| self.is_grouped())
+    }
+
+    /// `max` of the group's workers drawn at random; all of them if there are no more, with no number drawn; in the order of
+    /// their ids.
+    pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
+        if self.is_grouped() { self.assignment.sample(random, max) } else { Vec::new() }
+    }
+
+    /// How many of a worker's slots nobody on this side of a partition may take: those of nodes that are away, and all of them
+    /// for a while where the worker came from another group because of a change of presence, which others may not share yet.
+    ///
+    /// So the sum over the sides of a partition is never above `slots`: the parts of all nodes add up to it, and a node is
+    /// present on one side alone.
+    pub fn reserved_slots(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
+        if self.assignment.is_newly_gained(worker, now) {
+            return slots;
+        }
+        let nodes = self.group.nodes.min(u32::from(u16::MAX)) as u16;
+        let ranks = self.assignment.reserved_ranks(worker).iter();
+        let reserved = ranks.map(|rank| share::part(slots, nodes, *rank)).sum();
+        crate::invariant!(reserved <= slots, "{reserved} of {slots} slots are kept for others at {worker:?}");
+        reserved
+    }
+
+    /// This node's rank for a worker that is warming up; `None` for a worker of another group.
+    pub(crate) fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
+        self.group.slow_start_rank(tag)
+    }
+
+    fn short_tag(&self, listed: &EndpointEntry) -> u16 {
+        self.tags.of(listed.worker, listed.tag)
+    }
+}
+
+/// What the other nodes have advertised.
+impl GroupGossip {
+    /// The slots that others occupy at a worker of the group, by what they have advertised; `None` for another worker.
+    pub fn peer_load(&self, listed: &EndpointEntry, now: Micros) -> Option<f64> {
+        if !self.is_grouped() || !self.assignment.is_member(listed.worker) {
+            return None;
+        }
+        let tag = self.short_tag(listed);
+        let reserved = self.slots.reserved_tags(now).filter(|reserved| *reserved == tag).count();
+        let occupied: usize = self.advertisements.valid(now).map(|(_, load)| load.slots_at(tag)).sum();
+        Some((occupied + reserved) as f64)
+    }
+
+    /// Whether another has advertised later than this that it suspects this worker.
+    pub(crate) fn is_suspect(&self, listed: &EndpointEntry, since: Micros, now: Micros) -> bool {
+        let tag = self.short_tag(listed);
+        self.advertisements.valid(now).any(|(_, load)| load.at > since && load.suspects.contains(&tag))
+    }
+
+    /// Whether a peer that had outstanding work when it last advertised has missed advertising it again: it may be cut off, or
+    /// dead, and what it has outstanding at the group's workers is not known.
+    pub(crate) fn has_silent_peer(&self, now: Micros) -> bool {
+        self.advertisements.has_silent(self.peers(), now)
+    }
+
+    /// Whether at least half of the peers have advertised so lately that what they have sent since is a small part of what a
+    /// worker that warms up can bear in its collapse window.
+    pub(crate) fn hears_peers(&self, now: Micros, window: Micros) -> bool {
+        let recent = self.advertisements.recent_count(self.peers(), now, window / RECENT_WINDOW_DIVISOR);
+        self.is_grouped() && 2 * recent >= self.peers().len()
+    }
+}
+
+/// Slots that groups lend each other.
+impl GroupGossip {
+    /// The workers at which slots are on offer.
+    pub(crate) fn offered_workers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
+        self.slots.offered_workers(now)
+    }
+
+    /// Whether a slot at this worker is on offer.
+    pub(crate) fn has_offer(&self, worker: WorkerId, now: Micros) -> bool {
+        self.slots.offering_node(worker, now).is_some()
+    }
+
+    /// Whether a slot at a worker that is warming up is on offer by its group: the list of another one does not show yet that
+    /// it has started.
+    pub(crate) fn is_offered_by_slow_start_group(&self, listed: &EndpointEntry, now: Micros) -> bool {
+        let lender = self.slots.offering_node(listed.worker, now);
+        lender.is_some_and(|lender| lender % self.group.count == self.group.slow_start_group(listed.tag))
+    }
+
+    /// The offer for this worker, if there is one, is used.
+    pub(crate) fn use_offer(&mut self, worker: WorkerId) {
+        self.slots.use_offer(worker);
+    }
+
+    /// Asks a node of another group, chosen by a random number, for a slot.
+    pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
+        if self.can_borrow() {
+            let (own_group, count) = (self.group.index, self.group.count);
+            let group = (own_group + 1 + random % (count - 1)) % count;
+            let to = self.group.node_of(group, random / count);
+            actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_request(zone) });
+        }
+    }
+
+    /// Offers a slot at a worker of the group.
+    pub(crate) fn offer_slot(
+        &mut self,
+        now: Micros,
+        to: u32,
+        listed: &EndpointEntry,
+        actions: &mut Vec<Action>,
+    ) {
+        let tag = self.short_tag(listed);
+        self.slots.grant(now, to, tag);
+        self.is_changed = true;
+        actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_offer(tag) });
+    }
+
+    /// Work at a worker that was assigned to another group goes on as if that group had lent the slot.
+    fn follow_assignment(&mut self, own_loads: &[OwnLoad]) {
+        if !self.can_borrow() {
+            return;
+        }
+        for worker in own_loads.iter().filter(|load| !load.outstanding.is_empty()).map(|load| load.worker) {
+            let Some(owner) = self.assignment.owner(worker) else { continue };
+            if owner == self.group.index {
+                self.slots.clear_lender(worker);
+            } else if self.slots.lender(worker).is_none_or(|lender| lender % self.group.count != owner) {
+                let lender = self.group.node_of(owner, hash::mix(u64::from(self.group.own_node)) as u32);
+                self.slots.set_lender(worker, lender);
+            }
+        }
+    }
+}
+
+/// Messages sent and received.
+impl GroupGossip {
+    /// Something has changed that is worth an advertisement.
+    pub(crate) fn mark_changed(&mut self) {
+        self.is_changed = true;
+    }
+
+    /// Sets the timer of the next advertisement, if something has changed.
+    pub(crate) fn schedule_advertisement(&mut self, actions: &mut Vec<Action>) {
+        if std::mem::take(&mut self.is_changed) && self.is_grouped() {
+            actions.push(Action::SetTimer(Timer::Advertise.into(), ADVERTISEMENT_DELAY));
+        }
+    }
+
+    /// Advertises to the peers, and to lenders, what there is to know of their workers, if that is news or due again.
+    pub(crate) fn advertise(&mut self, now: Micros, own_loads: &[OwnLoad], actions: &mut Vec<Action>) {
+        if !self.is_grouped() {
+            return;
+        }
+        self.follow_assignment(own_loads);
+        let to_group = self.group_advertisement(now, own_loads);
+        let to_lenders = self.lender_advertisements(now, own_loads);
+        self.slots.drop_expired(now);
+        self.advertisements.drop_expired(now, &self.group.peers);
+        self.publish(Recipient::Group, to_group, actions);
+        for (lender, advertisement) in to_lenders {
+            self.publish(Recipient::Lender(lender), advertisement, actions);
+        }
+    }
+
+    /// What this node, and those to which it lends, have outstanding at the group's workers.
+    fn group_advertisement(&self, now: Micros, own_loads: &[OwnLoad]) -> LoadAdvertisement {
+        let is_own = |load: &OwnLoad| self.assignment.has(self.tags.of(load.worker, load.tag), load.worker);
+        let mut advertisement = self.advertisement_of(now, own_loads, is_own);
+        let outstanding = &mut advertisement.outstanding;
+        outstanding.extend(self.slots.reserved_tags(now));
+        let borrowers = self.advertisements.valid(now).filter(|(node, _)| !self.peers().contains(node));
+        outstanding.extend(borrowers.flat_map(|(_, load)| &load.outstanding));
+        outstanding.sort_unstable();
+        advertisement
+    }
+
+    /// What this node has outstanding at the workers of each lender.
+    fn lender_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
+        let of_lender = |lender: u32| {
+            let is_lent = |load: &OwnLoad| self.slots.lender(load.worker) == Some(lender);
+            (lender, self.advertisement_of(now, own_loads, is_lent))
+        };
+        self.slots.lenders().into_iter().map(of_lender).collect()
+    }
+
+    /// What this node has to say of the workers that meet a condition.
+    fn advertisement_of(
+        &self,
+        now: Micros,
+        own_loads: &[OwnLoad],
+        is_included: impl Fn(&OwnLoad) -> bool,
+    ) -> LoadAdvertisement {
+        let slots = |slots: &f64| slots.ceil().clamp(1.0, MAX_SLOTS_PER_ATTEMPT) as usize;
+        let (mut outstanding, mut suspects) = (Vec::new(), Vec::new());
+        for load in own_loads.iter().filter(|load| is_included(load)) {
+            let tag = self.tags.of(load.worker, load.tag);
+            outstanding.extend(std::iter::repeat_n(tag, load.outstanding.iter().map(slots).sum()));
+            suspects.extend(load.is_suspect.then_some(tag));
+        }
+        LoadAdvertisement::new(now, 0..=u16::MAX, outstanding, suspects)
+    }
+
+    /// Sends those parts of an advertisement that are news or due again.
+    fn publish(&mut self, recipient: Recipient, advertisement: LoadAdvertisement, actions: &mut Vec<Action>) {
+        let is_idle = advertisement.outstanding.is_empty();
+        let parts = self.advertisements.parts_for(recipient, advertisement);
+        let due = || parts.due.iter().map(|index| &parts.all[*index]);
+        due().for_each(|part| self.send(recipient, part, actions));
+        if due().any(|part| !part.outstanding.is_empty()) {
+            actions.push(Action::SetTimer(Timer::Advertise.into(), REPEAT_INTERVAL));
+        }
+        match recipient {
+            Recipient::Lender(lender) if is_idle && !parts.due.is_empty() => self.slots.forget_lender(lender),
+            _ => self.advertisements.record_sent(recipient, parts.all),
+        }
+    }
+
+    fn send(&self, recipient: Recipient, part: &LoadAdvertisement, actions: &mut Vec<Action>) {
+        match recipient {
+            Recipient::Lender(to) => {
+                actions.push(Action::SendToPeer { to, bytes: part.encode(Audience::Lender) });
+            }
+            Recipient::Group => {
+                let bytes = part.encode(Audience::Group);
+                let present = self.peers().iter().copied().filter(|peer| self.group.is_present(*peer));
+                actions.extend(present.map(|to| Action::SendToPeer { to, bytes: bytes.clone() }));
+            }
+        }
+    }
+
+    /// Takes a message. One that is not understood, or not from a node that may send it, is ignored.
+    pub(crate) fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
+        let is_peer = self.peers().contains(&from);
+        match Message::decode(now, bytes)? {
+            Message::Load(audience, load) => {
+                if self.is_grouped() && is_peer == (audience == Audience::Group) {
+                    self.receive_load(from, is_peer, load);
+                }
+                None
+            }
+            Message::SlotRequest(zone) => (!is_peer).then_some(PeerRequest::Slot(zone)),
+            Message::SlotOffer(_) if is_peer => None,
+            Message::SlotOffer(tag) => {
+                let worker = self.tags.worker(tag).filter(|worker| !self.assignment.has(tag, *worker))?;
+                self.slots.receive(now, worker, from);
+                Some(PeerRequest::Offer)
+            }
+        }
+    }
+
+    fn receive_load(&mut self, from: u32, is_peer: bool, load: LoadAdvertisement) {
+        self.advertisements.receive(from, load);
+        if !is_peer {
+            self.slots.end_grants_to(from);
+            self.is_changed = true;
+        }
+    }
+}
