--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -111,7 +111,7 @@
         for new in known_classes..classes.len() {
             // A class that was defined again begins with what was learned of it.
             if let Some(old) = (0..new).rev().find(|old| classes[*old] == classes[new]) {
-                self.dispatcher.liken(new, old);
+                self.dispatcher.copy_class(new, old);
             }
         }
         self.batch_interval = batch_interval;
@@ -288,7 +288,7 @@
     }
 
     fn class_settings(&self, class: ClassId) -> Option<&Class> {
-        self.dispatcher.set.classes.get(usize::from(class.0))
+        self.dispatcher.settings().classes.get(usize::from(class.0))
     }
 
     /// Where a request's final response goes.
@@ -323,11 +323,11 @@
 
     /// The other dispatchers of this one's group, which share their loads with each other.
     pub fn peer_group(&self) -> &[u32] {
-        &self.dispatcher.m.share.mates
+        self.dispatcher.group_peers()
     }
 
     /// How many listed workers the decision module sends nothing to.
     pub fn ejected_endpoints(&self, now: Micros) -> usize {
-        self.dispatcher.avoided(now)
+        self.dispatcher.unavailable_count(now)
     }
 }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -26,13 +26,13 @@
         let names = &self.names.0;
         let kind = |name: &String| names.kinds.find(name).map(|number| KindId(number as u16));
         let class = |name: &String| names.classes.find(name).map(|number| ClassId(number as u16));
-        let places = crate::policy::state::Places {
+        let ids = crate::policy::IdMap {
             workers: state.workers.iter().map(|name| self.endpoints.find(name)).collect(),
             kinds: state.kinds.iter().map(kind).collect(),
             classes: state.classes.iter().map(class).collect(),
         };
         let clock_shift = self.clock.offset().saturating_sub(state.clock_offset);
-        self.dispatcher.recall(state.learned, &places, clock_shift);
+        self.dispatcher.restore(state.learned, &ids, clock_shift);
     }
 
     /// Hands an open request to another process of this dispatcher. Nothing more is done for it here. `None` where that is not
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -4,8 +4,8 @@
 //! processes start at different moments; classes, tenants and workers go by name, since their numbers may differ.
 
 use super::idempotency::IdempotencyKey;
+use crate::policy::Learned;
 use crate::policy::interface::Micros;
-use crate::policy::state::Learned;
 use serde::{Deserialize, Serialize};
 
 /// A request under way.
