--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -75,6 +75,19 @@
     }
 }
 
+/// How a call for a watch, or the watch that it opened, came to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallEnd {
+    /// Refused; `retry_after` is what the service asks for, if that is heeded.
+    Refused { retry_after: Option<Micros> },
+    /// No connection came up.
+    Unreachable,
+    /// The connection ended.
+    Failed,
+    /// It sent nothing for too long.
+    Silent,
+}
+
 /// What a call does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallProgress {
@@ -166,6 +179,16 @@
         self.objects.is_partial()
     }
 
+    /// How the call ends by this error.
+    pub(super) fn end(&self, error: CallError) -> CallEnd {
+        match error {
+            CallError::Refused { retry_after } => CallEnd::Refused { retry_after },
+            _ if self.is_connecting => CallEnd::Unreachable,
+            CallError::TimedOut | CallError::FellSilent => CallEnd::Silent,
+            _ => CallEnd::Failed,
+        }
+    }
+
     /// What follows once all whole objects were taken.
     ///
     /// # Errors
--- a/src/server/discovery/call/tests.rs
+++ b/src/server/discovery/call/tests.rs
@@ -1,4 +1,4 @@
-use super::{CallError, CallKind, CallProgress, DiscoveryCall};
+use super::{CallEnd, CallError, CallKind, CallProgress, DiscoveryCall};
 
 /// Feeds a response to a call and returns the error of its head or body, the objects, and what follows.
 fn read(call: &mut DiscoveryCall, response: &str) -> (Result<(), CallError>, Vec<String>) {
@@ -62,3 +62,17 @@
     let mut call = DiscoveryCall::new(CallKind::Watch);
     assert_eq!(read(&mut call, "hello, this is no HTTP\r\n\r\n").0, Err(CallError::NotHttp));
 }
+
+#[test]
+fn a_call_that_fails_before_its_connection_is_up_ends_as_unreachable() {
+    let mut call = DiscoveryCall::new(CallKind::Watch);
+    for error in [CallError::NotConnected, CallError::TimedOut] {
+        assert_eq!(call.end(error), CallEnd::Unreachable);
+    }
+    call.is_connecting = false;
+    assert_eq!(call.end(CallError::Ended), CallEnd::Failed);
+    assert_eq!(call.end(CallError::TimedOut), CallEnd::Silent);
+    assert_eq!(call.end(CallError::FellSilent), CallEnd::Silent);
+    let retry_after = Some(1);
+    assert_eq!(call.end(CallError::Refused { retry_after }), CallEnd::Refused { retry_after });
+}
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -21,9 +21,9 @@
 use crate::server::connection::{Conn, ReadEnd};
 use crate::server::timer_slot::TimerSlot;
 use crate::server::{Role, Server, Token, WATCH_TIMER, WHOLE_TIMER};
-use call::{CallError, CallProgress};
+use call::{CallEnd, CallError, CallProgress};
 use full_list::FullListState;
-use pacing::{CallEnd, CallPacing, WatchEvent};
+use pacing::{CallPacing, WatchEvent};
 use rustix::event::epoll::EventFlags;
 
 /// Failed calls that were not answered by a list are logged this far apart.
@@ -95,16 +95,19 @@
         }
     }
 
+    /// The time to open the watch has come.
     pub(in crate::server) fn on_watch_timer(&mut self) {
         if self.discovery.on_watch_timer() {
             self.open_discovery_call(CallKind::Watch);
         }
     }
 
+    /// The list that the program started with may have become stale, or may be used again.
     pub(in crate::server) fn on_stale_list_timer(&mut self) {
         self.discovery.check_stale_list(&mut self.core, self.now);
     }
 
+    /// The time to retry the call for a new service's whole list has come.
     pub(in crate::server) fn on_full_list_timer(&mut self) {
         self.discovery.full_list.on_retry_timer();
         self.fetch_needed_list();
@@ -119,15 +122,12 @@
 
     /// Starts a call. One for a watch ends the watch that is open.
     pub(in crate::server) fn open_discovery_call(&mut self, kind: CallKind) {
-        let token = match kind {
-            CallKind::Watch => {
-                if let Some(old) = self.discovery.watch.take() {
-                    self.close_token(old);
-                }
-                self.connect_to_discovery(kind, Some(self.core.endpoints.generation))
-            }
-            CallKind::FullList => self.connect_to_discovery(kind, None),
-        };
+        if kind == CallKind::Watch
+            && let Some(old) = self.discovery.watch.take()
+        {
+            self.close_token(old);
+        }
+        let token = self.connect_to_discovery(kind);
         let connected_by = match kind {
             CallKind::Watch => self.discovery.liveness.on_call_started(self.now),
             CallKind::FullList => self.now + CONNECT_TIMEOUT,
@@ -143,13 +143,15 @@
         }
     }
 
-    /// Begins to connect, with the request in the outbox; `after` is the generation after which changes are asked for.
-    fn connect_to_discovery(&mut self, kind: CallKind, after: Option<u64>) -> Option<Token> {
+    /// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
+    fn connect_to_discovery(&mut self, kind: CallKind) -> Option<Token> {
+        let after = (kind == CallKind::Watch).then_some(self.core.endpoints.generation);
         let mut conn = Conn::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `SPARE_FDS`
         conn.outbox.push(platform::discovery_call(after));
         self.add(conn, |_| Role::Call(DiscoveryCall::new(kind)))
     }
 
+    /// The connection of a call is up, readable, writable or closed.
     pub(in crate::server) fn on_discovery_ready(
         &mut self,
         token: Token,
@@ -210,14 +212,8 @@
                 Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
         }
-        if !self.discovery.take_watch(token) {
-            return self.fail_discovery_call(token, conn, call, CallError::TimedOut);
-        }
         let error = if call.is_answered { CallError::FellSilent } else { CallError::TimedOut };
-        self.report_failed_call(&call, error);
-        let end = if call.is_connecting { CallEnd::Unreachable } else { CallEnd::Silent };
-        self.close(token, conn, Role::Call(call));
-        self.on_discovery_call_ended(CallKind::Watch, end);
+        self.fail_discovery_call(token, conn, call, error);
     }
 
     /// Uses what has been read of a call.
@@ -248,15 +244,11 @@
         progress
     }
 
+    /// Ends a call that has failed, and sets when the next one is made.
     fn fail_discovery_call(&mut self, token: Token, conn: Conn, call: DiscoveryCall, error: CallError) {
         self.report_failed_call(&call, error);
         if !call.is_watch() || self.discovery.take_watch(token) {
-            let end = match error {
-                CallError::Refused { retry_after } => CallEnd::Refused { retry_after },
-                _ if call.is_connecting => CallEnd::Unreachable,
-                _ => CallEnd::Failed,
-            };
-            self.on_discovery_call_ended(call.kind, end);
+            self.on_discovery_call_ended(call.kind, call.end(error));
         }
         self.close(token, conn, Role::Call(call));
     }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -4,6 +4,7 @@
 //! The waits of the decision module and of the watch's liveness are not added to that: the pacer has scheduled the calls that
 //! they wish for.
 
+use super::call::{CallEnd, CallKind};
 use crate::config::Config;
 use crate::core::Core;
 use crate::fleet::FleetSettings;
@@ -17,26 +18,11 @@
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use super::CallKind;
-
 /// A watch's silence is noticed this long before what it missed counts as notified; a call and its answer take a part of that.
 const SILENCE_RECOVERY_TIME: Micros = 2_500_000;
 /// A service that has just taken over is called within this.
 const MOVE_RECOVERY_TIME: Micros = 2_000_000;
 
-/// How a call for a watch, or the watch that it opened, came to its end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallEnd {
-    /// Refused; `retry_after` is what the service asks for, if that is heeded.
-    Refused { retry_after: Option<Micros> },
-    /// No connection came up.
-    Unreachable,
-    /// The connection ended.
-    Failed,
-    /// It sent nothing for too long.
-    Silent,
-}
-
 /// What the pacer is told of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEvent {
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -2,7 +2,7 @@
 //! both; this sets its timers and tells the core.
 
 use super::DiscoveryClient;
-use super::pacing::CallEnd;
+use super::call::CallEnd;
 use crate::core::Core;
 use crate::core::watch_liveness::{DiscoveryTerms, WatchFailure};
 use crate::policy::interface::Micros;
--- a/src/server/idempotency_store/completion.rs
+++ b/src/server/idempotency_store/completion.rs
@@ -94,3 +94,6 @@
 fn lock(queue: &Mutex<Vec<WriteCompletion>>) -> MutexGuard<'_, Vec<WriteCompletion>> {
     queue.lock().unwrap_or_else(PoisonError::into_inner)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/server/idempotency_store/completion/tests.rs
@@ -0,0 +1,31 @@
+use super::{CompletionReceiver, RecordWriteError, Waiter, WriteCompletion, completion_queue};
+use std::io::Read;
+
+fn is_woken(receiver: &CompletionReceiver) -> bool {
+    matches!(receiver.socket().read(&mut [0]), Ok(1))
+}
+
+#[test]
+fn completions_come_in_order_and_each_batch_wakes_the_loop() {
+    let (sender, mut receiver) = completion_queue().expect("sockets");
+    assert!(!is_woken(&receiver), "nothing has come");
+    for round in 0..2 {
+        for ticket in 0..3 {
+            sender.send(WriteCompletion { waiter: Waiter::Core(ticket), result: Ok(()) });
+        }
+        assert!(is_woken(&receiver), "batch {round}");
+        let waiters: Vec<Waiter> = receiver.drain().into_iter().map(|completion| completion.waiter).collect();
+        assert_eq!(waiters, [Waiter::Core(0), Waiter::Core(1), Waiter::Core(2)]);
+        assert!(receiver.drain().is_empty());
+        assert!(!is_woken(&receiver), "all was taken");
+    }
+}
+
+#[test]
+fn write_errors_keep_the_text_of_their_cause() {
+    let cause = || std::sync::Arc::new(mothproxy_store::StoreError::Locked("dir".to_owned()));
+    assert_eq!(RecordWriteError::NotOpen.to_string(), "not open");
+    assert_eq!(RecordWriteError::Open(cause()).to_string(), cause().to_string());
+    assert_eq!(RecordWriteError::Submit(cause()).to_string(), cause().to_string());
+    assert_eq!(RecordWriteError::Write("disk full".to_owned()).to_string(), "disk full");
+}
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -39,3 +39,6 @@
         self.at = None;
     }
 }
+
+#[cfg(test)]
+mod tests;
