--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher learns of its jobs and shares with the others: how long jobs run, and what tenants have used. The
-//! decision module gets inputs from here and decides itself.
+//! What a dispatcher learns from its jobs and shares with the others: how long jobs run, and how much tenants have used. It
+//! supplies inputs to the decision module, and decides nothing itself.
 
 use super::{FairShareSettings, FleetSettings, ProcessIdentity};
 use crate::policy::interface::{Estimate, Micros};
@@ -13,13 +13,14 @@
 const MAX_FACTS_PER_ROUND: usize = 16;
 /// The ledger counts use in thousandths of a point.
 const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
+const MICROS_PER_MS: Micros = 1_000;
 
 /// What was counted of each learner that is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnersMetrics {
-    /// How long jobs run.
+    /// Run times of jobs.
     pub runtimes: Option<LearnerMetrics>,
-    /// What tenants have used.
+    /// Use by tenants.
     pub shares: Option<LearnerMetrics>,
 }
 
@@ -92,13 +93,13 @@
         learners
     }
 
-    /// Publishes under another epoch from now on. Reports of use are told apart by their epoch, so the ledger starts empty:
+    /// Publishes under another epoch from now on. Reports of use are distinguished by their epoch, so the ledger starts empty:
     /// what was published before comes back from the others, and is not counted twice. Estimates of run times name their run
     /// themselves and stay.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
         let place = place_of(identity);
         self.shares = self.share_settings.as_ref().and_then(|settings| {
-            let unix_at_zero = (identity.epoch * 1_000).saturating_sub(now);
+            let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
             let config = settings.config(place, identity.peers, identity.epoch, unix_at_zero);
             let ledger = Ledger::new(config, &settings.shares, now);
             crate::invariant!(ledger.is_ok(), "shares that were checked");
@@ -119,7 +120,7 @@
         class: u16,
         points: f64,
     ) -> Option<f64> {
-        // What is measured is the weight: see `Config::new` of the crate.
+        // In millipoints, since the ledger measures use by value and not by work: the default of its `Config::measure`.
         let worth = self.shares.as_mut()?.worth(
             TenantKey::of(tenant?),
             ledger_class(class),
@@ -132,7 +133,7 @@
     /// A job of so many `points` was served, and ran for `runtime`.
     pub fn on_served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, runtime: Micros) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Use { worth: millipoints(points), work: runtime / 1_000 };
+            let used = Use { worth: millipoints(points), work: runtime / MICROS_PER_MS };
             // What has no room is counted there.
             let _ = shares.record(now, now, TenantKey::of(tenant), ledger_class(class), used);
         }
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -19,7 +19,7 @@
 pub(super) struct Members {
     own_place: usize,
     membership: Membership,
-    /// Until when a place that was never heard of counts as present; 0 once that time has passed.
+    /// Until when a place from which nothing was ever received counts as present; 0 once that time has passed.
     unknown_until: Micros,
     /// For how long a dead place's assignment is kept, if not for as long as it is dead.
     dead_assignment_ttl: Option<Micros>,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Which places may hold work: those alive or suspected, those never heard of for a while, and one's own. A dead one
-    /// may be alive on the other side of a partition; one that has said that it leaves is not.
+    /// Which places may hold work: those alive or suspected, those from which nothing was ever received for a while, and one's
+    /// own. A dead one may be alive on the other side of a partition; one that has left is not.
     fn presence(&self, now: Micros) -> Vec<PeerPresence> {
         let keeps_assignment =
             |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// For how long after one's own start a place that was never heard of may hold work, in microseconds: as long as the
-    /// longest suspicion.
+    /// For how long after one's own start a place from which nothing was ever received may hold work, in microseconds: as long
+    /// as the longest suspicion.
     pub fn unknown_member_ttl(&self, config: &Config) -> Micros {
         let factor = config.suspicion_factor * (2.0 + f64::from(config.peers + 1).ln());
         (factor * config.suspicion_spread * config.probe_period as f64) as Micros + 2 * config.meet_period
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -179,3 +179,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -8,11 +8,11 @@
 
 /// The longest object of a watch, or whole list, in bytes.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// A longer `Retry-After` is not heeded: what changes meanwhile counts as notified.
+/// A longer `Retry-After` is ignored: what changes meanwhile counts as notified.
 const MAX_RETRY_AFTER_SECONDS: f64 = 10.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is asked for.
+/// What a call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum CallKind {
     /// The list and its changes, for as long as the connection holds.
@@ -31,7 +31,7 @@
     }
 }
 
-/// Why a call failed, as the log words it.
+/// Why a call failed. The messages go to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallError {
     #[error("no connection")]
@@ -44,7 +44,7 @@
     TimedOut,
     #[error("fell silent")]
     FellSilent,
-    /// The status is not 200. `retry_after` is what the response asks for, if that is heeded.
+    /// The status is not 200. `retry_after` is the wait that the response asks for, unless it is ignored.
     #[error("refused")]
     Refused { retry_after: Option<Micros> },
     #[error("not HTTP")]
@@ -56,7 +56,7 @@
     /// The list is older than the one that is held.
     #[error("list out of date")]
     OutOfDate,
-    /// The list names nobody, or holds changes where the whole was asked for.
+    /// The list is empty, or holds changes where the whole was asked for.
     #[error("no whole list")]
     NotWhole,
     #[error("list too long")]
@@ -78,7 +78,7 @@
 /// How a call for a watch, or the watch that it opened, came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
-    /// Refused; `retry_after` is what the service asks for, if that is heeded.
+    /// Refused; `retry_after` is the wait that the service asks for, unless it is ignored.
     Refused { retry_after: Option<Micros> },
     /// No connection came up.
     Unreachable,
@@ -93,7 +93,7 @@
 pub(super) enum CallProgress {
     /// It waits for more bytes.
     Pending,
-    /// It has done its work.
+    /// It has got its list.
     Complete,
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl DiscoveryCall {
-    /// A call whose connection is on the way.
+    /// A call whose connection is being established.
     pub(super) fn new(kind: CallKind) -> DiscoveryCall {
         DiscoveryCall {
             kind,
@@ -124,7 +124,7 @@
         self.kind == CallKind::Watch
     }
 
-    /// Where its next list comes from.
+    /// How its next list relates to the one that is held.
     pub(super) fn list_source(&self) -> ListSource {
         match (self.kind, self.is_answered) {
             (CallKind::FullList, _) => ListSource::FullList,
@@ -209,7 +209,7 @@
     }
 }
 
-/// What `Retry-After` says, unless it is too long or no number of seconds.
+/// The wait in `Retry-After`, unless it is too long or not a number of seconds.
 fn retry_after(inbox: &[u8], head: &Response) -> Option<Micros> {
     let seconds: f64 = head.fields.text(inbox, "Retry-After")?.trim().parse().ok()?;
     let is_heeded = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
--- a/src/server/discovery/full_list.rs
+++ b/src/server/discovery/full_list.rs
@@ -1,9 +1,9 @@
 //! Whether the whole endpoint list of a new discovery service is still to be fetched.
 //!
-//! A new service may answer a watch with changes though it was asked for everything; endpoints that it has never heard of
-//! would then stay in the table. So its whole list is fetched once, beside the watch.
+//! A new service may answer a watch with changes although it was asked for everything; endpoints that it does not know would
+//! then stay in the table. So its whole list is fetched once, beside the watch.
 
-/// How far the fetch has come.
+/// The progress of the fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FullListState {
     /// The list of this service is whole.
@@ -42,7 +42,7 @@
         was_requested
     }
 
-    /// The time of the retry has come.
+    /// The timer of the retry has fired.
     pub(super) fn on_retry_timer(&mut self) {
         if *self == FullListState::RetryScheduled {
             *self = FullListState::Needed;
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -1,4 +1,4 @@
-//! What the body of a call brings: endpoint lists for the core, and signs that the watch lives.
+//! What the body of a call contains: endpoint lists for the core, and heartbeats of the watch.
 
 use super::call::{CallError, DiscoveryCall};
 use super::full_list::FullListState;
@@ -9,7 +9,7 @@
 use crate::server::{Server, Token};
 
 impl Server {
-    /// Takes whole objects in until none is left or one fails. Returns whether one was taken in, and the failure.
+    /// Processes whole objects until none is left or one fails. Returns whether any was accepted, and the failure.
     pub(super) fn take_discovery_lists(&mut self, call: &mut DiscoveryCall) -> (bool, Result<(), CallError>) {
         let mut has_lists = false;
         while let Some(object) = call.next_object() {
@@ -21,8 +21,8 @@
         (has_lists, Ok(()))
     }
 
-    /// The watch has sent something: only lists and empty lines (`has_data`) show that it lives. An object that has begun must
-    /// be whole in the time it was given when it began.
+    /// Sets the watch's deadline. Only lists and empty lines (`has_data`) show that it is alive; an object that has begun must be
+    /// complete within the time it was given when it began.
     pub(super) fn on_watch_data(
         &mut self,
         token: Token,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Takes an object of a call in. One that is rejected, or cannot be read, may hold a change that no later one repeats:
-    /// then the call is over, and the next one asks for what came after the list that is held.
+    /// Processes an object of a call. One that is rejected, or cannot be read, may hold a change that no later one repeats:
+    /// the call then fails, and the next one asks for the changes after the list that is held.
     fn on_discovery_object(&mut self, call: &mut DiscoveryCall, object: &[u8]) -> Result<(), CallError> {
         let list = serde_json::from_slice(object).ok().and_then(|value| EndpointList::read(&value));
         let Some(list) = list else {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A watch goes on after a list that names nobody: discovery is alive, and has lost its table.
+    /// A watch survives an empty list: discovery is alive, and has lost its table.
     fn on_list_rejected(&mut self, call: &DiscoveryCall, rejection: ListRejection) -> Result<(), CallError> {
         match rejection {
             ListRejection::Empty | ListRejection::Partial => self.metrics.bad_lists += 1,
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -43,7 +43,7 @@
 }
 
 impl DiscoveryClient {
-    /// Nothing is asked for yet; `generation` is that of the list that is known.
+    /// A client that has made no call yet; `generation` is that of the endpoint list that is held.
     pub(in crate::server) fn open(
         settings: &FleetSettings,
         config: &Config,
@@ -70,13 +70,13 @@
         self.watch.take_if(|watch| *watch == token).is_some()
     }
 
-    /// A call for the whole list has failed. Returns when it is retried, if the client had started it of its own accord.
+    /// A call for the whole list has failed. Returns when to retry it, if it was one that a new service made necessary.
     fn on_full_list_failed(&mut self, now: Micros) -> Option<Micros> {
         self.full_list.on_request_failed().then(|| self.liveness.on_full_list_failed(now))
     }
 
-    /// Whether the failure of a call gets a line of the log: one that was answered always does, the others now and then, as
-    /// an agent of the own machine is called again at once.
+    /// Whether the failure of a call is logged: always if the call was answered, else at intervals, because an agent on the own
+    /// machine is called again at once.
     fn admit_failure_log(&mut self, now: Micros, was_answered: bool) -> bool {
         let is_admitted = was_answered || now >= self.next_failure_log;
         if is_admitted {
@@ -87,8 +87,8 @@
 }
 
 impl Server {
-    /// The decision module wants a watch. It is open already, or a time for it is set: the module's own waits grow beyond
-    /// what a change may take to be notified.
+    /// The decision module wants a watch. Nothing is done if a time for it is set: the module's own waits grow beyond the time
+    /// within which a change must be notified.
     pub(in crate::server) fn on_watch_wanted(&mut self) {
         if !self.discovery.is_watch_scheduled() {
             self.on_watch_timer();
@@ -196,14 +196,14 @@
         self.set_timer(token, conn, Some(answered_by));
     }
 
-    /// A call has sent nothing for too long.
+    /// A call has received nothing for too long.
     pub(in crate::server) fn on_discovery_timer(
         &mut self,
         token: Token,
         mut conn: Conn,
         mut call: DiscoveryCall,
     ) {
-        // After a long turn what it has sent may be here, unread.
+        // After a long turn of the loop, data may have arrived that was not read yet.
         if !call.is_connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_discovery_call(token, &mut conn, &mut call) {
                 Ok(CallProgress::Pending) if conn.timer.is_none() => {}
@@ -216,7 +216,7 @@
         self.fail_discovery_call(token, conn, call, error);
     }
 
-    /// Uses what has been read of a call.
+    /// Processes what has been read of a call.
     fn read_discovery_call(
         &mut self,
         token: Token,
@@ -244,7 +244,7 @@
         progress
     }
 
-    /// Ends a call that has failed, and sets when the next one is made.
+    /// Ends a call that has failed, and schedules the next one.
     fn fail_discovery_call(&mut self, token: Token, conn: Conn, call: DiscoveryCall, error: CallError) {
         self.report_failed_call(&call, error);
         if !call.is_watch() || self.discovery.take_watch(token) {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// A call is no longer under way: sets when the next one is made.
+    /// A call has ended: schedules the next one.
     fn on_discovery_call_ended(&mut self, kind: CallKind, end: CallEnd) {
         match kind {
             CallKind::Watch => self.on_watch_ended(end),
@@ -284,7 +284,7 @@
         self.discovery.check_stale_list(&mut self.core, self.now);
     }
 
-    /// Another service counts from now on: drops all calls to the former one, and whatever they may still bring.
+    /// The address of discovery has changed: drops all calls to the former service, with whatever they may still bring.
     pub(in crate::server) fn on_discovery_moved(&mut self) {
         self.discovery.watch = None;
         let opens_at = self.discovery.liveness.on_discovery_moved(self.now);
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -1,8 +1,10 @@
-//! When discovery is called, where the operators' file has `fleet.cold_start`: the dispatchers of a site then take turns, by
-//! what each tells the others of the service.
+//! When discovery is called, where the operators' file has `fleet.cold_start`: the dispatchers of a site then share what
+//! they observe of the service, and spread their calls over time.
 //!
-//! The waits of the decision module and of the watch's liveness are not added to that: the pacer has scheduled the calls that
-//! they wish for.
+//! The pacer alone then schedules the calls for a watch; the waits of the decision module and of [`WatchLiveness`] are not
+//! added to its own.
+//!
+//! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
 use super::call::{CallEnd, CallKind};
 use crate::config::Config;
@@ -18,12 +20,13 @@
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A watch's silence is noticed this long before what it missed counts as notified; a call and its answer take a part of that.
+/// A watch's silence is noticed this long before what it missed counts as notified; a new call and its response must fit
+/// into that.
 const SILENCE_RECOVERY_TIME: Micros = 2_500_000;
 /// A service that has just taken over is called within this.
 const MOVE_RECOVERY_TIME: Micros = 2_000_000;
 
-/// What the pacer is told of the watch.
+/// An event of the watch, for the pacer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEvent {
     /// It has sent a list of this generation.
@@ -34,13 +37,13 @@
     DiscoveryMoved,
 }
 
-/// Whether and when the pacer has this dispatcher call discovery.
+/// The schedule of this dispatcher's calls for a watch, where pacing is on.
 pub(super) struct CallPacing {
     /// `None` where pacing is off.
     pacer: Option<Pacer>,
-    /// What the members say of the service, where membership is on as well.
+    /// What the members have published about the service, where membership is on as well.
     findings: Option<Findings>,
-    /// The epoch of each member that was last reported, by its place.
+    /// The last known epoch of the member at each place.
     epochs: HashMap<u16, u64>,
     timer: TimerSlot,
     call_started: Micros,
@@ -49,8 +52,8 @@
 }
 
 impl CallPacing {
-    /// Pacing that begins now, where it is on; `generation` is that of the list that is held. Where lists are pushed there
-    /// is nothing to pace.
+    /// Pacing that begins now, if it is on; `generation` is that of the endpoint list that is held. Where lists are pushed to
+    /// this dispatcher there is nothing to pace.
     pub(super) fn open(
         settings: &FleetSettings,
         config: &Config,
@@ -83,7 +86,7 @@
         self.pacer.is_some()
     }
 
-    /// Publishes what was found of the service, and sets the timer; to be called after each event.
+    /// Publishes what was observed of the service, and sets the timer. To be called after each event.
     fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
         let mut next_publish = None;
         if let (Some(pacer), Some(findings)) = (&self.pacer, &mut self.findings) {
@@ -97,7 +100,7 @@
         self.timer.set(core, next_call.into_iter().chain(next_publish).min());
     }
 
-    /// The timer has come. Whether a call is to be started now; it then counts as started.
+    /// The timer has fired. Returns whether a call is to be started now; it then counts as started.
     fn on_timer(&mut self, now: Micros) -> bool {
         self.timer.on_fired();
         let is_due = self.pacer.as_mut().is_some_and(|pacer| pacer.tick(now).is_some());
@@ -108,8 +111,8 @@
         is_due
     }
 
-    /// A member's state or epoch has changed: what it said no longer counts if its process has ended or another has taken its
-    /// place. Returns whether the pacer was told.
+    /// A member's state or epoch has changed. What it published is void if its process has ended or was replaced. Returns
+    /// whether pacing is on.
     fn on_member_changed(&mut self, now: Micros, change: Change, view: Option<&View>) -> bool {
         let Some(pacer) = &mut self.pacer else { return false };
         let previous = self.epochs.insert(change.place, change.epoch);
@@ -125,7 +128,7 @@
         true
     }
 
-    /// Another member has published a fact. Returns whether it is of this kind and the pacer was told.
+    /// Another member has published a fact. Returns whether it was one for the pacing, and readable.
     fn on_fact(&mut self, now: Micros, fact: &OwnedFact) -> bool {
         let (Some(pacer), Some(findings)) = (&mut self.pacer, &mut self.findings) else { return false };
         if fact.kind != KIND {
@@ -142,7 +145,7 @@
         true
     }
 
-    /// Something has happened to the watch. Returns whether the pacer was told.
+    /// Passes an event of the watch to the pacer. Returns whether pacing is on.
     fn on_watch_event(&mut self, now: Micros, event: WatchEvent) -> bool {
         let Some(pacer) = &mut self.pacer else { return false };
         let waited = now.saturating_sub(self.call_started);
@@ -166,7 +169,7 @@
     }
 }
 
-/// Whether what other members say of the service arrives here.
+/// Whether facts of other members arrive here.
 fn hears_members(settings: &FleetSettings, config: &Config) -> bool {
     settings.membership.is_some() && config.peer_listen.is_some()
 }
@@ -187,7 +190,7 @@
 }
 
 impl Server {
-    /// Publishes what the pacing has found, and sets its timer.
+    /// Publishes what this dispatcher has observed of discovery, and sets the pacing's timer.
     pub(in crate::server) fn update_pacing(&mut self) {
         self.discovery.pacing.update(self.now, &mut self.membership, &mut self.core);
     }
@@ -200,7 +203,7 @@
         }
     }
 
-    /// A fact has come, of whatever kind and from whatever place.
+    /// A fact has arrived, of any kind and from any place, this one included.
     pub(in crate::server) fn pace_on_fact(&mut self, fact: &OwnedFact) {
         let is_own = u32::from(fact.place) == self.config.settings.me;
         if !is_own && self.discovery.pacing.on_fact(self.now, fact) {
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The pacing's timer has come.
+    /// The pacing's timer has fired.
     pub(in crate::server) fn on_pacing_timer(&mut self) {
         if self.discovery.pacing.on_timer(self.now) {
             self.open_discovery_call(CallKind::Watch);
@@ -217,7 +220,7 @@
         self.apply_fleet_outputs();
     }
 
-    /// Tells the pacer what has happened to the watch.
+    /// Passes an event of the watch to the pacer, and does what follows from it.
     pub(super) fn pace_on_watch_event(&mut self, event: WatchEvent) {
         if self.discovery.pacing.on_watch_event(self.now, event) {
             self.update_pacing();
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -1,5 +1,7 @@
-//! When the watch is opened, and for how long the list that the program started with may be used. [`WatchLiveness`] decides
-//! both; this sets its timers and tells the core.
+//! When the watch is opened, and for how long the endpoint list that the program started with may be used. [`WatchLiveness`]
+//! decides both; the methods here set its timers and notify the core.
+//!
+//! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
 use super::DiscoveryClient;
 use super::call::CallEnd;
@@ -9,7 +11,8 @@
 use crate::server::STALE_TIMER;
 
 impl DiscoveryClient {
-    /// The program begins. `newest_start` is when the last of the endpoints on the list that is known so far started.
+    /// Schedules the first watch, and the times at which the list that is known so far becomes stale or is used anyway.
+    /// `newest_start` is the latest start of an endpoint on that list.
     pub(in crate::server) fn start(&mut self, core: &mut Core, now: Micros, newest_start: Option<Micros>) {
         let opens_at = self.liveness.start(now);
         self.schedule_watch(core, opens_at);
@@ -24,9 +27,9 @@
         }
     }
 
-    /// Another dispatcher received a message of this one's predecessor at this time: until some time after that, the list that
-    /// this process started with lacks nothing that counts. Once that list is used, the message may have been this process's
-    /// own.
+    /// Another dispatcher received a message of this one's predecessor at `seen_at`: until some time after that, the list that
+    /// this process started with lacks nothing that counts. Ignored once that list is used, as the message may then have been
+    /// this process's own.
     pub(in crate::server) fn on_predecessor_seen(&mut self, core: &mut Core, now: Micros, seen_at: Micros) {
         if !core.endpoints.stale {
             return;
@@ -38,8 +41,8 @@
         }
     }
 
-    /// Suspends the list that the program started with, or uses it. Nothing is sent by it while it is to be revalidated and
-    /// discovery has sent none; where discovery cannot be reached, or has had its time, it is used as it is.
+    /// Suspends the list that the program started with, or uses it. It is suspended while it is to be revalidated and discovery
+    /// has sent none; once discovery cannot be reached, or has not answered in time, it is used as it is.
     pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
         match (core.endpoints.stale, self.liveness.is_stale(now)) {
             (true, false) => {
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Other settings count.
+    /// Applies changed settings.
     pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoveryTerms) {
         if self.liveness.reconfigure(terms) {
             self.schedule_watch(core, now);
@@ -65,17 +68,18 @@
         self.watch_timer.is_set()
     }
 
-    /// The time has come to open the watch. Whether that is to be done: none is open, and the pacer does not decide it.
+    /// The time to open the watch has come. Returns whether to open it: none is open, and the pacer does not decide it.
     pub(super) fn on_watch_timer(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
     }
 
+    /// Sets the time at which the watch is opened.
     pub(super) fn schedule_watch(&mut self, core: &mut Core, at: Micros) {
         self.watch_timer.set(core, Some(at));
     }
 
-    /// The watch, or the call for it, is over. Returns when it is to be opened anew, unless the pacer decides that.
+    /// The watch, or the call for it, is over. Returns when to open the next one where the pacer does not decide that.
     pub(super) fn on_watch_ended(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The successor that was to persist records has ended: whoever waits for one is told that it failed.
+    /// The successor that was to persist records has ended: all that are waited for count as failed.
     pub(in crate::server) fn fail_pending_records(&mut self) {
         for ticket in self.core.pending_tickets() {
             self.core.on_record_persisted(ticket, false);
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -1,6 +1,6 @@
-//! The driver of [`Fleet`]: its datagrams go over the peer socket, its timer is one of the core's, and what it says about
-//! the members goes to the decision module, to the learners, to the pacing of discovery calls, to the log and to the admin
-//! page.
+//! The driver of [`Fleet`]: its datagrams go over the peer socket, and its timer is one of the core's. Changes of the
+//! membership and facts go to the decision module, the learners and the pacing of discovery calls; the view goes to the log and
+//! the admin page.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -12,7 +12,9 @@
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The state machine of the fleet, its timer, and when the learners are asked for facts.
+const MICROS_PER_MS: Micros = 1_000;
+
+/// The state machine of the fleet, its timer, and when the learners publish next.
 pub(in crate::server) struct MembershipLink {
     fleet: Fleet,
     timer: TimerSlot,
@@ -22,7 +24,7 @@
 /// The identity of this process, or of its continuation, that starts now at its place of a configuration.
 fn new_identity(config: &Config) -> ProcessIdentity {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-    // A dispatcher without an address for datagrams has no peers that it could hear.
+    // A dispatcher without an address for datagrams cannot hear any peer.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
     ProcessIdentity { place: config.settings.me, peers, epoch: unix.as_millis() as u64, seed: config.seed }
 }
@@ -81,7 +83,7 @@
         is_accepted
     }
 
-    /// The fleet's timer has come.
+    /// The fleet's timer has fired.
     pub(in crate::server) fn on_fleet_timer(&mut self) {
         self.membership.on_timer(self.now, &mut self.core.learners);
         self.apply_fleet_outputs();
@@ -163,7 +165,7 @@
             state: format!("{:?}", member.state).to_lowercase(),
             epoch: member.epoch,
             incarnation: member.incarnation,
-            for_ms: self.now.saturating_sub(member.since) / 1_000,
+            for_ms: self.now.saturating_sub(member.since) / MICROS_PER_MS,
         };
         Some(MembersPage {
             me: self.config.settings.me,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,5 +1,5 @@
-//! The datagram socket between dispatchers. Each tells the others whether it serves or is about to stop; the messages of the
-//! decision module and of the membership travel over the same socket.
+//! The datagram socket between dispatchers. Each announces whether it serves or is about to stop; the messages of the decision
+//! module and of the membership travel over the same socket.
 
 mod datagram;
 
@@ -11,13 +11,14 @@
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams get lost, now and then all of them for a while: that this dispatcher serves is repeated this often, that it
-/// stops until the end, each time [`REPEAT_INTERVAL`] after the last.
+/// Datagrams get lost, sometimes all of them for a while. The announcement that this dispatcher serves is repeated this often;
+/// the one that it stops is repeated until the end.
 const MAX_REPEATS: u32 = 4;
+/// The time from one announcement of the own state to its repetition.
 const REPEAT_INTERVAL: Micros = 150_000;
 const MICROS_PER_MS: Micros = 1_000;
 
-/// The socket, the addresses that count as dispatchers, and what these have said of themselves.
+/// The socket, the addresses that count as dispatchers, and the state that each of them has announced.
 pub(in crate::server) struct PeerLink {
     socket: Option<UdpSocket>,
     places: HashMap<SocketAddr, u32>,
@@ -54,7 +55,7 @@
         self.socket.as_ref()
     }
 
-    /// Takes over the dispatchers of another configuration: what a dispatcher has said counts for the place that has its
+    /// Switches to the dispatchers of another configuration: what a dispatcher has announced counts for the place that has its
     /// address there.
     pub(in crate::server) fn renumber(&mut self, old_peers: &[SocketAddr], config: &Config) {
         self.places = places_by_address(&config.peers);
@@ -65,7 +66,7 @@
         self.last_message_at = messages.filter_map(|(old, at)| Some((new_place(old)?, at))).collect();
     }
 
-    /// Whether every other dispatcher that reports to this one has said that it stops.
+    /// Whether every other dispatcher that reports to this one has announced that it stops.
     pub(in crate::server) fn have_all_stopped(&self) -> bool {
         self.lifecycle.all_stop()
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet to the address of all, if there is one.
+    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet by the broadcast address, if there is one.
     fn announce(&self, config: &Config, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
@@ -130,7 +131,8 @@
         if !self.handed {
             self.peers.announce(&self.config, state);
         }
-        // One that has just started, and may not use the list it knows, asks those for it that heard of the process before it.
+        // A process that has just started, and may not use the list it knows yet, asks its peer group when the predecessor was
+        // last heard: see `PeerDatagram::LastHeard`.
         if self.core.endpoints.stale && !self.peers.lifecycle.is_small() {
             let question = PeerDatagram::Serving.encode();
             self.core.peer_group().iter().for_each(|to| self.send_to_peer(*to, &question));
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Another dispatcher says that it serves; it may have just started.
+    /// Another dispatcher has announced that it serves; it may have just started.
     fn on_peer_serving(&mut self, from: u32) {
         self.peers.lifecycle.heard(from, false);
         // One that has just started cannot know who is about to stop.
