--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher learns from its jobs and shares with the others: how long jobs run, and how much tenants have used. It
 //! supplies inputs to the decision module, and decides nothing itself.
 
-use super::{FairShareSettings, FleetSettings, ProcessIdentity};
+use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Use};
 use mothproxy_membership::{Change, OwnedFact, State};
@@ -59,17 +59,6 @@
     }
 }
 
-/// A fact for the other members.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutgoingFact {
-    /// Which learner owns it.
-    pub kind: u8,
-    /// The slot that it replaces.
-    pub slot: u32,
-    /// Its content, in the learner's own encoding.
-    pub bytes: Vec<u8>,
-}
-
 /// The learners, those that are on.
 #[derive(Default)]
 pub struct Learners {
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -1,7 +1,7 @@
 //! The membership protocol of this dispatcher, and what its view means for the peers that may hold work.
 
 use super::log_limiter::LogLimiter;
-use super::{FleetError, FleetOutput, MembershipSettings, ProcessIdentity};
+use super::{FleetError, FleetOutput, MembershipSettings, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{Micros, PeerPresence};
 use mothproxy_membership::{Change, Figures, Member, Membership, Output, State, View};
 use std::collections::VecDeque;
@@ -87,9 +87,9 @@
     }
 
     /// Publishes a fact to the other members.
-    pub(super) fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
+    pub(super) fn publish(&mut self, now: Micros, fact: &OutgoingFact) {
         // Refused where the facts are full or this member has left: then nobody receives it.
-        let _ = self.membership.tell(now, kind, slot, bytes);
+        let _ = self.membership.tell(now, fact.kind, fact.slot, &fact.bytes);
     }
 
     /// What is believed of all places.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 mod members;
 mod settings;
 
-pub use learners::{JobFeatures, LearnerMetrics, Learners, LearnersMetrics, OutgoingFact};
+pub use learners::{JobFeatures, LearnerMetrics, Learners, LearnersMetrics};
 pub use settings::{
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
@@ -58,6 +58,17 @@
     pub seed: u64,
 }
 
+/// A fact to publish to the other members.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingFact {
+    /// Which part owns it, and with it the encoding of its content.
+    pub kind: u8,
+    /// What it is about: it replaces the earlier fact of the same kind, place and slot.
+    pub slot: u32,
+    /// Its content, at most as long as the membership carries.
+    pub bytes: Vec<u8>,
+}
+
 /// Why the parts cannot start.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetError {
@@ -147,9 +158,9 @@
     }
 
     /// Publishes a fact to the other members.
-    pub fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
+    pub fn publish(&mut self, now: Micros, fact: &OutgoingFact) {
         if let Some(members) = self.active_members() {
-            members.publish(now, kind, slot, bytes);
+            members.publish(now, fact);
             self.collect_outputs(now);
         }
     }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -9,7 +9,7 @@
 use super::call::{CallEnd, CallKind};
 use crate::config::Config;
 use crate::core::Core;
-use crate::fleet::FleetSettings;
+use crate::fleet::{FleetSettings, OutgoingFact};
 use crate::policy::interface::Micros;
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
@@ -92,7 +92,7 @@
         if let (Some(pacer), Some(findings)) = (&self.pacer, &mut self.findings) {
             findings.say(pacer.news(), pacer.is_news());
             while let Some((slot, bytes)) = findings.publish(now) {
-                membership.publish(now, KIND, slot, &bytes);
+                membership.publish(now, &OutgoingFact { kind: KIND, slot, bytes });
             }
             next_publish = findings.next_wake();
         }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Config;
 use crate::core::Core;
-use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, ProcessIdentity};
+use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::Micros;
 use crate::protocol::admin::{MemberRow, MembersPage};
 use crate::server::timer_slot::TimerSlot;
@@ -50,8 +50,8 @@
     }
 
     /// Publishes a fact to the other members.
-    pub(in crate::server) fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) {
-        self.fleet.publish(now, kind, slot, bytes);
+    pub(in crate::server) fn publish(&mut self, now: Micros, fact: &OutgoingFact) {
+        self.fleet.publish(now, fact);
     }
 
     fn on_timer(&mut self, now: Micros, learners: &mut Learners) {
@@ -59,7 +59,7 @@
         self.fleet.on_timer(now);
         if self.fleet.can_publish() && self.next_publish.is_some_and(|at| at <= now) {
             for fact in learners.publish(now) {
-                self.fleet.publish(now, fact.kind, fact.slot, &fact.bytes);
+                self.fleet.publish(now, &fact);
             }
             self.next_publish = learners.next_publish(now);
         }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet by the broadcast address, if there is one.
+    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet by the address that
+    /// reaches all of them, if there is one.
     fn announce(&self, config: &Config, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
