--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::Dispatcher;
 use crate::config::{EndpointList, SiteNames};
-use crate::fleet::{JobFeatures, Learners};
+use crate::fleet::{JobLabels, Learners};
 use crate::invariant;
 use crate::policy::interface::*;
 use endpoint_table::EndpointTable;
@@ -392,16 +392,11 @@
     }
 
     /// What a job is called by what learns of it. A subject's number is a hash, the same at every dispatcher.
-    fn traits(
-        &self,
-        class: ClassId,
-        tenant: Option<TenantId>,
-        key: Option<KeyId>,
-    ) -> Option<JobFeatures<'_>> {
+    fn traits(&self, class: ClassId, tenant: Option<TenantId>, key: Option<KeyId>) -> Option<JobLabels<'_>> {
         let names = &self.names.0;
         let class = names.classes.names().get(usize::from(class.0))?;
         let tenant = tenant.and_then(|t| names.tenants.names().get(usize::from(t.0)));
-        Some(JobFeatures { class, tenant: tenant.map(String::as_str), subject: key.map(|k| u64::from(k.0)) })
+        Some(JobLabels { class, tenant: tenant.map(String::as_str), subject: key.map(|k| u64::from(k.0)) })
     }
 
     /// Remembers keyed jobs from now on, beginning with these notes; `clock_sound` unless time may have passed that the
@@ -727,7 +722,7 @@
         let tenant = new.tenant.and_then(|t| names.tenants.names().get(usize::from(t.0)));
         if let Some((server, class)) = server.zip(class) {
             let (tenant, subject) = (tenant.map(String::as_str), new.key.map(|k| u64::from(k.0)));
-            let job = JobFeatures { class, tenant, subject };
+            let job = JobLabels { class, tenant, subject };
             let (worker, kind) = (&server.row.instance_id, &server.row.machine_type);
             self.learners.on_started(now, ticket(id, attempt), &job, worker, kind);
         }
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -37,9 +37,9 @@
     pub refused: u64,
 }
 
-/// What jobs that run alike have in common.
+/// The labels of a job by which its run time is learned.
 #[derive(Clone, Copy, Debug)]
-pub struct JobFeatures<'a> {
+pub struct JobLabels<'a> {
     /// The name of its class.
     pub class: &'a str,
     /// The name of its tenant.
@@ -48,8 +48,8 @@
     pub subject: Option<u64>,
 }
 
-impl JobFeatures<'_> {
-    fn likeness(&self) -> Likeness {
+impl JobLabels<'_> {
+    fn features(&self) -> Likeness {
         let hash = |name: &str| number(name.as_bytes());
         Likeness {
             tenant: self.tenant.map(hash),
@@ -136,16 +136,16 @@
     }
 
     /// How long such a job will run, where that is learned.
-    pub fn estimate(&self, job: &JobFeatures<'_>) -> Option<Estimate> {
-        let work = self.runtimes.as_ref()?.work(&job.likeness());
+    pub fn estimate(&self, job: &JobLabels<'_>) -> Option<Estimate> {
+        let work = self.runtimes.as_ref()?.work(&job.features());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
-    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobFeatures<'_>, worker: &str, kind: &str) {
+    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobLabels<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
             let (worker, kind) = (number(worker.as_bytes()), number(kind.as_bytes()) as u32);
-            runtimes.started(attempt, &job.likeness(), kind, worker, now);
+            runtimes.started(attempt, &job.features(), kind, worker, now);
         }
     }
 
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -1,7 +1,7 @@
 //! When discovery is called, where the operators' file has `fleet.cold_start`: the dispatchers of a site then share what
 //! they observe of the service, and spread their calls over time.
 //!
-//! The pacer alone then schedules the calls for a watch; the waits of the decision module and of [`WatchLiveness`] are not
+//! The scheduler alone then schedules the calls for a watch; the waits of the decision module and of [`WatchLiveness`] are not
 //! added to its own.
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
@@ -14,8 +14,8 @@
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
 use crate::server::{ASK_TIMER, Server};
-use mothproxy_coldstart::pacer::{Config as PacerConfig, Event, Pacer};
-use mothproxy_coldstart::{Findings, KIND, Origin};
+use mothproxy_coldstart::pacer::{Config as SchedulerConfig, Event, Pacer as PollScheduler};
+use mothproxy_coldstart::{Findings as SharedObservations, KIND, Origin};
 use mothproxy_membership::{Change, OwnedFact, State, View};
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -26,7 +26,7 @@
 /// A service that has just taken over is called within this.
 const MOVE_RECOVERY_TIME: Micros = 2_000_000;
 
-/// An event of the watch, for the pacer.
+/// An event of the watch, for the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEvent {
     /// It has sent a list of this generation.
@@ -40,9 +40,9 @@
 /// The schedule of this dispatcher's calls for a watch, where pacing is on.
 pub(super) struct CallPacing {
     /// `None` where pacing is off.
-    pacer: Option<Pacer>,
+    scheduler: Option<PollScheduler>,
     /// What the members have published about the service, where membership is on as well.
-    findings: Option<Findings>,
+    observations: Option<SharedObservations>,
     /// The last known epoch of the member at each place.
     epochs: HashMap<u16, u64>,
     timer: TimerSlot,
@@ -62,18 +62,20 @@
     ) -> CallPacing {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let unix_at_zero = unix.saturating_sub(now);
-        let pacer_config = pacer_config(settings, config, unix_at_zero);
-        let pacer = pacer_config.and_then(|pacer_config| {
-            let pacer = Pacer::new(pacer_config, now, generation);
-            pacer.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
+        let scheduler_config = scheduler_config(settings, config, unix_at_zero);
+        let scheduler = scheduler_config.and_then(|scheduler_config| {
+            let scheduler = PollScheduler::new(scheduler_config, now, generation);
+            scheduler.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
         });
         let place = u16::try_from(config.settings.me).unwrap_or(u16::MAX);
         let hears_members = hears_members(settings, config);
-        let findings =
-            pacer.as_ref().filter(|_| hears_members).map(|_| Findings::new(place, unix_at_zero, now));
+        let observations = scheduler
+            .as_ref()
+            .filter(|_| hears_members)
+            .map(|_| SharedObservations::new(place, unix_at_zero, now));
         CallPacing {
-            pacer,
-            findings,
+            scheduler,
+            observations,
             epochs: HashMap::new(),
             timer: TimerSlot::new(ASK_TIMER),
             call_started: 0,
@@ -81,29 +83,29 @@
         }
     }
 
-    /// Whether the pacer decides when discovery is called.
+    /// Whether the scheduler decides when discovery is called.
     pub(super) fn is_enabled(&self) -> bool {
-        self.pacer.is_some()
+        self.scheduler.is_some()
     }
 
     /// Publishes what was observed of the service, and sets the timer. To be called after each event.
     fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
         let mut next_publish = None;
-        if let (Some(pacer), Some(findings)) = (&self.pacer, &mut self.findings) {
-            findings.say(pacer.news(), pacer.is_news());
-            while let Some((slot, bytes)) = findings.publish(now) {
+        if let (Some(scheduler), Some(observations)) = (&self.scheduler, &mut self.observations) {
+            observations.say(scheduler.news(), scheduler.is_news());
+            while let Some((slot, bytes)) = observations.publish(now) {
                 membership.publish(now, &OutgoingFact { kind: KIND, slot, bytes });
             }
-            next_publish = findings.next_wake();
+            next_publish = observations.next_wake();
         }
-        let next_call = self.pacer.as_ref().and_then(Pacer::next_wake);
+        let next_call = self.scheduler.as_ref().and_then(PollScheduler::next_wake);
         self.timer.set(core, next_call.into_iter().chain(next_publish).min());
     }
 
     /// The timer has fired. Returns whether a call is to be started now; it then counts as started.
     fn on_timer(&mut self, now: Micros) -> bool {
         self.timer.on_fired();
-        let is_due = self.pacer.as_mut().is_some_and(|pacer| pacer.tick(now).is_some());
+        let is_due = self.scheduler.as_mut().is_some_and(|scheduler| scheduler.tick(now).is_some());
         if is_due {
             self.call_started = now;
             self.is_answered = false;
@@ -114,40 +116,42 @@
     /// A member's state or epoch has changed. What it published is void if its process has ended or was replaced. Returns
     /// whether pacing is on.
     fn on_member_changed(&mut self, now: Micros, change: Change, view: Option<&View>) -> bool {
-        let Some(pacer) = &mut self.pacer else { return false };
+        let Some(scheduler) = &mut self.scheduler else { return false };
         let previous = self.epochs.insert(change.place, change.epoch);
         let is_replaced = previous.is_some_and(|epoch| epoch < change.epoch);
         if is_replaced || matches!(change.to, State::Dead | State::Left) {
-            pacer.handle(now, Event::Gone(change.place));
+            scheduler.handle(now, Event::Gone(change.place));
         }
         if let Some(view) = view {
             let may_be_alive = |state| matches!(state, State::Alive | State::Suspect);
             let alive = view.iter().map(|(_, member)| may_be_alive(member.state)).collect();
-            pacer.handle(now, Event::View(alive));
+            scheduler.handle(now, Event::View(alive));
         }
         true
     }
 
     /// Another member has published a fact. Returns whether it was one for the pacing, and readable.
     fn on_fact(&mut self, now: Micros, fact: &OwnedFact) -> bool {
-        let (Some(pacer), Some(findings)) = (&mut self.pacer, &mut self.findings) else { return false };
+        let (Some(scheduler), Some(observations)) = (&mut self.scheduler, &mut self.observations) else {
+            return false;
+        };
         if fact.kind != KIND {
             return false;
         }
         let origin = Origin { place: fact.place, epoch: fact.epoch };
-        if let Err(error) = findings.absorb(now, origin, fact.slot, fact.number, &fact.bytes) {
+        if let Err(error) = observations.absorb(now, origin, fact.slot, fact.number, &fact.bytes) {
             tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
             return false;
         }
-        for (place, news) in findings.service_news() {
-            pacer.handle(now, Event::Peer { place, news });
+        for (place, news) in observations.service_news() {
+            scheduler.handle(now, Event::Peer { place, news });
         }
         true
     }
 
-    /// Passes an event of the watch to the pacer. Returns whether pacing is on.
+    /// Passes an event of the watch to the scheduler. Returns whether pacing is on.
     fn on_watch_event(&mut self, now: Micros, event: WatchEvent) -> bool {
-        let Some(pacer) = &mut self.pacer else { return false };
+        let Some(scheduler) = &mut self.scheduler else { return false };
         let waited = now.saturating_sub(self.call_started);
         let was_answered = std::mem::replace(&mut self.is_answered, matches!(event, WatchEvent::List { .. }));
         let event = match (event, was_answered) {
@@ -164,7 +168,7 @@
             (WatchEvent::Ended(CallEnd::Silent), false) => Event::TimedOut,
             (WatchEvent::DiscoveryMoved, _) => Event::Moved { by: Some(now + MOVE_RECOVERY_TIME) },
         };
-        pacer.handle(now, event);
+        scheduler.handle(now, event);
         true
     }
 }
@@ -174,10 +178,10 @@
     settings.membership.is_some() && config.peer_listen.is_some()
 }
 
-/// The pacer's configuration; `None` where pacing is off, lists are pushed, or the place is none that the pacer knows.
-fn pacer_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<PacerConfig> {
+/// The scheduler's configuration; `None` where pacing is off, lists are pushed, or the place is none that the scheduler knows.
+fn scheduler_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<SchedulerConfig> {
     let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
-    Some(PacerConfig {
+    Some(SchedulerConfig {
         place: u16::try_from(config.settings.me).ok()?,
         count: u16::try_from(config.settings.nodes).ok()?,
         service_time: cold_start.call_time,
@@ -220,7 +224,7 @@
         self.apply_fleet_outputs();
     }
 
-    /// Passes an event of the watch to the pacer, and does what follows from it.
+    /// Passes an event of the watch to the scheduler, and does what follows from it.
     pub(super) fn pace_on_watch_event(&mut self, event: WatchEvent) {
         if self.discovery.pacing.on_watch_event(self.now, event) {
             self.update_pacing();
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -68,7 +68,7 @@
         self.watch_timer.is_set()
     }
 
-    /// The time to open the watch has come. Returns whether to open it: none is open, and the pacer does not decide it.
+    /// The time to open the watch has come. Returns whether to open it: none is open, and the poll scheduler does not decide it.
     pub(super) fn on_watch_timer(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
@@ -79,7 +79,7 @@
         self.watch_timer.set(core, Some(at));
     }
 
-    /// The watch, or the call for it, is over. Returns when to open the next one where the pacer does not decide that.
+    /// The watch, or the call for it, is over. Returns when to open the next one where the poll scheduler does not decide that.
     pub(super) fn on_watch_ended(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
