--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher learns of its jobs and shares with the others: how long jobs run, and what tenants have used. The
-//! decision module gets inputs from here and decides itself.
+//! What a dispatcher learns from its jobs and shares with the others: how long jobs run, and how much tenants have used. It
+//! supplies inputs to the decision module, and decides nothing itself.
 
-use super::{FairShareSettings, FleetSettings, ProcessIdentity};
+use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
@@ -13,13 +13,14 @@
 const MAX_FACTS_PER_ROUND: usize = 16;
 /// The ledger counts use in thousandths of a point.
 const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
+const MICROS_PER_MS: Micros = 1_000;
 
 /// What was counted of each learner that is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnersMetrics {
-    /// How long jobs run.
+    /// Run times of jobs.
     pub runtimes: Option<LearnerMetrics>,
-    /// What tenants have used.
+    /// Use by tenants.
     pub shares: Option<LearnerMetrics>,
 }
 
@@ -36,9 +37,9 @@
     pub refused: u64,
 }
 
-/// What jobs that run alike have in common.
+/// The labels of a job by which its run time is learned.
 #[derive(Clone, Copy, Debug)]
-pub struct JobFeatures<'a> {
+pub struct JobLabels<'a> {
     /// The name of its class.
     pub class: &'a str,
     /// The name of its tenant.
@@ -47,8 +48,8 @@
     pub subject: Option<u64>,
 }
 
-impl JobFeatures<'_> {
-    fn likeness(&self) -> Likeness {
+impl JobLabels<'_> {
+    fn features(&self) -> Likeness {
         let hash = |name: &str| number(name.as_bytes());
         Likeness {
             tenant: self.tenant.map(hash),
@@ -58,17 +59,6 @@
     }
 }
 
-/// A fact for the other members.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutgoingFact {
-    /// Which learner owns it.
-    pub kind: u8,
-    /// The slot that it replaces.
-    pub slot: u32,
-    /// Its content, in the learner's own encoding.
-    pub bytes: Vec<u8>,
-}
-
 /// The learners, those that are on.
 #[derive(Default)]
 pub struct Learners {
@@ -92,13 +82,13 @@
         learners
     }
 
-    /// Publishes under another epoch from now on. Reports of use are told apart by their epoch, so the ledger starts empty:
+    /// Publishes under another epoch from now on. Reports of use are distinguished by their epoch, so the ledger starts empty:
     /// what was published before comes back from the others, and is not counted twice. Estimates of run times name their run
     /// themselves and stay.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
         let place = place_of(identity);
         self.shares = self.share_settings.as_ref().and_then(|settings| {
-            let unix_at_zero = (identity.epoch * 1_000).saturating_sub(now);
+            let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
             let config = settings.config(place, identity.peers, identity.epoch, unix_at_zero);
             let ledger = Ledger::new(config, &settings.shares, now);
             crate::invariant!(ledger.is_ok(), "shares that were checked");
@@ -119,7 +109,7 @@
         class: u16,
         points: f64,
     ) -> Option<f64> {
-        // What is measured is the weight: see `Config::new` of the crate.
+        // In millipoints, since the ledger measures use by value and not by work: the default of its `Config::measure`.
         let worth = self.shares.as_mut()?.job_value(
             TenantKey::from_name(tenant?),
             ledger_class(class),
@@ -132,7 +122,7 @@
     /// A job of so many `points` was served, and ran for `runtime`.
     pub fn on_served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, runtime: Micros) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Usage { value: millipoints(points), work: runtime / 1_000 };
+            let used = Usage { value: millipoints(points), work: runtime / MICROS_PER_MS };
             // What has no room is counted there.
             let _ = shares.record(now, now, TenantKey::from_name(tenant), ledger_class(class), used);
         }
@@ -149,16 +139,16 @@
     }
 
     /// How long such a job will run, where that is learned.
-    pub fn estimate(&self, job: &JobFeatures<'_>) -> Option<Estimate> {
-        let work = self.runtimes.as_ref()?.work(&job.likeness());
+    pub fn estimate(&self, job: &JobLabels<'_>) -> Option<Estimate> {
+        let work = self.runtimes.as_ref()?.work(&job.features());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
-    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobFeatures<'_>, worker: &str, kind: &str) {
+    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobLabels<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
             let (worker, kind) = (number(worker.as_bytes()), number(kind.as_bytes()) as u32);
-            runtimes.started(attempt, &job.likeness(), kind, worker, now);
+            runtimes.started(attempt, &job.features(), kind, worker, now);
         }
     }
 
