--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use mothproxy::config::{Config, SseConfig};
-use mothproxy::server::{NetError, Server, StateDir};
+use mothproxy::server::{ListenAddresses, Server, ServerError, StateDir};
 use mothproxy::settings::{self, Settings};
 use mothproxy_store::SyncMode;
 use std::path::PathBuf;
@@ -79,12 +79,12 @@
     log::start(form.map_or(settings.as_ref().is_ok_and(|set| set.json_log), |form| form == Form::Json));
     let settings = settings.map_err(Failure::input)?;
     run(serve, settings).map_err(|error| match error {
-        NetError::Config(_) | NetError::Settings(_) => Failure::input(error),
+        ServerError::Config(_) | ServerError::Settings(_) => Failure::input(error),
         _ => Failure::work(error),
     })
 }
 
-fn run(serve: Serve, settings: Settings) -> Result<(), NetError> {
+fn run(serve: Serve, settings: Settings) -> Result<(), ServerError> {
     let config = Config::load(|name| std::env::var(name).ok())?;
     let sse = match &serve.sse {
         Some(file) => SseConfig::load(file, true)?,
@@ -95,7 +95,7 @@
     let name = config.name.clone();
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let mut server = Server::open(config, sse, folder.as_deref(), state, settings.fleet)?;
-    let (platform, sse, admin) = server.addresses();
+    let ListenAddresses { platform, sse, admin } = server.addresses();
     let shown = |at: Option<std::net::SocketAddr>| at.map_or("off".to_owned(), |at| at.to_string());
     tracing::info!("serving: {name} on {}, SSE {}, control {}", shown(platform), shown(sse), shown(admin));
     server.serve()
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -5,7 +5,7 @@
 use crate::policy::interface::Micros;
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
-use crate::server::connection::{Conn, ReadEnd};
+use crate::server::connection::{Connection, ReadEnd};
 use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
@@ -26,7 +26,7 @@
 
 impl Server {
     pub(in crate::server) fn accept_admin(&mut self) {
-        for _ in 0..crate::server::ACCEPTS {
+        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &self.admin else { return };
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
             let Ok(fd) = rustix::net::accept_with(listener, flags) else { return };
@@ -35,7 +35,7 @@
             {
                 self.close_token(oldest);
             }
-            let conn = Conn::new(TcpStream::from(fd));
+            let conn = Connection::new(TcpStream::from(fd));
             let Some(token) = self.add(conn, |_| Role::Admin(Caller { answered: false })) else { continue };
             self.callers.push_back(token);
             if let Some((mut conn, Role::Admin(caller))) = self.take(token) {
@@ -53,7 +53,7 @@
     pub(in crate::server) fn admin_ready(
         &mut self,
         token: Token,
-        mut conn: Conn,
+        mut conn: Connection,
         mut caller: Caller,
         flags: EventFlags,
     ) {
@@ -62,7 +62,7 @@
             if let Some(answer) = self.admin_call(&conn, end) {
                 conn.outbox.push(answer);
                 caller.answered = true;
-            } else if end != ReadEnd::Dry {
+            } else if end != ReadEnd::WouldBlock {
                 return self.close(token, conn, Role::Admin(caller));
             }
         }
@@ -70,16 +70,16 @@
         if broken || caller.answered && conn.outbox.is_empty() {
             return self.close(token, conn, Role::Admin(caller));
         }
-        self.watch_for(token, &mut conn, !caller.answered);
+        self.update_interest(token, &mut conn, !caller.answered);
         self.put(token, conn, Role::Admin(caller));
     }
 
     /// The answer to what has been read, once it is a whole call or can be none.
-    fn admin_call(&mut self, conn: &Conn, end: ReadEnd) -> Option<Vec<http::Piece>> {
+    fn admin_call(&mut self, conn: &Connection, end: ReadEnd) -> Option<Vec<http::Piece>> {
         let refused = |why: Reject| Some(platform::reject(why, false));
         let head = match http::read_request(&conn.inbox) {
             Ok(Some(head)) => head,
-            Ok(None) if end == ReadEnd::Enough => return refused(Reject::HeadTooLarge),
+            Ok(None) if end == ReadEnd::LimitReached => return refused(Reject::HeadTooLarge),
             Ok(None) => return None,
             Err(error) => return refused(error.into()),
         };
@@ -95,20 +95,22 @@
             return None;
         }
         Some(match admin::route(&conn.inbox, &head) {
-            Ok(AdminCall::Ready) if self.handed => admin::unavailable_page(), // its successor takes them
+            Ok(AdminCall::Ready) if self.has_handed_over() => admin::unavailable_page(), // its successor takes them
             Ok(AdminCall::Ready) => admin::ok_page(),
             Ok(AdminCall::Counters) => admin::counters_page(&self.figures()),
             Ok(AdminCall::Members) => match self.members_page() {
                 Some(page) => admin::members_page(&page),
                 None => platform::reject(Reject::NoSuchPath, false),
             },
-            Ok(AdminCall::OutOfService | AdminCall::InService) if self.handed => admin::unavailable_page(), // that is up to its successor
+            Ok(AdminCall::OutOfService | AdminCall::InService) if self.has_handed_over() => {
+                admin::unavailable_page()
+            } // that is up to its successor
             Ok(AdminCall::OutOfService) => {
-                self.drain(true);
+                self.start_drain();
                 admin::ok_page()
             }
             Ok(AdminCall::InService) => {
-                self.drain(false);
+                self.end_drain();
                 admin::ok_page()
             }
             Err(why) => platform::reject(why, false),
@@ -132,7 +134,7 @@
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             state: self.state_figures(),
-            streams: self.stream_figures(),
+            streams: self.stream_metrics(),
             members: self.members_page(),
             learners: self.core.learners.figures(),
         }
--- /dev/null
+++ b/src/server/budget.rs
@@ -0,0 +1,43 @@
+//! How many connections this process may hold, within the limits of descriptors and memory.
+
+use crate::config::MachineLimits;
+
+/// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
+/// the sockets of a hot restart (2), those of a packet between its processes (4), callers of the admin address (16), calls to
+/// discovery (a watch, the next one and a list), and files that are read (5).
+pub(super) const RESERVED_DESCRIPTORS: usize = 40;
+/// The least number of connections, whatever the limits are.
+const MIN_CONNECTIONS: usize = 16;
+/// Memory of one connection: it may buffer a whole request and a whole response.
+const CONNECTION_BYTES: usize = 2 * 96 * 1024;
+
+/// How many connections there may be. Whatever clients hold, a sixth is left for workers and probes, and a sixth for
+/// callbacks and for telling clients that there is no capacity; discovery has descriptors of its own.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Budget {
+    /// In all.
+    pub connections: usize,
+    /// Client connections beyond this are rejected.
+    pub clients: usize,
+    /// Client connections beyond this are not accepted.
+    pub max_accepted_clients: usize,
+}
+
+impl Budget {
+    /// The budget under these limits, where `reserved` descriptors are used by other things beside
+    /// [`RESERVED_DESCRIPTORS`].
+    pub fn new(limits: MachineLimits, reserved: usize) -> Budget {
+        let by_memory = (limits.memory_mb as usize * 1024 * 1024) / CONNECTION_BYTES;
+        // The system's own limit may be lower than what the configuration allows.
+        let open_files = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+        let sockets = open_files.map_or(limits.sockets, |open| open.min(limits.sockets)) as usize;
+        let by_descriptors = sockets.saturating_sub(RESERVED_DESCRIPTORS + reserved).max(MIN_CONNECTIONS);
+        let connections = by_descriptors.min(by_memory.max(MIN_CONNECTIONS));
+        Budget { connections, clients: connections * 2 / 3, max_accepted_clients: connections * 5 / 6 }
+    }
+
+    /// How many connections may linger at a time: what may be accepted beyond the clients that are served.
+    pub fn lingering(&self) -> usize {
+        self.max_accepted_clients - self.clients
+    }
+}
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -9,17 +9,17 @@
 use std::os::fd::OwnedFd;
 
 /// Pieces handed to one gathered write at most.
-const GATHER: usize = 16;
+const MAX_GATHERED_PIECES: usize = 16;
 /// Bytes read at a time.
-const READ: usize = 16 * 1024;
+const MAX_READ: usize = 16 * 1024;
 
 /// What reading brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
     /// All there was for now.
-    Dry,
+    WouldBlock,
     /// As much as was asked for; there may be more.
-    Enough,
+    LimitReached,
     /// The other side has ended its sending.
     Eof,
     /// The connection broke.
@@ -79,7 +79,7 @@
 
 /// A connection.
 #[derive(Debug)]
-pub struct Conn {
+pub struct Connection {
     /// Its socket.
     pub stream: TcpStream,
     /// What was read and not used yet.
@@ -94,17 +94,24 @@
     pub wrote: bool,
 }
 
-impl Conn {
+impl Connection {
     /// A connection over a socket that does not block. Each is told not to hold small writes back: an accepted one has that
     /// from its listener on some systems only, and a close over unread bytes takes with it what is held back.
-    pub fn new(stream: TcpStream) -> Conn {
+    pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true); // a slower connection is no reason to lose it
         let interest = EventFlags::empty();
-        Conn { stream, inbox: Vec::new(), outbox: Outbox::default(), interest, timer: None, wrote: false }
+        Connection {
+            stream,
+            inbox: Vec::new(),
+            outbox: Outbox::default(),
+            interest,
+            timer: None,
+            wrote: false,
+        }
     }
 
     /// Begins to connect; the socket turns writable once that is settled.
-    pub fn connect(to: SocketAddr) -> Result<Conn, Errno> {
+    pub fn connect(to: SocketAddr) -> Result<Connection, Errno> {
         use rustix::net::{SocketFlags, SocketType, connect, ipproto, socket_with};
         let family = match to {
             SocketAddr::V4(_) => rustix::net::AddressFamily::INET,
@@ -113,7 +120,7 @@
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd: OwnedFd = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
         match connect(&fd, &to) {
-            Ok(()) | Err(Errno::INPROGRESS) => Ok(Conn::new(TcpStream::from(fd))),
+            Ok(()) | Err(Errno::INPROGRESS) => Ok(Connection::new(TcpStream::from(fd))),
             Err(error) => Err(error),
         }
     }
@@ -121,7 +128,7 @@
     /// Writes what it can. False if the connection broke.
     pub fn flush(&mut self) -> bool {
         while !self.outbox.is_empty() {
-            let mut slices = [IoSlice::new(&[]); GATHER];
+            let mut slices = [IoSlice::new(&[]); MAX_GATHERED_PIECES];
             let mut count = 0;
             for (piece, slice) in self.outbox.pieces.iter().zip(&mut slices) {
                 let from = if count == 0 { self.outbox.done } else { 0 };
@@ -149,9 +156,9 @@
             let held = self.inbox.len();
             match self.fill(most) {
                 ReadEnd::Eof | ReadEnd::Broken => return true,
-                ReadEnd::Enough => return false,
-                ReadEnd::Dry if self.inbox.len() == held => return false,
-                ReadEnd::Dry => {} // a short read leaves the end behind it unseen
+                ReadEnd::LimitReached => return false,
+                ReadEnd::WouldBlock if self.inbox.len() == held => return false,
+                ReadEnd::WouldBlock => {} // a short read leaves the end behind it unseen
             }
         }
     }
@@ -160,18 +167,18 @@
     pub fn fill(&mut self, most: usize) -> ReadEnd {
         while self.inbox.len() < most {
             let held = self.inbox.len();
-            let room = (most - held).min(READ);
+            let room = (most - held).min(MAX_READ);
             self.inbox.resize(held + room, 0);
             let read = rustix::io::read(&self.stream, &mut self.inbox[held..]);
             self.inbox.truncate(held + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return ReadEnd::Eof,
-                Ok(read) if read < room => return ReadEnd::Dry,
+                Ok(read) if read < room => return ReadEnd::WouldBlock,
                 Ok(_) | Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return ReadEnd::Dry,
+                Err(Errno::AGAIN) => return ReadEnd::WouldBlock,
                 Err(_) => return ReadEnd::Broken,
             }
         }
-        ReadEnd::Enough
+        ReadEnd::LimitReached
     }
 }
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -10,9 +10,9 @@
 use crate::http::{self, Body, MAX_HEAD};
 use crate::policy::interface::Micros;
 use crate::protocol::platform;
-use crate::server::connection::{Conn, ReadEnd};
+use crate::server::connection::{Connection, ReadEnd};
 use crate::server::discovery::pacing::CallEnd;
-use crate::server::{Role, STALE_TIMER, Server, Token, WATCH_TIMER, WHOLE_TIMER};
+use crate::server::{FULL_LIST_TIMER, Role, STALE_LIST_TIMER, Server, Token, WATCH_TIMER};
 use rustix::event::epoll::EventFlags;
 
 /// The longest object of a watch, or whole list.
@@ -41,7 +41,7 @@
     /// Its watch has told nothing yet.
     Due,
     /// It is asked for.
-    Asked,
+    TakeoverResult,
     /// That failed; it is asked for again soon.
     Again,
 }
@@ -79,9 +79,9 @@
         self.watch_at(at);
         if self.core.endpoints.stale {
             let span = self.lists.clock.revalidate(self.now, newest);
-            self.core.set_timer(span.end, STALE_TIMER);
+            self.core.set_timer(span.end, STALE_LIST_TIMER);
             if span.start > self.now {
-                self.core.set_timer(span.start, STALE_TIMER);
+                self.core.set_timer(span.start, STALE_LIST_TIMER);
                 self.core.use_stale_list();
             }
         }
@@ -96,7 +96,7 @@
         if let Some(from) =
             self.lists.clock.on_predecessor_seen(at.min(self.now)).filter(|from| *from > self.now)
         {
-            self.core.set_timer(from, STALE_TIMER);
+            self.core.set_timer(from, STALE_LIST_TIMER);
             self.core.use_stale_list();
         }
     }
@@ -148,7 +148,7 @@
     /// Asks a new service for its whole list, unless that is known or under way.
     fn ask_whole(&mut self) {
         if self.lists.whole == Whole::Due {
-            self.lists.whole = Whole::Asked;
+            self.lists.whole = Whole::TakeoverResult;
             self.call(false);
         }
     }
@@ -166,7 +166,7 @@
             self.close_token(old);
         }
         let after = watch.then_some(self.core.endpoints.generation);
-        let conn = Conn::connect(self.config.discovery).ok(); // its descriptor is kept for it: see `SPARE_FDS`
+        let conn = Connection::connect(self.config.discovery).ok(); // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
         let token = conn.and_then(|mut conn| {
             conn.outbox.push(platform::discovery_call(after));
             let call = Call {
@@ -177,7 +177,7 @@
                 answered: false,
                 refused: None,
             };
-            self.add(conn, |_| Role::Call(call))
+            self.add(conn, |_| Role::Discovery(call))
         });
         let up_by =
             if watch { self.lists.clock.on_call_started(self.now) } else { self.now + CONNECT_TIMEOUT };
@@ -187,7 +187,7 @@
         }
         if let Some((mut conn, role)) = self.take(token) {
             self.set_timer(token, &mut conn, Some(up_by));
-            self.watch_for(token, &mut conn, true);
+            self.update_interest(token, &mut conn, true);
             self.put(token, conn, role);
         }
     }
@@ -195,7 +195,7 @@
     pub(in crate::server) fn call_ready(
         &mut self,
         token: Token,
-        mut conn: Conn,
+        mut conn: Connection,
         mut call: Call,
         flags: EventFlags,
     ) {
@@ -219,21 +219,26 @@
             let read_some = !conn.inbox.is_empty();
             match self.call_read(token, &mut conn, &mut call) {
                 Ok(false) => {}
-                Ok(true) => return self.close(token, conn, Role::Call(call)),
+                Ok(true) => return self.close(token, conn, Role::Discovery(call)),
                 Err(why) => return self.call_failed(token, conn, call, why),
             }
             match end {
-                ReadEnd::Dry => break,
-                ReadEnd::Enough if read_some => {}
+                ReadEnd::WouldBlock => break,
+                ReadEnd::LimitReached if read_some => {}
                 _ => return self.call_failed(token, conn, call, "ended"),
             }
         }
-        self.watch_for(token, &mut conn, true);
-        self.put(token, conn, Role::Call(call));
+        self.update_interest(token, &mut conn, true);
+        self.put(token, conn, Role::Discovery(call));
     }
 
     /// Uses what was read; true once the call has done its work.
-    fn call_read(&mut self, token: Token, conn: &mut Conn, call: &mut Call) -> Result<bool, &'static str> {
+    fn call_read(
+        &mut self,
+        token: Token,
+        conn: &mut Connection,
+        call: &mut Call,
+    ) -> Result<bool, &'static str> {
         if call.body.is_none() {
             match http::read_response(&conn.inbox) {
                 Ok(None) => return Ok(false),
@@ -337,23 +342,23 @@
         Ok(())
     }
 
-    pub(in crate::server) fn call_failed(&mut self, token: Token, conn: Conn, call: Call, why: &str) {
+    pub(in crate::server) fn call_failed(&mut self, token: Token, conn: Connection, call: Call, why: &str) {
         self.log_failed(&call, why);
         if !call.watch || self.lists.watch.take_if(|watch| *watch == token).is_some() {
             let end = if call.connecting { CallEnd::Unreachable } else { CallEnd::Failed };
             self.watch_over(call.watch, call.refused.map_or(end, CallEnd::Refused));
         }
-        self.close(token, conn, Role::Call(call));
+        self.close(token, conn, Role::Discovery(call));
     }
 
     /// A call that has said nothing for too long.
-    pub(in crate::server) fn call_due(&mut self, token: Token, mut conn: Conn, mut call: Call) {
+    pub(in crate::server) fn call_due(&mut self, token: Token, mut conn: Connection, mut call: Call) {
         // After a long turn what it has said may be here, unread.
         if !call.connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.call_read(token, &mut conn, &mut call) {
                 Ok(false) if conn.timer.is_none() => {}
-                Ok(false) => return self.put(token, conn, Role::Call(call)),
-                Ok(true) => return self.close(token, conn, Role::Call(call)),
+                Ok(false) => return self.put(token, conn, Role::Discovery(call)),
+                Ok(true) => return self.close(token, conn, Role::Discovery(call)),
                 Err(why) => return self.call_failed(token, conn, call, why),
             }
         }
@@ -362,7 +367,7 @@
         }
         self.log_failed(&call, if call.answered { "fell silent" } else { "no answer in time" });
         let end = if call.connecting { CallEnd::Unreachable } else { CallEnd::Silent };
-        self.close(token, conn, Role::Call(call));
+        self.close(token, conn, Role::Discovery(call));
         self.watch_over(true, end);
     }
 
@@ -390,9 +395,9 @@
                 (again, false) => self.watch_at(again),
             }
             self.check_stale();
-        } else if self.lists.whole == Whole::Asked {
+        } else if self.lists.whole == Whole::TakeoverResult {
             self.lists.whole = Whole::Again;
-            self.core.set_timer(self.lists.clock.on_full_list_failed(self.now), WHOLE_TIMER);
+            self.core.set_timer(self.lists.clock.on_full_list_failed(self.now), FULL_LIST_TIMER);
         } else {
             self.core.on_list_failed();
         }
@@ -404,9 +409,10 @@
         let at = self.lists.clock.on_discovery_moved(self.now);
         self.watch_at(at);
         self.ask_moved();
-        for slot in 0..self.slots.len() {
-            if let Some((_, Role::Call(_))) = self.slots[slot].held {
-                self.close_token(Token::new(slot, self.slots[slot].used));
+        for slot in 0..self.connections.slot_count() {
+            let token = self.connections.token_at(slot);
+            if let Some((_, Role::Discovery(_))) = self.connections.get(token) {
+                self.close_token(token);
             }
         }
         self.lists.whole = Whole::Due;
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::fleet::FleetSettings;
 use crate::policy::interface::Micros;
-use crate::server::{ASK_TIMER, Server};
+use crate::server::{POLL_TIMER, Server};
 use mothproxy_coldstart::pacer::{Config as Pace, Event, Pacer};
 use mothproxy_coldstart::{Findings, KIND, Origin};
 use mothproxy_membership::{Change, OwnedFact, State};
@@ -93,10 +93,10 @@
             return;
         }
         if let Some(old) = self.ask.timer.take() {
-            self.core.cancel_timer(old, ASK_TIMER);
+            self.core.cancel_timer(old, POLL_TIMER);
         }
         if let Some(at) = wake {
-            self.core.set_timer(at, ASK_TIMER);
+            self.core.set_timer(at, POLL_TIMER);
         }
         self.ask.timer = wake;
     }
--- /dev/null
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -0,0 +1,104 @@
+//! Jobs on their way from one process to its successor.
+
+use crate::core::{FinalResponse, RequestId};
+use crate::protocol::platform::RawRequest;
+use crate::protocol::watch;
+use crate::server::Server;
+use crate::server::connection_table::Role;
+use crate::server::downstream::ClientState;
+use crate::server::downstream::event_streams::JOB_FLAG;
+use crate::server::downstream::event_streams::watchers::RECONNECT_DELAY;
+use crate::server::transferred::{TransferredExchange, TransferredJob};
+use mothproxy_streams::{JobId, WatcherId};
+
+/// A job that has left this process's core and relay.
+pub(in crate::server) struct ReleasedJob {
+    /// What goes to the successor.
+    pub job: TransferredJob,
+    /// Its request, whose bytes go too, and the number that this had here.
+    pub raw: Option<RawRequest>,
+    pub request_id: Option<RequestId>,
+}
+
+impl Server {
+    /// All jobs.
+    pub(in crate::server) fn stream_jobs(&self) -> Vec<JobId> {
+        self.event_streams.as_ref().map_or(Vec::new(), |streams| streams.relay.jobs())
+    }
+
+    /// Takes a job out of this process, and has its watchers come back at the successor. `None` where it cannot go yet.
+    pub(in crate::server) fn release_job(&mut self, job: JobId) -> Option<ReleasedJob> {
+        let request_id = self.event_streams.as_ref()?.requests.get(&job).copied();
+        let mut raw = None;
+        let mut exchange = None;
+        if let Some(request_id) = request_id {
+            if self.upstream.has_attempt_of(request_id) {
+                return None; // its 202 is still to come
+            }
+            let request = self.pending.get(request_id).cloned()?;
+            let transferred = self.core.transfer(request_id)?;
+            exchange = Some(TransferredExchange {
+                has_broken_attempt: self.pending.has_broken_attempt(request_id),
+                ..TransferredExchange::new(transferred, &request)
+            });
+            raw = Some(request);
+        }
+        self.end_job_streams(job);
+        let streams = self.event_streams.as_mut()?;
+        let carried = streams.relay.carry(job)?;
+        streams.requests.remove(&job);
+        let job = TransferredJob { job: carried, request: exchange };
+        Some(ReleasedJob { job, raw, request_id })
+    }
+
+    /// Ends the streams of a job's watchers in an orderly way.
+    fn end_job_streams(&mut self, job: JobId) {
+        let Some(streams) = &self.event_streams else { return };
+        for watcher in streams.relay.watchers_of(job) {
+            self.end_stream(watcher);
+        }
+    }
+
+    fn end_stream(&mut self, watcher: WatcherId) {
+        let token = self.event_streams.as_ref().and_then(|streams| streams.tokens.get(&watcher).copied());
+        match token.and_then(|token| Some((token, self.take(token)?))) {
+            Some((token, (mut connection, Role::Client(mut client)))) => {
+                if let ClientState::Watching(stream) = &client.state {
+                    connection.outbox.push(watch::retry(stream.frame, RECONNECT_DELAY));
+                    connection.outbox.push(stream.frame.end());
+                }
+                client.state = ClientState::Closing;
+                self.on_watcher_disconnected(watcher);
+                self.advance_client(token, connection, client);
+            }
+            Some((token, (connection, role))) => self.put(token, connection, role),
+            None => self.on_watcher_disconnected(watcher),
+        }
+    }
+
+    /// Takes over a job that the predecessor hands over, or takes one back that could not go.
+    pub(in crate::server) fn adopt_job(&mut self, transferred: TransferredJob, raw: Option<RawRequest>) {
+        let Some(streams) = &mut self.event_streams else {
+            self.metrics.rejects += 1;
+            return;
+        };
+        let Some(job) = streams.relay.receive(self.now, transferred.job) else { return };
+        if let Some((exchange, raw)) = transferred.request.zip(raw) {
+            self.forget_in_peer_process(&exchange.request.name);
+            match self.core.adopt(exchange.request, JOB_FLAG | job) {
+                Some(request_id) => {
+                    if let Some(streams) = &mut self.event_streams {
+                        streams.requests.insert(job, request_id);
+                    }
+                    self.pending.insert(request_id, raw);
+                    if exchange.has_broken_attempt {
+                        self.pending.record_broken_attempt(request_id);
+                    }
+                }
+                // Nothing here could serve it: its watchers are told so at once.
+                None => self.finish_job(job, FinalResponse::Failed),
+            }
+        }
+        self.schedule_stream_sweep();
+    }
+}
--- /dev/null
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -0,0 +1,243 @@
+//! Connections on which a job is watched: their requests, and the events that are written on them.
+
+use crate::http::Piece;
+use crate::policy::interface::Micros;
+use crate::protocol::platform::RawRequest;
+use crate::protocol::watch::{self, Frame, Wanted};
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::event_streams::{EncodedEvent, EventStreams};
+use crate::server::downstream::{ClientConnection, ClientState, StreamWatch};
+use crate::server::tokens::Token;
+use mothproxy_streams::{Denied, Effect, JobEvent, JobId, Next, WatcherId};
+use std::rc::Rc;
+
+/// A watcher's connection is given more once it has less than this left to write, in bytes.
+const MAX_STREAM_BACKLOG: usize = 2 * 1024;
+/// When a client that loses its stream is to come back: usually, under load, and while this process drains.
+pub(super) const RECONNECT_DELAY: Micros = 500_000;
+const RECONNECT_DELAY_LOADED: Micros = 2_000_000;
+const RECONNECT_DELAY_DRAINING: Micros = 3_000_000;
+
+/// How a request of the streams is answered.
+struct StreamRequest {
+    /// The fields for pages of other origins.
+    cors: String,
+    /// `HEAD` wants no body.
+    has_body: bool,
+    keep_alive: bool,
+    frame: Frame,
+}
+
+impl StreamRequest {
+    /// The answer to a client that may not watch the job.
+    fn refusal(&self, why: &Denied) -> Vec<Piece> {
+        let (cors, keep_alive, body) = (&self.cors, self.keep_alive, self.has_body);
+        match why {
+            Denied::Unknown => {
+                watch::plain("403 Forbidden", cors, "no such stream for this token", keep_alive, body)
+            }
+            Denied::Over => watch::plain("204 No Content", cors, "", keep_alive, false),
+            Denied::TooManyStreams | Denied::Full => {
+                let extra = format!("Retry-After: 2\r\n{cors}");
+                watch::plain("429 Too Many Requests", &extra, "too many streams", keep_alive, body)
+            }
+        }
+    }
+
+    fn not_acceptable(&self) -> Vec<Piece> {
+        let text = "it comes as text/event-stream only";
+        watch::plain("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
+    }
+}
+
+impl EventStreams {
+    /// Opens a watcher. An id or token that cannot be read is as wrong as any other.
+    fn open_watcher(&mut self, wanted: &Wanted) -> Result<WatcherId, Denied> {
+        let (public_id, secret) = wanted.public.zip(wanted.token).ok_or(Denied::Unknown)?;
+        self.relay.watch(public_id, secret, wanted.after)
+    }
+
+    /// What comes next for a watcher, as it is written.
+    fn next_for(&mut self, watcher: WatcherId, frame: Frame) -> NextPieces {
+        match self.relay.pull(watcher) {
+            Next::Nothing => NextPieces::Nothing,
+            Next::Missed(count) => NextPieces::More(watch::missed(frame, count)),
+            Next::Event { job, event, last } => {
+                let bytes = encode(&mut self.last_encoded, job, event, frame);
+                let piece = Piece::Part(bytes.clone(), 0..bytes.len());
+                if last { NextPieces::Last(piece) } else { NextPieces::More(vec![piece]) }
+            }
+        }
+    }
+}
+
+/// What comes next for a watcher.
+enum NextPieces {
+    Nothing,
+    More(Vec<Piece>),
+    /// The final event.
+    Last(Piece),
+}
+
+/// An event's bytes: those of `last` if it is the same event, else new ones that are kept there.
+fn encode(last: &mut Option<EncodedEvent>, job: JobId, event: &JobEvent, frame: Frame) -> Rc<Vec<u8>> {
+    let is_same = |known: &EncodedEvent| (known.job, known.event_id, known.frame) == (job, event.id, frame);
+    if let Some(known) = last.as_ref().filter(|known| is_same(known)) {
+        return known.bytes.clone();
+    }
+    let bytes = watch::event(frame, event);
+    *last = Some(EncodedEvent { job, event_id: event.id, frame, bytes: bytes.clone() });
+    bytes
+}
+
+impl Server {
+    /// A request at a job's path, or a preflight. False where it is neither.
+    pub(in crate::server::downstream) fn on_stream_request(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+        raw: &RawRequest,
+        keep_alive: bool,
+    ) -> bool {
+        let Some(streams) = &mut self.event_streams else { return false };
+        let cors = watch::cors(raw, &streams.origins);
+        let method = &raw.bytes[raw.head.method.clone()];
+        if method == b"OPTIONS" {
+            connection.outbox.push(watch::preflight(&cors, keep_alive));
+            return true;
+        }
+        let Some(wanted) = watch::wanted(raw) else { return false };
+        if method != b"GET" && method != b"HEAD" {
+            connection.outbox.push(watch::wrong_method(keep_alive));
+            return true;
+        }
+        let has_body = method == b"GET";
+        let frame = if watch::is_old(raw) { Frame::Plain } else { Frame::Chunked };
+        let request = StreamRequest { cors, has_body, keep_alive, frame };
+        if !watch::takes_streams(raw) {
+            connection.outbox.push(request.not_acceptable());
+            return true;
+        }
+        match streams.open_watcher(&wanted) {
+            Ok(watcher) => self.start_stream(token, connection, client, watcher, &request),
+            Err(why) => connection.outbox.push(request.refusal(&why)),
+        }
+        true
+    }
+
+    /// Begins the stream of a watcher that the relay has opened.
+    fn start_stream(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+        watcher: WatcherId,
+        request: &StreamRequest,
+    ) {
+        let reconnect_delay = self.reconnect_delay();
+        let Some(streams) = &mut self.event_streams else { return };
+        let frame = request.frame;
+        let keep_alive = request.keep_alive && frame == Frame::Chunked;
+        connection.outbox.push(watch::stream_head(frame, &request.cors, keep_alive));
+        if !request.has_body {
+            streams.relay.leave(self.now, watcher);
+            return;
+        }
+        streams.tokens.insert(watcher, token);
+        connection.outbox.push(watch::retry(frame, reconnect_delay));
+        client.state =
+            ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: self.now });
+    }
+
+    /// How long a client that loses its stream now should stay away.
+    fn reconnect_delay(&self) -> Micros {
+        if self.is_draining() || self.has_handed_over() {
+            RECONNECT_DELAY_DRAINING
+        } else if self.connections.clients() * 4 >= self.budget.clients * 3 {
+            RECONNECT_DELAY_LOADED
+        } else {
+            RECONNECT_DELAY
+        }
+    }
+
+    /// Gives a watcher's connection what comes next, as much as it can write soon.
+    pub(in crate::server::downstream) fn fill_stream(
+        &mut self,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+    ) {
+        let ClientState::Watching(stream) = &mut client.state else { return };
+        let Some(streams) = &mut self.event_streams else { return };
+        while connection.outbox.len() < MAX_STREAM_BACKLOG {
+            match streams.next_for(stream.watcher, stream.frame) {
+                NextPieces::Nothing => return,
+                NextPieces::More(pieces) => connection.outbox.push(pieces),
+                NextPieces::Last(piece) => {
+                    connection.outbox.push(vec![piece]);
+                    connection.outbox.push(stream.frame.end());
+                    streams.relay.leave(self.now, stream.watcher);
+                    streams.tokens.remove(&stream.watcher);
+                    let keep_alive = stream.keep_alive;
+                    return client.finish_response(keep_alive);
+                }
+            }
+            stream.last_write = self.now;
+        }
+    }
+
+    /// Whether a watcher could be given more at once.
+    pub(in crate::server::downstream) fn has_stream_events(&self, client: &ClientConnection) -> bool {
+        let ClientState::Watching(stream) = &client.state else { return false };
+        self.event_streams.as_ref().is_some_and(|streams| streams.relay.has_more(stream.watcher))
+    }
+
+    /// A watcher's connection is over.
+    pub(in crate::server::downstream) fn on_watcher_disconnected(&mut self, watcher: WatcherId) {
+        let now = self.now;
+        if let Some(streams) = &mut self.event_streams {
+            streams.tokens.remove(&watcher);
+            streams.relay.leave(now, watcher);
+            self.schedule_stream_sweep();
+        }
+    }
+
+    /// Once a turn: a watcher whose job got on several times meanwhile is woken once, and pulls the newest progress.
+    pub(in crate::server) fn run_stream_effects(&mut self) {
+        let Some(streams) = &mut self.event_streams else { return };
+        if streams.effects.is_empty() {
+            return;
+        }
+        let mut effects = std::mem::take(&mut streams.effects);
+        effects.sort_unstable();
+        effects.dedup();
+        for effect in effects {
+            match effect {
+                Effect::Wake(watcher) => self.wake_watcher(watcher),
+                Effect::End(job) => self.cancel_job(job),
+            }
+        }
+    }
+
+    fn wake_watcher(&mut self, watcher: WatcherId) {
+        let token = self.event_streams.as_ref().and_then(|streams| streams.tokens.get(&watcher).copied());
+        let Some(token) = token else { return };
+        match self.take(token) {
+            Some((connection, Role::Client(client))) => self.advance_client(token, connection, client),
+            Some((connection, role)) => self.put(token, connection, role),
+            None => {} // in use right now: it pulls before it is put back
+        }
+    }
+
+    /// Cancels a job that nobody watches and that is not to go on without.
+    fn cancel_job(&mut self, job: JobId) {
+        let Some(streams) = &mut self.event_streams else { return };
+        if let Some(request_id) = streams.requests.remove(&job) {
+            streams.relay.carry(job); // nobody can ask for it any more
+            self.pending.remove(request_id);
+            self.core.client_disconnected(self.now, request_id);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/downstream/idle.rs
@@ -0,0 +1,166 @@
+//! Closing connections of clients that are idle or silent, where others need their descriptors.
+//!
+//! A request that a close crosses is sent once more by its client; a new client would count a refusal. So connections that
+//! have served give way before a new one is refused, and those that never asked for anything give way first of all.
+
+use crate::policy::interface::Micros;
+use crate::protocol::platform::Reject;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::{ClientConnection, TimedToken};
+use crate::server::tokens::Token;
+use rustix::event::epoll::EventFlags;
+use std::io::ErrorKind;
+
+/// A connection that has been idle for less than this may have its request on the way.
+pub(in crate::server) const MIN_IDLE_BEFORE_CLOSE: Micros = 30_000;
+/// A connection that has sent no whole request, and has been silent for this long, gives way to others ...
+pub(in crate::server) const SILENT_GRACE: Micros = 300_000;
+/// ... but if it has sent a part of a request, only after idle ones, until it has been silent for this long. Usual clients
+/// that write slowly go on writing; those that stop half way do not.
+pub(in crate::server) const PARTIAL_REQUEST_GRACE: Micros = 1_000_000;
+
+impl Server {
+    /// Connections of clients whose end has not begun.
+    pub(in crate::server) fn active_clients(&self) -> usize {
+        self.connections.clients() - self.clients.lingering.len()
+    }
+
+    /// Whether the connections of clients keep within their budget, once those that wait for nothing are closed.
+    pub(super) fn ensure_client_capacity(&mut self) -> bool {
+        while self.active_clients() > self.budget.clients {
+            // A whole request outranks a connection that may have one on its way.
+            if !self.close_any_idle_client(0) {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Closes a connection of a client to make room: one that is silent, one that has been idle for `min_idle`, or a half
+    /// request. False where there is none.
+    pub(super) fn close_any_idle_client(&mut self, min_idle: Micros) -> bool {
+        self.close_silent_client(PARTIAL_REQUEST_GRACE)
+            || self.close_oldest_served_client(min_idle)
+            || self.close_oldest_idle_client(min_idle)
+            || self.close_silent_client(SILENT_GRACE)
+    }
+
+    /// Ends an idle connection, unless a request has arrived on it that was not read yet: that one is taken.
+    pub(in crate::server) fn close_idle_client(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+    ) -> bool {
+        match connection.stream.peek(&mut [0]) {
+            Ok(read) if read > 0 => {
+                self.on_client_ready(token, connection, client, EventFlags::IN);
+                return false;
+            }
+            // What comes from now on crosses the end.
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                self.half_close_client(token, &mut connection, &mut client);
+                self.put(token, connection, Role::Client(client));
+            }
+            // Its client has ended it.
+            _ => {
+                self.clients.untrack(token, &mut client);
+                self.on_client_closed(token, connection, client);
+            }
+        }
+        true
+    }
+
+    /// Closes the connection of a client that has been idle for longest, and for at least so long, of those that have
+    /// been served: a request that the close crosses is sent once more, while a new client would count it as refused.
+    pub(in crate::server) fn close_oldest_served_client(&mut self, min_idle: Micros) -> bool {
+        while let Some(token) = self.oldest_served_client(min_idle) {
+            match self.take(token) {
+                Some((connection, Role::Client(client))) => {
+                    if self.close_idle_client(token, connection, client) {
+                        return true;
+                    }
+                }
+                Some((connection, role)) => self.put(token, connection, role),
+                None => return false,
+            }
+        }
+        false
+    }
+
+    fn oldest_served_client(&self, min_idle: Micros) -> Option<Token> {
+        let mut idle = self.clients.idle.iter().take_while(|(since, _)| since + min_idle <= self.now);
+        let served = idle.find(|(_, token)| {
+            let entry = self.connections.get(*token);
+            matches!(entry, Some((_, Role::Client(client))) if !client.is_awaiting_request())
+        });
+        served.map(|(_, token)| *token)
+    }
+
+    /// Closes the connection of a client that has been idle for longest, and for at least so long.
+    pub(in crate::server) fn close_oldest_idle_client(&mut self, min_idle: Micros) -> bool {
+        while let Some((since, token)) = self.clients.idle.first().copied() {
+            if since + min_idle > self.now {
+                return false; // nor is any other that came later
+            }
+            if let Some((connection, Role::Client(client))) = self.take(token) {
+                if self.close_idle_client(token, connection, client) {
+                    return true;
+                }
+            } else {
+                crate::invariant!(false, "an idle connection that is none");
+                self.clients.idle.pop_first();
+            }
+        }
+        false
+    }
+
+    /// Closes the connection that has been silent for longest of those that have had their time to ask: with a part of a
+    /// request that is `partial_grace`.
+    pub(in crate::server) fn close_silent_client(&mut self, partial_grace: Micros) -> bool {
+        let silent = self.clients.awaiting_request.iter();
+        let silent = silent.take_while(|(last_read, _)| last_read + SILENT_GRACE <= self.now);
+        let silent: Vec<TimedToken> = silent.copied().collect();
+        for (last_read, token) in silent {
+            // Closed, or in use right now; in the first case it is not in the set any more.
+            let Some((connection, role)) = self.take(token) else { continue };
+            let Role::Client(client) = role else {
+                crate::invariant!(false, "a connection that asked for nothing is none of a frontend's");
+                self.put(token, connection, role);
+                self.clients.awaiting_request.remove(&(last_read, token));
+                continue;
+            };
+            let is_partial_grace_over = last_read + partial_grace <= self.now;
+            if self.close_if_silent(token, connection, client, is_partial_grace_over) {
+                return true;
+            }
+        }
+        false
+    }
+
+    fn close_if_silent(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+        is_partial_grace_over: bool,
+    ) -> bool {
+        if client.idle_since.is_some() {
+            return self.close_idle_client(token, connection, client);
+        }
+        if !is_partial_grace_over {
+            self.put(token, connection, Role::Client(client));
+            return false;
+        }
+        if client.is_ending() {
+            self.on_client_closed(token, connection, client);
+        } else {
+            // What comes of the rest of its request is not taken, and its client is told that it may try again.
+            self.reject(&mut connection, &mut client, Reject::Overloaded);
+            self.finish_client_event(token, connection, client);
+        }
+        true
+    }
+}
--- /dev/null
+++ b/src/server/downstream/read.rs
@@ -0,0 +1,382 @@
+//! What comes on a client's connection, and what is awaited on it next.
+
+use crate::core::RequestId;
+use crate::http::{self, Chunked, Framing, MAX_BODY, Piece};
+use crate::policy::interface::Micros;
+use crate::protocol::platform::{RawRequest, Reject};
+use crate::protocol::{sse, watch};
+use crate::server::Server;
+use crate::server::connection::{Connection, ReadEnd};
+use crate::server::connection_table::Role;
+use crate::server::downstream::client::ChunkedRequest;
+use crate::server::downstream::event_streams::JOB_FLAG;
+use crate::server::downstream::{ClientConnection, ClientState, MAX_INBOX};
+use crate::server::tokens::Token;
+use rustix::event::epoll::EventFlags;
+use std::rc::Rc;
+
+/// A client that sends what cannot be read, or nothing, is owed an error or a close within 3 s of connecting. Its
+/// first request must be complete this long after it connected, later ones this long after their first byte.
+const REQUEST_TIMEOUT: Micros = 2_500_000;
+/// An idle connection is closed after this.
+const IDLE_TIMEOUT: Micros = 120_000_000;
+/// A client that reads nothing of a finished response for this long is given up: it is owed a close within 3 s as well.
+const WRITE_STALL_TIMEOUT: Micros = 2_500_000;
+/// No more requests of a client are read while it has this many bytes of its responses left to read.
+const MAX_UNREAD_RESPONSES: usize = 16 * 1024;
+/// What says that the other side of a connection has ended it.
+const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
+
+/// What a step of [`Server::advance_client`] has come to.
+enum Progress {
+    /// There may be more to do.
+    Continue,
+    /// Nothing more can be done for now.
+    Wait,
+    /// The connection is broken.
+    Broken,
+}
+
+impl Server {
+    /// A connection of a client can be read or written, or its client has ended it.
+    pub(in crate::server) fn on_client_ready(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+        flags: EventFlags,
+    ) {
+        if self.clients.untrack_idle(token, &mut client) {
+            self.set_timer(token, &mut connection, None); // what comes now has a time of its own
+        }
+        if flags.contains(EventFlags::OUT) && !connection.flush() {
+            return self.on_client_closed(token, connection, client);
+        }
+        let mut has_ended = false;
+        if flags.intersects(EventFlags::IN | HANGUP) {
+            let length_before = connection.inbox.len();
+            let end = connection.fill(MAX_INBOX);
+            if connection.inbox.len() > length_before {
+                self.clients.on_bytes_read(token, &mut client, self.now);
+            }
+            match end {
+                ReadEnd::WouldBlock => has_ended = flags.intersects(HANGUP),
+                ReadEnd::LimitReached
+                    if client.is_awaiting_response() || connection.outbox.len() >= MAX_UNREAD_RESPONSES =>
+                {
+                    self.metrics.rejects += 1;
+                    return self.on_client_closed(token, connection, client);
+                }
+                ReadEnd::LimitReached => {}
+                // What it had asked for is asked for no more.
+                ReadEnd::Eof | ReadEnd::Broken => return self.on_client_closed(token, connection, client),
+            }
+        }
+        self.advance_client(token, connection, client);
+        // A short read shows no end behind it. What came before the end is used; no attempt may begin for it.
+        if has_ended && let Some((connection, role)) = self.take(token) {
+            match role {
+                Role::Client(client) => self.on_client_closed(token, connection, client),
+                role => self.put(token, connection, role),
+            }
+        }
+    }
+
+    /// Where a client has disconnected, as these flags say, that counts before what other connections bring.
+    pub(in crate::server) fn on_client_hangup(&mut self, token: Token, flags: EventFlags) {
+        if flags.intersects(HANGUP) && matches!(self.connections.get(token), Some((_, Role::Client(_)))) {
+            self.on_ready(token, flags);
+        }
+    }
+
+    /// Reads a connection to see whether the client that awaits a response on it has disconnected; if so, its request is
+    /// cancelled.
+    pub(in crate::server) fn close_if_disconnected(&mut self, token: Token) -> bool {
+        let Some((mut connection, role)) = self.take(token) else { return false };
+        match role {
+            Role::Client(client) if client.is_awaiting_response() => {
+                let has_ended = connection.has_ended(MAX_INBOX);
+                if has_ended {
+                    self.on_client_closed(token, connection, client);
+                } else {
+                    self.put(token, connection, Role::Client(client));
+                }
+                has_ended
+            }
+            role => {
+                self.put(token, connection, role);
+                false
+            }
+        }
+    }
+
+    /// Whether the client of a request has disconnected, as reading its connection shows; nothing more is sent for it then.
+    pub(in crate::server) fn is_client_disconnected(&mut self, request_id: RequestId) -> bool {
+        let downstream = self.core.downstream(request_id).filter(|downstream| downstream & JOB_FLAG == 0);
+        downstream.is_some_and(|token| self.close_if_disconnected(Token(token)))
+            || !self.pending.contains(request_id)
+    }
+
+    /// Uses what was read, writes what is there to write, and sets what to wait for.
+    pub(in crate::server) fn advance_client(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+    ) {
+        loop {
+            let progress = match &client.state {
+                ClientState::Closing | ClientState::Lingering { .. } => {
+                    connection.inbox.clear();
+                    Progress::Wait
+                }
+                ClientState::AwaitingResponse { .. } => Progress::Wait,
+                ClientState::Watching(_) => self.write_events(token, &mut connection, &mut client),
+                ClientState::Reading => self.read_request(token, &mut connection, &mut client),
+                ClientState::ReadingChunks(_) => self.read_chunks(token, &mut connection, &mut client),
+            };
+            match progress {
+                Progress::Continue => {}
+                Progress::Wait => break,
+                Progress::Broken => return self.on_client_closed(token, connection, client),
+            }
+        }
+        self.finish_client_event(token, connection, client);
+    }
+
+    /// Writes the events of the job that a client watches.
+    fn write_events(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+    ) -> Progress {
+        self.fill_stream(connection, client);
+        // What the socket takes at once makes room for more.
+        if !connection.flush() {
+            return Progress::Broken;
+        }
+        if !client.is_watching() {
+            self.set_timer(token, connection, None); // it was the heartbeat's
+            return Progress::Wait;
+        }
+        if connection.outbox.is_empty() && self.has_stream_events(client) {
+            Progress::Continue
+        } else {
+            Progress::Wait
+        }
+    }
+
+    /// Reads a request's head, and its body where that has a length.
+    fn read_request(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+    ) -> Progress {
+        if connection.inbox.is_empty() || self.has_handed_over() {
+            return Progress::Wait;
+        }
+        if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
+            return match connection.flush() {
+                false => Progress::Broken,
+                true if connection.outbox.len() >= MAX_UNREAD_RESPONSES => Progress::Wait,
+                true => Progress::Continue,
+            };
+        }
+        let head = match http::read_request(&connection.inbox) {
+            Ok(None) => return Progress::Wait,
+            Ok(Some(head)) => head,
+            Err(error) => {
+                self.reject(connection, client, error.into());
+                return Progress::Continue;
+            }
+        };
+        // Once the body has begun, nobody waits for this.
+        let is_body_awaited = connection.inbox.len() == head.len;
+        if is_body_awaited && head.fields.lists(&connection.inbox, "expect", "100-continue") {
+            connection.outbox.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
+        }
+        let length = match head.framing {
+            Framing::Length(length) => head.len + length,
+            Framing::Chunked => {
+                let bytes = split_front(&mut connection.inbox, head.len);
+                let (decoder, body) = (Chunked::default(), Vec::new());
+                client.state = ClientState::ReadingChunks(ChunkedRequest { bytes, head, decoder, body });
+                return Progress::Continue;
+            }
+            Framing::Absent => head.len,
+        };
+        if connection.inbox.len() < length {
+            return Progress::Wait;
+        }
+        let bytes = split_front(&mut connection.inbox, length);
+        let body = Piece::Part(bytes.clone(), head.len..length);
+        self.on_request(token, connection, client, RawRequest { bytes, head, body });
+        Progress::Continue
+    }
+
+    /// Reads more of a chunked body.
+    fn read_chunks(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+    ) -> Progress {
+        let ClientState::ReadingChunks(request) = &mut client.state else { return Progress::Continue };
+        match request.decoder.decode(&connection.inbox, &mut request.body) {
+            Err(_) => self.reject(connection, client, Reject::BadRequest),
+            Ok(_) if request.body.len() > MAX_BODY => self.reject(connection, client, Reject::BodyTooLarge),
+            Ok(used) => {
+                connection.inbox.drain(..used);
+                if !request.decoder.is_done() {
+                    return Progress::Wait;
+                }
+                let state = std::mem::replace(&mut client.state, ClientState::Reading);
+                if let ClientState::ReadingChunks(ChunkedRequest { bytes, head, body, .. }) = state {
+                    let raw = RawRequest { bytes, head, body: Piece::Made(body) };
+                    self.on_request(token, connection, client, raw);
+                }
+            }
+        }
+        Progress::Continue
+    }
+
+    /// Ends the handling of an event: writes what is there to write, sets the deadline and what epoll watches for, and puts
+    /// the connection back.
+    pub(in crate::server) fn finish_client_event(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+    ) {
+        if !connection.flush() {
+            return self.on_client_closed(token, connection, client);
+        }
+        let is_written = connection.outbox.is_empty();
+        if matches!(client.state, ClientState::Closing) && is_written {
+            self.half_close_client(token, &mut connection, &mut client);
+        }
+        let has_partial_request = match client.state {
+            ClientState::Reading => !connection.inbox.is_empty(),
+            ClientState::ReadingChunks(_) => true,
+            _ => false,
+        };
+        if has_partial_request && is_written && !client.is_awaiting_request() {
+            // A later request has begun: it has as long as a first one, and gives way like it.
+            client.awaiting_request_since = Some(self.now);
+            client.last_read = self.now;
+            self.clients.track_awaiting_request(token, &client);
+        }
+        let deadline = self.client_deadline(&mut connection, &client);
+        if deadline != connection.timer {
+            self.set_timer(token, &mut connection, deadline);
+        }
+        if client.is_reading() && connection.inbox.is_empty() && is_written {
+            self.clients.track_idle(token, &mut client, self.now);
+        }
+        let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
+        self.update_interest(token, &mut connection, can_read);
+        self.put(token, connection, Role::Client(client));
+    }
+
+    /// When a connection is to be handled again at the latest.
+    fn client_deadline(&self, connection: &mut Connection, client: &ClientConnection) -> Option<Micros> {
+        let has_progressed = std::mem::take(&mut connection.wrote);
+        let stall_deadline = connection.timer.filter(|_| !has_progressed);
+        let heartbeat = self.listeners.heartbeat();
+        match &client.state {
+            ClientState::Lingering { .. } => connection.timer,
+            ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
+                Some(client.awaiting_request_since.unwrap_or(self.now) + REQUEST_TIMEOUT)
+            }
+            ClientState::Reading if connection.outbox.is_empty() => Some(self.now + IDLE_TIMEOUT),
+            ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
+                Some(stall_deadline.unwrap_or(self.now + WRITE_STALL_TIMEOUT))
+            }
+            ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
+                Some(stream.last_write + heartbeat)
+            }
+            // Set anew only once it is due: an event more does not move it.
+            ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
+            ClientState::AwaitingResponse { .. } => None,
+        }
+    }
+
+    /// The deadline of a connection has come.
+    pub(in crate::server) fn on_client_timer(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut client: ClientConnection,
+    ) {
+        if client.idle_since.is_some() {
+            self.close_idle_client(token, connection, client);
+            return;
+        }
+        match &mut client.state {
+            ClientState::Closing | ClientState::Lingering { .. } => {
+                return self.on_linger_timeout(token, connection, client);
+            }
+            ClientState::AwaitingResponse { stream: Some(stream), .. } => {
+                stream.last_write = self.now;
+                if connection.outbox.is_empty() {
+                    connection.outbox.push(sse::heartbeat());
+                }
+            }
+            ClientState::Watching(watch) => {
+                if watch.last_write + self.listeners.heartbeat() <= self.now {
+                    watch.last_write = self.now;
+                    if connection.outbox.is_empty() {
+                        connection.outbox.push(watch::heartbeat(watch.frame));
+                    }
+                }
+            }
+            ClientState::AwaitingResponse { .. } => {}
+            ClientState::Reading | ClientState::ReadingChunks(_) if !connection.outbox.is_empty() => {
+                return self.on_client_closed(token, connection, client); // it does not read its response
+            }
+            ClientState::Reading | ClientState::ReadingChunks(_) => {
+                self.reject(&mut connection, &mut client, Reject::TooSlow);
+            }
+        }
+        self.finish_client_event(token, connection, client);
+    }
+
+    /// The connection is over; a request whose response was awaited on it has lost its client.
+    pub(in crate::server) fn on_client_closed(
+        &mut self,
+        token: Token,
+        connection: Connection,
+        mut client: ClientConnection,
+    ) {
+        match &client.state {
+            ClientState::AwaitingResponse { request_id, .. } => {
+                self.pending.remove(*request_id);
+                self.core.client_disconnected(self.now, *request_id);
+            }
+            ClientState::Watching(watch) => self.on_watcher_disconnected(watch.watcher),
+            ClientState::Lingering { since } => self.clients.lingering.remove(*since, token),
+            _ => {}
+        }
+        self.clients.untrack_awaiting_request(token, &mut client);
+        self.close(token, connection, Role::Client(client));
+    }
+
+    /// Drops a connection that has gone over to another process.
+    pub(in crate::server) fn release_client(
+        &mut self,
+        token: Token,
+        connection: Connection,
+        mut client: ClientConnection,
+    ) {
+        self.clients.untrack(token, &mut client);
+        self.close(token, connection, Role::Client(client));
+    }
+}
+
+/// Takes the first bytes out of an inbox.
+fn split_front(inbox: &mut Vec<u8>, length: usize) -> Rc<Vec<u8>> {
+    let rest = inbox.split_off(length);
+    Rc::new(std::mem::replace(inbox, rest))
+}
--- /dev/null
+++ b/src/server/downstream/request.rs
@@ -0,0 +1,176 @@
+//! A whole request: what it is for, and whether it is taken.
+
+use crate::core::NewRequest;
+use crate::http::{self, Framing};
+use crate::protocol::platform::{self, RawRequest, Reject, Route};
+use crate::protocol::{sse, watch};
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::downstream::client::ResponseStream;
+use crate::server::downstream::{ClientConnection, ClientState};
+use crate::server::tokens::Token;
+
+impl Server {
+    /// A whole request has come. It is answered at once, or its response is awaited from the core.
+    pub(super) fn on_request(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+        raw: RawRequest,
+    ) {
+        if self.has_handed_over() {
+            // Its last chunk came after the handover began: it goes over as it came, to be taken there.
+            connection.inbox = chunked_again(&raw, &connection.inbox);
+            client.state = ClientState::Reading;
+            return;
+        }
+        if self.clients.untrack_awaiting_request(token, client) {
+            self.set_timer(token, connection, None);
+        }
+        let keep_alive = raw.head.keep_alive && self.keeps_client_connections();
+        client.finish_response(keep_alive);
+        // A body longer than its stated length: what was cut off of it must not run as though it were whole.
+        if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
+            return self.reject(connection, client, Reject::BadRequest);
+        }
+        if client.is_sse && self.on_stream_request(token, connection, client, &raw, keep_alive) {
+            return;
+        }
+        let Err(why) = self.route_request(token, connection, client, raw, keep_alive) else { return };
+        if why.closes() {
+            return self.reject(connection, client, why);
+        }
+        self.metrics.rejects += u64::from(why != Reject::NotReady);
+        connection.outbox.push(platform::reject(why, keep_alive));
+    }
+
+    fn route_request(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+        raw: RawRequest,
+        keep_alive: bool,
+    ) -> Result<(), Reject> {
+        match platform::route(self.core.names(), &self.classes, &raw, !client.is_sse)? {
+            Route::Ready if self.is_draining() || self.core.endpoints.stale => Err(Reject::NotReady),
+            Route::Ready => {
+                connection.outbox.push(platform::ready());
+                Ok(())
+            }
+            Route::StatusCallback => self.on_status_callback(connection, client, &raw, keep_alive),
+            Route::Submit(mut request) => {
+                if let Some(plan) = self.lifecycle.shutdown {
+                    request.time_budget = plan.time_budget(self.now, request.time_budget);
+                }
+                // All descriptors for clients are at work: this one is rejected before anything has run, since
+                // one left in the queue of connections would be lost at its deadline.
+                if !self.ensure_client_capacity() {
+                    self.core.count_rejected(request.class);
+                    return Err(Reject::Overloaded);
+                }
+                if client.is_sse && watch::wants_async(&raw) {
+                    self.on_job_submitted(connection, request, raw, keep_alive)
+                } else {
+                    self.on_request_submitted(token, client, request, raw, keep_alive)
+                }
+            }
+        }
+    }
+
+    /// A worker says how a job gets on.
+    fn on_status_callback(
+        &mut self,
+        connection: &mut Connection,
+        client: &mut ClientConnection,
+        raw: &RawRequest,
+        keep_alive: bool,
+    ) -> Result<(), Reject> {
+        let body = raw.body.bytes();
+        let callback =
+            platform::parse_status_callback(self.core.names(), body, None).ok_or(Reject::BadRequest)?;
+        client.has_callbacks = true;
+        if self.is_open_in_peer_process(&callback.id) && !self.core.knows(&callback.id) {
+            if !self.forward_status_callback(body) {
+                return Err(Reject::Overloaded); // the worker tries again
+            }
+            connection.outbox.push(platform::callback_accepted(keep_alive));
+            return Ok(());
+        }
+        let keep_alive = raw.head.keep_alive && (keep_alive || !self.is_shutting_down());
+        if keep_alive {
+            client.state = ClientState::Reading;
+        }
+        self.core.on_job_status(self.now, &callback.id, &callback.from, callback.status, callback.report);
+        connection.outbox.push(platform::callback_accepted(keep_alive));
+        Ok(())
+    }
+
+    /// A client submits a job whose events it will come back for.
+    fn on_job_submitted(
+        &mut self,
+        connection: &mut Connection,
+        mut request: NewRequest,
+        raw: RawRequest,
+        keep_alive: bool,
+    ) -> Result<(), Reject> {
+        self.read_idempotency_key(&mut request, &raw);
+        let is_open_elsewhere = self.is_open_in_peer_process(&request.name);
+        let is_key_reused = self.core.is_key_reused(self.now, &request);
+        if is_open_elsewhere {
+            return Err(Reject::DuplicateId);
+        }
+        if is_key_reused {
+            return Err(Reject::KeyReused);
+        }
+        self.submit_job(connection, raw, request, keep_alive)
+    }
+
+    /// A client submits a request and awaits its response.
+    fn on_request_submitted(
+        &mut self,
+        token: Token,
+        client: &mut ClientConnection,
+        mut request: NewRequest,
+        raw: RawRequest,
+        keep_alive: bool,
+    ) -> Result<(), Reject> {
+        request.downstream = token.0;
+        self.read_idempotency_key(&mut request, &raw);
+        let is_open_elsewhere = self.is_open_in_peer_process(&request.name);
+        if self.core.is_key_reused(self.now, &request) {
+            return Err(Reject::KeyReused);
+        }
+        if is_open_elsewhere {
+            return Err(Reject::DuplicateId);
+        }
+        let has_stream = client.is_sse && sse::wants_stream(&raw);
+        let request_id = self.core.accept(self.now, request).ok_or(Reject::DuplicateId)?;
+        self.pending.insert(request_id, raw);
+        let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: self.now });
+        client.state = ClientState::AwaitingResponse { request_id, keep_alive, stream };
+        Ok(())
+    }
+
+    /// Reads a request's idempotency key, where such keys are heeded.
+    fn read_idempotency_key(&self, request: &mut NewRequest, raw: &RawRequest) {
+        if self.core.idempotency().is_some() {
+            request.token = platform::idempotency_key(&self.classes, raw, request.class);
+        }
+    }
+}
+
+/// A chunked request as it came, with what was read behind it.
+fn chunked_again(raw: &RawRequest, rest: &[u8]) -> Vec<u8> {
+    let mut bytes = raw.bytes.to_vec();
+    let body = raw.body.bytes();
+    if !body.is_empty() {
+        bytes.extend(format!("{:x}\r\n", body.len()).into_bytes());
+        bytes.extend_from_slice(body);
+        bytes.extend_from_slice(b"\r\n");
+    }
+    bytes.extend_from_slice(b"0\r\n\r\n");
+    bytes.extend_from_slice(rest);
+    bytes
+}
--- /dev/null
+++ b/src/server/downstream/respond.rs
@@ -0,0 +1,70 @@
+//! What is written to a client: the final response, progress, and the refusal of what cannot be taken.
+
+use crate::core::{FinalResponse, RequestId};
+use crate::protocol::platform::{self, Reject};
+use crate::protocol::sse;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::{ClientConnection, ClientState, MAX_UNREAD_PROGRESS};
+use crate::server::tokens::Token;
+
+impl Server {
+    /// Refuses what has been read, and ends the connection once that is written.
+    pub(super) fn reject(&mut self, connection: &mut Connection, client: &mut ClientConnection, why: Reject) {
+        self.metrics.rejects += u64::from(why != Reject::NotReady);
+        connection.outbox.push(platform::reject(why, false));
+        client.state = ClientState::Closing;
+    }
+
+    /// Writes the final response to a request.
+    pub(in crate::server) fn send_response(
+        &mut self,
+        token: Token,
+        request_id: RequestId,
+        response: FinalResponse,
+    ) {
+        let Some((mut connection, role)) = self.take(token) else { return };
+        let Role::Client(mut client) = role else {
+            crate::invariant!(false, "an answer for a connection that is no frontend's");
+            return self.put(token, connection, role);
+        };
+        let ClientState::AwaitingResponse { request_id: awaited, keep_alive, stream } = client.state else {
+            crate::invariant!(false, "an answer for a frontend that waits for none");
+            return self.put(token, connection, Role::Client(client));
+        };
+        crate::invariant!(awaited == request_id, "an answer for another session");
+        let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
+        let keep_alive = keep_alive && (self.keeps_client_connections() || has_stream_begun);
+        match (stream, &response) {
+            (Some(_), _) if has_stream_begun => connection.outbox.push(sse::last(response)),
+            (Some(_), FinalResponse::Served(_)) => {
+                connection.outbox.push(sse::head(keep_alive));
+                connection.outbox.push(sse::started());
+                connection.outbox.push(sse::last(response));
+            }
+            _ => connection.outbox.push(platform::final_response(response, keep_alive)),
+        }
+        client.finish_response(keep_alive);
+        self.set_timer(token, &mut connection, None);
+        self.advance_client(token, connection, client);
+    }
+
+    /// Writes to a client that has asked for a stream how its job gets on: that it has started, or the share done.
+    pub(in crate::server) fn send_progress(&mut self, token: Token, share: Option<f64>) {
+        let Some((mut connection, role)) = self.take(token) else { return };
+        let Role::Client(mut client) = role else { return self.put(token, connection, role) };
+        let ClientState::AwaitingResponse { keep_alive, stream: Some(stream), .. } = &mut client.state else {
+            return self.put(token, connection, Role::Client(client));
+        };
+        if !std::mem::replace(&mut stream.has_begun, true) {
+            connection.outbox.push(sse::head(*keep_alive));
+            connection.outbox.push(sse::started());
+        }
+        if let Some(share) = share.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
+            connection.outbox.push(sse::progress(share));
+        }
+        stream.last_write = self.now;
+        self.finish_client_event(token, connection, client);
+    }
+}
--- /dev/null
+++ b/src/server/event_loop.rs
@@ -0,0 +1,181 @@
+//! One turn of the loop: commands of the core, a wait for events, and each event to its handler.
+//!
+//! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
+//! disconnected, then everything else in the order in which epoll tells it.
+
+use crate::core::{Command, Core};
+use crate::policy::interface::Micros;
+use crate::server::Server;
+use crate::server::connection_table::Role;
+use crate::server::downstream::PollTime;
+use crate::server::downstream::event_streams::JOB_FLAG;
+use crate::server::error::{ServerError, system};
+use crate::server::listeners::ListenerKind;
+use crate::server::metrics::METRICS_INTERVAL;
+use crate::server::tokens::{
+    ACCEPT_TIMER, ADMIN, DRAIN_TIMER, FLEET_TIMER, FULL_LIST_TIMER, HANDOVER_TIMER, IDEMPOTENCY_STORE,
+    METRICS_TIMER, PEER_PROCESS, PEER_TIMER, PEERS, PLATFORM, POLL_TIMER, RESTART_SOCKET, SHUTDOWN_TIMER,
+    SIGNAL, SSE, STALE_LIST_TIMER, STREAM_SWEEP_TIMER, Token, WATCH_TIMER,
+};
+use rustix::event::Timespec;
+use rustix::event::epoll::{self, Event, EventFlags};
+use std::time::Duration;
+
+/// Events taken from epoll at a time.
+const MAX_EVENTS_PER_WAIT: usize = 256;
+
+impl Server {
+    /// Serves until a shutdown has been completed.
+    ///
+    /// # Errors
+    /// Where epoll fails.
+    pub fn serve(&mut self) -> Result<(), ServerError> {
+        let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
+        self.update_clock();
+        self.tell_state();
+        self.fleet_go_on();
+        self.ask_go_on();
+        while !self.lifecycle.is_done {
+            self.update_clock();
+            self.core.turn(self.now);
+            self.run_commands();
+            self.wait_for_events(&mut events)?;
+            self.update_clock();
+            self.polled_at = PollTime::new(self.now, events.len() == MAX_EVENTS_PER_WAIT);
+            self.handle_events(&events);
+        }
+        self.log_metrics();
+        Ok(())
+    }
+
+    /// Waits for events, until the next timer of the core is due.
+    fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
+        let timeout = self.core.next_wake().map(|at| {
+            let span = Duration::from_micros(at.saturating_sub(self.now));
+            Timespec { tv_sec: span.as_secs() as i64, tv_nsec: i64::from(span.subsec_nanos()) }
+        });
+        events.clear();
+        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
+            Ok(_) | Err(rustix::io::Errno::INTR) => Ok(()),
+            Err(error) => Err(system("epoll")(error)),
+        }
+    }
+
+    fn handle_events(&mut self, events: &[Event]) {
+        // A call to the admin address does not wait for what the clients of this turn ask. And what discovery has
+        // sent counts before anything of this turn is forwarded.
+        let watch = self.lists.watch();
+        for event in events {
+            match (Token(event.data.u64()), event.flags) {
+                (ADMIN, _) => self.accept_admin(),
+                (token, flags) if self.is_admin(token) || watch == Some(token) => {
+                    self.on_ready(token, flags);
+                }
+                _ => {}
+            }
+        }
+        // Clients that leave come before those that bring work, which takes longer.
+        for event in events {
+            self.on_client_hangup(Token(event.data.u64()), event.flags);
+        }
+        for event in events {
+            let (data, flags) = (event.data, event.flags);
+            match Token(data.u64()) {
+                token if self.is_admin(token) || watch == Some(token) => {}
+                PLATFORM => self.accept_clients(ListenerKind::Platform),
+                SSE => self.accept_clients(ListenerKind::Sse),
+                SIGNAL => self.on_signal(),
+                PEERS => self.hear_peers(),
+                RESTART_SOCKET => self.on_peer_process_connected(),
+                PEER_PROCESS => self.on_peer_process_readable(),
+                IDEMPOTENCY_STORE => self.notes_ready(),
+                token => self.on_ready(token, flags),
+            }
+        }
+    }
+
+    /// Carries out what the core wants done.
+    pub(super) fn run_commands(&mut self) {
+        while let Some(command) = self.core.next_command() {
+            match command {
+                Command::StartAttempt { request_id, attempt, worker } => {
+                    self.start_attempt(request_id, attempt, worker);
+                }
+                Command::PersistRecord { ticket, key, note } => self.note(ticket, key, note),
+                Command::CancelAttempt { request_id, attempt, worker, name } => {
+                    self.cancel_attempt(request_id, attempt, worker, &name);
+                }
+                Command::Respond { request_id, downstream, response } => {
+                    self.pending.remove(request_id);
+                    match downstream & JOB_FLAG {
+                        0 => self.send_response(Token(downstream), request_id, response),
+                        _ => self.finish_job(downstream & !JOB_FLAG, response),
+                    }
+                }
+                Command::NotifyProgress { downstream, share } if downstream & JOB_FLAG != 0 => {
+                    self.publish_job_progress(downstream & !JOB_FLAG, share);
+                }
+                Command::NotifyProgress { downstream, share } => self.send_progress(Token(downstream), share),
+                Command::Probe(worker) => self.send_load_probe(worker),
+                Command::SendToPeer(to, bytes) => self.tell_peer(to, &bytes),
+                Command::OpenWatch => self.watch_wanted(),
+                Command::FetchList => self.call(false),
+                Command::TimerFired(timer) => self.on_timer(timer),
+            }
+        }
+        self.run_stream_effects();
+    }
+
+    fn on_timer(&mut self, timer: u64) {
+        match timer {
+            WATCH_TIMER => self.watch_due(),
+            FULL_LIST_TIMER => self.whole_due(),
+            STALE_LIST_TIMER => self.check_stale(),
+            METRICS_TIMER => {
+                self.log_metrics();
+                self.core.set_timer(self.now + METRICS_INTERVAL, METRICS_TIMER);
+            }
+            STREAM_SWEEP_TIMER => self.on_stream_sweep_timer(),
+            SHUTDOWN_TIMER => self.on_shutdown_timer(),
+            HANDOVER_TIMER => self.on_handover_timer(),
+            DRAIN_TIMER => self.on_drain_timer(),
+            FLEET_TIMER => self.fleet_due(),
+            POLL_TIMER => self.ask_due(),
+            PEER_TIMER => self.tell_state_again(),
+            ACCEPT_TIMER => self.resume_accepting(),
+            token => self.on_connection_timer(Token(token)),
+        }
+    }
+
+    /// Passes what epoll tells of a connection to the handler of its role.
+    pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
+        let Some((connection, role)) = self.take(token) else { return };
+        match role {
+            Role::Client(client) => self.on_client_ready(token, connection, client, flags),
+            Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
+            Role::Discovery(call) => self.call_ready(token, connection, call, flags),
+            Role::Admin(caller) => self.admin_ready(token, connection, caller, flags),
+        }
+    }
+
+    fn on_connection_timer(&mut self, token: Token) {
+        let Some((mut connection, role)) = self.take(token) else { return };
+        connection.timer = None;
+        match role {
+            Role::Client(client) => self.on_client_timer(token, connection, client),
+            Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
+            Role::Discovery(call) => self.call_due(token, connection, call),
+            Role::Admin(caller) => self.close(token, connection, Role::Admin(caller)),
+        }
+    }
+
+    /// Sets `now` to the present time.
+    pub(super) fn update_clock(&mut self) {
+        self.now = self.elapsed_time();
+    }
+
+    /// The present time, in the midst of a turn; `now` is when the turn's events were taken.
+    pub(super) fn elapsed_time(&self) -> Micros {
+        Core::clock_start() + self.started.elapsed().as_micros() as Micros
+    }
+}
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -3,8 +3,7 @@
 
 use crate::policy::interface::Micros;
 use crate::protocol::admin::IdempotencyMetrics;
-use crate::server::lifecycle::hot_restart::Note;
-use crate::server::{NOTES, NetError, Server, StateDir};
+use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
 use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::io::{Read, Write};
@@ -51,8 +50,8 @@
 
 impl Notes {
     /// Opens the store and reads what is in it. A process that is handing over may still be closing it.
-    pub fn open(dir: StateDir) -> Result<(Notes, Found), NetError> {
-        let failed = |error: StoreError| NetError::State(dir.dir.clone(), error);
+    pub fn open(dir: StateDir) -> Result<(Notes, Found), ServerError> {
+        let failed = |error: StoreError| ServerError::State(dir.dir.clone(), error);
         let started = Instant::now();
         let (store, recovery) = loop {
             match open_store(&dir) {
@@ -80,7 +79,7 @@
             tracing::warn!("state: the clock is behind what was noted; jobs noted before are not sent again");
         }
         tracing::info!("state: {} keys noted in {}, read in {took} ms", notes.len(), dir.dir.display());
-        let io = |error| NetError::System("state", error);
+        let io = |error| ServerError::System("state", error);
         let (woken, waker) = UnixStream::pair().map_err(io)?;
         woken.set_nonblocking(true).map_err(io)?;
         waker.set_nonblocking(true).map_err(io)?;
@@ -155,12 +154,13 @@
 
 impl Server {
     /// Opens the store before anything else is promised to clients.
-    pub(in crate::server) fn open_notes(&mut self, dir: StateDir) -> Result<(), NetError> {
+    pub(in crate::server) fn open_notes(&mut self, dir: StateDir) -> Result<(), ServerError> {
         let (notes, found) = Notes::open(dir)?;
         for (key, why) in self.core.enable_idempotency(self.now, found.notes.into_iter(), found.clock_sound) {
             tracing::error!("state: the note of {key:?} cannot be read: {why}");
         }
-        let watched = epoll::add(&self.epoll, &notes.woken, EventData::new_u64(NOTES.0), EventFlags::IN);
+        let watched =
+            epoll::add(&self.epoll, &notes.woken, EventData::new_u64(IDEMPOTENCY_STORE.0), EventFlags::IN);
         watched.map_err(crate::server::system("epoll"))?;
         self.notes = Some(notes);
         Ok(())
@@ -168,10 +168,8 @@
 
     /// Notes something of a keyed job: in the store, or with the process that has taken it over.
     pub(in crate::server) fn note(&mut self, ticket: Option<u64>, key: String, note: Option<Vec<u8>>) {
-        if self.handed {
-            let bytes = note.as_deref().unwrap_or_default();
-            let word = Note::Write { ticket, key, kept: note.is_some() };
-            if !self.send_twin(&word, &[bytes])
+        if self.has_handed_over() {
+            if !self.forward_record(ticket, key, note.as_deref())
                 && let Some(ticket) = ticket
             {
                 self.core.on_record_persisted(ticket, false);
@@ -199,7 +197,7 @@
             match ticket {
                 Some(ticket) if ticket >= ELDERS => {
                     let ticket = ticket - ELDERS;
-                    self.send_twin(&Note::Written { ticket, written: result.is_ok() }, &[]);
+                    self.report_record_written(ticket, result.is_ok());
                 }
                 Some(ticket) => self.core.on_record_persisted(ticket, result.is_ok()),
                 None => {}
@@ -219,7 +217,7 @@
         match (&mut self.notes, ticket) {
             (Some(notes), ticket) => notes.write(now, ticket.map(|t| ELDERS + t), key, note),
             // This version was started without: it is to go on as though nothing needed noting.
-            (None, Some(ticket)) => drop(self.send_twin(&Note::Written { ticket, written: true }, &[])),
+            (None, Some(ticket)) => drop(self.report_record_written(ticket, true)),
             (None, None) => {}
         }
     }
--- /dev/null
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -0,0 +1,194 @@
+//! The successor's side: it asks for everything at its start, and then takes one message after the other.
+//!
+//! The predecessor's side sends status callbacks and answers about records too, so [`Server::on_handover_message`] serves both.
+
+use super::protocol::{HandoverMessage, OpenWork, Packet, packet_socket, receive, send};
+use crate::config::EndpointList;
+use crate::core::FinalResponse;
+use crate::core::transfer::LearnedState;
+use crate::protocol::platform;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::ClientConnection;
+use crate::server::listeners::InheritedListeners;
+use crate::server::transferred::{TransferredClient, split_request};
+use rustix::net::SocketAddrUnix;
+use rustix::net::sockopt::{Timeout, set_socket_timeout};
+use std::net::{TcpListener, TcpStream, UdpSocket};
+use std::os::fd::OwnedFd;
+use std::path::Path;
+use std::time::Duration;
+
+/// The predecessor answers within this, or the successor goes on without it. The successor has 6 s in all.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The sockets that the successor gets at its start.
+#[derive(Default)]
+pub(in crate::server) struct InheritedSockets {
+    pub listeners: InheritedListeners,
+    pub peers: Option<UdpSocket>,
+}
+
+/// What the successor gets at its start.
+pub(in crate::server) struct Inheritance {
+    pub sockets: InheritedSockets,
+    pub list: EndpointList,
+    pub is_list_stale: bool,
+    pub learned: Option<LearnedState>,
+    pub(super) link: OwnedFd,
+    pub(super) is_drained: bool,
+    pub(super) open: OpenWork,
+}
+
+/// What became of asking for a takeover.
+pub(in crate::server) enum TakeoverResult {
+    /// Nobody serves.
+    NoPredecessor,
+    /// Somebody does or did, and hands nothing over: its address may be free in a moment.
+    Refused,
+    /// All that the predecessor had.
+    Inherited(Box<Inheritance>),
+}
+
+impl TakeoverResult {
+    /// What was inherited, if anything was.
+    pub fn into_inheritance(self) -> Option<Inheritance> {
+        match self {
+            TakeoverResult::Inherited(inheritance) => Some(*inheritance),
+            TakeoverResult::Refused | TakeoverResult::NoPredecessor => None,
+        }
+    }
+}
+
+/// Asks a process that serves already for all it has.
+pub(in crate::server) fn request_takeover(path: &Path) -> TakeoverResult {
+    let Some((link, address)) = packet_socket().ok().zip(SocketAddrUnix::new(path).ok()) else {
+        return TakeoverResult::NoPredecessor;
+    };
+    // No file, or one that a process left behind: there is nobody to ask.
+    if rustix::net::connect(&link, &address).is_err() {
+        return TakeoverResult::NoPredecessor;
+    }
+    let inheritance = exchange_hello(&link).and_then(|packet| inherit(link, packet));
+    match inheritance {
+        Some(inheritance) => TakeoverResult::Inherited(Box::new(inheritance)),
+        None => {
+            tracing::info!("upgrade: the running process hands nothing over");
+            TakeoverResult::Refused
+        }
+    }
+}
+
+/// Sends the first message and waits for the answer.
+fn exchange_hello(link: &OwnedFd) -> Option<Packet> {
+    set_socket_timeout(link, Timeout::Recv, Some(TAKEOVER_TIMEOUT)).ok()?;
+    send(link, &HandoverMessage::Hello, &[], &[]).ok()?;
+    receive(link).ok().flatten()
+}
+
+/// Reads the predecessor's answer. The descriptors come in the order of the message's fields, the platform's first.
+fn inherit(link: OwnedFd, packet: Packet) -> Option<Inheritance> {
+    let HandoverMessage::Listeners { has_sse, has_peers, is_drained, list, is_list_stale, open, learned } =
+        packet.message
+    else {
+        return None;
+    };
+    let mut descriptors = packet.descriptors.into_iter();
+    let platform = descriptors.next().map(TcpListener::from);
+    let sse = if has_sse { descriptors.next().map(TcpListener::from) } else { None };
+    let peers = if has_peers { descriptors.next().map(UdpSocket::from) } else { None };
+    let sockets = InheritedSockets { listeners: InheritedListeners { platform, sse }, peers };
+    let learned = serde_json::from_value(learned).ok();
+    Some(Inheritance { sockets, list, is_list_stale, learned, link, is_drained, open })
+}
+
+impl Server {
+    /// A message of the other process has come.
+    pub(super) fn on_handover_message(&mut self, packet: Packet) {
+        let Packet { message, bytes, descriptors } = packet;
+        let descriptor = descriptors.into_iter().next();
+        match message {
+            HandoverMessage::Hello if !self.has_handed_over() => self.start_handover(),
+            HandoverMessage::Client(transferred) => {
+                if let Some(descriptor) = descriptor {
+                    self.adopt_client(transferred, &bytes, TcpStream::from(descriptor));
+                }
+            }
+            HandoverMessage::Upstream { worker, idle_time_left } => {
+                let worker = self.core.endpoints.find(&worker);
+                if let Some((descriptor, worker)) = descriptor.zip(worker) {
+                    let connection = Connection::new(TcpStream::from(descriptor));
+                    self.adopt_upstream(worker, connection, idle_time_left);
+                }
+            }
+            HandoverMessage::StatusCallback => self.on_forwarded_callback(&bytes),
+            HandoverMessage::OpenWork(open) => {
+                if let Some(process) = &mut self.hot_restart.peer_process {
+                    process.open = open;
+                }
+            }
+            HandoverMessage::Job(transferred) => match split_request(transferred.request.as_ref(), &bytes) {
+                Some(split) => self.adopt_job(transferred, split.request),
+                None => self.metrics.rejects += 1,
+            },
+            HandoverMessage::WriteRecord { ticket, key, is_kept } => {
+                self.note_for_elder(ticket, &key, is_kept.then_some(bytes));
+            }
+            HandoverMessage::RecordWritten { ticket, is_written } => {
+                self.core.on_record_persisted(ticket, is_written);
+            }
+            HandoverMessage::Hello | HandoverMessage::Listeners { .. } => self.metrics.rejects += 1,
+        }
+    }
+
+    /// A status callback that the other process has passed on.
+    fn on_forwarded_callback(&mut self, body: &[u8]) {
+        match platform::parse_status_callback(self.core.names(), body, None) {
+            // What went over in the meantime is told there; the successor sends nothing back.
+            Some(callback) if self.has_handed_over() && !self.core.knows(&callback.id) => {
+                self.forward_status_callback(body);
+            }
+            Some(callback) => {
+                let (status, report) = (callback.status, callback.report);
+                self.core.on_job_status(self.now, &callback.id, &callback.from, status, report);
+            }
+            None => self.metrics.rejects += 1,
+        }
+    }
+
+    /// Takes a client's connection over, with the request that it awaits a response to.
+    fn adopt_client(&mut self, transferred: TransferredClient, bytes: &[u8], stream: TcpStream) {
+        let mut connection = Connection::new(stream);
+        let Some(split) = split_request(transferred.request.as_ref(), bytes) else {
+            self.metrics.rejects += 1;
+            return;
+        };
+        connection.inbox = split.rest.to_vec();
+        if let Some(process) = &mut self.hot_restart.peer_process {
+            process.on_client_transferred(transferred.request.as_ref());
+        }
+        let now = self.now;
+        let client = ClientConnection::adopt(&transferred, now);
+        let Some(token) = self.add(connection, |_| Role::Client(client)) else { return };
+        let Some((mut connection, Role::Client(mut client))) = self.take(token) else { return };
+        if client.is_awaiting_request() {
+            self.clients.track_awaiting_request(token, &client); // heard of now, as far as this process knows
+        }
+        if let Some((exchange, raw)) = transferred.request.zip(split.request) {
+            match self.core.adopt(exchange.request, token.0) {
+                Some(request_id) => {
+                    self.pending.insert(request_id, raw);
+                    if exchange.has_broken_attempt {
+                        self.pending.record_broken_attempt(request_id);
+                    }
+                    client.await_response(request_id, exchange.keep_alive, exchange.has_stream_begun, now);
+                }
+                // It has nothing here that could serve it; its client is told so at once.
+                None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
+            }
+        }
+        self.advance_client(token, connection, client);
+        self.close_if_disconnected(token); // its end may have come before it was watched here
+    }
+}
--- /dev/null
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -0,0 +1,208 @@
+//! The predecessor's side: it hands its listening sockets over, and then, step by step, each connection and job as soon as
+//! nothing of it is on its way.
+
+use super::protocol::{HandoverMessage, send};
+use crate::config::EndpointList;
+use crate::core::RequestId;
+use crate::policy::interface::Micros;
+use crate::protocol::platform::RawRequest;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::ClientConnection;
+use crate::server::tokens::{HANDOVER_TIMER, Token};
+use crate::server::transferred::{TransferredExchange, request_bytes};
+use crate::server::upstream::UpstreamConnection;
+use rustix::event::epoll;
+use std::os::fd::{AsFd, BorrowedFd};
+
+/// What could not be handed over yet is tried again at this interval.
+const HANDOVER_INTERVAL: Micros = 4_000;
+
+/// A client's request that has left the core for the other process.
+struct ReleasedRequest {
+    exchange: TransferredExchange,
+    raw: RawRequest,
+}
+
+impl Server {
+    /// The successor is there: it accepts from now on, and gets one connection after the other.
+    pub(super) fn start_handover(&mut self) {
+        if let Some(notes) = &mut self.notes {
+            notes.give_up(); // the successor waits until it is closed
+        }
+        let open = self.local_open_work();
+        let Some(process) = &mut self.hot_restart.peer_process else { return };
+        let message = HandoverMessage::Listeners {
+            has_sse: self.listeners.sse.is_some(),
+            has_peers: self.peers.is_some(),
+            is_drained: self.lifecycle.drained_since.is_some(),
+            list: EndpointList {
+                generation: self.core.endpoints.generation,
+                reset: true,
+                rows: self.core.endpoints.rows(),
+                unread: Vec::new(),
+                bad_rows: 0,
+            },
+            is_list_stale: self.core.endpoints.stale,
+            open: open.clone(),
+            learned: serde_json::to_value(self.core.learned_state()).unwrap_or_default(),
+        };
+        let mut descriptors = vec![self.listeners.platform.as_fd()];
+        descriptors.extend(self.listeners.sse.as_ref().map(|sse| sse.socket.as_fd()));
+        descriptors.extend(self.peers.as_ref().map(AsFd::as_fd));
+        if send(&process.link, &message, &[], &descriptors).is_err() {
+            return self.on_peer_process_closed();
+        }
+        process.last_sent = open;
+        // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
+        for descriptor in &descriptors {
+            let _ = epoll::delete(&self.epoll, descriptor);
+        }
+        self.hot_restart.has_handed_over = true;
+        self.listeners.is_accepting = false;
+        self.fleet_falls_silent();
+        self.hot_restart.socket = None;
+        tracing::info!("upgrade: handing over to a new process, open={}", self.core.ledger.open());
+        self.core.set_timer(self.now + 1, HANDOVER_TIMER);
+    }
+
+    /// Hands over what can go now.
+    pub(in crate::server) fn on_handover_timer(&mut self) {
+        if !self.has_handed_over() {
+            return;
+        }
+        // What the policy still has to say of these requests comes first.
+        self.core.batch(self.now);
+        self.run_commands();
+        for slot in 0..self.connections.slot_count() {
+            let token = self.connections.token_at(slot);
+            match self.take(token) {
+                Some((connection, Role::Client(client))) => self.transfer_client(token, connection, client),
+                Some((connection, Role::Upstream(upstream))) => {
+                    self.transfer_upstream(token, connection, upstream);
+                }
+                Some((connection, role)) => self.put(token, connection, role),
+                None => {}
+            }
+        }
+        self.transfer_jobs();
+        self.send_open_work();
+        if self.has_handed_over() && (self.connections.clients() > 0 || self.core.ledger.open() > 0) {
+            self.core.set_timer(self.now + HANDOVER_INTERVAL, HANDOVER_TIMER);
+        }
+    }
+
+    /// Sends the successor what is still held here, if that has changed.
+    fn send_open_work(&mut self) {
+        let open = self.local_open_work();
+        if let Some(process) =
+            self.hot_restart.peer_process.as_mut().filter(|process| process.last_sent != open)
+            && send(&process.link, &HandoverMessage::OpenWork(open.clone()), &[], &[]).is_ok()
+        {
+            process.last_sent = open;
+        }
+    }
+
+    /// Hands a client's connection over, if it is between requests or awaits a response that has not begun.
+    fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
+        let awaited = client.awaited_request();
+        let is_unsettled = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
+        let can_go = client.is_reading() || awaited.is_some();
+        if is_unsettled || !connection.outbox.is_empty() || !can_go {
+            return self.put(token, connection, Role::Client(client));
+        }
+        let mut transferred = client.to_transferred();
+        let mut raw = None;
+        if let Some(request_id) = awaited {
+            let Some(released) = self.release_request(request_id, &client) else {
+                return self.put(token, connection, Role::Client(client));
+            };
+            transferred.request = Some(released.exchange);
+            raw = Some(released.raw);
+        }
+        let mut bytes: Vec<&[u8]> = raw.iter().flat_map(request_bytes).collect();
+        bytes.push(&connection.inbox);
+        let message = HandoverMessage::Client(transferred);
+        let is_sent = self.send_with_descriptor(&message, &bytes, connection.stream.as_fd());
+        if let Some(request_id) = awaited {
+            self.pending.remove(request_id);
+        }
+        if is_sent {
+            let _ = epoll::delete(&self.epoll, &connection.stream);
+            return self.release_client(token, connection, client);
+        }
+        // The link is full or gone: the request stays, under a new number.
+        if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
+            && let Some(exchange) = transferred.request
+            && let Some(request_id) = self.core.adopt(exchange.request, token.0)
+        {
+            self.pending.insert(request_id, raw);
+            client.replace_awaited_request(request_id);
+        }
+        self.put(token, connection, Role::Client(client));
+    }
+
+    /// Takes a request out of the core, to go over with its client's connection.
+    fn release_request(
+        &mut self,
+        request_id: RequestId,
+        client: &ClientConnection,
+    ) -> Option<ReleasedRequest> {
+        let raw = self.pending.get(request_id).cloned()?;
+        let request = self.core.transfer(request_id)?;
+        let exchange = TransferredExchange {
+            keep_alive: client.keeps_alive(),
+            has_stream_begun: client.has_stream_begun(),
+            has_broken_attempt: self.pending.has_broken_attempt(request_id),
+            ..TransferredExchange::new(request, &raw)
+        };
+        Some(ReleasedRequest { exchange, raw })
+    }
+
+    /// Hands an idle connection to a worker over.
+    fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
+        let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
+        let worker = upstream.idle_worker().filter(|_| is_unused);
+        let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints.get(worker)?)));
+        let Some((worker, endpoint)) = endpoint else {
+            return self.put(token, connection, Role::Upstream(upstream));
+        };
+        let message = HandoverMessage::Upstream {
+            worker: endpoint.row.instance_id.clone(),
+            idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
+        };
+        if self.send_with_descriptor(&message, &[], connection.stream.as_fd()) {
+            let _ = epoll::delete(&self.epoll, &connection.stream);
+            self.upstream.remove_idle(worker, token);
+            return self.close(token, connection, Role::Upstream(upstream));
+        }
+        self.put(token, connection, Role::Upstream(upstream));
+    }
+
+    /// Hands jobs of the event streams over; their watchers are told to come back there.
+    fn transfer_jobs(&mut self) {
+        for job in self.stream_jobs() {
+            let Some(released) = self.release_job(job) else { continue };
+            let bytes: Vec<&[u8]> = released.raw.iter().flat_map(request_bytes).collect();
+            let message = HandoverMessage::Job(released.job);
+            let is_sent = self.send_to_peer_process(&message, &bytes);
+            if let Some(request_id) = released.request_id {
+                self.pending.remove(request_id);
+            }
+            if !is_sent && let HandoverMessage::Job(job) = message {
+                return self.adopt_job(job, released.raw); // the link is full or gone: it stays here
+            }
+        }
+    }
+
+    fn send_with_descriptor(
+        &self,
+        message: &HandoverMessage,
+        bytes: &[&[u8]],
+        descriptor: BorrowedFd<'_>,
+    ) -> bool {
+        let process = self.hot_restart.peer_process.as_ref();
+        process.is_some_and(|process| send(&process.link, message, bytes, &[descriptor]).is_ok())
+    }
+}
--- a/src/server/lifecycle/hot_restart/tests.rs
+++ b/src/server/lifecycle/hot_restart/tests.rs
@@ -1,6 +1,6 @@
 //! The messages of a handover keep their form: a process of the version before is on the other side.
 
-use super::{Note, receive, send};
+use super::protocol::{HandoverMessage, receive, send};
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use std::path::PathBuf;
 
@@ -24,8 +24,9 @@
     let messages = kept();
     assert_eq!(messages.len(), 14, "every kind is there");
     for (name, text) in messages {
-        let note: Note = serde_json::from_str(&text).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(serde_json::to_string(&note).expect("JSON"), text, "{name}");
+        let message: HandoverMessage =
+            serde_json::from_str(&text).unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(serde_json::to_string(&message).expect("JSON"), text, "{name}");
     }
 }
 
@@ -37,7 +38,7 @@
         r#"{"Front":{"sse":false,"unasked":true,"calls_back":false,"session":null,"more":1}}"#,
     ];
     for text in table {
-        assert!(serde_json::from_str::<Note>(text).is_ok(), "{text}");
+        assert!(serde_json::from_str::<HandoverMessage>(text).is_ok(), "{text}");
     }
 }
 
@@ -47,19 +48,22 @@
     let (one, other) =
         rustix::net::socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None)
             .expect("a pair of sockets");
-    send(&one, &Note::Status, &[b"body"], &[]).expect("sent");
+    send(&one, &HandoverMessage::StatusCallback, &[b"body"], &[]).expect("sent");
     let mut bytes = [0; 64];
     let (read, _) =
         rustix::net::recv(&other, &mut bytes[..], rustix::net::RecvFlags::PEEK).expect("a packet");
     assert_eq!(&bytes[..read], b"\x06\0\0\0\"News\"body");
-    let (note, rest, fds) = receive(&other).expect("a packet").expect("whole");
-    assert!(matches!(note, Note::Status) && rest == b"body" && fds.is_empty());
+    let packet = receive(&other).expect("a packet").expect("whole");
+    assert!(matches!(packet.message, HandoverMessage::StatusCallback));
+    assert_eq!(packet.bytes, b"body");
+    assert!(packet.descriptors.is_empty());
     // One that is too long for a packet goes in a file.
     let long = vec![7; 300 * 1024];
-    send(&one, &Note::Status, &[&long], &[]).expect("sent");
+    send(&one, &HandoverMessage::StatusCallback, &[&long], &[]).expect("sent");
     let (read, _) =
         rustix::net::recv(&other, &mut bytes[..], rustix::net::RecvFlags::PEEK).expect("a packet");
     assert_eq!(&bytes[..read], [u8::MAX; 4]);
-    let (note, rest, _) = receive(&other).expect("a packet").expect("whole");
-    assert!(matches!(note, Note::Status) && rest == long);
+    let packet = receive(&other).expect("a packet").expect("whole");
+    assert!(matches!(packet.message, HandoverMessage::StatusCallback));
+    assert_eq!(packet.bytes, long);
 }
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -1,5 +1,47 @@
-//! The process's own life: graceful shutdown and drain, reload of the configuration, hot restart.
+//! The process's own life: graceful shutdown, drain, reload of the configuration, hot restart.
 
+pub(in crate::server) mod drain;
 pub(in crate::server) mod hot_restart;
 pub(in crate::server) mod reload;
 pub(in crate::server) mod shutdown;
+
+use crate::core::shutdown_plan::ShutdownPlan;
+use crate::policy::interface::Micros;
+use crate::server::Server;
+
+/// Whether this process is draining or shutting down, and how far it is.
+#[derive(Default)]
+pub(in crate::server) struct Lifecycle {
+    /// The plan of the shutdown, once that has been asked for.
+    pub shutdown: Option<ShutdownPlan>,
+    /// While shutting down, since when nothing is left to do.
+    pub quiescent_since: Option<Micros>,
+    /// Since when clients are sent elsewhere while the program goes on.
+    pub drained_since: Option<Micros>,
+    /// Whether the timer of the drain is set.
+    pub is_drain_timer_set: bool,
+    /// The shutdown is complete.
+    pub is_done: bool,
+}
+
+impl Server {
+    /// Whether a shutdown has been asked for.
+    pub(in crate::server) fn is_shutting_down(&self) -> bool {
+        self.lifecycle.shutdown.is_some()
+    }
+
+    /// Whether clients are to turn to other dispatchers.
+    pub(in crate::server) fn is_draining(&self) -> bool {
+        self.is_shutting_down() || self.lifecycle.drained_since.is_some()
+    }
+
+    /// Whether clients keep their connections: all the time while serving, and while shutting down as long as no other
+    /// dispatcher could take them. Out of service they are let go in any case.
+    pub(in crate::server) fn keeps_client_connections(&self) -> bool {
+        if self.has_handed_over() {
+            return true; // they go over to the successor as they are
+        }
+        let is_held = |plan: ShutdownPlan| self.now < plan.hold && self.peers_stopped();
+        self.lifecycle.drained_since.is_none() && self.lifecycle.shutdown.is_none_or(is_held)
+    }
+}
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -1,161 +1,101 @@
-//! A planned stop. Connections keep arriving for a while after the signal, and what arrives is owed an answer.
+//! Graceful shutdown. Connections keep arriving for a while after the signal, and what arrives is owed a response.
+//!
+//! 1. The signal comes: a plan is made from the deadlines of the classes, and the peers are told.
+//! 2. From `close_idle` on, idle connections of clients are closed, unless no other dispatcher could take those clients.
+//! 3. At `last`, whatever is still open fails.
+//! 4. Once nothing has been left for a moment, from `quiet` on or after a handover, the loop ends.
 
 use crate::core::shutdown_plan::ShutdownPlan;
 use crate::policy::interface::Micros;
-use crate::server::connection::Conn;
-use crate::server::{DRAIN_TIMER, Role, STOP_TIMER, Server, Token};
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::downstream::MIN_IDLE_BEFORE_CLOSE;
+use crate::server::lifecycle::drain::IdleClients;
+use crate::server::listeners::ListenerKind;
+use crate::server::tokens::SHUTDOWN_TIMER;
 
-/// Out of service, clients' connections are closed from now on: the front has been told by then.
-const CLOSE_IDLE: Micros = 450_000;
-/// Out of service, a connection is closed once it has been idle for this long.
-const DRAIN_IDLE: Micros = 250_000;
-/// A connection that has been idle for less than this may have its request on the way.
-pub(in crate::server) const FRESH: Micros = 30_000;
-const STEP: Micros = 25_000;
+/// A shutdown or drain is looked after at this interval.
+pub(super) const STEP_INTERVAL: Micros = 25_000;
+/// Connections that are not quiescent this long after the plan's end are dropped.
+const MAX_OVERTIME: Micros = STEP_INTERVAL * 8;
 
 impl Server {
-    pub(in crate::server) fn stop(&mut self) {
-        if self.stopping.is_none() {
-            // A class that a reload took away has kept its number, but goes by no name.
-            let names = &self.core.names().0.classes;
-            let named =
-                |n: &usize| names.names().get(*n).and_then(|name| names.find(name)) == Some(*n as u32);
-            let deadlines = || self.classes.iter().map(|class| class.deadline).enumerate();
-            let longest = deadlines().filter(|(n, _)| named(n)).map(|(_, deadline)| deadline).max();
-            let ever = deadlines().map(|(_, deadline)| deadline).max();
-            self.stopping = Some(ShutdownPlan::new(self.now, longest.unwrap_or(0), ever.unwrap_or(0)));
-            tracing::info!("stopping: asked to; open={}", self.core.ledger.open());
-            self.core.set_timer(self.now + STEP, STOP_TIMER);
-            self.tell_state();
-        }
-    }
-
-    /// Sends clients elsewhere while the program goes on, or takes them again. Whatever comes is still served.
-    pub(in crate::server) fn drain(&mut self, on: bool) {
-        if on == self.drained.is_some() {
-            return; // asked for again: nothing starts anew
-        }
-        self.drained = on.then_some(self.now);
-        tracing::info!(
-            "{}: open={}",
-            if on { "out of service" } else { "in service" },
-            self.core.ledger.open()
-        );
-        if !std::mem::replace(&mut self.drain_due, true) {
-            self.core.set_timer(self.now + STEP, DRAIN_TIMER);
+    /// Begins the shutdown, unless it has begun.
+    pub(in crate::server) fn start_shutdown(&mut self) {
+        if self.is_shutting_down() {
+            return;
         }
+        self.lifecycle.shutdown = Some(self.plan_shutdown());
+        tracing::info!("stopping: asked to; open={}", self.core.ledger.open());
+        self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
         self.tell_state();
     }
 
-    /// Goes on with the drain of the process that this one takes over from.
-    pub(in crate::server) fn drain_again(&mut self) {
-        self.drain_due = true;
-        self.core.set_timer(self.now + STEP, DRAIN_TIMER);
-    }
-
-    /// While out of service, closes connections of clients that have asked for nothing since the front could know.
-    pub(in crate::server) fn drain_step(&mut self) {
-        self.drain_due = false;
-        let Some(since) = self.drained.filter(|_| self.stopping.is_none()) else { return };
-        if self.now >= since + CLOSE_IDLE {
-            self.close_quiet(DRAIN_IDLE, false);
-        }
-        self.drain_due = true;
-        self.core.set_timer(self.now + STEP, DRAIN_TIMER);
-    }
-
-    /// Closes the connections of frontends that have been idle for so long, those on which workers call back if `all`.
-    fn close_quiet(&mut self, least: Micros, all: bool) {
-        let quiet = self.idle_fronts.iter().take_while(|(idle, _)| idle + least <= self.now);
-        for token in quiet.map(|(_, token)| *token).collect::<Vec<_>>() {
-            match self.take(token) {
-                Some((conn, Role::Front(front))) if all || !front.calls_back => {
-                    self.close_idle(token, conn, front);
-                }
-                Some((conn, role)) => self.put(token, conn, role),
-                None => {}
-            }
-        }
-    }
-
-    /// Whether clients are to turn to other dispatchers.
-    pub(in crate::server) fn takes_leave(&self) -> bool {
-        self.stopping.is_some() || self.drained.is_some()
-    }
-
-    /// Whether clients keep their connections: all the time while serving, and while stopping as long as no other
-    /// dispatcher could take them. Out of service they are let go in any case.
-    pub(in crate::server) fn keeps_clients(&self) -> bool {
-        // They go over to the younger process as they are.
-        self.handed
-            || self.drained.is_none()
-                && self.stopping.is_none_or(|plan| self.now < plan.hold && self.peers_stopped())
+    fn plan_shutdown(&self) -> ShutdownPlan {
+        // A class that a reload took away has kept its number, but goes by no name.
+        let classes = &self.core.names().0.classes;
+        let is_named = |number: usize| {
+            classes.names().get(number).and_then(|name| classes.find(name)) == Some(number as u32)
+        };
+        let deadlines = || self.classes.iter().map(|class| class.deadline).enumerate();
+        let named = deadlines().filter(|(number, _)| is_named(*number));
+        let longest_named = named.map(|(_, deadline)| deadline).max();
+        let longest = deadlines().map(|(_, deadline)| deadline).max();
+        ShutdownPlan::new(self.now, longest_named.unwrap_or(0), longest.unwrap_or(0))
     }
 
-    pub(in crate::server) fn stop_step(&mut self) {
-        let Some(plan) = self.stopping else { return };
-        let keeps = self.keeps_clients();
-        if self.now >= plan.close_idle && !keeps {
+    /// Takes the next step of the plan that is due.
+    pub(in crate::server) fn on_shutdown_timer(&mut self) {
+        let Some(plan) = self.lifecycle.shutdown else { return };
+        let keeps_clients = self.keeps_client_connections();
+        if self.now >= plan.close_idle && !keeps_clients {
             // Workers tell of their jobs until the last one is done.
-            self.close_quiet(FRESH, self.core.ledger.open() == 0);
+            let which = match self.core.ledger.open() {
+                0 => IdleClients::All,
+                _ => IdleClients::WithoutCallbacks,
+            };
+            self.close_idle_clients(MIN_IDLE_BEFORE_CLOSE, which);
         }
         if self.now >= plan.last {
             self.core.fail_all(self.now);
             self.run_commands();
         }
-        if (self.handed || self.now >= plan.quiet && !keeps) && self.is_quiet(plan) {
+        let may_end = self.has_handed_over() || self.now >= plan.quiet && !keeps_clients;
+        if may_end && self.is_quiescent(plan) {
             // A client whose last connection has just ended may be back with a new one.
-            if self.now >= *self.quiet_since.get_or_insert(self.now) + FRESH {
+            let since = *self.lifecycle.quiescent_since.get_or_insert(self.now);
+            if self.now >= since + MIN_IDLE_BEFORE_CLOSE {
                 tracing::info!("stopped: open={}", self.core.ledger.open());
-                self.done = true;
+                self.lifecycle.is_done = true;
                 return;
             }
         } else {
-            self.quiet_since = None;
+            self.lifecycle.quiescent_since = None;
         }
-        self.core.set_timer(self.now + STEP, STOP_TIMER);
+        self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
     }
 
     /// Whether nothing is left to answer or to be read: what the kernel has accepted by now is taken too.
-    fn is_quiet(&mut self, plan: ShutdownPlan) -> bool {
-        if !self.handed {
-            self.accept(false);
-            self.accept(true);
+    fn is_quiescent(&mut self, plan: ShutdownPlan) -> bool {
+        if !self.has_handed_over() {
+            self.accept_clients(ListenerKind::Platform);
+            self.accept_clients(ListenerKind::Sse);
         }
-        let settled = self.now.saturating_sub(FRESH);
-        let busy = |conn: &Conn, role: &Role| match role {
-            Role::Front(front) if front.is_busy(settled) || self.handed && front.is_reading() => true,
-            _ => !conn.outbox.is_empty(),
-        };
-        let mut held = self.slots.iter().filter_map(|slot| slot.held.as_ref());
-        let left = self.core.ledger.open() > 0 || held.any(|(conn, role)| busy(conn, role));
-        !left || self.now >= plan.last + STEP * 8
+        let is_work_left = self.core.ledger.open() > 0
+            || self.connections.iter().any(|(connection, role)| self.is_busy(connection, role));
+        !is_work_left || self.now >= plan.last + MAX_OVERTIME
     }
 
-    /// Closes the connection of a frontend that has been idle for longest, and for at least so long.
-    pub(in crate::server) fn drop_idle_front(&mut self, least: Micros) -> bool {
-        while let Some((since, token)) = self.idle_fronts.first().copied() {
-            if since + least > self.now {
-                return false; // nor is any other that came later
-            }
-            match self.take(token) {
-                Some((conn, Role::Front(front))) => {
-                    if self.close_idle(token, conn, front) {
-                        return true;
-                    }
-                }
-                _ => {
-                    crate::invariant!(false, "an idle connection that is none");
-                    self.idle_fronts.pop_first();
-                }
+    /// Whether a connection may still have something to answer, or to be read.
+    fn is_busy(&self, connection: &Connection, role: &Role) -> bool {
+        let settled = self.now.saturating_sub(MIN_IDLE_BEFORE_CLOSE);
+        let has_output = !connection.outbox.is_empty();
+        match role {
+            Role::Client(client) => {
+                client.is_busy(settled) || self.has_handed_over() && client.is_reading() || has_output
             }
-        }
-        false
-    }
-
-    pub(in crate::server) fn close_token(&mut self, token: Token) {
-        if let Some((conn, role)) = self.take(token) {
-            self.close(token, conn, role);
+            _ => has_output,
         }
     }
 }
--- /dev/null
+++ b/src/server/listeners.rs
@@ -0,0 +1,130 @@
+//! The listening sockets for clients: opened or inherited at the start, and not watched while there is no capacity.
+
+use crate::config::SseSettings;
+use crate::policy::interface::Micros;
+use crate::server::error::ServerError;
+use crate::server::tokens::{PLATFORM, SSE};
+use rustix::event::epoll::{self, EventData, EventFlags};
+use std::io::ErrorKind;
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::OwnedFd;
+use std::time::Duration;
+
+/// An address that a predecessor still holds is tried so often ...
+const MAX_LISTEN_ATTEMPTS: u32 = 100;
+/// ... at this interval.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Which of the clients' addresses a connection came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ListenerKind {
+    /// The platform's.
+    Platform,
+    /// The one with event streams.
+    Sse,
+}
+
+/// The listener for event streams.
+pub(super) struct SseListener {
+    pub socket: TcpListener,
+    /// A stream without an event for so long gets a comment.
+    pub heartbeat: Micros,
+}
+
+/// The listening sockets for clients.
+pub(super) struct Listeners {
+    pub platform: TcpListener,
+    pub sse: Option<SseListener>,
+    /// Whether epoll watches them.
+    pub is_accepting: bool,
+}
+
+impl Listeners {
+    /// The heartbeat of event streams; 0 where they are off.
+    pub fn heartbeat(&self) -> Micros {
+        self.sse.as_ref().map_or(0, |sse| sse.heartbeat)
+    }
+
+    /// The socket of an address, where it is on.
+    pub fn socket(&self, kind: ListenerKind) -> Option<&TcpListener> {
+        match kind {
+            ListenerKind::Platform => Some(&self.platform),
+            ListenerKind::Sse => self.sse.as_ref().map(|sse| &sse.socket),
+        }
+    }
+
+    /// Sets what epoll watches the listeners for.
+    pub fn set_interest(&self, epoll: &OwnedFd, flags: EventFlags) {
+        let platform = epoll::modify(epoll, &self.platform, EventData::new_u64(PLATFORM.0), flags);
+        let sse = self
+            .sse
+            .as_ref()
+            .map_or(Ok(()), |sse| epoll::modify(epoll, &sse.socket, EventData::new_u64(SSE.0), flags));
+        crate::invariant!(platform.is_ok() && sse.is_ok(), "epoll does not know a listener");
+    }
+}
+
+/// The sockets that a predecessor handed over.
+#[derive(Default)]
+pub(super) struct InheritedListeners {
+    pub platform: Option<TcpListener>,
+    pub sse: Option<TcpListener>,
+}
+
+impl InheritedListeners {
+    /// The clients' listeners under this configuration. With `should_retry`, an address in use is waited for, since a
+    /// predecessor that hands nothing over may be about to end.
+    ///
+    /// # Errors
+    /// Where an address cannot be listened on.
+    pub fn into_listeners(
+        self,
+        platform: SocketAddr,
+        sse: Option<&SseSettings>,
+        should_retry: bool,
+    ) -> Result<Listeners, ServerError> {
+        let platform = inherit_or_listen(self.platform, platform, should_retry)?;
+        let sse = match sse {
+            Some(settings) => Some(SseListener {
+                socket: inherit_or_listen(self.sse, settings.listen, should_retry)?,
+                heartbeat: settings.heartbeat,
+            }),
+            None => None,
+        };
+        Ok(Listeners { platform, sse, is_accepting: true })
+    }
+}
+
+/// Listens on an address, without blocking.
+pub(super) fn listen(at: SocketAddr) -> Result<TcpListener, ServerError> {
+    let failed = |error| ServerError::Listen(at, error);
+    let listener = TcpListener::bind(at).map_err(failed)?;
+    listener.set_nonblocking(true).map_err(failed)?;
+    Ok(listener)
+}
+
+/// Whether an inherited socket is where this configuration wants one.
+pub(super) fn is_at(socket: std::io::Result<SocketAddr>, wanted: SocketAddr) -> bool {
+    socket.is_ok_and(|at| at.ip() == wanted.ip() && (at.port() == wanted.port() || wanted.port() == 0))
+}
+
+/// The predecessor's listening socket, with all that waits in its queue, or a new one.
+fn inherit_or_listen(
+    inherited: Option<TcpListener>,
+    at: SocketAddr,
+    should_retry: bool,
+) -> Result<TcpListener, ServerError> {
+    if let Some(inherited) = inherited.filter(|listener| is_at(listener.local_addr(), at)) {
+        return Ok(inherited);
+    }
+    let retries = if should_retry { MAX_LISTEN_ATTEMPTS } else { 0 };
+    for _ in 0..retries {
+        match listen(at) {
+            Err(ServerError::Listen(_, error)) if error.kind() == ErrorKind::AddrInUse => {
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
+            }
+            other => return other,
+        }
+    }
+    listen(at)
+}
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -65,7 +65,7 @@
 
     /// This dispatcher stops. One that another process has taken over from says nothing.
     pub(in crate::server) fn fleet_leaves(&mut self) {
-        if !self.handed {
+        if !self.has_handed_over() {
             self.link.fleet.leave(self.now);
             self.fleet_go_on();
         }
@@ -84,7 +84,7 @@
 
     /// Begins anew, with a new epoch: among other peers, or since the process that spoke for this place has ended.
     pub(in crate::server) fn fleet_speaks_again(&mut self) {
-        if !self.handed {
+        if !self.has_handed_over() {
             let birth = birth(&self.config);
             let again = self.link.fleet.renew(birth, self.now);
             self.core.learners.begin_anew(birth, self.now);
--- /dev/null
+++ b/src/server/metrics.rs
@@ -0,0 +1,90 @@
+//! Counters of the network side, and the line of the log that shows them with the core's.
+
+use crate::core::ledger::Ledger;
+use crate::invariant;
+use crate::policy::interface::Micros;
+use crate::server::Server;
+
+/// The log's line of counters comes this often, if any of them has changed.
+pub(super) const METRICS_INTERVAL: Micros = 10_000_000;
+
+/// What the network side counts, beside the core's ledger.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(super) struct Metrics {
+    /// Attempts that the core started.
+    pub attempts: u64,
+    /// Attempts whose last byte was written.
+    pub attempts_written: u64,
+    /// Attempts held back before their last byte.
+    pub withheld: u64,
+    /// Configurations reloaded.
+    pub reloads: u64,
+    /// Configurations that were refused.
+    pub bad_reloads: u64,
+    /// Connections to workers begun.
+    pub connects: u64,
+    /// Connections to workers that failed.
+    pub connect_failures: u64,
+    /// Connections to workers that broke under an exchange.
+    pub resets: u64,
+    /// Attempts that no worker answered in time.
+    pub untaken: u64,
+    /// Requests and messages that were refused.
+    pub rejects: u64,
+    /// Datagrams from unknown addresses, or too long ones.
+    pub bad_datagrams: u64,
+    /// Endpoint lists that could not be used.
+    pub bad_lists: u64,
+    /// Times that accepting was paused.
+    pub accept_pauses: u64,
+}
+
+/// The counters as the log showed them last.
+#[derive(Default, PartialEq)]
+pub(super) struct LoggedMetrics {
+    network: Metrics,
+    ledger: Ledger,
+}
+
+impl Server {
+    /// Logs one line of counters, if any has changed since the last line.
+    pub(super) fn log_metrics(&mut self) {
+        let current = LoggedMetrics { network: self.metrics, ledger: self.core.ledger };
+        if current == self.logged_metrics {
+            return;
+        }
+        self.logged_metrics = current;
+        let (network, ledger) = (&self.metrics, &self.core.ledger);
+        tracing::info!(
+            "figures taken={} served={} denied={} failed={} gone={} moved={} open={} dispatches={} written={} withheld={} connects={} \
+             connect_failures={} resets={} untaken={} rejects={} stale_news={} bad_rows={} bad_lists={} stale_lists={} \
+             bad_datagrams={} accept_pauses={} reloads={} bad_reloads={} connections={} workers={} broken_invariants={}",
+            ledger.accepted,
+            ledger.served,
+            ledger.rejected,
+            ledger.failed,
+            ledger.disconnected,
+            ledger.transferred,
+            ledger.open(),
+            network.attempts,
+            network.attempts_written,
+            network.withheld,
+            network.connects,
+            network.connect_failures,
+            network.resets,
+            network.untaken,
+            network.rejects,
+            self.core.stale_status_updates,
+            self.core.endpoints.bad_rows,
+            network.bad_lists,
+            self.core.endpoints.stale_lists,
+            network.bad_datagrams,
+            network.accept_pauses,
+            network.reloads,
+            network.bad_reloads,
+            self.connections.open_connections(),
+            self.core.endpoints.ready(),
+            invariant::broken(),
+        );
+    }
+}
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -58,7 +58,8 @@
 impl Server {
     /// The module's own, to one of the others.
     pub(in crate::server) fn tell_peer(&self, to: u32, bytes: &[u8]) {
-        let to = self.config.peers.get(to as usize).filter(|_| bytes.len() <= MOST && !self.handed);
+        let to =
+            self.config.peers.get(to as usize).filter(|_| bytes.len() <= MOST && !self.has_handed_over());
         if let Some((socket, to)) = self.peers.as_ref().zip(to) {
             drop(socket.send_to(bytes, to));
         }
@@ -67,7 +68,8 @@
     /// One word, to each that is to know it.
     fn tell_peers(&self, word: u8) {
         // A datagram may be lost in any case; one that cannot be sent now is. During an upgrade the younger process speaks for both.
-        let all = self.config.peers_all.filter(|_| self.standing.states.is_small() && !self.handed);
+        let all =
+            self.config.peers_all.filter(|_| self.standing.states.is_small() && !self.has_handed_over());
         match self.peers.as_ref().zip(all) {
             Some((socket, all)) => drop(socket.send_to(&[word], all)),
             None => self.standing.states.told().into_iter().for_each(|to| self.tell_peer(to, &[word])),
@@ -83,7 +85,7 @@
     }
 
     fn tell_state_once(&mut self) {
-        self.tell_peers(if self.takes_leave() { STOPPING } else { SERVING });
+        self.tell_peers(if self.is_draining() { STOPPING } else { SERVING });
         // One that has just started, and may not use the list it knows, asks those for it that heard of the process before it.
         if self.core.endpoints.stale && !self.standing.states.is_small() {
             self.core.peer_group().iter().for_each(|to| self.tell_peer(*to, &[SERVING]));
@@ -92,7 +94,7 @@
     }
 
     pub(in crate::server) fn tell_state_again(&mut self) {
-        if self.stopping.is_some() || self.standing.repeats > 0 {
+        if self.is_shutting_down() || self.standing.repeats > 0 {
             self.standing.repeats = self.standing.repeats.saturating_sub(1);
             self.tell_state_once();
         }
@@ -105,7 +107,7 @@
 
     pub(in crate::server) fn hear_peers(&mut self) {
         let mut buf = [0; MOST + 1];
-        for _ in 0..crate::server::ACCEPTS {
+        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
             let Some(Ok((len, from))) = self.peers.as_ref().map(|socket| socket.recv_from(&mut buf)) else {
                 return;
             };
@@ -117,7 +119,7 @@
                 [SERVING] => {
                     self.standing.states.heard(peer, false);
                     // One that has just started cannot know who is about to stop.
-                    if self.takes_leave() {
+                    if self.is_draining() {
                         self.tell_peer(peer, &[STOPPING]);
                     }
                     if let Some(at) = self.standing.heard.get(&peer) {
--- /dev/null
+++ b/src/server/upstream/read.rs
@@ -0,0 +1,257 @@
+//! Reading what workers answer: to attempts, cancels and load probes.
+
+use super::PendingProbe;
+use super::connection::{AttemptId, Exchange, ResponseBody, StatusStream, UpstreamConnection, UpstreamState};
+use crate::core::AttemptOutcome;
+use crate::http::{self, Body, EventStream, Framing, MAX_BODY, MAX_HEAD, StreamEvent};
+use crate::policy::interface::{Micros, Outcome};
+use crate::protocol::{names, platform};
+use crate::server::Server;
+use crate::server::connection::{Connection, ReadEnd};
+use crate::server::connection_table::Role;
+use crate::server::tokens::Token;
+use rustix::event::epoll::EventFlags;
+
+/// The last byte of an attempt on a new connection may arrive so many times later as the connection took: that is one
+/// round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
+const HANDSHAKE_ROUND_TRIPS: Micros = 3;
+/// An event stream of a worker is read in pieces of this size, in bytes.
+const MAX_STREAM_READ: usize = 64 * 1024;
+/// What says that there is something to read, or that the other side has ended.
+const READABLE: EventFlags =
+    EventFlags::IN.union(EventFlags::RDHUP).union(EventFlags::HUP).union(EventFlags::ERR);
+
+/// What reading a part of a response has come to.
+enum Progress {
+    /// There may be more to use.
+    Continue,
+    /// More must be read first.
+    Wait,
+    /// The other side does not keep to the protocol, or the connection is of no more use.
+    Unusable,
+}
+
+/// Whether a response may be that of an exchange. An attempt gets no success but 202 and an event stream: another is what
+/// a probe or a cancel got before it, said twice.
+fn is_response_to(exchange: Exchange, head: &http::Response, connection: &Connection) -> bool {
+    match (exchange, head.status) {
+        (Exchange::Attempt(_), 200) => {
+            let content_type = head.fields.text(&connection.inbox, "content-type").unwrap_or("");
+            content_type.trim_start().to_ascii_lowercase().starts_with("text/event-stream")
+        }
+        (Exchange::Attempt(_), status) => status == 202 || status >= 300,
+        _ => true,
+    }
+}
+
+impl Server {
+    /// A connection to a worker is up, or can be read or written, or its worker has ended it.
+    pub(in crate::server) fn on_upstream_ready(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut upstream: UpstreamConnection,
+        flags: EventFlags,
+    ) {
+        if let UpstreamState::Connecting(exchange) = upstream.state {
+            let has_failed = connection.stream.take_error().map_or(true, |error| error.is_some());
+            if has_failed || flags.contains(EventFlags::ERR) {
+                return self.on_upstream_closed(token, connection, upstream);
+            }
+            if !flags.contains(EventFlags::OUT) {
+                return self.put(token, connection, Role::Upstream(upstream));
+            }
+            self.on_connected(token, &mut connection, &mut upstream, exchange);
+        }
+        if !self.flush_upstream(token, &mut connection, &mut upstream) {
+            return self.on_upstream_closed(token, connection, upstream);
+        }
+        if !flags.intersects(READABLE) {
+            return self.finish_upstream_event(token, connection, upstream);
+        }
+        loop {
+            let limit = match upstream.state {
+                UpstreamState::Streaming(_) => MAX_STREAM_READ,
+                _ => MAX_HEAD + MAX_BODY,
+            };
+            let end = connection.fill(limit);
+            let length_before = connection.inbox.len();
+            if !self.read_upstream(token, &mut connection, &mut upstream) {
+                return self.on_protocol_violation(token, connection, upstream);
+            }
+            match end {
+                ReadEnd::WouldBlock => return self.finish_upstream_event(token, connection, upstream),
+                ReadEnd::LimitReached if connection.inbox.len() < length_before => {}
+                _ => return self.on_upstream_eof(token, connection, upstream),
+            }
+        }
+    }
+
+    /// A new connection is up.
+    fn on_connected(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+        exchange: Exchange,
+    ) {
+        if let Exchange::Attempt(attempt) = exchange {
+            self.is_client_disconnected(attempt.request_id); // then nothing of it is written from here
+        }
+        upstream.state = UpstreamState::Awaiting(exchange);
+        let connect_time = self.now.saturating_sub(upstream.connect_started);
+        upstream.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
+        let deadline = upstream.response_timeout.map(|timeout| self.now + timeout);
+        self.set_timer(token, connection, deadline);
+    }
+
+    /// Uses what was read. False if the other side does not keep to the protocol.
+    pub(super) fn read_upstream(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+    ) -> bool {
+        loop {
+            let progress = match &mut upstream.state {
+                UpstreamState::Connecting(_) => Progress::Wait,
+                UpstreamState::Idle if connection.inbox.is_empty() => Progress::Wait,
+                UpstreamState::Idle => Progress::Unusable,
+                UpstreamState::Awaiting(exchange) => {
+                    let exchange = *exchange;
+                    self.read_response_head(connection, upstream, exchange)
+                }
+                UpstreamState::ReadingBody(_) => self.read_response_body(token, connection, upstream),
+                UpstreamState::Streaming(stream) => self.read_status_stream(connection, stream),
+            };
+            match progress {
+                Progress::Continue => {}
+                Progress::Wait => return true,
+                Progress::Unusable => return false,
+            }
+        }
+    }
+
+    fn read_response_head(
+        &mut self,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+        exchange: Exchange,
+    ) -> Progress {
+        match http::read_response(&connection.inbox) {
+            Ok(None) => return Progress::Wait,
+            Ok(Some(head)) if head.status == 100 => drop(connection.inbox.drain(..head.len)),
+            Ok(Some(head)) if is_response_to(exchange, &head, connection) => {
+                self.on_response_head(connection, upstream, exchange, &head);
+            }
+            _ => return Progress::Unusable,
+        }
+        Progress::Continue
+    }
+
+    fn read_response_body(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+    ) -> Progress {
+        let UpstreamState::ReadingBody(response) = &mut upstream.state else { return Progress::Continue };
+        let is_framed = response.body.feed(&mut connection.inbox, &mut response.read).is_ok();
+        if !is_framed || response.read.len() > MAX_BODY {
+            return Progress::Unusable;
+        }
+        if !response.body.is_done() {
+            return Progress::Wait;
+        }
+        if response.exchange == Exchange::Probe {
+            let body = std::mem::take(&mut response.read);
+            self.on_load_probe_response(token, response.status, &body);
+        }
+        if !response.keep_alive {
+            return Progress::Unusable;
+        }
+        upstream.state = UpstreamState::Idle;
+        Progress::Continue
+    }
+
+    fn read_status_stream(&mut self, connection: &mut Connection, stream: &mut StatusStream) -> Progress {
+        // What came before the framing broke is as good as any: the final event may be in it.
+        let mut read = Vec::new();
+        let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
+        let mut events: Vec<StreamEvent> = Vec::new();
+        let is_parsed = stream.events.feed(&read, |event| events.push(event)).is_ok();
+        for event in events {
+            self.on_stream_event(stream.attempt, &event);
+        }
+        // The stream may end only after the final event: then this changes nothing any more.
+        if is_framed && is_parsed && !stream.body.is_done() { Progress::Wait } else { Progress::Unusable }
+    }
+
+    /// The head of a worker's response: what it says of an attempt counts at once. A response that turns a job away would turn
+    /// away the next one too, were it said twice, so the connection rests until the second has had time to come.
+    fn on_response_head(
+        &mut self,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+        exchange: Exchange,
+        head: &http::Response,
+    ) {
+        upstream.cooldown = 0;
+        if let Exchange::Attempt(attempt) = exchange {
+            if head.status == 200 {
+                connection.inbox.drain(..head.len);
+                let (body, events) = (Body::new(head.framing), EventStream::default());
+                upstream.state = UpstreamState::Streaming(StatusStream { attempt, body, events });
+                return;
+            }
+            self.upstream.attempts.remove(&attempt);
+            if let Some(outcome) = refusal(connection, head) {
+                upstream.cooldown = self.config.connect_timeout;
+                let report = platform::head_report(self.core.names(), &connection.inbox, &head.fields);
+                let AttemptId { request_id, number } = attempt;
+                let outcome = AttemptOutcome::Unserved(outcome);
+                self.core.on_attempt_ended(self.now, request_id, number, outcome, report);
+            }
+        }
+        connection.inbox.drain(..head.len);
+        upstream.state = UpstreamState::ReadingBody(ResponseBody {
+            exchange,
+            status: head.status,
+            body: Body::new(head.framing),
+            read: Vec::new(),
+            keep_alive: head.keep_alive && head.framing != Framing::Absent,
+        });
+    }
+
+    /// A load probe is answered.
+    pub(super) fn on_load_probe_response(&mut self, token: Token, status: u16, body: &[u8]) {
+        let Some(PendingProbe { worker, sent_at }) = self.upstream.probes.remove(&token) else { return };
+        let outcome = if status == 200 { Outcome::Ok } else { Outcome::Error };
+        let report = platform::body_report(self.core.names(), body);
+        self.core.on_probe_response(worker, outcome, self.now.saturating_sub(sent_at), report);
+    }
+
+    /// An event of a worker's stream; its data has the form of a status callback.
+    fn on_stream_event(&mut self, attempt: AttemptId, event: &StreamEvent) {
+        let name = Some(event.name.as_str()).filter(|name| !name.is_empty() && *name != "message");
+        let callback = platform::parse_status_callback(self.core.names(), event.data.as_bytes(), name);
+        match callback {
+            Some(callback) => {
+                let AttemptId { request_id, number } = attempt;
+                let (status, report) = (callback.status, callback.report);
+                self.core.on_attempt_status(self.now, request_id, number, status, report);
+            }
+            None => self.metrics.rejects += 1,
+        }
+    }
+}
+
+/// Why a worker does not take an attempt, if it does not.
+fn refusal(connection: &Connection, head: &http::Response) -> Option<Outcome> {
+    let is_unprocessed = head.fields.text(&connection.inbox, names::UNPROCESSED) == Some("1");
+    match head.status {
+        202 => None,
+        503 | 504 if is_unprocessed => Some(Outcome::Full),
+        _ => Some(Outcome::Error),
+    }
+}
--- /dev/null
+++ b/src/server/upstream/start.rs
@@ -0,0 +1,199 @@
+//! Attempts, cancels and load probes: each gets an idle connection to its worker, or a new one.
+
+use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
+use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT};
+use crate::core::RequestId;
+use crate::http::Piece;
+use crate::policy::interface::{Micros, Outcome, WorkerId};
+use crate::protocol::platform;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::tokens::Token;
+use std::net::SocketAddr;
+
+/// What is to be sent to a worker, and how.
+struct OutgoingExchange {
+    worker: WorkerId,
+    exchange: Exchange,
+    /// How long the first response may take.
+    response_timeout: Option<Micros>,
+    /// The message; an attempt's is encoded at its first byte.
+    pieces: Vec<Piece>,
+    /// An idle connection will not do.
+    needs_new_connection: bool,
+}
+
+impl Server {
+    /// Takes an idle connection over from another process; it may stay idle for so long.
+    pub(in crate::server) fn adopt_upstream(
+        &mut self,
+        worker: WorkerId,
+        connection: Connection,
+        idle_time_left: Micros,
+    ) {
+        let upstream = UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), self.now);
+        let Some(token) = self.add(connection, |_| Role::Upstream(upstream)) else { return };
+        let Some((connection, Role::Upstream(upstream))) = self.take(token) else { return };
+        self.finish_upstream_event(token, connection, upstream);
+        if let Some((mut connection, role)) = self.take(token) {
+            let until = self.now + idle_time_left.min(self.config.conn_idle / 2);
+            self.set_timer(token, &mut connection, Some(until));
+            self.put(token, connection, role);
+        }
+    }
+
+    /// Forwards a request to a worker, unless its client has disconnected.
+    pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
+        if self.polled_at.is_old(self.elapsed_time()) {
+            self.is_client_disconnected(request_id);
+        }
+        let attempt = AttemptId { request_id, number };
+        if !self.pending.contains(request_id) {
+            // Its client left in the meantime: nothing goes out any more, which shows nothing of the worker.
+            return self.end_attempt(attempt, Outcome::NeverSent);
+        }
+        self.metrics.attempts += 1;
+        let outgoing = OutgoingExchange {
+            worker,
+            exchange: Exchange::Attempt(attempt),
+            // A worker answers as soon as it has read: one that says nothing for as long as its machine may take to answer
+            // a connection has one that fell silent, and no reset comes. What could not be sent again is waited for.
+            response_timeout: self.core.accept_timeout(request_id, self.config.connect_timeout),
+            pieces: Vec::new(),
+            // A request has few attempts: once a kept connection has cost it one, the others go out on new ones.
+            needs_new_connection: self.pending.has_broken_attempt(request_id),
+        };
+        if let Some(token) = self.assign_connection(outgoing) {
+            self.upstream.attempts.insert(attempt, token);
+            self.start_exchange(token);
+        }
+    }
+
+    /// Gives an attempt up; its worker is told where closing the connection does not say it.
+    pub(in crate::server) fn cancel_attempt(
+        &mut self,
+        request_id: RequestId,
+        number: u32,
+        worker: WorkerId,
+        name: &str,
+    ) {
+        match self.upstream.attempts.remove(&AttemptId { request_id, number }) {
+            // Not taken yet, or streaming: closing the connection says it all.
+            Some(token) => self.close_token(token),
+            None => self.send_cancel(worker, name, None),
+        }
+    }
+
+    /// Tells a worker to give a job up, where that is allowed; the attempt that is `ending` has ended then.
+    pub(super) fn send_cancel(&mut self, worker: WorkerId, name: &str, ending: Option<AttemptId>) {
+        let exchange = Exchange::Cancel { ending };
+        let is_listed = self.core.endpoints.get(worker).is_some_and(|endpoint| !endpoint.removed);
+        if !is_listed || !self.config.settings.may_cancel {
+            return self.on_exchange_failed(None, worker, exchange, Outcome::Cancelled);
+        }
+        let outgoing = OutgoingExchange {
+            worker,
+            exchange,
+            response_timeout: Some(SIDE_EXCHANGE_TIMEOUT),
+            pieces: platform::cancel(name),
+            needs_new_connection: false,
+        };
+        if let Some(token) = self.assign_connection(outgoing) {
+            if let Some(attempt) = ending {
+                self.upstream.attempts.insert(attempt, token);
+            }
+            self.start_exchange(token);
+        }
+    }
+
+    /// Asks a worker for its load.
+    pub(in crate::server) fn send_load_probe(&mut self, worker: WorkerId) {
+        let outgoing = OutgoingExchange {
+            worker,
+            exchange: Exchange::Probe,
+            response_timeout: Some(SIDE_EXCHANGE_TIMEOUT),
+            pieces: platform::load_probe(),
+            needs_new_connection: false,
+        };
+        if let Some(token) = self.assign_connection(outgoing) {
+            self.upstream.probes.insert(token, PendingProbe { worker, sent_at: self.now });
+            self.start_exchange(token);
+        }
+    }
+
+    /// Gives an exchange an idle connection, or a new one. `None` if there can be none: then it has failed already.
+    fn assign_connection(&mut self, outgoing: OutgoingExchange) -> Option<Token> {
+        let address = self.core.endpoints.get(outgoing.worker).map(|endpoint| endpoint.address);
+        if !outgoing.needs_new_connection
+            && let Some(idle) = self.take_idle_upstream(outgoing.worker, address)
+        {
+            let IdleUpstream { token, mut connection, mut upstream } = idle;
+            connection.outbox.push(outgoing.pieces);
+            upstream.reuse(outgoing.exchange, outgoing.response_timeout);
+            self.put(token, connection, Role::Upstream(upstream));
+            return Some(token);
+        }
+        self.connect_upstream(outgoing, address)
+    }
+
+    /// Takes the freshest idle connection to a worker that can still be used, and closes those that cannot.
+    fn take_idle_upstream(&mut self, worker: WorkerId, address: Option<SocketAddr>) -> Option<IdleUpstream> {
+        while let Some(token) = self.upstream.pop_idle(worker) {
+            let Some((mut connection, Role::Upstream(upstream))) = self.take(token) else { continue };
+            // Its worker has come back elsewhere, or has ended it, or has said what nobody asked for: whatever is here before
+            // a request cannot be its answer.
+            if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
+                self.close(token, connection, Role::Upstream(upstream));
+                continue;
+            }
+            return Some(IdleUpstream { token, connection, upstream });
+        }
+        None
+    }
+
+    /// Begins a new connection to a worker for an exchange.
+    fn connect_upstream(&mut self, outgoing: OutgoingExchange, address: Option<SocketAddr>) -> Option<Token> {
+        let OutgoingExchange { worker, exchange, response_timeout, pieces, .. } = outgoing;
+        let has_descriptor = address.is_none() || self.ensure_descriptor(0);
+        let connection = address.filter(|_| has_descriptor).and_then(|at| Connection::connect(at).ok());
+        self.metrics.connects += 1;
+        let token = connection.and_then(|mut connection| {
+            connection.outbox.push(pieces);
+            let upstream =
+                UpstreamConnection::connecting(worker, address, exchange, response_timeout, self.now);
+            self.add(connection, |_| Role::Upstream(upstream))
+        });
+        if token.is_none() {
+            self.metrics.connect_failures += 1;
+            // That all descriptors are at work here shows nothing of the worker.
+            let outcome = if has_descriptor { Outcome::ConnectFailed } else { Outcome::NeverSent };
+            self.on_exchange_failed(None, worker, exchange, outcome);
+        }
+        token
+    }
+
+    /// Sets an exchange going on its connection.
+    fn start_exchange(&mut self, token: Token) {
+        let Some((mut connection, Role::Upstream(upstream))) = self.take(token) else { return };
+        let timeout = match upstream.state {
+            UpstreamState::Connecting(_) => Some(self.config.connect_timeout),
+            UpstreamState::Awaiting(_) => upstream.response_timeout,
+            _ => None,
+        };
+        self.set_timer(token, &mut connection, timeout.map(|timeout| self.now + timeout));
+        if matches!(upstream.state, UpstreamState::Connecting(_)) {
+            // Writable once it is up; the message waits until then.
+            self.set_interest(token, &mut connection, true, true);
+            return self.put(token, connection, Role::Upstream(upstream));
+        }
+        self.finish_upstream_event(token, connection, upstream);
+    }
+}
+
+/// A connection that was taken out of the pool.
+struct IdleUpstream {
+    token: Token,
+    connection: Connection,
+    upstream: UpstreamConnection,
+}
--- /dev/null
+++ b/src/server/upstream/write.rs
@@ -0,0 +1,131 @@
+//! Writing to workers, and what is awaited of them next.
+
+use super::SIDE_EXCHANGE_TIMEOUT;
+use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
+use crate::policy::interface::Outcome;
+use crate::protocol::platform;
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::connection_table::Role;
+use crate::server::tokens::Token;
+
+impl Server {
+    /// Writes what it can, and counts an attempt at its last byte. Here alone bytes of an attempt leave, so here it is
+    /// settled whether they still may. False if the connection is of no more use.
+    pub(super) fn flush_upstream(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+    ) -> bool {
+        if let Some(length) = upstream.unwritten_length
+            && let UpstreamState::Awaiting(Exchange::Attempt(attempt)) = upstream.state
+        {
+            let has_begun = connection.outbox.len() < length;
+            self.update_clock(); // a turn may be long, and the last bytes of it late
+            let is_usable = self.is_endpoint_usable(upstream);
+            let AttemptId { request_id, number } = attempt;
+            let may_write = self.core.may_write(self.now, request_id, number, upstream.transit_allowance);
+            if !may_write || !(is_usable || has_begun) {
+                self.withhold_attempt(token, connection, upstream, attempt);
+                return is_usable && !has_begun;
+            }
+            if !has_begun {
+                self.encode_attempt(connection, upstream, attempt);
+            }
+        }
+        let is_sound = connection.flush();
+        if is_sound && connection.outbox.is_empty() {
+            self.on_exchange_written(upstream);
+        }
+        is_sound
+    }
+
+    /// Whether attempts may go to a connection's worker, and it is still where the connection leads.
+    fn is_endpoint_usable(&self, upstream: &UpstreamConnection) -> bool {
+        let endpoint = self.core.endpoints.get(upstream.worker);
+        let takes_attempts = endpoint
+            .is_some_and(|endpoint| endpoint.stopped.is_none() && upstream.address == Some(endpoint.address));
+        !self.core.endpoints.stale && takes_attempts
+    }
+
+    /// Gives an attempt up whose last byte has not left: it never ran, and nobody is to blame. If nothing of it has left, the
+    /// connection can carry another one.
+    fn withhold_attempt(
+        &mut self,
+        token: Token,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+        attempt: AttemptId,
+    ) {
+        connection.outbox.clear();
+        upstream.state = UpstreamState::Idle;
+        upstream.unwritten_length = None;
+        self.metrics.withheld += 1;
+        let exchange = Exchange::Attempt(attempt);
+        self.on_exchange_failed(Some(token), upstream.worker, exchange, Outcome::NeverSent);
+    }
+
+    /// Puts an attempt's request into its connection's outbox. The time that its worker is told is left to the client is right
+    /// now; the connection may have been long in coming.
+    fn encode_attempt(
+        &mut self,
+        connection: &mut Connection,
+        upstream: &mut UpstreamConnection,
+        attempt: AttemptId,
+    ) {
+        let Some(raw) = self.pending.get(attempt.request_id) else { return };
+        let time_left = self.core.time_left(self.now, attempt.request_id, attempt.number);
+        connection.outbox.clear();
+        connection.outbox.push(platform::forwarded_request(raw, time_left));
+        upstream.unwritten_length = Some(connection.outbox.len());
+    }
+
+    /// All of an exchange's message has been written.
+    fn on_exchange_written(&mut self, upstream: &mut UpstreamConnection) {
+        if upstream.unwritten_length.take().is_some() {
+            self.metrics.attempts_written += 1;
+        }
+        if let UpstreamState::Awaiting(cancel @ Exchange::Cancel { ending: Some(_) }) = upstream.state {
+            upstream.state = UpstreamState::Awaiting(Exchange::Cancel { ending: None });
+            self.on_exchange_failed(None, upstream.worker, cancel, Outcome::Cancelled);
+        }
+    }
+
+    /// Ends the handling of an event: writes what is there to write, sets the deadline and what epoll watches for, and puts
+    /// the connection back, also into the pool if it is idle.
+    pub(super) fn finish_upstream_event(
+        &mut self,
+        token: Token,
+        mut connection: Connection,
+        mut upstream: UpstreamConnection,
+    ) {
+        if !self.flush_upstream(token, &mut connection, &mut upstream) {
+            return self.on_upstream_closed(token, connection, upstream);
+        }
+        match upstream.state {
+            // Its request's deadline ends it.
+            UpstreamState::Streaming(_) => self.set_timer(token, &mut connection, None),
+            // A response may never end.
+            UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
+                self.set_timer(token, &mut connection, Some(self.now + SIDE_EXCHANGE_TIMEOUT));
+            }
+            UpstreamState::Idle => self.rest_upstream(token, &mut connection, &upstream),
+            _ => {}
+        }
+        self.update_interest(token, &mut connection, true);
+        self.put(token, connection, Role::Upstream(upstream));
+    }
+
+    /// Keeps an idle connection: in the pool, or out of it until it has rested. Workers close connections idle for long; a
+    /// request written to one then ends as a reset.
+    fn rest_upstream(&mut self, token: Token, connection: &mut Connection, upstream: &UpstreamConnection) {
+        let max_idle = self.config.conn_idle / 2;
+        let cooldown = upstream.cooldown.min(max_idle / 2);
+        let until = self.now + if cooldown > 0 { cooldown } else { max_idle };
+        self.set_timer(token, connection, Some(until));
+        if cooldown == 0 && connection.outbox.is_empty() {
+            self.upstream.add_idle(upstream.worker, token);
+        }
+    }
+}
