--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -6,6 +6,7 @@
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
 use crate::server::connection::{Connection, ReadEnd};
+use crate::server::downstream::event_streams::EventStreams;
 use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
@@ -134,7 +135,7 @@
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             state: self.state_figures(),
-            streams: self.stream_metrics(),
+            streams: self.event_streams.as_ref().map(EventStreams::metrics),
             members: self.members_page(),
             learners: self.core.learners.figures(),
         }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,6 +1,7 @@
-//! One connection: its socket, what was read and not used yet, what is to be written.
+//! A buffered, non-blocking socket: what was read and not used yet, and what is to be written, in gathered writes.
 
 use crate::http::Piece;
+use crate::policy::interface::Micros;
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use std::collections::VecDeque;
@@ -13,12 +14,12 @@
 /// Bytes read at a time.
 const MAX_READ: usize = 16 * 1024;
 
-/// What reading brought.
+/// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// All there was for now.
+    /// All that was there has been read.
     WouldBlock,
-    /// As much as was asked for; there may be more.
+    /// The inbox holds as much as was asked for; there may be more.
     LimitReached,
     /// The other side has ended its sending.
     Eof,
@@ -26,12 +27,13 @@
     Broken,
 }
 
-/// Pieces to be written, in order.
+/// Pieces of bytes to be written, in order.
 #[derive(Debug, Default)]
 pub struct Outbox {
     pieces: VecDeque<Piece>,
     /// Bytes of the first piece that are written.
-    done: usize,
+    written: usize,
+    /// Bytes still to be written, of all pieces.
     len: usize,
 }
 
@@ -62,22 +64,23 @@
         self.len == 0
     }
 
-    fn advance(&mut self, mut written: usize) {
-        self.len -= written;
+    /// So many bytes more are written.
+    fn advance(&mut self, mut count: usize) {
+        self.len -= count;
         while let Some(first) = self.pieces.front() {
-            let left = first.bytes().len() - self.done;
-            if written < left {
-                self.done += written;
+            let left = first.bytes().len() - self.written;
+            if count < left {
+                self.written += count;
                 return;
             }
-            written -= left;
-            self.done = 0;
+            count -= left;
+            self.written = 0;
             self.pieces.pop_front();
         }
     }
 }
 
-/// A connection.
+/// A connection with its buffers.
 #[derive(Debug)]
 pub struct Connection {
     /// Its socket.
@@ -89,14 +92,14 @@
     /// What epoll watches it for.
     pub interest: EventFlags,
     /// Its deadline, if one is set.
-    pub timer: Option<u64>,
-    /// Something was written on it since this was last looked at.
-    pub wrote: bool,
+    pub timer: Option<Micros>,
+    /// Something was written on it since this was last reset.
+    pub has_written: bool,
 }
 
 impl Connection {
-    /// A connection over a socket that does not block. Each is told not to hold small writes back: an accepted one has that
-    /// from its listener on some systems only, and a close over unread bytes takes with it what is held back.
+    /// A connection over a socket that does not block. Small writes are not held back (`TCP_NODELAY`): an accepted socket has
+    /// that from its listener on some systems only, and a close over unread bytes takes with it what is held back.
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true); // a slower connection is no reason to lose it
         let interest = EventFlags::empty();
@@ -106,11 +109,14 @@
             outbox: Outbox::default(),
             interest,
             timer: None,
-            wrote: false,
+            has_written: false,
         }
     }
 
-    /// Begins to connect; the socket turns writable once that is settled.
+    /// Begins to connect; the socket turns writable once that has succeeded or failed.
+    ///
+    /// # Errors
+    /// Where the system refuses at once.
     pub fn connect(to: SocketAddr) -> Result<Connection, Errno> {
         use rustix::net::{SocketFlags, SocketType, connect, ipproto, socket_with};
         let family = match to {
@@ -125,21 +131,21 @@
         }
     }
 
-    /// Writes what it can. False if the connection broke.
+    /// Writes what the socket takes. False if the connection broke.
     pub fn flush(&mut self) -> bool {
         while !self.outbox.is_empty() {
             let mut slices = [IoSlice::new(&[]); MAX_GATHERED_PIECES];
             let mut count = 0;
             for (piece, slice) in self.outbox.pieces.iter().zip(&mut slices) {
-                let from = if count == 0 { self.outbox.done } else { 0 };
-                *slice = IoSlice::new(&piece.bytes()[from..]);
+                let start = if count == 0 { self.outbox.written } else { 0 };
+                *slice = IoSlice::new(&piece.bytes()[start..]);
                 count += 1;
             }
             match rustix::io::writev(&self.stream, &slices[..count]) {
                 Ok(0) => return false,
                 Ok(written) => {
                     self.outbox.advance(written);
-                    self.wrote = true;
+                    self.has_written = true;
                 }
                 Err(Errno::AGAIN) => return true,
                 Err(Errno::INTR) => {}
@@ -149,31 +155,31 @@
         true
     }
 
-    /// Whether the other side has ended its sending, or the connection is broken: what is there is read for it, as long
-    /// as the inbox holds less than `most` bytes.
-    pub fn has_ended(&mut self, most: usize) -> bool {
+    /// Whether the other side has ended its sending, or the connection is broken. To see that, what is there is read, as long
+    /// as the inbox holds less than `limit` bytes.
+    pub fn has_ended(&mut self, limit: usize) -> bool {
         loop {
-            let held = self.inbox.len();
-            match self.fill(most) {
+            let length = self.inbox.len();
+            match self.fill(limit) {
                 ReadEnd::Eof | ReadEnd::Broken => return true,
                 ReadEnd::LimitReached => return false,
-                ReadEnd::WouldBlock if self.inbox.len() == held => return false,
+                ReadEnd::WouldBlock if self.inbox.len() == length => return false,
                 ReadEnd::WouldBlock => {} // a short read leaves the end behind it unseen
             }
         }
     }
 
-    /// Reads until the inbox holds `most` bytes or nothing more is there.
-    pub fn fill(&mut self, most: usize) -> ReadEnd {
-        while self.inbox.len() < most {
-            let held = self.inbox.len();
-            let room = (most - held).min(MAX_READ);
-            self.inbox.resize(held + room, 0);
-            let read = rustix::io::read(&self.stream, &mut self.inbox[held..]);
-            self.inbox.truncate(held + *read.as_ref().unwrap_or(&0));
+    /// Reads until the inbox holds `limit` bytes or nothing more is there.
+    pub fn fill(&mut self, limit: usize) -> ReadEnd {
+        while self.inbox.len() < limit {
+            let length = self.inbox.len();
+            let wanted = (limit - length).min(MAX_READ);
+            self.inbox.resize(length + wanted, 0);
+            let read = rustix::io::read(&self.stream, &mut self.inbox[length..]);
+            self.inbox.truncate(length + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return ReadEnd::Eof,
-                Ok(read) if read < room => return ReadEnd::WouldBlock,
+                Ok(read) if read < wanted => return ReadEnd::WouldBlock,
                 Ok(_) | Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => return ReadEnd::WouldBlock,
                 Err(_) => return ReadEnd::Broken,
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -12,7 +12,7 @@
 use crate::server::downstream::{self, ClientConnection};
 use crate::server::tokens::Token;
 use crate::server::upstream::UpstreamConnection;
-use rustix::event::epoll::{self, EventData, EventFlags};
+use rustix::event::epoll::EventFlags;
 
 /// A slot's generation has so many bits: the tokens above belong to what is no connection.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
@@ -142,8 +142,7 @@
     /// Gives a connection a slot and has epoll watch it. `None` where epoll refuses it; it is closed then.
     pub(super) fn add(&mut self, connection: Connection, role: impl FnOnce(Token) -> Role) -> Option<Token> {
         let token = self.connections.reserve();
-        let flags = EventFlags::empty();
-        if epoll::add(&self.epoll, &connection.stream, EventData::new_u64(token.0), flags).is_err() {
+        if self.epoll.add(&connection.stream, token, EventFlags::empty()).is_err() {
             self.connections.unreserve(token);
             return None;
         }
@@ -199,9 +198,8 @@
         flags.set(EventFlags::IN, read);
         flags.set(EventFlags::OUT, write);
         if flags != connection.interest {
-            let data = EventData::new_u64(token.0);
-            let changed = epoll::modify(&self.epoll, &connection.stream, data, flags);
-            invariant!(changed.is_ok(), "epoll does not know a connection");
+            let is_changed = self.epoll.modify(&connection.stream, token, flags);
+            invariant!(is_changed, "epoll does not know a connection");
             connection.interest = flags;
         }
     }
@@ -224,7 +222,7 @@
     }
 
     fn is_budget_used_up(&self) -> bool {
-        let open = self.connections.open_connections() + self.connections_in_peer_process();
+        let open = self.connections.open_connections() + self.hot_restart.connections_in_peer_process();
         open >= self.budget.connections
     }
 }
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -14,13 +14,12 @@
 use crate::protocol::{admin::StreamMetrics, watch};
 use crate::server::Server;
 use crate::server::connection::Connection;
+use crate::server::downstream::Downstream;
 use crate::server::tokens::{STREAM_SWEEP_TIMER, Token};
 use mothproxy_streams::{Effect, JobId, Limits, Relay, WatcherId};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The core's number of the client of a request that no connection waits for: this and the job's number.
-pub(in crate::server) const JOB_FLAG: u64 = 1 << 63;
 /// Time passes for the relay this often.
 const SWEEP_INTERVAL: Micros = 500_000;
 
@@ -65,6 +64,57 @@
             submitted: 0,
         }
     }
+
+    /// A job has started, or this share of it is done.
+    pub fn publish_progress(&mut self, job: JobId, share: Option<f64>) {
+        match share {
+            None => self.relay.publish(job, "started", "{}".to_owned(), false, &mut self.effects),
+            Some(share) => {
+                let data = serde_json::json!({ "share": share }).to_string();
+                self.relay.publish(job, "progress", data, true, &mut self.effects);
+            }
+        }
+    }
+
+    /// What the admin address shows of streams.
+    pub fn metrics(&self) -> StreamMetrics {
+        let (jobs, watchers) = self.relay.counts();
+        StreamMetrics {
+            jobs,
+            watchers,
+            bytes: self.relay.bytes(),
+            handed_in: self.submitted,
+            missed: self.relay.missed,
+            coalesced: self.relay.coalesced,
+            evicted: self.relay.evicted,
+        }
+    }
+
+    /// Whether time is to pass for the relay once more. True only once until [`EventStreams::sweep`].
+    fn needs_sweep(&mut self) -> bool {
+        let is_needed = !self.is_sweep_scheduled && self.relay.next_due().is_some();
+        self.is_sweep_scheduled |= is_needed;
+        is_needed
+    }
+
+    /// Lets time pass for jobs and watchers.
+    fn sweep(&mut self, now: Micros) {
+        self.is_sweep_scheduled = false;
+        self.relay.sweep(now, &mut self.effects);
+    }
+
+    /// What the relay wants done, each thing once: a watcher whose job got on several times meanwhile is woken once.
+    fn take_effects(&mut self) -> Vec<Effect> {
+        let mut effects = std::mem::take(&mut self.effects);
+        effects.sort_unstable();
+        effects.dedup();
+        effects
+    }
+
+    /// The connection of a watcher.
+    fn token(&self, watcher: WatcherId) -> Option<Token> {
+        self.tokens.get(&watcher).copied()
+    }
 }
 
 /// Random bytes that nobody can guess; `None` where the system gives none.
@@ -95,7 +145,7 @@
         let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
         let job = streams.relay.take(self.now, public_id, secret, tenant, ends_unwatched);
         let job = job.map_err(|_| Reject::Overloaded)?;
-        request.downstream = JOB_FLAG | job;
+        request.downstream = Downstream::Job(job).to_number();
         let Some(request_id) = self.core.accept(self.now, request) else {
             streams.relay.carry(job);
             return Err(Reject::DuplicateId);
@@ -108,19 +158,6 @@
         Ok(())
     }
 
-    /// A job has started, or this share of it is done.
-    pub(in crate::server) fn publish_job_progress(&mut self, job: JobId, share: Option<f64>) {
-        let Some(streams) = &mut self.event_streams else { return };
-        let effects = &mut streams.effects;
-        match share {
-            None => streams.relay.publish(job, "started", "{}".to_owned(), false, effects),
-            Some(share) => {
-                let data = serde_json::json!({ "share": share }).to_string();
-                streams.relay.publish(job, "progress", data, true, effects);
-            }
-        }
-    }
-
     /// A job has its final response.
     pub(in crate::server) fn finish_job(&mut self, job: JobId, response: FinalResponse) {
         let now = self.now;
@@ -132,35 +169,16 @@
     }
 
     fn schedule_stream_sweep(&mut self) {
-        let Some(streams) = &mut self.event_streams else { return };
-        if !streams.is_sweep_scheduled && streams.relay.next_due().is_some() {
-            streams.is_sweep_scheduled = true;
+        if self.event_streams.as_mut().is_some_and(EventStreams::needs_sweep) {
             self.core.set_timer(self.now + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
         }
     }
 
     /// Lets time pass for jobs and watchers.
     pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
-        let now = self.now;
         let Some(streams) = &mut self.event_streams else { return };
-        streams.is_sweep_scheduled = false;
-        streams.relay.sweep(now, &mut streams.effects);
+        streams.sweep(self.now);
         self.run_stream_effects();
         self.schedule_stream_sweep();
     }
-
-    /// What the admin address shows of streams, where they are on.
-    pub(in crate::server) fn stream_metrics(&self) -> Option<StreamMetrics> {
-        let streams = self.event_streams.as_ref()?;
-        let (jobs, watchers) = streams.relay.counts();
-        Some(StreamMetrics {
-            jobs,
-            watchers,
-            bytes: streams.relay.bytes(),
-            handed_in: streams.submitted,
-            missed: streams.relay.missed,
-            coalesced: streams.relay.coalesced,
-            evicted: streams.relay.evicted,
-        })
-    }
 }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -5,9 +5,8 @@
 use crate::protocol::watch;
 use crate::server::Server;
 use crate::server::connection_table::Role;
-use crate::server::downstream::ClientState;
-use crate::server::downstream::event_streams::JOB_FLAG;
 use crate::server::downstream::event_streams::watchers::RECONNECT_DELAY;
+use crate::server::downstream::{ClientState, Downstream};
 use crate::server::transferred::{TransferredExchange, TransferredJob};
 use mothproxy_streams::{JobId, WatcherId};
 
@@ -60,7 +59,7 @@
     }
 
     fn end_stream(&mut self, watcher: WatcherId) {
-        let token = self.event_streams.as_ref().and_then(|streams| streams.tokens.get(&watcher).copied());
+        let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         match token.and_then(|token| Some((token, self.take(token)?))) {
             Some((token, (mut connection, Role::Client(mut client)))) => {
                 if let ClientState::Watching(stream) = &client.state {
@@ -84,8 +83,8 @@
         };
         let Some(job) = streams.relay.receive(self.now, transferred.job) else { return };
         if let Some((exchange, raw)) = transferred.request.zip(raw) {
-            self.forget_in_peer_process(&exchange.request.name);
-            match self.core.adopt(exchange.request, JOB_FLAG | job) {
+            self.hot_restart.forget_in_peer_process(&exchange.request.name);
+            match self.core.adopt(exchange.request, Downstream::Job(job).to_number()) {
                 Some(request_id) => {
                     if let Some(streams) = &mut self.event_streams {
                         streams.requests.insert(job, request_id);
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -154,7 +154,7 @@
 
     /// How long a client that loses its stream now should stay away.
     fn reconnect_delay(&self) -> Micros {
-        if self.is_draining() || self.has_handed_over() {
+        if self.lifecycle.is_draining() || self.has_handed_over() {
             RECONNECT_DELAY_DRAINING
         } else if self.connections.clients() * 4 >= self.budget.clients * 3 {
             RECONNECT_DELAY_LOADED
@@ -204,16 +204,10 @@
         }
     }
 
-    /// Once a turn: a watcher whose job got on several times meanwhile is woken once, and pulls the newest progress.
+    /// Does what the relay wants done, once a turn: a watcher that is woken pulls the newest progress.
     pub(in crate::server) fn run_stream_effects(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
-        if streams.effects.is_empty() {
-            return;
-        }
-        let mut effects = std::mem::take(&mut streams.effects);
-        effects.sort_unstable();
-        effects.dedup();
-        for effect in effects {
+        for effect in streams.take_effects() {
             match effect {
                 Effect::Wake(watcher) => self.wake_watcher(watcher),
                 Effect::End(job) => self.cancel_job(job),
@@ -222,7 +216,7 @@
     }
 
     fn wake_watcher(&mut self, watcher: WatcherId) {
-        let token = self.event_streams.as_ref().and_then(|streams| streams.tokens.get(&watcher).copied());
+        let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         let Some(token) = token else { return };
         match self.take(token) {
             Some((connection, Role::Client(client))) => self.advance_client(token, connection, client),
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -20,6 +20,7 @@
 use crate::policy::interface::Micros;
 use crate::server::tokens::Token;
 use lingering::LingeringConnections;
+use mothproxy_streams::JobId;
 use std::collections::BTreeSet;
 
 /// Bytes held of what a client sends: a whole request. Clients send one at a time; one that sends as much again before
@@ -30,6 +31,36 @@
 /// Progress is dropped for a client that has this much left to read; final events never are.
 const MAX_UNREAD_PROGRESS: usize = 16 * 1024;
 
+/// The core's number of a job's client: this and the job's number. Tokens of connections have no such bit.
+const JOB_FLAG: u64 = 1 << 63;
+
+/// Who awaits the response to a request. The core knows it as a number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::server) enum Downstream {
+    /// A client's connection.
+    Connection(Token),
+    /// A job of the event streams.
+    Job(JobId),
+}
+
+impl Downstream {
+    /// The one of this number.
+    pub fn from_number(number: u64) -> Downstream {
+        match number & JOB_FLAG {
+            0 => Downstream::Connection(Token(number)),
+            _ => Downstream::Job(number & !JOB_FLAG),
+        }
+    }
+
+    /// Its number.
+    pub fn to_number(self) -> u64 {
+        match self {
+            Downstream::Connection(token) => token.0,
+            Downstream::Job(job) => JOB_FLAG | job,
+        }
+    }
+}
+
 /// When all connections were last polled for what has come on them.
 #[derive(Clone, Copy, Default)]
 pub(in crate::server) struct PollTime {
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -9,8 +9,7 @@
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
 use crate::server::downstream::client::ChunkedRequest;
-use crate::server::downstream::event_streams::JOB_FLAG;
-use crate::server::downstream::{ClientConnection, ClientState, MAX_INBOX};
+use crate::server::downstream::{ClientConnection, ClientState, Downstream, MAX_INBOX};
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
@@ -91,30 +90,23 @@
 
     /// Reads a connection to see whether the client that awaits a response on it has disconnected; if so, its request is
     /// cancelled.
-    pub(in crate::server) fn close_if_disconnected(&mut self, token: Token) -> bool {
-        let Some((mut connection, role)) = self.take(token) else { return false };
+    pub(in crate::server) fn close_if_disconnected(&mut self, token: Token) {
+        let Some((mut connection, role)) = self.take(token) else { return };
         match role {
-            Role::Client(client) if client.is_awaiting_response() => {
-                let has_ended = connection.has_ended(MAX_INBOX);
-                if has_ended {
-                    self.on_client_closed(token, connection, client);
-                } else {
-                    self.put(token, connection, Role::Client(client));
-                }
-                has_ended
-            }
-            role => {
-                self.put(token, connection, role);
-                false
+            Role::Client(client) if client.is_awaiting_response() && connection.has_ended(MAX_INBOX) => {
+                self.on_client_closed(token, connection, client);
             }
+            role => self.put(token, connection, role),
         }
     }
 
-    /// Whether the client of a request has disconnected, as reading its connection shows; nothing more is sent for it then.
-    pub(in crate::server) fn is_client_disconnected(&mut self, request_id: RequestId) -> bool {
-        let downstream = self.core.downstream(request_id).filter(|downstream| downstream & JOB_FLAG == 0);
-        downstream.is_some_and(|token| self.close_if_disconnected(Token(token)))
-            || !self.pending.contains(request_id)
+    /// Reads the connection of a request's client, and cancels the request if that has disconnected.
+    pub(in crate::server) fn cancel_if_client_disconnected(&mut self, request_id: RequestId) {
+        if let Some(Downstream::Connection(token)) =
+            self.core.downstream(request_id).map(Downstream::from_number)
+        {
+            self.close_if_disconnected(token);
+        }
     }
 
     /// Uses what was read, writes what is there to write, and sets what to wait for.
@@ -282,7 +274,7 @@
 
     /// When a connection is to be handled again at the latest.
     fn client_deadline(&self, connection: &mut Connection, client: &ClientConnection) -> Option<Micros> {
-        let has_progressed = std::mem::take(&mut connection.wrote);
+        let has_progressed = std::mem::take(&mut connection.has_written);
         let stall_deadline = connection.timer.filter(|_| !has_progressed);
         let heartbeat = self.listeners.heartbeat();
         match &client.state {
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -7,7 +7,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::downstream::client::ResponseStream;
-use crate::server::downstream::{ClientConnection, ClientState};
+use crate::server::downstream::{ClientConnection, ClientState, Downstream};
 use crate::server::tokens::Token;
 
 impl Server {
@@ -54,7 +54,9 @@
         keep_alive: bool,
     ) -> Result<(), Reject> {
         match platform::route(self.core.names(), &self.classes, &raw, !client.is_sse)? {
-            Route::Ready if self.is_draining() || self.core.endpoints.stale => Err(Reject::NotReady),
+            Route::Ready if self.lifecycle.is_draining() || self.core.endpoints.stale => {
+                Err(Reject::NotReady)
+            }
             Route::Ready => {
                 connection.outbox.push(platform::ready());
                 Ok(())
@@ -91,14 +93,14 @@
         let callback =
             platform::parse_status_callback(self.core.names(), body, None).ok_or(Reject::BadRequest)?;
         client.has_callbacks = true;
-        if self.is_open_in_peer_process(&callback.id) && !self.core.knows(&callback.id) {
-            if !self.forward_status_callback(body) {
+        if self.hot_restart.is_open_in_peer_process(&callback.id) && !self.core.knows(&callback.id) {
+            if !self.hot_restart.forward_status_callback(body) {
                 return Err(Reject::Overloaded); // the worker tries again
             }
             connection.outbox.push(platform::callback_accepted(keep_alive));
             return Ok(());
         }
-        let keep_alive = raw.head.keep_alive && (keep_alive || !self.is_shutting_down());
+        let keep_alive = raw.head.keep_alive && (keep_alive || !self.lifecycle.is_shutting_down());
         if keep_alive {
             client.state = ClientState::Reading;
         }
@@ -116,7 +118,7 @@
         keep_alive: bool,
     ) -> Result<(), Reject> {
         self.read_idempotency_key(&mut request, &raw);
-        let is_open_elsewhere = self.is_open_in_peer_process(&request.name);
+        let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
         let is_key_reused = self.core.is_key_reused(self.now, &request);
         if is_open_elsewhere {
             return Err(Reject::DuplicateId);
@@ -136,9 +138,9 @@
         raw: RawRequest,
         keep_alive: bool,
     ) -> Result<(), Reject> {
-        request.downstream = token.0;
+        request.downstream = Downstream::Connection(token).to_number();
         self.read_idempotency_key(&mut request, &raw);
-        let is_open_elsewhere = self.is_open_in_peer_process(&request.name);
+        let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
         if self.core.is_key_reused(self.now, &request) {
             return Err(Reject::KeyReused);
         }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -7,23 +7,19 @@
 use crate::policy::interface::Micros;
 use crate::server::Server;
 use crate::server::connection_table::Role;
-use crate::server::downstream::PollTime;
-use crate::server::downstream::event_streams::JOB_FLAG;
+use crate::server::downstream::{Downstream, PollTime};
 use crate::server::error::{ServerError, system};
 use crate::server::listeners::ListenerKind;
 use crate::server::metrics::METRICS_INTERVAL;
+use crate::server::poller::MAX_EVENTS_PER_WAIT;
 use crate::server::tokens::{
     ACCEPT_TIMER, ADMIN, DRAIN_TIMER, FLEET_TIMER, FULL_LIST_TIMER, HANDOVER_TIMER, IDEMPOTENCY_STORE,
     METRICS_TIMER, PEER_PROCESS, PEER_TIMER, PEERS, PLATFORM, POLL_TIMER, RESTART_SOCKET, SHUTDOWN_TIMER,
     SIGNAL, SSE, STALE_LIST_TIMER, STREAM_SWEEP_TIMER, Token, WATCH_TIMER,
 };
-use rustix::event::Timespec;
-use rustix::event::epoll::{self, Event, EventFlags};
+use rustix::event::epoll::{Event, EventFlags};
 use std::time::Duration;
 
-/// Events taken from epoll at a time.
-const MAX_EVENTS_PER_WAIT: usize = 256;
-
 impl Server {
     /// Serves until a shutdown has been completed.
     ///
@@ -50,15 +46,9 @@
 
     /// Waits for events, until the next timer of the core is due.
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
-        let timeout = self.core.next_wake().map(|at| {
-            let span = Duration::from_micros(at.saturating_sub(self.now));
-            Timespec { tv_sec: span.as_secs() as i64, tv_nsec: i64::from(span.subsec_nanos()) }
-        });
-        events.clear();
-        match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(events), timeout.as_ref()) {
-            Ok(_) | Err(rustix::io::Errno::INTR) => Ok(()),
-            Err(error) => Err(system("epoll")(error)),
-        }
+        let wake = self.core.next_wake();
+        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.now)));
+        self.epoll.wait(events, timeout).map_err(system("epoll"))
     }
 
     fn handle_events(&mut self, events: &[Event]) {
@@ -107,15 +97,12 @@
                 }
                 Command::Respond { request_id, downstream, response } => {
                     self.pending.remove(request_id);
-                    match downstream & JOB_FLAG {
-                        0 => self.send_response(Token(downstream), request_id, response),
-                        _ => self.finish_job(downstream & !JOB_FLAG, response),
+                    match Downstream::from_number(downstream) {
+                        Downstream::Connection(token) => self.send_response(token, request_id, response),
+                        Downstream::Job(job) => self.finish_job(job, response),
                     }
                 }
-                Command::NotifyProgress { downstream, share } if downstream & JOB_FLAG != 0 => {
-                    self.publish_job_progress(downstream & !JOB_FLAG, share);
-                }
-                Command::NotifyProgress { downstream, share } => self.send_progress(Token(downstream), share),
+                Command::NotifyProgress { downstream, share } => self.notify_progress(downstream, share),
                 Command::Probe(worker) => self.send_load_probe(worker),
                 Command::SendToPeer(to, bytes) => self.tell_peer(to, &bytes),
                 Command::OpenWatch => self.watch_wanted(),
@@ -126,6 +113,17 @@
         self.run_stream_effects();
     }
 
+    fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
+        match Downstream::from_number(downstream) {
+            Downstream::Connection(token) => self.send_progress(token, share),
+            Downstream::Job(job) => {
+                if let Some(streams) = &mut self.event_streams {
+                    streams.publish_progress(job, share);
+                }
+            }
+        }
+    }
+
     fn on_timer(&mut self, timer: u64) {
         match timer {
             WATCH_TIMER => self.watch_due(),
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -169,7 +169,7 @@
     /// Notes something of a keyed job: in the store, or with the process that has taken it over.
     pub(in crate::server) fn note(&mut self, ticket: Option<u64>, key: String, note: Option<Vec<u8>>) {
         if self.has_handed_over() {
-            if !self.forward_record(ticket, key, note.as_deref())
+            if !self.hot_restart.forward_record(ticket, key, note.as_deref())
                 && let Some(ticket) = ticket
             {
                 self.core.on_record_persisted(ticket, false);
@@ -197,7 +197,7 @@
             match ticket {
                 Some(ticket) if ticket >= ELDERS => {
                     let ticket = ticket - ELDERS;
-                    self.report_record_written(ticket, result.is_ok());
+                    self.hot_restart.report_record_written(ticket, result.is_ok());
                 }
                 Some(ticket) => self.core.on_record_persisted(ticket, result.is_ok()),
                 None => {}
@@ -217,7 +217,7 @@
         match (&mut self.notes, ticket) {
             (Some(notes), ticket) => notes.write(now, ticket.map(|t| ELDERS + t), key, note),
             // This version was started without: it is to go on as though nothing needed noting.
-            (None, Some(ticket)) => drop(self.report_record_written(ticket, true)),
+            (None, Some(ticket)) => drop(self.hot_restart.report_record_written(ticket, true)),
             (None, None) => {}
         }
     }
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -62,7 +62,7 @@
     /// While draining, closes connections of clients that have asked for nothing since the load balancer could know.
     pub(in crate::server) fn on_drain_timer(&mut self) {
         self.lifecycle.is_drain_timer_set = false;
-        let since = self.lifecycle.drained_since.filter(|_| !self.is_shutting_down());
+        let since = self.lifecycle.drained_since.filter(|_| !self.lifecycle.is_shutting_down());
         let Some(since) = since else { return };
         if self.now >= since + DRAIN_CLOSE_DELAY {
             self.close_idle_clients(DRAIN_IDLE_TIME, IdleClients::WithoutCallbacks);
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -21,7 +21,7 @@
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
 use protocol::{HandoverMessage, OpenWork, ReceiveError, packet_socket, receive, send};
-use rustix::event::epoll::{self, EventData, EventFlags};
+use rustix::event::epoll::EventFlags;
 use rustix::fs::Mode;
 use rustix::io::Errno;
 use rustix::net::{SocketAddrUnix, SocketFlags};
@@ -69,6 +69,54 @@
     }
 }
 
+impl HotRestart {
+    /// Whether this process has handed its listening sockets over to a successor.
+    pub fn has_handed_over(&self) -> bool {
+        self.has_handed_over
+    }
+
+    /// Whether a request of this id is open with the other process.
+    pub fn is_open_in_peer_process(&self, name: &str) -> bool {
+        let process = self.peer_process.as_ref();
+        process.is_some_and(|process| process.open.request_names.contains(name))
+    }
+
+    /// A request of this id is no longer open with the other process.
+    pub fn forget_in_peer_process(&mut self, name: &str) {
+        if let Some(process) = &mut self.peer_process {
+            process.open.request_names.remove(name);
+        }
+    }
+
+    /// Connections that the other process still holds, with its own few descriptors.
+    pub fn connections_in_peer_process(&self) -> usize {
+        let process = self.peer_process.as_ref();
+        process.map_or(0, |process| process.open.connections + RESERVED_DESCRIPTORS)
+    }
+
+    /// Passes a status callback to the other process. False if it cannot be: the worker has to try again.
+    pub fn forward_status_callback(&self, body: &[u8]) -> bool {
+        self.send(&HandoverMessage::StatusCallback, &[body], &[])
+    }
+
+    /// Has the other process write an idempotency record, or forget the key where there is none. False if it cannot be sent.
+    pub fn forward_record(&self, ticket: Option<u64>, key: String, record: Option<&[u8]>) -> bool {
+        let message = HandoverMessage::WriteRecord { ticket, key, is_kept: record.is_some() };
+        self.send(&message, &[record.unwrap_or_default()], &[])
+    }
+
+    /// Tells the other process whether a record that it wanted is written. False if that cannot be sent.
+    pub fn report_record_written(&self, ticket: u64, is_written: bool) -> bool {
+        self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
+    }
+
+    /// Sends the other process a message. False if it cannot be sent.
+    fn send(&self, message: &HandoverMessage, bytes: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> bool {
+        let process = self.peer_process.as_ref();
+        process.is_some_and(|process| send(&process.link, message, bytes, descriptors).is_ok())
+    }
+}
+
 /// Where the processes of a dispatcher of this name meet.
 pub(in crate::server) fn socket_path(folder: &Path, name: &str) -> PathBuf {
     let to_plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
@@ -89,7 +137,7 @@
 impl Server {
     /// Whether this process has handed its listening sockets over to a successor.
     pub(in crate::server) fn has_handed_over(&self) -> bool {
-        self.hot_restart.has_handed_over
+        self.hot_restart.has_handed_over()
     }
 
     /// Listens where the next version will look, and takes up the link to the predecessor if there is one.
@@ -117,7 +165,7 @@
 
     /// Has epoll watch a descriptor for what can be read; false where it refuses.
     fn can_watch(&self, fd: BorrowedFd<'_>, token: Token) -> bool {
-        epoll::add(&self.epoll, fd, EventData::new_u64(token.0), EventFlags::IN).is_ok()
+        self.epoll.add(fd, token, EventFlags::IN).is_ok()
     }
 
     fn open_restart_socket(&mut self) {
@@ -160,7 +208,7 @@
     /// The other process has ended, as it should or not.
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
-        let _ = epoll::delete(&self.epoll, &process.link);
+        self.epoll.remove(&process.link);
         if !std::mem::take(&mut self.hot_restart.has_handed_over) {
             return tracing::info!("upgrade: the other process has ended");
         }
@@ -187,50 +235,4 @@
             connections: self.connections.open_connections(),
         }
     }
-
-    /// Whether a request of this id is open with the other process.
-    pub(in crate::server) fn is_open_in_peer_process(&self, name: &str) -> bool {
-        let process = self.hot_restart.peer_process.as_ref();
-        process.is_some_and(|process| process.open.request_names.contains(name))
-    }
-
-    /// A request of this id is no longer open with the other process.
-    pub(in crate::server) fn forget_in_peer_process(&mut self, name: &str) {
-        if let Some(process) = &mut self.hot_restart.peer_process {
-            process.open.request_names.remove(name);
-        }
-    }
-
-    /// Connections that the other process still holds, with its own few descriptors.
-    pub(in crate::server) fn connections_in_peer_process(&self) -> usize {
-        let process = self.hot_restart.peer_process.as_ref();
-        process.map_or(0, |process| process.open.connections + RESERVED_DESCRIPTORS)
-    }
-
-    /// Sends the other process a message. False if it cannot be sent.
-    fn send_to_peer_process(&self, message: &HandoverMessage, bytes: &[&[u8]]) -> bool {
-        let process = self.hot_restart.peer_process.as_ref();
-        process.is_some_and(|process| send(&process.link, message, bytes, &[]).is_ok())
-    }
-
-    /// Passes a status callback to the other process. False if it cannot be: the worker has to try again.
-    pub(in crate::server) fn forward_status_callback(&self, body: &[u8]) -> bool {
-        self.send_to_peer_process(&HandoverMessage::StatusCallback, &[body])
-    }
-
-    /// Has the other process write an idempotency record, or forget the key where there is none. False if it cannot be sent.
-    pub(in crate::server) fn forward_record(
-        &self,
-        ticket: Option<u64>,
-        key: String,
-        record: Option<&[u8]>,
-    ) -> bool {
-        let message = HandoverMessage::WriteRecord { ticket, key, is_kept: record.is_some() };
-        self.send_to_peer_process(&message, &[record.unwrap_or_default()])
-    }
-
-    /// Tells the other process whether a record that it wanted is written. False if that cannot be sent.
-    pub(in crate::server) fn report_record_written(&self, ticket: u64, is_written: bool) -> bool {
-        self.send_to_peer_process(&HandoverMessage::RecordWritten { ticket, is_written }, &[])
-    }
 }
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -10,7 +10,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
-use crate::server::downstream::ClientConnection;
+use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::listeners::InheritedListeners;
 use crate::server::transferred::{TransferredClient, split_request};
 use rustix::net::SocketAddrUnix;
@@ -147,7 +147,7 @@
         match platform::parse_status_callback(self.core.names(), body, None) {
             // What went over in the meantime is told there; the successor sends nothing back.
             Some(callback) if self.has_handed_over() && !self.core.knows(&callback.id) => {
-                self.forward_status_callback(body);
+                self.hot_restart.forward_status_callback(body);
             }
             Some(callback) => {
                 let (status, report) = (callback.status, callback.report);
@@ -176,7 +176,7 @@
             self.clients.track_awaiting_request(token, &client); // heard of now, as far as this process knows
         }
         if let Some((exchange, raw)) = transferred.request.zip(split.request) {
-            match self.core.adopt(exchange.request, token.0) {
+            match self.core.adopt(exchange.request, Downstream::Connection(token).to_number()) {
                 Some(request_id) => {
                     self.pending.insert(request_id, raw);
                     if exchange.has_broken_attempt {
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -9,12 +9,11 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
-use crate::server::downstream::ClientConnection;
+use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::tokens::{HANDOVER_TIMER, Token};
 use crate::server::transferred::{TransferredExchange, request_bytes};
 use crate::server::upstream::UpstreamConnection;
-use rustix::event::epoll;
-use std::os::fd::{AsFd, BorrowedFd};
+use std::os::fd::AsFd;
 
 /// What could not be handed over yet is tried again at this interval.
 const HANDOVER_INTERVAL: Micros = 4_000;
@@ -57,7 +56,7 @@
         process.last_sent = open;
         // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
         for descriptor in &descriptors {
-            let _ = epoll::delete(&self.epoll, descriptor);
+            self.epoll.remove(descriptor);
         }
         self.hot_restart.has_handed_over = true;
         self.listeners.is_accepting = false;
@@ -124,18 +123,19 @@
         let mut bytes: Vec<&[u8]> = raw.iter().flat_map(request_bytes).collect();
         bytes.push(&connection.inbox);
         let message = HandoverMessage::Client(transferred);
-        let is_sent = self.send_with_descriptor(&message, &bytes, connection.stream.as_fd());
+        let is_sent = self.hot_restart.send(&message, &bytes, &[connection.stream.as_fd()]);
         if let Some(request_id) = awaited {
             self.pending.remove(request_id);
         }
         if is_sent {
-            let _ = epoll::delete(&self.epoll, &connection.stream);
+            self.epoll.remove(&connection.stream);
             return self.release_client(token, connection, client);
         }
         // The link is full or gone: the request stays, under a new number.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
             && let Some(exchange) = transferred.request
-            && let Some(request_id) = self.core.adopt(exchange.request, token.0)
+            && let Some(request_id) =
+                self.core.adopt(exchange.request, Downstream::Connection(token).to_number())
         {
             self.pending.insert(request_id, raw);
             client.replace_awaited_request(request_id);
@@ -172,8 +172,8 @@
             worker: endpoint.row.instance_id.clone(),
             idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
         };
-        if self.send_with_descriptor(&message, &[], connection.stream.as_fd()) {
-            let _ = epoll::delete(&self.epoll, &connection.stream);
+        if self.hot_restart.send(&message, &[], &[connection.stream.as_fd()]) {
+            self.epoll.remove(&connection.stream);
             self.upstream.remove_idle(worker, token);
             return self.close(token, connection, Role::Upstream(upstream));
         }
@@ -186,7 +186,7 @@
             let Some(released) = self.release_job(job) else { continue };
             let bytes: Vec<&[u8]> = released.raw.iter().flat_map(request_bytes).collect();
             let message = HandoverMessage::Job(released.job);
-            let is_sent = self.send_to_peer_process(&message, &bytes);
+            let is_sent = self.hot_restart.send(&message, &bytes, &[]);
             if let Some(request_id) = released.request_id {
                 self.pending.remove(request_id);
             }
@@ -195,14 +195,4 @@
             }
         }
     }
-
-    fn send_with_descriptor(
-        &self,
-        message: &HandoverMessage,
-        bytes: &[&[u8]],
-        descriptor: BorrowedFd<'_>,
-    ) -> bool {
-        let process = self.hot_restart.peer_process.as_ref();
-        process.is_some_and(|process| send(&process.link, message, bytes, &[descriptor]).is_ok())
-    }
 }
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -24,17 +24,19 @@
     pub is_done: bool,
 }
 
-impl Server {
+impl Lifecycle {
     /// Whether a shutdown has been asked for.
-    pub(in crate::server) fn is_shutting_down(&self) -> bool {
-        self.lifecycle.shutdown.is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
     }
 
-    /// Whether clients are to turn to other dispatchers.
-    pub(in crate::server) fn is_draining(&self) -> bool {
-        self.is_shutting_down() || self.lifecycle.drained_since.is_some()
+    /// Whether clients are to turn to other dispatchers: while shutting down, or out of service.
+    pub fn is_draining(&self) -> bool {
+        self.is_shutting_down() || self.drained_since.is_some()
     }
+}
 
+impl Server {
     /// Whether clients keep their connections: all the time while serving, and while shutting down as long as no other
     /// dispatcher could take them. Out of service they are let go in any case.
     pub(in crate::server) fn keeps_client_connections(&self) -> bool {
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -23,7 +23,7 @@
 impl Server {
     /// Begins the shutdown, unless it has begun.
     pub(in crate::server) fn start_shutdown(&mut self) {
-        if self.is_shutting_down() {
+        if self.lifecycle.is_shutting_down() {
             return;
         }
         self.lifecycle.shutdown = Some(self.plan_shutdown());
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -3,11 +3,11 @@
 use crate::config::SseSettings;
 use crate::policy::interface::Micros;
 use crate::server::error::ServerError;
+use crate::server::poller::Poller;
 use crate::server::tokens::{PLATFORM, SSE};
-use rustix::event::epoll::{self, EventData, EventFlags};
+use rustix::event::epoll::EventFlags;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
-use std::os::fd::OwnedFd;
 use std::time::Duration;
 
 /// An address that a predecessor still holds is tried so often ...
@@ -54,13 +54,10 @@
     }
 
     /// Sets what epoll watches the listeners for.
-    pub fn set_interest(&self, epoll: &OwnedFd, flags: EventFlags) {
-        let platform = epoll::modify(epoll, &self.platform, EventData::new_u64(PLATFORM.0), flags);
-        let sse = self
-            .sse
-            .as_ref()
-            .map_or(Ok(()), |sse| epoll::modify(epoll, &sse.socket, EventData::new_u64(SSE.0), flags));
-        crate::invariant!(platform.is_ok() && sse.is_ok(), "epoll does not know a listener");
+    pub fn set_interest(&self, epoll: &Poller, flags: EventFlags) {
+        let platform = epoll.modify(&self.platform, PLATFORM, flags);
+        let sse = self.sse.as_ref().is_none_or(|sse| epoll.modify(&sse.socket, SSE, flags));
+        crate::invariant!(platform && sse, "epoll does not know a listener");
     }
 }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -18,6 +18,7 @@
 mod metrics;
 mod peers;
 mod pending_requests;
+mod poller;
 mod tokens;
 mod transferred;
 mod upstream;
@@ -42,10 +43,11 @@
 use listeners::{Listeners, is_at, listen};
 use metrics::{LoggedMetrics, METRICS_INTERVAL, Metrics};
 use pending_requests::PendingRequests;
-use rustix::event::epoll::{self, EventData, EventFlags};
+use poller::Poller;
+use rustix::event::epoll::EventFlags;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::fd::{AsFd, BorrowedFd};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokens::{
@@ -76,7 +78,7 @@
     now: Micros,
     /// When all connections were last polled.
     polled_at: PollTime,
-    epoll: OwnedFd,
+    epoll: Poller,
     listeners: Listeners,
     admin: Option<TcpListener>,
     /// Connections to the admin address, the oldest first.
@@ -192,7 +194,7 @@
         let listeners = inherited.listeners.into_listeners(config.listen, sse.as_ref(), should_retry)?;
         let admin = config.admin.map(listen).transpose()?;
         let peers = open_peer_socket(inherited.peers, config.peer_listen)?;
-        let epoll = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(system("epoll"))?;
+        let epoll = Poller::new().map_err(system("epoll"))?;
         let now = Core::clock_start();
         let newest_start = load_initial_state(&mut core, now, &config, inheritance.as_mut());
         core.set_timer(now + METRICS_INTERVAL, METRICS_TIMER);
@@ -256,7 +258,7 @@
     }
 
     fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
-        epoll::add(&self.epoll, fd, EventData::new_u64(token.0), EventFlags::IN).map_err(system("epoll"))
+        self.epoll.add(fd, token, EventFlags::IN).map_err(system("epoll"))
     }
 
     /// Where the program listens.
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -85,7 +85,7 @@
     }
 
     fn tell_state_once(&mut self) {
-        self.tell_peers(if self.is_draining() { STOPPING } else { SERVING });
+        self.tell_peers(if self.lifecycle.is_draining() { STOPPING } else { SERVING });
         // One that has just started, and may not use the list it knows, asks those for it that heard of the process before it.
         if self.core.endpoints.stale && !self.standing.states.is_small() {
             self.core.peer_group().iter().for_each(|to| self.tell_peer(*to, &[SERVING]));
@@ -94,7 +94,7 @@
     }
 
     pub(in crate::server) fn tell_state_again(&mut self) {
-        if self.is_shutting_down() || self.standing.repeats > 0 {
+        if self.lifecycle.is_shutting_down() || self.standing.repeats > 0 {
             self.standing.repeats = self.standing.repeats.saturating_sub(1);
             self.tell_state_once();
         }
@@ -119,7 +119,7 @@
                 [SERVING] => {
                     self.standing.states.heard(peer, false);
                     // One that has just started cannot know who is about to stop.
-                    if self.is_draining() {
+                    if self.lifecycle.is_draining() {
                         self.tell_peer(peer, &[STOPPING]);
                     }
                     if let Some(at) = self.standing.heard.get(&peer) {
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -96,7 +96,7 @@
         exchange: Exchange,
     ) {
         if let Exchange::Attempt(attempt) = exchange {
-            self.is_client_disconnected(attempt.request_id); // then nothing of it is written from here
+            self.cancel_if_client_disconnected(attempt.request_id); // then nothing of it is written from here
         }
         upstream.state = UpstreamState::Awaiting(exchange);
         let connect_time = self.now.saturating_sub(upstream.connect_started);
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -46,7 +46,7 @@
     /// Forwards a request to a worker, unless its client has disconnected.
     pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
         if self.polled_at.is_old(self.elapsed_time()) {
-            self.is_client_disconnected(request_id);
+            self.cancel_if_client_disconnected(request_id);
         }
         let attempt = AttemptId { request_id, number };
         if !self.pending.contains(request_id) {
