--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// How many connections may linger at a time: what may be accepted beyond the clients that are served.
-    pub fn lingering(&self) -> usize {
+    pub fn max_lingering(&self) -> usize {
         self.max_accepted_clients - self.clients
     }
 }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -9,9 +9,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::OwnedFd;
 
-/// Pieces handed to one gathered write at most.
+/// The most pieces of one gathered write.
 const MAX_GATHERED_PIECES: usize = 16;
-/// Bytes read at a time.
+/// The most bytes read by one call.
 const MAX_READ: usize = 16 * 1024;
 
 /// Why reading stopped.
@@ -19,7 +19,7 @@
 pub enum ReadEnd {
     /// All that was there has been read.
     WouldBlock,
-    /// The inbox holds as much as was asked for; there may be more.
+    /// The inbox holds as much as the limit allows; there may be more to read.
     LimitReached,
     /// The other side has ended its sending.
     Eof,
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -14,7 +14,7 @@
 use crate::server::upstream::UpstreamConnection;
 use rustix::event::epoll::EventFlags;
 
-/// A slot's generation has so many bits: the tokens above belong to what is no connection.
+/// The bits of a slot's generation. Tokens above them belong to what is no connection.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
 /// What a connection is for.
@@ -210,14 +210,14 @@
         if !self.is_budget_used_up() {
             return true;
         }
-        // Half requests that were heard of lately come last: usual clients may be writing them.
+        // Partial requests that grew lately come last: well-behaved clients may be writing them.
         let is_closed = self.close_oldest_lingering()
             || self.close_silent_client(downstream::PARTIAL_REQUEST_GRACE)
             || self.close_idle_upstream()
             || self.close_oldest_served_client(min_idle)
             || self.close_oldest_idle_client(min_idle)
             || self.close_silent_client(downstream::SILENT_GRACE);
-        // Where its end has only begun, it gives its descriptor now.
+        // A connection that only began to linger still holds its descriptor: it is closed now.
         is_closed && (!self.is_budget_used_up() || self.close_oldest_lingering() && !self.is_budget_used_up())
     }
 
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Whether one more client may be accepted. Idle connections give way before accepting fails; a client with nothing to
-    /// say loses nothing. Those that never asked for anything go first, or they would use up what usual clients need.
+    /// Makes room for one more client. Idle connections are closed before accepting fails: a client without a request loses
+    /// nothing. Those that never sent a request go first, or they would use up what well-behaved clients need.
     fn ensure_accept_capacity(&mut self) -> bool {
         let is_full = self.active_clients() >= self.budget.clients
             && !self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
--- a/src/server/downstream/client.rs
+++ b/src/server/downstream/client.rs
@@ -176,9 +176,9 @@
         self.state = if keep_alive { ClientState::Reading } else { ClientState::Closing };
     }
 
-    /// Whether it has a request that is not answered, or a part of one, or its client has not ended yet, or was idle
-    /// later than `settled`.
-    pub(in crate::server) fn is_busy(&self, settled: Micros) -> bool {
-        self.idle_since.is_none_or(|since| since > settled)
+    /// Whether it has a request that is not answered, or a part of one, or its client has not ended yet, or became idle
+    /// only after this time.
+    pub(in crate::server) fn is_busy(&self, idle_before: Micros) -> bool {
+        self.idle_since.is_none_or(|since| since > idle_before)
     }
 }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -25,7 +25,7 @@
         self.event_streams.as_ref().map_or(Vec::new(), |streams| streams.relay.jobs())
     }
 
-    /// Takes a job out of this process, and has its watchers come back at the successor. `None` where it cannot go yet.
+    /// Takes a job out of this process, and ends its watchers' streams: they reconnect at the successor. `None` where it cannot go yet.
     pub(in crate::server) fn release_job(&mut self, job: JobId) -> Option<ReleasedJob> {
         let request_id = self.event_streams.as_ref()?.requests.get(&job).copied();
         let mut raw = None;
@@ -50,7 +50,7 @@
         Some(ReleasedJob { job, raw, request_id })
     }
 
-    /// Ends the streams of a job's watchers in an orderly way.
+    /// Ends the streams of a job's watchers, with the delay after which they are to reconnect.
     fn end_job_streams(&mut self, job: JobId) {
         let Some(streams) = &self.event_streams else { return };
         for watcher in streams.relay.watchers_of(job) {
@@ -94,7 +94,7 @@
                         self.pending.record_broken_attempt(request_id);
                     }
                 }
-                // Nothing here could serve it: its watchers are told so at once.
+                // Nothing here could serve it: it fails at once.
                 None => self.finish_job(job, FinalResponse::Failed),
             }
         }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -229,7 +229,7 @@
     fn cancel_job(&mut self, job: JobId) {
         let Some(streams) = &mut self.event_streams else { return };
         if let Some(request_id) = streams.requests.remove(&job) {
-            streams.relay.carry(job); // nobody can ask for it any more
+            streams.relay.carry(job); // nobody can watch it any more
             self.pending.remove(request_id);
             self.core.client_disconnected(self.now, request_id);
         }
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -1,7 +1,7 @@
 //! Closing connections of clients that are idle or silent, where others need their descriptors.
 //!
-//! A request that a close crosses is sent once more by its client; a new client would count a refusal. So connections that
-//! have served give way before a new one is refused, and those that never asked for anything give way first of all.
+//! A client whose request crosses the close sends it again, while a new client would count a refusal. So connections that have
+//! been served are closed before a new one is refused, and those that never sent a request are closed first of all.
 
 use crate::policy::interface::Micros;
 use crate::protocol::platform::Reject;
@@ -13,12 +13,12 @@
 use rustix::event::epoll::EventFlags;
 use std::io::ErrorKind;
 
-/// A connection that has been idle for less than this may have its request on the way.
+/// A connection that has been idle for less than this may have a request in flight.
 pub(in crate::server) const MIN_IDLE_BEFORE_CLOSE: Micros = 30_000;
-/// A connection that has sent no whole request, and has been silent for this long, gives way to others ...
+/// A connection that has sent no whole request, and has been silent for this long, may be closed for others ...
 pub(in crate::server) const SILENT_GRACE: Micros = 300_000;
-/// ... but if it has sent a part of a request, only after idle ones, until it has been silent for this long. Usual clients
-/// that write slowly go on writing; those that stop half way do not.
+/// ... but if it has sent a part of a request, only after idle ones, until it has been silent for this long. Well-behaved
+/// clients that write slowly go on writing; those that stop half way do not.
 pub(in crate::server) const PARTIAL_REQUEST_GRACE: Micros = 1_000_000;
 
 impl Server {
@@ -27,10 +27,10 @@
         self.connections.clients() - self.clients.lingering.len()
     }
 
-    /// Whether the connections of clients keep within their budget, once those that wait for nothing are closed.
+    /// Closes idle connections until those of clients keep within their budget. False where they do not.
     pub(super) fn ensure_client_capacity(&mut self) -> bool {
         while self.active_clients() > self.budget.clients {
-            // A whole request outranks a connection that may have one on its way.
+            // A whole request outranks a connection that may have one in flight.
             if !self.close_any_idle_client(0) {
                 return false;
             }
@@ -38,8 +38,8 @@
         true
     }
 
-    /// Closes a connection of a client to make room: one that is silent, one that has been idle for `min_idle`, or a half
-    /// request. False where there is none.
+    /// Closes a connection of a client to make room: one that is silent, one that has been idle for `min_idle`, or one with a
+    /// partial request. False where there is none.
     pub(super) fn close_any_idle_client(&mut self, min_idle: Micros) -> bool {
         self.close_silent_client(PARTIAL_REQUEST_GRACE)
             || self.close_oldest_served_client(min_idle)
@@ -47,7 +47,8 @@
             || self.close_silent_client(SILENT_GRACE)
     }
 
-    /// Ends an idle connection, unless a request has arrived on it that was not read yet: that one is taken.
+    /// Ends an idle connection, unless a request has arrived on it that was not read yet: that one is served. True where it
+    /// was ended.
     pub(in crate::server) fn close_idle_client(
         &mut self,
         token: Token,
@@ -59,7 +60,7 @@
                 self.on_client_ready(token, connection, client, EventFlags::IN);
                 return false;
             }
-            // What comes from now on crosses the end.
+            // A request that comes from now on crosses the close.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.half_close_client(token, &mut connection, &mut client);
                 self.put(token, connection, Role::Client(client));
@@ -91,20 +92,15 @@
     }
 
     fn oldest_served_client(&self, min_idle: Micros) -> Option<Token> {
-        let mut idle = self.clients.idle.iter().take_while(|(since, _)| since + min_idle <= self.now);
-        let served = idle.find(|(_, token)| {
+        self.clients.idle_for(min_idle, self.now).find(|token| {
             let entry = self.connections.get(*token);
             matches!(entry, Some((_, Role::Client(client))) if !client.is_awaiting_request())
-        });
-        served.map(|(_, token)| *token)
+        })
     }
 
     /// Closes the connection of a client that has been idle for longest, and for at least so long.
     pub(in crate::server) fn close_oldest_idle_client(&mut self, min_idle: Micros) -> bool {
-        while let Some((since, token)) = self.clients.idle.first().copied() {
-            if since + min_idle > self.now {
-                return false; // nor is any other that came later
-            }
+        while let Some(token) = self.oldest_idle_client(min_idle) {
             if let Some((connection, Role::Client(client))) = self.take(token) {
                 if self.close_idle_client(token, connection, client) {
                     return true;
@@ -117,12 +113,14 @@
         false
     }
 
-    /// Closes the connection that has been silent for longest of those that have had their time to ask: with a part of a
-    /// request that is `partial_grace`.
+    fn oldest_idle_client(&self, min_idle: Micros) -> Option<Token> {
+        self.clients.idle_for(min_idle, self.now).next()
+    }
+
+    /// Closes the connection that has been silent for longest, and for at least [`SILENT_GRACE`], of those that a whole
+    /// request is awaited on; with a part of a request, for at least `partial_grace`. False where there is none.
     pub(in crate::server) fn close_silent_client(&mut self, partial_grace: Micros) -> bool {
-        let silent = self.clients.awaiting_request.iter();
-        let silent = silent.take_while(|(last_read, _)| last_read + SILENT_GRACE <= self.now);
-        let silent: Vec<TimedToken> = silent.copied().collect();
+        let silent: Vec<TimedToken> = self.clients.silent_for(SILENT_GRACE, self.now).collect();
         for (last_read, token) in silent {
             // Closed, or in use right now; in the first case it is not in the set any more.
             let Some((connection, role)) = self.take(token) else { continue };
@@ -157,7 +155,7 @@
         if client.is_ending() {
             self.on_client_closed(token, connection, client);
         } else {
-            // What comes of the rest of its request is not taken, and its client is told that it may try again.
+            // The rest of its request is not read; the response says that the client may try again.
             self.reject(&mut connection, &mut client, Reject::Overloaded);
             self.finish_client_event(token, connection, client);
         }
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::net::Shutdown;
 
-/// A client's end is awaited for this long: many times as long as the way to any, short beside all deadlines.
+/// A client's end is awaited for this long: many times the round trip to any, short beside all deadlines.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 /// Those connections, the oldest first.
@@ -53,8 +53,8 @@
         client.state = ClientState::Lingering { since: self.now };
         self.clients.lingering.insert(self.now, token);
         self.set_timer(token, connection, Some(self.now + LINGER_TIMEOUT));
-        // They have a share of their own beside the clients that are served; under a flood the oldest are closed.
-        if self.clients.lingering.len() > self.budget.lingering() {
+        // They have a part of the budget of their own beside the clients that are served; under a flood the oldest are closed.
+        if self.clients.lingering.len() > self.budget.max_lingering() {
             self.close_oldest_lingering();
         }
     }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -23,8 +23,8 @@
 use mothproxy_streams::JobId;
 use std::collections::BTreeSet;
 
-/// Bytes held of what a client sends: a whole request. Clients send one at a time; one that sends as much again before
-/// it has its response is closed, since what comes behind could not be seen, the end of the connection among it.
+/// The most bytes buffered of what a client sends: a whole request. Clients send one at a time; one that sends as much again
+/// before it has its response is closed, since what comes behind could not be seen, the end of the connection among it.
 const MAX_INBOX: usize = MAX_HEAD + MAX_BODY;
 /// No attempt may begin for a client that disconnected longer ago than this.
 const MAX_DISCONNECT_AGE: Micros = 100_000;
@@ -75,7 +75,7 @@
     }
 
     /// Whether a client may have disconnected since, or unseen, for so long that its connection must be read before an
-    /// attempt begins. The attempt has the other part of the time to get under way.
+    /// attempt begins. The attempt has the rest of [`MAX_DISCONNECT_AGE`] to get under way.
     pub fn is_old(&self, now: Micros) -> bool {
         self.is_partial || now > self.at + MAX_DISCONNECT_AGE / 4
     }
@@ -88,7 +88,7 @@
 #[derive(Default)]
 pub(in crate::server) struct ClientConnections {
     /// Those without a request, by the time since which they are idle.
-    pub idle: BTreeSet<TimedToken>,
+    idle: BTreeSet<TimedToken>,
     /// Those that have not sent a whole first request, or have begun a later one, by when bytes were last read.
     awaiting_request: BTreeSet<TimedToken>,
     /// Those that this side has ended.
@@ -96,6 +96,18 @@
 }
 
 impl ClientConnections {
+    /// Connections that have been idle for at least `min_idle`, the oldest first.
+    pub fn idle_for(&self, min_idle: Micros, now: Micros) -> impl Iterator<Item = Token> {
+        let is_old = move |(since, _): &&TimedToken| since + min_idle <= now;
+        self.idle.iter().take_while(is_old).map(|(_, token)| *token)
+    }
+
+    /// Connections that a whole request is awaited on, and that have been silent for so long, the oldest first.
+    fn silent_for(&self, min_silence: Micros, now: Micros) -> impl Iterator<Item = TimedToken> {
+        let is_silent = move |(last_read, _): &&TimedToken| last_read + min_silence <= now;
+        self.awaiting_request.iter().take_while(is_silent).copied()
+    }
+
     /// A connection is idle from now on.
     fn track_idle(&mut self, token: Token, client: &mut ClientConnection, now: Micros) {
         client.idle_since = Some(now);
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -67,12 +67,12 @@
                     return self.on_client_closed(token, connection, client);
                 }
                 ReadEnd::LimitReached => {}
-                // What it had asked for is asked for no more.
+                // Its client has disconnected, which cancels its request.
                 ReadEnd::Eof | ReadEnd::Broken => return self.on_client_closed(token, connection, client),
             }
         }
         self.advance_client(token, connection, client);
-        // A short read shows no end behind it. What came before the end is used; no attempt may begin for it.
+        // A short read does not show the end behind it. What came before the end is used; no attempt may begin for it.
         if has_ended && let Some((connection, role)) = self.take(token) {
             match role {
                 Role::Client(client) => self.on_client_closed(token, connection, client),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Where a client has disconnected, as these flags say, that counts before what other connections bring.
+    /// Handles the event of a client that has disconnected, as these flags say, before those of other connections.
     pub(in crate::server) fn on_client_hangup(&mut self, token: Token, flags: EventFlags) {
         if flags.intersects(HANGUP) && matches!(self.connections.get(token), Some((_, Role::Client(_)))) {
             self.on_ready(token, flags);
@@ -170,11 +170,12 @@
             return Progress::Wait;
         }
         if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
-            return match connection.flush() {
-                false => Progress::Broken,
-                true if connection.outbox.len() >= MAX_UNREAD_RESPONSES => Progress::Wait,
-                true => Progress::Continue,
-            };
+            if !connection.flush() {
+                return Progress::Broken;
+            }
+            if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
+                return Progress::Wait;
+            }
         }
         let head = match http::read_request(&connection.inbox) {
             Ok(None) => return Progress::Wait,
@@ -184,7 +185,7 @@
                 return Progress::Continue;
             }
         };
-        // Once the body has begun, nobody waits for this.
+        // Once the body has begun, the client does not wait for this.
         let is_body_awaited = connection.inbox.len() == head.len;
         if is_body_awaited && head.fields.lists(&connection.inbox, "expect", "100-continue") {
             connection.outbox.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
@@ -255,7 +256,7 @@
             _ => false,
         };
         if has_partial_request && is_written && !client.is_awaiting_request() {
-            // A later request has begun: it has as long as a first one, and gives way like it.
+            // A later request has begun: it has as long as a first one, and may be closed for others like it.
             client.awaiting_request_since = Some(self.now);
             client.last_read = self.now;
             self.clients.track_awaiting_request(token, &client);
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -50,7 +50,7 @@
         self.advance_client(token, connection, client);
     }
 
-    /// Writes to a client that has asked for a stream how its job gets on: that it has started, or the share done.
+    /// Writes the progress of a request to a client that wants a stream: that the job has started, or the share done.
     pub(in crate::server) fn send_progress(&mut self, token: Token, share: Option<f64>) {
         let Some((mut connection, role)) = self.take(token) else { return };
         let Role::Client(mut client) = role else { return self.put(token, connection, role) };
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,7 +1,7 @@
 //! One turn of the loop: commands of the core, a wait for events, and each event to its handler.
 //!
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
-//! disconnected, then everything else in the order in which epoll tells it.
+//! disconnected, then everything else in the order in which epoll reports it.
 
 use crate::core::{Command, Core};
 use crate::policy::interface::Micros;
@@ -52,8 +52,8 @@
     }
 
     fn handle_events(&mut self, events: &[Event]) {
-        // A call to the admin address does not wait for what the clients of this turn ask. And what discovery has
-        // sent counts before anything of this turn is forwarded.
+        // A call to the admin address does not wait for the requests of this turn. And what discovery has sent counts
+        // before anything of this turn is forwarded.
         let watch = self.lists.watch();
         for event in events {
             match (Token(event.data.u64()), event.flags) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Passes what epoll tells of a connection to the handler of its role.
+    /// Passes an epoll event of a connection to the handler of its role.
     pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
         let Some((connection, role)) = self.take(token) else { return };
         match role {
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -1,6 +1,6 @@
 //! Drain: clients are sent elsewhere while the program goes on.
 //!
-//! 1. `out-of-service` is called at the admin address: readiness is refused from then on, and the peers are told.
+//! 1. `out-of-service` is called at the admin address: readiness is refused from then on, and the peers are notified.
 //! 2. Once the load balancer in front can know, connections of clients that have been idle for long enough are closed, each
 //!    time that the timer fires.
 //! 3. `in-service` ends it. Whatever comes meanwhile is still served.
@@ -9,9 +9,9 @@
 use crate::server::Server;
 use crate::server::connection_table::Role;
 use crate::server::lifecycle::shutdown::STEP_INTERVAL;
-use crate::server::tokens::DRAIN_TIMER;
+use crate::server::tokens::{DRAIN_TIMER, Token};
 
-/// Connections of clients are closed from so long after the start of the drain: the load balancer in front has been told by
+/// Connections of clients are closed from so long after the start of the drain: the load balancer in front knows by
 /// then.
 const DRAIN_CLOSE_DELAY: Micros = 450_000;
 /// While draining, a connection is closed once it has been idle for this long.
@@ -30,7 +30,7 @@
     /// Sends clients elsewhere while the program goes on. Whatever comes is still served.
     pub(in crate::server) fn start_drain(&mut self) {
         if self.lifecycle.drained_since.is_some() {
-            return; // asked for again: nothing starts anew
+            return; // a repeated call starts nothing anew
         }
         self.lifecycle.drained_since = Some(self.now);
         tracing::info!("out of service: open={}", self.core.ledger.open());
@@ -59,7 +59,7 @@
         self.core.set_timer(self.now + STEP_INTERVAL, DRAIN_TIMER);
     }
 
-    /// While draining, closes connections of clients that have asked for nothing since the load balancer could know.
+    /// While draining, closes connections of clients that have been idle since the load balancer could know.
     pub(in crate::server) fn on_drain_timer(&mut self) {
         self.lifecycle.is_drain_timer_set = false;
         let since = self.lifecycle.drained_since.filter(|_| !self.lifecycle.is_shutting_down());
@@ -72,8 +72,8 @@
 
     /// Closes connections of clients that have been idle for so long.
     pub(super) fn close_idle_clients(&mut self, min_idle: Micros, which: IdleClients) {
-        let idle = self.clients.idle.iter().take_while(|(since, _)| since + min_idle <= self.now);
-        for token in idle.map(|(_, token)| *token).collect::<Vec<_>>() {
+        let idle: Vec<Token> = self.clients.idle_for(min_idle, self.now).collect();
+        for token in idle {
             match self.take(token) {
                 Some((connection, Role::Client(client)))
                     if which == IdleClients::All || !client.has_callbacks =>
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -3,8 +3,8 @@
 //! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and says hello ([`receiver`]).
 //! 2. The predecessor answers with its listening sockets, its endpoint list, and what the policy has learned; it accepts no
 //!    more from then on ([`sender`]).
-//! 3. It passes each connection and job, with all that is known of it, as soon as nothing of it is on its way, and says after
-//!    each step what it still holds. Status callbacks and idempotency records go to whichever process they concern.
+//! 3. It passes each connection and job, with all that is known of it, as soon as nothing of it is in flight, and reports
+//!    after each step what it still holds. Status callbacks and idempotency records go to whichever process they concern.
 //! 4. It ends once it has nothing left. Should the successor end first, it takes its listening sockets up again.
 //!
 //! The messages are in [`protocol`]; see docs/designs.md.
@@ -36,9 +36,9 @@
 /// This process's part in a hot restart.
 #[derive(Default)]
 pub(in crate::server) struct HotRestart {
-    /// Where the next version asks for a takeover, if there is a place.
+    /// The path of the restart socket, if there is a folder for it.
     socket_path: Option<PathBuf>,
-    /// The socket there, while this process serves.
+    /// The restart socket, on which the next version asks for a takeover, while this process serves.
     socket: Option<OwnedFd>,
     /// The other process of this dispatcher, during an upgrade.
     peer_process: Option<PeerProcess>,
@@ -105,7 +105,7 @@
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
-    /// Tells the other process whether a record that it wanted is written. False if that cannot be sent.
+    /// Reports to the other process whether a record that it wanted is written. False if that cannot be sent.
     pub fn report_record_written(&self, ticket: u64, is_written: bool) -> bool {
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
@@ -123,7 +123,7 @@
     folder.join(format!("mothproxy-{}.sock", name.chars().map(to_plain).collect::<String>()))
 }
 
-/// Listens at the place where the next version asks.
+/// Listens on the socket on which the next version asks for a takeover.
 fn listen_for_successor(path: &Path) -> Result<OwnedFd, Errno> {
     let _ = std::fs::remove_file(path); // left behind, or the predecessor's, which needs no name any more
     let listener = packet_socket()?;
@@ -140,7 +140,7 @@
         self.hot_restart.has_handed_over()
     }
 
-    /// Listens where the next version will look, and takes up the link to the predecessor if there is one.
+    /// Listens for the next version, and takes up the link to the predecessor if there is one.
     pub(in crate::server) fn join_hot_restart(
         &mut self,
         path: Option<PathBuf>,
--- a/src/server/lifecycle/hot_restart/protocol.rs
+++ b/src/server/lifecycle/hot_restart/protocol.rs
@@ -50,7 +50,7 @@
         #[serde(rename = "stale", default)]
         is_list_stale: bool,
         open: OpenWork,
-        /// What the policy has learned; read apart, since another version may word it otherwise.
+        /// What the policy has learned; read apart, since another version may encode it otherwise.
         #[serde(rename = "lesson")]
         learned: serde_json::Value,
     },
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -145,7 +145,7 @@
     /// A status callback that the other process has passed on.
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
-            // What went over in the meantime is told there; the successor sends nothing back.
+            // A job that went over in the meantime gets its callbacks there; the successor sends nothing back.
             Some(callback) if self.has_handed_over() && !self.core.knows(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
@@ -173,7 +173,7 @@
         let Some(token) = self.add(connection, |_| Role::Client(client)) else { return };
         let Some((mut connection, Role::Client(mut client))) = self.take(token) else { return };
         if client.is_awaiting_request() {
-            self.clients.track_awaiting_request(token, &client); // heard of now, as far as this process knows
+            self.clients.track_awaiting_request(token, &client); // last read now, as far as this process knows
         }
         if let Some((exchange, raw)) = transferred.request.zip(split.request) {
             match self.core.adopt(exchange.request, Downstream::Connection(token).to_number()) {
@@ -184,7 +184,7 @@
                     }
                     client.await_response(request_id, exchange.keep_alive, exchange.has_stream_begun, now);
                 }
-                // It has nothing here that could serve it; its client is told so at once.
+                // Nothing here could serve it: it fails at once.
                 None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -1,5 +1,5 @@
 //! The predecessor's side: it hands its listening sockets over, and then, step by step, each connection and job as soon as
-//! nothing of it is on its way.
+//! nothing of it is in flight.
 
 use super::protocol::{HandoverMessage, send};
 use crate::config::EndpointList;
@@ -180,7 +180,7 @@
         self.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Hands jobs of the event streams over; their watchers are told to come back there.
+    /// Hands jobs of the event streams over; their watchers reconnect there.
     fn transfer_jobs(&mut self) {
         for job in self.stream_jobs() {
             let Some(released) = self.release_job(job) else { continue };
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -1,9 +1,10 @@
-//! The process's own life: graceful shutdown, drain, reload of the configuration, hot restart.
+//! The process's own life: signals, graceful shutdown, drain, reload of the configuration, hot restart.
 
-pub(in crate::server) mod drain;
+mod drain;
 pub(in crate::server) mod hot_restart;
-pub(in crate::server) mod reload;
-pub(in crate::server) mod shutdown;
+mod reload;
+mod shutdown;
+pub(in crate::server) mod signals;
 
 use crate::core::shutdown_plan::ShutdownPlan;
 use crate::policy::interface::Micros;
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Signals, and reload: the new configuration that SIGHUP asks for.
+//! Signals, and the reload of the configuration at SIGHUP.
 //!
 //! 1. The configuration is read again and checked, also by the membership and the core; one that is out of order changes
 //!    nothing.
@@ -6,51 +6,37 @@
 //! 3. Where the peers have changed, this dispatcher's place among them is taken anew; where discovery has moved, the calls to
 //!    the service before are dropped and the new one is called.
 
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
+use crate::fleet::FleetError;
+use crate::policy::interface::SettingsError;
 use crate::server::Server;
 use crate::server::budget::Budget;
 use crate::server::idempotency_store;
-use rustix::fd::OwnedFd;
-use rustix::pipe::{PipeFlags, pipe_with};
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
-use signal_hook::{flag, low_level::pipe};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What signals have asked for. Each raises its flag before it wakes the loop, so that two close together, in
-/// either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only TCP
-/// and UDP sockets over IPv4 may be made (STANDING, "In step with the bench").
-pub(in crate::server) struct Signals {
-    pub woken: OwnedFd,
-    reload: Arc<AtomicBool>,
-    stop: Arc<AtomicBool>,
-}
-
-impl Signals {
-    pub fn register() -> std::io::Result<Signals> {
-        let (woken, waker) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
-        let (reload, stop) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        for (signal, raised) in [(SIGHUP, &reload), (SIGTERM, &stop), (SIGINT, &stop)] {
-            flag::register(signal, raised.clone())?;
-            pipe::register(signal, waker.try_clone()?)?;
-        }
-        // A file at its limit is an error of the write that meets it, not the end of the program.
-        flag::register(SIGXFSZ, Arc::default())?;
-        Ok(Signals { woken, reload, stop })
-    }
+/// Why a new configuration was not taken.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// It cannot be read, or is out of order.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The membership cannot begin under it.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+    /// The policy did not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
 impl Server {
     /// A signal has come.
     pub(in crate::server) fn on_signal(&mut self) {
-        let mut buffer = [0; 64];
-        while matches!(rustix::io::read(&self.signals.woken, &mut buffer), Ok(read) if read > 0) {}
-        if self.signals.stop.swap(false, Ordering::Relaxed) {
+        self.signals.clear_wakeups();
+        if self.signals.take_shutdown() {
             self.start_shutdown();
             self.fleet_leaves();
         }
         // Also while shutting down: what discovery sends until the end still counts.
-        if self.signals.reload.swap(false, Ordering::Relaxed) {
+        if self.signals.take_reload() {
             self.reload();
         }
     }
@@ -66,12 +52,12 @@
         }
     }
 
-    /// The new configuration, once the core has taken its settings; an error is a text for the log.
-    fn load_new_config(&mut self) -> Result<Config, String> {
-        let mut config = self.config.reread(self.core.names()).map_err(|error| error.to_string())?;
+    /// The new configuration, once the core has taken its settings.
+    fn load_new_config(&mut self) -> Result<Config, ReloadError> {
+        let mut config = self.config.reread(self.core.names())?;
         let names = std::mem::take(&mut config.names);
-        self.fleet_could_begin(&config).map_err(|error| error.to_string())?;
-        self.core.reconfigure(config.settings.clone(), names).map_err(|error| error.to_string())?;
+        self.fleet_could_begin(&config)?;
+        self.core.reconfigure(config.settings.clone(), names)?;
         Ok(config)
     }
 
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown. Connections keep arriving for a while after the signal, and what arrives is owed a response.
 //!
-//! 1. The signal comes: a plan is made from the deadlines of the classes, and the peers are told.
+//! 1. The signal comes: a plan is made from the deadlines of the classes, and the peers are notified.
 //! 2. From `close_idle` on, idle connections of clients are closed, unless no other dispatcher could take those clients.
 //! 3. At `last`, whatever is still open fails.
 //! 4. Once nothing has been left for a moment, from `quiet` on or after a handover, the loop ends.
@@ -15,7 +15,7 @@
 use crate::server::listeners::ListenerKind;
 use crate::server::tokens::SHUTDOWN_TIMER;
 
-/// A shutdown or drain is looked after at this interval.
+/// The next step of a shutdown or drain is taken at this interval.
 pub(super) const STEP_INTERVAL: Micros = 25_000;
 /// Connections that are not quiescent this long after the plan's end are dropped.
 const MAX_OVERTIME: Micros = STEP_INTERVAL * 8;
@@ -50,7 +50,7 @@
         let Some(plan) = self.lifecycle.shutdown else { return };
         let keeps_clients = self.keeps_client_connections();
         if self.now >= plan.close_idle && !keeps_clients {
-            // Workers tell of their jobs until the last one is done.
+            // Workers send callbacks until the last job is done.
             let which = match self.core.ledger.open() {
                 0 => IdleClients::All,
                 _ => IdleClients::WithoutCallbacks,
@@ -89,11 +89,11 @@
 
     /// Whether a connection may still have something to answer, or to be read.
     fn is_busy(&self, connection: &Connection, role: &Role) -> bool {
-        let settled = self.now.saturating_sub(MIN_IDLE_BEFORE_CLOSE);
+        let idle_before = self.now.saturating_sub(MIN_IDLE_BEFORE_CLOSE);
         let has_output = !connection.outbox.is_empty();
         match role {
             Role::Client(client) => {
-                client.is_busy(settled) || self.has_handed_over() && client.is_reading() || has_output
+                client.is_busy(idle_before) || self.has_handed_over() && client.is_reading() || has_output
             }
             _ => has_output,
         }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -39,7 +39,7 @@
 use idempotency_store::Notes;
 use lifecycle::Lifecycle;
 use lifecycle::hot_restart::{HotRestart, Inheritance, TakeoverResult, request_takeover, socket_path};
-use lifecycle::reload::Signals;
+use lifecycle::signals::Signals;
 use listeners::{Listeners, is_at, listen};
 use metrics::{LoggedMetrics, METRICS_INTERVAL, Metrics};
 use pending_requests::PendingRequests;
@@ -244,7 +244,7 @@
     /// Has epoll watch everything that is not a connection and is open from the start.
     fn watch_listeners(&self) -> Result<(), ServerError> {
         self.watch_descriptor(self.listeners.platform.as_fd(), PLATFORM)?;
-        self.watch_descriptor(self.signals.woken.as_fd(), SIGNAL)?;
+        self.watch_descriptor(self.signals.as_fd(), SIGNAL)?;
         if let Some(sse) = &self.listeners.sse {
             self.watch_descriptor(sse.socket.as_fd(), SSE)?;
         }
--- a/src/server/pending_requests.rs
+++ b/src/server/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that clients await responses to, as they were read: each attempt is worded from these bytes.
+//! The requests that clients await responses to, as they were read: each attempt is encoded from these bytes.
 
 use crate::core::RequestId;
 use crate::protocol::platform::RawRequest;
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -18,9 +18,9 @@
 pub(super) enum Exchange {
     /// A client's request is forwarded.
     Attempt(AttemptId),
-    /// A worker is told to give a job up.
+    /// A worker is to give a job up.
     Cancel {
-        /// The attempt that counts as ended only once its worker has been told.
+        /// The attempt that counts as ended only once the cancel is written.
         ending: Option<AttemptId>,
     },
     /// A load probe.
@@ -79,7 +79,7 @@
     pub(super) response_timeout: Option<Micros>,
     /// When it was begun.
     pub(super) connect_started: Micros,
-    /// How long the last byte of an attempt may be on its way.
+    /// How long the last byte of an attempt may be in transit.
     pub(super) transit_allowance: Micros,
     /// How long it rests before it is used again.
     pub(super) cooldown: Micros,
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -161,8 +161,8 @@
     }
 
     /// An attempt that is written has no response in time. The worker may have read it. Closing the connection gives it up, and
-    /// the request goes on elsewhere instead of being waited for until its deadline. Where a response is lost or on its way,
-    /// the worker has taken it: then only a cancel stops it.
+    /// the request is retried elsewhere instead of waiting until its deadline. Where a response is lost or in flight, the
+    /// worker has taken the job: then only a cancel stops it.
     fn on_attempt_unanswered(
         &mut self,
         token: Token,
@@ -176,7 +176,7 @@
         self.pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = self.core.request_name(attempt.request_id, attempt.number);
-        // Where no two attempts may be out, the next one leaves only after the worker was told.
+        // Where no two attempts may be under way, the next one starts only after the cancel is written.
         let ending = Some(attempt).filter(|_| !self.config.settings.may_hedge);
         self.upstream.attempts.remove(&attempt);
         self.close(token, connection, Role::Upstream(upstream));
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -21,7 +21,7 @@
 /// A cancel or a load probe must be answered by then.
 const SIDE_EXCHANGE_TIMEOUT: Micros = 500_000;
 
-/// A load probe that is under way.
+/// A load probe whose response is awaited.
 struct PendingProbe {
     worker: WorkerId,
     sent_at: Micros,
@@ -71,6 +71,12 @@
 }
 
 impl Server {
+    /// How long a connection may stay idle. Workers close connections that are idle for longer; a request written to one then
+    /// ends as a reset.
+    fn max_upstream_idle(&self) -> Micros {
+        self.config.conn_idle / 2
+    }
+
     /// Closes the idle connection to a worker that has been idle for longest, of the worker with the most. False where none
     /// is idle.
     pub(in crate::server) fn close_idle_upstream(&mut self) -> bool {
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -37,7 +37,7 @@
         let Some((connection, Role::Upstream(upstream))) = self.take(token) else { return };
         self.finish_upstream_event(token, connection, upstream);
         if let Some((mut connection, role)) = self.take(token) {
-            let until = self.now + idle_time_left.min(self.config.conn_idle / 2);
+            let until = self.now + idle_time_left.min(self.max_upstream_idle());
             self.set_timer(token, &mut connection, Some(until));
             self.put(token, connection, role);
         }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives an attempt up; its worker is told where closing the connection does not say it.
+    /// Gives an attempt up: by closing its connection, or by a cancel where its response has come.
     pub(in crate::server) fn cancel_attempt(
         &mut self,
         request_id: RequestId,
@@ -79,13 +79,13 @@
         name: &str,
     ) {
         match self.upstream.attempts.remove(&AttemptId { request_id, number }) {
-            // Not taken yet, or streaming: closing the connection says it all.
+            // Not answered yet, or streaming: closing the connection cancels it.
             Some(token) => self.close_token(token),
             None => self.send_cancel(worker, name, None),
         }
     }
 
-    /// Tells a worker to give a job up, where that is allowed; the attempt that is `ending` has ended then.
+    /// Sends a worker a cancel of a job, where that is allowed. The attempt that is `ending` counts as ended then.
     pub(super) fn send_cancel(&mut self, worker: WorkerId, name: &str, ending: Option<AttemptId>) {
         let exchange = Exchange::Cancel { ending };
         let is_listed = self.core.endpoints.get(worker).is_some_and(|endpoint| !endpoint.removed);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Asks a worker for its load.
+    /// Sends a worker a load probe.
     pub(in crate::server) fn send_load_probe(&mut self, worker: WorkerId) {
         let outgoing = OutgoingExchange {
             worker,
@@ -141,8 +141,8 @@
     fn take_idle_upstream(&mut self, worker: WorkerId, address: Option<SocketAddr>) -> Option<IdleUpstream> {
         while let Some(token) = self.upstream.pop_idle(worker) {
             let Some((mut connection, Role::Upstream(upstream))) = self.take(token) else { continue };
-            // Its worker has come back elsewhere, or has ended it, or has said what nobody asked for: whatever is here before
-            // a request cannot be its answer.
+            // Its worker has another address now, or has ended it, or has sent something unsolicited: what arrives before a
+            // request cannot be the response to it.
             if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
                 self.close(token, connection, Role::Upstream(upstream));
                 continue;
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -10,8 +10,8 @@
 use crate::server::tokens::Token;
 
 impl Server {
-    /// Writes what it can, and counts an attempt at its last byte. Here alone bytes of an attempt leave, so here it is
-    /// settled whether they still may. False if the connection is of no more use.
+    /// Writes what it can, and counts an attempt at its last byte. Only here do bytes of an attempt leave, so here it
+    /// is checked whether they still may. False if the connection is of no more use.
     pub(super) fn flush_upstream(
         &mut self,
         token: Token,
@@ -66,8 +66,8 @@
         self.on_exchange_failed(Some(token), upstream.worker, exchange, Outcome::NeverSent);
     }
 
-    /// Puts an attempt's request into its connection's outbox. The time that its worker is told is left to the client is right
-    /// now; the connection may have been long in coming.
+    /// Puts an attempt's request into its connection's outbox. It says how much time the client has left, which must be right
+    /// at the first byte: the connection may have taken long to come up.
     fn encode_attempt(
         &mut self,
         connection: &mut Connection,
@@ -117,10 +117,9 @@
         self.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Keeps an idle connection: in the pool, or out of it until it has rested. Workers close connections idle for long; a
-    /// request written to one then ends as a reset.
+    /// Keeps an idle connection: in the pool, or out of it until it has rested.
     fn rest_upstream(&mut self, token: Token, connection: &mut Connection, upstream: &UpstreamConnection) {
-        let max_idle = self.config.conn_idle / 2;
+        let max_idle = self.max_upstream_idle();
         let cooldown = upstream.cooldown.min(max_idle / 2);
         let until = self.now + if cooldown > 0 { cooldown } else { max_idle };
         self.set_timer(token, connection, Some(until));
