--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -5,7 +5,8 @@
 use crate::policy::interface::Micros;
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
-use crate::server::connection::{Conn, ReadEnd};
+use crate::server::connection::{Connection, ReadEnd};
+use crate::server::downstream::event_streams::EventStreams;
 use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
@@ -54,10 +55,10 @@
     }
 
     /// The next connection that waits to be accepted.
-    fn accept(&self) -> Option<Conn> {
+    fn accept(&self) -> Option<Connection> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd = rustix::net::accept_with(self.listener.as_ref()?, flags).ok()?;
-        Some(Conn::new(TcpStream::from(fd)))
+        Some(Connection::new(TcpStream::from(fd)))
     }
 
     /// The connection that gives way to a new one, where no more may be held.
@@ -70,7 +71,7 @@
 fn parse_call(inbox: &[u8], end: ReadEnd) -> Option<Result<AdminCall, Reject>> {
     let head = match http::read_request(inbox) {
         Ok(Some(head)) => head,
-        Ok(None) if end == ReadEnd::Enough => return Some(Err(Reject::HeadTooLarge)),
+        Ok(None) if end == ReadEnd::LimitReached => return Some(Err(Reject::HeadTooLarge)),
         Ok(None) => return None,
         Err(error) => return Some(Err(error.into())),
     };
@@ -91,7 +92,7 @@
 impl Server {
     /// Connections wait to be accepted.
     pub(in crate::server) fn accept_admin(&mut self) {
-        for _ in 0..crate::server::ACCEPTS {
+        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
             let Some(conn) = self.admin.accept() else { return };
             if let Some(oldest) = self.admin.take_excess() {
                 self.close_token(oldest);
@@ -110,7 +111,7 @@
     pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
-        mut conn: Conn,
+        mut conn: Connection,
         mut connection: AdminConnection,
         flags: EventFlags,
     ) {
@@ -120,7 +121,7 @@
             if let Some(call) = parse_call(&conn.inbox, end) {
                 conn.outbox.push(self.answer_admin_call(call));
                 connection.is_answered = true;
-            } else if end != ReadEnd::Dry {
+            } else if end != ReadEnd::WouldBlock {
                 return self.close(token, conn, Role::Admin(connection));
             }
         }
@@ -128,14 +129,16 @@
         if is_broken || connection.is_answered && conn.outbox.is_empty() {
             return self.close(token, conn, Role::Admin(connection));
         }
-        self.watch_for(token, &mut conn, !connection.is_answered);
+        self.update_interest(token, &mut conn, !connection.is_answered);
         self.put(token, conn, Role::Admin(connection));
     }
 
     fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
             // Whether it takes clients is up to its successor.
-            Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService) if self.handed => {
+            Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
+                if self.has_handed_over() =>
+            {
                 admin::unavailable_page()
             }
             Ok(AdminCall::Ready) => admin::ok_page(),
@@ -145,11 +148,11 @@
                 None => platform::reject(Reject::NoSuchPath, false),
             },
             Ok(AdminCall::OutOfService) => {
-                self.drain(true);
+                self.start_drain();
                 admin::ok_page()
             }
             Ok(AdminCall::InService) => {
-                self.drain(false);
+                self.end_drain();
                 admin::ok_page()
             }
             Err(reason) => platform::reject(reason, false),
@@ -173,7 +176,7 @@
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             idempotency: self.idempotency_metrics(),
-            streams: self.stream_figures(),
+            streams: self.event_streams.as_ref().map(EventStreams::metrics),
             members: self.members_page(),
             learners: self.core.learners.metrics(),
         }
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -5,7 +5,7 @@
 use super::pacing::WatchEvent;
 use crate::config::EndpointList;
 use crate::core::endpoint_table::ListRejection;
-use crate::server::connection::Conn;
+use crate::server::connection::Connection;
 use crate::server::{Server, Token};
 
 impl Server {
@@ -26,7 +26,7 @@
     pub(super) fn on_watch_data(
         &mut self,
         token: Token,
-        conn: &mut Conn,
+        conn: &mut Connection,
         call: &DiscoveryCall,
         has_data: bool,
         had_partial_object: bool,
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -18,9 +18,9 @@
 use crate::http::MAX_HEAD;
 use crate::policy::interface::Micros;
 use crate::protocol::platform;
-use crate::server::connection::{Conn, ReadEnd};
+use crate::server::connection::{Connection, ReadEnd};
 use crate::server::timer_slot::TimerSlot;
-use crate::server::{Role, Server, Token, WATCH_TIMER, WHOLE_TIMER};
+use crate::server::{FULL_LIST_TIMER, Role, Server, Token, WATCH_TIMER};
 use call::{CallEnd, CallError, CallProgress};
 use full_list::FullListState;
 use pacing::{CallPacing, WatchEvent};
@@ -138,7 +138,7 @@
         }
         if let Some((mut conn, role)) = self.take(token) {
             self.set_timer(token, &mut conn, Some(connected_by));
-            self.watch_for(token, &mut conn, true);
+            self.update_interest(token, &mut conn, true);
             self.put(token, conn, role);
         }
     }
@@ -146,16 +146,16 @@
     /// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
     fn connect_to_discovery(&mut self, kind: CallKind) -> Option<Token> {
         let after = (kind == CallKind::Watch).then_some(self.core.endpoints.generation);
-        let mut conn = Conn::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `SPARE_FDS`
+        let mut conn = Connection::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
         conn.outbox.push(platform::discovery_call(after));
-        self.add(conn, |_| Role::Call(DiscoveryCall::new(kind)))
+        self.add(conn, |_| Role::Discovery(DiscoveryCall::new(kind)))
     }
 
     /// The connection of a call is up, readable, writable or closed.
     pub(in crate::server) fn on_discovery_ready(
         &mut self,
         token: Token,
-        mut conn: Conn,
+        mut conn: Connection,
         mut call: DiscoveryCall,
         flags: EventFlags,
     ) {
@@ -174,20 +174,20 @@
             let has_read = !conn.inbox.is_empty();
             match self.read_discovery_call(token, &mut conn, &mut call) {
                 Ok(CallProgress::Pending) => {}
-                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Call(call)),
+                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Discovery(call)),
                 Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
             match end {
-                ReadEnd::Dry => break,
-                ReadEnd::Enough if has_read => {}
+                ReadEnd::WouldBlock => break,
+                ReadEnd::LimitReached if has_read => {}
                 _ => return self.fail_discovery_call(token, conn, call, CallError::Ended),
             }
         }
-        self.watch_for(token, &mut conn, true);
-        self.put(token, conn, Role::Call(call));
+        self.update_interest(token, &mut conn, true);
+        self.put(token, conn, Role::Discovery(call));
     }
 
-    fn on_discovery_connected(&mut self, token: Token, conn: &mut Conn, call: &mut DiscoveryCall) {
+    fn on_discovery_connected(&mut self, token: Token, conn: &mut Connection, call: &mut DiscoveryCall) {
         call.is_connecting = false;
         let answered_by = match call.kind {
             CallKind::Watch => self.discovery.liveness.on_connected(self.now),
@@ -200,15 +200,15 @@
     pub(in crate::server) fn on_discovery_timer(
         &mut self,
         token: Token,
-        mut conn: Conn,
+        mut conn: Connection,
         mut call: DiscoveryCall,
     ) {
         // After a long turn of the loop, data may have arrived that was not read yet.
         if !call.is_connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_discovery_call(token, &mut conn, &mut call) {
                 Ok(CallProgress::Pending) if conn.timer.is_none() => {}
-                Ok(CallProgress::Pending) => return self.put(token, conn, Role::Call(call)),
-                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Call(call)),
+                Ok(CallProgress::Pending) => return self.put(token, conn, Role::Discovery(call)),
+                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Discovery(call)),
                 Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
         }
@@ -220,7 +220,7 @@
     fn read_discovery_call(
         &mut self,
         token: Token,
-        conn: &mut Conn,
+        conn: &mut Connection,
         call: &mut DiscoveryCall,
     ) -> Result<CallProgress, CallError> {
         if !call.read_head(&mut conn.inbox)? {
@@ -245,12 +245,12 @@
     }
 
     /// Ends a call that has failed, and schedules the next one.
-    fn fail_discovery_call(&mut self, token: Token, conn: Conn, call: DiscoveryCall, error: CallError) {
+    fn fail_discovery_call(&mut self, token: Token, conn: Connection, call: DiscoveryCall, error: CallError) {
         self.report_failed_call(&call, error);
         if !call.is_watch() || self.discovery.take_watch(token) {
             self.on_discovery_call_ended(call.kind, call.end(error));
         }
-        self.close(token, conn, Role::Call(call));
+        self.close(token, conn, Role::Discovery(call));
     }
 
     /// Logs a call that failed, and counts the list that broke off with it.
@@ -268,7 +268,7 @@
         match kind {
             CallKind::Watch => self.on_watch_ended(end),
             CallKind::FullList => match self.discovery.on_full_list_failed(self.now) {
-                Some(retry_at) => self.core.set_timer(retry_at, WHOLE_TIMER),
+                Some(retry_at) => self.core.set_timer(retry_at, FULL_LIST_TIMER),
                 None => self.core.on_list_failed(),
             },
         }
@@ -290,9 +290,10 @@
         let opens_at = self.discovery.liveness.on_discovery_moved(self.now);
         self.discovery.schedule_watch(&mut self.core, opens_at);
         self.pace_on_watch_event(WatchEvent::DiscoveryMoved);
-        for slot in 0..self.slots.len() {
-            if let Some((_, Role::Call(_))) = self.slots[slot].held {
-                self.close_token(Token::new(slot, self.slots[slot].used));
+        for slot in 0..self.connections.slot_count() {
+            let token = self.connections.token_at(slot);
+            if let Some((_, Role::Discovery(_))) = self.connections.get(token) {
+                self.close_token(token);
             }
         }
         self.discovery.full_list = FullListState::Needed;
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -13,7 +13,7 @@
 use crate::policy::interface::Micros;
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
-use crate::server::{ASK_TIMER, Server};
+use crate::server::{POLL_TIMER, Server};
 use mothproxy_coldstart::pacer::{Config as SchedulerConfig, Event, Pacer as PollScheduler};
 use mothproxy_coldstart::{Findings as SharedObservations, KIND, Origin};
 use mothproxy_membership::{Change, OwnedFact, State, View};
@@ -77,7 +77,7 @@
             scheduler,
             observations,
             epochs: HashMap::new(),
-            timer: TimerSlot::new(ASK_TIMER),
+            timer: TimerSlot::new(POLL_TIMER),
             call_started: 0,
             is_answered: false,
         }
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::core::watch_liveness::{DiscoverySettings, WatchFailure};
 use crate::policy::interface::Micros;
-use crate::server::STALE_TIMER;
+use crate::server::STALE_LIST_TIMER;
 
 impl DiscoveryClient {
     /// Schedules the first watch, and the times at which the list that is known so far becomes stale or is used anyway.
@@ -20,9 +20,9 @@
             return;
         }
         let stale_span = self.liveness.revalidate(now, newest_start);
-        core.set_timer(stale_span.end, STALE_TIMER);
+        core.set_timer(stale_span.end, STALE_LIST_TIMER);
         if stale_span.start > now {
-            core.set_timer(stale_span.start, STALE_TIMER);
+            core.set_timer(stale_span.start, STALE_LIST_TIMER);
             core.use_stale_list();
         }
     }
@@ -36,7 +36,7 @@
         }
         let stale_from = self.liveness.on_predecessor_seen(seen_at.min(now));
         if let Some(stale_from) = stale_from.filter(|from| *from > now) {
-            core.set_timer(stale_from, STALE_TIMER);
+            core.set_timer(stale_from, STALE_LIST_TIMER);
             core.use_stale_list();
         }
     }
--- /dev/null
+++ b/src/server/downstream/event_streams/mod.rs
@@ -0,0 +1,185 @@
+//! Event streams: jobs apart from their clients' connections. What `mothproxy_streams` decides is written here, and nothing is
+//! decided.
+//!
+//! A client submits a job and gets its id and a secret token; with those it watches the job's events, on as many connections
+//! as it likes. [`watchers`] serves these, [`transfer`] moves jobs to another process.
+
+mod transfer;
+mod watchers;
+
+use crate::config::SseSettings;
+use crate::core::{FinalResponse, NewRequest, RequestId};
+use crate::policy::interface::Micros;
+use crate::protocol::platform::{RawRequest, Reject};
+use crate::protocol::{admin::StreamMetrics, event_streams};
+use crate::server::Server;
+use crate::server::connection::Connection;
+use crate::server::downstream::Downstream;
+use crate::server::tokens::{STREAM_SWEEP_TIMER, Token};
+use mothproxy_streams::{Effect, EventBroker, JobId, Limits, NewJob, WatcherId};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Time passes for the broker this often.
+const SWEEP_INTERVAL: Micros = 500_000;
+
+/// An event as it was written to a watcher.
+struct EncodedEvent {
+    job: JobId,
+    event_id: u64,
+    frame: event_streams::StreamFraming,
+    bytes: Rc<Vec<u8>>,
+}
+
+/// Jobs and their watchers, where the SSE address is on.
+pub(in crate::server) struct EventStreams {
+    broker: EventBroker,
+    /// Pages of these origins may use the address.
+    origins: Vec<String>,
+    /// The requests of jobs that are open.
+    requests: HashMap<JobId, RequestId>,
+    /// Connections by watcher.
+    tokens: HashMap<WatcherId, Token>,
+    is_sweep_scheduled: bool,
+    /// What the broker wants done at the end of the turn.
+    effects: Vec<Effect>,
+    /// The event that was encoded last: a job's watchers get the same bytes.
+    last_encoded: Option<EncodedEvent>,
+    /// Jobs submitted so far.
+    submitted: u64,
+}
+
+impl EventStreams {
+    /// Without a job.
+    pub fn new(settings: SseSettings) -> EventStreams {
+        let limits = Limits { streams_per_tenant: settings.streams_per_tenant, ..Limits::default() };
+        EventStreams {
+            broker: EventBroker::new(limits),
+            origins: settings.origins,
+            requests: HashMap::new(),
+            tokens: HashMap::new(),
+            is_sweep_scheduled: false,
+            effects: Vec::new(),
+            last_encoded: None,
+            submitted: 0,
+        }
+    }
+
+    /// A job has started, or this share of it is done.
+    pub fn publish_progress(&mut self, job: JobId, share: Option<f64>) {
+        match share {
+            None => self.broker.publish(job, "started", "{}".to_owned(), &mut self.effects),
+            Some(share) => {
+                let data = serde_json::json!({ "share": share }).to_string();
+                self.broker.publish_progress(job, "progress", data, &mut self.effects);
+            }
+        }
+    }
+
+    /// What the admin address shows of streams.
+    pub fn metrics(&self) -> StreamMetrics {
+        let (jobs, watchers) = self.broker.counts();
+        StreamMetrics {
+            jobs,
+            watchers,
+            bytes: self.broker.bytes(),
+            submitted: self.submitted,
+            missed: self.broker.missed,
+            coalesced: self.broker.coalesced,
+            evicted: self.broker.evicted,
+        }
+    }
+
+    /// Whether time is to pass for the broker once more. True only once until [`EventStreams::sweep`].
+    fn needs_sweep(&mut self) -> bool {
+        let is_needed = !self.is_sweep_scheduled && self.broker.next_due().is_some();
+        self.is_sweep_scheduled |= is_needed;
+        is_needed
+    }
+
+    /// Lets time pass for jobs and watchers.
+    fn sweep(&mut self, now: Micros) {
+        self.is_sweep_scheduled = false;
+        self.broker.on_timer(now, &mut self.effects);
+    }
+
+    /// What the broker wants done, each thing once: a watcher whose job got on several times meanwhile is woken once.
+    fn take_effects(&mut self) -> Vec<Effect> {
+        let mut effects = std::mem::take(&mut self.effects);
+        effects.sort_unstable();
+        effects.dedup();
+        effects
+    }
+
+    /// The connection of a watcher.
+    fn token(&self, watcher: WatcherId) -> Option<Token> {
+        self.tokens.get(&watcher).copied()
+    }
+}
+
+/// Random bytes that nobody can guess; `None` where the system gives none.
+fn random_bytes<const N: usize>() -> Option<[u8; N]> {
+    let mut bytes = [0; N];
+    getrandom::fill(&mut bytes).ok()?;
+    Some(bytes)
+}
+
+impl Server {
+    /// Takes a job whose client will watch it later, and writes its id and token.
+    ///
+    /// # Errors
+    /// Why it is refused.
+    pub(super) fn submit_job(
+        &mut self,
+        connection: &mut Connection,
+        raw: RawRequest,
+        mut request: NewRequest,
+        keep_alive: bool,
+    ) -> Result<(), Reject> {
+        let ends_unwatched = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
+        let streams = self.event_streams.as_mut().ok_or(Reject::NoSuchPath)?;
+        let cors = event_streams::cors(&raw, &streams.origins);
+        let public_id = random_bytes().map(u64::from_le_bytes);
+        let secret = random_bytes().map(u128::from_le_bytes);
+        let (public_id, secret) = public_id.zip(secret).ok_or(Reject::Overloaded)?;
+        let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
+        let new = NewJob { public_id, token: secret, tenant, ends_unwatched };
+        let job = streams.broker.add_job(self.now, new);
+        let job = job.map_err(|_| Reject::Overloaded)?;
+        request.downstream = Downstream::Job(job).to_number();
+        let Some(request_id) = self.core.accept(self.now, request) else {
+            streams.broker.transfer(job);
+            return Err(Reject::DuplicateId);
+        };
+        streams.requests.insert(job, request_id);
+        streams.submitted += 1;
+        self.pending.insert(request_id, raw);
+        self.schedule_stream_sweep();
+        connection.outbox.push(event_streams::submitted(public_id, secret, &cors, keep_alive));
+        Ok(())
+    }
+
+    /// A job has its final response.
+    pub(in crate::server) fn finish_job(&mut self, job: JobId, response: FinalResponse) {
+        let now = self.now;
+        let Some(streams) = &mut self.event_streams else { return };
+        streams.requests.remove(&job);
+        let (name, data) = event_streams::final_event(response);
+        streams.broker.finish(now, job, name, data, &mut streams.effects);
+        self.schedule_stream_sweep();
+    }
+
+    fn schedule_stream_sweep(&mut self) {
+        if self.event_streams.as_mut().is_some_and(EventStreams::needs_sweep) {
+            self.core.set_timer(self.now + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
+        }
+    }
+
+    /// Lets time pass for jobs and watchers.
+    pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
+        let Some(streams) = &mut self.event_streams else { return };
+        streams.sweep(self.now);
+        self.run_stream_effects();
+        self.schedule_stream_sweep();
+    }
+}
--- /dev/null
+++ b/src/server/event_loop.rs
@@ -0,0 +1,182 @@
+//! One turn of the loop: commands of the core, a wait for events, and each event to its handler.
+//!
+//! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
+//! disconnected, then everything else in the order in which epoll reports it.
+
+use crate::core::{Command, Core};
+use crate::policy::interface::Micros;
+use crate::server::Server;
+use crate::server::connection_table::Role;
+use crate::server::discovery::CallKind;
+use crate::server::downstream::{Downstream, PollTime};
+use crate::server::error::{ServerError, system};
+use crate::server::listeners::ListenerKind;
+use crate::server::metrics::METRICS_INTERVAL;
+use crate::server::poller::MAX_EVENTS_PER_WAIT;
+use crate::server::tokens::{
+    ACCEPT_TIMER, ADMIN, DRAIN_TIMER, FLEET_TIMER, FULL_LIST_TIMER, HANDOVER_TIMER, IDEMPOTENCY_STORE,
+    METRICS_TIMER, PEER_PROCESS, PEER_TIMER, PEERS, PLATFORM, POLL_TIMER, RESTART_SOCKET, SHUTDOWN_TIMER,
+    SIGNAL, SSE, STALE_LIST_TIMER, STREAM_SWEEP_TIMER, Token, WATCH_TIMER,
+};
+use rustix::event::epoll::{Event, EventFlags};
+use std::time::Duration;
+
+impl Server {
+    /// Serves until a shutdown has been completed.
+    ///
+    /// # Errors
+    /// Where epoll fails.
+    pub fn serve(&mut self) -> Result<(), ServerError> {
+        let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
+        self.update_clock();
+        self.announce_state();
+        self.apply_fleet_outputs();
+        self.update_pacing();
+        while !self.lifecycle.is_done {
+            self.update_clock();
+            self.core.turn(self.now);
+            self.run_commands();
+            self.wait_for_events(&mut events)?;
+            self.update_clock();
+            self.polled_at = PollTime::new(self.now, events.len() == MAX_EVENTS_PER_WAIT);
+            self.handle_events(&events);
+        }
+        self.log_metrics();
+        Ok(())
+    }
+
+    /// Waits for events, until the next timer of the core is due.
+    fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
+        let wake = self.core.next_wake();
+        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.now)));
+        self.epoll.wait(events, timeout).map_err(system("epoll"))
+    }
+
+    fn handle_events(&mut self, events: &[Event]) {
+        // A call to the admin address does not wait for the requests of this turn. And what discovery has sent counts
+        // before anything of this turn is forwarded.
+        let watch = self.discovery.watch();
+        for event in events {
+            match (Token(event.data.u64()), event.flags) {
+                (ADMIN, _) => self.accept_admin(),
+                (token, flags) if self.admin.owns(token) || watch == Some(token) => {
+                    self.on_ready(token, flags);
+                }
+                _ => {}
+            }
+        }
+        // Clients that leave come before those that bring work, which takes longer.
+        for event in events {
+            self.on_client_hangup(Token(event.data.u64()), event.flags);
+        }
+        for event in events {
+            let (data, flags) = (event.data, event.flags);
+            match Token(data.u64()) {
+                token if self.admin.owns(token) || watch == Some(token) => {}
+                PLATFORM => self.accept_clients(ListenerKind::Platform),
+                SSE => self.accept_clients(ListenerKind::Sse),
+                SIGNAL => self.on_signal(),
+                PEERS => self.on_peers_readable(),
+                RESTART_SOCKET => self.on_peer_process_connected(),
+                PEER_PROCESS => self.on_peer_process_readable(),
+                IDEMPOTENCY_STORE => self.on_records_written(),
+                token => self.on_ready(token, flags),
+            }
+        }
+    }
+
+    /// Carries out what the core wants done.
+    pub(super) fn run_commands(&mut self) {
+        while let Some(command) = self.core.next_command() {
+            match command {
+                Command::StartAttempt { request_id, attempt, worker } => {
+                    self.start_attempt(request_id, attempt, worker);
+                }
+                Command::PersistRecord { ticket, key, record } => self.persist_record(ticket, key, record),
+                Command::CancelAttempt { request_id, attempt, worker, name } => {
+                    self.cancel_attempt(request_id, attempt, worker, &name);
+                }
+                Command::Respond { request_id, downstream, response } => {
+                    self.pending.remove(request_id);
+                    match Downstream::from_number(downstream) {
+                        Downstream::Connection(token) => self.send_response(token, request_id, response),
+                        Downstream::Job(job) => self.finish_job(job, response),
+                    }
+                }
+                Command::NotifyProgress { downstream, fraction } => {
+                    self.notify_progress(downstream, fraction)
+                }
+                Command::Probe(worker) => self.send_load_probe(worker),
+                Command::SendToPeer(to, bytes) => self.send_to_peer(to, &bytes),
+                Command::OpenWatch => self.on_watch_wanted(),
+                Command::FetchList => self.open_discovery_call(CallKind::FullList),
+                Command::TimerFired(timer) => self.on_timer(timer),
+            }
+        }
+        self.run_stream_effects();
+    }
+
+    fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
+        match Downstream::from_number(downstream) {
+            Downstream::Connection(token) => self.send_progress(token, share),
+            Downstream::Job(job) => {
+                if let Some(streams) = &mut self.event_streams {
+                    streams.publish_progress(job, share);
+                }
+            }
+        }
+    }
+
+    fn on_timer(&mut self, timer: u64) {
+        match timer {
+            WATCH_TIMER => self.on_watch_timer(),
+            FULL_LIST_TIMER => self.on_full_list_timer(),
+            STALE_LIST_TIMER => self.on_stale_list_timer(),
+            METRICS_TIMER => {
+                self.log_metrics();
+                self.core.set_timer(self.now + METRICS_INTERVAL, METRICS_TIMER);
+            }
+            STREAM_SWEEP_TIMER => self.on_stream_sweep_timer(),
+            SHUTDOWN_TIMER => self.on_shutdown_timer(),
+            HANDOVER_TIMER => self.on_handover_timer(),
+            DRAIN_TIMER => self.on_drain_timer(),
+            FLEET_TIMER => self.on_fleet_timer(),
+            POLL_TIMER => self.on_pacing_timer(),
+            PEER_TIMER => self.on_peer_timer(),
+            ACCEPT_TIMER => self.resume_accepting(),
+            token => self.on_connection_timer(Token(token)),
+        }
+    }
+
+    /// Passes an epoll event of a connection to the handler of its role.
+    pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
+        let Some((connection, role)) = self.take(token) else { return };
+        match role {
+            Role::Client(client) => self.on_client_ready(token, connection, client, flags),
+            Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
+            Role::Discovery(call) => self.on_discovery_ready(token, connection, call, flags),
+            Role::Admin(caller) => self.on_admin_ready(token, connection, caller, flags),
+        }
+    }
+
+    fn on_connection_timer(&mut self, token: Token) {
+        let Some((mut connection, role)) = self.take(token) else { return };
+        connection.timer = None;
+        match role {
+            Role::Client(client) => self.on_client_timer(token, connection, client),
+            Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
+            Role::Discovery(call) => self.on_discovery_timer(token, connection, call),
+            Role::Admin(caller) => self.close(token, connection, Role::Admin(caller)),
+        }
+    }
+
+    /// Sets `now` to the present time.
+    pub(super) fn update_clock(&mut self) {
+        self.now = self.elapsed_time();
+    }
+
+    /// The present time, in the midst of a turn; `now` is when the turn's events were taken.
+    pub(super) fn elapsed_time(&self) -> Micros {
+        Core::clock_start() + self.started.elapsed().as_micros() as Micros
+    }
+}
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -7,8 +7,7 @@
 pub(in crate::server) use record_store::RecordStore;
 
 use crate::protocol::admin::IdempotencyMetrics;
-use crate::server::lifecycle::hot_restart::Note;
-use crate::server::{NOTES, NetError, Server, StateDir};
+use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
 use completion::Waiter;
 use rustix::event::epoll::{self, EventData, EventFlags};
 
@@ -20,13 +19,18 @@
     ///
     /// # Errors
     /// If the store cannot be opened or watched.
-    pub(in crate::server) fn open_record_store(&mut self, settings: StateDir) -> Result<(), NetError> {
+    pub(in crate::server) fn open_record_store(&mut self, settings: StateDir) -> Result<(), ServerError> {
         let (records, loaded) = RecordStore::open(settings)?;
         let bad = self.core.enable_idempotency(self.now, loaded.records.into_iter(), loaded.is_clock_sound);
         for (key, error) in bad {
             tracing::error!("state: the note of {key:?} cannot be read: {error}");
         }
-        let watched = epoll::add(&self.epoll, records.socket(), EventData::new_u64(NOTES.0), EventFlags::IN);
+        let watched = epoll::add(
+            &self.epoll,
+            records.socket(),
+            EventData::new_u64(IDEMPOTENCY_STORE.0),
+            EventFlags::IN,
+        );
         watched.map_err(crate::server::system("epoll"))?;
         self.records = Some(records);
         Ok(())
@@ -39,7 +43,7 @@
         key: String,
         record: Option<Vec<u8>>,
     ) {
-        if self.handed {
+        if self.has_handed_over() {
             return self.persist_at_successor(ticket, key, record.as_deref());
         }
         if let Some(records) = &mut self.records {
@@ -49,9 +53,7 @@
     }
 
     fn persist_at_successor(&mut self, ticket: Option<u64>, key: String, record: Option<&[u8]>) {
-        let bytes = record.unwrap_or_default();
-        let message = Note::Write { ticket, key, kept: record.is_some() };
-        if !self.send_twin(&message, &[bytes])
+        if !self.hot_restart.forward_record(ticket, key, record)
             && let Some(ticket) = ticket
         {
             self.core.on_record_persisted(ticket, false);
@@ -67,7 +69,7 @@
                 Waiter::Nobody => {}
                 Waiter::Core(ticket) => self.core.on_record_persisted(ticket, written),
                 Waiter::Predecessor(ticket) => {
-                    self.send_twin(&Note::Written { ticket, written }, &[]);
+                    self.hot_restart.report_record_written(ticket, written);
                 }
             }
         }
@@ -88,7 +90,7 @@
             }
             // This version was started without a store: the predecessor goes on as though nothing had to be persisted.
             (None, Some(ticket)) => {
-                self.send_twin(&Note::Written { ticket, written: true }, &[]);
+                self.hot_restart.report_record_written(ticket, true);
             }
             (None, None) => {}
         }
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -6,7 +6,7 @@
 };
 use crate::core::idempotency::RECORD_TTL;
 use crate::policy::interface::Micros;
-use crate::server::{NetError, StateDir};
+use crate::server::{ServerError, StateDir};
 use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
@@ -50,10 +50,10 @@
     ///
     /// # Errors
     /// If the store cannot be opened, or the system gives no sockets.
-    pub(in crate::server) fn open(settings: StateDir) -> Result<(RecordStore, LoadedRecords), NetError> {
+    pub(in crate::server) fn open(settings: StateDir) -> Result<(RecordStore, LoadedRecords), ServerError> {
         let started = Instant::now();
         let opened = open_when_unlocked(&settings, started);
-        let (store, recovery) = opened.map_err(|error| NetError::State(settings.dir.clone(), error))?;
+        let (store, recovery) = opened.map_err(|error| ServerError::State(settings.dir.clone(), error))?;
         let read_in = started.elapsed().as_millis();
         for damage in recovery.damage.iter().chain(&recovery.notes) {
             tracing::error!("state: damaged: {damage}");
@@ -65,7 +65,7 @@
         }
         let (count, directory) = (records.len(), settings.dir.display());
         tracing::info!("state: {count} keys noted in {directory}, read in {read_in} ms");
-        let (sender, receiver) = completion_queue().map_err(|error| NetError::System("state", error))?;
+        let (sender, receiver) = completion_queue().map_err(|error| ServerError::System("state", error))?;
         let record_store = RecordStore {
             settings,
             store: Some(store),
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,81 +1,81 @@
-//! Signals, and the new configuration that SIGHUP asks for.
+//! Signals, and the reload of the configuration at SIGHUP.
+//!
+//! 1. The configuration is read again and checked, also by the membership and the core; one that is out of order changes
+//!    nothing.
+//! 2. The core takes the new settings, then the network side its budget and classes.
+//! 3. Where the peers have changed, this dispatcher's place among them is taken anew; where discovery has moved, the calls to
+//!    the service before are dropped and the new one is called.
 
+use crate::config::{Config, ConfigError};
 use crate::core::watch_liveness::DiscoverySettings;
-use crate::server::{Budget, Server};
-use rustix::fd::OwnedFd;
-use rustix::pipe::{PipeFlags, pipe_with};
-use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
-use signal_hook::{flag, low_level::pipe};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use crate::fleet::FleetError;
+use crate::policy::interface::SettingsError;
+use crate::server::Server;
+use crate::server::budget::Budget;
+use crate::server::idempotency_store;
 
-/// What signals have asked for. Each raises its flag before it wakes the loop, so that two close together, in
-/// either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only TCP
-/// and UDP sockets over IPv4 may be made (STANDING, "In step with the bench").
-pub(in crate::server) struct Signals {
-    pub woken: OwnedFd,
-    reload: Arc<AtomicBool>,
-    stop: Arc<AtomicBool>,
-}
-
-impl Signals {
-    pub fn register() -> std::io::Result<Signals> {
-        let (woken, waker) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
-        let (reload, stop) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        for (signal, raised) in [(SIGHUP, &reload), (SIGTERM, &stop), (SIGINT, &stop)] {
-            flag::register(signal, raised.clone())?;
-            pipe::register(signal, waker.try_clone()?)?;
-        }
-        // A file at its limit is an error of the write that meets it, not the end of the program.
-        flag::register(SIGXFSZ, Arc::default())?;
-        Ok(Signals { woken, reload, stop })
-    }
+/// Why a new configuration was not taken.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// It cannot be read, or is out of order.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The membership cannot begin under it.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+    /// The policy did not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
 impl Server {
-    pub(in crate::server) fn signalled(&mut self) {
-        let mut buf = [0; 64];
-        while matches!(rustix::io::read(&self.signals.woken, &mut buf), Ok(n) if n > 0) {}
-        if self.signals.stop.swap(false, Ordering::Relaxed) {
-            self.stop();
+    /// A signal has come.
+    pub(in crate::server) fn on_signal(&mut self) {
+        self.signals.clear_wakeups();
+        if self.signals.take_shutdown() {
+            self.start_shutdown();
             self.leave_fleet();
         }
-        // Also while stopping: what discovery tells until the end still counts.
-        if self.signals.reload.swap(false, Ordering::Relaxed) {
+        // Also while shutting down: what discovery sends until the end still counts.
+        if self.signals.take_reload() {
             self.reload();
         }
     }
 
-    /// Rereads the configuration. One that is out of order changes nothing.
+    /// Reads the configuration again. One that is out of order changes nothing.
     fn reload(&mut self) {
-        let taken = self.config.reload(self.core.names()).map_err(|e| e.to_string()).and_then(|mut new| {
-            let names = std::mem::take(&mut new.names);
-            self.check_fleet_restart(&new).map_err(|e| e.to_string())?;
-            self.core.reconfigure(new.settings.clone(), names).map_err(|e| e.to_string())?;
-            Ok(new)
-        });
-        let new = match taken {
-            Ok(new) => new,
+        match self.load_new_config() {
+            Ok(config) => self.apply_config(config),
             Err(why) => {
                 self.metrics.bad_reloads += 1;
-                return tracing::warn!("reload: {why}; the old configuration stays");
+                tracing::warn!("reload: {why}; the old configuration stays");
             }
-        };
+        }
+    }
+
+    /// The new configuration, once the core has taken its settings.
+    fn load_new_config(&mut self) -> Result<Config, ReloadError> {
+        let mut config = self.config.reload(self.core.names())?;
+        let names = std::mem::take(&mut config.names);
+        self.check_fleet_restart(&config)?;
+        self.core.reconfigure(config.settings.clone(), names)?;
+        Ok(config)
+    }
+
+    fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
-        tracing::info!("reloaded: discovery {}", new.discovery);
-        self.classes = new.settings.classes.clone();
-        self.budget = Budget::of(
-            new.limits,
-            if self.records.is_some() { crate::server::idempotency_store::MAX_OPEN_FILES } else { 0 },
-        );
-        let moved = new.discovery != self.config.discovery;
-        let regroup = (new.settings.me, &new.peers) != (self.config.settings.me, &self.config.peers);
-        let old = std::mem::replace(&mut self.config, new);
-        if regroup {
+        tracing::info!("reloaded: discovery {}", config.discovery);
+        self.classes = config.settings.classes.clone();
+        let reserved = if self.records.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
+        self.budget = Budget::new(config.limits, reserved);
+        let has_discovery_moved = config.discovery != self.config.discovery;
+        let old = std::mem::replace(&mut self.config, config);
+        let own_place = self.config.settings.me;
+        if own_place != old.settings.me || self.config.peers != old.peers {
             self.peers.renumber(&old.peers, &self.config);
             self.restart_fleet();
         }
-        if moved {
+        if has_discovery_moved {
             self.on_discovery_moved();
             self.core.on_discovery_moved();
         }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -91,7 +91,7 @@
 
     /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
     pub(in crate::server) fn leave_fleet(&mut self) {
-        if !self.handed {
+        if !self.has_handed_over() {
             self.membership.fleet.leave(self.now);
             self.apply_fleet_outputs();
         }
@@ -110,7 +110,7 @@
 
     /// Restarts with a new epoch: among other peers, or since the process that spoke for this place has ended.
     pub(in crate::server) fn restart_fleet(&mut self) {
-        if self.handed {
+        if self.has_handed_over() {
             return;
         }
         let identity = new_identity(&self.config);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -114,7 +114,7 @@
 impl Server {
     /// Sends a message to another dispatcher. During an upgrade the successor speaks for both processes.
     pub(in crate::server) fn send_to_peer(&self, to: u32, bytes: &[u8]) {
-        if !self.handed {
+        if !self.has_handed_over() {
             self.peers.send(&self.config, to, bytes);
         }
     }
@@ -128,8 +128,8 @@
     }
 
     fn announce_state_once(&mut self) {
-        let state = if self.takes_leave() { PeerDatagram::Stopping } else { PeerDatagram::Serving };
-        if !self.handed {
+        let state = if self.lifecycle.is_draining() { PeerDatagram::Stopping } else { PeerDatagram::Serving };
+        if !self.has_handed_over() {
             self.peers.announce(&self.config, state);
         }
         // A process that has just started, and may not use the list it knows yet, asks its peer group when the predecessor was
@@ -143,7 +143,7 @@
 
     /// The time has come to repeat the state of this dispatcher.
     pub(in crate::server) fn on_peer_timer(&mut self) {
-        if self.stopping.is_some() || self.peers.repeats_left > 0 {
+        if self.lifecycle.is_shutting_down() || self.peers.repeats_left > 0 {
             self.peers.repeats_left = self.peers.repeats_left.saturating_sub(1);
             self.announce_state_once();
         }
@@ -152,7 +152,7 @@
     /// Datagrams have come.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
-        for _ in 0..crate::server::ACCEPTS {
+        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
             match self.peers.receive(&mut buffer) {
                 None => return,
                 Some(Ok(datagram)) => self.on_peer_datagram(datagram.from, datagram.bytes),
@@ -181,7 +181,7 @@
     fn on_peer_serving(&mut self, from: u32) {
         self.peers.lifecycle.on_serving(from);
         // One that has just started cannot know who is about to stop.
-        if self.takes_leave() {
+        if self.lifecycle.is_draining() {
             self.send_to_peer(from, &PeerDatagram::Stopping.encode());
         }
         if let Some(at) = self.peers.last_message_at.get(&from) {
