--- /dev/null
+++ b/src/cli/bench/compaction.rs
@@ -0,0 +1,115 @@
+//! Latencies of writes while a compaction of many dead records runs, and without one.
+
+use super::{latency_histogram, operation, quantile_us, record_latency, single_put, without_compaction};
+use crate::cli::error::{BenchError, CommandError};
+use hdrhistogram::Histogram;
+use mothproxy_store::{Batch, Stat, Store, StoreError};
+use serde_json::{Value, json};
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Instant;
+
+/// The store that is compacted.
+pub(super) const STORE_DIR: &str = "compact";
+
+/// Keys that are written, each of them several times.
+const FILL_KEYS: u64 = 20_000;
+const FILL_BATCHES: u64 = 60;
+const RECORDS_PER_BATCH: u64 = 1000;
+/// Writes that are measured without a compaction.
+const UNDISTURBED_WRITES: u64 = 1500;
+/// Compactions beside which writes are measured.
+const COMPACTIONS: usize = 5;
+/// The numbers of records that are measured, apart from each other and from those of the fill.
+const UNDISTURBED_NUMBERS: u64 = 1 << 40;
+const CONCURRENT_NUMBERS: u64 = 2 << 40;
+
+/// Measures p50 and p99 of writes in both cases, and the space that compaction frees.
+pub(super) fn measure(dir: &Path) -> Result<Value, CommandError> {
+    let (store, _) = Store::open(&dir.join(STORE_DIR), without_compaction())?;
+    fill(&store)?;
+    let undisturbed = measure_undisturbed(&store)?;
+    let bytes_before = store.stat()?.bytes;
+    let concurrent = ConcurrentWrites::measure(&store)?;
+    let after = store.compact(false)?;
+    store.close()?;
+    Ok(json!({
+        "compactions": concurrent.compactions,
+        "puts_beside": concurrent.latencies.len(),
+        "p50_us": quantile_us(&undisturbed, 0.5),
+        "p99_us": quantile_us(&undisturbed, 0.99),
+        "p50_beside_us": quantile_us(&concurrent.latencies, 0.5),
+        "p99_beside_us": quantile_us(&concurrent.latencies, 0.99),
+        "bytes_before": bytes_before,
+        "bytes_after": after.bytes,
+        "live_bytes": after.live,
+        "space_per_live": after.bytes as f64 / after.live as f64,
+    }))
+}
+
+/// Writes each key several times, so that most records are dead.
+fn fill(store: &Store) -> Result<(), StoreError> {
+    for chunk in 0..FILL_BATCHES {
+        let mut batch = Batch::new();
+        for n in 0..RECORDS_PER_BATCH {
+            let operation = operation((chunk * RECORDS_PER_BATCH + n) % FILL_KEYS);
+            batch.push(operation.key, operation.value, None);
+        }
+        store.write(batch)?;
+    }
+    Ok(())
+}
+
+fn measure_undisturbed(store: &Store) -> Result<Histogram<u64>, CommandError> {
+    let mut latencies = latency_histogram()?;
+    for n in 0..UNDISTURBED_WRITES {
+        let start = Instant::now();
+        store.write(single_put(UNDISTURBED_NUMBERS | n))?;
+        record_latency(&mut latencies, start.elapsed());
+    }
+    Ok(latencies)
+}
+
+/// Writes that were made while compactions ran.
+struct ConcurrentWrites {
+    latencies: Histogram<u64>,
+    /// The store's count of compactions at their end.
+    compactions: u64,
+}
+
+impl ConcurrentWrites {
+    fn measure(store: &Store) -> Result<ConcurrentWrites, CommandError> {
+        let mut latencies = latency_histogram()?;
+        let is_over = AtomicBool::new(false);
+        let stat = std::thread::scope(|scope| {
+            let compaction = scope.spawn(|| {
+                let last = compact_repeatedly(store);
+                is_over.store(true, Ordering::Relaxed);
+                last
+            });
+            let mut n = 0;
+            while !is_over.load(Ordering::Relaxed) {
+                let start = Instant::now();
+                store.write(single_put(CONCURRENT_NUMBERS | n))?;
+                record_latency(&mut latencies, start.elapsed());
+                n += 1;
+            }
+            match compaction.join() {
+                Ok(last) => Ok(last?),
+                Err(_) => Err(CommandError::from(BenchError::CompactionPanicked)),
+            }
+        })?;
+        Ok(ConcurrentWrites { latencies, compactions: stat.figures.compactions })
+    }
+}
+
+/// Compacts so many times, or up to the first error; the last result.
+fn compact_repeatedly(store: &Store) -> Result<Stat, StoreError> {
+    let mut last = store.compact(false);
+    for _ in 1..COMPACTIONS {
+        if last.is_ok() {
+            last = store.compact(false);
+        }
+    }
+    last
+}
--- /dev/null
+++ b/src/cli/bench/recovery.rs
@@ -0,0 +1,98 @@
+//! Recovery after a crash, beside a plain read of the same files.
+
+use super::{ROUNDS, median, operation, without_compaction};
+use crate::cli::error::{BenchError, CommandError};
+use mothproxy_store::disk::RealDisk;
+use mothproxy_store::{Op, Options, SyncMode, open_engine, open_reader};
+use serde_json::{Value, json};
+use std::fs::File;
+use std::io::{self, Read};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Records that are written at a time.
+const RECORDS_PER_GROUP: u64 = 64;
+/// Bytes that a plain read takes at a time.
+const READ_LENGTH: usize = 1 << 20;
+
+/// Measures the recovery of so many records whose last segment has no footer, as a crash leaves it.
+pub(super) fn measure(dir: &Path, records: u64) -> Result<Value, CommandError> {
+    let path = dir.join(format!("recover-{records}"));
+    write_without_seal(&path, records)?;
+    let mut read_times = Vec::new();
+    let mut open_times = Vec::new();
+    let mut bytes = 0;
+    let mut index_bytes = 0;
+    for _ in 0..ROUNDS {
+        let plain_read = PlainRead::measure(&path).map_err(BenchError::Io)?;
+        read_times.push(milliseconds(plain_read.time));
+        let start = Instant::now();
+        let (snapshot, recovery, lock) = open_reader(&path)?;
+        open_times.push(milliseconds(start.elapsed()));
+        let stat = snapshot.stat();
+        if stat.records != records || !recovery.damage.is_empty() {
+            return Err(BenchError::RecordsLost { found: stat.records, written: records }.into());
+        }
+        drop(lock);
+        bytes = plain_read.bytes;
+        index_bytes = stat.memory;
+    }
+    std::fs::remove_dir_all(&path).map_err(BenchError::Io)?;
+    let plain_read_ms = median(read_times);
+    let recovery_ms = median(open_times);
+    Ok(json!({
+        "records": records,
+        "bytes": bytes,
+        "plain_read_ms": plain_read_ms,
+        "recovery_ms": recovery_ms,
+        "ratio": recovery_ms / plain_read_ms,
+        "ns_per_record": recovery_ms * 1e6 / records as f64,
+        "index_bytes_per_record": index_bytes as f64 / records as f64,
+    }))
+}
+
+fn write_without_seal(path: &Path, records: u64) -> Result<(), CommandError> {
+    let disk = Arc::new(RealDisk::new(path, true).map_err(BenchError::Io)?);
+    let options = Options { sync: SyncMode::Never, ..without_compaction() };
+    let (mut writer, shared, _, _) = open_engine(disk, options)?;
+    let mut written = 0;
+    while written < records {
+        let group: Vec<Op> = (written..records.min(written + RECORDS_PER_GROUP)).map(operation).collect();
+        writer.commit(&shared, &[&group], 1)?;
+        written += group.len() as u64;
+    }
+    Ok(()) // dropped without a seal, as a crash would leave it
+}
+
+fn milliseconds(time: Duration) -> f64 {
+    time.as_secs_f64() * 1e3
+}
+
+/// A read of all files of a folder from first to last.
+struct PlainRead {
+    time: Duration,
+    bytes: u64,
+}
+
+impl PlainRead {
+    fn measure(dir: &Path) -> io::Result<PlainRead> {
+        let mut files: Vec<PathBuf> =
+            std::fs::read_dir(dir)?.map(|entry| Ok(entry?.path())).collect::<io::Result<_>>()?;
+        files.sort();
+        let mut buffer = vec![0; READ_LENGTH];
+        let mut bytes = 0;
+        let start = Instant::now();
+        for file in files {
+            let mut file = File::open(file)?;
+            loop {
+                let length = file.read(&mut buffer)?;
+                if length == 0 {
+                    break;
+                }
+                bytes += length as u64;
+            }
+        }
+        Ok(PlainRead { time: start.elapsed(), bytes })
+    }
+}
--- /dev/null
+++ b/src/cli/error.rs
@@ -0,0 +1,152 @@
+//! Why a sub-command failed, and the exit code that says so.
+
+use super::store::RecordError;
+use mothproxy::config::ConfigError;
+use mothproxy::server::NetError;
+use mothproxy::settings::SettingsFileError;
+use mothproxy_store::StoreError;
+use std::io;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// The sub-command failed, or found damage.
+const EXIT_FAILED: u8 = 1;
+/// What it was given is not in order.
+const EXIT_BAD_INPUT: u8 = 2;
+
+/// Why a sub-command failed.
+#[derive(Debug, Error)]
+pub enum CommandError {
+    /// The operators' file is not in order.
+    #[error("{0}")]
+    Settings(#[from] SettingsFileError),
+    /// The configuration is not in order.
+    #[error("{0}")]
+    Config(#[from] ConfigError),
+    /// The program cannot serve.
+    #[error("{0}")]
+    Serve(#[from] NetError),
+    /// The store refused a call.
+    #[error("{0}")]
+    Store(#[from] StoreError),
+    /// A directory cannot be used.
+    #[error("{}: {error}", dir.display())]
+    Directory {
+        /// The directory.
+        dir: PathBuf,
+        /// Why.
+        #[source]
+        error: io::Error,
+    },
+    /// A directory holds no store.
+    #[error("{}: no store is there", .0.display())]
+    NoStore(PathBuf),
+    /// A directory holds files of something else.
+    #[error("{}: it holds files that are no store's", .0.display())]
+    ForeignFiles(PathBuf),
+    /// A directory must be empty and is not.
+    #[error("{}: the folder is not empty", .0.display())]
+    NotEmpty(PathBuf),
+    /// A line of standard input is not in order.
+    #[error("standard input: line {line}: {error}")]
+    BadLine {
+        /// The line's number, from 1.
+        line: u64,
+        /// What is wrong with it.
+        #[source]
+        error: RecordError,
+    },
+    /// Standard input cannot be read.
+    #[error("standard input: {0}")]
+    StandardInput(#[source] io::Error),
+    /// Standard output was closed before all keys were printed.
+    #[error("standard output was closed")]
+    StandardOutputClosed,
+    /// The store could not write a record.
+    #[error("{0}")]
+    WriteFailed(String),
+    /// Damaged records were left out of a dump.
+    #[error("{}: damaged: {damaged} places; what is whole was printed", dir.display())]
+    DamageSkipped {
+        /// The store's directory.
+        dir: PathBuf,
+        /// How many places are damaged.
+        damaged: usize,
+    },
+    /// The store is damaged, and each damage has been printed.
+    #[error("the store is damaged")]
+    DamagePrinted,
+    /// A measurement failed.
+    #[error("{0}")]
+    Bench(#[from] BenchError),
+}
+
+/// Why a measurement failed.
+#[derive(Debug, Error)]
+pub enum BenchError {
+    /// The folder cannot be read.
+    #[error("bench: {0}")]
+    Folder(#[source] io::Error),
+    /// The system refused a call.
+    #[error("bench: {0}")]
+    Io(#[from] io::Error),
+    /// A histogram cannot be made.
+    #[error("{0}")]
+    Histogram(#[from] hdrhistogram::CreationError),
+    /// The figures cannot be printed.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// The compaction panicked.
+    #[error("the compaction ended in a panic")]
+    CompactionPanicked,
+    /// Recovery has lost records.
+    #[error("bench: {found} of {written} records came back")]
+    RecordsLost {
+        /// Records that were found.
+        found: u64,
+        /// Records that were written.
+        written: u64,
+    },
+}
+
+impl CommandError {
+    /// Whether the user has been informed already.
+    pub(super) fn is_reported(&self) -> bool {
+        matches!(self, CommandError::DamagePrinted)
+    }
+
+    /// The exit code of the program.
+    pub(super) fn exit_code(&self) -> u8 {
+        match self {
+            CommandError::Settings(_)
+            | CommandError::Config(_)
+            | CommandError::Directory { .. }
+            | CommandError::NoStore(_)
+            | CommandError::ForeignFiles(_)
+            | CommandError::NotEmpty(_)
+            | CommandError::BadLine { .. }
+            | CommandError::Serve(NetError::Config(_) | NetError::Settings(_))
+            | CommandError::Bench(BenchError::Folder(_)) => EXIT_BAD_INPUT,
+            CommandError::Serve(_)
+            | CommandError::StandardInput(_)
+            | CommandError::StandardOutputClosed
+            | CommandError::WriteFailed(_)
+            | CommandError::DamageSkipped { .. }
+            | CommandError::DamagePrinted
+            | CommandError::Bench(_) => EXIT_FAILED,
+            CommandError::Store(error) => store_exit_code(error),
+        }
+    }
+}
+
+fn store_exit_code(error: &StoreError) -> u8 {
+    match error {
+        StoreError::Damaged { .. }
+        | StoreError::InDoubt { .. }
+        | StoreError::NeedsRepair(_)
+        | StoreError::Failing(_)
+        | StoreError::Closed => EXIT_FAILED,
+        // The directory cannot be used as it was named.
+        _ => EXIT_BAD_INPUT,
+    }
+}
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -1,5 +1,7 @@
-//! Log lines on standard error, by `tracing`. In text form a line is its message alone: docs/on-call.md names their words.
+//! Log lines on standard error, by `tracing`. In text form a line is its message and its fields: docs/on-call.md names their
+//! words.
 
+use clap::ValueEnum;
 use std::fmt;
 use tracing::field::{Field, Visit};
 use tracing::{Event, Subscriber};
@@ -7,15 +9,26 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-struct Plain;
+/// The form of log lines.
+#[derive(Clone, Copy, Default, PartialEq, ValueEnum)]
+pub(super) enum LogFormat {
+    /// One plain line each.
+    #[default]
+    Text,
+    /// One JSON object each.
+    Json,
+}
+
+/// Writes an event as its message and its fields, without time, level or target.
+struct PlainFormat;
 
 #[derive(Default)]
-struct Line {
+struct PlainLine {
     message: String,
     fields: String,
 }
 
-impl Visit for Line {
+impl Visit for PlainLine {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         use fmt::Write;
         let _ = match field.name() {
@@ -25,26 +38,26 @@
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for PlainFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = PlainLine::default();
         event.record(&mut line);
         writeln!(out, "{}{}", line.message, line.fields)
     }
 }
 
-/// Lines go to standard error from now on.
-pub fn start(json: bool) {
+/// Sends log lines to standard error from now on.
+pub(super) fn start(format: LogFormat) {
     let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(tracing::Level::INFO);
-    let set = match json {
-        true => builder.json().flatten_event(true).with_target(false).try_init(),
-        false => builder.event_format(Plain).try_init(),
+    let started = match format {
+        LogFormat::Json => builder.json().flatten_event(true).with_target(false).try_init(),
+        LogFormat::Text => builder.event_format(PlainFormat).try_init(),
     };
-    if let Err(error) = set {
+    if let Err(error) = started {
         eprintln!("mothproxy: no log: {error}");
     }
 }
--- /dev/null
+++ b/src/cli/serve.rs
@@ -0,0 +1,75 @@
+//! `mothproxy serve`: a dispatcher.
+
+use super::error::CommandError;
+use super::log::{self, LogFormat};
+use clap::Args;
+use mothproxy::config::{Config, SseConfig};
+use mothproxy::server::{NetError, Server, StateDir};
+use mothproxy::settings::{self, Settings};
+use mothproxy_store::SyncMode;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// The operators' file where none is named.
+const DEFAULT_SETTINGS_FILE: &str = "deploy/mothproxy.txtpb";
+
+#[derive(Args)]
+pub(super) struct ServeArgs {
+    /// The operators' file [default: deploy/mothproxy.txtpb, where it is there].
+    #[arg(long, value_name = "FILE")]
+    settings: Option<PathBuf>,
+    /// A TOML file that says where the SSE front listens, in place of `streams` of the operators' file.
+    #[arg(long, value_name = "FILE")]
+    sse: Option<PathBuf>,
+    /// Where keyed jobs are noted, so that they survive a crash, in place of `state` of the operators' file.
+    #[arg(long, value_name = "DIR")]
+    state: Option<PathBuf>,
+    /// When notes become durable: always, interval:MS or never.
+    #[arg(long, value_name = "MODE", requires = "state", value_parser = parse_sync_mode)]
+    state_sync: Option<SyncMode>,
+}
+
+/// Reads `always`, `interval:MS` or `never`. The error is a text, as clap shows it to the user.
+fn parse_sync_mode(text: &str) -> Result<SyncMode, String> {
+    match (text, text.strip_prefix("interval:").map(str::parse::<u32>)) {
+        ("always", _) => Ok(SyncMode::Always),
+        ("never", _) => Ok(SyncMode::Never),
+        (_, Some(Ok(ms))) if ms > 0 => Ok(SyncMode::Interval(ms)),
+        _ => Err("it is always, interval:MS (MS above 0) or never".to_owned()),
+    }
+}
+
+/// Serves until the program is asked to stop. The log has the format of the command line, else that of the operators' file.
+pub(super) fn run(args: ServeArgs, log_format: Option<LogFormat>) -> Result<(), CommandError> {
+    let file = args.settings.clone().unwrap_or(DEFAULT_SETTINGS_FILE.into());
+    let settings = settings::load(&file, args.settings.is_some());
+    let has_json_log = settings.as_ref().is_ok_and(|settings| settings.json_log);
+    let format_of_file = if has_json_log { LogFormat::Json } else { LogFormat::Text };
+    log::start(log_format.unwrap_or(format_of_file));
+    Ok(serve(args, settings?)?)
+}
+
+fn serve(args: ServeArgs, settings: Settings) -> Result<(), NetError> {
+    let config = Config::load(|name| std::env::var(name).ok())?;
+    let sse = match &args.sse {
+        Some(file) => SseConfig::load(file, true)?,
+        None => settings.streams,
+    };
+    let sync = args.state_sync.unwrap_or_default();
+    let state = args.state.map(|dir| StateDir { dir, sync }).or(settings.state);
+    let name = config.name.clone();
+    let restart_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let mut server = Server::open(config, sse, restart_dir.as_deref(), state, settings.fleet)?;
+    let (platform, sse, admin) = server.addresses();
+    tracing::info!(
+        "serving: {name} on {}, SSE {}, control {}",
+        address_or_off(platform),
+        address_or_off(sse),
+        address_or_off(admin)
+    );
+    server.serve()
+}
+
+fn address_or_off(address: Option<SocketAddr>) -> String {
+    address.map_or("off".to_owned(), |address| address.to_string())
+}
--- /dev/null
+++ b/src/cli/store/dump.rs
@@ -0,0 +1,32 @@
+//! `mothproxy store dump`: all records as JSON lines.
+
+use super::record::record_line;
+use super::{log_damage, require_store};
+use crate::cli::error::CommandError;
+use mothproxy_store::open_reader;
+use std::io::{BufWriter, Write};
+use std::path::Path;
+
+/// Prints every record that can be read. Damage is logged and makes the command fail at its end.
+pub(super) fn run(dir: &Path) -> Result<(), CommandError> {
+    require_store(dir)?;
+    let (snapshot, recovery, _lock) = open_reader(dir)?;
+    log_damage(&recovery);
+    let mut damaged = recovery.damage.len();
+    let mut out = BufWriter::new(std::io::stdout().lock());
+    for record in snapshot.iter_from(&[]) {
+        match record {
+            Ok((key, value)) => {
+                if writeln!(out, "{}", record_line(key, value)).is_err() {
+                    return Ok(()); // whoever reads it has seen enough
+                }
+            }
+            Err(error) => {
+                damaged += 1;
+                tracing::warn!("{error}");
+            }
+        }
+    }
+    let _ = out.flush(); // likewise
+    if damaged == 0 { Ok(()) } else { Err(CommandError::DamageSkipped { dir: dir.to_owned(), damaged }) }
+}
--- /dev/null
+++ b/src/cli/store/record.rs
@@ -0,0 +1,131 @@
+//! Records as JSON lines.
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use mothproxy_store::Invalid;
+use serde_json::{Map, Value};
+use thiserror::Error;
+
+/// The fields that a line may have.
+const FIELDS: [&str; 4] = ["key", "value", "key_base64", "value_base64"];
+
+/// What is wrong with a line.
+#[derive(Debug, Error)]
+pub enum RecordError {
+    /// The line is not UTF-8.
+    #[error("not UTF-8: {0}")]
+    NotUtf8(#[from] std::str::Utf8Error),
+    /// The line is not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// The line is JSON, but not an object.
+    #[error("not an object")]
+    NotAnObject,
+    /// The object has a field that is not known; its name.
+    #[error("\"{0}\" is no field; it has \"key\" and \"value\"")]
+    UnknownField(String),
+    /// A field is given as text and as base64; its name.
+    #[error("both \"{0}\" and \"{0}_base64\"")]
+    GivenTwice(&'static str),
+    /// A field is not a string; its name.
+    #[error("\"{0}\" is no string")]
+    NotAString(String),
+    /// A field is not base64.
+    #[error("\"{field}\": {error}")]
+    NotBase64 {
+        /// The field's name.
+        field: String,
+        /// What is wrong with it.
+        #[source]
+        error: base64::DecodeError,
+    },
+    /// There is no key.
+    #[error("no \"key\"")]
+    NoKey,
+    /// There is no value.
+    #[error("no \"value\" (null deletes)")]
+    NoValue,
+    /// The key is empty.
+    #[error("the key is empty")]
+    EmptyKey,
+    /// The store does not take the record.
+    #[error("{0}")]
+    Invalid(#[from] Invalid),
+}
+
+/// A record to be written.
+pub(super) struct Record {
+    pub(super) key: Vec<u8>,
+    /// `None` deletes the key.
+    pub(super) value: Option<Vec<u8>>,
+}
+
+/// What a line says of a field.
+enum FieldValue {
+    Absent,
+    Null,
+    Bytes(Vec<u8>),
+}
+
+impl Record {
+    /// Parses a line.
+    pub(super) fn parse(line: &str) -> Result<Record, RecordError> {
+        let value: Value = serde_json::from_str(line)?;
+        let fields = value.as_object().ok_or(RecordError::NotAnObject)?;
+        if let Some(unknown) = fields.keys().find(|name| !FIELDS.contains(&name.as_str())) {
+            return Err(RecordError::UnknownField(unknown.clone()));
+        }
+        let key = match read_field(fields, "key")? {
+            FieldValue::Bytes(key) => key,
+            FieldValue::Null => return Err(RecordError::NotAString("key".to_owned())),
+            FieldValue::Absent => return Err(RecordError::NoKey),
+        };
+        let value = match read_field(fields, "value")? {
+            FieldValue::Bytes(value) => Some(value),
+            FieldValue::Null => None,
+            FieldValue::Absent => return Err(RecordError::NoValue),
+        };
+        if key.is_empty() {
+            return Err(RecordError::EmptyKey);
+        }
+        Ok(Record { key, value })
+    }
+}
+
+/// Reads a field that may be given as text or, with `_base64` behind its name, in base64.
+fn read_field(fields: &Map<String, Value>, name: &'static str) -> Result<FieldValue, RecordError> {
+    let base64_name = format!("{name}_base64");
+    match (fields.get(name), fields.get(&base64_name)) {
+        (Some(_), Some(_)) => Err(RecordError::GivenTwice(name)),
+        (Some(Value::String(text)), None) => Ok(FieldValue::Bytes(text.clone().into_bytes())),
+        (Some(Value::Null), None) => Ok(FieldValue::Null),
+        (Some(_), None) => Err(RecordError::NotAString(name.to_owned())),
+        (None, Some(Value::String(text))) => STANDARD
+            .decode(text)
+            .map(FieldValue::Bytes)
+            .map_err(|error| RecordError::NotBase64 { field: base64_name, error }),
+        (None, Some(_)) => Err(RecordError::NotAString(base64_name)),
+        (None, None) => Ok(FieldValue::Absent),
+    }
+}
+
+/// The line of a record. Bytes that are not UTF-8 are written in base64.
+pub(super) fn record_line(key: Vec<u8>, value: Vec<u8>) -> String {
+    let mut fields = Map::new();
+    for (name, bytes) in [("key", key), ("value", value)] {
+        match String::from_utf8(bytes) {
+            Ok(text) => fields.insert(name.to_owned(), text.into()),
+            Err(error) => fields.insert(format!("{name}_base64"), STANDARD.encode(error.into_bytes()).into()),
+        };
+    }
+    Value::Object(fields).to_string()
+}
+
+/// The line of a key alone. One that holds a line break is written as a JSON string, one that is not UTF-8 in base64.
+pub(super) fn key_line(key: Vec<u8>) -> String {
+    match String::from_utf8(key) {
+        Ok(text) if !text.contains(['\n', '\r']) => text,
+        Ok(text) => Value::String(text).to_string(),
+        Err(error) => STANDARD.encode(error.into_bytes()),
+    }
+}
