--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: serves as a dispatcher, or does one of the smaller jobs that its sub-commands name.
+//! The program `mothproxy`: a dispatcher, and sub-commands for its files.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! The real configuration: nested JSON under the simulator's names.
+//! The configuration of a dispatcher: nested JSON under the simulator's names, and the file of the SSE listener.
 
 use mothproxy::config::{Config, SseConfig, SseSettings, flatten};
 use mothproxy::http;
@@ -8,42 +8,44 @@
 use serde_json::json;
 
 #[test]
-fn settings_come_out_as_the_module_needs_them() {
+fn maps_settings_for_the_decision_module() {
     let config =
         site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([site::row("s", "127.0.0.1:3", "up")])));
-    let set = &config.settings;
-    assert_eq!((set.tick, set.classes.len(), set.tenants.len(), set.max_attempts), (2_000, 2, 1, 3));
-    assert_eq!((set.classes[0].latency_factor, set.classes[1].latency_objective), (2.0, 600_000));
+    let settings = &config.settings;
     assert_eq!(
-        set.classes[1].idempotency,
+        (settings.tick, settings.classes.len(), settings.tenants.len(), settings.max_attempts),
+        (2_000, 2, 1, 3)
+    );
+    assert_eq!((settings.classes[0].latency_factor, settings.classes[1].latency_objective), (2.0, 600_000));
+    assert_eq!(
+        settings.classes[1].idempotency,
         Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 40_000_000 }
     );
-    assert_eq!((set.ask_within, set.max_retry_after), (Some(400_000), Some(2_000_000)));
+    assert_eq!((settings.ask_within, settings.max_retry_after), (Some(400_000), Some(2_000_000)));
     assert_eq!(
         (config.idle_timeout, config.connect_timeout, config.known_endpoints.rows.len()),
         (5_000_000, 250_000, 1)
     );
 }
 
-/// Found on an overloaded day: "free slots" has a space here and "_" on the simulator's wire, so that the free
-/// slots of every report were dropped and no worker ever read as full.
+/// Regression: "free slots" has a blank here and "_" in the simulator's protocol, so that the free slots of every report were
+/// dropped and no worker ever counted as full.
 #[test]
-fn the_free_slots_of_a_load_report_are_read() {
+fn reads_the_free_slots_of_a_load_report() {
     let config = site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([])));
     let expected =
         LoadReport { cpu: Some(0.5), free_slots: Some(3.0), err_rps: Some(0.1), ..LoadReport::default() };
-    let pairs = |text| platform::load_report_from_pairs(&config.names, http::load::parse_pairs(text));
-    assert_eq!(pairs("eps=0.1,util=0.5,x0=3,unheard=9"), Some(expected));
-    assert_eq!(pairs("err_rps=0.1,cpu=0.5,x0=3"), Some(expected));
-    assert_eq!(pairs("unheard=9,x0=many"), None);
-    let news = json!({"id": "a", "from": "s", "state": "done", "result": "r", "load": {"x0": 3.0, "util": 0.5, "eps": 0.1}});
-    let told =
-        platform::parse_status_callback(&config.names, news.to_string().as_bytes(), None).expect("news");
-    assert_eq!(told.report, Some(expected));
+    let report = |text| platform::load_report_from_pairs(&config.names, http::load::parse_pairs(text));
+    assert_eq!(report("eps=0.1,util=0.5,x0=3,unheard=9"), Some(expected));
+    assert_eq!(report("err_rps=0.1,cpu=0.5,x0=3"), Some(expected));
+    assert_eq!(report("unheard=9,x0=many"), None);
+    let callback = json!({"id": "a", "from": "s", "state": "done", "result": "r", "load": {"x0": 3.0, "util": 0.5, "eps": 0.1}});
+    let callback = platform::parse_status_callback(&config.names, callback.to_string().as_bytes(), None);
+    assert_eq!(callback.expect("a callback").report, Some(expected));
 }
 
 #[test]
-fn lists_and_objects_are_flattened_and_names_keep_their_spaces() {
+fn flattens_lists_and_objects_and_keeps_blanks_in_names() {
     let flat =
         flatten(&json!({"A": [1, 2.5], "B": [{"C": true}, {"C": "x y"}], "Domain": {"D": "x y"}, "N": null}));
     let flat: Vec<(&str, &str)> = flat.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
@@ -55,12 +57,12 @@
 
 /// A group that cannot reach one of its nodes would take its silence for idle workers.
 #[test]
-fn there_is_a_group_only_where_every_address_is_known() {
+fn messages_peers_only_where_every_address_is_known() {
     let mut text = site::config("127.0.0.1:1", "127.0.0.1:2", json!([]));
     text["settings"]["Siblings"] = json!(3);
     text["settings"]["Limits"]["Peers"] = json!(true);
     text["peer_listen"] = json!("127.0.0.1:7");
-    let told = |count: u16, listens: bool| {
+    let read_with_peers = |count: u16, listens: bool| {
         let mut text = text.clone();
         text["peers"] = (0..count).map(|n| json!(format!("127.0.0.1:{}", 7 + n))).collect();
         if !listens {
@@ -69,8 +71,11 @@
         let config = site::read(&text);
         (config.settings.may_message_peers, config.may_announce_lifecycle)
     };
-    assert_eq!(told(3, true), (true, true));
-    assert_eq!((told(2, true), told(0, true), told(3, false)), ((false, true), (false, true), (false, true)));
+    assert_eq!(read_with_peers(3, true), (true, true));
+    assert_eq!(
+        (read_with_peers(2, true), read_with_peers(0, true), read_with_peers(3, false)),
+        ((false, true), (false, true), (false, true))
+    );
     for (count, why) in [(0, "not below the count"), (100_000, "more than 10,000")] {
         text["settings"]["Siblings"] = json!(count);
         let refused = Config::read(&text.to_string(), "config.json", |_| None).err().map(|e| e.to_string());
@@ -79,7 +84,7 @@
 }
 
 #[test]
-fn the_environment_wins_over_the_file() {
+fn prefers_the_environment_to_the_file() {
     let config = site::config("127.0.0.1:1", "127.0.0.1:2", json!([])).to_string();
     let env = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.1:9".to_owned());
     let config = Config::read(&config, "config.json", env).expect("sound");
@@ -87,7 +92,7 @@
 }
 
 #[test]
-fn the_file_of_the_sse_front_says_where_it_listens() {
+fn reads_the_file_of_the_sse_listener() {
     let file = std::env::temp_dir().join(format!("mothproxy-sse-{}.toml", std::process::id()));
     let read = |text: &str| {
         std::fs::write(&file, text).expect("a temporary file");
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -7,15 +7,15 @@
 const INNER: &str = "KNOWN_RED_INNER";
 
 #[test]
-fn an_inner_test_that_is_red() {
+fn inner_test_that_fails() {
     assert!(std::env::var_os(INNER).is_none(), "red on purpose");
 }
 
 #[test]
-fn an_inner_test_that_is_green() {}
+fn inner_test_that_passes() {}
 
 #[test]
-fn a_list_skips_only_its_tests_and_is_refused_where_it_is_wrong() {
+fn skips_only_listed_tests_and_refuses_a_wrong_list() {
     if std::env::var_os(INNER).is_some() {
         return; // it runs itself
     }
@@ -37,20 +37,16 @@
         let out = ci.arg(&script).arg(command).arg(&list).env(INNER, "1").output().expect("bash runs");
         (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
     };
-    let (red, green) = ("an_inner_test_that_is_red", "an_inner_test_that_is_green");
+    let (red, green) = ("inner_test_that_fails", "inner_test_that_passes");
     let cases = [
-        (None, false, "an_inner_test_that_is_red ... FAILED"),
-        (Some(""), false, "an_inner_test_that_is_red ... FAILED"),
-        (Some("\n  \n"), false, "an_inner_test_that_is_red ... FAILED"),
-        (
-            Some(&*format!("{red} | red on purpose | issue 30\n")),
-            true,
-            "passed over: an_inner_test_that_is_red",
-        ),
+        (None, false, "inner_test_that_fails ... FAILED"),
+        (Some(""), false, "inner_test_that_fails ... FAILED"),
+        (Some("\n  \n"), false, "inner_test_that_fails ... FAILED"),
+        (Some(&*format!("{red} | red on purpose | issue 30\n")), true, "passed over: inner_test_that_fails"),
         // Another test on the list leaves the red one to decide.
-        (Some(&*format!("{green} | a cause | issue 30")), false, "an_inner_test_that_is_red ... FAILED"),
+        (Some(&*format!("{green} | a cause | issue 30")), false, "inner_test_that_fails ... FAILED"),
         (Some(&*format!("{red}\n")), false, "not 'test name | cause | issue'"),
-        (Some("an_inner_test | a part of a name | issue 30\n"), false, "0 tests are called"),
+        (Some("inner_test | a part of a name | issue 30\n"), false, "0 tests are called"),
         (Some("no_such_test | a cause | issue 30\n"), false, "0 tests are called 'no_such_test'"),
         (
             Some(&*format!("{red} | a | 1\n{green} | b | 2\nx | c | 3\ny | d | 4\n")),
@@ -63,5 +59,5 @@
         assert!(passed == passes && text.contains(says), "{lines:?}: passed {passed}: {text}");
     }
     let (_, text) = ci(Some(&format!("{red} | red on purpose | issue 30\n")));
-    assert!(text.contains("an_inner_test_that_is_green ... ok"), "the others run: {text}");
+    assert!(text.contains("inner_test_that_passes ... ok"), "the others run: {text}");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_follows_a_request_is_another_or_its_length_was_wrong() {
+fn recognizes_the_beginning_of_a_request() {
     for text in ["", "P", "POST", "POST /x", "\r\nGET /", "DELETE /jobs/1 HTTP/1.1\r\n"] {
         assert!(http::may_begin_request(text.as_bytes()), "{text}");
     }
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_request_head_reads_the_same_however_it_is_cut() {
+fn parses_a_request_head_at_any_cuts() {
     each_round(|g| {
         let (path, id, length) = (token(g), token(g), usize::arbitrary(g) % 70_000);
         let end = if bool::arbitrary(g) { "\r\n" } else { "\n" };
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_chunked_body_reads_the_same_however_it_is_cut() {
+fn decodes_a_chunked_body_at_any_cuts() {
     each_round(|g| {
         let chunks: Vec<Vec<u8>> = (0..usize::arbitrary(g) % 6).map(|_| Vec::arbitrary(g)).collect();
         let mut wire = Vec::new();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_event_stream_reads_the_same_however_it_is_cut() {
+fn parses_an_event_stream_at_any_cuts() {
     each_round(|g| {
         let (mut wire, mut sent) = (b": hello\n\n".to_vec(), Vec::new());
         for _ in 0..usize::arbitrary(g) % 6 {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn garbage_and_damage_never_panic_and_never_grow_without_bound() {
+fn garbage_neither_panics_nor_grows_without_bound() {
     let valid = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
     each_round(|g| {
         let mut bytes: Vec<u8> = if bool::arbitrary(g) { Vec::arbitrary(g) } else { valid.to_vec() };
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn what_could_smuggle_a_request_is_refused() {
+fn refuses_what_could_smuggle_a_request() {
     let read = |fields: &str| {
         http::read_request(format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n\r\n").as_bytes()).map(|_| ())
     };
@@ -160,14 +160,14 @@
 }
 
 #[test]
-fn an_endless_line_is_given_up() {
+fn refuses_an_endless_line() {
     assert!(Chunked::default().decode(&[b'0'; 2_000], &mut Vec::new()).is_err());
     assert!(EventStream::default().feed(&vec![b'a'; 200_000], |_| {}).is_err());
 }
 
 /// The clauses of the standard's "Parsing an event stream" and "Interpreting an event stream", at every cut.
 #[test]
-fn event_streams_are_read_clause_by_clause() {
+fn parses_event_streams_clause_by_clause() {
     let event = |name: &str, data: &str, id: &str| StreamEvent {
         name: name.into(),
         data: data.into(),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The operators' file: what it sets, and that each fault is named with file, line and field.
+//! The operators' file: what it sets, and its faults with file, line and field.
 
 use mothproxy::settings::{load, read};
 use mothproxy_store::SyncMode;
 use std::path::Path;
 
-const WHOLE: &str = r#"# a comment
+const ALL_SECTIONS: &str = r#"# a comment
 streams {
   listen: "127.0.0.1:8444"
   heartbeat_ms: 250
@@ -17,15 +17,15 @@
 "#;
 
 #[test]
-fn what_it_says_counts_and_what_is_absent_is_off() {
-    let set = read(WHOLE, "f").expect("sound");
-    let streams = set.streams.expect("on");
+fn reads_what_is_set_and_leaves_the_rest_off() {
+    let settings = read(ALL_SECTIONS, "f").expect("sound");
+    let streams = settings.streams.expect("on");
     assert_eq!((streams.listen.port(), streams.heartbeat, streams.streams_per_tenant), (8444, 250_000, 7));
     assert_eq!(streams.origins, ["https://pay.example", "http://localhost:3000"]);
-    let state = set.state.expect("on");
+    let state = settings.state.expect("on");
     assert_eq!((state.dir.as_path(), state.sync), (Path::new("/var/lib/mothproxy"), SyncMode::Interval(20)));
-    assert!(set.json_log);
-    let members = set.fleet.membership.expect("on");
+    assert!(settings.json_log);
+    let members = settings.fleet.membership.expect("on");
     assert_eq!(
         (members.probe_interval, members.probe_timeout, members.bytes_per_s),
         (100_000, 30_000, 4_096)
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn each_fault_is_named_with_line_and_field() {
+fn names_each_fault_with_its_line_and_field() {
     let cases: [(&str, &[&str]); 12] = [
         ("streams {\n  lisen: \"x\"\n}\n", &["f:2: ", "lisen"]),
         (
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -4,8 +4,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// What the kit's sites call their classes, tenants, zones and machines; their files are not in the repository.
-const GIVEN: [&str; 36] = [
+/// Names that the kit's sites give to their classes, tenants, zones and machines; their files are not in the repository.
+const KIT_NAMES: [&str; 36] = [
     "almaty-cards",
     "alm-1",
     "alm-2",
@@ -52,8 +52,8 @@
 fn files(dir: &Path, ending: &str) -> Vec<PathBuf> {
     let entries = fs::read_dir(dir).expect("a folder").map(|entry| entry.expect("an entry").path());
     let below = |path: PathBuf| if path.is_dir() { files(&path, ending) } else { vec![path] };
-    let fits = |path: &PathBuf| path.to_string_lossy().ends_with(ending);
-    entries.flat_map(below).filter(fits).collect()
+    let has_ending = |path: &PathBuf| path.to_string_lossy().ends_with(ending);
+    entries.flat_map(below).filter(has_ending).collect()
 }
 
 /// The site's own name and all that it gives to others.
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn no_name_of_a_site_stands_in_the_program_or_its_deploy_file() {
+fn program_and_deploy_file_name_no_site() {
     let mut known: BTreeMap<String, String> =
-        GIVEN.map(|name| (name.to_owned(), "the kit's".to_owned())).into();
+        KIT_NAMES.map(|name| (name.to_owned(), "the kit's".to_owned())).into();
     let sites = files(&root().join("deploy/sites"), ".toml");
     assert_eq!(sites.len(), 2, "{sites:?}");
     for file in sites {
@@ -92,9 +92,9 @@
         let text = fs::read_to_string(&file).expect("read");
         for (name, site) in &known {
             // A word that has another meaning is no name unless it is a text of its own.
-            let stands =
+            let is_named =
                 if name.contains('-') { text.contains(name) } else { text.contains(&format!("\"{name}\"")) };
-            assert!(!stands, "{} names {name} of {site}", file.display());
+            assert!(!is_named, "{} names {name} of {site}", file.display());
         }
     }
 }
--- a/tests/store_cli.rs
+++ b/tests/store_cli.rs
@@ -6,6 +6,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
+/// Runs the program; its exit code, standard output and standard error.
 fn mothproxy(args: &[&str], input: &str) -> (i32, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mothproxy"))
         .args(args)
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn what_is_put_is_dumped_by_key_and_checked() {
+fn dumps_what_was_put_in_the_order_of_keys() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = dir.path().join("store").display().to_string();
     let input = [
@@ -52,15 +53,15 @@
 }
 
 #[test]
-fn damage_is_named_with_file_and_offset_and_only_what_is_whole_is_dumped() {
+fn names_damage_with_file_and_offset_and_dumps_the_rest() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = dir.path().display().to_string();
     let input: String = (0..50).map(|n| line(&format!("key-{n}"), &format!("value-{n}"))).collect();
     assert_eq!(mothproxy(&["store", "put", &at], &input).0, 0);
     let file = dir.path().join("000000000001-000000000001.seg");
     let mut bytes = std::fs::read(&file).expect("the segment");
-    let place = bytes.windows(8).position(|w| w == b"value-25").expect("a value");
-    bytes[place] ^= 4;
+    let offset = bytes.windows(8).position(|w| w == b"value-25").expect("a value");
+    bytes[offset] ^= 4;
     std::fs::write(&file, &bytes).expect("written");
     let (code, report, _) = mothproxy(&["store", "verify", &at], "");
     assert_eq!(code, 1);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn bad_input_is_named_ends_with_2_and_changes_nothing() {
+fn exits_with_2_on_bad_input_and_changes_nothing() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name).display().to_string();
     std::fs::write(dir.path().join("file"), "x").expect("written");
@@ -122,8 +123,9 @@
     assert_eq!(mothproxy(&["store", "dump", &fresh], "").1, line("a", "1"));
 }
 
-/// One writer, killed after so long: every key that it printed is there, with the value it had then or a later one.
-fn killed(dir: &Path, after: Duration, from: u64) -> u64 {
+/// Kills a writer of rising numbers after this time. Every key that it printed must be there, with the value it had then or a
+/// later one. Returns the first number of the next writer.
+fn kill_writer(dir: &Path, after: Duration, from: u64) -> u64 {
     let mut child = Command::new(env!("CARGO_BIN_EXE_mothproxy"))
         .args(["store", "put"])
         .arg(dir)
@@ -161,12 +163,13 @@
 }
 
 #[test]
-fn a_killed_writer_loses_nothing_that_it_printed() {
+fn killed_writer_loses_no_key_that_it_printed() {
     let kills = std::env::var("STORE_KILLS").ok().and_then(|t| t.parse().ok()).unwrap_or(8);
     let dir = tempfile::tempdir().expect("a folder");
-    let (mut from, mut dice) = (0, fastrand::Rng::with_seed(7));
+    let mut from = 0;
+    let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..kills {
-        from = killed(dir.path(), Duration::from_micros(dice.u64(500..40_000)), from);
+        from = kill_writer(dir.path(), Duration::from_micros(rng.u64(500..40_000)), from);
     }
     println!("killed {kills} times; {from} writes");
     assert!(from > kills, "nothing was written");
