--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -33,7 +33,7 @@
     let config = members.config(2, 9, 7, 1);
     let same =
         config.suspicion_factor == 2.0 && config.probe_period == 100_000 && config.gossip_period < 100_000;
-    assert!(same && (config.me, config.peers, config.epoch) == (2, 9, 7), "{config:?}");
+    assert!(same && (config.place, config.peers, config.epoch) == (2, 9, 7), "{config:?}");
     let plain = read("fleet { membership {} }", "f").expect("sound").fleet;
     assert_eq!(plain.membership, Some(Default::default()), "on as it is");
     let none = read("", "f").expect("sound");
