--- /dev/null
+++ b/crates/coldstart/src/shared_observations/wire.rs
@@ -0,0 +1,118 @@
+//! The bytes of facts: a version, then postcard. Postcard goes by position: fields keep their order.
+
+use super::observed_times::ObservedTimes;
+use super::{MAX_CLOCK_SKEW_MS, MAX_FACT_BYTES, Report};
+use crate::poll_scheduler::ServiceStatus;
+use serde::{Deserialize, Serialize};
+
+/// The first byte of every fact.
+const VERSION: u8 = 1;
+
+/// Why a fact was not taken in.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum AbsorbError {
+    /// It has another version.
+    #[error("version {0} of a finding is not known here")]
+    Version(u8),
+    /// It cannot be read.
+    #[error("a finding cannot be read")]
+    Malformed,
+    /// It is longer than a fact may be.
+    #[error("a finding has {0} bytes, {MAX_FACT_BYTES} at most")]
+    TooLong(usize),
+    /// It is about a slot that this kind does not have.
+    #[error("slot {0} is none of this kind's")]
+    Slot(u32),
+    /// It is from the future by more than clocks may differ.
+    #[error("a finding is from {0} ms in the future")]
+    Future(u64),
+}
+
+/// A worker within a bucket.
+#[derive(Serialize, Deserialize)]
+struct WorkerRow {
+    fingerprint: u32,
+    /// How many milliseconds before the bucket's time each thing was, plus one; 0 for never: alive, resets, hangs, refuses,
+    /// cold, reported.
+    ages: [u32; 6],
+    report: Report,
+}
+
+/// A bucket of workers.
+#[derive(Serialize, Deserialize)]
+struct Bucket {
+    /// Unix milliseconds.
+    at: u64,
+    rows: Vec<WorkerRow>,
+}
+
+impl WorkerRow {
+    fn new(fingerprint: u32, times: &ObservedTimes, bucket_at: u64) -> WorkerRow {
+        let age = |at: u64| match at {
+            0 => 0,
+            at => u32::try_from(bucket_at.saturating_sub(at) + 1).unwrap_or(0),
+        };
+        let [resets, hangs, refuses] = times.faults;
+        let ages = [times.alive, resets, hangs, refuses, times.cold, times.reported].map(age);
+        WorkerRow { fingerprint, ages, report: times.report }
+    }
+
+    fn to_times(&self, bucket_at: u64) -> ObservedTimes {
+        let time = |age: u32| match age {
+            0 => 0,
+            age => (bucket_at + 1).saturating_sub(u64::from(age)),
+        };
+        let [alive, resets, hangs, refuses, cold, reported] = self.ages.map(time);
+        let report = if reported > 0 { self.report } else { Report::default() };
+        ObservedTimes { alive, faults: [resets, hangs, refuses], cold, reported, report }
+    }
+}
+
+/// The bytes of a fact.
+pub(super) fn encode(body: &impl Serialize) -> Option<Vec<u8>> {
+    postcard::to_extend(body, vec![VERSION]).ok()
+}
+
+/// The bytes of a bucket with as many of these workers, from the first on, as a fact has room for; `None` if there is none.
+pub(super) fn encode_bucket(now_ms: u64, workers: &[(u32, &ObservedTimes)]) -> Option<Vec<u8>> {
+    let mut bucket = Bucket { at: now_ms, rows: Vec::new() };
+    let mut longest = None;
+    for (fingerprint, times) in workers {
+        bucket.rows.push(WorkerRow::new(*fingerprint, times, now_ms));
+        match encode(&bucket).filter(|bytes| bytes.len() <= MAX_FACT_BYTES) {
+            Some(bytes) => longest = Some(bytes),
+            None => break,
+        }
+    }
+    longest
+}
+
+/// Checks the length and version of a fact and returns the rest.
+pub(super) fn check_envelope(bytes: &[u8]) -> Result<&[u8], AbsorbError> {
+    if bytes.len() > MAX_FACT_BYTES {
+        return Err(AbsorbError::TooLong(bytes.len()));
+    }
+    match bytes.split_first() {
+        Some((&VERSION, body)) => Ok(body),
+        Some((version, _)) => Err(AbsorbError::Version(*version)),
+        None => Err(AbsorbError::Malformed),
+    }
+}
+
+/// Reads what a member says of the service.
+pub(super) fn decode_service(body: &[u8], now_ms: u64) -> Result<ServiceStatus, AbsorbError> {
+    let status: ServiceStatus = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
+    check_time(status.answered_at_ms.max(status.failed_at_ms).max(status.refused_at_ms), now_ms)?;
+    Ok(status)
+}
+
+/// Reads a bucket: the workers' fingerprints and what was observed of them.
+pub(super) fn decode_bucket(body: &[u8], now_ms: u64) -> Result<Vec<(u32, ObservedTimes)>, AbsorbError> {
+    let bucket: Bucket = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
+    check_time(bucket.at, now_ms)?;
+    Ok(bucket.rows.iter().map(|row| (row.fingerprint, row.to_times(bucket.at))).collect())
+}
+
+fn check_time(at_ms: u64, now_ms: u64) -> Result<(), AbsorbError> {
+    if at_ms > now_ms + MAX_CLOCK_SKEW_MS { Err(AbsorbError::Future(at_ms - now_ms)) } else { Ok(()) }
+}
--- /dev/null
+++ b/crates/coldstart/src/simulation.rs
@@ -0,0 +1,259 @@
+//! Hundreds of dispatchers around one list service and a set of workers, with a virtual clock and one seed.
+//!
+//! The service handles calls one after another, gives a call up with a refusal once it has waited for a second, and
+//! resets all when it is down. Facts travel by rounds of gossip with delay and loss. The dispatchers behave in one of
+//! four ways ([`Behaviour`]); the last two run this crate's machines as the program does.
+
+mod dispatcher;
+mod event_queue;
+mod gossip;
+mod list_service;
+mod outcome;
+mod scenario;
+mod workers;
+
+pub use outcome::Outcome;
+pub use scenario::{Behaviour, Scenario};
+
+use crate::poll_scheduler;
+use dispatcher::{Dispatcher, Machines};
+use event_queue::{Event, EventQueue, ProcessId};
+use list_service::ListService;
+use outcome::Measurements;
+use workers::Worker;
+
+const MS: u64 = 1_000;
+const SECOND: u64 = 1_000_000;
+/// How long a datagram or a step of a connection is under way.
+const HOP: u64 = 300;
+/// A call or a watch is given up after so long without a byte.
+const SILENCE_TIMEOUT: u64 = 3 * SECOND;
+/// What is missed of a silent watch counts as received after this.
+const NOTIFICATION_DEADLINE: u64 = 6 * SECOND;
+/// The views of who is there change this often.
+const VIEW_INTERVAL: u64 = SECOND;
+/// The Unix time at the start of a run.
+const UNIX_AT_ZERO: u64 = 1_764_633_600 * SECOND;
+
+/// A place as the views of the others have it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Presence {
+    is_running: bool,
+    incarnation: u32,
+}
+
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    behaviour: Behaviour,
+    rng: fastrand::Rng,
+    now: u64,
+    queue: EventQueue,
+    dispatchers: Vec<Dispatcher>,
+    workers: Vec<Worker>,
+    /// Indices of the workers on the list that dispatchers have at the start.
+    old_list: Vec<usize>,
+    /// Indices of the workers on the service's own list.
+    current_list: Vec<usize>,
+    service: ListService,
+    /// By when all watches that fall silent have to be called for anew.
+    silence_deadline: Option<u64>,
+    /// What the views said last.
+    presence: Vec<Presence>,
+    measurements: Measurements,
+}
+
+/// Plays a scenario to its end.
+pub fn play(scenario: &Scenario, behaviour: Behaviour) -> Outcome {
+    let mut simulation = Simulation::new(scenario, behaviour);
+    simulation.schedule_scenario();
+    simulation.run();
+    simulation.outcome()
+}
+
+impl Simulation<'_> {
+    fn new(scenario: &Scenario, behaviour: Behaviour) -> Simulation<'_> {
+        let listed_before = (usize::from(scenario.count) / 4).max(12);
+        let mut rng = fastrand::Rng::with_seed(scenario.seed);
+        let dead = (listed_before as f64 * scenario.dead.min(1.0)).round() as usize;
+        // Dead workers are on the old list only; where those are all of it, the service has as many others.
+        let replacements = if scenario.dead >= 1.0 { listed_before } else { 0 };
+        let count = listed_before + replacements;
+        let workers = (0..count).map(|index| Worker::new(index, dead, scenario.cold, &mut rng)).collect();
+        let absent = Presence { is_running: false, incarnation: 0 };
+        Simulation {
+            scenario,
+            behaviour,
+            now: 0,
+            queue: EventQueue::default(),
+            dispatchers: (0..scenario.count).map(|_| Dispatcher::default()).collect(),
+            workers,
+            old_list: (0..listed_before).collect(),
+            current_list: (dead..count).collect(),
+            service: ListService::default(),
+            silence_deadline: scenario.silent.map(|at| at + NOTIFICATION_DEADLINE),
+            presence: vec![absent; usize::from(scenario.count)],
+            measurements: Measurements::default(),
+            rng,
+        }
+    }
+
+    fn dispatcher(&self, place: u16) -> &Dispatcher {
+        &self.dispatchers[usize::from(place)]
+    }
+
+    fn dispatcher_mut(&mut self, place: u16) -> &mut Dispatcher {
+        &mut self.dispatchers[usize::from(place)]
+    }
+
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.queue.push(at.max(self.now), event);
+    }
+
+    /// Schedules what the scenario says, from the first starts on.
+    fn schedule_scenario(&mut self) {
+        let scenario = self.scenario;
+        for place in 0..scenario.count {
+            let is_second_half = scenario.halves.is_some() && place % 2 == 1;
+            let delay = if is_second_half { SECOND } else { 0 };
+            let at = self.rng.u64(0..=scenario.start_within) + delay;
+            self.schedule(at, Event::Start(place));
+        }
+        if let Some((from, until)) = scenario.down {
+            self.schedule(from, Event::ServiceDown);
+            self.schedule(until, Event::ServiceUp);
+        }
+        if let Some((at, fraction)) = scenario.killed {
+            let mut places: Vec<u16> = (0..scenario.count).collect();
+            self.rng.shuffle(&mut places);
+            places.truncate((f64::from(scenario.count) * fraction) as usize);
+            self.schedule(at, Event::Kill(places));
+        }
+        if let Some(at) = scenario.silent {
+            self.schedule(at, Event::WatchesFallSilent);
+        }
+        if let Some((paused, _)) = scenario.paused {
+            let distance = (scenario.count / paused.max(1)).max(1);
+            for nth in 0..paused.min(scenario.count) {
+                self.dispatcher_mut(nth * distance % scenario.count).will_pause = true;
+            }
+        }
+        if self.behaviour == Behaviour::Heard {
+            self.schedule(300 * MS, Event::ViewsChange);
+        }
+    }
+
+    fn run(&mut self) {
+        while let Some((at, event)) = self.queue.pop() {
+            if at > self.scenario.length {
+                break;
+            }
+            self.now = at;
+            self.on_event(event);
+        }
+    }
+
+    fn on_event(&mut self, event: Event) {
+        if let Some(process) = event.process() {
+            let dispatcher = self.dispatcher(process.place);
+            if dispatcher.incarnation != process.incarnation || !dispatcher.is_running {
+                return;
+            }
+            // What is for a paused process waits until it goes on.
+            if dispatcher.paused_until > self.now {
+                let at = dispatcher.paused_until;
+                return self.schedule(at, event);
+            }
+        }
+        match event {
+            Event::Start(place) => self.on_start(place),
+            Event::Kill(places) => self.on_kill(&places),
+            Event::Wake(process) => self.on_wake(process.place),
+            Event::CallArrives(call) => self.on_call_arrives(call),
+            Event::Reply(call, reply) => self.on_reply(call, reply),
+            Event::ServiceDown => self.on_service_down(),
+            Event::ServiceUp => self.service.is_up = true,
+            Event::WatchesFallSilent => self.on_watches_fall_silent(),
+            Event::SilenceNoticed(process) => self.on_silence_noticed(process.place),
+            Event::GossipRound(process) => self.on_gossip_round(process),
+            Event::FactsArrive(place, facts) => self.on_facts_arrive(place, facts),
+            Event::ViewsChange => self.on_views_change(),
+            Event::JobArrives(process) => self.on_job_arrives(process),
+            Event::RetryJob(process, job) => self.try_job(process, job),
+            Event::JobEnds(attempt) => self.on_job_ends(attempt),
+        }
+    }
+
+    /// Whether facts and views cross between two places.
+    fn are_connected(&self, one: u16, other: u16) -> bool {
+        self.scenario.halves.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
+    }
+
+    fn on_start(&mut self, place: u16) {
+        let (now, scenario) = (self.now, self.scenario);
+        let seed = self.rng.u64(..);
+        self.measurements.processes += 1;
+        let machines = match self.behaviour {
+            Behaviour::Landed | Behaviour::FullJitter => None,
+            Behaviour::Alone | Behaviour::Heard => {
+                let tags = self.old_list.iter().map(|worker| *worker as u64);
+                Machines::new(scenario, place, seed, self.behaviour == Behaviour::Heard, tags, now)
+            }
+        };
+        let dispatcher = self.dispatcher_mut(place);
+        dispatcher.is_running = true;
+        dispatcher.started_at = now;
+        let first_wake = machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
+        dispatcher.machines = machines;
+        let process = ProcessId { place, incarnation: dispatcher.incarnation };
+        let first_call = match self.behaviour {
+            Behaviour::Landed => now + self.rng.u64(0..=scenario.poll_within / 8),
+            Behaviour::FullJitter => now,
+            Behaviour::Alone | Behaviour::Heard => first_wake.unwrap_or(now),
+        };
+        self.schedule(first_call, Event::Wake(process));
+        if self.behaviour == Behaviour::Heard {
+            let at = now + self.rng.u64(0..gossip::GOSSIP_INTERVAL);
+            self.schedule(at, Event::GossipRound(process));
+        }
+        if scenario.load > 0.0 {
+            self.schedule(now, Event::JobArrives(process));
+        }
+    }
+
+    fn on_kill(&mut self, places: &[u16]) {
+        for place in places {
+            let dispatcher = self.dispatcher_mut(*place);
+            let incarnation = dispatcher.incarnation + 1;
+            *dispatcher = Dispatcher { incarnation, ..Dispatcher::default() };
+            let at = self.now + self.rng.u64(50 * MS..500 * MS);
+            self.schedule(at, Event::Start(*place));
+        }
+    }
+
+    /// A new process is known by its first datagram, one that ended some while later; the views of this simulation change
+    /// for all at once, by their own interval.
+    fn on_views_change(&mut self) {
+        let presence: Vec<Presence> = self.dispatchers.iter().map(Dispatcher::presence).collect();
+        let before = std::mem::replace(&mut self.presence, presence);
+        let pairs = self.presence.iter().zip(&before).zip(0..);
+        let gone: Vec<u16> = pairs
+            .filter(|((now, before), _)| now.incarnation != before.incarnation)
+            .map(|(_, place)| place)
+            .collect();
+        let places = 0..self.scenario.count;
+        for place in places.clone() {
+            let view: Vec<bool> = places
+                .clone()
+                .map(|other| self.are_connected(place, other) && self.presence[usize::from(other)].is_running)
+                .collect();
+            let now = self.now;
+            if let Some(machines) = &mut self.dispatcher_mut(place).machines {
+                for other in &gone {
+                    machines.scheduler.handle(now, poll_scheduler::Event::MemberGone(*other));
+                }
+                machines.scheduler.handle(now, poll_scheduler::Event::Presence(view));
+            }
+        }
+        self.schedule(self.now + VIEW_INTERVAL, Event::ViewsChange);
+    }
+}
--- /dev/null
+++ b/crates/coldstart/src/simulation/dispatcher.rs
@@ -0,0 +1,103 @@
+//! One dispatcher: its process, its call or watch, and what it knows of workers.
+
+use super::gossip::{Fact, QueuedFact};
+use super::workers::{self, Connections};
+use super::{MS, Presence, SECOND, Scenario, UNIX_AT_ZERO};
+use crate::{HealthConfirmation, PollScheduler, ServiceStatus, SharedObservations, WarmUpBudget};
+use crate::{poll_scheduler, warm_up_budget};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::rc::Rc;
+
+/// A dispatcher that is not running, or its running process.
+#[derive(Default)]
+pub(super) struct Dispatcher {
+    /// How many processes there were before at this place.
+    pub incarnation: u32,
+    pub is_running: bool,
+    pub started_at: u64,
+    pub paused_until: u64,
+    /// It is paused when its first call is due.
+    pub will_pause: bool,
+    pub open_calls: u64,
+    /// How many calls it made; the number of the last.
+    pub calls: u64,
+    /// When it made the last call.
+    pub called_at: u64,
+    pub has_watch: bool,
+    pub is_watch_silent: bool,
+    /// When it first got a list from the service.
+    pub first_list_at: Option<u64>,
+    pub failures: u32,
+    /// By the worker's index.
+    pub connections: HashMap<usize, Connections>,
+    /// This crate's machines, where the behaviour uses them.
+    pub machines: Option<Machines>,
+    /// Facts that it holds, by place and slot.
+    pub facts: BTreeMap<(u16, u32), Rc<Fact>>,
+    /// Facts that it passes on.
+    pub gossip_queue: VecDeque<QueuedFact>,
+    /// It has got what another one knows at its start.
+    pub has_joined: bool,
+    /// What it said of the service last.
+    pub last_status: Option<ServiceStatus>,
+    pub fact_number: u64,
+}
+
+impl Dispatcher {
+    pub fn presence(&self) -> Presence {
+        Presence { is_running: self.is_running, incarnation: self.incarnation }
+    }
+}
+
+/// This crate's machines of one dispatcher.
+pub(super) struct Machines {
+    pub scheduler: PollScheduler,
+    pub observations: SharedObservations,
+    pub budget: WarmUpBudget,
+    pub confirmation: HealthConfirmation,
+}
+
+impl Machines {
+    /// The machines of a process that starts now, with a list of workers of these tags.
+    pub fn new(
+        scenario: &Scenario,
+        place: u16,
+        seed: u64,
+        has_membership: bool,
+        tags: impl Iterator<Item = u64>,
+        now: u64,
+    ) -> Option<Machines> {
+        let places = scenario.count;
+        let schedule = poll_scheduler::Config {
+            place,
+            places,
+            service_time: scenario.assumed_service_time,
+            poll_within: Some(scenario.poll_within),
+            unix_at_zero: UNIX_AT_ZERO,
+            seed,
+            has_membership,
+            skip_scheduling: scenario.skip_scheduling,
+        };
+        let budget = warm_up_budget::Config {
+            place,
+            places,
+            unix_at_zero: UNIX_AT_ZERO,
+            max_clock_skew: 50 * MS,
+            overload_window: workers::OVERLOAD_WINDOW,
+            overload_multiple: workers::OVERLOAD_MULTIPLE,
+            initial_capacity: workers::INITIAL_CAPACITY,
+            warm_up_time: workers::WARM_UP_TIME,
+            handshake_work: workers::HANDSHAKE_WORK,
+            probe_work: workers::HANDSHAKE_WORK,
+            connections: 0,
+            connection_lease: 10 * SECOND,
+            skip_turns: false,
+        };
+        Some(Machines {
+            scheduler: PollScheduler::new(schedule, now, 1).ok()?,
+            budget: WarmUpBudget::new(budget, now).ok()?,
+            observations: SharedObservations::new(place, UNIX_AT_ZERO, now),
+            confirmation: HealthConfirmation::new(tags, place, places),
+        })
+    }
+}
--- /dev/null
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -0,0 +1,164 @@
+//! The carrier of facts: rounds of gossip between random dispatchers, with delay and loss.
+
+use super::event_queue::{Event, ProcessId};
+use super::{Behaviour, HOP, MS, Simulation, UNIX_AT_ZERO};
+use crate::{Origin, poll_scheduler};
+use std::rc::Rc;
+
+/// Each dispatcher sends gossip this often.
+pub(super) const GOSSIP_INTERVAL: u64 = 200 * MS;
+/// To so many others.
+const FANOUT: usize = 3;
+/// So many facts go into one datagram.
+const FACTS_PER_DATAGRAM: usize = 8;
+/// This fraction of datagrams is lost.
+const LOSS: f64 = 0.01;
+/// So many facts are sent to a process that has just started.
+const FACTS_FOR_NEWCOMER: usize = 64;
+/// The slot of what a member says of the service.
+const SERVICE_SLOT: u32 = 0;
+
+/// A fact under way.
+pub(super) struct Fact {
+    place: u16,
+    epoch: u64,
+    slot: u32,
+    number: u64,
+    bytes: Vec<u8>,
+}
+
+/// A fact that is to be passed on so many times more.
+pub(super) struct QueuedFact {
+    sends_left: usize,
+    fact: Rc<Fact>,
+}
+
+impl super::dispatcher::Dispatcher {
+    /// Queues a fact; those of the service go first.
+    fn queue_fact(&mut self, queued: QueuedFact) {
+        match queued.fact.slot {
+            SERVICE_SLOT => self.gossip_queue.push_front(queued),
+            _ => self.gossip_queue.push_back(queued),
+        }
+    }
+
+    /// The next facts to send.
+    fn take_facts_to_send(&mut self) -> Vec<Rc<Fact>> {
+        let (mut facts, mut again) = (Vec::new(), Vec::new());
+        while facts.len() < FACTS_PER_DATAGRAM {
+            let Some(QueuedFact { sends_left, fact }) = self.gossip_queue.pop_front() else { break };
+            // A fact that a later one has replaced is dropped.
+            let held = self.facts.get(&(fact.place, fact.slot));
+            if held.is_some_and(|held| Rc::ptr_eq(held, &fact)) {
+                facts.push(fact.clone());
+                if sends_left > 1 {
+                    again.push(QueuedFact { sends_left: sends_left - 1, fact });
+                }
+            }
+        }
+        again.into_iter().for_each(|queued| self.queue_fact(queued));
+        facts
+    }
+}
+
+impl Simulation<'_> {
+    /// How often a fact is passed on.
+    fn sends(&self) -> usize {
+        usize::from(self.scenario.count).ilog2() as usize + 3
+    }
+
+    /// Gives the scheduler's status to the observations, and what they have to publish to the carrier.
+    pub(super) fn publish(&mut self, place: u16) {
+        if self.behaviour != Behaviour::Heard {
+            return;
+        }
+        let (now, sends_left) = (self.now, self.sends());
+        let dispatcher = &mut self.dispatchers[usize::from(place)];
+        let Some(machines) = &mut dispatcher.machines else { return };
+        let status = machines.scheduler.status();
+        if dispatcher.last_status != Some(status) {
+            dispatcher.last_status = Some(status);
+            machines.observations.set_service_status(status, machines.scheduler.has_news());
+        }
+        while let Some((slot, bytes)) = machines.observations.publish(now) {
+            dispatcher.fact_number += 1;
+            self.measurements.record_fact(bytes.len());
+            let epoch = (UNIX_AT_ZERO + dispatcher.started_at) / MS;
+            let fact = Rc::new(Fact { place, epoch, slot, number: dispatcher.fact_number, bytes });
+            dispatcher.facts.insert((place, slot), fact.clone());
+            dispatcher.gossip_queue.push_front(QueuedFact { sends_left, fact });
+        }
+    }
+
+    pub(super) fn on_gossip_round(&mut self, process: ProcessId) {
+        let place = process.place;
+        self.schedule(self.now + GOSSIP_INTERVAL, Event::GossipRound(process));
+        self.publish(place);
+        if !std::mem::replace(&mut self.dispatcher_mut(place).has_joined, true) {
+            self.join(place);
+        }
+        for _ in 0..FANOUT {
+            let to = self.rng.u16(0..self.scenario.count);
+            let dispatcher = &mut self.dispatchers[usize::from(place)];
+            let mut facts = dispatcher.take_facts_to_send();
+            if facts.len() < FACTS_PER_DATAGRAM / 2 {
+                // Room is left for old facts, so that those who were cut off learn them.
+                let skip = self.rng.usize(0..dispatcher.facts.len().max(1));
+                facts.extend(dispatcher.facts.values().skip(skip).take(2).cloned());
+            }
+            let is_sent = to != place && !facts.is_empty() && self.are_connected(place, to);
+            if is_sent && self.rng.f64() >= LOSS {
+                let at = self.now + self.rng.u64(HOP..5 * MS);
+                self.schedule(at, Event::FactsArrive(to, facts));
+            }
+        }
+    }
+
+    /// A process that has just started is sent what another one knows: statuses of the service first, as much as a few
+    /// datagrams hold.
+    fn join(&mut self, place: u16) {
+        let drawn: Vec<u16> = (0..8).map(|_| self.rng.u16(0..self.scenario.count)).collect();
+        let knows_facts = |other: &u16| {
+            *other != place && self.dispatcher(*other).has_joined && self.are_connected(place, *other)
+        };
+        let Some(other) = drawn.into_iter().find(knows_facts) else { return };
+        let facts = self.dispatcher(other).facts.values();
+        let (mut first, others): (Vec<_>, Vec<_>) =
+            facts.cloned().partition(|fact| fact.slot == SERVICE_SLOT);
+        first.sort_by_key(|fact| std::cmp::Reverse((fact.epoch, fact.number)));
+        first.extend(others);
+        first.truncate(FACTS_FOR_NEWCOMER);
+        self.schedule(self.now + 2 * MS, Event::FactsArrive(place, first));
+    }
+
+    pub(super) fn on_facts_arrive(&mut self, place: u16, facts: Vec<Rc<Fact>>) {
+        let (now, sends_left) = (self.now, self.sends());
+        let dispatcher = self.dispatcher_mut(place);
+        if !dispatcher.is_running || dispatcher.paused_until > now {
+            return;
+        }
+        for fact in facts {
+            let Some(machines) = &mut dispatcher.machines else { return };
+            let key = (fact.place, fact.slot);
+            let is_known = |held: &Rc<Fact>| (held.epoch, held.number) >= (fact.epoch, fact.number);
+            if fact.place == place || dispatcher.facts.get(&key).is_some_and(is_known) {
+                continue;
+            }
+            let origin = Origin { place: fact.place, epoch: fact.epoch };
+            if machines.observations.absorb(now, origin, fact.slot, fact.number, &fact.bytes).is_ok() {
+                dispatcher.queue_fact(QueuedFact { sends_left, fact: fact.clone() });
+                dispatcher.facts.insert(key, fact);
+            }
+        }
+        let Some(machines) = &mut dispatcher.machines else { return };
+        let updates = machines.observations.take_service_updates();
+        let has_updates = !updates.is_empty();
+        for update in updates {
+            let event = poll_scheduler::Event::PeerStatus { place: update.place, status: update.status };
+            machines.scheduler.handle(now, event);
+        }
+        if has_updates {
+            self.schedule_wake(place);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -0,0 +1,227 @@
+//! The list service, and the calls and watches of dispatchers.
+
+use super::event_queue::{Event, ProcessId};
+use super::{Behaviour, HOP, MS, SECOND, SILENCE_TIMEOUT, Simulation};
+use crate::poll_scheduler;
+
+/// A call that has waited for so long is refused.
+const MAX_WAIT: u64 = SECOND;
+/// The generation of the service's list; that of the old list is 1.
+const GENERATION: u64 = 2;
+
+/// The service's side of all calls.
+pub(super) struct ListService {
+    pub is_up: bool,
+    /// When it has handled all calls that wait.
+    free_at: u64,
+    /// Grows with each time that it goes down.
+    run: u64,
+    waiting: u64,
+}
+
+impl Default for ListService {
+    fn default() -> ListService {
+        ListService { is_up: true, free_at: 0, run: 0, waiting: 0 }
+    }
+}
+
+/// One call.
+#[derive(Clone, Copy)]
+pub(super) struct Call {
+    pub process: ProcessId,
+    /// Its number at this process, from 1.
+    number: u64,
+    /// The run of the service that took it.
+    service_run: u64,
+}
+
+/// The end of a call, as the dispatcher sees it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Reply {
+    List,
+    Refused,
+    Reset,
+    /// The call was taken, and nothing comes.
+    Silence,
+    TimedOut,
+}
+
+impl Reply {
+    /// Whether the service wrote it, or left it out: one that went down meanwhile does not any more.
+    fn is_of_service(self) -> bool {
+        matches!(self, Reply::List | Reply::Refused | Reply::Silence)
+    }
+}
+
+impl Simulation<'_> {
+    pub(super) fn on_wake(&mut self, place: u16) {
+        let now = self.now;
+        let pause = self.scenario.paused.map_or(0, |(_, span)| span);
+        let dispatcher = self.dispatcher_mut(place);
+        if dispatcher.has_watch {
+            return;
+        }
+        let process = ProcessId { place, incarnation: dispatcher.incarnation };
+        if let Some(machines) = &mut dispatcher.machines {
+            let is_due = machines.scheduler.next_wake().is_some_and(|at| at <= now);
+            if dispatcher.will_pause && is_due {
+                dispatcher.will_pause = false;
+                dispatcher.paused_until = now + pause;
+                return self.schedule(now + pause, Event::Wake(process));
+            }
+            let call = machines.scheduler.tick(now);
+            self.publish(place);
+            if call.is_none() {
+                return self.schedule_wake(place);
+            }
+        } else if dispatcher.open_calls > 0 {
+            return;
+        }
+        self.call(process);
+    }
+
+    fn call(&mut self, process: ProcessId) {
+        let now = self.now;
+        let dispatcher = self.dispatcher_mut(process.place);
+        dispatcher.calls += 1;
+        dispatcher.called_at = now;
+        dispatcher.open_calls += 1;
+        let (number, open_calls) = (dispatcher.calls, dispatcher.open_calls);
+        self.measurements.record_call(now, open_calls);
+        self.schedule(now + HOP, Event::CallArrives(Call { process, number, service_run: 0 }));
+    }
+
+    /// Schedules a wake when the scheduler wants one.
+    pub(super) fn schedule_wake(&mut self, place: u16) {
+        let dispatcher = self.dispatcher(place);
+        let wake = dispatcher.machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
+        let process = ProcessId { place, incarnation: dispatcher.incarnation };
+        if let Some(at) = wake {
+            self.schedule(at.max(self.now + 1), Event::Wake(process));
+        }
+    }
+
+    pub(super) fn on_call_arrives(&mut self, call: Call) {
+        if !self.service.is_up {
+            return self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+        }
+        self.service.waiting += 1;
+        self.measurements.record_queue(self.service.waiting);
+        let begins_at = self.now.max(self.service.free_at);
+        let (at, reply) = if begins_at - self.now > MAX_WAIT {
+            (self.now + MAX_WAIT, Reply::Refused)
+        } else {
+            self.service.free_at = begins_at + self.scenario.service_time;
+            let is_mute = call.number == 1 && self.rng.f64() < self.scenario.mute;
+            (self.service.free_at, if is_mute { Reply::Silence } else { Reply::List })
+        };
+        let call = Call { service_run: self.service.run, ..call };
+        self.schedule(at, Event::Reply(call, reply));
+    }
+
+    pub(super) fn on_reply(&mut self, call: Call, reply: Reply) {
+        let now = self.now;
+        let place = call.process.place;
+        if reply.is_of_service() {
+            if call.service_run != self.service.run {
+                return;
+            }
+            self.service.waiting -= 1;
+        }
+        let dispatcher = self.dispatcher_mut(place);
+        if dispatcher.calls != call.number || dispatcher.open_calls == 0 {
+            return;
+        }
+        if reply == Reply::Silence {
+            return self.schedule(now + SILENCE_TIMEOUT, Event::Reply(call, Reply::TimedOut));
+        }
+        dispatcher.open_calls -= 1;
+        let waited = now - dispatcher.called_at;
+        let failure = match reply {
+            Reply::List => return self.on_list(place, waited),
+            Reply::Refused => poll_scheduler::Event::Refused { waited, retry_after: None },
+            Reply::TimedOut => poll_scheduler::Event::TimedOut,
+            Reply::Reset | Reply::Silence => poll_scheduler::Event::Failed,
+        };
+        self.measurements.record_failed_call();
+        self.on_call_or_watch_failed(place, failure);
+    }
+
+    /// A call was answered by a list, and its watch is open.
+    fn on_list(&mut self, place: u16, waited: u64) {
+        let now = self.now;
+        let back_at = self.scenario.down.map_or(0, |(_, until)| until);
+        let silence_deadline = self.silence_deadline;
+        let dispatcher = &mut self.dispatchers[usize::from(place)];
+        dispatcher.has_watch = true;
+        dispatcher.failures = 0;
+        let was_silent = std::mem::take(&mut dispatcher.is_watch_silent);
+        if was_silent && silence_deadline.is_some_and(|deadline| now > deadline) {
+            self.measurements.record_late_watch();
+        }
+        if dispatcher.first_list_at.is_none() {
+            dispatcher.first_list_at = Some(now);
+            self.measurements.record_first_list(now.saturating_sub(dispatcher.started_at.max(back_at)));
+        }
+        if let Some(machines) = &mut dispatcher.machines {
+            self.current_list.iter().for_each(|worker| machines.confirmation.on_listed(*worker as u64));
+            let answered = poll_scheduler::Event::Answered { generation: GENERATION, waited };
+            machines.scheduler.handle(now, answered);
+        }
+        self.publish(place);
+    }
+
+    /// A call came to nothing, or the watch ended: when to call again.
+    fn on_call_or_watch_failed(&mut self, place: u16, event: poll_scheduler::Event) {
+        let (now, poll_within) = (self.now, self.scenario.poll_within);
+        let dispatcher = self.dispatcher_mut(place);
+        dispatcher.failures += 1;
+        let failures = dispatcher.failures;
+        let process = ProcessId { place, incarnation: dispatcher.incarnation };
+        if let Some(machines) = &mut dispatcher.machines {
+            machines.scheduler.handle(now, event);
+            self.publish(place);
+            return self.schedule_wake(place);
+        }
+        let max_wait = match self.behaviour {
+            Behaviour::Landed => (poll_within / 8) << failures.min(3),
+            _ => ((100 * MS) << failures.min(10)).min(10 * SECOND),
+        };
+        let at = now + self.rng.u64(0..=max_wait);
+        self.schedule(at, Event::Wake(process));
+    }
+
+    /// All calls are reset and all watches end.
+    pub(super) fn on_service_down(&mut self) {
+        self.service = ListService { is_up: false, run: self.service.run + 1, ..ListService::default() };
+        for place in 0..self.scenario.count {
+            let dispatcher = self.dispatcher_mut(place);
+            if dispatcher.has_watch {
+                dispatcher.has_watch = false;
+                self.on_call_or_watch_failed(place, poll_scheduler::Event::WatchEnded);
+            } else if dispatcher.open_calls > 0 {
+                let process = ProcessId { place, incarnation: dispatcher.incarnation };
+                let call = Call { process, number: dispatcher.calls, service_run: 0 };
+                self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+            }
+        }
+    }
+
+    pub(super) fn on_watches_fall_silent(&mut self) {
+        for place in 0..self.scenario.count {
+            let dispatcher = self.dispatcher_mut(place);
+            if dispatcher.has_watch {
+                dispatcher.is_watch_silent = true;
+                let process = ProcessId { place, incarnation: dispatcher.incarnation };
+                self.schedule(self.now + SILENCE_TIMEOUT, Event::SilenceNoticed(process));
+            }
+        }
+    }
+
+    pub(super) fn on_silence_noticed(&mut self, place: u16) {
+        let deadline = self.silence_deadline.unwrap_or(self.now + SILENCE_TIMEOUT);
+        let deadline = deadline - self.scenario.service_time;
+        self.dispatcher_mut(place).has_watch = false;
+        self.on_call_or_watch_failed(place, poll_scheduler::Event::WatchSilent { deadline });
+    }
+}
--- /dev/null
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -0,0 +1,373 @@
+//! Handshakes, probes and first jobs of each worker, budgeted over all dispatchers that may exist, with no message.
+//!
+//! **The bound.** In any stretch of the overload window `W`, a worker gets no more units from all places together than the
+//! budget `B` that the settings allow at the stretch's beginning, whichever processes live, whenever they started, while
+//! their clocks differ from true time by at most `skew`.
+//!
+//! **Why.** By Unix time (for a cold worker: by its age, so that its phases are the same to all) time is cut into turns
+//! of length `(W + 2 skew) / k`. A unit spent within the window has a stamp within `W + 2 skew`, which touches `k + 1` turns at
+//! most, and one more where it crosses into the next phase of a cold worker, whose budget is the larger one. A turn is
+//! owned by `B / (k + 2)` units' worth of places, in rotation by place and worker; each owner spends its part of them at most,
+//! and a process leaves alone the turn in which it started, since one before it at the same place may have spent it. So a
+//! window holds `(k + 2) floor(B / (k + 2)) <= B` units.
+
+use crate::{ConfigError, check_place, invariant, mix};
+use std::collections::HashMap;
+
+/// The most turns in a window; there are fewer where the budget is too small for as many.
+const MAX_TURNS: u64 = 4;
+/// A cold worker's budget is computed anew this often until it is warm.
+const PHASES: u64 = 8;
+/// Handshakes and probes each take at most this fraction of a warm worker; first jobs at unconfirmed ones no more than it does.
+const WARM_FRACTION: f64 = 0.02;
+/// A cold worker's turn is shared by so many owners, where its budget has room for it; by few in some turns, so that
+/// large jobs have their turns too.
+const OWNERS_BY_TURN_KIND: [u64; 4] = [8, 2, 4, 1];
+/// The most spent turns kept.
+const MAX_SPENT_TURNS: usize = 65_536;
+/// What is spent is counted in thousandths of units.
+const MILLI_UNITS: u64 = 1_000;
+
+/// What the settings say.
+#[derive(Clone, Debug)]
+pub struct Config {
+    /// This dispatcher's place, from 0.
+    pub place: u16,
+    /// How many places there are, whether or not anybody is there.
+    pub places: u16,
+    /// The Unix time of the caller's zero, in microseconds.
+    pub unix_at_zero: u64,
+    /// Clocks differ from true time by this at most, in microseconds.
+    pub max_clock_skew: u64,
+    /// The overload window, in microseconds.
+    pub overload_window: u64,
+    /// A worker that is sent more than this multiple of its present capacity over the window collapses.
+    pub overload_multiple: f64,
+    /// A worker starts at this fraction of its capacity ...
+    pub initial_capacity: f64,
+    /// ... and is warm after this, in microseconds.
+    pub warm_up_time: u64,
+    /// The work of a handshake, in requests of mean work.
+    pub handshake_work: f64,
+    /// The work of a probe, in requests of mean work.
+    pub probe_work: f64,
+    /// Connections that a worker holds; 0 where nobody knows.
+    pub connections: u32,
+    /// Where a worker holds fewer connections than there are places, connections change hands among the places this seldom,
+    /// in microseconds.
+    pub connection_lease: u64,
+    /// A deliberate fault for tests of the tests: every turn counts as this place's.
+    #[doc(hidden)]
+    pub skip_turns: bool,
+}
+
+/// A worker, by what the list and the settings say of it: the same at every dispatcher.
+#[derive(Clone, Copy, Debug)]
+pub struct Worker {
+    /// The same at every dispatcher.
+    pub tag: u64,
+    /// Its last start, in microseconds of Unix time; `None` where it is warm.
+    pub started_at: Option<u64>,
+    /// Requests of mean work that it does in a second when it is warm, by the settings.
+    pub requests_per_second: f64,
+}
+
+/// What a dispatcher wants to send to a worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Request {
+    /// A new connection.
+    Handshake,
+    /// A probe on a connection that is there.
+    Probe,
+    /// The first job at a worker that is not confirmed since the start, with the new connection for it.
+    FirstJob,
+    /// A job of so much work, in requests of mean work, each for one at least. Only a cold worker's are budgeted.
+    Job(f64),
+}
+
+/// Whether a request may go.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Decision {
+    /// Yes, and it is spent.
+    Granted,
+    /// Not before this time, in the caller's microseconds.
+    WaitUntil(u64),
+    /// It is larger than any turn of this worker in its present phase.
+    TooLarge,
+}
+
+/// Connections that a place may hold to a worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionQuota {
+    /// How many.
+    pub connections: u32,
+    /// Until when, in the caller's microseconds; beyond that the place asks again, and closes what it may no longer hold.
+    pub valid_until: u64,
+}
+
+/// What a budget is for: a cold worker has one for all requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum BudgetKind {
+    Cold,
+    Handshakes,
+    Probes,
+    FirstJobs,
+}
+
+/// One budget of one worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct BudgetKey {
+    tag: u64,
+    kind: BudgetKind,
+}
+
+/// Where the turns of a budget count from, and what a window of them holds.
+struct Phase {
+    /// Unix time.
+    start: u64,
+    /// Since its start.
+    elapsed: u64,
+    budget: u64,
+}
+
+/// The turn that the present time is in.
+#[derive(Clone, Copy, Debug)]
+struct Turn {
+    /// By Unix time.
+    start: u64,
+    length: u64,
+    index: u64,
+    /// How many places own it.
+    owners: u64,
+    /// Units for each owner.
+    units: u64,
+    /// How many kinds of turns alternate, each with a rotation of its own.
+    kinds: u64,
+}
+
+/// What was spent of a turn, in thousandths of units.
+#[derive(Clone, Copy, Debug)]
+struct SpentTurn {
+    start: u64,
+    spent: u64,
+}
+
+/// A request, beside what was spent of its turn.
+struct Claim {
+    key: BudgetKey,
+    turn: Turn,
+    /// In thousandths of units.
+    cost: u64,
+    /// What was spent of the turn before, in thousandths of units.
+    spent: u64,
+    is_open: bool,
+}
+
+/// The budgets of one dispatcher.
+#[derive(Debug)]
+pub struct WarmUpBudget {
+    config: Config,
+    /// Unix time at its making.
+    created_at: u64,
+    /// The latest turn of each budget.
+    spent: HashMap<BudgetKey, SpentTurn>,
+}
+
+/// The budget of a worker that may get `n` requests of mean work: the settings' number with room for chance.
+pub fn budget(n: f64) -> u64 {
+    (n + 3.0 * n.max(0.0).sqrt() + 3.0) as u64
+}
+
+impl WarmUpBudget {
+    /// The budgets of a process that starts now.
+    ///
+    /// # Errors
+    ///
+    /// The place is not one of the places, or a number is out of its range.
+    pub fn new(config: Config, now: u64) -> Result<WarmUpBudget, ConfigError> {
+        check_place(config.place, config.places)?;
+        for (span, name) in
+            [(config.overload_window, "overload_window"), (config.connection_lease, "connection_lease")]
+        {
+            if span == 0 {
+                return Err(ConfigError::Zero(name));
+            }
+        }
+        let numbers = [
+            (config.overload_multiple, "overload_multiple"),
+            (config.handshake_work, "handshake_work"),
+            (config.probe_work, "probe_work"),
+        ];
+        if let Some((_, name)) = numbers.into_iter().find(|(n, _)| !(n.is_finite() && *n > 0.0)) {
+            return Err(ConfigError::NotPositive(name));
+        }
+        if !(0.0..=1.0).contains(&config.initial_capacity) {
+            return Err(ConfigError::NotPositive("initial_capacity"));
+        }
+        Ok(WarmUpBudget { created_at: config.unix_at_zero + now, config, spent: HashMap::new() })
+    }
+
+    /// A worker's budget in requests of mean work for a window that begins at this age, by the settings.
+    pub fn cold_budget(&self, worker: &Worker, age: u64) -> u64 {
+        let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
+        let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
+        budget(self.config.overload_multiple * fraction * self.warm_capacity(worker))
+    }
+
+    /// What a warm worker gets of requests of this work, in a window.
+    pub fn warm_budget(&self, worker: &Worker, work: f64) -> u64 {
+        budget(WARM_FRACTION * self.warm_capacity(worker) / work.max(1e-6))
+    }
+
+    /// Requests of mean work that a warm worker does in a window.
+    fn warm_capacity(&self, worker: &Worker) -> f64 {
+        worker.requests_per_second * self.config.overload_window as f64 / 1e6
+    }
+
+    /// Decides on one request to a worker, and spends it where it is granted.
+    pub fn try_spend(&mut self, now: u64, worker: &Worker, request: Request) -> Decision {
+        let Some(claim) = self.claim(now, worker, request) else { return Decision::Granted };
+        if claim.cost > claim.turn.units * MILLI_UNITS {
+            return Decision::TooLarge;
+        }
+        if claim.is_open && self.spend(now, &claim) {
+            return Decision::Granted;
+        }
+        let at = self.next_owned_turn(worker.tag, claim.turn);
+        Decision::WaitUntil(at.saturating_sub(self.config.unix_at_zero).max(now + 1))
+    }
+
+    /// Whether a request would be granted now, without spending it.
+    pub fn would_grant(&self, now: u64, worker: &Worker, request: Request) -> bool {
+        self.claim(now, worker, request).is_none_or(|claim| claim.is_open)
+    }
+
+    /// Spends a claim; false where there is no memory left for it.
+    fn spend(&mut self, now: u64, claim: &Claim) -> bool {
+        if self.spent.len() >= MAX_SPENT_TURNS {
+            let oldest = (self.config.unix_at_zero + now).saturating_sub(2 * self.skewed_window());
+            self.spent.retain(|_, turn| turn.start >= oldest);
+        }
+        let has_room = self.spent.len() < MAX_SPENT_TURNS;
+        if has_room {
+            let turn = SpentTurn { start: claim.turn.start, spent: claim.spent + claim.cost };
+            self.spent.insert(claim.key, turn);
+        }
+        has_room
+    }
+
+    /// The Unix time of the next turn that this place owns, as if this phase went on.
+    fn next_owned_turn(&self, tag: u64, turn: Turn) -> u64 {
+        let round = u64::from(self.config.places).div_ceil(turn.owners).max(1) * turn.kinds;
+        // Those of the same kind: the other kinds have other owners.
+        let is_owned = |ahead: &u64| {
+            let next = Turn { index: turn.index + ahead, ..turn };
+            ahead % turn.kinds == 0 && self.owns(tag, &next)
+        };
+        let ahead = (1..=round + turn.kinds).find(is_owned).unwrap_or(1);
+        turn.start + turn.length * ahead
+    }
+
+    /// What stands for and against a request; `None` where it is not budgeted.
+    fn claim(&self, now: u64, worker: &Worker, request: Request) -> Option<Claim> {
+        let unix = self.config.unix_at_zero + now;
+        let age = worker.started_at.map(|at| unix.saturating_sub(at));
+        let cold_age = age.filter(|age| *age < self.config.warm_up_time);
+        let (kind, units) = match (cold_age, request) {
+            (Some(_), Request::Handshake) => (BudgetKind::Cold, self.config.handshake_work),
+            (Some(_), Request::Probe) => (BudgetKind::Cold, self.config.probe_work),
+            (Some(_), Request::FirstJob) => (BudgetKind::Cold, 1.0 + self.config.handshake_work),
+            (Some(_), Request::Job(work)) => (BudgetKind::Cold, work.max(1.0)),
+            (None, Request::Handshake) => (BudgetKind::Handshakes, 1.0),
+            (None, Request::Probe) => (BudgetKind::Probes, 1.0),
+            (None, Request::FirstJob) => (BudgetKind::FirstJobs, 1.0),
+            (None, Request::Job(_)) => return None,
+        };
+        let turn = self.turn(kind, &self.phase(worker, kind, cold_age, unix));
+        let key = BudgetKey { tag: worker.tag, kind };
+        let cost = (units * MILLI_UNITS as f64).ceil() as u64;
+        let current = self.spent.get(&key).filter(|spent| spent.start == turn.start);
+        let spent = current.map_or(0, |turn| turn.spent);
+        invariant!(spent <= turn.units * MILLI_UNITS, "more than the own part of a turn was spent");
+        let is_own = self.config.skip_turns || turn.start >= self.created_at && self.owns(worker.tag, &turn);
+        let is_open = is_own && spent + cost <= turn.units * MILLI_UNITS;
+        Some(Claim { key, turn, cost, spent, is_open })
+    }
+
+    /// How long a window is to a member whose clock is as wrong as may be.
+    fn skewed_window(&self) -> u64 {
+        self.config.overload_window + 2 * self.config.max_clock_skew
+    }
+
+    /// The phase of a budget at a Unix time: a warm worker has one that never ends.
+    fn phase(&self, worker: &Worker, kind: BudgetKind, cold_age: Option<u64>, unix: u64) -> Phase {
+        if let (BudgetKind::Cold, Some(age)) = (kind, cold_age) {
+            let window = self.skewed_window();
+            let length = (self.config.warm_up_time / PHASES).max(window);
+            let began_at_age = age / length * length;
+            let started_at = unix - age;
+            return Phase {
+                start: started_at + began_at_age,
+                elapsed: age - began_at_age,
+                budget: self.cold_budget(worker, began_at_age.saturating_sub(window)),
+            };
+        }
+        let work = match kind {
+            BudgetKind::Probes => self.config.probe_work,
+            BudgetKind::FirstJobs => WARM_FRACTION,
+            BudgetKind::Cold | BudgetKind::Handshakes => self.config.handshake_work,
+        };
+        Phase { start: 0, elapsed: unix, budget: self.warm_budget(worker, work) }
+    }
+
+    fn turn(&self, kind: BudgetKind, phase: &Phase) -> Turn {
+        let budget = phase.budget;
+        let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
+        let turn_budget = (budget / (turns + 2)).max(1);
+        let length = self.skewed_window().div_ceil(turns);
+        invariant!(turn_budget * (turns + 2) <= budget, "turns hold more than the budget");
+        let places = u64::from(self.config.places);
+        let index = phase.elapsed / length;
+        let (kinds, min_units) = if kind == BudgetKind::Cold {
+            let kinds = OWNERS_BY_TURN_KIND.len() as u64;
+            (kinds, turn_budget / OWNERS_BY_TURN_KIND[(index % kinds) as usize])
+        } else {
+            (1, 1)
+        };
+        // With fewer places than units each place has its part of every turn; otherwise turns go round.
+        let units = (turn_budget / places).max(min_units).max(1);
+        let owners = (turn_budget / units).clamp(1, places);
+        Turn { start: phase.start + index * length, length, index, owners, units, kinds }
+    }
+
+    /// Whether the turn is this place's: the owners of one turn are consecutive places, those of the next the ones after
+    /// them. The worker's tag decides where they begin.
+    fn owns(&self, tag: u64, turn: &Turn) -> bool {
+        let places = u64::from(self.config.places);
+        let (kind, nth) = (turn.index % turn.kinds, turn.index / turn.kinds);
+        let first = (mix(tag ^ kind << 56) % places + nth % places * (turn.owners % places)) % places;
+        (u64::from(self.config.place) + places - first) % places < turn.owners
+    }
+
+    /// Connections that this place may hold to a worker now. The places' numbers never add up to more than the worker
+    /// holds, also while some places are already in the next lease and some not yet. `None` where nobody knows how many it
+    /// holds.
+    pub fn connection_quota(&self, now: u64, tag: u64) -> Option<ConnectionQuota> {
+        let all = u64::from(self.config.connections);
+        let each = all / u64::from(self.config.places);
+        if all == 0 {
+            return None;
+        }
+        if each > 0 {
+            let connections = u32::try_from(each).unwrap_or(u32::MAX);
+            return Some(ConnectionQuota { connections, valid_until: u64::MAX });
+        }
+        let (unix, length) = (self.config.unix_at_zero + now, self.config.connection_lease);
+        let index = unix / length;
+        // Half for each of two leases that touch.
+        let lease = Turn { start: 0, length, index, owners: all / 2, units: 1, kinds: 1 };
+        let is_owner = all >= 2 && self.owns(tag, &lease);
+        let valid_until = ((index + 1) * length).saturating_sub(self.config.unix_at_zero);
+        Some(ConnectionQuota { connections: is_owner.into(), valid_until })
+    }
+}
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -3,7 +3,7 @@
 //! 1,000, beside the landed program's waits and plain full jitter. The last line is JSON; exit code 1 where something did not
 //! hold. `proof_coldstart SEED` plays with another seed.
 
-use mothproxy_coldstart::model::{Behaviour, Outcome, Scenario, play};
+use mothproxy_coldstart::simulation::{Behaviour, Outcome, Scenario, play};
 use mothproxy_testkit::fleet::{Fleet, ListMode, ListScript, Plan, Rules};
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
@@ -196,7 +196,7 @@
     // The seeded mistake: calls that pass by the pacer must be seen by the same checks.
     let (name, mut day) =
         all.iter().find(|(name, set)| *name == "down_8s" && set.count == 300).cloned().expect("a day");
-    day.ask_without_pacer = true;
+    day.skip_scheduling = true;
     let caught = wrong(name, &day, &play(&day, Behaviour::Heard));
     if !(caught.contains(&"calls") && caught.contains(&"peak")) {
         broken.push(format!("the mutation ask_without_pacer was not caught: {caught:?}"));
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -26,7 +26,7 @@
 
 impl Default for ColdStartSettings {
     fn default() -> Self {
-        ColdStartSettings { call_time: mothproxy_coldstart::pacer::SERVICE_TIME }
+        ColdStartSettings { call_time: mothproxy_coldstart::poll_scheduler::SERVICE_TIME }
     }
 }
 
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -6,8 +6,8 @@
 use crate::fleet::FleetSettings;
 use crate::policy::interface::Micros;
 use crate::server::{ASK_TIMER, Server};
-use mothproxy_coldstart::pacer::{Config as Pace, Event, Pacer};
-use mothproxy_coldstart::{Findings, KIND, Origin};
+use mothproxy_coldstart::poll_scheduler::{Config as SchedulerConfig, Event, PollScheduler};
+use mothproxy_coldstart::{KIND, Origin, SharedObservations};
 use mothproxy_membership::{Change, OwnedFact, State};
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -33,9 +33,9 @@
 /// The pacer of this dispatcher, where it is on.
 #[derive(Default)]
 pub(in crate::server) struct Asker {
-    pacer: Option<Pacer>,
+    pacer: Option<PollScheduler>,
     /// What the members say of the service, where membership is on.
-    findings: Option<Findings>,
+    findings: Option<SharedObservations>,
     /// The epochs of the members by place, as last heard.
     epochs: HashMap<u16, u64>,
     timer: Option<Micros>,
@@ -52,21 +52,21 @@
         let hears = set.membership.is_some() && config.peer_listen.is_some();
         let wanted = set.cold_start.as_ref().filter(|_| config.settings.list_on_request);
         let pacer = wanted.and_then(|set| {
-            let pace = Pace {
+            let pace = SchedulerConfig {
                 place: u16::try_from(config.settings.me).ok()?,
-                count: u16::try_from(config.settings.nodes).ok()?,
+                places: u16::try_from(config.settings.nodes).ok()?,
                 service_time: set.call_time,
-                ask_within: config.settings.ask_within,
-                unix,
+                poll_within: config.settings.ask_within,
+                unix_at_zero: unix,
                 seed: config.seed,
-                hears,
-                ask_without_pacer: false,
+                has_membership: hears,
+                skip_scheduling: false,
             };
-            let made = Pacer::new(pace, now, generation);
+            let made = PollScheduler::new(pace, now, generation);
             made.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
         });
         let place = u16::try_from(config.settings.me).unwrap_or(u16::MAX);
-        let findings = pacer.as_ref().filter(|_| hears).map(|_| Findings::new(place, unix, now));
+        let findings = pacer.as_ref().filter(|_| hears).map(|_| SharedObservations::new(place, unix, now));
         Asker { pacer, findings, ..Asker::default() }
     }
 
@@ -81,13 +81,13 @@
     pub(in crate::server) fn ask_go_on(&mut self) {
         let mut told = None;
         if let (Some(pacer), Some(findings)) = (&self.ask.pacer, &mut self.ask.findings) {
-            findings.say(pacer.news(), pacer.is_news());
+            findings.set_service_status(pacer.status(), pacer.has_news());
             while let Some((slot, bytes)) = findings.publish(self.now) {
                 self.link.fleet.tell(self.now, KIND, slot, &bytes);
             }
             told = findings.next_wake();
         }
-        let asks = self.ask.pacer.as_ref().and_then(Pacer::next_wake);
+        let asks = self.ask.pacer.as_ref().and_then(PollScheduler::next_wake);
         let wake = asks.into_iter().chain(told).min();
         if wake == self.ask.timer {
             return;
@@ -107,12 +107,12 @@
         let before = self.ask.epochs.insert(change.place, change.epoch);
         let another = before.is_some_and(|epoch| epoch < change.epoch);
         if another || matches!(change.to, State::Dead | State::Left) {
-            pacer.handle(self.now, Event::Gone(change.place));
+            pacer.handle(self.now, Event::MemberGone(change.place));
         }
         let here = |state| matches!(state, State::Alive | State::Suspect);
         if let Some(view) = self.link.fleet.view() {
             let alive = view.iter().map(|(_, member)| here(member.state)).collect();
-            pacer.handle(self.now, Event::View(alive));
+            pacer.handle(self.now, Event::Presence(alive));
         }
         self.ask_go_on();
     }
@@ -127,8 +127,8 @@
         if let Err(error) = findings.absorb(self.now, origin, fact.slot, fact.number, &fact.bytes) {
             return tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
         }
-        for (place, news) in findings.service_news() {
-            pacer.handle(self.now, Event::Peer { place, news });
+        for update in findings.take_service_updates() {
+            pacer.handle(self.now, Event::PeerStatus { place: update.place, status: update.status });
         }
         self.ask_go_on();
     }
@@ -149,7 +149,7 @@
         let first = !std::mem::replace(&mut self.ask.told, true);
         self.ask_event(match first {
             true => Event::Answered { generation, waited },
-            false => Event::Listed { generation },
+            false => Event::ListChanged { generation },
         });
     }
 
@@ -158,7 +158,7 @@
         let waited = self.now.saturating_sub(self.ask.asked);
         let told = std::mem::take(&mut self.ask.told);
         self.ask_event(match (told, end) {
-            (true, CallEnd::Silent) => Event::WatchSilent { by: self.now + AFTER_SILENCE },
+            (true, CallEnd::Silent) => Event::WatchSilent { deadline: self.now + AFTER_SILENCE },
             (true, _) => Event::WatchEnded,
             (false, CallEnd::Refused(retry_after)) => Event::Refused { waited, retry_after },
             (false, CallEnd::Failed | CallEnd::Unreachable) => Event::Failed,
@@ -169,7 +169,7 @@
     /// Another service counts from now on.
     pub(in crate::server) fn ask_moved(&mut self) {
         self.ask.told = false;
-        self.ask_event(Event::Moved { by: Some(self.now + MOVED) });
+        self.ask_event(Event::ServiceMoved { deadline: Some(self.now + MOVED) });
     }
 
     fn ask_event(&mut self, event: Event) {
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -1,7 +1,7 @@
 //! A cold start: the hard cases as rows over the model of a few dozen dispatchers, and one story in the built program. What
 //! it takes at size is `make proof-coldstart`.
 
-use mothproxy_coldstart::model::{Behaviour, Outcome, Scenario, play};
+use mothproxy_coldstart::simulation::{Behaviour, Outcome, Scenario, play};
 use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
@@ -93,7 +93,7 @@
 #[test]
 fn the_rows_see_calls_that_pass_by_the_pacer() {
     let down = Scenario { down: Some((0, 8 * S)), length: 20 * S, load: 0.1, ..Scenario::start(SIZE, 1) };
-    let without = play(&Scenario { ask_without_pacer: true, ..down.clone() }, Behaviour::Heard);
+    let without = play(&Scenario { skip_scheduling: true, ..down.clone() }, Behaviour::Heard);
     assert!(!spares_the_service(&without) && without.calls_each > 9.0, "{without:?}");
     let (before, heard) = (play(&down, Behaviour::FullJitter), play(&down, Behaviour::Heard));
     assert!(heard.calls * 3 < before.calls && heard.tries_at_dead * 2.0 < before.tries_at_dead);
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -1,8 +1,7 @@
 //! What the learning crates say to other dispatchers.
 
 use crate::{assert_kept, to_hex};
-use mothproxy_coldstart::pacer::Service;
-use mothproxy_coldstart::{Findings, Report, Seen, Trouble};
+use mothproxy_coldstart::{Fault, Observation, Report, ServiceStatus, SharedObservations};
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Use};
 use mothproxy_runtimes::{Likeness, Outcome, Runtimes};
 
@@ -63,24 +62,25 @@
 
 #[test]
 fn cold_start_facts_keep_their_bytes() {
-    let mut findings = Findings::new(2, UNIX, 0);
+    let mut observations = SharedObservations::new(2, UNIX, 0);
     let mut written = String::new();
     for n in 0..40_u64 {
         let now = n * SECOND;
         let seen = match n % 6 {
-            0 => Seen::Alive,
-            1 => Seen::Trouble(Trouble::Refuses),
-            2 => Seen::Trouble(Trouble::Hangs),
-            3 => Seen::Trouble(Trouble::Resets),
-            4 => Seen::Cold,
-            _ => Seen::Report(Report { cpu: 40, free: 3 }),
+            0 => Observation::Alive,
+            1 => Observation::Fault(Fault::Refuses),
+            2 => Observation::Fault(Fault::Hangs),
+            3 => Observation::Fault(Fault::Resets),
+            4 => Observation::Cold,
+            _ => Observation::Report(Report { cpu: 40, free: 3 }),
         };
-        findings.note(now, n * 7 % 11, seen);
+        observations.record(now, n * 7 % 11, seen);
         if n % 10 == 4 {
-            let service = Service { generation: n, watching: n % 20 == 4, ..Service::default() };
-            findings.say(service, n == 14);
+            let service =
+                ServiceStatus { generation: n, is_watching: n % 20 == 4, ..ServiceStatus::default() };
+            observations.set_service_status(service, n == 14);
         }
-        written.extend(std::iter::from_fn(|| findings.publish(now)).map(line));
+        written.extend(std::iter::from_fn(|| observations.publish(now)).map(line));
     }
     assert_kept("facts/coldstart.txt", &written);
 }
