--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -16,7 +16,7 @@
 
 use crate::facts::Facts;
 use crate::view::MemberVersion;
-use crate::wire::{self, Body, Datagram, DatagramError, FactKey, Record, Route, Stamp};
+use crate::wire::{self, Body, Datagram, DatagramError, FactKey, Record, Route, Stamp, StateRecord};
 use crate::{
     Change, Config, ConfigError, Fact, FactError, MAX_FACT_BYTES, MAX_FACTS_PER_MEMBER, Member, Metrics,
     Micros, Output, State, View,
@@ -155,18 +155,13 @@
     pub fn next_wake(&self) -> Micros {
         let gossip = self.next_gossip();
         let fact_expiry = self.fact_expiries.first().map(|(at, _)| *at);
-        let timers = match self.left_at {
-            Some(left_at) => {
-                let gossip = gossip.filter(|at| *at < left_at + LEAVE_GOSSIP_TIME);
-                [gossip, fact_expiry, None, None]
-            }
-            None => {
-                let suspicion = self.suspicions.next_expiry();
-                let active = self.probing.next_wake().min(self.anti_entropy.next_sync());
-                [gossip, fact_expiry, suspicion, Some(active)]
-            }
-        };
-        timers.into_iter().flatten().min().unwrap_or(u64::MAX)
+        if let Some(left_at) = self.left_at {
+            let gossip = gossip.filter(|at| *at < left_at + LEAVE_GOSSIP_TIME);
+            return gossip.into_iter().chain(fact_expiry).min().unwrap_or(u64::MAX);
+        }
+        let probe_or_sync = self.probing.next_wake().min(self.anti_entropy.next_sync());
+        let others = [gossip, fact_expiry, self.suspicions.next_expiry()];
+        others.into_iter().flatten().fold(probe_or_sync, Micros::min)
     }
 
     /// This member leaves: it announces that, answers nothing from now on, and is never held dead for it.
@@ -297,7 +292,8 @@
         }
         self.last_received[usize::from(from)] = self.now;
         self.last_received_any = self.now;
-        self.on_state_record(from, from, State::Alive, sender, &[]);
+        let own = StateRecord { place: from, state: State::Alive, version: sender, accusers: Vec::new() };
+        self.on_state_record(from, &own);
         let has_appeared = !known.state.is_present() && self.view.state(from) == State::Alive;
         if has_appeared {
             self.sync_soon_with(from);
@@ -305,9 +301,7 @@
         let before = self.view.at(self.config.place);
         for record in records {
             match record {
-                Record::State(record) => {
-                    self.on_state_record(from, record.place, record.state, record.version, &record.accusers);
-                }
+                Record::State(record) => self.on_state_record(from, &record),
                 Record::Fact(record) => self.on_fact_record(&record),
             }
         }
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -8,7 +8,9 @@
 
 use super::{Membership, Priority};
 use crate::hash::{hash, salted};
-use crate::wire::{Body, DIGEST_PARTS, FactKey, FactList, MemberPage, MemberRow, Record, Stamp, StampedKey};
+use crate::wire::{
+    Body, DIGEST_PARTS, FactKey, FactList, MemberPage, MemberRow, Record, Stamp, StampedKey, StateRecord,
+};
 use crate::{MAX_DATAGRAM_BYTES, Micros};
 
 /// At most so many pages answer one digest.
@@ -171,7 +173,8 @@
             if rank(&own) > rank(theirs) {
                 newer_here.push(self.state_record(place));
             } else if rank(&own) < rank(theirs) {
-                self.on_state_record(from, place, theirs.state, theirs.version, &[]);
+                let MemberRow { state, version, .. } = *theirs;
+                self.on_state_record(from, &StateRecord { place, state, version, accusers: Vec::new() });
                 self.sync_soon();
             }
             if own.facts_hash != theirs.facts_hash && !self.is_forgotten(place) {
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -5,19 +5,13 @@
 use crate::facts::Merged;
 use crate::invariant::invariant;
 use crate::view::MemberVersion;
-use crate::wire::{FactRecord, Stamp};
+use crate::wire::{FactRecord, Stamp, StateRecord};
 use crate::{MAX_FACTS_PER_MEMBER, Output, OwnedFact, State};
 
 impl Membership {
-    /// A record about a place has come from a member, or its own datagram proves it alive.
-    pub(super) fn on_state_record(
-        &mut self,
-        from: u16,
-        place: u16,
-        state: State,
-        version: MemberVersion,
-        accusers: &[u16],
-    ) {
+    /// A record about a place has come from a member, or the member's own datagram proves it alive.
+    pub(super) fn on_state_record(&mut self, from: u16, record: &StateRecord) {
+        let StateRecord { place, state, version, ref accusers } = *record;
         if place == self.config.place {
             return self.on_record_about_self(state, version);
         }
@@ -43,7 +37,7 @@
                 if is_newer {
                     self.suspicions.end(place);
                 }
-                let accusers = if accusers.is_empty() { &[from] } else { accusers };
+                let accusers = if accusers.is_empty() { &[from][..] } else { accusers };
                 self.suspect(place, version, accusers);
             }
             (State::Dead, _) => self.on_death_record(place, version, known.state, is_newer),
