--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -117,9 +117,13 @@
     /// Whether the service counts as down: two members found it so since anybody was last answered, or one did and nobody
     /// is known to have a watch.
     pub fn is_service_down(&self, now_ms: u64) -> bool {
-        let last_answer = self.all().map(|status| status.answered_at_ms).max().unwrap_or(0);
-        let last_failure = self.all().map(|status| status.failed_at_ms).max().unwrap_or(0);
-        let is_watched = self.all().any(|status| status.is_watching);
+        // In one pass, since every member does this at every wake over the statuses of all.
+        let (mut last_answer, mut last_failure, mut is_watched) = (0, 0, false);
+        for status in self.all() {
+            last_answer = last_answer.max(status.answered_at_ms);
+            last_failure = last_failure.max(status.failed_at_ms);
+            is_watched |= status.is_watching;
+        }
         let reports = self.all().filter(|status| status.failed_at_ms > last_answer).count();
         let is_fresh = now_ms.saturating_sub(last_failure) < OUTAGE_EVIDENCE_TTL_MS;
         is_fresh && (reports >= 2 || reports == 1 && !is_watched)
@@ -151,9 +155,14 @@
     /// overlap.
     pub fn answer_time(&self, configured: u64, now_ms: u64) -> Option<u64> {
         let oldest = now_ms.saturating_sub(ANSWER_TIME_TTL_MS);
-        let is_recent = |status: &&ServiceStatus| status.answered_at_ms > oldest && status.waited_ms > 0;
-        let times = || self.all().filter(is_recent).map(|status| status.waited_ms);
-        let least = times().min().filter(|_| times().count() >= MIN_ANSWER_TIMES)?;
+        let (mut count, mut least) = (0, u32::MAX);
+        for status in self.all().filter(|status| status.answered_at_ms > oldest && status.waited_ms > 0) {
+            count += 1;
+            least = least.min(status.waited_ms);
+        }
+        if count < MIN_ANSWER_TIMES {
+            return None;
+        }
         let measured = (u64::from(least) * 1_000).clamp(configured / 8 + 1, configured * 16);
         let is_near =
             measured <= configured * SHORT_QUEUE && configured as f64 <= measured as f64 * SIGNIFICANT_CHANGE;
