--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -8,7 +8,9 @@
 
 use super::{Membership, Priority};
 use crate::hash::{hash, salted};
-use crate::wire::{Body, DIGEST_PARTS, FactKey, FactList, MemberPage, MemberRow, Record, Stamp, StampedKey};
+use crate::wire::{
+    Body, DIGEST_PARTS, FactKey, FactList, MemberPage, MemberRow, Record, Stamp, StampedKey, StateRecord,
+};
 use crate::{MAX_DATAGRAM_BYTES, Micros};
 
 /// At most so many pages answer one digest.
@@ -171,7 +173,8 @@
             if rank(&own) > rank(theirs) {
                 newer_here.push(self.state_record(place));
             } else if rank(&own) < rank(theirs) {
-                self.on_state_record(from, place, theirs.state, theirs.version, &[]);
+                let MemberRow { state, version, .. } = *theirs;
+                self.on_state_record(from, &StateRecord { place, state, version, accusers: Vec::new() });
                 self.sync_soon();
             }
             if own.facts_hash != theirs.facts_hash && !self.is_forgotten(place) {
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Facts of a place are asked for.
+    /// A request for facts of a place has come.
     pub(super) fn on_fact_request(&mut self, from: u16, place: u16, keys: &[FactKey]) {
         let records = self.fact_records(place, &keys[..keys.len().min(MAX_FACTS_SENT)]);
         self.send_records(from, &records);
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -14,8 +14,8 @@
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
 use crate::server::{POLL_TIMER, Server};
-use mothproxy_coldstart::pacer::{Config as SchedulerConfig, Event, Pacer as PollScheduler};
-use mothproxy_coldstart::{Findings as SharedObservations, KIND, Origin};
+use mothproxy_coldstart::poll_scheduler::{Config as SchedulerConfig, Event, PollScheduler};
+use mothproxy_coldstart::{KIND, Origin, SharedObservations};
 use mothproxy_membership::{Change, OwnedFact, State, View};
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -92,7 +92,7 @@
     fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
         let mut next_publish = None;
         if let (Some(scheduler), Some(observations)) = (&self.scheduler, &mut self.observations) {
-            observations.say(scheduler.news(), scheduler.is_news());
+            observations.set_service_status(scheduler.status(), scheduler.has_news());
             while let Some((slot, bytes)) = observations.publish(now) {
                 membership.publish(now, &OutgoingFact { kind: KIND, slot, bytes });
             }
@@ -120,12 +120,12 @@
         let previous = self.epochs.insert(change.place, change.epoch);
         let is_replaced = previous.is_some_and(|epoch| epoch < change.epoch);
         if is_replaced || matches!(change.to, State::Dead | State::Left) {
-            scheduler.handle(now, Event::Gone(change.place));
+            scheduler.handle(now, Event::MemberGone(change.place));
         }
         if let Some(view) = view {
             let may_be_alive = |state| matches!(state, State::Alive | State::Suspect);
             let alive = view.iter().map(|(_, member)| may_be_alive(member.state)).collect();
-            scheduler.handle(now, Event::View(alive));
+            scheduler.handle(now, Event::Presence(alive));
         }
         true
     }
@@ -143,8 +143,8 @@
             tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
             return false;
         }
-        for (place, news) in observations.service_news() {
-            scheduler.handle(now, Event::Peer { place, news });
+        for update in observations.take_service_updates() {
+            scheduler.handle(now, Event::PeerStatus { place: update.place, status: update.status });
         }
         true
     }
@@ -156,9 +156,9 @@
         let was_answered = std::mem::replace(&mut self.is_answered, matches!(event, WatchEvent::List { .. }));
         let event = match (event, was_answered) {
             (WatchEvent::List { generation }, false) => Event::Answered { generation, waited },
-            (WatchEvent::List { generation }, true) => Event::Listed { generation },
+            (WatchEvent::List { generation }, true) => Event::ListChanged { generation },
             (WatchEvent::Ended(CallEnd::Silent), true) => {
-                Event::WatchSilent { by: now + SILENCE_RECOVERY_TIME }
+                Event::WatchSilent { deadline: now + SILENCE_RECOVERY_TIME }
             }
             (WatchEvent::Ended(_), true) => Event::WatchEnded,
             (WatchEvent::Ended(CallEnd::Refused { retry_after }), false) => {
@@ -166,7 +166,9 @@
             }
             (WatchEvent::Ended(CallEnd::Failed | CallEnd::Unreachable), false) => Event::Failed,
             (WatchEvent::Ended(CallEnd::Silent), false) => Event::TimedOut,
-            (WatchEvent::DiscoveryMoved, _) => Event::Moved { by: Some(now + MOVE_RECOVERY_TIME) },
+            (WatchEvent::DiscoveryMoved, _) => {
+                Event::ServiceMoved { deadline: Some(now + MOVE_RECOVERY_TIME) }
+            }
         };
         scheduler.handle(now, event);
         true
@@ -183,13 +185,13 @@
     let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
     Some(SchedulerConfig {
         place: u16::try_from(config.settings.me).ok()?,
-        count: u16::try_from(config.settings.nodes).ok()?,
+        places: u16::try_from(config.settings.nodes).ok()?,
         service_time: cold_start.call_time,
-        ask_within: config.settings.ask_within,
-        unix: unix_at_zero,
+        poll_within: config.settings.ask_within,
+        unix_at_zero,
         seed: config.seed,
-        hears: hears_members(settings, config),
-        ask_without_pacer: false,
+        has_membership: hears_members(settings, config),
+        skip_scheduling: false,
     })
 }
 
