--- a/crates/runtimes/src/backfill.rs
+++ b/crates/runtimes/src/backfill.rs
@@ -1,83 +1,96 @@
-//! Which waiting job may go first without delaying a larger one: the arithmetic of backfilling with a reservation (Lifka's
-//! EASY scheduler, 1995), for whoever decides. Nothing here decides or keeps state.
+//! Which waiting job may start first without delaying a larger one: the arithmetic of backfilling with a reservation (Lifka's
+//! EASY scheduler, 1995). The decision is the caller's; only [`IdleAllowance`] has state.
 
-/// What one running job holds at a worker.
+/// Slots that a running job occupies at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
-    /// When it is expected to end, µs. Asked anew while it runs ([`crate::Runtimes::remaining`]), it moves later once the
-    /// estimate has proved too low.
-    pub ends: u64,
-    /// Slots it holds.
+pub struct OccupiedSlots {
+    /// When the job is expected to end, µs. Computed again while it runs ([`crate::RuntimeEstimator::remaining`]), it moves
+    /// later once the estimate has proved too low.
+    pub ends_at: u64,
+    /// Number of slots.
     pub slots: f64,
 }
 
-/// Room promised to a job that waits.
+/// Slots promised to a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// When its room is expected, µs; never before `now`.
+    /// When the slots are expected to be free, µs; never before `now`.
     pub at: u64,
-    /// Slots that are free then beyond its own: whoever fits in these delays it not, however long.
+    /// Slots that are free then beyond its own: a job that fits into these does not delay it, however long it runs.
     pub spare: f64,
 }
 
-/// The earliest time that `need` slots are expected to be free at a worker with `free` slots now, and what is left then.
-/// `None`: all that it holds would not be enough. `held` is sorted by its end.
-pub fn reserve(now: u64, free: f64, need: f64, held: &mut [Held]) -> Option<Reservation> {
-    held.sort_by_key(|held| held.ends);
-    let mut room = free;
+/// The earliest time at which `need` slots are expected to be free at a worker with `free` slots now, and what is left over
+/// then. `None`: even all of its slots would not be enough. Sorts `occupied` by the end.
+///
+/// ```
+/// use mothproxy_runtimes::backfill::{OccupiedSlots, Reservation, reserve};
+///
+/// let mut occupied = [OccupiedSlots { ends_at: 500, slots: 2.0 }, OccupiedSlots { ends_at: 900, slots: 4.0 }];
+/// assert_eq!(reserve(100, 1.0, 3.0, &mut occupied), Some(Reservation { at: 500, spare: 0.0 }));
+/// assert_eq!(reserve(100, 1.0, 8.0, &mut occupied), None);
+/// ```
+pub fn reserve(now: u64, free: f64, need: f64, occupied: &mut [OccupiedSlots]) -> Option<Reservation> {
+    occupied.sort_by_key(|slots| slots.ends_at);
+    let mut available = free;
     let mut at = now;
-    for (place, one) in held.iter().enumerate() {
-        if room >= need {
+    for (index, next) in occupied.iter().enumerate() {
+        if available >= need {
             break;
         }
-        room += one.slots;
-        at = one.ends.max(now);
+        available += next.slots;
+        at = next.ends_at.max(now);
         // What ends at the same time is free as well.
-        let more = held[place + 1..].iter().take_while(|other| other.ends <= at);
-        if room >= need {
-            room += more.map(|other| other.slots).sum::<f64>();
+        let simultaneous = occupied[index + 1..].iter().take_while(|other| other.ends_at <= at);
+        if available >= need {
+            available += simultaneous.map(|other| other.slots).sum::<f64>();
             break;
         }
     }
-    (room >= need).then_some(Reservation { at, spare: room - need })
+    (available >= need).then_some(Reservation { at, spare: available - need })
 }
 
-/// Whether a job of `slots` slots that is expected to run for at most `long` µs (the conservative quantile) may go before
+/// Whether a job of `slots` slots that is expected to run for at most `long` µs (the conservative quantile) may start before
 /// the one that holds the reservation: it ends in time, or fits beside it.
-pub fn may_go(now: u64, slots: f64, long: u64, reserved: &Reservation) -> bool {
+pub fn may_start_before(now: u64, slots: f64, long: u64, reserved: &Reservation) -> bool {
     now.saturating_add(long) <= reserved.at || slots <= reserved.spare
 }
 
-/// Whether room at `at` still serves: the job, expected to run for `typical` µs, ends by `wanted`. Where it does not, what is
-/// held for it is held for a late answer, and only a decider knows what that is worth.
-pub fn serves(reserved: &Reservation, typical: u64, wanted: u64) -> bool {
-    reserved.at.saturating_add(typical) <= wanted
+/// Whether a reservation is still useful: its job, expected to run for `typical` µs, ends by `deadline`. Where it does not,
+/// slots are reserved for a late answer, and only the caller knows the value of that.
+pub fn meets_deadline(reserved: &Reservation, typical: u64, deadline: u64) -> bool {
+    reserved.at.saturating_add(typical) <= deadline
 }
 
-/// What all reservations together may cost those that could have run meanwhile: slots held idle are paid from an income in
-/// proportion to the slots there are. Over any span at most `part` of all slots' time is held, and `burst` besides.
+/// A budget for what all reservations together cost the jobs that could have run meanwhile: slots kept idle are paid from an
+/// income in proportion to the slots that there are. Over any span at most a fraction of all slots' time is kept idle, and a
+/// burst besides.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
-    part: f64,
+pub struct IdleAllowance {
+    /// Slots that may be idle on average: the income per µs.
+    income: f64,
+    /// Most slot time that is saved up, in µs.
     burst: f64,
-    left: f64,
-    at: u64,
-    held: f64,
+    balance: f64,
+    updated_at: u64,
+    idle: f64,
 }
 
-impl Allowance {
-    /// Of `slots` slots, at most the part `part` of their time over any span, and `burst` µs of each at once.
-    pub fn new(now: u64, slots: f64, part: f64, burst: u64) -> Self {
-        let burst = slots * part * burst as f64;
-        Allowance { part: slots * part, burst, left: burst, at: now, held: 0.0 }
+impl IdleAllowance {
+    /// An allowance of at most the fraction `fraction` of the time of `slots` slots over any span, and `burst` µs of each at
+    /// once.
+    pub fn new(now: u64, slots: f64, fraction: f64, burst: u64) -> Self {
+        let burst = slots * fraction * burst as f64;
+        IdleAllowance { income: slots * fraction, burst, balance: burst, updated_at: now, idle: 0.0 }
     }
 
-    /// Pays for what was held since the last call, and says what is held idle from now on. Whether any may be: if not, those
-    /// that wait for reserved slots must be let in.
-    pub fn settle(&mut self, now: u64, held: f64) -> bool {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.left = (self.left + (self.part - self.held) * passed).min(self.burst);
-        (self.at, self.held) = (self.at.max(now), held);
-        self.left > 0.0
+    /// Pays for the slots that were idle since the last call, and sets how many are idle from now on. Returns whether any may
+    /// be: if not, jobs that wait for reserved slots must be started.
+    pub fn update(&mut self, now: u64, idle: f64) -> bool {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        self.balance = (self.balance + (self.income - self.idle) * elapsed).min(self.burst);
+        self.updated_at = self.updated_at.max(now);
+        self.idle = idle;
+        self.balance > 0.0
     }
 }
--- /dev/null
+++ b/crates/runtimes/src/cell_sum.rs
@@ -0,0 +1,72 @@
+//! A cell over all spans and members, weighted by age: what a fit is computed from.
+
+use crate::distribution::BinCounts;
+use crate::summary::{FIXED_POINT, KindTotal, Summary};
+
+/// Weighted jobs of one kind of worker.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct KindSum {
+    pub kind: u32,
+    pub jobs: f64,
+    /// Sum of the logarithmic run times at this kind.
+    pub log_sum: f64,
+}
+
+/// Weighted totals of a cell.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CellSum {
+    /// The hash of the class cell, shortened; 0 for a worker's.
+    pub class: u32,
+    pub jobs: f64,
+    /// Sum of what wider cells of the chain added to the class's expectation.
+    pub expected: f64,
+    /// Sorted by kind.
+    pub kinds: Vec<KindSum>,
+    /// By bin of the residual; `None` where nothing was counted.
+    pub counts: Option<Box<BinCounts>>,
+}
+
+impl CellSum {
+    pub fn counts_mut(&mut self) -> &mut BinCounts {
+        self.counts.get_or_insert_default()
+    }
+
+    /// Adds the totals of a summary with a weight.
+    pub fn add_totals(&mut self, class: u32, kinds: &[KindTotal], expected: i64, weight: f64) {
+        self.class = class;
+        self.expected += expected as f64 / FIXED_POINT * weight;
+        for total in kinds {
+            let log_sum = total.log_sum as f64 / FIXED_POINT * weight;
+            self.add_kind(total.kind, f64::from(total.jobs) * weight, log_sum);
+        }
+    }
+
+    /// Adds jobs of a kind.
+    pub fn add_kind(&mut self, kind: u32, jobs: f64, log_sum: f64) {
+        self.jobs += jobs;
+        match self.kinds.binary_search_by_key(&kind, |sum| sum.kind) {
+            Ok(index) => {
+                self.kinds[index].jobs += jobs;
+                self.kinds[index].log_sum += log_sum;
+            }
+            Err(index) => self.kinds.insert(index, KindSum { kind, jobs, log_sum }),
+        }
+    }
+
+    /// Adds a summary with a weight.
+    pub fn add(&mut self, summary: &Summary, weight: f64) {
+        self.add_totals(summary.class, &summary.kinds, summary.expected, weight);
+        for total in &summary.bins {
+            let bin = usize::from(total.bin);
+            let counts = self.counts_mut();
+            counts.ended[bin] += total.ended as f32 * weight as f32;
+            counts.censored[bin] += total.censored as f32 * weight as f32;
+        }
+    }
+
+    /// The mean logarithmic work, given the slowness of the kinds.
+    pub fn mean(&self, slowness: impl Fn(u32) -> f64) -> f64 {
+        let log_work: f64 = self.kinds.iter().map(|sum| sum.log_sum - sum.jobs * slowness(sum.kind)).sum();
+        log_work / self.jobs.max(1e-9)
+    }
+}
--- a/crates/runtimes/src/likeness.rs
+++ b/crates/runtimes/src/features.rs
@@ -1,40 +1,41 @@
-//! What makes two jobs alike: a chain of cells from the class down to the very same request.
+//! The features by which jobs are grouped, and the chain of cells that a job belongs to: from its class down to all of its
+//! features together.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The most facts of a request that count, beside class, tenant and subject.
-pub const FACTS: usize = 2;
+/// Number of attributes of a request that count, beside class, tenant and subject.
+pub const ATTRIBUTES: usize = 2;
 
-/// Cells on a job's chain, at most.
-pub const CHAIN: usize = 4 + FACTS;
+/// Most cells of a job's chain.
+pub(crate) const MAX_CHAIN: usize = 4 + ATTRIBUTES;
 
-/// A number for a name that is the same in every process and version: names of classes, tenants, subjects, kinds.
+/// A hash of a name that is the same in every process and version: for names of classes, tenants, subjects and kinds.
 /// (SipHash-1-3 with a fixed key.)
-pub fn number(name: &[u8]) -> u64 {
+pub fn stable_hash(name: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x6d6f_7468, 0x7275_6e73);
     hasher.write(name);
     hasher.finish()
 }
 
-/// What a request carries that tells how long it will run. All numbers must mean the same in each dispatcher, as those
-/// of [`number`] do; an index into one process's table does not.
+/// The features of a request from which its run time is estimated. All numbers must mean the same in each dispatcher, as
+/// those of [`stable_hash`] do; an index into one process's table does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Likeness {
-    /// Its class.
+pub struct JobFeatures {
+    /// The class.
     pub class: u64,
-    /// Whose it is.
+    /// The tenant that it belongs to.
     pub tenant: Option<u64>,
     /// The program or data set that it is about.
     pub subject: Option<u64>,
-    /// What else it carries, such as the power of two of its size; each place is a dimension of its own.
-    pub facts: [Option<u64>; FACTS],
+    /// Other attributes, such as the power of two of its size; each index is a dimension of its own.
+    pub attributes: [Option<u64>; ATTRIBUTES],
 }
 
-impl Likeness {
-    /// A job of which only the class is known.
-    pub fn of_class(class: u64) -> Self {
-        Likeness { class, tenant: None, subject: None, facts: [None; FACTS] }
+impl JobFeatures {
+    /// The features of a job of which only the class is known.
+    pub fn from_class(class: u64) -> Self {
+        JobFeatures { class, tenant: None, subject: None, attributes: [None; ATTRIBUTES] }
     }
 }
 
@@ -44,7 +45,7 @@
     Class,
     Tenant,
     Subject,
-    Fact(u8),
+    Attribute(u8),
     All,
     Worker,
 }
@@ -55,9 +56,9 @@
             Level::Class => 0,
             Level::Tenant => 1,
             Level::Subject => 2,
-            Level::Fact(place) => 3 + usize::from(place),
-            Level::All => 3 + FACTS,
-            Level::Worker => 4 + FACTS,
+            Level::Attribute(place) => 3 + usize::from(place),
+            Level::All => 3 + ATTRIBUTES,
+            Level::Worker => 4 + ATTRIBUTES,
         }
     }
 
@@ -66,9 +67,9 @@
             0 => Level::Class,
             1 => Level::Tenant,
             2 => Level::Subject,
-            n if n < 3 + FACTS => Level::Fact(index - 3),
-            n if n == 3 + FACTS => Level::All,
-            n if n == 4 + FACTS => Level::Worker,
+            n if n < 3 + ATTRIBUTES => Level::Attribute(index - 3),
+            n if n == 3 + ATTRIBUTES => Level::All,
+            n if n == 4 + ATTRIBUTES => Level::Worker,
             _ => return None,
         })
     }
@@ -87,12 +88,12 @@
     }
 }
 
-/// Takes a cell's hash as it is: it is one already, with a key. (A member that tells made-up cells could make others' tables
-/// slow; their number is bounded.)
+/// Passes a cell's hash on as it is: it is a keyed hash already. (A member that publishes made-up cells could slow the others'
+/// tables down; their number is bounded.)
 #[derive(Default)]
-pub(crate) struct Ready(u64);
+pub(crate) struct IdentityHasher(u64);
 
-impl Hasher for Ready {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -113,35 +114,36 @@
     CellId { level, hash: hasher.finish() }
 }
 
-pub(crate) fn worker(tag: u64) -> CellId {
+/// The cell of a worker.
+pub(crate) fn worker_cell(tag: u64) -> CellId {
     cell(Level::Worker, &[tag])
 }
 
 /// The cells that a job belongs to, the widest first.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Chain {
-    cells: [CellId; CHAIN],
+pub(crate) struct CellChain {
+    cells: [CellId; MAX_CHAIN],
     len: u8,
 }
 
-impl Chain {
-    pub fn new(of: &Likeness) -> Self {
-        let class = cell(Level::Class, &[of.class]);
-        let mut chain = Chain { cells: [class; CHAIN], len: 1 };
+impl CellChain {
+    pub fn new(features: &JobFeatures) -> Self {
+        let class = cell(Level::Class, &[features.class]);
+        let mut chain = CellChain { cells: [class; MAX_CHAIN], len: 1 };
         let mut push = |cell| {
             chain.cells[usize::from(chain.len)] = cell;
             chain.len += 1;
         };
         // An absent part and a part of any value must not meet: each part is hashed with its presence.
-        let parts = [of.tenant, of.subject, of.facts[0], of.facts[1]];
-        let levels = [Level::Tenant, Level::Subject, Level::Fact(0), Level::Fact(1)];
+        let parts = [features.tenant, features.subject, features.attributes[0], features.attributes[1]];
+        let levels = [Level::Tenant, Level::Subject, Level::Attribute(0), Level::Attribute(1)];
         for (level, part) in levels.into_iter().zip(parts) {
             if let Some(part) = part {
-                push(cell(level, &[of.class, part]));
+                push(cell(level, &[features.class, part]));
             }
         }
         if parts.iter().flatten().count() > 1 {
-            let mut all = vec![of.class];
+            let mut all = vec![features.class];
             parts.iter().for_each(|part| all.extend([u64::from(part.is_some()), part.unwrap_or(0)]));
             push(cell(Level::All, &all));
         }
--- /dev/null
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -0,0 +1,119 @@
+//! How much slower jobs run at each kind of worker: the logarithm of the inverse of the kind's speed.
+//!
+//! The additive model `log run time = work + slowness` is fitted by alternation over all cells that were seen at more than one
+//! kind. It is regularised toward the configured speeds, whose mean it keeps.
+
+use crate::Config;
+use crate::cell_sum::{CellSum, KindSum};
+use crate::features::{CellId, Level};
+use crate::summary::OTHER_KIND;
+use std::collections::BTreeMap;
+
+/// Weight of the configured speed, in jobs.
+const PRIOR_JOBS: f64 = 2.0;
+/// Most rounds of fitting work and slowness in turn.
+const MAX_ROUNDS: usize = 50;
+/// The fit has converged once no kind moves by more than this.
+const TOLERANCE: f64 = 1e-4;
+/// Kinds with fewer weighted jobs than this in a unit are left out.
+const MIN_UNIT_JOBS: f64 = 0.05;
+
+/// The slowness of a kind.
+#[derive(Clone, Copy, Debug)]
+struct Slowness {
+    kind: u32,
+    log: f64,
+}
+
+/// The slowness of all kinds that are known.
+#[derive(Debug)]
+pub(crate) struct KindSlowness(Vec<Slowness>);
+
+impl KindSlowness {
+    /// As configured, before anything was seen.
+    pub fn prior(config: &Config) -> KindSlowness {
+        KindSlowness(
+            config.speeds.iter().map(|(kind, speed)| Slowness { kind: *kind, log: -speed.ln() }).collect(),
+        )
+    }
+
+    /// Fitted to the sums of all cells.
+    pub fn fit(sums: &BTreeMap<CellId, CellSum>, config: &Config) -> KindSlowness {
+        let units = fitted_units(sums);
+        let mut kinds: Vec<u32> = units.iter().flatten().map(|sum| sum.kind).collect();
+        kinds.extend(config.speeds.iter().map(|(kind, _)| *kind));
+        kinds.sort_unstable();
+        kinds.dedup();
+        let prior: Vec<f64> = kinds.iter().map(|kind| configured_slowness(config, *kind)).collect();
+        let mut slowness = prior.clone();
+        for _ in 0..MAX_ROUNDS {
+            let next = next_round(&units, &kinds, &prior, &slowness);
+            let moved = next.iter().zip(&slowness).fold(0f64, |moved, (a, b)| moved.max((a - b).abs()));
+            slowness = next;
+            if moved < TOLERANCE {
+                break;
+            }
+        }
+        KindSlowness(kinds.into_iter().zip(slowness).map(|(kind, log)| Slowness { kind, log }).collect())
+    }
+
+    /// Logarithmic slowness of a kind; 0 for one never seen.
+    pub fn get(&self, kind: u32) -> f64 {
+        let index = self.0.binary_search_by_key(&kind, |slowness| slowness.kind);
+        index.map_or(0.0, |index| self.0[index].log)
+    }
+
+    /// All kinds, in their order.
+    pub fn iter(&self) -> impl Iterator<Item = (u32, f64)> {
+        self.0.iter().map(|slowness| (slowness.kind, slowness.log))
+    }
+}
+
+fn configured_slowness(config: &Config, kind: u32) -> f64 {
+    config.speeds.iter().find(|(configured, _)| *configured == kind).map_or(0.0, |(_, speed)| -speed.ln())
+}
+
+/// The slowness of each kind, given the work that follows from the present slowness.
+fn next_round(units: &[Vec<KindSum>], kinds: &[u32], prior: &[f64], slowness: &[f64]) -> Vec<f64> {
+    let index_of = |kind: u32| kinds.binary_search(&kind).unwrap_or(0);
+    let mut jobs = vec![PRIOR_JOBS; kinds.len()];
+    let mut log_sums: Vec<f64> = prior.iter().map(|prior| PRIOR_JOBS * prior).collect();
+    for unit in units {
+        let unit_jobs: f64 = unit.iter().map(|sum| sum.jobs).sum();
+        let work = unit.iter().map(|sum| sum.log_sum - sum.jobs * slowness[index_of(sum.kind)]).sum::<f64>()
+            / unit_jobs;
+        for sum in unit {
+            let index = index_of(sum.kind);
+            jobs[index] += sum.jobs;
+            log_sums[index] += sum.log_sum - sum.jobs * work;
+        }
+    }
+    let means: Vec<f64> = log_sums.iter().zip(&jobs).map(|(log_sum, jobs)| log_sum / jobs).collect();
+    let offset =
+        means.iter().zip(prior).map(|(mean, prior)| mean - prior).sum::<f64>() / kinds.len().max(1) as f64;
+    means.iter().map(|mean| mean - offset).collect()
+}
+
+/// The units of the fit: the subjects, and each class without its subjects. What stays of a class are jobs without a subject
+/// or with one that was dropped. Units seen at one kind only say nothing.
+fn fitted_units(sums: &BTreeMap<CellId, CellSum>) -> Vec<Vec<KindSum>> {
+    let mut classes: BTreeMap<u32, CellSum> = BTreeMap::new();
+    for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == Level::Class) {
+        classes.insert(cell.hash as u32, CellSum { kinds: sum.kinds.clone(), ..CellSum::default() });
+    }
+    let mut units = Vec::new();
+    for (_, subject) in sums.iter().filter(|(cell, _)| cell.level == Level::Subject) {
+        if let Some(class) = classes.get_mut(&subject.class) {
+            for sum in &subject.kinds {
+                class.add_kind(sum.kind, -sum.jobs, -sum.log_sum);
+            }
+        }
+        units.push(subject.kinds.clone());
+    }
+    units.extend(classes.into_values().map(|class| class.kinds));
+    for unit in &mut units {
+        unit.retain(|sum| sum.jobs > MIN_UNIT_JOBS && sum.kind != OTHER_KIND);
+    }
+    units.retain(|unit| unit.len() > 1);
+    units
+}
--- /dev/null
+++ b/crates/runtimes/src/own_summaries.rs
@@ -0,0 +1,212 @@
+//! The summaries of this dispatcher, and which of them is published next.
+
+use crate::Config;
+use crate::cell_sum::CellSum;
+use crate::encoding::{SummaryKey, encode};
+use crate::features::{CellId, Level};
+use crate::span_clock::SpanClock;
+use crate::summary::Summary;
+use siphasher::sip::SipHasher13;
+use std::collections::{BTreeMap, VecDeque};
+use std::hash::Hasher;
+
+/// No summary counts more jobs than this.
+const MAX_JOBS: u32 = 1 << 22;
+/// A summary that has grown by a little is published after this long, µs.
+const MAX_PUBLISH_DELAY: u64 = 30_000_000;
+/// A summary that has grown by this factor is published at once.
+const MIN_GROWTH: f64 = 1.25;
+/// A cell of all features of a request gets a summary once it was seen so often recently; most of them never come again.
+const MIN_SIGHTINGS: u8 = 4;
+/// Counters of [`AdmissionFilter`].
+const SIGHTING_COUNTERS: usize = 4_096;
+
+/// How often the finest cells were seen, by a part of their hash, halved with each span (the doorkeeper of TinyLFU, Einziger
+/// and others 2017).
+struct AdmissionFilter(Box<[u8; SIGHTING_COUNTERS]>);
+
+impl AdmissionFilter {
+    /// Counts a sighting; whether the cell has been seen often enough.
+    fn admits(&mut self, cell: CellId) -> bool {
+        let sightings = &mut self.0[cell.hash as usize % SIGHTING_COUNTERS];
+        *sightings = sightings.saturating_add(1);
+        *sightings >= MIN_SIGHTINGS
+    }
+
+    fn halve(&mut self) {
+        self.0.iter_mut().for_each(|sightings| *sightings /= 2);
+    }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OwnKey {
+    span: u32,
+    cell: CellId,
+}
+
+struct OwnSummary {
+    summary: Summary,
+    /// The slot that it is published in.
+    slot: Option<u32>,
+    /// Jobs that it counted when it was published last.
+    published_jobs: u32,
+    published_at: u64,
+}
+
+impl OwnSummary {
+    /// Whether it has grown enough since it was published.
+    fn is_due(&self, level: Level, now: u64) -> bool {
+        let jobs = self.summary.jobs();
+        let min_jobs = match level {
+            Level::Class => 1,
+            Level::Worker => 8,
+            _ => 3,
+        };
+        let growth = f64::from(jobs) / f64::from(self.published_jobs.max(1));
+        let is_ripe = growth >= MIN_GROWTH || now - self.published_at >= MAX_PUBLISH_DELAY;
+        jobs > self.published_jobs && jobs >= min_jobs && (self.published_jobs == 0 || is_ripe)
+    }
+
+    /// How much others would learn from it.
+    fn urgency(&self) -> f64 {
+        let new_jobs = self.summary.jobs() - self.published_jobs;
+        f64::from(new_jobs) / f64::from(self.published_jobs + 4)
+    }
+}
+
+/// The summaries of this dispatcher.
+pub(crate) struct OwnSummaries {
+    place: u16,
+    run: u64,
+    max_summaries: usize,
+    spans: SpanClock,
+    summaries: BTreeMap<OwnKey, OwnSummary>,
+    free_slots: VecDeque<u32>,
+    admission: AdmissionFilter,
+    dropped: u64,
+}
+
+impl OwnSummaries {
+    pub fn new(config: &Config, spans: SpanClock) -> OwnSummaries {
+        let slots = config.slots;
+        // A run begins at another slot than the one before, so that what that one published is overwritten late.
+        let mut hasher = SipHasher13::new();
+        hasher.write_u64(config.epoch);
+        let first = (hasher.finish() % u64::from(slots)) as u32;
+        OwnSummaries {
+            place: config.place,
+            run: config.epoch,
+            max_summaries: config.max_own_summaries,
+            spans,
+            summaries: BTreeMap::new(),
+            free_slots: (first..slots).chain(0..first).collect(),
+            admission: AdmissionFilter(Box::new([0; SIGHTING_COUNTERS])),
+            dropped: 0,
+        }
+    }
+
+    /// Number of summaries.
+    pub fn len(&self) -> usize {
+        self.summaries.len()
+    }
+
+    /// Summaries for which there was no room.
+    pub fn dropped(&self) -> u64 {
+        self.dropped
+    }
+
+    fn rank(&self, key: &OwnKey, summary: &Summary) -> i64 {
+        self.spans.rank(key.span, summary.jobs())
+    }
+
+    /// The summary of a cell in the present span, if there is room. Room is made by dropping one of an older span: nothing is
+    /// added to those, so that what was published of a summary never shrinks.
+    pub fn summary_mut(&mut self, span: u32, cell: CellId, class: u32) -> Option<&mut Summary> {
+        if cell.level == Level::All && !self.admission.admits(cell) {
+            return None;
+        }
+        let key = OwnKey { span, cell };
+        if !self.summaries.contains_key(&key) && self.summaries.len() >= self.max_summaries {
+            self.dropped += 1;
+            let least_used = self.least_used_before(span)?;
+            self.remove(&least_used);
+        }
+        let own = self.summaries.entry(key).or_insert_with(|| OwnSummary {
+            summary: Summary { class, ..Summary::default() },
+            slot: None,
+            published_jobs: 0,
+            published_at: 0,
+        });
+        (own.summary.jobs() < MAX_JOBS).then_some(&mut own.summary)
+    }
+
+    fn least_used_before(&self, span: u32) -> Option<OwnKey> {
+        let older = self.summaries.iter().take_while(|(key, _)| key.span < span);
+        let least = older.min_by_key(|(key, own)| (self.rank(key, &own.summary), **key));
+        least.map(|(key, _)| *key)
+    }
+
+    fn remove(&mut self, key: &OwnKey) {
+        let slot = self.summaries.remove(key).and_then(|own| own.slot);
+        self.free_slots.extend(slot);
+    }
+
+    /// Drops the summaries of spans before `oldest`.
+    pub fn expire(&mut self, oldest: u32) {
+        let expired: Vec<OwnKey> =
+            self.summaries.keys().take_while(|key| key.span < oldest).copied().collect();
+        expired.iter().for_each(|key| self.remove(key));
+    }
+
+    /// Another span has begun.
+    pub fn on_new_span(&mut self) {
+        self.admission.halve();
+    }
+
+    /// Adds all summaries to the sums of their cells, weighted by their age in the span `present`.
+    pub fn add_to(&self, sums: &mut BTreeMap<CellId, CellSum>, present: u32) {
+        for (key, own) in &self.summaries {
+            let weight = self.spans.weight(key.span, present);
+            sums.entry(key.cell).or_default().add(&own.summary, weight);
+        }
+    }
+
+    /// The fact that is published next, as slot and bytes: of the summary that has grown the most since it was published.
+    /// Where all slots are taken, that of the least used summary is used again: who received that one keeps it.
+    pub fn publish(&mut self, now: u64) -> Option<(u32, Vec<u8>)> {
+        let has_free_slot = !self.free_slots.is_empty();
+        let published = self.summaries.iter().filter(|(_, own)| own.slot.is_some() && !has_free_slot);
+        let least_used = published.map(|(key, own)| (self.rank(key, &own.summary), *key)).min();
+        let least_rank = least_used.map_or(i64::MAX, |(rank, _)| rank);
+        let can_have_slot = |key: &OwnKey, own: &OwnSummary| {
+            own.slot.is_some() || has_free_slot || self.rank(key, &own.summary) > least_rank
+        };
+        let candidates = self
+            .summaries
+            .iter()
+            .filter(|(key, own)| own.is_due(key.cell.level, now) && can_have_slot(key, own));
+        let candidates = candidates.map(|(key, own)| (own.urgency(), *key));
+        let best = candidates.max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
+        let (_, key) = best?;
+        let slot = match (self.summaries.get(&key)?.slot, least_used) {
+            (Some(slot), _) => slot,
+            (None, Some((_, least_used))) => self.summaries.get_mut(&least_used)?.slot.take()?,
+            (None, None) => self.free_slots.pop_front()?,
+        };
+        let own = self.summaries.get_mut(&key)?;
+        own.slot = Some(slot);
+        own.published_jobs = own.summary.jobs();
+        own.published_at = now;
+        let OwnKey { span, cell } = key;
+        let key = SummaryKey { cell, span, place: self.place, run: self.run };
+        Some((slot, encode(&own.summary, &key)))
+    }
+
+    /// Memory beside the struct itself, approximately.
+    pub fn heap_bytes(&self) -> usize {
+        let summaries: usize =
+            self.summaries.values().map(|own| size_of::<OwnSummary>() + own.summary.heap_bytes()).sum();
+        let keys = self.summaries.len() * size_of::<OwnKey>();
+        summaries + keys + self.free_slots.capacity() * size_of::<u32>() + SIGHTING_COUNTERS
+    }
+}
--- /dev/null
+++ b/crates/runtimes/src/publish_pacer.rs
@@ -0,0 +1,42 @@
+//! The pace of published facts: a token bucket, and a pause where nothing was worth a fact.
+
+use crate::Config;
+
+/// Facts that were not published for want of anything new may be published at once for so many seconds.
+const BURST_SECONDS: f64 = 10.0;
+/// Where nothing was worth a fact, the next attempt is made after this long, µs.
+const IDLE_INTERVAL: u64 = 500_000;
+
+/// Says when a fact may be published.
+#[derive(Debug)]
+pub(crate) struct PublishPacer {
+    facts_per_s: f64,
+    tokens: f64,
+    refilled_at: u64,
+    idle_until: u64,
+}
+
+impl PublishPacer {
+    pub fn new(config: &Config, now: u64) -> PublishPacer {
+        let tokens = BURST_SECONDS * config.facts_per_s;
+        PublishPacer { facts_per_s: config.facts_per_s, tokens, refilled_at: now, idle_until: now }
+    }
+
+    /// Whether a fact may be published now.
+    pub fn is_ready(&mut self, now: u64) -> bool {
+        let earned = (now - self.refilled_at) as f64 * self.facts_per_s / 1e6;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + earned).min((BURST_SECONDS * self.facts_per_s).max(1.0));
+        self.tokens >= 1.0 && now >= self.idle_until
+    }
+
+    /// A fact was published.
+    pub fn on_published(&mut self) {
+        self.tokens -= 1.0;
+    }
+
+    /// Nothing was worth a fact.
+    pub fn on_idle(&mut self, now: u64) {
+        self.idle_until = now + IDLE_INTERVAL;
+    }
+}
--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtimes/tests/estimates.rs
@@ -1,15 +1,15 @@
-//! What estimates are worth: against an exact sketch, over kinds of workers, with jobs cut off, while a job runs; the bounds;
-//! and the arithmetic of backfilling against trying all.
+//! Accuracy of estimates: against an exact sketch, over kinds of workers, with censored jobs, while a job runs; the bounds;
+//! and the arithmetic of backfilling against exhaustive search.
 
-use mothproxy_runtimes::backfill::{Allowance, Held, Reservation, may_go, reserve};
-use mothproxy_runtimes::{Config, ConfigError, Likeness, Outcome, Runtimes};
+use mothproxy_runtimes::backfill::{IdleAllowance, OccupiedSlots, Reservation, may_start_before, reserve};
+use mothproxy_runtimes::{Config, ConfigError, JobFeatures, Outcome, RuntimeEstimator};
 use proptest::prelude::*;
 use sketches_ddsketch::DDSketch;
 
 const S: u64 = 1_000_000;
 
-fn start() -> Runtimes {
-    Runtimes::new(Config::new(0, 1_790_000_000_000), 0).expect("the defaults hold")
+fn start() -> RuntimeEstimator {
+    RuntimeEstimator::new(Config::new(0, 1_790_000_000_000), 0).expect("the defaults hold")
 }
 
 fn normal(rng: &mut fastrand::Rng) -> f64 {
@@ -18,23 +18,23 @@
 
 /// Runs jobs of one class one after another: `of` gives likeness, kind and run time; cut off at `limit`.
 fn run(
-    one: &mut Runtimes,
+    one: &mut RuntimeEstimator,
     jobs: u64,
     limit: u64,
     rng: &mut fastrand::Rng,
-    of: impl Fn(&mut fastrand::Rng) -> (Likeness, u32, f64),
+    of: impl Fn(&mut fastrand::Rng) -> (JobFeatures, u32, f64),
 ) {
     for id in 0..jobs {
         let (likeness, kind, ran) = of(rng);
-        let now = one_after(id);
-        one.started(id, &likeness, kind, u64::from(kind), now);
+        let now = started_at(id);
+        one.on_started(id, &likeness, kind, u64::from(kind), now);
         let outcome = if ran as u64 <= limit { Outcome::Done } else { Outcome::Censored };
-        one.ended(id, outcome, now + (ran as u64).min(limit));
+        one.on_ended(id, outcome, now + (ran as u64).min(limit));
     }
-    one.advance(one_after(jobs));
+    one.advance(started_at(jobs));
 }
 
-fn one_after(id: u64) -> u64 {
+fn started_at(id: u64) -> u64 {
     id * 200_000
 }
 
@@ -50,11 +50,11 @@
     let runs: Vec<f64> = (0..2_000).map(|_| 80_000.0 * normal(&mut rng).exp()).collect();
     runs.iter().for_each(|ran| exact.add(*ran));
     for (id, ran) in (0..).zip(&runs) {
-        one.started(id, &Likeness::of_class(1), 1, 1, id * 2 * S);
-        one.ended(id, Outcome::Done, id * 2 * S + *ran as u64);
+        one.on_started(id, &JobFeatures::from_class(1), 1, 1, id * 2 * S);
+        one.on_ended(id, Outcome::Done, id * 2 * S + *ran as u64);
     }
     one.advance(1_000 * S);
-    let estimate = one.estimate(&Likeness::of_class(1), 1, None);
+    let estimate = one.estimate(&JobFeatures::from_class(1), 1, None);
     for (is, quantile) in [(estimate.typical, 0.5), (estimate.long, 0.9)] {
         let wanted = exact.quantile(quantile).ok().flatten().expect("there are jobs");
         assert!(near(is, wanted, 0.15), "{quantile}: {is} and {wanted}");
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn a_job_seen_at_one_kind_tells_of_another() {
+fn jobs_at_one_kind_predict_run_times_at_another() {
     let mut one = start();
     let mut rng = fastrand::Rng::with_seed(3);
-    let of = |subject: u64| Likeness { subject: Some(subject), ..Likeness::of_class(1) };
+    let of = |subject: u64| JobFeatures { subject: Some(subject), ..JobFeatures::from_class(1) };
     // Subject 7 runs at kind 1 alone; the others teach that kind 2 takes three times as long.
     run(&mut one, 1_500, u64::MAX, &mut rng, |rng| {
         let subject = rng.u64(..8);
@@ -76,35 +76,35 @@
     let (seen, told) = (one.estimate(&of(7), 1, None).typical, one.estimate(&of(7), 2, None).typical);
     assert!(near(seen, 100_000.0, 0.2) && near(told, 300_000.0, 0.3), "{seen} and {told}");
     // The work is between the two, whichever kinds it was seen at.
-    let work = one.work(&of(0)).typical;
+    let work = one.estimate_work(&of(0)).typical;
     assert!(near(work, 20_000.0 * 3f64.sqrt(), 0.3), "{work}");
 }
 
 #[test]
-fn jobs_cut_off_are_lower_bounds() {
+fn censored_jobs_are_lower_bounds() {
     for (fault, caught) in [(false, false), (true, true)] {
         let config = Config { censored_as_short: fault, ..Config::new(0, 1_790_000_000_000) };
-        let mut one = Runtimes::new(config, 0).expect("holds");
+        let mut one = RuntimeEstimator::new(config, 0).expect("holds");
         let mut rng = fastrand::Rng::with_seed(5);
         // Three jobs in ten are cut off at 1.7 times the middle, half of the others anywhere before their end.
         run(&mut one, 1_500, 170_000, &mut rng, |rng| {
-            (Likeness::of_class(1), 1, 100_000.0 * normal(rng).exp())
+            (JobFeatures::from_class(1), 1, 100_000.0 * normal(rng).exp())
         });
-        let estimate = one.estimate(&Likeness::of_class(1), 1, None);
+        let estimate = one.estimate(&JobFeatures::from_class(1), 1, None);
         assert!(near(estimate.typical, 100_000.0, 0.25), "{estimate:?}");
         assert_eq!(estimate.long < 200_000, caught, "fault {fault}: {estimate:?}");
     }
 }
 
 #[test]
-fn what_remains_grows_where_the_estimate_was_too_low_and_follows_progress() {
+fn the_remaining_time_grows_with_low_estimates_and_follows_progress() {
     let mut one = start();
     let mut rng = fastrand::Rng::with_seed(8);
     run(&mut one, 1_000, u64::MAX, &mut rng, |rng| {
-        (Likeness::of_class(1), 1, 100_000.0 * (0.7 * normal(rng)).exp())
+        (JobFeatures::from_class(1), 1, 100_000.0 * (0.7 * normal(rng)).exp())
     });
-    let from = one_after(1_000);
-    one.started(9_999, &Likeness::of_class(1), 1, 1, from);
+    let from = started_at(1_000);
+    one.on_started(9_999, &JobFeatures::from_class(1), 1, 1, from);
     let mut ends = 0;
     for ran in [10_000, 100_000, 300_000, 1_000_000, 5_000_000] {
         let left = one.remaining(9_999, from + ran).expect("it runs");
@@ -112,28 +112,29 @@
         assert!(ran + left.typical >= ends, "after {ran} it ends at {} and not {ends}", ran + left.typical);
         ends = ran + left.typical;
     }
-    one.progress(9_999, 0.5, from + 5_000_000);
+    one.on_progress(9_999, 0.5, from + 5_000_000);
     let left = one.remaining(9_999, from + 5_000_000).expect("it runs");
     assert!((2_500_000..7_500_000).contains(&left.typical), "{left:?}");
     assert_eq!(one.remaining(1, from), None);
 }
 
 #[test]
-fn all_is_bounded() {
-    let config = Config { own: 50, slots: 8, running: 20, ..Config::new(0, 1_790_000_000_000) };
-    let mut one = Runtimes::new(config, 0).expect("holds");
+fn memory_and_slots_are_bounded() {
+    let config =
+        Config { max_own_summaries: 50, slots: 8, max_running_jobs: 20, ..Config::new(0, 1_790_000_000_000) };
+    let mut one = RuntimeEstimator::new(config, 0).expect("holds");
     let mut slots = std::collections::BTreeSet::new();
     for id in 0..3_000u64 {
         // Two spans' worth of new subjects, and jobs that never end.
-        let likeness = Likeness { subject: Some(id % 700), ..Likeness::of_class(id % 3) };
-        one.started(id, &likeness, (id % 9) as u32, id % 500, id * S / 2);
+        let likeness = JobFeatures { subject: Some(id % 700), ..JobFeatures::from_class(id % 3) };
+        one.on_started(id, &likeness, (id % 9) as u32, id % 500, id * S / 2);
         if id % 3 > 0 {
-            one.ended(id, Outcome::Done, id * S / 2 + 1_000);
+            one.on_ended(id, Outcome::Done, id * S / 2 + 1_000);
         }
         slots.extend(std::iter::from_fn(|| one.publish(id * S / 2 + 2_000)).map(|fact| fact.0));
     }
-    let figures = one.figures();
-    assert!(figures.registers <= 50 && figures.running <= 20 && figures.crowded > 0, "{figures:?}");
+    let figures = one.metrics();
+    assert!(figures.summaries <= 50 && figures.running <= 20 && figures.dropped > 0, "{figures:?}");
     assert!(slots.len() <= 8 && slots.iter().all(|slot| *slot < 8), "{slots:?}");
 }
 
@@ -142,21 +143,27 @@
     let refused = |change: &dyn Fn(&mut Config)| {
         let mut config = Config::new(0, 1);
         change(&mut config);
-        Runtimes::new(config, 0).err()
+        RuntimeEstimator::new(config, 0).err()
     };
-    assert_eq!(refused(&|c| c.long = f64::NAN).map(|e| matches!(e, ConfigError::Quantile(_))), Some(true));
+    assert_eq!(
+        refused(&|c| c.long_quantile = f64::NAN).map(|e| matches!(e, ConfigError::Quantile(_))),
+        Some(true)
+    );
     assert_eq!(refused(&|c| c.speeds = vec![(1, 0.0)]), Some(ConfigError::Positive));
     assert_eq!(refused(&|c| c.slots = 0), Some(ConfigError::Zero));
     assert_eq!(refused(&|c| c.epoch = u64::MAX), Some(ConfigError::Epoch));
 }
 
-fn held() -> impl Strategy<Value = Vec<Held>> {
-    prop::collection::vec((0u64..60, 1u8..4), 0..8)
-        .prop_map(|all| all.into_iter().map(|(ends, slots)| Held { ends, slots: f64::from(slots) }).collect())
+fn held() -> impl Strategy<Value = Vec<OccupiedSlots>> {
+    prop::collection::vec((0u64..60, 1u8..4), 0..8).prop_map(|all| {
+        all.into_iter()
+            .map(|(ends, slots)| OccupiedSlots { ends_at: ends, slots: f64::from(slots) })
+            .collect()
+    })
 }
 
-fn free_at(at: u64, free: f64, held: &[Held]) -> f64 {
-    free + held.iter().filter(|held| held.ends <= at).map(|held| held.slots).sum::<f64>()
+fn free_at(at: u64, free: f64, held: &[OccupiedSlots]) -> f64 {
+    free + held.iter().filter(|held| held.ends_at <= at).map(|held| held.slots).sum::<f64>()
 }
 
 proptest! {
@@ -175,12 +182,12 @@
 
     /// Whoever is let in before a reservation, and ends when it should, leaves the reservation's time as it was.
     #[test]
-    fn whoever_may_go_delays_nothing(free in 1u8..5, need in 1u8..9, slots in 1u8..4, long in 1u64..60, held in held()) {
+    fn a_job_started_before_a_reservation_does_not_delay_it(free in 1u8..5, need in 1u8..9, slots in 1u8..4, long in 1u64..60, held in held()) {
         let (free, need, slots) = (f64::from(free), f64::from(need), f64::from(slots));
         let Some(reserved) = reserve(0, free, need, &mut held.clone()) else { return Ok(()) };
-        if reserved.at > 0 && slots <= free && may_go(0, slots, long, &reserved) {
+        if reserved.at > 0 && slots <= free && may_start_before(0, slots, long, &reserved) {
             let mut with = held.clone();
-            with.push(Held { ends: long, slots });
+            with.push(OccupiedSlots { ends_at: long, slots });
             let after = reserve(0, free - slots, need, &mut with);
             prop_assert!(after.is_some_and(|after| after.at <= reserved.at), "{reserved:?} became {after:?}");
         }
@@ -188,15 +195,15 @@
 
     /// Over any history no more is held than the income and one burst, whatever is asked.
     #[test]
-    fn an_allowance_bounds_what_is_held(asks in prop::collection::vec((1u64..1_000, 0u8..9), 1..200)) {
-        let mut allowance = Allowance::new(0, 10.0, 0.1, 5_000);
+    fn an_allowance_bounds_idle_slots(asks in prop::collection::vec((1u64..1_000, 0u8..9), 1..200)) {
+        let mut allowance = IdleAllowance::new(0, 10.0, 0.1, 5_000);
         let (mut now, mut held, mut paid) = (0, 0.0, 0.0);
         for (passed, asked) in asks {
             now += passed;
             paid += held * passed as f64;
-            let open = allowance.settle(now, held);
+            let open = allowance.update(now, held);
             held = if open { f64::from(asked) } else { 0.0 };
-            allowance.settle(now, held);
+            allowance.update(now, held);
             // It is asked once a step; within a step it may be overdrawn by that step's use.
             prop_assert!(paid <= 1.0 * now as f64 + 5_000.0 + 9.0 * 1_000.0);
         }
--- a/crates/runtimes/tests/facts.rs
+++ b/crates/runtimes/tests/facts.rs
@@ -1,7 +1,7 @@
-//! What dispatchers tell each other: any order, any repeats, losses made good later, restarts and merged halves give the same
-//! bits; nothing counts twice; nothing unreadable does harm.
+//! Facts between dispatchers: any order, any repeats, late redelivery, restarts and merged halves give the same bits; nothing
+//! counts twice; nothing unreadable does harm.
 
-use mothproxy_runtimes::{AbsorbError, Config, Likeness, Origin, Outcome, Runtimes};
+use mothproxy_runtimes::{AbsorbError, Config, JobFeatures, Origin, Outcome, RuntimeEstimator};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
@@ -9,26 +9,28 @@
 
 type Fact = (Origin, u32, u64, Vec<u8>);
 
-fn start(place: u16, epoch: u64, held: usize) -> Runtimes {
-    Runtimes::new(Config { held, ..Config::new(place, epoch) }, 0).expect("the defaults hold")
+fn start(place: u16, epoch: u64, held: usize) -> RuntimeEstimator {
+    RuntimeEstimator::new(Config { max_received_summaries: held, ..Config::new(place, epoch) }, 0)
+        .expect("the defaults hold")
 }
 
-/// What a dispatcher tells over so many jobs, numbered as its membership would.
-fn taught(place: u16, epoch: u64, jobs: u64, seed: u64) -> Vec<Fact> {
-    let mut one = Runtimes::new(Config { facts_per_s: 40.0, ..Config::new(place, epoch) }, 0).expect("holds");
+/// What a dispatcher publishes over so many jobs, numbered as its membership would.
+fn published(place: u16, epoch: u64, jobs: u64, seed: u64) -> Vec<Fact> {
+    let mut one =
+        RuntimeEstimator::new(Config { facts_per_s: 40.0, ..Config::new(place, epoch) }, 0).expect("holds");
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut facts = Vec::new();
     for id in 0..jobs {
         let now = id * S / 4;
-        let likeness = Likeness {
+        let likeness = JobFeatures {
             tenant: Some(rng.u64(..3)),
             subject: Some(rng.u64(..4)),
-            facts: [Some(rng.u64(..2)), None],
-            ..Likeness::of_class(rng.u64(..2))
+            attributes: [Some(rng.u64(..2)), None],
+            ..JobFeatures::from_class(rng.u64(..2))
         };
-        one.started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
+        one.on_started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
-        one.ended(id, outcome, now + rng.u64(1_000..S / 5));
+        one.on_ended(id, outcome, now + rng.u64(1_000..S / 5));
         while let Some((slot, bytes)) = one.publish(now + S / 4) {
             assert!(bytes.len() <= 160, "a fact of {} bytes", bytes.len());
             facts.push((Origin { place, epoch }, slot, facts.len() as u64 + 1, bytes));
@@ -39,14 +41,14 @@
 
 /// Two members, one of them restarted, and an earlier run of the listener's own place.
 fn all_facts(seed: u64) -> Vec<Fact> {
-    let mut facts = taught(1, EPOCH, 120, seed);
-    facts.extend(taught(1, EPOCH + 40_000, 60, seed + 1));
-    facts.extend(taught(2, EPOCH + 7, 120, seed + 2));
-    facts.extend(taught(0, EPOCH - 90_000, 60, seed + 3));
+    let mut facts = published(1, EPOCH, 120, seed);
+    facts.extend(published(1, EPOCH + 40_000, 60, seed + 1));
+    facts.extend(published(2, EPOCH + 7, 120, seed + 2));
+    facts.extend(published(0, EPOCH - 90_000, 60, seed + 3));
     facts
 }
 
-fn absorbed<'a>(held: usize, facts: impl IntoIterator<Item = &'a Fact>) -> Runtimes {
+fn absorbed<'a>(held: usize, facts: impl IntoIterator<Item = &'a Fact>) -> RuntimeEstimator {
     let mut one = start(0, EPOCH, held);
     for (n, (origin, slot, number, bytes)) in facts.into_iter().enumerate() {
         // At times of its own: when a fact comes must not matter either.
@@ -59,8 +61,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Shuffled, repeated, and with what was lost at first told again at the end, the state is the same bit by bit; also
-    /// where there are more registers than room. A half that heard only some, merged with the rest, comes to the same.
+    /// Shuffled, repeated, and with what was lost at first delivered at the end, the state is the same bit by bit; also
+    /// where there are more summaries than room. A half that received only some, merged with the rest, comes to the same.
     #[test]
     fn any_order_gives_the_same_bits(seed in 0u64..1_000, shuffle in any::<u64>(), tight in any::<bool>()) {
         let facts = all_facts(seed);
@@ -70,27 +72,27 @@
         let mut order: Vec<usize> = (0..facts.len()).collect();
         rng.shuffle(&mut order);
         let lost: Vec<usize> = order.iter().copied().filter(|_| rng.u8(..3) == 0).collect();
-        let mut told: Vec<usize> = order.into_iter().filter(|n| !lost.contains(n)).collect();
-        let again: Vec<usize> = told.iter().copied().filter(|_| rng.u8(..3) == 0).collect();
-        told.extend(again);
-        rng.shuffle(&mut told);
-        told.extend(lost);
-        let mut other = absorbed(held, told.iter().map(|n| &facts[*n]));
+        let mut delivered: Vec<usize> = order.into_iter().filter(|n| !lost.contains(n)).collect();
+        let again: Vec<usize> = delivered.iter().copied().filter(|_| rng.u8(..3) == 0).collect();
+        delivered.extend(again);
+        rng.shuffle(&mut delivered);
+        delivered.extend(lost);
+        let mut other = absorbed(held, delivered.iter().map(|n| &facts[*n]));
         prop_assert_eq!(other.digest(60 * S), straight);
         // And once more all of it, backwards: nothing is new.
-        let taken = other.figures().taken;
+        let taken = other.metrics().absorbed;
         for (origin, slot, number, bytes) in facts.iter().rev().filter(|_| !tight) {
             prop_assert_eq!(other.absorb(60 * S, *origin, *slot, *number, bytes), Ok(()));
         }
-        prop_assert_eq!(other.figures().taken, taken);
+        prop_assert_eq!(other.metrics().absorbed, taken);
         prop_assert_eq!(other.digest(60 * S), straight);
     }
 
-    /// A later telling takes the place of the earlier: only the last of each counts.
+    /// A later version replaces the earlier one: only the last of each counts.
     #[test]
     fn a_later_fact_covers_the_earlier(seed in 0u64..1_000) {
         let facts = all_facts(seed);
-        // Slots are not used again in so short a time, so that the last of a slot is the last of its register.
+        // Slots are not used again in so short a time, so that the last of a slot is the last of its summary.
         let last = |fact: &&Fact| !facts.iter().any(|f| (f.0, f.1) == (fact.0, fact.1) && f.2 > fact.2);
         let lasts: Vec<&Fact> = facts.iter().filter(last).collect();
         prop_assert!(lasts.len() < facts.len());
@@ -101,7 +103,7 @@
     #[test]
     fn foreign_bytes_do_no_harm(seed in 0u64..1_000, at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<bool>()) {
         let mut one = start(0, EPOCH, 64);
-        for (origin, slot, number, bytes) in taught(1, EPOCH, 40, seed) {
+        for (origin, slot, number, bytes) in published(1, EPOCH, 40, seed) {
             let mut bad = bytes.clone();
             let at = at.index(bad.len());
             bad[at] = byte;
@@ -111,37 +113,37 @@
             }
             let _ = one.absorb(S, origin, slot, number, &bad);
             one.advance(number * S);
-            let estimate = one.estimate(&Likeness::of_class(0), 0, Some(1));
+            let estimate = one.estimate(&JobFeatures::from_class(0), 0, Some(1));
             prop_assert!(0 < estimate.typical && estimate.typical <= estimate.long);
         }
-        prop_assert!(one.figures().registers <= 64);
+        prop_assert!(one.metrics().summaries <= 64);
         prop_assert_eq!(one.absorb(S, Origin { place: 1, epoch: EPOCH }, 0, 1, &[9, 1, 1]), Err(AbsorbError::Version(9)));
     }
 }
 
 #[test]
 fn a_span_far_ahead_is_refused_and_one_long_past_changes_nothing() {
-    let facts = taught(1, EPOCH + 3_600_000, 40, 1);
+    let facts = published(1, EPOCH + 3_600_000, 40, 1);
     let (origin, slot, number, bytes) = &facts[0];
     let mut early = start(0, EPOCH, 64);
     assert!(matches!(early.absorb(S, *origin, *slot, *number, bytes), Err(AbsorbError::Future(_))));
     let mut late = start(0, EPOCH + 24 * 3_600_000, 64);
     assert_eq!(late.absorb(S, *origin, *slot, *number, bytes), Ok(()));
-    assert_eq!((late.figures().stale, late.figures().registers), (1, 0));
+    assert_eq!((late.metrics().stale, late.metrics().summaries), (1, 0));
 }
 
-/// A restarted dispatcher hears from the others what it had taught itself, and what it teaches anew counts beside it, not in
-/// its place; its own facts of this run, heard again, count nothing.
+/// A restarted dispatcher receives from the others what it had published itself, and what it publishes now counts beside it,
+/// not in its place; its own facts of this run, received again, count nothing.
 #[test]
-fn a_restart_keeps_what_was_taught_and_counts_it_once() {
-    let before = taught(0, EPOCH - 90_000, 80, 4);
+fn a_restart_keeps_what_was_published_and_counts_it_once() {
+    let before = published(0, EPOCH - 90_000, 80, 4);
     let mut one = absorbed(8_192, &before);
-    let (known, taken) = (one.figures().registers, one.figures().taken);
+    let (known, taken) = (one.metrics().summaries, one.metrics().absorbed);
     assert!(known > 0);
-    for (origin, slot, number, bytes) in taught(0, EPOCH, 80, 5) {
+    for (origin, slot, number, bytes) in published(0, EPOCH, 80, 5) {
         assert_eq!(one.absorb(60 * S, origin, slot, number, &bytes), Ok(()));
     }
-    assert_eq!((one.figures().registers, one.figures().taken), (known, taken));
-    let with_other = absorbed(8_192, before.iter().chain(&taught(1, EPOCH, 80, 5)));
-    assert!(with_other.figures().registers > known);
+    assert_eq!((one.metrics().summaries, one.metrics().absorbed), (known, taken));
+    let with_other = absorbed(8_192, before.iter().chain(&published(1, EPOCH, 80, 5)));
+    assert!(with_other.metrics().summaries > known);
 }
--- a/examples/proof_runtimes.rs
+++ b/examples/proof_runtimes.rs
@@ -6,8 +6,10 @@
 mod common;
 
 use common::part;
-use mothproxy_runtimes::backfill::{Allowance, Held, Reservation, may_go, reserve, serves};
-use mothproxy_runtimes::{Config, Estimate, Likeness, Origin, Outcome, Runtimes, number};
+use mothproxy_runtimes::backfill::{
+    IdleAllowance, OccupiedSlots, Reservation, may_start_before, meets_deadline, reserve,
+};
+use mothproxy_runtimes::{Config, Estimate, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
 use serde_json::{Value, json};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -50,7 +52,7 @@
 
 struct Job {
     class: usize,
-    likeness: Likeness,
+    likeness: JobFeatures,
     kind: u32,
     worker: u64,
     /// True run time and true quantiles (logarithms).
@@ -114,12 +116,12 @@
         let (kind, off) = self.workers[worker];
         let middle = class.middle + class.tenants[tenant] + class.subjects[subject] + class.sizes[size];
         let here = middle + self.kinds[kind] + off;
-        let id = |what: &str, n: usize| number(format!("{what}{n}").as_bytes());
-        let likeness = Likeness {
+        let id = |what: &str, n: usize| stable_hash(format!("{what}{n}").as_bytes());
+        let likeness = JobFeatures {
             class: id("class", at),
             tenant: Some(id("tenant", tenant)),
             subject: Some(id("subject", subject)),
-            facts: [Some(size as u64), None],
+            attributes: [Some(size as u64), None],
         };
         Job {
             class: at,
@@ -255,7 +257,7 @@
         picked.into_iter().for_each(|(to, letter)| self.post(now, to, letter));
     }
 
-    fn deliver(&mut self, now: u64, members: &mut [Runtimes]) {
+    fn deliver(&mut self, now: u64, members: &mut [RuntimeEstimator]) {
         while let Some(&Reverse((at, id, to))) = self.under_way.peek() {
             if at > now {
                 break;
@@ -285,7 +287,7 @@
     registers: usize,
     facts: u64,
     cut_off: f64,
-    first: Runtimes,
+    first: RuntimeEstimator,
 }
 
 /// When a job ends, its id, its dispatcher, its class, and whether it was not cut off.
@@ -301,9 +303,9 @@
     let mut carrier = Carrier::new(seed ^ 5);
     let fresh = |place: u16, now: u64| {
         let config = Config { censored_as_short: fault, ..Config::new(place, EPOCH + now / 1_000) };
-        Runtimes::new(config, now).expect("the defaults hold")
+        RuntimeEstimator::new(config, now).expect("the defaults hold")
     };
-    let mut all: Vec<Runtimes> = (0..members).map(|place| fresh(place, 0)).collect();
+    let mut all: Vec<RuntimeEstimator> = (0..members).map(|place| fresh(place, 0)).collect();
     let mut means: Vec<ClassMean> = world.classes.iter().map(|_| ClassMean::default()).collect();
     let none = [Loss::default(); 5];
     let three = [Loss::default(); 3];
@@ -364,7 +366,7 @@
                     day.others[late].add(&job, guess);
                 }
             }
-            all[at].started(id, &job.likeness, job.kind, job.worker, now);
+            all[at].on_started(id, &job.likeness, job.kind, job.worker, now);
             // Cut off at the class's limit, and two in a hundred anywhere before their end.
             let whole = job.ran.exp();
             let limit = world.classes[job.class].middle.exp() * limit;
@@ -376,16 +378,16 @@
             next_job = now + (-(1.0 - rng.f64()).ln() / RATE * S as f64) as u64 + 1;
         } else if let Some(Reverse((_, id, at, class, done))) = ends.pop() {
             let log = logs.remove(&id).unwrap_or_default();
-            all[at].ended(id, if done { Outcome::Done } else { Outcome::Censored }, now);
+            all[at].on_ended(id, if done { Outcome::Done } else { Outcome::Censored }, now);
             if done {
                 means[class].add(log);
             }
         }
     }
-    let first = all[0].figures();
-    day.bytes_a_second = first.told_bytes as f64 / PARTS[4].1 as f64;
-    day.memory = all.iter().map(|one| one.figures().bytes).max().unwrap_or(0);
-    day.registers = first.registers;
+    let first = all[0].metrics();
+    day.bytes_a_second = first.published_bytes as f64 / PARTS[4].1 as f64;
+    day.memory = all.iter().map(|one| one.metrics().bytes).max().unwrap_or(0);
+    day.registers = first.summaries;
     day.facts = carrier.posted;
     day.cut_off = first.censored as f64 / first.seen as f64;
     day.first = all.swap_remove(0);
@@ -421,7 +423,7 @@
     let (factor, slow, end) = (2.5, (120 * S, 180 * S), 260 * S);
     let world = World::new(seed);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut one = Runtimes::new(Config::new(0, EPOCH), 0).expect("the defaults hold");
+    let mut one = RuntimeEstimator::new(Config::new(0, EPOCH), 0).expect("the defaults hold");
     let mut ends: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
     let (mut now, mut next_job, mut next_look, mut id) = (0u64, 0u64, 0u64, 0u64);
     let (mut follows, mut returns, mut strayed) = (f64::NAN, f64::NAN, 0f64);
@@ -430,7 +432,7 @@
         now = next_job.min(next_look).min(ends.peek().map_or(u64::MAX, |e| e.0.0));
         if next_look == now {
             one.advance(now);
-            let seen = one.figures().slowdown;
+            let seen = one.metrics().slowdown;
             if (60 * S..slow.0).contains(&now) {
                 strayed = strayed.max(seen.ln().abs());
             }
@@ -450,12 +452,12 @@
                     errors[at] = (errors[at].0 + error, errors[at].1 + 1.0);
                 }
             }
-            one.started(id, &job.likeness, job.kind, job.worker, now);
+            one.on_started(id, &job.likeness, job.kind, job.worker, now);
             ends.push(Reverse((through(now, job.ran.exp(), factor, slow), id)));
             id += 1;
             next_job = now + (-(1.0 - rng.f64()).ln() / rate * S as f64) as u64 + 1;
         } else if let Some(Reverse((_, id))) = ends.pop() {
-            one.ended(id, Outcome::Done, now);
+            one.on_ended(id, Outcome::Done, now);
         }
     }
     [follows, returns, strayed, errors[0].0 / errors[0].1, errors[1].0 / errors[1].1]
@@ -478,7 +480,7 @@
     id: u64,
     arrived: u64,
     large: bool,
-    likeness: Likeness,
+    likeness: JobFeatures,
     work: f64,
     wrong: f64,
 }
@@ -501,7 +503,7 @@
     const RESERVED: usize = WORKERS / 4;
     let speeds: Vec<f64> = (0..WORKERS).map(|w| [0.6, 0.85, 1.2, 1.7][w % 4]).collect();
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut one = Runtimes::new(Config::new(0, EPOCH), 0).expect("the defaults hold");
+    let mut one = RuntimeEstimator::new(Config::new(0, EPOCH), 0).expect("the defaults hold");
     let effects: Vec<f64> = (0..20).map(|_| 0.6 * normal(&mut rng)).collect();
     let (mut waiting, mut running): (Vec<Waiting>, Vec<Running>) = (Vec::new(), Vec::new());
     let (mut now, mut next_job, mut id) = (0u64, 0u64, 0u64);
@@ -519,7 +521,7 @@
     let mut sample = fastrand::Rng::with_seed(seed);
     let slot_time = (0..20_000).map(|_| draw(&mut sample)).map(|d| d.2 * if d.0 { 6.0 } else { 1.0 });
     let rate = load * 8.0 * speeds.iter().sum::<f64>() * S as f64 * 20_000.0 / slot_time.sum::<f64>();
-    let mut allowance = Allowance::new(0, 8.0 * WORKERS as f64, 0.04, 10 * S);
+    let mut allowance = IdleAllowance::new(0, 8.0 * WORKERS as f64, 0.04, 10 * S);
     let (mut idle, mut open) = (0.0, true);
     let mut errors = fastrand::Rng::with_seed(seed);
     let mut shares = [(0.0, 0.0); 2];
@@ -530,12 +532,14 @@
         match next_end.filter(|e| e.1 == now) {
             Some((at, _)) => {
                 let gone = running.swap_remove(at);
-                one.ended(gone.id, Outcome::Done, now);
+                one.on_ended(gone.id, Outcome::Done, now);
             }
             None => {
                 let (large, subject, work) = draw(&mut rng);
-                let likeness =
-                    Likeness { subject: Some(subject as u64), ..Likeness::of_class(u64::from(large)) };
+                let likeness = JobFeatures {
+                    subject: Some(subject as u64),
+                    ..JobFeatures::from_class(u64::from(large))
+                };
                 let wrong = match guess {
                     Guess::Times(factor) => factor,
                     Guess::Random => normal(&mut errors).exp(),
@@ -555,7 +559,7 @@
             }
             !left
         });
-        let until = |run: &Running, one: &Runtimes| match guess {
+        let until = |run: &Running, one: &RuntimeEstimator| match guess {
             Guess::True => run.ends,
             Guess::Learned => one.remaining(run.id, now).map_or(now, |left| now + left.typical),
             // Raised by a quarter of what it has run where it proved too low.
@@ -565,7 +569,7 @@
         running.iter().for_each(|run| free[run.worker] -= run.slots);
         let mut reserved: [Option<Reservation>; WORKERS] = [None; WORKERS];
         if on {
-            open = allowance.settle(now, idle);
+            open = allowance.update(now, idle);
         }
         let mut at = 0;
         while at < waiting.len() {
@@ -582,8 +586,9 @@
             // being late.
             let pressed = 2 * (now - job.arrived) > aim(job).saturating_sub(typical(0, false));
             let fits = |&worker: &usize| {
-                let lets =
-                    |r: Reservation| pressed && !job.large || may_go(now, slots, typical(worker, true), &r);
+                let lets = |r: Reservation| {
+                    pressed && !job.large || may_start_before(now, slots, typical(worker, true), &r)
+                };
                 free[worker] >= slots && reserved[worker].is_none_or(lets)
             };
             let room = |worker: &usize| (free[*worker] * 10.0) as u64 + (speeds[*worker] * 10.0) as u64;
@@ -591,7 +596,7 @@
                 Some(worker) => {
                     let ran = (job.work / speeds[worker]) as u64 + 1;
                     let guessed = now + typical(worker, false);
-                    one.started(job.id, &job.likeness, worker as u32 % 4 + 1, worker as u64 + 1, now);
+                    one.on_started(job.id, &job.likeness, worker as u32 % 4 + 1, worker as u64 + 1, now);
                     if job.arrived >= warm {
                         let share = &mut shares[usize::from(job.large)];
                         share.1 += 1.0;
@@ -618,7 +623,7 @@
                             .min_by_key(|(w, r)| (r.at + (job.work / speeds[*w]) as u64, *w));
                         let wanted = job.arrived + aim(job);
                         if let Some((worker, reservation)) =
-                            best.filter(|(w, r)| serves(r, typical(*w, false), wanted))
+                            best.filter(|(w, r)| meets_deadline(r, typical(*w, false), wanted))
                         {
                             reserved[worker] = Some(reservation);
                         }
@@ -629,7 +634,7 @@
         }
         idle = (0..WORKERS).filter(|w| reserved[*w].is_some()).map(|w| free[w]).sum();
         if on {
-            allowance.settle(now, idle);
+            allowance.update(now, idle);
         }
     }
     [shares[1].0 / shares[1].1, shares[0].0 / shares[0].1]
@@ -644,7 +649,8 @@
     until: impl Fn(&Running) -> u64,
 ) -> Option<Reservation> {
     let held = running.iter().filter(|run| run.worker == worker);
-    let mut held: Vec<Held> = held.map(|run| Held { ends: until(run), slots: run.slots }).collect();
+    let mut held: Vec<OccupiedSlots> =
+        held.map(|run| OccupiedSlots { ends_at: until(run), slots: run.slots }).collect();
     reserve(now, free, need, &mut held)
 }
 
@@ -677,7 +683,7 @@
 }
 
 /// Nanoseconds an estimate, nanoseconds a job observed (start and end), microseconds a fit.
-fn cost(seed: u64, one: &mut Runtimes) -> Value {
+fn cost(seed: u64, one: &mut RuntimeEstimator) -> Value {
     let world = World::new(seed);
     let mut rng = fastrand::Rng::with_seed(seed);
     let jobs: Vec<Job> = (0..10_000).map(|_| world.job(&mut rng)).collect();
@@ -689,8 +695,8 @@
     let (mut now, from) = (PARTS[4].1 * S, Instant::now());
     for (id, job) in (1 << 40..).zip(jobs.iter().cycle()).take(100_000) {
         now += 1_000;
-        one.started(id, &job.likeness, job.kind, job.worker, now);
-        one.ended(id, Outcome::Done, now + job.ran.exp() as u64 % 1_000);
+        one.on_started(id, &job.likeness, job.kind, job.worker, now);
+        one.on_ended(id, Outcome::Done, now + job.ran.exp() as u64 % 1_000);
     }
     let observed = from.elapsed().as_nanos() as f64 / 100_000.0;
     let from = Instant::now();
@@ -698,7 +704,7 @@
     let fit = from.elapsed().as_micros() as f64 / 20.0;
     println!("costs, so that nothing is left out: {sum:x}");
     json!({ "ns_an_estimate": estimate.round(), "ns_a_job_observed": observed.round(), "us_a_fit": fit.round(),
-            "registers": one.figures().registers, "bytes": one.figures().bytes })
+            "registers": one.metrics().summaries, "bytes": one.metrics().bytes })
 }
 
 fn main() -> ExitCode {
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -5,7 +5,7 @@
 use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
-use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
+use mothproxy_runtimes::{Config, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
 
 /// Facts are looked for this often.
 const LOOK: Micros = 250_000;
@@ -46,12 +46,12 @@
 }
 
 impl Traits<'_> {
-    fn likeness(&self) -> Likeness {
-        let name = |name: &str| number(name.as_bytes());
-        Likeness {
+    fn likeness(&self) -> JobFeatures {
+        let name = |name: &str| stable_hash(name.as_bytes());
+        JobFeatures {
             tenant: self.tenant.map(name),
             subject: self.subject,
-            ..Likeness::of_class(name(self.class))
+            ..JobFeatures::from_class(name(self.class))
         }
     }
 }
@@ -59,7 +59,7 @@
 /// The parts that learn, those that are on.
 #[derive(Default)]
 pub struct Learners {
-    runtimes: Option<Runtimes>,
+    runtimes: Option<RuntimeEstimator>,
     shares: Option<Ledger>,
     share_set: Option<FairShareSettings>,
 }
@@ -72,8 +72,8 @@
     pub fn new(settings: &FleetSettings, birth: Birth, now: Micros) -> Learners {
         let place = u16::try_from(birth.me).unwrap_or(u16::MAX);
         let runtimes = settings.runtimes.as_ref().and_then(|set| {
-            let config = Config { long: set.long, ..Config::new(place, birth.epoch) };
-            let made = Runtimes::new(config, now);
+            let config = Config { long_quantile: set.long, ..Config::new(place, birth.epoch) };
+            let made = RuntimeEstimator::new(config, now);
             crate::invariant!(made.is_ok(), "settings that were checked");
             made.ok()
         });
@@ -129,29 +129,29 @@
 
     /// The work of such a job, where that is learned.
     pub fn estimate(&self, job: &Traits<'_>) -> Option<Estimate> {
-        let work = self.runtimes.as_ref()?.work(&job.likeness());
+        let work = self.runtimes.as_ref()?.estimate_work(&job.likeness());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
     pub fn started(&mut self, now: Micros, attempt: u64, job: &Traits<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
-            let (worker, kind) = (number(worker.as_bytes()), number(kind.as_bytes()) as u32);
-            runtimes.started(attempt, &job.likeness(), kind, worker, now);
+            let (worker, kind) = (stable_hash(worker.as_bytes()), stable_hash(kind.as_bytes()) as u32);
+            runtimes.on_started(attempt, &job.likeness(), kind, worker, now);
         }
     }
 
     /// It has told the share done.
     pub fn progress(&mut self, now: Micros, attempt: u64, share: f64) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.progress(attempt, share, now);
+            runtimes.on_progress(attempt, share, now);
         }
     }
 
     /// It has ended; `done` where it ran to its end. One that never began to run teaches nothing.
     pub fn ended(&mut self, now: Micros, attempt: u64, done: bool) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.ended(attempt, if done { Outcome::Done } else { Outcome::Censored }, now);
+            runtimes.on_ended(attempt, if done { Outcome::Done } else { Outcome::Censored }, now);
         }
     }
 
@@ -194,8 +194,8 @@
     /// What was counted, of the parts that are on.
     pub fn figures(&self) -> LearnersFigures {
         let runtimes = self.runtimes.as_ref().map(|runtimes| {
-            let f = runtimes.figures();
-            LearnerFigures { seen: f.seen, told: f.told, taken: f.taken, refused: f.refused }
+            let f = runtimes.metrics();
+            LearnerFigures { seen: f.seen, told: f.published, taken: f.absorbed, refused: f.refused }
         });
         let shares = self.shares.as_ref().map(|shares| {
             let f = shares.metrics();
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -39,7 +39,7 @@
 
 impl Default for RuntimesSettings {
     fn default() -> Self {
-        RuntimesSettings { long: mothproxy_runtimes::Config::new(0, 0).long }
+        RuntimesSettings { long: mothproxy_runtimes::Config::new(0, 0).long_quantile }
     }
 }
 
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -4,7 +4,7 @@
 use mothproxy_coldstart::pacer::Service;
 use mothproxy_coldstart::{Findings, Report, Seen, Trouble};
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Usage};
-use mothproxy_runtimes::{Likeness, Outcome, Runtimes};
+use mothproxy_runtimes::{JobFeatures, Outcome, RuntimeEstimator};
 
 const SECOND: u64 = 1_000_000;
 const UNIX: u64 = 1_790_000_000 * SECOND;
@@ -17,20 +17,20 @@
 fn runtimes_facts_keep_their_bytes() {
     let config =
         mothproxy_runtimes::Config { facts_per_s: 40.0, ..mothproxy_runtimes::Config::new(3, UNIX / 1000) };
-    let mut runtimes = Runtimes::new(config, 0).expect("the defaults hold");
+    let mut runtimes = RuntimeEstimator::new(config, 0).expect("the defaults hold");
     let mut rng = fastrand::Rng::with_seed(9);
     let mut written = String::new();
     for id in 0..60 {
         let now = id * SECOND / 4;
-        let likeness = Likeness {
+        let likeness = JobFeatures {
             tenant: Some(rng.u64(..3)),
             subject: Some(rng.u64(..4)),
-            facts: [Some(rng.u64(..2)), None],
-            ..Likeness::of_class(rng.u64(..2))
+            attributes: [Some(rng.u64(..2)), None],
+            ..JobFeatures::from_class(rng.u64(..2))
         };
-        runtimes.started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
+        runtimes.on_started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
-        runtimes.ended(id, outcome, now + rng.u64(1_000..SECOND / 5));
+        runtimes.on_ended(id, outcome, now + rng.u64(1_000..SECOND / 5));
         written.extend(std::iter::from_fn(|| runtimes.publish(now + SECOND / 4)).map(line));
     }
     assert_kept("facts/runtimes.txt", &written);
--- a/tests/conformance/runtimes.rs
+++ b/tests/conformance/runtimes.rs
@@ -2,8 +2,8 @@
 //! them. Words: `typical` and `long` in milliseconds; of [`backfill`] `at` and `spare`, `never`, `may go`, `must wait`.
 
 use crate::table::{Machine, beyond};
-use mothproxy_runtimes::backfill::{self, Held, Reservation};
-use mothproxy_runtimes::{Config, Estimate, Likeness, Origin, Outcome, Runtimes, number};
+use mothproxy_runtimes::backfill::{self, OccupiedSlots, Reservation};
+use mothproxy_runtimes::{Config, Estimate, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
 use serde::Deserialize;
 use toml::{Table, Value};
 
@@ -85,15 +85,19 @@
 }
 
 pub struct Estimates {
-    both: [Runtimes; 2],
+    both: [RuntimeEstimator; 2],
     told: [Vec<(u32, u64, Vec<u8>)>; 2],
     now: u64,
     next: u64,
 }
 
-fn like(class: &str, tenant: Option<&str>, subject: Option<&str>) -> Likeness {
-    let of = |name: Option<&str>| name.map(|name| number(name.as_bytes()));
-    Likeness { tenant: of(tenant), subject: of(subject), ..Likeness::of_class(number(class.as_bytes())) }
+fn like(class: &str, tenant: Option<&str>, subject: Option<&str>) -> JobFeatures {
+    let of = |name: Option<&str>| name.map(|name| stable_hash(name.as_bytes()));
+    JobFeatures {
+        tenant: of(tenant),
+        subject: of(subject),
+        ..JobFeatures::from_class(stable_hash(class.as_bytes()))
+    }
 }
 
 fn words(estimate: Estimate) -> Vec<String> {
@@ -106,7 +110,7 @@
 
     fn new(given: Value, _: u64) -> Result<Estimates, String> {
         Given::deserialize(given).map_err(|e| e.to_string())?;
-        let new = |place| Runtimes::new(Config::new(place, EPOCH), 0).map_err(|e| e.to_string());
+        let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(|e| e.to_string());
         Ok(Estimates { both: [new(0)?, new(1)?], told: Default::default(), now: 0, next: 0 })
     }
 
@@ -118,23 +122,24 @@
                     let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
                     self.next += 1;
                     // Each at a worker of its own, so that none is taken for a slow one.
-                    self.both[seen.by].started(self.next, &likeness, seen.kind, self.next, self.now);
+                    self.both[seen.by].on_started(self.next, &likeness, seen.kind, self.next, self.now);
                     self.now += took * MS;
-                    self.both[seen.by].ended(self.next, outcome, self.now);
+                    self.both[seen.by].on_ended(self.next, outcome, self.now);
                 }
                 self.pass(1_000);
             }
             Verb::Estimate(asked) => {
                 let likeness = like(&asked.class, asked.tenant.as_deref(), asked.subject.as_deref());
                 let by = &self.both[asked.by];
-                return Ok(words(
-                    asked.kind.map_or_else(|| by.work(&likeness), |kind| by.estimate(&likeness, kind, None)),
-                ));
+                return Ok(words(asked.kind.map_or_else(
+                    || by.estimate_work(&likeness),
+                    |kind| by.estimate(&likeness, kind, None),
+                )));
             }
             Verb::Start { job, class, kind } => {
-                self.both[0].started(1_000_000 + job, &like(&class, None, None), kind, 1, self.now);
+                self.both[0].on_started(1_000_000 + job, &like(&class, None, None), kind, 1, self.now);
             }
-            Verb::Progress { job, share } => self.both[0].progress(1_000_000 + job, share, self.now),
+            Verb::Progress { job, share } => self.both[0].on_progress(1_000_000 + job, share, self.now),
             Verb::Pass(span) => self.pass(span),
             Verb::Remaining(job) => {
                 let left = self.both[0].remaining(1_000_000 + job, self.now);
@@ -165,15 +170,17 @@
                 return Ok(vec![if done.is_ok() { "taken" } else { "refused" }.to_owned()]);
             }
             Verb::Reserve { free, need, held } => {
-                let mut held: Vec<Held> =
-                    held.into_iter().map(|(ends, slots)| Held { ends: ends * MS, slots }).collect();
+                let mut held: Vec<OccupiedSlots> = held
+                    .into_iter()
+                    .map(|(ends, slots)| OccupiedSlots { ends_at: ends * MS, slots })
+                    .collect();
                 let room = backfill::reserve(self.now, free, need, &mut held);
                 let words = |r: Reservation| vec![format!("at {}", r.at / MS), format!("spare {}", r.spare)];
                 return Ok(room.map_or(vec!["never".to_owned()], words));
             }
             Verb::MayGo { slots, long, at, spare } => {
                 let reserved = Reservation { at: at * MS, spare };
-                let may = backfill::may_go(self.now, slots, long * MS, &reserved);
+                let may = backfill::may_start_before(self.now, slots, long * MS, &reserved);
                 return Ok(vec![if may { "may go" } else { "must wait" }.to_owned()]);
             }
         }
