--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -5,7 +5,7 @@
 use crate::policy::interface::{Estimate, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
-use mothproxy_runtimes::{Config, Likeness, Origin, Outcome, Runtimes, number};
+use mothproxy_runtimes::{Config, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
 
 /// Facts to publish are collected this often.
 const PUBLISH_INTERVAL: Micros = 250_000;
@@ -49,12 +49,12 @@
 }
 
 impl JobLabels<'_> {
-    fn features(&self) -> Likeness {
-        let hash = |name: &str| number(name.as_bytes());
-        Likeness {
+    fn features(&self) -> JobFeatures {
+        let hash = |name: &str| stable_hash(name.as_bytes());
+        JobFeatures {
             tenant: self.tenant.map(hash),
             subject: self.subject,
-            ..Likeness::of_class(hash(self.class))
+            ..JobFeatures::from_class(hash(self.class))
         }
     }
 }
@@ -62,7 +62,7 @@
 /// The learners, those that are on.
 #[derive(Default)]
 pub struct Learners {
-    runtimes: Option<Runtimes>,
+    runtimes: Option<RuntimeEstimator>,
     shares: Option<Ledger>,
     share_settings: Option<FairShareSettings>,
 }
@@ -72,8 +72,9 @@
     pub fn new(settings: &FleetSettings, identity: ProcessIdentity, now: Micros) -> Learners {
         let place = place_of(identity);
         let runtimes = settings.runtimes.as_ref().and_then(|settings| {
-            let config = Config { long: settings.long_quantile, ..Config::new(place, identity.epoch) };
-            let runtimes = Runtimes::new(config, now);
+            let config =
+                Config { long_quantile: settings.long_quantile, ..Config::new(place, identity.epoch) };
+            let runtimes = RuntimeEstimator::new(config, now);
             crate::invariant!(runtimes.is_ok(), "settings that were checked");
             runtimes.ok()
         });
@@ -140,22 +141,22 @@
 
     /// How long such a job will run, where that is learned.
     pub fn estimate(&self, job: &JobLabels<'_>) -> Option<Estimate> {
-        let work = self.runtimes.as_ref()?.work(&job.features());
+        let work = self.runtimes.as_ref()?.estimate_work(&job.features());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
     pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobLabels<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
-            let (worker, kind) = (number(worker.as_bytes()), number(kind.as_bytes()) as u32);
-            runtimes.started(attempt, &job.features(), kind, worker, now);
+            let (worker, kind) = (stable_hash(worker.as_bytes()), stable_hash(kind.as_bytes()) as u32);
+            runtimes.on_started(attempt, &job.features(), kind, worker, now);
         }
     }
 
     /// An attempt has reported that this fraction of it is done.
     pub fn on_progress(&mut self, now: Micros, attempt: u64, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.progress(attempt, fraction, now);
+            runtimes.on_progress(attempt, fraction, now);
         }
     }
 
@@ -163,7 +164,7 @@
     pub fn on_ended(&mut self, now: Micros, attempt: u64, ran_to_completion: bool) {
         if let Some(runtimes) = &mut self.runtimes {
             let outcome = if ran_to_completion { Outcome::Done } else { Outcome::Censored };
-            runtimes.ended(attempt, outcome, now);
+            runtimes.on_ended(attempt, outcome, now);
         }
     }
 
@@ -206,11 +207,11 @@
     /// What was counted of each learner that is on.
     pub fn metrics(&self) -> LearnersMetrics {
         let runtimes = self.runtimes.as_ref().map(|runtimes| {
-            let counts = runtimes.figures();
+            let counts = runtimes.metrics();
             LearnerMetrics {
                 seen: counts.seen,
-                published: counts.told,
-                absorbed: counts.taken,
+                published: counts.published,
+                absorbed: counts.absorbed,
                 refused: counts.refused,
             }
         });
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -42,7 +42,7 @@
 
 impl Default for RuntimesSettings {
     fn default() -> Self {
-        RuntimesSettings { long_quantile: mothproxy_runtimes::Config::new(0, 0).long }
+        RuntimesSettings { long_quantile: mothproxy_runtimes::Config::new(0, 0).long_quantile }
     }
 }
 
