--- /dev/null
+++ b/crates/testkit/src/fleet/address_block.rs
@@ -0,0 +1,96 @@
+//! The addresses of a fleet: a block of 127/8 that no other fleet on this machine has. They are fixed, so that a process finds
+//! its own free again after a restart.
+
+use super::FleetError;
+use super::plan::derive_seed;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
+
+/// Blocks that are tried before a fleet gives up.
+const MAX_ATTEMPTS: u64 = 64;
+/// Every fleet binds this port at the block's broadcast address: whoever has it has the block.
+const FACE_PORT: u16 = 7000;
+const LISTEN_PORT: u16 = 8000;
+const ADMIN_PORT: u16 = 8001;
+const PEER_PORT: u16 = 8002;
+const WORKER_PORT: u16 = 8080;
+const DISCOVERY_PORT: u16 = 8500;
+/// The port of a dispatcher's link to worker 0; those to the others follow.
+const FIRST_WORKER_LINK_PORT: u16 = 9000;
+/// The last byte of the addresses: dispatchers from 1, workers from 150, then the services that there is one of.
+const FIRST_DISPATCHER: usize = 1;
+const FIRST_WORKER: usize = 150;
+const DISCOVERY: usize = 240;
+const BROADCAST: usize = 241;
+
+/// The two middle bytes of the block.
+pub(super) struct AddressBlock([u8; 2]);
+
+/// A block, and the sockets of the datagram relay that hold it.
+pub(super) struct TakenBlock {
+    pub(super) block: AddressBlock,
+    pub(super) faces: Vec<UdpSocket>,
+    pub(super) broadcast: UdpSocket,
+}
+
+impl AddressBlock {
+    /// Takes a free block for this many dispatchers; `number` tells the fleets of this process apart.
+    pub(super) fn take(size: usize, number: u64) -> Result<TakenBlock, FleetError> {
+        let mut last_error = None;
+        let first = derive_seed(u64::from(std::process::id()), number);
+        for attempt in 0..MAX_ATTEMPTS {
+            let bytes = first.wrapping_add(attempt * 0x9e37) as u16;
+            let block = AddressBlock([64 + (bytes >> 8) as u8 % 64, bytes as u8]);
+            match block.bind(size) {
+                Ok((faces, broadcast)) => return Ok(TakenBlock { block, faces, broadcast }),
+                Err(error) => last_error = Some(error),
+            }
+        }
+        Err(FleetError::Socket(last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into())))
+    }
+
+    fn bind(&self, size: usize) -> std::io::Result<(Vec<UdpSocket>, UdpSocket)> {
+        let broadcast = UdpSocket::bind(self.at(BROADCAST, FACE_PORT))?;
+        let faces = (0..size).map(|i| UdpSocket::bind(self.at(FIRST_DISPATCHER + i, FACE_PORT)));
+        Ok((faces.collect::<Result<Vec<_>, _>>()?, broadcast))
+    }
+
+    fn at(&self, last: usize, port: u16) -> SocketAddr {
+        let last = u8::try_from(last).unwrap_or(u8::MAX);
+        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.0[0], self.0[1], last)), port)
+    }
+
+    /// Where a dispatcher takes jobs and callbacks.
+    pub(super) fn listen(&self, dispatcher: usize) -> SocketAddr {
+        self.at(FIRST_DISPATCHER + dispatcher, LISTEN_PORT)
+    }
+
+    /// Where a dispatcher serves its admin pages.
+    pub(super) fn admin(&self, dispatcher: usize) -> SocketAddr {
+        self.at(FIRST_DISPATCHER + dispatcher, ADMIN_PORT)
+    }
+
+    /// Where a dispatcher takes datagrams of its peers.
+    pub(super) fn peer(&self, dispatcher: usize) -> SocketAddr {
+        self.at(FIRST_DISPATCHER + dispatcher, PEER_PORT)
+    }
+
+    /// Where a dispatcher finds discovery.
+    pub(super) fn discovery_link(&self, dispatcher: usize) -> SocketAddr {
+        self.at(FIRST_DISPATCHER + dispatcher, DISCOVERY_PORT)
+    }
+
+    /// Where a dispatcher finds a worker.
+    pub(super) fn worker_link(&self, dispatcher: usize, worker: usize) -> SocketAddr {
+        self.at(FIRST_DISPATCHER + dispatcher, FIRST_WORKER_LINK_PORT + worker as u16)
+    }
+
+    /// Where a worker listens.
+    pub(super) fn worker(&self, worker: usize) -> SocketAddr {
+        self.at(FIRST_WORKER + worker, WORKER_PORT)
+    }
+
+    /// Where discovery listens.
+    pub(super) fn discovery(&self) -> SocketAddr {
+        self.at(DISCOVERY, DISCOVERY_PORT)
+    }
+}
--- a/crates/testkit/src/fleet/clients.rs
+++ b/crates/testkit/src/fleet/clients.rs
@@ -1,27 +1,23 @@
-//! Scripted clients: they hand jobs in on connections that they keep, and expect one final answer each.
+//! Scripted clients: they send jobs on connections that they keep, and expect one final reply each.
 
-use super::Broken;
-use super::http::{Message, Reader};
-use super::record::{Event, Record};
-use hdrhistogram::Histogram;
-use std::collections::BTreeMap;
+use super::ConnectionFailed;
+use super::event_log::{Event, EventLog};
+use super::http::{HttpMessage, HttpReader};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::runtime::Handle;
-use tokio::task::JoinHandle;
 
-/// A client waits so much longer than it says before it takes its job for lost, so that late is told from never.
-const MARGIN: Duration = Duration::from_secs(3);
-/// Jobs of one load under way at most; beyond that its arrivals wait.
-const MOST_OPEN: usize = 4096;
-/// Kept connections to a dispatcher at most.
-const MOST_KEPT: usize = 256;
+/// A client waits this much longer than its timeout before its job counts as unanswered, so that a late reply is seen.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
+/// A connection comes up by then.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle connections to a dispatcher that are kept.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// A job as a client hands it in.
+/// A job as a client sends it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
     /// Its class, which the settings name.
@@ -30,10 +26,10 @@
     pub tenant: String,
     /// Its key, where its class is keyed.
     pub key: Option<String>,
-    /// What it concerns.
+    /// The object that it concerns.
     pub subject: Option<String>,
     /// How long its client says that it waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The work that it is to a worker of speed 1; otherwise the worker's script says.
     pub work: Option<Duration>,
     /// `X-Facts`, such as `slots=2`.
@@ -48,7 +44,7 @@
             tenant: "steppe-mart".to_owned(),
             key: None,
             subject: None,
-            patience: Duration::from_millis(7_500),
+            timeout: Duration::from_millis(7_500),
             work: None,
             facts: None,
         }
@@ -56,18 +52,18 @@
 
     /// A keyed job of it.
     pub fn keyed(key: &str) -> Job {
-        let patience = Duration::from_secs(25);
-        Job { class: "redeem".to_owned(), key: Some(key.to_owned()), patience, ..Job::plain() }
+        let timeout = Duration::from_secs(25);
+        Job { class: "redeem".to_owned(), key: Some(key.to_owned()), timeout, ..Job::plain() }
     }
 
-    fn written(&self, id: &str) -> String {
+    fn to_request(&self, id: &str) -> String {
         let mut head = format!(
             "POST /{} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {}\r\n\
              X-Account: {}\r\nX-Time-Left-Ms: {}\r\n",
             self.class,
             self.class,
             self.tenant,
-            self.patience.as_millis()
+            self.timeout.as_millis()
         );
         let mut field = |name: &str, value: Option<String>| {
             if let Some(value) = value {
@@ -82,149 +78,60 @@
     }
 }
 
-/// What a client got for a job.
+/// How a job ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
-    /// An answer: its status, its body and after how long.
-    Answer { status: u16, body: String, took: Duration },
+pub enum JobOutcome {
+    /// A whole reply came.
+    Answer {
+        /// Its status code.
+        status: u16,
+        /// Its body.
+        body: String,
+        /// After how long it came.
+        latency: Duration,
+    },
     /// Nobody took the job.
     Unreachable,
-    /// It was handed in, and no whole answer came.
-    Nothing,
+    /// It was sent, and no whole reply came.
+    NoAnswer,
 }
 
-impl Got {
-    /// The answer's status.
+impl JobOutcome {
+    /// The reply's status.
     pub fn status(&self) -> Option<u16> {
         match self {
-            Got::Answer { status, .. } => Some(*status),
-            Got::Unreachable | Got::Nothing => None,
+            JobOutcome::Answer { status, .. } => Some(*status),
+            JobOutcome::Unreachable | JobOutcome::NoAnswer => None,
         }
     }
 }
 
-/// Draws a job.
-pub type Draw = Arc<dyn Fn(&mut fastrand::Rng, u64) -> Job + Send + Sync>;
-
-/// A load: jobs at random times, so many a second at each of some dispatchers.
-#[derive(Clone)]
-pub struct Load {
-    /// To these dispatchers.
-    pub to: Vec<usize>,
-    /// Jobs a second at each of them.
-    pub rate: f64,
-    /// For so long, unless it is stopped earlier.
-    pub span: Duration,
-    /// Draws the next job; the number counts the jobs of one dispatcher.
-    pub job: Draw,
-}
-
-/// What became of a load.
-#[derive(Clone, Debug)]
-pub struct LoadReport {
-    /// Jobs that clients wanted to hand in.
-    pub jobs: u64,
-    /// Answers by status.
-    pub answers: BTreeMap<u16, u64>,
-    /// Jobs that nobody took.
-    pub unreachable: u64,
-    /// Jobs that were taken and got no whole answer.
-    pub nothing: u64,
-    /// Microseconds until a 200.
-    pub took: Histogram<u64>,
-}
-
-impl LoadReport {
-    fn new() -> LoadReport {
-        let took = Histogram::new_with_bounds(1, 120_000_000, 3).expect("sound bounds");
-        LoadReport { jobs: 0, answers: BTreeMap::new(), unreachable: 0, nothing: 0, took }
-    }
-
-    fn add(&mut self, got: &Got) {
-        self.jobs += 1;
-        match got {
-            Got::Answer { status, took, .. } => {
-                *self.answers.entry(*status).or_default() += 1;
-                if *status == 200 {
-                    self.took.saturating_record(took.as_micros() as u64);
-                }
-            }
-            Got::Unreachable => self.unreachable += 1,
-            Got::Nothing => self.nothing += 1,
-        }
-    }
-
-    /// Jobs served.
-    pub fn served(&self) -> u64 {
-        self.answers.get(&200).copied().unwrap_or(0)
-    }
-
-    /// Jobs refused.
-    pub fn refused(&self) -> u64 {
-        [429, 503].iter().filter_map(|status| self.answers.get(status)).sum()
-    }
-}
-
-/// A load that runs.
-pub struct RunningLoad {
-    tasks: Vec<JoinHandle<()>>,
-    stop: Arc<AtomicBool>,
-    report: Arc<Mutex<LoadReport>>,
-    runtime: Handle,
-}
-
-impl RunningLoad {
-    /// What became of it so far.
-    pub fn report(&self) -> LoadReport {
-        self.report.lock().expect("a lock").clone()
-    }
-
-    /// Jobs served so far.
-    pub fn served(&self) -> u64 {
-        self.report.lock().expect("a lock").served()
-    }
-
-    /// Lets it run its span, waits until each job has ended, and says what became of them.
-    pub fn finish(self) -> LoadReport {
-        for task in self.tasks {
-            let _ = self.runtime.block_on(task);
-        }
-        Arc::try_unwrap(self.report).map_or_else(
-            |shared| shared.lock().expect("a lock").clone(),
-            |report| report.into_inner().expect("a lock"),
-        )
-    }
-
-    /// No further jobs; then as [`RunningLoad::finish`].
-    pub fn stop(self) -> LoadReport {
-        self.stop.store(true, Ordering::Relaxed);
-        self.finish()
-    }
-}
-
-struct Kept {
+/// A client's connection to a dispatcher.
+struct ClientConnection {
     stream: TcpStream,
-    reader: Reader,
-    last: String,
+    reader: HttpReader,
+    /// The job that was sent last.
+    last_id: String,
 }
 
 /// The clients of a fleet.
 pub struct Clients {
-    homes: Vec<SocketAddr>,
-    kept: Vec<Mutex<Vec<Kept>>>,
+    dispatchers: Vec<SocketAddr>,
+    /// Idle connections, by dispatcher.
+    idle: Vec<Mutex<Vec<ClientConnection>>>,
     next: AtomicU64,
     seed: u64,
-    record: Arc<Record>,
+    event_log: Arc<EventLog>,
 }
 
 impl Clients {
-    pub(super) fn new(homes: Vec<SocketAddr>, seed: u64, record: Arc<Record>) -> Arc<Clients> {
-        let kept = homes.iter().map(|_| Mutex::default()).collect();
-        Arc::new(Clients { homes, kept, next: AtomicU64::new(0), seed, record })
+    pub(super) fn new(dispatchers: Vec<SocketAddr>, seed: u64, event_log: Arc<EventLog>) -> Arc<Clients> {
+        let idle = dispatchers.iter().map(|_| Mutex::default()).collect();
+        Arc::new(Clients { dispatchers, idle, next: AtomicU64::new(0), seed, event_log })
     }
 
-    /// An id that was never given before.
-    fn id(&self) -> String {
+    /// An id that no job had before.
+    fn next_id(&self) -> String {
         // Each step can be undone, so no two numbers have one id.
         let mut id = self.seed.wrapping_add(self.next.fetch_add(1, Ordering::Relaxed));
         id = (id ^ id >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -232,126 +139,105 @@
         format!("{:016x}", id ^ id >> 31)
     }
 
-    /// A kept connection that is still good. Bytes that nobody asked for are noted.
-    fn kept(&self, dispatcher: usize) -> Option<Kept> {
+    /// An idle connection that is still usable. Bytes that no request had asked for are logged.
+    fn take_idle(&self, dispatcher: usize) -> Option<ClientConnection> {
         loop {
-            let kept = self.kept[dispatcher].lock().expect("a lock").pop()?;
-            if self.is_quiet(dispatcher, &kept) == Some(true) {
-                return Some(kept);
+            let connection = self.idle[dispatcher].lock().expect("a lock").pop()?;
+            if self.is_usable(dispatcher, &connection) {
+                return Some(connection);
             }
         }
     }
 
-    /// Whether a kept connection is open and silent; `None` if it spoke.
-    fn is_quiet(&self, dispatcher: usize, kept: &Kept) -> Option<bool> {
-        let seen = kept.stream.try_read(&mut [0; 16]);
-        if kept.reader.has_more() || matches!(seen, Ok(1..)) {
-            self.record.add(Event::Stray { dispatcher, id: kept.last.clone() });
-            return None;
+    /// Whether an idle connection is open and nothing has come on it; logs bytes that no request had asked for.
+    fn is_usable(&self, dispatcher: usize, connection: &ClientConnection) -> bool {
+        let read = connection.stream.try_read(&mut [0; 16]);
+        if connection.reader.has_unread_bytes() || matches!(read, Ok(1..)) {
+            let id = connection.last_id.clone();
+            self.event_log.add(Event::UnexpectedBytes { dispatcher, id });
+            return false;
         }
-        Some(seen.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock))
+        read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Looks at all kept connections for bytes that nobody asked for.
-    pub(super) fn sweep(&self) {
-        for (dispatcher, kept) in self.kept.iter().enumerate() {
-            kept.lock().expect("a lock").retain(|kept| self.is_quiet(dispatcher, kept) == Some(true));
+    /// Checks all idle connections for bytes that no request had asked for.
+    pub(super) fn check_idle_connections(&self) {
+        for (dispatcher, idle) in self.idle.iter().enumerate() {
+            idle.lock().expect("a lock").retain(|connection| self.is_usable(dispatcher, connection));
         }
     }
 
-    /// Hands a job in and waits for its answer.
-    pub(super) async fn send(&self, dispatcher: usize, job: &Job) -> Got {
-        let id = self.id();
-        let text = job.written(&id);
-        let begun = self.record.clock.now();
-        let mut kept = self.kept(dispatcher);
+    /// Sends a job and waits for its reply.
+    pub(super) async fn send(&self, dispatcher: usize, job: &Job) -> JobOutcome {
+        let id = self.next_id();
+        let request = job.to_request(&id);
+        let begun = self.event_log.clock.now();
+        let mut idle = self.take_idle(dispatcher);
         loop {
-            let reused = kept.is_some();
-            let mut conn = match kept.take() {
-                Some(kept) => kept,
-                None => {
-                    let opening = TcpStream::connect(self.homes[dispatcher]);
-                    let opened = tokio::time::timeout(Duration::from_secs(1), opening).await;
-                    let Ok(Ok(stream)) = opened else {
-                        self.record.add(Event::Unreachable { dispatcher, id });
-                        return Got::Unreachable;
-                    };
-                    let _ = stream.set_nodelay(true);
-                    Kept { stream, reader: Reader::default(), last: String::new() }
-                }
+            let is_reused = idle.is_some();
+            let connection = match idle.take() {
+                Some(idle) => Some(idle),
+                None => self.connect(dispatcher).await,
+            };
+            let Some(mut connection) = connection else {
+                self.event_log.add(Event::Unreachable { dispatcher, id });
+                return JobOutcome::Unreachable;
             };
-            conn.last.clone_from(&id);
-            let patience = job.patience.as_micros() as u64;
-            let written = conn.stream.write_all(text.as_bytes()).await.is_ok();
-            if written {
-                self.record.add(Event::Sent { dispatcher, id: id.clone(), patience });
+            connection.last_id.clone_from(&id);
+            let is_written = connection.stream.write_all(request.as_bytes()).await.is_ok();
+            if is_written {
+                let timeout = job.timeout.as_micros() as u64;
+                self.event_log.add(Event::Sent { dispatcher, id: id.clone(), timeout });
             }
-            let answer =
-                async { if written { conn.reader.answer(&mut conn.stream).await } else { Err(Broken) } };
-            match tokio::time::timeout(job.patience + MARGIN, answer).await {
-                Ok(Ok(Some(answer))) => return self.answered(dispatcher, id, conn, answer, begun),
+            let reply = async {
+                if is_written {
+                    connection.reader.read_reply(&mut connection.stream).await
+                } else {
+                    Err(ConnectionFailed)
+                }
+            };
+            match tokio::time::timeout(job.timeout + TIMEOUT_MARGIN, reply).await {
+                Ok(Ok(Some(reply))) => return self.on_reply(dispatcher, id, connection, reply, begun),
                 // The close crossed the request: once more, on a new connection.
-                Ok(Ok(None) | Err(Broken)) if reused && !conn.reader.has_more() => {}
-                Ok(_) | Err(_) if !written => {
-                    self.record.add(Event::Unreachable { dispatcher, id });
-                    return Got::Unreachable;
+                Ok(Ok(None) | Err(ConnectionFailed))
+                    if is_reused && !connection.reader.has_unread_bytes() => {}
+                Ok(_) | Err(_) if !is_written => {
+                    self.event_log.add(Event::Unreachable { dispatcher, id });
+                    return JobOutcome::Unreachable;
                 }
                 Ok(_) | Err(_) => {
-                    self.record.add(Event::Unanswered { dispatcher, id });
-                    return Got::Nothing;
+                    self.event_log.add(Event::Unanswered { dispatcher, id });
+                    return JobOutcome::NoAnswer;
                 }
             }
         }
     }
 
-    fn answered(&self, dispatcher: usize, id: String, conn: Kept, answer: Message, begun: u64) -> Got {
-        let (status, closes) = (answer.status, answer.closes());
-        let body = answer.body;
-        self.record.add(Event::Answered { dispatcher, id, status, body: body.clone() });
-        if !closes && self.is_quiet(dispatcher, &conn) == Some(true) {
-            let mut kept = self.kept[dispatcher].lock().expect("a lock");
-            if kept.len() < MOST_KEPT {
-                kept.push(conn);
+    async fn connect(&self, dispatcher: usize) -> Option<ClientConnection> {
+        let connecting = TcpStream::connect(self.dispatchers[dispatcher]);
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
+        let _ = stream.set_nodelay(true);
+        Some(ClientConnection { stream, reader: HttpReader::default(), last_id: String::new() })
+    }
+
+    fn on_reply(
+        &self,
+        dispatcher: usize,
+        id: String,
+        connection: ClientConnection,
+        reply: HttpMessage,
+        begun: u64,
+    ) -> JobOutcome {
+        let closes_connection = reply.closes_connection();
+        let HttpMessage { status, body, .. } = reply;
+        self.event_log.add(Event::Answered { dispatcher, id, status, body: body.clone() });
+        if !closes_connection && self.is_usable(dispatcher, &connection) {
+            let mut idle = self.idle[dispatcher].lock().expect("a lock");
+            if idle.len() < MAX_IDLE_CONNECTIONS {
+                idle.push(connection);
             }
         }
-        let took = Duration::from_micros(self.record.clock.now() - begun);
-        Got::Answer { status, body, took }
-    }
-
-    pub(super) fn load(self: &Arc<Self>, runtime: &Handle, load: &Load) -> RunningLoad {
-        let (stop, report) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadReport::new())));
-        let mut tasks = Vec::new();
-        for &dispatcher in &load.to {
-            let (clients, load) = (self.clone(), load.clone());
-            let (stop, report) = (stop.clone(), report.clone());
-            let seed = self.seed ^ (dispatcher as u64 + 1).wrapping_mul(0xd134_2543_de82_ef95);
-            tasks.push(runtime.spawn(async move {
-                let mut rng = fastrand::Rng::with_seed(seed);
-                let room = Arc::new(tokio::sync::Semaphore::new(MOST_OPEN));
-                let begun = tokio::time::Instant::now();
-                let (mut at, mut number) = (Duration::ZERO, 0);
-                loop {
-                    at += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / load.rate.max(1e-9));
-                    if at > load.span {
-                        break;
-                    }
-                    tokio::time::sleep_until(begun + at).await;
-                    if stop.load(Ordering::Relaxed) {
-                        break;
-                    }
-                    let job = (load.job)(&mut rng, number);
-                    number += 1;
-                    let Ok(open) = room.clone().acquire_owned().await else { break };
-                    let (clients, report) = (clients.clone(), report.clone());
-                    tokio::spawn(async move {
-                        let got = clients.send(dispatcher, &job).await;
-                        report.lock().expect("a lock").add(&got);
-                        drop(open);
-                    });
-                }
-                let _ = room.acquire_many(MOST_OPEN as u32).await;
-            }));
-        }
-        RunningLoad { tasks, stop, report, runtime: runtime.clone() }
+        let latency = Duration::from_micros(self.event_log.clock.now() - begun);
+        JobOutcome::Answer { status, body, latency }
     }
 }
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -1,46 +1,46 @@
-//! HTTP/1.1 as much as the stand-ins need: messages with a length, heads by `httparse`. Reading counts bytes, so that what
-//! was read can be found again in what crossed a relay.
+//! HTTP/1.1 over tokio, as far as the fleet's clients, workers and discovery need it: messages with a length, heads by
+//! `httparse`. Reading counts bytes, so that what was read can be found again in what crossed a relay.
 
-use super::Broken;
+use super::ConnectionFailed;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The longest head, and the longest body.
-const MOST: usize = 256 * 1024;
-const FIELDS: usize = 64;
+/// The longest head, and the longest body, in bytes.
+const MAX_LENGTH: usize = 256 * 1024;
+const MAX_HEADERS: usize = 64;
 
-/// A message, read.
+/// A request or a reply, as it was read.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
-    /// Of a request.
+pub struct HttpMessage {
+    /// The method of a request.
     pub method: String,
-    /// Of a request.
+    /// The target of a request.
     pub target: String,
-    /// Of an answer.
+    /// The status code of a reply.
     pub status: u16,
-    /// Its fields, names in small letters.
+    /// Its header fields, names in lower case.
     pub fields: Vec<(String, String)>,
     /// Its body.
     pub body: String,
-    /// Where its first byte is in all that was read.
-    pub from: u64,
+    /// The offset of its first byte in all that was read from the connection.
+    pub offset: u64,
 }
 
-impl Message {
-    /// A field's value.
+impl HttpMessage {
+    /// A header field's value, by its name in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Whether the connection ends with it.
-    pub fn closes(&self) -> bool {
+    /// Whether the connection closes after it.
+    pub fn closes_connection(&self) -> bool {
         self.field("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 
-    fn length(&self) -> Result<usize, Broken> {
+    fn content_length(&self) -> Result<usize, ConnectionFailed> {
         match self.field("content-length").map(str::parse::<usize>) {
             None => Ok(0),
-            Some(Ok(length)) if length <= MOST => Ok(length),
-            Some(_) => Err(Broken),
+            Some(Ok(length)) if length <= MAX_LENGTH => Ok(length),
+            Some(_) => Err(ConnectionFailed),
         }
     }
 }
@@ -50,33 +50,40 @@
     headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect()
 }
 
-/// Bytes read and not used, and how many were used.
+/// Reads messages off a connection: the bytes that were read and not used, and how many were used.
 #[derive(Default)]
-pub struct Reader {
-    held: Vec<u8>,
+pub struct HttpReader {
+    buffer: Vec<u8>,
     used: u64,
 }
 
-impl Reader {
-    /// Whether there are bytes that nobody has asked for.
-    pub fn has_more(&self) -> bool {
-        !self.held.is_empty()
+impl HttpReader {
+    /// Whether bytes have come after the last message.
+    pub fn has_unread_bytes(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
     /// The next request; `None` where the connection ends between two.
-    pub async fn request(&mut self, from: &mut (impl AsyncRead + Unpin)) -> Result<Option<Message>, Broken> {
-        self.message(from, |bytes| {
-            let mut headers = [httparse::EMPTY_HEADER; FIELDS];
+    ///
+    /// # Errors
+    ///
+    /// If the connection breaks within a request, or what comes is not one.
+    pub async fn read_request(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Option<HttpMessage>, ConnectionFailed> {
+        self.read_message(stream, |bytes| {
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
-            match head.parse(bytes).map_err(|_| Broken)? {
+            match head.parse(bytes).map_err(|_| ConnectionFailed)? {
                 httparse::Status::Partial => Ok(None),
                 httparse::Status::Complete(length) => Ok(Some((
                     length,
-                    Message {
+                    HttpMessage {
                         method: head.method.unwrap_or("").to_owned(),
                         target: head.path.unwrap_or("").to_owned(),
                         fields: fields(head.headers),
-                        ..Message::default()
+                        ..HttpMessage::default()
                     },
                 ))),
             }
@@ -84,60 +91,70 @@
         .await
     }
 
-    /// The next answer; `None` where the connection ends before its first byte.
-    pub async fn answer(&mut self, from: &mut (impl AsyncRead + Unpin)) -> Result<Option<Message>, Broken> {
-        self.message(from, |bytes| {
-            let mut headers = [httparse::EMPTY_HEADER; FIELDS];
+    /// The next reply; `None` where the connection ends before its first byte.
+    ///
+    /// # Errors
+    ///
+    /// If the connection breaks within a reply, or what comes is not one.
+    pub async fn read_reply(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Option<HttpMessage>, ConnectionFailed> {
+        self.read_message(stream, |bytes| {
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            match head.parse(bytes).map_err(|_| Broken)? {
+            match head.parse(bytes).map_err(|_| ConnectionFailed)? {
                 httparse::Status::Partial => Ok(None),
                 httparse::Status::Complete(length) => {
                     let status = head.code.unwrap_or(0);
-                    Ok(Some((length, Message { status, fields: fields(head.headers), ..Message::default() })))
+                    Ok(Some((
+                        length,
+                        HttpMessage { status, fields: fields(head.headers), ..HttpMessage::default() },
+                    )))
                 }
             }
         })
         .await
     }
 
-    async fn message(
+    async fn read_message(
         &mut self,
-        from: &mut (impl AsyncRead + Unpin),
-        parse: impl Fn(&[u8]) -> Result<Option<(usize, Message)>, Broken>,
-    ) -> Result<Option<Message>, Broken> {
+        stream: &mut (impl AsyncRead + Unpin),
+        parse: impl Fn(&[u8]) -> Result<Option<(usize, HttpMessage)>, ConnectionFailed>,
+    ) -> Result<Option<HttpMessage>, ConnectionFailed> {
         let (length, mut message) = loop {
-            if let Some(found) = parse(&self.held)? {
+            if let Some(found) = parse(&self.buffer)? {
                 break found;
             }
-            if self.held.len() > MOST {
-                return Err(Broken);
+            if self.buffer.len() > MAX_LENGTH {
+                return Err(ConnectionFailed);
             }
-            match from.read_buf(&mut self.held).await {
-                Ok(0) if self.held.is_empty() => return Ok(None),
-                Ok(0) | Err(_) => return Err(Broken),
+            match stream.read_buf(&mut self.buffer).await {
+                Ok(0) if self.buffer.is_empty() => return Ok(None),
+                Ok(0) | Err(_) => return Err(ConnectionFailed),
                 Ok(_) => {}
             }
         };
-        let whole = length + message.length()?;
-        while self.held.len() < whole {
-            if !matches!(from.read_buf(&mut self.held).await, Ok(1..)) {
-                return Err(Broken);
+        let end = length + message.content_length()?;
+        while self.buffer.len() < end {
+            if !matches!(stream.read_buf(&mut self.buffer).await, Ok(1..)) {
+                return Err(ConnectionFailed);
             }
         }
-        message.from = self.used;
-        message.body = String::from_utf8_lossy(&self.held[length..whole]).into_owned();
-        self.held.drain(..whole);
-        self.used += whole as u64;
+        message.offset = self.used;
+        message.body = String::from_utf8_lossy(&self.buffer[length..end]).into_owned();
+        self.buffer.drain(..end);
+        self.used += end as u64;
         Ok(Some(message))
     }
 }
 
-/// An answer with a body.
-pub fn answer(status: &str, extra: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}", body.len())
+/// A reply with a body; `headers` are further header lines, each with its line end.
+pub fn response(status: &str, headers: &str, body: &str) -> String {
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A chunk of a chunked answer.
+/// A chunk of a body in chunked encoding.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- /dev/null
+++ b/crates/testkit/src/fleet/load.rs
@@ -0,0 +1,176 @@
+//! Random loads: jobs at random times, each load from its own seed.
+
+use super::clients::{Clients, Job, JobOutcome};
+use hdrhistogram::Histogram;
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::runtime::Handle;
+use tokio::sync::Semaphore;
+use tokio::task::JoinHandle;
+use tokio::time::Instant;
+
+/// Jobs of one load in flight at one dispatcher; beyond that its arrivals wait.
+const MAX_OPEN_JOBS: u32 = 4096;
+/// The lowest rate, in jobs a second, that times can be drawn for.
+const MIN_RATE: f64 = 1e-9;
+
+/// Draws the next job; the number counts the jobs of one dispatcher.
+pub type JobGenerator = Arc<dyn Fn(&mut fastrand::Rng, u64) -> Job + Send + Sync>;
+
+/// A load: jobs at random times (a Poisson process) at each of some dispatchers.
+#[derive(Clone)]
+pub struct LoadPlan {
+    /// The dispatchers that get it.
+    pub dispatchers: Vec<usize>,
+    /// Jobs a second at each of them.
+    pub rate: f64,
+    /// How long it lasts, unless it is stopped earlier.
+    pub duration: Duration,
+    /// Draws its jobs.
+    pub job: JobGenerator,
+}
+
+/// What became of a load's jobs.
+#[derive(Clone, Debug)]
+pub struct LoadSummary {
+    /// Jobs that clients wanted to send.
+    pub jobs: u64,
+    /// Replies by status.
+    pub answers: BTreeMap<u16, u64>,
+    /// Jobs that nobody took.
+    pub unreachable: u64,
+    /// Jobs that were taken and got no whole reply.
+    pub unanswered: u64,
+    /// Microseconds until a 200.
+    pub latency: Histogram<u64>,
+}
+
+impl LoadSummary {
+    fn new() -> LoadSummary {
+        let latency = Histogram::new_with_bounds(1, 120_000_000, 3).expect("sound bounds");
+        LoadSummary { jobs: 0, answers: BTreeMap::new(), unreachable: 0, unanswered: 0, latency }
+    }
+
+    fn add(&mut self, outcome: &JobOutcome) {
+        self.jobs += 1;
+        match outcome {
+            JobOutcome::Answer { status, latency, .. } => {
+                *self.answers.entry(*status).or_default() += 1;
+                if *status == 200 {
+                    self.latency.saturating_record(latency.as_micros() as u64);
+                }
+            }
+            JobOutcome::Unreachable => self.unreachable += 1,
+            JobOutcome::NoAnswer => self.unanswered += 1,
+        }
+    }
+
+    /// Jobs served.
+    pub fn served(&self) -> u64 {
+        self.answers.get(&200).copied().unwrap_or(0)
+    }
+
+    /// Jobs refused.
+    pub fn refused(&self) -> u64 {
+        [429, 503].iter().filter_map(|status| self.answers.get(status)).sum()
+    }
+}
+
+/// A load that runs.
+pub struct RunningLoad {
+    tasks: Vec<JoinHandle<()>>,
+    is_stopped: Arc<AtomicBool>,
+    summary: Arc<Mutex<LoadSummary>>,
+    runtime: Handle,
+}
+
+impl RunningLoad {
+    /// Starts a load, each dispatcher's part with a seed of its own.
+    pub(super) fn start(clients: &Arc<Clients>, runtime: &Handle, plan: &LoadPlan, seed: u64) -> RunningLoad {
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let summary = Arc::new(Mutex::new(LoadSummary::new()));
+        let start = |&dispatcher: &usize| {
+            let seed = seed ^ (dispatcher as u64 + 1).wrapping_mul(0xd134_2543_de82_ef95);
+            let part = LoadPart {
+                clients: clients.clone(),
+                plan: plan.clone(),
+                dispatcher,
+                rng: fastrand::Rng::with_seed(seed),
+                is_stopped: is_stopped.clone(),
+                summary: summary.clone(),
+            };
+            runtime.spawn(part.run())
+        };
+        let tasks = plan.dispatchers.iter().map(start).collect();
+        RunningLoad { tasks, is_stopped, summary, runtime: runtime.clone() }
+    }
+
+    /// What became of its jobs so far.
+    pub fn summary(&self) -> LoadSummary {
+        self.summary.lock().expect("a lock").clone()
+    }
+
+    /// Jobs served so far.
+    pub fn served(&self) -> u64 {
+        self.summary.lock().expect("a lock").served()
+    }
+
+    /// Lets it run for its duration, waits until each job has ended, and returns what became of them.
+    pub fn finish(self) -> LoadSummary {
+        for task in self.tasks {
+            let _ = self.runtime.block_on(task);
+        }
+        Arc::try_unwrap(self.summary).map_or_else(
+            |shared| shared.lock().expect("a lock").clone(),
+            |summary| summary.into_inner().expect("a lock"),
+        )
+    }
+
+    /// Sends no further jobs; then as [`RunningLoad::finish`].
+    pub fn stop(self) -> LoadSummary {
+        self.is_stopped.store(true, Ordering::Relaxed);
+        self.finish()
+    }
+}
+
+/// The part of a load that one dispatcher gets.
+struct LoadPart {
+    clients: Arc<Clients>,
+    plan: LoadPlan,
+    dispatcher: usize,
+    rng: fastrand::Rng,
+    is_stopped: Arc<AtomicBool>,
+    summary: Arc<Mutex<LoadSummary>>,
+}
+
+impl LoadPart {
+    /// Sends jobs until its time is over or it is stopped, and waits until each has ended.
+    async fn run(mut self) {
+        let permits = Arc::new(Semaphore::new(MAX_OPEN_JOBS as usize));
+        let started = Instant::now();
+        let (mut at, mut number) = (Duration::ZERO, 0);
+        loop {
+            at += Duration::from_secs_f64(-(1.0 - self.rng.f64()).ln() / self.plan.rate.max(MIN_RATE));
+            if at > self.plan.duration {
+                break;
+            }
+            tokio::time::sleep_until(started + at).await;
+            if self.is_stopped.load(Ordering::Relaxed) {
+                break;
+            }
+            let job = (self.plan.job)(&mut self.rng, number);
+            number += 1;
+            let Ok(permit) = permits.clone().acquire_owned().await else { break };
+            let (clients, summary, dispatcher) =
+                (self.clients.clone(), self.summary.clone(), self.dispatcher);
+            tokio::spawn(async move {
+                let outcome = clients.send(dispatcher, &job).await;
+                summary.lock().expect("a lock").add(&outcome);
+                drop(permit);
+            });
+        }
+        let _ = permits.acquire_many(MAX_OPEN_JOBS).await;
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/fleet/plan.rs
@@ -0,0 +1,83 @@
+//! What a fleet is made of, and the seed that everything random in it is drawn from.
+
+use super::{DiscoveryScript, FleetError, WorkerScript};
+use serde_json::Value;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+/// The most processes of a fleet: each has an address of its own in the fleet's block of 254.
+pub const MAX_PROCESSES: usize = 120;
+/// The most workers of a fleet.
+pub const MAX_WORKERS: usize = 80;
+
+/// Changes the configuration of a dispatcher, by number, before it is written.
+pub type ConfigChange = Arc<dyn Fn(usize, &mut Value) + Send + Sync>;
+
+/// What a fleet is made of.
+#[derive(Clone)]
+pub struct Plan {
+    /// The built program: `env!("CARGO_BIN_EXE_mothproxy")` in a test.
+    pub program: PathBuf,
+    /// How many processes.
+    pub size: usize,
+    /// Everything random is drawn from it.
+    pub seed: u64,
+    /// The workers.
+    pub workers: Vec<WorkerScript>,
+    /// The discovery service.
+    pub discovery: DiscoveryScript,
+    /// The operators' file of every process (protobuf text format), if there is one.
+    pub settings: Option<String>,
+    /// A last change of each configuration, such as to the settings or to `known`.
+    pub change: Option<ConfigChange>,
+    /// `peers_all` is given to the dispatchers.
+    pub has_peer_broadcast: bool,
+}
+
+impl Plan {
+    /// This many processes of a program, and workers of the default script.
+    pub fn new(program: impl Into<PathBuf>, size: usize, workers: usize, seed: u64) -> Plan {
+        Plan {
+            program: program.into(),
+            size,
+            seed,
+            workers: vec![WorkerScript::default(); workers],
+            discovery: DiscoveryScript::default(),
+            settings: None,
+            change: None,
+            has_peer_broadcast: true,
+        }
+    }
+
+    pub(super) fn check_size(&self) -> Result<(), FleetError> {
+        let workers = self.workers.len();
+        if (1..=MAX_PROCESSES).contains(&self.size) && (1..=MAX_WORKERS).contains(&workers) {
+            Ok(())
+        } else {
+            Err(FleetError::Size { processes: self.size, workers })
+        }
+    }
+}
+
+/// The seed that the environment variable `FLEET_SEED` names, to replay a run, or this one.
+pub fn seed_or(seed: u64) -> u64 {
+    let text = std::env::var("FLEET_SEED").ok();
+    let parse = |text: &str| match text.strip_prefix("0x") {
+        Some(hex) => u64::from_str_radix(hex, 16).ok(),
+        None => text.parse().ok(),
+    };
+    text.and_then(|text| parse(&text)).unwrap_or(seed)
+}
+
+/// The seeds of a fleet's parts: each part numbers its own purposes.
+pub(super) const CLIENTS_SEED: u64 = 7;
+pub(super) const FIRST_WORKER_SEED: u64 = 1_000;
+/// Links of dispatcher `i` have the seeds from `1,000 i` on: the worker's number, or this for discovery.
+pub(super) const DISCOVERY_LINK_SEED: u64 = 999;
+pub(super) const SEEDS_PER_DISPATCHER: u64 = 1_000;
+pub(super) const FIRST_START_SEED: u64 = 1 << 32;
+
+/// A seed for one purpose, from the one that is printed.
+pub(super) fn derive_seed(seed: u64, purpose: u64) -> u64 {
+    fastrand::Rng::with_seed(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15)).u64(..)
+}
--- a/crates/testkit/src/fleet/process.rs
+++ b/crates/testkit/src/fleet/process.rs
@@ -1,7 +1,7 @@
 //! One process of the program: its folder, its configuration, its log, its signals.
 
 use super::FleetError;
-use super::record::{Clock, Event, Record};
+use super::event_log::{Clock, Event, EventLog};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -10,15 +10,15 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Lines of a log that are kept at most, the oldest give way.
-const LINES: usize = 20_000;
+/// Lines of a log that are kept; the oldest are dropped first.
+const MAX_LOG_LINES: usize = 20_000;
 
-/// A line of a process's log, and when it was read.
+/// A line of a process's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
-    /// Microseconds of the harness's clock.
+pub struct LogLine {
+    /// When it was read, in microseconds of the harness's clock.
     pub at: u64,
-    /// The line.
+    /// The text without its line end.
     pub text: String,
 }
 
@@ -27,9 +27,9 @@
     program: PathBuf,
     folder: PathBuf,
     child: Mutex<Option<Child>>,
-    log: Arc<Mutex<VecDeque<Line>>>,
+    log: Arc<Mutex<VecDeque<LogLine>>>,
     clock: Clock,
-    record: Arc<Record>,
+    event_log: Arc<EventLog>,
 }
 
 impl Process {
@@ -37,31 +37,32 @@
         number: usize,
         program: &Path,
         folder: PathBuf,
-        record: Arc<Record>,
+        event_log: Arc<EventLog>,
     ) -> Result<Process, FleetError> {
-        let file = |error| FleetError::File(folder.clone(), error);
-        std::fs::create_dir_all(&folder).map_err(file)?;
-        let program = program.canonicalize().map_err(|error| FleetError::File(program.to_owned(), error))?;
+        let failed = |source| FleetError::File { path: folder.clone(), source };
+        std::fs::create_dir_all(&folder).map_err(failed)?;
+        let program =
+            program.canonicalize().map_err(|source| FleetError::File { path: program.to_owned(), source })?;
         let (child, log) = (Mutex::new(None), Arc::default());
-        Ok(Process { number, program, folder, child, log, clock: record.clock, record })
+        Ok(Process { number, program, folder, child, log, clock: event_log.clock, event_log })
     }
 
-    /// Its own file of such a name.
+    /// Its own file of this name.
     pub(super) fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Puts a file in the place of the one that is there.
+    /// Replaces one of its files.
     pub(super) fn write(&self, name: &str, text: &str) -> Result<(), FleetError> {
         let (file, fresh) = (self.file(name), self.file(&format!("{name}.new")));
         let done = std::fs::write(&fresh, text).and_then(|()| std::fs::rename(&fresh, &file));
-        done.map_err(|error| FleetError::File(file, error))
+        done.map_err(|source| FleetError::File { path: file, source })
     }
 
     pub(super) fn start(&self, config: &Value, settings: Option<&str>) -> Result<(), FleetError> {
-        let mut held = self.child.lock().expect("a lock");
-        if held.is_some() {
-            return Err(FleetError::Runs(self.number));
+        let mut running = self.child.lock().expect("a lock");
+        if running.is_some() {
+            return Err(FleetError::AlreadyRunning(self.number));
         }
         self.write("config.json", &config.to_string())?;
         let mut command = Command::new(&self.program);
@@ -76,21 +77,22 @@
         command.current_dir(&self.folder).env("TMPDIR", &self.folder);
         command.env("GW_CONFIG", self.file("config.json")).stdin(Stdio::null());
         command.stdout(Stdio::null()).stderr(Stdio::piped());
-        self.record.add(Event::Started { dispatcher: self.number });
-        let mut child = command.spawn().map_err(|error| FleetError::Start(self.number, error))?;
+        self.event_log.add(Event::Started { dispatcher: self.number });
+        let mut child =
+            command.spawn().map_err(|source| FleetError::Start { process: self.number, source })?;
         if let Some(stderr) = child.stderr.take() {
             let (log, clock) = (self.log.clone(), self.clock);
             std::thread::spawn(move || {
                 for text in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let mut log = log.lock().expect("a lock");
-                    if log.len() >= LINES {
+                    if log.len() >= MAX_LOG_LINES {
                         log.pop_front();
                     }
-                    log.push_back(Line { at: clock.now(), text });
+                    log.push_back(LogLine { at: clock.now(), text });
                 }
             });
         }
-        *held = Some(child);
+        *running = Some(child);
         Ok(())
     }
 
@@ -101,10 +103,10 @@
         }
     }
 
-    /// Sends a signal, if it runs, after having noted it.
+    /// Logs an event and sends a signal, if the process runs.
     fn send(&self, signal: Signal, event: Event) {
         if let Some(child) = self.child.lock().expect("a lock").as_ref() {
-            self.record.add(event);
+            self.event_log.add(event);
             Process::signal(child, signal);
         }
     }
@@ -112,7 +114,7 @@
     pub(super) fn kill(&self) {
         let child = self.child.lock().expect("a lock").take();
         if let Some(mut child) = child {
-            self.record.add(Event::Killed { dispatcher: self.number });
+            self.event_log.add(Event::Killed { dispatcher: self.number });
             Process::signal(&child, Signal::KILL);
             let _ = child.wait();
         }
@@ -128,21 +130,21 @@
         }
     }
 
-    pub(super) fn pause(&self, on: bool) {
-        let signal = if on { Signal::STOP } else { Signal::CONT };
-        self.send(signal, Event::Paused { dispatcher: self.number, on });
+    pub(super) fn set_paused(&self, is_paused: bool) {
+        let signal = if is_paused { Signal::STOP } else { Signal::CONT };
+        self.send(signal, Event::Paused { dispatcher: self.number, is_paused });
     }
 
-    /// Whether it runs; notes its end if it has ended by itself.
-    pub(super) fn runs(&self) -> bool {
-        let mut held = self.child.lock().expect("a lock");
-        let Some(child) = held.as_mut() else { return false };
+    /// Whether it runs; logs its end if it has exited by itself.
+    pub(super) fn is_running(&self) -> bool {
+        let mut running = self.child.lock().expect("a lock");
+        let Some(child) = running.as_mut() else { return false };
         match child.try_wait() {
             Ok(None) => true,
-            ended => {
-                let clean = ended.is_ok_and(|status| status.is_some_and(|status| status.success()));
-                self.record.add(Event::Ended { dispatcher: self.number, clean });
-                *held = None;
+            exited => {
+                let is_clean = exited.is_ok_and(|status| status.is_some_and(|status| status.success()));
+                self.event_log.add(Event::Exited { dispatcher: self.number, is_clean });
+                *running = None;
                 false
             }
         }
@@ -152,7 +154,7 @@
         self.child.lock().expect("a lock").as_ref().map(Child::id)
     }
 
-    pub(super) fn log(&self) -> Vec<Line> {
+    pub(super) fn log(&self) -> Vec<LogLine> {
         self.log.lock().expect("a lock").iter().cloned().collect()
     }
 }
--- /dev/null
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -0,0 +1,316 @@
+//! The TCP relay: one listener for each link from a dispatcher to a worker or to discovery. It accepts, connects to the far
+//! side and passes bytes on, with the faults that are set at that time. It knows when which byte crossed, and on which link.
+
+use super::ConnectionFailed;
+use super::event_log::EventLog;
+use super::link::{ConnectBehavior, Direction, Link, LinkRoute, LinkState, RelayedConnection};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::runtime::Handle;
+use tokio::sync::{mpsc, watch};
+
+/// Connections that wait to be accepted.
+const BACKLOG: u32 = 1024;
+/// Pieces of one direction in flight.
+const MAX_PIECES_IN_FLIGHT: usize = 64;
+const PIECE_LENGTH: usize = 16 * 1024;
+/// A listener that could not be opened again is retried after this.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// The relay's own connection to a full queue, and what waits in that queue, come up by then.
+const LOOPBACK_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// A piece of one direction, and when it is passed on.
+struct Piece {
+    due: u64,
+    bytes: Vec<u8>,
+}
+
+/// The relay's connection to the far side of a link.
+struct FarSide {
+    own_address: SocketAddr,
+    stream: TcpStream,
+    connection: Arc<RelayedConnection>,
+}
+
+/// All links of a fleet, and which connection on the far side belongs to which.
+pub(super) struct TcpRelay {
+    /// By the relay's own address on the far side.
+    connections: Mutex<HashMap<SocketAddr, Arc<RelayedConnection>>>,
+    event_log: Arc<EventLog>,
+}
+
+/// Has the system reset a connection when it is dropped.
+pub(super) fn reset_on_drop(stream: &TcpStream) {
+    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+/// A listener at a fixed address, also soon after an earlier one.
+pub(super) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+impl TcpRelay {
+    pub(super) fn new(event_log: Arc<EventLog>) -> Arc<TcpRelay> {
+        Arc::new(TcpRelay { connections: Mutex::default(), event_log })
+    }
+
+    /// The connection that the far side accepted from this address; `None` if it does not come by a link.
+    pub(super) fn connection_from(&self, peer: SocketAddr) -> Option<Arc<RelayedConnection>> {
+        self.connections.lock().expect("a lock").get(&peer).cloned()
+    }
+
+    pub(super) fn start_link(
+        self: &Arc<Self>,
+        runtime: &Handle,
+        route: LinkRoute,
+        seed: u64,
+    ) -> std::io::Result<Arc<Link>> {
+        let _inside = runtime.enter();
+        let listener = listen(route.address)?;
+        let link = Link::new(route, seed);
+        let (relay, shared) = (self.clone(), link.clone());
+        runtime.spawn(async move { relay.serve(shared, listener).await });
+        Ok(link)
+    }
+
+    async fn serve(self: Arc<Self>, link: Arc<Link>, listener: TcpListener) {
+        let mut state = link.state.subscribe();
+        let mut listener = Some(listener);
+        loop {
+            let behavior = state.borrow_and_update().connect_behavior();
+            if behavior == ConnectBehavior::Refused {
+                listener = None;
+                if state.changed().await.is_err() {
+                    return;
+                }
+                continue;
+            }
+            let open = match &listener {
+                Some(open) => open,
+                None => match listen(link.address) {
+                    Ok(open) => listener.insert(open),
+                    Err(_) => {
+                        tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
+                        continue;
+                    }
+                },
+            };
+            if behavior == ConnectBehavior::Unreachable {
+                if self.stay_unreachable(&link, open, &mut state).await.is_none() {
+                    return;
+                }
+                continue;
+            }
+            tokio::select! {
+                biased;
+                changed = state.changed() => if changed.is_err() { return },
+                accepted = open.accept() => if let Ok((stream, _)) = accepted {
+                    self.on_accepted(&link, stream);
+                },
+            }
+        }
+    }
+
+    /// While the machine is unreachable its queue of new connections is kept full by one of our own: the system then drops
+    /// what would open another, and a connect hangs as it does on a real network. `None` once the link is gone.
+    async fn stay_unreachable(
+        self: &Arc<Self>,
+        link: &Arc<Link>,
+        listener: &TcpListener,
+        state: &mut watch::Receiver<LinkState>,
+    ) -> Option<()> {
+        let socket = socket2::SockRef::from(listener);
+        let _ = socket.listen(0);
+        let connect = TcpStream::connect(link.address);
+        let own = tokio::time::timeout(LOOPBACK_TIMEOUT, connect).await;
+        let own = own.ok().and_then(Result::ok);
+        let own_address = own.as_ref().and_then(|own| own.local_addr().ok());
+        while state.borrow_and_update().connect_behavior() == ConnectBehavior::Unreachable {
+            state.changed().await.ok()?;
+        }
+        let _ = socket.listen(BACKLOG as i32);
+        // Our own is the last that got in; those before it were waiting when the machine went away.
+        while let Some(own) = own_address {
+            match tokio::time::timeout(LOOPBACK_TIMEOUT, listener.accept()).await {
+                Ok(Ok((_, peer))) if peer == own => break,
+                Ok(Ok((stream, _))) => self.on_accepted(link, stream),
+                _ => break,
+            }
+        }
+        Some(())
+    }
+
+    fn on_accepted(self: &Arc<Self>, link: &Arc<Link>, stream: TcpStream) {
+        link.connects.fetch_add(1, Ordering::Relaxed);
+        let (relay, link) = (self.clone(), link.clone());
+        tokio::spawn(async move {
+            let _ = stream.set_nodelay(true);
+            let mut state = link.state.subscribe();
+            let behavior = state.borrow_and_update().connect_behavior();
+            match behavior {
+                ConnectBehavior::Reset | ConnectBehavior::Refused => reset_on_drop(&stream),
+                ConnectBehavior::Silent => {
+                    let _ = state.wait_for(|s| s.connect_behavior() != ConnectBehavior::Silent).await;
+                    reset_on_drop(&stream);
+                }
+                ConnectBehavior::Up | ConnectBehavior::Unreachable => relay.relay(link, stream).await,
+            }
+        });
+    }
+
+    async fn relay(&self, link: Arc<Link>, near: TcpStream) {
+        let Ok(far) = self.connect_far_side(&link).await else { return reset_on_drop(&near) };
+        let _ = far.stream.set_nodelay(true);
+        self.pass_both_ways(&link, &far.connection, near, far.stream).await;
+        self.connections.lock().expect("a lock").remove(&far.own_address);
+    }
+
+    /// Connects to the far side. The connection is registered first: the far side asks as soon as it has accepted.
+    async fn connect_far_side(&self, link: &Arc<Link>) -> std::io::Result<FarSide> {
+        let socket = TcpSocket::new_v4()?;
+        socket.set_reuseaddr(true)?;
+        socket.bind(SocketAddr::new(link.address.ip(), 0))?;
+        let own_address = socket.local_addr()?;
+        let connection = RelayedConnection::new(link.clone(), self.event_log.clock);
+        self.connections.lock().expect("a lock").insert(own_address, connection.clone());
+        let connected = socket.connect(link.target).await;
+        if connected.is_err() {
+            self.connections.lock().expect("a lock").remove(&own_address);
+        }
+        connected.map(|stream| FarSide { own_address, stream, connection })
+    }
+
+    async fn pass_both_ways(
+        &self,
+        link: &Arc<Link>,
+        connection: &RelayedConnection,
+        mut near: TcpStream,
+        mut far: TcpStream,
+    ) {
+        let mut state = link.state.subscribe();
+        let begun = *state.borrow_and_update();
+        let (mut is_far_side_dropped, mut is_forced) = (false, false);
+        let is_done = {
+            let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
+            let both = async {
+                tokio::try_join!(
+                    self.pass(link, connection, Direction::Out, near_read, far_write),
+                    self.pass(link, connection, Direction::In, far_read, near_write),
+                )
+            };
+            let is_ended =
+                |s: &LinkState| s.resets != begun.resets || s.far_side_drops != begun.far_side_drops;
+            tokio::select! {
+                done = both => done.is_ok(),
+                end = state.wait_for(is_ended) => {
+                    is_far_side_dropped = end.is_ok_and(|s| s.far_side_drops != begun.far_side_drops);
+                    is_forced = true;
+                    false
+                }
+            }
+        };
+        if is_done {
+            return;
+        }
+        if !is_forced {
+            // What broke on one side is not noticed on the other while nothing gets through.
+            let flows = |s: &LinkState| !s.is_stalled(Direction::Out) && !s.is_stalled(Direction::In);
+            let _ = state.wait_for(flows).await;
+        }
+        reset_on_drop(&far);
+        drop(far);
+        if is_far_side_dropped {
+            let mut discarded = vec![0; PIECE_LENGTH];
+            let unread = async { while matches!(near.read(&mut discarded).await, Ok(1..)) {} };
+            tokio::select! {
+                () = unread => {}
+                _ = state.wait_for(|s| s.resets != begun.resets) => {}
+            }
+        }
+        reset_on_drop(&near);
+    }
+
+    /// Reads on one side and writes on the other, each piece in its time.
+    async fn pass(
+        &self,
+        link: &Link,
+        connection: &RelayedConnection,
+        direction: Direction,
+        read: ReadHalf<'_>,
+        write: WriteHalf<'_>,
+    ) -> Result<(), ConnectionFailed> {
+        let (sender, pieces) = mpsc::channel::<Piece>(MAX_PIECES_IN_FLIGHT);
+        tokio::try_join!(
+            self.read_pieces(link, connection, direction, read, sender),
+            self.write_pieces(link, connection, direction, pieces, write),
+        )
+        .map(|_| ())
+    }
+
+    async fn read_pieces(
+        &self,
+        link: &Link,
+        connection: &RelayedConnection,
+        direction: Direction,
+        mut read: ReadHalf<'_>,
+        pieces: mpsc::Sender<Piece>,
+    ) -> Result<(), ConnectionFailed> {
+        let mut rng = fastrand::Rng::with_seed(link.seed ^ direction as u64);
+        let mut total = 0;
+        loop {
+            let mut bytes = vec![0; PIECE_LENGTH];
+            let length = read.read(&mut bytes).await.map_err(|_| ConnectionFailed)?;
+            bytes.truncate(length);
+            let now = self.event_log.clock.now();
+            total += length as u64;
+            if direction == Direction::Out && length > 0 {
+                connection.on_received(total, now);
+            }
+            let faults = link.state.borrow().faults;
+            let wait = faults.delay + faults.jitter.mul_f64(rng.f64());
+            let due = now + wait.as_micros() as u64;
+            if length == 0 || pieces.send(Piece { due, bytes }).await.is_err() {
+                return Ok(());
+            }
+        }
+    }
+
+    async fn write_pieces(
+        &self,
+        link: &Link,
+        connection: &RelayedConnection,
+        direction: Direction,
+        mut pieces: mpsc::Receiver<Piece>,
+        mut write: WriteHalf<'_>,
+    ) -> Result<(), ConnectionFailed> {
+        let mut state = link.state.subscribe();
+        while let Some(Piece { due, bytes }) = pieces.recv().await {
+            let early = due.saturating_sub(self.event_log.clock.now());
+            if early > 0 {
+                tokio::time::sleep(Duration::from_micros(early)).await;
+            }
+            state.wait_for(|s| !s.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
+            let rate = state.borrow().faults.rate;
+            if let Some(rate) = rate {
+                let seconds = bytes.len() as f64 / rate.max(1) as f64;
+                tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
+            }
+            write.write_all(&bytes).await.map_err(|_| ConnectionFailed)?;
+            link.count_bytes(direction, bytes.len());
+            if direction == Direction::In {
+                connection.on_written(bytes.len(), &self.event_log);
+            }
+        }
+        state.wait_for(|s| !s.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
+        write.shutdown().await.map_err(|_| ConnectionFailed)
+    }
+}
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -1,14 +1,14 @@
-//! A small deployment as the real configuration words it.
+//! The configuration of a small deployment, in the form of the real one.
 
 use mothproxy::config::{Config, EndpointList};
 use serde_json::{Value, json};
 
 /// The configuration: two classes, one tenant, a tick of 2 ms, workers as given.
 pub fn config(listen: &str, discovery: &str, instances: Value) -> Value {
-    json!({
+    let mut config = json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"generation": 1, "reset": true, "instances": instances},
+        "known": {"generation": 1, "reset": true, "instances": null},
         "settings": {
             "Me": 0, "Siblings": 1, "Zone": "alm 1", "Zones": ["alm 1"], "Kinds": ["k-mid"],
             "GranularityMs": 2.0, "Discovery": "on_request",
@@ -27,7 +27,9 @@
             "Obligations": {"AnswerSlackMs": 8.0, "AskWithinMs": 400.0, "ColdFrom": 0.38, "ColdMs": 8400.0,
                             "FallMs": 1500.0, "FallMultiple": 4.0, "StopSendingWithinMs": 400.0}
         }
-    })
+    });
+    config["known"]["instances"] = instances;
+    config
 }
 
 /// An endpoint's entry in a list.
@@ -36,13 +38,22 @@
            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// The configuration, read.
+/// The configuration as the program reads it.
+///
+/// # Panics
+///
+/// If the program refuses it.
 pub fn read(config: &Value) -> Config {
     Config::read(&config.to_string(), "config.json", |_| None).expect("a sound configuration")
 }
 
-/// A list of discovery's.
+/// An endpoint list of discovery, as the program reads it.
+///
+/// # Panics
+///
+/// If the program refuses it.
 pub fn list(generation: u64, reset: bool, instances: Value) -> EndpointList {
-    let list = json!({"generation": generation, "reset": reset, "instances": instances});
+    let mut list = json!({"generation": generation, "reset": reset, "instances": null});
+    list["instances"] = instances;
     EndpointList::read(&list).expect("a list")
 }
--- a/crates/testkit/tests/auditor.rs
+++ b/crates/testkit/tests/auditor.rs
@@ -1,33 +1,33 @@
 //! The auditor over records made by hand: a sound one in which it finds nothing, and for each thing that must not happen a
 //! change of that record, in which it finds that and nothing else.
 
-use mothproxy_testkit::fleet::record::ToldRow;
-use mothproxy_testkit::fleet::{Entry, Event, Finding, Life, Rules, audit};
+use mothproxy_testkit::fleet::event_log::NotifiedEndpoint;
+use mothproxy_testkit::fleet::{AuditRules, Event, Finding, Lifecycle, LoggedEvent, audit};
 
 const MS: u64 = 1_000;
 
-fn row(worker: usize, life: Life, started_ms: u64) -> ToldRow {
-    ToldRow { worker, life, started_ms }
+fn endpoint(worker: usize, lifecycle: Lifecycle, started_ms: u64) -> NotifiedEndpoint {
+    NotifiedEndpoint { worker, lifecycle, started_ms }
 }
 
-fn told(dispatcher: usize, generation: u64, whole: bool, rows: Vec<ToldRow>) -> Event {
-    Event::Told { dispatcher, generation, whole, rows }
+fn notified(dispatcher: usize, generation: u64, is_full: bool, endpoints: Vec<NotifiedEndpoint>) -> Event {
+    Event::Notified { dispatcher, generation, is_full, endpoints }
 }
 
 fn sent(id: &str) -> Event {
-    Event::Sent { dispatcher: 0, id: id.into(), patience: 500 * MS }
+    Event::Sent { dispatcher: 0, id: id.into(), timeout: 500 * MS }
 }
 
 fn reached(worker: usize, id: &str) -> Event {
     Event::Reached { dispatcher: 0, worker, id: id.into(), work: 20 * MS }
 }
 
-fn ran(id: &str, key: Option<&str>) -> Event {
-    Event::Ran { worker: 0, id: id.into(), key: key.map(str::to_owned) }
+fn executed(id: &str, key: Option<&str>) -> Event {
+    Event::Executed { worker: 0, id: id.into(), key: key.map(str::to_owned) }
 }
 
-fn made(id: &str) -> Event {
-    Event::Made { worker: 0, id: id.into(), result: format!("{id} by w0") }
+fn completed(id: &str) -> Event {
+    Event::Completed { worker: 0, id: id.into(), result: format!("{id} by w0") }
 }
 
 fn answered(id: &str) -> Event {
@@ -36,34 +36,34 @@
 
 /// Two jobs, one keyed; worker 1 drains at 1,000 ms; worker 2 starts at 2,000 ms and gets its first job.
 fn sound() -> Vec<(u64, Event)> {
-    let up = |worker| row(worker, Life::Up, 0);
+    let up = |worker| endpoint(worker, Lifecycle::Up, 0);
     vec![
         (0, Event::Started { dispatcher: 0 }),
-        (10, told(0, 1, true, vec![up(0), up(1)])),
+        (10, notified(0, 1, true, vec![up(0), up(1)])),
         (100, sent("a")),
         (101, reached(0, "a")),
-        (102, ran("a", None)),
-        (120, made("a")),
+        (102, executed("a", None)),
+        (120, completed("a")),
         (121, answered("a")),
         (200, sent("b")),
         (201, reached(0, "b")),
-        (202, ran("b", Some("key"))),
-        (220, made("b")),
+        (202, executed("b", Some("key"))),
+        (220, completed("b")),
         (221, answered("b")),
-        (999, Event::Changed { generation: 2, row: row(1, Life::Draining, 0) }),
-        (1_000, told(0, 2, false, vec![row(1, Life::Draining, 0)])),
+        (999, Event::EndpointChanged { generation: 2, endpoint: endpoint(1, Lifecycle::Draining, 0) }),
+        (1_000, notified(0, 2, false, vec![endpoint(1, Lifecycle::Draining, 0)])),
         (1_440, reached(1, "c")),
-        (1_999, Event::Changed { generation: 3, row: row(2, Life::Up, 77) }),
-        (2_000, told(0, 3, false, vec![row(2, Life::Up, 77)])),
+        (1_999, Event::EndpointChanged { generation: 3, endpoint: endpoint(2, Lifecycle::Up, 77) }),
+        (2_000, notified(0, 3, false, vec![endpoint(2, Lifecycle::Up, 77)])),
         (2_050, reached(2, "d")),
         (3_000, Event::Terminated { dispatcher: 0 }),
-        (3_100, Event::Ended { dispatcher: 0, clean: true }),
+        (3_100, Event::Exited { dispatcher: 0, is_clean: true }),
     ]
 }
 
-fn findings(events: Vec<(u64, Event)>, rules: &Rules) -> Vec<Finding> {
-    let mut entries: Vec<Entry> =
-        events.into_iter().map(|(ms, event)| Entry { at: ms * MS, event }).collect();
+fn findings(events: Vec<(u64, Event)>, rules: &AuditRules) -> Vec<Finding> {
+    let mut entries: Vec<LoggedEvent> =
+        events.into_iter().map(|(ms, event)| LoggedEvent { at: ms * MS, event }).collect();
     entries.sort_by_key(|entry| entry.at);
     audit(&entries, rules)
 }
@@ -71,7 +71,7 @@
 /// What is found in the sound record with these events in the place of those that begin at the given times.
 fn with(without: &[u64], more: Vec<(u64, Event)>) -> Vec<Finding> {
     let events = sound().into_iter().filter(|(at, _)| !without.contains(at)).chain(more).collect();
-    findings(events, &Rules { slack: Some(58 * MS), ..Rules::default() })
+    findings(events, &AuditRules { answer_slack: Some(58 * MS), ..AuditRules::default() })
 }
 
 fn names(found: &[Finding]) -> Vec<String> {
@@ -100,13 +100,16 @@
     let unanswered = || Event::Unanswered { dispatcher: 0, id: "a".into() };
     let again = (90, Event::Started { dispatcher: 0 });
     let dead = |at| (at, Event::Killed { dispatcher: 0 });
-    let pause = |at, on| (at, Event::Paused { dispatcher: 0, on });
+    let pause = |at, is_paused| (at, Event::Paused { dispatcher: 0, is_paused });
     let table: Vec<Case> = vec![
         ("sent 460 ms after it was told", &[], vec![(1_460, reached(1, "e"))], &["LateSend"]),
         (
             "up again meanwhile",
             &[],
-            vec![(1_100, told(0, 3, false, vec![row(1, Life::Up, 0)])), (1_460, reached(1, "e"))],
+            vec![
+                (1_100, notified(0, 3, false, vec![endpoint(1, Lifecycle::Up, 0)])),
+                (1_460, reached(1, "e")),
+            ],
             &[],
         ),
         (
@@ -124,7 +127,10 @@
         (
             "a whole list without it",
             &[1_000],
-            vec![(1_000, told(0, 2, true, vec![row(0, Life::Up, 0)])), (1_460, reached(1, "e"))],
+            vec![
+                (1_000, notified(0, 2, true, vec![endpoint(0, Lifecycle::Up, 0)])),
+                (1_460, reached(1, "e")),
+            ],
             &["LateSend"],
         ),
         ("no answer", &[121], vec![(400, unanswered())], &["NeverAnswered"]),
@@ -141,10 +147,10 @@
         (
             "bytes that nobody asked for",
             &[],
-            vec![(130, Event::Stray { dispatcher: 0, id: "a".into() })],
+            vec![(130, Event::UnexpectedBytes { dispatcher: 0, id: "a".into() })],
             &["AnsweredTwice"],
         ),
-        ("a result that nobody made", &[120], vec![], &["Invented"]),
+        ("a result that nobody made", &[120], vec![], &["UnknownResult"]),
         (
             "another job's result",
             &[121],
@@ -152,21 +158,26 @@
                 121,
                 Event::Answered { dispatcher: 0, id: "a".into(), status: 200, body: "b by w0".into() },
             )],
-            &["Invented"],
+            &["UnknownResult"],
         ),
         ("answered 100 ms late", &[121], vec![(700, answered("a"))], &["AnsweredLate"]),
-        ("a key that ran again", &[], vec![(230, ran("b2", Some("key")))], &["RanAgain"]),
+        ("a key that ran again", &[], vec![(230, executed("b2", Some("key")))], &["ExecutedTwice"]),
         (
             "a datagram of 257 bytes",
             &[],
             vec![(500, Event::LongDatagram { dispatcher: 0, length: 257 })],
             &["LongDatagram"],
         ),
-        ("a cold worker over its budget", &[], over, &["ColdOver"]),
+        ("a cold worker over its budget", &[], over, &["WarmUpExceeded"]),
         ("and within it", &[], within, &[]),
         ("over it, by others than those who knew", &[], shared, &[]),
         ("ended without being asked", &[3_000], vec![], &["Crashed"]),
-        ("ended badly", &[3_100], vec![(3_100, Event::Ended { dispatcher: 0, clean: false })], &["Crashed"]),
+        (
+            "ended badly",
+            &[3_100],
+            vec![(3_100, Event::Exited { dispatcher: 0, is_clean: false })],
+            &["Crashed"],
+        ),
     ];
     for (what, without, more, expected) in table {
         assert_eq!(names(&with(without, more)), expected, "{what}");
@@ -175,10 +186,10 @@
 
 /// Where a change counts as told after a time, arrived or not.
 #[test]
-fn a_change_that_never_arrived_counts_as_told() {
+fn a_change_that_never_arrived_counts_as_notified() {
     let late = |at| {
         let missed = sound().into_iter().filter(|(at, _)| *at != 1_000).chain([(at, reached(1, "e"))]);
-        let rules = Rules { told_anyway: Some(6_000 * MS), ..Rules::default() };
+        let rules = AuditRules { assume_notified_after: Some(6_000 * MS), ..AuditRules::default() };
         names(&findings(missed.collect(), &rules))
     };
     assert_eq!(late(7_440), Vec::<String>::new());
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -4,7 +4,7 @@
 //! hold. `proof_coldstart SEED` plays with another seed.
 
 use mothproxy_coldstart::model::{Behaviour, Outcome, Scenario, play};
-use mothproxy_testkit::fleet::{Fleet, ListMode, ListScript, Plan, Rules};
+use mothproxy_testkit::fleet::{AuditRules, DiscoveryMode, DiscoveryScript, Fleet, Plan};
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -26,43 +26,44 @@
     let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, 6, seed);
     plan.settings = settings.map(str::to_owned);
     let service_time = Duration::from_micros(CALL);
-    plan.lists = ListScript { mode: ListMode::Down, service_time, ..ListScript::default() };
+    plan.discovery =
+        DiscoveryScript { mode: DiscoveryMode::Down, service_time, ..DiscoveryScript::default() };
     plan.change = Some(std::sync::Arc::new(move |_, config| {
         config["settings"]["Obligations"]["AskWithinMs"] = ask_within.into();
     }));
     let fleet = Fleet::prepare(plan).expect("a fleet");
     let began = Instant::now();
     fleet.start_all().expect("the processes start");
-    let load = fleet.plain_load(&fleet.all(), 1.0, Duration::from_secs(30));
+    let load = fleet.start_plain_load(&fleet.all(), 1.0, Duration::from_secs(30));
     std::thread::sleep(DOWN.saturating_sub(began.elapsed()));
-    let asked = fleet.lists.figures().calls.iter().sum::<u64>();
+    let asked = fleet.discovery.metrics().calls.iter().sum::<u64>();
     let back = fleet.now();
-    fleet.lists.set_mode(ListMode::Up);
-    let answered = || fleet.lists.figures().answered.iter().all(|n| *n > 0);
-    let all = fleet.within(Duration::from_secs(4), answered).is_some();
+    fleet.discovery.set_mode(DiscoveryMode::Up);
+    let answered = || fleet.discovery.metrics().answered.iter().all(|n| *n > 0);
+    let all = fleet.time_until(Duration::from_secs(4), answered).is_some();
     std::thread::sleep(Duration::from_millis(500));
-    let figures = fleet.lists.figures();
+    let figures = fleet.discovery.metrics();
     let report = load.stop();
-    let mut held: Vec<u64> = fleet.held(1, back).into_iter().flatten().map(|at| at - back).collect();
+    let mut held: Vec<u64> = fleet.notified_at(1, back).into_iter().flatten().map(|at| at - back).collect();
     held.sort_unstable();
     let at =
         |part: f64| held.get((held.len() as f64 * part).ceil() as usize - 1).copied().unwrap_or(0) / 1_000;
-    let connects: Vec<u64> = fleet.workers.iter().map(|w| w.figures().connects.iter().sum()).collect();
+    let connects: Vec<u64> = fleet.workers.iter().map(|w| w.metrics().connects.iter().sum()).collect();
     let calls: u64 = figures.calls.iter().sum();
     let mut broken: Vec<String> =
-        fleet.audit(&Rules::default()).iter().map(|f| format!("{name}: {f:?}")).collect();
+        fleet.audit(&AuditRules::default()).iter().map(|f| format!("{name}: {f:?}")).collect();
     // As it was before, some wait for up to the asking time.
     if !all && settings.is_some() {
         broken.push(format!("{name}: {} of {SIZE} hold a list", held.len()));
     }
-    if report.nothing > 0 {
-        broken.push(format!("{name}: {} jobs lost", report.nothing));
+    if report.unanswered > 0 {
+        broken.push(format!("{name}: {} jobs lost", report.unanswered));
     }
     let row = json!({
         "calls_each": round(calls as f64 / SIZE as f64), "while_down": asked, "refused": figures.refused + figures.reset,
         "longest_queue": figures.longest_queue, "peak_100ms_after": figures.peak_since(back),
         "held_p50_ms": at(0.5), "held_p99_ms": at(0.99), "connections_a_worker": round(connects.iter().sum::<u64>() as f64 / connects.len() as f64),
-        "jobs": report.jobs, "served": report.served(), "lost": report.nothing,
+        "jobs": report.jobs, "served": report.served(), "lost": report.unanswered,
     });
     println!("30 processes, {name}: {row}");
     (row, broken)
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use members::*;
 use mothproxy_membership::model::{run, story::Extent};
-use mothproxy_testkit::fleet::{Fleet, Plan, Rules};
+use mothproxy_testkit::fleet::{AuditRules, Fleet, Plan};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
@@ -65,7 +65,7 @@
 
     /// Waits for something; how long it took in milliseconds.
     fn wait(&self, what: &str, holds: impl FnMut() -> bool) -> u64 {
-        let took = self.fleet.within(LIMIT, holds);
+        let took = self.fleet.time_until(LIMIT, holds);
         self.report.hold(took.is_some(), &format!("{}: never: {what}", self.name));
         took.unwrap_or(LIMIT).as_millis() as u64
     }
@@ -138,7 +138,7 @@
         let deaths = changes(&self.fleet, &self.fleet.all(), "Dead", 0);
         let wrong: Vec<_> = deaths.iter().filter(|(_, of, at)| !caused(*of, *at)).collect();
         self.report.hold(wrong.is_empty(), &format!("{}: false deaths: {wrong:?}", self.name));
-        let found = self.fleet.audit(&Rules::default());
+        let found = self.fleet.audit(&AuditRules::default());
         self.report.hold(found.is_empty(), &format!("{}: {found:?}", self.name));
         let totals = self.fleet.datagrams.totals();
         self.report.hold(totals.iter().all(|t| t.too_long == 0), "a datagram beyond 256 bytes");
@@ -151,7 +151,7 @@
     let mut story = Story::new("thirty", 30, seed, report);
     let sent = |story: &Story| -> u64 {
         let totals = story.fleet.datagrams.totals();
-        totals.iter().filter_map(|t| t.by_first.get(&0xF1)).map(|(_, bytes)| bytes).sum()
+        totals.iter().filter_map(|t| t.by_first_byte.get(&0xF1)).map(|(_, bytes)| bytes).sum()
     };
     std::thread::sleep(Duration::from_millis(600)); // the news of the start has been told
     let (before, begun) = (sent(&story), Instant::now());
@@ -161,8 +161,8 @@
     for victim in [7, 19] {
         story.kill_one(victim);
     }
-    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::Faults::loss(0.1));
-    let load = story.fleet.plain_load(&[0, 1, 2], 30.0, Duration::from_secs(30));
+    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::DatagramFaults::loss(0.1));
+    let load = story.fleet.start_plain_load(&[0, 1, 2], 30.0, Duration::from_secs(30));
     let rubbish = |story: &Story, n: usize, rng: &mut fastrand::Rng| {
         let mut bytes: Vec<u8> = (0..rng.usize(1..400)).map(|_| rng.u8(..)).collect();
         bytes[0] = 0xF1;
@@ -175,7 +175,7 @@
         n += 1;
         std::thread::sleep(Duration::from_micros(500));
     }
-    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::Faults::NONE);
+    story.fleet.datagrams.set_all(mothproxy_testkit::fleet::DatagramFaults::NONE);
     let refused = figure(&story.fleet, 29, "refused");
     report.put("rubbish_sent", n);
     report.put("rubbish_refused", refused);
@@ -192,7 +192,7 @@
         .report
         .hold(all_hold(&story.fleet, &left, &left, "alive"), "a survivor of the mass kill is held dead");
     let started = story.fleet.now();
-    gone.iter().for_each(|i| story.fleet.start_one(*i).expect("it starts again"));
+    gone.iter().for_each(|i| story.fleet.start_process(*i).expect("it starts again"));
     story.agree("after seven in ten started again");
     report.put("mass_restart_all_known_ms", (story.fleet.now() - started) / 1000);
     story.over();
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -4,7 +4,7 @@
 //! calls and 2 x root of N + 2. The last line is JSON; exit code 1 where something did not hold. `proof_ramp SEED` plays
 //! with another seed.
 
-use mothproxy_testkit::fleet::{Event, Faults, Fleet, Plan, Rules, seed_or};
+use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Event, Fleet, Plan, seed_or};
 use serde_json::json;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -16,17 +16,18 @@
 const RATE: f64 = 0.9 * WORKERS as f64 * 4.0 / 0.4 / SIZE as f64;
 
 /// The most calls that came within a stretch of the fall window while the worker was cold.
-fn most(fleet: &Fleet, rules: &Rules, worker: usize, begun: u64) -> usize {
+fn most(fleet: &Fleet, rules: &AuditRules, worker: usize, begun: u64) -> usize {
     let mut came = Vec::new();
-    fleet.record.each(|entry| match entry.event {
+    fleet.event_log.for_each(|entry| match entry.event {
         Event::Reached { worker: w, .. }
-            if w == worker && (begun..begun + rules.cold).contains(&entry.at) =>
+            if w == worker && (begun..begun + rules.warm_up_time).contains(&entry.at) =>
         {
             came.push(entry.at);
         }
         _ => {}
     });
-    let within = |from: &u64| came.iter().filter(|at| (*from..*from + rules.fall).contains(at)).count();
+    let within =
+        |from: &u64| came.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
     came.iter().map(within).max().unwrap_or(0)
 }
 
@@ -36,10 +37,10 @@
     for worker in &mut plan.workers {
         (worker.work, worker.random_work) = (WORK, true);
     }
-    let rules = Rules { mean_work: WORK.as_micros() as u64, ..Rules::default() };
+    let rules = AuditRules { mean_work: WORK.as_micros() as u64, ..AuditRules::default() };
     let fleet = Fleet::start(plan).expect("a fleet");
-    fleet.until_held(&fleet.all(), 1, 0);
-    let load = fleet.plain_load(&fleet.all(), RATE, Duration::from_secs(120));
+    fleet.wait_until_notified(&fleet.all(), 1, 0);
+    let load = fleet.start_plain_load(&fleet.all(), RATE, Duration::from_secs(120));
     let pass = |s: u64| std::thread::sleep(Duration::from_secs(s));
     let anew = |worker: usize| {
         fleet.kill_worker(worker);
@@ -54,20 +55,21 @@
     pass(1);
     (0..SIZE / 4).for_each(|i| fleet.kill(i));
     (0..SIZE / 4).for_each(|i| fleet.restart(i).expect("it starts again"));
-    fleet.until_up(&fleet.all());
+    fleet.wait_until_up(&fleet.all());
     fleet.datagrams.heal();
-    fleet.datagrams.set_all(Faults::loss(1.0));
-    fleet.cut_lists(&halves[1], true);
+    fleet.datagrams.set_all(DatagramFaults::loss(1.0));
+    fleet.set_discovery_cut(&halves[1], true);
     let second = anew(1);
     pass(3);
-    fleet.cut_lists(&halves[1], false);
-    fleet.datagrams.set_all(Faults::loss(0.0));
+    fleet.set_discovery_cut(&halves[1], false);
+    fleet.datagrams.set_all(DatagramFaults::loss(0.0));
     pass(7);
     let report = load.stop();
     let found = fleet.audit(&rules);
     let most = [(0, first), (1, second)].map(|(worker, begun)| most(&fleet, &rules, worker, begun));
     let calls =
-        rules.fall_multiple * rules.cold_from * rules.capacity * rules.fall as f64 / rules.mean_work as f64;
+        rules.overload_multiple * rules.initial_capacity * rules.capacity * rules.overload_window as f64
+            / rules.mean_work as f64;
     let held = found.is_empty() && most.iter().all(|most| *most > 0);
     found.iter().for_each(|what| println!("BROKEN: {what:?}"));
     let line = json!({
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -14,7 +14,7 @@
 
 type Holds = fn(&Outcome) -> bool;
 /// A case: how its day differs, what has to hold of the pacer alone, and where it hears the others.
-type Row = (&'static str, fn(&mut Scenario), Holds, Holds);
+type Endpoint = (&'static str, fn(&mut Scenario), Holds, Holds);
 
 fn spares_the_service(o: &Outcome) -> bool {
     o.peak_after <= 2 * CAN && o.most_out == 1 && o.without == 0 && o.falls == 0
@@ -25,7 +25,7 @@
 fn hard_cases() {
     let soon: Holds = |o| o.calls_each <= 1.5 && o.held_p99 <= 2 * OWN && o.lost == 0;
     let holds: Holds = |o| o.lost == 0;
-    let rows: [Row; 11] = [
+    let rows: [Endpoint; 11] = [
         ("all start within 1 s", |_| {}, soon, soon),
         ("7 in 10 killed and restarted at once", |s| s.killed = Some((6 * S, 0.7)), soon, soon),
         (
@@ -106,32 +106,35 @@
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
     plan.settings =
         Some("fleet { membership { probe_interval_ms: 100 } cold_start { call_ms: 40 } }".to_owned());
-    plan.lists =
-        ListScript { mode: ListMode::Down, service_time: Duration::from_millis(40), ..ListScript::default() };
+    plan.discovery = DiscoveryScript {
+        mode: DiscoveryMode::Down,
+        service_time: Duration::from_millis(40),
+        ..DiscoveryScript::default()
+    };
     let fleet = Fleet::start(plan).expect("a fleet");
-    let load = fleet.plain_load(&fleet.all(), 20.0, Duration::from_secs(60));
-    fleet.until("calls are reset", || fleet.lists.figures().reset >= 3);
-    fleet.until("jobs are served on what is known", || load.report().served() > 20);
-    fleet.lists.set_mode(ListMode::Up);
-    let answered = |least: u64| fleet.lists.figures().answered.iter().all(|n| *n >= least);
-    fleet.until("all hold a list", || answered(1));
-    let drained = fleet.lists.set_life(0, Life::Draining);
-    fleet.until("all are told of a drain", || fleet.held(drained, 0).iter().all(Option::is_some));
-    fleet.lists.set_mode(ListMode::Mute);
-    fleet.until("silence is noticed", || {
+    let load = fleet.start_plain_load(&fleet.all(), 20.0, Duration::from_secs(60));
+    fleet.wait_until("calls are reset", || fleet.discovery.metrics().reset >= 3);
+    fleet.wait_until("jobs are served on what is known", || load.summary().served() > 20);
+    fleet.discovery.set_mode(DiscoveryMode::Up);
+    let answered = |least: u64| fleet.discovery.metrics().answered.iter().all(|n| *n >= least);
+    fleet.wait_until("all hold a list", || answered(1));
+    let drained = fleet.discovery.set_lifecycle(0, Lifecycle::Draining);
+    fleet.wait_until("all are told of a drain", || fleet.notified_at(drained, 0).iter().all(Option::is_some));
+    fleet.discovery.set_mode(DiscoveryMode::Mute);
+    fleet.wait_until("silence is noticed", || {
         (0..5).all(|i| fleet.log(i).iter().any(|line| line.text.contains("watch failed: fell silent")))
     });
-    fleet.lists.set_mode(ListMode::Up);
-    fleet.until("all hold a list again", || answered(2));
+    fleet.discovery.set_mode(DiscoveryMode::Up);
+    fleet.wait_until("all hold a list again", || answered(2));
     // Calls may have ended so before, while it was down at the start.
     let ended = |i| fleet.log(i).iter().filter(|line| line.text.contains("watch failed: ended")).count();
     let before: Vec<usize> = (0..5).map(ended).collect();
-    fleet.lists.set_mode(ListMode::Down);
-    fleet.until("watches end", || (0..5).all(|i| ended(i) > before[i]));
-    fleet.lists.set_mode(ListMode::Up);
-    fleet.until("all hold a list once more", || answered(3));
+    fleet.discovery.set_mode(DiscoveryMode::Down);
+    fleet.wait_until("watches end", || (0..5).all(|i| ended(i) > before[i]));
+    fleet.discovery.set_mode(DiscoveryMode::Up);
+    fleet.wait_until("all hold a list once more", || answered(3));
     let report = load.stop();
     assert!(report.served() > 50, "{report:?}");
-    let found = fleet.audit(&Rules::default());
+    let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -21,7 +21,7 @@
 }
 
 fn agree(fleet: &Fleet, what: &str) {
-    fleet.until(&format!("all hold all alive {what}"), || {
+    fleet.wait_until(&format!("all hold all alive {what}"), || {
         all_hold(fleet, &fleet.all(), &fleet.all(), "alive")
     });
 }
@@ -31,7 +31,7 @@
 fn five_processes_know_who_is_there() {
     let fleet = Fleet::start(plan(5, 0x6d65_6d01, Some(ON))).expect("a fleet");
     agree(&fleet, "at the start");
-    let load = fleet.plain_load(&[0, 2], 20.0, Duration::from_secs(60));
+    let load = fleet.start_plain_load(&[0, 2], 20.0, Duration::from_secs(60));
     // Rubbish: each is refused and nobody dies of it.
     let mut rng = fastrand::Rng::with_seed(5);
     for n in 0..400_usize {
@@ -39,12 +39,12 @@
         bytes[0] = if n % 4 == 0 { 0xF2 } else { 0xF1 };
         fleet.datagrams.forge(n % 4, 4, &bytes);
     }
-    fleet.until("rubbish is counted", || figure(&fleet, 4, "refused") > 100);
+    fleet.wait_until("rubbish is counted", || figure(&fleet, 4, "refused") > 100);
     agree(&fleet, "after rubbish");
     // A kill, and a restart at the same place with a greater epoch.
     let (rest, before) = ([0, 1, 2, 4], epoch(&fleet, 0, 3));
     fleet.kill(3);
-    fleet.until("the killed one is dead", || all_hold(&fleet, &rest, &[3], "dead"));
+    fleet.wait_until("the killed one is dead", || all_hold(&fleet, &rest, &[3], "dead"));
     assert!(all_hold(&fleet, &rest, &rest, "alive"), "and no other");
     fleet.restart(3).expect("it starts again");
     agree(&fleet, "after a restart");
@@ -52,7 +52,7 @@
     // Two sides: each holds the other dead and none of its own.
     let (few, many) = ([0, 1], [2, 3, 4]);
     fleet.datagrams.partition(&[&few, &many]);
-    fleet.until("each side is alone", || {
+    fleet.wait_until("each side is alone", || {
         all_hold(&fleet, &few, &many, "dead") && all_hold(&fleet, &many, &few, "dead")
     });
     assert!(all_hold(&fleet, &few, &few, "alive") && all_hold(&fleet, &many, &many, "alive"));
@@ -62,29 +62,29 @@
     let healed = fleet.now();
     fleet.datagrams.cut_one_way(&[0], &[1]);
     let probes = figure(&fleet, 0, "probes");
-    fleet.until("many probes", || figure(&fleet, 0, "probes") > probes + 20);
+    fleet.wait_until("many probes", || figure(&fleet, 0, "probes") > probes + 20);
     fleet.datagrams.heal();
     agree(&fleet, "after a one-way cut");
     assert_eq!(changes(&fleet, &fleet.all(), "Dead", healed), [], "nobody died of it");
     // A pause that outlasts the suspicion: it is dead to the others, and they to it are not.
     let paused = fleet.now();
     fleet.pause(1);
-    fleet.until("the paused one is dead", || all_hold(&fleet, &[0, 2, 3, 4], &[1], "dead"));
+    fleet.wait_until("the paused one is dead", || all_hold(&fleet, &[0, 2, 3, 4], &[1], "dead"));
     fleet.resume(1);
     agree(&fleet, "after a pause");
     assert_eq!(changes(&fleet, &[1], "Dead", paused), [], "it held nobody dead for its own sleep");
     // A farewell is no death.
     let stopped = fleet.now();
     fleet.terminate(4);
-    fleet.until("it has left", || all_hold(&fleet, &[0, 1, 2, 3], &[4], "left"));
-    fleet.until_ended(&[4]);
+    fleet.wait_until("it has left", || all_hold(&fleet, &[0, 1, 2, 3], &[4], "left"));
+    fleet.wait_until_exited(&[4]);
     assert_eq!(changes(&fleet, &fleet.all(), "Dead", stopped), [], "who has left is not dead");
     let report = load.stop();
-    let found = fleet.audit(&Rules::default());
+    let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
     assert!(report.served() > 10, "{report:?}");
     assert!(fleet.counters(0)["members_left"] == 1.0, "{:?}", fleet.counters(0));
-    fleet.until("the last figures", || figure(&fleet, 0, "declared_dead") > 0);
+    fleet.wait_until("the last figures", || figure(&fleet, 0, "declared_dead") > 0);
 }
 
 /// What one learns of run times reaches the others as facts, and a restarted one is taught anew.
@@ -93,11 +93,11 @@
     let on = "fleet { membership { probe_interval_ms: 100 } runtimes {} fair_share { points_per_s: 100 \
               installations { name: \"a\" weight: 1 tenants { name: \"steppe-mart\" weight: 1 } } } }";
     let fleet = Fleet::start(plan(3, 0x6d65_6d04, Some(on))).expect("a fleet");
-    let load = fleet.plain_load(&[0], 40.0, Duration::from_secs(60));
+    let load = fleet.start_plain_load(&[0], 40.0, Duration::from_secs(60));
     let figure = |i: usize, name: &str| fleet.counters(i).get(name).copied().unwrap_or(0.0);
-    fleet.until("ends are seen", || figure(0, "runtimes_seen") > 10.0);
-    fleet.until("the others know the use", || (1..3).all(|i| figure(i, "shares_taken") > 0.0));
-    fleet.until("the others are told", || (1..3).all(|i| figure(i, "runtimes_taken") > 0.0));
+    fleet.wait_until("ends are seen", || figure(0, "runtimes_seen") > 10.0);
+    fleet.wait_until("the others know the use", || (1..3).all(|i| figure(i, "shares_taken") > 0.0));
+    fleet.wait_until("the others are told", || (1..3).all(|i| figure(i, "runtimes_taken") > 0.0));
     assert_eq!(
         (figure(1, "runtimes_seen"), figure(1, "runtimes_told")),
         (0.0, 0.0),
@@ -105,7 +105,7 @@
     );
     fleet.kill(1);
     fleet.restart(1).expect("it starts again");
-    fleet.until("the new one is told", || figure(1, "runtimes_taken") > 0.0);
+    fleet.wait_until("the new one is told", || figure(1, "runtimes_taken") > 0.0);
     assert!(
         (0..3).all(|i| figure(i, "runtimes_refused") + figure(i, "shares_refused") == 0.0),
         "a fact that cannot be read"
@@ -122,7 +122,7 @@
     let peers = fleet.config(0)["peers"].clone();
     fleet.change_config(0, |config| config["peers"] = serde_json::json!([]));
     fleet.reload(0).expect("written");
-    fleet.until("it is turned down", || fleet.counters(0).get("reconfig_failed") == Some(&1.0));
+    fleet.wait_until("it is turned down", || fleet.counters(0).get("reconfig_failed") == Some(&1.0));
     assert_eq!(epoch(&fleet, 0, 0), before, "nothing has changed");
     agree(&fleet, "still");
     // The third is taken out of every file.
@@ -133,7 +133,7 @@
         });
         fleet.reload(i).expect("written");
     }
-    fleet.until("two are left", || (0..2).all(|i| states(&fleet, i) == ["alive", "alive"]));
+    fleet.wait_until("two are left", || (0..2).all(|i| states(&fleet, i) == ["alive", "alive"]));
     assert!(epoch(&fleet, 1, 0) > before, "a new epoch");
 }
 
@@ -141,13 +141,13 @@
 #[test]
 fn without_the_setting_nothing_of_it_is_there() {
     let fleet = Fleet::start(plan(3, 0x6d65_6d03, None)).expect("a fleet");
-    let load = fleet.plain_load(&fleet.all(), 50.0, Duration::from_secs(10));
-    fleet.until("jobs are served", || load.report().served() > 20);
+    let load = fleet.start_plain_load(&fleet.all(), 50.0, Duration::from_secs(10));
+    fleet.wait_until("jobs are served", || load.summary().served() > 20);
     let answer = fleet.admin(0, "/control/members").expect("an answer");
     assert_eq!(answer.status, 404);
     assert!(!fleet.counters(0).contains_key("members_alive"));
     let totals = fleet.datagrams.totals();
-    assert!(totals.iter().all(|t| !t.by_first.contains_key(&0xF1)), "{totals:?}");
+    assert!(totals.iter().all(|t| !t.by_first_byte.contains_key(&0xF1)), "{totals:?}");
     drop(load.stop());
     assert!(!fleet.log(0).iter().any(|line| line.text.starts_with("member")), "a line of it");
 }
