--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,6 +1,7 @@
 //! HTTP/1.1 over blocking sockets, as far as clients and workers in tests need it: requests, replies, body framing.
 
 use crate::WAIT_TIMEOUT;
+use serde_json::Value;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -192,6 +193,18 @@
     )
 }
 
+/// A job of class `balance` that the first worker which gets it serves with the result `x`.
+pub fn simple_job(id: &str) -> String {
+    job_request(id, "balance", "take started done=x", "")
+}
+
+/// A worker's call that reports a status update, on a connection of its own.
+pub fn status_update_request(update: &Value) -> String {
+    let text = update.to_string();
+    let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n";
+    format!("{head}Content-Length: {}\r\n\r\n{text}", text.len())
+}
+
 /// A chunk of a body in chunked encoding.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -16,7 +16,10 @@
 mod worker;
 
 pub use discovery::{FakeDiscovery, ScriptedResponse, WATCH_RESPONSE_HEAD, list_response};
-pub use http::{HttpReply, chunk, connect, is_closed, job_request, read_next_reply, read_reply, send};
+pub use http::{
+    HttpReply, chunk, connect, is_closed, job_request, read_next_reply, read_reply, send, simple_job,
+    status_update_request,
+};
 pub use process::{DispatcherBuilder, DispatcherProcess, program_path};
 pub use timestamp::{micros_since, timestamp_fraction};
 pub use wait::{WAIT_TIMEOUT, wait_for_connection_attempt, wait_until};
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,6 +1,6 @@
 //! The built program as a child process over real sockets, with a configuration of [`crate::site`].
 
-use crate::{FakeWorker, WAIT_TIMEOUT, site, wait_until};
+use crate::{FakeWorker, HttpReply, WAIT_TIMEOUT, send, site, wait_until};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
@@ -262,6 +262,25 @@
         std::fs::rename(fresh, &self.config_file).expect("the same folder");
     }
 
+    /// The status of its `/up`.
+    ///
+    /// # Panics
+    ///
+    /// If it does not answer.
+    pub fn up_status(&self) -> u16 {
+        send(self.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
+    }
+
+    /// Calls its second address.
+    ///
+    /// # Panics
+    ///
+    /// If it has none or does not answer.
+    pub fn call_admin(&self, method: &str, path: &str) -> HttpReply {
+        let address = self.admin.expect("a second address");
+        send(address, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("an answer")
+    }
+
     /// Waits for a line of the log that starts with this.
     ///
     /// # Panics
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -16,7 +16,7 @@
 //! | `hang` | is silent until the other side gives up; after `take`: reports nothing more |
 //! | `mute=NAME`, `stale=NAME` | on the worker of that name: is silent; closes a reused connection on arrival |
 
-use crate::http::{BodyFraming, MAX_HEADERS, chunk, read_body, read_more, read_reply};
+use crate::http::{BodyFraming, MAX_HEADERS, chunk, read_body, read_more, read_reply, status_update_request};
 use crate::{site, timestamp_fraction, wait_until};
 use serde_json::{Value, json};
 use std::collections::HashSet;
@@ -176,9 +176,7 @@
         let dispatcher = self.callback_address.lock().expect("a lock").expect("the dispatcher's address");
         update["id"] = json!(job_id);
         update["from"] = json!(self.name);
-        let text = update.to_string();
-        let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n";
-        let call = format!("{head}Content-Length: {}\r\n\r\n{text}", text.len());
+        let call = status_update_request(&update);
         // The dispatcher may have been killed: then nobody receives it.
         let Ok(mut stream) = TcpStream::connect(dispatcher) else { return false };
         let _ = stream.write_all(call.as_bytes());
--- a/crates/testkit/tests/auditor.rs
+++ b/crates/testkit/tests/auditor.rs
@@ -83,7 +83,7 @@
 type Case<'a> = (&'a str, &'a [u64], Vec<(u64, Event)>, &'a [&'a str]);
 
 #[test]
-fn each_break_is_found_and_named() {
+fn finds_and_names_each_violation() {
     assert_eq!(with(&[], vec![]), []);
     let burst =
         |count: u64, from: u64| (0..count).map(move |n| (2_100 + n, reached(2, &format!("f{from}-{n}"))));
@@ -186,7 +186,7 @@
 
 /// Where a change counts as told after a time, arrived or not.
 #[test]
-fn a_change_that_never_arrived_counts_as_notified() {
+fn change_that_never_arrived_counts_as_notified() {
     let late = |at| {
         let missed = sound().into_iter().filter(|(at, _)| *at != 1_000).chain([(at, reached(1, "e"))]);
         let rules = AuditRules { assume_notified_after: Some(6_000 * MS), ..AuditRules::default() };
--- a/crates/testkit/tests/harness.rs
+++ b/crates/testkit/tests/harness.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn datagrams_suffer_what_is_set_and_nothing_else() {
+fn datagram_faults_apply_as_set() {
     let fleet_of = |seed| {
         let fleet = fleet(3, seed);
         let peers: Vec<Peer> = (0..3).map(|i| peer(&fleet, i)).collect();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn connections_suffer_what_is_set_and_nothing_else() {
+fn link_faults_apply_as_set() {
     let fleet = fleet(2, 21);
     let link = fleet.link(0, 1);
     let connect = || TcpStream::connect_timeout(&link.address, Duration::from_millis(300));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn workers_do_as_they_are_told() {
+fn workers_follow_their_script() {
     let fleet = fleet(1, 31);
     let worker = &fleet.workers[0];
     let ask = |text: &str| {
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn lists_are_told_in_turn_and_refused_beyond_the_queue() {
+fn discovery_serves_in_turn_and_rejects_beyond_queue() {
     let fleet = fleet(2, 41);
     let call = |i: usize, query: &str| {
         let mut stream = TcpStream::connect(fleet.discovery_link(i).address).expect("it comes up");
--- a/examples/proof_store.rs
+++ b/examples/proof_store.rs
@@ -25,8 +25,11 @@
         &test(&["-p", "mothproxy-store", "--test", "histories"]),
     );
     let put = part("store put, killed", &[("STORE_KILLS", "40")], &test(&["--test", "store_cli", "killed"]));
-    let dispatcher =
-        part("dispatcher, killed", &[("DURABLE_RUNS", "25")], &test(&["--test", "durable", "a_program"]));
+    let dispatcher = part(
+        "dispatcher, killed",
+        &[("DURABLE_RUNS", "25")],
+        &test(&["--test", "durable", "kill_at_any_point"]),
+    );
     let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
     let at = folder.display().to_string();
     let bench = ["target/release/mothproxy", "store", "bench", &at, "--records", "1000000", "--json"];
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -14,11 +14,11 @@
 /// How long a worker may take for its first answer.
 const TAKE_MS: f64 = 1_000.0;
 
-struct Worker(TcpListener);
+struct ManualWorker(TcpListener);
 
-impl Worker {
-    fn start(change: impl FnOnce(&mut Value)) -> (Worker, DispatcherProcess) {
-        let worker = Worker(TcpListener::bind("127.0.0.1:0").expect("a port"));
+impl ManualWorker {
+    fn start(change: impl FnOnce(&mut Value)) -> (ManualWorker, DispatcherProcess) {
+        let worker = ManualWorker(TcpListener::bind("127.0.0.1:0").expect("a port"));
         let address = worker.0.local_addr().expect("an address").to_string();
         let program = DispatcherProcess::builder(&[])
             .configure(|config| {
@@ -30,28 +30,28 @@
         (worker, program)
     }
 
-    fn accept(&self) -> Option<Wire> {
+    fn accept(&self) -> Option<WorkerConnection> {
         self.0.set_nonblocking(true).expect("a socket option");
         let (stream, _) = self.0.accept().ok()?;
         stream.set_nonblocking(false).expect("a socket option");
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
-        Some(Wire(stream))
+        Some(WorkerConnection(stream))
     }
 
-    fn wire(&self) -> Wire {
-        let mut wire = None;
+    fn connection(&self) -> WorkerConnection {
+        let mut connection = None;
         wait_until("a connection of the program", || {
-            wire = self.accept();
-            wire.is_some()
+            connection = self.accept();
+            connection.is_some()
         });
-        wire.expect("a connection")
+        connection.expect("a connection")
     }
 }
 
 /// A connection to the worker, and the attempt on it.
-struct Wire(TcpStream);
+struct WorkerConnection(TcpStream);
 
-impl Wire {
+impl WorkerConnection {
     /// The next request's method, target and id; `None` once the program has closed it.
     fn request(&mut self) -> Option<String> {
         let mut seen = Vec::new();
@@ -68,62 +68,65 @@
         Some(format!("{line} {}", head.header("x-correlation-id").unwrap_or("")).trim_end().to_owned())
     }
 
-    fn say(&mut self, text: &str) {
+    fn write(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).expect("the program reads");
     }
 }
 
-fn hand_in(program: &DispatcherProcess, request: &str) -> TcpStream {
+fn submit(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
     client.write_all(request.as_bytes()).expect("written");
     client
 }
 
 /// Further clients, which the program has met.
-fn others(program: &DispatcherProcess, count: usize) -> Vec<TcpStream> {
-    let mut clients: Vec<TcpStream> = (0..count).map(|_| hand_in(program, UP)).collect();
+fn connect_clients(program: &DispatcherProcess, count: usize) -> Vec<TcpStream> {
+    let mut clients: Vec<TcpStream> = (0..count).map(|_| submit(program, UP)).collect();
     clients.iter_mut().for_each(|client| assert_eq!(read_reply(client).expect("an answer").status, 200));
     clients
 }
 
 /// A client hands in a job, and the worker has read it.
-fn attempt(worker: &Worker, program: &DispatcherProcess, id: &str, extra: &str) -> (TcpStream, Wire) {
-    let client = hand_in(program, &job_request(id, "balance", "", extra));
-    let mut wire = worker.wire();
-    assert_eq!(wire.request(), Some(format!("POST /balance {id}")));
-    (client, wire)
+fn attempt(
+    worker: &ManualWorker,
+    program: &DispatcherProcess,
+    id: &str,
+    extra: &str,
+) -> (TcpStream, WorkerConnection) {
+    let client = submit(program, &job_request(id, "balance", "", extra));
+    let mut connection = worker.connection();
+    assert_eq!(connection.request(), Some(format!("POST /balance {id}")));
+    (client, connection)
 }
 
 /// Has all this happen in this order before the program sees any of it.
-fn in_one_turn(program: &DispatcherProcess, what: impl FnOnce()) {
+fn within_one_turn(program: &DispatcherProcess, what: impl FnOnce()) {
     program.suspend();
     what();
     program.resume();
 }
 
 /// Calls back.
-fn news(program: &DispatcherProcess, id: &str, state: &str) {
-    let text = json!({"id": id, "from": "s-1", "state": state, "result": "x"}).to_string();
-    let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close";
-    let call = format!("{head}\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-    assert_eq!(send(program.platform, &call).expect("an answer").status, 204);
+fn send_status_update(program: &DispatcherProcess, id: &str, state: &str) {
+    let update = json!({"id": id, "from": "s-1", "state": state, "result": "x"});
+    assert_eq!(send(program.platform, &status_update_request(&update)).expect("an answer").status, 204);
 }
 
 /// An attempt has ended, and its connection never gets its answer: that is closed, and nothing is given up by name.
 #[test]
-fn what_has_ended_is_not_given_up() {
-    let (worker, program) = Worker::start(|_| {});
-    let (mut client, mut wire) = attempt(&worker, &program, "a0", "X-Time-Left-Ms: 1500\r\n");
-    news(&program, "a0", "returned");
-    assert_eq!(wire.request(), None, "it is closed once it has had its time");
+fn does_not_cancel_ended_attempt() {
+    let (worker, program) = ManualWorker::start(|_| {});
+    let (mut client, mut connection) = attempt(&worker, &program, "a0", "X-Time-Left-Ms: 1500\r\n");
+    send_status_update(&program, "a0", "returned");
+    assert_eq!(connection.request(), None, "it is closed once it has had its time");
     assert_eq!(read_reply(&mut client).expect("an answer").status, 503);
-    assert_eq!((program.shut_down_for_metrics()["connects"], wire.request()), (1, None));
+    assert_eq!((program.shut_down_for_metrics()["connects"], connection.request()), (1, None));
 }
 
 /// However an attempt ends that its worker may have taken, it gets no other of that request, also where copies are allowed and
 /// there is no other worker.
 #[test]
-fn what_a_worker_may_have_taken_is_not_tried_again_there() {
+fn does_not_retry_on_worker_that_may_have_accepted() {
     // What was handed back by a call never ran, but that call may come again, when it could be taken for the next attempt's.
     let cases = [
         (TAKEN, "returned"),
@@ -136,11 +139,11 @@
     ];
     for (answer, state) in cases {
         let (worker, program) =
-            Worker::start(|config| config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(300.0));
-        let (mut client, mut wire) = attempt(&worker, &program, "b0", "X-Time-Left-Ms: 900\r\n");
-        wire.say(answer);
+            ManualWorker::start(|config| config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(300.0));
+        let (mut client, mut connection) = attempt(&worker, &program, "b0", "X-Time-Left-Ms: 900\r\n");
+        connection.write(answer);
         if !state.is_empty() {
-            news(&program, "b0", state);
+            send_status_update(&program, "b0", state);
         }
         assert_eq!(read_reply(&mut client).expect("an answer").status / 100, 5, "{answer}{state}");
         assert_eq!(program.shut_down_for_metrics()["dispatches"], 1, "{answer}{state}");
@@ -150,9 +153,9 @@
 /// An attempt gets no answer. Its worker may have taken it all the same: where no two may be out, the next one leaves only once
 /// that was told to give it up, which the test holds up.
 #[test]
-fn where_no_copies_are_allowed_the_next_attempt_waits_until_the_last_is_given_up() {
+fn next_attempt_waits_for_cancel_without_hedging() {
     let other = FakeWorker::start("s-2");
-    let (worker, program) = Worker::start(|config| {
+    let (worker, program) = ManualWorker::start(|config| {
         config["settings"]["Limits"]["SecondCopies"] = json!(false);
         config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(3_000.0);
         config["known"]["instances"].as_array_mut().expect("a list").push(other.endpoint_entry("up"));
@@ -160,15 +163,15 @@
     other.set_callback_address(program.platform);
     rustix::net::listen(&worker.0, 0).expect("a shorter queue");
     // The other worker serves what it gets; the first job that comes here is the one.
-    let (mut taken, mut wire) = (0, None);
+    let (mut taken, mut connection) = (0, None);
     let (id, mut client) = loop {
         let id = format!("c{taken}");
-        let mut client = hand_in(&program, &job_request(&id, "balance", "take started done=x", ""));
+        let mut client = submit(&program, &simple_job(&id));
         wait_until("an attempt", || {
-            wire = worker.accept();
-            wire.is_some() || other.job_count.load(Ordering::SeqCst) > taken
+            connection = worker.accept();
+            connection.is_some() || other.job_count.load(Ordering::SeqCst) > taken
         });
-        if wire.is_some() {
+        if connection.is_some() {
             break (id, client);
         }
         assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
@@ -179,58 +182,58 @@
     let tried = Instant::now();
     wait_until("another attempt has had its time", || tried.elapsed() > Duration::from_millis(300));
     assert_eq!(other.job_count.load(Ordering::SeqCst), taken);
-    drop((worker.wire(), filler));
-    assert_eq!(worker.wire().request(), Some(format!("DELETE /jobs/{id}")));
+    drop((worker.connection(), filler));
+    assert_eq!(worker.connection().request(), Some(format!("DELETE /jobs/{id}")));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
 }
 
 /// An answer that turned a job away is said a second time. Other clients bring so much at once that the program has not looked
 /// at that when it has the next job to send: it may not be read as the answer to that.
 #[test]
-fn bytes_that_were_there_before_a_request_are_not_its_answer() {
-    let (worker, program) = Worker::start(|_| {});
-    let (mut first, mut wire) = attempt(&worker, &program, "d0", "");
-    wire.say(TAKEN);
-    news(&program, "d0", "done");
+fn ignores_bytes_received_before_request() {
+    let (worker, program) = ManualWorker::start(|_| {});
+    let (mut first, mut connection) = attempt(&worker, &program, "d0", "");
+    connection.write(TAKEN);
+    send_status_update(&program, "d0", "done");
     assert_eq!(read_reply(&mut first).expect("an answer").status, 200);
-    let mut others = others(&program, 300);
-    in_one_turn(&program, || {
+    let mut others = connect_clients(&program, 300);
+    within_one_turn(&program, || {
         first.write_all(job_request("d1", "balance", "", "").as_bytes()).expect("written");
         for other in &mut others {
             other.write_all(UP.as_bytes()).expect("written");
         }
-        wire.say(FULL);
+        connection.write(FULL);
     });
-    assert_eq!(wire.request(), None, "it is of no more use");
-    let mut wire = worker.wire();
-    assert_eq!(wire.request().as_deref(), Some("POST /balance d1"));
-    wire.say(TAKEN);
-    news(&program, "d1", "done");
+    assert_eq!(connection.request(), None, "it is of no more use");
+    let mut connection = worker.connection();
+    assert_eq!(connection.request().as_deref(), Some("POST /balance d1"));
+    connection.write(TAKEN);
+    send_status_update(&program, "d1", "done");
     assert_eq!(read_reply(&mut first).expect("an answer").status, 200);
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 2);
 }
 
 /// The second answer has time to come before the connection of one that turned a job away is used again.
 #[test]
-fn a_connection_whose_answer_turned_a_job_away_rests() {
-    let (worker, program) = Worker::start(|_| {});
-    let (first, mut wire) = attempt(&worker, &program, "e0", "");
-    let mut clients = others(&program, 1);
+fn does_not_reuse_connection_at_once_after_rejection() {
+    let (worker, program) = ManualWorker::start(|_| {});
+    let (first, mut connection) = attempt(&worker, &program, "e0", "");
+    let mut clients = connect_clients(&program, 1);
     clients.insert(0, first);
-    in_one_turn(&program, || {
+    within_one_turn(&program, || {
         clients[1].write_all(job_request("e1", "balance", "", "").as_bytes()).expect("written");
-        wire.say(FULL);
+        connection.write(FULL);
     });
-    let mut other = worker.wire();
+    let mut other = worker.connection();
     for n in [1, 0] {
         assert_eq!(other.request(), Some(format!("POST /balance e{n}")));
-        other.say(TAKEN);
-        news(&program, &format!("e{n}"), "started");
+        other.write(TAKEN);
+        send_status_update(&program, &format!("e{n}"), "started");
     }
-    wire.say(FULL);
-    assert_eq!(wire.request(), None, "what it said unasked ends it");
+    connection.write(FULL);
+    assert_eq!(connection.request(), None, "what it said unasked ends it");
     for (n, client) in clients.iter_mut().enumerate() {
-        news(&program, &format!("e{n}"), "done");
+        send_status_update(&program, &format!("e{n}"), "done");
         assert_eq!(read_reply(client).expect("an answer").status, 200);
     }
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 3);
@@ -238,12 +241,12 @@
 
 /// No dispatch is answered so: it is what was answered to something before it. The worker may have taken this one.
 #[test]
-fn an_answer_to_something_else_is_not_a_dispatchs() {
-    let (worker, program) = Worker::start(|_| {});
-    let (mut client, mut wire) = attempt(&worker, &program, "f0", "X-Time-Left-Ms: 1000\r\n");
-    wire.say("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(wire.request(), None);
-    assert_eq!(worker.wire().request().as_deref(), Some("DELETE /jobs/f0"));
+fn ignores_response_to_another_request() {
+    let (worker, program) = ManualWorker::start(|_| {});
+    let (mut client, mut connection) = attempt(&worker, &program, "f0", "X-Time-Left-Ms: 1000\r\n");
+    connection.write("HTTP/1.1 204 No Content\r\n\r\n");
+    assert_eq!(connection.request(), None);
+    assert_eq!(worker.connection().request().as_deref(), Some("DELETE /jobs/f0"));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 503);
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 1);
 }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -27,16 +27,16 @@
 
 /// These were kept for 20 s, and silent ones for 120 s; the limit is a fact of the program, not of the test.
 #[test]
-fn what_never_becomes_a_request_is_answered_or_closed() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
-    let whole = job_request("a0", "balance", "take started done=x", "");
+fn answers_or_closes_what_never_becomes_a_request() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
+    let whole = simple_job("a0");
     let half_body = &whole[..whole.len() - 5];
     let chunks = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab";
     for (n, to) in fronts(&program).into_iter().enumerate() {
         // A connection that has been served once is kept, however long it says nothing.
         let mut kept = connect(to);
-        let ask = |id: &str| job_request(id, "balance", "take started done=x", "");
+        let ask = |id: &str| simple_job(id);
         kept.write_all(ask(&format!("k{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
         let waiting: Vec<TcpStream> = ["", "POST /bal", half_body, chunks]
@@ -55,17 +55,17 @@
         kept.write_all(ask(&format!("l{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
     }
-    assert!(!node.has_received("a0"));
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["open"], figures["broken_invariants"]), (4, 0, 0));
+    assert!(!worker.has_received("a0"));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["open"], metrics["broken_invariants"]), (4, 0, 0));
 }
 
 /// A head that never ends is refused at its limit, 60 MB before they are read; the error reaches a client that is
 /// still sending.
 #[test]
-fn endless_heads_and_huge_bodies_are_refused_while_they_are_sent() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
+fn rejects_endless_heads_and_huge_bodies_early() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
     for to in fronts(&program) {
         let huge =
             job_request("b0", "balance", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
@@ -90,10 +90,10 @@
 
 /// Half requests used to hold every descriptor that usual clients need: nothing could be closed for those.
 #[test]
-fn half_requests_do_not_use_up_the_descriptors() {
-    let node = FakeWorker::start("s-1");
+fn half_requests_do_not_exhaust_descriptors() {
+    let worker = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = DispatcherProcess::builder(&[node]).configure(few).start();
+    let program = DispatcherProcess::builder(&[worker]).configure(few).start();
     let half = |n: usize| {
         let mut stream = connect(program.platform);
         stream
@@ -106,7 +106,7 @@
     let (mut usual, mut statuses) = (Vec::new(), Vec::new());
     for n in 0..20 {
         let mut stream = connect(program.platform);
-        let request = job_request(&format!("d{n}"), "balance", "take started done=x", "");
+        let request = simple_job(&format!("d{n}"));
         stream.write_all(request.as_bytes()).expect("written");
         statuses.push(read_reply(&mut stream).map(|reply| reply.status));
         usual.push(stream);
@@ -117,9 +117,9 @@
 
 /// Half requests gave way by when they were accepted: in a crowd, usual clients that write slowly were cut off first.
 #[test]
-fn a_client_that_goes_on_writing_outlasts_a_crowd_that_stops_half_way() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+fn writing_client_outlasts_stalled_crowd() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .configure(|config| {
             config["limits"]["sockets"] = json!(80);
         })
@@ -150,14 +150,14 @@
 }
 
 /// A connection was closed as idle in the instant between its coming and its first byte, once half requests filled the
-/// budget: call-backs of workers were lost that way, and with them the jobs.
+/// budget: callbacks of workers were lost that way, and with them the jobs.
 #[test]
-fn a_connection_that_has_just_come_is_not_closed_as_idle_in_a_crowd() {
+fn does_not_close_new_connection_as_idle_in_crowd() {
     // It asks in time unless this machine is kept from it, which is no fault of the program's: then it tries again.
     let answered = (0..10).any(|_| {
-        let node = FakeWorker::start("s-1");
+        let worker = FakeWorker::start("s-1");
         // Of 40 connections 26 may be those of clients before some are closed for new ones.
-        let program = DispatcherProcess::builder(&[node])
+        let program = DispatcherProcess::builder(&[worker])
             .configure(|config| config["limits"]["sockets"] = json!(80))
             .start();
         let half = || {
@@ -205,9 +205,7 @@
             tries += 1;
             let mut stream = connect(to);
             let id = format!("{name}, {when}, {tries}").replace([' ', ','], "-");
-            stream
-                .write_all(job_request(&id, "balance", "take started done=x", "").as_bytes())
-                .expect("written");
+            stream.write_all(simple_job(&id).as_bytes()).expect("written");
             let status = read_reply(&mut stream).expect("an answer").status;
             assert!(matches!(status, 200 | 503), "{name}: {status}");
             served = Some(stream).filter(|_| status == 200);
@@ -243,9 +241,9 @@
 /// A later request that stopped half way was waited for as long as an idle connection is kept, two minutes; requests were
 /// read on while none of their answers were, and those piled up.
 #[test]
-fn bad_clients_end_in_an_error_or_a_close_on_new_and_on_kept_connections() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).event_streams(true).start();
+fn bad_clients_get_error_or_close() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
     let chunked = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
     let up = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n".to_owned();
     let cases = [
@@ -304,5 +302,5 @@
     };
     assert!(clean, "{log:?}");
     assert!(log.len() < 40, "no line of the log is one client's: {}", log.len());
-    assert!(log.iter().any(|line| line.contains("broken_invariants=0")) && !node.has_received("ab"));
+    assert!(log.iter().any(|line| line.contains("broken_invariants=0")) && !worker.has_received("ab"));
 }
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -5,79 +5,89 @@
 use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 const SIZE: u16 = 40;
-/// What the service can do in 100 ms, at 20 ms a call.
-const CAN: u64 = 5;
-/// The service's own time for all.
-const OWN: u64 = 20_000 * SIZE as u64;
+/// Calls that the service can handle in 100 ms, at 20 ms a call.
+const CALLS_IN_100MS: u64 = 5;
+/// The service's time for one call of every dispatcher.
+const SERVICE_TIME_FOR_ALL: u64 = 20_000 * SIZE as u64;
 
 type Holds = fn(&Outcome) -> bool;
-/// A case: how its day differs, what has to hold of the pacer alone, and where it hears the others.
-type Endpoint = (&'static str, fn(&mut Scenario), Holds, Holds);
+/// A hard case of the model.
+struct HardCase {
+    name: &'static str,
+    /// How it differs from a plain start.
+    change: fn(&mut Scenario),
+    /// What has to hold where dispatchers do not hear each other, and where they do.
+    alone: Holds,
+    heard: Holds,
+}
+
+const fn case(name: &'static str, change: fn(&mut Scenario), alone: Holds, heard: Holds) -> HardCase {
+    HardCase { name, change, alone, heard }
+}
 
 fn spares_the_service(o: &Outcome) -> bool {
-    o.peak_after <= 2 * CAN && o.most_out == 1 && o.without == 0 && o.falls == 0
+    o.peak_after <= 2 * CALLS_IN_100MS && o.most_out == 1 && o.without == 0 && o.falls == 0
 }
 
-/// Each hard case: how the day differs, what has to hold of the pacer alone, and where it hears the others.
 #[test]
-fn hard_cases() {
-    let soon: Holds = |o| o.calls_each <= 1.5 && o.held_p99 <= 2 * OWN && o.lost == 0;
+fn model_holds_in_hard_cases() {
+    let soon: Holds = |o| o.calls_each <= 1.5 && o.held_p99 <= 2 * SERVICE_TIME_FOR_ALL && o.lost == 0;
     let holds: Holds = |o| o.lost == 0;
-    let rows: [Endpoint; 11] = [
-        ("all start within 1 s", |_| {}, soon, soon),
-        ("7 in 10 killed and restarted at once", |s| s.killed = Some((6 * S, 0.7)), soon, soon),
-        (
+    let cases = [
+        case("all start within 1 s", |_| {}, soon, soon),
+        case("7 in 10 killed and restarted at once", |s| s.killed = Some((6 * SECOND, 0.7)), soon, soon),
+        case(
             "down 8 s into the start",
-            |s| s.down = Some((0, 8 * S)),
+            |s| s.down = Some((0, 8 * SECOND)),
             |o| o.calls_each <= 9.0,
-            |o| o.calls_each <= 2.0 && o.held_p99 <= 3 * OWN && o.lost == 0,
+            |o| o.calls_each <= 2.0 && o.held_p99 <= 3 * SERVICE_TIME_FOR_ALL && o.lost == 0,
         ),
-        (
+        case(
             "slow, refusing beyond its queue",
             |s| s.service_time = 100_000,
             |o| o.calls_each <= 2.0,
             |o| o.calls_each <= 2.0 && o.lost == 0,
         ),
-        (
+        case(
             "a watch opened that stays silent",
             |s| s.mute = 0.3,
             |o| o.calls_each <= 1.8,
             |o| o.calls_each <= 1.8,
         ),
-        ("all watches fall silent", |s| s.silent = Some(6 * S), |o| o.late == 0, |o| o.late == 0),
-        (
+        case("all watches fall silent", |s| s.silent = Some(6 * SECOND), |o| o.late == 0, |o| o.late == 0),
+        case(
             "peers paused in their turn to ask",
-            |s| (s.paused, s.down) = (Some((6, 2 * S)), Some((0, 4 * S))),
+            |s| (s.paused, s.down) = (Some((6, 2 * SECOND)), Some((0, 4 * SECOND))),
             holds,
             holds,
         ),
-        ("two halves that start apart and heal", |s| s.halves = Some(5 * S), soon, soon),
-        (
+        case("two halves that start apart and heal", |s| s.halves = Some(5 * SECOND), soon, soon),
+        case(
             "workers as cold as dispatchers",
             |s| s.cold = true,
             |o| o.most_of_budget <= 1.0,
             |o| o.most_of_budget <= 1.0,
         ),
-        (
+        case(
             "known names only dead workers",
-            |s| (s.dead, s.down) = (1.0, Some((0, 2 * S))),
+            |s| (s.dead, s.down) = (1.0, Some((0, 2 * SECOND))),
             holds,
             |o| o.calls_each <= 1.6 && o.lost == 0,
         ),
-        (
+        case(
             "down, killed and slow",
             |s| {
-                (s.down, s.killed, s.service_time) = (Some((0, 4 * S)), Some((3 * S, 0.7)), 30_000);
+                (s.down, s.killed, s.service_time) = (Some((0, 4 * SECOND)), Some((3 * SECOND, 0.7)), 30_000);
             },
             holds,
             holds,
         ),
     ];
-    for (name, change, alone, heard) in rows {
+    for HardCase { name, change, alone, heard } in cases {
         for seed in [1, 2, 3] {
-            let mut day = Scenario { length: 20 * S, load: 0.1, ..Scenario::start(SIZE, seed) };
+            let mut day = Scenario { length: 20 * SECOND, load: 0.1, ..Scenario::start(SIZE, seed) };
             change(&mut day);
             for (how, holds) in [(Behaviour::Alone, alone), (Behaviour::Heard, heard)] {
                 let outcome = play(&day, how);
@@ -89,10 +99,11 @@
     }
 }
 
-/// The same day without the pacer, or as before it, is not what the rows above allow: they see the difference.
+/// The same day without the pacer, or as before it, is not what the cases above allow: they see the difference.
 #[test]
-fn the_rows_see_calls_that_pass_by_the_pacer() {
-    let down = Scenario { down: Some((0, 8 * S)), length: 20 * S, load: 0.1, ..Scenario::start(SIZE, 1) };
+fn checks_detect_calls_that_bypass_pacer() {
+    let down =
+        Scenario { down: Some((0, 8 * SECOND)), length: 20 * SECOND, load: 0.1, ..Scenario::start(SIZE, 1) };
     let without = play(&Scenario { ask_without_pacer: true, ..down.clone() }, Behaviour::Heard);
     assert!(!spares_the_service(&without) && without.calls_each > 9.0, "{without:?}");
     let (before, heard) = (play(&down, Behaviour::FullJitter), play(&down, Behaviour::Heard));
@@ -102,7 +113,7 @@
 
 /// Discovery is down at the start, refuses, comes back, falls silent, and ends all watches; jobs are served all along.
 #[test]
-fn processes_with_a_pacer_come_through() {
+fn paced_processes_survive_outage_at_start() {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
     plan.settings =
         Some("fleet { membership { probe_interval_ms: 100 } cold_start { call_ms: 40 } }".to_owned());
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -28,37 +28,37 @@
 const SILENCE: &str = include_str!("silence.toml");
 
 #[test]
-fn the_design_page_holds() {
+fn design_page_holds() {
     hold::<Decision>("design", DESIGN);
 }
 
 #[test]
-fn the_rules_hold() {
+fn rules_hold() {
     hold::<Decision>("rules", RULES);
 }
 
 #[test]
-fn the_clock_of_silence_holds() {
+fn watch_liveness_rules_hold() {
     hold::<Silence>("silence", SILENCE);
 }
 
 #[test]
-fn the_states_of_membership_hold() {
+fn membership_rules_hold() {
     hold::<Members>("membership", MEMBERSHIP);
 }
 
 #[test]
-fn the_rules_of_run_times_hold() {
+fn runtime_rules_hold() {
     hold::<Estimates>("runtimes", RUNTIMES);
 }
 
 #[test]
-fn the_rules_of_fair_shares_hold() {
+fn fair_share_rules_hold() {
     hold::<Fair>("fairshare", FAIRSHARE);
 }
 
 #[test]
-fn an_expectation_turned_round_fails() {
+fn inverted_expectations_fail() {
     turn_round::<Decision>("design", DESIGN);
     turn_round::<Decision>("rules", RULES);
     turn_round::<Silence>("silence", SILENCE);
@@ -69,13 +69,13 @@
 
 /// No clause of the page is one that a balancer which never heard of it would meet.
 #[test]
-fn simple_balancers_miss_every_clause_of_the_design_page() {
+fn simple_balancers_miss_every_clause_of_design_page() {
     decision::rivals("design", DESIGN);
 }
 
 /// A table is refused for a clause without a row, a row of no clause, a row that expects nothing and a word misspelt.
 #[test]
-fn a_table_with_a_hole_is_refused() {
+fn rejects_incomplete_tables() {
     let clause = "[[clause]]\nid = \"a\"\nsays = \"x\"\n";
     let row = |of: &str, step: &str| format!("[[row]]\nof = \"{of}\"\nsays = \"y\"\nsteps = [{step}]\n");
     let sound = "{ arrive = { job = 1 }, then = [\"1 to 0\"] }";
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -35,13 +35,13 @@
 /// With a low limit of the system's the program ran out of descriptors that its budget still had: nothing gave way, and the
 /// list could not be read. Half requests on connections that had been served before gave way to nobody for two minutes.
 #[test]
-fn clients_that_hold_all_descriptors_keep_nobody_else_out() {
+fn held_descriptors_do_not_lock_out_others() {
     for (limit, sockets) in [(110, 1024), (20_000, 110)] {
         for hold in HOLDS {
-            let node = FakeWorker::start("s-1");
+            let worker = FakeWorker::start("s-1");
             let (socket, discovery) = reserved();
             let program = start_under(limit, || {
-                DispatcherProcess::builder(std::slice::from_ref(&node))
+                DispatcherProcess::builder(std::slice::from_ref(&worker))
                     .discovery(discovery)
                     .event_streams(true)
                     .configure(|config| {
@@ -54,7 +54,7 @@
             });
             let platform = program.platform;
             let held: Vec<TcpStream> = (0..90).map(|n| holder(platform, hold, n)).collect();
-            let list = json!({"generation": 2, "reset": true, "instances": [node.endpoint_entry("up")]});
+            let list = json!({"generation": 2, "reset": true, "instances": [worker.endpoint_entry("up")]});
             rustix::net::listen(&socket, 16).expect("it listens");
             let discovery = FakeDiscovery::start_on(TcpListener::from(socket), list);
             wait_until("the list is read", || discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > 0);
@@ -63,7 +63,7 @@
                 // While those that hold them may still go on, one is told that there is no room.
                 wait_until("a usual client is served", || {
                     let mut stream = connect(platform);
-                    let request = job_request(&format!("u{n}"), "balance", "take started done=x", "");
+                    let request = simple_job(&format!("u{n}"));
                     stream.write_all(request.as_bytes()).expect("written");
                     let status = read_reply(&mut stream).map(|reply| reply.status);
                     assert!(matches!(status, Some(200 | 503)), "{limit} {sockets} {hold} {n}: {status:?}");
@@ -72,8 +72,8 @@
                 });
             }
             drop(held);
-            let figures = program.shut_down_for_metrics();
-            assert_eq!((figures["open"], figures["broken_invariants"]), (0, 0));
+            let metrics = program.shut_down_for_metrics();
+            assert_eq!((metrics["open"], metrics["broken_invariants"]), (0, 0));
         }
     }
 }
@@ -81,7 +81,7 @@
 fn holder(to: SocketAddr, hold: &str, n: usize) -> TcpStream {
     let mut stream = connect(to);
     if hold == "kept-half" && n < 55 {
-        let request = job_request(&format!("k{n}"), "balance", "take started done=x", "");
+        let request = simple_job(&format!("k{n}"));
         // Beyond the budget it is not let in before others have given way.
         stream.write_all(request.as_bytes()).expect("written");
         let _ = read_reply(&mut stream);
@@ -96,13 +96,13 @@
 /// has been served before sends again what a close has crossed. The one that was idle for longest went first, whichever
 /// it was.
 #[test]
-fn served_connections_give_way_before_new_ones() {
+fn closes_served_connections_before_new_ones() {
     // New ones count as such for a while only; a machine that is kept from this for longer tries again.
     let spared = (0..10).any(|_| {
-        let node = FakeWorker::start("s-1");
+        let worker = FakeWorker::start("s-1");
         // Of 60 connections 40 may be those of clients before some are closed for new ones.
         let few = |config: &mut Value| config["limits"]["sockets"] = json!(100);
-        let program = DispatcherProcess::builder(std::slice::from_ref(&node)).configure(few).start();
+        let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).configure(few).start();
         let up = |stream: &mut TcpStream| -> bool {
             let sent = stream.write_all(b"GET /up HTTP/1.1\r\nHost: n0\r\n\r\n");
             sent.is_ok() && read_reply(stream).is_some_and(|reply| reply.status == 200)
@@ -123,14 +123,14 @@
 /// Clients that were told the end, and make none themselves, are waited for in a share of their own: a sixth of all connections,
 /// here 10 of 60, and one that is just being told.
 #[test]
-fn a_flood_of_clients_that_never_end_holds_no_more_than_its_share() {
-    let node = FakeWorker::start("s-1");
+fn limits_descriptors_of_clients_that_never_finish() {
+    let worker = FakeWorker::start("s-1");
     let few = |config: &mut Value| config["limits"]["sockets"] = json!(100);
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).configure(few).start();
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).configure(few).start();
     let open = || std::fs::read_dir(format!("/proc/{}/fd", program.pid())).expect("its descriptors").count();
     let mut usual = connect(program.platform);
     let mut serve = |n| {
-        let request = job_request(&format!("u{n}"), "balance", "take started done=x", "");
+        let request = simple_job(&format!("u{n}"));
         usual.write_all(request.as_bytes()).expect("written");
         assert_eq!(read_reply(&mut usual).expect("an answer").status, 200);
     };
@@ -147,6 +147,6 @@
     }
     serve(1);
     drop(flood);
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["served"], figures["open"], figures["broken_invariants"]), (2, 0, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["served"], metrics["open"], metrics["broken_invariants"]), (2, 0, 0));
 }
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -11,25 +11,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Two pods of two nodes.
+/// Two pods of two workers.
 fn pods() -> Vec<Arc<FakeWorker>> {
     (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect()
 }
 
 fn start_on(
-    nodes: &[Arc<FakeWorker>],
+    workers: &[Arc<FakeWorker>],
     state: &Path,
     folder: Option<&Path>,
     listen: &str,
 ) -> DispatcherProcess {
     let args = [OsStr::new("--state"), state.as_os_str()];
-    DispatcherProcess::builder(nodes)
+    DispatcherProcess::builder(workers)
         .temp_dir(folder)
         .args(&args)
         .configure(|config| {
             config["listen"] = json!(listen);
             config["admin_addr"] = json!("127.0.0.1:0");
-            for n in 0..nodes.len() {
+            for n in 0..workers.len() {
                 config["known"]["instances"][n]["cell"] = json!(1 + n / 2);
             }
         })
@@ -46,10 +46,10 @@
 }
 
 /// In which pods each key was seen, and how often in all.
-fn seen(nodes: &[Arc<FakeWorker>]) -> BTreeMap<String, (BTreeSet<usize>, usize)> {
+fn seen(workers: &[Arc<FakeWorker>]) -> BTreeMap<String, (BTreeSet<usize>, usize)> {
     let mut keys: BTreeMap<String, (BTreeSet<usize>, usize)> = BTreeMap::new();
-    for (n, node) in nodes.iter().enumerate() {
-        for line in node.received.lock().expect("a lock").iter().filter(|l| l.starts_with("POST ")) {
+    for (n, worker) in workers.iter().enumerate() {
+        for line in worker.received.lock().expect("a lock").iter().filter(|l| l.starts_with("POST ")) {
             let key = line.rsplit(' ').next().unwrap_or("").to_owned();
             let entry = keys.entry(key).or_default();
             entry.0.insert(n / 2);
@@ -60,8 +60,7 @@
 }
 
 fn counter(program: &DispatcherProcess, name: &str) -> u64 {
-    let call = "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n";
-    let text = send(program.admin.expect("a second address"), call).expect("figures").body;
+    let text = program.call_admin("GET", "/control/counters").body;
     let line = text.lines().find_map(|l| l.strip_prefix(&format!("dispatcher.{name}:")));
     line.and_then(|l| l.split('|').next()?.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
 }
@@ -69,14 +68,14 @@
 /// What a crash must not change: a result that a client got comes again and runs nothing, and no key gets to a second pod.
 fn killed_once(seed: u64) -> (usize, usize) {
     let state = tempfile::tempdir().expect("a folder");
-    let (nodes, program) = (pods(), None::<DispatcherProcess>);
+    let (workers, program) = (pods(), None::<DispatcherProcess>);
     drop(program);
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     let platform = program.platform;
     let (answered, open) = (Mutex::new(BTreeMap::new()), Mutex::new(BTreeSet::new()));
     let (over, next) = (AtomicBool::new(false), AtomicU64::new(0));
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let (kill_after, mut tries) = (Duration::from_micros(dice.u64(2_000..60_000)), 0);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let (kill_after, mut tries) = (Duration::from_micros(rng.u64(2_000..60_000)), 0);
     std::thread::scope(|scope| {
         for _ in 0..8 {
             scope.spawn(|| {
@@ -99,8 +98,8 @@
         over.store(true, Ordering::Relaxed);
     });
     drop(program);
-    let before = seen(&nodes);
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+    let before = seen(&workers);
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     let (answered, open) = (answered.into_inner().expect("a lock"), open.into_inner().expect("a lock"));
     // Results are noted when they come, not before they are given: of the last few a repeat may run in the pod, which drops
     // it. All others come from the notes.
@@ -114,12 +113,12 @@
         assert!([200, 500, 503, 504].contains(&reply.status), "seed {seed}: {key}: {}", reply.status);
         tries += 1;
     }
-    for (key, (pods, count)) in seen(&nodes) {
+    for (key, (pods, count)) in seen(&workers) {
         assert!(pods.len() <= 1, "seed {seed}: {key} got to pods {pods:?}, {count} times");
     }
     let first = answered.keys().next().filter(|key| answered.len() > 16 && before.contains_key(*key));
     if let Some(first) = first {
-        let now = seen(&nodes);
+        let now = seen(&workers);
         assert_eq!(
             now[first].1, before[first].1,
             "seed {seed}: {first} was answered long before and ran again"
@@ -129,7 +128,7 @@
 }
 
 #[test]
-fn a_program_killed_at_any_point_runs_no_key_in_a_second_pod() {
+fn kill_at_any_point_executes_no_key_in_second_pod() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("DURABLE_SEED") {
         killed_once(seed);
@@ -145,49 +144,52 @@
 }
 
 #[test]
-fn an_upgrade_takes_the_store_over() {
-    let (state, folder, nodes) =
+fn hot_restart_takes_over_store() {
+    let (state, folder, workers) =
         (tempfile::tempdir().expect("a folder"), tempfile::tempdir().expect("a folder"), pods());
-    let elder = start_on(&nodes, state.path(), Some(folder.path()), "127.0.0.1:0");
-    let platform = elder.platform;
+    let predecessor = start_on(&workers, state.path(), Some(folder.path()), "127.0.0.1:0");
+    let platform = predecessor.platform;
     assert_eq!(redeem(platform, "a1", "k1", "take started done=one").expect("an answer").status, 200);
-    // This one waits over the upgrade: its result comes to the younger, which notes it.
+    // This one waits over the upgrade: its result comes to the successor, which notes it.
     let waiting = std::thread::spawn(move || redeem(platform, "a2", "k2", "take started wait=go done=two"));
-    wait_until("it arrives", || seen(&nodes).contains_key("k2"));
-    let younger = start_on(&nodes, state.path(), Some(folder.path()), &platform.to_string());
-    elder.terminate();
-    assert!(elder.wait_for_exit().0, "the elder ends cleanly");
-    nodes.iter().for_each(|node| node.open_gate("go"));
+    wait_until("it arrives", || seen(&workers).contains_key("k2"));
+    let successor = start_on(&workers, state.path(), Some(folder.path()), &platform.to_string());
+    predecessor.terminate();
+    assert!(predecessor.wait_for_exit().0, "the predecessor ends cleanly");
+    workers.iter().for_each(|worker| worker.open_gate("go"));
     let reply = waiting.join().expect("a thread").expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "two"));
-    let runs = seen(&nodes);
+    let runs = seen(&workers);
     for (id, key, body, result) in
         [("b1", "k1", "take started done=one", "one"), ("b2", "k2", "take started wait=go done=two", "two")]
     {
         let reply = redeem(platform, id, key, body).expect("an answer");
         assert_eq!((reply.status, reply.body.as_str()), (200, result));
     }
-    assert_eq!(seen(&nodes), runs, "a repeat ran");
-    assert_eq!((counter(&younger, "state_repeats_answered"), counter(&younger, "state_failures")), (2, 0));
+    assert_eq!(seen(&workers), runs, "a repeat ran");
+    assert_eq!(
+        (counter(&successor, "state_repeats_answered"), counter(&successor, "state_failures")),
+        (2, 0)
+    );
 }
 
 #[test]
-fn a_key_of_another_job_is_an_error_and_changes_nothing() {
-    let (state, nodes) = (tempfile::tempdir().expect("a folder"), pods());
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+fn rejects_key_of_another_job() {
+    let (state, workers) = (tempfile::tempdir().expect("a folder"), pods());
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     assert_eq!(redeem(program.platform, "a1", "k1", "take started done=one").expect("an answer").status, 200);
     let reply = redeem(program.platform, "a2", "k1", "take started done=other").expect("an answer");
     assert_eq!(reply.status, 422);
-    assert_eq!(seen(&nodes)["k1"].1, 1);
+    assert_eq!(seen(&workers)["k1"].1, 1);
 }
 
 /// Its segments' place taken away, the store cannot write: keyed jobs are turned away at once, unkeyed ones go on, and
 /// writing resumes by itself.
 #[test]
-fn a_disk_that_fails_stops_keyed_jobs_only() {
-    let (state, nodes) = (tempfile::tempdir().expect("a folder"), pods());
+fn disk_failure_stops_only_keyed_jobs() {
+    let (state, workers) = (tempfile::tempdir().expect("a folder"), pods());
     // A limit on the size of files stands for a full disk: writes beyond it fail with EFBIG.
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     assert_eq!(redeem(program.platform, "a1", "k1", "take started done=one").expect("an answer").status, 200);
     let limit = |bytes: &str| {
         let pid = program.pid().to_string();
@@ -207,12 +209,12 @@
         .expect("an answer");
     assert_eq!((plain.status, plain.body.as_str()), (200, "yes"));
     assert!(counter(&program, "state_failures") >= 3);
-    assert!(!seen(&nodes).keys().any(|key| key.starts_with('x')), "one that was not noted was sent");
+    assert!(!seen(&workers).keys().any(|key| key.starts_with('x')), "one that was not noted was sent");
     limit("unlimited");
     let reply = redeem(program.platform, "d1", "k2", "take started done=back").expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "back"));
     drop(program);
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     for (id, key, body, result) in
         [("e1", "k1", "take started done=one", "one"), ("e2", "k2", "take started done=back", "back")]
     {
@@ -222,10 +224,10 @@
 }
 
 #[test]
-fn a_state_directory_that_cannot_be_used_ends_the_start_with_a_reason() {
+fn refuses_to_start_with_unusable_state_directory() {
     let state = tempfile::tempdir().expect("a folder");
-    let nodes = pods();
-    let program = start_on(&nodes, state.path(), None, "127.0.0.1:0");
+    let workers = pods();
+    let program = start_on(&workers, state.path(), None, "127.0.0.1:0");
     let started = std::process::Command::new(env!("CARGO_BIN_EXE_mothproxy"))
         .args([OsStr::new("--state"), state.path().as_os_str()])
         .env("GW_CONFIG", &program.config_file)
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -44,8 +44,8 @@
             let _ = stream.read_to_end(&mut seen);
             String::from_utf8_lossy(&seen).into_owned()
         });
-        let figures = program.shut_down_for_metrics();
-        (reader.join().expect("a reader"), figures)
+        let metrics = program.shut_down_for_metrics();
+        (reader.join().expect("a reader"), metrics)
     }
 }
 
@@ -71,12 +71,12 @@
             change(config);
         })
         .start();
-    others.iter().for_each(|node| node.set_callback_address(program.platform));
+    others.iter().for_each(|worker| worker.set_callback_address(program.platform));
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     (program, discovery)
 }
 
-fn hand_in(program: &DispatcherProcess, request: &str) -> TcpStream {
+fn submit(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
     client.write_all(request.as_bytes()).expect("written");
     client
@@ -84,18 +84,18 @@
 
 /// Announced as leaving, gone from the list, or back under its name elsewhere: the dispatch goes to who takes work now.
 #[test]
-fn a_connection_that_comes_up_after_its_worker_was_told_to_stop_carries_nothing() {
+fn sends_nothing_on_connection_established_after_worker_drained() {
     for case in ["draining", "unnamed", "elsewhere"] {
-        let (late, node, back) = (Late::start(), FakeWorker::start("s-1"), FakeWorker::start("s-late"));
+        let (late, worker, back) = (Late::start(), FakeWorker::start("s-1"), FakeWorker::start("s-late"));
         // What did not leave is no attempt: the only one is left for the other worker.
-        let (program, discovery) = only_late(&late, &[&node, &back], |config| {
+        let (program, discovery) = only_late(&late, &[&worker, &back], |config| {
             config["settings"]["Limits"]["MaxAttempts"] = json!(1);
         });
-        let mut client = hand_in(&program, &job_request("a0", "redeem", "take started done=x", ""));
+        let mut client = submit(&program, &job_request("a0", "redeem", "take started done=x", ""));
         wait_for_connection_attempt(&late.listener);
         let (rows, server) = match case {
-            "draining" => (vec![node.endpoint_entry("up"), late.endpoint_entry("draining")], &node),
-            "unnamed" => (vec![node.endpoint_entry("up")], &node),
+            "draining" => (vec![worker.endpoint_entry("up"), late.endpoint_entry("draining")], &worker),
+            "unnamed" => (vec![worker.endpoint_entry("up")], &worker),
             _ => (vec![back.endpoint_entry("up")], &back),
         };
         discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
@@ -106,34 +106,34 @@
         assert_eq!(reader.join().expect("a reader"), 200, "{case}");
         assert!(server.has_received("a0"), "{case}: {} has served it", server.name);
         let (mut stream, _) = listener.accept().expect("the program's");
-        let figures = program.shut_down_for_metrics();
+        let metrics = program.shut_down_for_metrics();
         let mut seen = String::new();
         let _ = stream.read_to_string(&mut seen);
         assert_eq!(seen, "", "{case}");
-        assert_eq!(figures["withheld"], 1, "{case}");
+        assert_eq!(metrics["withheld"], 1, "{case}");
     }
 }
 
 /// Its client has left, where an attempt cannot be called off.
 #[test]
-fn a_connection_that_comes_up_after_the_client_left_carries_nothing() {
+fn sends_nothing_on_connection_established_after_client_left() {
     let late = Late::start();
     let (program, _discovery) =
         only_late(&late, &[], |config| config["settings"]["Limits"]["Cancel"] = json!(false));
-    let client = hand_in(&program, &job_request("b0", "balance", "take started done=x", ""));
+    let client = submit(&program, &simple_job("b0"));
     wait_for_connection_attempt(&late.listener);
     drop(client);
-    let (seen, figures) = late.written(program);
-    assert_eq!((seen.as_str(), figures["gone"]), ("", 1));
-    assert_eq!(figures["withheld"], 1);
+    let (seen, metrics) = late.written(program);
+    assert_eq!((seen.as_str(), metrics["gone"]), ("", 1));
+    assert_eq!(metrics["withheld"], 1);
 }
 
 /// What its worker is told is left to the client is so when the bytes leave: the time that its connection took is over.
 #[test]
-fn a_connection_that_comes_up_late_tells_what_is_left_then() {
+fn late_connection_carries_remaining_time() {
     let late = Late::start();
     let (program, _discovery) = only_late(&late, &[], |_| {});
-    let _client = hand_in(&program, &job_request("e0", "balance", "", "X-Time-Left-Ms: 2500\r\n"));
+    let _client = submit(&program, &job_request("e0", "balance", "", "X-Time-Left-Ms: 2500\r\n"));
     wait_for_connection_attempt(&late.listener);
     let tried = Instant::now();
     wait_until("some of its time is over", || tried.elapsed() > Duration::from_millis(500));
@@ -146,20 +146,20 @@
 
 /// An attempt may have run, and the window in which its repeat is dropped ends while the next one's connection is on its way.
 #[test]
-fn a_connection_that_comes_up_after_the_window_of_repeat_carries_nothing() {
-    let (late, node) = (Late::start(), FakeWorker::start("s-1"));
-    let (program, discovery) = only_late(&late, &[&node], |config| {
+fn sends_nothing_on_connection_established_after_repeat_window() {
+    let (late, worker) = (Late::start(), FakeWorker::start("s-1"));
+    let (program, discovery) = only_late(&late, &[&worker], |config| {
         config["settings"]["Grades"][1]["MemorySpanMs"] = json!(2_000.0);
     });
-    let rows = [node.endpoint_entry("up"), late.endpoint_entry("draining")];
+    let rows = [worker.endpoint_entry("up"), late.endpoint_entry("draining")];
     discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
     let mut client =
-        hand_in(&program, &job_request("c0", "redeem", "take wait=told lost", "X-Time-Left-Ms: 7000\r\n"));
-    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) == 1);
+        submit(&program, &job_request("c0", "redeem", "take wait=told lost", "X-Time-Left-Ms: 7000\r\n"));
+    wait_until("a job arrives", || worker.job_count.load(Ordering::SeqCst) == 1);
     let sent = Instant::now();
-    let rows = [node.endpoint_entry("draining"), late.endpoint_entry("up")];
+    let rows = [worker.endpoint_entry("draining"), late.endpoint_entry("up")];
     discovery.push_change(&list(4, &rows).to_string(), list(4, &rows));
-    node.open_gate("told");
+    worker.open_gate("told");
     wait_for_connection_attempt(&late.listener);
     wait_until("the window's end", || sent.elapsed() > Duration::from_millis(2_000));
     let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
@@ -167,31 +167,32 @@
     drop(first);
     let (mut stream, _) = late.listener.accept().expect("the program's");
     let status = reader.join().expect("a reader");
-    let figures = program.shut_down_for_metrics();
+    let metrics = program.shut_down_for_metrics();
     let mut seen = String::new();
     let _ = stream.read_to_string(&mut seen);
     assert_eq!((seen.as_str(), status / 100), ("", 5), "{status}");
-    assert_eq!(figures["withheld"], 1);
+    assert_eq!(metrics["withheld"], 1);
 }
 
 /// An answer that came while the program was held up is read before its time is looked at: its worker has the job, so that
 /// closing the connection would not give it up, and another attempt would be a second one out.
 #[test]
-fn an_answer_that_waits_to_be_read_is_in_time() {
-    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let program = DispatcherProcess::builder(&nodes)
+fn unread_response_counts_as_in_time() {
+    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&workers)
         .configure(|config| {
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(2_000.0);
             config["settings"]["Limits"]["SecondCopies"] = json!(false);
         })
         .start();
     let mut client =
-        hand_in(&program, &job_request("d0", "balance", "wait=held take wait=read started done=x", ""));
-    let jobs = || nodes.iter().map(|node| node.job_count.load(Ordering::SeqCst)).sum::<u64>();
+        submit(&program, &job_request("d0", "balance", "wait=held take wait=read started done=x", ""));
+    let jobs = || workers.iter().map(|worker| worker.job_count.load(Ordering::SeqCst)).sum::<u64>();
     wait_until("a job arrives", || jobs() == 1);
-    program
-        .suspend_for(Duration::from_millis(2_000), || nodes.iter().for_each(|node| node.open_gate("held")));
-    nodes.iter().for_each(|node| node.open_gate("read"));
+    program.suspend_for(Duration::from_millis(2_000), || {
+        workers.iter().for_each(|worker| worker.open_gate("held"))
+    });
+    workers.iter().for_each(|worker| worker.open_gate("read"));
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
     assert_eq!((jobs(), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -12,7 +12,7 @@
 /// Cut apart, killed, started again, a worker gone silent, another drained: every job has its one answer, no key runs twice,
 /// and nothing is sent to who drains.
 #[test]
-fn five_processes_keep_their_promises_through_cuts_and_a_kill() {
+fn five_processes_answer_each_job_once_through_faults() {
     let fleet = Fleet::start(plan(5, 4, 0x5eed_0001)).expect("a fleet");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let keys = Arc::new(|rng: &mut fastrand::Rng, number| match rng.u32(..4) {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -5,11 +5,11 @@
 use std::io::Write;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The program with a stand-in for the other dispatcher, and where its datagrams come from.
-fn beside_a_peer(nodes: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
+/// The program with a test double for the other dispatcher, and where its datagrams come from.
+fn beside_a_peer(workers: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
-    let program = DispatcherProcess::builder(nodes)
+    let program = DispatcherProcess::builder(workers)
         .configure(|config| {
             config["peer_listen"] = json!("127.0.0.1:0");
             config["peers"] = json!(["127.0.0.1:9", peer.local_addr().expect("an address").to_string()]);
@@ -30,9 +30,9 @@
 
 /// Both closed their clients' connections although neither could take the other's: those clients found nobody.
 #[test]
-fn clients_are_kept_until_another_dispatcher_serves() {
-    let node = FakeWorker::start("s-1");
-    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&node));
+fn keeps_clients_until_peer_serves() {
+    let worker = FakeWorker::start("s-1");
+    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&worker));
     let mut client = connect(program.platform);
     let mut ask = |id: String| {
         client
@@ -58,15 +58,14 @@
 }
 
 #[test]
-fn clients_are_let_go_while_the_other_dispatcher_serves() {
-    let node = FakeWorker::start("s-1");
-    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&node));
+fn closes_client_connections_while_peer_serves() {
+    let worker = FakeWorker::start("s-1");
+    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&worker));
     peer.send_to(b"S", home).expect("sent");
     peer.send_to(b"U", home).expect("sent");
     program.terminate();
     hears(&peer, b"S");
-    let reply =
-        send(program.platform, &job_request("d0", "balance", "take started done=x", "")).expect("an answer");
+    let reply = send(program.platform, &simple_job("d0")).expect("an answer");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     assert!(program.wait_for_exit().0);
 }
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn twenty_processes_are_told_in_time_by_a_service_that_is_slow_or_comes_back() {
+fn twenty_processes_get_list_in_time_after_outages() {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), SIZE, 4, seed_or(0x6c69_7374));
     let calls_take = |ms| move |script: &mut DiscoveryScript| script.service_time = Duration::from_millis(ms);
     calls_take(50)(&mut plan.discovery);
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -10,21 +10,21 @@
     json!({"generation": generation, "reset": reset, "instances": rows})
 }
 
-/// Hands in jobs until this node has had one more.
-fn until_used(program: &DispatcherProcess, node: &FakeWorker, name: &str) {
-    let (before, mut n) = (node.job_count.load(Ordering::SeqCst), 0);
-    wait_until(&format!("{} gets work", node.name), || {
+/// Hands in jobs until this worker has had one more.
+fn send_until_used(program: &DispatcherProcess, worker: &FakeWorker, name: &str) {
+    let (before, mut n) = (worker.job_count.load(Ordering::SeqCst), 0);
+    wait_until(&format!("{} gets work", worker.name), || {
         n += 1;
-        let request = job_request(&format!("{name}{n}"), "balance", "take started done=x", "");
+        let request = simple_job(&format!("{name}{n}"));
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
-        node.job_count.load(Ordering::SeqCst) > before
+        worker.job_count.load(Ordering::SeqCst) > before
     });
 }
 
 /// Where lists are pushed the program called nobody: it lived on `known` for ever, and went on sending to workers that the
 /// agent had long said were draining (on the second deployment's upgrade day 568 times).
 #[test]
-fn a_pushed_list_is_watched_from_the_start_and_again_whenever_the_watch_ends_or_falls_silent() {
+fn reopens_watch_of_pushed_list_after_end_or_silence() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let agent =
         FakeDiscovery::start(list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]));
@@ -35,7 +35,7 @@
         })
         .start();
     new.set_callback_address(program.platform);
-    until_used(&program, &new, "a");
+    send_until_used(&program, &new, "a");
     let used = old.job_count.load(Ordering::SeqCst);
     // An end is followed by another watch, and so is a silence: this agent sends no empty lines.
     agent.close_watches();
@@ -46,20 +46,20 @@
     let indented = serde_json::to_string_pretty(&change).expect("JSON");
     agent.push_change(&indented, list(3, true, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]));
     assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drained until now");
-    until_used(&program, &old, "b");
+    send_until_used(&program, &old, "b");
 }
 
 /// An indented list was cut at its line ends into as many bad lists.
 #[test]
-fn an_indented_list_of_a_watch_that_was_asked_for_is_read_whole() {
+fn reads_indented_list_of_watch() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
     let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    let whole = list(2, true, &[new.endpoint_entry("up")]);
-    discovery.push_change(&serde_json::to_string_pretty(&whole).expect("JSON"), whole);
-    until_used(&program, &new, "a");
+    let full = list(2, true, &[new.endpoint_entry("up")]);
+    discovery.push_change(&serde_json::to_string_pretty(&full).expect("JSON"), full);
+    send_until_used(&program, &new, "a");
     assert_eq!(program.shut_down_for_metrics()["bad_lists"], 0);
 }
 
@@ -71,19 +71,19 @@
 /// A reset, or a first call without an answer, was followed by the module's waits, which grew with each failure up to the asking
 /// time: a worker that drained meanwhile went on getting jobs long after the 6 s that discovery's word takes to count.
 #[test]
-fn after_any_failure_discovery_is_asked_again_soon() {
+fn retries_discovery_soon_after_any_failure() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let before = list(1, true, &[old.endpoint_entry("up")]);
     let after = list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
-    for (had_watch, turns) in [
+    for (had_watch, responses) in [
         (true, [ScriptedResponse::Refuse, ScriptedResponse::Refuse]),
         (true, [ScriptedResponse::Truncate, ScriptedResponse::Refuse]),
         (false, [ScriptedResponse::Hold, ScriptedResponse::Hold]),
         (false, [ScriptedResponse::Hold, ScriptedResponse::Truncate]),
     ] {
-        let (turns, discovery) = (&turns, FakeDiscovery::start(before.clone()));
+        let (responses, discovery) = (&responses, FakeDiscovery::start(before.clone()));
         if !had_watch {
-            discovery.script_watches(turns, after.clone());
+            discovery.script_watches(responses, after.clone());
         }
         let program = DispatcherProcess::builder(std::slice::from_ref(&old))
             .discovery(discovery.address)
@@ -92,12 +92,12 @@
         new.set_callback_address(program.platform);
         wait_until("a call", || discovery.calls.load(Ordering::SeqCst) > 0);
         if had_watch {
-            discovery.script_watches(turns, after.clone());
+            discovery.script_watches(responses, after.clone());
             discovery.close_watches();
         }
-        until_used(&program, &new, "a");
-        let calls = 1 + u64::from(had_watch) + turns.len() as u64;
-        assert_eq!(discovery.calls.load(Ordering::SeqCst), calls, "{turns:?}: no more calls than failed");
+        send_until_used(&program, &new, "a");
+        let calls = 1 + u64::from(had_watch) + responses.len() as u64;
+        assert_eq!(discovery.calls.load(Ordering::SeqCst), calls, "{responses:?}: no more calls than failed");
     }
 }
 
@@ -109,13 +109,13 @@
     program.signal("-HUP");
 }
 
-/// Hands in jobs until none of twenty in a row has gone to this node; how many it has had then.
-fn until_unused(program: &DispatcherProcess, node: &FakeWorker, other: &FakeWorker) -> u64 {
-    let (mut used, mut row, mut n) = (node.job_count.load(Ordering::SeqCst), 0, 0);
+/// Hands in jobs until none of twenty in a row has gone to this worker; how many it has had then.
+fn send_until_unused(program: &DispatcherProcess, worker: &FakeWorker, other: &FakeWorker) -> u64 {
+    let (mut used, mut row, mut n) = (worker.job_count.load(Ordering::SeqCst), 0, 0);
     while row < 20 {
         n += 1;
-        until_used(program, other, &format!("u{n}-"));
-        let jobs = node.job_count.load(Ordering::SeqCst);
+        send_until_used(program, other, &format!("u{n}-"));
+        let jobs = worker.job_count.load(Ordering::SeqCst);
         (used, row) = (jobs, if jobs == used { row + 1 } else { 0 });
     }
     used
@@ -125,19 +125,19 @@
 /// nobody, it was never asked for again, and a worker that the service does not know stayed in the table for good. An answer may
 /// end with its connection.
 #[test]
-fn a_whole_list_that_is_cut_or_none_is_asked_for_again() {
+fn retries_full_list_that_is_truncated_or_unusable() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let first = FakeDiscovery::start(list(100, true, &[old.endpoint_entry("up")])); // its versions mean nothing at the other
     let second = FakeDiscovery::start(list(9, false, &[new.endpoint_entry("up")]));
     let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
-    let whole = list(9, true, &[new.endpoint_entry("up")]);
-    let to_the_end = format!("HTTP/1.1 200 OK\r\n\r\n{whole}");
+    let full = list(9, true, &[new.endpoint_entry("up")]);
+    let to_the_end = format!("HTTP/1.1 200 OK\r\n\r\n{full}");
     let [changes, nobody, busy] =
         [list(9, false, &[new.endpoint_entry("up")]), list(9, true, &[]), json!("busy")]
             .map(|value| ScriptedResponse::Raw(list_response(&value).into_bytes()));
-    let turns = [
+    let responses = [
         ScriptedResponse::Truncate,
         changes,
         nobody,
@@ -145,18 +145,18 @@
         ScriptedResponse::Refuse,
         ScriptedResponse::Raw(to_the_end.into_bytes()),
     ];
-    second.script_list_calls(&turns, whole);
+    second.script_list_calls(&responses, full);
     move_to(&mut program, &second);
-    wait_until("the whole list is asked for again", || second.list_call_count() == turns.len());
-    until_unused(&program, &old, &new); // its answer has been read
-    let figures = program.shut_down_for_metrics();
-    assert_eq!(figures["workers"], 1, "the old one is not of this service");
-    assert_eq!((figures["bad_lists"], second.list_call_count()), (4, turns.len()));
+    wait_until("the whole list is asked for again", || second.list_call_count() == responses.len());
+    send_until_unused(&program, &old, &new); // its answer has been read
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!(metrics["workers"], 1, "the old one is not of this service");
+    assert_eq!((metrics["bad_lists"], second.list_call_count()), (4, responses.len()));
 }
 
 /// The whole list travels beside the watch, and may be older than what that has told meanwhile: it took back a drain.
 #[test]
-fn a_whole_list_older_than_what_the_watch_told_takes_nothing_back() {
+fn ignores_full_list_older_than_watch() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let first = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
     let second = FakeDiscovery::start(list(9, false, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
@@ -174,47 +174,47 @@
     wait_until("the whole list is asked for", || second.list_call_count() == 1);
     let drains = list(10, false, &[old.endpoint_entry("draining")]);
     second.push_change(&drains.to_string(), drains.clone());
-    let used = until_unused(&program, &old, &new); // the drain has been heard, and the older list arrives
+    let used = send_until_unused(&program, &old, &new); // the drain has been heard, and the older list arrives
     second.release_list_calls(&list(9, true, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
     wait_until("the whole list is asked for again", || second.list_call_count() == 2);
-    (0..20).for_each(|n| until_used(&program, &new, &format!("c{n}-")));
+    (0..20).for_each(|n| send_until_used(&program, &new, &format!("c{n}-")));
     assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drains");
 }
 
 /// After a long turn a watch, or a call, was silent though its list was there, unread.
 #[test]
-fn what_came_while_the_program_was_held_up_is_read_before_its_watch_is_silent() {
+fn reads_pending_bytes_before_watch_counts_as_silent() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
     discovery.start_heartbeats();
     let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    until_used(&program, &old, "a");
+    send_until_used(&program, &old, "a");
     let change = list(2, false, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     program.suspend_for(Duration::from_millis(2_600), || {
         discovery.push_change(&change.to_string(), change.clone())
     });
-    until_used(&program, &new, "b");
+    send_until_used(&program, &new, "b");
     assert_eq!(discovery.watch_indices(), [1], "the watch goes on");
 }
 
 /// The workers of the table below: s-1 to s-3, and where s-2 has gone.
 struct Site {
-    nodes: [Arc<FakeWorker>; 4],
+    workers: [Arc<FakeWorker>; 4],
     discovery: Arc<FakeDiscovery>,
     program: DispatcherProcess,
 }
 
 /// Where this worker is among them.
-fn place(word: &str) -> usize {
+fn worker_index(word: &str) -> usize {
     if word.ends_with('m') { 3 } else { word[..1].parse::<usize>().expect("a number") - 1 }
 }
 
 /// A worker as a row words it: `2u` is s-2 and up, `2m` the same at its other address; `d` drains, `?` is in a state that nobody
 /// knows, `x` up and without an address.
-fn worded(nodes: &[Arc<FakeWorker>; 4], word: &str) -> Value {
-    let mut row = nodes[place(word)].endpoint_entry(match &word[1..] {
+fn endpoint_from_word(workers: &[Arc<FakeWorker>; 4], word: &str) -> Value {
+    let mut row = workers[worker_index(word)].endpoint_entry(match &word[1..] {
         "d" => "draining",
         "?" => "resting",
         _ => "up",
@@ -227,25 +227,25 @@
 
 impl Site {
     fn start() -> Site {
-        let nodes = ["s-1", "s-2", "s-3", "s-2"].map(FakeWorker::start);
-        let discovery = FakeDiscovery::start(list(1, true, &[nodes[1].endpoint_entry("up")]));
-        let program = DispatcherProcess::builder(&nodes[1..2])
+        let workers = ["s-1", "s-2", "s-3", "s-2"].map(FakeWorker::start);
+        let discovery = FakeDiscovery::start(list(1, true, &[workers[1].endpoint_entry("up")]));
+        let program = DispatcherProcess::builder(&workers[1..2])
             .discovery(discovery.address)
             .configure(|config| {
                 config["settings"]["Discovery"] = json!("pushed"); // an agent is asked again at once
             })
             .start();
-        nodes.iter().for_each(|node| node.set_callback_address(program.platform));
-        Site { nodes, discovery, program }
+        workers.iter().for_each(|worker| worker.set_callback_address(program.platform));
+        Site { workers, discovery, program }
     }
 
-    /// A list such as `+1 whole 1d 2u`: its version beside the one that is held, and its rows.
+    /// A list such as `+1 full 1d 2u`: its version beside the one that is held, and its rows.
     fn list(&self, held: u64, text: &str) -> Value {
         let mut words = text.split(' ').filter(|word| !word.is_empty());
         let version = words.next().and_then(|word| word.parse::<i64>().ok()).expect("a version");
-        let whole = words.next() == Some("whole");
-        let rows: Vec<Value> = words.map(|word| worded(&self.nodes, word)).collect();
-        list(held.checked_add_signed(version).expect("above 0"), whole, &rows)
+        let full = words.next() == Some("whole");
+        let rows: Vec<Value> = words.map(|word| endpoint_from_word(&self.workers, word)).collect();
+        list(held.checked_add_signed(version).expect("above 0"), full, &rows)
     }
 
     /// The bytes of what a row says is sent, its parts apart by `|`.
@@ -273,7 +273,7 @@
 
     /// Waits until a watch is asked for once more than this often, and returns after which version. An open one is kept alive
     /// meanwhile by these bytes.
-    fn asked_after(&self, calls: usize, alive: &str, what: &str) -> u64 {
+    fn next_watch_index(&self, calls: usize, alive: &str, what: &str) -> u64 {
         wait_until(what, || {
             self.discovery.write_to_watches(alive.as_bytes());
             self.discovery.watch_indices().len() > calls
@@ -283,13 +283,13 @@
 
     /// Each of these, and nobody else, gets jobs.
     fn check_takers(&self, takers: &str, held: u64, row: &str) {
-        let jobs = || self.nodes.each_ref().map(|node| node.job_count.load(Ordering::SeqCst));
+        let jobs = || self.workers.each_ref().map(|worker| worker.job_count.load(Ordering::SeqCst));
         let before = jobs();
         for (n, word) in takers.split(' ').cycle().take(6).enumerate() {
-            until_used(&self.program, &self.nodes[place(word)], &format!("t{held}-{n}-"));
+            send_until_used(&self.program, &self.workers[worker_index(word)], &format!("t{held}-{n}-"));
         }
-        let used = (0..4).filter(|place| jobs()[*place] > before[*place]);
-        let used: Vec<&str> = used.map(|place| ["1", "2", "3", "2m"][place]).collect();
+        let used = (0..4).filter(|worker_index| jobs()[*worker_index] > before[*worker_index]);
+        let used: Vec<&str> = used.map(|worker_index| ["1", "2", "3", "2m"][worker_index]).collect();
         assert_eq!(used.join(" "), takers, "{row}");
     }
 }
@@ -341,7 +341,7 @@
 /// Whatever a watch says: what is refused is counted and changes nothing, no worker of another row is touched, and the next
 /// call asks for what came after the list that is held.
 #[test]
-fn whatever_a_watch_says_the_table_goes_from_one_sound_list_to_the_next() {
+fn endpoint_table_stays_consistent_whatever_watch_sends() {
     let site = Site::start();
     wait_until("a watch", || !site.discovery.watch_indices().is_empty());
     let (mut held, mut counted) = (0, vec![0; 3]);
@@ -353,31 +353,32 @@
         let calls = site.discovery.watch_indices().len();
         site.discovery.script_watches(&[], site.list(held, "+0 whole 1d 2u"));
         site.discovery.close_watches();
-        site.asked_after(calls, "", case);
-        let mut said = site.bytes(held, sent);
+        site.next_watch_index(calls, "", case);
+        let mut sent_bytes = site.bytes(held, sent);
         if goes_on {
-            said.extend(site.bytes(held, "+50 change")); // heard on this watch, or not at all
+            sent_bytes.extend(site.bytes(held, "+50 change")); // heard on this watch, or not at all
         }
         let index = if goes_on { held + 50 } else { after.parse().map_or(0, |after: u64| held + after) };
-        let told = then.first().map_or_else(|| site.list(index, "+0 change"), |then| site.list(held, then));
+        let next_list =
+            then.first().map_or_else(|| site.list(index, "+0 change"), |then| site.list(held, then));
         if first {
-            site.discovery.script_watches(&[ScriptedResponse::Raw(said)], told);
+            site.discovery.script_watches(&[ScriptedResponse::Raw(sent_bytes)], next_list);
             site.discovery.close_watches();
-            assert_eq!(site.asked_after(calls + 1, "", case), held, "before {case}");
+            assert_eq!(site.next_watch_index(calls + 1, "", case), held, "before {case}");
         } else {
-            site.discovery.script_watches(&[], told);
-            site.discovery.write_to_watches(&said);
+            site.discovery.script_watches(&[], next_list);
+            site.discovery.write_to_watches(&sent_bytes);
         }
         if goes_on {
             site.discovery.close_watches();
         }
         let (calls, alive) = if first { (calls + 2, "") } else { (calls + 1, "1\r\n\n\r\n") };
-        assert_eq!(site.asked_after(calls, alive, case), index, "{case}");
+        assert_eq!(site.next_watch_index(calls, alive, case), index, "{case}");
         site.check_takers(takers, held, case);
         let counts = counts.split(' ').map(|count| count.parse::<u64>().expect("a count"));
         counted.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
     }
-    let figures = site.program.shut_down_for_metrics();
+    let metrics = site.program.shut_down_for_metrics();
     let names = ["bad_lists", "stale_lists", "bad_rows"];
-    assert_eq!(names.map(|name| figures[name]).to_vec(), counted, "{figures:?}");
+    assert_eq!(names.map(|name| metrics[name]).to_vec(), counted, "{metrics:?}");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -28,7 +28,7 @@
 
 /// Rubbish, a kill, a restart, two sides, a one-way cut, a pause and a farewell; jobs are served all along.
 #[test]
-fn five_processes_know_who_is_there() {
+fn five_processes_agree_on_members_through_faults() {
     let fleet = Fleet::start(plan(5, 0x6d65_6d01, Some(ON))).expect("a fleet");
     agree(&fleet, "at the start");
     let load = fleet.start_plain_load(&[0, 2], 20.0, Duration::from_secs(60));
@@ -89,7 +89,7 @@
 
 /// What one learns of run times reaches the others as facts, and a restarted one is taught anew.
 #[test]
-fn what_one_learns_the_others_hold() {
+fn learned_facts_reach_peers() {
     let on = "fleet { membership { probe_interval_ms: 100 } runtimes {} fair_share { points_per_s: 100 \
               installations { name: \"a\" weight: 1 tenants { name: \"steppe-mart\" weight: 1 } } } }";
     let fleet = Fleet::start(plan(3, 0x6d65_6d04, Some(on))).expect("a fleet");
@@ -115,7 +115,7 @@
 
 /// SIGHUP with other peers begins anew, with a new epoch, and a file that cannot be changes nothing.
 #[test]
-fn other_peers_at_a_reload_begin_anew() {
+fn reload_with_other_peers_starts_new_membership() {
     let fleet = Fleet::start(plan(3, 0x6d65_6d02, Some(ON))).expect("a fleet");
     agree(&fleet, "at the start");
     let before = epoch(&fleet, 0, 0);
@@ -139,7 +139,7 @@
 
 /// Off is off: no datagram of it, no page, no line.
 #[test]
-fn without_the_setting_nothing_of_it_is_there() {
+fn disabled_membership_leaves_no_trace() {
     let fleet = Fleet::start(plan(3, 0x6d65_6d03, None)).expect("a fleet");
     let load = fleet.start_plain_load(&fleet.all(), 50.0, Duration::from_secs(10));
     fleet.wait_until("jobs are served", || load.summary().served() > 20);
@@ -196,7 +196,7 @@
 
 /// A place that was never heard of holds work for a while, and then no longer; the dead do not; the own place always does.
 #[test]
-fn what_the_module_is_told_of_places() {
+fn policy_is_notified_of_peer_presence() {
     let mut pair = Pair::new(3);
     pair.run(400 * MS, true);
     assert_eq!(pair.peers[0], [[Present; 3]], "all may, at first");
@@ -227,7 +227,7 @@
 
 /// However often a place comes and goes, lines of the log are few, and those left out are counted.
 #[test]
-fn lines_are_limited_and_what_is_left_out_is_counted() {
+fn limits_log_lines_and_counts_suppressed_ones() {
     let mut pair = Pair::new(2);
     for _ in 0..60 {
         pair.parts[1]
@@ -320,7 +320,7 @@
 /// What both sides of a cut take is within each worker's slots once each has seen the cut, and nearly all of them are used;
 /// without the view both fill every worker by themselves.
 #[test]
-fn both_sides_of_a_cut_stay_within_a_workers_slots() {
+fn partitioned_sides_stay_within_worker_slots() {
     let (most, all) = Cut::new(true).fill();
     assert!(most <= 4, "{most} jobs at once on one worker with four slots");
     assert!(all >= 36, "{all} of 48 slots are used");
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-fn whole(nodes: &[&Arc<FakeWorker>]) -> Value {
-    let rows: Vec<Value> = nodes.iter().map(|n| n.endpoint_entry("up")).collect();
+fn whole(workers: &[&Arc<FakeWorker>]) -> Value {
+    let rows: Vec<Value> = workers.iter().map(|n| n.endpoint_entry("up")).collect();
     json!({"generation": 1, "reset": true, "instances": rows})
 }
 
@@ -21,15 +21,14 @@
     config.to_string()
 }
 
-fn served(program: &DispatcherProcess, id: &str) {
-    let reply =
-        send(program.platform, &job_request(id, "balance", "take started done=x", "")).expect("an answer");
+fn serve_one(program: &DispatcherProcess, id: &str) {
+    let reply = send(program.platform, &simple_job(id)).expect("an answer");
     assert_eq!(reply.status, 200);
 }
 
 /// SIGHUP used to end the program, and what it had taken was lost. `GW_DISCOVERY` still says the old address.
 #[test]
-fn the_newly_named_discovery_counts_and_what_is_under_way_goes_on() {
+fn reload_switches_discovery_and_keeps_open_jobs() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let first = FakeDiscovery::start(whole(&[&old]));
     let second = FakeDiscovery::start(whole(&[&new]));
@@ -54,11 +53,11 @@
     assert_eq!(asked, ["GET /discovery/hosts?stream=1&index=0 HTTP/1.1"]);
     let mut n = 0;
     while new.job_count.load(Ordering::SeqCst) == 0 {
-        served(&program, &format!("b{n}"));
+        serve_one(&program, &format!("b{n}"));
         n += 1;
     }
     let before = old.job_count.load(Ordering::SeqCst);
-    (0..5).for_each(|n| served(&program, &format!("c{n}")));
+    (0..5).for_each(|n| serve_one(&program, &format!("c{n}")));
     assert_eq!(old.job_count.load(Ordering::SeqCst), before, "the new list does not name it");
     // The old service may end its watches now: nothing of it counts, and the new one keeps its own.
     first.close_watches();
@@ -67,15 +66,15 @@
     for stream in [&mut plain, &mut stream] {
         assert_eq!(read_reply(stream).expect("an answer").body, "kept");
     }
-    served(&program, "d0");
+    serve_one(&program, "d0");
     assert_eq!(first.calls.load(Ordering::SeqCst), calls);
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["open"], figures["failed"], figures["broken_invariants"]), (0, 0, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["open"], metrics["failed"], metrics["broken_invariants"]), (0, 0, 0));
 }
 
 /// A service may answer even a call from the start with changes: workers it does not know would stay for good.
 #[test]
-fn a_new_discovery_that_tells_changes_is_asked_for_its_whole_list() {
+fn requests_full_list_from_new_discovery_that_sends_changes() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let first = FakeDiscovery::start(whole(&[&old]));
     let second = FakeDiscovery::start(
@@ -92,12 +91,12 @@
 }
 
 #[test]
-fn a_bad_or_missing_configuration_changes_nothing() {
-    let node = FakeWorker::start("s-1");
-    let discovery = FakeDiscovery::start(whole(&[&node]));
+fn reload_of_bad_configuration_changes_nothing() {
+    let worker = FakeWorker::start("s-1");
+    let discovery = FakeDiscovery::start(whole(&[&worker]));
     discovery.start_heartbeats(); // else the watch is silent after 2.5 s, and asked for again
     let mut program =
-        DispatcherProcess::builder(std::slice::from_ref(&node)).discovery(discovery.address).start();
+        DispatcherProcess::builder(std::slice::from_ref(&worker)).discovery(discovery.address).start();
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     let good = program.config.clone();
     let changed = |change: &dyn Fn(&mut Value)| {
@@ -126,7 +125,7 @@
         program.signal("-HUP");
         let line = program.wait_for_log("reload");
         assert!(line.contains(why) && line.ends_with("the old configuration stays"), "{why}: {line}");
-        served(&program, &format!("e{n}"));
+        serve_one(&program, &format!("e{n}"));
     }
     std::fs::remove_file(&program.config_file).expect("it was there");
     program.signal("-HUP");
@@ -135,17 +134,17 @@
     program.replace_config(&good.to_string());
     program.signal("-HUP");
     assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", discovery.address));
-    served(&program, "f0");
+    serve_one(&program, "f0");
     assert_eq!(discovery.calls.load(Ordering::SeqCst), 1);
 }
 
 /// A file that dropped a class, or put classes in another order, was turned down. Jobs under way must keep their class, also
 /// where its name now means something else.
 #[test]
-fn classes_appear_vanish_and_change_under_the_jobs_that_have_them() {
+fn reload_changes_classes_under_open_jobs() {
     // Two, since one without a report yet is not given a third job beside two.
-    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let mut program = DispatcherProcess::builder(&nodes)
+    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let mut program = DispatcherProcess::builder(&workers)
         .event_streams(true)
         .configure(|config| {
             config["admin_addr"] = json!("127.0.0.1:0");
@@ -178,12 +177,12 @@
         })
         .collect();
     wait_until("the jobs arrive", || {
-        nodes.iter().map(|n| n.job_count.load(Ordering::SeqCst)).sum::<u64>() == 3
+        workers.iter().map(|n| n.job_count.load(Ordering::SeqCst)).sum::<u64>() == 3
     });
     program.replace_config(&config.to_string());
     program.signal("-HUP");
     program.wait_for_log("reloaded");
-    nodes.iter().for_each(|node| node.open_gate("retuned"));
+    workers.iter().for_each(|worker| worker.open_gate("retuned"));
     for stream in &mut open {
         let reply = read_reply(stream).expect("an answer");
         assert!(reply.status == 200 && reply.body.contains("kept"), "{}", reply.body);
@@ -200,8 +199,7 @@
     program.signal("-HUP");
     program.wait_for_log("reloaded");
     assert_eq!((status(platform, "e0", "balance"), status(platform, "e1", "check")), (200, 400));
-    let call = "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n";
-    let figures = send(program.admin.expect("a second address"), call).expect("an answer").body;
+    let metrics = program.call_admin("GET", "/control/counters").body;
     for line in [
         "dispatcher.success.balance:3|c",
         "dispatcher.success.redeem:3|c",
@@ -209,15 +207,15 @@
         "dispatcher.reconfig_ok:2|c",
         "dispatcher.reconfig_failed:1|c",
     ] {
-        assert!(figures.lines().any(|l| l == line), "{line} in {figures}");
+        assert!(metrics.lines().any(|l| l == line), "{line} in {metrics}");
     }
 }
 
 /// Limits and settings of the new file count as well: with few descriptors, idle connections give way.
 #[test]
-fn limits_and_settings_of_the_new_file_count() {
-    let node = FakeWorker::start("s-1");
-    let mut program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+fn reload_applies_limits_and_settings() {
+    let worker = FakeWorker::start("s-1");
+    let mut program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
     let mut config = program.config.clone();
     config["limits"]["sockets"] = json!(80);
     config["settings"]["Grades"].as_array_mut().expect("a list").push(json!(
@@ -230,27 +228,27 @@
     program.wait_for_log("reloaded");
     assert_eq!(send(program.platform, &request("g1")).expect("an answer").status, 200);
     let idle: Vec<_> = (0..60).map(|_| connect(program.platform)).collect();
-    served(&program, "g2");
+    serve_one(&program, "g2");
     wait_until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 30);
 }
 
 /// Each signal raises its own flag: with one byte for both, the second would have been taken for the first.
 #[test]
-fn signals_close_together_are_both_seen() {
+fn handles_both_of_two_signals_close_together() {
     for order in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let node = FakeWorker::start("s-1");
-        let first = FakeDiscovery::start(whole(&[&node]));
-        let second = FakeDiscovery::start(whole(&[&node]));
+        let worker = FakeWorker::start("s-1");
+        let first = FakeDiscovery::start(whole(&[&worker]));
+        let second = FakeDiscovery::start(whole(&[&worker]));
         let program =
-            DispatcherProcess::builder(std::slice::from_ref(&node)).discovery(first.address).start();
+            DispatcherProcess::builder(std::slice::from_ref(&worker)).discovery(first.address).start();
         let mut before = connect(program.platform);
         before
             .write_all(job_request("h0", "balance", "take started wait=told done=x", "").as_bytes())
             .expect("written");
-        wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
+        wait_until("a job arrives", || worker.job_count.load(Ordering::SeqCst) > 0);
         program.replace_config(&naming(&program, &second));
         order.iter().for_each(|signal| program.signal(signal));
-        node.open_gate("told");
+        worker.open_gate("told");
         assert_eq!(read_reply(&mut before).expect("an answer").status, 200, "{order:?}");
         let (clean, log) = program.wait_for_exit();
         let has = |start: &str| log.iter().any(|line| line.starts_with(start));
@@ -261,10 +259,10 @@
 /// The fleet's bench makes no socket but TCP and UDP over IPv4 (STANDING, "In step with the bench"). The waker of
 /// SIGHUP and SIGTERM was a pair of Unix sockets; a running program on the default settings now holds none.
 #[test]
-fn a_running_program_holds_no_unix_socket() {
-    let node = FakeWorker::start("u-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
-    served(&program, "u0");
+fn holds_no_unix_socket() {
+    let worker = FakeWorker::start("u-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
+    serve_one(&program, "u0");
     let unix = std::fs::read_to_string("/proc/net/unix").expect("the kernel lists Unix sockets");
     let inodes: Vec<&str> = unix.lines().skip(1).filter_map(|line| line.split_whitespace().nth(6)).collect();
     let fds = std::fs::read_dir(format!("/proc/{}/fd", program.pid())).expect("its descriptors");
@@ -276,7 +274,7 @@
     let held: Vec<&String> = sockets.iter().filter(|inode| inodes.contains(&inode.as_str())).collect();
     assert!(held.is_empty(), "Unix sockets held: {held:?} of {sockets:?}");
     program.signal("-HUP");
-    served(&program, "u1");
+    serve_one(&program, "u1");
     program.terminate();
     let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|line| line.starts_with("reloaded: ")), "{log:?}");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 
 fn ready(program: &DispatcherProcess) -> u16 {
-    send(program.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
+    program.up_status()
 }
 
 fn serve(program: &DispatcherProcess, id: &str) -> u16 {
-    send(program.platform, &job_request(id, "balance", "take started done=x", "")).expect("an answer").status
+    send(program.platform, &simple_job(id)).expect("an answer").status
 }
 
 /// A process that knows `old` alone, asked or pushed, before a discovery that says nothing to the first calls, and then that
@@ -40,7 +40,7 @@
 /// On a day on which a zone is lost for 18 s, with its dispatchers, these come back with the list of before. They sent by it at
 /// once, before discovery had answered their first call, to workers that had been gone for 15 s and had just come up again.
 #[test]
-fn nothing_is_sent_by_the_list_of_before_until_discovery_has_told_its_own() {
+fn sends_nothing_by_previous_list_until_discovery_answers() {
     let (program, old, new, _discovery) = restarted("on_request", 1);
     assert_eq!(ready(&program), 503, "a front sends its clients elsewhere meanwhile");
     let served = (0..5).map(|n| serve(&program, &format!("a{n}"))).collect::<Vec<_>>();
@@ -53,7 +53,7 @@
 /// turned a seventh of all jobs away. A list with a worker that started just now is as new as that, and what it lacks does not count yet;
 /// once it does, nothing more is sent by it until discovery speaks.
 #[test]
-fn a_list_of_a_moment_ago_is_used_until_what_it_lacks_may_count() {
+fn uses_recent_list_until_it_may_be_outdated() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
     let discovery = FakeDiscovery::start(list.clone());
@@ -72,7 +72,7 @@
     wait_until("it counts by now", || ready(&program) == 503);
     let before = old.job_count.load(Ordering::SeqCst);
     let mut client = connect(program.platform);
-    client.write_all(job_request("b", "balance", "take started done=x", "").as_bytes()).expect("written");
+    client.write_all(simple_job("b").as_bytes()).expect("written");
     discovery.release_watches(&list);
     assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
     assert_eq!((old.job_count.load(Ordering::SeqCst), new.job_count.load(Ordering::SeqCst)), (before, 1));
@@ -81,7 +81,7 @@
 /// The list says nothing of its age where no worker has started lately. Others that heard of the process before this one's work do:
 /// what the list lacks does not count yet where that was a moment ago, and may where it was longer.
 #[test]
-fn others_that_heard_of_the_process_before_say_whether_the_list_may_be_used() {
+fn peers_decide_whether_previous_list_may_be_used() {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let old = FakeWorker::start("s-1");
@@ -126,7 +126,7 @@
 
 /// Discovery that can't be reached, or has had its time, keeps nobody from serving: the list of before is used as it is.
 #[test]
-fn a_process_serves_by_the_list_of_before_where_discovery_cannot_be_reached() {
+fn serves_by_previous_list_if_discovery_is_unreachable() {
     let unheard = "discovery: not heard since the start";
     for (mode, silent) in [("on_request", 50), ("pushed", 50)] {
         let (mut program, old, ..) = restarted(mode, silent);
@@ -141,7 +141,7 @@
 
 /// A list that names nobody says that discovery has lost its table, not that its workers are gone.
 #[test]
-fn a_process_serves_by_the_list_of_before_where_discovery_knows_nobody() {
+fn serves_by_previous_list_if_discovery_lists_nobody() {
     let old = FakeWorker::start("s-1");
     let nobody: Value = json!({"generation": 2, "reset": true, "instances": []});
     let discovery = FakeDiscovery::start(nobody);
@@ -152,7 +152,7 @@
 
 /// A list that names only the dead keeps nobody from being ready once discovery has told another.
 #[test]
-fn a_process_that_knows_only_the_dead_serves_once_the_list_comes() {
+fn serves_once_list_replaces_dead_endpoints() {
     for mode in ["on_request", "pushed"] {
         let new = FakeWorker::start("s-2");
         let list = json!({"generation": 2, "reset": true, "instances": [new.endpoint_entry("up")]});
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -7,13 +7,10 @@
 use std::sync::atomic::Ordering;
 
 #[test]
-fn a_job_is_served_with_the_workers_result() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
-    assert_eq!(
-        send(program.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status,
-        200
-    );
+fn serves_job_with_worker_result() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
+    assert_eq!(program.up_status(), 200);
     let mut stream = connect(program.platform);
     for (n, body) in
         ["take started running=0.5 done=a", "done=b take", "take done=c done=c"].iter().enumerate()
@@ -22,16 +19,16 @@
         stream.write_all(job_request(&id, "redeem", body, "").as_bytes()).expect("written");
         let reply = read_reply(&mut stream).expect("an answer on the same connection");
         assert_eq!((reply.status, reply.body), (200, "abc"[n..n + 1].to_owned()), "{body}");
-        assert!(node.has_received(&format!("POST /redeem {id} key-{id}")), "id and key pass on unchanged");
+        assert!(worker.has_received(&format!("POST /redeem {id} key-{id}")), "id and key pass on unchanged");
     }
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["served"], figures["broken_invariants"]), (3, 3, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["served"], metrics["broken_invariants"]), (3, 3, 0));
 }
 
 #[test]
-fn outcomes_follow_the_table() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+fn status_follows_outcome_table() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .configure(|config| {
             // A worker on a busy machine takes its time: that is another row of the table.
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(20_000.0);
@@ -59,17 +56,17 @@
         assert_eq!(after.is_some_and(|s| s > 0.0 && s <= 2.0), status == 503, "{body}: {after:?}");
     }
     wait_until("a dispatch that is given up is cancelled", || {
-        node.has_received("DELETE /jobs/00000000000000b7")
+        worker.has_received("DELETE /jobs/00000000000000b7")
     });
 }
 
 #[test]
-fn a_refused_connection_is_no_attempt_and_another_worker_serves() {
+fn retries_elsewhere_on_connect_failure() {
     let dead = FakeWorker::start("s-0");
     let closed =
         std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(&[node])
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(&[worker])
         .configure(|config| {
             let row = site::endpoint_entry(&dead.name, &closed.to_string(), "up");
             config["known"]["instances"].as_array_mut().expect("a list").push(row);
@@ -83,9 +80,9 @@
 }
 
 #[test]
-fn bad_requests_get_their_status() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(&[node]).start();
+fn rejects_bad_requests_with_their_status() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(&[worker]).start();
     let good = job_request("d0", "balance", "done=x", "");
     let big = "x".repeat(70_000);
     let cases = [
@@ -129,9 +126,9 @@
 }
 
 #[test]
-fn chunked_and_cut_requests_are_read() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+fn reads_chunked_and_split_requests() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
     let chunked = job_request("e0", "balance", "", "Transfer-Encoding: chunked\r\n")
         .replace("Content-Length: 0\r\n", "");
     let request = chunked + "8\r\ntake sta\r\nb\r\nrted done=x\r\n0\r\n\r\n";
@@ -151,58 +148,58 @@
 
 /// A connection that fell silent, of a worker that lives: its jobs were waited for until their deadlines.
 #[test]
-fn a_dispatch_that_is_not_taken_goes_elsewhere() {
-    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+fn retries_elsewhere_if_attempt_is_not_accepted() {
+    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
     let no_copies =
         |config: &mut serde_json::Value| config["settings"]["Limits"]["SecondCopies"] = json!(false);
-    let program = DispatcherProcess::builder(&nodes).configure(no_copies).start();
+    let program = DispatcherProcess::builder(&workers).configure(no_copies).start();
     // On a machine that is very busy the other one may not take it in time either: then another job shows it.
     let served_elsewhere = (0..30).any(|n| {
         let name = format!("m{n}");
         let request = job_request(&name, "balance", "mute=s-1 take started done=x", "");
         let status = send(program.platform, &request).expect("an answer").status;
-        status == 200 && nodes.iter().all(|node| node.has_received(&name))
+        status == 200 && workers.iter().all(|worker| worker.has_received(&name))
     });
     assert!(served_elsewhere);
-    let figures = program.shut_down_for_metrics();
-    assert!(figures["untaken"] >= 1 && figures["broken_invariants"] == 0, "{figures:?}");
+    let metrics = program.shut_down_for_metrics();
+    assert!(metrics["untaken"] >= 1 && metrics["broken_invariants"] == 0, "{metrics:?}");
 }
 
 /// A job that is unsafe to repeat gained nothing by being given up after 150 ms: nobody else could have it.
 #[test]
-fn an_unsafe_dispatch_is_waited_for_as_long_as_its_client_waits() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node))
+fn waits_for_non_idempotent_attempt_until_client_timeout() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .configure(|config| {
             config["settings"]["Grades"][1]["Semantics"] = json!("side_effect");
         })
         .start();
     let request = job_request("k0", "redeem", "pause=700 take started done=x", "X-Time-Left-Ms: 15000\r\n");
     assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
-    assert_eq!((node.job_count.load(Ordering::SeqCst), program.shut_down_for_metrics()["untaken"]), (1, 0));
+    assert_eq!((worker.job_count.load(Ordering::SeqCst), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
 
 /// Kept connections that break under the next request show nothing of their worker. Each one used to be a strike, so
 /// that on a day of many the workers that could have served were left alone.
 #[test]
-fn a_worker_is_not_blamed_for_its_stale_connections() {
-    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let program = DispatcherProcess::builder(&nodes).start();
+fn stale_connections_do_not_count_as_worker_failures() {
+    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&workers).start();
     for n in 0..40 {
         let request = job_request(&format!("n{n}"), "balance", "stale=s-1 take started done=x", "");
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
     }
     let stale =
-        nodes[0].received.lock().expect("a lock").iter().filter(|line| line.starts_with("stale")).count();
+        workers[0].received.lock().expect("a lock").iter().filter(|line| line.starts_with("stale")).count();
     assert!(stale >= 6, "it went on getting jobs, every second of them on a stale connection: {stale}");
     assert_eq!(program.shut_down_for_metrics()["served"], 40);
 }
 
 /// A session's few attempts used to go on one stale connection after the other, within milliseconds.
 #[test]
-fn a_session_that_lost_a_connection_goes_on_over_new_ones() {
-    let nodes = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let program = DispatcherProcess::builder(&nodes).start();
+fn request_continues_over_new_connections_after_stale_one() {
+    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+    let program = DispatcherProcess::builder(&workers).start();
     for n in 0..20 {
         let request = job_request(&format!("o{n}"), "balance", "stale=s-1 stale=s-2 take started done=x", "");
         assert_eq!(send(program.platform, &request).expect("an answer").status, 200, "job {n}");
@@ -211,20 +208,20 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_gone() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+fn cancels_job_of_disconnected_client() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
     let mut stream = connect(program.platform);
     stream.write_all(job_request("f0", "balance", "take hang", "").as_bytes()).expect("written");
-    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
+    wait_until("a job arrives", || worker.job_count.load(Ordering::SeqCst) > 0);
     drop(stream);
-    wait_until("the job is cancelled", || node.has_received("DELETE /jobs/f0"));
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["gone"], figures["open"]), (1, 1, 0));
+    wait_until("the job is cancelled", || worker.has_received("DELETE /jobs/f0"));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["gone"], metrics["open"]), (1, 1, 0));
 }
 
 #[test]
-fn a_drained_worker_gets_nothing_new_and_a_cut_watch_is_taken_up_again() {
+fn drained_worker_gets_no_jobs_and_closed_watch_reopens() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
     let discovery = FakeDiscovery::start(whole(json!([old.endpoint_entry("up")])));
@@ -235,9 +232,8 @@
         .discovery(discovery.address)
         .configure(known)
         .start();
-    let served = |id: &str| {
-        let reply = send(program.platform, &job_request(id, "balance", "take started done=x", ""))
-            .expect("an answer");
+    let serve_one = |id: &str| {
+        let reply = send(program.platform, &simple_job(id)).expect("an answer");
         assert_eq!(reply.status, 200);
     };
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
@@ -248,11 +244,11 @@
     discovery.push_change(&change.to_string(), after);
     let mut n = 0;
     while new.job_count.load(Ordering::SeqCst) == 0 {
-        served(&format!("g{n}"));
+        serve_one(&format!("g{n}"));
         n += 1;
     }
     let before = old.job_count.load(Ordering::SeqCst);
-    (0..10).for_each(|n| served(&format!("h{n}")));
+    (0..10).for_each(|n| serve_one(&format!("h{n}")));
     assert_eq!(old.job_count.load(Ordering::SeqCst), before, "the old one has been told to drain");
     let calls = discovery.calls.load(Ordering::SeqCst);
     discovery.close_watches();
@@ -262,18 +258,18 @@
 
 /// Discovery that has lost its table says that there is nobody: no dispatcher may believe that, or the whole fleet stops.
 #[test]
-fn a_whole_list_of_nobody_empties_nothing() {
-    let (node, other) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
+fn ignores_empty_full_list() {
+    let (worker, other) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
-    let discovery = FakeDiscovery::start(whole(json!([node.endpoint_entry("up")])));
-    let program = DispatcherProcess::builder(&[node.clone(), other.clone()])
+    let discovery = FakeDiscovery::start(whole(json!([worker.endpoint_entry("up")])));
+    let program = DispatcherProcess::builder(&[worker.clone(), other.clone()])
         .discovery(discovery.address)
         .configure(|config| {
-            config["known"]["instances"] = json!([node.endpoint_entry("up")]);
+            config["known"]["instances"] = json!([worker.endpoint_entry("up")]);
         })
         .start();
-    let served = |id: String| {
-        let reply = send(program.platform, &job_request(&id, "balance", "take started done=x", ""));
+    let serve_one = |id: String| {
+        let reply = send(program.platform, &simple_job(&id));
         assert_eq!(reply.expect("an answer").status, 200);
     };
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
@@ -282,34 +278,34 @@
     discovery.push_change(&change.to_string(), whole(json!([])));
     let mut n = 0..;
     wait_until("the other one has a job", || {
-        served(format!("e{}", n.next().unwrap_or(0)));
+        serve_one(format!("e{}", n.next().unwrap_or(0)));
         other.job_count.load(Ordering::SeqCst) > 0
     });
-    let before = node.job_count.load(Ordering::SeqCst);
+    let before = worker.job_count.load(Ordering::SeqCst);
     wait_until("the first one still has jobs", || {
-        served(format!("e{}", n.next().unwrap_or(0)));
-        node.job_count.load(Ordering::SeqCst) > before
+        serve_one(format!("e{}", n.next().unwrap_or(0)));
+        worker.job_count.load(Ordering::SeqCst) > before
     });
-    let figures = program.shut_down_for_metrics();
-    assert!(figures["bad_lists"] >= 1 && figures["workers"] == 2, "{figures:?}");
+    let metrics = program.shut_down_for_metrics();
+    assert!(metrics["bad_lists"] >= 1 && metrics["workers"] == 2, "{metrics:?}");
 }
 
 #[test]
-fn at_a_planned_stop_everything_taken_is_answered() {
-    let node = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).start();
+fn answers_accepted_jobs_on_graceful_shutdown() {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
     let mut before = connect(program.platform);
     before
         .write_all(job_request("i0", "balance", "take started wait=stop done=x", "").as_bytes())
         .expect("written");
-    wait_until("a job arrives", || node.job_count.load(Ordering::SeqCst) > 0);
+    wait_until("a job arrives", || worker.job_count.load(Ordering::SeqCst) > 0);
     program.terminate();
     let to = program.platform;
     // New connections are still taken, and told not to stay.
     let reply = send(to, &job_request("i1", "balance", "take started done=y", "")).expect("an answer");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     assert_eq!(send(to, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status, 503);
-    node.open_gate("stop");
+    worker.open_gate("stop");
     assert_eq!(read_reply(&mut before).expect("an answer").status, 200);
     let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
@@ -317,14 +313,13 @@
 
 /// Descriptors are budgeted: idle connections give way to those that come with work.
 #[test]
-fn idle_connections_give_way_when_descriptors_are_short() {
-    let node = FakeWorker::start("s-1");
+fn closes_idle_connections_when_descriptors_are_short() {
+    let worker = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = DispatcherProcess::builder(&[node]).configure(few).start();
+    let program = DispatcherProcess::builder(&[worker]).configure(few).start();
     let idle: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
     for n in 0..5 {
-        let reply =
-            send(program.platform, &job_request(&format!("j{n}"), "balance", "take started done=x", ""));
+        let reply = send(program.platform, &simple_job(&format!("j{n}")));
         assert_eq!(reply.expect("an answer").status, 200);
     }
     wait_until("most of the idle ones are closed", || idle.iter().filter(|s| is_closed(s)).count() > 70);
@@ -332,10 +327,10 @@
 
 /// With every descriptor at work a job is turned away while nothing of it has run, and the others are answered.
 #[test]
-fn a_job_beyond_the_descriptors_is_turned_away() {
-    let node = FakeWorker::start("s-1");
+fn rejects_job_beyond_descriptor_limit() {
+    let worker = FakeWorker::start("s-1");
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = DispatcherProcess::builder(&[node]).configure(few).start();
+    let program = DispatcherProcess::builder(&[worker]).configure(few).start();
     let request = |n: usize| job_request(&format!("k{n}"), "redeem", "take hang", "X-Time-Left-Ms: 3000\r\n");
     let mut clients: Vec<_> = (0..32).map(|_| connect(program.platform)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -344,13 +339,13 @@
     let statuses: Vec<u16> =
         clients.iter_mut().map(|client| read_reply(client).expect("an answer").status).collect();
     assert_eq!(statuses.iter().filter(|s| **s == 503 || **s == 504).count(), 32, "{statuses:?}");
-    let figures = program.shut_down_for_metrics();
-    assert!(figures["rejects"] > 0 && figures["taken"] + figures["rejects"] == 32, "{figures:?}");
-    assert_eq!((figures["open"], figures["gone"]), (0, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert!(metrics["rejects"] > 0 && metrics["taken"] + metrics["rejects"] == 32, "{metrics:?}");
+    assert_eq!((metrics["open"], metrics["gone"]), (0, 0));
 }
 
 #[test]
-fn a_bad_configuration_is_a_plain_message() {
+fn reports_bad_configuration_plainly() {
     let run = |file: &std::path::Path, args: &[&str]| {
         let program = Command::new(env!("CARGO_BIN_EXE_mothproxy"))
             .args(args)
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Progress streams over real sockets, with stand-in clients and card nodes: each job gets exactly one final event.
+//! Progress streams over real sockets, with test double clients and card workers: each job gets exactly one final event.
 
 use mothproxy::http::{self, Body, EventStream, StreamEvent};
 use mothproxy_testkit::*;
@@ -74,15 +74,15 @@
     }
 }
 
-fn fleet(nodes: usize) -> (Vec<Arc<FakeWorker>>, DispatcherProcess, SocketAddr) {
-    let nodes: Vec<Arc<FakeWorker>> = (0..nodes).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
-    let program = DispatcherProcess::builder(&nodes).event_streams(true).start();
+fn fleet(workers: usize) -> (Vec<Arc<FakeWorker>>, DispatcherProcess, SocketAddr) {
+    let workers: Vec<Arc<FakeWorker>> = (0..workers).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let program = DispatcherProcess::builder(&workers).event_streams(true).start();
     let sse = program.sse.expect("the SSE front is on");
-    (nodes, program, sse)
+    (workers, program, sse)
 }
 
 #[test]
-fn events_come_in_order_and_end_with_the_result() {
+fn events_arrive_in_order_and_end_with_result() {
     let (_nodes, program, sse) = fleet(2);
     for (id, body) in
         [("a0", "stream started running=0.25 done=x"), ("a1", "take started running=0.25 done=x")]
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn denies_and_failures_are_plain_before_the_stream_begins_and_events_after() {
+fn failures_are_plain_before_stream_and_events_after() {
     let (_nodes, _program, sse) = fleet(2);
     let ask = |id: &str, class: &str, body: &str| {
         // Only what ends by its deadline needs a short one.
@@ -126,21 +126,21 @@
     assert!(seen.data(seen.events.len() - 1)["retry_after"].as_f64().is_some_and(|s| s > 0.0));
     let seen = ask("b3", "redeem", "stream started running=0.1 failed");
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"failed"), 1));
-    // The node tells progress once and then nothing: the deadline ends the session.
+    // The worker tells progress once and then nothing: the deadline ends the session.
     let seen = ask("b4", "redeem", "stream started running=0.1 hang");
     assert_eq!((seen.names(), seen.finals()), (vec!["started", "progress", "failed"], 1));
     assert_eq!(seen.data(2)["status"], 504);
     assert!(seen.heartbeats > 0, "a quiet stream is kept alive");
 }
 
-/// A client that reads nothing while its node tells much: progress is dropped, the final event is not.
+/// A client that reads nothing while its worker tells much: progress is dropped, the final event is not.
 #[test]
-fn a_slow_reader_loses_progress_and_never_the_final_event() {
+fn slow_reader_loses_progress_but_not_final_event() {
     const FLOOD: usize = 15_000;
     // Two: on a machine that is very busy, one may not take the job in time.
-    let nodes = [FakeWorker::start("s-0"), FakeWorker::start("s-1")];
+    let workers = [FakeWorker::start("s-0"), FakeWorker::start("s-1")];
     let with_control = |config: &mut serde_json::Value| config["admin_addr"] = "127.0.0.1:0".into();
-    let program = DispatcherProcess::builder(&nodes).event_streams(true).configure(with_control).start();
+    let program = DispatcherProcess::builder(&workers).event_streams(true).configure(with_control).start();
     let control = program.admin.expect("a second address");
     let mut stream = connect(program.sse.expect("the SSE front is on"));
     // Far less than the flood. What waits here and in the kernel is read within some milliseconds; through a window of 4 KB it took
@@ -148,11 +148,11 @@
     rustix::net::sockopt::set_socket_recv_buffer_size(&stream, 64 * 1024).expect("a socket option");
     let body = format!("stream started flood={FLOOD} done=x");
     stream.write_all(job_request("c0", "balance", &body, ACCEPT).as_bytes()).expect("written");
-    wait_until("a node has told all", || nodes.iter().any(|node| node.has_received("flooded")));
+    wait_until("a node has told all", || workers.iter().any(|worker| worker.has_received("flooded")));
     // Nothing is read before the program has seen all of it, or it might pass on all it is told, at its leisure.
     wait_until("the session ends", || {
-        let figures = send(control, "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n").expect("figures");
-        figures.body.contains("dispatcher.inflight:0|g")
+        let metrics = send(control, "GET /control/counters HTTP/1.1\r\nHost: n0\r\n\r\n").expect("figures");
+        metrics.body.contains("dispatcher.inflight:0|g")
     });
     let seen = read_stream(&mut stream, |_| false);
     assert_eq!((seen.finals(), seen.names().last(), seen.whole), (1, Some(&"done"), true));
@@ -161,15 +161,15 @@
     assert_eq!(program.shut_down_for_metrics()["served"], 1);
 }
 
-/// What a node sends in one event is bounded: past 128 KiB its stream is given up like one that broke, and nothing else is.
+/// What a worker sends in one event is bounded: past 128 KiB its stream is given up like one that broke, and nothing else is.
 #[test]
-fn an_event_of_a_mebibyte_ends_its_stream_and_no_other() {
-    let (nodes, program, sse) = fleet(2);
+fn oversized_event_ends_only_its_stream() {
+    let (workers, program, sse) = fleet(2);
     let mut other = connect(sse);
     let other_body = "stream started wait=big running=0.5 done=y";
     other.write_all(job_request("f0", "balance", other_body, ACCEPT).as_bytes()).expect("written");
     wait_until("it runs", || {
-        nodes.iter().any(|node| node.job_count.load(std::sync::atomic::Ordering::SeqCst) > 0)
+        workers.iter().any(|worker| worker.job_count.load(std::sync::atomic::Ordering::SeqCst) > 0)
     });
     // The job is held for another worker until its time is over.
     let extra = format!("{ACCEPT}X-Time-Left-Ms: 1500\r\n");
@@ -180,16 +180,16 @@
     let seen =
         watch(sse, &job_request("f2", "redeem", "stream started big=100000 done=x", ACCEPT), |_| false);
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"done"), 1));
-    nodes.iter().for_each(|node| node.open_gate("big"));
+    workers.iter().for_each(|worker| worker.open_gate("big"));
     let seen = read_stream(&mut other, |_| false);
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"done"), 1));
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["served"], figures["failed"], figures["open"]), (2, 1, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["served"], metrics["failed"], metrics["open"]), (2, 1, 0));
 }
 
 /// A client that reads a byte a second while its job runs and ends: what it was sent waits for it, whole and in order.
 #[test]
-fn a_client_of_one_byte_a_second_gets_its_final_event() {
+fn client_of_one_byte_a_second_gets_final_event() {
     let (_nodes, program, sse) = fleet(2);
     let mut slow = connect(sse);
     slow.write_all(job_request("g0", "balance", "stream started tick=10,20 done=x", ACCEPT).as_bytes())
@@ -225,7 +225,7 @@
 /// The proof asked for: some hundred streams at once, drops and stalls among them. Finals seen and clients gone
 /// add up to the jobs taken, and only those are gone that dropped.
 #[test]
-fn final_events_match_the_jobs_taken() {
+fn final_events_match_accepted_jobs() {
     const STREAMS: usize = 360;
     let (_nodes, program, sse) = fleet(40);
     let kinds = [
@@ -260,12 +260,12 @@
         let (f, d) = client.join().expect("a client's checks hold");
         (finals, dropped) = (finals + f, dropped + d);
     }
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((finals + dropped, figures["taken"]), (STREAMS as u64, STREAMS as u64));
-    assert_eq!((figures["gone"], figures["open"], figures["broken_invariants"]), (dropped, 0, 0));
-    assert_eq!(figures["served"] + figures["denied"] + figures["failed"], finals);
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((finals + dropped, metrics["taken"]), (STREAMS as u64, STREAMS as u64));
+    assert_eq!((metrics["gone"], metrics["open"], metrics["broken_invariants"]), (dropped, 0, 0));
+    assert_eq!(metrics["served"] + metrics["denied"] + metrics["failed"], finals);
     assert!(
-        dropped > 0 && figures["served"] > 0 && figures["denied"] > 0 && figures["failed"] > 0,
-        "{figures:?}"
+        dropped > 0 && metrics["served"] > 0 && metrics["denied"] > 0 && metrics["failed"] > 0,
+        "{metrics:?}"
     );
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Hands a job in; the place of its streams.
-fn hand_in(to: SocketAddr, id: &str, body: &str, extra: &str) -> String {
+fn submit(to: SocketAddr, id: &str, body: &str, extra: &str) -> String {
     let reply = send(to, &job_request(id, "redeem", body, &format!("Prefer: respond-async\r\n{extra}")))
         .expect("an answer");
     assert_eq!(reply.status, 202, "{}", reply.head);
@@ -27,15 +27,15 @@
 
 /// A stream as a client reads it.
 struct Stream {
-    conn: TcpStream,
+    connection: TcpStream,
     events: EventStream,
     status: u16,
     head: String,
     inbox: Vec<u8>,
     body: Option<Body>,
     raw: Vec<u8>,
-    seen: Vec<StreamEvent>,
-    ended: bool,
+    received: Vec<StreamEvent>,
+    is_ended: bool,
 }
 
 impl Stream {
@@ -43,21 +43,21 @@
         Stream::on(connect(to), place, extra)
     }
 
-    fn on(mut conn: TcpStream, place: &str, extra: &str) -> Stream {
-        conn.write_all(get(place, extra).as_bytes()).expect("written");
-        conn.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    fn on(mut connection: TcpStream, place: &str, extra: &str) -> Stream {
+        connection.write_all(get(place, extra).as_bytes()).expect("written");
+        connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         let mut stream = Stream {
-            conn,
+            connection,
             events: EventStream::default(),
             status: 0,
             head: String::new(),
             inbox: Vec::new(),
             body: None,
             raw: Vec::new(),
-            seen: Vec::new(),
-            ended: false,
+            received: Vec::new(),
+            is_ended: false,
         };
-        while stream.body.is_none() && !stream.ended {
+        while stream.body.is_none() && !stream.is_ended {
             stream.step();
         }
         stream
@@ -65,13 +65,13 @@
 
     /// Reads once; false at the end of the stream or of the connection.
     fn step(&mut self) -> bool {
-        if self.ended {
+        if self.is_ended {
             return false;
         }
         let mut buf = [0; 16 * 1024];
-        match self.conn.read(&mut buf) {
+        match self.connection.read(&mut buf) {
             Ok(0) | Err(_) => {
-                self.ended = true;
+                self.is_ended = true;
                 return false;
             }
             Ok(n) => self.inbox.extend(&buf[..n]),
@@ -86,39 +86,39 @@
         let Some(body) = &mut self.body else { return true };
         let mut read = Vec::new();
         body.feed(&mut self.inbox, &mut read).expect("a sound body");
-        self.ended = body.is_done();
-        let seen = &mut self.seen;
-        self.events.feed(&read, |event| seen.push(event)).expect("sound events");
+        self.is_ended = body.is_done();
+        let received = &mut self.received;
+        self.events.feed(&read, |event| received.push(event)).expect("sound events");
         self.raw.extend(read);
-        !self.ended
+        !self.is_ended
     }
 
     fn read_until(&mut self, count: usize) -> Vec<String> {
-        while self.seen.len() < count && self.step() {}
+        while self.received.len() < count && self.step() {}
         self.names()
     }
 
     fn names(&self) -> Vec<String> {
-        self.seen.iter().map(|e| format!("{} {}", e.id, e.name)).collect()
+        self.received.iter().map(|e| format!("{} {}", e.id, e.name)).collect()
     }
 
     fn read_out(mut self) -> Stream {
-        while !self.ended && self.step() {}
+        while !self.is_ended && self.step() {}
         self
     }
 }
 
-fn front(nodes: &[Arc<FakeWorker>]) -> (DispatcherProcess, SocketAddr) {
-    let program = DispatcherProcess::builder(nodes).event_streams(true).start();
+fn start_with_event_streams(workers: &[Arc<FakeWorker>]) -> (DispatcherProcess, SocketAddr) {
+    let program = DispatcherProcess::builder(workers).event_streams(true).start();
     let sse = program.sse.expect("the SSE front is on");
     (program, sse)
 }
 
 #[test]
-fn a_job_handed_in_is_watched_resumed_and_over() {
-    let node = FakeWorker::start("s-1");
-    let (program, sse) = front(std::slice::from_ref(&node));
-    let place = hand_in(sse, "a1", "take started running=0.2 wait=more running=0.7 done=paid", "");
+fn submitted_job_is_watched_resumed_and_finished() {
+    let worker = FakeWorker::start("s-1");
+    let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
+    let place = submit(sse, "a1", "take started running=0.2 wait=more running=0.7 done=paid", "");
     let mut first = Stream::open(sse, &place, "Accept: text/event-stream\r\n");
     assert_eq!((first.status, first.read_until(2)), (200, vec!["1 started".into(), "2 progress".into()]));
     assert!(
@@ -127,7 +127,7 @@
         first.head
     );
     drop(first); // it drops; the job goes on
-    node.open_gate("more");
+    worker.open_gate("more");
     wait_until("the job is done", || {
         let again = Stream::open(sse, &place, "Last-Event-ID: 3\r\n").read_out();
         again.names() == ["4 done"]
@@ -144,22 +144,22 @@
             (stream.status, stream.names()),
             (200, expected.iter().map(|e| (*e).to_owned()).collect())
         );
-        assert_eq!(stream.seen.last().map(|e| e.data.as_str()), Some("{\"result\":\"paid\"}"));
+        assert_eq!(stream.received.last().map(|e| e.data.as_str()), Some("{\"result\":\"paid\"}"));
     }
     // It has the final event: there is nothing to come back for.
     assert_eq!(send(sse, &get(&place, "Last-Event-ID: 4\r\n")).expect("an answer").status, 204);
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["served"]), (1, 1));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["served"]), (1, 1));
 }
 
 /// Read by a library of somebody else's.
 #[test]
-fn an_independent_reader_gets_the_same_events() {
-    let node = FakeWorker::start("s-1");
-    let (_program, sse) = front(std::slice::from_ref(&node));
-    let place = hand_in(sse, "a1", "take started running=0.5 done=two\\nlines", "");
+fn independent_reader_gets_same_events() {
+    let worker = FakeWorker::start("s-1");
+    let (_program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
+    let place = submit(sse, "a1", "take started running=0.5 done=two\\nlines", "");
     let mut stream = Stream::open(sse, &place, "").read_out();
-    if stream.seen.last().is_none_or(|e| e.name != "done") {
+    if stream.received.last().is_none_or(|e| e.name != "done") {
         stream = Stream::open(sse, &place, "").read_out();
     }
     let chunks = stream.raw.chunks(7).map(|c| Ok::<_, std::io::Error>(c.to_vec()));
@@ -174,22 +174,22 @@
         // That library hands on `retry` alone as an event without data; the standard does not.
         .filter(|e| !e.data.is_empty())
         .collect();
-    assert_eq!(theirs, stream.seen);
+    assert_eq!(theirs, stream.received);
     assert!(theirs.len() >= 2);
 }
 
 #[test]
-fn the_edges_are_answered_as_the_protocols_say() {
-    let node = FakeWorker::start("s-1");
+fn edge_cases_get_their_status() {
+    let worker = FakeWorker::start("s-1");
     let file = std::env::temp_dir().join(format!("mothproxy-origins-{}.toml", std::process::id()));
     std::fs::write(&file, "listen = \"127.0.0.1:0\"\norigins = [\"https://pay.example\"]\n")
         .expect("written");
     let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-    let program = DispatcherProcess::builder(std::slice::from_ref(&node)).args(&args).start();
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).args(&args).start();
     let sse = program.sse.expect("the SSE front is on");
-    let place = hand_in(sse, "a1", "take started wait=end done=x", "Origin: https://pay.example\r\n");
+    let place = submit(sse, "a1", "take started wait=end done=x", "Origin: https://pay.example\r\n");
     let (path, token) = place.split_once("?token=").expect("a token");
-    let other = hand_in(sse, "a2", "take started wait=end done=x", "");
+    let other = submit(sse, "a2", "take started wait=end done=x", "");
     let others = other.split_once("?token=").expect("a token").1;
     let unknown =
         send(sse, &get(&format!("/streams/0000000000000000?token={token}"), "")).expect("an answer");
@@ -225,11 +225,11 @@
         let head = request.lines().next().unwrap_or("").to_owned();
         let is_head = head.starts_with("HEAD") || *status == 204;
         let (got, text) = if is_head {
-            let mut conn = connect(sse);
-            conn.write_all(request.as_bytes()).expect("written");
+            let mut connection = connect(sse);
+            connection.write_all(request.as_bytes()).expect("written");
             let (mut all, mut buf) = (Vec::new(), [0; 2048]);
             while !all.windows(4).any(|w| w == b"\r\n\r\n") {
-                let n = conn.read(&mut buf).expect("read");
+                let n = connection.read(&mut buf).expect("read");
                 assert!(n > 0, "{head}");
                 all.extend(&buf[..n]);
             }
@@ -251,7 +251,7 @@
         assert!(text.contains(holds), "{head}: no {holds:?} in {text}");
     }
     // HTTP/1.0 knows no chunks: the stream is as it is, and ends with its connection.
-    node.open_gate("end");
+    worker.open_gate("end");
     let mut old = connect(sse);
     old.write_all(get(&place, "").replace("HTTP/1.1", "HTTP/1.0").as_bytes()).expect("written");
     let mut text = String::new();
@@ -262,77 +262,77 @@
 }
 
 #[test]
-fn a_job_that_ends_unwatched_is_given_up_and_another_goes_on() {
-    let node = FakeWorker::start("s-1");
-    let (program, sse) = front(std::slice::from_ref(&node));
-    let ends = hand_in(sse, "a1", "take started hang", "X-Unwatched: end\r\n");
-    let goes_on = hand_in(sse, "a2", "take started wait=go done=x", "");
+fn cancels_only_unwatched_job_that_asked_for_it() {
+    let worker = FakeWorker::start("s-1");
+    let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
+    let ends = submit(sse, "a1", "take started hang", "X-Unwatched: end\r\n");
+    let goes_on = submit(sse, "a2", "take started wait=go done=x", "");
     let mut watched = Stream::open(sse, &ends, "");
     assert_eq!(watched.read_until(1), ["1 started"]);
     drop(watched);
-    wait_until("it is given up", || node.has_received("DELETE /jobs/a1"));
-    node.open_gate("go");
+    wait_until("it is given up", || worker.has_received("DELETE /jobs/a1"));
+    worker.open_gate("go");
     wait_until("the other is served", || {
         Stream::open(sse, &goes_on, "").read_out().names().last().is_some_and(|n| n == "2 done")
     });
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["served"], figures["gone"]), (2, 1, 1));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["served"], metrics["gone"]), (2, 1, 1));
 }
 
 #[test]
-fn an_upgrade_sends_watchers_to_the_younger_process_which_has_the_job() {
-    let (folder, node) = (tempfile::tempdir().expect("a folder"), FakeWorker::start("s-1"));
-    let nodes = std::slice::from_ref(&node);
+fn hot_restart_sends_watchers_to_successor() {
+    let (folder, worker) = (tempfile::tempdir().expect("a folder"), FakeWorker::start("s-1"));
+    let workers = std::slice::from_ref(&worker);
     let begin = |listen: &str, sse: Option<SocketAddr>| {
         let file = folder.path().join("sse.toml");
         let at = sse.map_or("127.0.0.1:0".to_owned(), |at| at.to_string());
         std::fs::write(&file, format!("listen = \"{at}\"\n")).expect("written");
         let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-        DispatcherProcess::builder(nodes)
+        DispatcherProcess::builder(workers)
             .temp_dir(folder.path())
             .args(&args)
             .configure(|config| config["listen"] = json!(listen))
             .start()
     };
-    let elder = begin("127.0.0.1:0", None);
-    let sse = elder.sse.expect("the SSE front is on");
-    let done = hand_in(sse, "a1", "take started done=before", "");
+    let predecessor = begin("127.0.0.1:0", None);
+    let sse = predecessor.sse.expect("the SSE front is on");
+    let done = submit(sse, "a1", "take started done=before", "");
     wait_until("it is done", || {
         Stream::open(sse, &done, "").read_out().names().last().is_some_and(|n| n == "2 done")
     });
-    let place = hand_in(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
+    let place = submit(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
     let mut watching = Stream::open(sse, &place, "");
     assert_eq!(watching.read_until(2), ["1 started", "2 progress"]);
-    let younger = begin(&elder.platform.to_string(), Some(sse));
-    assert_eq!(younger.sse, Some(sse));
+    let successor = begin(&predecessor.platform.to_string(), Some(sse));
+    assert_eq!(successor.sse, Some(sse));
     let told = watching.read_out();
     assert_eq!(told.names(), ["1 started", "2 progress"], "its stream ended without its final event");
-    elder.terminate();
-    assert!(elder.wait_for_exit().0, "the elder ends cleanly");
+    predecessor.terminate();
+    assert!(predecessor.wait_for_exit().0, "the predecessor ends cleanly");
     let mut back = Stream::open(sse, &place, "Last-Event-ID: 2\r\n");
     assert_eq!(back.status, 200);
-    node.open_gate("go");
+    worker.open_gate("go");
     back = back.read_out();
     // Progress that the end overtakes within one turn is left out.
     let names = back.names();
     assert!(names == ["3 progress", "4 done"] || names == ["4 done"], "{names:?}");
     assert_eq!(Stream::open(sse, &done, "").read_out().names(), ["1 started", "2 done"], "it went over too");
-    drop(younger);
+    drop(successor);
 }
 
 /// Watches a job to its end, dropping and coming back at any point: its one final event, after all others. Then it is over.
-fn follow(sse: SocketAddr, place: &str, dice: &mut fastrand::Rng) -> String {
+fn follow(sse: SocketAddr, place: &str, rng: &mut fastrand::Rng) -> String {
     let (mut last, mut end) = (0u64, None);
     while end.is_none() {
         let mut stream = Stream::open(sse, place, &format!("Last-Event-ID: {last}\r\n"));
         assert_eq!(stream.status, 200);
-        let stay = dice.usize(0..4);
-        let whole = dice.bool();
-        while (whole || stream.seen.len() < stay) && stream.step() {}
-        if stream.seen.is_empty() {
+        let stay = rng.usize(0..4);
+        let whole = rng.bool();
+        while (whole || stream.received.len() < stay) && stream.step() {}
+        if stream.received.is_empty() {
             std::thread::sleep(Duration::from_millis(3)); // as `retry:` asks, only sooner
         }
-        for event in &stream.seen {
+        for event in &stream.received {
             let id: u64 = event.id.parse().expect("a number");
             assert!(id > last, "{id} after {last}");
             assert_eq!(end, None, "{} after the final event", event.name);
@@ -345,10 +345,10 @@
     end.unwrap_or_default()
 }
 
-/// Faults on the nodes' side as well: streams that are cut, break off inside an event, stall after a tick, or end twice. The
+/// Faults on the workers' side as well: streams that are cut, break off inside an event, stall after a tick, or end twice. The
 /// watchers drop and come back all the while: each job still has one final event, in order, and none is left open.
 #[test]
-fn as_many_final_events_as_jobs_under_faults_on_the_nodes_side() {
+fn one_final_event_per_job_under_worker_faults() {
     const FAULTS: [&str; 8] = [
         "cut",
         "stream started cut",
@@ -359,16 +359,16 @@
         "stream started running=0.5 pause=2 done=x cut",
         "stream started running=0.6 done=x failed",
     ];
-    let nodes: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
-    let (program, sse) = front(&nodes);
+    let workers: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let (program, sse) = start_with_event_streams(&workers);
     let (clients, each) = (8, 16);
     let ends: Vec<String> = std::thread::scope(|scope| {
         let client = |c: u64| {
-            let mut dice = fastrand::Rng::with_seed(c);
+            let mut rng = fastrand::Rng::with_seed(c);
             let job = |n: u64| {
                 let fault = FAULTS[(c + n) as usize % FAULTS.len()];
-                let place = hand_in(sse, &format!("k{c}-{n}"), fault, "X-Time-Left-Ms: 400\r\n");
-                follow(sse, &place, &mut dice)
+                let place = submit(sse, &format!("k{c}-{n}"), fault, "X-Time-Left-Ms: 400\r\n");
+                follow(sse, &place, &mut rng)
             };
             (0..each).map(job).collect::<Vec<_>>()
         };
@@ -377,28 +377,28 @@
     });
     let count = |name: &str| ends.iter().filter(|end| *end == name).count() as u64;
     assert!(count("done") > 0 && count("done") < clients * each, "{ends:?}");
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["open"]), (clients * each, 0));
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["open"]), (clients * each, 0));
     assert_eq!(
-        (figures["served"], figures["denied"] + figures["failed"]),
+        (metrics["served"], metrics["denied"] + metrics["failed"]),
         (count("done"), clients * each - count("done"))
     );
 }
 
 /// Several hundred jobs, clients that drop and come back at any point: each gets one final event, in order, none twice.
 #[test]
-fn as_many_final_events_as_jobs_under_drops_on_the_clients_side() {
-    let nodes: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
-    let (program, sse) = front(&nodes);
+fn one_final_event_per_job_under_client_disconnects() {
+    let workers: Vec<Arc<FakeWorker>> = (0..4).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let (program, sse) = start_with_event_streams(&workers);
     let (clients, each) = (12, 25);
     let finals: usize = std::thread::scope(|scope| {
         let client = |c: u64| {
-            let mut dice = fastrand::Rng::with_seed(c);
+            let mut rng = fastrand::Rng::with_seed(c);
             let mut finals = 0;
             for n in 0..each {
                 let body = "take started running=0.1 pause=2 running=0.4 running=0.8 pause=1 done=x";
-                let place = hand_in(sse, &format!("j{c}-{n}"), body, "");
-                follow(sse, &place, &mut dice);
+                let place = submit(sse, &format!("j{c}-{n}"), body, "");
+                follow(sse, &place, &mut rng);
                 finals += 1;
             }
             finals
@@ -407,26 +407,26 @@
         threads.into_iter().map(|t| t.join().expect("a client")).sum()
     });
     assert_eq!(finals as u64, clients * each);
-    let figures = program.shut_down_for_metrics();
-    assert_eq!((figures["taken"], figures["open"]), (clients * each, 0));
-    let ended = figures["served"] + figures["denied"] + figures["failed"] + figures["gone"];
-    assert_eq!(ended, clients * each);
+    let metrics = program.shut_down_for_metrics();
+    assert_eq!((metrics["taken"], metrics["open"]), (clients * each, 0));
+    let is_ended = metrics["served"] + metrics["denied"] + metrics["failed"] + metrics["gone"];
+    assert_eq!(is_ended, clients * each);
 }
 
 /// A reader that takes a few bytes now and then loses progress, and never the end; the program holds little for it.
 #[test]
-fn a_slow_reader_loses_progress_and_not_the_end() {
-    let node = FakeWorker::start("s-1");
-    let (program, sse) = front(std::slice::from_ref(&node));
-    let place = hand_in(sse, "a1", "stream started wait=go flood=20000 wait=end done=x", "");
+fn slow_watcher_loses_progress_but_not_final_event() {
+    let worker = FakeWorker::start("s-1");
+    let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
+    let place = submit(sse, "a1", "stream started wait=go flood=20000 wait=end done=x", "");
     let mut slow = connect(sse);
     slow.write_all(get(&place, "").as_bytes()).expect("written");
     let mut buf = [0; 64];
     assert!(slow.read(&mut buf).expect("read") > 0);
-    node.open_gate("go");
-    wait_until("the flood is over", || node.has_received("flooded"));
+    worker.open_gate("go");
+    wait_until("the flood is over", || worker.has_received("flooded"));
     std::thread::sleep(Duration::from_millis(300));
-    node.open_gate("end");
+    worker.open_gate("end");
     slow.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let (mut all, mut bytes) = (Vec::new(), [0; 4096]);
     while !all.ends_with(b"0\r\n\r\n") {
@@ -438,22 +438,22 @@
     assert!(text.contains("event: done"), "its end is there");
     let progress = text.matches("event: progress").count();
     assert!(progress < 20_000, "{progress} progress events were held for it");
-    assert_eq!(node.job_count.load(Ordering::SeqCst), 1);
+    assert_eq!(worker.job_count.load(Ordering::SeqCst), 1);
     drop(program);
 }
 
 /// A watcher whose final event is still on its way to it comes back on another connection: it has the end on both, once on each.
 #[test]
-fn a_reconnect_while_the_final_event_is_being_written_gets_it_too() {
-    let node = FakeWorker::start("s-1");
-    let (program, sse) = front(std::slice::from_ref(&node));
-    let place = hand_in(sse, "a1", "stream started wait=go flood=20000 done=x", "");
+fn reconnect_during_final_event_gets_it() {
+    let worker = FakeWorker::start("s-1");
+    let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
+    let place = submit(sse, "a1", "stream started wait=go flood=20000 done=x", "");
     let slow = connect(sse);
     rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("a socket option");
     let mut slow = Stream::on(slow, &place, "");
     assert_eq!(slow.read_until(1), ["1 started"]);
     let quick = Stream::open(sse, &place, "");
-    node.open_gate("go");
+    worker.open_gate("go");
     // Another has the whole of it: the job is over, and the slow one has read nothing since its start.
     let quick = quick.read_out();
     let end = quick.names().last().cloned().unwrap_or_default();
@@ -464,7 +464,7 @@
         let names = stream.names();
         assert_eq!((names.last(), names.iter().filter(|n| n.ends_with(" done")).count()), (Some(&end), 1));
         // What was left out is told by an event without an id.
-        let ids = stream.seen.iter().filter(|e| !e.id.is_empty());
+        let ids = stream.received.iter().filter(|e| !e.id.is_empty());
         let ids: Vec<u64> = ids.map(|e| e.id.parse().expect("a number")).collect();
         assert!(ids.is_sorted_by(|a, b| a < b), "{ids:?}");
         assert!(names.len() < 20_000, "progress is left out");
