--- a/crates/testkit/src/bin/streams-load.rs
+++ b/crates/testkit/src/bin/streams-load.rs
@@ -1,7 +1,7 @@
-//! Many streams at once: memory a stream, delay from a node's event to the client, and that each job has one final event.
+//! Many streams at once: memory a stream, delay from a worker's event to the client, and that each job has one final event.
 //!
-//! `streams-load --streams 1000 [--jobs N] [--json]`: so many streams on so many jobs (one each, unless N says otherwise), whose
-//! nodes send progress with its time. The delay is what clients see; the baseline in the same run is a plain connection that a
+//! `streams-load --streams 1000 [--jobs N] [--json]`: this many streams on N jobs (one each, unless N is given), whose
+//! workers send progress with its time. The delay is what clients see; the baseline in the same run is a plain connection that a
 //! thread of this program writes the same bytes to.
 
 use clap::Parser;
@@ -12,6 +12,7 @@
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::OwnedFd;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -20,7 +21,7 @@
     /// Streams open at once.
     #[arg(long, default_value_t = 100)]
     streams: usize,
-    /// Jobs that they watch.
+    /// Jobs that they follow; as many as streams if not given.
     #[arg(long)]
     jobs: Option<usize>,
     /// Progress events of each job.
@@ -29,47 +30,64 @@
     /// Milliseconds between them.
     #[arg(long, default_value_t = 200)]
     every: u64,
-    /// Each stream is dropped so often and taken up again.
+    /// How often each stream is dropped and resumed.
     #[arg(long, default_value_t = 0)]
     drops: u32,
     /// The seed of the drops.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// All nodes send at the same moments.
+    /// All workers send at the same moments.
     #[arg(long)]
     together: bool,
-    /// As one JSON object.
+    /// Prints one line of JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// One client: its place, what it has, what it read and did not use.
+/// One client of a stream.
 struct Client {
-    place: String,
-    conn: TcpStream,
-    inbox: Vec<u8>,
-    last: u64,
-    finals: u32,
+    path: String,
+    connection: TcpStream,
+    /// What was read and is not a whole event yet.
+    unread: Vec<u8>,
+    last_id: u64,
+    final_events: u32,
     drops: u32,
-    over: bool,
+    is_over: bool,
 }
 
-fn open(to: SocketAddr, place: &str, last: u64) -> TcpStream {
-    let mut conn = TcpStream::connect(to).expect("the program listens");
-    let from = if last > 0 { format!("Last-Event-ID: {last}\r\n") } else { String::new() };
-    conn.write_all(format!("GET {place} HTTP/1.1\r\nHost: n0\r\n{from}\r\n").as_bytes()).expect("written");
-    conn.set_nonblocking(true).expect("a socket option");
-    conn
+impl Client {
+    fn open(to: SocketAddr, path: String) -> Client {
+        let connection = open_stream(to, &path, 0);
+        Client { path, connection, unread: Vec::new(), last_id: 0, final_events: 0, drops: 0, is_over: false }
+    }
+
+    /// Drops the connection and resumes the stream after the last event.
+    fn resume(&mut self, to: SocketAddr) {
+        self.drops += 1;
+        self.unread.clear();
+        self.connection = open_stream(to, &self.path, self.last_id);
+    }
+}
+
+fn open_stream(to: SocketAddr, path: &str, last_id: u64) -> TcpStream {
+    let mut connection = TcpStream::connect(to).expect("the dispatcher listens");
+    let resume = if last_id > 0 { format!("Last-Event-ID: {last_id}\r\n") } else { String::new() };
+    let request = format!("GET {path} HTTP/1.1\r\nHost: n0\r\n{resume}\r\n");
+    connection.write_all(request.as_bytes()).expect("written");
+    connection.set_nonblocking(true).expect("a socket option");
+    connection
 }
 
-fn rss(pid: u32) -> u64 {
+/// Resident memory of a process in bytes.
+fn resident_memory(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
+    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
     line.trim().trim_end_matches("kB").trim().parse::<u64>().unwrap_or(0) * 1024
 }
 
 /// CPU time of a process in milliseconds.
-fn cpu(pid: u32) -> u64 {
+fn cpu_time(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|t| t.parse::<u64>().ok()).unwrap_or(0);
@@ -109,38 +127,44 @@
     text.split("\"share\":").skip(1).filter_map(|rest| rest.split('}').next()?.parse().ok())
 }
 
+/// Delays of progress events, and gaps that the dispatcher reported.
+struct Measures {
+    delays: Histogram<u64>,
+    missed: u64,
+}
+
 /// Uses what a client has read: whole events only.
-fn take(client: &mut Client, delays: &mut Histogram<u64>, missed: &mut u64) {
-    while let Some(end) = client.inbox.windows(2).position(|w| w == b"\n\n") {
-        let block: Vec<u8> = client.inbox.drain(..end + 2).collect();
+fn take_events(client: &mut Client, measures: &mut Measures) {
+    while let Some(end) = client.unread.windows(2).position(|w| w == b"\n\n") {
+        let block: Vec<u8> = client.unread.drain(..end + 2).collect();
         let text = String::from_utf8_lossy(&block);
-        let line =
+        let field =
             |name: &str| text.lines().find_map(|l| l.strip_prefix(name).map(str::trim).map(str::to_owned));
-        let (Some(event), id) = (line("event:"), line("id:")) else { continue };
+        let (Some(event), id) = (field("event:"), field("id:")) else { continue };
         if event == "missed" {
-            *missed += 1;
+            measures.missed += 1;
             continue;
         }
         let id: u64 = id.and_then(|id| id.parse().ok()).expect("each event of a job has an id");
-        assert!(id > client.last, "{id} after {}: twice or out of order", client.last);
-        client.last = id;
+        assert!(id > client.last_id, "{id} after {}: twice or out of order", client.last_id);
+        client.last_id = id;
         match event.as_str() {
             "progress" if client.drops == 0 => {
-                shares(&block).for_each(|share| delays.saturating_record(micros_since(share).max(1)));
+                let delays = shares(&block).map(|share| micros_since(share).max(1));
+                delays.for_each(|delay| measures.delays.saturating_record(delay));
             }
-            "done" | "deny" | "failed" => client.finals += 1,
+            "done" | "deny" | "failed" => client.final_events += 1,
             _ => {}
         }
     }
 }
 
-fn run(args: &Args) -> Value {
-    let nodes: Vec<Arc<FakeWorker>> = (0..8).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+fn start_dispatcher(workers: &[Arc<FakeWorker>]) -> DispatcherProcess {
     let file = std::env::temp_dir().join(format!("mothproxy-load-{}.toml", std::process::id()));
     std::fs::write(&file, "listen = \"127.0.0.1:0\"\nstreams_per_tenant = 20000\n")
         .expect("a temporary file");
     let flags = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
-    let program = DispatcherProcess::builder(&nodes)
+    let dispatcher = DispatcherProcess::builder(workers)
         .args(&flags)
         .configure(|config| {
             config["limits"] = json!({"cores": 1.0, "memory_mb": 8192, "sockets": 30_000});
@@ -149,110 +173,120 @@
         })
         .start();
     let _ = std::fs::remove_file(&file);
-    let (sse, pid) = (program.sse.expect("the SSE front is on"), program.pid());
-    let jobs = args.jobs.unwrap_or(args.streams).max(1);
-    // All begin to send once every stream is open.
-    // Nodes do not tick together unless they are asked to.
-    let body = |n: usize| {
-        let apart = if args.together { 0 } else { n as u64 * args.every / jobs as u64 };
-        format!("stream started wait=go pause={apart} tick={},{} done=x", args.events, args.every)
+    dispatcher
+}
+
+/// Submits the jobs, on a few threads; returns the path of each job's stream. The jobs begin to send once the gate `go` is
+/// open, and their workers do not tick together unless they are asked to.
+fn submit_jobs(args: &Args, jobs: usize, sse: SocketAddr) -> Vec<String> {
+    const THREADS: usize = 8;
+    let submit = |n: usize| {
+        let offset = if args.together { 0 } else { n as u64 * args.every / jobs as u64 };
+        let script =
+            format!("stream started wait=go pause={offset} tick={},{} done=x", args.events, args.every);
+        let request = job_request(&format!("j{n}"), "redeem", &script, "Prefer: respond-async\r\n");
+        let reply = send(sse, &request).expect("a reply");
+        assert_eq!(reply.status, 202, "{}", reply.head);
+        (n, reply.header("Location").expect("a path").to_owned())
     };
-    let places: Vec<String> = std::thread::scope(|scope| {
-        let part = |from: usize| {
-            let body = &body;
-            move || -> Vec<(usize, String)> {
-                (from..jobs)
-                    .step_by(8)
-                    .map(|n| {
-                        let text =
-                            job_request(&format!("j{n}"), "redeem", &body(n), "Prefer: respond-async\r\n");
-                        let reply = send(sse, &text).expect("an answer");
-                        assert_eq!(reply.status, 202, "{}", reply.head);
-                        (n, reply.header("Location").expect("a place").to_owned())
-                    })
-                    .collect()
-            }
-        };
-        let threads: Vec<_> = (0..8).map(|from| scope.spawn(part(from))).collect();
-        let mut all: Vec<_> = threads.into_iter().flat_map(|t| t.join().expect("a thread")).collect();
-        all.sort();
-        all.into_iter().map(|(_, place)| place).collect()
+    let mut paths: Vec<(usize, String)> = std::thread::scope(|scope| {
+        let part = |first: usize| move || -> Vec<_> { (first..jobs).step_by(THREADS).map(submit).collect() };
+        let threads: Vec<_> = (0..THREADS).map(|first| scope.spawn(part(first))).collect();
+        threads.into_iter().flat_map(|thread| thread.join().expect("a thread")).collect()
     });
-    std::thread::sleep(Duration::from_millis(500));
-    let (before, epoll) = (rss(pid), epoll::create(epoll::CreateFlags::CLOEXEC).expect("epoll"));
-    let watch = |conn: &TcpStream, n: usize| {
-        epoll::add(&epoll, conn, EventData::new_u64(n as u64), EventFlags::IN).expect("epoll");
-    };
-    let mut clients: Vec<Client> = Vec::with_capacity(args.streams);
-    for n in 0..args.streams {
-        let place = places[n % jobs].clone();
-        let conn = open(sse, &place, 0);
-        watch(&conn, n);
-        clients.push(Client { place, conn, inbox: Vec::new(), last: 0, finals: 0, drops: 0, over: false });
-    }
-    std::thread::sleep(Duration::from_millis(1500));
-    let quiet = rss(pid);
-    let (cpu_before, started) = (cpu(pid), Instant::now());
-    nodes.iter().for_each(|node| node.open_gate("go"));
-    let (mut delays, mut missed, mut open_count) = (histogram(), 0, args.streams);
-    let (mut dice, mut events, mut buf) =
+    paths.sort();
+    paths.into_iter().map(|(_, path)| path).collect()
+}
+
+fn watch_readable(epoll: &OwnedFd, connection: &TcpStream, client: usize) {
+    epoll::add(epoll, connection, EventData::new_u64(client as u64), EventFlags::IN).expect("epoll");
+}
+
+/// Reads all streams to their final events, dropping and resuming some; gives up after a minute.
+fn follow_streams(args: &Args, sse: SocketAddr, epoll: &OwnedFd, clients: &mut [Client]) -> Measures {
+    const TIMEOUT: Duration = Duration::from_secs(60);
+    let mut measures = Measures { delays: histogram(), missed: 0 };
+    let mut open_count = clients.len();
+    let (mut rng, mut events, mut buffer) =
         (fastrand::Rng::with_seed(args.seed), Vec::with_capacity(1024), [0; 16_384]);
-    let limit = Duration::from_secs(60);
-    while open_count > 0 && started.elapsed() < limit {
+    let started = Instant::now();
+    while open_count > 0 && started.elapsed() < TIMEOUT {
         events.clear();
         let wait = rustix::event::Timespec { tv_sec: 1, tv_nsec: 0 };
-        let _ = epoll::wait(&epoll, rustix::buffer::spare_capacity(&mut events), Some(&wait)); // again after a signal
+        let _ = epoll::wait(epoll, rustix::buffer::spare_capacity(&mut events), Some(&wait)); // again after a signal
         for event in &events {
             let n = event.data.u64() as usize;
             let client = &mut clients[n];
-            let ended = match client.conn.read(&mut buf) {
+            let is_ended = match client.connection.read(&mut buffer) {
                 Ok(0) => true,
-                Ok(got) => {
-                    client.inbox.extend(&buf[..got]);
-                    take(client, &mut delays, &mut missed);
-                    client.finals > 0
+                Ok(length) => {
+                    client.unread.extend(&buffer[..length]);
+                    take_events(client, &mut measures);
+                    client.final_events > 0
                 }
                 Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
             };
-            let drops =
-                client.finals == 0 && client.drops < args.drops && dice.u32(0..args.events.max(2)) == 0;
-            if client.finals > 0 && !client.over {
-                client.over = true;
+            let is_dropped =
+                client.final_events == 0 && client.drops < args.drops && rng.u32(0..args.events.max(2)) == 0;
+            if client.final_events > 0 && !client.is_over {
+                client.is_over = true;
                 open_count -= 1;
-                let _ = epoll::delete(&epoll, &client.conn);
-            } else if drops || (ended && client.finals == 0) {
-                client.drops += 1;
-                let _ = epoll::delete(&epoll, &client.conn);
-                client.inbox.clear();
-                client.conn = open(sse, &client.place, client.last);
-                watch(&client.conn, n);
+                let _ = epoll::delete(epoll, &client.connection);
+            } else if is_dropped || (is_ended && client.final_events == 0) {
+                let _ = epoll::delete(epoll, &client.connection);
+                client.resume(sse);
+                watch_readable(epoll, &client.connection, n);
             }
         }
     }
-    let (took, spent) = (started.elapsed().as_secs_f64(), cpu(pid) - cpu_before);
-    let finals: u32 = clients.iter().map(|c| c.finals).sum();
-    let doubled = clients.iter().filter(|c| c.finals > 1).count();
+    measures
+}
+
+fn run(args: &Args) -> Value {
+    let workers: Vec<Arc<FakeWorker>> = (0..8).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let dispatcher = start_dispatcher(&workers);
+    let (sse, pid) = (dispatcher.sse.expect("the SSE front is on"), dispatcher.pid());
+    let jobs = args.jobs.unwrap_or(args.streams).max(1);
+    let paths = submit_jobs(args, jobs, sse);
+    std::thread::sleep(Duration::from_millis(500));
+    let (memory_before, epoll) =
+        (resident_memory(pid), epoll::create(epoll::CreateFlags::CLOEXEC).expect("epoll"));
+    let mut clients: Vec<Client> = Vec::with_capacity(args.streams);
+    for n in 0..args.streams {
+        let client = Client::open(sse, paths[n % jobs].clone());
+        watch_readable(&epoll, &client.connection, n);
+        clients.push(client);
+    }
+    std::thread::sleep(Duration::from_millis(1500));
+    let quiet_memory = resident_memory(pid);
+    let (cpu_before, started) = (cpu_time(pid), Instant::now());
+    workers.iter().for_each(|worker| worker.open_gate("go"));
+    let Measures { delays, missed } = follow_streams(args, sse, &epoll, &mut clients);
+    let (seconds, cpu_ms) = (started.elapsed().as_secs_f64(), cpu_time(pid) - cpu_before);
+    let finals: u32 = clients.iter().map(|client| client.final_events).sum();
+    let doubled = clients.iter().filter(|client| client.final_events > 1).count();
     drop(clients);
-    let figures: BTreeMap<String, u64> = program.shut_down_for_metrics();
-    let ended = figures["served"] + figures["denied"] + figures["failed"] + figures["gone"];
-    let us = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
+    let metrics: BTreeMap<String, u64> = dispatcher.shut_down_for_metrics();
+    let ended = metrics["served"] + metrics["denied"] + metrics["failed"] + metrics["gone"];
+    let ms = |histogram: &Histogram<u64>, q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
     let base = baseline(args.events);
     json!({
         "streams": args.streams, "jobs": jobs, "finals": finals, "doubled": doubled, "missed": missed,
-        "jobs_ended": ended, "jobs_taken": figures["taken"], "drops": args.drops, "seed": args.seed,
-        "bytes_per_quiet_stream": quiet.saturating_sub(before) as f64 / args.streams as f64,
-        "delay_p50_ms": us(&delays, 0.5), "delay_p99_ms": us(&delays, 0.99), "delays": delays.len(),
-        "baseline_p50_ms": us(&base, 0.5), "baseline_p99_ms": us(&base, 0.99),
-        "cpu_ms": spent, "seconds": took, "events_a_second": delays.len() as f64 / took,
+        "jobs_ended": ended, "jobs_taken": metrics["taken"], "drops": args.drops, "seed": args.seed,
+        "bytes_per_quiet_stream": quiet_memory.saturating_sub(memory_before) as f64 / args.streams as f64,
+        "delay_p50_ms": ms(&delays, 0.5), "delay_p99_ms": ms(&delays, 0.99), "delays": delays.len(),
+        "baseline_p50_ms": ms(&base, 0.5), "baseline_p99_ms": ms(&base, 0.99),
+        "cpu_ms": cpu_ms, "seconds": seconds, "events_a_second": delays.len() as f64 / seconds,
     })
 }
 
 fn main() {
     let args = Args::parse();
     let figures = run(&args);
-    match args.json {
-        true => println!("{figures}"),
-        false => println!("{}", serde_json::to_string_pretty(&figures).expect("JSON")),
+    if args.json {
+        println!("{figures}");
+    } else {
+        println!("{}", serde_json::to_string_pretty(&figures).expect("JSON"));
     }
     let held = figures["finals"] == args.streams
         && figures["doubled"] == 0
