--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -130,85 +130,131 @@
     checks.into_iter().filter(|(holds, _)| !holds).map(|(_, what)| what).collect()
 }
 
-fn main() -> ExitCode {
-    let seed: u64 = std::env::args().nth(1).and_then(|arg| arg.parse().ok()).unwrap_or(7);
-    println!("seed {seed}");
-    let began = Instant::now();
-    let mut broken: Vec<String> = Vec::new();
-    let both = "fleet { membership { probe_interval_ms: 200 } cold_start {} }";
-    let fleets = [
-        ("landed_400ms", None, 400.0),
-        ("landed_10s", None, 10_000.0),
-        ("pacer_alone", Some("fleet { cold_start {} }"), 10_000.0),
-        ("pacer_heard", Some(both), 10_000.0),
-    ];
-    let mut processes = Map::new();
+/// The fleets of built processes: name, settings, and how long discovery may be left unasked in milliseconds.
+const FLEETS: [FleetCase; 4] = [
+    FleetCase { name: "landed_400ms", settings: None, ask_within_ms: 400.0 },
+    FleetCase { name: "landed_10s", settings: None, ask_within_ms: 10_000.0 },
+    FleetCase { name: "pacer_alone", settings: Some("fleet { cold_start {} }"), ask_within_ms: 10_000.0 },
+    FleetCase {
+        name: "pacer_heard",
+        settings: Some("fleet { membership { probe_interval_ms: 200 } cold_start {} }"),
+        ask_within_ms: 10_000.0,
+    },
+];
+
+struct FleetCase {
+    name: &'static str,
+    settings: Option<&'static str>,
+    ask_within_ms: f64,
+}
+
+/// Runs all fleets at once and checks their figures.
+fn run_processes(seed: u64, broken: &mut Vec<String>) -> Map<String, Value> {
     let rows: Vec<(Value, Vec<String>)> = std::thread::scope(|scope| {
-        let runs = fleets.map(|(name, set, within)| scope.spawn(move || real(name, set, within, seed)));
+        let runs = FLEETS
+            .each_ref()
+            .map(|case| scope.spawn(move || real(case.name, case.settings, case.ask_within_ms, seed)));
         runs.into_iter().map(|run| run.join().expect("a fleet ran to its end")).collect()
     });
-    for ((name, ..), (row, wrong)) in fleets.iter().zip(rows) {
-        processes.insert((*name).to_owned(), row);
-        broken.extend(wrong);
+    let mut processes = Map::new();
+    for (case, (row, faults)) in FLEETS.iter().zip(rows) {
+        processes.insert(case.name.to_owned(), row);
+        broken.extend(faults);
     }
-    let of = |name: &str, what: &str| processes[name][what].as_f64().unwrap_or(f64::NAN);
-    let own = SIZE as f64 * CALL as f64 / 1e3;
+    let figure = |name: &str, what: &str| processes[name][what].as_f64().unwrap_or(f64::NAN);
+    let service_ms_for_all = SIZE as f64 * CALL as f64 / 1e3;
     for (name, calls) in [("pacer_alone", 12.0), ("pacer_heard", 2.5)] {
         let checks = [
-            (of(name, "calls_each") <= calls, "calls"),
-            (of(name, "peak_100ms_after") <= 2.0 * CAN as f64, "peak"),
-            (of(name, "calls_each") * 3.0 <= of("landed_400ms", "calls_each"), "as many as landed"),
+            (figure(name, "calls_each") <= calls, "calls"),
+            (figure(name, "peak_100ms_after") <= 2.0 * CAN as f64, "peak"),
+            (figure(name, "calls_each") * 3.0 <= figure("landed_400ms", "calls_each"), "as many as landed"),
         ];
-        broken.extend(checks.iter().filter(|c| !c.0).map(|c| format!("30 processes, {name}: {}", c.1)));
+        let failed = checks.iter().filter(|(holds, _)| !holds);
+        broken.extend(failed.map(|(_, what)| format!("30 processes, {name}: {what}")));
     }
-    if of("pacer_heard", "held_p99_ms") > 3.0 * own {
+    if figure("pacer_heard", "held_p99_ms") > 3.0 * service_ms_for_all {
         broken.push("30 processes, pacer_heard: p99".to_owned());
     }
-    // The model: each day in each behaviour, the longest first.
-    let all = days(seed);
-    let hows = [Behaviour::Heard, Behaviour::Alone, Behaviour::Landed, Behaviour::FullJitter];
+    processes
+}
+
+/// One day of the model in one behaviour.
+struct Played {
+    day: usize,
+    behaviour: Behaviour,
+    outcome: Outcome,
+}
+
+/// In this order the days are simulated and shown.
+const BEHAVIOURS: [Behaviour; 4] =
+    [Behaviour::Heard, Behaviour::Alone, Behaviour::Landed, Behaviour::FullJitter];
+
+/// Simulates each day in each behaviour on a few threads, the longest first.
+fn play_days(days: &[(&'static str, Scenario)]) -> Vec<Played> {
+    const THREADS: usize = 6;
     let plays: Vec<(usize, Behaviour)> =
-        hows.iter().flat_map(|how| (0..all.len()).map(|n| (n, *how))).collect();
+        BEHAVIOURS.iter().flat_map(|behaviour| (0..days.len()).map(|day| (day, *behaviour))).collect();
     let (next, done) = (Mutex::new(plays.iter()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..6 {
+        for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
-                    let Some((n, how)) = next.lock().expect("a lock").next() else { break };
-                    let outcome = play(&all[*n].1, *how);
-                    done.lock().expect("a lock").push((*n, *how, outcome));
+                    let Some(&(day, behaviour)) = next.lock().expect("a lock").next() else { break };
+                    let outcome = play(&days[day].1, behaviour);
+                    done.lock().expect("a lock").push(Played { day, behaviour, outcome });
                 }
             });
         }
     });
-    let mut model = Map::new();
     let mut done = done.into_inner().expect("a lock");
-    done.sort_by_key(|(n, how, _)| (*n, hows.iter().position(|h| h == how)));
-    for (n, how, outcome) in &done {
-        let (name, set) = &all[*n];
-        println!("{} dispatchers, {name}, {how:?}: {}", set.count, shown(outcome));
-        let days = model.entry(format!("{name}_{}", set.count)).or_insert_with(|| json!({}));
-        days[format!("{how:?}").to_lowercase()] = shown(outcome);
-        if *how == Behaviour::Heard {
-            broken
-                .extend(wrong(name, set, outcome).into_iter().map(|w| format!("{} {name}: {w}", set.count)));
+    done.sort_by_key(|played| (played.day, BEHAVIOURS.iter().position(|b| *b == played.behaviour)));
+    done
+}
+
+/// Simulates the days, shows them and checks those where dispatchers hear each other.
+fn run_model(days: &[(&'static str, Scenario)], broken: &mut Vec<String>) -> Map<String, Value> {
+    let mut model = Map::new();
+    for Played { day, behaviour, outcome } in &play_days(days) {
+        let (name, scenario) = &days[*day];
+        println!("{} dispatchers, {name}, {behaviour:?}: {}", scenario.count, shown(outcome));
+        let row = model.entry(format!("{name}_{}", scenario.count)).or_insert_with(|| json!({}));
+        row[format!("{behaviour:?}").to_lowercase()] = shown(outcome);
+        if *behaviour == Behaviour::Heard {
+            let faults = wrong(name, scenario, outcome);
+            broken.extend(faults.into_iter().map(|fault| format!("{} {name}: {fault}", scenario.count)));
         }
     }
-    // The seeded mistake: calls that pass by the pacer must be seen by the same checks.
-    let (name, mut day) =
-        all.iter().find(|(name, set)| *name == "down_8s" && set.count == 300).cloned().expect("a day");
+    model
+}
+
+/// The seeded mistake: calls that pass by the pacer must be seen by the same checks.
+fn check_mutation(days: &[(&'static str, Scenario)], broken: &mut Vec<String>) -> Vec<&'static str> {
+    let is_used = |(name, scenario): &&(&str, Scenario)| *name == "down_8s" && scenario.count == 300;
+    let (name, mut day) = days.iter().find(is_used).cloned().expect("a day");
     day.ask_without_pacer = true;
     let caught = wrong(name, &day, &play(&day, Behaviour::Heard));
     if !(caught.contains(&"calls") && caught.contains(&"peak")) {
         broken.push(format!("the mutation ask_without_pacer was not caught: {caught:?}"));
     }
+    caught
+}
+
+fn main() -> ExitCode {
+    let seed: u64 = std::env::args().nth(1).and_then(|arg| arg.parse().ok()).unwrap_or(7);
+    println!("seed {seed}");
+    let started = Instant::now();
+    let mut broken: Vec<String> = Vec::new();
+    let processes = run_processes(seed, &mut broken);
+    let days = days(seed);
+    let model = run_model(&days, &mut broken);
+    let caught = check_mutation(&days, &mut broken);
     let invariants = mothproxy_coldstart::invariant::broken();
     if invariants > 0 {
         broken.push(format!("{invariants} invariants broken"));
     }
     broken.iter().for_each(|what| println!("BROKEN: {what}"));
     let line = json!({
-        "proof": "coldstart", "held": broken.is_empty(), "seed": seed, "seconds": round(began.elapsed().as_secs_f64()),
+        "proof": "coldstart", "held": broken.is_empty(), "seed": seed, "seconds": round(started.elapsed().as_secs_f64()),
         "service": {"call_ms": CALL / 1_000, "can_in_100ms": CAN}, "processes_30": processes, "model": model,
         "mutation_ask_without_pacer": caught, "broken": broken,
     });
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -30,51 +30,51 @@
     address
 }
 
-struct Story {
+struct OutageTest {
     fleet: Fleet,
     /// Lines of failed watches of each, as last looked at.
-    failed: Vec<usize>,
+    failures_before: Vec<usize>,
 }
 
-impl Story {
+impl OutageTest {
     fn failures(&self) -> Vec<usize> {
-        let failed = |line: &LogLine| line.text.contains("discovery: watch failed");
-        (0..SIZE).map(|i| self.fleet.log(i).iter().filter(|line| failed(line)).count()).collect()
+        let failures_before = |line: &LogLine| line.text.contains("discovery: watch failed");
+        (0..SIZE).map(|i| self.fleet.log(i).iter().filter(|line| failures_before(line)).count()).collect()
     }
 
     /// Waits until all have had a watch fail since the last round.
-    fn all_fail(&self) {
+    fn wait_until_all_watches_fail(&self) {
         self.fleet.wait_until("all watches fail", || {
-            self.failures().iter().zip(&self.failed).all(|(now, before)| now > before)
+            self.failures().iter().zip(&self.failures_before).all(|(now, before)| now > before)
         });
     }
 
     /// Waits until all have called since: whatever they had before is closed, and nothing can be written to it any more.
-    fn all_call(&self, before: &[u64]) {
+    fn wait_until_all_call(&self, before: &[u64]) {
         self.fleet.wait_until("all call", || {
             self.fleet.discovery.metrics().calls.iter().zip(before).all(|(now, before)| now > before)
         });
     }
 
     /// A worker leaves, and since then the service can be reached; all are told in time.
-    fn leaves(&mut self, what: &str, worker: usize, back: u64, bound: u64) {
+    fn check_worker_leaves(&mut self, what: &str, worker: usize, reachable_since: u64, max_seconds: u64) {
         let generation = self.fleet.discovery.set_lifecycle(worker, Lifecycle::Draining);
         self.fleet.wait_until_notified(&self.fleet.all(), generation, 0);
-        let held = self.fleet.notified_at(generation, 0);
-        let last = held.iter().flatten().max().expect("all are told") - back;
+        let notified_at = self.fleet.notified_at(generation, 0);
+        let last = notified_at.iter().flatten().max().expect("all are told") - reachable_since;
         println!("{what}: the last is told after {} ms", last / 1_000);
-        assert!(last <= bound * 1_000_000, "{what}: {last} us, {held:?}");
+        assert!(last <= max_seconds * 1_000_000, "{what}: {last} us, {notified_at:?}");
         // And it is up again, so that the next round finds work at all.
         let generation = self.fleet.discovery.set_lifecycle(worker, Lifecycle::Up);
         self.fleet.wait_until_notified(&self.fleet.all(), generation, 0);
-        self.failed = self.failures();
+        self.failures_before = self.failures();
     }
 
-    fn links(&self, faults: LinkFaults) {
+    fn set_link_faults(&self, faults: LinkFaults) {
         (0..SIZE).for_each(|i| self.fleet.discovery_link(i).set(faults));
     }
 
-    fn resets(&self) {
+    fn reset_links(&self) {
         (0..SIZE).for_each(|i| self.fleet.discovery_link(i).reset());
     }
 }
@@ -88,50 +88,50 @@
     plan.change = Some(Arc::new(|_, config| {
         config["settings"]["Obligations"]["AskWithinMs"] = json!(10_000.0);
     }));
-    let mut story = Story { fleet: Fleet::start(plan).expect("a fleet"), failed: vec![0; SIZE] };
-    story.fleet.wait_until_notified(&story.fleet.all(), 1, 0);
-    let load = story.fleet.start_plain_load(&story.fleet.all(), 3.0, Duration::from_secs(120));
+    let mut test = OutageTest { fleet: Fleet::start(plan).expect("a fleet"), failures_before: vec![0; SIZE] };
+    test.fleet.wait_until_notified(&test.fleet.all(), 1, 0);
+    let load = test.fleet.start_plain_load(&test.fleet.all(), 3.0, Duration::from_secs(120));
 
     // All calls need 4.4 s, and a call may wait for 2.5 s of them.
-    story.fleet.discovery.change_script(calls_take(220));
-    story.resets();
-    story.all_fail();
-    story.leaves("slow", 0, story.fleet.now(), 6);
-
-    story.fleet.discovery.change_script(calls_take(100));
-    story.links(LinkFaults { connect: ConnectBehavior::Refused, ..LinkFaults::default() });
-    story.resets();
-    story.all_fail();
-    story.links(LinkFaults::default());
-    story.leaves("refusing", 1, story.fleet.now(), 6);
+    test.fleet.discovery.change_script(calls_take(220));
+    test.reset_links();
+    test.wait_until_all_watches_fail();
+    test.check_worker_leaves("slow", 0, test.fleet.now(), 6);
+
+    test.fleet.discovery.change_script(calls_take(100));
+    test.set_link_faults(LinkFaults { connect: ConnectBehavior::Refused, ..LinkFaults::default() });
+    test.reset_links();
+    test.wait_until_all_watches_fail();
+    test.set_link_faults(LinkFaults::default());
+    test.check_worker_leaves("refusing", 1, test.fleet.now(), 6);
 
     for (mode, what, worker) in [(DiscoveryMode::Down, "down", 2), (DiscoveryMode::Mute, "silent", 3)] {
-        story.fleet.discovery.set_mode(mode);
-        story.all_fail();
-        story.all_call(&story.fleet.discovery.metrics().calls);
-        story.fleet.discovery.set_mode(DiscoveryMode::Up);
-        story.leaves(what, worker, story.fleet.now(), 6);
+        test.fleet.discovery.set_mode(mode);
+        test.wait_until_all_watches_fail();
+        test.wait_until_all_call(&test.fleet.discovery.metrics().calls);
+        test.fleet.discovery.set_mode(DiscoveryMode::Up);
+        test.check_worker_leaves(what, worker, test.fleet.now(), 6);
     }
 
-    story.fleet.set_discovery_cut(&story.fleet.all(), true);
-    story.all_fail();
-    story.resets();
-    story.fleet.set_discovery_cut(&story.fleet.all(), false);
-    story.leaves("cut", 0, story.fleet.now(), 6);
+    test.fleet.set_discovery_cut(&test.fleet.all(), true);
+    test.wait_until_all_watches_fail();
+    test.reset_links();
+    test.fleet.set_discovery_cut(&test.fleet.all(), false);
+    test.check_worker_leaves("cut", 0, test.fleet.now(), 6);
 
     // Each asks for changes, and for the whole list as well.
-    story.fleet.discovery.change_script(calls_take(50));
-    let (hung_up, before) = (story.fleet.now(), story.fleet.discovery.metrics().calls);
+    test.fleet.discovery.change_script(calls_take(50));
+    let (reloaded_at, before) = (test.fleet.now(), test.fleet.discovery.metrics().calls);
     for i in 0..SIZE {
-        let address = forward(story.fleet.discovery_link(i).address).to_string();
-        story.fleet.change_config(i, |config| config["discovery"] = json!(address));
-        story.fleet.reload(i).expect("it rereads");
+        let address = forward(test.fleet.discovery_link(i).address).to_string();
+        test.fleet.change_config(i, |config| config["discovery"] = json!(address));
+        test.fleet.reload(i).expect("it rereads");
     }
-    story.all_call(&before);
-    story.leaves("moved", 1, hung_up, 4);
+    test.wait_until_all_call(&before);
+    test.check_worker_leaves("moved", 1, reloaded_at, 4);
 
     let report = load.stop();
     let found =
-        story.fleet.audit(&AuditRules { assume_notified_after: Some(6_000_000), ..AuditRules::default() });
+        test.fleet.audit(&AuditRules { assume_notified_after: Some(6_000_000), ..AuditRules::default() });
     assert!(found.is_empty() && report.unanswered == 0 && report.served() > 300, "{found:#?} {report:?}");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -22,7 +22,7 @@
 
 fn agree(fleet: &Fleet, what: &str) {
     fleet.wait_until(&format!("all hold all alive {what}"), || {
-        all_hold(fleet, &fleet.all(), &fleet.all(), "alive")
+        all_believe(fleet, &fleet.all(), &fleet.all(), "alive")
     });
 }
 
@@ -39,52 +39,52 @@
         bytes[0] = if n % 4 == 0 { 0xF2 } else { 0xF1 };
         fleet.datagrams.forge(n % 4, 4, &bytes);
     }
-    fleet.wait_until("rubbish is counted", || figure(&fleet, 4, "refused") > 100);
+    fleet.wait_until("rubbish is counted", || membership_metric(&fleet, 4, "refused") > 100);
     agree(&fleet, "after rubbish");
     // A kill, and a restart at the same place with a greater epoch.
-    let (rest, before) = ([0, 1, 2, 4], epoch(&fleet, 0, 3));
+    let (rest, before) = ([0, 1, 2, 4], member_epoch(&fleet, 0, 3));
     fleet.kill(3);
-    fleet.wait_until("the killed one is dead", || all_hold(&fleet, &rest, &[3], "dead"));
-    assert!(all_hold(&fleet, &rest, &rest, "alive"), "and no other");
+    fleet.wait_until("the killed one is dead", || all_believe(&fleet, &rest, &[3], "dead"));
+    assert!(all_believe(&fleet, &rest, &rest, "alive"), "and no other");
     fleet.restart(3).expect("it starts again");
     agree(&fleet, "after a restart");
-    assert!(epoch(&fleet, 0, 3) > before, "a new epoch");
+    assert!(member_epoch(&fleet, 0, 3) > before, "a new epoch");
     // Two sides: each holds the other dead and none of its own.
     let (few, many) = ([0, 1], [2, 3, 4]);
     fleet.datagrams.partition(&[&few, &many]);
     fleet.wait_until("each side is alone", || {
-        all_hold(&fleet, &few, &many, "dead") && all_hold(&fleet, &many, &few, "dead")
+        all_believe(&fleet, &few, &many, "dead") && all_believe(&fleet, &many, &few, "dead")
     });
-    assert!(all_hold(&fleet, &few, &few, "alive") && all_hold(&fleet, &many, &many, "alive"));
+    assert!(all_believe(&fleet, &few, &few, "alive") && all_believe(&fleet, &many, &many, "alive"));
     fleet.datagrams.heal();
     agree(&fleet, "after the heal");
     // One cannot reach one other directly: nobody dies, however many probes fail on that way.
     let healed = fleet.now();
     fleet.datagrams.cut_one_way(&[0], &[1]);
-    let probes = figure(&fleet, 0, "probes");
-    fleet.wait_until("many probes", || figure(&fleet, 0, "probes") > probes + 20);
+    let probes = membership_metric(&fleet, 0, "probes");
+    fleet.wait_until("many probes", || membership_metric(&fleet, 0, "probes") > probes + 20);
     fleet.datagrams.heal();
     agree(&fleet, "after a one-way cut");
-    assert_eq!(changes(&fleet, &fleet.all(), "Dead", healed), [], "nobody died of it");
+    assert_eq!(state_changes(&fleet, &fleet.all(), "Dead", healed), [], "nobody died of it");
     // A pause that outlasts the suspicion: it is dead to the others, and they to it are not.
     let paused = fleet.now();
     fleet.pause(1);
-    fleet.wait_until("the paused one is dead", || all_hold(&fleet, &[0, 2, 3, 4], &[1], "dead"));
+    fleet.wait_until("the paused one is dead", || all_believe(&fleet, &[0, 2, 3, 4], &[1], "dead"));
     fleet.resume(1);
     agree(&fleet, "after a pause");
-    assert_eq!(changes(&fleet, &[1], "Dead", paused), [], "it held nobody dead for its own sleep");
+    assert_eq!(state_changes(&fleet, &[1], "Dead", paused), [], "it held nobody dead for its own sleep");
     // A farewell is no death.
     let stopped = fleet.now();
     fleet.terminate(4);
-    fleet.wait_until("it has left", || all_hold(&fleet, &[0, 1, 2, 3], &[4], "left"));
+    fleet.wait_until("it has left", || all_believe(&fleet, &[0, 1, 2, 3], &[4], "left"));
     fleet.wait_until_exited(&[4]);
-    assert_eq!(changes(&fleet, &fleet.all(), "Dead", stopped), [], "who has left is not dead");
+    assert_eq!(state_changes(&fleet, &fleet.all(), "Dead", stopped), [], "who has left is not dead");
     let report = load.stop();
     let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
     assert!(report.served() > 10, "{report:?}");
     assert!(fleet.counters(0)["members_left"] == 1.0, "{:?}", fleet.counters(0));
-    fleet.wait_until("the last figures", || figure(&fleet, 0, "declared_dead") > 0);
+    fleet.wait_until("the last figures", || membership_metric(&fleet, 0, "declared_dead") > 0);
 }
 
 /// What one learns of run times reaches the others as facts, and a restarted one is taught anew.
@@ -118,12 +118,12 @@
 fn reload_with_other_peers_starts_new_membership() {
     let fleet = Fleet::start(plan(3, 0x6d65_6d02, Some(ON))).expect("a fleet");
     agree(&fleet, "at the start");
-    let before = epoch(&fleet, 0, 0);
+    let before = member_epoch(&fleet, 0, 0);
     let peers = fleet.config(0)["peers"].clone();
     fleet.change_config(0, |config| config["peers"] = serde_json::json!([]));
     fleet.reload(0).expect("written");
     fleet.wait_until("it is turned down", || fleet.counters(0).get("reconfig_failed") == Some(&1.0));
-    assert_eq!(epoch(&fleet, 0, 0), before, "nothing has changed");
+    assert_eq!(member_epoch(&fleet, 0, 0), before, "nothing has changed");
     agree(&fleet, "still");
     // The third is taken out of every file.
     for i in 0..2 {
@@ -133,8 +133,8 @@
         });
         fleet.reload(i).expect("written");
     }
-    fleet.wait_until("two are left", || (0..2).all(|i| states(&fleet, i) == ["alive", "alive"]));
-    assert!(epoch(&fleet, 1, 0) > before, "a new epoch");
+    fleet.wait_until("two are left", || (0..2).all(|i| member_states(&fleet, i) == ["alive", "alive"]));
+    assert!(member_epoch(&fleet, 1, 0) > before, "a new epoch");
 }
 
 /// Off is off: no datagram of it, no page, no line.
