--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -53,7 +53,7 @@
     /// The service is down for 8 s and then back.
     Down(Outage),
     /// SIGHUP names another service.
-    TransferredRequest,
+    Moved,
     /// For ten seconds a tenth of the processes is restarted each.
     Restarts,
 }
@@ -66,13 +66,13 @@
         Scenario::Down(Outage::Refused),
         Scenario::Down(Outage::Lost),
         Scenario::Down(Outage::Standing),
-        Scenario::TransferredRequest,
+        Scenario::Moved,
         Scenario::Restarts,
     ];
 
     /// What it has counts as told so long after it could be reached.
     pub fn bound(self) -> Micros {
-        if self == Scenario::TransferredRequest { 4 * S } else { 6 * S }
+        if self == Scenario::Moved { 4 * S } else { 6 * S }
     }
 }
 
@@ -214,7 +214,7 @@
                     self.at(MOMENT - beat + 2_500 * MS, Event::Silent(me));
                 }
                 Scenario::Reset => self.breaks(me, WatchFailure::Ended),
-                Scenario::TransferredRequest => {
+                Scenario::Moved => {
                     let due = self.callers[me].clock.on_discovery_moved(MOMENT);
                     self.callers[me].owed = Some(MOMENT);
                     self.callers[me].fresh = true;
@@ -406,7 +406,7 @@
         if self.day.scenario == Scenario::Silent {
             room -= 1_500 * MS; // 2.5 s pass before it is noticed, and the last beats are up to 2 s apart
         }
-        let fresh = matches!(self.day.scenario, Scenario::Start | Scenario::TransferredRequest);
+        let fresh = matches!(self.day.scenario, Scenario::Start | Scenario::Moved);
         let beyond = if self.day.scenario == Scenario::Restarts {
             0
         } else {
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -24,7 +24,8 @@
     /// One whose clock starts at this Unix time, in microseconds; two workers a cell.
     pub fn starting_at(workers: usize, unix: u128) -> CoreHarness {
         let row = |number: usize| {
-            let mut row = site::row(&format!("s-{number}"), &format!("127.0.0.1:{}", 9000 + number), "up");
+            let mut row =
+                site::endpoint_entry(&format!("s-{number}"), &format!("127.0.0.1:{}", 9000 + number), "up");
             row["cell"] = json!(1 + number / 2);
             row
         };
@@ -32,7 +33,7 @@
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
         let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
         let now = Core::clock_start();
-        core.on_cached_list(now, &config.known);
+        core.on_cached_list(now, &config.known_endpoints);
         CoreHarness { core, now, offered: 0 }
     }
 
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -127,7 +127,7 @@
     let mut next = CoreHarness::new(0);
     next.core.enable_idempotency(next.now, records.into_iter(), true);
     let row = |n: u32, cell: u32| {
-        let mut row = site::row(&format!("new-{n}"), &format!("127.0.0.1:{}", 9500 + n), "up");
+        let mut row = site::endpoint_entry(&format!("new-{n}"), &format!("127.0.0.1:{}", 9500 + n), "up");
         row["cell"] = json!(cell);
         row
     };
--- a/tests/watch_liveness.rs
+++ b/tests/watch_liveness.rs
@@ -296,7 +296,7 @@
                 let outcome = play(day);
                 let service_time = u64::from(callers) * call * MS * 2;
                 // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
-                let is_hurried = matches!(scenario, Scenario::Silent | Scenario::TransferredRequest);
+                let is_hurried = matches!(scenario, Scenario::Silent | Scenario::Moved);
                 let (max_wasted, late_divisor) =
                     if wait > 4_500 { (2, 2) } else { (1, if is_hurried { 3 } else { 4 }) };
                 let is_served = outcome.never == 0 && outcome.max <= 4 * service_time;
