--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request: it is forwarded once, to one worker.
 
-use super::RequestId;
+use super::request::RequestId;
 use super::timers::{Timer, TimerQueue};
 use crate::policy::interface::{Micros, Outcome, PriorAttempt, WorkerId};
 
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,7 +1,7 @@
 //! The messages between the core and the program round it: requests and reports on attempts go in, commands come out.
 
-use super::RequestId;
 use super::idempotency::IdempotencyKey;
+use super::request::RequestId;
 use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
 
 /// A client's request as it arrives.
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -164,8 +164,7 @@
     }
 
     /// An attempt ended. Only its first end counts, but a result is the request's final response as long as it has none, also
-    /// where it comes after the attempt was given up: it is as good as any. Returns whether
-    /// it changed anything.
+    /// where it comes after the attempt was given up: it is as good as any. Returns whether it changed anything.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,6 +1,7 @@
 //! All timers of the program, in one sorted queue.
 
-use super::{AttemptId, RequestId};
+use super::attempt::AttemptId;
+use super::request::RequestId;
 use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -130,7 +130,7 @@
 
     /// The list that the program starts with is to be revalidated: it may lack changes that count as notified (a process that
     /// comes back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no older,
-    /// so what it lacks counts as notified [`NOTIFICATION_DEADLINE`] after that at the soonest. Returns the span in which nothing
+    /// so what it lacks counts as notified `NOTIFICATION_DEADLINE` after that at the soonest. Returns the span in which nothing
     /// may be sent by it.
     pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
         let newest = newest.filter(|_| !self.settings.is_pushed);
@@ -139,7 +139,7 @@
     }
 
     /// Another dispatcher last received something from the process before this one at this time. What it knew then lacked no more
-    /// than what it had not noticed to miss, within [`LIVENESS_TIMEOUT`], and that counts [`NOTIFICATION_DEADLINE`] after. Returns
+    /// than what it had not noticed to miss, within `LIVENESS_TIMEOUT`, and that counts `NOTIFICATION_DEADLINE` after. Returns
     /// from when on, now, nothing may be sent by that list, if it is still to be revalidated; what an agent has counts at once.
     pub fn on_predecessor_seen(&mut self, at: Micros) -> Option<Micros> {
         let span = self.stale.as_mut().filter(|_| !self.settings.is_pushed)?;
