--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -3,8 +3,8 @@
 
 use crate::policy::interface::Micros;
 
-/// The first reading of the module's clock. It is not 0 so that a worker that started before the process has a start time, long
-/// ago.
+/// The first reading of the module's clock. The hour before it is for what happened before the process started, such as the start
+/// of a worker; what lies further back counts as long ago.
 pub(super) const CLOCK_START: Micros = 3_600_000_000;
 
 /// Converts between the module's clock and Unix time.
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -72,6 +72,8 @@
         };
         let attempt = self.endpoints.find(from).and_then(|worker| self.requests.find_attempt(name, worker));
         let is_new = attempt.is_some_and(|AttemptId { request_id, attempt }| match status {
+            // Unlike a rejection on the attempt's own connection, a callback may be repeated: the worker gets no other attempt of
+            // this request, whose end a repeat could be taken for.
             JobStatus::Returned => {
                 let outcome = AttemptOutcome::Unserved(Outcome::HandedBack);
                 self.on_attempt_ended(now, request_id, attempt, outcome, report)
@@ -184,6 +186,7 @@
         let was_in_flight = this.finish(id, AttemptEnd::from(outcome), &mut self.timers);
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
+            // The decision module has had this attempt's end before, and may have others in flight: the request is over for it.
             if is_response {
                 self.events.push(Event::ClientDisconnected(request_id.job()));
             }
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -106,7 +106,8 @@
         self.unpersisted.keys().copied().collect()
     }
 
-    /// A record was written, or could not be: the attempt that waits for it leaves, or the decision module gives its request up.
+    /// The record of this ticket was written, or could not be. The attempt that waits for it is sent, or has never run and the
+    /// decision module gives its request up.
     pub fn on_record_persisted(&mut self, ticket: u64, is_written: bool) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
         let AttemptId { request_id, attempt } = id;
