--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -129,9 +129,9 @@
     }
 
     /// The list that the program starts with is to be revalidated: it may lack changes that count as notified (a process that
-    /// comes back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no older,
-    /// so what it lacks counts as notified `NOTIFICATION_DEADLINE` after that at the soonest. Returns the span in which nothing
-    /// may be sent by it.
+    /// comes back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no
+    /// older, so what it lacks counts as notified `NOTIFICATION_DEADLINE` after that at the soonest. Returns the span in which
+    /// nothing may be sent by it.
     pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
         let newest = newest.filter(|_| !self.settings.is_pushed);
         let from = newest.map_or(now, |start| start.min(now) + NOTIFICATION_DEADLINE);
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -3,8 +3,8 @@
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
 use crate::policy::interface::Micros;
 
-/// Where calls draw nearer to each other, one begins no sooner than this after the one before. A call that failed sooner was refused
-/// at once, and shows no overload.
+/// Where calls draw nearer to each other, one begins no sooner than this after the one before. A call that failed sooner was
+/// refused at once, and shows no overload.
 pub(super) const MIN_CALL_SPACING: Micros = 200_000;
 /// The answer timeout is doubled at most this often.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -10,7 +10,8 @@
 /// this long after the one before it, and is given up this long after it began.
 pub(super) const POLL_INTERVAL: Micros = NOTIFICATION_DEADLINE / 4;
 /// This many dispatchers may call within one [`POLL_INTERVAL`]. More of them take turns, or a slow service would be kept from
-/// answering any by those that call again; at most, the turns leave time for one call, which is answered, within [`NOTIFICATION_DEADLINE`].
+/// answering any by those that call again; however many they are, there is time for one call, which is answered, within
+/// [`NOTIFICATION_DEADLINE`].
 const MAX_UNCOORDINATED_CALLERS: Micros = 10;
 /// What the service is taken to need for a call, where the operators' file says nothing else: it handles calls in turn, so
 /// those of n dispatchers that lost their watches together are spread over n times this.
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_liveness_of_a_watch_holds() {
+fn watch_liveness_rules_hold() {
     hold::<Watch>("watch_liveness", WATCH_LIVENESS);
 }
 
