--- a/src/config.rs
+++ b/src/config.rs
@@ -1,10 +1,10 @@
 //! What a dispatcher is told at its start: the JSON file that `GW_CONFIG` names, and the file of the SSE front.
 //!
 //! The settings are nested JSON under the names of the simulator's first message; they are flattened to the
-//! same name=value form and mapped by the same code ([`crate::policy::simulator`]).
+//! same name=value form and mapped by the same code ([`crate::policy::settings_map`]).
 
 use crate::policy::interface::Settings;
-use crate::policy::simulator::{Names, Profile, settings, to_micros};
+use crate::policy::settings_map::{Names, Profile, settings, to_micros};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -345,9 +345,10 @@
         let number = |path, default| match profile.number(path, default) {
             Ok(ms) if ms > 0.0 => Ok(to_micros(ms)),
             Ok(_) => Err(ConfigError::BadSettings(format!("{path} is not above 0"))),
-            Err(what) => Err(ConfigError::BadSettings(what)),
+            Err(error) => Err(ConfigError::BadSettings(error.to_string())),
         };
-        let (mut settings, names) = settings(&profile, &known_names.0).map_err(ConfigError::BadSettings)?;
+        let (mut settings, names) = settings(&profile, &known_names.0)
+            .map_err(|error| ConfigError::BadSettings(error.to_string()))?;
         let (classes, tenants) = (names.classes.names().len(), names.tenants.names().len());
         if classes != settings.classes.len() || tenants != settings.tenants.len() {
             return Err(ConfigError::BadSettings("two classes or tenants have one name".to_owned()));
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{EndpointList, EndpointRow, Lifecycle};
 use crate::policy::interface::*;
-use crate::policy::simulator::{Names, tag};
+use crate::policy::settings_map::{Names, tag};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
--- /dev/null
+++ b/src/policy/settings_map.rs
@@ -0,0 +1,243 @@
+//! The settings of a deployment, read by name: the form that a `hello` line of the simulator and the `settings` object of a
+//! configuration file share.
+
+use crate::policy::interface::{
+    Class, DeduplicationScope, Idempotency, KindId, LoadReport, Micros, Reports, Settings, Tenant, ZoneId,
+};
+use crate::policy::interner::Interner;
+use std::collections::HashMap;
+
+/// A setting that should be a number is none.
+#[derive(Debug, thiserror::Error)]
+#[error("{path} is not a number: {text:?}")]
+pub(crate) struct NotANumber {
+    path: String,
+    text: String,
+}
+
+/// The values of settings by their paths.
+pub(crate) struct Profile<'a>(pub(crate) HashMap<&'a str, &'a str>);
+
+/// What a value of a load report stands for.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum ReportValue {
+    Cpu,
+    FreeSlots,
+    FreeMemory,
+    Active,
+    Waiting,
+    AvgMs,
+    Rps,
+    ErrRps,
+    Unknown,
+}
+
+/// The names that a deployment's settings give to classes, tenants, kinds, zones and report values.
+#[derive(Debug, Default)]
+pub(crate) struct Names {
+    pub(crate) classes: Interner,
+    pub(crate) tenants: Interner,
+    pub(crate) kinds: Interner,
+    pub(crate) zones: Interner,
+    /// The values of a load report, in the order in which the settings name them.
+    pub(crate) values: Vec<(String, ReportValue)>,
+}
+
+/// A span or time of fractional milliseconds.
+pub(crate) fn to_micros(ms: f64) -> Micros {
+    (ms * 1000.0).round().clamp(0.0, 9e18) as Micros
+}
+
+/// The same in fractional milliseconds.
+pub(crate) fn to_ms(span: Micros) -> f64 {
+    span as f64 / 1000.0
+}
+
+/// A number that is the same at any node for this name (FNV-1a).
+pub(crate) fn tag(name: &str) -> u64 {
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+}
+
+impl ReportValue {
+    fn new(name: &str, profile: &Profile) -> ReportValue {
+        match name {
+            "cpu" => ReportValue::Cpu,
+            "active" => ReportValue::Active,
+            "waiting" => ReportValue::Waiting,
+            "avg_ms" => ReportValue::AvgMs,
+            "rps" => ReportValue::Rps,
+            "err_rps" => ReportValue::ErrRps,
+            "x0" if profile.text("Domain.ReportX0") == Some("free_slots") => ReportValue::FreeSlots,
+            "x1" if profile.text("Domain.ReportX1") == Some("free_memory") => ReportValue::FreeMemory,
+            _ => ReportValue::Unknown,
+        }
+    }
+
+    /// Puts a number where it belongs in a report; one that is not finite counts as absent.
+    pub(crate) fn enter(self, report: &mut LoadReport, number: f64) {
+        let field = match self {
+            ReportValue::Cpu => &mut report.cpu,
+            ReportValue::FreeSlots => &mut report.free_slots,
+            ReportValue::FreeMemory => &mut report.free_memory,
+            ReportValue::Active => &mut report.active,
+            ReportValue::Waiting => &mut report.waiting,
+            ReportValue::AvgMs => &mut report.avg_ms,
+            ReportValue::Rps => &mut report.rps,
+            ReportValue::ErrRps => &mut report.err_rps,
+            ReportValue::Unknown => return,
+        };
+        *field = Some(number).filter(|number| number.is_finite());
+    }
+}
+
+impl<'a> Profile<'a> {
+    fn text(&self, path: &str) -> Option<&'a str> {
+        self.0.get(path).copied()
+    }
+
+    pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, NotANumber> {
+        let Some(text) = self.text(path) else { return Ok(default) };
+        text.parse().map_err(|_| NotANumber { path: path.to_owned(), text: text.to_owned() })
+    }
+
+    fn micros(&self, path: &str, default_ms: f64) -> Result<Micros, NotANumber> {
+        Ok(to_micros(self.number(path, default_ms)?))
+    }
+
+    /// A span that counts only where a flag is set.
+    fn micros_if(&self, flag: bool, path: &str, default_ms: f64) -> Result<Option<Micros>, NotANumber> {
+        if flag { self.micros(path, default_ms).map(Some) } else { Ok(None) }
+    }
+
+    /// How many elements a list has, as far as the settings can have them.
+    fn count(&self, path: &str) -> Result<usize, NotANumber> {
+        Ok((self.number(path, 0.0)? as usize).min(self.0.len()))
+    }
+
+    fn flag(&self, path: &str, default: bool) -> bool {
+        self.text(path).map_or(default, |text| text == "true" || text == "1")
+    }
+
+    fn list(&self, path: &str) -> Vec<&'a str> {
+        self.text(path).map_or(Vec::new(), |text| text.split(',').filter(|item| !item.is_empty()).collect())
+    }
+
+    /// An element of a list that is a number.
+    fn element<T: std::str::FromStr>(&self, path: &str, index: usize) -> Option<T> {
+        self.list(path).get(index).and_then(|text| text.parse().ok())
+    }
+
+    fn class(&self, index: usize) -> Result<Class, NotANumber> {
+        let path = |name: &str| format!("Grades.{index}.{name}");
+        let deadline = self.micros(&path("DeadlineMs"), 1e12)?;
+        let idempotency = self.idempotency(&path)?;
+        let own_factor = self.number(&path("AimStretch"), 0.0)?;
+        Ok(Class {
+            latency_objective: self.micros(&path("TargetMs"), to_ms(deadline))?,
+            latency_factor: self.element("Domain.ClassStretch", index).unwrap_or(own_factor),
+            deadline,
+            idempotency,
+            weight: self.number(&path("Points"), 1.0)?,
+            late_weight: self.number(&path("LateWorth"), 0.0)?,
+            stream: self.flag(&path("Stream"), false),
+            kind: self.element("Domain.ClassKind", index).map(KindId),
+            priority: self.element("Domain.ClassPriority", index).unwrap_or(0),
+        })
+    }
+
+    fn idempotency(&self, path: &dyn Fn(&str) -> String) -> Result<Idempotency, NotANumber> {
+        Ok(match self.text(&path("Semantics")) {
+            Some("pure") => Idempotency::Idempotent,
+            Some("token") => Idempotency::IdempotentWithKey {
+                scope: match self.text(&path("Group")) {
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
+                },
+                window: self.micros(&path("MemorySpanMs"), 0.0)?,
+            },
+            _ => Idempotency::NonIdempotent,
+        })
+    }
+
+    fn tenant(&self, index: usize) -> Result<Tenant, NotANumber> {
+        Ok(Tenant {
+            quota_per_s: self.number(&format!("Projects.{index}.QuotaPerS"), 0.0)?,
+            share_weight: self.number(&format!("Projects.{index}.Portion"), 0.0)?,
+        })
+    }
+
+    fn reports(&self) -> Reports {
+        match self.text("LoadInfo.Source") {
+            Some("piggyback") => Reports::Answers,
+            Some("pull") => Reports::Probes,
+            _ => Reports::Silent,
+        }
+    }
+
+    /// The names of so many classes and tenants, and of kinds, zones and report values. Zones and kinds that already have a
+    /// number in `known` keep it.
+    fn names(&self, known: &Names, classes: usize, tenants: usize) -> Names {
+        let mut names = Names { zones: known.zones.clone(), kinds: known.kinds.clone(), ..Names::default() };
+        for zone in self.list("Zones") {
+            names.zones.id(zone);
+        }
+        for kind in self.list("Kinds") {
+            names.kinds.id(kind);
+        }
+        for index in 0..classes {
+            names.classes.id(self.text(&format!("Grades.{index}.Name")).unwrap_or(""));
+        }
+        for index in 0..tenants {
+            names.tenants.id(self.text(&format!("Projects.{index}.Name")).unwrap_or(""));
+        }
+        let fields = self.list("LoadInfo.Fields").into_iter();
+        names.values = fields.map(|name| (name.to_owned(), ReportValue::new(name, self))).collect();
+        names
+    }
+}
+
+/// Maps settings names to [`Settings`]; the names met on the way come back beside them. Zones and kinds that already have a
+/// number in `known` keep it.
+pub(crate) fn settings(profile: &Profile, known: &Names) -> Result<(Settings, Names), NotANumber> {
+    let classes = (0..profile.count("Grades.count")?).map(|index| profile.class(index));
+    let classes = classes.collect::<Result<Vec<Class>, _>>()?;
+    let tenants = (0..profile.count("Projects.count")?).map(|index| profile.tenant(index));
+    let tenants = tenants.collect::<Result<Vec<Tenant>, _>>()?;
+    let mut names = profile.names(known, classes.len(), tenants.len());
+    let progress = profile.micros("Domain.ProgressMs", 0.0)?;
+    let list_on_request = profile.text("Discovery") == Some("on_request");
+    let has_retry_after = profile.flag("Limits.RetryAfter", false);
+    let settings = Settings {
+        me: profile.number("Me", 0.0)? as u32,
+        nodes: profile.number("Siblings", 1.0)? as u32,
+        zone: ZoneId(names.zones.id(profile.text("Zone").unwrap_or("")) as u16),
+        classes,
+        tenants,
+        over_quota_weight: profile.number("OverShareWorth", 1.0)?,
+        tick: profile.micros("GranularityMs", 1.0)?,
+        weight_by_work: profile.text("CountedBy") == Some("work"),
+        reports: profile.reports(),
+        reports_start: profile.flag("Domain.TellsStart", false),
+        progress: (progress > 0).then_some(progress),
+        list_on_request,
+        may_cancel: profile.flag("Limits.Cancel", false),
+        may_probe: profile.flag("Limits.Probing", false),
+        may_message_peers: profile.flag("Limits.Peers", false),
+        may_hedge: profile.flag("Limits.SecondCopies", false),
+        max_attempts: profile.number("Limits.MaxAttempts", 1.0)? as u32,
+        max_retry_after: profile.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
+        answer_slack: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
+        drain_grace: profile.micros("Obligations.StopSendingWithinMs", 0.0)?,
+        ask_within: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
+        initial_capacity: profile.number("Obligations.ColdFrom", 0.1)?,
+        warm_up_time: profile.micros("Obligations.ColdMs", 0.0)?,
+        collapse_multiple: profile.number("Obligations.FallMultiple", 1.0)?,
+        collapse_window: profile.micros("Obligations.FallMs", 1000.0)?,
+        price_cross_zone: profile.number("Prices.CrossZone", 0.0)?,
+        price_probe: profile.number("Prices.Probe", 0.0)?,
+        price_waste: profile.number("Prices.Waste", 0.0)?,
+        price_late_fail: profile.number("Prices.LateFail", 0.0)?,
+    };
+    Ok((settings, names))
+}
--- /dev/null
+++ b/src/policy/simulator/fields.rs
@@ -0,0 +1,79 @@
+//! One line of the simulator: a message and its name=value fields.
+
+use super::error::LineError;
+use crate::policy::interface::Micros;
+use crate::policy::settings_map::to_micros;
+
+/// The parts of one line.
+pub(super) struct Fields<'a> {
+    pub message: &'a str,
+    pub pairs: Vec<(&'a str, &'a str)>,
+}
+
+impl<'a> Fields<'a> {
+    pub fn parse(line: &'a str) -> Self {
+        let mut parts = line.split('\t');
+        let message = parts.next().unwrap_or("");
+        Fields { message, pairs: parts.filter_map(|part| part.split_once('=')).collect() }
+    }
+
+    pub fn find(&self, name: &str) -> Option<&'a str> {
+        self.pairs.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
+    }
+
+    /// The text of a field that must not be empty.
+    pub fn text(&self, name: &str) -> Result<&'a str, LineError> {
+        self.find(name).filter(|value| !value.is_empty()).ok_or_else(|| self.missing(name))
+    }
+
+    pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, LineError> {
+        self.find(name).map(|text| self.parse_number(name, text)).transpose()
+    }
+
+    pub fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, LineError> {
+        self.parsed(name)?.ok_or_else(|| self.missing(name))
+    }
+
+    pub fn finite(&self, name: &str) -> Result<Option<f64>, LineError> {
+        match self.parsed::<f64>(name)? {
+            Some(value) if !value.is_finite() => {
+                Err(LineError::NotFinite { message: self.message.to_owned(), field: name.to_owned() })
+            }
+            value => Ok(value),
+        }
+    }
+
+    pub fn micros(&self, name: &str) -> Result<Option<Micros>, LineError> {
+        Ok(self.finite(name)?.map(to_micros))
+    }
+
+    pub fn required_micros(&self, name: &str) -> Result<Micros, LineError> {
+        self.micros(name)?.ok_or_else(|| self.missing(name))
+    }
+
+    /// A number that stands in this field.
+    pub fn parse_number<T: std::str::FromStr>(&self, name: &str, text: &str) -> Result<T, LineError> {
+        text.parse().map_err(|_| LineError::NotANumber {
+            message: self.message.to_owned(),
+            field: name.to_owned(),
+            text: text.to_owned(),
+        })
+    }
+
+    fn missing(&self, name: &str) -> LineError {
+        LineError::MissingField { message: self.message.to_owned(), field: name.to_owned() }
+    }
+}
+
+/// The bytes that hexadecimal digits stand for; "-" stands for none.
+pub(super) fn from_hex(text: &str) -> Option<Vec<u8>> {
+    if text == "-" {
+        return Some(Vec::new());
+    }
+    let digits = text.as_bytes();
+    let value = |digit: u8| (digit as char).to_digit(16).map(|value| value as u8);
+    if digits.len() % 2 == 1 {
+        return None;
+    }
+    digits.chunks(2).map(|pair| Some(value(pair[0])? << 4 | value(pair[1])?)).collect()
+}
--- /dev/null
+++ b/src/policy/simulator/instance.rs
@@ -0,0 +1,285 @@
+//! One dispatcher of the simulator: it turns lines into events and actions into lines, and hands out ids.
+
+use super::error::{LineError, SettingNotANumber};
+use super::fields::{Fields, from_hex};
+use crate::policy::Dispatcher;
+use crate::policy::interface::{
+    Action, AttemptEnded, CellId, ClassId, EndpointEntry, Event, JobId, KeyId, KindId, ListKind, LoadReport,
+    Micros, NewJob, Outcome, ProbeResponse, Status, TenantId, TimerId, WorkerId, ZoneId,
+};
+use crate::policy::interner::Interner;
+use crate::policy::settings_map::{Names, Profile, settings, tag, to_ms};
+use std::collections::HashMap;
+use std::fmt::Write as _;
+
+/// The bits of a job's `Flags`.
+const HAS_HINT: u64 = 1;
+const IS_REPEAT: u64 = 2;
+
+/// The name of a job that is not over, and what is still to come of it.
+struct OpenJob {
+    name: String,
+    sent: u32,
+    ended: u32,
+    is_closed: bool,
+}
+
+/// A dispatcher, and what its ids stand for.
+pub(super) struct Instance {
+    pub dispatcher: Dispatcher,
+    workers: Interner,
+    names: Names,
+    keys: Interner,
+    job_ids: HashMap<String, JobId>,
+    jobs: HashMap<JobId, OpenJob>,
+    next_job: u64,
+}
+
+impl Instance {
+    /// The instance that a `hello` line sets up.
+    pub fn new(fields: &Fields) -> Result<Instance, LineError> {
+        let profile = Profile(fields.pairs.iter().copied().collect());
+        let (settings, names) = settings(&profile, &Names::default())
+            .map_err(|error| LineError::UnreadableSettings(SettingNotANumber::from(error)))?;
+        let seed = fields.required("InitSeed")?;
+        Ok(Instance {
+            dispatcher: Dispatcher::new(settings, seed).map_err(LineError::BadSettings)?,
+            workers: Interner::default(),
+            names,
+            keys: Interner::default(),
+            job_ids: HashMap::new(),
+            jobs: HashMap::new(),
+            next_job: 0,
+        })
+    }
+
+    /// The event of a line; `None` where it says nothing, or is of a job that is not open.
+    pub fn event(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Option<Event>, LineError> {
+        Ok(match fields.message {
+            "announce" => Some(self.endpoint_list(fields, tables)?),
+            "accept" => Some(self.arrived(fields)?),
+            "begun" => match self.job(fields)? {
+                Some(job) => Some(Event::StreamStarted { job, attempt: attempt(fields)? }),
+                None => None,
+            },
+            "change" => self.attempt_changed(fields)?,
+            "ended" => self.attempt_ended(fields)?,
+            "hangup" => self.disconnected(fields)?,
+            "wake" => Some(Event::Timer(TimerId(fields.required("Ctx")?))),
+            "echo" => Some(Event::ProbeResponse(ProbeResponse {
+                worker: self.worker(fields.text("Executor")?),
+                outcome: outcome(fields)?,
+                elapsed: fields.micros("TimeTakenMs")?.unwrap_or(0),
+                report: self.report(fields)?,
+            })),
+            "mail" => Some(Event::PeerMessage {
+                from: fields.required("Who")?,
+                bytes: fields.find("Blob").and_then(from_hex).ok_or(LineError::NotHex)?,
+            }),
+            _ => None,
+        })
+    }
+
+    fn worker(&mut self, name: &str) -> WorkerId {
+        WorkerId(self.workers.id(name))
+    }
+
+    fn job(&self, fields: &Fields) -> Result<Option<JobId>, LineError> {
+        Ok(self.job_ids.get(fields.text("Job")?).copied())
+    }
+
+    fn endpoint_list(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Event, LineError> {
+        let kind = match fields.required::<i64>("Kind")? {
+            0 => ListKind::Delta,
+            1 => ListKind::Snapshot,
+            2 => ListKind::Cached,
+            3 => return Ok(Event::ListFailed),
+            code => return Err(LineError::UnknownCode { message: "announce", field: "Kind", code }),
+        };
+        let number: usize = fields.required("Table")?;
+        let rows = tables.get(number).ok_or(LineError::UnknownTable(number))?;
+        let entries = rows.iter().map(|row| self.endpoint(&Fields::parse(row)));
+        Ok(Event::EndpointList(kind, entries.collect::<Result<_, _>>()?))
+    }
+
+    fn endpoint(&mut self, fields: &Fields) -> Result<EndpointEntry, LineError> {
+        let name = fields.text("Executor")?;
+        Ok(EndpointEntry {
+            worker: self.worker(name),
+            tag: tag(name),
+            zone: ZoneId(self.names.zones.id(fields.find("RackZone").unwrap_or("")) as u16),
+            kind: KindId(self.names.kinds.id(fields.find("Shape").unwrap_or("")) as u16),
+            cell: CellId(fields.parsed("Group")?.unwrap_or(0)),
+            status: match fields.required::<i64>("Status")? {
+                0 => Status::Draining,
+                1 => Status::Gone,
+                2 => Status::Ready,
+                code => return Err(LineError::UnknownCode { message: "executor", field: "Status", code }),
+            },
+            weight: fields.finite("Heft")?.unwrap_or(1.0),
+            started_at: fields.micros("StartedAtMs")?.filter(|start| *start > 0),
+        })
+    }
+
+    fn arrived(&mut self, fields: &Fields) -> Result<Event, LineError> {
+        let name = fields.text("Job")?;
+        let job = JobId(self.next_job);
+        let flags: u64 = fields.parsed("Flags")?.unwrap_or(0);
+        let hint = fields.micros("HintMs")?;
+        let tenant = fields.find("Party").filter(|party| !party.is_empty() && *party != "0");
+        let request = NewJob {
+            job,
+            class: ClassId(self.names.classes.id(fields.find("Lane").unwrap_or("")) as u16),
+            tenant: tenant.map(|party| TenantId(self.names.tenants.id(party) as u16)),
+            key: fields.find("NameKey").map(|key| KeyId(self.keys.id(key))),
+            deadline: fields.required_micros("ValidUntilMs")?,
+            hint: hint.filter(|hint| flags & HAS_HINT != 0 && *hint > 0),
+            slots: fields.finite("Needs")?.unwrap_or(1.0),
+            memory: fields.finite("MemNeeded")?,
+            repeat: flags & IS_REPEAT != 0,
+            estimate: None,
+            tenant_weight: None,
+        };
+        self.next_job += 1;
+        self.job_ids.insert(name.to_owned(), job);
+        self.jobs.insert(job, OpenJob { name: name.to_owned(), sent: 0, ended: 0, is_closed: false });
+        Ok(Event::Arrived(request))
+    }
+
+    fn attempt_changed(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
+        Ok(match (self.job(fields)?, fields.required::<i64>("Topic")?) {
+            (Some(job), 1) => Some(Event::Started { job, attempt: attempt(fields)? }),
+            (Some(job), 2) => {
+                let attempt = attempt(fields)?;
+                Some(Event::Progress { job, attempt, done: fields.finite("Level")?.unwrap_or(0.0) })
+            }
+            _ => None,
+        })
+    }
+
+    fn attempt_ended(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
+        let elapsed = fields.micros("TimeTakenMs")?.unwrap_or(0);
+        let outcome = outcome(fields)?;
+        let report = self.report(fields)?;
+        let attempt = attempt(fields)?;
+        let worker = self.worker(fields.text("Executor")?);
+        let closed = fields.parsed::<u8>("Closed")?.unwrap_or(0) == 1;
+        let Some(job) = self.job(fields)? else { return Ok(None) };
+        if let Some(open) = self.jobs.get_mut(&job) {
+            open.ended += 1;
+            open.is_closed |= closed;
+        }
+        Ok(Some(Event::AttemptEnded(AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report })))
+    }
+
+    fn disconnected(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
+        let Some(job) = self.job(fields)? else { return Ok(None) };
+        if let Some(open) = self.jobs.get_mut(&job) {
+            open.is_closed = true;
+        }
+        Ok(Some(Event::ClientDisconnected(job)))
+    }
+
+    fn report(&self, fields: &Fields) -> Result<Option<LoadReport>, LineError> {
+        let Some(row) = fields.find("Feedback").filter(|row| !row.is_empty() && *row != "-") else {
+            return Ok(None);
+        };
+        let mut report = LoadReport::default();
+        for (text, (_, value)) in row.split(',').zip(&self.names.values).filter(|(text, _)| !text.is_empty())
+        {
+            value.enter(&mut report, fields.parse_number("Feedback", text)?);
+        }
+        Ok(Some(report))
+    }
+
+    /// Drops the name of a job that is over and has nothing outstanding.
+    pub fn forget(&mut self, job: JobId) {
+        if self.jobs.get(&job).is_some_and(|open| open.is_closed && open.sent == open.ended)
+            && let Some(open) = self.jobs.remove(&job)
+        {
+            self.job_ids.remove(&open.name);
+        }
+    }
+
+    /// Appends the line of an action, unless it is of a job that is not open.
+    pub fn print(&mut self, action: &Action, reply: &mut String) {
+        let line = match action {
+            Action::Send { job, worker, limit } => self.print_send(*job, *worker, *limit, reply),
+            Action::Cancel { job, attempt } => {
+                let Some(open) = self.jobs.get(job) else { return };
+                writeln!(reply, "abandon\tJob={}\tRoundNo={attempt}", open.name)
+            }
+            Action::Reject { job, retry_after } => {
+                let Some(name) = self.close(*job) else { return };
+                let retry_after = to_ms(retry_after.unwrap_or(0));
+                writeln!(reply, "push_back\tJob={name}\tStayAwayMs={retry_after}")
+            }
+            Action::Fail(job) => {
+                let Some(name) = self.close(*job) else { return };
+                writeln!(reply, "surrender\tJob={name}")
+            }
+            Action::SetTimer(id, after) => {
+                writeln!(reply, "set_alarm\tCtx={}\tInMs={}", id.0, to_ms(*after))
+            }
+            Action::Probe(worker) => writeln!(reply, "inspect\tExecutor={}", self.worker_name(*worker)),
+            Action::SendToPeer { to, bytes } => {
+                let hex = bytes.iter().fold(String::new(), |hex, byte| hex + &format!("{byte:02x}"));
+                writeln!(reply, "notify\tWhom={to}\tBlob={}", if hex.is_empty() { "-" } else { &hex })
+            }
+            Action::OpenWatch => writeln!(reply, "stream_changes\tWant=1"),
+            Action::FetchList => writeln!(reply, "reload"),
+        };
+        line.expect("a string takes any text");
+    }
+
+    fn print_send(
+        &mut self,
+        job: JobId,
+        worker: WorkerId,
+        limit: Option<Micros>,
+        reply: &mut String,
+    ) -> std::fmt::Result {
+        let Some(open) = self.jobs.get_mut(&job) else { return Ok(()) };
+        open.sent += 1;
+        write!(reply, "transmit\tJob={}", open.name)?;
+        if let Some(limit) = limit {
+            write!(reply, "\tLimitMs={}", to_ms(limit))?;
+        }
+        writeln!(reply, "\tExecutor={}", self.worker_name(worker))
+    }
+
+    fn worker_name(&self, worker: WorkerId) -> &str {
+        &self.workers.names()[worker.0 as usize]
+    }
+
+    /// The name of an open job, which is answered.
+    fn close(&mut self, job: JobId) -> Option<&str> {
+        let open = self.jobs.get_mut(&job)?;
+        open.is_closed = true;
+        Some(&open.name)
+    }
+}
+
+/// The index of the attempt that a line is about.
+fn attempt(fields: &Fields) -> Result<u32, LineError> {
+    Ok(fields.parsed("RoundNo")?.unwrap_or(0))
+}
+
+fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
+    Ok(match fields.text("Ending")? {
+        "ok" => Outcome::Ok,
+        "error" => Outcome::Error,
+        "full" => Outcome::Full,
+        "timeout" => Outcome::Timeout,
+        "connect_failed" => Outcome::ConnectFailed,
+        "reset" => Outcome::Reset,
+        "cancelled" => Outcome::Cancelled,
+        "moot" => Outcome::NeverSent,
+        other => {
+            return Err(LineError::UnknownEnding {
+                message: fields.message.to_owned(),
+                ending: other.to_owned(),
+            });
+        }
+    })
+}
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -6,7 +6,7 @@
 use crate::core::{FinalResponse, JobStatus, NewRequest};
 use crate::http::{self, Framing, HeadError, Piece};
 use crate::policy::interface::*;
-use crate::policy::simulator::{Value, tag, to_micros};
+use crate::policy::settings_map::{ReportValue, tag, to_micros};
 use serde::Deserialize;
 use std::ops::Range;
 use std::rc::Rc;
@@ -216,7 +216,7 @@
             other => other,
         };
         let value = site.0.values.iter().find(|(n, _)| n == settings_name || n == name);
-        if let Some((_, value)) = value.filter(|(_, v)| !matches!(v, Value::Unknown)) {
+        if let Some((_, value)) = value.filter(|(_, v)| !matches!(v, ReportValue::Unknown)) {
             value.enter(&mut report, number);
             any = true;
         }
