--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,8 +1,8 @@
 //! The module's time for one job, at 10, 100, 1,000 and 10,000 workers: `make bench-decision`.
 //!
 //! Each job is one whole cycle through [`Dispatcher::handle`]: it arrives, is sent, ends served with a load report,
-//! and the clock moves on by a millisecond, ringing whatever alarms fall due and answering probes at once. The
-//! dispatcher is one of 30 in a fleet, so that the groups of `src/policy/gossip.rs` are dealt and reviewed as on the mass
+//! and the clock moves on by a millisecond, firing the timers that fall due and answering probes at once. The
+//! dispatcher is one of 30 in a fleet, so that the groups of `src/policy/gossip` are assigned and reviewed as on the mass
 //! days. The last line gives the ratio of the time a job at 10,000 workers to that at 10 (issue 21 asks 4 or less).
 
 #[path = "../tests/common/mod.rs"]
@@ -27,18 +27,18 @@
         ..worker(w)
     };
     let list = (0..workers).map(entry).collect();
-    let acts = node.feed(Event::EndpointList(ListKind::Snapshot, list));
-    follow(&mut node, acts);
+    let actions = node.feed(Event::EndpointList(ListKind::Snapshot, list));
+    follow(&mut node, actions);
     (0..WARM_UP).for_each(|n| cycle(&mut node, n));
     node
 }
 
 /// Does what was asked, and what that leads to: probes and jobs are answered, with a report.
-fn follow(node: &mut Node, mut acts: Vec<Action>) {
+fn follow(node: &mut Node, mut actions: Vec<Action>) {
     let report =
         LoadReport { cpu: Some(0.3), free_slots: Some(4.0), active: Some(1.0), ..LoadReport::default() };
-    while let Some(act) = acts.pop() {
-        acts.extend(match act {
+    while let Some(action) = actions.pop() {
+        actions.extend(match action {
             Action::Probe(worker) => node.echo(worker.0, Outcome::Ok, Some(report)),
             // Each attempt is served, so it is its job's first.
             Action::Send { job, worker, .. } => {
@@ -51,10 +51,10 @@
 
 /// One job's whole cycle, and a millisecond of the clock.
 fn cycle(node: &mut Node, job: u64) {
-    let acts = node.arrive_sized(job, 0, 5_000 * MS, 50 * MS);
-    follow(node, acts);
-    let acts = node.pass(MS);
-    follow(node, acts);
+    let actions = node.arrive_sized(job, 0, 5_000 * MS, 50 * MS);
+    follow(node, actions);
+    let actions = node.pass(MS);
+    follow(node, actions);
 }
 
 fn mean_ns(workers: u32) -> Option<f64> {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -12,7 +12,7 @@
 const BATCH: &str = include_str!("batch.txt");
 
 #[test]
-fn unknown_messages_and_keys_are_passed_over_and_batches_answered() {
+fn ignores_unknown_messages_and_fields() {
     let (result, out) = serve(BATCH.as_bytes());
     assert_eq!(result, Ok(()));
     assert_eq!(out.matches("done\n").count(), 3);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_an_instance_does_does_not_depend_on_its_neighbours() {
+fn instances_do_not_affect_each_other() {
     let (_, alone) = serve(BATCH.as_bytes());
     let doubled: String = BATCH
         .split_inclusive("commit\n")
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
         Node { dispatcher, now: 1_000 * MS, timers: BinaryHeap::new(), timers_set: 0, spent }
     }
 
-    /// Feeds one event and returns what it led to; alarms are kept for `pass`.
+    /// Feeds one event and returns what it led to; timers are kept for `pass`.
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         let begun = std::time::Instant::now();
@@ -43,7 +43,7 @@
         actions
     }
 
-    /// Lets time pass and rings what falls due.
+    /// Lets time pass and fires the timers that fall due.
     pub fn pass(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -74,17 +74,17 @@
         self.feed(Event::ProbeResponse(ProbeResponse { worker: WorkerId(id), outcome, elapsed: 300, report }))
     }
 
-    pub fn arrive(&mut self, job: u64, class: u16, patience: Micros) -> Vec<Action> {
-        self.arrive_sized(job, class, patience, 100 * MS)
+    pub fn arrive(&mut self, job: u64, class: u16, time_budget: Micros) -> Vec<Action> {
+        self.arrive_sized(job, class, time_budget, 100 * MS)
     }
 
-    pub fn arrive_sized(&mut self, job: u64, class: u16, patience: Micros, hint: Micros) -> Vec<Action> {
+    pub fn arrive_sized(&mut self, job: u64, class: u16, time_budget: Micros, hint: Micros) -> Vec<Action> {
         let new = NewJob {
             job: JobId(job),
             class: ClassId(class),
             tenant: None,
             key: None,
-            deadline: self.now + patience,
+            deadline: self.now + time_budget,
             hint: Some(hint),
             slots: 1.0,
             memory: None,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,7 +10,7 @@
 
 /// Found on overloaded days: one free slot read as 0.96 and counted as none.
 #[test]
-fn a_noisy_free_slot_is_a_slot() {
+fn rounds_noisy_free_slots() {
     let mut node = answers(Idempotency::Idempotent);
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.4, 0.96);
@@ -19,7 +19,7 @@
 
 /// Found on deploy days: all attempts were spent on bounces within milliseconds, and the job refused.
 #[test]
-fn tries_after_bounces_are_spread_over_the_time_left() {
+fn retries_after_rejections_are_spread_over_the_time_left() {
     let mut node = answers(Idempotency::NonIdempotent);
     node.roster((0..8).map(worker).collect());
     let mut sent = sends(&node.arrive(1, 0, 5_000 * MS));
@@ -33,7 +33,7 @@
 
 /// What never leaves is no attempt, however often: all of them are left, and are not spent in a rush either.
 #[test]
-fn a_dispatch_that_never_left_uses_up_no_attempt() {
+fn an_unsent_attempt_does_not_count() {
     let mut node = answers(Idempotency::NonIdempotent);
     node.roster((0..8).map(worker).collect());
     let mut sent = sends(&node.arrive(1, 0, 5_000 * MS));
@@ -50,7 +50,7 @@
 
 /// Found on deploy days: jobs that any kind may run filled the one kind that others need.
 #[test]
-fn a_kind_that_others_need_is_spared() {
+fn spares_a_kind_that_other_jobs_need() {
     let mut classes = vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)];
     classes[1].kind = Some(KindId(1));
     let mut node = Node::new(Settings { classes, ..Settings::default() });
@@ -70,7 +70,7 @@
 
 /// Found with hung workers: they take work, start nothing and report low.
 #[test]
-fn a_worker_that_does_not_start_work_in_time_is_shunned() {
+fn ejects_a_worker_that_does_not_start_in_time() {
     let settings = Settings {
         may_probe: true,
         reports_start: true,
@@ -99,7 +99,7 @@
 /// `almaty-cards`: where a cancel stops nothing a copy costs a whole job, so it waits for half of the slack, and
 /// a worker that was heard of since keeps the job.
 #[test]
-fn an_unstarted_job_is_copied_once_its_worker_is_silent_and_the_loser_called_off() {
+fn hedges_an_unstarted_job_at_a_silent_worker_and_cancels_the_loser() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
@@ -125,7 +125,7 @@
 
 /// Found in overload: work that starts too late to count delays all the rest.
 #[test]
-fn work_that_can_no_longer_count_is_dropped() {
+fn gives_up_jobs_that_can_no_longer_earn() {
     let mut node = answers(Idempotency::Idempotent);
     let mut classes = vec![class(Idempotency::Idempotent)];
     classes[0].late_weight = 0.0;
@@ -139,7 +139,7 @@
 
 /// Found with a cut zone: each attempt into it costs a connect time-out.
 #[test]
-fn a_zone_that_cannot_be_reached_is_left_alone() {
+fn ejects_an_unreachable_zone() {
     let mut node = answers(Idempotency::Idempotent);
     let zones = |id: u32| EndpointEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
     node.roster((0..6).map(zones).collect());
@@ -154,7 +154,7 @@
 
 /// A restarted or replaced worker: all nodes together stay within the budget, and it still gets work.
 #[test]
-fn all_nodes_together_keep_a_cold_worker_within_its_budget() {
+fn all_nodes_keep_a_warming_up_worker_within_its_budget() {
     let nodes = 12;
     let base = Settings { nodes, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut fleet: Vec<Node> = (0..nodes).map(|me| Node::new(Settings { me, ..base.clone() })).collect();
@@ -190,7 +190,7 @@
 
 /// Found on overloaded days: the small jobs that a small turn admits pushed a cold worker over in numbers.
 #[test]
-fn small_jobs_count_as_their_class_mean_on_a_cold_worker() {
+fn small_jobs_count_as_the_class_mean_on_a_warming_up_worker() {
     let mut node = answers(Idempotency::Idempotent);
     let start = node.now;
     node.roster(vec![EndpointEntry { started_at: Some(start), ..worker(0) }, worker(1)]);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn discovery_is_asked_for_with_jitter_and_again_after_failure() {
+fn requests_the_list_with_jitter_and_again_after_failure() {
     let settings = Settings { list_on_request: true, ask_within: Some(10_000 * MS), ..Settings::default() };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn settings_that_contradict_each_other_are_refused() {
+fn rejects_inconsistent_settings() {
     let refused = |s: Settings| Dispatcher::new(s, 1).err();
     assert_eq!(refused(Settings { classes: vec![], ..Settings::default() }), Some(SettingsError::NoClasses));
     assert_eq!(
@@ -239,7 +239,7 @@
 
 /// Found on overloaded days: with the usual wait as the measure, queues at the workers grew with what was usual.
 #[test]
-fn a_worker_that_has_not_started_a_job_is_not_sent_another() {
+fn sends_no_second_job_to_a_worker_that_has_not_started_the_first() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
@@ -259,7 +259,7 @@
 
 /// Found on overloaded days: sent work was given up while it went on at the worker, where a cancel stops nothing.
 #[test]
-fn a_job_that_was_sent_is_waited_for() {
+fn waits_for_a_sent_job() {
     let mut classes = vec![class(Idempotency::Idempotent)];
     classes[0].late_weight = 0.0;
     let mut node = Node::new(Settings { classes, ..Settings::default() });
@@ -273,7 +273,7 @@
 
 /// Found by a flood of timers: each look at an unstarted job set two alarms, and each alarm looked again.
 #[test]
-fn a_job_that_waits_does_not_multiply_its_alarms() {
+fn a_waiting_job_does_not_multiply_its_timers() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
@@ -288,7 +288,7 @@
 
 /// Clients that are turned away are told when to come back, later the more waits here and never beyond the most.
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn rejections_carry_retry_after() {
     let mut classes = vec![class(Idempotency::Idempotent)];
     classes[0].late_weight = 0.0;
     let most = Some(2_000 * MS);
@@ -316,7 +316,7 @@
 /// Found on overloaded days: a worker with the other nodes' jobs in its queue got the next job as soon as it had
 /// started ours, and that one queued for as long again.
 #[test]
-fn a_worker_whose_queue_a_job_waited_in_rests_for_as_long_again() {
+fn ejects_a_worker_for_as_long_as_a_job_queued_there() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
@@ -336,7 +336,7 @@
 /// jobs were held until it reported room, up to a second late, while its slots stood free. And with that mended, one
 /// that had just failed got them as well: 67 waited at a hung one.
 #[test]
-fn a_full_worker_has_one_job_ready_to_follow_and_one_that_failed_has_none() {
+fn queues_one_job_at_a_full_worker_and_none_at_a_failed_one() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
@@ -362,7 +362,7 @@
 /// Found on overloaded days of `haatkhata-bengal`: jobs crossed blindly, half of all, to queue at workers as full as the
 /// own ones. Where probes are allowed another zone is asked first.
 #[test]
-fn a_job_crosses_only_to_room_that_is_known() {
+fn crosses_zones_only_to_known_capacity() {
     let settings = Settings { may_probe: true, price_cross_zone: 0.1, ..Settings::default() };
     let mut node = Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..settings });
     let zones = |id: u32| EndpointEntry { zone: ZoneId(u16::from(id > 0)), ..worker(id) };
@@ -380,7 +380,7 @@
 /// Found on days with hung workers: as the last resort came before a full worker, 3,000 jobs in 5 s bounced off one that
 /// was known to hang, while the others had slots coming free.
 #[test]
-fn a_worker_that_is_not_trusted_comes_after_those_that_are_full() {
+fn ejected_workers_rank_after_full_ones() {
     let settings =
         Settings { may_hedge: false, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
     let mut node = Node::new(settings);
@@ -401,7 +401,7 @@
 /// Found on overloaded days of `haatkhata-bengal`: a probe waits there like a job and timed out where the queue was
 /// long. Such workers were left alone for seconds, so that 11 of 14 were used and each of those had a longer queue.
 #[test]
-fn a_probe_that_timed_out_at_a_worker_that_answers_does_not_strike_it() {
+fn a_probe_timeout_does_not_eject_a_worker_that_responds() {
     for (heard, trusted) in [(true, 1), (false, 0)] {
         let settings = Settings {
             reports_start: true,
@@ -426,7 +426,7 @@
 /// Found on days with failing workers: they were well again after 12 s and left alone for up to 10 s more, while the
 /// others had more than they could run. A node without a group learns it only from a job of its own.
 #[test]
-fn alone_a_node_soon_tries_a_worker_again_that_failed_often() {
+fn a_single_node_soon_retries_a_worker_that_failed_often() {
     let mut node = answers(Idempotency::Idempotent);
     node.roster(vec![worker(0)]);
     node.report(0, 0.1, 4.0);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -142,7 +142,7 @@
 
 /// All took the same worker on the same old report: 33 jobs in 1.5 s to one with five slots, and none to its like.
 #[test]
-fn a_group_knows_what_its_nodes_have_out() {
+fn a_group_knows_the_outstanding_work_of_its_nodes() {
     let mut fleet = Fleet::new(true);
     fleet.fill(2);
     let used = fleet.running.values().filter(|there| !there.is_empty()).count();
@@ -159,14 +159,14 @@
 
 /// The measure for the test above: without messages the same reports pile the same jobs up.
 #[test]
-fn without_messages_reports_pile_work_up() {
+fn work_piles_up_without_peer_messages() {
     let mut fleet = Fleet::new(false);
     fleet.fill(2);
     assert!(fleet.most > SLOTS as usize, "{} jobs at once on one worker", fleet.most);
 }
 
 #[test]
-fn a_message_that_is_not_understood_says_nothing() {
+fn ignores_messages_that_cannot_be_decoded() {
     let mut node = node();
     node.report(0, 0.0, 1.0);
     for (from, bytes) in [
@@ -191,7 +191,7 @@
 
 /// What a mate that died had out is forgotten; one that lives says it again.
 #[test]
-fn what_a_mate_has_said_is_said_again_or_forgotten() {
+fn load_advertisements_are_repeated_or_expire() {
     let mut sender = Node::new(Settings { nodes: 10, ..settings(3, true) });
     let mut node = node();
     for n in [&mut sender, &mut node] {
@@ -217,7 +217,7 @@
 /// 373 jobs in 25 s found their group full and went where a probe showed room: 211 of them queued there, and what the group
 /// of that worker knew was wrong from then on.
 #[test]
-fn a_group_that_is_full_is_lent_slots_by_others_and_none_is_guessed_at() {
+fn a_full_group_borrows_slots_and_sends_none_blindly() {
     let mut fleet = Fleet::new(true);
     // 60 jobs for the ten nodes of one group, whose six workers have 24 slots.
     for n in 0..60 {
@@ -239,7 +239,7 @@
 /// A third of the workers is replaced, and many of the others go to another group: on such a day 161 of 1,041 jobs queued, up
 /// to seventeen at a worker with five slots, since its new group did not know what nodes of the one before had out there.
 #[test]
-fn where_reports_come_with_probes_alone_a_full_group_asks_how_much_its_workers_can_run() {
+fn a_full_group_probes_unsized_workers_where_reports_come_with_probes() {
     let base = Settings { nodes: 20, reports: Reports::Probes, ..settings(7, true) };
     let mut node = Node::new(base);
     node.roster((0..4).map(worker).collect());
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn work_at_a_worker_that_goes_to_another_group_is_known_there() {
+fn work_at_a_reassigned_worker_is_advertised_to_its_new_group() {
     let mut fleet = Fleet::new(true);
     fleet.fill(2);
     let listed: Vec<EndpointEntry> = (20..80).map(worker).collect();
@@ -280,7 +280,7 @@
 
 /// A slot that was offered is kept for a moment, is free again if it is not taken, and counts until what took it has ended.
 #[test]
-fn an_offered_slot_is_kept_for_a_moment() {
+fn reserves_an_offered_slot_for_a_moment() {
     let ten = |me| Node::new(settings(me, true));
     let (mut lender, mut mate) = (ten(0), ten(10));
     for node in [&mut lender, &mut mate] {
@@ -308,7 +308,7 @@
 
 /// 160 connections a second were refused by workers that every dispatcher had to find dead by itself, again and again.
 #[test]
-fn a_worker_that_failed_gets_nothing_before_it_has_shown_life() {
+fn a_failed_worker_gets_no_job_before_a_sign_of_life() {
     let mut node = node();
     let to = sends(&node.arrive(1, 0, 5_000 * MS))[0].1;
     let mut again = node.end(1, 0, to, Outcome::ConnectFailed);
@@ -320,7 +320,7 @@
 
 /// Ten nodes each found out by themselves that a worker of theirs was dead: 818 refused connections on a day, and 30 since.
 #[test]
-fn what_one_of_a_group_found_dead_the_others_leave_alone() {
+fn a_worker_that_one_node_suspects_is_avoided_by_its_group() {
     let mut first = Node::new(Settings { nodes: 10, ..settings(3, true) });
     first.roster(vec![worker(0)]);
     let to = sends(&first.arrive(1, 0, 5_000 * MS))[0].1;
@@ -354,7 +354,7 @@
 
 /// Without a group: a fair share of a cold worker's budget was smaller than a large job, and no node ever sent one.
 #[test]
-fn a_share_smaller_than_a_job_still_lets_a_job_through() {
+fn a_budget_smaller_than_a_job_still_admits_one() {
     let (cold, warm) = (EndpointEntry { started_at: Some(1_000 * MS), ..worker(0) }, worker(1));
     let mut taken = 0;
     for me in 0..NODES {
@@ -376,7 +376,7 @@
 
 /// In a group: all nodes want a cold worker at once, and together send no more than it can run.
 #[test]
-fn a_group_fills_a_cold_worker_no_further_than_it_can_run() {
+fn a_group_keeps_a_warming_up_worker_within_its_capacity() {
     let mut fleet = Fleet::new(true);
     let cold = |w| EndpointEntry { started_at: Some(900 * MS), ..worker(w) };
     for node in &mut fleet.nodes {
@@ -390,7 +390,7 @@
 /// What the same traffic costs when more dispatchers share it: 1,000 jobs of 300 ms, one each 3 ms, over 60 workers with 240
 /// slots; then discovery refuses everybody for 4 s. `--nocapture` prints the table of `docs/design/fleet.md`.
 #[test]
-fn what_a_job_costs_is_bounded_however_many_dispatchers_there_are() {
+fn decision_time_is_bounded_however_many_dispatchers_there_are() {
     println!(
         "| dispatchers | microseconds a job | links | probes a job | datagrams a job | calls in 4 s | in 50 ms |"
     );
@@ -450,7 +450,7 @@
 /// (`make bench-decision`). Compared here at 20 and 2,000 workers. Ranking the whole part: 107 times as slow in a debug
 /// build, 73 in release; ranking at most `RANKED` of it: 22 and 10.
 #[test]
-fn a_job_costs_the_module_about_as_much_in_a_part_of_20_workers_as_of_2000() {
+fn decision_time_with_2000_workers_is_about_that_with_20() {
     let jobs = |node: &mut Node, round: u64| {
         for job in round * 200..round * 200 + 200 {
             for (job, to) in sends(&node.arrive(job, 0, 5_000 * MS)) {
@@ -467,7 +467,7 @@
 /// (`make bench-decision`). Now only those with work out or in doubt: with none, 200 tellings cost about the same among
 /// 20 workers as among 4,000 (1.2 to 1.5 times in a debug build; 82 times when every worker was walked).
 #[test]
-fn telling_the_group_passes_over_workers_with_nothing_out() {
+fn advertising_skips_workers_without_outstanding_work() {
     let tell = || Event::Timer(TimerId(u64::MAX)); // the module's own alarm of telling
     let tellings = |node: &mut Node, _| (0..=200).for_each(|_| drop(node.feed(tell())));
     let (small, large) = (least_of_five(20, tellings), least_of_five(4_000, tellings));
@@ -477,7 +477,7 @@
 /// Found on split+mass: no datagram arrived for 5 s. Four seconds after its last word each mate counted as idle, so all of
 /// a group sent to the same full workers; 22 % of the jobs of 10 to 15 s came late, and the queues lasted into the heal.
 #[test]
-fn a_mate_that_is_not_heard_any_more_is_not_taken_for_idle() {
+fn a_silent_peer_is_not_taken_for_idle() {
     let (mut node, mut mate) = (node(), Node::new(Settings { nodes: 10, ..settings(3, true) }));
     mate.roster(vec![worker(0)]);
     [&mut node, &mut mate].into_iter().for_each(|n| drop(n.report(0, 0.0, SLOTS)));
@@ -499,7 +499,7 @@
 
 /// Where jobs begin and end within a tick all workers were 0 slow, so lots were worth nothing and the first of the list got all.
 #[test]
-fn jobs_that_take_no_time_are_spread_as_well() {
+fn spreads_jobs_that_take_no_time() {
     let mut node = Node::new(Settings { nodes: 10, ..settings(7, true) });
     node.roster((0..8).map(worker).collect());
     let mut used = BTreeSet::new();
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -6,7 +6,7 @@
 use mothproxy::*;
 
 #[test]
-fn score_has_the_points_worked_out_by_hand() {
+fn capability_matches_values_computed_by_hand() {
     // Corners are single rules; the centre is the middle rule (3 of 5).
     for (cpu, load, score) in
         [(0.0, 0.0, 1.0), (1.0, 1.0, 0.0), (0.5, 0.5, 0.6), (0.0, 1.0, 0.4), (1.0, 0.0, 0.4)]
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn less_used_is_never_worse() {
+fn capability_never_falls_with_less_load() {
     let grid: Vec<f64> = (0..=40).map(|n| f64::from(n) / 40.0).collect();
     for &cpu in &grid {
         for pair in grid.windows(2) {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn best_fresh_score_wins() {
+fn picks_the_best_fresh_score() {
     let mut node = probing_node();
     node.roster((0..3).map(worker).collect());
     node.report(0, 0.9, 1.0);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn entries_go_stale() {
+fn load_samples_go_stale() {
     let mut node = probing_node();
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.1, 4.0);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn no_second_grant_in_a_row_unless_utilisation_changed_and_is_lowest() {
+fn no_second_assignment_in_a_row_unless_utilisation_changed_and_is_lowest() {
     let mut node = probing_node();
     node.roster((0..2).map(worker).collect());
     node.report(0, 0.1, 8.0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn when_all_read_full_the_quickest_answerer_decides() {
+fn picks_the_fastest_worker_when_all_are_full() {
     let mut node = probing_node();
     node.roster((0..2).map(worker).collect());
     for (job, slow, elapsed) in [(1, 0, 700 * MS), (2, 1, 90 * MS)] {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_worker_with_fewer_free_slots_than_needed_reads_as_full() {
+fn a_worker_with_too_few_free_slots_counts_as_full() {
     let mut node =
         Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
     node.roster((0..2).map(worker).collect());
@@ -143,7 +143,7 @@
 /// Found on `haatkhata-bengal`: half of all jobs crossed zones, at 16 points, though a slot of the own zone came
 /// free well within their slack. A job waits at home for the part of it which that price is of what lateness loses.
 #[test]
-fn a_job_crosses_zones_only_after_the_wait_that_the_price_is_worth() {
+fn crosses_zones_only_after_the_wait_that_the_price_allows() {
     for (price, late_weight, wait) in
         [(0.0, 0.5, 0), (0.1, 0.5, 60 * MS), (0.2, 0.5, 120 * MS), (0.2, 0.0, 60 * MS)]
     {
@@ -169,7 +169,7 @@
 /// Found on the overloaded day of `haatkhata-bengal`: 64 % of answers were late, since the jobs that were late
 /// already went first and made the next ones late.
 #[test]
-fn jobs_that_are_late_go_after_those_that_can_be_in_time() {
+fn late_jobs_are_queued_behind_those_that_can_be_in_time() {
     let settings = Settings {
         reports_start: true,
         classes: vec![class(Idempotency::Idempotent)],
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -1,4 +1,4 @@
-//! The groups' parts of the workers, as every node works them out by itself, and what sides of a cut may take of them.
+//! The assignment of workers to groups, as every node works it out by itself, and what the sides of a partition may use.
 
 use mothproxy::policy::gossip::{ADVERTISEMENT_TTL, GroupGossip};
 use mothproxy::*;
@@ -25,9 +25,9 @@
 fn parts(workers: &[EndpointEntry]) -> BTreeMap<WorkerId, u32> {
     let mut owner = BTreeMap::new();
     for me in 0..10 {
-        let mut share = GroupGossip::new(&settings(me));
-        share.assign(workers, &[]);
-        let part: Vec<WorkerId> = share.workers().collect();
+        let mut gossip = GroupGossip::new(&settings(me));
+        gossip.assign(workers, &[]);
+        let part: Vec<WorkerId> = gossip.workers().collect();
         assert!((3..=8).contains(&part.len()), "group {me} has {part:?}");
         part.into_iter().for_each(|w| assert_eq!(owner.insert(w, me), None, "{w:?} has two groups"));
     }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_worker_has_one_group_and_one_that_leaves_moves_few() {
+fn assigns_each_worker_to_one_group_and_moves_few_when_one_leaves() {
     let all: Vec<EndpointEntry> = (0..60).map(listed).collect();
     let before = parts(&all);
     assert_eq!(before.len(), 60);
@@ -50,15 +50,15 @@
 /// 30 dispatchers, 60 % of a job's time in `make bench-decision`. Now as many numbers as workers drawn, distinct,
 /// and each worker about as often as any other.
 #[test]
-fn a_sample_of_the_part_costs_what_it_draws_and_favours_no_worker() {
-    let mut share = GroupGossip::new(&settings(0));
-    share.assign(&(0..3_000).map(listed).collect::<Vec<_>>(), &[]);
-    let size = share.assigned().len();
+fn sampling_draws_only_what_it_returns_and_is_uniform() {
+    let mut gossip = GroupGossip::new(&settings(0));
+    gossip.assign(&(0..3_000).map(listed).collect::<Vec<_>>(), &[]);
+    let size = gossip.assigned().len();
     assert!(size > 100, "{size} in the part");
     let (mut rng, mut counted) = (fastrand::Rng::with_seed(5), fastrand::Rng::with_seed(5));
-    let mut times: BTreeMap<WorkerId, u32> = share.assigned().iter().map(|w| (*w, 0)).collect();
+    let mut times: BTreeMap<WorkerId, u32> = gossip.assigned().iter().map(|w| (*w, 0)).collect();
     for _ in 0..2_000 {
-        let drawn = share.sample(&mut rng, 8);
+        let drawn = gossip.sample(&mut rng, 8);
         for _ in 0..8 {
             counted.u64(..);
         }
@@ -71,7 +71,7 @@
     let (least, most) = (times.values().min().copied(), times.values().max().copied());
     let (least, most) = (f64::from(least.unwrap_or(0)), f64::from(most.unwrap_or(0)));
     assert!(least > mean * 0.2 && most < mean * 2.5, "{least}..{most} times for {mean:.1} each");
-    assert_eq!(share.sample(&mut rng, size + 5).len(), size, "all of a part no larger than asked");
+    assert_eq!(gossip.sample(&mut rng, size + 5).len(), size, "all of a part no larger than asked");
 }
 
 /// Who has which worker where only these nodes hold work, by the word of each of them.
@@ -80,12 +80,12 @@
     let believed = |here: &bool| if *here { PeerPresence::Present } else { PeerPresence::Gone };
     let peers: Vec<PeerPresence> = holders.iter().map(believed).collect();
     for me in (0..nodes).filter(|n| holders[*n as usize]) {
-        let mut share = GroupGossip::new(&Settings { nodes, ..settings(me) });
-        share.set_presence(1, &peers);
-        share.assign(workers, &[]);
-        for worker in share.assigned().iter().copied() {
-            let group = *owner.entry(worker).or_insert(share.group());
-            assert_eq!(group, share.group(), "{worker:?} has two groups by the word of {me}");
+        let mut gossip = GroupGossip::new(&Settings { nodes, ..settings(me) });
+        gossip.set_presence(1, &peers);
+        gossip.assign(workers, &[]);
+        for worker in gossip.assigned().iter().copied() {
+            let group = *owner.entry(worker).or_insert(gossip.group());
+            assert_eq!(group, gossip.group(), "{worker:?} has two groups by the word of {me}");
         }
     }
     owner
@@ -93,7 +93,7 @@
 
 /// One death moves the workers that the dead node held, one in n, and its return moves these back; whole groups may die.
 #[test]
-fn the_end_of_a_node_moves_its_part_alone() {
+fn moves_only_the_workers_of_a_node_that_is_gone() {
     let (nodes, all): (u32, Vec<EndpointEntry>) = (30, (0..300).map(listed).collect());
     let mut rng = fastrand::Rng::with_seed(11);
     let mut holders = vec![true; nodes as usize];
@@ -119,7 +119,7 @@
     }
     assert!(deaths > 30 && moved > 0, "{moved} moved at {deaths} changes");
     assert_eq!(held(nodes, &vec![true; nodes as usize], &all), whole, "as if nothing had been");
-    // One after the other until one is left: never a worker without a group, and nobody is dealt to a dead node's.
+    // One after the other until one is left: never a worker without a group, and nobody is assigned to a dead node's.
     let mut holders = vec![true; nodes as usize];
     for node in 1..nodes as usize {
         holders[node] = false;
@@ -131,7 +131,7 @@
 /// Whatever the sides of a cut, and whoever of each has left by the word of that side: what all sides may take of a worker
 /// is never above its slots, and all of it while nobody is away.
 #[test]
-fn what_the_sides_of_a_cut_may_take_is_within_the_slots() {
+fn sides_of_a_partition_stay_within_the_slots() {
     let mut rng = fastrand::Rng::with_seed(3);
     let all: Vec<EndpointEntry> = (0..40).map(listed).collect();
     for round in 0..60 {
@@ -151,19 +151,19 @@
             // One node of each group that has somebody on this side; the rest of it does what it does.
             let mut groups = BTreeSet::new();
             for me in (0..nodes).filter(|n| peers[*n as usize] == PeerPresence::Present) {
-                let mut share = GroupGossip::new(&Settings { nodes, ..settings(me) });
-                if share.is_grouped() && groups.insert(share.group()) {
-                    share.assign(&all, &[]);
-                    let before = share.assigned().to_vec();
-                    share.set_presence(1, &peers);
-                    share.assign(&all, &[]);
+                let mut gossip = GroupGossip::new(&Settings { nodes, ..settings(me) });
+                if gossip.is_grouped() && groups.insert(gossip.group()) {
+                    gossip.assign(&all, &[]);
+                    let before = gossip.assigned().to_vec();
+                    gossip.set_presence(1, &peers);
+                    gossip.assign(&all, &[]);
                     let later = 1 + ADVERTISEMENT_TTL;
-                    for worker in share.assigned() {
+                    for worker in gossip.assigned() {
                         *taken.entry(*worker).or_default() +=
-                            slots - share.reserved_slots(*worker, slots, later);
+                            slots - gossip.reserved_slots(*worker, slots, later);
                         let came = !before.contains(worker);
                         assert!(
-                            !came || share.reserved_slots(*worker, slots, later - 1) == slots,
+                            !came || gossip.reserved_slots(*worker, slots, later - 1) == slots,
                             "taken at once"
                         );
                     }
@@ -179,20 +179,20 @@
 }
 
 #[test]
-fn a_view_of_another_size_or_without_oneself_says_nothing() {
-    let mut share = GroupGossip::new(&settings(3));
+fn ignores_presence_of_another_size_or_without_the_node_itself() {
+    let mut gossip = GroupGossip::new(&settings(3));
     let here = PeerPresence::Present;
     assert!(
-        !share.set_presence(1, &[here; 7]) && !share.set_presence(1, &[PeerPresence::Gone; 100]),
+        !gossip.set_presence(1, &[here; 7]) && !gossip.set_presence(1, &[PeerPresence::Gone; 100]),
         "neither is heeded"
     );
-    assert!(!share.set_presence(1, &[here; 100]), "all hold work anyway");
+    assert!(!gossip.set_presence(1, &[here; 100]), "all hold work anyway");
     let mut peers = vec![here; 100];
     peers[4] = PeerPresence::Gone;
-    assert!(share.set_presence(1, &peers) && !share.set_presence(1, &peers), "heeded once");
-    let mut acts = Vec::new();
-    (0..1_000).for_each(|luck| share.request_slot(ZoneId(0), luck, &mut acts));
-    let asked = |node| acts.iter().any(|act| matches!(act, Action::SendToPeer { to, .. } if *to == node));
+    assert!(gossip.set_presence(1, &peers) && !gossip.set_presence(1, &peers), "heeded once");
+    let mut actions = Vec::new();
+    (0..1_000).for_each(|random| gossip.request_slot(ZoneId(0), random, &mut actions));
+    let asked = |node| actions.iter().any(|act| matches!(act, Action::SendToPeer { to, .. } if *to == node));
     assert!(
         !asked(4) && (14..100).step_by(10).all(asked),
         "no wish goes to one that is gone, of its group's"
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn new_ones_take_the_places_that_are_left() {
+fn new_workers_do_not_move_older_ones() {
     let mut all: Vec<EndpointEntry> = (0..52).map(listed).collect();
     let before = parts(&all);
     all.extend((52..60).map(|n| EndpointEntry { started_at: Some(1), ..listed(n) }));
@@ -211,23 +211,26 @@
 
 /// The group of node 0 is the same with 92 nodes and with 91; who may be asked for a slot is not.
 #[test]
-fn no_wish_goes_to_a_node_that_is_no_more() {
-    let mut share = GroupGossip::new(&Settings { nodes: 92, ..settings(0) });
-    share.regroup(&Settings { nodes: 91, ..settings(0) });
-    let mut acts = Vec::new();
-    (0..1_000).for_each(|luck| share.request_slot(ZoneId(0), luck, &mut acts));
-    assert!(acts.iter().all(|act| matches!(act, Action::SendToPeer { to, .. } if *to < 91)), "{acts:?}");
+fn requests_no_slot_from_a_removed_node() {
+    let mut gossip = GroupGossip::new(&Settings { nodes: 92, ..settings(0) });
+    gossip.regroup(&Settings { nodes: 91, ..settings(0) });
+    let mut actions = Vec::new();
+    (0..1_000).for_each(|random| gossip.request_slot(ZoneId(0), random, &mut actions));
+    assert!(
+        actions.iter().all(|act| matches!(act, Action::SendToPeer { to, .. } if *to < 91)),
+        "{actions:?}"
+    );
 }
 
 #[test]
-fn a_node_by_itself_or_without_messages_has_no_group() {
+fn has_no_group_alone_or_without_messages() {
     for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_message_peers: false, ..settings(0) }] {
-        let mut share = GroupGossip::new(&set);
-        share.assign(&[listed(1)], &[]);
+        let mut gossip = GroupGossip::new(&set);
+        gossip.assign(&[listed(1)], &[]);
         assert!(
-            !share.is_grouped()
-                && share.workers().next().is_none()
-                && share.peer_load(&listed(1), 0).is_none()
+            !gossip.is_grouped()
+                && gossip.workers().next().is_none()
+                && gossip.peer_load(&listed(1), 0).is_none()
         );
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -236,13 +236,13 @@
 
     fn feed(&mut self, n: u32, event: Event) {
         self.nodes[n as usize].now = self.now;
-        let acts = self.nodes[n as usize].feed(event);
-        self.act(n, acts);
+        let actions = self.nodes[n as usize].feed(event);
+        self.act(n, actions);
     }
 
-    fn act(&mut self, node: u32, acts: Vec<Action>) {
+    fn act(&mut self, node: u32, actions: Vec<Action>) {
         let life = self.lives[node as usize];
-        for act in acts {
+        for act in actions {
             match act {
                 Action::Send { job, worker, .. } => {
                     let attempt = self.sent.entry((node, life, job)).or_insert(0);
@@ -397,8 +397,8 @@
                 for n in 0..self.nodes.len() {
                     while rings(&self.nodes[n]) <= self.now {
                         self.nodes[n].now = self.now;
-                        let acts = self.nodes[n].pass(0);
-                        self.act(n as u32, acts);
+                        let actions = self.nodes[n].pass(0);
+                        self.act(n as u32, actions);
                     }
                 }
             } else if let Some((_, due)) = self.due.pop_first() {
@@ -470,7 +470,7 @@
 /// Before, processes that had just started took a job's aim for what it takes, and had no part of their own: 11 calls in a
 /// window that may hold eight.
 #[test]
-fn the_ramp_holds_for_the_sum_of_all() {
+fn warm_up_budget_holds_for_all_nodes_together() {
     let over = table(&[3, 20], &[3.0], &[1]);
     assert!(over.is_empty(), "more than N + 2 root N + 2 in a window:\n{}", over.join("\n"));
 }
@@ -478,7 +478,7 @@
 /// All sizes, with their table.
 #[test]
 #[ignore = "some minutes in release: make proof-ramp"]
-fn the_ramp_holds_at_every_size() {
+fn warm_up_budget_holds_at_every_size() {
     let over = table(&[3, 20, 30, 100, 300], &[3.0, 10.0, 30.0], &[1]);
     assert!(over.is_empty(), "more than N + 2 root N + 2 in a window:\n{}", over.join("\n"));
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -32,7 +32,7 @@
 /// Beyond 16 dispatchers nobody said anything, so that in a stop of all each sent its clients to others that stopped too. StatusCallback
 /// to all, a release of 300 would cost 300 x 299 datagrams for each time that it is said.
 #[test]
-fn a_stop_of_all_is_known_and_a_release_is_not_taken_for_one_at_any_size() {
+fn tells_a_full_stop_from_a_rolling_release_at_any_size() {
     for (count, datagrams) in [(2, 2), (16, 240), (17, 136), (300, 2_400), (1_024, 8_192)] {
         assert_eq!(round(count, |_| true), (datagrams, count as usize), "all {count} stop");
     }
@@ -99,7 +99,7 @@
 
 /// Beyond 16 dispatchers one said nothing of its stop, and closed its clients' connections though all others stopped too.
 #[test]
-fn one_of_a_thousand_starts_serves_reloads_and_stops_with_the_others() {
+fn one_of_a_thousand_nodes_starts_serves_reloads_and_stops() {
     let node = Node::start("s-0000");
     let told = PeerLifecycle::new(0, SIZE as usize).told();
     // Those that it tells, a mate of its group, and two that it has nothing to say to.
@@ -169,7 +169,7 @@
 /// The list and what was learned of a thousand workers went over in one packet of at most 256 KB: it could not be sent, and the
 /// younger process waited for an address that the elder kept.
 #[test]
-fn a_thousand_workers_go_over_to_a_younger_process() {
+fn transfers_a_thousand_workers_to_the_successor() {
     let (node, folder) = (Node::start("s-0000"), tempfile::tempdir().expect("a folder"));
     let start = |listen: String| {
         start_beside(&[], None, false, Some(folder.path()), |config| {
@@ -230,19 +230,19 @@
 fn load(node: &mut Module, from: u64, jobs: u64, to: u32) -> (Vec<(u64, WorkerId)>, Vec<Vec<u8>>) {
     let (mut used, mut told) = (Vec::new(), Vec::new());
     for job in from..from + jobs {
-        let mut acts = node.arrive(job, 0, 60_000 * MS);
-        acts.extend(node.pass(3 * MS));
-        for (job, at) in sends(&acts) {
-            acts.extend(node.feed(Event::Started { job: JobId(job), attempt: 0 }));
+        let mut actions = node.arrive(job, 0, 60_000 * MS);
+        actions.extend(node.pass(3 * MS));
+        for (job, at) in sends(&actions) {
+            actions.extend(node.feed(Event::Started { job: JobId(job), attempt: 0 }));
             used.push((job, at));
         }
-        told.extend(tells(acts, to));
+        told.extend(tells(actions, to));
     }
     (used, told)
 }
 
-fn tells(acts: Vec<Action>, whom: u32) -> impl Iterator<Item = Vec<u8>> {
-    acts.into_iter().filter_map(move |act| match act {
+fn tells(actions: Vec<Action>, whom: u32) -> impl Iterator<Item = Vec<u8>> {
+    actions.into_iter().filter_map(move |act| match act {
         Action::SendToPeer { to, bytes } if to == whom => Some(bytes),
         _ => None,
     })
@@ -255,7 +255,7 @@
 /// A message names 120 workers at most, and what was beyond that was left out: always the same ones, which the mates took for
 /// idle. Of two workers with one short tag the group knew of one alone, and counted the work of both there.
 #[test]
-fn a_group_knows_of_all_that_is_out_at_a_thousand_workers() {
+fn a_group_knows_all_outstanding_work_at_a_thousand_workers() {
     let workers = alike(SIZE);
     let [mut node, mut mate] = [0, 1].map(|me| among(me, 2, &workers));
     let (mut out, told) = load(&mut node, 0, 600, 1);
@@ -292,7 +292,7 @@
 
 /// A slot that was offered at one of two workers with one short tag was taken at the other, whose group knew nothing of it.
 #[test]
-fn an_offer_is_taken_at_the_worker_that_was_meant() {
+fn an_offer_is_used_at_the_worker_it_names() {
     let workers = alike(300);
     let [mut lender, mut asker] = [0, 1].map(|me| among(me, 30, &workers));
     let mut group = GroupGossip::new(&settings(0, 30));
@@ -309,19 +309,19 @@
 
 /// Whatever the sizes, each worker has one group, by the word of any of its nodes, and no group far more than its part.
 #[test]
-fn each_of_a_thousand_workers_is_somebodys() {
+fn assigns_each_of_a_thousand_workers_to_one_group() {
     let workers: Vec<EndpointEntry> =
         (0..SIZE).map(|n| EndpointEntry { zone: ZoneId((n % 3) as u16), ..worker(n) }).collect();
     for (nodes, listed) in [(2, SIZE), (17, SIZE), (300, SIZE), (SIZE, SIZE), (SIZE, 60), (SIZE, 1)] {
         let (listed, groups) = (&workers[..listed as usize], nodes.div_ceil(10));
         let parts = (0..groups.min(nodes)).flat_map(|me| {
-            let mut shares = [me, me + (nodes - 1 - me) / groups * groups]
+            let mut gossips = [me, me + (nodes - 1 - me) / groups * groups]
                 .map(|me| GroupGossip::new(&settings(me, nodes)));
-            shares.iter_mut().for_each(|share| share.assign(listed, &[]));
-            assert_eq!(shares[0].assigned(), shares[1].assigned(), "two nodes of group {me} of {nodes}");
+            gossips.iter_mut().for_each(|gossip| gossip.assign(listed, &[]));
+            assert_eq!(gossips[0].assigned(), gossips[1].assigned(), "two nodes of group {me} of {nodes}");
             // Of each of three zones one more than the mean.
-            assert!(shares[0].assigned().len() <= listed.len() / groups as usize + 3);
-            shares[0].assigned().to_vec()
+            assert!(gossips[0].assigned().len() <= listed.len() / groups as usize + 3);
+            gossips[0].assigned().to_vec()
         });
         let mut parts: Vec<WorkerId> = parts.collect();
         parts.sort_unstable();
@@ -351,7 +351,7 @@
 /// What every node of other groups had ever said was kept and looked through for each job: of 1,024 nodes that had each been
 /// lent a slot once, a job took 172 us instead of 4. And where a class has a kind of worker, all workers were summed up.
 #[test]
-fn a_job_costs_the_module_no_more_for_a_thousand_that_were_lent_a_slot_nor_for_workers_of_many_kinds() {
+fn decision_time_does_not_grow_with_borrowers_or_kinds() {
     let workers: Vec<EndpointEntry> =
         (0..SIZE).map(|n| EndpointEntry { kind: KindId((n % 2) as u16), ..worker(n) }).collect();
     let of = |kinds: bool| {
@@ -377,14 +377,14 @@
 /// Whatever all others say, and whatever the list and the settings become, work goes to workers that are listed, and no message
 /// is too long.
 #[test]
-fn one_of_a_thousand_takes_whatever_is_said() {
+fn tolerates_any_message_as_one_of_a_thousand() {
     let (mut node, mut rng) =
         (among(0, SIZE, &(0..SIZE).map(worker).collect::<Vec<_>>()), fastrand::Rng::with_seed(6));
     let (mut ready, mut sent): (BTreeSet<WorkerId>, usize) = ((0..SIZE).map(WorkerId).collect(), 0);
     for step in 0..2_000 {
         let said: Vec<u8> = (0..rng.usize(..40)).map(|_| rng.u8(..)).collect();
         let kind = *rng.choice(b"WwGgAOUS").expect("one of them");
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         if step % 10 == 0 {
             let entry = EndpointEntry {
                 status: rng.choice([Status::Ready, Status::Draining, Status::Gone]).expect("one"),
@@ -392,20 +392,22 @@
             };
             ready.remove(&entry.worker);
             ready.extend((entry.status == Status::Ready).then_some(entry.worker));
-            acts.extend(node.feed(Event::EndpointList(ListKind::Delta, vec![entry])));
+            actions.extend(node.feed(Event::EndpointList(ListKind::Delta, vec![entry])));
         }
         let mail = Event::PeerMessage { from: rng.u32(..SIZE + 9), bytes: [&[kind], &said[..]].concat() };
-        acts.extend(node.feed(mail));
+        actions.extend(node.feed(mail));
         if step % 500 == 499 {
             node.dispatcher.reconfigure(settings(0, SIZE - step as u32 / 20)).expect("sound settings");
         }
-        acts.extend(node.arrive(step, 0, 7_000 * MS));
-        acts.extend(node.pass(3 * MS));
-        for (job, at) in sends(&acts) {
+        actions.extend(node.arrive(step, 0, 7_000 * MS));
+        actions.extend(node.pass(3 * MS));
+        for (job, at) in sends(&actions) {
             assert!(ready.contains(&at), "{at:?} is not ready");
             (sent, _) = (sent + 1, node.end(job, 0, at, Outcome::Ok));
         }
-        assert!(acts.iter().all(|act| !matches!(act, Action::SendToPeer { bytes, .. } if bytes.len() > 256)));
+        assert!(
+            actions.iter().all(|act| !matches!(act, Action::SendToPeer { bytes, .. } if bytes.len() > 256))
+        );
     }
     assert!(sent > 1_000, "{sent} of 2,000 jobs are sent");
 }
