--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -3,7 +3,7 @@
 use super::flatten::flatten;
 use super::{ConfigError, EndpointList, FileProblem, MachineLimits, SettingsProblem, SiteNames};
 use crate::policy::interface::{Micros, Settings};
-use crate::policy::simulator::{Names, Profile, settings, to_micros};
+use crate::policy::settings_map::{Names, Profile, settings, to_micros};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
 pub use sse::{SseConfig, SseSettings};
 
 use crate::policy::interface::{Micros, Settings};
-use crate::policy::simulator::Profile;
+use crate::policy::settings_map::Profile;
 use document::{Document, parse_address, parse_settings, positive_duration};
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -2,7 +2,7 @@
 
 use super::{Config, ConfigError, FileProblem, SiteNames, read_file};
 use crate::policy::interface::Settings;
-use crate::policy::simulator::Names;
+use crate::policy::settings_map::Names;
 use serde_json::Value;
 use std::path::Path;
 
--- a/src/config/site_names.rs
+++ b/src/config/site_names.rs
@@ -1,7 +1,7 @@
 //! The names behind the settings' numbers.
 
 use crate::policy::interface::{ClassId, TenantId};
-use crate::policy::simulator::{Names, Value};
+use crate::policy::settings_map::{Names, ReportValue};
 
 /// The names that the settings give to classes, tenants, kinds, zones and report values.
 #[derive(Debug, Default)]
@@ -24,9 +24,9 @@
     }
 
     /// What the value of a load report under either of these names stands for; `None` where the settings do not say.
-    pub(crate) fn report_value(&self, settings_name: &str, name: &str) -> Option<&Value> {
+    pub(crate) fn report_value(&self, settings_name: &str, name: &str) -> Option<&ReportValue> {
         let mut values = self.0.values.iter();
         let value = values.find(|(known, _)| known == settings_name || known == name);
-        value.map(|(_, value)| value).filter(|value| !matches!(value, Value::Unknown))
+        value.map(|(_, value)| value).filter(|value| !matches!(value, ReportValue::Unknown))
     }
 }
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -4,7 +4,7 @@
 use super::idempotency::AttemptRecord;
 use crate::config::{EndpointList, EndpointRow, Lifecycle};
 use crate::policy::interface::{CellId, EndpointEntry, KindId, Micros, Status, WorkerId, ZoneId};
-use crate::policy::simulator::{Names, tag};
+use crate::policy::settings_map::{Names, tag};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -7,7 +7,7 @@
 use crate::http::Framing;
 use crate::http::load::parse_pairs;
 use crate::policy::interface::{Class, ClassId, Idempotency, KeyId, Micros, TenantId};
-use crate::policy::simulator::{tag, to_micros};
+use crate::policy::settings_map::{tag, to_micros};
 use crate::protocol::names;
 
 /// The longest request id, in bytes.
