--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -70,6 +70,7 @@
 }
 
 impl PollTime {
+    /// All connections were polled at this time; `is_partial` where more events may be waiting than were taken.
     pub fn new(at: Micros, is_partial: bool) -> PollTime {
         PollTime { at, is_partial }
     }
@@ -84,7 +85,7 @@
 /// A connection and a time that it is ordered by.
 type TimedToken = (Micros, Token);
 
-/// Connections of clients by what they are not doing, the oldest first: these may be closed to make room.
+/// Connections of clients that may be closed to make room, by why, the oldest first.
 #[derive(Default)]
 pub(in crate::server) struct ClientConnections {
     /// Those without a request, by the time since which they are idle.
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -33,11 +33,17 @@
 /// What the successor gets at its start.
 pub(in crate::server) struct Inheritance {
     pub sockets: InheritedSockets,
+    /// The endpoint list that the predecessor received last.
     pub list: EndpointList,
+    /// That is still to be revalidated.
     pub is_list_stale: bool,
+    /// What the policy has learned, if this version can read it.
     pub learned: Option<LearnedState>,
+    /// The link to the predecessor.
     pub(super) link: OwnedFd,
+    /// The predecessor is draining.
     pub(super) is_drained: bool,
+    /// What the predecessor still holds.
     pub(super) open: OpenWork,
 }
 
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -26,14 +26,17 @@
 
 /// The listener for event streams.
 pub(super) struct SseListener {
+    /// The listening socket.
     pub socket: TcpListener,
-    /// A stream without an event for so long gets a comment.
+    /// A stream without an event for so long gets a heartbeat.
     pub heartbeat: Micros,
 }
 
 /// The listening sockets for clients.
 pub(super) struct Listeners {
+    /// The platform's.
     pub platform: TcpListener,
+    /// The one for event streams, where it is on.
     pub sse: Option<SseListener>,
     /// Whether epoll watches them.
     pub is_accepting: bool,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -70,9 +70,13 @@
 
 /// The dispatcher's process: the core, and the sockets round it.
 pub struct Server {
+    /// The configuration that counts; a reload replaces it.
     config: Config,
+    /// The classes of its settings, by number.
     classes: Vec<Class>,
+    /// Everything that is decided.
     core: Core,
+    /// The origin of this process's clock.
     started: Instant,
     /// When the events of this turn were taken.
     now: Micros,
@@ -80,11 +84,13 @@
     polled_at: PollTime,
     epoll: Poller,
     listeners: Listeners,
+    /// The listener of the admin address, where it is on.
     admin: Option<TcpListener>,
     /// Connections to the admin address, the oldest first.
     callers: VecDeque<Token>,
     signals: Signals,
     hot_restart: HotRestart,
+    /// The socket for datagrams of the other dispatchers, where there is an address for them.
     peers: Option<UdpSocket>,
     /// What this dispatcher and the others know of each other.
     link: membership::Link,
@@ -93,16 +99,22 @@
     notes: Option<Notes>,
     /// Jobs apart from their clients' connections, where the SSE address is on.
     event_streams: Option<EventStreams>,
+    /// All connections, of clients and others.
     connections: ConnectionTable,
     budget: Budget,
+    /// Connections of clients that may be closed to make room.
     clients: ClientConnections,
+    /// Requests that clients await responses to.
     pending: PendingRequests,
+    /// Idle connections to workers, and what is awaited on the others.
     upstream: UpstreamPool,
+    /// The watch of discovery.
     lists: Lists,
     lifecycle: Lifecycle,
     /// Where the other dispatchers are, and which of them stop.
     standing: peers::Standing,
     metrics: Metrics,
+    /// The counters that the log showed last.
     logged_metrics: LoggedMetrics,
 }
 
