--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -72,9 +72,13 @@
 
 /// The dispatcher's process: the core, and the sockets round it.
 pub struct Server {
+    /// The configuration that counts; a reload replaces it.
     config: Config,
+    /// The classes of its settings, by number.
     classes: Vec<Class>,
+    /// Everything that is decided.
     core: Core,
+    /// The origin of this process's clock.
     started: Instant,
     /// When the events of this turn were taken.
     now: Micros,
@@ -92,14 +96,19 @@
     records: Option<RecordStore>,
     /// Jobs apart from their clients' connections, where the SSE address is on.
     event_streams: Option<EventStreams>,
+    /// All connections, of clients and others.
     connections: ConnectionTable,
     budget: Budget,
+    /// Connections of clients that may be closed to make room.
     clients: ClientConnections,
+    /// Requests that clients await responses to.
     pending: PendingRequests,
+    /// Idle connections to workers, and what is awaited on the others.
     upstream: UpstreamPool,
     discovery: DiscoveryClient,
     lifecycle: Lifecycle,
     metrics: Metrics,
+    /// The counters that the log showed last.
     logged_metrics: LoggedMetrics,
 }
 
