--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,7 +1,7 @@
 //! The JSON document of a configuration file, together with the environment variables that win over it.
 
 use super::flatten::flatten;
-use super::{ConfigError, EndpointList, FileProblem, MachineLimits, SettingsProblem, SiteNames};
+use super::{ConfigError, EndpointList, FileContentError, MachineLimits, ModuleSettingsError, SiteNames};
 use crate::policy::interface::{Micros, Settings};
 use crate::policy::simulator::{Names, Profile, settings, to_micros};
 use serde::Deserialize;
@@ -21,7 +21,7 @@
         match serde_json::from_str(text) {
             Ok(root) => Ok(Document { root, file, env }),
             Err(error) => {
-                Err(ConfigError::Malformed { file: file.to_owned(), problem: FileProblem::NotJson(error) })
+                Err(ConfigError::Malformed { file: file.to_owned(), error: FileContentError::NotJson(error) })
             }
         }
     }
@@ -31,8 +31,8 @@
         self.root
     }
 
-    fn malformed(&self, problem: FileProblem) -> ConfigError {
-        ConfigError::Malformed { file: self.file.to_owned(), problem }
+    fn malformed(&self, error: FileContentError) -> ConfigError {
+        ConfigError::Malformed { file: self.file.to_owned(), error }
     }
 
     fn text(&self, key: &str) -> Option<&str> {
@@ -65,19 +65,19 @@
             Value::String(digits) => u64::from_str_radix(digits, 16).ok(),
             number => number.as_u64(),
         };
-        seed.ok_or_else(|| self.malformed(FileProblem::BadSeed))
+        seed.ok_or_else(|| self.malformed(FileContentError::BadSeed))
     }
 
     pub(super) fn limits(&self) -> Result<MachineLimits, ConfigError> {
         let Some(value) = self.root.get("limits") else { return Ok(MachineLimits::default()) };
-        MachineLimits::deserialize(value).map_err(|error| self.malformed(FileProblem::BadLimits(error)))
+        MachineLimits::deserialize(value).map_err(|error| self.malformed(FileContentError::BadLimits(error)))
     }
 
     pub(super) fn peers(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let peers = self.root.get("peers").and_then(Value::as_array);
         let addresses = peers.into_iter().flatten().map(|peer| match peer.as_str() {
             Some(text) => parse_address("peers", text),
-            None => Err(self.malformed(FileProblem::BadPeer)),
+            None => Err(self.malformed(FileContentError::BadPeer)),
         });
         addresses.collect()
     }
@@ -85,7 +85,7 @@
     /// The endpoint list last known.
     pub(super) fn known_endpoints(&self) -> Result<EndpointList, ConfigError> {
         let known = self.require("known")?;
-        EndpointList::from_json(known).ok_or_else(|| self.malformed(FileProblem::BadKnownList))
+        EndpointList::from_json(known).ok_or_else(|| self.malformed(FileContentError::BadKnownList))
     }
 
     /// The settings as path=value.
@@ -105,16 +105,16 @@
 }
 
 fn unreadable(error: &impl ToString) -> ConfigError {
-    ConfigError::BadSettings(SettingsProblem::Unreadable(error.to_string()))
+    ConfigError::BadSettings(ModuleSettingsError::Unreadable(error.to_string()))
 }
 
-fn check(settings: &Settings, names: &Names) -> Result<(), SettingsProblem> {
+fn check(settings: &Settings, names: &Names) -> Result<(), ModuleSettingsError> {
     let has_class_names = names.classes.names().len() == settings.classes.len();
     let has_tenant_names = names.tenants.names().len() == settings.tenants.len();
     if !has_class_names || !has_tenant_names {
-        return Err(SettingsProblem::DuplicateName);
+        return Err(ModuleSettingsError::DuplicateName);
     }
-    settings.check().map_err(SettingsProblem::Refused)
+    settings.check().map_err(ModuleSettingsError::Refused)
 }
 
 /// A duration of the settings, given in milliseconds.
@@ -127,7 +127,7 @@
     if ms > 0.0 {
         Ok(to_micros(ms))
     } else {
-        Err(ConfigError::BadSettings(SettingsProblem::NotPositive(path)))
+        Err(ConfigError::BadSettings(ModuleSettingsError::NotPositive(path)))
     }
 }
 
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -17,13 +17,13 @@
         error: io::Error,
     },
     /// A file is not in order.
-    #[error("{file}: {problem}")]
+    #[error("{file}: {error}")]
     Malformed {
         /// The file's name.
         file: String,
         /// What is wrong with it.
         #[source]
-        problem: FileProblem,
+        error: FileContentError,
     },
     /// A value that is required is missing.
     #[error("{0} is missing")]
@@ -33,12 +33,12 @@
     BadAddress(&'static str, String),
     /// The settings of the decision module are not in order.
     #[error("settings: {0}")]
-    BadSettings(#[source] SettingsProblem),
+    BadSettings(#[source] ModuleSettingsError),
 }
 
 /// What is wrong with a file.
 #[derive(Debug, Error)]
-pub enum FileProblem {
+pub enum FileContentError {
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
@@ -70,7 +70,7 @@
 
 /// What is wrong with the settings of the decision module.
 #[derive(Debug, Error)]
-pub enum SettingsProblem {
+pub enum ModuleSettingsError {
     /// A setting cannot be read.
     #[error("{0}")]
     Unreadable(String),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,7 +12,7 @@
 mod sse;
 
 pub use endpoint_list::{EndpointList, EndpointRow, Lifecycle};
-pub use error::{ConfigError, FileProblem, SettingsProblem};
+pub use error::{ConfigError, FileContentError, ModuleSettingsError};
 pub use flatten::flatten;
 pub use site_names::SiteNames;
 pub(crate) use sse::{DEFAULT_HEARTBEAT_MS, DEFAULT_STREAMS_PER_TENANT, is_origin};
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,6 +1,6 @@
 //! Reading the configuration again while the program runs.
 
-use super::{Config, ConfigError, FileProblem, SiteNames, read_file};
+use super::{Config, ConfigError, FileContentError, SiteNames, read_file};
 use crate::policy::interface::Settings;
 use crate::policy::simulator::Names;
 use serde_json::Value;
@@ -24,8 +24,8 @@
         let text = read_file(Path::new(&self.file))?;
         let mut new = Config::parse(&text, &self.file, kept, known_names)?;
         if let Some(key) = find_missing_key("", &self.initial_document, &new.initial_document) {
-            let problem = FileProblem::MissingKey(key);
-            return Err(ConfigError::Malformed { file: self.file.clone(), problem });
+            let error = FileContentError::MissingKey(key);
+            return Err(ConfigError::Malformed { file: self.file.clone(), error });
         }
         new.initial_document = self.initial_document.clone();
         keep_class_ids(&mut new.names.0, &mut new.settings, &known_names.0, &self.settings);
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -1,6 +1,6 @@
 //! The settings of the SSE listener, and the TOML file that holds nothing else.
 
-use super::{ConfigError, FileProblem, parse_address, read_file};
+use super::{ConfigError, FileContentError, parse_address, read_file};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -57,9 +57,9 @@
         if !named && !file.exists() {
             return Ok(None);
         }
-        let malformed = |problem| ConfigError::Malformed { file: file.display().to_string(), problem };
+        let malformed = |error| ConfigError::Malformed { file: file.display().to_string(), error };
         let text = read_file(file)?;
-        let config: SseConfig = toml::from_str(&text).map_err(|e| malformed(FileProblem::NotToml(e)))?;
+        let config: SseConfig = toml::from_str(&text).map_err(|e| malformed(FileContentError::NotToml(e)))?;
         config.check().map_err(malformed)?;
         let Some(listen) = config.listen else { return Ok(None) };
         Ok(Some(SseSettings {
@@ -70,15 +70,15 @@
         }))
     }
 
-    fn check(&self) -> Result<(), FileProblem> {
+    fn check(&self) -> Result<(), FileContentError> {
         if self.heartbeat_ms == 0 {
-            return Err(FileProblem::NotPositive("heartbeat_ms"));
+            return Err(FileContentError::NotPositive("heartbeat_ms"));
         }
         if self.streams_per_tenant == 0 {
-            return Err(FileProblem::NotPositive("streams_per_tenant"));
+            return Err(FileContentError::NotPositive("streams_per_tenant"));
         }
         match self.origins.iter().find(|origin| !is_origin(origin)) {
-            Some(bad) => Err(FileProblem::BadOrigin(bad.clone())),
+            Some(bad) => Err(FileContentError::BadOrigin(bad.clone())),
             None => Ok(()),
         }
     }
