--- /dev/null
+++ b/examples/proof_fairshare/costs.rs
@@ -0,0 +1,83 @@
+//! What an account costs on this machine.
+
+use crate::setup::{SECOND, WALL};
+use mothproxy_fairshare::{Config, Installation, Ledger, Origin, Shares, Tenant, TenantKey, Use};
+use serde_json::{Value, json};
+use std::time::Instant;
+
+const MEMBERS: u16 = 30;
+const SECONDS: u64 = 20;
+const QUERIES: u32 = 200_000;
+
+/// A fact and when it was published.
+struct PublishedFact {
+    second: u64,
+    origin: Origin,
+    slot: u32,
+    number: u64,
+    bytes: Vec<u8>,
+}
+
+fn ledger(me: u16, shares: &Shares) -> Ledger {
+    let config = Config { me, peers: 40, wall_at_zero: WALL, rate: 1 << 20, ..Config::default() };
+    Ledger::new(config, shares, 0).expect("settings")
+}
+
+/// The facts of all members over the time, by their seconds.
+fn publish_facts(names: &[String], shares: &Shares, rng: &mut fastrand::Rng) -> Vec<PublishedFact> {
+    let mut facts = Vec::new();
+    for me in 0..MEMBERS {
+        let mut member = ledger(me, shares);
+        let mut number = 0;
+        for second in 1..SECONDS {
+            for _ in 0..200 {
+                let name = &names[rng.usize(0..names.len())];
+                let used = Use { worth: rng.u64(1..100_000), work: rng.u64(1..1_000) };
+                let _ = member.record(second * SECOND, second * SECOND, TenantKey::of(name), 0, used);
+            }
+            while let Some((slot, bytes)) = member.publish(second * SECOND) {
+                number += 1;
+                let origin = Origin { place: me, epoch: 0 };
+                facts.push(PublishedFact { second, origin, slot, number, bytes });
+            }
+        }
+    }
+    facts.sort_by_key(|fact| fact.second);
+    facts
+}
+
+fn micros_since(started: Instant) -> f64 {
+    started.elapsed().as_secs_f64() * 1e6
+}
+
+/// Microseconds a fact, a query, and the lending once a bucket, with this many tenants; bytes that members publish.
+pub fn measure(tenants: usize) -> Value {
+    let names: Vec<String> = (0..tenants).map(|n| format!("tenant-{n}")).collect();
+    let listed = names.iter().map(|n| Tenant { name: n.clone(), weight: 1, classes: vec![] }).collect();
+    let shares =
+        Shares { installations: vec![Installation { name: "home".into(), weight: 1, tenants: listed }] };
+    let mut reader = ledger(39, &shares);
+    let mut rng = fastrand::Rng::with_seed(7);
+    let facts = publish_facts(&names, &shares, &mut rng);
+    let bytes: usize = facts.iter().map(|fact| fact.bytes.len()).sum();
+    let started = Instant::now();
+    for fact in &facts {
+        let _ = reader.absorb(fact.second * SECOND, fact.origin, fact.slot, fact.number, &fact.bytes);
+    }
+    let us_a_fact = micros_since(started) / facts.len() as f64;
+    let keys: Vec<TenantKey> = names.iter().map(|n| TenantKey::of(n)).collect();
+    let started = Instant::now();
+    let mut sum = reader.worth(keys[0], 0, 1, 21 * SECOND).part;
+    let us_lending = micros_since(started);
+    let started = Instant::now();
+    for _ in 0..QUERIES {
+        sum += reader.worth(keys[rng.usize(0..tenants)], 0, 1, 21 * SECOND).part;
+    }
+    let us_a_query = micros_since(started) / f64::from(QUERIES);
+    let member_seconds = f64::from(MEMBERS) * (SECONDS - 1) as f64;
+    json!({
+        "tenants": tenants, "members": MEMBERS, "facts": facts.len(), "us_a_report": us_a_fact,
+        "us_a_query": us_a_query, "us_lending_a_bucket": us_lending,
+        "bytes_a_second_a_member": bytes as f64 / member_seconds, "mean_part": sum / f64::from(QUERIES),
+    })
+}
