--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -36,8 +36,7 @@
     for (n, to) in fronts(&program).into_iter().enumerate() {
         // A connection that has been served once is kept, however long it says nothing.
         let mut kept = connect(to);
-        let ask = |id: &str| simple_job(id);
-        kept.write_all(ask(&format!("k{n}")).as_bytes()).expect("written");
+        kept.write_all(simple_job(&format!("k{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
         let waiting: Vec<TcpStream> = ["", "POST /bal", half_body, chunks]
             .iter()
@@ -52,7 +51,7 @@
         for said in &said[1..] {
             assert!(said.starts_with("HTTP/1.1 408 "), "{said}");
         }
-        kept.write_all(ask(&format!("l{n}")).as_bytes()).expect("written");
+        kept.write_all(simple_job(&format!("l{n}")).as_bytes()).expect("written");
         assert_eq!(read_reply(&mut kept).expect("an answer").status, 200);
     }
     assert!(!worker.has_received("a0"));
@@ -170,8 +169,8 @@
         let mut fresh = connect(program.platform);
         let _next = half();
         std::thread::sleep(std::time::Duration::from_millis(3)); // the program has accepted both
-        let asked = fresh.write_all(b"GET /up HTTP/1.1\r\nHost: n0\r\n\r\n");
-        asked.is_ok() && read_reply(&mut fresh).is_some_and(|reply| reply.status == 200)
+        let written = fresh.write_all(b"GET /up HTTP/1.1\r\nHost: n0\r\n\r\n");
+        written.is_ok() && read_reply(&mut fresh).is_some_and(|reply| reply.status == 200)
     });
     assert!(answered);
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -99,10 +99,10 @@
     assert_eq!(read_reply(&mut newest).expect("an answer").status, 200);
     wait_until("the oldest is closed", || is_closed(&half[0]));
     // While the crowd's half requests are young a job is turned away at once; as they age, one is served.
-    let mut asked = 0;
+    let mut attempts = 0;
     wait_until("a job is served", || {
-        asked += 1;
-        let reply = send_job(program.platform, &format!("d{asked}"), "balance", "take started done=x");
+        attempts += 1;
+        let reply = send_job(program.platform, &format!("d{attempts}"), "balance", "take started done=x");
         let turned_away =
             reply.status == 503 && worker.job_count.load(std::sync::atomic::Ordering::SeqCst) == 0;
         assert!(turned_away || (reply.status, reply.body.as_str()) == (200, "x"), "{}", reply.head);
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -138,10 +138,14 @@
     let tried = Instant::now();
     wait_until("some of its time is over", || tried.elapsed() > Duration::from_millis(500));
     let (seen, _) = late.written(program);
-    let told = seen
+    let milliseconds_left = seen
         .lines()
         .find_map(|line| line.to_ascii_lowercase().strip_prefix("x-time-left-ms: ")?.parse::<u64>().ok());
-    assert!(told.is_some_and(|told| told > 0 && told <= 2_000), "told {told:?} of 2500 ms, 500 ms later");
+    assert!(
+        milliseconds_left
+            .is_some_and(|milliseconds_left| milliseconds_left > 0 && milliseconds_left <= 2_000),
+        "told {milliseconds_left:?} of 2500 ms, 500 ms later"
+    );
 }
 
 /// An attempt may have run, and the window in which its repeat is dropped ends while the next one's connection is on its way.
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -23,7 +23,7 @@
     (program, peer, home)
 }
 
-fn hears(peer: &UdpSocket, what: &[u8]) {
+fn wait_for_datagram(peer: &UdpSocket, what: &[u8]) {
     let mut buf = [0; 16];
     while !matches!(peer.recv_from(&mut buf).expect("a datagram"), (len, _) if &buf[..len] == what) {}
 }
@@ -34,25 +34,25 @@
     let worker = FakeWorker::start("s-1");
     let (program, peer, home) = beside_a_peer(std::slice::from_ref(&worker));
     let mut client = connect(program.platform);
-    let mut ask = |id: String| {
+    let mut send_on_kept_connection = |id: String| {
         client
             .write_all(job_request(&id, "balance", "take started pause=150 done=x", "").as_bytes())
             .expect("written");
         read_reply(&mut client).expect("an answer on a kept connection")
     };
-    assert_eq!(ask("a0".into()).status, 200);
+    assert_eq!(send_on_kept_connection("a0".into()).status, 200);
     peer.send_to(b"S", home).expect("sent");
     program.terminate();
-    hears(&peer, b"S");
+    wait_for_datagram(&peer, b"S");
     for n in 0..6 {
-        let reply = ask(format!("b{n}"));
+        let reply = send_on_kept_connection(format!("b{n}"));
         assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
     peer.send_to(b"U", home).expect("sent");
-    hears(&peer, b"S"); // the one that has come back is told
-    assert_eq!(ask("c0".into()).header("Connection"), Some("close"));
+    wait_for_datagram(&peer, b"S"); // the one that has come back is told
+    assert_eq!(send_on_kept_connection("c0".into()).header("Connection"), Some("close"));
     // Datagrams get lost: it goes on saying that it stops.
-    (0..3).for_each(|_| hears(&peer, b"S"));
+    (0..3).for_each(|_| wait_for_datagram(&peer, b"S"));
     let (clean, log) = program.wait_for_exit();
     assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
 }
@@ -64,7 +64,7 @@
     peer.send_to(b"S", home).expect("sent");
     peer.send_to(b"U", home).expect("sent");
     program.terminate();
-    hears(&peer, b"S");
+    wait_for_datagram(&peer, b"S");
     let reply = send(program.platform, &simple_job("d0")).expect("an answer");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     assert!(program.wait_for_exit().0);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -195,13 +195,13 @@
         lines.flatten().filter(|line| line.contains("POST ") && line.contains(" last ")).count()
     };
     let before = count(); // on a busy machine one may not have been taken in time
-    let told = send_status_update(program.platform, "last", &from.name, "returned");
+    let callback = send_status_update(program.platform, "last", &from.name, "returned");
     drop(crowd);
     drop(stream);
     wait_until_arrived(program.platform);
     program.resume();
     serve_one(program.platform, "after");
-    drop(told);
+    drop(callback);
     assert_eq!(count(), before);
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["gone"], metrics["broken_invariants"]), (1, 0));
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -240,25 +240,25 @@
     }
 
     /// A list such as `+1 full 1d 2u`: its version beside the one that is held, and its rows.
-    fn list(&self, held: u64, text: &str) -> Value {
+    fn list(&self, held_version: u64, text: &str) -> Value {
         let mut words = text.split(' ').filter(|word| !word.is_empty());
         let version = words.next().and_then(|word| word.parse::<i64>().ok()).expect("a version");
         let full = words.next() == Some("whole");
         let rows: Vec<Value> = words.map(|word| endpoint_from_word(&self.workers, word)).collect();
-        list(held.checked_add_signed(version).expect("above 0"), full, &rows)
+        list(held_version.checked_add_signed(version).expect("above 0"), full, &rows)
     }
 
     /// The bytes of what a row says is sent, its parts apart by `|`.
-    fn bytes(&self, held: u64, sent: &str) -> Vec<u8> {
+    fn bytes(&self, held_version: u64, sent: &str) -> Vec<u8> {
         let part = |part: &str| match part.trim().split_once(' ').unwrap_or((part.trim(), "")) {
             ("watch", _) => WATCH_RESPONSE_HEAD.to_owned(),
-            ("indented", text) => chunk(&format!("{:#}\r\n\n", self.list(held, text))),
+            ("indented", text) => chunk(&format!("{:#}\r\n\n", self.list(held_version, text))),
             ("half", text) => {
-                let text = self.list(held, text).to_string();
+                let text = self.list(held_version, text).to_string();
                 chunk(&text[..text.len() / 2])
             }
             ("bytes", text) => {
-                let pieces = self.list(held, text).to_string().into_bytes();
+                let pieces = self.list(held_version, text).to_string().into_bytes();
                 pieces.iter().map(|byte| chunk(&char::from(*byte).to_string())).collect::<String>()
                     + &chunk("\n")
             }
@@ -266,7 +266,7 @@
             ("deep", _) => chunk(&("[".repeat(10_000) + &"]".repeat(10_000) + "\n")),
             ("raw", text) => text.replace("\\n", "\r\n"),
             ("text", text) => chunk(&format!("{text}\n")),
-            _ => chunk(&format!("{}\n", self.list(held, part))),
+            _ => chunk(&format!("{}\n", self.list(held_version, part))),
         };
         sent.split('|').map(part).collect::<String>().into_bytes()
     }
@@ -282,15 +282,19 @@
     }
 
     /// Each of these, and nobody else, gets jobs.
-    fn check_takers(&self, takers: &str, held: u64, row: &str) {
+    fn check_used_workers(&self, expected_workers: &str, held_version: u64, row: &str) {
         let jobs = || self.workers.each_ref().map(|worker| worker.job_count.load(Ordering::SeqCst));
         let before = jobs();
-        for (n, word) in takers.split(' ').cycle().take(6).enumerate() {
-            send_until_used(&self.program, &self.workers[worker_index(word)], &format!("t{held}-{n}-"));
+        for (n, word) in expected_workers.split(' ').cycle().take(6).enumerate() {
+            send_until_used(
+                &self.program,
+                &self.workers[worker_index(word)],
+                &format!("t{held_version}-{n}-"),
+            );
         }
         let used = (0..4).filter(|worker_index| jobs()[*worker_index] > before[*worker_index]);
         let used: Vec<&str> = used.map(|worker_index| ["1", "2", "3", "2m"][worker_index]).collect();
-        assert_eq!(used.join(" "), takers, "{row}");
+        assert_eq!(used.join(" "), expected_workers, "{row}");
     }
 }
 
@@ -344,37 +348,41 @@
 fn endpoint_table_stays_consistent_whatever_watch_sends() {
     let site = Site::start();
     wait_until("a watch", || !site.discovery.watch_indices().is_empty());
-    let (mut held, mut counted) = (0, vec![0; 3]);
+    let (mut held_version, mut counted) = (0, vec![0; 3]);
     for case in CASES.trim().lines() {
         let fields: Vec<&str> = case.split("; ").collect();
-        let [when, after, takers, counts, sent, then @ ..] = &fields[..] else { panic!("{case}") };
-        let (first, goes_on) = (*when == "first", *after == "goes on");
-        held += 100;
+        let [when, after, expected_workers, counts, sent, then @ ..] = &fields[..] else { panic!("{case}") };
+        let (first, is_kept) = (*when == "first", *after == "goes on");
+        held_version += 100;
         let calls = site.discovery.watch_indices().len();
-        site.discovery.script_watches(&[], site.list(held, "+0 whole 1d 2u"));
+        site.discovery.script_watches(&[], site.list(held_version, "+0 whole 1d 2u"));
         site.discovery.close_watches();
         site.next_watch_index(calls, "", case);
-        let mut sent_bytes = site.bytes(held, sent);
-        if goes_on {
-            sent_bytes.extend(site.bytes(held, "+50 change")); // heard on this watch, or not at all
+        let mut sent_bytes = site.bytes(held_version, sent);
+        if is_kept {
+            sent_bytes.extend(site.bytes(held_version, "+50 change")); // heard on this watch, or not at all
         }
-        let index = if goes_on { held + 50 } else { after.parse().map_or(0, |after: u64| held + after) };
+        let index = if is_kept {
+            held_version + 50
+        } else {
+            after.parse().map_or(0, |after: u64| held_version + after)
+        };
         let next_list =
-            then.first().map_or_else(|| site.list(index, "+0 change"), |then| site.list(held, then));
+            then.first().map_or_else(|| site.list(index, "+0 change"), |then| site.list(held_version, then));
         if first {
             site.discovery.script_watches(&[ScriptedResponse::Raw(sent_bytes)], next_list);
             site.discovery.close_watches();
-            assert_eq!(site.next_watch_index(calls + 1, "", case), held, "before {case}");
+            assert_eq!(site.next_watch_index(calls + 1, "", case), held_version, "before {case}");
         } else {
             site.discovery.script_watches(&[], next_list);
             site.discovery.write_to_watches(&sent_bytes);
         }
-        if goes_on {
+        if is_kept {
             site.discovery.close_watches();
         }
         let (calls, alive) = if first { (calls + 2, "") } else { (calls + 1, "1\r\n\n\r\n") };
         assert_eq!(site.next_watch_index(calls, alive, case), index, "{case}");
-        site.check_takers(takers, held, case);
+        site.check_used_workers(expected_workers, held_version, case);
         let counts = counts.split(' ').map(|count| count.parse::<u64>().expect("a count"));
         counted.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
     }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -49,8 +49,8 @@
     assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", second.address));
     wait_until("a watch of the new one", || second.calls.load(Ordering::SeqCst) > 0);
     // Versions of another service need not compare: everything is asked for.
-    let asked = second.request_lines.lock().expect("a lock").clone();
-    assert_eq!(asked, ["GET /discovery/hosts?stream=1&index=0 HTTP/1.1"]);
+    let request_lines = second.request_lines.lock().expect("a lock").clone();
+    assert_eq!(request_lines, ["GET /discovery/hosts?stream=1&index=0 HTTP/1.1"]);
     let mut n = 0;
     while new.job_count.load(Ordering::SeqCst) == 0 {
         serve_one(&program, &format!("b{n}"));
@@ -271,8 +271,9 @@
         .filter_map(|link| Some(link.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
         .collect();
     assert!(!sockets.is_empty(), "the program listens on sockets");
-    let held: Vec<&String> = sockets.iter().filter(|inode| inodes.contains(&inode.as_str())).collect();
-    assert!(held.is_empty(), "Unix sockets held: {held:?} of {sockets:?}");
+    let held_sockets: Vec<&String> =
+        sockets.iter().filter(|inode| inodes.contains(&inode.as_str())).collect();
+    assert!(held_sockets.is_empty(), "Unix sockets held: {held_sockets:?} of {sockets:?}");
     program.signal("-HUP");
     serve_one(&program, "u1");
     program.terminate();
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -100,18 +100,18 @@
         })
         .start();
     let mut buf = [0; 256];
-    let mut hears = |what: &dyn Fn(&[u8]) -> bool| loop {
+    let mut wait_for_datagram = |what: &dyn Fn(&[u8]) -> bool| loop {
         let (len, from) = peer.recv_from(&mut buf).expect("a datagram");
         if what(&buf[..len]) {
             return (from, buf[..len].to_vec());
         }
     };
-    let (program_at, _) = hears(&|word| word == b"U");
+    let (program_at, _) = wait_for_datagram(&|datagram| datagram == b"U");
     // So long ago that what it lacks may count; a word cut short, and one too long.
-    for word in [&b"H\0\0\x0e\x10"[..], b"H\0\0\0", b"H\0\0\0\0\0"] {
-        peer.send_to(word, program_at).expect("sent");
+    for datagram in [&b"H\0\0\x0e\x10"[..], b"H\0\0\0", b"H\0\0\0\0\0"] {
+        peer.send_to(datagram, program_at).expect("sent");
     }
-    hears(&|word| word == b"U"); // they came before this was said again
+    wait_for_datagram(&|datagram| datagram == b"U"); // they came before this was said again
     assert_eq!(ready(&program), 503, "3.6 s ago");
     peer.send_to(b"H\0\0\x03\xe8", program_at).expect("sent");
     wait_until("it serves: 1 s ago", || ready(&program) == 200);
@@ -120,8 +120,8 @@
     peer.send_to(b"U", program_at).expect("sent");
     peer.send_to(&[b'W', 0, 1, 2], program_at).expect("sent");
     peer.send_to(b"U", program_at).expect("sent");
-    let (_, word) = hears(&|word| word.first() == Some(&b'H'));
-    assert!(matches!(word[..], [b'H', 0, 0, _, _]), "{word:?}");
+    let (_, datagram) = wait_for_datagram(&|datagram| datagram.first() == Some(&b'H'));
+    assert!(matches!(datagram[..], [b'H', 0, 0, _, _]), "{datagram:?}");
 }
 
 /// Discovery that can't be reached, or has had its time, keeps nobody from serving: the list of before is used as it is.
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -108,26 +108,26 @@
 #[test]
 fn failures_are_plain_before_stream_and_events_after() {
     let (_nodes, _program, sse) = fleet(2);
-    let ask = |id: &str, class: &str, body: &str| {
+    let send_job = |id: &str, class: &str, body: &str| {
         // Only what ends by its deadline needs a short one.
         let left = if ["full", "stream started running=0.1 returned"].contains(&body) { 7000 } else { 1500 };
         let extra = format!("{ACCEPT}X-Time-Left-Ms: {left}\r\n");
         watch(sse, &job_request(id, class, body, &extra), |_| false)
     };
     // Of a class that may be denied even if a dispatch was not taken in time, as happens on a machine that is very busy.
-    let seen = ask("b0", "balance", "full");
+    let seen = send_job("b0", "balance", "full");
     assert_eq!((seen.status, seen.streams, seen.finals()), (503, false, 1));
     assert!(seen.head.contains("\r\nRetry-After: "), "{}", seen.head);
-    let seen = ask("b1", "redeem", "take hang");
+    let seen = send_job("b1", "redeem", "take hang");
     assert_eq!((seen.status, seen.streams, seen.finals()), (504, false, 1));
-    let seen = ask("b2", "balance", "stream started running=0.1 returned");
+    let seen = send_job("b2", "balance", "stream started running=0.1 returned");
     assert_eq!((seen.status, seen.streams, seen.finals()), (200, true, 1));
     assert_eq!(seen.names().last(), Some(&"deny"));
     assert!(seen.data(seen.events.len() - 1)["retry_after"].as_f64().is_some_and(|s| s > 0.0));
-    let seen = ask("b3", "redeem", "stream started running=0.1 failed");
+    let seen = send_job("b3", "redeem", "stream started running=0.1 failed");
     assert_eq!((seen.names().last(), seen.finals()), (Some(&"failed"), 1));
     // The worker tells progress once and then nothing: the deadline ends the session.
-    let seen = ask("b4", "redeem", "stream started running=0.1 hang");
+    let seen = send_job("b4", "redeem", "stream started running=0.1 hang");
     assert_eq!((seen.names(), seen.finals()), (vec!["started", "progress", "failed"], 1));
     assert_eq!(seen.data(2)["status"], 504);
     assert!(seen.heartbeats > 0, "a quiet stream is kept alive");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -142,25 +142,25 @@
 fn survives_death_of_either_process() {
     let (folder, worker) = (Folder::new("die"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let ask =
+    let send_job =
         |to: &DispatcherProcess, id: &str| send(to.platform, &simple_job(id)).expect("an answer").status;
     let mut predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
     let successor = start_successor(&folder, workers, &predecessor);
-    assert_eq!(ask(&successor, "e0"), 200);
+    assert_eq!(send_job(&successor, "e0"), 200);
     successor.signal("-KILL");
     predecessor.wait_for_log("upgrade: the new process has ended; this one serves again");
-    assert_eq!((ready(&predecessor), ask(&predecessor, "e1")), (200, 200));
+    assert_eq!((ready(&predecessor), send_job(&predecessor, "e1")), (200, 200));
     let third = start_successor(&folder, workers, &predecessor);
-    assert_eq!(ask(&third, "e2"), 200);
+    assert_eq!(send_job(&third, "e2"), 200);
     predecessor.signal("-KILL");
     drop(predecessor);
-    assert_eq!((ready(&third), ask(&third, "e3")), (200, 200));
+    assert_eq!((ready(&third), send_job(&third, "e3")), (200, 200));
     third.signal("-KILL");
     let listen = third.platform.to_string();
     drop(third);
     assert!(std::fs::read_dir(&folder.0).expect("a folder").count() > 0, "its socket file is still there");
     let fourth = start_in(&folder.0, workers, &listen);
-    assert_eq!((ready(&fourth), ask(&fourth, "e4")), (200, 200));
+    assert_eq!((ready(&fourth), send_job(&fourth, "e4")), (200, 200));
 }
 
 /// A predecessor that is asked and says nothing must not hold the successor up for the 6 s it has, nor end it.
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -15,14 +15,14 @@
     let reply = send(to, &job_request(id, "redeem", body, &format!("Prefer: respond-async\r\n{extra}")))
         .expect("an answer");
     assert_eq!(reply.status, 202, "{}", reply.head);
-    let place = reply.header("Location").expect("a place").to_owned();
-    let told: serde_json::Value = serde_json::from_str(&reply.body).expect("JSON");
-    assert_eq!(told["stream"].as_str(), Some(place.as_str()));
-    place
+    let location = reply.header("Location").expect("a place").to_owned();
+    let transferred_part: serde_json::Value = serde_json::from_str(&reply.body).expect("JSON");
+    assert_eq!(transferred_part["stream"].as_str(), Some(location.as_str()));
+    location
 }
 
-fn get(place: &str, extra: &str) -> String {
-    format!("GET {place} HTTP/1.1\r\nHost: n0\r\n{extra}\r\n")
+fn get(location: &str, extra: &str) -> String {
+    format!("GET {location} HTTP/1.1\r\nHost: n0\r\n{extra}\r\n")
 }
 
 /// A stream as a client reads it.
@@ -39,12 +39,12 @@
 }
 
 impl Stream {
-    fn open(to: SocketAddr, place: &str, extra: &str) -> Stream {
-        Stream::on(connect(to), place, extra)
+    fn open(to: SocketAddr, location: &str, extra: &str) -> Stream {
+        Stream::on(connect(to), location, extra)
     }
 
-    fn on(mut connection: TcpStream, place: &str, extra: &str) -> Stream {
-        connection.write_all(get(place, extra).as_bytes()).expect("written");
+    fn on(mut connection: TcpStream, location: &str, extra: &str) -> Stream {
+        connection.write_all(get(location, extra).as_bytes()).expect("written");
         connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
         let mut stream = Stream {
             connection,
@@ -118,8 +118,8 @@
 fn submitted_job_is_watched_resumed_and_finished() {
     let worker = FakeWorker::start("s-1");
     let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
-    let place = submit(sse, "a1", "take started running=0.2 wait=more running=0.7 done=paid", "");
-    let mut first = Stream::open(sse, &place, "Accept: text/event-stream\r\n");
+    let location = submit(sse, "a1", "take started running=0.2 wait=more running=0.7 done=paid", "");
+    let mut first = Stream::open(sse, &location, "Accept: text/event-stream\r\n");
     assert_eq!((first.status, first.read_until(2)), (200, vec!["1 started".into(), "2 progress".into()]));
     assert!(
         first.head.contains("Cache-Control: no-store") && first.events.retry() == Some(500),
@@ -129,7 +129,7 @@
     drop(first); // it drops; the job goes on
     worker.open_gate("more");
     wait_until("the job is done", || {
-        let again = Stream::open(sse, &place, "Last-Event-ID: 3\r\n").read_out();
+        let again = Stream::open(sse, &location, "Last-Event-ID: 3\r\n").read_out();
         again.names() == ["4 done"]
     });
     // Two that had got to different places, one of them by the query; and one that had nothing.
@@ -139,7 +139,7 @@
         ("Last-Event-ID: 3\r\n", "&last_event_id=1", vec!["4 done"]),
         ("Last-Event-ID: nonsense\r\n", "", vec!["1 started", "2 progress", "3 progress", "4 done"]),
     ] {
-        let stream = Stream::open(sse, &format!("{place}{query}"), extra).read_out();
+        let stream = Stream::open(sse, &format!("{location}{query}"), extra).read_out();
         assert_eq!(
             (stream.status, stream.names()),
             (200, expected.iter().map(|e| (*e).to_owned()).collect())
@@ -147,7 +147,7 @@
         assert_eq!(stream.received.last().map(|e| e.data.as_str()), Some("{\"result\":\"paid\"}"));
     }
     // It has the final event: there is nothing to come back for.
-    assert_eq!(send(sse, &get(&place, "Last-Event-ID: 4\r\n")).expect("an answer").status, 204);
+    assert_eq!(send(sse, &get(&location, "Last-Event-ID: 4\r\n")).expect("an answer").status, 204);
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["taken"], metrics["served"]), (1, 1));
 }
@@ -157,10 +157,10 @@
 fn independent_reader_gets_same_events() {
     let worker = FakeWorker::start("s-1");
     let (_program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
-    let place = submit(sse, "a1", "take started running=0.5 done=two\\nlines", "");
-    let mut stream = Stream::open(sse, &place, "").read_out();
+    let location = submit(sse, "a1", "take started running=0.5 done=two\\nlines", "");
+    let mut stream = Stream::open(sse, &location, "").read_out();
     if stream.received.last().is_none_or(|e| e.name != "done") {
-        stream = Stream::open(sse, &place, "").read_out();
+        stream = Stream::open(sse, &location, "").read_out();
     }
     let chunks = stream.raw.chunks(7).map(|c| Ok::<_, std::io::Error>(c.to_vec()));
     let read = futures_executor::block_on(async {
@@ -187,8 +187,8 @@
     let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
     let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).args(&args).start();
     let sse = program.sse.expect("the SSE front is on");
-    let place = submit(sse, "a1", "take started wait=end done=x", "Origin: https://pay.example\r\n");
-    let (path, token) = place.split_once("?token=").expect("a token");
+    let location = submit(sse, "a1", "take started wait=end done=x", "Origin: https://pay.example\r\n");
+    let (path, token) = location.split_once("?token=").expect("a token");
     let other = submit(sse, "a2", "take started wait=end done=x", "");
     let others = other.split_once("?token=").expect("a token").1;
     let unknown =
@@ -200,24 +200,28 @@
         (get(&format!("{path}?token=zz"), ""), 403, ""),
         (get("/streams/", ""), 403, ""),
         (get("/streams/../x", ""), 403, ""),
-        (get(&place, "Accept: application/json\r\n"), 406, ""),
-        (get(&place, "Accept: text/event-stream;q=0, */*\r\n"), 406, ""),
+        (get(&location, "Accept: application/json\r\n"), 406, ""),
+        (get(&location, "Accept: text/event-stream;q=0, */*\r\n"), 406, ""),
         (get("/elsewhere", ""), 404, ""),
-        (get(&place, "").replacen("GET", "DELETE", 1), 405, "Allow: GET, HEAD, OPTIONS"),
-        (get(&place, "").replacen("GET", "HEAD", 1), 200, "text/event-stream"),
+        (get(&location, "").replacen("GET", "DELETE", 1), 405, "Allow: GET, HEAD, OPTIONS"),
+        (get(&location, "").replacen("GET", "HEAD", 1), 200, "text/event-stream"),
         (
             get(path, &format!("Authorization: Bearer {token}\r\n")).replacen("GET", "HEAD", 1),
             200,
             "no-store",
         ),
-        (get(&place, "Origin: https://evil.example\r\n").replacen("GET", "OPTIONS", 1), 403, ""),
+        (get(&location, "Origin: https://evil.example\r\n").replacen("GET", "OPTIONS", 1), 403, ""),
         (get("/redeem", "").replacen("GET", "OPTIONS", 1), 403, ""),
         (
             get("/redeem", ok).replacen("GET", "OPTIONS", 1),
             204,
             "Access-Control-Allow-Origin: https://pay.example",
         ),
-        (get(&place, ok).replacen("GET", "HEAD", 1), 200, "Access-Control-Allow-Origin: https://pay.example"),
+        (
+            get(&location, ok).replacen("GET", "HEAD", 1),
+            200,
+            "Access-Control-Allow-Origin: https://pay.example",
+        ),
         (job_request("a3", "redeem", "x", "Prefer: respond-async\r\nX-Unwatched: perhaps\r\n"), 400, ""),
         (job_request("a1", "redeem", "x", "Prefer: respond-async\r\n"), 409, ""), // that id is open
     ];
@@ -253,7 +257,7 @@
     // HTTP/1.0 knows no chunks: the stream is as it is, and ends with its connection.
     worker.open_gate("end");
     let mut old = connect(sse);
-    old.write_all(get(&place, "").replace("HTTP/1.1", "HTTP/1.0").as_bytes()).expect("written");
+    old.write_all(get(&location, "").replace("HTTP/1.1", "HTTP/1.0").as_bytes()).expect("written");
     let mut text = String::new();
     old.read_to_string(&mut text).expect("text");
     assert!(!text.contains("Transfer-Encoding") && text.contains("Connection: close"), "{text}");
@@ -300,16 +304,20 @@
     wait_until("it is done", || {
         Stream::open(sse, &done, "").read_out().names().last().is_some_and(|n| n == "2 done")
     });
-    let place = submit(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
-    let mut watching = Stream::open(sse, &place, "");
+    let location = submit(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
+    let mut watching = Stream::open(sse, &location, "");
     assert_eq!(watching.read_until(2), ["1 started", "2 progress"]);
     let successor = begin(&predecessor.platform.to_string(), Some(sse));
     assert_eq!(successor.sse, Some(sse));
-    let told = watching.read_out();
-    assert_eq!(told.names(), ["1 started", "2 progress"], "its stream ended without its final event");
+    let transferred_part = watching.read_out();
+    assert_eq!(
+        transferred_part.names(),
+        ["1 started", "2 progress"],
+        "its stream ended without its final event"
+    );
     predecessor.terminate();
     assert!(predecessor.wait_for_exit().0, "the predecessor ends cleanly");
-    let mut back = Stream::open(sse, &place, "Last-Event-ID: 2\r\n");
+    let mut back = Stream::open(sse, &location, "Last-Event-ID: 2\r\n");
     assert_eq!(back.status, 200);
     worker.open_gate("go");
     back = back.read_out();
@@ -321,10 +329,10 @@
 }
 
 /// Watches a job to its end, dropping and coming back at any point: its one final event, after all others. Then it is over.
-fn follow(sse: SocketAddr, place: &str, rng: &mut fastrand::Rng) -> String {
+fn follow(sse: SocketAddr, location: &str, rng: &mut fastrand::Rng) -> String {
     let (mut last, mut end) = (0u64, None);
     while end.is_none() {
-        let mut stream = Stream::open(sse, place, &format!("Last-Event-ID: {last}\r\n"));
+        let mut stream = Stream::open(sse, location, &format!("Last-Event-ID: {last}\r\n"));
         assert_eq!(stream.status, 200);
         let stay = rng.usize(0..4);
         let whole = rng.bool();
@@ -340,7 +348,7 @@
             end = ["done", "deny", "failed"].contains(&event.name.as_str()).then(|| event.name.clone());
         }
     }
-    let over = send(sse, &get(place, &format!("Last-Event-ID: {last}\r\n"))).expect("an answer");
+    let over = send(sse, &get(location, &format!("Last-Event-ID: {last}\r\n"))).expect("an answer");
     assert_eq!(over.status, 204);
     end.unwrap_or_default()
 }
@@ -367,8 +375,8 @@
             let mut rng = fastrand::Rng::with_seed(c);
             let job = |n: u64| {
                 let fault = FAULTS[(c + n) as usize % FAULTS.len()];
-                let place = submit(sse, &format!("k{c}-{n}"), fault, "X-Time-Left-Ms: 400\r\n");
-                follow(sse, &place, &mut rng)
+                let location = submit(sse, &format!("k{c}-{n}"), fault, "X-Time-Left-Ms: 400\r\n");
+                follow(sse, &location, &mut rng)
             };
             (0..each).map(job).collect::<Vec<_>>()
         };
@@ -397,8 +405,8 @@
             let mut finals = 0;
             for n in 0..each {
                 let body = "take started running=0.1 pause=2 running=0.4 running=0.8 pause=1 done=x";
-                let place = submit(sse, &format!("j{c}-{n}"), body, "");
-                follow(sse, &place, &mut rng);
+                let location = submit(sse, &format!("j{c}-{n}"), body, "");
+                follow(sse, &location, &mut rng);
                 finals += 1;
             }
             finals
@@ -418,9 +426,9 @@
 fn slow_watcher_loses_progress_but_not_final_event() {
     let worker = FakeWorker::start("s-1");
     let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
-    let place = submit(sse, "a1", "stream started wait=go flood=20000 wait=end done=x", "");
+    let location = submit(sse, "a1", "stream started wait=go flood=20000 wait=end done=x", "");
     let mut slow = connect(sse);
-    slow.write_all(get(&place, "").as_bytes()).expect("written");
+    slow.write_all(get(&location, "").as_bytes()).expect("written");
     let mut buf = [0; 64];
     assert!(slow.read(&mut buf).expect("read") > 0);
     worker.open_gate("go");
@@ -447,18 +455,18 @@
 fn reconnect_during_final_event_gets_it() {
     let worker = FakeWorker::start("s-1");
     let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
-    let place = submit(sse, "a1", "stream started wait=go flood=20000 done=x", "");
+    let location = submit(sse, "a1", "stream started wait=go flood=20000 done=x", "");
     let slow = connect(sse);
     rustix::net::sockopt::set_socket_recv_buffer_size(&slow, 4096).expect("a socket option");
-    let mut slow = Stream::on(slow, &place, "");
+    let mut slow = Stream::on(slow, &location, "");
     assert_eq!(slow.read_until(1), ["1 started"]);
-    let quick = Stream::open(sse, &place, "");
+    let quick = Stream::open(sse, &location, "");
     worker.open_gate("go");
     // Another has the whole of it: the job is over, and the slow one has read nothing since its start.
     let quick = quick.read_out();
     let end = quick.names().last().cloned().unwrap_or_default();
     assert!(end.ends_with(" done"), "{end}");
-    let back = Stream::open(sse, &place, "Last-Event-ID: 1\r\n").read_out();
+    let back = Stream::open(sse, &location, "Last-Event-ID: 1\r\n").read_out();
     let slow = slow.read_out();
     for stream in [&back, &slow] {
         let names = stream.names();
@@ -470,6 +478,6 @@
         assert!(names.len() < 20_000, "progress is left out");
     }
     let last = end.split(' ').next().unwrap_or_default();
-    let over = send(sse, &get(&place, &format!("Last-Event-ID: {last}\r\n"))).expect("an answer");
+    let over = send(sse, &get(&location, &format!("Last-Event-ID: {last}\r\n"))).expect("an answer");
     assert_eq!((over.status, program.shut_down_for_metrics()["served"]), (204, 1));
 }
