--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The document itself.
+    /// The JSON value of the whole file.
     pub(super) fn into_root(self) -> Value {
         self.root
     }
@@ -49,7 +49,7 @@
         (self.env)(variable).or_else(|| self.text(key).map(str::to_owned))
     }
 
-    /// Likewise, where it must be given.
+    /// A text that the environment variable or the file must give.
     pub(super) fn required_text(&self, variable: &str, key: &'static str) -> Result<String, ConfigError> {
         self.variable_or_text(variable, key).ok_or(ConfigError::Missing(key))
     }
@@ -68,11 +68,13 @@
         seed.ok_or_else(|| self.malformed(FileContentError::BadSeed))
     }
 
+    /// The machine's limits; the defaults where the file gives none.
     pub(super) fn limits(&self) -> Result<MachineLimits, ConfigError> {
         let Some(value) = self.root.get("limits") else { return Ok(MachineLimits::default()) };
         MachineLimits::deserialize(value).map_err(|error| self.malformed(FileContentError::BadLimits(error)))
     }
 
+    /// The addresses of all dispatchers of the tier; empty where the file gives none.
     pub(super) fn peers(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let peers = self.root.get("peers").and_then(Value::as_array);
         let addresses = peers.into_iter().flatten().map(|peer| match peer.as_str() {
@@ -100,7 +102,7 @@
     known_names: &SiteNames,
 ) -> Result<(Settings, SiteNames), ConfigError> {
     let (settings, names) = settings(profile, &known_names.0).map_err(|error| unreadable(&error))?;
-    check(&settings, &names).map_err(ConfigError::BadSettings)?;
+    check_settings(&settings, &names).map_err(ConfigError::BadSettings)?;
     Ok((settings, SiteNames(names)))
 }
 
@@ -108,7 +110,8 @@
     ConfigError::BadSettings(ModuleSettingsError::Unreadable(error.to_string()))
 }
 
-fn check(settings: &Settings, names: &Names) -> Result<(), ModuleSettingsError> {
+/// Names and settings must agree, and the decision module must take the settings.
+fn check_settings(settings: &Settings, names: &Names) -> Result<(), ModuleSettingsError> {
     let has_class_names = names.classes.names().len() == settings.classes.len();
     let has_tenant_names = names.tenants.names().len() == settings.tenants.len();
     if !has_class_names || !has_tenant_names {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -108,7 +108,7 @@
         Config::parse(text, file, env, &SiteNames::default())
     }
 
-    /// Likewise, for a program that has met `known_names`.
+    /// Parses a configuration's text, for a program that has met `known_names`: their zones and kinds keep their ids.
     fn parse(
         text: &str,
         file: &str,
