--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -1,7 +1,7 @@
 //! What every decision has at hand.
 
 use crate::policy::interface::{Class, EndpointEntry, Settings};
-use crate::policy::state::{Job, PolicyState};
+use crate::policy::state::{Estimates, Job, PolicyState};
 
 /// The decisions of one node, with their settings, their random numbers and what they rest on. The decisions themselves are
 /// methods in `src/policy/rules`.
@@ -22,6 +22,11 @@
         &self.settings.classes[usize::from(job.request.class.0)]
     }
 
+    /// What is learned from reports and run times.
+    pub fn estimates(&self) -> &Estimates {
+        &self.state.estimates
+    }
+
     /// Whether a worker has been running for its whole warm-up time.
     pub fn is_warm(&self, listed: &EndpointEntry) -> bool {
         self.state.is_warm(listed, self.settings.warm_up_time)
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -105,7 +105,7 @@
         let Some(started) = policy.state.attempt_started(id, attempt) else { return };
         policy.record_start(&started);
         policy.state.cancel_unstarted(id, &policy.settings, actions);
-        policy.state.learn_start_delay(started.waited as f64, policy.settings.tick as f64);
+        policy.state.estimates.learn_start_delay(started.waited as f64, policy.settings.tick as f64);
         policy.review_queued(actions);
     }
 
@@ -142,7 +142,7 @@
         } else if let Some(report) = &response.report {
             policy.record_report(response.worker, report);
         }
-        policy.state.probe_delay.add(response.elapsed.min(policy.window()) as f64);
+        policy.state.estimates.probe_delay.add(response.elapsed.min(policy.window()) as f64);
         for job in probe.waiting_jobs {
             if policy.state.is_last_probe_of(job) {
                 policy.review(job, actions);
@@ -176,7 +176,7 @@
 
     /// Copies what was learned of the class `source` to another one.
     pub fn copy_class(&mut self, class: usize, source: usize) {
-        self.policy.state.copy_class(class, source);
+        self.policy.state.estimates.copy_class(class, source);
     }
 
     /// What it has learned so far.
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -26,7 +26,7 @@
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.nodes);
         let jobs = (self.state.queued.len() + 1) as f64;
-        let work = jobs * self.state.mean_work() * self.state.slowness.value.max(1.0);
+        let work = jobs * self.estimates().mean_work() * self.estimates().slowness.value.max(1.0);
         Some(((work / own_slots).min(max as f64) as Micros).max(self.settings.tick))
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn latest_start(&self, job: &Job) -> Micros {
         let class = self.class(job);
         let work = job.work * if job.request.hint.is_some() { 1.0 } else { TYPICAL_FRACTION };
-        let spare_factor = (class.latency_factor - self.state.slowness.value.max(1.0)).max(0.0);
+        let spare_factor = (class.latency_factor - self.estimates().slowness.value.max(1.0)).max(0.0);
         job.arrived + class.latency_objective + (work * spare_factor) as Micros
     }
 
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -13,7 +13,7 @@
         if self.state.gossip.has_offer(listed.worker, self.state.now) {
             return Some(LoadInputs::half_loaded(1.0));
         }
-        let slots = self.state.slots(listed.kind).max(1.0);
+        let slots = self.estimates().slots(listed.kind).max(1.0);
         let occupied =
             self.state.unavailable_slots(listed).map(|by_others| by_others + worker.occupied_slots());
         let advertised =
@@ -69,10 +69,10 @@
         };
         let age = now.saturating_sub(listed.started_at.unwrap_or(0));
         let multiple = self.warm_fraction(age.saturating_sub(window)) * self.settings.collapse_multiple;
-        let slowness = self.state.worker_slowness(worker, listed).max(1.0);
-        let budget = multiple * window as f64 * self.state.slots(listed.kind) / slowness;
+        let slowness = self.estimates().worker_slowness(worker, listed).max(1.0);
+        let budget = multiple * window as f64 * self.estimates().slots(listed.kind) / slowness;
         let (nodes, turn) = (f64::from(place.nodes), f64::from(place.rank + 1));
-        let planned = nodes * sent + turn * work.max(self.state.mean_attempt_work());
+        let planned = nodes * sent + turn * work.max(self.estimates().mean_attempt_work());
         place.rank == 0 && sent == 0.0 || planned <= budget * safety
     }
 }
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -72,16 +72,16 @@
 
     /// How old a load sample may be, and the unit of ejections: it follows the report interval.
     pub fn window(&self) -> Micros {
-        let window = self.state.report_interval * WINDOW_PER_INTERVAL;
+        let window = self.estimates().report_interval * WINDOW_PER_INTERVAL;
         window.clamp(PAPER_WINDOW, PAPER_WINDOW * MAX_WINDOWS) as Micros
     }
 
     /// How long a worker may take to show that it runs a job before that is overdue.
     fn start_timeout(&self, work: f64) -> Micros {
-        let response = OVERDUE * work * self.state.slowness.value.max(1.0);
+        let response = OVERDUE * work * self.estimates().slowness.value.max(1.0);
         let shown =
             self.settings.progress.map_or(response, |interval| response.min(OVERDUE * interval as f64));
-        let usual = if self.settings.reports_start { OVERDUE * self.state.start_delay } else { shown };
+        let usual = if self.settings.reports_start { OVERDUE * self.estimates().start_delay } else { shown };
         usual as Micros + self.settings.tick
     }
 }
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -62,8 +62,8 @@
     pub fn record_report(&mut self, id: WorkerId, report: &LoadReport) {
         let report = report.clean();
         let sample = LoadSample::new(self.state.now, &report);
-        let slots = self.state.worker(id).listed.map_or(1.0, |listed| self.state.slots(listed.kind));
-        let max_errors = (sample.cpu * slots / self.state.mean_work() * 1e6).max(MAX_ERROR_RATE);
+        let slots = self.state.worker(id).listed.map_or(1.0, |listed| self.estimates().slots(listed.kind));
+        let max_errors = (sample.cpu * slots / self.estimates().mean_work() * 1e6).max(MAX_ERROR_RATE);
         if self.is_grouped() && report.err_rps.is_some_and(|errors| errors > max_errors) {
             return self.record_failure(id);
         }
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -117,7 +117,7 @@
             // A worker that is warming up and has its turn counts as half loaded.
             return considered.candidate(Rank::Fresh, -score(&LoadInputs::half_loaded(1.0), spare), slowness);
         }
-        if occupied + needs.slots > self.state.slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
+        if occupied + needs.slots > self.estimates().slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
             return considered.inferior(Rank::Overloaded);
         }
         if self.must_probe_first(considered.is_remote) {
@@ -152,14 +152,14 @@
         let ahead = if is_start_reported { 0.0 } else { occupied.max(-inputs.free_slots) };
         let sample = self.state.fresh_load(listed.worker, self.window());
         let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + ahead + 1.0;
-        let wait = queue * self.state.mean_work() * slowness / self.state.slots(listed.kind);
+        let wait = queue * self.estimates().mean_work() * slowness / self.estimates().slots(listed.kind);
         let is_queue_barred = is_start_reported && (is_remote || worker.has_unstarted());
         if wait * OVERDUE > needs.slack || is_queue_barred { Rank::Overloaded } else { Rank::Full }
     }
 
     /// Where a probe would show a queue, or capacity worth crossing zones, nothing is sent without it.
     fn must_probe_first(&self, is_remote: bool) -> bool {
-        let shows_queue = self.state.reports_queue_length && !self.settings.reports_start;
+        let shows_queue = self.estimates().reports_queue_length && !self.settings.reports_start;
         self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
     }
 }
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -163,7 +163,7 @@
         let is_stale = |id: &WorkerId| self.state.fresh_load(*id, window).is_none();
         let stale: Vec<WorkerId> = sample.iter().copied().filter(is_stale).collect();
         self.state.probe(id, &stale, actions);
-        let delay = self.state.probe_delay.value as Micros + self.settings.tick;
+        let delay = self.estimates().probe_delay.value as Micros + self.settings.tick;
         let until = self.state.now + OVERDUE as Micros * delay;
         self.state.set_sample(id, sample, stale.len(), until);
         self.state.schedule_review(id, until, actions);
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -20,6 +20,7 @@
 const MAX_TABLE: usize = 15;
 
 /// A table of which rows are still to come.
+#[derive(Clone, Copy)]
 struct OpenTable {
     number: usize,
     missing_rows: usize,
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -2,7 +2,8 @@
 //!
 //! The serialized names are those of the first version and must stay.
 
-use super::{ClassStats, LoadSample, Mean, OutlierRecord, PolicyState, Worker};
+use super::class_stats::ClassStats;
+use super::{LoadSample, Mean, OutlierRecord, PolicyState, Worker};
 use crate::policy::interface::{ClassId, KindId, Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -94,14 +95,19 @@
         let class = |stats: &ClassStats| (stats.run_time, (stats.work_sum, stats.job_count));
         Learned {
             workers: self.workers.iter().map(LearnedWorker::new).collect(),
-            slowness_by_kind: self.slowness_by_kind.iter().map(|(kind, mean)| (kind.0, *mean)).collect(),
-            slots_by_kind: self.slots_by_kind.iter().map(|(kind, most)| (kind.0, *most)).collect(),
-            classes: self.classes.iter().map(class).collect(),
-            slowness: self.slowness,
-            report_interval: self.report_interval,
-            start_delay: self.start_delay,
-            probe_delay: self.probe_delay,
-            reports_queue_length: self.reports_queue_length,
+            slowness_by_kind: self
+                .estimates
+                .slowness_by_kind
+                .iter()
+                .map(|(kind, mean)| (kind.0, *mean))
+                .collect(),
+            slots_by_kind: self.estimates.slots_by_kind.iter().map(|(kind, most)| (kind.0, *most)).collect(),
+            classes: self.estimates.classes.iter().map(class).collect(),
+            slowness: self.estimates.slowness,
+            report_interval: self.estimates.report_interval,
+            start_delay: self.estimates.start_delay,
+            probe_delay: self.estimates.probe_delay,
+            reports_queue_length: self.estimates.reports_queue_length,
         }
     }
 
@@ -114,19 +120,21 @@
         }
         let kind = |n: u16| ids.kinds.get(usize::from(n)).copied().flatten();
         let slowness_by_kind = learned.slowness_by_kind.into_iter();
-        self.slowness_by_kind.extend(slowness_by_kind.filter_map(|(n, mean)| Some((kind(n)?, mean))));
+        self.estimates
+            .slowness_by_kind
+            .extend(slowness_by_kind.filter_map(|(n, mean)| Some((kind(n)?, mean))));
         let slots_by_kind = learned.slots_by_kind.into_iter();
-        self.slots_by_kind.extend(slots_by_kind.filter_map(|(n, most)| Some((kind(n)?, most))));
+        self.estimates.slots_by_kind.extend(slots_by_kind.filter_map(|(n, most)| Some((kind(n)?, most))));
         for ((run_time, (work_sum, job_count)), id) in learned.classes.into_iter().zip(&ids.classes) {
-            if let Some(stats) = id.and_then(|id| self.classes.get_mut(usize::from(id.0))) {
+            if let Some(stats) = id.and_then(|id| self.estimates.classes.get_mut(usize::from(id.0))) {
                 *stats = ClassStats { run_time, work_sum, job_count, ..*stats };
             }
         }
-        self.slowness = learned.slowness;
-        self.probe_delay = learned.probe_delay;
-        self.reports_queue_length = learned.reports_queue_length;
+        self.estimates.slowness = learned.slowness;
+        self.estimates.probe_delay = learned.probe_delay;
+        self.estimates.reports_queue_length = learned.reports_queue_length;
         let valid_or = |value: f64, own: f64| if value.is_finite() && value > 0.0 { value } else { own };
-        self.report_interval = valid_or(learned.report_interval, self.report_interval);
-        self.start_delay = valid_or(learned.start_delay, self.start_delay);
+        self.estimates.report_interval = valid_or(learned.report_interval, self.estimates.report_interval);
+        self.estimates.start_delay = valid_or(learned.start_delay, self.estimates.start_delay);
     }
 }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -1,13 +1,14 @@
 //! What the decision module remembers: bookkeeping only; every decision on it is in `src/policy/rules`.
 
 mod class_stats;
+mod estimates;
 mod job;
 mod learned;
 mod mean;
 mod ready_workers;
 mod worker;
 
-pub(crate) use class_stats::ClassStats;
+pub(crate) use estimates::Estimates;
 use job::Attempt;
 pub(crate) use job::{AttemptState, Job};
 pub use learned::{IdMap, Learned};
@@ -23,20 +24,13 @@
 use crate::policy::timer::Timer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Observations of its like that a worker's or kind's own record is blended with.
-const PRIOR_COUNT: f64 = 3.0;
-/// The first guess at the time until an attempt is known to run, in ticks.
-const INITIAL_START_DELAY_TICKS: f64 = 4.0;
 /// How often the wait for an endpoint list may double.
 const MAX_LIST_BACKOFF: u32 = 3;
-/// The slots of a kind of worker of which no report has said more.
-const DEFAULT_SLOTS: f64 = 1.0;
-
 /// All that an instance has learned since its start.
 #[derive(Debug, Default)]
 pub(crate) struct PolicyState {
     pub now: Micros,
-    /// What the nodes of its group have told it.
+    /// What the nodes of its group have advertised.
     pub gossip: GroupGossip,
     pub workers: Vec<Worker>,
     /// Workers that may have an outstanding attempt or be suspect: every one handed out by [`PolicyState::worker_mut`], until
@@ -47,27 +41,13 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that are queued here for a worker, oldest first.
     pub queued: Vec<JobId>,
-    /// Load reports say how many jobs wait.
-    pub reports_queue_length: bool,
     pub last_assigned: Option<WorkerId>,
     /// The connect failures of zones that look cut off.
     pub zones: BTreeMap<ZoneId, OutlierRecord>,
     /// Failures of the endpoint list in a row, as far as the back-off counts them.
     pub list_failures: u32,
-    /// Response time for each unit of expected work: by kind, and of all.
-    pub slowness_by_kind: BTreeMap<KindId, Mean>,
-    pub slowness: Mean,
-    /// The most free slots that a worker of the kind has reported.
-    pub slots_by_kind: BTreeMap<KindId, f64>,
-    /// Reports come with probes alone, so that they are as new as their probe response.
-    is_probed_only: bool,
-    pub classes: Vec<ClassStats>,
-    /// Time between reports of one worker, in microseconds.
-    pub report_interval: f64,
-    /// Time until an attempt is known to run, in microseconds.
-    pub start_delay: f64,
-    /// Time until a probe response, in microseconds.
-    pub probe_delay: Mean,
+    /// What is learned from reports and run times.
+    pub estimates: Estimates,
 }
 
 /// An attempt that has just been found running.
@@ -99,20 +79,16 @@
 impl PolicyState {
     /// A state that knows nothing yet, but for a guess at the time between reports.
     pub fn new(settings: &Settings, report_interval: f64) -> PolicyState {
-        let mut state = PolicyState {
-            report_interval,
-            start_delay: INITIAL_START_DELAY_TICKS * settings.tick as f64,
+        PolicyState {
             gossip: GroupGossip::new(settings),
+            estimates: Estimates::new(settings, report_interval),
             ..PolicyState::default()
-        };
-        state.reconfigure(settings);
-        state
+        }
     }
 
     /// Makes room for these settings' classes, and for their group of nodes if it is another.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        self.is_probed_only = settings.reports == Reports::Probes;
-        self.classes.resize(settings.classes.len(), ClassStats::default());
+        self.estimates.reconfigure(settings);
         self.gossip.regroup(settings);
     }
 
@@ -186,7 +162,7 @@
     /// Records work that is sent or offered to a worker, for a window. A small attempt counts as a mean one: many small ones
     /// make a worker that is warming up collapse as well.
     pub fn record_work(&mut self, id: WorkerId, work: f64, window: Micros) {
-        let (now, work) = (self.now, work.max(self.mean_attempt_work()));
+        let (now, work) = (self.now, work.max(self.estimates.mean_attempt_work()));
         let worker = self.worker_mut(id);
         while worker.recent_work.front().is_some_and(|(at, _)| *at + window <= now) {
             worker.recent_work.pop_front();
@@ -197,26 +173,14 @@
     /// Stores a load sample, and learns the report interval and the kind's slots from it.
     pub fn record_load(&mut self, id: WorkerId, load: LoadSample) {
         let (at, free_slots) = (load.at, load.free_slots);
-        self.reports_queue_length |= load.waiting.is_some();
+        self.estimates.reports_queue_length |= load.waiting.is_some();
         if let Some(previous) = self.worker_mut(id).load.replace(load) {
-            let step = (at - previous.at) as f64 - self.report_interval;
-            self.report_interval += step * if step < 0.0 { 0.1 } else { 0.01 };
+            self.estimates.learn_report_interval(at - previous.at);
         }
-        if let Some(listed) = self.worker_mut(id).listed {
-            self.learn_slots(id, &listed, free_slots);
-        }
-    }
-
-    /// Where reports come with probes alone, the first that reports a free slot implies that the work known to be there takes
-    /// the rest. Not later ones: work on its way would count now and then, and the maximum is kept.
-    fn learn_slots(&mut self, id: WorkerId, listed: &EndpointEntry, free_slots: Option<f64>) {
-        let is_first = !self.slots_by_kind.contains_key(&listed.kind);
-        let known_load =
-            || self.gossip.peer_load(listed, self.now).unwrap_or(0.0) + self.worker(id).occupied_slots();
-        let occupied = if is_first && self.is_probed_only { known_load() } else { 0.0 };
-        if free_slots.is_none_or(|free| free >= 1.0 || !is_first) {
-            let most = self.slots_by_kind.entry(listed.kind).or_insert(DEFAULT_SLOTS);
-            *most = most.max(free_slots.map_or(DEFAULT_SLOTS, |free| free + occupied));
+        let (worker, gossip, now) = (&self.workers[id.0 as usize], &self.gossip, self.now);
+        if let Some(listed) = worker.listed {
+            let known_load = || gossip.peer_load(&listed, now).unwrap_or(0.0) + worker.occupied_slots();
+            self.estimates.learn_slots(listed.kind, free_slots, known_load);
         }
     }
 
@@ -241,7 +205,7 @@
         let running_since = ended.running_since.filter(|_| settings.reports_start);
         let run_time = running_since.map_or(end.elapsed, |since| self.now.saturating_sub(since));
         let run_time = run_time.max(1) as f64; // 0 would make all workers equal
-        self.classes[ended.class].run_time.add(run_time);
+        self.estimates.classes[ended.class].run_time.add(run_time);
         let worker = self.worker_mut(end.worker);
         worker.outlier.record_success();
         if let Some(listed) = worker.listed {
@@ -276,7 +240,7 @@
             worker,
             listed,
             is_remote: listed.zone != own_zone,
-            slowness: self.worker_slowness(worker, listed),
+            slowness: self.estimates.worker_slowness(worker, listed),
             occupied: worker.occupied_slots(),
             random,
         }
@@ -293,7 +257,7 @@
     /// that are unreachable; `None` for another worker.
     pub fn unavailable_slots(&self, listed: &EndpointEntry) -> Option<f64> {
         let occupied = self.gossip.peer_load(listed, self.now)?;
-        let slots = self.slots(listed.kind).max(1.0) as u32;
+        let slots = self.estimates.slots(listed.kind).max(1.0) as u32;
         Some(occupied + f64::from(self.gossip.reserved_slots(listed.worker, slots, self.now)))
     }
 
@@ -346,7 +310,8 @@
         actions: &mut Vec<Action>,
     ) {
         let class = usize::from(request.class.0);
-        let (Some(terms), Some(stats)) = (settings.classes.get(class), self.classes.get_mut(class)) else {
+        let (Some(terms), Some(stats)) = (settings.classes.get(class), self.estimates.classes.get_mut(class))
+        else {
             return;
         };
         let guess = stats.run_time.value_or(terms.latency_objective as f64);
@@ -534,83 +499,35 @@
     }
 }
 
-/// What is learned from jobs, and what it says of capacity.
+/// What the estimates say of workers.
 impl PolicyState {
-    /// Learns a running quartile of the wait for a start: three steps down for one up.
-    pub fn learn_start_delay(&mut self, waited: f64, min_delay: f64) {
-        self.start_delay *= if waited < self.start_delay { 0.85 } else { 1.05 };
-        self.start_delay = self.start_delay.max(min_delay);
-    }
-
     /// Learns the response time for each unit of work at a worker.
     pub fn learn_slowness(&mut self, id: WorkerId, slowness: f64) {
-        self.slowness.add(slowness);
+        self.estimates.slowness.add(slowness);
         let worker = self.worker_mut(id);
         worker.slowness.add(slowness);
         if let Some(listed) = worker.listed {
-            self.slowness_by_kind.entry(listed.kind).or_default().add(slowness);
+            self.estimates.slowness_by_kind.entry(listed.kind).or_default().add(slowness);
         }
     }
 
-    /// The expected work of a job, 1 at least.
-    pub fn mean_work(&self) -> f64 {
-        class_stats::mean_work(&self.classes)
-    }
-
-    /// The mean work of an attempt, for what a worker that warms up can bear.
-    pub fn mean_attempt_work(&self) -> f64 {
-        class_stats::mean_attempt_work(&self.classes)
-    }
-
     pub fn is_warm(&self, listed: &EndpointEntry, warm_up_time: Micros) -> bool {
         ready_workers::is_warm(listed, self.now, warm_up_time)
     }
 
-    /// Whether no report has said how much workers of its kind can run, nor that none says it.
+    /// Whether no report has shown how much workers of its kind can run, nor that none shows it.
     pub fn is_unsized(&self, worker: &Worker) -> bool {
-        worker.listed.is_some_and(|listed| !self.slots_by_kind.contains_key(&listed.kind))
-    }
-
-    /// The most free slots that a worker of the kind has reported.
-    pub fn slots(&self, kind: KindId) -> f64 {
-        self.slots_by_kind.get(&kind).copied().unwrap_or(DEFAULT_SLOTS)
+        worker.listed.is_some_and(|listed| !self.estimates.is_sized(listed.kind))
     }
 
     /// The slots of the ready workers, together.
     pub fn ready_slots(&self) -> f64 {
-        let slots = |id: &WorkerId| self.worker(*id).listed.map_or(0.0, |listed| self.slots(listed.kind));
+        let slots = |id: &WorkerId| self.worker(*id).listed.map_or(0.0, |e| self.estimates.slots(e.kind));
         self.ready.all.iter().map(slots).sum()
     }
 
-    /// Response time for each unit of expected work; an untried worker counts at the mean of its kind.
-    pub fn worker_slowness(&self, worker: &Worker, listed: &EndpointEntry) -> f64 {
-        worker.slowness.blend(self.kind_slowness(listed.kind), PRIOR_COUNT)
-    }
-
-    fn kind_slowness(&self, kind: KindId) -> f64 {
-        let all = self.slowness.value_or(1.0);
-        self.slowness_by_kind.get(&kind).map_or(all, |mean| mean.blend(all, PRIOR_COUNT))
-    }
-
-    /// Size over slowness of the ready workers of a kind, or of all.
-    fn capacity(&self, kind: Option<KindId>) -> f64 {
-        let weights = self.ready.weight_by_kind.iter();
-        let of_kind = weights.filter(|(other, _)| kind.is_none_or(|kind| kind == **other));
-        of_kind.map(|(kind, weight)| weight / self.kind_slowness(*kind)).sum()
-    }
-
     /// The work that only this kind can run, as a fraction of the kind's fair part of all work.
     pub fn bound_fraction(&self, classes: &[Class], kind: KindId) -> f64 {
-        let stats = classes.iter().zip(&self.classes);
-        let bound: f64 = stats.filter(|(c, _)| c.kind == Some(kind)).map(|(_, stats)| stats.work_sum).sum();
-        let all: f64 = self.classes.iter().map(|stats| stats.work_sum).sum();
-        let fair = all * self.capacity(Some(kind)) / self.capacity(None);
-        if fair > 0.0 { bound / fair } else { 0.0 }
-    }
-
-    /// What was learned of one class holds for another one too.
-    pub fn copy_class(&mut self, class: usize, source: usize) {
-        let ClassStats { run_time, work_sum, job_count, .. } = self.classes[source];
-        self.classes[class] = ClassStats { run_time, work_sum, job_count, ..self.classes[class] };
+        self.estimates.bound_fraction(classes, &self.ready.weight_by_kind, kind)
     }
 }
