--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -3,21 +3,22 @@
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use mothproxy_store::sim::SimDisk;
-use mothproxy_store::{Op, Options, Shared, Writer, open_engine, view_of};
+use mothproxy_store::{OpenedWriter, Operation, Options, SharedView, Writer, open_writer, view_of};
 use std::hint::black_box;
 use std::sync::Arc;
 
-fn op(n: u64) -> Op {
+fn op(n: u64) -> Operation {
     let key = format!("key-{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes();
-    Op { key, value: Some(vec![n as u8; 200]), expires: None }
+    Operation { key, value: Some(vec![n as u8; 200]), expires_at: None }
 }
 
-fn filled(records: u64) -> (SimDisk, Writer, Shared) {
+fn filled(records: u64) -> (SimDisk, Writer, SharedView) {
     let disk = SimDisk::new(1);
     let options = Options { seed: 1, ..Options::default() };
-    let (mut writer, shared, _, _) = open_engine(Arc::new(disk.clone()), options).expect("an empty disk");
+    let OpenedWriter { mut writer, shared, .. } =
+        open_writer(Arc::new(disk.clone()), options).expect("an empty disk");
     for group in 0..records / 100 {
-        let ops: Vec<Op> = (group * 100..group * 100 + 100).map(op).collect();
+        let ops: Vec<Operation> = (group * 100..group * 100 + 100).map(op).collect();
         writer.commit(&shared, &[&ops], 1).expect("a sound disk");
     }
     (disk, writer, shared)
@@ -37,7 +38,9 @@
     drop(view);
     group.throughput(Throughput::Elements(50_000));
     group.bench_function("recovery of 50,000 records from memory", |b| {
-        b.iter(|| black_box(open_engine(Arc::new(disk.copy()), Options::default()).expect("sound").2.lines));
+        b.iter(|| {
+            black_box(open_writer(Arc::new(disk.copy()), Options::default()).expect("sound").recovery.keys)
+        });
     });
     group.bench_function("walk over 50,000 records in order", |b| {
         b.iter(|| black_box(view_of(&shared).walk(&[]).count()));
@@ -46,7 +49,7 @@
     let mut at = 1 << 30;
     group.bench_function("group of 32 written to memory", |b| {
         b.iter(|| {
-            let ops: Vec<Op> = (at..at + 32).map(op).collect();
+            let ops: Vec<Operation> = (at..at + 32).map(op).collect();
             at += 32;
             writer.commit(&shared, &[&ops], 1).expect("a sound disk");
         });
--- /dev/null
+++ b/crates/store/src/batch_group.rs
@@ -0,0 +1,39 @@
+//! Batches that are written together, by the frames that they are written in.
+
+use crate::format::{EncodedBatch, FRAME_HEAD_LEN, MAX_FINGERPRINTS};
+use std::sync::Arc;
+
+/// Most bytes of a frame's body: a new frame is begun with the batch that would exceed them.
+const MAX_FRAME_BODY: usize = 1 << 20;
+
+/// Batches that are written together.
+pub(crate) struct BatchGroup<'a> {
+    pub frames: Vec<Vec<&'a EncodedBatch>>,
+    bytes: usize,
+}
+
+impl<'a> BatchGroup<'a> {
+    pub fn new(batches: impl Iterator<Item = &'a Arc<EncodedBatch>>) -> BatchGroup<'a> {
+        let mut group = BatchGroup { frames: vec![Vec::new()], bytes: 0 };
+        let mut body_len = 0;
+        for batch in batches {
+            let len = batch.bytes.len();
+            if body_len + len > MAX_FRAME_BODY && body_len > 0 {
+                group.frames.push(Vec::new());
+                body_len = 0;
+            }
+            body_len += len;
+            group.bytes += len;
+            if let Some(frame) = group.frames.last_mut() {
+                frame.push(batch);
+            }
+        }
+        group
+    }
+
+    /// An estimate of the encoded length: heads and fingerprints are taken for no more than the records.
+    pub fn encoded_len(&self) -> usize {
+        let overhead = FRAME_HEAD_LEN + 8 * MAX_FINGERPRINTS + 10;
+        self.bytes + (self.frames.len() * overhead).min(self.bytes)
+    }
+}
--- /dev/null
+++ b/crates/store/src/clock.rs
@@ -0,0 +1,23 @@
+//! The store's clock.
+
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// Unix time in milliseconds that never goes back behind what the store has seen, also over a restart.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Clock {
+    base: u64,
+    started: Instant,
+}
+
+impl Clock {
+    /// A clock that begins at the present, or at `floor` if that is later.
+    pub fn new(floor: u64) -> Clock {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+        Clock { base: unix.max(floor), started: Instant::now() }
+    }
+
+    /// The present.
+    pub fn now(&self) -> u64 {
+        self.base + self.started.elapsed().as_millis() as u64
+    }
+}
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk, as the store sees it: the least that real files and a simulated disk both offer.
+//! The disk as the store uses it: the operations that real files and a simulated disk have in common.
 
 use std::any::Any;
 use std::fs::{File, OpenOptions};
@@ -15,7 +15,7 @@
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
     /// Its length in bytes.
     fn len(&self) -> io::Result<u64>;
-    /// Cuts it.
+    /// Sets its length.
     fn truncate(&self, len: u64) -> io::Result<()>;
     /// Returns once what was written is durable (`fdatasync`). After an error nothing unsynced may be believed.
     fn sync(&self) -> io::Result<()>;
@@ -27,13 +27,13 @@
 
 /// One directory of files.
 pub trait Disk: Send + Sync {
-    /// What a message calls it.
+    /// Its name in messages.
     fn name(&self) -> String;
     /// The names of its files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A new file; an error where there is one of that name.
+    /// Creates a file; an error where there is one of that name.
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// A file that is there.
+    /// Opens an existing file.
     fn open(&self, name: &str, write: bool) -> io::Result<Arc<dyn DiskFile>>;
     /// Renames, replacing.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
@@ -52,11 +52,15 @@
     dir: PathBuf,
 }
 
-/// The file that is locked against a second opener.
-const LOCK: &str = "LOCK";
+/// The file that is locked against a second process.
+const LOCK_FILE: &str = "LOCK";
 
 impl RealDisk {
-    /// The directory; made if it is not there and `create` says so.
+    /// The directory; created if it is not there and `create` says so.
+    ///
+    /// # Errors
+    ///
+    /// The system's error; also where the path is not a directory.
     pub fn new(dir: &Path, create: bool) -> io::Result<RealDisk> {
         if create && !dir.exists() {
             std::fs::create_dir_all(dir)?;
@@ -126,7 +130,7 @@
 
     fn lock(&self, exclusive: bool) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
         use rustix::fs::{FlockOperation, flock};
-        let path = self.dir.join(LOCK);
+        let path = self.dir.join(LOCK_FILE);
         let file =
             match OpenOptions::new().read(true).write(true).create(exclusive).truncate(false).open(&path) {
                 // A reader of a directory that was never opened for writing has nobody to fear.
@@ -134,11 +138,12 @@
                 Err(e) if !exclusive && e.kind() == io::ErrorKind::PermissionDenied => File::open(&path)?,
                 other => other?,
             };
-        let how = match exclusive {
-            true => FlockOperation::NonBlockingLockExclusive,
-            false => FlockOperation::NonBlockingLockShared,
+        let operation = if exclusive {
+            FlockOperation::NonBlockingLockExclusive
+        } else {
+            FlockOperation::NonBlockingLockShared
         };
-        match flock(&file, how) {
+        match flock(&file, operation) {
             Ok(()) => Ok(Some(Box::new(file))),
             Err(rustix::io::Errno::WOULDBLOCK) => Ok(None),
             Err(error) => Err(error.into()),
@@ -146,12 +151,15 @@
     }
 }
 
-/// Writes all, through short writes.
+/// Writes all bytes, through short writes.
 pub(crate) fn write_all(file: &dyn DiskFile, mut offset: u64, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write_at(offset, bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(n) => (offset, bytes) = (offset + n as u64, &bytes[n..]),
+            Ok(n) => {
+                offset += n as u64;
+                bytes = &bytes[n..];
+            }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -159,9 +167,10 @@
     Ok(())
 }
 
-/// Reads what there is of a range.
+/// Reads what there is of a range, through short reads.
 pub(crate) fn read_range(file: &dyn DiskFile, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-    let (mut bytes, mut at) = (vec![0; len], 0);
+    let mut bytes = vec![0; len];
+    let mut at = 0;
     while at < len {
         match file.read_at(offset + at as u64, &mut bytes[at..]) {
             Ok(0) => break,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,31 +1,31 @@
-//! What can go wrong.
+//! Errors of the store.
 
 use std::io;
 
 /// An error of the store. Each names the file and, where there is one, the offset in bytes.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system refused a call.
+    /// A system call failed.
     #[error("{what} {file}: {source}")]
     Io {
-        /// What was tried.
+        /// The operation.
         what: &'static str,
-        /// On which file.
+        /// The file or directory.
         file: String,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
     /// Another process has the directory open.
     #[error("{0}: in use by another process")]
     Locked(String),
-    /// It was written by a version that this one cannot read.
+    /// The file was written by a version that this one cannot read.
     #[error("{file}: format version {found}; this program reads version {known}")]
     Version {
         /// The file.
         file: String,
         /// The version it names.
         found: u16,
-        /// The version that is understood.
+        /// The version that this program reads.
         known: u16,
     },
     /// A record is damaged.
@@ -36,7 +36,7 @@
         /// Where the record begins, in bytes.
         offset: u64,
     },
-    /// A newer value of this key may have been lost to damage: what is older is not given out.
+    /// A newer value of this key may have been lost to damage: older values are not returned.
     #[error("{file}: damage at offset {offset} may hide a newer value of this key")]
     InDoubt {
         /// The file.
@@ -46,8 +46,8 @@
     },
     /// A key, value or batch is out of bounds.
     #[error("{0}")]
-    Invalid(#[from] Invalid),
-    /// The disk failed earlier; it is tried again with each write.
+    Invalid(#[from] BatchError),
+    /// The disk failed; it is tried again with each write.
     #[error("the disk failed: {0}")]
     Failing(String),
     /// The store was closed.
@@ -58,16 +58,16 @@
     NeedsRepair(usize),
 }
 
-/// Why a batch was not taken.
+/// Why a batch was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
-    /// The key has no byte.
+pub enum BatchError {
+    /// A key is empty.
     #[error("a key is empty")]
     EmptyKey,
-    /// The key is longer than [`crate::MAX_KEY`].
+    /// A key is longer than [`crate::MAX_KEY`].
     #[error("a key has {0} bytes, {max} at most", max = crate::MAX_KEY)]
     KeyTooLong(usize),
-    /// The value is longer than [`crate::MAX_VALUE`].
+    /// A value is longer than [`crate::MAX_VALUE`].
     #[error("a value has {0} bytes, {max} at most", max = crate::MAX_VALUE)]
     ValueTooLong(usize),
     /// The batch is larger than [`crate::MAX_BATCH`].
@@ -75,6 +75,7 @@
     BatchTooLarge(usize),
 }
 
+/// Names the operation and the file of an I/O error.
 pub(crate) fn io_error<'a>(what: &'static str, file: &'a str) -> impl FnOnce(io::Error) -> StoreError + 'a {
     move |source| StoreError::Io { what, file: file.to_owned(), source }
 }
--- /dev/null
+++ b/crates/store/src/format/mod.rs
@@ -0,0 +1,43 @@
+//! The bytes of a segment: pure functions; docs/design/store.md has the layout.
+//!
+//! A segment is a header, then frames of records, then a footer once it is sealed. The order of fields is the format.
+
+mod footer;
+mod frame;
+mod header;
+mod integer;
+mod record;
+
+pub use footer::{FOOTER_HEAD_LEN, IndexEntry, TRAILER_LEN, Trailer, decode_entries, decode_trailer};
+pub use footer::{encode_footer, footer_len};
+pub use frame::{FRAME_HEAD_LEN, FrameHead, FrameStart, MAX_FINGERPRINTS, Probe, decode_fingerprints};
+pub use frame::{encode_frame, probe, resync};
+pub use header::{HEADER_LEN, Header, HeaderFault, SegmentNumbers};
+pub use record::{EncodedBatch, Operation, Record, RecordLocation, check_batch, decode_record};
+
+use std::hash::Hasher as _;
+
+/// The version of the format that is written and read.
+pub const VERSION: u16 = 1;
+
+/// The fingerprint of a key, by which damage to a record is attributed to the keys that it may have had.
+pub fn fingerprint(key: &[u8]) -> u64 {
+    let mut hasher = rustc_hash::FxHasher::default();
+    hasher.write(key);
+    hasher.write_u64(key.len() as u64);
+    // Fx leaves its entropy in the high bits; one round of a finaliser spreads it.
+    let mut x = hasher.finish();
+    x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    x ^ (x >> 32)
+}
+
+fn crc(parts: &[&[u8]]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    parts.iter().for_each(|part| hasher.update(part));
+    hasher.finalize()
+}
+
+/// The checksum of something that is only valid at its place: the salt of the segment and the offset are mixed in.
+fn crc_at(fields: &[u8], salt: u64, offset: u64) -> u32 {
+    crc(&[&salt.to_le_bytes(), &offset.to_le_bytes(), fields])
+}
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,38 +1,55 @@
 //! An embedded, ordered key-value store in one directory: a segmented log, sorted runs of keys in memory, atomic batches,
 //! tombstones, time to live, snapshots, compaction and recovery. It knows nothing of jobs.
 //!
-//! The promise, by mode: see [`SyncMode`]. What [`Store::write`] returned `Ok` for is there after a crash, in full; what it
-//! returned an error for never shows again once a later write has succeeded. docs/design/store.md has the format and the ways
-//! weighed.
+//! The guarantee depends on the mode: see [`SyncMode`]. What [`Store::write`] returned `Ok` for is there after a crash, in
+//! full; what it returned an error for never shows again once a later write has succeeded. docs/design/store.md has the format
+//! and the alternatives weighed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod active_segment;
+mod batch;
+mod batch_group;
+mod clock;
+mod compaction;
 pub mod disk;
-mod engine;
 mod error;
-#[allow(missing_docs)]
 mod format;
-#[allow(missing_docs)]
 mod index;
-#[allow(missing_docs)]
+mod metrics;
 mod plan;
-#[allow(missing_docs)]
-mod recover;
+mod random;
+mod recovery;
+mod scan;
+mod segment_loader;
+mod shared_view;
 pub mod sim;
+mod snapshot;
 mod store;
+mod verify;
+mod waiting_thread;
+mod write_queue;
+mod writer;
 
-pub use engine::{Figures, Merge, Merged, Shared, Writer, open as open_engine, view_of};
-pub use error::{Invalid, StoreError};
-pub use format::{Op, VERSION, fingerprint};
+pub use batch::Batch;
+pub use compaction::{Compaction, MergedSegment};
+pub use error::{BatchError, StoreError};
+pub use format::{Operation, VERSION, fingerprint};
 pub use index::View;
-pub use recover::{Damage, Recovery, verify};
-pub use store::{Batch, Done, Iter, Snapshot, Stat, Store, open_reader};
+pub use metrics::Metrics;
+pub use recovery::{Damage, Recovery};
+pub use shared_view::{SharedView, view_of};
+pub use snapshot::{Iter, Snapshot, Stat, open_reader};
+pub use store::Store;
+pub use verify::verify;
+pub use write_queue::Callback;
+pub use writer::{OpenedWriter, Writer, open as open_writer};
 
-/// The longest key, in bytes.
+/// Longest key, in bytes.
 pub const MAX_KEY: usize = 4096;
-/// The longest value, in bytes.
+/// Longest value, in bytes.
 pub const MAX_VALUE: usize = 8 << 20;
-/// The largest batch, in bytes of keys and values, with 25 for each operation.
+/// Largest batch, in bytes of keys and values, with 25 for each operation.
 pub const MAX_BATCH: usize = 16 << 20;
 
 /// When writes become durable.
@@ -41,14 +58,14 @@
     /// Before they are acknowledged. A power cut costs nothing that was acknowledged.
     #[default]
     Always,
-    /// At most this many milliseconds after they are acknowledged. A power cut may cost so much of the newest writes; the
+    /// At most this many milliseconds after they are acknowledged. A power cut may cost the newest writes of that span; the
     /// end of a process costs nothing.
     Interval(u32),
     /// When a segment is closed. A power cut may cost a whole segment of the newest writes; the end of a process nothing.
     Never,
 }
 
-/// How a store is kept.
+/// Settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// A segment is closed at about this size, in bytes.
@@ -57,9 +74,9 @@
     pub sync: SyncMode,
     /// Whether segments are compacted in the background.
     pub compacts: bool,
-    /// Bytes of batches that may wait to be written; more are turned away.
-    pub most_waiting: usize,
-    /// Where salts begin; random unless a test wants the same files every time.
+    /// Most bytes of batches that wait to be written; more are refused.
+    pub max_queued_bytes: usize,
+    /// Seed of the salts; random unless a test needs the same files every time.
     pub seed: u64,
 }
 
@@ -72,7 +89,7 @@
             segment_bytes: 4 << 20,
             sync: SyncMode::Always,
             compacts: true,
-            most_waiting: 32 << 20,
+            max_queued_bytes: 32 << 20,
             seed,
         }
     }
--- /dev/null
+++ b/crates/store/src/plan/tests.rs
@@ -0,0 +1,62 @@
+//! Names, tilings and compactions by tables.
+
+use super::{
+    SegmentUsage, Tiling, compaction, is_unfinished_name, segment_name, segment_numbers, tile,
+    unfinished_name,
+};
+use crate::format::SegmentNumbers;
+use std::ops::Range;
+
+fn segment(bytes: u64, dead: u64) -> SegmentUsage {
+    SegmentUsage { bytes, dead, is_damaged: false }
+}
+
+fn numbers(first: u64, last: u64) -> SegmentNumbers {
+    SegmentNumbers { first, last }
+}
+
+fn tiling(kept: &[(u64, u64)], replaced: &[(u64, u64)], gaps: &[(u64, u64)]) -> Tiling {
+    let all = |pairs: &[(u64, u64)]| pairs.iter().map(|(first, last)| numbers(*first, *last)).collect();
+    Tiling { kept: all(kept), replaced: all(replaced), gaps: all(gaps) }
+}
+
+#[test]
+fn a_merged_segment_replaces_what_it_covers_and_gaps_are_seen() {
+    let cases: [(&[(u64, u64)], Tiling); 5] = [
+        (&[], Tiling::default()),
+        (&[(1, 1), (2, 2)], tiling(&[(1, 1), (2, 2)], &[], &[])),
+        (&[(1, 1), (2, 2), (3, 3), (1, 2)], tiling(&[(1, 2), (3, 3)], &[(1, 1), (2, 2)], &[])),
+        (&[(2, 2)], tiling(&[(2, 2)], &[], &[(1, 1)])),
+        (&[(1, 2), (5, 5)], tiling(&[(1, 2), (5, 5)], &[], &[(3, 4)])),
+    ];
+    for (segments, expected) in cases {
+        let segments: Vec<SegmentNumbers> =
+            segments.iter().map(|(first, last)| numbers(*first, *last)).collect();
+        assert_eq!(tile(segments.clone()), expected, "{segments:?}");
+    }
+}
+
+#[test]
+fn names_are_read_only_as_they_are_written() {
+    assert_eq!(segment_numbers(&segment_name(numbers(3, 0xfeed))), Some(numbers(3, 0xfeed)));
+    for bad in ["", "LOCK", "000000000001-000000000000.seg", "000000000000-000000000001.seg", "1-2.seg"] {
+        assert_eq!(segment_numbers(bad), None, "{bad}");
+    }
+    assert!(is_unfinished_name(&unfinished_name(numbers(1, 2))) && !is_unfinished_name("x.tmp"));
+}
+
+#[test]
+fn compaction_goes_where_it_wins_most_and_leaves_damage_alone() {
+    let damaged = SegmentUsage { is_damaged: true, ..segment(100, 100) };
+    let cases: [(&[SegmentUsage], Option<Range<usize>>); 6] = [
+        (&[], None),
+        (&[segment(100, 10), segment(100, 5)], None), // too little to win
+        (&[segment(100, 90), segment(100, 0), segment(100, 90)], Some(0..3)),
+        (&[segment(100, 0), segment(100, 80), segment(400, 0)], Some(1..2)),
+        (&[segment(100, 60), damaged, segment(100, 70)], Some(2..3)),
+        (&[segment(100, 0); 9], Some(0..8)),
+    ];
+    for (segments, expected) in cases {
+        assert_eq!(compaction(segments, 50), expected, "{segments:?}");
+    }
+}
--- /dev/null
+++ b/crates/store/src/random.rs
@@ -0,0 +1,40 @@
+//! Random numbers from a seed.
+
+/// The increment of splitmix64.
+const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// One round of splitmix64.
+pub(crate) fn splitmix64(x: u64) -> u64 {
+    let mut z = x.wrapping_add(INCREMENT);
+    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    z ^ (z >> 31)
+}
+
+/// A small generator, so that a seed gives the same history everywhere.
+#[derive(Clone, Debug)]
+pub struct Rng(u64);
+
+impl Rng {
+    /// A generator from a seed.
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed ^ 0x6a09_e667_f3bc_c908)
+    }
+
+    /// The next number.
+    pub fn next_u64(&mut self) -> u64 {
+        let number = splitmix64(self.0);
+        self.0 = self.0.wrapping_add(INCREMENT);
+        number
+    }
+
+    /// A number below `n`; 0 for 0.
+    pub fn below(&mut self, n: u64) -> u64 {
+        if n == 0 { 0 } else { self.next_u64() % n }
+    }
+
+    /// True once in `n`.
+    pub fn once_in(&mut self, n: u64) -> bool {
+        self.below(n) == 0
+    }
+}
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -5,45 +5,23 @@
 //! do from a page cache, and never reach the disk.
 
 use crate::disk::{Disk, DiskFile};
+pub use crate::random::Rng;
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A small generator, so that a seed gives the same history everywhere.
-#[derive(Clone, Debug)]
-pub struct Dice(u64);
-
-impl Dice {
-    /// From a seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed ^ 0x6a09_e667_f3bc_c908)
-    }
-
-    /// The next number.
-    pub fn roll(&mut self) -> u64 {
-        let rolled = crate::engine::spread(self.0);
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        rolled
-    }
-
-    /// Below `n`.
-    pub fn below(&mut self, n: u64) -> u64 {
-        if n == 0 { 0 } else { self.roll() % n }
-    }
+/// The error number for an I/O error.
+const EIO: i32 = 5;
+/// The error number for a full disk.
+const ENOSPC: i32 = 28;
 
-    /// True once in `n`.
-    pub fn once_in(&mut self, n: u64) -> bool {
-        self.below(n) == 0
-    }
-}
-
-/// What goes wrong. Each is how often: once in so many calls; 0 for never.
+/// Faults that happen at random, each once in so many calls; 0 for never.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// A write takes only a part.
+    /// A write is short.
     pub short: u64,
-    /// A write finds the disk full.
+    /// A write fails because the disk is full.
     pub full: u64,
     /// Any call fails with an I/O error.
     pub broken: u64,
@@ -54,18 +32,69 @@
 #[derive(Clone, Debug)]
 enum Pending {
     Write(u64, Vec<u8>),
-    Cut(u64),
+    Truncate(u64),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Inode {
-    /// What a reader sees.
+    /// What a reader sees, as in a page cache.
     cached: Vec<u8>,
-    /// What the disk has for sure.
+    /// What a power cut does not lose.
     durable: Vec<u8>,
     pending: Vec<Pending>,
 }
 
+impl Inode {
+    /// A file whose bytes are all durable.
+    fn durable(bytes: Vec<u8>) -> Inode {
+        Inode { cached: bytes.clone(), durable: bytes, pending: Vec::new() }
+    }
+
+    /// The file after a power cut: unsynced bytes may have reached the disk in any selection, and each write in part.
+    fn after_power_cut(&self, rng: &mut Rng) -> Inode {
+        let mut bytes = self.durable.clone();
+        let selection = Selection::random(rng);
+        for change in &self.pending {
+            let is_whole = match selection {
+                Selection::All => true,
+                Selection::Some => rng.once_in(2),
+                Selection::Partial => false,
+            };
+            match change {
+                _ if is_whole => apply(&mut bytes, change),
+                Pending::Write(offset, data) if rng.once_in(2) => {
+                    let part = rng.below(data.len() as u64 + 1) as usize;
+                    apply(&mut bytes, &Pending::Write(*offset, data[..part].to_vec()));
+                    // The length may be there before the bytes are.
+                    if rng.once_in(4) && bytes.len() < *offset as usize + data.len() {
+                        bytes.resize(*offset as usize + data.len(), 0);
+                    }
+                }
+                _ => {}
+            }
+        }
+        Inode::durable(bytes)
+    }
+}
+
+/// Which unsynced writes of a file survive a power cut in full.
+#[derive(Clone, Copy, Debug)]
+enum Selection {
+    All,
+    Some,
+    Partial,
+}
+
+impl Selection {
+    fn random(rng: &mut Rng) -> Selection {
+        match rng.below(3) {
+            0 => Selection::All,
+            1 => Selection::Some,
+            _ => Selection::Partial,
+        }
+    }
+}
+
 #[derive(Clone, Debug)]
 enum NameChange {
     Create(String, usize),
@@ -80,20 +109,21 @@
     durable_names: BTreeMap<String, usize>,
     name_changes: Vec<NameChange>,
     faults: Faults,
-    dice: Dice,
+    rng: Rng,
     calls: u64,
-    /// From this call on nothing works: the power is gone.
+    /// From this call on every call fails: the power was cut.
     cut_at: Option<u64>,
-    /// Files have at most so many bytes in all.
+    /// Most bytes of all files together.
     room: u64,
 }
 
-/// The disk. Copies are the same disk.
+/// A simulated disk. Clones are the same disk.
 #[derive(Clone, Debug)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
 struct SimFile(SimDisk, usize);
 
+/// Applies a change to the bytes of a file.
 fn apply(bytes: &mut Vec<u8>, change: &Pending) {
     match change {
         Pending::Write(offset, data) => {
@@ -103,10 +133,11 @@
             }
             bytes[from..to].copy_from_slice(data);
         }
-        Pending::Cut(len) => bytes.resize(*len as usize, 0),
+        Pending::Truncate(len) => bytes.resize(*len as usize, 0),
     }
 }
 
+/// Applies a change to the names of a directory.
 fn rename_in(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
         NameChange::Create(name, inode) => drop(names.insert(name.clone(), *inode)),
@@ -122,16 +153,21 @@
 impl SimDisk {
     /// An empty disk.
     pub fn new(seed: u64) -> SimDisk {
+        SimDisk::with_files(Vec::new(), BTreeMap::new(), Rng::new(seed), u64::MAX)
+    }
+
+    /// A disk with files that are durable.
+    fn with_files(inodes: Vec<Inode>, names: BTreeMap<String, usize>, rng: Rng, room: u64) -> SimDisk {
         SimDisk(Arc::new(Mutex::new(State {
-            inodes: Vec::new(),
-            names: BTreeMap::new(),
-            durable_names: BTreeMap::new(),
+            inodes,
+            durable_names: names.clone(),
+            names,
             name_changes: Vec::new(),
             faults: Faults::default(),
-            dice: Dice::new(seed),
+            rng,
             calls: 0,
             cut_at: None,
-            room: u64::MAX,
+            room,
         })))
     }
 
@@ -139,12 +175,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What goes wrong from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// How many bytes files may have in all.
+    /// Sets the most bytes of all files together.
     pub fn set_room(&self, room: u64) {
         self.state().room = room;
     }
@@ -162,87 +198,46 @@
 
     /// The disk as it comes back after a power cut now.
     pub fn reboot(&self, seed: u64) -> SimDisk {
-        let (mut dice, state) = (Dice::new(seed), self.state());
+        let (mut rng, state) = (Rng::new(seed), self.state());
         let mut names = state.durable_names.clone();
         // Names change in order, as a journal replays them: some first part of the changes is there.
-        let kept = dice.below(state.name_changes.len() as u64 + 1) as usize;
+        let kept = rng.below(state.name_changes.len() as u64 + 1) as usize;
         state.name_changes[..kept].iter().for_each(|change| rename_in(&mut names, change));
-        let mut inodes = state.inodes.clone();
-        for inode in &mut inodes {
-            let mut bytes = inode.durable.clone();
-            // Unsynced bytes of one file may reach the disk in any selection, and each write in part.
-            let mood = dice.below(3);
-            for change in &inode.pending {
-                let whole = mood == 0 || (mood == 1 && dice.once_in(2));
-                match change {
-                    _ if whole => apply(&mut bytes, change),
-                    Pending::Write(offset, data) if dice.once_in(2) => {
-                        let part = dice.below(data.len() as u64 + 1) as usize;
-                        apply(&mut bytes, &Pending::Write(*offset, data[..part].to_vec()));
-                        // The length may be there before the bytes are.
-                        if dice.once_in(4) && bytes.len() < *offset as usize + data.len() {
-                            bytes.resize(*offset as usize + data.len(), 0);
-                        }
-                    }
-                    _ => {}
-                }
-            }
-            *inode = Inode { cached: bytes.clone(), durable: bytes, pending: Vec::new() };
-        }
-        SimDisk(Arc::new(Mutex::new(State {
-            inodes,
-            durable_names: names.clone(),
-            names,
-            name_changes: Vec::new(),
-            faults: Faults::default(),
-            dice,
-            calls: 0,
-            cut_at: None,
-            room: state.room,
-        })))
+        let inodes = state.inodes.iter().map(|inode| inode.after_power_cut(&mut rng)).collect();
+        SimDisk::with_files(inodes, names, rng, state.room)
     }
 
-    /// The bytes of a file, to look at or to damage.
+    /// The bytes of a file, to inspect or to damage.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).map(|n| state.inodes[*n].cached.clone())
     }
 
-    /// Puts other bytes in the place of a file's.
+    /// Replaces the bytes of a file.
     pub fn replace(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.state();
         if let Some(n) = state.names.get(name).copied() {
-            state.inodes[n] = Inode { cached: bytes.clone(), durable: bytes, pending: Vec::new() };
+            state.inodes[n] = Inode::durable(bytes);
         }
     }
 
-    /// A disk of its own with the same files.
+    /// Another disk with the same files.
     pub fn copy(&self) -> SimDisk {
         let state = self.state();
-        let inodes =
-            state.inodes.iter().map(|i| Inode { durable: i.cached.clone(), pending: vec![], ..i.clone() });
-        SimDisk(Arc::new(Mutex::new(State {
-            inodes: inodes.collect(),
-            names: state.names.clone(),
-            durable_names: state.names.clone(),
-            name_changes: Vec::new(),
-            faults: Faults::default(),
-            dice: state.dice.clone(),
-            calls: 0,
-            cut_at: None,
-            room: state.room,
-        })))
+        let inodes = state.inodes.iter().map(|inode| Inode::durable(inode.cached.clone())).collect();
+        SimDisk::with_files(inodes, state.names.clone(), state.rng.clone(), state.room)
     }
 }
 
 impl State {
+    /// Counts a call, which may fail.
     fn call(&mut self) -> io::Result<()> {
         self.calls += 1;
         if self.cut_at.is_some_and(|at| self.calls > at) {
             return Err(io::Error::other("the power is gone"));
         }
-        if self.faults.broken > 0 && self.dice.once_in(self.faults.broken) {
-            return Err(io::Error::from_raw_os_error(5));
+        if self.faults.broken > 0 && self.rng.once_in(self.faults.broken) {
+            return Err(io::Error::from_raw_os_error(EIO));
         }
         Ok(())
     }
@@ -257,13 +252,13 @@
         let mut state = self.0.state();
         let cut = state.cut_at.is_some_and(|at| state.calls + 1 == at);
         state.call()?;
-        let (full, faults) = (io::Error::from_raw_os_error(28), state.faults);
-        if faults.full > 0 && state.dice.once_in(faults.full) {
+        let (full, faults) = (io::Error::from_raw_os_error(ENOSPC), state.faults);
+        if faults.full > 0 && state.rng.once_in(faults.full) {
             return Err(full);
         }
         let mut take = bytes.len();
-        if cut || (faults.short > 0 && state.dice.once_in(faults.short)) {
-            take = state.dice.below(bytes.len() as u64 + 1) as usize;
+        if cut || (faults.short > 0 && state.rng.once_in(faults.short)) {
+            take = state.rng.below(bytes.len() as u64 + 1) as usize;
         }
         let grows = (offset + take as u64).saturating_sub(state.inodes[self.1].cached.len() as u64);
         let room = state.room.saturating_sub(state.used());
@@ -297,7 +292,7 @@
         let mut state = self.0.state();
         state.call()?;
         let inode = &mut state.inodes[self.1];
-        let change = Pending::Cut(len);
+        let change = Pending::Truncate(len);
         apply(&mut inode.cached, &change);
         inode.pending.push(change);
         Ok(())
@@ -307,16 +302,16 @@
         let mut state = self.0.state();
         state.call()?;
         let faults = state.faults;
-        let fails = faults.sync > 0 && state.dice.once_in(faults.sync);
-        let mut dice = state.dice.clone();
+        let fails = faults.sync > 0 && state.rng.once_in(faults.sync);
+        let mut rng = state.rng.clone();
         let inode = &mut state.inodes[self.1];
         for change in std::mem::take(&mut inode.pending) {
-            if !fails || dice.once_in(2) {
+            if !fails || rng.once_in(2) {
                 apply(&mut inode.durable, &change);
             }
         }
-        state.dice = dice;
-        if fails { Err(io::Error::from_raw_os_error(5)) } else { Ok(()) }
+        state.rng = rng;
+        if fails { Err(io::Error::from_raw_os_error(EIO)) } else { Ok(()) }
     }
 }
 
@@ -373,8 +368,8 @@
         let mut state = self.state();
         state.call()?;
         let faults = state.faults;
-        if faults.sync > 0 && state.dice.once_in(faults.sync) {
-            return Err(io::Error::from_raw_os_error(5));
+        if faults.sync > 0 && state.rng.once_in(faults.sync) {
+            return Err(io::Error::from_raw_os_error(EIO));
         }
         state.durable_names = state.names.clone();
         state.name_changes.clear();
--- /dev/null
+++ b/crates/store/src/snapshot.rs
@@ -0,0 +1,131 @@
+//! Reading: snapshots, iteration and statistics.
+
+use crate::clock::Clock;
+use crate::compaction::segment_usage;
+use crate::disk::{Disk, RealDisk};
+use crate::error::{StoreError, io_error};
+use crate::index::{View, Walk, runs};
+use crate::metrics::Metrics;
+use crate::recovery::{self, Recovery};
+use std::any::Any;
+use std::path::Path;
+
+/// Memory that a key of the active segment takes, about.
+const ACTIVE_KEY_BYTES: usize = 160;
+/// Bytes of a record beside its key and its value, about: lengths, flags and checksum.
+const RECORD_OVERHEAD: u64 = 8;
+
+/// Statistics of a store.
+#[derive(Clone, Debug, Default)]
+pub struct Stat {
+    /// Segments, the active one included.
+    pub segments: usize,
+    /// Bytes of their files.
+    pub bytes: u64,
+    /// Bytes that a compaction would free, about.
+    pub dead: u64,
+    /// Keys with a value.
+    pub records: u64,
+    /// Bytes of those keys and values.
+    pub live: u64,
+    /// Bytes of memory that the index takes, about.
+    pub memory: usize,
+    /// Counters since the store was opened.
+    pub metrics: Metrics,
+    /// Why the last write failed, until one succeeds.
+    pub failing: Option<String>,
+}
+
+/// The contents of a store at one moment; later writes do not change it.
+#[derive(Clone, Debug)]
+pub struct Snapshot {
+    view: View,
+    now: u64,
+}
+
+impl Snapshot {
+    pub(crate) fn new(view: View, now: u64) -> Snapshot {
+        Snapshot { view, now }
+    }
+
+    /// The value of a key.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::InDoubt`] and [`StoreError::Damaged`] where damage concerns the key, [`StoreError::Io`].
+    pub fn get(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+        self.view.get(key, self.now)
+    }
+
+    /// All records from a key on, in order. A record that cannot be read is returned as an error, and the iteration goes on.
+    pub fn iter_from(&self, from: &[u8]) -> Iter {
+        Iter { walk: self.view.walk(from), now: self.now }
+    }
+
+    /// Its statistics. It walks through all keys.
+    pub fn stat(&self) -> Stat {
+        let segments = segment_usage(&self.view, self.now);
+        let active = self.view.active.as_ref();
+        let active_bytes = active.and_then(|segment| segment.file.len().ok()).unwrap_or(0);
+        let run_memory: usize = runs(&self.view.layers).map(|run| run.memory()).sum();
+        let mut stat = Stat {
+            segments: segments.len() + usize::from(active.is_some()),
+            bytes: segments.iter().map(|segment| segment.bytes).sum::<u64>() + active_bytes,
+            dead: segments.iter().map(|segment| segment.dead).sum(),
+            memory: run_memory + self.view.active_keys.len() * ACTIVE_KEY_BYTES,
+            ..Stat::default()
+        };
+        for step in self.view.walk(&[]) {
+            let location = step.hit.location;
+            if !location.is_tombstone && !location.is_expired(self.now) {
+                stat.records += 1;
+                stat.live += u64::from(location.len).saturating_sub(RECORD_OVERHEAD);
+            }
+        }
+        stat
+    }
+}
+
+/// Records in order of their keys.
+pub struct Iter {
+    walk: Walk,
+    now: u64,
+}
+
+impl Iterator for Iter {
+    type Item = Result<(Vec<u8>, Vec<u8>), StoreError>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        loop {
+            let step = self.walk.next()?;
+            if let Some(region) = step.hidden_by {
+                return Some(Err(region.error()));
+            }
+            if step.hit.location.is_expired(self.now) {
+                continue;
+            }
+            match step.hit.read(&step.key) {
+                Ok(Some(value)) => return Some(Ok((step.key, value))),
+                Ok(None) => {}
+                Err(error) => return Some(Err(error)),
+            }
+        }
+    }
+}
+
+/// Opens a directory to read it only: nothing in it is changed. Writers are kept out for as long as the last value that is
+/// returned lives.
+///
+/// # Errors
+///
+/// [`StoreError::Locked`] where another process has it open for writing, [`StoreError::Version`] and [`StoreError::Io`].
+pub fn open_reader(dir: &Path) -> Result<(Snapshot, Recovery, Box<dyn Any + Send + Sync>), StoreError> {
+    let name = dir.display().to_string();
+    let disk = RealDisk::new(dir, false).map_err(io_error("cannot open", &name))?;
+    let lock = disk.lock(false).map_err(io_error("cannot lock", &name))?;
+    let lock = lock.ok_or(StoreError::Locked(name))?;
+    let opened = recovery::open(&disk)?;
+    let view = View { layers: opened.layers, ..View::default() };
+    let now = Clock::new(opened.written_at).now();
+    Ok((Snapshot::new(view, now), opened.recovery, lock))
+}
--- /dev/null
+++ b/crates/store/src/verify.rs
@@ -0,0 +1,80 @@
+//! Verification: every byte of every segment that counts is read and checked.
+
+use crate::disk::{Disk, read_range};
+use crate::error::{StoreError, io_error};
+use crate::format::{self, FRAME_HEAD_LEN, Probe};
+use crate::index::{Segment, runs};
+use crate::recovery::{self, Damage, Recovery};
+use crate::scan::{ScanItem, each_record, scan};
+use crate::segment_loader::read_header;
+use rustc_hash::FxHashSet;
+
+/// Reads every byte of every segment that counts. Returns what is damaged, and how many records were read. Nothing is
+/// changed.
+///
+/// # Errors
+///
+/// A [`StoreError`] where a file cannot be read or is of another version. Damage is no error.
+pub fn verify(disk: &dyn Disk) -> Result<(Recovery, u64), StoreError> {
+    let opened = recovery::open(disk)?;
+    let mut verification = Verification { recovery: opened.recovery, records: 0 };
+    verification.recovery.damage.append(&mut verification.recovery.warnings);
+    let mut seen = FxHashSet::default();
+    for run in runs(&opened.layers) {
+        if seen.insert(run.segment.name.clone()) {
+            verification.verify_segment(&run.segment)?;
+        }
+    }
+    Ok((verification.recovery, verification.records))
+}
+
+struct Verification {
+    recovery: Recovery,
+    records: u64,
+}
+
+impl Verification {
+    fn add_damage(&mut self, segment: &Segment, offset: u64, what: &str) {
+        let damage = Damage { file: segment.name.clone(), offset, what: what.to_owned() };
+        self.recovery.damage.push(damage);
+    }
+
+    fn has_damage(&self, segment: &Segment, is_meant: impl Fn(u64) -> bool) -> bool {
+        self.recovery.damage.iter().any(|damage| damage.file == segment.name && is_meant(damage.offset))
+    }
+
+    fn verify_segment(&mut self, segment: &Segment) -> Result<(), StoreError> {
+        if read_header(&*segment.file, &segment.name)?.is_ok_and(|(_, both_whole)| !both_whole) {
+            self.add_damage(segment, 0, "one of the two copies of its header is damaged");
+        }
+        let io = || io_error("cannot read", &segment.name);
+        let len = segment.file.len().map_err(io())?;
+        let bytes = read_range(&*segment.file, 0, len as usize).map_err(io())?;
+        let sealed_at = format::decode_trailer(&bytes, segment.salt).map(|(trailer, _)| trailer.data_end);
+        self.verify_records(segment, &bytes, sealed_at);
+        let has_damaged_head =
+            sealed_at.is_some_and(|end| format::probe(&bytes, segment.salt, end as usize) != Probe::Footer);
+        if has_damaged_head && !self.has_damage(segment, |_| true) {
+            self.add_damage(segment, sealed_at.unwrap_or(0), "the head of its footer is damaged");
+        }
+        Ok(())
+    }
+
+    fn verify_records(&mut self, segment: &Segment, bytes: &[u8], sealed_at: Option<u64>) {
+        for item in &scan(bytes, segment.salt, sealed_at, 0).items {
+            match item {
+                ScanItem::Frame { offset, head } => {
+                    let body = &bytes[offset + FRAME_HEAD_LEN..][..head.body_len as usize];
+                    self.records += u64::from(each_record(body, |_, _| {}).unwrap_or(0));
+                }
+                ScanItem::Hole(hole) => {
+                    let offset = hole.from as u64;
+                    if sealed_at.is_some() && !self.has_damage(segment, |known| known == offset) {
+                        let what = format!("{} bytes of records are damaged", hole.len());
+                        self.add_damage(segment, offset, &what);
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/store/src/waiting_thread.rs
@@ -0,0 +1,65 @@
+//! A thread that waits for its batch.
+//!
+//! The threads of a group wake one another, a few each, so that the writer of the group can go on to the next: waking dozens
+//! one by one takes longer than a sync.
+
+use crate::shared_view::lock;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::Thread;
+
+/// A thread wakes so many others of its group.
+const WAKES: usize = 2;
+
+/// What became of a thread's batch.
+struct Completion {
+    result: Result<(), String>,
+    /// The threads that it wakes.
+    wakes: [Option<Arc<WaitingThread>>; WAKES],
+}
+
+impl Completion {
+    fn empty() -> Completion {
+        Completion { result: Ok(()), wakes: [const { None }; WAKES] }
+    }
+}
+
+/// A thread that waits for its batch.
+pub(crate) struct WaitingThread {
+    thread: Thread,
+    is_done: AtomicBool,
+    completion: Mutex<Completion>,
+}
+
+impl WaitingThread {
+    /// The thread that calls this.
+    pub fn current() -> Arc<WaitingThread> {
+        Arc::new(WaitingThread {
+            thread: std::thread::current(),
+            is_done: AtomicBool::new(false),
+            completion: Mutex::new(Completion::empty()),
+        })
+    }
+
+    /// Completes a group and wakes its first thread.
+    pub fn complete(group: &[Arc<WaitingThread>], result: &Result<(), String>) {
+        for (index, waiting) in group.iter().enumerate() {
+            let wakes = std::array::from_fn(|nth| group.get(WAKES * index + 1 + nth).cloned());
+            *lock(&waiting.completion) = Completion { result: result.clone(), wakes };
+        }
+        group.iter().for_each(|waiting| waiting.is_done.store(true, Ordering::Release));
+        if let Some(first) = group.first() {
+            first.thread.unpark();
+        }
+    }
+
+    /// Waits until the batch is complete, and wakes the threads that this one is to wake. Called by the thread itself.
+    pub fn wait(&self) -> Result<(), String> {
+        while !self.is_done.load(Ordering::Acquire) {
+            std::thread::park();
+        }
+        let completion = std::mem::replace(&mut *lock(&self.completion), Completion::empty());
+        completion.wakes.iter().flatten().for_each(|next| next.thread.unpark());
+        completion.result
+    }
+}
--- /dev/null
+++ b/crates/store/src/writer.rs
@@ -0,0 +1,391 @@
+//! The writer: the store without threads, over any disk. Everything happens in the call that asks for it, so that a simulated
+//! disk can be made to fail at any step.
+
+use crate::active_segment::ActiveSegment;
+use crate::batch_group::BatchGroup;
+use crate::compaction::{Compaction, MergedSegment, SegmentSet, segment_usage};
+use crate::disk::{Disk, DiskFile, write_all};
+use crate::error::{StoreError, io_error};
+use crate::format::{self, EncodedBatch, HEADER_LEN, Header, IndexEntry, Operation, SegmentNumbers, Trailer};
+use crate::index::{Layer, Segment, View, runs};
+use crate::metrics::Metrics;
+use crate::random::splitmix64;
+use crate::recovery::{self, Recovery};
+use crate::shared_view::{SharedView, Unpublished, lock, publish, retire_active};
+use crate::{Options, SyncMode, plan};
+use std::any::Any;
+use std::ops::Range;
+use std::sync::{Arc, Mutex};
+
+/// Writes to one directory.
+pub struct Writer {
+    disk: Arc<dyn Disk>,
+    options: Options,
+    active: Option<ActiveSegment>,
+    next_segment: u64,
+    next_seq: u64,
+    /// Up to where the segment before the next one is valid, in bytes.
+    previous_len: u64,
+    /// Acknowledged, and not synced yet; written again where the sync fails. Empty in mode `always`.
+    unsynced: Vec<Arc<EncodedBatch>>,
+    /// The sync that they waited for failed: they are written again before anything else.
+    must_rewrite: bool,
+    /// The salt of all segments that are written since the directory was opened.
+    salt: u64,
+    unpublished: Unpublished,
+    /// Files that no longer count and could not be removed yet.
+    garbage: Vec<String>,
+    /// Counters since the directory was opened.
+    pub metrics: Metrics,
+    /// Why the last group failed, until one succeeds.
+    pub failing: Option<String>,
+    _lock: Box<dyn Any + Send + Sync>,
+}
+
+/// A directory that was opened for writing.
+pub struct OpenedWriter {
+    /// The writer.
+    pub writer: Writer,
+    /// The view that it publishes to.
+    pub shared: SharedView,
+    /// What was found.
+    pub recovery: Recovery,
+    /// The latest time that was written, Unix time in milliseconds.
+    pub written_at: u64,
+}
+
+/// Opens a directory for writing: what is left over from a cut compaction is removed, everything else stays as it is.
+///
+/// # Errors
+///
+/// [`StoreError::Locked`] where another process has it open, [`StoreError::Version`] and [`StoreError::Io`].
+pub fn open(disk: Arc<dyn Disk>, options: Options) -> Result<OpenedWriter, StoreError> {
+    let name = disk.name();
+    let lock = disk.lock(true).map_err(io_error("cannot lock", &name))?;
+    let lock = lock.ok_or_else(|| StoreError::Locked(name.clone()))?;
+    let opened = recovery::open(&*disk)?;
+    // What the last process wrote without a sync may be in memory only: the next segment will say that it counts.
+    if let Some(run) = runs(&opened.layers).last() {
+        run.segment.file.sync().map_err(io_error("cannot sync", &run.segment.name))?;
+    }
+    let view = View { layers: opened.layers, ..View::default() };
+    let mut writer = Writer {
+        disk,
+        options,
+        active: None,
+        next_segment: opened.next_segment,
+        next_seq: opened.next_seq,
+        previous_len: opened.last_end,
+        unsynced: Vec::new(),
+        must_rewrite: false,
+        salt: splitmix64(options.seed ^ opened.next_seq.rotate_left(32) ^ opened.next_segment),
+        unpublished: Unpublished::default(),
+        garbage: opened.leftovers,
+        metrics: Metrics::default(),
+        failing: None,
+        _lock: lock,
+    };
+    writer.remove_garbage();
+    let shared = Arc::new(Mutex::new(view));
+    Ok(OpenedWriter { writer, shared, recovery: opened.recovery, written_at: opened.written_at })
+}
+
+impl Writer {
+    /// Removes files that no longer count. Those that cannot be removed are tried again later.
+    fn remove_garbage(&mut self) {
+        let disk = &self.disk;
+        self.garbage.retain(|name| match disk.remove(name) {
+            Ok(()) => false,
+            Err(error) => error.kind() != std::io::ErrorKind::NotFound,
+        });
+    }
+
+    /// The salt with which batches are encoded.
+    pub(crate) fn salt(&self) -> u64 {
+        self.salt
+    }
+
+    /// What is not visible to readers yet.
+    pub(crate) fn unpublished(&self) -> Unpublished {
+        self.unpublished.clone()
+    }
+
+    /// The fewest dead bytes that make a compaction worth while.
+    pub(crate) fn min_dead_bytes(&self) -> u64 {
+        u64::from(self.options.segment_bytes) / 2
+    }
+
+    /// Writes batches as one group; each is whole or not there at all. Durable when this returns, in mode `always`.
+    ///
+    /// # Errors
+    ///
+    /// A [`StoreError`]; none of the batches counts then.
+    pub fn commit(
+        &mut self,
+        shared: &SharedView,
+        batches: &[&[Operation]],
+        now: u64,
+    ) -> Result<(), StoreError> {
+        let encode = |operations: &&[Operation]| Arc::new(EncodedBatch::new(operations, self.salt));
+        let encoded: Vec<Arc<EncodedBatch>> = batches.iter().map(encode).collect();
+        let result = self.write_group(shared, &encoded, now);
+        publish(shared, &self.unpublished);
+        result
+    }
+
+    /// Writes batches as one group that becomes visible to readers only by [`publish`].
+    pub(crate) fn write_group(
+        &mut self,
+        shared: &SharedView,
+        batches: &[Arc<EncodedBatch>],
+        now: u64,
+    ) -> Result<(), StoreError> {
+        let result = self.append(shared, batches, now);
+        match &result {
+            Ok(()) => {
+                self.failing = None;
+                self.metrics.batches += batches.len() as u64;
+                self.metrics.operations += batches.iter().map(|b| b.records.len() as u64).sum::<u64>();
+                self.metrics.groups += 1;
+            }
+            Err(error) => {
+                self.metrics.failures += 1;
+                self.failing = Some(error.to_string());
+            }
+        }
+        result
+    }
+
+    /// Writes batches, and syncs them in mode `always`. After a failed sync, what was acknowledged before it and may be lost is
+    /// written first.
+    fn append(
+        &mut self,
+        shared: &SharedView,
+        batches: &[Arc<EncodedBatch>],
+        now: u64,
+    ) -> Result<(), StoreError> {
+        let rewritten = if self.must_rewrite { self.unsynced.clone() } else { Vec::new() };
+        let group = BatchGroup::new(rewritten.iter().chain(batches));
+        self.prepare_segment(shared, group.encoded_len(), now)?;
+        let Some(active) = &mut self.active else { return Err(StoreError::Closed) };
+        let encoded = active.encode(&group, self.next_seq, now);
+        if let Err(failure) = active.write(&encoded) {
+            if failure.leaves_a_part {
+                self.abandon_active(shared);
+            }
+            return Err(failure.error);
+        }
+        active.write_zeros_ahead(encoded.bytes.len(), self.options.segment_bytes);
+        let is_synced = self.options.sync == SyncMode::Always;
+        if is_synced {
+            self.metrics.syncs += 1;
+            if let Err(error) = active.sync() {
+                let name = active.segment().name.clone();
+                self.abandon_active(shared);
+                return Err(io_error("cannot sync", &name)(error));
+            }
+        }
+        self.metrics.bytes_written += encoded.bytes.len() as u64;
+        self.next_seq = encoded.next_seq;
+        active.on_written(&encoded);
+        if is_synced {
+            active.on_synced();
+        }
+        lock(&self.unpublished).push_back(encoded.keys);
+        if is_synced {
+            self.unsynced.clear();
+        } else {
+            if std::mem::take(&mut self.must_rewrite) {
+                self.unsynced.clear(); // they are among what was just written
+            }
+            self.unsynced.extend(rewritten.iter().chain(batches).cloned());
+        }
+        Ok(())
+    }
+
+    /// Makes sure that there is an active segment with room for so many bytes.
+    fn prepare_segment(&mut self, shared: &SharedView, len: usize, now: u64) -> Result<(), StoreError> {
+        if let Some(active) = &self.active {
+            let is_empty = active.len() <= HEADER_LEN as u64;
+            let max = u64::from(self.options.segment_bytes);
+            if plan::is_full(active.len(), len as u64, max, is_empty) {
+                self.seal(shared, now)?;
+            }
+        }
+        if self.active.is_none() {
+            self.begin_segment(shared)?;
+        }
+        Ok(())
+    }
+
+    /// Makes what was written durable, in the modes that do not do so at once.
+    ///
+    /// # Errors
+    ///
+    /// A [`StoreError`]; what was acknowledged is written again with the next group then.
+    pub fn sync(&mut self, shared: &SharedView, now: u64) -> Result<(), StoreError> {
+        if self.must_rewrite {
+            self.append(shared, &[], now)?;
+            publish(shared, &self.unpublished);
+        }
+        let Some(active) = self.active.as_mut().filter(|active| !active.is_durable()) else { return Ok(()) };
+        self.metrics.syncs += 1;
+        if let Err(error) = active.sync() {
+            let name = active.segment().name.clone();
+            self.metrics.failures += 1;
+            self.failing = Some(error.to_string());
+            self.abandon_active(shared);
+            return Err(io_error("cannot sync", &name)(error));
+        }
+        active.on_synced();
+        self.unsynced.clear();
+        Ok(())
+    }
+
+    /// Bytes acknowledged that a power cut could cost.
+    pub fn exposed_bytes(&self) -> u64 {
+        self.active.as_ref().map_or(0, ActiveSegment::exposed_bytes)
+    }
+
+    /// Ends the active segment without a footer: what of it is not durable does not count, as the next one's header says.
+    fn abandon_active(&mut self, shared: &SharedView) {
+        let Some(active) = self.active.take() else { return };
+        if self.unsynced.is_empty() {
+            // Best effort: its successor's header says the same. What was acknowledged and waits for its sync is still
+            // read from there until it is written again.
+            active.truncate_to_durable();
+        }
+        self.previous_len = active.durable_len();
+        self.must_rewrite = !self.unsynced.is_empty();
+        publish(shared, &self.unpublished);
+        retire_active(shared, active.len());
+    }
+
+    /// Writes the footer of the active segment; the next write begins another.
+    ///
+    /// # Errors
+    ///
+    /// A [`StoreError`]; what was acknowledged still counts.
+    pub fn seal(&mut self, shared: &SharedView, now: u64) -> Result<(), StoreError> {
+        // What a footer names must be durable before the footer could be.
+        self.sync(shared, now)?;
+        let Some(active) = &self.active else { return Ok(()) };
+        let (segment, data_end) = (active.segment().clone(), active.len());
+        publish(shared, &self.unpublished);
+        let keys = lock(shared).active_keys.clone();
+        let entries = keys.iter().map(|(key, location)| IndexEntry { key, location: *location });
+        let count = keys.len() as u32;
+        let trailer = Trailer { data_end, count, next_seq: self.next_seq, sealed_at: now };
+        let footer = format::encode_footer(entries, segment.salt, trailer);
+        let file = &segment.file;
+        let written = file.truncate(data_end).and_then(|()| write_all(&**file, data_end, &footer));
+        let synced = written.and_then(|()| file.sync());
+        self.metrics.syncs += 1;
+        if let Err(error) = synced {
+            self.metrics.failures += 1;
+            self.abandon_active(shared);
+            return Err(io_error("cannot seal", &segment.name)(error));
+        }
+        self.metrics.bytes_written += footer.len() as u64;
+        self.unsynced.clear();
+        self.active = None;
+        self.previous_len = data_end;
+        retire_active(shared, data_end + footer.len() as u64);
+        Ok(())
+    }
+
+    /// Begins a segment: it and its name are durable before any record is written to it.
+    fn begin_segment(&mut self, shared: &SharedView) -> Result<(), StoreError> {
+        let numbers = SegmentNumbers { first: self.next_segment, last: self.next_segment };
+        let name = plan::segment_name(numbers);
+        let header = Header {
+            numbers,
+            salt: self.salt,
+            previous_len: self.previous_len,
+            first_seq: self.next_seq,
+            is_merged: false,
+        };
+        let file = self.create_file(&name)?;
+        self.garbage.retain(|old| *old != name); // it counts again
+        let written = write_all(&*file, 0, &header.encode()).and_then(|()| file.sync());
+        written.and_then(|()| self.disk.sync_dir()).map_err(io_error("cannot begin", &name))?;
+        let segment = Arc::new(Segment { name, numbers, salt: self.salt, file });
+        lock(shared).active = Some(segment.clone());
+        self.next_segment += 1;
+        self.active = Some(ActiveSegment::new(segment));
+        Ok(())
+    }
+
+    fn create_file(&self, name: &str) -> Result<Arc<dyn DiskFile>, StoreError> {
+        match self.disk.create(name) {
+            // Left behind by a failed attempt just before: it holds nothing that counts.
+            Err(error) if error.kind() == std::io::ErrorKind::AlreadyExists => {
+                self.disk.remove(name).map_err(io_error("cannot remove", name))?;
+                self.disk.create(name).map_err(io_error("cannot create", name))
+            }
+            created => created.map_err(io_error("cannot create", name)),
+        }
+    }
+
+    /// A compaction of all segments.
+    pub fn plan_full_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
+        let segments = segment_usage(view, now).len();
+        if segments == 0 { None } else { self.compaction(view, 0..segments, SegmentSet::All, now) }
+    }
+
+    /// A compaction of those segments for which it is worth while.
+    pub fn plan_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
+        let range = plan::compaction(&segment_usage(view, now), self.min_dead_bytes())?;
+        self.compaction(view, range, SegmentSet::Some, now)
+    }
+
+    /// A compaction of these segments, by their positions.
+    pub(crate) fn compaction(
+        &self,
+        view: &View,
+        range: Range<usize>,
+        set: SegmentSet,
+        now: u64,
+    ) -> Option<Compaction> {
+        // All together stand for every number there was, also for those that are lost.
+        let last = self.active.is_none().then(|| self.next_segment - 1);
+        Compaction::new(self.disk.clone(), view, range, set, last).map(|compaction| {
+            let SegmentNumbers { first, last } = compaction.numbers();
+            let salt = splitmix64(self.salt ^ first.rotate_left(17) ^ last.rotate_left(40) ^ now);
+            compaction.with_context(salt, self.next_seq, now)
+        })
+    }
+
+    /// Puts a merged segment in the place of those it was made of.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Io`]; nothing that was acknowledged is lost then.
+    pub fn install(&mut self, shared: &SharedView, merged: MergedSegment) -> Result<(), StoreError> {
+        let MergedSegment { run, unfinished_name, replaced, bytes } = merged;
+        let name = run.segment.name.clone();
+        self.disk.rename(&unfinished_name, &name).map_err(io_error("cannot rename", &unfinished_name))?;
+        self.garbage.retain(|old| *old != name);
+        let durable = self.disk.sync_dir();
+        self.metrics.bytes_written += bytes;
+        self.metrics.compactions += 1;
+        replace_layers(&mut lock(shared).layers, Layer::Run(run));
+        // Until the new name is durable the old files must stay.
+        durable.map_err(io_error("cannot sync", &name))?;
+        self.garbage.extend(replaced.into_iter().filter(|old| *old != name));
+        self.remove_garbage();
+        Ok(())
+    }
+}
+
+/// Puts the layer of a merged segment in the place of those that it covers.
+fn replace_layers(layers: &mut Vec<Layer>, merged: Layer) {
+    let Some(numbers) = merged.run().map(|run| run.segment.numbers) else { return };
+    let is_covered = |layer: &Layer| layer.run().is_some_and(|run| numbers.covers(run.segment.numbers));
+    let from = layers.iter().position(is_covered).unwrap_or(0);
+    let to = layers.iter().rposition(is_covered).map_or(from, |last| last + 1);
+    layers.splice(from..to, [merged]);
+    if numbers.first == 1 {
+        layers.drain(..from); // nothing is older: no damaged region reaches below
+    }
+}
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -1,8 +1,10 @@
 //! Seeded histories over the simulated disk, held against a model. `STORE_HISTORIES` says how many, `STORE_SEED` replays one.
 
 use mothproxy_store::disk::Disk;
-use mothproxy_store::sim::{Dice, Faults, SimDisk};
-use mothproxy_store::{Op, Options, Shared, StoreError, SyncMode, Writer, open_engine, verify, view_of};
+use mothproxy_store::sim::{Faults, Rng, SimDisk};
+use mothproxy_store::{
+    OpenedWriter, Operation, Options, SharedView, StoreError, SyncMode, Writer, open_writer, verify, view_of,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -13,10 +15,10 @@
 struct Model {
     sure: Contents,
     /// Groups since then, oldest first: those that failed, and those that were acknowledged without a sync.
-    perhaps: Vec<(bool, Vec<Op>)>,
+    perhaps: Vec<(bool, Vec<Operation>)>,
 }
 
-fn apply(contents: &mut Contents, ops: &[Op]) {
+fn apply(contents: &mut Contents, ops: &[Operation]) {
     for op in ops {
         match &op.value {
             Some(value) => drop(contents.insert(op.key.clone(), value.clone())),
@@ -44,10 +46,10 @@
     }
 }
 
-fn contents(shared: &Shared) -> Result<Contents, StoreError> {
+fn contents(shared: &SharedView) -> Result<Contents, StoreError> {
     let (view, mut all) = (view_of(shared), Contents::new());
     for step in view.walk(&[]) {
-        assert!(step.doubt.is_none(), "a doubt without damage");
+        assert!(step.hidden_by.is_none(), "a doubt without damage");
         if let Some(value) = step.hit.read(&step.key)? {
             all.insert(step.key, value);
         }
@@ -55,28 +57,28 @@
     Ok(all)
 }
 
-fn random_op(dice: &mut Dice) -> Op {
-    let key = format!("key-{}", dice.below(12)).into_bytes();
-    let len = [0, 3, 40, 700][dice.below(4) as usize];
-    let value = (!dice.once_in(4)).then(|| (0..len).map(|_| dice.roll() as u8).collect());
-    Op { key, value, expires: None }
+fn random_op(rng: &mut Rng) -> Operation {
+    let key = format!("key-{}", rng.below(12)).into_bytes();
+    let len = [0, 3, 40, 700][rng.below(4) as usize];
+    let value = (!rng.once_in(4)).then(|| (0..len).map(|_| rng.next_u64() as u8).collect());
+    Operation { key, value, expires_at: None }
 }
 
-fn open(disk: &SimDisk, options: Options) -> Result<(Writer, Shared), StoreError> {
-    let (writer, shared, recovery, _) = open_engine(Arc::new(disk.clone()), options)?;
+fn open(disk: &SimDisk, options: Options) -> Result<(Writer, SharedView), StoreError> {
+    let OpenedWriter { writer, shared, recovery, .. } = open_writer(Arc::new(disk.clone()), options)?;
     assert_eq!(recovery.damage, [], "recovery takes a crash for damage");
     Ok((writer, shared))
 }
 
 /// One history: operations, compactions, faults, and crashes at any call; the contents are compared after each crash.
 fn history(seed: u64) {
-    let mut dice = Dice::new(seed);
-    let mut disk = SimDisk::new(dice.roll());
-    let mode = [SyncMode::Always, SyncMode::Always, SyncMode::Interval(10)][dice.below(3) as usize];
+    let mut rng = Rng::new(seed);
+    let mut disk = SimDisk::new(rng.next_u64());
+    let mode = [SyncMode::Always, SyncMode::Always, SyncMode::Interval(10)][rng.below(3) as usize];
     let options =
-        Options { segment_bytes: 600 + dice.below(3000) as u32, sync: mode, seed, ..Options::default() };
+        Options { segment_bytes: 600 + rng.below(3000) as u32, sync: mode, seed, ..Options::default() };
     let mut model = Model::default();
-    for _ in 0..1 + dice.below(5) {
+    for _ in 0..1 + rng.below(5) {
         let Ok((mut writer, shared)) = open(&disk, options) else { panic!("seed {seed}: cannot open") };
         let found = contents(&shared).expect("sound records");
         assert!(
@@ -85,25 +87,30 @@
             found.len()
         );
         model = Model { sure: found, perhaps: Vec::new() };
-        if dice.once_in(2) {
-            let rate = |dice: &mut Dice| if dice.once_in(2) { 3 + dice.below(30) } else { 0 };
+        if rng.once_in(2) {
+            let rate = |rng: &mut Rng| if rng.once_in(2) { 3 + rng.below(30) } else { 0 };
             let (short, full, broken, sync) =
-                (rate(&mut dice), rate(&mut dice), rate(&mut dice), rate(&mut dice));
+                (rate(&mut rng), rate(&mut rng), rate(&mut rng), rate(&mut rng));
             disk.set_faults(Faults { short, full, broken, sync });
         }
-        if dice.once_in(2) {
-            disk.cut_after(1 + dice.below(60));
+        if rng.once_in(2) {
+            disk.cut_after(1 + rng.below(60));
         }
         let mut reads = model.sure.clone();
-        for step in 0..dice.below(40) {
-            match dice.below(10) {
+        for step in 0..rng.below(40) {
+            match rng.below(10) {
                 0 => {
-                    let all = dice.once_in(2);
+                    let all = rng.once_in(2);
                     if all && writer.seal(&shared, step).is_err() {
                         continue;
                     }
                     let view = view_of(&shared);
-                    if let Some(merge) = writer.plan(&view, all, step)
+                    let compaction = if all {
+                        writer.plan_full_compaction(&view, step)
+                    } else {
+                        writer.plan_compaction(&view, step)
+                    };
+                    if let Some(merge) = compaction
                         && let Ok(merged) = merge.run(false)
                     {
                         let _ = writer.install(&shared, merged); // a failure must cost nothing
@@ -115,11 +122,11 @@
                     model.perhaps.retain(|(failed, _)| *failed);
                 }
                 _ => {
-                    let batches: Vec<Vec<Op>> = (0..1 + dice.below(3))
-                        .map(|_| (0..1 + dice.below(3)).map(|_| random_op(&mut dice)).collect())
+                    let batches: Vec<Vec<Operation>> = (0..1 + rng.below(3))
+                        .map(|_| (0..1 + rng.below(3)).map(|_| random_op(&mut rng)).collect())
                         .collect();
-                    let group: Vec<Op> = batches.iter().flatten().cloned().collect();
-                    let slices: Vec<&[Op]> = batches.iter().map(Vec::as_slice).collect();
+                    let group: Vec<Operation> = batches.iter().flatten().cloned().collect();
+                    let slices: Vec<&[Operation]> = batches.iter().map(Vec::as_slice).collect();
                     match writer.commit(&shared, &slices, step) {
                         Ok(()) => {
                             apply(&mut reads, &group);
@@ -135,15 +142,15 @@
                 }
             }
             // What was acknowledged reads back, whatever failed since.
-            if dice.once_in(6) {
+            if rng.once_in(6) {
                 assert_eq!(contents(&shared).expect("sound records"), reads, "seed {seed}: reads differ");
             }
         }
         // Either the power goes, or the process ends and the files stay as they are.
-        disk = if dice.once_in(4) {
-            if mode == SyncMode::Always { disk.copy() } else { disk.reboot(dice.roll()) }
+        disk = if rng.once_in(4) {
+            if mode == SyncMode::Always { disk.copy() } else { disk.reboot(rng.next_u64()) }
         } else {
-            disk.reboot(dice.roll())
+            disk.reboot(rng.next_u64())
         };
     }
 }
@@ -171,21 +178,21 @@
 
 /// A store of some hundred records with overwrites, deletes, batches and a compaction in the middle of its life.
 fn lived_in(sealed: bool) -> (SimDisk, Vec<Contents>) {
-    let (disk, mut dice) = (SimDisk::new(1), Dice::new(99));
+    let (disk, mut rng) = (SimDisk::new(1), Rng::new(99));
     let options = Options { segment_bytes: 2500, seed: 7, ..Options::default() };
     let (mut writer, shared) = open(&disk, options).expect("an empty disk");
     let (mut now, mut states) = (Contents::new(), vec![Contents::new()]);
     for step in 0..120 {
-        let batch: Vec<Op> = (0..1 + dice.below(4)).map(|_| random_op(&mut dice)).collect();
-        let batch: Vec<Op> = batch
+        let batch: Vec<Operation> = (0..1 + rng.below(4)).map(|_| random_op(&mut rng)).collect();
+        let batch: Vec<Operation> = batch
             .into_iter()
-            .map(|op| Op { value: op.value.map(|v| v[..v.len().min(60)].to_vec()), ..op })
+            .map(|op| Operation { value: op.value.map(|v| v[..v.len().min(60)].to_vec()), ..op })
             .collect();
         writer.commit(&shared, &[&batch], step).expect("a sound disk");
         apply(&mut now, &batch);
         states.push(now.clone());
         if step == 70 {
-            let merge = writer.plan(&view_of(&shared), true, step).expect("segments to merge");
+            let merge = writer.plan_full_compaction(&view_of(&shared), step).expect("segments to merge");
             writer.install(&shared, merge.run(false).expect("merged")).expect("installed");
         }
     }
@@ -197,11 +204,11 @@
 
 /// What a damaged store gives out: each key's value, or nothing for keys that are gone or in doubt.
 fn read_damaged(disk: &SimDisk) -> Result<(Contents, usize, bool), StoreError> {
-    let (_, shared, recovery, _) = open_engine(Arc::new(disk.clone()), Options::default())?;
+    let OpenedWriter { shared, recovery, .. } = open_writer(Arc::new(disk.clone()), Options::default())?;
     let (view, mut all, mut refused) = (view_of(&shared), Contents::new(), 0);
     for step in view.walk(&[]) {
         match step.hit.read(&step.key) {
-            _ if step.doubt.is_some() => refused += 1,
+            _ if step.hidden_by.is_some() => refused += 1,
             Ok(Some(value)) => drop(all.insert(step.key, value)),
             Ok(None) => {}
             Err(StoreError::Damaged { .. }) => refused += 1,
@@ -291,7 +298,7 @@
         let (mut writer, shared) = open(&torn, options).expect("a sound disk");
         torn.cut_after(cuts);
         let view = view_of(&shared);
-        let merge = writer.plan(&view, true, 1).expect("segments to merge");
+        let merge = writer.plan_full_compaction(&view, 1).expect("segments to merge");
         let done = merge.run(false).and_then(|merged| writer.install(&shared, merged));
         for seed in 0..6 {
             let (_, again) = open(&torn.reboot(cuts * 31 + seed), options).expect("it opens");
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,9 +1,10 @@
 //! The store with its threads, on real files.
 
 use mothproxy_store::disk::Disk;
-use mothproxy_store::sim::{Dice, Faults, SimDisk};
+use mothproxy_store::sim::{Faults, Rng, SimDisk};
 use mothproxy_store::{
-    Batch, Invalid, MAX_KEY, MAX_VALUE, Op, Options, Store, StoreError, SyncMode, open_engine, open_reader,
+    Batch, BatchError, MAX_KEY, MAX_VALUE, OpenedWriter, Operation, Options, Store, StoreError, SyncMode,
+    open_reader, open_writer,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -42,9 +43,12 @@
     let dir = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(dir.path(), small()).expect("it opens");
     let cases = [
-        (Batch::new().put("a", "1").put("", "2"), Invalid::EmptyKey),
-        (Batch::new().put("a", "1").put(vec![1; MAX_KEY + 1], "2"), Invalid::KeyTooLong(MAX_KEY + 1)),
-        (Batch::new().put("a", "1").put("b", vec![0; MAX_VALUE + 1]), Invalid::ValueTooLong(MAX_VALUE + 1)),
+        (Batch::new().put("a", "1").put("", "2"), BatchError::EmptyKey),
+        (Batch::new().put("a", "1").put(vec![1; MAX_KEY + 1], "2"), BatchError::KeyTooLong(MAX_KEY + 1)),
+        (
+            Batch::new().put("a", "1").put("b", vec![0; MAX_VALUE + 1]),
+            BatchError::ValueTooLong(MAX_VALUE + 1),
+        ),
     ];
     for (batch, expected) in cases {
         match store.write(batch) {
@@ -86,14 +90,21 @@
 fn time_to_live_goes_by_a_clock_that_never_falls_back() {
     let disk = SimDisk::new(3);
     let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("it opens");
-    store.write(Batch::new().put_for("short", "1", 30).put_for("long", "2", 3_600_000)).expect("written");
+    store
+        .write(Batch::new().put_with_ttl("short", "1", 30).put_with_ttl("long", "2", 3_600_000))
+        .expect("written");
     std::thread::sleep(std::time::Duration::from_millis(40));
     assert_eq!(store.get(b"short").expect("read"), None);
     store.close().expect("closed");
     // A process whose clock was an hour ahead wrote last; then the clock was set right.
     let ahead = {
-        let (mut writer, shared, _, stamp) = open_engine(Arc::new(disk.clone()), small()).expect("it opens");
-        let op = Op { key: b"stamp".to_vec(), value: Some(b"3".to_vec()), expires: Some(stamp + 3_600_500) };
+        let OpenedWriter { mut writer, shared, written_at: stamp, .. } =
+            open_writer(Arc::new(disk.clone()), small()).expect("it opens");
+        let op = Operation {
+            key: b"stamp".to_vec(),
+            value: Some(b"3".to_vec()),
+            expires_at: Some(stamp + 3_600_500),
+        };
         writer.commit(&shared, &[&[op]], stamp + 3_600_000).expect("written");
         stamp + 3_600_000
     };
@@ -103,7 +114,7 @@
     assert_eq!(store.get(b"stamp").expect("read"), Some(b"3".to_vec()));
     std::thread::sleep(std::time::Duration::from_millis(510));
     assert_eq!(store.get(b"stamp").expect("read"), None, "the clock stood still");
-    store.write(Batch::new().put_for("long", "2", 3_600_000)).expect("written");
+    store.write(Batch::new().put_with_ttl("long", "2", 3_600_000)).expect("written");
     assert_eq!(store.compact(false).expect("compacted").records, 1);
     assert_eq!(store.get(b"long").expect("read"), Some(b"2".to_vec()), "a compaction keeps the time to live");
 }
@@ -153,7 +164,7 @@
         });
         store.submit(Batch::new().put(format!("later/{n}"), "x"), done).expect("taken");
     }
-    let (figures, _) = store.figures();
+    let (figures, _) = store.metrics();
     assert!(figures.groups < figures.batches, "{} groups for {} batches", figures.groups, figures.batches);
     let count = all(&store).len();
     assert!(count >= 640);
@@ -168,7 +179,7 @@
     let disk = SimDisk::new(5);
     let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("it opens");
     let mut kept = Vec::new();
-    let (mut failed, mut dice) = (0, Dice::new(1));
+    let (mut failed, mut rng) = (0, Rng::new(1));
     for n in 0..300 {
         if n == 100 {
             disk.set_room(
@@ -184,7 +195,7 @@
             disk.set_room(u64::MAX);
         }
         let key = format!("{n:03}");
-        let value: Vec<u8> = (0..60).map(|_| dice.roll() as u8).collect();
+        let value: Vec<u8> = (0..60).map(|_| rng.next_u64() as u8).collect();
         match store.write(Batch::new().put(key.clone(), value.clone()).put(format!("{n:03}b"), "y")) {
             Ok(()) => {
                 kept.extend([(key.into_bytes(), value), (format!("{n:03}b").into_bytes(), b"y".to_vec())])
@@ -192,13 +203,13 @@
             Err(StoreError::Failing(why)) => {
                 failed += 1;
                 assert!(why.contains("No space left"), "{why}");
-                assert!(store.figures().1.is_some(), "the failure shows");
+                assert!(store.metrics().1.is_some(), "the failure shows");
             }
             Err(other) => panic!("{other}"),
         }
     }
     assert!((50..=100).contains(&failed), "{failed} failed");
-    assert_eq!(store.figures().1, None, "writing resumed by itself");
+    assert_eq!(store.metrics().1, None, "writing resumed by itself");
     assert_eq!(all(&store), kept);
     drop(store);
     let (store, recovery) = Store::open_on(Arc::new(disk.reboot(1)), small()).expect("it opens");
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -3,7 +3,7 @@
 use super::Failure;
 use hdrhistogram::Histogram;
 use mothproxy_store::disk::RealDisk;
-use mothproxy_store::{Batch, Op, Options, Store, SyncMode, open_engine};
+use mothproxy_store::{Batch, OpenedWriter, Operation, Options, Store, SyncMode, open_writer};
 use serde_json::{Value, json};
 use std::fs::File;
 use std::io::{Read, Write};
@@ -19,10 +19,10 @@
 /// Figures that vary from one moment to the next are taken so many times in turn, and the median counts.
 const ROUNDS: usize = 5;
 
-fn op(n: u64) -> Op {
+fn op(n: u64) -> Operation {
     // Keys in no order, as idempotency keys come.
     let key = format!("key-{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes();
-    Op { key, value: Some(vec![n as u8; VALUE]), expires: None }
+    Operation { key, value: Some(vec![n as u8; VALUE]), expires_at: None }
 }
 
 fn put(n: u64) -> Batch {
@@ -95,7 +95,7 @@
     let (mut ratios, mut rates, mut raws, mut groups) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let (store, _) = Store::open(&dir.join("many"), quiet())?;
     for round in 0..ROUNDS as u64 {
-        let (before, over) = (store.figures().0, AtomicBool::new(false));
+        let (before, over) = (store.metrics().0, AtomicBool::new(false));
         let started = Instant::now();
         let failed = std::thread::scope(|scope| {
             let write = |writer: u64| {
@@ -116,7 +116,7 @@
         if let Some(error) = failed {
             return Err(error.into());
         }
-        let (after, span) = (store.figures().0, started.elapsed().as_secs_f64());
+        let (after, span) = (store.metrics().0, started.elapsed().as_secs_f64());
         let records = (after.batches - before.batches) as f64;
         let group = records / (after.groups - before.groups).max(1) as f64;
         let (_, by_hand) = raw(dir, frame(group.round() as usize), 400)?;
@@ -179,7 +179,7 @@
         }
         match compact.join() {
             Ok(Ok(done)) => {
-                compactions = done.figures.compactions;
+                compactions = done.metrics.compactions;
                 None
             }
             Ok(Err(error)) => Some(error.into()),
@@ -225,10 +225,10 @@
     let disk = Arc::new(io(RealDisk::new(&path, true))?);
     let options = Options { sync: SyncMode::Never, ..quiet() };
     {
-        let (mut writer, shared, _, _) = open_engine(disk, options)?;
+        let OpenedWriter { mut writer, shared, .. } = open_writer(disk, options)?;
         let mut n = 0;
         while n < records {
-            let group: Vec<Op> = (n..records.min(n + 64)).map(op).collect();
+            let group: Vec<Operation> = (n..records.min(n + 64)).map(op).collect();
             writer.commit(&shared, &[&group], 1)?;
             n += group.len() as u64;
         }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -321,7 +321,7 @@
 }
 
 fn show(stat: &Stat, as_json: bool) {
-    let f = stat.figures;
+    let f = stat.metrics;
     let figures = json!({
         "records": stat.records, "segments": stat.segments, "bytes": stat.bytes, "live_bytes": stat.live,
         "dead_bytes": stat.dead, "index_bytes": stat.memory, "compactions": f.compactions,
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -61,7 +61,7 @@
             }
         };
         let took = started.elapsed().as_millis();
-        for damage in recovery.damage.iter().chain(&recovery.notes) {
+        for damage in recovery.damage.iter().chain(&recovery.warnings) {
             tracing::error!("state: damaged: {damage}");
         }
         let mut notes = Vec::new();
@@ -109,7 +109,7 @@
         }
         let key = format!("{PREFIX}{key}");
         let batch = match note {
-            Some(note) => Batch::new().put_for(key, note, crate::core::idempotency::RECORD_TTL / 1000),
+            Some(note) => Batch::new().put_with_ttl(key, note, crate::core::idempotency::RECORD_TTL / 1000),
             None => Batch::new().delete(key),
         };
         let (settled, waker) = (self.settled.clone(), self.waker.clone());
