--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -1,4 +1,4 @@
-//! Where a tenant stands, and what one more of its jobs is worth by that: arithmetic without state.
+//! Where a tenant stands, and the value of one more of its jobs that follows from it. [`PaceCredit`] alone has state.
 
 /// Seconds of its pace that a tenant may be ahead.
 const MAX_CREDIT_SECONDS: f64 = 1.0;
--- a/crates/fairshare/tests/ledger.rs
+++ b/crates/fairshare/tests/ledger.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A member and all facts that it ever published.
+/// A member and all facts that it published.
 struct Publisher {
     origin: Origin,
     ledger: Ledger,
@@ -57,8 +57,8 @@
         Publisher { origin, ledger: Ledger::new(config, shares, now).unwrap(), published: Vec::new() }
     }
 
-    fn serve(&mut self, now: u64, tenant: &str, worth: u64) {
-        self.ledger.record(now, now, key(tenant), 0, Usage { value: worth, work: worth * 3 }).unwrap();
+    fn serve(&mut self, now: u64, tenant: &str, value: u64) {
+        self.ledger.record(now, now, key(tenant), 0, Usage { value, work: value * 3 }).unwrap();
     }
 
     /// Publishes what there is; returns these facts.
@@ -377,13 +377,13 @@
 fn each_tier_keeps_its_promise() {
     let shares = shares(&[("a", 1), ("b", 1), ("idle", 2), ("none", 0)]);
     let mut fleet = Fleet::new(2, &shares);
-    // What the first of many jobs at once is worth, and the last.
+    // The value of the first of many jobs at once, and of the last.
     let first_and_last = |fleet: &mut Fleet, at: usize, tenant: &str| {
         let (now, ledger) = (fleet.now, &mut fleet.members[at].ledger);
         let first = ledger.job_value(key(tenant), 0, 10, now);
         (first, (0..100).fold(first, |_, _| ledger.job_value(key(tenant), 0, 10, now)))
     };
-    // Within the share of 250: full worth at its pace, and hardly less for a burst, here and there.
+    // Within the share of 250: full value at its pace, and hardly less for a burst, here and there.
     let rates = [(0, "a", 120), (1, "a", 120), (0, "b", 500), (1, "none", 40)];
     fleet.run(100, &rates, |_, _| true);
     for at in 0..2 {
@@ -396,7 +396,7 @@
     assert!(b.tier == Tier::Lent && b.fraction > 0.1 && b.fraction < 0.9, "{b:?}");
     assert_eq!((none.tier, none.fraction), (Tier::Over, 0.1));
     assert_eq!(first_and_last(&mut fleet, 0, "unlisted").0.tier, Tier::Over);
-    // The lender comes back: its first job has full worth, and what was lent is given back as it fills its share.
+    // The lender comes back: its first job has full value, and what was lent is given back as it fills its share.
     assert_eq!(first_and_last(&mut fleet, 1, "idle").0.fraction, 1.0);
     fleet.run(40, &[(0, "a", 240), (0, "b", 500), (1, "idle", 490)], |_, _| true);
     let (_, b) = first_and_last(&mut fleet, 0, "b");
@@ -407,7 +407,7 @@
         let (_, last) = first_and_last(&mut fleet, at, "a");
         assert!(last.tier == Tier::Within && last.fraction >= 0.9, "{last:?}");
     }
-    // Healed, it pays back: beyond its share, but its first job of a second, of those it has left, at full worth.
+    // Healed, it pays back: beyond its share, but its first job of a second, of those it has left, at full value.
     for (from, to) in [(0, 1), (1, 0)] {
         let (published, now) = (fleet.members[from].published.clone(), fleet.now);
         published.iter().for_each(|f| f.to(&mut fleet.members[to].ledger, now).unwrap_or(()));
--- a/crates/runtimes/src/publish_pacer.rs
+++ b/crates/runtimes/src/publish_pacer.rs
@@ -1,10 +1,10 @@
-//! The pace of published facts: a token bucket, and a pause where nothing was worth a fact.
+//! The pace of published facts: a token bucket, and a pause after nothing was due.
 
 use crate::Config;
 
 /// Facts that were not published for want of anything new may be published at once for so many seconds.
 const BURST_SECONDS: f64 = 10.0;
-/// Where nothing was worth a fact, the next attempt is made after this long, µs.
+/// After nothing was due, the next attempt is made after this long, µs.
 const IDLE_INTERVAL: u64 = 500_000;
 
 /// Says when a fact may be published.
@@ -35,7 +35,7 @@
         self.tokens -= 1.0;
     }
 
-    /// Nothing was worth a fact.
+    /// Nothing was due.
     pub fn on_idle(&mut self, now: u64) {
         self.idle_until = now + IDLE_INTERVAL;
     }
--- a/crates/runtimes/src/shared_slowdown.rs
+++ b/crates/runtimes/src/shared_slowdown.rs
@@ -7,7 +7,7 @@
 //! still shows its true work.
 //!
 //! Small or brief differences are not applied: below three standard errors the factor counts as 1. Otherwise its noise would
-//! enter what is learned, and both could drift apart for ever without their sum being wrong.
+//! enter what is learned, and both could drift apart without bound while their sum stays right.
 
 use crate::Config;
 
--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtimes/tests/estimates.rs
@@ -73,8 +73,8 @@
         let work = if subject == 7 { 100_000.0 } else { 20_000.0 };
         (of(subject), kind, work * if kind == 2 { 3.0 } else { 1.0 } * (0.3 * normal(rng)).exp())
     });
-    let (seen, told) = (one.estimate(&of(7), 1, None).typical, one.estimate(&of(7), 2, None).typical);
-    assert!(near(seen, 100_000.0, 0.2) && near(told, 300_000.0, 0.3), "{seen} and {told}");
+    let (seen, predicted) = (one.estimate(&of(7), 1, None).typical, one.estimate(&of(7), 2, None).typical);
+    assert!(near(seen, 100_000.0, 0.2) && near(predicted, 300_000.0, 0.3), "{seen} and {predicted}");
     // The work is between the two, whichever kinds it was seen at.
     let work = one.estimate_work(&of(0)).typical;
     assert!(near(work, 20_000.0 * 3f64.sqrt(), 0.3), "{work}");
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -72,7 +72,7 @@
     names
 }
 
-/// A compaction that is worth while. The walk through all keys is made without the writer's lock.
+/// A compaction that pays off. The walk through all keys is made without the writer's lock.
 pub(crate) fn plan_without_lock(writer: &Mutex<Option<Writer>>, view: &View, now: u64) -> Option<Compaction> {
     let min_dead = lock(writer).as_ref()?.min_dead_bytes();
     let range = plan::compaction(&segment_usage(view, now), min_dead)?;
--- a/crates/store/src/index/view.rs
+++ b/crates/store/src/index/view.rs
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Those of [`View::find`] and [`Hit::read`].
+    /// Those of [`View::find`], [`StoreError::Damaged`] and [`StoreError::Io`].
     pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>, StoreError> {
         match self.find(key)? {
             Some(hit) if !hit.location.is_expired(now) => hit.read(key),
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -74,7 +74,7 @@
 }
 
 impl SegmentUsage {
-    /// What is won by copying the segment, in bytes.
+    /// What is gained by copying the segment, in bytes.
     fn gain(&self) -> f64 {
         self.dead as f64 - (self.bytes.saturating_sub(self.dead)) as f64 * MIN_DEAD_PER_COPIED
     }
@@ -89,8 +89,8 @@
 /// No merge reads more than this at once, in bytes: offsets have 32 bits.
 const MAX_MERGED_BYTES: u64 = 1 << 30;
 
-/// What to compact next, as a range of these segments, oldest first; `min_dead` is how many dead bytes make it worth while.
-/// First where most is won by the bytes copied, then many small neighbours.
+/// What to compact next, as a range of these segments, oldest first; `min_dead` is from how many dead bytes on it pays off.
+/// First where the most is freed for the bytes copied, then many small neighbours.
 pub fn compaction(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
     best_gain(segments, min_dead).or_else(|| small_neighbours(segments))
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// A merged segment that is damaged gives way to the segments that it replaces, as long as all of them are there.
+/// A damaged merged segment all of whose predecessors are still there: they count in its place.
 fn replaceable_damaged(tiling: &Tiling, loaded: &[Option<LoadedSegment>]) -> Option<SegmentNumbers> {
     let is_damaged =
         |loaded: &Option<LoadedSegment>| loaded.as_ref().is_none_or(|loaded| !loaded.damage.is_empty());
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -384,7 +384,7 @@
         queue
     }
 
-    /// Compacts what is worth it, each time a segment was closed.
+    /// Compacts what pays off, each time a segment was closed.
     fn compact_loop(&self) {
         while self.wait_for_compaction() {
             // A compaction that fails leaves all as it was; it is tried again once the next segment is closed.
@@ -402,7 +402,7 @@
         !signal.is_closing
     }
 
-    /// Compacts what is most worth it; whether there was anything.
+    /// Compacts what pays off most. Returns whether there was anything.
     fn compact_once(&self) -> Result<bool, StoreError> {
         let _one = lock(&self.compacting);
         let (view, now) = (view_of(&self.shared), self.clock.now());
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -110,7 +110,7 @@
         self.unpublished.clone()
     }
 
-    /// The fewest dead bytes that make a compaction worth while.
+    /// The fewest dead bytes for which a compaction pays off.
     pub(crate) fn min_dead_bytes(&self) -> u64 {
         u64::from(self.options.segment_bytes) / 2
     }
@@ -333,7 +333,7 @@
         if segments == 0 { None } else { self.compaction(view, 0..segments, SegmentSet::All, now) }
     }
 
-    /// A compaction of those segments for which it is worth while.
+    /// A compaction of those segments for which it pays off.
     pub fn plan_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
         let range = plan::compaction(&segment_usage(view, now), self.min_dead_bytes())?;
         self.compaction(view, range, SegmentSet::Some, now)
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_restart_whatever_its_bytes() {
+fn contents_survive_a_restart_in_every_sync_mode() {
     let dir = tempfile::tempdir().expect("a folder");
     let keys: [&[u8]; 5] = [b"\0", b"plain", &[0xff; 300], "\u{443}\u{448}".as_bytes(), &[7; MAX_KEY]];
     for mode in [SyncMode::Always, SyncMode::Interval(5), SyncMode::Never] {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn bounds_are_named_and_nothing_of_such_a_batch_is_written() {
+fn a_batch_out_of_bounds_is_refused_whole() {
     let dir = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(dir.path(), small()).expect("it opens");
     let cases = [
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_second_opener_is_kept_out_and_a_foreign_version_is_refused() {
+fn a_second_process_is_locked_out_and_another_version_is_refused() {
     let dir = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(dir.path(), small()).expect("it opens");
     store.write(Batch::new().put("a", "1")).expect("written");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn time_to_live_goes_by_a_clock_that_never_falls_back() {
+fn expiry_follows_a_clock_that_never_goes_back() {
     let disk = SimDisk::new(3);
     let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("it opens");
     store
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn many_writers_share_syncs_and_each_gets_its_own_answer() {
+fn concurrent_writers_share_syncs_and_each_is_answered() {
     let dir = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(dir.path(), small()).expect("it opens");
     std::thread::scope(|scope| {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_failed_sync_is_told_to_its_writers_and_the_next_write_counts() {
+fn a_failed_sync_fails_its_writers_and_the_next_write_counts() {
     let disk = SimDisk::new(6);
     let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("it opens");
     store.write(Batch::new().put("a", "1")).expect("written");
--- a/crates/streams/src/job.rs
+++ b/crates/streams/src/job.rs
@@ -1,4 +1,4 @@
-//! One job of a broker, how it is added, and its form on the way to another process.
+//! One job of a broker, how it is added, and the form in which it is transferred to another process.
 
 use crate::event_log::{EventLog, JobEvent};
 use crate::{Micros, WatcherId};
