--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -99,7 +99,7 @@
                 Err(_) => Err(CommandError::from(BenchError::CompactionPanicked)),
             }
         })?;
-        Ok(ConcurrentWrites { latencies, compactions: stat.figures.compactions })
+        Ok(ConcurrentWrites { latencies, compactions: stat.metrics.compactions })
     }
 }
 
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -6,7 +6,7 @@
 
 use super::error::{BenchError, CommandError};
 use hdrhistogram::Histogram;
-use mothproxy_store::{Batch, Op, Options};
+use mothproxy_store::{Batch, Operation, Options};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
@@ -59,10 +59,10 @@
 }
 
 /// The write of one record; the same number makes the same record.
-fn operation(number: u64) -> Op {
+fn operation(number: u64) -> Operation {
     // Keys in no order, as idempotency keys come.
     let key = format!("key-{:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes();
-    Op { key, value: Some(vec![number as u8; VALUE_LENGTH]), expires: None }
+    Operation { key, value: Some(vec![number as u8; VALUE_LENGTH]), expires_at: None }
 }
 
 fn single_put(number: u64) -> Batch {
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -3,7 +3,7 @@
 use super::{ROUNDS, median, operation, without_compaction};
 use crate::cli::error::{BenchError, CommandError};
 use mothproxy_store::disk::RealDisk;
-use mothproxy_store::{Op, Options, SyncMode, open_engine, open_reader};
+use mothproxy_store::{OpenedWriter, Operation, Options, SyncMode, open_reader, open_writer};
 use serde_json::{Value, json};
 use std::fs::File;
 use std::io::{self, Read};
@@ -55,10 +55,11 @@
 fn write_without_seal(path: &Path, records: u64) -> Result<(), CommandError> {
     let disk = Arc::new(RealDisk::new(path, true).map_err(BenchError::Io)?);
     let options = Options { sync: SyncMode::Never, ..without_compaction() };
-    let (mut writer, shared, _, _) = open_engine(disk, options)?;
+    let OpenedWriter { mut writer, shared, .. } = open_writer(disk, options)?;
     let mut written = 0;
     while written < records {
-        let group: Vec<Op> = (written..records.min(written + RECORDS_PER_GROUP)).map(operation).collect();
+        let group: Vec<Operation> =
+            (written..records.min(written + RECORDS_PER_GROUP)).map(operation).collect();
         writer.commit(&shared, &[&group], 1)?;
         written += group.len() as u64;
     }
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -164,7 +164,7 @@
         "live_bytes": stat.live,
         "dead_bytes": stat.dead,
         "index_bytes": stat.memory,
-        "compactions": stat.figures.compactions,
+        "compactions": stat.metrics.compactions,
     })
 }
 
--- a/src/cli/store/record.rs
+++ b/src/cli/store/record.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use mothproxy_store::Invalid;
+use mothproxy_store::BatchError;
 use serde_json::{Map, Value};
 use thiserror::Error;
 
@@ -50,7 +50,7 @@
     EmptyKey,
     /// The store does not take the record.
     #[error("{0}")]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] BatchError),
 }
 
 /// A record to be written.
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -55,7 +55,7 @@
         let opened = open_when_unlocked(&settings, started);
         let (store, recovery) = opened.map_err(|error| ServerError::State(settings.dir.clone(), error))?;
         let read_in = started.elapsed().as_millis();
-        for damage in recovery.damage.iter().chain(&recovery.notes) {
+        for damage in recovery.damage.iter().chain(&recovery.warnings) {
             tracing::error!("state: damaged: {damage}");
         }
         let records = read_records(&store);
@@ -119,7 +119,7 @@
         };
         let key = format!("{KEY_PREFIX}{key}");
         let batch = match record {
-            Some(record) => Batch::new().put_for(key, record, RECORD_TTL / MICROS_PER_MS),
+            Some(record) => Batch::new().put_with_ttl(key, record, RECORD_TTL / MICROS_PER_MS),
             None => Batch::new().delete(key),
         };
         let sender = self.sender.clone();
