--- a/crates/streams/src/event_log.rs
+++ b/crates/streams/src/event_log.rs
@@ -73,11 +73,12 @@
 
     /// The event with this number, if it is kept.
     pub fn get(&self, id: u64) -> Option<&JobEvent> {
-        for event in self.first.iter().chain(&self.final_event) {
-            if event.id == id {
-                return Some(event);
-            }
-        }
+        let is_meant = |event: &&JobEvent| event.id == id;
+        let at_edge = self.first.as_ref().filter(is_meant).or(self.final_event.as_ref().filter(is_meant));
+        at_edge.or_else(|| self.get_in_ring(id))
+    }
+
+    fn get_in_ring(&self, id: u64) -> Option<&JobEvent> {
         let start = self.ring.front()?.id;
         self.ring.get(usize::try_from(id.checked_sub(start)?).ok()?)
     }
