--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -25,6 +25,15 @@
     }
 }
 
+/// Who may use a directory beside the holder of its lock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LockMode {
+    /// Nobody: for writing.
+    Exclusive,
+    /// Other readers: for reading.
+    Shared,
+}
+
 /// One directory of files.
 pub trait Disk: Send + Sync {
     /// Its name in messages.
@@ -33,17 +42,16 @@
     fn list(&self) -> io::Result<Vec<String>>;
     /// Creates a file; an error where there is one of that name.
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// Opens an existing file.
-    fn open(&self, name: &str, write: bool) -> io::Result<Arc<dyn DiskFile>>;
+    /// Opens an existing file to read it.
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
     /// Renames, replacing.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Returns once creations, renames and removals are durable.
     fn sync_dir(&self) -> io::Result<()>;
-    /// Keeps other openers out for as long as what is returned lives: all of them, or only those that write.
-    /// `None` where another process holds it.
-    fn lock(&self, exclusive: bool) -> io::Result<Option<Box<dyn Any + Send + Sync>>>;
+    /// Locks the directory for as long as what is returned lives. `None` where the lock of another process forbids it.
+    fn lock(&self, mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>>;
 }
 
 /// A directory of the file system.
@@ -56,23 +64,32 @@
 const LOCK_FILE: &str = "LOCK";
 
 impl RealDisk {
-    /// The directory; created if it is not there and `create` says so.
+    /// An existing directory.
     ///
     /// # Errors
     ///
     /// The system's error; also where the path is not a directory.
-    pub fn new(dir: &Path, create: bool) -> io::Result<RealDisk> {
-        if create && !dir.exists() {
-            std::fs::create_dir_all(dir)?;
-            if let Some(parent) = dir.parent().filter(|p| !p.as_os_str().is_empty()) {
-                File::open(parent)?.sync_all()?; // or the directory itself could be gone after a power cut
-            }
-        }
+    pub fn open(dir: &Path) -> io::Result<RealDisk> {
         if !std::fs::metadata(dir)?.is_dir() {
             return Err(io::Error::new(io::ErrorKind::NotADirectory, "not a directory"));
         }
         Ok(RealDisk { dir: dir.to_owned() })
     }
+
+    /// A directory, created if it is not there.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`RealDisk::open`].
+    pub fn open_or_create(dir: &Path) -> io::Result<RealDisk> {
+        if !dir.exists() {
+            std::fs::create_dir_all(dir)?;
+            if let Some(parent) = dir.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+                File::open(parent)?.sync_all()?; // or the directory itself could be gone after a power cut
+            }
+        }
+        RealDisk::open(dir)
+    }
 }
 
 impl DiskFile for File {
@@ -112,8 +129,8 @@
         Ok(Arc::new(options.open(self.dir.join(name))?))
     }
 
-    fn open(&self, name: &str, write: bool) -> io::Result<Arc<dyn DiskFile>> {
-        Ok(Arc::new(OpenOptions::new().read(true).write(write).open(self.dir.join(name))?))
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
+        Ok(Arc::new(File::open(self.dir.join(name))?))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -128,20 +145,25 @@
         File::open(&self.dir)?.sync_all()
     }
 
-    fn lock(&self, exclusive: bool) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
+    fn lock(&self, mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
         use rustix::fs::{FlockOperation, flock};
         let path = self.dir.join(LOCK_FILE);
-        let file =
-            match OpenOptions::new().read(true).write(true).create(exclusive).truncate(false).open(&path) {
-                // A reader of a directory that was never opened for writing has nobody to fear.
-                Err(e) if e.kind() == io::ErrorKind::NotFound && !exclusive => return Ok(Some(Box::new(()))),
-                Err(e) if !exclusive && e.kind() == io::ErrorKind::PermissionDenied => File::open(&path)?,
-                other => other?,
-            };
-        let operation = if exclusive {
-            FlockOperation::NonBlockingLockExclusive
-        } else {
-            FlockOperation::NonBlockingLockShared
+        let is_exclusive = mode == LockMode::Exclusive;
+        let mut options = OpenOptions::new();
+        options.read(true).write(true).create(is_exclusive).truncate(false);
+        let file = match options.open(&path) {
+            // A reader of a directory that was never opened for writing has nobody to fear.
+            Err(error) if error.kind() == io::ErrorKind::NotFound && !is_exclusive => {
+                return Ok(Some(Box::new(())));
+            }
+            Err(error) if error.kind() == io::ErrorKind::PermissionDenied && !is_exclusive => {
+                File::open(&path)?
+            }
+            opened => opened?,
+        };
+        let operation = match mode {
+            LockMode::Exclusive => FlockOperation::NonBlockingLockExclusive,
+            LockMode::Shared => FlockOperation::NonBlockingLockShared,
         };
         match flock(&file, operation) {
             Ok(()) => Ok(Some(Box::new(file))),
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -71,7 +71,7 @@
 impl OpenedSegment {
     fn open(disk: &dyn Disk, numbers: SegmentNumbers) -> Result<OpenedSegment, StoreError> {
         let name = plan::segment_name(numbers);
-        let file = disk.open(&name, false).map_err(io_error("cannot open", &name))?;
+        let file = disk.open(&name).map_err(io_error("cannot open", &name))?;
         let header = segment_loader::read_header(&*file, &name)?.map(|(header, _)| header);
         if let Err(HeaderFault::Version(found)) = header {
             return Err(StoreError::Version { file: name, found, known: format::VERSION });
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -4,7 +4,7 @@
 //! the directory is synced. Any call may be made to fail. After a failed `sync` the lost bytes still read back, as they
 //! do from a page cache, and never reach the disk.
 
-use crate::disk::{Disk, DiskFile};
+use crate::disk::{Disk, DiskFile, LockMode};
 pub use crate::random::Rng;
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -337,7 +337,7 @@
         Ok(Arc::new(SimFile(self.clone(), inode)))
     }
 
-    fn open(&self, name: &str, _write: bool) -> io::Result<Arc<dyn DiskFile>> {
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
         let inode = self.state().names.get(name).copied();
         let inode = inode.ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
         Ok(Arc::new(SimFile(self.clone(), inode)))
@@ -376,7 +376,7 @@
         Ok(())
     }
 
-    fn lock(&self, _exclusive: bool) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
+    fn lock(&self, _mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
         Ok(Some(Box::new(())))
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::compaction::segment_usage;
-use crate::disk::{Disk, RealDisk};
+use crate::disk::{Disk, LockMode, RealDisk};
 use crate::error::{StoreError, io_error};
 use crate::index::{View, Walk, runs};
 use crate::metrics::Metrics;
@@ -121,8 +121,8 @@
 /// [`StoreError::Locked`] where another process has it open for writing, [`StoreError::Version`] and [`StoreError::Io`].
 pub fn open_reader(dir: &Path) -> Result<(Snapshot, Recovery, Box<dyn Any + Send + Sync>), StoreError> {
     let name = dir.display().to_string();
-    let disk = RealDisk::new(dir, false).map_err(io_error("cannot open", &name))?;
-    let lock = disk.lock(false).map_err(io_error("cannot lock", &name))?;
+    let disk = RealDisk::open(dir).map_err(io_error("cannot open", &name))?;
+    let lock = disk.lock(LockMode::Shared).map_err(io_error("cannot lock", &name))?;
     let lock = lock.ok_or(StoreError::Locked(name))?;
     let opened = recovery::open(&disk)?;
     let view = View { layers: opened.layers, ..View::default() };
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -88,7 +88,8 @@
     /// [`StoreError::Locked`] where another process has it open, [`StoreError::Version`] and [`StoreError::Io`]. Damage is no
     /// error: it is in the [`Recovery`].
     pub fn open(dir: &Path, options: Options) -> Result<(Store, Recovery), StoreError> {
-        let disk = RealDisk::new(dir, true).map_err(io_error("cannot open", &dir.display().to_string()))?;
+        let disk =
+            RealDisk::open_or_create(dir).map_err(io_error("cannot open", &dir.display().to_string()))?;
         Store::open_on(Arc::new(disk), options)
     }
 
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -4,7 +4,7 @@
 use crate::active_segment::ActiveSegment;
 use crate::batch_group::BatchGroup;
 use crate::compaction::{Compaction, MergedSegment, SegmentSet, segment_usage};
-use crate::disk::{Disk, DiskFile, write_all};
+use crate::disk::{Disk, DiskFile, LockMode, write_all};
 use crate::error::{StoreError, io_error};
 use crate::format::{self, EncodedBatch, HEADER_LEN, Header, IndexEntry, Operation, SegmentNumbers, Trailer};
 use crate::index::{Layer, Segment, View, runs};
@@ -61,7 +61,7 @@
 /// [`StoreError::Locked`] where another process has it open, [`StoreError::Version`] and [`StoreError::Io`].
 pub fn open(disk: Arc<dyn Disk>, options: Options) -> Result<OpenedWriter, StoreError> {
     let name = disk.name();
-    let lock = disk.lock(true).map_err(io_error("cannot lock", &name))?;
+    let lock = disk.lock(LockMode::Exclusive).map_err(io_error("cannot lock", &name))?;
     let lock = lock.ok_or_else(|| StoreError::Locked(name.clone()))?;
     let opened = recovery::open(&*disk)?;
     // What the last process wrote without a sync may be in memory only: the next segment will say that it counts.
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -222,7 +222,7 @@
 /// Recovery of so many records after a crash (the last segment has no footer) beside a plain read of the same files.
 fn recovery(dir: &Path, records: u64) -> Result<Value, Failure> {
     let path = dir.join(format!("recover-{records}"));
-    let disk = Arc::new(io(RealDisk::new(&path, true))?);
+    let disk = Arc::new(io(RealDisk::open_or_create(&path))?);
     let options = Options { sync: SyncMode::Never, ..quiet() };
     {
         let OpenedWriter { mut writer, shared, .. } = open_writer(disk, options)?;
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -306,7 +306,7 @@
     known(dir)?;
     let (_, _, _held) = open_reader(dir)?;
     let failed = |error: std::io::Error| Failure::input(format!("{}: {error}", dir.display()));
-    let (report, records) = verify(&RealDisk::new(dir, false).map_err(failed)?)?;
+    let (report, records) = verify(&RealDisk::open(dir).map_err(failed)?)?;
     report.damage.iter().for_each(|damage| println!("{damage}"));
     if report.torn > 0 {
         println!("{}: {} bytes at the end were never acknowledged", dir.display(), report.torn);
