--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -53,7 +53,7 @@
 }
 
 fn write_without_seal(path: &Path, records: u64) -> Result<(), CommandError> {
-    let disk = Arc::new(RealDisk::new(path, true).map_err(BenchError::Io)?);
+    let disk = Arc::new(RealDisk::open_or_create(path).map_err(BenchError::Io)?);
     let options = Options { sync: SyncMode::Never, ..without_compaction() };
     let OpenedWriter { mut writer, shared, .. } = open_writer(disk, options)?;
     let mut written = 0;
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -115,8 +115,7 @@
 fn verify_all(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
     let (_, _, _lock) = open_reader(dir)?;
-    let disk =
-        RealDisk::new(dir, false).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
+    let disk = RealDisk::open(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let (report, records) = verify(&disk)?;
     for damage in &report.damage {
         println!("{damage}");
