--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -159,14 +159,14 @@
     fn wait(log: &mut ProcessLog, is_without_discovery: bool) -> Listeners {
         let first = loop {
             let line = log.next_startup_line();
-            if !line.starts_with("upgrade: ") && !line.starts_with("state: ") {
+            if !line.starts_with("hot restart: ") && !line.starts_with("idempotency store: ") {
                 break line;
             }
         };
-        let is_successor = log.read.iter().any(|line| line.starts_with("upgrade: taking over"));
+        let is_successor = log.read.iter().any(|line| line.starts_with("hot restart: taking over"));
         while is_without_discovery
             && !is_successor
-            && !log.next_startup_line().starts_with("discovery: not heard since the start")
+            && !log.next_startup_line().starts_with("endpoint list stale: ")
         {}
         Listeners::parse(&first).unwrap_or_else(|| panic!("{first}"))
     }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -65,7 +65,7 @@
         let scheduler_config = scheduler_config(settings, config, unix_at_zero);
         let scheduler = scheduler_config.and_then(|scheduler_config| {
             let scheduler = PollScheduler::new(scheduler_config, now, generation);
-            scheduler.inspect_err(|error| tracing::warn!("cold start: the pacer is off: {error}")).ok()
+            scheduler.inspect_err(|error| tracing::warn!(%error, "cold start: poll scheduler disabled")).ok()
         });
         let place = u16::try_from(config.settings.me).unwrap_or(u16::MAX);
         let hears_members = hears_members(settings, config);
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -46,9 +46,7 @@
     pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
         match (core.endpoints.stale, self.liveness.is_stale(now)) {
             (true, false) => {
-                tracing::warn!(
-                    "discovery: not heard since the start; the list known before it is used as it is"
-                );
+                tracing::warn!("endpoint list stale: discovery silent since the start, using the known list");
                 core.use_stale_list();
             }
             (false, true) => core.suspend_stale_list(),
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -23,7 +23,7 @@
         let (records, loaded) = RecordStore::open(settings)?;
         let bad = self.core.enable_idempotency(self.now, loaded.records.into_iter(), loaded.is_clock_sound);
         for (key, error) in bad {
-            tracing::error!("state: the note of {key:?} cannot be read: {error}");
+            tracing::error!(key, %error, "idempotency store: unreadable record");
         }
         let watched = epoll::add(
             &self.epoll,
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -56,15 +56,15 @@
         let (store, recovery) = opened.map_err(|error| ServerError::State(settings.dir.clone(), error))?;
         let read_in = started.elapsed().as_millis();
         for damage in recovery.damage.iter().chain(&recovery.warnings) {
-            tracing::error!("state: damaged: {damage}");
+            tracing::error!(%damage, "idempotency store: damaged");
         }
         let records = read_records(&store);
         let is_clock_sound = is_clock_sound(&store);
         if !is_clock_sound {
-            tracing::warn!("state: the clock is behind what was noted; jobs noted before are not sent again");
+            tracing::warn!("idempotency store: clock is behind the records, earlier jobs are not retried");
         }
         let (count, directory) = (records.len(), settings.dir.display());
-        tracing::info!("state: {count} keys noted in {directory}, read in {read_in} ms");
+        tracing::info!(records = count, %directory, milliseconds = read_in, "idempotency store: opened");
         let (sender, receiver) = completion_queue().map_err(|error| ServerError::System("state", error))?;
         let record_store = RecordStore {
             settings,
@@ -158,16 +158,14 @@
     /// One line of the log when writing begins to fail, one when it works again.
     fn set_failing(&mut self, error: RecordWriteError) {
         if self.last_error.is_none() {
-            tracing::error!(
-                "state: cannot note keyed jobs, which are turned away or failed meanwhile: {error}"
-            );
+            tracing::error!(%error, "idempotency store: writing fails, keyed jobs are rejected or failed");
         }
         self.last_error = Some(error);
     }
 
     fn set_working(&mut self) {
         if self.last_error.take().is_some() {
-            tracing::info!("state: keyed jobs are noted again, after {} that could not be", self.failures);
+            tracing::info!(failures = self.failures, "idempotency store: writing again");
         }
     }
 }
@@ -194,7 +192,7 @@
         let (key, record) = match entry {
             Ok(entry) => entry,
             Err(error) => {
-                tracing::error!("state: damaged: {error}");
+                tracing::error!(damage = %error, "idempotency store: damaged");
                 continue;
             }
         };
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -152,10 +152,7 @@
         self.lifecycle.drained_since = is_drained.then_some(self.now);
         let is_nonblocking = rustix::io::ioctl_fionbio(&link, true).is_ok();
         if is_nonblocking && self.can_watch(link.as_fd(), PEER_PROCESS) {
-            tracing::info!(
-                "upgrade: taking over from the running process, open={}",
-                open.request_names.len()
-            );
+            tracing::info!(open = open.request_names.len(), "hot restart: taking over from the predecessor");
             self.hot_restart.peer_process = Some(PeerProcess::new(link, open));
         }
         if is_drained {
@@ -176,7 +173,7 @@
             }
             Ok(_) => {}
             Err(error) => {
-                tracing::info!("upgrade: no handover from this process: {}: {error}", path.display());
+                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
             }
         }
     }
@@ -210,10 +207,10 @@
         let Some(process) = self.hot_restart.peer_process.take() else { return };
         self.epoll.remove(&process.link);
         if !std::mem::take(&mut self.hot_restart.has_handed_over) {
-            return tracing::info!("upgrade: the other process has ended");
+            return tracing::info!("hot restart: the other process has ended");
         }
         // The successor died with what it had. The listening sockets are still open here.
-        tracing::info!("upgrade: the new process has ended; this one serves again");
+        tracing::info!("hot restart: the successor has ended, serving again");
         let sse = self.listeners.sse.as_ref();
         let is_watched = [
             self.can_watch(self.listeners.platform.as_fd(), PLATFORM),
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -80,7 +80,7 @@
     match inheritance {
         Some(inheritance) => TakeoverResult::Inherited(Box::new(inheritance)),
         None => {
-            tracing::info!("upgrade: the running process hands nothing over");
+            tracing::info!("hot restart: the running process does not hand over");
             TakeoverResult::Refused
         }
     }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -62,7 +62,7 @@
         self.listeners.is_accepting = false;
         self.suspend_fleet();
         self.hot_restart.socket = None;
-        tracing::info!("upgrade: handing over to a new process, open={}", self.core.ledger.open());
+        tracing::info!(open = self.core.ledger.open(), "hot restart: handing over to the successor");
         self.core.set_timer(self.now + 1, HANDOVER_TIMER);
     }
 
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -48,7 +48,7 @@
             Ok(config) => self.apply_config(config),
             Err(why) => {
                 self.metrics.bad_reloads += 1;
-                tracing::warn!("reload: {why}; the old configuration stays");
+                tracing::warn!(error = %why, "reload rejected, keeping the old configuration");
             }
         }
     }
@@ -64,7 +64,7 @@
 
     fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
-        tracing::info!("reloaded: discovery {}", config.discovery);
+        tracing::info!(discovery = %config.discovery, "configuration reloaded");
         self.classes = config.settings.classes.clone();
         let reserved = if self.records.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
         self.budget = Budget::new(config.limits, reserved);
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -27,7 +27,7 @@
             return;
         }
         self.lifecycle.shutdown = Some(self.plan_shutdown());
-        tracing::info!("stopping: asked to; open={}", self.core.ledger.open());
+        tracing::info!(open = self.core.ledger.open(), "shutdown started");
         self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
         self.announce_state();
     }
@@ -66,7 +66,7 @@
             // A client whose last connection has just ended may be back with a new one.
             let since = *self.lifecycle.quiescent_since.get_or_insert(self.now);
             if self.now >= since + MIN_IDLE_BEFORE_CLOSE {
-                tracing::info!("stopped: open={}", self.core.ledger.open());
+                tracing::info!(open = self.core.ledger.open(), "shutdown complete");
                 self.lifecycle.is_done = true;
                 return;
             }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -38,7 +38,7 @@
     /// Starts the parts that are on. Where they lack what they need they stay off, and a line of the log says why.
     pub(in crate::server) fn open(settings: FleetSettings, config: &Config, now: Micros) -> MembershipLink {
         let fleet = Fleet::new(settings, new_identity(config), now).unwrap_or_else(|error| {
-            tracing::warn!("members: off: {error} in this configuration with peer_listen");
+            tracing::warn!(%error, "membership disabled: configuration does not fit");
             Fleet::default()
         });
         MembershipLink { fleet, timer: TimerSlot::new(FLEET_TIMER), next_publish: Some(now) }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -71,7 +71,7 @@
     assert!(node.has_received("a2") && !node.has_received("a1"));
     drop(resting);
     let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
+    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
 }
 
 /// The process ended as soon as its last answer was written: what the client sent then reset the connection under it. A
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -54,7 +54,7 @@
     // Datagrams get lost: it goes on saying that it stops.
     (0..3).for_each(|_| wait_for_datagram(&peer, b"S"));
     let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
+    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
 }
 
 #[test]
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -46,7 +46,10 @@
     wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
     program.replace_config(&naming(&program, &second));
     program.signal("-HUP");
-    assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", second.address));
+    assert_eq!(
+        program.wait_for_log("configuration reloaded"),
+        format!("configuration reloaded discovery={}", second.address)
+    );
     wait_until("a watch of the new one", || second.calls.load(Ordering::SeqCst) > 0);
     // Versions of another service need not compare: everything is asked for.
     let request_lines = second.request_lines.lock().expect("a lock").clone();
@@ -83,7 +86,7 @@
     let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
     program.replace_config(&naming(&program, &second));
     program.signal("-HUP");
-    program.wait_for_log("reloaded");
+    program.wait_for_log("configuration reloaded");
     let whole = "GET /discovery/hosts HTTP/1.1";
     wait_until("the whole list is asked for", || {
         second.request_lines.lock().expect("a lock").iter().any(|line| line == whole)
@@ -133,7 +136,10 @@
     // The same file again names no other discovery: the watch stays, and the environment's address with it.
     program.replace_config(&good.to_string());
     program.signal("-HUP");
-    assert_eq!(program.wait_for_log("reloaded"), format!("reloaded: discovery {}", discovery.address));
+    assert_eq!(
+        program.wait_for_log("configuration reloaded"),
+        format!("configuration reloaded discovery={}", discovery.address)
+    );
     serve_one(&program, "f0");
     assert_eq!(discovery.calls.load(Ordering::SeqCst), 1);
 }
@@ -181,7 +187,7 @@
     });
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.wait_for_log("reloaded");
+    program.wait_for_log("configuration reloaded");
     workers.iter().for_each(|worker| worker.open_gate("retuned"));
     for stream in &mut open {
         let reply = read_reply(stream).expect("an answer");
@@ -194,10 +200,10 @@
     }
     program.replace_config("{");
     program.signal("-HUP");
-    program.wait_for_log("reload: ");
+    program.wait_for_log("reload rejected");
     program.replace_config(&good.to_string());
     program.signal("-HUP");
-    program.wait_for_log("reloaded");
+    program.wait_for_log("configuration reloaded");
     assert_eq!((status(platform, "e0", "balance"), status(platform, "e1", "check")), (200, 400));
     let metrics = program.call_admin("GET", "/control/counters").body;
     for line in [
@@ -225,7 +231,7 @@
     assert_eq!(send(program.platform, &request("g0")).expect("an answer").status, 400, "unknown so far");
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.wait_for_log("reloaded");
+    program.wait_for_log("configuration reloaded");
     assert_eq!(send(program.platform, &request("g1")).expect("an answer").status, 200);
     let idle: Vec<_> = (0..60).map(|_| connect(program.platform)).collect();
     serve_one(&program, "g2");
@@ -252,7 +258,10 @@
         assert_eq!(read_reply(&mut before).expect("an answer").status, 200, "{order:?}");
         let (clean, log) = program.wait_for_exit();
         let has = |start: &str| log.iter().any(|line| line.starts_with(start));
-        assert!(clean && has("reloaded: ") && has("stopped: open=0"), "{order:?}: {log:?}");
+        assert!(
+            clean && has("configuration reloaded ") && has("shutdown complete open=0"),
+            "{order:?}: {log:?}"
+        );
     }
 }
 
@@ -278,5 +287,5 @@
     serve_one(&program, "u1");
     program.terminate();
     let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|line| line.starts_with("reloaded: ")), "{log:?}");
+    assert!(clean && log.iter().any(|line| line.starts_with("configuration reloaded ")), "{log:?}");
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -127,7 +127,7 @@
 /// Discovery that can't be reached, or has had its time, keeps nobody from serving: the list of before is used as it is.
 #[test]
 fn serves_by_previous_list_if_discovery_is_unreachable() {
-    let unheard = "discovery: not heard since the start";
+    let unheard = "endpoint list stale: ";
     for (mode, silent) in [("on_request", 50), ("pushed", 50)] {
         let (mut program, old, ..) = restarted(mode, silent);
         program.wait_for_log(unheard);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -143,7 +143,7 @@
     served(&mut client, "b0"); // and the datagrams have been read
     program.replace_config(&config.to_string());
     program.signal("-HUP");
-    program.wait_for_log("reloaded");
+    program.wait_for_log("configuration reloaded");
     told[1..].iter().for_each(|n| {
         others[n].send_to(b"S", home).expect("sent");
     });
@@ -188,7 +188,7 @@
     let mut client = connect(elder.platform);
     (0..5).for_each(|n| drop(served(&mut client, &format!("a{n}"))));
     let younger = start(elder.platform.to_string());
-    elder.wait_for_log("upgrade: handing over");
+    elder.wait_for_log("hot restart: handing over");
     // On the same connection, by the younger: the elder holds nothing and ends.
     served(&mut client, "b0");
     elder.terminate();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -308,7 +308,7 @@
     worker.open_gate("stop");
     assert_eq!(read_reply(&mut before).expect("an answer").status, 200);
     let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
+    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
 }
 
 /// Descriptors are budgeted: idle connections give way to those that come with work.
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -95,7 +95,7 @@
     chunked.write_all(b"13\r\nstarted done=chunks\r\n0\r\n\r\n").expect("written");
     assert_eq!(read_reply(&mut chunked).expect("an answer").body, "chunks");
     let (clean, log) = predecessor.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "stopped: open=0"), "{log:?}");
+    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
     // Each job went to the worker once, also those that were under way.
     for id in ["a0", "a1", "a2", "b0", "b1", "c0"] {
         let sent =
@@ -148,7 +148,7 @@
     let successor = start_successor(&folder, workers, &predecessor);
     assert_eq!(send_job(&successor, "e0"), 200);
     successor.signal("-KILL");
-    predecessor.wait_for_log("upgrade: the new process has ended; this one serves again");
+    predecessor.wait_for_log("hot restart: the successor has ended, serving again");
     assert_eq!((ready(&predecessor), send_job(&predecessor, "e1")), (200, 200));
     let third = start_successor(&folder, workers, &predecessor);
     assert_eq!(send_job(&third, "e2"), 200);
