--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -1,5 +1,5 @@
-//! A list service and its callers on a virtual clock: one queue that is slow, and as many of the program's own clocks of watches
-//! as there are dispatchers. See `docs/design/lists.md`.
+//! A discovery service and its callers on a virtual clock: one queue that is slow, and as many of the program's own
+//! [`WatchLiveness`] as there are dispatchers. See `docs/design/lists.md`.
 #![allow(missing_docs, dead_code)] // each of its users reads a part of an outcome
 
 use mothproxy::Micros;
@@ -9,12 +9,12 @@
 
 pub const S: Micros = 1_000_000;
 pub const MS: Micros = 1_000;
-/// From one side to the other.
-const WAY: Micros = MS / 2;
+/// How long bytes travel from one side to the other.
+const ONE_WAY_DELAY: Micros = MS / 2;
 /// The scenario's moment; what came before is only there so that nothing is before time began.
-const MOMENT: Micros = 1_000 * S;
+const SCENARIO_START: Micros = 1_000 * S;
 /// Nobody waits longer than this to be counted as served.
-const END: Micros = MOMENT + 600 * S;
+const SCENARIO_END: Micros = SCENARIO_START + 600 * S;
 
 /// The service's time for a call: a whole list is as much again as a call, what changed meanwhile a twentieth of that.
 fn cost(call: Micros, whole: bool) -> Micros {
@@ -70,7 +70,7 @@
         Scenario::Restarts,
     ];
 
-    /// What it has counts as told so long after it could be reached.
+    /// A list must come within this time after the service could be reached.
     pub fn bound(self) -> Micros {
         if self == Scenario::TransferredRequest { 4 * S } else { 6 * S }
     }
@@ -93,9 +93,9 @@
     pub p50: Micros,
     pub p99: Micros,
     pub max: Micros,
-    /// Callers told later than the bound.
+    /// Callers that get a list later than the bound.
     pub late: u32,
-    /// Callers that are never told.
+    /// Callers that never get one.
     pub never: u32,
     /// By the service's own time, were no caller in another's way, so many cannot be told within the bound.
     pub beyond: u32,
@@ -109,308 +109,332 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The caller's next call, or the end of its patience.
-    Due(usize, u64),
-    /// A call's connection is up, and its request arrives.
-    Arrives(usize, u64),
-    /// The service has waited long enough with a call.
-    TooLong(usize, u64),
-    /// The service has done a call; whether it is answered.
-    Done(usize, u64, bool),
-    /// What the service says to a call reaches the caller: a list, or an end.
-    Says(usize, u64, bool),
-    Silent(usize),
-    Restart(usize),
-    Down,
-    Back,
+    /// A caller's next call, or a timeout of the present one.
+    TimerFired(usize, u64),
+    /// A connection is up, and the request of a call arrives.
+    RequestArrived(usize, u64),
+    /// A call has waited for as long as the service lets it.
+    MaxWaitReached(usize, u64),
+    /// The service has handled a call; whether it is answered with a list.
+    Handled(usize, u64, bool),
+    /// The response to a call reaches the caller: a list, or an end.
+    ResponseArrived(usize, u64, bool),
+    WatchSilent(usize),
+    CallerRestarted(usize),
+    ServiceDown,
+    ServiceRestored,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    Waits,
-    Connects,
-    Asks,
-    Holds,
+enum CallPhase {
+    Waiting,
+    Connecting,
+    Requesting,
+    Watching,
 }
 
 struct Caller {
-    clock: WatchLiveness,
-    phase: Phase,
+    liveness: WatchLiveness,
+    phase: CallPhase,
     /// The number of its call, or of its wait for the next one: what was meant for an earlier one is void.
     turn: u64,
     /// It holds no list.
-    fresh: bool,
+    needs_full_list: bool,
     /// Since when it is owed a list.
-    owed: Option<Micros>,
+    waiting_since: Option<Micros>,
 }
 
-struct Play {
+struct Simulation {
     day: Day,
     now: Micros,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    made: u64,
+    /// Events scheduled so far, which tells those of one time apart.
+    scheduled: u64,
     callers: Vec<Caller>,
     queue: VecDeque<(usize, u64, Micros)>,
     busy: bool,
     down: bool,
     rng: fastrand::Rng,
-    times: Vec<Micros>,
-    seen: Outcome,
+    /// From when a caller waited for a list until it came.
+    latencies: Vec<Micros>,
+    outcome: Outcome,
 }
 
-/// Plays a day.
+/// Simulates a day.
 pub fn play(day: Day) -> Outcome {
-    let mut play = Play {
+    let mut simulation = Simulation {
         day,
-        now: MOMENT,
+        now: SCENARIO_START,
         events: BinaryHeap::new(),
-        made: 0,
+        scheduled: 0,
         callers: Vec::new(),
         queue: VecDeque::new(),
         busy: false,
         down: false,
         rng: fastrand::Rng::with_seed(day.seed),
-        times: Vec::new(),
-        seen: Outcome::default(),
+        latencies: Vec::new(),
+        outcome: Outcome::default(),
     };
-    play.begin();
-    while let Some(Reverse((at, _, event))) = play.events.pop() {
-        if at > END {
+    simulation.start_scenario();
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        if at > SCENARIO_END {
             break;
         }
-        play.now = at;
-        play.meets(event);
+        simulation.now = at;
+        simulation.on_event(event);
     }
-    play.sum()
+    simulation.into_outcome()
 }
 
-impl Play {
-    fn at(&mut self, at: Micros, event: Event) {
-        self.made += 1;
-        self.events.push(Reverse((at, self.made, event)));
+impl Simulation {
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.events.push(Reverse((at, self.scheduled, event)));
     }
 
-    fn begin(&mut self) {
+    fn start_scenario(&mut self) {
         let Day { scenario, callers, call, .. } = self.day;
-        for me in 0..callers as usize {
-            let clock = self.clock();
-            self.callers.push(Caller { clock, phase: Phase::Holds, turn: 0, fresh: true, owed: None });
+        for caller_index in 0..callers as usize {
+            let liveness = self.new_liveness();
+            self.callers.push(Caller {
+                liveness,
+                phase: CallPhase::Watching,
+                turn: 0,
+                needs_full_list: true,
+                waiting_since: None,
+            });
             if scenario == Scenario::Start {
-                self.restart(me);
+                self.restart(caller_index);
                 continue;
             }
             // A watch that was opened at a quiet time.
-            let caller = &mut self.callers[me];
-            let before = MOMENT - 60 * S;
-            caller.clock.on_call_started(before);
-            caller.clock.on_connected(before + WAY);
-            caller.clock.on_list(before + call);
-            caller.clock.on_data(before + call, false);
-            caller.fresh = false;
-            let beat = self.beats(me);
+            let caller = &mut self.callers[caller_index];
+            let before = SCENARIO_START - 60 * S;
+            caller.liveness.on_call_started(before);
+            caller.liveness.on_connected(before + ONE_WAY_DELAY);
+            caller.liveness.on_list(before + call);
+            caller.liveness.on_data(before + call, false);
+            caller.needs_full_list = false;
+            let beat = self.receive_heartbeat(caller_index);
             match scenario {
                 Scenario::Silent => {
-                    self.callers[me].owed = Some(MOMENT - beat);
-                    self.at(MOMENT - beat + 2_500 * MS, Event::Silent(me));
+                    self.callers[caller_index].waiting_since = Some(SCENARIO_START - beat);
+                    self.schedule(SCENARIO_START - beat + 2_500 * MS, Event::WatchSilent(caller_index));
                 }
-                Scenario::Reset => self.breaks(me, WatchFailure::Ended),
+                Scenario::Reset => self.on_watch_failed(caller_index, WatchFailure::Ended),
                 Scenario::TransferredRequest => {
-                    let due = self.callers[me].clock.on_discovery_moved(MOMENT);
-                    self.callers[me].owed = Some(MOMENT);
-                    self.callers[me].fresh = true;
-                    self.waits(me, due);
+                    let due = self.callers[caller_index].liveness.on_discovery_moved(SCENARIO_START);
+                    self.callers[caller_index].waiting_since = Some(SCENARIO_START);
+                    self.callers[caller_index].needs_full_list = true;
+                    self.wait_for_next_call(caller_index, due);
                 }
                 Scenario::Restarts => {
-                    let second = me as u64 * 10 / u64::from(callers);
-                    self.at(MOMENT + second * S, Event::Restart(me));
+                    let second = caller_index as u64 * 10 / u64::from(callers);
+                    self.schedule(SCENARIO_START + second * S, Event::CallerRestarted(caller_index));
                 }
                 _ => {}
             }
         }
         if matches!(scenario, Scenario::Down(_)) {
-            self.at(MOMENT, Event::Down);
-            self.at(MOMENT + 8 * S, Event::Back);
+            self.schedule(SCENARIO_START, Event::ServiceDown);
+            self.schedule(SCENARIO_START + 8 * S, Event::ServiceRestored);
         }
     }
 
-    fn clock(&mut self) -> WatchLiveness {
+    fn new_liveness(&mut self) -> WatchLiveness {
         let terms = DiscoveryTerms { pushed: false, ask_within: Some(10 * S), nodes: self.day.callers };
         WatchLiveness::new(terms, self.rng.u64(..))
     }
 
-    fn restart(&mut self, me: usize) {
-        let mut clock = self.clock();
-        let due = clock.start(self.now);
-        self.callers[me].clock = clock;
-        self.callers[me].owed = Some(self.now);
-        self.callers[me].fresh = true;
-        self.waits(me, due);
+    fn restart(&mut self, caller_index: usize) {
+        let mut liveness = self.new_liveness();
+        let due = liveness.start(self.now);
+        self.callers[caller_index].liveness = liveness;
+        self.callers[caller_index].waiting_since = Some(self.now);
+        self.callers[caller_index].needs_full_list = true;
+        self.wait_for_next_call(caller_index, due);
     }
 
-    fn waits(&mut self, me: usize, due: Micros) {
-        self.callers[me].phase = Phase::Waits;
-        self.due(me, due);
+    fn wait_for_next_call(&mut self, caller_index: usize, due: Micros) {
+        self.callers[caller_index].phase = CallPhase::Waiting;
+        self.set_timer(caller_index, due);
     }
 
-    /// Another turn begins, which is over at this time.
-    fn due(&mut self, me: usize, due: Micros) {
-        self.callers[me].turn += 1;
-        let turn = self.callers[me].turn;
-        self.at(due.max(self.now), Event::Due(me, turn));
+    /// Sets a caller's timer; what was meant for an earlier one is void.
+    fn set_timer(&mut self, caller_index: usize, due: Micros) {
+        self.callers[caller_index].turn += 1;
+        let turn = self.callers[caller_index].turn;
+        self.schedule(due.max(self.now), Event::TimerFired(caller_index, turn));
     }
 
-    fn breaks(&mut self, me: usize, why: WatchFailure) {
-        if self.callers[me].phase == Phase::Holds && self.callers[me].owed.is_none() {
-            self.callers[me].owed = Some(self.now);
+    fn on_watch_failed(&mut self, caller_index: usize, why: WatchFailure) {
+        if self.callers[caller_index].phase == CallPhase::Watching
+            && self.callers[caller_index].waiting_since.is_none()
+        {
+            self.callers[caller_index].waiting_since = Some(self.now);
         }
-        let due = self.callers[me].clock.on_watch_failed(self.now, why);
+        let due = self.callers[caller_index].liveness.on_watch_failed(self.now, why);
         assert!(due >= self.now, "in the past");
-        self.waits(me, due);
+        self.wait_for_next_call(caller_index, due);
     }
 
     fn is_down(&self, how: Outage) -> bool {
         self.down && self.day.scenario == Scenario::Down(how)
     }
 
-    fn meets(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
-            Event::Due(me, turn) if self.callers[me].turn == turn => self.is_due(me),
-            Event::Arrives(me, turn) if self.callers[me].turn == turn => {
+            Event::TimerFired(caller_index, turn) if self.callers[caller_index].turn == turn => {
+                self.on_timer(caller_index)
+            }
+            Event::RequestArrived(caller_index, turn) if self.callers[caller_index].turn == turn => {
                 // The time for an answer is another than the one for the connection; the call is the same.
-                let due = self.callers[me].clock.on_connected(self.now);
-                self.callers[me].phase = Phase::Asks;
-                self.due(me, due);
-                let turn = self.callers[me].turn;
-                self.queue.push_back((me, turn, self.now));
+                let due = self.callers[caller_index].liveness.on_connected(self.now);
+                self.callers[caller_index].phase = CallPhase::Requesting;
+                self.set_timer(caller_index, due);
+                let turn = self.callers[caller_index].turn;
+                self.queue.push_back((caller_index, turn, self.now));
                 if self.day.pays != Pays::Late {
-                    self.at(self.now + self.day.wait, Event::TooLong(me, turn));
+                    self.schedule(self.now + self.day.wait, Event::MaxWaitReached(caller_index, turn));
                 }
-                self.serves();
+                self.serve_next();
             }
-            Event::TooLong(me, turn) => {
+            Event::MaxWaitReached(caller_index, turn) => {
                 let before = self.queue.len();
-                self.queue.retain(|(who, which, _)| (*who, *which) != (me, turn));
-                if self.queue.len() < before && self.callers[me].turn == turn {
-                    self.at(self.now + WAY, Event::Says(me, turn, false));
+                self.queue.retain(|(who, which, _)| (*who, *which) != (caller_index, turn));
+                if self.queue.len() < before && self.callers[caller_index].turn == turn {
+                    self.schedule(
+                        self.now + ONE_WAY_DELAY,
+                        Event::ResponseArrived(caller_index, turn, false),
+                    );
                 }
             }
-            Event::Done(me, turn, answered) => {
+            Event::Handled(caller_index, turn, answered) => {
                 self.busy = false;
-                if self.callers[me].turn == turn {
-                    self.at(self.now + WAY, Event::Says(me, turn, answered));
+                if self.callers[caller_index].turn == turn {
+                    self.schedule(
+                        self.now + ONE_WAY_DELAY,
+                        Event::ResponseArrived(caller_index, turn, answered),
+                    );
                 }
-                self.serves();
+                self.serve_next();
             }
-            Event::Says(me, turn, true) if self.callers[me].turn == turn => {
-                let caller = &mut self.callers[me];
-                caller.clock.on_list(self.now);
-                caller.clock.on_data(self.now, false);
-                (caller.phase, caller.fresh) = (Phase::Holds, false);
+            Event::ResponseArrived(caller_index, turn, true) if self.callers[caller_index].turn == turn => {
+                let caller = &mut self.callers[caller_index];
+                caller.liveness.on_list(self.now);
+                caller.liveness.on_data(self.now, false);
+                (caller.phase, caller.needs_full_list) = (CallPhase::Watching, false);
                 caller.turn += 1;
-                if let Some(owed) = caller.owed.take() {
-                    self.times.push(self.now.saturating_sub(owed));
+                if let Some(waiting_since) = caller.waiting_since.take() {
+                    self.latencies.push(self.now.saturating_sub(waiting_since));
                 }
             }
-            Event::Says(me, turn, false) if self.callers[me].turn == turn => {
-                self.seen.refused += 1;
-                self.breaks(me, WatchFailure::Ended);
+            Event::ResponseArrived(caller_index, turn, false) if self.callers[caller_index].turn == turn => {
+                self.outcome.refused += 1;
+                self.on_watch_failed(caller_index, WatchFailure::Ended);
             }
-            Event::Silent(me) => self.breaks(me, WatchFailure::Silent),
-            Event::Restart(me) => self.restart(me),
-            Event::Down => self.goes_down(),
-            Event::Back => {
+            Event::WatchSilent(caller_index) => self.on_watch_failed(caller_index, WatchFailure::Silent),
+            Event::CallerRestarted(caller_index) => self.restart(caller_index),
+            Event::ServiceDown => self.on_service_down(),
+            Event::ServiceRestored => {
                 self.down = false;
                 // Whoever has none is owed one from now on.
                 let now = self.now;
-                self.callers.iter_mut().filter_map(|c| c.owed.as_mut()).for_each(|owed| *owed = now);
-                self.serves();
+                self.callers
+                    .iter_mut()
+                    .filter_map(|c| c.waiting_since.as_mut())
+                    .for_each(|waiting_since| *waiting_since = now);
+                self.serve_next();
             }
             _ => {}
         }
     }
 
     /// An empty line has come within the two seconds before now (PROTOCOL, "Discovery"): how long ago.
-    fn beats(&mut self, me: usize) -> Micros {
+    fn receive_heartbeat(&mut self, caller_index: usize) -> Micros {
         let ago = self.rng.u64(0..2 * S);
-        self.callers[me].clock.on_data(self.now - ago, false);
+        self.callers[caller_index].liveness.on_data(self.now - ago, false);
         ago
     }
 
-    fn goes_down(&mut self) {
+    fn on_service_down(&mut self) {
         self.down = true;
-        for me in 0..self.callers.len() {
-            if self.callers[me].phase == Phase::Holds {
+        for caller_index in 0..self.callers.len() {
+            if self.callers[caller_index].phase == CallPhase::Watching {
                 if self.is_down(Outage::Lost) {
-                    let beat = self.beats(me);
-                    self.callers[me].owed = Some(self.now);
-                    self.at(self.now - beat + 2_500 * MS, Event::Silent(me));
+                    let beat = self.receive_heartbeat(caller_index);
+                    self.callers[caller_index].waiting_since = Some(self.now);
+                    self.schedule(self.now - beat + 2_500 * MS, Event::WatchSilent(caller_index));
                 } else {
-                    self.breaks(me, WatchFailure::Ended);
+                    self.on_watch_failed(caller_index, WatchFailure::Ended);
                 }
             }
         }
     }
 
-    fn is_due(&mut self, me: usize) {
-        match self.callers[me].phase {
-            Phase::Waits => {
-                self.seen.calls += 1;
-                let up_by = self.callers[me].clock.on_call_started(self.now);
-                self.callers[me].phase = Phase::Connects;
-                self.due(me, up_by);
-                let turn = self.callers[me].turn;
+    fn on_timer(&mut self, caller_index: usize) {
+        match self.callers[caller_index].phase {
+            CallPhase::Waiting => {
+                self.outcome.calls += 1;
+                let up_by = self.callers[caller_index].liveness.on_call_started(self.now);
+                self.callers[caller_index].phase = CallPhase::Connecting;
+                self.set_timer(caller_index, up_by);
+                let turn = self.callers[caller_index].turn;
                 if self.is_down(Outage::Refused) {
-                    self.at(self.now + 2 * WAY, Event::Says(me, turn, false));
+                    self.schedule(
+                        self.now + 2 * ONE_WAY_DELAY,
+                        Event::ResponseArrived(caller_index, turn, false),
+                    );
                 } else if !self.is_down(Outage::Lost) {
-                    self.at(self.now + 2 * WAY, Event::Arrives(me, turn));
+                    self.schedule(self.now + 2 * ONE_WAY_DELAY, Event::RequestArrived(caller_index, turn));
                 }
             }
-            Phase::Connects | Phase::Asks => {
-                self.seen.cut += 1;
-                self.breaks(me, WatchFailure::Silent);
+            CallPhase::Connecting | CallPhase::Requesting => {
+                self.outcome.cut += 1;
+                self.on_watch_failed(caller_index, WatchFailure::Silent);
             }
-            Phase::Holds => {}
+            CallPhase::Watching => {}
         }
     }
 
-    /// The service takes the next call, if it is free.
-    fn serves(&mut self) {
+    /// The service handles the next call, if it is free.
+    fn serve_next(&mut self) {
         while !self.busy && !self.is_down(Outage::Standing) {
-            let Some((me, turn, came)) = self.queue.pop_front() else { return };
-            let caller = &self.callers[me];
+            let Some((caller_index, turn, came)) = self.queue.pop_front() else { return };
+            let caller = &self.callers[caller_index];
             let (gone, late) = (caller.turn != turn, self.now - came > self.day.wait);
             if (gone && self.day.pays == Pays::Nothing) || (gone && late && self.day.pays == Pays::Gone) {
                 continue;
             }
-            let cost = if late { self.day.call } else { cost(self.day.call, caller.fresh) };
+            let cost = if late { self.day.call } else { cost(self.day.call, caller.needs_full_list) };
             if gone || late {
-                self.seen.wasted += cost;
+                self.outcome.wasted += cost;
             }
             self.busy = true;
-            self.at(self.now + cost, Event::Done(me, turn, !late));
+            self.schedule(self.now + cost, Event::Handled(caller_index, turn, !late));
         }
     }
 
-    fn sum(mut self) -> Outcome {
-        self.times.sort_unstable();
-        let all = self.times.len() + self.callers.iter().filter(|c| c.owed.is_some()).count();
-        let never = self.callers.iter().filter(|c| c.owed.is_some()).count() as u32;
+    fn into_outcome(mut self) -> Outcome {
+        self.latencies.sort_unstable();
+        let all = self.latencies.len() + self.callers.iter().filter(|c| c.waiting_since.is_some()).count();
+        let never = self.callers.iter().filter(|c| c.waiting_since.is_some()).count() as u32;
         let at = |part: usize| {
             let place = (all * part).div_ceil(100).max(1) - 1;
-            self.times.get(place).copied().unwrap_or(END - MOMENT)
+            self.latencies.get(place).copied().unwrap_or(SCENARIO_END - SCENARIO_START)
         };
         let bound = self.day.scenario.bound();
-        let late = self.times.iter().filter(|t| **t > bound).count() as u32 + never;
+        let late = self.latencies.iter().filter(|t| **t > bound).count() as u32 + never;
         let mut room = bound;
         if self.day.scenario == Scenario::Silent {
             room -= 1_500 * MS; // 2.5 s pass before it is noticed, and the last beats are up to 2 s apart
         }
-        let fresh = matches!(self.day.scenario, Scenario::Start | Scenario::TransferredRequest);
+        let needs_full_list = matches!(self.day.scenario, Scenario::Start | Scenario::TransferredRequest);
         let beyond = if self.day.scenario == Scenario::Restarts {
             0
         } else {
-            self.day.callers.saturating_sub((room / cost(self.day.call, fresh)) as u32)
+            self.day.callers.saturating_sub((room / cost(self.day.call, needs_full_list)) as u32)
         };
-        Outcome { p50: at(50), p99: at(99), max: at(100), late, never, beyond, ..self.seen }
+        Outcome { p50: at(50), p99: at(99), max: at(100), late, never, beyond, ..self.outcome }
     }
 }
