--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -1,10 +1,10 @@
-//! What the proofs share.
+//! What the proofs share: running a part as a command.
 
 use std::process::Command;
 
-/// Runs a command; its output, or `None` after showing it where it failed.
-pub fn part(name: &str, vars: &[(&str, &str)], words: &[&str]) -> Option<String> {
-    let run = Command::new(words[0]).args(&words[1..]).envs(vars.iter().copied()).output();
+/// Runs a part of a proof as a command with these variables. Returns its output, or `None` after showing it if it failed.
+pub fn run_part(name: &str, environment: &[(&str, &str)], command: &[&str]) -> Option<String> {
+    let run = Command::new(command[0]).args(&command[1..]).envs(environment.iter().copied()).output();
     let (held, text) = match run {
         Ok(done) => {
             let both = [done.stdout, done.stderr].concat();
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -16,19 +16,19 @@
 const RATE: f64 = 0.9 * WORKERS as f64 * 4.0 / 0.4 / SIZE as f64;
 
 /// The most calls that came within a stretch of the fall window while the worker was cold.
-fn most(fleet: &Fleet, rules: &AuditRules, worker: usize, begun: u64) -> usize {
-    let mut came = Vec::new();
+fn max_calls_in_window(fleet: &Fleet, rules: &AuditRules, worker: usize, begun: u64) -> usize {
+    let mut arrivals = Vec::new();
     fleet.event_log.for_each(|entry| match entry.event {
         Event::Reached { worker: w, .. }
             if w == worker && (begun..begun + rules.warm_up_time).contains(&entry.at) =>
         {
-            came.push(entry.at);
+            arrivals.push(entry.at);
         }
         _ => {}
     });
     let within =
-        |from: &u64| came.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
-    came.iter().map(within).max().unwrap_or(0)
+        |from: &u64| arrivals.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
+    arrivals.iter().map(within).max().unwrap_or(0)
 }
 
 fn main() -> ExitCode {
@@ -41,40 +41,41 @@
     let fleet = Fleet::start(plan).expect("a fleet");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_plain_load(&fleet.all(), RATE, Duration::from_secs(120));
-    let pass = |s: u64| std::thread::sleep(Duration::from_secs(s));
-    let anew = |worker: usize| {
+    let sleep = |s: u64| std::thread::sleep(Duration::from_secs(s));
+    let restart_worker = |worker: usize| {
         fleet.kill_worker(worker);
         let begun = fleet.now();
         fleet.revive_worker(worker);
         begun
     };
-    pass(6); // they learn what jobs take and what a worker runs
+    sleep(6); // they learn what jobs take and what a worker runs
     let halves: [Vec<usize>; 2] = [(0..SIZE / 2).collect(), (SIZE / 2..SIZE).collect()];
     fleet.datagrams.partition(&[&halves[0], &halves[1]]);
-    let first = anew(0);
-    pass(1);
+    let first = restart_worker(0);
+    sleep(1);
     (0..SIZE / 4).for_each(|i| fleet.kill(i));
     (0..SIZE / 4).for_each(|i| fleet.restart(i).expect("it starts again"));
     fleet.wait_until_up(&fleet.all());
     fleet.datagrams.heal();
     fleet.datagrams.set_all(DatagramFaults::loss(1.0));
     fleet.set_discovery_cut(&halves[1], true);
-    let second = anew(1);
-    pass(3);
+    let second = restart_worker(1);
+    sleep(3);
     fleet.set_discovery_cut(&halves[1], false);
     fleet.datagrams.set_all(DatagramFaults::loss(0.0));
-    pass(7);
+    sleep(7);
     let report = load.stop();
     let found = fleet.audit(&rules);
-    let most = [(0, first), (1, second)].map(|(worker, begun)| most(&fleet, &rules, worker, begun));
+    let max_calls =
+        [(0, first), (1, second)].map(|(worker, begun)| max_calls_in_window(&fleet, &rules, worker, begun));
     let calls =
         rules.overload_multiple * rules.initial_capacity * rules.capacity * rules.overload_window as f64
             / rules.mean_work as f64;
-    let held = found.is_empty() && most.iter().all(|most| *most > 0);
+    let held = found.is_empty() && max_calls.iter().all(|calls| *calls > 0);
     found.iter().for_each(|what| println!("BROKEN: {what:?}"));
     let line = json!({
         "proof": "ramp", "held": held, "seed": seed, "processes": SIZE, "calls_at_the_start": calls,
-        "most_in_a_window": most, "jobs": report.jobs, "served": report.served(),
+        "most_in_a_window": max_calls, "jobs": report.jobs, "served": report.served(),
     });
     println!("{line}");
     ExitCode::from(u8::from(!held))
--- a/examples/proof_runtimes.rs
+++ b/examples/proof_runtimes.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::part;
+use common::run_part;
 use mothproxy_runtimes::backfill::{Allowance, Held, Reservation, may_go, reserve, serves};
 use mothproxy_runtimes::{Config, Estimate, Likeness, Origin, Outcome, Runtimes, number};
 use serde_json::{Value, json};
@@ -722,7 +722,7 @@
     });
     let costs = cost(seed, &mut days[1].first);
     let cargo = ["cargo", "test", "--locked", "--release", "-q", "-p", "mothproxy-runtimes"];
-    let properties = part("properties of the facts and of the arithmetic", &[], &cargo);
+    let properties = run_part("properties of the facts and of the arithmetic", &[], &cargo);
 
     let named = |n: u16, sharing: bool| &days[members.iter().position(|m| *m == (n, sharing)).unwrap_or(0)];
     for ((n, sharing), day) in members.iter().zip(&days) {
--- a/examples/proof_sse.rs
+++ b/examples/proof_sse.rs
@@ -3,14 +3,14 @@
 
 mod common;
 
-use common::part;
+use common::run_part;
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
 use std::time::Instant;
 
 fn load(name: &str, words: &[&str]) -> Option<Value> {
     let all = [&["target/release/streams-load", "--json"], words].concat();
-    let text = part(name, &[], &all)?;
+    let text = run_part(name, &[], &all)?;
     serde_json::from_str(text.lines().find(|line| line.starts_with('{'))?).ok()
 }
 
@@ -18,12 +18,12 @@
     let started = Instant::now();
     let cargo = ["cargo", "test", "--locked", "--release", "-q"];
     let test = |rest: &[&'static str]| [&cargo[..], rest].concat();
-    let relay = part(
+    let relay = run_part(
         "histories of the relay",
         &[("STREAM_HISTORIES", "10000")],
         &test(&["-p", "mothproxy-streams", "--test", "relay"]),
     );
-    let watch = part(
+    let watch = run_part(
         "fronts over sockets",
         &[],
         &test(&["--test", "watch", "--test", "streams", "--test", "parsers"]),
--- a/examples/proof_store.rs
+++ b/examples/proof_store.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::part;
+use common::run_part;
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
 use std::time::Instant;
@@ -19,13 +19,14 @@
     let started = Instant::now();
     let cargo = ["cargo", "test", "--locked", "--release", "-q"];
     let test = |rest: &[&'static str]| [&cargo[..], rest, &["--", "--nocapture"]].concat();
-    let histories = part(
+    let histories = run_part(
         "histories, cuts and flips",
         &[("STORE_HISTORIES", "12000")],
         &test(&["-p", "mothproxy-store", "--test", "histories"]),
     );
-    let put = part("store put, killed", &[("STORE_KILLS", "40")], &test(&["--test", "store_cli", "killed"]));
-    let dispatcher = part(
+    let put =
+        run_part("store put, killed", &[("STORE_KILLS", "40")], &test(&["--test", "store_cli", "killed"]));
+    let dispatcher = run_part(
         "dispatcher, killed",
         &[("DURABLE_RUNS", "25")],
         &test(&["--test", "durable", "kill_at_any_point"]),
@@ -33,7 +34,7 @@
     let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
     let at = folder.display().to_string();
     let bench = ["target/release/mothproxy", "store", "bench", &at, "--records", "1000000", "--json"];
-    let bench = part("figures", &[], &bench);
+    let bench = run_part("figures", &[], &bench);
     let _ = std::fs::remove_dir_all(&folder); // the bench removes it itself, unless it failed
     let bench: Option<Value> = bench.as_deref().and_then(|text| serde_json::from_str(text).ok());
     let mut aims = Map::new();
