--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -81,7 +81,7 @@
                     job += 1;
                 }
                 node.spent
-            })
+            });
         });
     }
     group.finish();
@@ -96,7 +96,7 @@
                 "decision a job, {}; ratio of 10000 to 10 workers {:.2}",
                 times.join(", "),
                 large / small
-            )
+            );
         }
         _ => println!("decision a job, {}; ratio unknown: no estimates written", times.join(", ")),
     }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,6 +1,8 @@
 //! `cargo bench -p mothproxy-store`: the parts of the store that do not wait for a disk. What waits is measured by
 //! `mothproxy store bench`, beside the same bytes by hand.
 
+#![allow(missing_docs, reason = "the function that criterion_group! makes has no doc comment")]
+
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use mothproxy_store::sim::SimDisk;
 use mothproxy_store::{OpenedWriter, Operation, Options, SharedView, Writer, open_writer, view_of};
--- a/src/policy/interface/ids.rs
+++ b/src/policy/interface/ids.rs
@@ -9,10 +9,10 @@
 /// A worker, numbered densely from 0 in the order in which the instance first saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
-/// A class of jobs: its place in [`Settings::classes`].
+/// A class of jobs: its place in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u16);
-/// A tenant: its place in [`Settings::tenants`].
+/// A tenant: its place in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 /// A kind of machine.
@@ -27,6 +27,6 @@
 /// The subject of a job (a program or data set); jobs with the same key share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u32);
-/// Chosen by the module, returned by [`Event::Timer`].
+/// Chosen by the module, returned by [`Event::Timer`](super::Event::Timer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -104,7 +104,7 @@
                     }
                 }
                 Command::NotifyProgress { downstream, fraction } => {
-                    self.notify_progress(downstream, fraction)
+                    self.notify_progress(downstream, fraction);
                 }
                 Command::Probe(worker) => self.send_load_probe(worker),
                 Command::SendToPeer(to, bytes) => self.send_to_peer(to, &bytes),
