--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -1,7 +1,7 @@
 //! The types of the choice of a worker. What makes one better than another is decided in `src/policy/rules`.
 
-use crate::policy::interface::{EndpointEntry, JobId, KindId, Micros, WorkerId};
-use crate::policy::state::{LoadSample, Worker};
+use crate::policy::interface::{EndpointEntry, JobId, KindId, Micros, WorkerId, ZoneId};
+use crate::policy::state::{LoadSample, PolicyState, Worker};
 use std::cmp::Ordering;
 
 /// The load inputs where nothing is reported.
@@ -131,7 +131,25 @@
     pub random: f64,
 }
 
-impl Considered<'_> {
+impl<'a> Considered<'a> {
+    /// A listed worker as a node of `own_zone` sees it; `random` is its tie-break among equals.
+    pub fn new(
+        state: &PolicyState,
+        worker: &'a Worker,
+        listed: &'a EndpointEntry,
+        own_zone: ZoneId,
+        random: f64,
+    ) -> Considered<'a> {
+        Considered {
+            worker,
+            listed,
+            is_remote: listed.zone != own_zone,
+            slowness: state.estimates.worker_slowness(worker, listed),
+            occupied: worker.occupied_slots(),
+            random,
+        }
+    }
+
     pub fn candidate(&self, rank: Rank, cost: f64, tie_break: f64) -> Candidate {
         Candidate { rank, cost, tie_break, worker: self.listed.worker }
     }
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -56,7 +56,7 @@
             let Some(listed) = &worker.listed else { continue };
             let random = -(1.0 - self.random.f64()).ln();
             let candidate =
-                self.rank(&needs, &self.state.consider(worker, listed, self.settings.zone, random));
+                self.rank(&needs, &Considered::new(&self.state, worker, listed, self.settings.zone, random));
             if let Some(load) = self.state.fresh_load(id, window).filter(|_| candidate.rank == Rank::Fresh) {
                 lowest_cpu = lowest_cpu.min(load.cpu);
             }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -20,7 +20,6 @@
 
 use crate::policy::gossip::{GroupGossip, OwnLoad};
 use crate::policy::interface::*;
-use crate::policy::ranking::Considered;
 use crate::policy::timer::Timer;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -228,24 +227,6 @@
         self.worker(id).listed.map(|listed| listed.zone != zone)
     }
 
-    /// What the rank of a worker depends on.
-    pub fn consider<'a>(
-        &self,
-        worker: &'a Worker,
-        listed: &'a EndpointEntry,
-        own_zone: ZoneId,
-        random: f64,
-    ) -> Considered<'a> {
-        Considered {
-            worker,
-            listed,
-            is_remote: listed.zone != own_zone,
-            slowness: self.estimates.worker_slowness(worker, listed),
-            occupied: worker.occupied_slots(),
-            random,
-        }
-    }
-
     /// Whether a worker has failed, here or at a peer, and has shown no sign of life here since.
     pub fn is_suspect(&self, worker: &Worker) -> bool {
         let is_suspect_at_peer =
