--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -2,7 +2,7 @@
 //! supplies inputs to the decision module, and decides nothing itself.
 
 use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
-use crate::policy::interface::{Estimate, Micros};
+use crate::policy::interface::{Estimate, MICROS_PER_MS, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{Config, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
@@ -13,7 +13,6 @@
 const MAX_FACTS_PER_ROUND: usize = 16;
 /// The ledger counts use in thousandths of a point.
 const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
-const MICROS_PER_MS: Micros = 1_000;
 
 /// What was counted of each learner that is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -14,7 +14,9 @@
     AttemptEnded, EndpointEntry, Estimate, Event, ListKind, LoadReport, NewJob, Outcome, PeerPresence,
     PriorAttempt, ProbeResponse, Status,
 };
-pub use ids::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
+pub use ids::{
+    CellId, ClassId, JobId, KeyId, KindId, MICROS_PER_MS, Micros, TenantId, TimerId, WorkerId, ZoneId,
+};
 pub use settings::{
     Class, DeduplicationScope, Idempotency, MAX_NODES, Reports, Settings, SettingsError, Tenant,
 };
--- a/src/protocol/platform/forwarding.rs
+++ b/src/protocol/platform/forwarding.rs
@@ -2,7 +2,7 @@
 
 use super::RawRequest;
 use crate::http::Piece;
-use crate::policy::interface::Micros;
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::names;
 use std::ops::Range;
 
@@ -27,7 +27,7 @@
         }
     }
     let content_length = request.body.bytes().len();
-    let time_left_ms = time_left / 1000;
+    let time_left_ms = time_left / MICROS_PER_MS;
     pieces.push(
         format!("\r\n{}: {time_left_ms}\r\nContent-Length: {content_length}\r\n\r\n", names::TIME_LEFT)
             .into(),
--- a/src/protocol/platform/responses.rs
+++ b/src/protocol/platform/responses.rs
@@ -3,7 +3,7 @@
 use super::Reject;
 use crate::core::FinalResponse;
 use crate::http::Piece;
-use crate::policy::interface::Micros;
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::message::{connection_line, end_of_head};
 
 /// The response to a request that is not taken.
@@ -44,7 +44,7 @@
 
 /// A duration in decimal seconds, rounded up to the millisecond.
 pub fn seconds(duration: Micros) -> String {
-    let ms = duration.div_ceil(1000);
+    let ms = duration.div_ceil(MICROS_PER_MS);
     format!("{}.{:03}", ms / 1000, ms % 1000)
 }
 
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -5,7 +5,7 @@
     CompletionReceiver, CompletionSender, RecordWriteError, Waiter, WriteCompletion, completion_queue,
 };
 use crate::core::idempotency::RECORD_TTL;
-use crate::policy::interface::Micros;
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::server::{ServerError, StateDir};
 use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
 use std::os::unix::net::UnixStream;
@@ -21,7 +21,6 @@
 const REOPEN_INTERVAL: Micros = 1_000_000;
 /// The clock may lie this far behind the newest time in the store.
 const CLOCK_TOLERANCE_MS: u64 = 1_000;
-const MICROS_PER_MS: Micros = 1_000;
 
 /// The store of records, and whether writing to it works.
 pub(in crate::server) struct RecordStore {
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -5,15 +5,13 @@
 use crate::config::Config;
 use crate::core::Core;
 use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
-use crate::policy::interface::Micros;
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::admin::{MemberRow, MembersPage};
 use crate::server::timer_slot::TimerSlot;
 use crate::server::{FLEET_TIMER, Server};
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const MICROS_PER_MS: Micros = 1_000;
-
 /// The state machine of the fleet, its timer, and when the learners publish next.
 pub(in crate::server) struct MembershipLink {
     fleet: Fleet,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Config;
 use crate::core::peer_lifecycle::PeerLifecycle;
-use crate::policy::interface::Micros;
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::server::{PEER_TIMER, Server};
 use datagram::{MAX_DATAGRAM, PeerDatagram};
 use std::collections::HashMap;
@@ -16,7 +16,6 @@
 const MAX_REPEATS: u32 = 4;
 /// The time from one announcement of the own state to its repetition.
 const REPEAT_INTERVAL: Micros = 150_000;
-const MICROS_PER_MS: Micros = 1_000;
 
 /// The socket, the addresses that count as dispatchers, and the state that each of them has announced.
 pub(in crate::server) struct PeerLink {
