--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -18,13 +18,13 @@
     /// The operators' file [default: deploy/mothproxy.txtpb, where it is there].
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// A TOML file that says where the SSE front listens, in place of `streams` of the operators' file.
+    /// A TOML file that says where event streams are served, in place of `streams` of the operators' file.
     #[arg(long, value_name = "FILE")]
     sse: Option<PathBuf>,
-    /// Where keyed jobs are noted, so that they survive a crash, in place of `state` of the operators' file.
+    /// The directory of the idempotency records, so that keyed jobs survive a crash, in place of `state` of the operators' file.
     #[arg(long, value_name = "DIR")]
     state: Option<PathBuf>,
-    /// When notes become durable: always, interval:MS or never.
+    /// When idempotency records become durable: always, interval:MS or never.
     #[arg(long, value_name = "MODE", requires = "state", value_parser = parse_sync_mode)]
     state_sync: Option<SyncMode>,
 }
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -63,7 +63,7 @@
         config.check().map_err(malformed)?;
         let Some(listen) = config.listen else { return Ok(None) };
         Ok(Some(SseSettings {
-            listen: parse_address("listen of the SSE front", &listen)?,
+            listen: parse_address("listen of the SSE address", &listen)?,
             heartbeat: config.heartbeat_ms * 1000,
             origins: config.origins,
             streams_per_tenant: config.streams_per_tenant,
