--- a/crates/fairshare/src/accounts.rs
+++ b/crates/fairshare/src/accounts.rs
@@ -4,12 +4,15 @@
 
 use crate::decay::Decay;
 use crate::valuation::PaceCredit;
-use crate::{Measure, Usage};
+use crate::{Measure, TenantKey, Usage};
 use rustc_hash::FxHashMap;
 
 /// Index of a tenant in [`Accounts`], valid as long as the tenant has a share or a line.
 pub(crate) type TenantIndex = u32;
 
+/// Index of a member in [`crate::members::Members`], valid as long as the member is known.
+pub(crate) type MemberIndex = u32;
+
 /// The account of a tenant and class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct AccountId {
@@ -36,7 +39,7 @@
 /// A member's usage in the buckets from which its rate is taken.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecentUsage {
-    pub member: u32,
+    pub member: MemberIndex,
     pub amount: u64,
 }
 
@@ -71,7 +74,7 @@
 /// All accounts of one tenant.
 #[derive(Clone, Debug, Default)]
 struct TenantAccounts {
-    key: u32,
+    key: TenantKey,
     has_share: bool,
     classes: Vec<ClassAccount>,
     /// What this member may still give at full value. Local, in no report.
@@ -87,12 +90,21 @@
     own: i128,
 }
 
+/// A total as it stands in the account at some sub-step.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct DecayedTotal {
+    /// The usage of all members, in the measure.
+    pub measured: u64,
+    /// The own part of it.
+    pub own: u64,
+}
+
 /// The accounts of all tenants.
 #[derive(Clone, Debug)]
 pub(crate) struct Accounts {
     tenants: Vec<TenantAccounts>,
     free: Vec<TenantIndex>,
-    by_key: FxHashMap<u32, TenantIndex>,
+    by_key: FxHashMap<TenantKey, TenantIndex>,
     decay: Decay,
     measure: Measure,
     broken: u64,
@@ -125,17 +137,17 @@
     }
 
     /// The tenant of a key, if it is open.
-    pub fn find(&self, key: u32) -> Option<TenantIndex> {
+    pub fn find(&self, key: TenantKey) -> Option<TenantIndex> {
         self.by_key.get(&key).copied()
     }
 
     /// The key of a tenant.
-    pub fn key(&self, tenant: TenantIndex) -> u32 {
+    pub fn key(&self, tenant: TenantIndex) -> TenantKey {
         self.tenants[tenant as usize].key
     }
 
     /// The tenant of a key, opened if it is not.
-    pub fn open(&mut self, key: u32) -> TenantIndex {
+    pub fn open(&mut self, key: TenantKey) -> TenantIndex {
         if let Some(tenant) = self.find(key) {
             return tenant;
         }
@@ -203,7 +215,7 @@
     }
 
     /// Adds entries to a member's recent usage.
-    pub fn add_recent(&mut self, member: u32, entries: &[Entry]) {
+    pub fn add_recent(&mut self, member: MemberIndex, entries: &[Entry]) {
         for entry in entries {
             let amount = entry.usage.measured(self.measure);
             if amount == 0 {
@@ -218,7 +230,7 @@
     }
 
     /// Takes entries away from a member's recent usage.
-    pub fn subtract_recent(&mut self, member: u32, entries: &[Entry]) {
+    pub fn subtract_recent(&mut self, member: MemberIndex, entries: &[Entry]) {
         for entry in entries {
             let amount = entry.usage.measured(self.measure);
             if amount == 0 {
@@ -265,9 +277,12 @@
         total.own += account.own;
     }
 
-    /// A total as it stands at a sub-step: the usage of all members, and the own part of it.
-    pub fn decayed_total(&self, total: AccountTotal, step: u64) -> (u64, u64) {
-        (self.decay.decayed(total.measured, step), self.decay.decayed(total.own, step))
+    /// A total as it stands at a sub-step.
+    pub fn decayed_total(&self, total: AccountTotal, step: u64) -> DecayedTotal {
+        DecayedTotal {
+            measured: self.decay.decayed(total.measured, step),
+            own: self.decay.decayed(total.own, step),
+        }
     }
 
     /// All known usage of a tenant as it stands at a sub-step.
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -1,48 +1,32 @@
 //! The ledger: usage in, facts out and in, and what follows for a tenant.
 
-use crate::accounts::{AccountId, AccountTotal, Accounts, Entry, Source, TenantIndex};
+use crate::accounts::{AccountId, Accounts, Entry, Source, TenantIndex};
 use crate::clock::Clock;
 use crate::decay::{Decay, SPAN_BITS, SUB_STEPS};
-use crate::members::{Members, RATE_WINDOW, ReportedPage};
+use crate::members::Members;
 use crate::own_usage::OwnUsage;
-use crate::shares::{Leaf, ShareTree, Shares, SharesError};
-use crate::valuation::{Interval, JobValue, Position, Standing, ValueLimits};
-use crate::wire::{self, MAX_AMOUNT, Page};
+use crate::receiver::{ReceivedFact, Receiver};
+use crate::share_pool::SharePool;
+use crate::shares::{Leaf, Shares, SharesError};
+use crate::usage_estimate::{UsageEstimate, UsageEstimator};
+use crate::valuation::{JobValue, Position, Standing, ValueLimits};
+use crate::wire::MAX_AMOUNT;
 use crate::{AbsorbError, Config, ConfigError, Metrics, Origin, RecordError, TenantKey, Usage};
 
 /// Largest `rate`: sums stay within 127 bits.
 const MAX_RATE: u64 = 1 << 36;
 /// Largest capacity over the decayed horizon, in units of the measure.
 const MAX_CAPACITY: u128 = 1 << 56;
-/// A page covers at most this many buckets: keeps the arithmetic on a foreign number in range.
-const MAX_PAGE_BUCKETS: u64 = 1 << 20;
-
-/// The usage of a tenant, and the part of it that this member served.
-#[derive(Clone, Copy, Debug, Default)]
-struct Tally {
-    used: Interval,
-    own: u64,
-}
-
-/// What became of a fact that was not refused.
-enum Absorbed {
-    New,
-    Stale,
-}
 
 /// The ledger of one member.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     config: Config,
     clock: Clock,
-    tree: ShareTree,
-    /// What the federation's rate comes to in the account.
-    capacity: u64,
+    pool: SharePool,
     accounts: Accounts,
     members: Members,
     own: OwnUsage,
-    /// The bucket in which unused shares were last lent.
-    lent_at: Option<u64>,
     /// Places that reported within the horizon, and this one.
     active_places: u64,
     metrics: Metrics,
@@ -66,12 +50,10 @@
         }
         let mut ledger = Ledger {
             clock,
-            tree: ShareTree::default(),
-            capacity: capacity as u64,
+            pool: SharePool::new(capacity as u64),
             accounts: Accounts::new(decay, config.measure),
             members: Members::new(config.clone()),
             own: OwnUsage::new(&config),
-            lent_at: None,
             active_places: 1,
             metrics: Metrics::default(),
             config,
@@ -87,24 +69,7 @@
     ///
     /// A [`SharesError`] where the shares are not valid; the ledger then keeps those that it had.
     pub fn set_shares(&mut self, shares: &Shares) -> Result<(), SharesError> {
-        let tree = ShareTree::new(shares, self.capacity)?;
-        let old = std::mem::replace(&mut self.tree, tree);
-        for leaf in &old.leaves {
-            if let Some(tenant) = self.accounts.find(leaf.key) {
-                self.accounts.set_share(tenant, false);
-            }
-        }
-        for leaf in &self.tree.leaves {
-            let tenant = self.accounts.open(leaf.key);
-            self.accounts.set_share(tenant, true);
-        }
-        for leaf in &old.leaves {
-            if let Some(tenant) = self.accounts.find(leaf.key) {
-                self.accounts.release(tenant, 0);
-            }
-        }
-        self.lent_at = None;
-        Ok(())
+        self.pool.set_shares(shares, &mut self.accounts)
     }
 
     /// Moves on to `now`: drops what is beyond the horizon, and carries what had no room into the present bucket.
@@ -157,7 +122,7 @@
     /// The class under which a tenant's usage is kept: those without a share of their own have one account together.
     fn account_class(&self, tenant: TenantKey, class: u8) -> u8 {
         let has_share = |leaf: &Leaf| usize::from(class) < leaf.classes.len();
-        if self.tree.leaf(tenant.0).is_some_and(has_share) { class } else { 0 }
+        if self.pool.leaf(tenant).is_some_and(has_share) { class } else { 0 }
     }
 
     /// Records what this member served of a tenant at time `at`.
@@ -175,14 +140,14 @@
     ) -> Result<(), RecordError> {
         self.advance(now);
         let bucket = self.own_bucket(at)?;
-        if self.accounts.find(tenant.0).is_none() && self.accounts.len() >= self.config.max_tenants {
+        if self.accounts.find(tenant).is_none() && self.accounts.len() >= self.config.max_tenants {
             return Err(RecordError::Full);
         }
         let usage = Usage { value: used.value.min(MAX_AMOUNT), work: used.work.min(MAX_AMOUNT) };
-        let index = self.accounts.open(tenant.0);
+        let index = self.accounts.open(tenant);
         let account = AccountId { tenant: index, class: self.account_class(tenant, class) };
         let entry = Entry { account, usage };
-        let is_new = self.own.record(bucket, entry, tenant.0);
+        let is_new = self.own.record(bucket, entry, tenant);
         self.add_own(bucket, entry, is_new);
         Ok(())
     }
@@ -202,9 +167,9 @@
     ) -> Result<Usage, RecordError> {
         self.advance(now);
         let bucket = self.own_bucket(at)?;
-        let Some(index) = self.accounts.find(tenant.0) else { return Ok(Usage::default()) };
+        let Some(index) = self.accounts.find(tenant) else { return Ok(Usage::default()) };
         let account = AccountId { tenant: index, class: self.account_class(tenant, class) };
-        let taken = self.own.take(bucket, account, tenant.0, less);
+        let taken = self.own.take(bucket, account, tenant, less);
         self.accounts.subtract(Entry { account, usage: taken }, bucket, Source::Own);
         Ok(taken)
     }
@@ -237,167 +202,36 @@
         bytes: &[u8],
     ) -> Result<(), AbsorbError> {
         self.advance(now);
-        let result = self.absorb_fact(origin, slot, number, bytes);
-        let metrics = &mut self.metrics;
-        match result {
-            Ok(Absorbed::New) => metrics.absorbed += 1,
-            Ok(Absorbed::Stale) => {
-                metrics.absorbed += 1;
-                metrics.stale += 1;
-            }
-            Err(AbsorbError::Late) => metrics.late += 1,
-            Err(AbsorbError::Future) => metrics.future += 1,
-            Err(AbsorbError::Place | AbsorbError::Epoch) => metrics.foreign += 1,
-            Err(AbsorbError::Full) => metrics.full += 1,
-            Err(AbsorbError::TooLong | AbsorbError::Version | AbsorbError::Malformed) => {
-                metrics.malformed += 1;
-            }
-        }
+        let Ledger { config, clock, accounts, members, .. } = self;
+        let mut receiver = Receiver { config, clock, accounts, members };
+        let result = receiver.absorb(ReceivedFact { origin, slot, number, bytes });
+        self.metrics.count_received(result);
         result.map(|_| ())
     }
 
-    fn absorb_fact(
-        &mut self,
-        origin: Origin,
-        slot: u32,
-        number: u64,
-        bytes: &[u8],
-    ) -> Result<Absorbed, AbsorbError> {
-        let own = Origin { place: self.config.me, epoch: self.config.epoch };
-        if origin.place >= self.config.peers {
-            Err(AbsorbError::Place)
-        } else if origin == own {
-            Ok(Absorbed::New) // the own accounts know better
-        } else if slot == wire::HEAD_SLOT {
-            self.absorb_head(origin, number, bytes)
-        } else {
-            self.absorb_page(origin, slot, number, bytes)
-        }
-    }
-
-    fn absorb_head(&mut self, origin: Origin, number: u64, bytes: &[u8]) -> Result<Absorbed, AbsorbError> {
-        let head = wire::decode_head(bytes)?;
-        self.check_time(head.at / SUB_STEPS)?;
-        let member = self.members.find_or_add(origin, &self.clock, &mut self.accounts)?;
-        let is_new = self.members.take_head(member, number, head, &self.clock, &mut self.accounts);
-        Ok(if is_new { Absorbed::New } else { Absorbed::Stale })
-    }
-
-    fn absorb_page(
-        &mut self,
-        origin: Origin,
-        slot: u32,
-        number: u64,
-        bytes: &[u8],
-    ) -> Result<Absorbed, AbsorbError> {
-        let page = wire::decode_page(bytes)?;
-        let bucket = page.bucket;
-        self.check_time(bucket)?;
-        let until = bucket * SUB_STEPS + page.through.min(MAX_PAGE_BUCKETS * SUB_STEPS);
-        if self.is_future(until / SUB_STEPS) {
-            return Err(AbsorbError::Future);
-        }
-        let page_number = wire::page_of_slot(bucket, slot).ok_or(AbsorbError::Malformed)?;
-        let member = self.members.find_or_add(origin, &self.clock, &mut self.accounts)?;
-        if self.members.has_page(member, bucket, page_number, number) {
-            return Ok(Absorbed::Stale);
-        }
-        let is_unknown = |line: &&wire::Line| self.accounts.find(line.key().0).is_none();
-        if self.accounts.len() + page.lines.iter().filter(is_unknown).count() > self.config.max_tenants {
-            return Err(AbsorbError::Full);
-        }
-        self.members.reported_until(member, until);
-        let entries = self.add_reported(&page);
-        let reported = ReportedPage { number, revision: page.revision, entries };
-        let replaced = self.members.replace_page(member, bucket, page_number, reported, &mut self.accounts);
-        for entry in replaced {
-            if !self.config.count_twice {
-                self.accounts.subtract(entry, bucket, Source::Reported);
-            }
-            self.accounts.release(entry.account.tenant, 1);
-        }
-        self.members.update_rate(member, &self.clock, &mut self.accounts);
-        Ok(Absorbed::New)
-    }
-
-    /// Adds the lines of a page to the accounts.
-    fn add_reported(&mut self, page: &Page) -> Vec<Entry> {
-        let mut entries = Vec::with_capacity(page.lines.len());
-        for line in &page.lines {
-            let (key, class) = line.key();
-            let account = AccountId { tenant: self.accounts.open(key), class };
-            let entry = Entry { account, usage: line.usage() };
-            self.accounts.retain(account.tenant);
-            self.accounts.add(entry, page.bucket, Source::Reported);
-            entries.push(entry);
-        }
-        entries
-    }
-
-    fn is_future(&self, bucket: u64) -> bool {
-        bucket > self.clock.bucket() + u64::from(self.config.future)
-    }
-
-    fn check_time(&self, bucket: u64) -> Result<(), AbsorbError> {
-        if bucket < self.clock.oldest_bucket() {
-            Err(AbsorbError::Late)
-        } else if self.is_future(bucket) {
-            Err(AbsorbError::Future)
-        } else {
-            Ok(())
-        }
-    }
-
     /// A member left in order, or is known to have ended: nothing is extrapolated for it after this.
     pub fn on_member_left(&mut self, now: u64, origin: Origin) {
         self.advance(now);
         self.members.left(origin, self.clock.step());
     }
 
-    /// The usage of a tenant, or of one of its classes.
-    fn tally(&mut self, tenant: TenantIndex, class: Option<u8>) -> Tally {
-        let mut total = AccountTotal::default();
-        let (mut likely, mut high) = (0, 0);
-        for account in self.accounts.classes(tenant, class) {
-            self.accounts.add_to_total(&mut total, account);
-            for recent in &account.recent {
-                let unreported = self.members.unreported(recent.member, &self.clock, self.accounts.decay());
-                let extrapolated = |span: u64| {
-                    ((u128::from(recent.amount) * u128::from(span)) >> SPAN_BITS) as u64 / RATE_WINDOW
-                };
-                likely += extrapolated(unreported.likely);
-                high += extrapolated(unreported.high);
-            }
-        }
-        let (low, own) = self.accounts.decayed_total(total, self.clock.step());
-        Tally { used: Interval { low, likely: low + likely, high: low + high }, own }
+    fn estimator(&mut self) -> UsageEstimator<'_> {
+        UsageEstimator { clock: &self.clock, accounts: &self.accounts, members: &mut self.members }
     }
 
     /// Lends what is not used anew, once a bucket.
     fn lend(&mut self) {
-        let bucket = self.clock.bucket();
-        if self.lent_at == Some(bucket) {
-            return;
-        }
-        self.lent_at = Some(bucket);
-        let mut needs = Vec::with_capacity(self.tree.leaves.len());
-        let mut total = 0;
-        for leaf in 0..self.tree.leaves.len() {
-            let tenant = self.accounts.find(self.tree.leaves[leaf].key);
-            let used = tenant.map_or(Interval::default(), |tenant| self.tally(tenant, None).used);
-            needs.push(used.high);
-            total += used.likely;
-        }
-        self.tree.lend(self.capacity.max(total), &needs);
+        let Ledger { clock, accounts, members, .. } = self;
+        self.pool.lend(&mut UsageEstimator { clock, accounts, members });
     }
 
     /// Where a tenant stands. A tenant without a share has what it used, and 0.
     pub fn position(&mut self, tenant: TenantKey, now: u64) -> Position {
         self.advance(now);
         self.lend();
-        let Some(index) = self.accounts.find(tenant.0) else { return Position::default() };
-        let used = self.tally(index, None).used;
-        let leaf = self.tree.leaf(tenant.0);
+        let Some(index) = self.accounts.find(tenant) else { return Position::default() };
+        let used = self.estimator().of_tenant(index).used;
+        let leaf = self.pool.leaf(tenant);
         Position {
             used,
             share: leaf.map_or(0, |leaf| leaf.share),
@@ -408,7 +242,7 @@
     /// What is known of a tenant's usage, in the account.
     pub fn known_usage(&mut self, tenant: TenantKey, now: u64) -> Usage {
         self.advance(now);
-        let index = self.accounts.find(tenant.0);
+        let index = self.accounts.find(tenant);
         index.map_or(Usage::default(), |index| self.accounts.known_usage(index, self.clock.step()))
     }
 
@@ -442,7 +276,7 @@
             }
         }
         let class_share = standing.class_share;
-        if class_share > 0 && self.tally(index, Some(class)).used.low <= class_share {
+        if class_share > 0 && self.estimator().of_class(index, class).used.low <= class_share {
             return limits.within_class_share();
         }
         standing.beyond_share(&limits)
@@ -450,10 +284,10 @@
 
     /// Where a tenant with a share stands.
     fn standing(&mut self, tenant: TenantKey, class: u8) -> Option<(TenantIndex, Standing)> {
-        let index = self.accounts.find(tenant.0)?;
-        let leaf = self.tree.leaf(tenant.0)?;
+        let index = self.accounts.find(tenant)?;
+        let leaf = self.pool.leaf(tenant)?;
         let (share, allowance, class_share) = (leaf.share, leaf.allowance, leaf.class_share(class));
-        let Tally { used, own } = self.tally(index, None);
+        let UsageEstimate { used, own } = self.estimator().of_tenant(index);
         Some((index, Standing { position: Position { used, share, allowance }, own, class_share }))
     }
 
--- a/crates/fairshare/src/lib.rs
+++ b/crates/fairshare/src/lib.rs
@@ -36,8 +36,11 @@
 mod members;
 mod metrics;
 mod own_usage;
+mod receiver;
 mod report_error;
+mod share_pool;
 mod shares;
+mod usage_estimate;
 mod valuation;
 mod wire;
 
--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -2,7 +2,7 @@
 //!
 //! A page is a register: one with a higher number replaces it, so the order of reports does not matter.
 
-use crate::accounts::{Accounts, Entry, Source};
+use crate::accounts::{Accounts, Entry, MemberIndex, Source};
 use crate::clock::Clock;
 use crate::decay::{Decay, SUB_STEPS};
 use crate::wire::Head;
@@ -16,17 +16,27 @@
 /// The upper estimate for a silent member grows to at most its likely usage plus this many times as much.
 const MAX_WIDENING: u64 = 3;
 
+/// Which page of which bucket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct PageId {
+    pub bucket: u64,
+    /// The page's number within the bucket, from 0.
+    pub number: u8,
+}
+
 /// A page as it was reported.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedPage {
     /// The number of the fact that it came in.
-    pub number: u64,
+    pub fact_number: u64,
     pub revision: u32,
     pub entries: Vec<Entry>,
 }
 
+/// What a member reported of a bucket.
 #[derive(Clone, Debug, Default)]
 struct ReportedBucket {
+    /// By number.
     pages: BTreeMap<u8, ReportedPage>,
     /// Revisions of all pages added up.
     revisions: u32,
@@ -55,6 +65,7 @@
     reported_until: u64,
     /// Its recent rate is taken from the buckets before this one.
     rated_before: u64,
+    /// The number of the fact that the latest head came in.
     head_number: Option<u64>,
     head_bucket: u64,
     /// Published revisions of `head_bucket` and the buckets before it.
@@ -126,7 +137,7 @@
 pub(crate) struct Members {
     config: Config,
     slots: Vec<Option<Member>>,
-    by_origin: BTreeMap<Origin, u32>,
+    by_origin: BTreeMap<Origin, MemberIndex>,
 }
 
 impl Members {
@@ -134,11 +145,11 @@
         Members { config, slots: Vec::new(), by_origin: BTreeMap::new() }
     }
 
-    fn get(&self, index: u32) -> Option<&Member> {
+    fn get(&self, index: MemberIndex) -> Option<&Member> {
         self.slots[index as usize].as_ref()
     }
 
-    fn get_mut(&mut self, index: u32) -> Option<&mut Member> {
+    fn get_mut(&mut self, index: MemberIndex) -> Option<&mut Member> {
         self.slots[index as usize].as_mut()
     }
 
@@ -172,13 +183,13 @@
         origin: Origin,
         clock: &Clock,
         accounts: &mut Accounts,
-    ) -> Result<u32, AbsorbError> {
+    ) -> Result<MemberIndex, AbsorbError> {
         if let Some(index) = self.by_origin.get(&origin) {
             return Ok(*index);
         }
         let first = Origin { epoch: 0, ..origin };
         let epochs = self.by_origin.range(first..).take_while(|(known, _)| known.place == origin.place);
-        let known: Vec<(Origin, u32)> = epochs.map(|(origin, index)| (*origin, *index)).collect();
+        let known: Vec<(Origin, MemberIndex)> = epochs.map(|(origin, index)| (*origin, *index)).collect();
         // The latest epochs are kept, whichever came first.
         if known.len() >= MAX_EPOCHS {
             let (oldest, index) = known[0];
@@ -197,14 +208,14 @@
             self.slots.push(None);
         }
         self.slots[free] = Some(Member::new(origin));
-        self.by_origin.insert(origin, free as u32);
-        Ok(free as u32)
+        self.by_origin.insert(origin, free as MemberIndex);
+        Ok(free as MemberIndex)
     }
 
     /// Takes a head; `false` where it is no later than the one known.
     pub fn take_head(
         &mut self,
-        index: u32,
+        index: MemberIndex,
         number: u64,
         head: Head,
         clock: &Clock,
@@ -222,30 +233,30 @@
         true
     }
 
-    /// Whether a page of this number, or of a later one, is known.
-    pub fn has_page(&self, index: u32, bucket: u64, page: u8, number: u64) -> bool {
-        let reported = self.get(index).and_then(|member| member.buckets.get(&bucket)?.pages.get(&page));
-        reported.is_some_and(|reported| reported.number >= number)
+    /// Whether this page is known from the fact of this number, or from a later one.
+    pub fn has_page(&self, index: MemberIndex, id: PageId, fact_number: u64) -> bool {
+        let bucket = self.get(index).and_then(|member| member.buckets.get(&id.bucket));
+        let reported = bucket.and_then(|bucket| bucket.pages.get(&id.number));
+        reported.is_some_and(|reported| reported.fact_number >= fact_number)
     }
 
     /// Replaces a page whose entries have been added to the accounts. Returns the entries that it replaces, which the caller
     /// takes off the accounts.
     pub fn replace_page(
         &mut self,
-        index: u32,
-        bucket: u64,
-        page: u8,
+        index: MemberIndex,
+        id: PageId,
         new: ReportedPage,
         accounts: &mut Accounts,
     ) -> Vec<Entry> {
         let Some(member) = self.get_mut(index) else { return Vec::new() };
-        let is_recent = member.is_recent(bucket);
+        let is_recent = member.is_recent(id.bucket);
         if is_recent {
             accounts.add_recent(index, &new.entries);
         }
-        let reported = member.buckets.entry(bucket).or_default();
+        let reported = member.buckets.entry(id.bucket).or_default();
         let revision = new.revision;
-        let old = reported.pages.insert(page, new).unwrap_or_default();
+        let old = reported.pages.insert(id.number, new).unwrap_or_default();
         reported.revisions = reported.revisions.wrapping_sub(old.revision).wrapping_add(revision);
         member.unreported = None;
         if is_recent {
@@ -255,7 +266,7 @@
     }
 
     /// A member has reported everything up to this sub-step.
-    pub fn reported_until(&mut self, index: u32, until: u64) {
+    pub fn reported_until(&mut self, index: MemberIndex, until: u64) {
         if let Some(member) = self.get_mut(index) {
             member.reported_until = member.reported_until.max(until);
             member.unreported = None;
@@ -263,7 +274,7 @@
     }
 
     /// Takes a member's recent rate from its latest whole buckets of which nothing published is missing.
-    pub fn update_rate(&mut self, index: u32, clock: &Clock, accounts: &mut Accounts) {
+    pub fn update_rate(&mut self, index: MemberIndex, clock: &Clock, accounts: &mut Accounts) {
         let Some(member) = self.get_mut(index) else { return };
         let after = member.complete_until(clock.oldest_bucket());
         let before = std::mem::replace(&mut member.rated_before, after);
@@ -288,13 +299,13 @@
 
     /// Drops from all members what is before the bucket `oldest`.
     pub fn expire_all(&mut self, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
-        for index in 0..self.slots.len() as u32 {
+        for index in 0..self.slots.len() as MemberIndex {
             self.expire(index, oldest, clock, accounts);
         }
     }
 
     /// Drops what a member reported of buckets before `oldest`, and the member once nothing of it counts.
-    fn expire(&mut self, index: u32, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
+    fn expire(&mut self, index: MemberIndex, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
         let extrapolation = u64::from(self.config.extrapolation);
         let Some(member) = self.get_mut(index) else { return };
         let kept = member.buckets.split_off(&oldest);
@@ -343,7 +354,7 @@
     }
 
     /// Decayed time that a member has not reported.
-    pub fn unreported(&mut self, index: u32, clock: &Clock, decay: &Decay) -> Unreported {
+    pub fn unreported(&mut self, index: MemberIndex, clock: &Clock, decay: &Decay) -> Unreported {
         let Some(member) = self.get(index) else { return Unreported::default() };
         if let Some((_, unreported)) = member.unreported.filter(|(step, _)| *step == clock.step()) {
             return unreported;
--- a/crates/fairshare/src/metrics.rs
+++ b/crates/fairshare/src/metrics.rs
@@ -1,5 +1,8 @@
 //! Counters and sizes of a ledger.
 
+use crate::AbsorbError;
+use crate::receiver::Absorbed;
+
 /// Counters since the start, and present sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
@@ -38,3 +41,23 @@
     /// Invariants that did not hold (counted in release builds; a debug build panics).
     pub broken: u64,
 }
+
+impl Metrics {
+    /// Counts a fact that was received.
+    pub(crate) fn count_received(&mut self, result: Result<Absorbed, AbsorbError>) {
+        match result {
+            Ok(Absorbed::New) => self.absorbed += 1,
+            Ok(Absorbed::Stale) => {
+                self.absorbed += 1;
+                self.stale += 1;
+            }
+            Err(AbsorbError::Late) => self.late += 1,
+            Err(AbsorbError::Future) => self.future += 1,
+            Err(AbsorbError::Place | AbsorbError::Epoch) => self.foreign += 1,
+            Err(AbsorbError::Full) => self.full += 1,
+            Err(AbsorbError::TooLong | AbsorbError::Version | AbsorbError::Malformed) => {
+                self.malformed += 1;
+            }
+        }
+    }
+}
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -5,13 +5,13 @@
 
 use crate::accounts::{AccountId, Entry};
 use crate::decay::SUB_STEPS;
-use crate::members::RATE_WINDOW;
+use crate::members::{PageId, RATE_WINDOW};
 use crate::wire::{self, Head, Line, MAX_AMOUNT, MAX_HEAD_BUCKETS, PAGE_LINE_BYTES, Page, encode};
-use crate::{Config, MAX_PAGES, Usage};
+use crate::{Config, MAX_PAGES, TenantKey, Usage};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Quarters of the pages that amounts carried over from the bucket before may take.
+/// Quarters of the pages that amounts carried over from earlier buckets may take.
 const CARRIED_QUARTERS: u8 = 3;
 
 /// Where a line is.
@@ -24,24 +24,28 @@
 /// An account's usage in a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnAccount {
+    /// The line to which more usage is added, as long as there is room.
     newest_line: Option<LineRef>,
     /// The part of `total` that has no line.
     overflow: Usage,
     total: Usage,
 }
 
+/// One line of a page, before it is encoded.
 #[derive(Clone, Copy, Debug)]
 struct OwnLine {
-    key: u32,
+    key: TenantKey,
     class: u8,
     usage: Usage,
 }
 
+/// A page of a bucket.
 #[derive(Clone, Debug, Default)]
 struct OwnPage {
     lines: Vec<OwnLine>,
     /// Encoded bytes of the lines.
     size: usize,
+    /// How often it has been published.
     revision: u32,
     is_queued: bool,
 }
@@ -76,7 +80,7 @@
         self.revision += 1;
         let mut lines: Vec<Line> = (self.lines.iter())
             .map(|line| Line {
-                tenant: line.key.to_le_bytes(),
+                tenant: line.key.0.to_le_bytes(),
                 class: line.class,
                 value: line.usage.value,
                 work: line.usage.work,
@@ -123,7 +127,7 @@
         self.pages.iter().map(|page| page.revision + u32::from(page.is_queued)).sum()
     }
 
-    fn add(&mut self, entry: Entry, key: u32, max_pages: u8) -> Placement {
+    fn add(&mut self, entry: Entry, key: TenantKey, max_pages: u8) -> Placement {
         let Entry { account, usage } = entry;
         let own = self.accounts.entry(account).or_default();
         own.total = own.total + usage;
@@ -142,7 +146,7 @@
     }
 
     /// Takes from an account as far as it goes: what was taken, and the pages that have changed.
-    fn take(&mut self, account: AccountId, key: u32, usage: Usage) -> (Usage, Vec<u8>) {
+    fn take(&mut self, account: AccountId, key: TenantKey, usage: Usage) -> (Usage, Vec<u8>) {
         let Some(own) = self.accounts.get_mut(&account) else { return (Usage::default(), Vec::new()) };
         let mut left = usage;
         let mut changed = Vec::new();
@@ -224,11 +228,15 @@
 pub(crate) struct OwnUsage {
     policy: PublishPolicy,
     buckets: BTreeMap<u64, OwnBucket>,
+    /// Buckets with amounts that have no line.
     overflowing: BTreeSet<u64>,
-    queue: VecDeque<(u64, u8)>,
+    /// Pages that have changed since they were last published.
+    queue: VecDeque<PageId>,
     next_round: u64,
+    /// Pages that may still be published in this round.
     facts_left: u32,
     is_head_due: bool,
+    /// The revisions in the last head.
     last_head: Vec<u32>,
 }
 
@@ -252,33 +260,33 @@
         }
     }
 
-    fn page_mut(&mut self, bucket: u64, page: u8) -> Option<&mut OwnPage> {
-        self.buckets.get_mut(&bucket)?.pages.get_mut(usize::from(page))
+    fn page_mut(&mut self, id: PageId) -> Option<&mut OwnPage> {
+        self.buckets.get_mut(&id.bucket)?.pages.get_mut(usize::from(id.number))
     }
 
-    fn enqueue(&mut self, bucket: u64, number: u8) {
-        let Some(page) = self.page_mut(bucket, number) else { return };
+    fn enqueue(&mut self, id: PageId) {
+        let Some(page) = self.page_mut(id) else { return };
         if !std::mem::replace(&mut page.is_queued, true) {
-            self.queue.push_back((bucket, number));
+            self.queue.push_back(id);
         }
     }
 
     /// Adds usage that happened in a bucket; `key` is the tenant's. Returns whether the account is new in this bucket.
-    pub fn record(&mut self, bucket: u64, entry: Entry, key: u32) -> bool {
+    pub fn record(&mut self, bucket: u64, entry: Entry, key: TenantKey) -> bool {
         self.add(bucket, entry, key, self.policy.max_pages)
     }
 
     /// Adds usage that was carried over from an earlier bucket, which may not take all of the pages.
-    pub fn carry_over(&mut self, bucket: u64, entry: Entry, key: u32) -> bool {
+    pub fn carry_over(&mut self, bucket: u64, entry: Entry, key: TenantKey) -> bool {
         let max_pages = (self.policy.max_pages / 4 * CARRIED_QUARTERS).max(1);
         self.add(bucket, entry, key, max_pages)
     }
 
-    fn add(&mut self, bucket: u64, entry: Entry, key: u32, max_pages: u8) -> bool {
+    fn add(&mut self, bucket: u64, entry: Entry, key: TenantKey, max_pages: u8) -> bool {
         let own = self.buckets.entry(bucket).or_default();
         let is_new = !own.accounts.contains_key(&entry.account);
         match own.add(entry, key, max_pages) {
-            Placement::OnPage(page) => self.enqueue(bucket, page),
+            Placement::OnPage(number) => self.enqueue(PageId { bucket, number }),
             Placement::Overflow => {
                 self.overflowing.insert(bucket);
             }
@@ -287,11 +295,11 @@
     }
 
     /// Takes from an account as far as it goes; returns what was taken.
-    pub fn take(&mut self, bucket: u64, account: AccountId, key: u32, usage: Usage) -> Usage {
+    pub fn take(&mut self, bucket: u64, account: AccountId, key: TenantKey, usage: Usage) -> Usage {
         let Some(own) = self.buckets.get_mut(&bucket) else { return Usage::default() };
         let (taken, changed) = own.take(account, key, usage);
-        for page in changed {
-            self.enqueue(bucket, page);
+        for number in changed {
+            self.enqueue(PageId { bucket, number });
         }
         taken
     }
@@ -329,12 +337,12 @@
             self.is_head_due = true;
         }
         while self.facts_left > 0 {
-            let Some((bucket, number)) = self.queue.pop_front() else { break };
-            let Some(page) = self.page_mut(bucket, number) else { continue };
-            let through = step.saturating_sub(bucket * SUB_STEPS);
-            let bytes = encode(&page.next_revision(bucket, through))?;
+            let Some(id) = self.queue.pop_front() else { break };
+            let Some(page) = self.page_mut(id) else { continue };
+            let through = step.saturating_sub(id.bucket * SUB_STEPS);
+            let bytes = encode(&page.next_revision(id.bucket, through))?;
             self.facts_left -= 1;
-            return Some((wire::slot_of_page(bucket, number), bytes));
+            return Some((wire::slot_of_page(id.bucket, id.number), bytes));
         }
         if !std::mem::take(&mut self.is_head_due) {
             return None;
--- /dev/null
+++ b/crates/fairshare/src/receiver.rs
@@ -0,0 +1,131 @@
+//! Receiving facts: what another member reported, checked and entered into its registers and the accounts.
+
+use crate::accounts::{AccountId, Accounts, Entry, Source};
+use crate::clock::Clock;
+use crate::decay::SUB_STEPS;
+use crate::members::{Members, PageId, ReportedPage};
+use crate::wire::{self, Line, Page};
+use crate::{AbsorbError, Config, Origin};
+
+/// A page covers at most this many buckets: keeps the arithmetic on a foreign number in range.
+const MAX_PAGE_BUCKETS: u64 = 1 << 20;
+
+/// A fact as the carrier delivered it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReceivedFact<'a> {
+    pub origin: Origin,
+    pub slot: u32,
+    pub number: u64,
+    pub bytes: &'a [u8],
+}
+
+/// What became of a fact that was not refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Absorbed {
+    /// It is later than what was known.
+    New,
+    /// It is no later than what was known, and changes nothing.
+    Stale,
+}
+
+/// The parts of a ledger that a received fact changes, with the settings and the time by which it is judged.
+pub(crate) struct Receiver<'a> {
+    pub config: &'a Config,
+    pub clock: &'a Clock,
+    pub accounts: &'a mut Accounts,
+    pub members: &'a mut Members,
+}
+
+impl Receiver<'_> {
+    /// Absorbs a fact, whatever came before it; a refused one changes nothing in the accounts.
+    pub fn absorb(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
+        let own = Origin { place: self.config.me, epoch: self.config.epoch };
+        if fact.origin.place >= self.config.peers {
+            Err(AbsorbError::Place)
+        } else if fact.origin == own {
+            Ok(Absorbed::New) // the own accounts know better
+        } else if fact.slot == wire::HEAD_SLOT {
+            self.absorb_head(fact)
+        } else {
+            self.absorb_page(fact)
+        }
+    }
+
+    fn absorb_head(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
+        let head = wire::decode_head(fact.bytes)?;
+        self.check_time(head.at / SUB_STEPS)?;
+        let member = self.members.find_or_add(fact.origin, self.clock, self.accounts)?;
+        let is_new = self.members.take_head(member, fact.number, head, self.clock, self.accounts);
+        Ok(if is_new { Absorbed::New } else { Absorbed::Stale })
+    }
+
+    fn absorb_page(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
+        let page = wire::decode_page(fact.bytes)?;
+        let bucket = page.bucket;
+        self.check_time(bucket)?;
+        let until = bucket * SUB_STEPS + page.through.min(MAX_PAGE_BUCKETS * SUB_STEPS);
+        if self.is_future(until / SUB_STEPS) {
+            return Err(AbsorbError::Future);
+        }
+        let number = wire::page_of_slot(bucket, fact.slot).ok_or(AbsorbError::Malformed)?;
+        let id = PageId { bucket, number };
+        let member = self.members.find_or_add(fact.origin, self.clock, self.accounts)?;
+        if self.members.has_page(member, id, fact.number) {
+            return Ok(Absorbed::Stale);
+        }
+        self.check_room(&page)?;
+        self.members.reported_until(member, until);
+        let entries = self.add_entries(&page);
+        let reported = ReportedPage { fact_number: fact.number, revision: page.revision, entries };
+        let replaced = self.members.replace_page(member, id, reported, self.accounts);
+        self.subtract_replaced(replaced, bucket);
+        self.members.update_rate(member, self.clock, self.accounts);
+        Ok(Absorbed::New)
+    }
+
+    /// Adds the lines of a page to the accounts.
+    fn add_entries(&mut self, page: &Page) -> Vec<Entry> {
+        let mut entries = Vec::with_capacity(page.lines.len());
+        for line in &page.lines {
+            let key = line.key();
+            let account = AccountId { tenant: self.accounts.open(key.tenant), class: key.class };
+            let entry = Entry { account, usage: line.usage() };
+            self.accounts.retain(account.tenant);
+            self.accounts.add(entry, page.bucket, Source::Reported);
+            entries.push(entry);
+        }
+        entries
+    }
+
+    /// Takes the entries of a replaced page off the accounts.
+    fn subtract_replaced(&mut self, entries: Vec<Entry>, bucket: u64) {
+        for entry in entries {
+            if !self.config.count_twice {
+                self.accounts.subtract(entry, bucket, Source::Reported);
+            }
+            self.accounts.release(entry.account.tenant, 1);
+        }
+    }
+
+    /// Refuses a page whose new tenants would be too many.
+    fn check_room(&self, page: &Page) -> Result<(), AbsorbError> {
+        let is_unknown = |line: &&Line| self.accounts.find(line.key().tenant).is_none();
+        let added = page.lines.iter().filter(is_unknown).count();
+        if self.accounts.len() + added > self.config.max_tenants { Err(AbsorbError::Full) } else { Ok(()) }
+    }
+
+    fn is_future(&self, bucket: u64) -> bool {
+        bucket > self.clock.bucket() + u64::from(self.config.future)
+    }
+
+    /// Refuses a bucket that is before the horizon or too far ahead.
+    fn check_time(&self, bucket: u64) -> Result<(), AbsorbError> {
+        if bucket < self.clock.oldest_bucket() {
+            Err(AbsorbError::Late)
+        } else if self.is_future(bucket) {
+            Err(AbsorbError::Future)
+        } else {
+            Ok(())
+        }
+    }
+}
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -39,7 +39,7 @@
 }
 
 /// A tenant's identifier in reports: FNV-1a over its name, the same at every member whatever its settings list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u32);
 
 impl TenantKey {
@@ -69,7 +69,7 @@
 /// A tenant of the tree with its share and its allowance, in units as they stand in the account.
 #[derive(Clone, Debug)]
 pub(crate) struct Leaf {
-    pub key: u32,
+    pub key: TenantKey,
     pub installation: usize,
     pub weight: u64,
     pub classes: Vec<u32>,
@@ -92,7 +92,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShareTree {
     pub leaves: Vec<Leaf>,
-    pub by_key: FxHashMap<u32, u32>,
+    /// Index in `leaves`.
+    by_key: FxHashMap<TenantKey, u32>,
     installations: Vec<InstallationShare>,
 }
 
@@ -168,7 +169,7 @@
             return Err(SharesError::TooMany(tenants));
         }
         let mut tree = ShareTree::default();
-        let mut names: FxHashMap<u32, &str> = FxHashMap::default();
+        let mut names: FxHashMap<TenantKey, &str> = FxHashMap::default();
         let total_weight: u64 = shares.installations.iter().map(|i| u64::from(i.weight)).sum();
         for installation in &shares.installations {
             let weight = u64::from(installation.weight);
@@ -185,7 +186,7 @@
     }
 
     /// Adds a tenant of the installation that is about to be pushed.
-    fn add_leaf(&mut self, key: u32, tenant: &Tenant, share: u64) {
+    fn add_leaf(&mut self, key: TenantKey, tenant: &Tenant, share: u64) {
         self.by_key.insert(key, self.leaves.len() as u32);
         self.leaves.push(Leaf {
             key,
@@ -198,7 +199,7 @@
     }
 
     /// The tenant of a key, if it has a share.
-    pub fn leaf(&self, key: u32) -> Option<&Leaf> {
+    pub fn leaf(&self, key: TenantKey) -> Option<&Leaf> {
         self.by_key.get(&key).map(|leaf| &self.leaves[*leaf as usize])
     }
 
@@ -242,8 +243,11 @@
 }
 
 /// The key of a tenant that is listed once, with a key of its own and not too many classes.
-fn checked_key<'a>(tenant: &'a Tenant, names: &mut FxHashMap<u32, &'a str>) -> Result<u32, SharesError> {
-    let TenantKey(key) = TenantKey::from_name(&tenant.name);
+fn checked_key<'a>(
+    tenant: &'a Tenant,
+    names: &mut FxHashMap<TenantKey, &'a str>,
+) -> Result<TenantKey, SharesError> {
+    let key = TenantKey::from_name(&tenant.name);
     match names.insert(key, &tenant.name) {
         Some(other) if other == tenant.name => Err(SharesError::Twice(other.to_owned())),
         Some(other) => Err(SharesError::SameKey(other.to_owned(), tenant.name.clone())),
--- a/crates/fairshare/src/wire.rs
+++ b/crates/fairshare/src/wire.rs
@@ -1,6 +1,6 @@
 //! Encoding of the facts: a version byte, then a page or a head in postcard. The order of fields is the format.
 
-use crate::{AbsorbError, MAX_PAGES, Usage};
+use crate::{AbsorbError, MAX_PAGES, TenantKey, Usage};
 use serde::{Deserialize, Serialize};
 
 /// Format version: the first byte of each fact.
@@ -14,6 +14,13 @@
 /// Most buckets of a head: two bytes each, mostly.
 pub(crate) const MAX_HEAD_BUCKETS: usize = 64;
 
+/// The account of a line, by names that are the same at every member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct LineKey {
+    pub tenant: TenantKey,
+    pub class: u8,
+}
+
 /// One account's usage in one bucket, as far as it is on this page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Line {
@@ -24,9 +31,9 @@
 }
 
 impl Line {
-    /// Tenant key and class, by which the lines of a page are sorted.
-    pub fn key(&self) -> (u32, u8) {
-        (u32::from_le_bytes(self.tenant), self.class)
+    /// The account that it belongs to; the lines of a page are sorted by it.
+    pub fn key(&self) -> LineKey {
+        LineKey { tenant: TenantKey(u32::from_le_bytes(self.tenant)), class: self.class }
     }
 
     /// The usage of this line.
