--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -2,11 +2,14 @@
 //!
 //! A page is a register: one with a higher number replaces it, so the order of reports does not matter.
 
+mod member;
+
 use crate::accounts::{Accounts, Entry, MemberIndex, Source};
 use crate::clock::Clock;
 use crate::decay::{Decay, SUB_STEPS};
 use crate::wire::Head;
 use crate::{AbsorbError, Config, Origin};
+use member::{Member, is_recent};
 use std::collections::BTreeMap;
 
 /// A member's recent rate is taken over this many whole buckets.
@@ -33,15 +36,6 @@
     pub entries: Vec<Entry>,
 }
 
-/// What a member reported of a bucket.
-#[derive(Clone, Debug, Default)]
-struct ReportedBucket {
-    /// By number.
-    pages: BTreeMap<u8, ReportedPage>,
-    /// Revisions of all pages added up.
-    revisions: u32,
-}
-
 /// Decayed time that a member has not reported, in buckets with [`crate::decay::SPAN_BITS`] fractional bits.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Unreported {
@@ -49,89 +43,6 @@
     pub high: u64,
 }
 
-/// A bucket of which a member published more revisions than have arrived.
-#[derive(Clone, Copy, Debug)]
-struct Gap {
-    bucket: u64,
-    missing: u32,
-    published: u32,
-}
-
-/// What one start of a member reported.
-#[derive(Clone, Debug)]
-struct Member {
-    origin: Origin,
-    /// The sub-step up to which it reported.
-    reported_until: u64,
-    /// Its recent rate is taken from the buckets before this one.
-    rated_before: u64,
-    /// The number of the fact that the latest head came in.
-    head_number: Option<u64>,
-    head_bucket: u64,
-    /// Published revisions of `head_bucket` and the buckets before it.
-    head_revisions: Vec<u32>,
-    buckets: BTreeMap<u64, ReportedBucket>,
-    /// The sub-step at which it left.
-    left_at: Option<u64>,
-    /// Its unreported time as of a sub-step; `None` where something has changed since.
-    unreported: Option<(u64, Unreported)>,
-}
-
-impl Member {
-    fn new(origin: Origin) -> Member {
-        Member {
-            origin,
-            reported_until: 0,
-            rated_before: 0,
-            head_number: None,
-            head_bucket: 0,
-            head_revisions: Vec::new(),
-            buckets: BTreeMap::new(),
-            left_at: None,
-            unreported: None,
-        }
-    }
-
-    /// Buckets of which something is missing, the latest first.
-    fn gaps(&self, oldest: u64) -> impl Iterator<Item = Gap> + '_ {
-        self.head_revisions.iter().enumerate().filter_map(move |(back, published)| {
-            let bucket = self.head_bucket.checked_sub(back as u64).filter(|bucket| *bucket >= oldest)?;
-            let arrived = self.buckets.get(&bucket).map_or(0, |reported| reported.revisions);
-            (arrived < *published).then(|| Gap {
-                bucket,
-                missing: published - arrived,
-                published: *published,
-            })
-        })
-    }
-
-    fn is_recent(&self, bucket: u64) -> bool {
-        is_recent(self.rated_before, bucket)
-    }
-
-    /// The end of the latest whole buckets of which nothing published is missing.
-    fn complete_until(&self, oldest: u64) -> u64 {
-        let last = self.reported_until / SUB_STEPS;
-        let mut rated_before = last;
-        for gap in self.gaps(oldest) {
-            if gap.bucket + RATE_WINDOW < rated_before {
-                break;
-            }
-            rated_before = rated_before.min(gap.bucket);
-        }
-        if rated_before < oldest + RATE_WINDOW {
-            last // there is nothing better
-        } else {
-            rated_before
-        }
-    }
-}
-
-/// Whether a rate taken from the buckets before `rated_before` covers this one.
-fn is_recent(rated_before: u64, bucket: u64) -> bool {
-    bucket < rated_before && bucket + RATE_WINDOW >= rated_before
-}
-
 /// All members that reported something within the horizon.
 #[derive(Clone, Debug)]
 pub(crate) struct Members {
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -3,210 +3,19 @@
 //! A page is a register: a later revision replaces the earlier one. An account that outgrows its page goes on with a line on
 //! another one, and the lines of a bucket add up, so an old page never has to lose a line.
 
+mod bucket;
+
 use crate::accounts::{AccountId, Entry};
 use crate::decay::SUB_STEPS;
 use crate::members::{PageId, RATE_WINDOW};
-use crate::wire::{self, Head, Line, MAX_AMOUNT, MAX_HEAD_BUCKETS, PAGE_LINE_BYTES, Page, encode};
-use crate::{Config, MAX_PAGES, TenantKey, Usage};
-use rustc_hash::FxHashMap;
+use crate::wire::{self, Head, MAX_HEAD_BUCKETS, encode};
+use crate::{Config, TenantKey, Usage};
+use bucket::{OwnBucket, OwnPage, Placement};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Quarters of the pages that amounts carried over from earlier buckets may take.
 const CARRIED_QUARTERS: u8 = 3;
 
-/// Where a line is.
-#[derive(Clone, Copy, Debug)]
-struct LineRef {
-    page: u8,
-    line: u8,
-}
-
-/// An account's usage in a bucket.
-#[derive(Clone, Copy, Debug, Default)]
-struct OwnAccount {
-    /// The line to which more usage is added, as long as there is room.
-    newest_line: Option<LineRef>,
-    /// The part of `total` that has no line.
-    overflow: Usage,
-    total: Usage,
-}
-
-/// One line of a page, before it is encoded.
-#[derive(Clone, Copy, Debug)]
-struct OwnLine {
-    key: TenantKey,
-    class: u8,
-    usage: Usage,
-}
-
-/// A page of a bucket.
-#[derive(Clone, Debug, Default)]
-struct OwnPage {
-    lines: Vec<OwnLine>,
-    /// Encoded bytes of the lines.
-    size: usize,
-    /// How often it has been published.
-    revision: u32,
-    is_queued: bool,
-}
-
-impl OwnPage {
-    fn has_room(&self, size: usize) -> bool {
-        self.size + size <= PAGE_LINE_BYTES
-    }
-
-    /// Adds usage to a line; `false`, and nothing is changed, where the page or the line has no room for it.
-    fn grow(&mut self, line: u8, usage: Usage) -> bool {
-        let line = &mut self.lines[usize::from(line)];
-        let Some(grown) = checked_sum(line.usage, usage) else { return false };
-        let size = self.size - Line::size(line.usage) + Line::size(grown);
-        if size > PAGE_LINE_BYTES {
-            return false;
-        }
-        line.usage = grown;
-        self.size = size;
-        true
-    }
-
-    fn push(&mut self, line: OwnLine) -> u8 {
-        self.size += Line::size(line.usage);
-        self.lines.push(line);
-        self.lines.len() as u8 - 1
-    }
-
-    /// The next revision, as it is published.
-    fn next_revision(&mut self, bucket: u64, through: u64) -> Page {
-        self.is_queued = false;
-        self.revision += 1;
-        let mut lines: Vec<Line> = (self.lines.iter())
-            .map(|line| Line {
-                tenant: line.key.0.to_le_bytes(),
-                class: line.class,
-                value: line.usage.value,
-                work: line.usage.work,
-            })
-            .collect();
-        lines.sort_unstable_by_key(Line::key);
-        Page { bucket, through, revision: self.revision, lines }
-    }
-}
-
-/// The sum, where a line can hold it.
-fn checked_sum(usage: Usage, more: Usage) -> Option<Usage> {
-    let value = usage.value.checked_add(more.value)?;
-    let work = usage.work.checked_add(more.work)?;
-    let sum = Usage { value, work };
-    fits_a_line(sum).then_some(sum)
-}
-
-fn fits_a_line(usage: Usage) -> bool {
-    usage.value <= MAX_AMOUNT && usage.work <= MAX_AMOUNT
-}
-
-/// Where an amount went.
-enum Placement {
-    OnPage(u8),
-    Overflow,
-}
-
-/// The own usage of one bucket.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct OwnBucket {
-    accounts: FxHashMap<AccountId, OwnAccount>,
-    pages: Vec<OwnPage>,
-}
-
-impl OwnBucket {
-    /// The total of each account.
-    pub fn totals(&self) -> impl Iterator<Item = Entry> {
-        self.accounts.iter().map(|(account, own)| Entry { account: *account, usage: own.total })
-    }
-
-    /// Revisions of all pages added up, those in the queue included.
-    fn revisions(&self) -> u32 {
-        self.pages.iter().map(|page| page.revision + u32::from(page.is_queued)).sum()
-    }
-
-    fn add(&mut self, entry: Entry, key: TenantKey, max_pages: u8) -> Placement {
-        let Entry { account, usage } = entry;
-        let own = self.accounts.entry(account).or_default();
-        own.total = own.total + usage;
-        if let Some(at) = own.newest_line {
-            if self.pages[usize::from(at.page)].grow(at.line, usage) {
-                return Placement::OnPage(at.page);
-            }
-        }
-        let Some(page) = page_for(&mut self.pages, own.newest_line, usage, max_pages) else {
-            own.overflow = own.overflow + usage;
-            return Placement::Overflow;
-        };
-        let line = self.pages[usize::from(page)].push(OwnLine { key, class: account.class, usage });
-        own.newest_line = Some(LineRef { page, line });
-        Placement::OnPage(page)
-    }
-
-    /// Takes from an account as far as it goes: what was taken, and the pages that have changed.
-    fn take(&mut self, account: AccountId, key: TenantKey, usage: Usage) -> (Usage, Vec<u8>) {
-        let Some(own) = self.accounts.get_mut(&account) else { return (Usage::default(), Vec::new()) };
-        let mut left = usage;
-        let mut changed = Vec::new();
-        take_up_to(&mut own.overflow, &mut left);
-        for (number, page) in self.pages.iter_mut().enumerate().rev() {
-            for line in &mut page.lines {
-                if (line.key, line.class) != (key, account.class) {
-                    continue;
-                }
-                let before = Line::size(line.usage);
-                if take_up_to(&mut line.usage, &mut left) {
-                    page.size = page.size - before + Line::size(line.usage);
-                    changed.push(number as u8);
-                }
-            }
-        }
-        let taken = usage - left;
-        own.total = own.total - taken;
-        (taken, changed)
-    }
-
-    /// Takes off what has no line.
-    fn take_overflow(&mut self) -> impl Iterator<Item = Entry> {
-        let overflowing = self.accounts.iter_mut().filter(|(_, own)| !own.overflow.is_zero());
-        overflowing.map(|(account, own)| {
-            let usage = std::mem::take(&mut own.overflow);
-            own.total = own.total - usage;
-            Entry { account: *account, usage }
-        })
-    }
-}
-
-/// The page for a new line: the last one if it has room and no line of this account, or else another one.
-fn page_for(
-    pages: &mut Vec<OwnPage>,
-    newest_line: Option<LineRef>,
-    usage: Usage,
-    max_pages: u8,
-) -> Option<u8> {
-    if let Some(last) = pages.len().checked_sub(1) {
-        let is_on_last = newest_line.is_some_and(|line| usize::from(line.page) == last);
-        if pages[last].has_room(Line::size(usage)) && !is_on_last {
-            return Some(last as u8);
-        }
-    }
-    if pages.len() >= usize::from(max_pages.min(MAX_PAGES)) || !fits_a_line(usage) {
-        return None;
-    }
-    pages.push(OwnPage::default());
-    Some(pages.len() as u8 - 1)
-}
-
-/// Moves as much as there is from `usage` off `wanted`; whether there was any.
-fn take_up_to(usage: &mut Usage, wanted: &mut Usage) -> bool {
-    let taken = Usage { value: usage.value.min(wanted.value), work: usage.work.min(wanted.work) };
-    *usage = *usage - taken;
-    *wanted = *wanted - taken;
-    !taken.is_zero()
-}
-
 /// An amount that did not fit on the pages of its bucket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CarriedUsage {
@@ -261,12 +70,12 @@
     }
 
     fn page_mut(&mut self, id: PageId) -> Option<&mut OwnPage> {
-        self.buckets.get_mut(&id.bucket)?.pages.get_mut(usize::from(id.number))
+        self.buckets.get_mut(&id.bucket)?.page_mut(id.number)
     }
 
     fn enqueue(&mut self, id: PageId) {
         let Some(page) = self.page_mut(id) else { return };
-        if !std::mem::replace(&mut page.is_queued, true) {
+        if page.mark_queued() {
             self.queue.push_back(id);
         }
     }
@@ -284,7 +93,7 @@
 
     fn add(&mut self, bucket: u64, entry: Entry, key: TenantKey, max_pages: u8) -> bool {
         let own = self.buckets.entry(bucket).or_default();
-        let is_new = !own.accounts.contains_key(&entry.account);
+        let is_new = !own.has_account(entry.account);
         match own.add(entry, key, max_pages) {
             Placement::OnPage(number) => self.enqueue(PageId { bucket, number }),
             Placement::Overflow => {
@@ -297,11 +106,11 @@
     /// Takes from an account as far as it goes; returns what was taken.
     pub fn take(&mut self, bucket: u64, account: AccountId, key: TenantKey, usage: Usage) -> Usage {
         let Some(own) = self.buckets.get_mut(&bucket) else { return Usage::default() };
-        let (taken, changed) = own.take(account, key, usage);
-        for number in changed {
+        let taken = own.take(account, key, usage);
+        for number in taken.changed_pages {
             self.enqueue(PageId { bucket, number });
         }
-        taken
+        taken.usage
     }
 
     /// Takes off what had no room on the pages of buckets before this one, the largest amounts first.
