--- a/crates/fairshare/src/accounts.rs
+++ b/crates/fairshare/src/accounts.rs
@@ -2,6 +2,7 @@
 //!
 //! A tenant's accounts are opened when it gets a share or usage, and closed once it has neither.
 
+use crate::clock::{Bucket, Step};
 use crate::decay::Decay;
 use crate::valuation::PaceCredit;
 use crate::{Measure, TenantKey, Usage};
@@ -187,12 +188,12 @@
     }
 
     /// Adds usage of a bucket.
-    pub fn add(&mut self, entry: Entry, bucket: u64, source: Source) {
+    pub fn add(&mut self, entry: Entry, bucket: Bucket, source: Source) {
         self.apply(entry, self.decay.weight(bucket), source);
     }
 
     /// Takes usage of a bucket away that was added before.
-    pub fn subtract(&mut self, entry: Entry, bucket: u64, source: Source) {
+    pub fn subtract(&mut self, entry: Entry, bucket: Bucket, source: Source) {
         self.apply(entry, -self.decay.weight(bucket), source);
     }
 
@@ -249,7 +250,7 @@
     }
 
     /// Moves the landmark of the decay up where nothing before the bucket `oldest` counts.
-    pub fn advance(&mut self, oldest: u64) {
+    pub fn advance(&mut self, oldest: Bucket) {
         let shift = self.decay.advance(oldest);
         if shift == 0 {
             return;
@@ -278,7 +279,7 @@
     }
 
     /// A total as it stands at a sub-step.
-    pub fn decayed_total(&self, total: AccountTotal, step: u64) -> DecayedTotal {
+    pub fn decayed_total(&self, total: AccountTotal, step: Step) -> DecayedTotal {
         DecayedTotal {
             measured: self.decay.decayed(total.measured, step),
             own: self.decay.decayed(total.own, step),
@@ -286,7 +287,7 @@
     }
 
     /// All known usage of a tenant as it stands at a sub-step.
-    pub fn known_usage(&self, tenant: TenantIndex, step: u64) -> Usage {
+    pub fn known_usage(&self, tenant: TenantIndex, step: Step) -> Usage {
         let classes = &self.tenants[tenant as usize].classes;
         Usage {
             value: self.decay.decayed(classes.iter().map(|account| account.value).sum(), step),
--- a/crates/fairshare/src/decay.rs
+++ b/crates/fairshare/src/decay.rs
@@ -5,8 +5,8 @@
 //! when the sum is asked for. Nothing is aged, so an item that comes late changes the sum as if it had come on time. Here
 //! the weights are integers, so sums are exact: they do not depend on the order of what was added.
 
-/// Sub-steps of a bucket: the resolution of the present.
-pub(crate) const SUB_STEPS: u64 = 16;
+use crate::clock::{Bucket, SUB_STEPS, Step};
+
 /// Fractional bits of a weight.
 const FRACTION_BITS: u32 = 30;
 /// Fractional bits of a span of decayed time.
@@ -20,7 +20,7 @@
     /// Two to the power of 0 up to 1, by sub-steps of a half-life.
     powers: Vec<u64>,
     half_life: u64,
-    landmark: u64,
+    landmark: Bucket,
     /// Decayed time up to each age in sub-steps, as far as the horizon.
     spans: Vec<u64>,
 }
@@ -43,10 +43,10 @@
 
 impl Decay {
     /// `half_life` is a power of two; `horizon` is how many buckets back anything counts.
-    pub fn new(half_life: u32, horizon: u32, landmark: u64) -> Decay {
+    pub fn new(half_life: u32, horizon: u32, landmark: Bucket) -> Decay {
         let half_life = u64::from(half_life);
         let mut decay =
-            Decay { powers: powers(half_life * SUB_STEPS), half_life, landmark: 0, spans: vec![0] };
+            Decay { powers: powers(half_life * SUB_STEPS), half_life, landmark: Bucket(0), spans: vec![0] };
         let mut sum = 0;
         for age in 0..u64::from(horizon) * SUB_STEPS {
             sum += decay.fraction_left(age);
@@ -64,15 +64,15 @@
     }
 
     /// The weight of a bucket; the landmark is not after it.
-    pub fn weight(&self, bucket: u64) -> i128 {
-        let since = bucket.saturating_sub(self.landmark);
+    pub fn weight(&self, bucket: Bucket) -> i128 {
+        let since = bucket.since(self.landmark);
         i128::from(self.powers[(since % self.half_life * SUB_STEPS) as usize])
             << (since / self.half_life).min(64)
     }
 
-    /// A weighted sum divided by the weight of the present, the sub-step `step`.
-    pub fn decayed(&self, sum: i128, step: u64) -> u64 {
-        let (since, period) = (step.saturating_sub(self.landmark * SUB_STEPS), self.powers.len() as u64);
+    /// A weighted sum divided by the weight of the present.
+    pub fn decayed(&self, sum: i128, present: Step) -> u64 {
+        let (since, period) = (present.since(self.landmark.start()), self.powers.len() as u64);
         let weight = i128::from(self.powers[(since % period) as usize]) << (since / period).min(64);
         u64::try_from(sum / weight).unwrap_or(0)
     }
@@ -91,12 +91,12 @@
 
     /// Moves the landmark up where nothing that counts is before the bucket `oldest`. Returns by how many bits every sum must
     /// then be shifted right, which loses nothing: all that they hold was shifted left by as much.
-    pub fn advance(&mut self, oldest: u64) -> u32 {
-        let halvings = oldest.saturating_sub(self.landmark) / self.half_life;
+    pub fn advance(&mut self, oldest: Bucket) -> u32 {
+        let halvings = oldest.since(self.landmark) / self.half_life;
         if halvings < MIN_HALVINGS {
             return 0;
         }
-        self.landmark += halvings * self.half_life;
+        self.landmark = self.landmark.plus(halvings * self.half_life);
         halvings.min(126) as u32
     }
 }
--- a/crates/fairshare/src/decay/tests.rs
+++ b/crates/fairshare/src/decay/tests.rs
@@ -1,21 +1,22 @@
 //! The weights, and sums of an even flow.
 
-use super::{Decay, FRACTION_BITS, SPAN_BITS, SUB_STEPS};
+use super::{Decay, FRACTION_BITS, SPAN_BITS};
+use crate::clock::{Bucket, SUB_STEPS, Step};
 
 #[test]
 fn weights_are_powers_of_two_and_an_even_flow_reads_even() {
     for half in [1, 2, 8, 32] {
-        let decay = Decay::new(half, 60, 0);
+        let decay = Decay::new(half, 60, Bucket(0));
         for step in 0..60 {
-            let bucket = decay.weight(step) as f64 / f64::from(1 << FRACTION_BITS);
+            let bucket = decay.weight(Bucket(step)) as f64 / f64::from(1 << FRACTION_BITS);
             let want = (step as f64 / f64::from(half)).exp2();
             assert!((bucket / want - 1.0).abs() < 1e-8, "{half} {step}: {bucket} {want}");
         }
         // An even flow reads the same at every moment of a bucket.
         let flow = |step: u64| {
-            let whole: i128 = (0..step / SUB_STEPS).map(|b| decay.weight(b) * 16_000).sum();
-            let begun = decay.weight(step / SUB_STEPS) * (step % SUB_STEPS) as i128 * 1_000;
-            decay.decayed(whole + begun, step) as f64
+            let whole: i128 = (0..step / SUB_STEPS).map(|b| decay.weight(Bucket(b)) * 16_000).sum();
+            let begun = decay.weight(Step(step).bucket()) * (step % SUB_STEPS) as i128 * 1_000;
+            decay.decayed(whole + begun, Step(step)) as f64
                 / (decay.memory() as f64 / f64::from(1 << SPAN_BITS) * 16e3)
         };
         for step in 60 * SUB_STEPS..61 * SUB_STEPS {
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -1,8 +1,12 @@
-//! The ledger: usage in, facts out and in, and what follows for a tenant.
+//! The ledger of one member: usage and facts in, facts out, and what follows for a tenant.
+//!
+//! It owns the state and moves it on in time. What a received fact changes is in [`crate::receiver`], how usage becomes an
+//! interval in [`crate::usage_estimate`], how unused shares are lent in [`crate::share_pool`], and what a position makes of a
+//! job's value in [`crate::valuation`].
 
 use crate::accounts::{AccountId, Accounts, Entry, Source, TenantIndex};
-use crate::clock::Clock;
-use crate::decay::{Decay, SPAN_BITS, SUB_STEPS};
+use crate::clock::{Bucket, Clock, SUB_STEPS};
+use crate::decay::{Decay, SPAN_BITS};
 use crate::members::Members;
 use crate::own_usage::OwnUsage;
 use crate::receiver::{ReceivedFact, Receiver};
@@ -41,7 +45,7 @@
     pub fn new(config: Config, shares: &Shares, now: u64) -> Result<Ledger, ConfigError> {
         config.validate()?;
         let clock = Clock::new(&config, now);
-        let landmark = clock.bucket().saturating_sub(u64::from(config.horizon));
+        let landmark = clock.bucket().minus(config.horizon.into());
         let decay = Decay::new(config.half_life, config.horizon, landmark);
         let capacity = u128::from(config.rate) * u128::from(config.bucket) * u128::from(decay.memory())
             / (1_000_000 << SPAN_BITS);
@@ -98,7 +102,7 @@
     }
 
     /// Adds own usage to the accounts; `is_new_line` where its account had none in this bucket.
-    fn add_own(&mut self, bucket: u64, entry: Entry, is_new_line: bool) {
+    fn add_own(&mut self, bucket: Bucket, entry: Entry, is_new_line: bool) {
         if is_new_line {
             self.accounts.retain(entry.account.tenant);
         }
@@ -106,8 +110,8 @@
     }
 
     /// The bucket of something that happened here at `at`, if it still counts.
-    fn own_bucket(&mut self, at: u64) -> Result<u64, RecordError> {
-        let bucket = self.clock.step_at(at) / SUB_STEPS;
+    fn own_bucket(&mut self, at: u64) -> Result<Bucket, RecordError> {
+        let bucket = self.clock.step_at(at).bucket();
         let refusal = if bucket < self.clock.oldest_bucket() {
             RecordError::Late
         } else if bucket > self.clock.bucket() {
@@ -215,16 +219,6 @@
         self.members.left(origin, self.clock.step());
     }
 
-    fn estimator(&mut self) -> UsageEstimator<'_> {
-        UsageEstimator { clock: &self.clock, accounts: &self.accounts, members: &mut self.members }
-    }
-
-    /// Lends what is not used anew, once a bucket.
-    fn lend(&mut self) {
-        let Ledger { clock, accounts, members, .. } = self;
-        self.pool.lend(&mut UsageEstimator { clock, accounts, members });
-    }
-
     /// Where a tenant stands. A tenant without a share has what it used, and 0.
     pub fn position(&mut self, tenant: TenantKey, now: u64) -> Position {
         self.advance(now);
@@ -255,20 +249,13 @@
     pub fn job_value(&mut self, tenant: TenantKey, class: u8, amount: u64, now: u64) -> JobValue {
         self.advance(now);
         self.lend();
-        let limits = ValueLimits {
-            over_quota_value: self.config.over_quota_value,
-            uncertainty_discount: self.config.uncertainty_discount,
-            floor: self.config.floor,
-        };
+        let limits = ValueLimits::new(&self.config);
         let Some((index, standing)) = self.standing(tenant, class) else {
             self.metrics.unknown += 1;
             return limits.over_quota();
         };
         if standing.position.share > 0 {
-            let pace = standing.own_pace(self.active_places, &limits);
-            let per_second = pace * 1e6 / self.memory() as f64;
-            let now = self.clock.now();
-            if self.accounts.credit_mut(index).take(now, per_second, amount as f64) {
+            if self.take_credit(index, &standing, &limits, amount) {
                 return standing.within_pace();
             }
             if standing.is_within_share() {
@@ -282,7 +269,31 @@
         standing.beyond_share(&limits)
     }
 
-    /// Where a tenant with a share stands.
+    /// Whether one more job of this amount is within the pace of a tenant with a share; takes it from the credit if so.
+    fn take_credit(
+        &mut self,
+        tenant: TenantIndex,
+        standing: &Standing,
+        limits: &ValueLimits,
+        amount: u64,
+    ) -> bool {
+        let pace = standing.own_pace(self.active_places, limits);
+        let per_second = pace * 1e6 / self.memory() as f64;
+        let now = self.clock.now();
+        self.accounts.credit_mut(tenant).take(now, per_second, amount as f64)
+    }
+
+    fn estimator(&mut self) -> UsageEstimator<'_> {
+        UsageEstimator { clock: &self.clock, accounts: &self.accounts, members: &mut self.members }
+    }
+
+    /// Lends what is not used anew, once a bucket.
+    fn lend(&mut self) {
+        let Ledger { clock, accounts, members, .. } = self;
+        self.pool.lend(&mut UsageEstimator { clock, accounts, members });
+    }
+
+    /// Where a tenant with a share stands; `None` where it has none, or no account.
     fn standing(&mut self, tenant: TenantKey, class: u8) -> Option<(TenantIndex, Standing)> {
         let index = self.accounts.find(tenant)?;
         let leaf = self.pool.leaf(tenant)?;
--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -5,8 +5,8 @@
 mod member;
 
 use crate::accounts::{Accounts, Entry, MemberIndex, Source};
-use crate::clock::Clock;
-use crate::decay::{Decay, SUB_STEPS};
+use crate::clock::{Bucket, Clock, SUB_STEPS, Step};
+use crate::decay::Decay;
 use crate::wire::Head;
 use crate::{AbsorbError, Config, Origin};
 use member::{Member, is_recent};
@@ -22,7 +22,7 @@
 /// Which page of which bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PageId {
-    pub bucket: u64,
+    pub bucket: Bucket,
     /// The page's number within the bucket, from 0.
     pub number: u8,
 }
@@ -70,12 +70,12 @@
     }
 
     /// Members that have reported nothing for so many sub-steps.
-    pub fn silent(&self, step: u64, timeout: u64) -> u64 {
-        self.slots.iter().flatten().filter(|member| member.reported_until + timeout < step).count() as u64
+    pub fn silent(&self, step: Step, timeout: u64) -> u64 {
+        self.slots.iter().flatten().filter(|member| member.reported_until.plus(timeout) < step).count() as u64
     }
 
     /// Buckets of which something published has not arrived.
-    pub fn gaps(&self, oldest: u64) -> u64 {
+    pub fn gaps(&self, oldest: Bucket) -> u64 {
         self.slots.iter().flatten().map(|member| member.gaps(oldest).count() as u64).sum()
     }
 
@@ -107,7 +107,7 @@
             if origin < oldest {
                 return Err(AbsorbError::Epoch);
             }
-            self.expire(index, u64::MAX, clock, accounts);
+            self.expire(index, Bucket(u64::MAX), clock, accounts);
         }
         for index in self.by_origin.range(first..origin).map(|(_, index)| *index as usize) {
             if let Some(before) = &mut self.slots[index] {
@@ -137,7 +137,7 @@
             return false;
         }
         member.head_number = Some(number);
-        member.head_bucket = head.at / SUB_STEPS;
+        member.head_bucket = head.at.bucket();
         member.head_revisions = head.revisions;
         self.reported_until(index, head.at);
         self.update_rate(index, clock, accounts);
@@ -177,7 +177,7 @@
     }
 
     /// A member has reported everything up to this sub-step.
-    pub fn reported_until(&mut self, index: MemberIndex, until: u64) {
+    pub fn reported_until(&mut self, index: MemberIndex, until: Step) {
         if let Some(member) = self.get_mut(index) {
             member.reported_until = member.reported_until.max(until);
             member.unreported = None;
@@ -192,7 +192,7 @@
         if before == after {
             return;
         }
-        let first = before.min(after).saturating_sub(RATE_WINDOW);
+        let first = before.min(after).minus(RATE_WINDOW);
         for (bucket, reported) in member.buckets.range(first..before.max(after)) {
             let is_recent_now = is_recent(after, *bucket);
             if is_recent(before, *bucket) == is_recent_now {
@@ -209,14 +209,14 @@
     }
 
     /// Drops from all members what is before the bucket `oldest`.
-    pub fn expire_all(&mut self, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
+    pub fn expire_all(&mut self, oldest: Bucket, clock: &Clock, accounts: &mut Accounts) {
         for index in 0..self.slots.len() as MemberIndex {
             self.expire(index, oldest, clock, accounts);
         }
     }
 
     /// Drops what a member reported of buckets before `oldest`, and the member once nothing of it counts.
-    fn expire(&mut self, index: MemberIndex, oldest: u64, clock: &Clock, accounts: &mut Accounts) {
+    fn expire(&mut self, index: MemberIndex, oldest: Bucket, clock: &Clock, accounts: &mut Accounts) {
         let extrapolation = u64::from(self.config.extrapolation);
         let Some(member) = self.get_mut(index) else { return };
         let kept = member.buckets.split_off(&oldest);
@@ -233,8 +233,8 @@
                 }
             }
         }
-        let last = member.reported_until / SUB_STEPS;
-        if member.buckets.is_empty() && last + extrapolation < oldest {
+        let last = member.reported_until.bucket();
+        if member.buckets.is_empty() && last.plus(extrapolation) < oldest {
             let origin = member.origin;
             self.slots[index as usize] = None;
             self.by_origin.remove(&origin);
@@ -243,7 +243,7 @@
     }
 
     /// A member left at this sub-step: nothing is extrapolated beyond it.
-    pub fn left(&mut self, origin: Origin, step: u64) {
+    pub fn left(&mut self, origin: Origin, step: Step) {
         let Some(index) = self.by_origin.get(&origin).copied() else { return };
         if let Some(member) = self.get_mut(index) {
             member.left_at = Some(member.left_at.map_or(step, |earlier| earlier.min(step)));
@@ -252,7 +252,7 @@
     }
 
     /// The sub-step at which a member ended: its place restarted, or it left.
-    fn ended_at(&self, member: &Member, clock: &Clock) -> Option<u64> {
+    fn ended_at(&self, member: &Member, clock: &Clock) -> Option<Step> {
         let Origin { place, epoch } = member.origin;
         let after = Origin { epoch: epoch.saturating_add(1), place };
         let next = self.by_origin.range(after..).next().map(|(origin, _)| *origin);
@@ -260,7 +260,7 @@
         let is_own = place == self.config.me && self.config.epoch > epoch;
         let own = is_own.then_some(self.config.epoch);
         let restarted = next.into_iter().chain(own).min();
-        let restarted = restarted.map(|millis| clock.sub_steps(u128::from(millis) * 1000));
+        let restarted = restarted.map(|millis| clock.step_of_unix(u128::from(millis) * 1000));
         restarted.into_iter().chain(member.left_at).min()
     }
 
@@ -280,17 +280,17 @@
     fn compute_unreported(&self, member: &Member, clock: &Clock, decay: &Decay) -> Unreported {
         let step = clock.step();
         let from = member.reported_until;
-        let extrapolated = from + u64::from(self.config.extrapolation) * SUB_STEPS;
-        let ended = self.ended_at(member, clock).unwrap_or(u64::MAX);
+        let extrapolated = from.plus(u64::from(self.config.extrapolation) * SUB_STEPS);
+        let ended = self.ended_at(member, clock).unwrap_or(Step(u64::MAX));
         let until = step.min(extrapolated).min(ended).max(from);
-        let decayed = |from: u64, to: u64| decay.span(step.saturating_sub(to), step.saturating_sub(from));
-        let silence = clock.micros(until - from);
+        let decayed = |from: Step, to: Step| decay.span(step.since(to), step.since(from));
+        let silence = clock.micros(until.since(from));
         let mut likely = decayed(from, until);
         let widened = u128::from(likely) * u128::from(silence) / u128::from(self.config.widen);
         let mut high = likely + (widened as u64).min(MAX_WIDENING * likely);
         for gap in member.gaps(clock.oldest_bucket()) {
-            let begin = gap.bucket * SUB_STEPS;
-            let span = decayed(begin, ((gap.bucket + 1) * SUB_STEPS).min(from.max(begin)));
+            let begin = gap.bucket.start();
+            let span = decayed(begin, gap.bucket.plus(1).start().min(from.max(begin)));
             likely += span * u64::from(gap.missing) / u64::from(gap.published.max(1));
             high += span;
         }
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -6,7 +6,7 @@
 mod bucket;
 
 use crate::accounts::{AccountId, Entry};
-use crate::decay::SUB_STEPS;
+use crate::clock::{Bucket, Step};
 use crate::members::{PageId, RATE_WINDOW};
 use crate::wire::{self, Head, MAX_HEAD_BUCKETS, encode};
 use crate::{Config, TenantKey, Usage};
@@ -19,7 +19,7 @@
 /// An amount that did not fit on the pages of its bucket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CarriedUsage {
-    pub bucket: u64,
+    pub bucket: Bucket,
     pub entry: Entry,
 }
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OwnUsage {
     policy: PublishPolicy,
-    buckets: BTreeMap<u64, OwnBucket>,
+    buckets: BTreeMap<Bucket, OwnBucket>,
     /// Buckets with amounts that have no line.
-    overflowing: BTreeSet<u64>,
+    overflowing: BTreeSet<Bucket>,
     /// Pages that have changed since they were last published.
     queue: VecDeque<PageId>,
     next_round: u64,
@@ -81,17 +81,17 @@
     }
 
     /// Adds usage that happened in a bucket; `key` is the tenant's. Returns whether the account is new in this bucket.
-    pub fn record(&mut self, bucket: u64, entry: Entry, key: TenantKey) -> bool {
+    pub fn record(&mut self, bucket: Bucket, entry: Entry, key: TenantKey) -> bool {
         self.add(bucket, entry, key, self.policy.max_pages)
     }
 
     /// Adds usage that was carried over from an earlier bucket, which may not take all of the pages.
-    pub fn carry_over(&mut self, bucket: u64, entry: Entry, key: TenantKey) -> bool {
+    pub fn carry_over(&mut self, bucket: Bucket, entry: Entry, key: TenantKey) -> bool {
         let max_pages = (self.policy.max_pages / 4 * CARRIED_QUARTERS).max(1);
         self.add(bucket, entry, key, max_pages)
     }
 
-    fn add(&mut self, bucket: u64, entry: Entry, key: TenantKey, max_pages: u8) -> bool {
+    fn add(&mut self, bucket: Bucket, entry: Entry, key: TenantKey, max_pages: u8) -> bool {
         let own = self.buckets.entry(bucket).or_default();
         let is_new = !own.has_account(entry.account);
         match own.add(entry, key, max_pages) {
@@ -104,7 +104,7 @@
     }
 
     /// Takes from an account as far as it goes; returns what was taken.
-    pub fn take(&mut self, bucket: u64, account: AccountId, key: TenantKey, usage: Usage) -> Usage {
+    pub fn take(&mut self, bucket: Bucket, account: AccountId, key: TenantKey, usage: Usage) -> Usage {
         let Some(own) = self.buckets.get_mut(&bucket) else { return Usage::default() };
         let taken = own.take(account, key, usage);
         for number in taken.changed_pages {
@@ -114,7 +114,7 @@
     }
 
     /// Takes off what had no room on the pages of buckets before this one, the largest amounts first.
-    pub fn take_overflow_before(&mut self, bucket: u64) -> Vec<CarriedUsage> {
+    pub fn take_overflow_before(&mut self, bucket: Bucket) -> Vec<CarriedUsage> {
         let mut carried = Vec::new();
         let kept = self.overflowing.split_off(&bucket);
         for bucket in std::mem::replace(&mut self.overflowing, kept) {
@@ -128,7 +128,7 @@
     }
 
     /// Takes out the buckets before this one.
-    pub fn expire(&mut self, before: u64) -> BTreeMap<u64, OwnBucket> {
+    pub fn expire(&mut self, before: Bucket) -> BTreeMap<Bucket, OwnBucket> {
         let kept = self.buckets.split_off(&before);
         std::mem::replace(&mut self.buckets, kept)
     }
@@ -139,7 +139,7 @@
     }
 
     /// The next fact of this round: slot and bytes.
-    pub fn publish(&mut self, now: u64, step: u64) -> Option<(u32, Vec<u8>)> {
+    pub fn publish(&mut self, now: u64, step: Step) -> Option<(u32, Vec<u8>)> {
         if now >= self.next_round {
             self.next_round = now + self.policy.interval;
             self.facts_left = self.policy.facts_per_round;
@@ -148,7 +148,7 @@
         while self.facts_left > 0 {
             let Some(id) = self.queue.pop_front() else { break };
             let Some(page) = self.page_mut(id) else { continue };
-            let through = step.saturating_sub(id.bucket * SUB_STEPS);
+            let through = step.since(id.bucket.start());
             let bytes = encode(&page.next_revision(id.bucket, through))?;
             self.facts_left -= 1;
             return Some((wire::slot_of_page(id.bucket, id.number), bytes));
@@ -160,11 +160,11 @@
     }
 
     /// The head, unless there is nothing new in it.
-    fn publish_head(&mut self, step: u64) -> Option<(u32, Vec<u8>)> {
-        let bucket = step / SUB_STEPS;
+    fn publish_head(&mut self, step: Step) -> Option<(u32, Vec<u8>)> {
+        let Bucket(bucket) = step.bucket();
         let mut revisions: Vec<u32> = (0..self.policy.horizon.min(MAX_HEAD_BUCKETS as u64))
             .map(|back| {
-                let own = bucket.checked_sub(back).and_then(|bucket| self.buckets.get(&bucket));
+                let own = bucket.checked_sub(back).and_then(|bucket| self.buckets.get(&Bucket(bucket)));
                 own.map_or(0, OwnBucket::revisions)
             })
             .collect();
--- a/crates/fairshare/src/own_usage/bucket.rs
+++ b/crates/fairshare/src/own_usage/bucket.rs
@@ -1,6 +1,7 @@
 //! The own usage of one bucket: its accounts, and the lines that they have on the bucket's pages.
 
 use crate::accounts::{AccountId, Entry};
+use crate::clock::Bucket;
 use crate::wire::{Line, MAX_AMOUNT, PAGE_LINE_BYTES, Page};
 use crate::{MAX_PAGES, TenantKey, Usage};
 use rustc_hash::FxHashMap;
@@ -71,7 +72,7 @@
     }
 
     /// The next revision, as it is published.
-    pub fn next_revision(&mut self, bucket: u64, through: u64) -> Page {
+    pub fn next_revision(&mut self, bucket: Bucket, through: u64) -> Page {
         self.is_queued = false;
         self.revision += 1;
         let mut lines: Vec<Line> = (self.lines.iter())
--- a/crates/fairshare/src/receiver.rs
+++ b/crates/fairshare/src/receiver.rs
@@ -1,8 +1,7 @@
 //! Receiving facts: what another member reported, checked and entered into its registers and the accounts.
 
 use crate::accounts::{AccountId, Accounts, Entry, Source};
-use crate::clock::Clock;
-use crate::decay::SUB_STEPS;
+use crate::clock::{Bucket, Clock, SUB_STEPS};
 use crate::members::{Members, PageId, ReportedPage};
 use crate::wire::{self, Line, Page};
 use crate::{AbsorbError, Config, Origin};
@@ -53,7 +52,7 @@
 
     fn absorb_head(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
         let head = wire::decode_head(fact.bytes)?;
-        self.check_time(head.at / SUB_STEPS)?;
+        self.check_time(head.at.bucket())?;
         let member = self.members.find_or_add(fact.origin, self.clock, self.accounts)?;
         let is_new = self.members.take_head(member, fact.number, head, self.clock, self.accounts);
         Ok(if is_new { Absorbed::New } else { Absorbed::Stale })
@@ -63,8 +62,8 @@
         let page = wire::decode_page(fact.bytes)?;
         let bucket = page.bucket;
         self.check_time(bucket)?;
-        let until = bucket * SUB_STEPS + page.through.min(MAX_PAGE_BUCKETS * SUB_STEPS);
-        if self.is_future(until / SUB_STEPS) {
+        let until = bucket.start().plus(page.through.min(MAX_PAGE_BUCKETS * SUB_STEPS));
+        if self.is_future(until.bucket()) {
             return Err(AbsorbError::Future);
         }
         let number = wire::page_of_slot(bucket, fact.slot).ok_or(AbsorbError::Malformed)?;
@@ -98,7 +97,7 @@
     }
 
     /// Takes the entries of a replaced page off the accounts.
-    fn subtract_replaced(&mut self, entries: Vec<Entry>, bucket: u64) {
+    fn subtract_replaced(&mut self, entries: Vec<Entry>, bucket: Bucket) {
         for entry in entries {
             if !self.config.count_twice {
                 self.accounts.subtract(entry, bucket, Source::Reported);
@@ -114,12 +113,12 @@
         if self.accounts.len() + added > self.config.max_tenants { Err(AbsorbError::Full) } else { Ok(()) }
     }
 
-    fn is_future(&self, bucket: u64) -> bool {
-        bucket > self.clock.bucket() + u64::from(self.config.future)
+    fn is_future(&self, bucket: Bucket) -> bool {
+        bucket > self.clock.bucket().plus(self.config.future.into())
     }
 
     /// Refuses a bucket that is before the horizon or too far ahead.
-    fn check_time(&self, bucket: u64) -> Result<(), AbsorbError> {
+    fn check_time(&self, bucket: Bucket) -> Result<(), AbsorbError> {
         if bucket < self.clock.oldest_bucket() {
             Err(AbsorbError::Late)
         } else if self.is_future(bucket) {
--- a/crates/fairshare/src/share_pool.rs
+++ b/crates/fairshare/src/share_pool.rs
@@ -1,5 +1,6 @@
 //! The shares of a capacity, and when what is not used of them was last lent.
 
+use crate::clock::Bucket;
 use crate::shares::{Leaf, ShareTree, Shares, SharesError};
 use crate::usage_estimate::UsageEstimator;
 use crate::valuation::Interval;
@@ -12,7 +13,7 @@
     /// What the federation's rate comes to in the account.
     capacity: u64,
     /// The bucket in which unused shares were last lent.
-    lent_in: Option<u64>,
+    lent_in: Option<Bucket>,
 }
 
 impl SharePool {
--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -1,5 +1,7 @@
 //! Where a tenant stands, and the value of one more of its jobs that follows from it. [`PaceCredit`] alone has state.
 
+use crate::Config;
+
 /// Seconds of its pace that a tenant may be ahead.
 const MAX_CREDIT_SECONDS: f64 = 1.0;
 /// Jobs on lent capacity are valued at least this much below jobs that may be within the share.
@@ -58,6 +60,15 @@
 }
 
 impl ValueLimits {
+    /// The limits of a configuration.
+    pub fn new(config: &Config) -> ValueLimits {
+        ValueLimits {
+            over_quota_value: config.over_quota_value,
+            uncertainty_discount: config.uncertainty_discount,
+            floor: config.floor,
+        }
+    }
+
     /// A job beyond everything that its tenant may have.
     pub fn over_quota(&self) -> JobValue {
         JobValue { fraction: self.over_quota_value, tier: Tier::Over }
--- a/crates/fairshare/src/wire.rs
+++ b/crates/fairshare/src/wire.rs
@@ -1,5 +1,6 @@
 //! Encoding of the facts: a version byte, then a page or a head in postcard. The order of fields is the format.
 
+use crate::clock::{Bucket, Step};
 use crate::{AbsorbError, MAX_PAGES, TenantKey, Usage};
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +52,7 @@
 /// One page of a member's usage in a bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Page {
-    pub bucket: u64,
+    pub bucket: Bucket,
     /// Up to when it covers the bucket: sub-steps since the bucket began.
     pub through: u64,
     /// How often this page has been published, this time included.
@@ -63,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
     /// Sub-steps since the Unix epoch, by the member's own clock.
-    pub at: u64,
+    pub at: Step,
     /// For the bucket of `at` and those before it: the revisions of all its pages added up.
     pub revisions: Vec<u32>,
 }
@@ -107,11 +108,11 @@
 const SLOT_BUCKETS: u64 = 72;
 
 /// The slot of a page.
-pub(crate) fn slot_of_page(bucket: u64, page: u8) -> u32 {
-    1 + (bucket % SLOT_BUCKETS) as u32 * u32::from(MAX_PAGES) + u32::from(page)
+pub(crate) fn slot_of_page(bucket: Bucket, page: u8) -> u32 {
+    1 + (bucket.0 % SLOT_BUCKETS) as u32 * u32::from(MAX_PAGES) + u32::from(page)
 }
 
 /// The page of this bucket that a slot holds, if it is one of them.
-pub(crate) fn page_of_slot(bucket: u64, slot: u32) -> Option<u8> {
+pub(crate) fn page_of_slot(bucket: Bucket, slot: u32) -> Option<u8> {
     u8::try_from(slot.checked_sub(slot_of_page(bucket, 0))?).ok().filter(|page| *page < MAX_PAGES)
 }
