--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -9,104 +9,51 @@
 //! Where dispatchers know each other's statuses, and two of them found the service down, they call in turns of a much slower
 //! round until one is answered; then all spread over one round. What a peer says moves only *when* this one calls.
 
+mod backoff;
+mod call_need;
+mod config;
 mod event;
+mod round_length;
 mod service_status;
 mod slots;
 
+pub use config::{Config, SERVICE_TIME};
 pub use event::{Call, Event, Metrics};
 pub use service_status::ServiceStatus;
 
-use crate::{ConfigError, check_place, invariant, mix};
+use crate::{ConfigError, invariant, mix};
+use backoff::{Backoff, Failure};
+use call_need::{CallNeed, CallReason};
+use round_length::RoundLength;
 use service_status::{MAX_BACKOFF_LEVEL, MemberStatuses, SIGNIFICANT_CHANGE};
-use slots::{MAX_FIRST_CALLS_SPAN, Slots};
+use slots::Slots;
 
-/// What a call costs the service where nobody knows, in microseconds.
-pub const SERVICE_TIME: u64 = 20_000;
-/// The longest wait after a failure is two rounds, yet at least this, in microseconds.
-const MIN_BACKOFF_CAP: u64 = 2_000_000;
-/// No wait after a failure is drawn below this, in microseconds.
-const MIN_BACKOFF: u64 = 50_000;
-/// While the service is down, each member calls it once in this time, in microseconds ...
-const OUTAGE_TURN: u64 = 26_000_000;
-/// ... and the whole group once in this time at least, in microseconds.
-const OUTAGE_GROUP_TURN: u64 = 1_000_000;
-/// A refusal after the time of so many calls, and after [`MIN_BUSY_WAIT`], is of a busy service; a quicker one is of a
-/// service that is down.
-const BUSY_CALLS: u64 = 5;
-/// See [`BUSY_CALLS`], in microseconds.
-const MIN_BUSY_WAIT: u64 = 100_000;
 /// Slots of a call that has a deadline end this long before it, in microseconds.
 const DEADLINE_MARGIN: u64 = 20_000;
 
-/// What a scheduler has to know.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// This dispatcher's place, from 0.
-    pub place: u16,
-    /// How many places there are, whether or not anybody is there.
-    pub places: u16,
-    /// What a call costs the service, in microseconds; [`SERVICE_TIME`] where nobody knows.
-    pub service_time: u64,
-    /// Without a watch a dispatcher is held to its list for this long from its last call, and four times as long from one
-    /// that failed, in microseconds.
-    pub poll_within: Option<u64>,
-    /// The Unix time of the caller's zero, in microseconds.
-    pub unix_at_zero: u64,
-    /// Seed of all random choices.
-    pub seed: u64,
-    /// Whether the statuses of others can be received at all.
-    pub has_membership: bool,
-    /// A deliberate fault for tests of the tests: calls are not spread over slots.
-    #[doc(hidden)]
-    pub skip_scheduling: bool,
-}
-
-/// Why a call became due.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallReason {
-    /// The process or the service is new. Others may hold a list since before: they need no slot in the round.
-    Start,
-    /// The watch has ended; those of the others may have, too.
-    WatchEnded,
-}
-
-/// What ended a call without a list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failure {
-    /// The service has too much to do, or says nothing.
-    Busy,
-    /// The service cannot be reached.
-    Down,
+/// When the next call is due, and by which rounds that was chosen.
+#[derive(Debug)]
+struct PlannedCall {
+    due_at: u64,
+    /// The length of the regular rounds at the time of the choice.
+    round: u64,
+    /// `due_at` is a turn of the slow rounds while the service is down.
+    is_outage_turn: bool,
 }
 
-/// Schedules the calls of one dispatcher.
+/// Schedules the calls of one dispatcher. Times are the caller's microseconds.
 #[derive(Debug)]
 pub struct PollScheduler {
     config: Config,
     rng: fastrand::Rng,
     slots: Slots,
     now: u64,
-    /// When the next call is due.
-    due_at: u64,
     has_open_call: bool,
-    reason: CallReason,
-    /// When the reason for the call arose.
-    reason_since: u64,
+    need: CallNeed,
+    planned: PlannedCall,
+    /// The latest time for the next call, where there is one.
     deadline: Option<u64>,
-    /// `due_at` is a turn of the slow rounds while the service is down.
-    is_outage_turn: bool,
-    /// The length of the rounds by which `due_at` was chosen.
-    slot_round: u64,
-    /// The call was put off once because the service is sending a new list to all.
-    has_yielded: bool,
-    next_recheck: u64,
-    rechecks: u32,
-    /// Processes that ended since the reason for the call arose.
-    members_gone: u64,
-    /// What the last `Retry-After` said.
-    not_before: u64,
-    /// The last wait after a failure, 0 where there was none.
-    backoff: u64,
+    backoff: Backoff,
     /// The least time that an own call took until its answer.
     min_answer_time: Option<u64>,
     statuses: MemberStatuses,
@@ -120,29 +67,18 @@
     ///
     /// The place is not one of the places, or the service time is 0.
     pub fn new(config: Config, now: u64, generation: u64) -> Result<PollScheduler, ConfigError> {
-        check_place(config.place, config.places)?;
-        if config.service_time == 0 {
-            return Err(ConfigError::Zero("service_time"));
-        }
+        config.validate()?;
         let mut rng = fastrand::Rng::with_seed(config.seed ^ mix(u64::from(config.place)));
         let phase = (f64::from(config.place) + 0.5 * rng.f64()) / f64::from(config.places);
         let mut scheduler = PollScheduler {
             slots: Slots::new(phase, config.unix_at_zero, config.has_membership),
             rng,
             now,
-            due_at: now,
             has_open_call: false,
-            reason: CallReason::Start,
-            reason_since: now,
+            need: CallNeed::new(CallReason::Start, now, config.has_membership),
+            planned: PlannedCall { due_at: now, round: 0, is_outage_turn: false },
             deadline: None,
-            is_outage_turn: false,
-            slot_round: 0,
-            has_yielded: false,
-            next_recheck: u64::MAX,
-            rechecks: 0,
-            members_gone: 0,
-            not_before: 0,
-            backoff: 0,
+            backoff: Backoff::new(config.poll_within),
             min_answer_time: None,
             statuses: MemberStatuses::new(config.place, config.places, generation),
             metrics: Metrics::default(),
@@ -155,7 +91,7 @@
     /// When [`PollScheduler::tick`] is to be called next, if nothing comes before; never earlier than now. `None` while a
     /// call or a watch is open.
     pub fn next_wake(&self) -> Option<u64> {
-        self.needs_call().then(|| self.due_at.min(self.next_recheck).max(self.now))
+        self.needs_call().then(|| self.planned.due_at.min(self.need.next_recheck).max(self.now))
     }
 
     /// Lets time pass; returns a call where one is due. At most one is open at any time.
@@ -164,10 +100,10 @@
         if !self.needs_call() {
             return None;
         }
-        if self.now >= self.next_recheck {
+        if self.now >= self.need.next_recheck {
             self.recheck();
         }
-        if self.now < self.due_at {
+        if self.now < self.planned.due_at {
             return None;
         }
         if self.deadline.is_none() && !self.config.skip_scheduling && self.defer() {
@@ -206,7 +142,7 @@
             Event::ServiceMoved { deadline } => self.on_service_moved(deadline),
             Event::Presence(is_present) => self.statuses.set_present(&is_present),
             Event::MemberGone(place) => {
-                self.members_gone += u64::from(self.statuses.remove_peer(place));
+                self.need.members_gone += u64::from(self.statuses.remove_peer(place));
             }
             Event::PeerStatus { place, status } if place != self.config.place => {
                 self.on_peer_status(place, status);
@@ -241,7 +177,7 @@
         self.metrics.answered += 1;
         let answered_at_ms = self.unix_ms();
         let own = &mut self.statuses.own;
-        if waited < BUSY_CALLS * self.config.service_time {
+        if backoff::is_quick_answer(waited, self.config.service_time) {
             own.backoff_level = 0;
         }
         own.generation = generation;
@@ -249,23 +185,23 @@
         own.answered_at_ms = answered_at_ms;
         own.waited_ms = u32::try_from(waited.div_ceil(1_000)).unwrap_or(u32::MAX);
         self.min_answer_time = Some(self.min_answer_time.map_or(waited, |least| least.min(waited)));
-        self.backoff = 0;
+        self.backoff.reset();
         self.deadline = None;
-        self.is_outage_turn = false;
+        self.planned.is_outage_turn = false;
     }
 
     fn on_refused(&mut self, waited: u64, retry_after: Option<u64>) {
         self.metrics.refused += 1;
         let now_ms = self.unix_ms();
         let own = &mut self.statuses.own;
-        let failure = if waited >= MIN_BUSY_WAIT.max(BUSY_CALLS * self.config.service_time) {
-            own.backoff_level = (own.backoff_level + 1).min(MAX_BACKOFF_LEVEL);
-            own.refused_at_ms = now_ms;
-            Failure::Busy
-        } else {
-            own.failed_at_ms = now_ms;
-            Failure::Down
-        };
+        let failure = Failure::from_refusal(waited, self.config.service_time);
+        match failure {
+            Failure::Busy => {
+                own.backoff_level = (own.backoff_level + 1).min(MAX_BACKOFF_LEVEL);
+                own.refused_at_ms = now_ms;
+            }
+            Failure::Down => own.failed_at_ms = now_ms,
+        }
         self.schedule_retry(failure, retry_after.unwrap_or(0));
     }
 
@@ -284,7 +220,7 @@
         self.has_open_call = false;
         self.deadline = deadline;
         self.min_answer_time = None;
-        self.not_before = 0;
+        self.backoff.forget_retry_after();
         self.statuses.reset();
         self.schedule_first_call(CallReason::Start);
     }
@@ -295,18 +231,12 @@
         }
         let own = &self.statuses.own;
         // A member was answered since this one found the service down: one round for all that wait for that.
-        let is_back = self.backoff > 0
+        let is_back = self.backoff.is_active()
             && own.failed_at_ms > own.answered_at_ms
             && status.answered_at_ms > own.failed_at_ms;
         let is_waiting = self.needs_call() && self.deadline.is_none();
-        if is_waiting && (is_back || self.is_outage_turn && !self.is_service_down()) {
-            self.is_outage_turn = false;
-            self.backoff = 0;
-            self.slot_round = self.round();
-            let at = self.slots.next(self.now.max(self.not_before), self.slot_round);
-            // Who learns of it late has no whole round left: its slot, or the time that it has, whichever is sooner.
-            let age = self.unix_ms().saturating_sub(status.answered_at_ms) * 1_000;
-            self.due_at = if age > self.slot_round / 8 { self.due_at.min(at) } else { at };
+        if is_waiting && (is_back || self.planned.is_outage_turn && !self.is_service_down()) {
+            self.schedule_after_outage(status.answered_at_ms);
         }
     }
 
@@ -316,63 +246,25 @@
     }
 
     fn unix_ms(&self) -> u64 {
-        (self.config.unix_at_zero + self.now) / 1_000
-    }
-
-    /// Others that are taken to be there: all, as long as no status could have been received.
-    fn assumed_others(&self) -> u64 {
-        let is_early = self.config.has_membership && self.rechecks == 0;
-        if is_early { u64::from(self.config.places) - 1 } else { self.statuses.present_others() }
-    }
-
-    /// Whether others are there with whom turns can be taken while the service is down.
-    fn takes_outage_turns(&self) -> bool {
-        self.config.has_membership && self.assumed_others() > 0 && self.is_service_down()
-    }
-
-    /// What a call costs the service, in microseconds: as the members say, or as configured, less where an own answer came
-    /// sooner.
-    fn service_time(&self) -> u64 {
-        let configured = self.config.service_time;
-        let own = self.min_answer_time.map_or(configured, |time| time.clamp(configured / 8 + 1, configured));
-        self.statuses.answer_time(configured, self.unix_ms()).unwrap_or(own)
-    }
-
-    /// The length of one round: a slot for each place that may lack a list. Those that had theirs before the reason for the
-    /// call arose do not call; those that got it since had a slot in this round.
-    fn round(&self) -> u64 {
-        let holders = if self.reason == CallReason::Start && self.rechecks > 1 {
-            let since = (self.config.unix_at_zero + self.reason_since) / 1_000;
-            self.statuses.others_with_watch_since_before(since)
-        } else {
-            0
-        };
-        // Where many ended at once, others may have ended that are still believed to be there.
-        let holders = if self.members_gone * 8 > holders { 0 } else { holders };
-        let now_ms = self.unix_ms();
-        // Refusals say that a call costs more than was thought; where members say what it costs they add nothing.
-        let is_measured = self.statuses.answer_time(self.config.service_time, now_ms).is_some();
-        let level = if is_measured { 0 } else { self.statuses.backoff_level(now_ms) };
-        (self.service_time() * (u64::from(self.config.places) - holders).max(1)) << level
+        self.config.unix_ms(self.now)
     }
 
-    /// The round of the slow turns while the service is down: by it the group calls often enough to see the end soon.
-    fn outage_round(&self) -> u64 {
-        OUTAGE_TURN.min(OUTAGE_GROUP_TURN * (self.assumed_others() + 1)).max(self.round())
+    fn round_length(&self) -> RoundLength<'_> {
+        RoundLength {
+            config: &self.config,
+            need: &self.need,
+            statuses: &self.statuses,
+            min_answer_time: self.min_answer_time,
+            now_ms: self.unix_ms(),
+        }
     }
 
     /// A reason for a call has arisen: it goes into the own slot of this round.
     fn schedule_first_call(&mut self, reason: CallReason) {
-        self.reason = reason;
-        self.reason_since = self.now;
-        self.is_outage_turn = false;
-        self.has_yielded = false;
-        self.rechecks = 0;
-        self.members_gone = 0;
-        self.next_recheck =
-            if self.config.has_membership { self.now + MAX_FIRST_CALLS_SPAN } else { u64::MAX };
-        let round = self.round();
-        self.slot_round = round;
+        self.need = CallNeed::new(reason, self.now, self.config.has_membership);
+        let round = self.round_length().regular();
+        self.planned.round = round;
+        self.planned.is_outage_turn = false;
         let at = if self.deadline.is_none() {
             self.slots.first(self.now, round)
         } else {
@@ -381,10 +273,41 @@
         self.set_due(at);
     }
 
+    /// A call came to nothing: the next one comes after a wait, and not before what `Retry-After` says.
+    fn schedule_retry(&mut self, failure: Failure, retry_after: u64) {
+        if self.deadline.is_some_and(|deadline| deadline <= self.now + DEADLINE_MARGIN) {
+            self.deadline = None;
+        }
+        let round = self.round_length().regular();
+        self.backoff.draw(&mut self.rng, self.now, round, retry_after);
+        self.planned.is_outage_turn = failure == Failure::Down && self.round_length().takes_outage_turns();
+        self.planned.round = round;
+        let at = if self.planned.is_outage_turn {
+            self.slots.next(self.backoff.not_before() + 1, self.round_length().outage())
+        } else {
+            self.slots.next(self.backoff.earliest(self.now), round)
+        };
+        self.set_due(at);
+        if !self.config.skip_scheduling {
+            self.planned.due_at = self.planned.due_at.max(self.backoff.not_before());
+        }
+    }
+
+    /// The service is back, as a member that was answered says: the call goes into the own slot of a regular round.
+    fn schedule_after_outage(&mut self, answered_at_ms: u64) {
+        self.backoff.reset();
+        let round = self.round_length().regular();
+        let at = self.slots.next(self.now.max(self.backoff.not_before()), round);
+        // Who learns of it late has no whole round left: its slot, or the time that it has, whichever is sooner.
+        let age = self.unix_ms().saturating_sub(answered_at_ms) * 1_000;
+        let due_at = if age > round / 8 { self.planned.due_at.min(at) } else { at };
+        self.planned = PlannedCall { due_at, round, is_outage_turn: false };
+    }
+
     /// Makes the next call due then, or earlier where it has a deadline.
     fn set_due(&mut self, at: u64) {
-        self.due_at = match self.deadline {
-            _ if self.config.skip_scheduling => self.now + self.rng.u64(0..MIN_BACKOFF),
+        self.planned.due_at = match self.deadline {
+            _ if self.config.skip_scheduling => self.now + self.rng.u64(0..backoff::MIN_WAIT),
             Some(deadline) if at + DEADLINE_MARGIN > deadline => {
                 let time_left = deadline.saturating_sub(self.now + DEADLINE_MARGIN);
                 self.now + self.slots.offset_in(time_left)
@@ -396,63 +319,40 @@
     /// Statuses of others could be received by now: those that lack a list may be far fewer than all, or nobody else may be
     /// there.
     fn recheck(&mut self) {
-        self.rechecks += 1;
-        self.next_recheck = self.now + 2 * MAX_FIRST_CALLS_SPAN;
-        let round = self.round();
-        let is_shorter = (round as f64) * SIGNIFICANT_CHANGE < self.slot_round as f64;
-        if self.is_outage_turn {
-            if self.statuses.present_others() == 0 && self.now >= self.not_before {
-                self.is_outage_turn = false;
-                self.due_at = self.due_at.min(self.slots.next(self.now + self.backoff, round));
+        self.need.record_recheck(self.now);
+        let round = self.round_length().regular();
+        let is_shorter = (round as f64) * SIGNIFICANT_CHANGE < self.planned.round as f64;
+        let not_before = self.backoff.not_before();
+        if self.planned.is_outage_turn {
+            if self.statuses.present_others() == 0 && self.now >= not_before {
+                self.planned.is_outage_turn = false;
+                let at = self.slots.next(self.now + self.backoff.last_wait(), round);
+                self.planned.due_at = self.planned.due_at.min(at);
             }
         } else if is_shorter && self.deadline.is_none() && !self.is_service_down() {
-            self.slot_round = round;
-            self.due_at = self.due_at.min(self.slots.next(self.now.max(self.not_before), round));
-        }
-    }
-
-    /// A call came to nothing: the next one comes after a wait, and not before what `Retry-After` says.
-    fn schedule_retry(&mut self, failure: Failure, retry_after: u64) {
-        if self.deadline.is_some_and(|deadline| deadline <= self.now + DEADLINE_MARGIN) {
-            self.deadline = None;
-        }
-        let round = self.round();
-        let base = (round / 4).max(MIN_BACKOFF);
-        // Changes count as received four times `poll_within` after a call that failed: half of that is left for the next.
-        let held = self.config.poll_within.map_or(u64::MAX, |within| 2 * within);
-        let cap = (2 * round).max(MIN_BACKOFF_CAP.min(held)).max(base);
-        self.backoff = self.rng.u64(base..=(3 * self.backoff.max(base)).min(cap));
-        self.not_before = self.now + retry_after;
-        self.is_outage_turn = failure == Failure::Down && self.takes_outage_turns();
-        self.slot_round = round;
-        let at = if self.is_outage_turn {
-            self.slots.next(self.not_before + 1, self.outage_round())
-        } else {
-            self.slots.next(self.not_before.max(self.now + self.backoff), round)
-        };
-        self.set_due(at);
-        if !self.config.skip_scheduling {
-            self.due_at = self.due_at.max(self.not_before);
+            self.planned.round = round;
+            let at = self.slots.next(self.now.max(not_before), round);
+            self.planned.due_at = self.planned.due_at.min(at);
         }
     }
 
-    /// Puts off a call that is due now if what was learned since its slot was chosen asks for it; returns whether it did.
+    /// Defers a call that is due now if what was learned since its slot was chosen asks for it; returns whether it did.
     fn defer(&mut self) -> bool {
-        if self.is_outage_turn {
+        if self.planned.is_outage_turn {
             return false;
         }
-        let round = self.round();
-        if self.takes_outage_turns() {
-            self.is_outage_turn = true;
-            self.due_at = self.slots.next(self.now + 1, self.outage_round());
-        } else if round as f64 > SIGNIFICANT_CHANGE * self.slot_round as f64 {
+        let round = self.round_length().regular();
+        if self.round_length().takes_outage_turns() {
+            self.planned.is_outage_turn = true;
+            self.planned.due_at = self.slots.next(self.now + 1, self.round_length().outage());
+        } else if round as f64 > SIGNIFICANT_CHANGE * self.planned.round as f64 {
             // Calls take longer than when the slot was chosen.
-            self.slot_round = round;
-            self.due_at = self.slots.next(self.now + 1, round);
-        } else if !self.has_yielded && self.is_list_being_distributed() {
-            // This one goes last, and is not put off again.
-            self.has_yielded = true;
-            self.due_at = self.now + self.rng.u64(1..=1 + round / 2);
+            self.planned.round = round;
+            self.planned.due_at = self.slots.next(self.now + 1, round);
+        } else if !self.need.has_yielded && self.is_list_being_distributed() {
+            // This one goes last, and is not deferred again.
+            self.need.has_yielded = true;
+            self.planned.due_at = self.now + self.rng.u64(1..=1 + round / 2);
         } else {
             return false;
         }
--- /dev/null
+++ b/crates/coldstart/src/poll_scheduler/call_need.rs
@@ -0,0 +1,48 @@
+//! Why a call is needed, and what has become known of the others since then.
+
+use super::slots::MAX_FIRST_CALLS_SPAN;
+
+/// Why a call became due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallReason {
+    /// The process or the service is new. Others may hold a list since before: they need no slot in the round.
+    Start,
+    /// The watch has ended; those of the others may have, too.
+    WatchEnded,
+}
+
+/// The need for a call, from the time at which it arose until a call is answered.
+#[derive(Debug)]
+pub(super) struct CallNeed {
+    pub reason: CallReason,
+    /// When the reason arose, in the caller's microseconds.
+    pub since: u64,
+    /// When the time of the call is to be reconsidered: by then statuses of others could be received. Never where there is
+    /// no membership.
+    pub next_recheck: u64,
+    /// How often it has been reconsidered.
+    pub rechecks: u32,
+    /// Processes that ended since the reason arose.
+    pub members_gone: u64,
+    /// The call was deferred once because the service is distributing a new list.
+    pub has_yielded: bool,
+}
+
+impl CallNeed {
+    /// A need that arises now.
+    pub fn new(reason: CallReason, now: u64, has_membership: bool) -> CallNeed {
+        let next_recheck = if has_membership { now + MAX_FIRST_CALLS_SPAN } else { u64::MAX };
+        CallNeed { reason, since: now, next_recheck, rechecks: 0, members_gone: 0, has_yielded: false }
+    }
+
+    /// The time of the call is reconsidered now.
+    pub fn record_recheck(&mut self, now: u64) {
+        self.rechecks += 1;
+        self.next_recheck = now + 2 * MAX_FIRST_CALLS_SPAN;
+    }
+
+    /// Whether others may have a list since before the need arose, and their statuses had time to arrive.
+    pub fn may_know_holders(&self) -> bool {
+        self.reason == CallReason::Start && self.rechecks > 1
+    }
+}
