--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -1,6 +1,6 @@
 //! What was observed of workers, by this dispatcher and by the others, as facts that a carrier brings.
 //!
-//! Of each worker the latest time of each thing observed is kept: proofs of life, refusals, hangs, resets, cold answers,
+//! Of each worker the latest time of each thing observed is kept: proofs of life, refusals, hangs, resets, signs of warming up,
 //! and the latest report. Taking a fact in is a maximum in each of these, so the state is the same in whatever order and
 //! however often facts come (a join-semilattice, as in Shapiro and others, "Conflict-free Replicated Data Types", 2011).
 //! A worker's status is computed from that on demand: the worst fault that no later proof of life refutes, with a weight
@@ -82,7 +82,7 @@
     /// It showed this fault.
     Fault(Fault),
     /// It answered as one that has just started.
-    Cold,
+    WarmingUp,
     /// It reported its load (and so is alive).
     Report(Report),
 }
@@ -94,8 +94,8 @@
     pub fault: Option<(Fault, u64)>,
     /// The age of the last proof of life.
     pub alive: Option<u64>,
-    /// The age of the last sign that it is cold.
-    pub cold: Option<u64>,
+    /// The age of the last sign that it is warming up.
+    pub warming_up: Option<u64>,
     /// Its last report, with its age.
     pub report: Option<(Report, u64)>,
     /// How much the newest of these counts now: 1 when it was observed, half of that every 5 s.
@@ -230,7 +230,7 @@
                 worst.is_none_or(|(worst, since)| worst < fault || since + FAULT_REPUBLISH_MS < now_ms)
             }
             Observation::Alive => worst.is_some() || before.alive + self.proof_republish_ms < now_ms,
-            Observation::Cold => before.cold + self.proof_republish_ms < now_ms,
+            Observation::WarmingUp => before.warming_up + self.proof_republish_ms < now_ms,
             Observation::Report(_) => worst.is_some() || before.reported + self.proof_republish_ms < now_ms,
         }
     }
@@ -268,7 +268,7 @@
         Some(WorkerStatus {
             fault: times.worst_fault().and_then(|(fault, at)| age_of(at).map(|age| (fault, age))),
             alive: age_of(times.alive),
-            cold: age_of(times.cold),
+            warming_up: age_of(times.warming_up),
             report: age_of(times.reported).map(|age| (times.report, age)),
             weight: (-(newest as f64 / 1_000.0) / HALF_LIFE_MS).exp2(),
         })
--- a/crates/coldstart/src/shared_observations/observed_times.rs
+++ b/crates/coldstart/src/shared_observations/observed_times.rs
@@ -8,7 +8,7 @@
     pub alive: u64,
     /// By [`Fault`].
     pub faults: [u64; 3],
-    pub cold: u64,
+    pub warming_up: u64,
     pub reported: u64,
     /// The report of that time.
     pub report: Report,
@@ -24,7 +24,7 @@
                 return times;
             }
             Observation::Alive => {}
-            Observation::Cold => times.cold = at,
+            Observation::WarmingUp => times.warming_up = at,
             Observation::Report(report) => {
                 times.reported = at;
                 times.report = report;
@@ -40,13 +40,13 @@
         for (own, other) in self.faults.iter_mut().zip(other.faults) {
             *own = (*own).max(other);
         }
-        self.cold = self.cold.max(other.cold);
+        self.warming_up = self.warming_up.max(other.warming_up);
         (self.reported, self.report) = (self.reported, self.report).max((other.reported, other.report));
     }
 
     /// The time of the newest observation.
     pub fn newest(&self) -> u64 {
-        self.faults.into_iter().chain([self.alive, self.cold, self.reported]).max().unwrap_or(0)
+        self.faults.into_iter().chain([self.alive, self.warming_up, self.reported]).max().unwrap_or(0)
     }
 
     /// The worst fault that no later proof of life refutes, with its time.
--- a/crates/coldstart/src/shared_observations/wire.rs
+++ b/crates/coldstart/src/shared_observations/wire.rs
@@ -33,7 +33,7 @@
 struct WorkerRow {
     fingerprint: u32,
     /// How many milliseconds before the bucket's time each thing was, plus one; 0 for never: alive, resets, hangs, refuses,
-    /// cold, reported.
+    /// warming up, reported.
     ages: [u32; 6],
     report: Report,
 }
@@ -53,7 +53,7 @@
             at => u32::try_from(bucket_at.saturating_sub(at) + 1).unwrap_or(0),
         };
         let [resets, hangs, refuses] = times.faults;
-        let ages = [times.alive, resets, hangs, refuses, times.cold, times.reported].map(age);
+        let ages = [times.alive, resets, hangs, refuses, times.warming_up, times.reported].map(age);
         WorkerRow { fingerprint, ages, report: times.report }
     }
 
@@ -62,9 +62,9 @@
             0 => 0,
             age => (bucket_at + 1).saturating_sub(u64::from(age)),
         };
-        let [alive, resets, hangs, refuses, cold, reported] = self.ages.map(time);
+        let [alive, resets, hangs, refuses, warming_up, reported] = self.ages.map(time);
         let report = if reported > 0 { self.report } else { Report::default() };
-        ObservedTimes { alive, faults: [resets, hangs, refuses], cold, reported, report }
+        ObservedTimes { alive, faults: [resets, hangs, refuses], warming_up, reported, report }
     }
 }
 
--- a/crates/coldstart/src/simulation.rs
+++ b/crates/coldstart/src/simulation.rs
@@ -1,25 +1,25 @@
 //! Hundreds of dispatchers around one list service and a set of workers, with a virtual clock and one seed.
 //!
 //! The service handles calls one after another, gives a call up with a refusal once it has waited for a second, and
-//! resets all when it is down. Facts travel by rounds of gossip with delay and loss. The dispatchers behave in one of
-//! four ways ([`Behaviour`]); the last two run this crate's machines as the program does.
+//! resets all when it is down. Facts travel by rounds of gossip with delay and loss. The dispatchers follow one of
+//! four strategies ([`PollingStrategy`]); the last two run this crate's machines as the program does.
 
 mod dispatcher;
 mod event_queue;
 mod gossip;
 mod list_service;
-mod outcome;
 mod scenario;
+mod summary;
 mod workers;
 
-pub use outcome::Outcome;
-pub use scenario::{Behaviour, Scenario};
+pub use scenario::{MassRestart, Outage, Pause, PollingStrategy, SimulationScenario};
+pub use summary::SimulationSummary;
 
 use crate::poll_scheduler;
 use dispatcher::{Dispatcher, Machines};
 use event_queue::{Event, EventQueue, ProcessId};
 use list_service::ListService;
-use outcome::Measurements;
+use summary::Measurements;
 use workers::Worker;
 
 const MS: u64 = 1_000;
@@ -43,8 +43,8 @@
 }
 
 struct Simulation<'a> {
-    scenario: &'a Scenario,
-    behaviour: Behaviour,
+    scenario: &'a SimulationScenario,
+    strategy: PollingStrategy,
     rng: fastrand::Rng,
     now: u64,
     queue: EventQueue,
@@ -62,36 +62,37 @@
     measurements: Measurements,
 }
 
-/// Plays a scenario to its end.
-pub fn play(scenario: &Scenario, behaviour: Behaviour) -> Outcome {
-    let mut simulation = Simulation::new(scenario, behaviour);
+/// Runs a scenario to its end.
+pub fn simulate(scenario: &SimulationScenario, strategy: PollingStrategy) -> SimulationSummary {
+    let mut simulation = Simulation::new(scenario, strategy);
     simulation.schedule_scenario();
     simulation.run();
-    simulation.outcome()
+    simulation.summary()
 }
 
 impl Simulation<'_> {
-    fn new(scenario: &Scenario, behaviour: Behaviour) -> Simulation<'_> {
-        let listed_before = (usize::from(scenario.count) / 4).max(12);
+    fn new(scenario: &SimulationScenario, strategy: PollingStrategy) -> Simulation<'_> {
+        let listed_before = (usize::from(scenario.dispatchers) / 4).max(12);
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
-        let dead = (listed_before as f64 * scenario.dead.min(1.0)).round() as usize;
+        let dead = (listed_before as f64 * scenario.dead_workers.min(1.0)).round() as usize;
         // Dead workers are on the old list only; where those are all of it, the service has as many others.
-        let replacements = if scenario.dead >= 1.0 { listed_before } else { 0 };
+        let replacements = if scenario.dead_workers >= 1.0 { listed_before } else { 0 };
         let count = listed_before + replacements;
-        let workers = (0..count).map(|index| Worker::new(index, dead, scenario.cold, &mut rng)).collect();
+        let workers =
+            (0..count).map(|index| Worker::new(index, dead, scenario.workers_warm_up, &mut rng)).collect();
         let absent = Presence { is_running: false, incarnation: 0 };
         Simulation {
             scenario,
-            behaviour,
+            strategy,
             now: 0,
             queue: EventQueue::default(),
-            dispatchers: (0..scenario.count).map(|_| Dispatcher::default()).collect(),
+            dispatchers: (0..scenario.dispatchers).map(|_| Dispatcher::default()).collect(),
             workers,
             old_list: (0..listed_before).collect(),
             current_list: (dead..count).collect(),
             service: ListService::default(),
-            silence_deadline: scenario.silent.map(|at| at + NOTIFICATION_DEADLINE),
-            presence: vec![absent; usize::from(scenario.count)],
+            silence_deadline: scenario.watches_silent_at.map(|at| at + NOTIFICATION_DEADLINE),
+            presence: vec![absent; usize::from(scenario.dispatchers)],
             measurements: Measurements::default(),
             rng,
         }
@@ -112,39 +113,39 @@
     /// Schedules what the scenario says, from the first starts on.
     fn schedule_scenario(&mut self) {
         let scenario = self.scenario;
-        for place in 0..scenario.count {
-            let is_second_half = scenario.halves.is_some() && place % 2 == 1;
-            let delay = if is_second_half { SECOND } else { 0 };
+        for place in 0..scenario.dispatchers {
+            let is_second_side = scenario.partitioned_until.is_some() && place % 2 == 1;
+            let delay = if is_second_side { SECOND } else { 0 };
             let at = self.rng.u64(0..=scenario.start_within) + delay;
             self.schedule(at, Event::Start(place));
         }
-        if let Some((from, until)) = scenario.down {
+        if let Some(Outage { from, until }) = scenario.outage {
             self.schedule(from, Event::ServiceDown);
             self.schedule(until, Event::ServiceUp);
         }
-        if let Some((at, fraction)) = scenario.killed {
-            let mut places: Vec<u16> = (0..scenario.count).collect();
+        if let Some(MassRestart { at, fraction }) = scenario.restart {
+            let mut places: Vec<u16> = (0..scenario.dispatchers).collect();
             self.rng.shuffle(&mut places);
-            places.truncate((f64::from(scenario.count) * fraction) as usize);
+            places.truncate((f64::from(scenario.dispatchers) * fraction) as usize);
             self.schedule(at, Event::Kill(places));
         }
-        if let Some(at) = scenario.silent {
+        if let Some(at) = scenario.watches_silent_at {
             self.schedule(at, Event::WatchesFallSilent);
         }
-        if let Some((paused, _)) = scenario.paused {
-            let distance = (scenario.count / paused.max(1)).max(1);
-            for nth in 0..paused.min(scenario.count) {
-                self.dispatcher_mut(nth * distance % scenario.count).will_pause = true;
+        if let Some(Pause { dispatchers: paused, .. }) = scenario.pause {
+            let distance = (scenario.dispatchers / paused.max(1)).max(1);
+            for nth in 0..paused.min(scenario.dispatchers) {
+                self.dispatcher_mut(nth * distance % scenario.dispatchers).will_pause = true;
             }
         }
-        if self.behaviour == Behaviour::Heard {
+        if self.strategy == PollingStrategy::SchedulerWithGossip {
             self.schedule(300 * MS, Event::ViewsChange);
         }
     }
 
     fn run(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
-            if at > self.scenario.length {
+            if at > self.scenario.duration {
                 break;
             }
             self.now = at;
@@ -185,18 +186,19 @@
 
     /// Whether facts and views cross between two places.
     fn are_connected(&self, one: u16, other: u16) -> bool {
-        self.scenario.halves.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
+        self.scenario.partitioned_until.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
     }
 
     fn on_start(&mut self, place: u16) {
         let (now, scenario) = (self.now, self.scenario);
         let seed = self.rng.u64(..);
         self.measurements.processes += 1;
-        let machines = match self.behaviour {
-            Behaviour::Landed | Behaviour::FullJitter => None,
-            Behaviour::Alone | Behaviour::Heard => {
+        let machines = match self.strategy {
+            PollingStrategy::RandomWait | PollingStrategy::FullJitter => None,
+            PollingStrategy::SchedulerAlone | PollingStrategy::SchedulerWithGossip => {
                 let tags = self.old_list.iter().map(|worker| *worker as u64);
-                Machines::new(scenario, place, seed, self.behaviour == Behaviour::Heard, tags, now)
+                let has_membership = self.strategy == PollingStrategy::SchedulerWithGossip;
+                Machines::new(scenario, place, seed, has_membership, tags, now)
             }
         };
         let dispatcher = self.dispatcher_mut(place);
@@ -205,13 +207,15 @@
         let first_wake = machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
         dispatcher.machines = machines;
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
-        let first_call = match self.behaviour {
-            Behaviour::Landed => now + self.rng.u64(0..=scenario.poll_within / 8),
-            Behaviour::FullJitter => now,
-            Behaviour::Alone | Behaviour::Heard => first_wake.unwrap_or(now),
+        let first_call = match self.strategy {
+            PollingStrategy::RandomWait => now + self.rng.u64(0..=scenario.poll_within / 8),
+            PollingStrategy::FullJitter => now,
+            PollingStrategy::SchedulerAlone | PollingStrategy::SchedulerWithGossip => {
+                first_wake.unwrap_or(now)
+            }
         };
         self.schedule(first_call, Event::Wake(process));
-        if self.behaviour == Behaviour::Heard {
+        if self.strategy == PollingStrategy::SchedulerWithGossip {
             let at = now + self.rng.u64(0..gossip::GOSSIP_INTERVAL);
             self.schedule(at, Event::GossipRound(process));
         }
@@ -240,7 +244,7 @@
             .filter(|((now, before), _)| now.incarnation != before.incarnation)
             .map(|(_, place)| place)
             .collect();
-        let places = 0..self.scenario.count;
+        let places = 0..self.scenario.dispatchers;
         for place in places.clone() {
             let view: Vec<bool> = places
                 .clone()
--- a/crates/coldstart/src/simulation/dispatcher.rs
+++ b/crates/coldstart/src/simulation/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use super::gossip::{Fact, QueuedFact};
 use super::workers::{self, Connections};
-use super::{MS, Presence, SECOND, Scenario, UNIX_AT_ZERO};
+use super::{MS, Presence, SECOND, SimulationScenario, UNIX_AT_ZERO};
 use crate::{HealthConfirmation, PollScheduler, ServiceStatus, SharedObservations, WarmUpBudget};
 use crate::{poll_scheduler, warm_up_budget};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -30,7 +30,7 @@
     pub failures: u32,
     /// By the worker's index.
     pub connections: HashMap<usize, Connections>,
-    /// This crate's machines, where the behaviour uses them.
+    /// This crate's machines, where the strategy uses them.
     pub machines: Option<Machines>,
     /// Facts that it holds, by place and slot.
     pub facts: BTreeMap<(u16, u32), Rc<Fact>>,
@@ -60,14 +60,14 @@
 impl Machines {
     /// The machines of a process that starts now, with a list of workers of these tags.
     pub fn new(
-        scenario: &Scenario,
+        scenario: &SimulationScenario,
         place: u16,
         seed: u64,
         has_membership: bool,
         tags: impl Iterator<Item = u64>,
         now: u64,
     ) -> Option<Machines> {
-        let places = scenario.count;
+        let places = scenario.dispatchers;
         let schedule = poll_scheduler::Config {
             place,
             places,
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -1,7 +1,7 @@
 //! The carrier of facts: rounds of gossip between random dispatchers, with delay and loss.
 
 use super::event_queue::{Event, ProcessId};
-use super::{Behaviour, HOP, MS, Simulation, UNIX_AT_ZERO};
+use super::{HOP, MS, PollingStrategy, Simulation, UNIX_AT_ZERO};
 use crate::{Origin, poll_scheduler};
 use std::rc::Rc;
 
@@ -64,12 +64,12 @@
 impl Simulation<'_> {
     /// How often a fact is passed on.
     fn sends(&self) -> usize {
-        usize::from(self.scenario.count).ilog2() as usize + 3
+        usize::from(self.scenario.dispatchers).ilog2() as usize + 3
     }
 
     /// Gives the scheduler's status to the observations, and what they have to publish to the carrier.
     pub(super) fn publish(&mut self, place: u16) {
-        if self.behaviour != Behaviour::Heard {
+        if self.strategy != PollingStrategy::SchedulerWithGossip {
             return;
         }
         let (now, sends_left) = (self.now, self.sends());
@@ -98,7 +98,7 @@
             self.join(place);
         }
         for _ in 0..FANOUT {
-            let to = self.rng.u16(0..self.scenario.count);
+            let to = self.rng.u16(0..self.scenario.dispatchers);
             let dispatcher = &mut self.dispatchers[usize::from(place)];
             let mut facts = dispatcher.take_facts_to_send();
             if facts.len() < FACTS_PER_DATAGRAM / 2 {
@@ -117,7 +117,7 @@
     /// A process that has just started is sent what another one knows: statuses of the service first, as much as a few
     /// datagrams hold.
     fn join(&mut self, place: u16) {
-        let drawn: Vec<u16> = (0..8).map(|_| self.rng.u16(0..self.scenario.count)).collect();
+        let drawn: Vec<u16> = (0..8).map(|_| self.rng.u16(0..self.scenario.dispatchers)).collect();
         let knows_facts = |other: &u16| {
             *other != place && self.dispatcher(*other).has_joined && self.are_connected(place, *other)
         };
--- a/crates/coldstart/src/simulation/list_service.rs
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -1,7 +1,7 @@
 //! The list service, and the calls and watches of dispatchers.
 
 use super::event_queue::{Event, ProcessId};
-use super::{Behaviour, HOP, MS, SECOND, SILENCE_TIMEOUT, Simulation};
+use super::{HOP, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
 use crate::poll_scheduler;
 
 /// A call that has waited for so long is refused.
@@ -56,7 +56,7 @@
 impl Simulation<'_> {
     pub(super) fn on_wake(&mut self, place: u16) {
         let now = self.now;
-        let pause = self.scenario.paused.map_or(0, |(_, span)| span);
+        let pause = self.scenario.pause.map_or(0, |pause| pause.duration);
         let dispatcher = self.dispatcher_mut(place);
         if dispatcher.has_watch {
             return;
@@ -112,7 +112,7 @@
             (self.now + MAX_WAIT, Reply::Refused)
         } else {
             self.service.free_at = begins_at + self.scenario.service_time;
-            let is_mute = call.number == 1 && self.rng.f64() < self.scenario.mute;
+            let is_mute = call.number == 1 && self.rng.f64() < self.scenario.silent_first_watches;
             (self.service.free_at, if is_mute { Reply::Silence } else { Reply::List })
         };
         let call = Call { service_run: self.service.run, ..call };
@@ -150,7 +150,7 @@
     /// A call was answered by a list, and its watch is open.
     fn on_list(&mut self, place: u16, waited: u64) {
         let now = self.now;
-        let back_at = self.scenario.down.map_or(0, |(_, until)| until);
+        let back_at = self.scenario.outage_end();
         let silence_deadline = self.silence_deadline;
         let dispatcher = &mut self.dispatchers[usize::from(place)];
         dispatcher.has_watch = true;
@@ -183,8 +183,8 @@
             self.publish(place);
             return self.schedule_wake(place);
         }
-        let max_wait = match self.behaviour {
-            Behaviour::Landed => (poll_within / 8) << failures.min(3),
+        let max_wait = match self.strategy {
+            PollingStrategy::RandomWait => (poll_within / 8) << failures.min(3),
             _ => ((100 * MS) << failures.min(10)).min(10 * SECOND),
         };
         let at = now + self.rng.u64(0..=max_wait);
@@ -194,7 +194,7 @@
     /// All calls are reset and all watches end.
     pub(super) fn on_service_down(&mut self) {
         self.service = ListService { is_up: false, run: self.service.run + 1, ..ListService::default() };
-        for place in 0..self.scenario.count {
+        for place in 0..self.scenario.dispatchers {
             let dispatcher = self.dispatcher_mut(place);
             if dispatcher.has_watch {
                 dispatcher.has_watch = false;
@@ -208,7 +208,7 @@
     }
 
     pub(super) fn on_watches_fall_silent(&mut self) {
-        for place in 0..self.scenario.count {
+        for place in 0..self.scenario.dispatchers {
             let dispatcher = self.dispatcher_mut(place);
             if dispatcher.has_watch {
                 dispatcher.is_watch_silent = true;
--- a/crates/coldstart/src/simulation/outcome.rs
+++ b/crates/coldstart/src/simulation/summary.rs
@@ -1,53 +1,53 @@
-//! What is measured during a run, and what came of it.
+//! What is measured during a run, and its figures.
 
 use super::{MS, Simulation};
 
 /// Calls are counted over stretches of this length.
 const PEAK_WINDOW: u64 = 100 * MS;
 
-/// What came of a run.
+/// The figures of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outcome {
+pub struct SimulationSummary {
     /// Calls to the service in all.
     pub calls: u64,
     /// Calls to the service for each process that ran.
-    pub calls_each: f64,
+    pub calls_per_process: f64,
     /// Calls refused, reset or timed out.
     pub refused: u64,
     /// The longest queue at the service.
     pub longest_queue: u64,
     /// The most calls within 100 ms.
-    pub peak: u64,
+    pub peak_calls: u64,
     /// The most calls within 100 ms, from the end of an outage on.
-    pub peak_after: u64,
+    pub peak_calls_after_outage: u64,
     /// Time until half hold a list, from a process' start or the end of the outage, in microseconds.
-    pub held_p50: u64,
+    pub list_time_p50: u64,
     /// Time until 99 in 100 hold a list, likewise.
-    pub held_p99: u64,
+    pub list_time_p99: u64,
     /// Processes without a watch at the end.
-    pub without: u64,
+    pub processes_without_watch: u64,
     /// Watches that were broken by silence and not called for again and answered within the 6 s.
-    pub late: u64,
+    pub late_watches: u64,
     /// Handshakes at a worker that is alive in the first 10 s, the mean.
-    pub handshakes: f64,
+    pub mean_handshakes: f64,
     /// The most handshakes at one such worker.
-    pub most_handshakes: u64,
+    pub max_handshakes: u64,
     /// Jobs tried at a dead worker in the first 10 s, the mean.
-    pub tries_at_dead: f64,
-    /// Collapses of cold workers.
-    pub falls: u64,
-    /// The greatest fraction of what it bears that a cold worker was sent.
-    pub most_of_budget: f64,
+    pub mean_tries_at_dead_workers: f64,
+    /// Collapses of workers that warm up.
+    pub collapses: u64,
+    /// The greatest fraction of what it bears that a worker was sent while it warmed up.
+    pub max_budget_fraction: f64,
     /// Jobs in all.
     pub jobs: u64,
     /// Jobs that found no worker within their time.
-    pub lost: u64,
+    pub lost_jobs: u64,
     /// Facts published by all.
     pub facts: u64,
     /// The bytes of these facts.
     pub fact_bytes: u64,
     /// The most calls that one dispatcher had open at once.
-    pub most_out: u64,
+    pub max_open_calls: u64,
 }
 
 /// What is measured during a run.
@@ -59,13 +59,13 @@
     /// How long each process was without a list.
     list_times: Vec<u64>,
     /// What is counted as it happens.
-    counts: Outcome,
+    counts: SimulationSummary,
 }
 
 impl Measurements {
     pub fn record_call(&mut self, now: u64, open_calls: u64) {
         self.call_times.push(now);
-        self.counts.most_out = self.counts.most_out.max(open_calls);
+        self.counts.max_open_calls = self.counts.max_open_calls.max(open_calls);
     }
 
     pub fn record_failed_call(&mut self) {
@@ -82,7 +82,7 @@
     }
 
     pub fn record_late_watch(&mut self) {
-        self.counts.late += 1;
+        self.counts.late_watches += 1;
     }
 
     pub fn record_job(&mut self) {
@@ -90,7 +90,7 @@
     }
 
     pub fn record_lost_job(&mut self) {
-        self.counts.lost += 1;
+        self.counts.lost_jobs += 1;
     }
 
     pub fn record_fact(&mut self, bytes: usize) {
@@ -98,40 +98,44 @@
         self.counts.fact_bytes += bytes as u64;
     }
 
-    /// A cold worker was sent this fraction of what it bears.
-    pub fn record_cold_load(&mut self, fraction: f64, has_collapsed: bool) {
-        self.counts.most_of_budget = self.counts.most_of_budget.max(fraction);
-        self.counts.falls += u64::from(has_collapsed);
+    /// A worker that warms up was sent this fraction of what it bears.
+    pub fn record_warm_up_load(&mut self, fraction: f64, has_collapsed: bool) {
+        self.counts.max_budget_fraction = self.counts.max_budget_fraction.max(fraction);
+        self.counts.collapses += u64::from(has_collapsed);
     }
 }
 
 impl Simulation<'_> {
-    /// What came of the run so far.
-    pub(super) fn outcome(mut self) -> Outcome {
+    /// The figures of the run so far.
+    pub(super) fn summary(mut self) -> SimulationSummary {
         let Measurements { processes, mut call_times, mut list_times, counts } =
             std::mem::take(&mut self.measurements);
         call_times.sort_unstable();
         list_times.sort_unstable();
-        let outage_end = self.scenario.down.map_or(0, |(_, until)| until);
+        let outage_end = self.scenario.outage_end();
         let calls_after = &call_times[call_times.partition_point(|at| *at < outage_end)..];
         let handshakes: Vec<u64> =
             self.workers.iter().filter(|worker| !worker.is_dead).map(|worker| worker.handshakes).collect();
         let trials: Vec<u64> =
             self.workers.iter().filter(|worker| worker.is_dead).map(|worker| worker.trials).collect();
         let still_silent = self.dispatchers.iter().filter(|dispatcher| dispatcher.is_watch_silent).count();
-        Outcome {
+        SimulationSummary {
             calls: call_times.len() as u64,
-            calls_each: call_times.len() as f64 / processes.max(1) as f64,
-            peak: peak(&call_times),
-            peak_after: peak(calls_after),
-            held_p50: quantile(&list_times, 0.5),
-            held_p99: quantile(&list_times, 0.99),
-            without: self.dispatchers.iter().filter(|dispatcher| !dispatcher.has_watch).count() as u64,
+            calls_per_process: call_times.len() as f64 / processes.max(1) as f64,
+            peak_calls: peak(&call_times),
+            peak_calls_after_outage: peak(calls_after),
+            list_time_p50: quantile(&list_times, 0.5),
+            list_time_p99: quantile(&list_times, 0.99),
+            processes_without_watch: self
+                .dispatchers
+                .iter()
+                .filter(|dispatcher| !dispatcher.has_watch)
+                .count() as u64,
             // Those that were silent and not called for again by the end are late too.
-            late: counts.late + still_silent as u64,
-            handshakes: mean(&handshakes),
-            tries_at_dead: mean(&trials),
-            most_handshakes: handshakes.iter().copied().max().unwrap_or(0),
+            late_watches: counts.late_watches + still_silent as u64,
+            mean_handshakes: mean(&handshakes),
+            mean_tries_at_dead_workers: mean(&trials),
+            max_handshakes: handshakes.iter().copied().max().unwrap_or(0),
             ..counts
         }
     }
--- a/crates/coldstart/src/simulation/workers.rs
+++ b/crates/coldstart/src/simulation/workers.rs
@@ -37,7 +37,7 @@
     pub is_dead: bool,
     /// Connections to it hang, where it is dead, rather than being refused.
     hangs: bool,
-    /// Unix time of its start where it is cold.
+    /// Unix time of its start where it has to warm up.
     started_at: Option<u64>,
     /// When it was sent how much work, within the window.
     sent: VecDeque<(u64, f64)>,
@@ -47,20 +47,20 @@
 
 impl Worker {
     /// The worker of this index; those below `dead` are dead, one in three of them hanging.
-    pub fn new(index: usize, dead: usize, is_cold: bool, rng: &mut fastrand::Rng) -> Worker {
+    pub fn new(index: usize, dead: usize, warms_up: bool, rng: &mut fastrand::Rng) -> Worker {
         let is_dead = index < dead;
         Worker {
             is_dead,
             hangs: is_dead && index % 3 == 0,
-            started_at: (is_cold && !is_dead).then(|| UNIX_AT_ZERO + rng.u64(0..SECOND)),
+            started_at: (warms_up && !is_dead).then(|| UNIX_AT_ZERO + rng.u64(0..SECOND)),
             sent: VecDeque::new(),
             handshakes: 0,
             trials: 0,
         }
     }
 
-    /// Its age while it is cold.
-    fn cold_age(&self, now: u64) -> Option<u64> {
+    /// Its age while it warms up.
+    fn warm_up_age(&self, now: u64) -> Option<u64> {
         let age = self.started_at.map(|at| (UNIX_AT_ZERO + now).saturating_sub(at));
         age.filter(|age| *age < WARM_UP_TIME)
     }
@@ -82,9 +82,9 @@
     idle_since: Vec<u64>,
     failures: u32,
     ejected_until: u64,
-    /// Without this crate: the turn in which it sent to the cold worker last, and how much.
-    cold_turn: u64,
-    cold_turn_work: f64,
+    /// Without this crate: the turn in which it sent to the worker last while that warmed up, and how much.
+    warm_up_turn: u64,
+    warm_up_turn_work: f64,
 }
 
 impl Connections {
@@ -94,7 +94,7 @@
 
     /// What was sent in a turn, without this crate.
     fn sent_in_turn(&self, turn: u64) -> f64 {
-        if self.cold_turn == turn { self.cold_turn_work } else { 0.0 }
+        if self.warm_up_turn == turn { self.warm_up_turn_work } else { 0.0 }
     }
 }
 
@@ -127,11 +127,11 @@
 impl Simulation<'_> {
     pub(super) fn on_job_arrives(&mut self, process: ProcessId) {
         let alive = self.workers.iter().filter(|worker| !worker.is_dead).count() as f64;
-        let rate = self.scenario.load * REQUESTS_PER_SECOND * alive / f64::from(self.scenario.count);
+        let rate = self.scenario.load * REQUESTS_PER_SECOND * alive / f64::from(self.scenario.dispatchers);
         let gap = exponential(&mut self.rng) / rate * SECOND as f64;
         self.schedule(self.now + gap as u64, Event::JobArrives(process));
         let work = exponential(&mut self.rng);
-        if self.now + JOB_TIMEOUT < self.scenario.length {
+        if self.now + JOB_TIMEOUT < self.scenario.duration {
             self.measurements.record_job();
             self.try_job(process, Job { arrived_at: self.now, work });
         }
@@ -173,7 +173,7 @@
         }
         let needs_connection = !connections.is_some_and(|connections| connections.has_idle(now));
         let Some(machines) = &dispatcher.machines else {
-            let is_usable = self.has_landed_turn(place, index, connections, work);
+            let is_usable = self.has_turn_without_scheduler(place, index, connections, work);
             return is_usable.then_some(Candidate { worker: index, needs_connection, is_trial: false });
         };
         let status = machines.observations.worker_status(index as u64, now);
@@ -189,19 +189,19 @@
         is_usable.then_some(Candidate { worker: index, needs_connection, is_trial })
     }
 
-    /// Whether the program before this crate would send this work to a worker: a cold one has turns of its own.
-    fn has_landed_turn(
+    /// Whether the program before this crate would send this work to a worker: one that warms up has turns of its own.
+    fn has_turn_without_scheduler(
         &self,
         place: u16,
         index: usize,
         connections: Option<&Connections>,
         work: f64,
     ) -> bool {
-        let Some(age) = self.workers[index].cold_age(self.now) else { return true };
+        let Some(age) = self.workers[index].warm_up_age(self.now) else { return true };
         let warmth = age.saturating_sub(OVERLOAD_WINDOW) as f64;
         let fraction = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * warmth / WARM_UP_TIME as f64;
         let budget = fraction * OVERLOAD_MULTIPLE * 0.5 * REQUESTS_PER_SECOND * OVERLOAD_WINDOW as f64 / 1e6;
-        let places = u64::from(self.scenario.count);
+        let places = u64::from(self.scenario.dispatchers);
         let owners = ((budget / 2.0) as u64).clamp(1, places);
         let turn = age / OVERLOAD_WINDOW;
         let rotation = turn % places * (places / 2 + 1);
@@ -219,8 +219,8 @@
             if let Some(started_at) = worker.started_at {
                 let turn = (UNIX_AT_ZERO + now).saturating_sub(started_at) / OVERLOAD_WINDOW;
                 let connections = dispatcher.connections.entry(index).or_default();
-                connections.cold_turn_work = connections.sent_in_turn(turn) + work.max(1.0);
-                connections.cold_turn = turn;
+                connections.warm_up_turn_work = connections.sent_in_turn(turn) + work.max(1.0);
+                connections.warm_up_turn = turn;
             }
             return true;
         };
@@ -263,11 +263,11 @@
         self.schedule(now + duration, Event::JobEnds(attempt));
     }
 
-    /// Adds what a cold worker is sent; it collapses beyond what it bears.
+    /// Adds what a worker that warms up is sent; it collapses beyond what it bears.
     fn add_load(&mut self, index: usize, work: f64) {
         let now = self.now;
         let worker = &mut self.workers[index];
-        let Some(age) = worker.cold_age(now) else { return };
+        let Some(age) = worker.warm_up_age(now) else { return };
         worker.sent.push_back((now, work));
         while worker.sent.front().is_some_and(|(at, _)| at + OVERLOAD_WINDOW < now) {
             worker.sent.pop_front();
@@ -280,7 +280,7 @@
         if has_collapsed {
             worker.sent.clear();
         }
-        self.measurements.record_cold_load(sent / bears, has_collapsed);
+        self.measurements.record_warm_up_load(sent / bears, has_collapsed);
     }
 
     pub(super) fn on_job_ends(&mut self, attempt: Attempt) {
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -4,9 +4,9 @@
 //! budget `B` that the settings allow at the stretch's beginning, whichever processes live, whenever they started, while
 //! their clocks differ from true time by at most `skew`.
 //!
-//! **Why.** By Unix time (for a cold worker: by its age, so that its phases are the same to all) time is cut into turns
+//! **Why.** By Unix time (for a worker that warms up: by its age, so that its phases are the same to all) time is cut into turns
 //! of length `(W + 2 skew) / k`. A unit spent within the window has a stamp within `W + 2 skew`, which touches `k + 1` turns at
-//! most, and one more where it crosses into the next phase of a cold worker, whose budget is the larger one. A turn is
+//! most, and one more where it crosses into the next phase of a worker that warms up, whose budget is the larger one. A turn is
 //! owned by as many places as `B / (k + 2)` units allow, in rotation by place and worker; each owner spends its part of them at most,
 //! and a process leaves alone the turn in which it started, since one before it at the same place may have spent it. So a
 //! window holds `(k + 2) floor(B / (k + 2)) <= B` units.
@@ -16,12 +16,12 @@
 
 /// The most turns in a window; there are fewer where the budget is too small for as many.
 const MAX_TURNS: u64 = 4;
-/// A cold worker's budget is computed anew this often until it is warm.
+/// The budget of a worker that warms up is computed anew this often until it is warm.
 const PHASES: u64 = 8;
 /// Handshakes and probes each take at most this fraction of a warm worker; first jobs at unconfirmed ones no more than it does.
 const WARM_FRACTION: f64 = 0.02;
-/// A cold worker's turn is shared by so many owners, where its budget has room for it; by few in some turns, so that
-/// large jobs have their turns too.
+/// A turn of a worker that warms up is shared by so many owners, where its budget has room for it; by few in some turns, so
+/// that large jobs have their turns too.
 const OWNERS_BY_TURN_KIND: [u64; 4] = [8, 2, 4, 1];
 /// The most spent turns kept.
 const MAX_SPENT_TURNS: usize = 65_536;
@@ -81,7 +81,7 @@
     Probe,
     /// The first job at a worker that is not confirmed since the start, with the new connection for it.
     FirstJob,
-    /// A job of so much work, in requests of mean work, each for one at least. Only a cold worker's are budgeted.
+    /// A job of so much work, in requests of mean work, each for one at least. Budgeted only while the worker warms up.
     Job(f64),
 }
 
@@ -105,10 +105,10 @@
     pub valid_until: u64,
 }
 
-/// What a budget is for: a cold worker has one for all requests.
+/// What a budget is for: a worker that warms up has one for all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum BudgetKind {
-    Cold,
+    WarmingUp,
     Handshakes,
     Probes,
     FirstJobs,
@@ -208,7 +208,7 @@
     }
 
     /// A worker's budget in requests of mean work for a window that begins at this age, by the settings.
-    pub fn cold_budget(&self, worker: &Worker, age: u64) -> u64 {
+    pub fn warming_budget(&self, worker: &Worker, age: u64) -> u64 {
         let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
         let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
         budget(self.config.overload_multiple * fraction * self.warm_capacity(worker))
@@ -272,18 +272,18 @@
     fn claim(&self, now: u64, worker: &Worker, request: Request) -> Option<Claim> {
         let unix = self.config.unix_at_zero + now;
         let age = worker.started_at.map(|at| unix.saturating_sub(at));
-        let cold_age = age.filter(|age| *age < self.config.warm_up_time);
-        let (kind, units) = match (cold_age, request) {
-            (Some(_), Request::Handshake) => (BudgetKind::Cold, self.config.handshake_work),
-            (Some(_), Request::Probe) => (BudgetKind::Cold, self.config.probe_work),
-            (Some(_), Request::FirstJob) => (BudgetKind::Cold, 1.0 + self.config.handshake_work),
-            (Some(_), Request::Job(work)) => (BudgetKind::Cold, work.max(1.0)),
+        let warm_up_age = age.filter(|age| *age < self.config.warm_up_time);
+        let (kind, units) = match (warm_up_age, request) {
+            (Some(_), Request::Handshake) => (BudgetKind::WarmingUp, self.config.handshake_work),
+            (Some(_), Request::Probe) => (BudgetKind::WarmingUp, self.config.probe_work),
+            (Some(_), Request::FirstJob) => (BudgetKind::WarmingUp, 1.0 + self.config.handshake_work),
+            (Some(_), Request::Job(work)) => (BudgetKind::WarmingUp, work.max(1.0)),
             (None, Request::Handshake) => (BudgetKind::Handshakes, 1.0),
             (None, Request::Probe) => (BudgetKind::Probes, 1.0),
             (None, Request::FirstJob) => (BudgetKind::FirstJobs, 1.0),
             (None, Request::Job(_)) => return None,
         };
-        let turn = self.turn(kind, &self.phase(worker, kind, cold_age, unix));
+        let turn = self.turn(kind, &self.phase(worker, kind, warm_up_age, unix));
         let key = BudgetKey { tag: worker.tag, kind };
         let cost = (units * MILLI_UNITS as f64).ceil() as u64;
         let current = self.spent.get(&key).filter(|spent| spent.start == turn.start);
@@ -300,8 +300,8 @@
     }
 
     /// The phase of a budget at a Unix time: a warm worker has one that never ends.
-    fn phase(&self, worker: &Worker, kind: BudgetKind, cold_age: Option<u64>, unix: u64) -> Phase {
-        if let (BudgetKind::Cold, Some(age)) = (kind, cold_age) {
+    fn phase(&self, worker: &Worker, kind: BudgetKind, warm_up_age: Option<u64>, unix: u64) -> Phase {
+        if let (BudgetKind::WarmingUp, Some(age)) = (kind, warm_up_age) {
             let window = self.skewed_window();
             let length = (self.config.warm_up_time / PHASES).max(window);
             let began_at_age = age / length * length;
@@ -309,13 +309,13 @@
             return Phase {
                 start: started_at + began_at_age,
                 elapsed: age - began_at_age,
-                budget: self.cold_budget(worker, began_at_age.saturating_sub(window)),
+                budget: self.warming_budget(worker, began_at_age.saturating_sub(window)),
             };
         }
         let work = match kind {
             BudgetKind::Probes => self.config.probe_work,
             BudgetKind::FirstJobs => WARM_FRACTION,
-            BudgetKind::Cold | BudgetKind::Handshakes => self.config.handshake_work,
+            BudgetKind::WarmingUp | BudgetKind::Handshakes => self.config.handshake_work,
         };
         Phase { start: 0, elapsed: unix, budget: self.warm_budget(worker, work) }
     }
@@ -328,7 +328,7 @@
         invariant!(turn_budget * (turns + 2) <= budget, "turns hold more than the budget");
         let places = u64::from(self.config.places);
         let index = phase.elapsed / length;
-        let (kinds, min_units) = if kind == BudgetKind::Cold {
+        let (kinds, min_units) = if kind == BudgetKind::WarmingUp {
             let kinds = OWNERS_BY_TURN_KIND.len() as u64;
             (kinds, turn_budget / OWNERS_BY_TURN_KIND[(index % kinds) as usize])
         } else {
--- a/crates/coldstart/tests/shared_observations.rs
+++ b/crates/coldstart/tests/shared_observations.rs
@@ -26,7 +26,7 @@
                 1 => Observation::Fault(Fault::Refuses),
                 2 => Observation::Fault(Fault::Hangs),
                 3 => Observation::Fault(Fault::Resets),
-                4 => Observation::Cold,
+                4 => Observation::WarmingUp,
                 _ => Observation::Report(Report { cpu: n as u8, free: 3 }),
             };
             let publisher = &mut publishers[usize::from(*place)];
--- a/crates/coldstart/tests/warm_up_budget.rs
+++ b/crates/coldstart/tests/warm_up_budget.rs
@@ -52,7 +52,7 @@
         for (n, (from, _)) in spent.iter().enumerate() {
             let window = spent[n..].iter().take_while(|(at, _)| at - from <= 1_500 * MS);
             let sum: f64 = window.map(|(_, units)| units).sum();
-            let bound = bounds.cold_budget(&worker, *from) as f64;
+            let bound = bounds.warming_budget(&worker, *from) as f64;
             prop_assert!(sum <= bound + 1e-6, "{sum} of {bound} from {from}");
         }
     }
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -3,7 +3,9 @@
 //! 1,000, beside the landed program's waits and plain full jitter. The last line is JSON; exit code 1 where something did not
 //! hold. `proof_coldstart SEED` plays with another seed.
 
-use mothproxy_coldstart::simulation::{Behaviour, Outcome, Scenario, play};
+use mothproxy_coldstart::simulation::{
+    MassRestart, Outage, Pause, PollingStrategy, SimulationScenario, SimulationSummary, simulate,
+};
 use mothproxy_testkit::fleet::{AuditRules, DiscoveryMode, DiscoveryScript, Fleet, Plan};
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
@@ -69,46 +71,54 @@
     (row, broken)
 }
 
-fn shown(o: &Outcome) -> Value {
+fn shown(o: &SimulationSummary) -> Value {
     json!({
-        "calls_each": round(o.calls_each), "refused": o.refused, "longest_queue": o.longest_queue, "peak_100ms": o.peak,
-        "peak_100ms_after": o.peak_after, "held_p50_ms": o.held_p50 / 1_000, "held_p99_ms": o.held_p99 / 1_000, "without": o.without,
-        "handshakes_a_worker": round(o.handshakes), "most_handshakes": o.most_handshakes,
-        "tries_at_a_dead_worker": round(o.tries_at_dead), "cold_falls": o.falls, "most_of_cold_budget": round(o.most_of_budget),
-        "jobs": o.jobs, "lost": o.lost, "fact_bytes": o.fact_bytes,
+        "calls_each": round(o.calls_per_process), "refused": o.refused, "longest_queue": o.longest_queue, "peak_100ms": o.peak_calls,
+        "peak_100ms_after": o.peak_calls_after_outage, "held_p50_ms": o.list_time_p50 / 1_000, "held_p99_ms": o.list_time_p99 / 1_000, "without": o.processes_without_watch,
+        "handshakes_a_worker": round(o.mean_handshakes), "most_handshakes": o.max_handshakes,
+        "tries_at_a_dead_worker": round(o.mean_tries_at_dead_workers), "cold_falls": o.collapses, "most_of_cold_budget": round(o.max_budget_fraction),
+        "jobs": o.jobs, "lost": o.lost_jobs, "fact_bytes": o.fact_bytes,
     })
 }
 
 /// The days of the model: name, size, how it differs from a plain start.
-fn days(seed: u64) -> Vec<(&'static str, Scenario)> {
-    let day = |count: u16, change: &dyn Fn(&mut Scenario)| {
+fn days(seed: u64) -> Vec<(&'static str, SimulationScenario)> {
+    let day = |count: u16, change: &dyn Fn(&mut SimulationScenario)| {
         // What travels is the same; fewer jobs at the larger size keep the proof short.
         let load = if count > 300 { 0.03 } else { 0.1 };
-        let mut set = Scenario { load, ..Scenario::start(count, seed) };
+        let mut set = SimulationScenario { load, ..SimulationScenario::start(count, seed) };
         change(&mut set);
         set
     };
-    let mut all: Vec<(&str, Scenario)> = Vec::new();
+    let outage = |until: u64| Some(Outage { from: 0, until });
+    let pause = Some(Pause { dispatchers: 30, duration: 2 * S });
+    let mut all: Vec<(&str, SimulationScenario)> = Vec::new();
     for count in [1_000, 300] {
         let own = CALL * u64::from(count);
-        all.push(("down_8s", day(count, &|s| (s.down, s.length) = (Some((0, 8 * S)), 12 * S + 3 * own / 2))));
-        all.push(("start", day(count, &|s| s.length = 9 * S + 5 * own / 4)));
+        all.push((
+            "down_8s",
+            day(count, &|s| (s.outage, s.duration) = (outage(8 * S), 12 * S + 3 * own / 2)),
+        ));
+        all.push(("start", day(count, &|s| s.duration = 9 * S + 5 * own / 4)));
     }
-    let killed = |s: &mut Scenario| (s.killed, s.length) = (Some((9 * S, 0.7)), 24 * S);
+    let killed = |s: &mut SimulationScenario| {
+        s.restart = Some(MassRestart { at: 9 * S, fraction: 0.7 });
+        s.duration = 24 * S;
+    };
     all.push(("killed", day(300, &killed)));
-    all.push(("cold", day(300, &|s| s.cold = true)));
-    all.push(("slow", day(300, &|s| (s.service_time, s.length) = (5 * CALL, 70 * S))));
-    all.push(("mute", day(300, &|s| s.mute = 0.2)));
-    all.push(("paused", day(300, &|s| (s.paused, s.down) = (Some((30, 2 * S)), Some((0, 4 * S))))));
-    all.push(("halves", day(300, &|s| s.halves = Some(6 * S))));
-    all.push(("stale", day(300, &|s| (s.dead, s.down) = (1.0, Some((0, 2 * S))))));
-    all.push(("silent", day(100, &|s| s.silent = Some(8 * S))));
+    all.push(("cold", day(300, &|s| s.workers_warm_up = true)));
+    all.push(("slow", day(300, &|s| (s.service_time, s.duration) = (5 * CALL, 70 * S))));
+    all.push(("mute", day(300, &|s| s.silent_first_watches = 0.2)));
+    all.push(("paused", day(300, &|s| (s.pause, s.outage) = (pause, outage(4 * S)))));
+    all.push(("halves", day(300, &|s| s.partitioned_until = Some(6 * S))));
+    all.push(("stale", day(300, &|s| (s.dead_workers, s.outage) = (1.0, outage(2 * S)))));
+    all.push(("silent", day(100, &|s| s.watches_silent_at = Some(8 * S))));
     all
 }
 
 /// What is asked of the pacer that hears the others on such a day.
-fn wrong(name: &str, set: &Scenario, o: &Outcome) -> Vec<&'static str> {
-    let own = set.service_time * u64::from(set.count);
+fn wrong(name: &str, set: &SimulationScenario, o: &SimulationSummary) -> Vec<&'static str> {
+    let own = set.service_time * u64::from(set.dispatchers);
     let calls = match name {
         "silent" => 2.5, // twice, for each is told twice
         _ => 1.5,
@@ -116,16 +126,16 @@
     // A watch that stays silent takes 3 s to be noticed.
     let late = if name == "mute" { 7 * S } else { 0 };
     let checks = [
-        (o.calls_each <= calls, "calls"),
-        (o.peak_after <= 2 * CAN.min(100_000 / set.service_time).max(4), "peak"),
-        (o.held_p99 <= 2 * own + late, "p99"),
-        (o.without == 0, "some hold no list"),
-        (o.falls == 0 && o.most_of_budget <= 1.0, "cold budget"),
-        (o.most_out <= 1, "two calls at once"),
-        (o.late == 0, "silence"),
+        (o.calls_per_process <= calls, "calls"),
+        (o.peak_calls_after_outage <= 2 * CAN.min(100_000 / set.service_time).max(4), "peak"),
+        (o.list_time_p99 <= 2 * own + late, "p99"),
+        (o.processes_without_watch == 0, "some hold no list"),
+        (o.collapses == 0 && o.max_budget_fraction <= 1.0, "cold budget"),
+        (o.max_open_calls <= 1, "two calls at once"),
+        (o.late_watches == 0, "silence"),
         // Large jobs find no room where every worker is cold; with no worker alive none is found by anybody.
-        (o.lost * 100 <= o.jobs || name == "stale", "jobs lost"),
-        (o.lost == 0 || matches!(name, "cold" | "stale"), "a job lost"),
+        (o.lost_jobs * 100 <= o.jobs || name == "stale", "jobs lost"),
+        (o.lost_jobs == 0 || matches!(name, "cold" | "stale"), "a job lost"),
     ];
     checks.into_iter().filter(|(holds, _)| !holds).map(|(_, what)| what).collect()
 }
@@ -178,61 +188,70 @@
     processes
 }
 
-/// One day of the model in one behaviour.
+/// One day of the model with one strategy.
 struct Played {
     day: usize,
-    behaviour: Behaviour,
-    outcome: Outcome,
+    strategy: PollingStrategy,
+    summary: SimulationSummary,
 }
 
 /// In this order the days are simulated and shown.
-const BEHAVIOURS: [Behaviour; 4] =
-    [Behaviour::Heard, Behaviour::Alone, Behaviour::Landed, Behaviour::FullJitter];
+const STRATEGIES: [PollingStrategy; 4] = [
+    PollingStrategy::SchedulerWithGossip,
+    PollingStrategy::SchedulerAlone,
+    PollingStrategy::RandomWait,
+    PollingStrategy::FullJitter,
+];
 
-/// Simulates each day in each behaviour on a few threads, the longest first.
-fn play_days(days: &[(&'static str, Scenario)]) -> Vec<Played> {
+/// Simulates each day with each strategy on a few threads, the longest first.
+fn play_days(days: &[(&'static str, SimulationScenario)]) -> Vec<Played> {
     const THREADS: usize = 6;
-    let plays: Vec<(usize, Behaviour)> =
-        BEHAVIOURS.iter().flat_map(|behaviour| (0..days.len()).map(|day| (day, *behaviour))).collect();
+    let plays: Vec<(usize, PollingStrategy)> =
+        STRATEGIES.iter().flat_map(|strategy| (0..days.len()).map(|day| (day, *strategy))).collect();
     let (next, done) = (Mutex::new(plays.iter()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
-                    let Some(&(day, behaviour)) = next.lock().expect("a lock").next() else { break };
-                    let outcome = play(&days[day].1, behaviour);
-                    done.lock().expect("a lock").push(Played { day, behaviour, outcome });
+                    let Some(&(day, strategy)) = next.lock().expect("a lock").next() else { break };
+                    let summary = simulate(&days[day].1, strategy);
+                    done.lock().expect("a lock").push(Played { day, strategy, summary });
                 }
             });
         }
     });
     let mut done = done.into_inner().expect("a lock");
-    done.sort_by_key(|played| (played.day, BEHAVIOURS.iter().position(|b| *b == played.behaviour)));
+    done.sort_by_key(|played| (played.day, STRATEGIES.iter().position(|b| *b == played.strategy)));
     done
 }
 
 /// Simulates the days, shows them and checks those where dispatchers hear each other.
-fn run_model(days: &[(&'static str, Scenario)], broken: &mut Vec<String>) -> Map<String, Value> {
+fn run_model(days: &[(&'static str, SimulationScenario)], broken: &mut Vec<String>) -> Map<String, Value> {
     let mut model = Map::new();
-    for Played { day, behaviour, outcome } in &play_days(days) {
+    for Played { day, strategy, summary } in &play_days(days) {
         let (name, scenario) = &days[*day];
-        println!("{} dispatchers, {name}, {behaviour:?}: {}", scenario.count, shown(outcome));
-        let row = model.entry(format!("{name}_{}", scenario.count)).or_insert_with(|| json!({}));
-        row[format!("{behaviour:?}").to_lowercase()] = shown(outcome);
-        if *behaviour == Behaviour::Heard {
-            let faults = wrong(name, scenario, outcome);
-            broken.extend(faults.into_iter().map(|fault| format!("{} {name}: {fault}", scenario.count)));
+        println!("{} dispatchers, {name}, {}: {}", scenario.dispatchers, strategy.name(), shown(summary));
+        let row = model.entry(format!("{name}_{}", scenario.dispatchers)).or_insert_with(|| json!({}));
+        row[strategy.name()] = shown(summary);
+        if *strategy == PollingStrategy::SchedulerWithGossip {
+            let faults = wrong(name, scenario, summary);
+            broken
+                .extend(faults.into_iter().map(|fault| format!("{} {name}: {fault}", scenario.dispatchers)));
         }
     }
     model
 }
 
 /// The seeded mistake: calls that pass by the pacer must be seen by the same checks.
-fn check_mutation(days: &[(&'static str, Scenario)], broken: &mut Vec<String>) -> Vec<&'static str> {
-    let is_used = |(name, scenario): &&(&str, Scenario)| *name == "down_8s" && scenario.count == 300;
+fn check_mutation(
+    days: &[(&'static str, SimulationScenario)],
+    broken: &mut Vec<String>,
+) -> Vec<&'static str> {
+    let is_used =
+        |(name, scenario): &&(&str, SimulationScenario)| *name == "down_8s" && scenario.dispatchers == 300;
     let (name, mut day) = days.iter().find(is_used).cloned().expect("a day");
     day.skip_scheduling = true;
-    let caught = wrong(name, &day, &play(&day, Behaviour::Heard));
+    let caught = wrong(name, &day, &simulate(&day, PollingStrategy::SchedulerWithGossip));
     if !(caught.contains(&"calls") && caught.contains(&"peak")) {
         broken.push(format!("the mutation ask_without_pacer was not caught: {caught:?}"));
     }
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -1,7 +1,9 @@
 //! A cold start: the hard cases as rows over the model of a few dozen dispatchers, and one story in the built program. What
 //! it takes at size is `make proof-coldstart`.
 
-use mothproxy_coldstart::simulation::{Behaviour, Outcome, Scenario, play};
+use mothproxy_coldstart::simulation::{
+    MassRestart, Outage, Pause, PollingStrategy, SimulationScenario, SimulationSummary, simulate,
+};
 use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
@@ -12,75 +14,102 @@
 /// The service's time for one call of every dispatcher.
 const SERVICE_TIME_FOR_ALL: u64 = 20_000 * SIZE as u64;
 
-type Holds = fn(&Outcome) -> bool;
+type Holds = fn(&SimulationSummary) -> bool;
 /// A hard case of the model.
 struct HardCase {
     name: &'static str,
     /// How it differs from a plain start.
-    change: fn(&mut Scenario),
+    change: fn(&mut SimulationScenario),
     /// What has to hold where dispatchers do not hear each other, and where they do.
     alone: Holds,
     heard: Holds,
 }
 
-const fn case(name: &'static str, change: fn(&mut Scenario), alone: Holds, heard: Holds) -> HardCase {
+const fn case(
+    name: &'static str,
+    change: fn(&mut SimulationScenario),
+    alone: Holds,
+    heard: Holds,
+) -> HardCase {
     HardCase { name, change, alone, heard }
 }
 
-fn spares_the_service(o: &Outcome) -> bool {
-    o.peak_after <= 2 * CALLS_IN_100MS && o.most_out == 1 && o.without == 0 && o.falls == 0
+fn spares_the_service(o: &SimulationSummary) -> bool {
+    o.peak_calls_after_outage <= 2 * CALLS_IN_100MS
+        && o.max_open_calls == 1
+        && o.processes_without_watch == 0
+        && o.collapses == 0
 }
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
 fn model_holds_in_hard_cases() {
-    let soon: Holds = |o| o.calls_each <= 1.5 && o.held_p99 <= 2 * SERVICE_TIME_FOR_ALL && o.lost == 0;
-    let holds: Holds = |o| o.lost == 0;
+    let soon: Holds =
+        |o| o.calls_per_process <= 1.5 && o.list_time_p99 <= 2 * SERVICE_TIME_FOR_ALL && o.lost_jobs == 0;
+    let holds: Holds = |o| o.lost_jobs == 0;
     let cases = [
         case("all start within 1 s", |_| {}, soon, soon),
-        case("7 in 10 killed and restarted at once", |s| s.killed = Some((6 * SECOND, 0.7)), soon, soon),
+        case(
+            "7 in 10 killed and restarted at once",
+            |s| s.restart = Some(MassRestart { at: 6 * SECOND, fraction: 0.7 }),
+            soon,
+            soon,
+        ),
         case(
             "down 8 s into the start",
-            |s| s.down = Some((0, 8 * SECOND)),
-            |o| o.calls_each <= 9.0,
-            |o| o.calls_each <= 2.0 && o.held_p99 <= 3 * SERVICE_TIME_FOR_ALL && o.lost == 0,
+            |s| s.outage = Some(Outage { from: 0, until: 8 * SECOND }),
+            |o| o.calls_per_process <= 9.0,
+            |o| o.calls_per_process <= 2.0 && o.list_time_p99 <= 3 * SERVICE_TIME_FOR_ALL && o.lost_jobs == 0,
         ),
         case(
             "slow, refusing beyond its queue",
             |s| s.service_time = 100_000,
-            |o| o.calls_each <= 2.0,
-            |o| o.calls_each <= 2.0 && o.lost == 0,
+            |o| o.calls_per_process <= 2.0,
+            |o| o.calls_per_process <= 2.0 && o.lost_jobs == 0,
         ),
         case(
             "a watch opened that stays silent",
-            |s| s.mute = 0.3,
-            |o| o.calls_each <= 1.8,
-            |o| o.calls_each <= 1.8,
+            |s| s.silent_first_watches = 0.3,
+            |o| o.calls_per_process <= 1.8,
+            |o| o.calls_per_process <= 1.8,
+        ),
+        case(
+            "all watches fall silent",
+            |s| s.watches_silent_at = Some(6 * SECOND),
+            |o| o.late_watches == 0,
+            |o| o.late_watches == 0,
         ),
-        case("all watches fall silent", |s| s.silent = Some(6 * SECOND), |o| o.late == 0, |o| o.late == 0),
         case(
             "peers paused in their turn to ask",
-            |s| (s.paused, s.down) = (Some((6, 2 * SECOND)), Some((0, 4 * SECOND))),
+            |s| {
+                s.pause = Some(Pause { dispatchers: 6, duration: 2 * SECOND });
+                s.outage = Some(Outage { from: 0, until: 4 * SECOND });
+            },
             holds,
             holds,
         ),
-        case("two halves that start apart and heal", |s| s.halves = Some(5 * SECOND), soon, soon),
+        case("two halves that start apart and heal", |s| s.partitioned_until = Some(5 * SECOND), soon, soon),
         case(
             "workers as cold as dispatchers",
-            |s| s.cold = true,
-            |o| o.most_of_budget <= 1.0,
-            |o| o.most_of_budget <= 1.0,
+            |s| s.workers_warm_up = true,
+            |o| o.max_budget_fraction <= 1.0,
+            |o| o.max_budget_fraction <= 1.0,
         ),
         case(
             "known names only dead workers",
-            |s| (s.dead, s.down) = (1.0, Some((0, 2 * SECOND))),
+            |s| {
+                s.dead_workers = 1.0;
+                s.outage = Some(Outage { from: 0, until: 2 * SECOND });
+            },
             holds,
-            |o| o.calls_each <= 1.6 && o.lost == 0,
+            |o| o.calls_per_process <= 1.6 && o.lost_jobs == 0,
         ),
         case(
             "down, killed and slow",
             |s| {
-                (s.down, s.killed, s.service_time) = (Some((0, 4 * SECOND)), Some((3 * SECOND, 0.7)), 30_000);
+                s.outage = Some(Outage { from: 0, until: 4 * SECOND });
+                s.restart = Some(MassRestart { at: 3 * SECOND, fraction: 0.7 });
+                s.service_time = 30_000;
             },
             holds,
             holds,
@@ -88,10 +117,16 @@
     ];
     for HardCase { name, change, alone, heard } in cases {
         for seed in [1, 2, 3] {
-            let mut day = Scenario { length: 20 * SECOND, load: 0.1, ..Scenario::start(SIZE, seed) };
+            let mut day = SimulationScenario {
+                duration: 20 * SECOND,
+                load: 0.1,
+                ..SimulationScenario::start(SIZE, seed)
+            };
             change(&mut day);
-            for (how, holds) in [(Behaviour::Alone, alone), (Behaviour::Heard, heard)] {
-                let outcome = play(&day, how);
+            for (how, holds) in
+                [(PollingStrategy::SchedulerAlone, alone), (PollingStrategy::SchedulerWithGossip, heard)]
+            {
+                let outcome = simulate(&day, how);
                 let wrong = format!("{name}, seed {seed}, {how:?}: {outcome:?}");
                 assert!(spares_the_service(&outcome) && holds(&outcome), "{wrong}");
                 assert!(outcome.jobs > 100, "{wrong}");
@@ -103,13 +138,24 @@
 /// The same day without the pacer, or as before it, is not what the cases above allow: they see the difference.
 #[test]
 fn checks_detect_calls_that_bypass_pacer() {
-    let down =
-        Scenario { down: Some((0, 8 * SECOND)), length: 20 * SECOND, load: 0.1, ..Scenario::start(SIZE, 1) };
-    let without = play(&Scenario { skip_scheduling: true, ..down.clone() }, Behaviour::Heard);
-    assert!(!spares_the_service(&without) && without.calls_each > 9.0, "{without:?}");
-    let (before, heard) = (play(&down, Behaviour::FullJitter), play(&down, Behaviour::Heard));
-    assert!(heard.calls * 3 < before.calls && heard.tries_at_dead * 2.0 < before.tries_at_dead);
-    assert_eq!(play(&down, Behaviour::Heard), heard, "a seed gives one day");
+    let down = SimulationScenario {
+        outage: Some(Outage { from: 0, until: 8 * SECOND }),
+        duration: 20 * SECOND,
+        load: 0.1,
+        ..SimulationScenario::start(SIZE, 1)
+    };
+    let without = simulate(
+        &SimulationScenario { skip_scheduling: true, ..down.clone() },
+        PollingStrategy::SchedulerWithGossip,
+    );
+    assert!(!spares_the_service(&without) && without.calls_per_process > 9.0, "{without:?}");
+    let (before, heard) =
+        (simulate(&down, PollingStrategy::FullJitter), simulate(&down, PollingStrategy::SchedulerWithGossip));
+    assert!(
+        heard.calls * 3 < before.calls
+            && heard.mean_tries_at_dead_workers * 2.0 < before.mean_tries_at_dead_workers
+    );
+    assert_eq!(simulate(&down, PollingStrategy::SchedulerWithGossip), heard, "a seed gives one day");
 }
 
 /// Discovery is down at the start, refuses, comes back, falls silent, and ends all watches; jobs are served all along.
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -71,7 +71,7 @@
             1 => Observation::Fault(Fault::Refuses),
             2 => Observation::Fault(Fault::Hangs),
             3 => Observation::Fault(Fault::Resets),
-            4 => Observation::Cold,
+            4 => Observation::WarmingUp,
             _ => Observation::Report(Report { cpu: 40, free: 3 }),
         };
         observations.record(now, n * 7 % 11, seen);
