--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -13,17 +13,17 @@
     pub epoch: u64,
     /// Seed of all random choices.
     pub seed: u64,
-    /// How long after one probe the next begins, each of another member.
+    /// How long after one probe the next begins, each of another member (SWIM's protocol period).
     pub probe_period: Micros,
-    /// A probe that is not answered within this is repeated through other members.
+    /// A probe that is not acknowledged within this is repeated through other members.
     pub probe_timeout: Micros,
-    /// Through how many others an unanswered probe is repeated.
+    /// Through how many others an unacknowledged probe is repeated (SWIM's `ping-req` targets).
     pub indirect_probes: u32,
     /// A suspicion that enough others have confirmed lasts `suspicion_factor * (2 + ln(members + 1)) * probe_period`.
     pub suspicion_factor: f64,
     /// A suspicion that nobody has confirmed lasts this many times as long.
     pub suspicion_spread: f64,
-    /// So many confirmations shorten a suspicion to the least.
+    /// So many independent confirmations shorten a suspicion to the least (Lifeguard).
     pub confirmations: u32,
     /// A change of the view is passed on `gossip_factor * ln(members + 1)` times, rounded up.
     pub gossip_factor: f64,
@@ -35,9 +35,10 @@
     pub gossip_fanout: u32,
     /// How long after one anti-entropy exchange the next begins.
     pub sync_period: Micros,
-    /// How long after one place that is unknown, dead or has left is probed the next one is.
+    /// How long after one place that is unknown, dead or has left is probed the next one is: by these probes the sides of a
+    /// healed network partition find each other.
     pub meet_period: Micros,
-    /// The greatest local health score; timeouts of probes are at most this plus one times as long.
+    /// The greatest local health score (Lifeguard); timeouts of probes are at most this plus one times as long.
     pub max_health: u32,
     /// A wake that comes later than wanted by more than this means that the process was starved of CPU time.
     pub starvation_threshold: Micros,
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -23,12 +23,19 @@
 /// The facts of one place, by key and by stamp.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct PlaceFacts {
-    by_key: BTreeMap<FactKey, (Stamp, Box<[u8]>)>,
+    by_key: BTreeMap<FactKey, HeldFact>,
     by_stamp: BTreeSet<StampedKey>,
     /// The exclusive or of the hashes of all facts, so that it does not depend on their order.
     hash: u64,
 }
 
+/// The latest fact of a key.
+#[derive(Debug, Clone, PartialEq)]
+struct HeldFact {
+    stamp: Stamp,
+    bytes: Box<[u8]>,
+}
+
 /// What became of a fact that was merged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Merged {
@@ -48,15 +55,15 @@
 
 impl PlaceFacts {
     fn insert(&mut self, fact: StampedKey, bytes: &[u8]) {
-        self.by_key.insert(fact.key, (fact.stamp, bytes.into()));
+        self.by_key.insert(fact.key, HeldFact { stamp: fact.stamp, bytes: bytes.into() });
         self.by_stamp.insert(fact);
         self.hash ^= fact.hash();
     }
 
     /// Removes the fact of a key; returns whether there was one.
     fn remove(&mut self, key: FactKey) -> bool {
-        let Some((stamp, _)) = self.by_key.remove(&key) else { return false };
-        let fact = StampedKey { stamp, key };
+        let Some(held) = self.by_key.remove(&key) else { return false };
+        let fact = StampedKey { stamp: held.stamp, key };
         self.by_stamp.remove(&fact);
         self.hash ^= fact.hash();
         true
@@ -67,7 +74,7 @@
     /// Takes in a fact, unless this or a later one of its key is held.
     pub fn merge(&mut self, place: u16, key: FactKey, stamp: Stamp, bytes: &[u8]) -> Merged {
         let facts = self.places.entry(place).or_default();
-        if facts.by_key.get(&key).is_some_and(|(held, _)| *held >= stamp) {
+        if facts.by_key.get(&key).is_some_and(|held| held.stamp >= stamp) {
             return Merged::Known;
         }
         let fact = StampedKey { stamp, key };
@@ -85,7 +92,7 @@
 
     /// The fact of a place and key, with its stamp.
     pub fn get(&self, place: u16, key: FactKey) -> Option<(Stamp, &[u8])> {
-        self.places.get(&place)?.by_key.get(&key).map(|(stamp, bytes)| (*stamp, &**bytes))
+        self.places.get(&place)?.by_key.get(&key).map(|held| (held.stamp, &*held.bytes))
     }
 
     /// The fact of a place and key, as a record to send.
@@ -122,13 +129,13 @@
     /// Gives the facts of a place that have one epoch another, with the same numbers; returns their keys.
     pub fn move_epoch(&mut self, place: u16, from: u64, to: u64) -> Vec<FactKey> {
         let Some(facts) = self.places.get(&place) else { return Vec::new() };
-        let of_epoch = facts.by_key.iter().filter(|(_, (stamp, _))| stamp.epoch == from);
-        let moved: Vec<_> =
-            of_epoch.map(|(key, (stamp, bytes))| (*key, stamp.number, bytes.clone())).collect();
-        for (key, number, bytes) in &moved {
-            self.merge(place, *key, Stamp { epoch: to, number: *number }, bytes);
+        let of_epoch = facts.by_key.iter().filter(|(_, held)| held.stamp.epoch == from);
+        let moved: Vec<(FactKey, HeldFact)> = of_epoch.map(|(key, held)| (*key, held.clone())).collect();
+        for (key, held) in &moved {
+            let stamp = Stamp { epoch: to, number: held.stamp.number };
+            self.merge(place, *key, stamp, &held.bytes);
         }
-        moved.into_iter().map(|(key, ..)| key).collect()
+        moved.into_iter().map(|(key, _)| key).collect()
     }
 
     /// What is held of a place below a stamp, the newest first.
@@ -147,13 +154,13 @@
     /// All facts, by place, kind and slot.
     pub fn iter(&self) -> impl Iterator<Item = Fact<'_>> {
         self.places.iter().flat_map(|(place, facts)| {
-            facts.by_key.iter().map(|(key, (stamp, bytes))| Fact {
+            facts.by_key.iter().map(|(key, held)| Fact {
                 kind: key.kind,
                 place: *place,
-                epoch: stamp.epoch,
+                epoch: held.stamp.epoch,
                 slot: key.slot,
-                number: stamp.number,
-                bytes,
+                number: held.stamp.number,
+                bytes: &held.bytes,
             })
         })
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,8 +1,8 @@
-//! The state machine of one member: its life from start to leave, its inputs and its outputs.
+//! The state machine of one member: from its start to its leave, its inputs and its outputs.
 //!
-//! What it does in between stands in the modules below this one: `probing` checks whether the others are there,
-//! `suspicion` decides when silence is a death, `records` takes in what others say, `dissemination` passes on what is new,
-//! `anti_entropy` finds what dissemination has missed. `local_health` and `send_budget` hold this member itself back.
+//! The parts of the protocol are the modules below this one: `probing` detects failures, `suspicion` decides when a failed
+//! probe becomes a death, `records` takes in what others say, `dissemination` passes on what is new, `anti_entropy` finds what
+//! dissemination has missed. `local_health` and `send_budget` hold this member itself back.
 
 mod anti_entropy;
 mod dissemination;
@@ -29,7 +29,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use suspicion::Suspicions;
 
-/// A member that leaves goes on announcing it for this long.
+/// A member that has left goes on announcing it for this long, then it sends nothing more.
 const LEAVE_GOSSIP_TIME: Micros = 2_000_000;
 
 /// A member of the group.
@@ -341,7 +341,7 @@
     fn set_state(&mut self, place: u16, to: State, version: MemberVersion) {
         let was = self.view.at(place);
         let MemberVersion { epoch, incarnation } = version;
-        crate::invariant::invariant!(version >= was.version(), "news of place {place} went back");
+        crate::invariant::invariant!(version >= was.version(), "the version of place {place} went back");
         let since = if was.state == to { was.since } else { self.now };
         self.view.members[usize::from(place)] = Member { state: to, epoch, incarnation, since };
         if was.state != to || was.epoch != epoch {
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: what is new goes out with every datagram, and by gossip of its own while there is any.
+//! Dissemination: what is new is piggybacked on every datagram (SWIM), and goes out by gossip of its own while there is any.
 
 use super::Membership;
 use crate::invariant::invariant;
@@ -14,7 +14,9 @@
 /// Whether a datagram may use the part of the budget that is kept for probes and refutations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Priority {
+    /// It may: a probe, its answer or a refutation.
     Urgent,
+    /// It may not: gossip or anti-entropy, which can wait.
     Background,
 }
 
--- a/crates/membership/src/member/local_health.rs
+++ b/crates/membership/src/member/local_health.rs
@@ -1,8 +1,9 @@
-//! Local health after Lifeguard: a member that seems slow itself gives the others more time.
+//! Local health: a member that seems slow itself gives the others more time (Lifeguard's local health multiplier).
 
 use crate::Micros;
 
-/// A score that rises with signs of trouble here and falls with answered probes.
+/// A score that rises with signs of trouble here and falls with acknowledged probes; timeouts and periods are multiplied by the
+/// score plus one.
 #[derive(Debug)]
 pub(super) struct LocalHealth {
     score: u32,
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -1,8 +1,9 @@
-//! Probing: whether the others are there.
+//! Probing: whether the others are there (SWIM's failure detector).
 //!
-//! Each probe period one present member, in turn, gets a ping. One that does not answer in time is pinged through a few
-//! others, and one that answers to nobody is suspected. Two more reasons to probe: others hold a place dead that is alive
-//! here, and a place that is not present may have come back.
+//! Each probe period (SWIM's protocol period) one present member gets a ping, in a round over all of them in random order.
+//! One that does not acknowledge in time is pinged through a few relays (SWIM's `ping-req`), which answer with a nack where
+//! they get no acknowledgement either (Lifeguard); one that acknowledges to nobody is suspected. There are two more reasons to
+//! probe: others hold a place dead that is alive here, and a place that is not present may have come back.
 
 use super::{Membership, Priority};
 use crate::view::MemberVersion;
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -1,4 +1,5 @@
-//! Taking in what others say of a place, and refuting what they say of this member.
+//! Taking in the records that others send about a place, and refuting what is wrong about this member by a higher
+//! incarnation (SWIM).
 
 use super::{FactId, Membership};
 use crate::config::EPOCH_BOUND;
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -1,7 +1,8 @@
-//! Suspicion: a member that does not answer has some time to refute before it is declared dead.
+//! Suspicion: a member that does not answer has some time to refute before it is declared dead (SWIM's suspicion
+//! subprotocol).
 //!
-//! The timeout shrinks as independent members confirm the suspicion (Lifeguard), from `suspicion_spread` times the least
-//! down to the least of [`Config::suspicion_span`](crate::Config::suspicion_span).
+//! The timeout is Lifeguard's dynamic one: it shrinks as independent members confirm the suspicion, from `suspicion_spread`
+//! times the least down to the least, [`Config::suspicion_span`](crate::Config::suspicion_span).
 
 use super::Membership;
 use crate::invariant::invariant;
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -26,94 +26,145 @@
     Record::State(StateRecord { place, state, version, accusers })
 }
 
-/// What is known of place 3, the record about it from place 1, and what is believed then.
-#[test]
-fn applies_records_about_a_member() {
-    let table = [
-        // Any record about an unknown place is believed.
-        ((Unknown, 0, 0), (Alive, 50, 0), (Alive, 50, 0)),
-        ((Unknown, 0, 0), (Suspect, 50, 0), (Suspect, 50, 0)),
-        ((Unknown, 0, 0), (Dead, 50, 2), (Dead, 50, 2)),
-        ((Unknown, 0, 0), (Left, 50, 2), (Left, 50, 2)),
-        // A suspicion counts, a death alone does not: this member probes for itself.
-        ((Alive, 50, 1), (Suspect, 50, 1), (Suspect, 50, 1)),
-        ((Alive, 50, 1), (Suspect, 50, 0), (Alive, 50, 1)),
-        ((Alive, 50, 1), (Dead, 50, 1), (Alive, 50, 1)),
-        ((Alive, 50, 1), (Dead, 50, 3), (Alive, 50, 3)),
-        ((Alive, 50, 1), (Left, 50, 2), (Left, 50, 2)),
-        // Only what the suspect itself has said since clears it.
-        ((Suspect, 50, 1), (Alive, 50, 1), (Suspect, 50, 1)),
-        ((Suspect, 50, 1), (Alive, 50, 2), (Alive, 50, 2)),
-        ((Suspect, 50, 1), (Dead, 50, 1), (Suspect, 50, 1)),
-        ((Dead, 50, 1), (Alive, 50, 1), (Dead, 50, 1)),
-        ((Dead, 50, 1), (Suspect, 50, 1), (Dead, 50, 1)),
-        ((Dead, 50, 1), (Alive, 50, 2), (Alive, 50, 2)),
-        // Who has left is back with another epoch only.
-        ((Left, 50, 1), (Alive, 50, 9), (Left, 50, 1)),
-        ((Left, 50, 1), (Dead, 50, 9), (Left, 50, 1)),
-        ((Left, 50, 1), (Alive, 51, 0), (Alive, 51, 0)),
-        // A restart replaces whatever was before it; news of an earlier epoch is refused.
-        ((Dead, 50, 7), (Alive, 51, 0), (Alive, 51, 0)),
-        ((Alive, 50, 7), (Suspect, 51, 0), (Suspect, 51, 0)),
-        ((Alive, 50, 7), (Dead, 51, 0), (Alive, 51, 0)),
-        ((Alive, 50, 0), (Suspect, 49, 9), (Alive, 50, 0)),
-        ((Alive, 50, 0), (Left, 49, 9), (Alive, 50, 0)),
-    ];
-    for (known, said, then) in table {
-        let mut member = member();
-        let (state, epoch, incarnation) = known;
-        if state == Unknown {
+/// What is believed of a place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Belief {
+    state: State,
+    version: MemberVersion,
+}
+
+const fn believed(state: State, epoch: u64, incarnation: u32) -> Belief {
+    Belief { state, version: MemberVersion { epoch, incarnation } }
+}
+
+const UNKNOWN: Belief = believed(Unknown, 0, 0);
+
+const fn alive(epoch: u64, incarnation: u32) -> Belief {
+    believed(Alive, epoch, incarnation)
+}
+
+const fn suspect(epoch: u64, incarnation: u32) -> Belief {
+    believed(Suspect, epoch, incarnation)
+}
+
+const fn dead(epoch: u64, incarnation: u32) -> Belief {
+    believed(Dead, epoch, incarnation)
+}
+
+const fn left(epoch: u64, incarnation: u32) -> Belief {
+    believed(Left, epoch, incarnation)
+}
+
+/// What is known of place 3, the record about it that comes from place 1, and what is believed then.
+#[derive(Clone, Copy, Debug)]
+struct RecordCase {
+    known: Belief,
+    record: Belief,
+    then: Belief,
+}
+
+const fn case(known: Belief, record: Belief, then: Belief) -> RecordCase {
+    RecordCase { known, record, then }
+}
+
+fn check_records(cases: &[RecordCase]) {
+    cases.iter().for_each(|case| check_record(*case));
+}
+
+fn check_record(case: RecordCase) {
+    let mut member = member();
+    match case.known.state {
+        Unknown => {
             member.view.members[3].state = Unknown;
             member.view.members[3].epoch = 0;
             member.present -= 1;
-        } else {
-            if state == Suspect {
-                member.suspect(3, version(epoch, incarnation), &[4]);
-            } else {
-                member.set_state(3, state, version(epoch, incarnation));
-            }
         }
-        let (state, epoch, incarnation) = said;
-        member.receive(
-            1_000_100,
-            1,
-            &gossip(1, version(50, 0), &[record(3, state, version(epoch, incarnation))]),
-        );
-        let is = member.view().members[3];
-        assert_eq!((is.state, is.epoch, is.incarnation), then, "{known:?} and {said:?}");
-        let holds = member.view().holders().iter().filter(|h| **h).count();
-        assert_eq!(holds, member.present, "{known:?} and {said:?}");
+        Suspect => member.suspect(3, case.known.version, &[4]),
+        state => member.set_state(3, state, case.known.version),
     }
+    let records = [record(3, case.record.state, case.record.version)];
+    member.receive(1_000_100, 1, &gossip(1, version(50, 0), &records));
+    let is = member.view().members[3];
+    assert_eq!(Belief { state: is.state, version: is.version() }, case.then, "{case:?}");
+    let holds = member.view().holders().iter().filter(|h| **h).count();
+    assert_eq!(holds, member.present, "{case:?}");
+}
+
+#[test]
+fn believes_any_record_about_an_unknown_place() {
+    check_records(&[
+        case(UNKNOWN, alive(50, 0), alive(50, 0)),
+        case(UNKNOWN, suspect(50, 0), suspect(50, 0)),
+        case(UNKNOWN, dead(50, 2), dead(50, 2)),
+        case(UNKNOWN, left(50, 2), left(50, 2)),
+    ]);
+}
+
+/// A suspicion counts, a death alone does not: this member probes for itself.
+#[test]
+fn suspects_an_accused_member_but_does_not_declare_it_dead() {
+    check_records(&[
+        case(alive(50, 1), suspect(50, 1), suspect(50, 1)),
+        case(alive(50, 1), suspect(50, 0), alive(50, 1)),
+        case(alive(50, 1), dead(50, 1), alive(50, 1)),
+        case(alive(50, 1), dead(50, 3), alive(50, 3)),
+        case(alive(50, 1), left(50, 2), left(50, 2)),
+    ]);
+}
+
+/// Only what the suspect itself has said since clears it.
+#[test]
+fn only_a_later_incarnation_refutes_a_suspicion_or_a_death() {
+    check_records(&[
+        case(suspect(50, 1), alive(50, 1), suspect(50, 1)),
+        case(suspect(50, 1), alive(50, 2), alive(50, 2)),
+        case(suspect(50, 1), dead(50, 1), suspect(50, 1)),
+        case(dead(50, 1), alive(50, 1), dead(50, 1)),
+        case(dead(50, 1), suspect(50, 1), dead(50, 1)),
+        case(dead(50, 1), alive(50, 2), alive(50, 2)),
+    ]);
+}
+
+#[test]
+fn a_member_that_left_is_back_with_another_epoch_only() {
+    check_records(&[
+        case(left(50, 1), alive(50, 9), left(50, 1)),
+        case(left(50, 1), dead(50, 9), left(50, 1)),
+        case(left(50, 1), alive(51, 0), alive(51, 0)),
+    ]);
+}
+
+#[test]
+fn a_later_epoch_replaces_what_was_known_and_an_earlier_one_is_refused() {
+    check_records(&[
+        case(dead(50, 7), alive(51, 0), alive(51, 0)),
+        case(alive(50, 7), suspect(51, 0), suspect(51, 0)),
+        case(alive(50, 7), dead(51, 0), alive(51, 0)),
+        case(alive(50, 0), suspect(49, 9), alive(50, 0)),
+        case(alive(50, 0), left(49, 9), alive(50, 0)),
+    ]);
 }
 
-/// What is said of this member, at epoch 100 and incarnation 0, and what it is then.
+/// What is said of this member, at epoch 100 and incarnation 0, and its version then.
 #[test]
 fn refutes_wrong_records_about_itself() {
     let table = [
-        ((Suspect, 100, 0), (100, 1)),
-        ((Dead, 100, 4), (100, 5)),
-        ((Alive, 100, 0), (100, 0)),
-        ((Left, 100, 0), (101, 0)),
-        ((Suspect, 99, 5), (100, 0)),
+        (suspect(100, 0), version(100, 1)),
+        (dead(100, 4), version(100, 5)),
+        (alive(100, 0), version(100, 0)),
+        (left(100, 0), version(101, 0)),
+        (suspect(99, 5), version(100, 0)),
         // Its clock went back: it raises its epoch above the one it is known by.
-        ((Alive, 200, 0), (201, 0)),
+        (alive(200, 0), version(201, 0)),
     ];
-    for ((state, epoch, incarnation), then) in table {
+    for (said, then) in table {
         let mut member = member();
         member.publish(1_000_000, 1, 7, b"x").unwrap();
-        member.receive(
-            1_000_100,
-            1,
-            &gossip(1, version(50, 0), &[record(0, state, version(epoch, incarnation))]),
-        );
-        assert_eq!(
-            (member.own_version().epoch, member.own_version().incarnation),
-            then,
-            "{state:?} {epoch} {incarnation}"
-        );
+        member.receive(1_000_100, 1, &gossip(1, version(50, 0), &[record(0, said.state, said.version)]));
+        assert_eq!(member.own_version(), then, "{said:?}");
         assert_eq!(member.view().state(0), Alive);
         // What it published moves to the new epoch.
-        assert_eq!(member.facts().map(|f| f.epoch).collect::<Vec<_>>(), [then.0]);
+        assert_eq!(member.facts().map(|f| f.epoch).collect::<Vec<_>>(), [then.epoch]);
     }
 }
 
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -1,19 +1,19 @@
-//! Which place deals with which worker, by the view; and how much of a worker's limit one place may take, whatever the views.
+//! Which place deals with which worker, by the view; and how many of a worker's slots one place may claim, whatever the views.
 //!
 //! The two are apart on purpose. Which place goes to a worker first follows the view ([`owner`], [`assign_groups`]), so that a
-//! death moves the dead one's workers and no others. How much it may take there does not ([`allotment`], [`TakenSlots`]): every
+//! death moves the dead one's workers and no others. How many it may claim there does not ([`allotment`], [`SlotClaims`]): every
 //! configured place has its part, by a rank that all compute alike, so that the sum over all places is the limit even while
 //! each of them believes something else of the others (docs/design/membership.md has the argument).
 
 mod search;
+mod slot_claims;
 #[cfg(test)]
 mod tests;
 
 pub use search::worst_overcommit;
+pub use slot_claims::{ReportedCapacity, SlotClaims, StalenessBound};
 
-use crate::Micros;
 use crate::hash::hash;
-use std::collections::VecDeque;
 
 /// The score of a place for a worker: the place with the highest gets it first (rendezvous hashing, Thaler and
 /// Ravishankar 1998).
@@ -63,89 +63,9 @@
     (0..peers).filter(|other| key(*other) > key(place)).count() as u16
 }
 
-/// How many of `slots` the place of this rank may take: an equal floor for all, and one more for the first of them. The sum
+/// How many of `slots` the place of this rank may claim: an equal floor for all, and one more for the first of them. The sum
 /// over all ranks is `slots` exactly, also where there are fewer of them than `peers`; and no allotment falls as `slots` grows.
 pub fn allotment(slots: u32, peers: u16, rank: u16) -> u32 {
     let peers = u32::from(peers).max(1);
     slots / peers + u32::from(u32::from(rank) < slots % peers)
 }
-
-/// How late reports may be, and what is kept back for it. All places must use the same.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StalenessBound {
-    /// How many places are configured, whether they are there or not.
-    pub peers: u16,
-    /// The age of the oldest report that anybody decides by, counted from its measuring.
-    pub max_report_age: Micros,
-    /// The longest time from a decision until the worker's reports show it.
-    pub max_flight_time: Micros,
-    /// What all places together may take within both of these; so much of the limit stays free in return.
-    pub reserve: u32,
-}
-
-/// The free slots that a worker's report shows.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportedCapacity {
-    /// Its limit less what it has.
-    pub free: u32,
-    /// When it was measured, at the earliest, by this place's clock: when it came, less its time under way.
-    pub measured_at: Micros,
-}
-
-/// Slots of a worker that this place took at one time.
-#[derive(Debug, Clone, Copy)]
-struct Take {
-    at: Micros,
-    slots: u32,
-}
-
-/// What one place has taken of one worker lately, and may still take by what the worker's own reports show.
-///
-/// What it took within `max_report_age + max_flight_time` and has not ended may be at most its [`allotment`] of the reserve,
-/// and at most its allotment of the reported free slots less the reserve. Then no worker ever has more than its limit,
-/// whatever each place believes of the others: docs/design/membership.md has the proof. As reports come to show what was
-/// taken and what has ended, each frees new slots, so that survivors come to use all of a worker but the reserve, though
-/// nobody takes over another's part.
-#[derive(Debug, Clone, Default)]
-pub struct TakenSlots {
-    takes: VecDeque<Take>,
-}
-
-impl TakenSlots {
-    /// How many more slots the place of this rank may take now.
-    pub fn available(
-        &mut self,
-        now: Micros,
-        reported: ReportedCapacity,
-        bound: &StalenessBound,
-        rank: u16,
-    ) -> u32 {
-        let lag = bound.max_report_age + bound.max_flight_time;
-        while self.takes.front().is_some_and(|take| now.saturating_sub(take.at) >= lag) {
-            self.takes.pop_front();
-        }
-        if now.saturating_sub(reported.measured_at) >= bound.max_report_age {
-            return 0;
-        }
-        let slots = bound.reserve.min(reported.free.saturating_sub(bound.reserve));
-        let taken: u32 = self.takes.iter().map(|take| take.slots).sum();
-        allotment(slots, bound.peers, rank).saturating_sub(taken)
-    }
-
-    /// So many slots were taken.
-    pub fn record_taken(&mut self, now: Micros, slots: u32) {
-        match self.takes.back_mut().filter(|take| take.at == now) {
-            Some(take) => take.slots += slots,
-            None if slots > 0 => self.takes.push_back(Take { at: now, slots }),
-            None => {}
-        }
-    }
-
-    /// A job for which a slot was taken then has ended, as the worker's reports show from now on (or it never arrived and
-    /// never will).
-    pub fn record_ended(&mut self, taken_at: Micros) {
-        if let Some(take) = self.takes.iter_mut().find(|take| take.at == taken_at) {
-            take.slots = take.slots.saturating_sub(1);
-        }
-    }
-}
--- a/crates/membership/src/partition/search.rs
+++ b/crates/membership/src/partition/search.rs
@@ -1,6 +1,6 @@
-//! A random search for a worker that is taken beyond its limit, for proofs of [`TakenSlots`].
+//! A random search for a worker that is claimed beyond its limit, for proofs of [`SlotClaims`].
 
-use super::{ReportedCapacity, StalenessBound, TakenSlots, rank};
+use super::{ReportedCapacity, SlotClaims, StalenessBound, rank};
 use crate::Micros;
 
 /// A job that a place sent to the worker.
@@ -12,8 +12,8 @@
     ends_at: Micros,
 }
 
-/// Plays a worker and the places that take of it, each by a report of its own choice, and returns the most that it ever had
-/// over its limit. With a `window` of 1 nothing may ever be over; with less, a place forgets too early what it took.
+/// Simulates a worker and the places that claim its slots, each by a report of its own choice, and returns the most that it ever had
+/// over its limit. With a `window` of 1 nothing may ever be over; with less, a place forgets too early what it claimed.
 #[doc(hidden)]
 pub fn worst_overcommit(seed: u64, window: f64) -> u32 {
     const STEPS: usize = 80;
@@ -27,14 +27,14 @@
     let ranks: Vec<u16> = (0..peers).map(|place| rank(seed, place, peers)).collect();
     // Those that are there at all, in whosever view.
     let live: Vec<u16> = (0..peers).filter(|_| rng.u8(0..10) < 6).collect();
-    let mut taken: Vec<TakenSlots> = vec![TakenSlots::default(); peers.into()];
+    let mut claims: Vec<SlotClaims> = vec![SlotClaims::default(); peers.into()];
     let mut jobs: Vec<Job> = Vec::new();
     let (mut now, mut worst) = (10 * lag, 0);
     for _ in 0..STEPS {
         let before = now;
         now += [0, 0, 50, 300, 950, 999, rng.u64(0..2_000)][rng.usize(0..7)];
         for job in jobs.iter().filter(|job| before < job.ends_at && job.ends_at <= now) {
-            taken[job.place].record_ended(job.decided_at);
+            claims[job.place].record_ended(job.decided_at);
         }
         let Some(place) = rng.choice(&live).map(|place| usize::from(*place)) else { break };
         let max_age = bound.max_report_age;
@@ -43,10 +43,10 @@
         let used = jobs.iter().filter(is_running).count() as u32;
         let reported = ReportedCapacity { free: limit.saturating_sub(used), measured_at };
         let remembered = (window * lag as f64) as u64;
-        taken[place].takes.retain(|take| now - take.at < remembered);
-        let available = taken[place].available(now, reported, &bound, ranks[place]);
+        claims[place].expire(now, remembered);
+        let available = claims[place].available(now, reported, &bound, ranks[place]);
         let slots = if rng.u8(0..10) < 8 { available } else { rng.u32(0..=available) };
-        taken[place].record_taken(now, slots);
+        claims[place].record_claimed(now, slots);
         for _ in 0..slots {
             let starts_at = now + [0, flight, rng.u64(0..=flight)][rng.usize(0..3)];
             let ends_at = if jobs_end { starts_at + rng.u64(1..6_000) } else { u64::MAX };
--- a/crates/membership/src/partition/tests.rs
+++ b/crates/membership/src/partition/tests.rs
@@ -1,4 +1,4 @@
-//! Parts add up to the whole, a death moves few workers, and no worker is taken beyond its limit.
+//! Parts add up to the whole, a death moves few workers, and no worker is claimed beyond its limit.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
         let mut ranks: Vec<u16> = (0..peers).map(|place| rank(tag, place, peers)).collect();
         prop_assert_eq!(ranks.iter().map(|r| allotment(slots, peers, *r)).sum::<u32>(), slots);
         prop_assert!(ranks.iter().all(|r| allotment(slots, peers, *r) <= allotment(slots + more, peers, *r)));
-        // Each sees other free slots, no more than there are: together they still take no more.
+        // Each sees other free slots, no more than there are: together they still claim no more.
         let least = |n: u16| slots.saturating_sub(u32::from(n) * 7 % (slots + 1));
         prop_assert!((0..peers).map(|n| allotment(least(n), peers, ranks[usize::from(n)])).sum::<u32>() <= slots);
         ranks.sort_unstable();
@@ -54,9 +54,9 @@
     assert_eq!(assign_groups(&[1, 2], &[false, false], 2), [None, None]);
 }
 
-/// Nothing is over the limit; where places forget too early what they took, the same search finds it over.
+/// Nothing is over the limit; where places forget too early what they claimed, the same search finds it over.
 #[test]
-fn taken_slots_stay_within_the_limit() {
+fn claimed_slots_stay_within_the_limit() {
     for seed in 0..3_000 {
         assert_eq!(worst_overcommit(seed, 1.0), 0, "seed {seed}");
     }
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -9,6 +9,7 @@
 use crate::{Change, Config, Membership, Micros, Output, OwnedFact, State, VERSION};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
+use std::ops::RangeInclusive;
 
 pub use scenarios::{Extent, Report, proof, run};
 
@@ -33,13 +34,22 @@
     /// This fraction arrives twice.
     pub repeat: f64,
     /// The least and the most time that a datagram is under way.
-    pub latency: (Micros, Micros),
+    pub latency: RangeInclusive<Micros>,
     /// The side of each place; what would cross from one side to another is lost.
     pub sides: Vec<u8>,
     /// Places that no datagram reaches, though what they send arrives.
     pub inbound_blocked: Vec<bool>,
-    /// From the first place of a pair to the second nothing comes through; the other way it does.
-    pub one_way: Vec<(u16, u16)>,
+    /// Directions in which nothing comes through; the other way it does.
+    pub one_way: Vec<Direction>,
+}
+
+/// A direction between two places.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Direction {
+    /// The place of the sender.
+    pub from: u16,
+    /// The place of the receiver.
+    pub to: u16,
 }
 
 /// A change that a member saw.
@@ -82,6 +92,14 @@
     Wake { place: u16 },
 }
 
+/// An event of the queue: the order is by time, and of one time by the order in which events were scheduled.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at: Micros,
+    sequence: u64,
+    event: Event,
+}
+
 /// The members and the network.
 pub struct Network {
     /// The time.
@@ -92,8 +110,7 @@
     pub changes: Vec<ObservedChange>,
     rng: fastrand::Rng,
     nodes: Vec<Node>,
-    /// By time, and of one time by the order in which they were scheduled.
-    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     adjust_config: Box<dyn Fn(&mut Config) + Send>,
     seed: u64,
@@ -110,7 +127,7 @@
         let faults = Faults {
             loss: 0.0,
             repeat: 0.0,
-            latency: (200, 2_000),
+            latency: 200..=2_000,
             sides: vec![0; members.into()],
             inbound_blocked: vec![false; members.into()],
             one_way: Vec::new(),
@@ -254,11 +271,11 @@
                     return true;
                 }
             }
-            if self.queue.peek().is_none_or(|Reverse((at, ..))| *at > until) {
+            if self.queue.peek().is_none_or(|Reverse(next)| next.at > until) {
                 self.now = until;
                 return false;
             }
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { return false };
+            let Some(Reverse(Scheduled { at, event, .. })) = self.queue.pop() else { return false };
             self.now = at;
             match event {
                 Event::DatagramArrives { to, from, bytes } => self.on_datagram(to, from, &bytes),
@@ -298,7 +315,7 @@
 
     fn schedule(&mut self, at: Micros, event: Event) {
         self.scheduled += 1;
-        self.queue.push(Reverse((at, self.scheduled, event)));
+        self.queue.push(Reverse(Scheduled { at, sequence: self.scheduled, event }));
     }
 
     /// Sends what a member wants sent, keeps what it saw, and schedules its next wake.
@@ -323,14 +340,14 @@
         let faults = &self.faults;
         let is_cut = faults.sides[usize::from(from)] != faults.sides[usize::from(to)]
             || faults.inbound_blocked[usize::from(to)]
-            || faults.one_way.contains(&(from, to));
-        let (loss, repeat, (min_latency, max_latency)) = (faults.loss, faults.repeat, faults.latency);
+            || faults.one_way.contains(&Direction { from, to });
+        let (loss, repeat, latency) = (faults.loss, faults.repeat, faults.latency.clone());
         if is_cut || self.rng.f64() < loss {
             return;
         }
         let copies = if self.rng.f64() < repeat { 2 } else { 1 };
         for _ in 0..copies {
-            let at = self.now + self.rng.u64(min_latency..=max_latency);
+            let at = self.now + self.rng.u64(latency.clone());
             self.schedule(at, Event::DatagramArrives { to, from, bytes: bytes.to_vec() });
         }
     }
--- a/crates/membership/src/simulation/scenarios/network_faults.rs
+++ b/crates/membership/src/simulation/scenarios/network_faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Extent, Report, seconds};
 use crate::State;
-use crate::simulation::SECOND;
+use crate::simulation::{Direction, SECOND};
 
 struct LossRun {
     false_deaths: usize,
@@ -132,7 +132,7 @@
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.settled_network(members, seed);
         let deaf = network.random_place();
-        network.faults.one_way = vec![(deaf, (deaf + 1) % members)];
+        network.faults.one_way = vec![Direction { from: deaf, to: (deaf + 1) % members }];
         network.run_for(30 * SECOND);
         let deaths_of_pair_cut = network.false_deaths(0, |_| true);
         network.faults.one_way.clear();
--- a/crates/membership/src/simulation/scenarios/overcommit.rs
+++ b/crates/membership/src/simulation/scenarios/overcommit.rs
@@ -1,11 +1,11 @@
-//! Places that take slots of one worker, each by the last report that it has.
+//! Places that claim slots of one worker, each by the last report that it has.
 
 use super::{Extent, Report};
 use crate::Micros;
-use crate::partition::{ReportedCapacity, StalenessBound, TakenSlots, rank, worst_overcommit};
+use crate::partition::{ReportedCapacity, SlotClaims, StalenessBound, rank, worst_overcommit};
 use crate::simulation::SECOND;
 
-/// Places that take of the worker.
+/// Places that claim slots of the worker.
 const PEERS: u16 = 30;
 /// Slots of the worker.
 const LIMIT: u32 = 64;
@@ -23,7 +23,7 @@
     used_by_survivors: f64,
 }
 
-/// A worker that 30 places take of, each by the last report it has, cut off and killed as may be: the most it ever had
+/// A worker whose slots 30 places claim, each by the last report it has, cut off and killed as may be: the most it ever had
 /// beyond its limit, and the fraction of it that the three in ten that survive come to use.
 pub(super) fn overcommit(extent: Extent, seeds: u64) -> Report {
     let searched = 3_000.max(seeds * 100);
@@ -50,7 +50,7 @@
         max_flight_time: SECOND / 10,
         reserve: 16,
     };
-    let mut taken = vec![TakenSlots::default(); PEERS.into()];
+    let mut claims = vec![SlotClaims::default(); PEERS.into()];
     let mut job_ends: Vec<Micros> = Vec::new();
     let mut reports: Vec<ReportedCapacity> = Vec::new();
     let (mut most, mut used_by_survivors) = (0, 0.0);
@@ -66,9 +66,9 @@
             let has_come = |report: &&ReportedCapacity| report.measured_at + SECOND * 2 / 5 <= now;
             let mut received = reports.iter().rev().filter(has_come);
             let Some(reported) = received.nth(rng.usize(0..2)).copied() else { continue };
-            let taken = &mut taken[usize::from(place)];
-            let slots = taken.available(now, reported, &bound, rank(seed, place, PEERS));
-            taken.record_taken(now, slots);
+            let claims = &mut claims[usize::from(place)];
+            let slots = claims.available(now, reported, &bound, rank(seed, place, PEERS));
+            claims.record_claimed(now, slots);
             job_ends.extend((0..slots).map(|_| now + rng.u64(SECOND..20 * SECOND)));
         }
         most = most.max(job_ends.len() as u32);
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -49,7 +49,7 @@
     Ping { seq: u32 },
     /// The answer to a probe, or to a request for one that was answered.
     Ack { seq: u32 },
-    /// Please probe this place and pass its answer on.
+    /// Asks for a probe of this place, whose answer is passed on (SWIM's `ping-req`).
     PingRequest { seq: u32, target: u16 },
     /// The requested probe was not answered either, but the sender of this is there.
     Nack { seq: u32 },
@@ -130,7 +130,7 @@
     pub key: FactKey,
 }
 
-/// One piece of news in a datagram, about any place.
+/// An update that is piggybacked on a datagram, about any place.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Record {
     State(StateRecord),
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -3,7 +3,7 @@
 //! of them saw since the last `seen`.
 
 use crate::table::{Machine, beyond};
-use mothproxy_membership::simulation::{Network, Start};
+use mothproxy_membership::simulation::{Direction, Network, Start};
 use mothproxy_membership::{Config, Membership, Output, State, VERSION};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -129,7 +129,7 @@
             Verb::Resume(place) => net.resume(place),
             Verb::Deaf(place) => net.faults.inbound_blocked[usize::from(place)] = true,
             Verb::Hears(place) => net.faults.inbound_blocked[usize::from(place)] = false,
-            Verb::OneWay(from, to) => net.faults.one_way.push((from, to)),
+            Verb::OneWay(from, to) => net.faults.one_way.push(Direction { from, to }),
             Verb::Sides(sides) => net.faults.sides = sides,
             Verb::Held(of) => return Ok(all(net, of, &|m| name(m.view().state(of)).to_owned())),
             Verb::StartOf(of) => {
