--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -70,7 +70,7 @@
             *state = TrialState::UnderWay;
             self.trials += 1;
         }
-        crate::invariant!(self.trials <= MAX_TRIALS, "more tries at once than may be");
+        mothproxy_invariant::invariant!(self.trials <= MAX_TRIALS, "more tries at once than may be");
     }
 
     /// A trial, or any other use, ended: the worker is alive or it is not.
--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -14,7 +14,6 @@
 #![warn(missing_docs)]
 
 pub mod health_confirmation;
-pub mod invariant;
 pub mod poll_scheduler;
 pub mod shared_observations;
 pub mod simulation;
@@ -46,6 +45,12 @@
     NotPositive(&'static str),
 }
 
+/// How many invariants of this crate were found violated since the process started: counted in release builds, where a debug
+/// build panics.
+pub fn violated_invariants() -> u64 {
+    mothproxy_invariant::violations(env!("CARGO_PKG_NAME"))
+}
+
 fn check_place(place: u16, places: u16) -> Result<(), ConfigError> {
     if place < places { Ok(()) } else { Err(ConfigError::Place { place, places }) }
 }
--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -21,9 +21,10 @@
 pub use event::{Call, Event, Metrics};
 pub use service_status::ServiceStatus;
 
-use crate::{ConfigError, invariant, mix};
+use crate::{ConfigError, mix};
 use backoff::{Backoff, Failure};
 use call_need::{CallNeed, CallReason};
+use mothproxy_invariant::invariant;
 use round_length::RoundLength;
 use service_status::{MAX_BACKOFF_LEVEL, MemberStatuses, SIGNIFICANT_CHANGE};
 use slots::Slots;
--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -13,8 +13,9 @@
 
 pub use wire::AbsorbError;
 
+use crate::mix;
 use crate::poll_scheduler::ServiceStatus;
-use crate::{invariant, mix};
+use mothproxy_invariant::invariant;
 use observed_times::ObservedTimes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -11,7 +11,8 @@
 //! and a process leaves alone the turn in which it started, since one before it at the same place may have spent it. So a
 //! window holds `(k + 2) floor(B / (k + 2)) <= B` units.
 
-use crate::{ConfigError, check_place, invariant, mix};
+use crate::{ConfigError, check_place, mix};
+use mothproxy_invariant::invariant;
 use std::collections::HashMap;
 
 /// The most turns in a window; there are fewer where the budget is too small for as many.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,6 @@
 mod config;
 mod facts;
 mod hash;
-mod invariant;
 mod member;
 mod metrics;
 pub mod partition;
@@ -25,7 +24,6 @@
 mod wire;
 
 pub use config::{Config, ConfigError};
-pub use invariant::broken;
 pub use member::Membership;
 pub use metrics::Metrics;
 pub use view::{Change, Member, State, View};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -341,7 +341,7 @@
     fn set_state(&mut self, place: u16, to: State, version: MemberVersion) {
         let was = self.view.at(place);
         let MemberVersion { epoch, incarnation } = version;
-        crate::invariant::invariant!(version >= was.version(), "the version of place {place} went back");
+        mothproxy_invariant::invariant!(version >= was.version(), "the version of place {place} went back");
         let since = if was.state == to { was.since } else { self.now };
         self.view.members[usize::from(place)] = Member { state: to, epoch, incarnation, since };
         if was.state != to || was.epoch != epoch {
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -1,10 +1,10 @@
 //! Dissemination: what is new is piggybacked on every datagram (SWIM), and goes out by gossip of its own while there is any.
 
 use super::Membership;
-use crate::invariant::invariant;
 use crate::update_queue::UpdateQueue;
 use crate::wire::{Body, FactKey, Record, Route, StateRecord, Writer};
 use crate::{MAX_DATAGRAM_BYTES, Micros, Output, State};
+use mothproxy_invariant::invariant;
 
 /// The most updates of each sort that wait to be passed on.
 const MAX_QUEUED_UPDATES: usize = 8_192;
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -4,10 +4,10 @@
 use super::{FactId, Membership};
 use crate::config::EPOCH_BOUND;
 use crate::facts::Merged;
-use crate::invariant::invariant;
 use crate::view::MemberVersion;
 use crate::wire::{FactRecord, Stamp, StateRecord};
 use crate::{MAX_FACTS_PER_MEMBER, Output, OwnedFact, State};
+use mothproxy_invariant::invariant;
 
 impl Membership {
     /// A record about a place has come from a member, or the member's own datagram proves it alive.
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -5,9 +5,9 @@
 //! times the least down to the least, [`Config::suspicion_span`](crate::Config::suspicion_span).
 
 use super::Membership;
-use crate::invariant::invariant;
 use crate::view::MemberVersion;
 use crate::{Micros, State};
+use mothproxy_invariant::invariant;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One suspicion.
--- a/crates/membership/src/simulation/scenarios.rs
+++ b/crates/membership/src/simulation/scenarios.rs
@@ -90,7 +90,8 @@
         report.merge(startup::cold_start(extent, 300, 2));
         report.merge(failures::kill(extent, 3_000, extent.large_seeds));
     }
-    report.check(crate::broken() == 0, format!("{} invariants were broken", crate::broken()));
+    let broken = mothproxy_invariant::violations(env!("CARGO_PKG_NAME"));
+    report.check(broken == 0, format!("{broken} invariants were broken"));
     report
 }
 
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -267,7 +267,7 @@
     let days = days(seed);
     let model = run_model(&days, &mut broken);
     let caught = check_mutation(&days, &mut broken);
-    let invariants = mothproxy_coldstart::invariant::broken();
+    let invariants = mothproxy_coldstart::violated_invariants();
     if invariants > 0 {
         broken.push(format!("{invariants} invariants broken"));
     }
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -8,8 +8,8 @@
 };
 use crate::core::names::class_name;
 use crate::core::request::RequestId;
-use crate::invariant;
 use crate::policy::interface::{Event, Micros};
+use mothproxy_invariant::invariant;
 
 impl Core {
     /// Keeps records of keyed requests from now on, beginning with these. `is_clock_sound` unless time may have passed that the
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -27,11 +27,11 @@
 use crate::Dispatcher;
 use crate::config::SiteNames;
 use crate::fleet::Learners;
-use crate::invariant;
 use crate::policy::interface::{
     Action, Class, ClassId, Event, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
     Settings, SettingsError, WorkerId,
 };
+use mothproxy_invariant::invariant;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// The core of a dispatcher, as one state machine.
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -6,8 +6,8 @@
 use crate::core::ledger::Completion;
 use crate::core::request::{RequestId, RequestPhase};
 use crate::core::timers::Timer;
-use crate::invariant;
 use crate::policy::interface::{Action, AttemptEnded, Event, Micros, Outcome, WorkerId};
+use mothproxy_invariant::invariant;
 
 /// The core itself fails a request that is still open this long after its deadline.
 const OVERDUE_GRACE: Micros = 15_000;
--- a/src/core/idempotency/record.rs
+++ b/src/core/idempotency/record.rs
@@ -66,7 +66,7 @@
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_extend(self, vec![VERSION]);
-        crate::invariant!(bytes.is_ok(), "a record that cannot be written");
+        mothproxy_invariant::invariant!(bytes.is_ok(), "a record that cannot be written");
         bytes.unwrap_or_default()
     }
 
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger: each request that is accepted has exactly one completion.
 
-use crate::invariant;
 use crate::policy::interface::ClassId;
+use mothproxy_invariant::invariant;
 use std::collections::BTreeMap;
 
 /// How a request ended.
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -74,7 +74,7 @@
             let config =
                 Config { long_quantile: settings.long_quantile, ..Config::new(place, identity.epoch) };
             let runtimes = RuntimeEstimator::new(config, now);
-            crate::invariant!(runtimes.is_ok(), "settings that were checked");
+            mothproxy_invariant::invariant!(runtimes.is_ok(), "settings that were checked");
             runtimes.ok()
         });
         let mut learners = Learners { runtimes, shares: None, share_settings: settings.fair_share.clone() };
@@ -91,7 +91,7 @@
             let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
             let config = settings.config(place, identity.peers, identity.epoch, unix_at_zero);
             let ledger = Ledger::new(config, &settings.shares, now);
-            crate::invariant!(ledger.is_ok(), "shares that were checked");
+            mothproxy_invariant::invariant!(ledger.is_ok(), "shares that were checked");
             ledger.ok()
         });
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod core;
 pub mod fleet;
 pub mod http;
-pub mod invariant;
 pub mod policy;
 pub mod protocol;
 pub mod server;
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -145,7 +145,10 @@
         let nodes = self.group.nodes.min(u32::from(u16::MAX)) as u16;
         let ranks = self.assignment.reserved_ranks(worker).iter();
         let reserved = ranks.map(|rank| partition::allotment(slots, nodes, *rank)).sum();
-        crate::invariant!(reserved <= slots, "{reserved} of {slots} slots are kept for others at {worker:?}");
+        mothproxy_invariant::invariant!(
+            reserved <= slots,
+            "{reserved} of {slots} slots are kept for others at {worker:?}"
+        );
         reserved
     }
 
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -3,7 +3,6 @@
 //! A handler takes a connection out of its slot, and puts it back or closes it before it returns. While it is out, whatever
 //! else looks for it finds nothing.
 
-use crate::invariant;
 use crate::policy::interface::Micros;
 use crate::server::Server;
 use crate::server::admin::AdminConnection;
@@ -12,6 +11,7 @@
 use crate::server::downstream::{self, ClientConnection};
 use crate::server::tokens::Token;
 use crate::server::upstream::UpstreamConnection;
+use mothproxy_invariant::invariant;
 use rustix::event::epoll::EventFlags;
 
 /// The bits of a slot's generation. Tokens above them belong to what is no connection.
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -106,7 +106,7 @@
                     return true;
                 }
             } else {
-                crate::invariant!(false, "an idle connection that is none");
+                mothproxy_invariant::invariant!(false, "an idle connection that is none");
                 self.clients.idle.pop_first();
             }
         }
@@ -125,7 +125,10 @@
             // Closed, or in use right now; in the first case it is not in the set any more.
             let Some((connection, role)) = self.take(token) else { continue };
             let Role::Client(client) = role else {
-                crate::invariant!(false, "a connection that asked for nothing is none of a frontend's");
+                mothproxy_invariant::invariant!(
+                    false,
+                    "a connection that asked for nothing is none of a frontend's"
+                );
                 self.put(token, connection, role);
                 self.clients.awaiting_request.remove(&(last_read, token));
                 continue;
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -26,14 +26,14 @@
     ) {
         let Some((mut connection, role)) = self.take(token) else { return };
         let Role::Client(mut client) = role else {
-            crate::invariant!(false, "an answer for a connection that is no frontend's");
+            mothproxy_invariant::invariant!(false, "an answer for a connection that is no frontend's");
             return self.put(token, connection, role);
         };
         let ClientState::AwaitingResponse { request_id: awaited, keep_alive, stream } = client.state else {
-            crate::invariant!(false, "an answer for a frontend that waits for none");
+            mothproxy_invariant::invariant!(false, "an answer for a frontend that waits for none");
             return self.put(token, connection, Role::Client(client));
         };
-        crate::invariant!(awaited == request_id, "an answer for another session");
+        mothproxy_invariant::invariant!(awaited == request_id, "an answer for another session");
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
         let keep_alive = keep_alive && (self.keeps_client_connections() || has_stream_begun);
         match (stream, &response) {
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -217,7 +217,7 @@
             sse.is_none_or(|sse| self.can_watch(sse.socket.as_fd(), SSE)),
             self.peers.socket().is_none_or(|socket| self.can_watch(socket.as_fd(), PEERS)),
         ];
-        crate::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
+        mothproxy_invariant::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
         self.listeners.is_accepting = true;
         self.fail_pending_records();
         self.open_restart_socket();
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -60,7 +60,7 @@
     pub fn set_interest(&self, epoll: &Poller, flags: EventFlags) {
         let platform = epoll.modify(&self.platform, PLATFORM, flags);
         let sse = self.sse.as_ref().is_none_or(|sse| epoll.modify(&sse.socket, SSE, flags));
-        crate::invariant!(platform && sse, "epoll does not know a listener");
+        mothproxy_invariant::invariant!(platform && sse, "epoll does not know a listener");
     }
 }
 
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -114,7 +114,7 @@
         let identity = new_identity(&self.config);
         let restarted = self.membership.fleet.restart(identity, self.now);
         self.core.learners.restart(identity, self.now);
-        crate::invariant!(restarted.is_ok(), "a configuration that was checked");
+        mothproxy_invariant::invariant!(restarted.is_ok(), "a configuration that was checked");
         self.apply_fleet_outputs();
     }
 
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -1,7 +1,6 @@
 //! Counters of the network side, and the line of the log that shows them with the core's.
 
 use crate::core::ledger::Ledger;
-use crate::invariant;
 use crate::policy::interface::Micros;
 use crate::server::Server;
 
@@ -84,7 +83,7 @@
             network.bad_reloads,
             self.connections.open_connections(),
             self.core.endpoints.ready(),
-            invariant::violations(),
+            mothproxy_invariant::violations(env!("CARGO_PKG_NAME")),
         );
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -46,7 +46,7 @@
 /// All faults of the text.
 pub fn read(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
     let descriptor = descriptor();
-    crate::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
+    mothproxy_invariant::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
     let Some(descriptor) = descriptor else { return Ok(Settings::default()) };
     let message = DynamicMessage::parse_text_format(descriptor, text)
         .map_err(|error| SettingsFileError::single(syntax_fault(error, text, file)))?;
