--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -22,7 +22,8 @@
 
 /// The kind of this crate's facts.
 pub const KIND: u8 = 1;
-/// The longest fact that a carrier takes, in bytes.
+/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
+/// it, since none of them depends on the carrier.
 pub const MAX_FACT_BYTES: usize = 160;
 /// Buckets of workers: slots 1 to this.
 pub const BUCKETS: u32 = 512;
--- a/crates/fairshare/src/wire.rs
+++ b/crates/fairshare/src/wire.rs
@@ -6,7 +6,8 @@
 
 /// Format version: the first byte of each fact.
 const VERSION: u8 = 1;
-/// Most bytes of a fact (docs/design/parts.md).
+/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
+/// it, since none of them depends on the carrier.
 const MAX_FACT_BYTES: usize = 160;
 /// Room for the lines of a page: version, bucket, through, edit and count come to 20 bytes at most.
 pub(crate) const PAGE_LINE_BYTES: usize = MAX_FACT_BYTES - 20;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -35,7 +35,8 @@
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The first byte of every datagram: the version of its encoding.
 pub const VERSION: u8 = 0xF1;
-/// The longest that the bytes of a fact may be.
+/// The longest that the bytes of a fact may be. docs/design/parts.md has it too: the crates that encode facts know it from
+/// there, and not this carrier.
 pub const MAX_FACT_BYTES: usize = 160;
 /// The most facts of one member, over all kinds and slots.
 pub const MAX_FACTS_PER_MEMBER: usize = 4096;
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -6,7 +6,8 @@
 use crate::summary::{BinTotal, FIXED_POINT, KindTotal, MAX_KINDS, Summary};
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a fact, as `docs/design/parts.md` allows.
+/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
+/// it, since none of them depends on the carrier.
 pub(crate) const MAX_FACT_BYTES: usize = 160;
 const VERSION: u8 = 1;
 /// Most jobs of a received summary.
