--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -4,13 +4,14 @@
 //! [`Network`] is the simulation, [`scenarios`] what is done with it; [`proof`] runs all scenarios and gives their verdict,
 //! which `examples/membership_model.rs` prints.
 
+mod faults;
 pub mod scenarios;
 
 use crate::{Change, Config, Membership, Micros, Output, OwnedFact, State, VERSION};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
-use std::ops::RangeInclusive;
 
+pub use faults::{Direction, Faults};
 pub use scenarios::{Extent, Report, proof, run};
 
 /// One second.
@@ -26,32 +27,6 @@
 /// The epoch of the member at place 0, in milliseconds of Unix time.
 const FIRST_EPOCH: u64 = 1_700_000_000_000;
 
-/// What the network does to datagrams.
-#[derive(Debug, Clone)]
-pub struct Faults {
-    /// This fraction is lost.
-    pub loss: f64,
-    /// This fraction arrives twice.
-    pub repeat: f64,
-    /// The least and the most time that a datagram is under way.
-    pub latency: RangeInclusive<Micros>,
-    /// The side of each place; what would cross from one side to another is lost.
-    pub sides: Vec<u8>,
-    /// Places that no datagram reaches, though what they send arrives.
-    pub inbound_blocked: Vec<bool>,
-    /// Directions in which nothing comes through; the other way it does.
-    pub one_way: Vec<Direction>,
-}
-
-/// A direction between two places.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Direction {
-    /// The place of the sender.
-    pub from: u16,
-    /// The place of the receiver.
-    pub to: u16,
-}
-
 /// A change that a member saw.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservedChange {
@@ -124,17 +99,9 @@
         start: Start,
         adjust_config: impl Fn(&mut Config) + Send + 'static,
     ) -> Network {
-        let faults = Faults {
-            loss: 0.0,
-            repeat: 0.0,
-            latency: 200..=2_000,
-            sides: vec![0; members.into()],
-            inbound_blocked: vec![false; members.into()],
-            one_way: Vec::new(),
-        };
         let mut network = Network {
             now: SECOND,
-            faults,
+            faults: Faults::none(members),
             changes: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             nodes: Vec::new(),
@@ -337,17 +304,12 @@
     }
 
     fn transmit(&mut self, from: u16, to: u16, bytes: &[u8]) {
-        let faults = &self.faults;
-        let is_cut = faults.sides[usize::from(from)] != faults.sides[usize::from(to)]
-            || faults.inbound_blocked[usize::from(to)]
-            || faults.one_way.contains(&Direction { from, to });
-        let (loss, repeat, latency) = (faults.loss, faults.repeat, faults.latency.clone());
-        if is_cut || self.rng.f64() < loss {
+        if self.faults.blocks(Direction { from, to }) || self.rng.f64() < self.faults.loss {
             return;
         }
-        let copies = if self.rng.f64() < repeat { 2 } else { 1 };
+        let copies = if self.rng.f64() < self.faults.repeat { 2 } else { 1 };
         for _ in 0..copies {
-            let at = self.now + self.rng.u64(latency.clone());
+            let at = self.now + self.rng.u64(self.faults.latency.clone());
             self.schedule(at, Event::DatagramArrives { to, from, bytes: bytes.to_vec() });
         }
     }
