--- /dev/null
+++ b/crates/fairshare/tests/ledger/merging.rs
@@ -0,0 +1,148 @@
+//! The order of reports does not matter.
+
+use super::support::{Fact, Publisher, SECOND, WALL, config, decayed, key, ledger, shares};
+use mothproxy_fairshare::{Config, Position, Shares, Usage};
+use proptest::prelude::*;
+use std::collections::HashMap;
+
+const NAMES: [&str; 5] = ["a", "b", "c", "d", "unlisted"];
+
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Serve { member: usize, tenant: usize, amount: u64, ago: u64 },
+    Correct { member: usize, tenant: usize, amount: u64, ago: u64 },
+    Restart { member: usize },
+    Wait(u64),
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let of = || (0..3usize, 0..5usize, 1..200_000u64, 0..20u64);
+    let step = prop_oneof![
+        6 => of().prop_map(|(member, tenant, amount, ago)| Step::Serve { member, tenant, amount, ago }),
+        2 => of().prop_map(|(member, tenant, amount, ago)| Step::Correct { member, tenant, amount, ago }),
+        1 => (0..3usize).prop_map(|member| Step::Restart { member }),
+        3 => (1..3_000u64).prop_map(Step::Wait),
+    ];
+    prop::collection::vec(step, 1..80)
+}
+
+/// Members that publish after each step, what they have published, and what was really used.
+struct History {
+    shares: Shares,
+    now: u64,
+    members: Vec<Publisher>,
+    facts: Vec<Fact>,
+    /// By tenant: when, and how much.
+    truth: HashMap<usize, Vec<(u64, i64)>>,
+}
+
+impl History {
+    fn new(shares: Shares) -> History {
+        let now = 60 * SECOND;
+        let members = (0..3).map(|me| Publisher::new(config(me), &shares, now)).collect();
+        History { shares, now, members, facts: Vec::new(), truth: HashMap::new() }
+    }
+
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Serve { member, tenant, amount, ago } => {
+                let at = self.now - ago * SECOND;
+                let used = Usage { value: amount, work: amount / 7 };
+                self.members[member].ledger.record(self.now, at, key(NAMES[tenant]), 0, used).unwrap();
+                self.truth.entry(tenant).or_default().push((at, amount as i64));
+            }
+            Step::Correct { member, tenant, amount, ago } => {
+                let at = self.now - ago * SECOND;
+                let less = Usage { value: amount, work: 0 };
+                let ledger = &mut self.members[member].ledger;
+                let taken = ledger.correct(self.now, at, key(NAMES[tenant]), 0, less).unwrap();
+                assert!(taken.value <= amount);
+                self.truth.entry(tenant).or_default().push((at, -(taken.value as i64)));
+            }
+            Step::Restart { member } => {
+                // What it has not published is lost with it: let it publish first.
+                self.now += 2 * SECOND;
+                self.facts.extend(self.members[member].publish(self.now));
+                let config = Config { epoch: (WALL + self.now) / 1000, ..config(member as u16) };
+                self.members[member] = Publisher::new(config, &self.shares, self.now);
+            }
+            Step::Wait(ms) => self.now += ms * 1000,
+        }
+        self.publish();
+    }
+
+    fn publish(&mut self) {
+        for member in &mut self.members {
+            self.facts.extend(member.publish(self.now));
+        }
+    }
+
+    /// Whether a ledger that took everything knows what was really used.
+    fn check_truth(&self, known: &[Usage]) {
+        for (tenant, known) in known.iter().enumerate() {
+            let want = self.truth.get(&tenant).map_or(0.0, |uses| decayed(uses, self.now));
+            let difference = (known.value as f64 - want).abs();
+            assert!(difference <= 1.0 + want * 1e-6, "{tenant}: {known:?} {want}");
+        }
+    }
+}
+
+/// All that a ledger says of the tenants.
+#[derive(Debug, PartialEq)]
+struct LedgerState {
+    known: [Usage; 5],
+    positions: [Position; 5],
+    /// The bits of the value of one more job.
+    job_values: [u64; 5],
+}
+
+/// What a ledger says once it has taken these facts at `now`: at that time, and 5 s later.
+fn absorb_all(facts: Vec<Fact>, shares: &Shares, now: u64) -> LedgerState {
+    let mut ledger = ledger(7, shares);
+    for fact in facts {
+        assert_eq!(fact.to(&mut ledger, now), Ok(()));
+    }
+    let known = NAMES.map(|name| ledger.known_usage(key(name), now));
+    let later = now + 5 * SECOND;
+    let rest = NAMES.map(|name| {
+        let position = ledger.position(key(name), later);
+        (position, ledger.job_value(key(name), 0, 1, later).fraction.to_bits())
+    });
+    assert_eq!(ledger.metrics().broken, 0);
+    LedgerState {
+        known,
+        positions: rest.map(|(position, _)| position),
+        job_values: rest.map(|(_, value)| value),
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
+
+    /// Ledgers that took the same reports, in order, shuffled with repeats, or only the last of each slot, agree in every
+    /// bit, and where nothing was lost with what was really used.
+    #[test]
+    fn the_order_of_reports_does_not_matter(steps in steps(), seed: u64, lose in 0..3u32) {
+        let mut history = History::new(shares(&[("a", 3), ("b", 1), ("c", 0), ("d", 2)]));
+        steps.into_iter().for_each(|step| history.apply(step));
+        history.now += 2 * SECOND;
+        history.publish();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut facts = history.facts.clone();
+        facts.retain(|_| lose < 2 || rng.u32(0..4) > 0);
+        let has_lost = facts.len() < history.facts.len();
+        let mut shuffled: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
+        rng.shuffle(&mut shuffled);
+        let mut last = HashMap::new();
+        for fact in &facts {
+            last.insert((fact.origin, fact.slot), fact.clone());
+        }
+        let orders = [facts, shuffled, last.into_values().collect()];
+        let states = orders.map(|facts| absorb_all(facts, &history.shares, history.now));
+        if !has_lost {
+            states.iter().for_each(|state| history.check_truth(&state.known));
+        }
+        prop_assert_eq!(&states[0], &states[1]);
+        prop_assert_eq!(&states[0], &states[2]);
+    }
+}
