--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -11,57 +11,25 @@
 //! and a process leaves alone the turn in which it started, since one before it at the same place may have spent it. So a
 //! window holds `(k + 2) floor(B / (k + 2)) <= B` units.
 
-use crate::{ConfigError, check_place, mix};
+mod config;
+mod turn;
+
+pub use config::Config;
+
+use crate::ConfigError;
 use mothproxy_invariant::invariant;
 use std::collections::HashMap;
+use turn::{Phase, Turn};
 
-/// The most turns in a window; there are fewer where the budget is too small for as many.
-const MAX_TURNS: u64 = 4;
 /// The budget of a worker that warms up is computed anew this often until it is warm.
 const PHASES: u64 = 8;
 /// Handshakes and probes each take at most this fraction of a warm worker; first jobs at unconfirmed ones no more than it does.
 const WARM_FRACTION: f64 = 0.02;
-/// A turn of a worker that warms up is shared by so many owners, where its budget has room for it; by few in some turns, so
-/// that large jobs have their turns too.
-const OWNERS_BY_TURN_KIND: [u64; 4] = [8, 2, 4, 1];
 /// The most spent turns kept.
 const MAX_SPENT_TURNS: usize = 65_536;
 /// What is spent is counted in thousandths of units.
 const MILLI_UNITS: u64 = 1_000;
 
-/// What the settings say.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// This dispatcher's place, from 0.
-    pub place: u16,
-    /// How many places there are, whether or not anybody is there.
-    pub places: u16,
-    /// The Unix time of the caller's zero, in microseconds.
-    pub unix_at_zero: u64,
-    /// Clocks differ from true time by this at most, in microseconds.
-    pub max_clock_skew: u64,
-    /// The overload window, in microseconds.
-    pub overload_window: u64,
-    /// A worker that is sent more than this multiple of its present capacity over the window collapses.
-    pub overload_multiple: f64,
-    /// A worker starts at this fraction of its capacity ...
-    pub initial_capacity: f64,
-    /// ... and is warm after this, in microseconds.
-    pub warm_up_time: u64,
-    /// The work of a handshake, in requests of mean work.
-    pub handshake_work: f64,
-    /// The work of a probe, in requests of mean work.
-    pub probe_work: f64,
-    /// Connections that a worker holds; 0 where nobody knows.
-    pub connections: u32,
-    /// Where a worker holds fewer connections than there are places, connections change hands among the places this seldom,
-    /// in microseconds.
-    pub connection_lease: u64,
-    /// A deliberate fault for tests of the tests: every turn counts as this place's.
-    #[doc(hidden)]
-    pub skip_turns: bool,
-}
-
 /// A worker, by what the list and the settings say of it: the same at every dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Worker {
@@ -122,30 +90,6 @@
     kind: BudgetKind,
 }
 
-/// Where the turns of a budget count from, and what a window of them holds.
-struct Phase {
-    /// Unix time.
-    start: u64,
-    /// Since its start.
-    elapsed: u64,
-    budget: u64,
-}
-
-/// The turn that the present time is in.
-#[derive(Clone, Copy, Debug)]
-struct Turn {
-    /// By Unix time.
-    start: u64,
-    length: u64,
-    index: u64,
-    /// How many places own it.
-    owners: u64,
-    /// Units for each owner.
-    units: u64,
-    /// How many kinds of turns alternate, each with a rotation of its own.
-    kinds: u64,
-}
-
 /// What was spent of a turn, in thousandths of units.
 #[derive(Clone, Copy, Debug)]
 struct SpentTurn {
@@ -186,25 +130,7 @@
     ///
     /// The place is not one of the places, or a number is out of its range.
     pub fn new(config: Config, now: u64) -> Result<WarmUpBudget, ConfigError> {
-        check_place(config.place, config.places)?;
-        for (span, name) in
-            [(config.overload_window, "overload_window"), (config.connection_lease, "connection_lease")]
-        {
-            if span == 0 {
-                return Err(ConfigError::Zero(name));
-            }
-        }
-        let numbers = [
-            (config.overload_multiple, "overload_multiple"),
-            (config.handshake_work, "handshake_work"),
-            (config.probe_work, "probe_work"),
-        ];
-        if let Some((_, name)) = numbers.into_iter().find(|(n, _)| !(n.is_finite() && *n > 0.0)) {
-            return Err(ConfigError::NotPositive(name));
-        }
-        if !(0.0..=1.0).contains(&config.initial_capacity) {
-            return Err(ConfigError::NotPositive("initial_capacity"));
-        }
+        config.validate()?;
         Ok(WarmUpBudget { created_at: config.unix_at_zero + now, config, spent: HashMap::new() })
     }
 
@@ -234,7 +160,7 @@
         if claim.is_open && self.spend(now, &claim) {
             return Decision::Granted;
         }
-        let at = self.next_owned_turn(worker.tag, claim.turn);
+        let at = claim.turn.next_owned_by(self.config.place, self.config.places, worker.tag);
         Decision::WaitUntil(at.saturating_sub(self.config.unix_at_zero).max(now + 1))
     }
 
@@ -246,7 +172,7 @@
     /// Spends a claim; false where there is no memory left for it.
     fn spend(&mut self, now: u64, claim: &Claim) -> bool {
         if self.spent.len() >= MAX_SPENT_TURNS {
-            let oldest = (self.config.unix_at_zero + now).saturating_sub(2 * self.skewed_window());
+            let oldest = (self.config.unix_at_zero + now).saturating_sub(2 * self.config.skewed_window());
             self.spent.retain(|_, turn| turn.start >= oldest);
         }
         let has_room = self.spent.len() < MAX_SPENT_TURNS;
@@ -257,18 +183,6 @@
         has_room
     }
 
-    /// The Unix time of the next turn that this place owns, as if this phase went on.
-    fn next_owned_turn(&self, tag: u64, turn: Turn) -> u64 {
-        let round = u64::from(self.config.places).div_ceil(turn.owners).max(1) * turn.kinds;
-        // Those of the same kind: the other kinds have other owners.
-        let is_owned = |ahead: &u64| {
-            let next = Turn { index: turn.index + ahead, ..turn };
-            ahead % turn.kinds == 0 && self.owns(tag, &next)
-        };
-        let ahead = (1..=round + turn.kinds).find(is_owned).unwrap_or(1);
-        turn.start + turn.length * ahead
-    }
-
     /// What stands for and against a request; `None` where it is not budgeted.
     fn claim(&self, now: u64, worker: &Worker, request: Request) -> Option<Claim> {
         let unix = self.config.unix_at_zero + now;
@@ -284,26 +198,22 @@
             (None, Request::FirstJob) => (BudgetKind::FirstJobs, 1.0),
             (None, Request::Job(_)) => return None,
         };
-        let turn = self.turn(kind, &self.phase(worker, kind, warm_up_age, unix));
+        let phase = self.phase(worker, kind, warm_up_age, unix);
+        let turn = Turn::new(kind, &phase, self.config.skewed_window(), self.config.places);
         let key = BudgetKey { tag: worker.tag, kind };
         let cost = (units * MILLI_UNITS as f64).ceil() as u64;
         let current = self.spent.get(&key).filter(|spent| spent.start == turn.start);
         let spent = current.map_or(0, |turn| turn.spent);
         invariant!(spent <= turn.units * MILLI_UNITS, "more than the own part of a turn was spent");
-        let is_own = self.config.skip_turns || turn.start >= self.created_at && self.owns(worker.tag, &turn);
+        let is_own = self.config.skip_turns || turn.start >= self.created_at && self.owns(&turn, worker.tag);
         let is_open = is_own && spent + cost <= turn.units * MILLI_UNITS;
         Some(Claim { key, turn, cost, spent, is_open })
     }
 
-    /// How long a window is to a member whose clock is as wrong as may be.
-    fn skewed_window(&self) -> u64 {
-        self.config.overload_window + 2 * self.config.max_clock_skew
-    }
-
     /// The phase of a budget at a Unix time: a warm worker has one that never ends.
     fn phase(&self, worker: &Worker, kind: BudgetKind, warm_up_age: Option<u64>, unix: u64) -> Phase {
         if let (BudgetKind::WarmingUp, Some(age)) = (kind, warm_up_age) {
-            let window = self.skewed_window();
+            let window = self.config.skewed_window();
             let length = (self.config.warm_up_time / PHASES).max(window);
             let began_at_age = age / length * length;
             let started_at = unix - age;
@@ -321,33 +231,8 @@
         Phase { start: 0, elapsed: unix, budget: self.warm_budget(worker, work) }
     }
 
-    fn turn(&self, kind: BudgetKind, phase: &Phase) -> Turn {
-        let budget = phase.budget;
-        let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
-        let turn_budget = (budget / (turns + 2)).max(1);
-        let length = self.skewed_window().div_ceil(turns);
-        invariant!(turn_budget * (turns + 2) <= budget, "turns hold more than the budget");
-        let places = u64::from(self.config.places);
-        let index = phase.elapsed / length;
-        let (kinds, min_units) = if kind == BudgetKind::WarmingUp {
-            let kinds = OWNERS_BY_TURN_KIND.len() as u64;
-            (kinds, turn_budget / OWNERS_BY_TURN_KIND[(index % kinds) as usize])
-        } else {
-            (1, 1)
-        };
-        // With fewer places than units each place has its part of every turn; otherwise turns go round.
-        let units = (turn_budget / places).max(min_units).max(1);
-        let owners = (turn_budget / units).clamp(1, places);
-        Turn { start: phase.start + index * length, length, index, owners, units, kinds }
-    }
-
-    /// Whether the turn is this place's: the owners of one turn are consecutive places, those of the next the ones after
-    /// them. The worker's tag decides where they begin.
-    fn owns(&self, tag: u64, turn: &Turn) -> bool {
-        let places = u64::from(self.config.places);
-        let (kind, nth) = (turn.index % turn.kinds, turn.index / turn.kinds);
-        let first = (mix(tag ^ kind << 56) % places + nth % places * (turn.owners % places)) % places;
-        (u64::from(self.config.place) + places - first) % places < turn.owners
+    fn owns(&self, turn: &Turn, tag: u64) -> bool {
+        turn.is_owned_by(self.config.place, self.config.places, tag)
     }
 
     /// Connections that this place may hold to a worker now. The places' numbers never add up to more than the worker
@@ -367,7 +252,7 @@
         let index = unix / length;
         // Half for each of two leases that touch.
         let lease = Turn { start: 0, length, index, owners: all / 2, units: 1, kinds: 1 };
-        let is_owner = all >= 2 && self.owns(tag, &lease);
+        let is_owner = all >= 2 && self.owns(&lease, tag);
         let valid_until = ((index + 1) * length).saturating_sub(self.config.unix_at_zero);
         Some(ConnectionQuota { connections: is_owner.into(), valid_until })
     }
