--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -1,6 +1,7 @@
 //! A start on an old list: its workers are tried few at a time until a dispatcher has seen them alive.
 
 use crate::shared_observations::WorkerStatus;
+use crate::{Micros, WorkerTag};
 use std::collections::HashMap;
 
 /// The most trials of unconfirmed workers under way at once, to begin with.
@@ -9,7 +10,7 @@
 const MAX_TRIALS: usize = 32;
 /// A worker that showed a fault is left alone for this long, in microseconds, and by the last of the places for twice as
 /// long: one that looks again publishes what it sees.
-const FAULT_BACKOFF: u64 = 5_000_000;
+const FAULT_BACKOFF: Micros = 5_000_000;
 
 /// What is known of one unconfirmed worker since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,16 +18,16 @@
     Untried,
     UnderWay,
     /// It failed here then.
-    FailedAt(u64),
+    FailedAt(Micros),
 }
 
 /// Which workers of the list at the start may be used how.
 #[derive(Debug)]
 pub struct HealthConfirmation {
-    unconfirmed: HashMap<u64, TrialState>,
+    unconfirmed: HashMap<WorkerTag, TrialState>,
     trials: usize,
     max_trials: usize,
-    fault_backoff: u64,
+    fault_backoff: Micros,
 }
 
 /// How a worker may be used.
@@ -42,7 +43,7 @@
 
 impl HealthConfirmation {
     /// These workers are on the list at the start; nobody has seen them yet.
-    pub fn new(tags: impl IntoIterator<Item = u64>, place: u16, places: u16) -> HealthConfirmation {
+    pub fn new(tags: impl IntoIterator<Item = WorkerTag>, place: u16, places: u16) -> HealthConfirmation {
         let fault_backoff = FAULT_BACKOFF + FAULT_BACKOFF * u64::from(place) / u64::from(places.max(1));
         let unconfirmed = tags.into_iter().map(|tag| (tag, TrialState::Untried)).collect();
         HealthConfirmation { unconfirmed, trials: 0, max_trials: FIRST_MAX_TRIALS, fault_backoff }
@@ -50,7 +51,7 @@
 
     /// How this worker may be used now, with what the members observed of it. An observation never admits a worker that is
     /// on no list, and never counts as a list of the service.
-    pub fn admission(&self, tag: u64, status: Option<&WorkerStatus>, now: u64) -> Admission {
+    pub fn admission(&self, tag: WorkerTag, status: Option<&WorkerStatus>, now: Micros) -> Admission {
         let fault = status.and_then(|status| status.fault);
         let is_faulty = fault.is_some_and(|(_, age)| age < self.fault_backoff);
         match self.unconfirmed.get(&tag) {
@@ -65,7 +66,7 @@
     }
 
     /// A trial of this worker begins.
-    pub fn begin_trial(&mut self, tag: u64) {
+    pub fn begin_trial(&mut self, tag: WorkerTag) {
         if let Some(state) = self.unconfirmed.get_mut(&tag).filter(|state| **state != TrialState::UnderWay) {
             *state = TrialState::UnderWay;
             self.trials += 1;
@@ -74,7 +75,7 @@
     }
 
     /// A trial, or any other use, ended: the worker is alive or it is not.
-    pub fn on_result(&mut self, tag: u64, is_alive: bool, now: u64) {
+    pub fn on_result(&mut self, tag: WorkerTag, is_alive: bool, now: Micros) {
         let Some(state) = self.unconfirmed.get_mut(&tag) else { return };
         let was_trial = *state == TrialState::UnderWay;
         self.trials -= usize::from(was_trial);
@@ -87,7 +88,7 @@
     }
 
     /// The service's own list names it: it needs no trial.
-    pub fn on_listed(&mut self, tag: u64) {
+    pub fn on_listed(&mut self, tag: WorkerTag) {
         if self.unconfirmed.remove(&tag) == Some(TrialState::UnderWay) {
             self.trials -= 1;
         }
--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -26,6 +26,13 @@
 };
 pub use warm_up_budget::{ConnectionQuota, Decision, Request, WarmUpBudget, Worker};
 
+/// Microseconds of the caller's monotonic clock or, where that is said, of Unix time; or a span of them.
+pub type Micros = u64;
+/// Milliseconds of Unix time, or a span of them.
+pub type Millis = u64;
+/// What names a worker: the same at every dispatcher.
+pub type WorkerTag = u64;
+
 /// Why a machine cannot be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -21,7 +21,7 @@
 pub use event::{Call, Event, Metrics};
 pub use service_status::ServiceStatus;
 
-use crate::{ConfigError, mix};
+use crate::{ConfigError, Micros, Millis, mix};
 use backoff::{Backoff, Failure};
 use call_need::{CallNeed, CallReason};
 use mothproxy_invariant::invariant;
@@ -30,14 +30,14 @@
 use slots::Slots;
 
 /// Slots of a call that has a deadline end this long before it, in microseconds.
-const DEADLINE_MARGIN: u64 = 20_000;
+const DEADLINE_MARGIN: Micros = 20_000;
 
 /// When the next call is due, and by which rounds that was chosen.
 #[derive(Debug)]
 struct PlannedCall {
-    due_at: u64,
+    due_at: Micros,
     /// The length of the regular rounds at the time of the choice.
-    round: u64,
+    round: Micros,
     /// `due_at` is a turn of the slow rounds while the service is down.
     is_outage_turn: bool,
 }
@@ -48,15 +48,15 @@
     config: Config,
     rng: fastrand::Rng,
     slots: Slots,
-    now: u64,
+    now: Micros,
     has_open_call: bool,
     need: CallNeed,
     planned: PlannedCall,
     /// The latest time for the next call, where there is one.
-    deadline: Option<u64>,
+    deadline: Option<Micros>,
     backoff: Backoff,
     /// The least time that an own call took until its answer.
-    min_answer_time: Option<u64>,
+    min_answer_time: Option<Micros>,
     statuses: MemberStatuses,
     metrics: Metrics,
 }
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// The place is not one of the places, or the service time is 0.
-    pub fn new(config: Config, now: u64, generation: u64) -> Result<PollScheduler, ConfigError> {
+    pub fn new(config: Config, now: Micros, generation: u64) -> Result<PollScheduler, ConfigError> {
         config.validate()?;
         let mut rng = fastrand::Rng::with_seed(config.seed ^ mix(u64::from(config.place)));
         let phase = (f64::from(config.place) + 0.5 * rng.f64()) / f64::from(config.places);
@@ -91,12 +91,12 @@
 
     /// When [`PollScheduler::tick`] is to be called next, if nothing comes before; never earlier than now. `None` while a
     /// call or a watch is open.
-    pub fn next_wake(&self) -> Option<u64> {
+    pub fn next_wake(&self) -> Option<Micros> {
         self.needs_call().then(|| self.planned.due_at.min(self.need.next_recheck).max(self.now))
     }
 
     /// Lets time pass; returns a call where one is due. At most one is open at any time.
-    pub fn tick(&mut self, now: u64) -> Option<Call> {
+    pub fn tick(&mut self, now: Micros) -> Option<Call> {
         self.now = self.now.max(now);
         if !self.needs_call() {
             return None;
@@ -117,7 +117,7 @@
     }
 
     /// Takes one event.
-    pub fn handle(&mut self, now: u64, event: Event) {
+    pub fn handle(&mut self, now: Micros, event: Event) {
         self.now = self.now.max(now);
         if event.ends_call() && !std::mem::take(&mut self.has_open_call) {
             self.metrics.stray += 1;
@@ -174,7 +174,7 @@
         self.statuses.has_news(self.unix_ms())
     }
 
-    fn on_answered(&mut self, generation: u64, waited: u64) {
+    fn on_answered(&mut self, generation: u64, waited: Micros) {
         self.metrics.answered += 1;
         let answered_at_ms = self.unix_ms();
         let own = &mut self.statuses.own;
@@ -191,7 +191,7 @@
         self.planned.is_outage_turn = false;
     }
 
-    fn on_refused(&mut self, waited: u64, retry_after: Option<u64>) {
+    fn on_refused(&mut self, waited: Micros, retry_after: Option<Micros>) {
         self.metrics.refused += 1;
         let now_ms = self.unix_ms();
         let own = &mut self.statuses.own;
@@ -217,7 +217,7 @@
         self.schedule_first_call(CallReason::WatchEnded);
     }
 
-    fn on_service_moved(&mut self, deadline: Option<u64>) {
+    fn on_service_moved(&mut self, deadline: Option<Micros>) {
         self.has_open_call = false;
         self.deadline = deadline;
         self.min_answer_time = None;
@@ -246,7 +246,7 @@
         !self.has_open_call && !self.statuses.own.is_watching
     }
 
-    fn unix_ms(&self) -> u64 {
+    fn unix_ms(&self) -> Millis {
         self.config.unix_ms(self.now)
     }
 
@@ -275,7 +275,7 @@
     }
 
     /// A call came to nothing: the next one comes after a wait, and not before what `Retry-After` says.
-    fn schedule_retry(&mut self, failure: Failure, retry_after: u64) {
+    fn schedule_retry(&mut self, failure: Failure, retry_after: Micros) {
         if self.deadline.is_some_and(|deadline| deadline <= self.now + DEADLINE_MARGIN) {
             self.deadline = None;
         }
@@ -295,7 +295,7 @@
     }
 
     /// The service is back, as a member that was answered says: the call goes into the own slot of a regular round.
-    fn schedule_after_outage(&mut self, answered_at_ms: u64) {
+    fn schedule_after_outage(&mut self, answered_at_ms: Millis) {
         self.backoff.reset();
         let round = self.round_length().regular();
         let at = self.slots.next(self.now.max(self.backoff.not_before()), round);
@@ -306,7 +306,7 @@
     }
 
     /// Makes the next call due then, or earlier where it has a deadline.
-    fn set_due(&mut self, at: u64) {
+    fn set_due(&mut self, at: Micros) {
         self.planned.due_at = match self.deadline {
             _ if self.config.skip_scheduling => self.now + self.rng.u64(0..backoff::MIN_WAIT),
             Some(deadline) if at + DEADLINE_MARGIN > deadline => {
--- a/crates/coldstart/src/poll_scheduler/backoff.rs
+++ b/crates/coldstart/src/poll_scheduler/backoff.rs
@@ -3,15 +3,17 @@
 //! Each wait is drawn between a base and three times the wait before, up to a cap (M. Brooker, "Exponential Backoff And
 //! Jitter", 2015).
 
+use crate::Micros;
+
 /// The longest wait after a failure is two rounds, yet at least this, in microseconds.
-const MIN_CAP: u64 = 2_000_000;
+const MIN_CAP: Micros = 2_000_000;
 /// No wait after a failure is drawn below this, in microseconds.
-pub(super) const MIN_WAIT: u64 = 50_000;
+pub(super) const MIN_WAIT: Micros = 50_000;
 /// A refusal after the time of so many calls, and after [`MIN_BUSY_WAIT`], is of a busy service; a quicker one is of a
 /// service that is down.
 const BUSY_CALLS: u64 = 5;
 /// See [`BUSY_CALLS`], in microseconds.
-const MIN_BUSY_WAIT: u64 = 100_000;
+const MIN_BUSY_WAIT: Micros = 100_000;
 
 /// What ended a call without a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,13 +26,13 @@
 
 impl Failure {
     /// What a refusal after a wait says, both spans in microseconds.
-    pub fn from_refusal(waited: u64, service_time: u64) -> Failure {
+    pub fn from_refusal(waited: Micros, service_time: Micros) -> Failure {
         if waited >= MIN_BUSY_WAIT.max(BUSY_CALLS * service_time) { Failure::Busy } else { Failure::Down }
     }
 }
 
 /// Whether an answer after this wait is of a service without a long queue, both spans in microseconds.
-pub(super) fn is_quick_answer(waited: u64, service_time: u64) -> bool {
+pub(super) fn is_quick_answer(waited: Micros, service_time: Micros) -> bool {
     waited < BUSY_CALLS * service_time
 }
 
@@ -38,16 +40,16 @@
 #[derive(Debug)]
 pub(super) struct Backoff {
     /// See [`super::Config::poll_within`].
-    poll_within: Option<u64>,
+    poll_within: Option<Micros>,
     /// The last wait, 0 where no call has failed since the last answer.
-    last_wait: u64,
+    last_wait: Micros,
     /// No call before this time: what the last `Retry-After` asked for.
-    not_before: u64,
+    not_before: Micros,
 }
 
 impl Backoff {
     /// No call has failed yet.
-    pub fn new(poll_within: Option<u64>) -> Backoff {
+    pub fn new(poll_within: Option<Micros>) -> Backoff {
         Backoff { poll_within, last_wait: 0, not_before: 0 }
     }
 
@@ -57,12 +59,12 @@
     }
 
     /// The last wait, 0 where no call has failed since the last answer.
-    pub fn last_wait(&self) -> u64 {
+    pub fn last_wait(&self) -> Micros {
         self.last_wait
     }
 
     /// No call before this time.
-    pub fn not_before(&self) -> u64 {
+    pub fn not_before(&self) -> Micros {
         self.not_before
     }
 
@@ -78,7 +80,7 @@
 
     /// Draws the wait after a call that failed now, for rounds of this length. `retry_after` is 0 where the answer asked for
     /// nothing.
-    pub fn draw(&mut self, rng: &mut fastrand::Rng, now: u64, round: u64, retry_after: u64) {
+    pub fn draw(&mut self, rng: &mut fastrand::Rng, now: Micros, round: Micros, retry_after: Micros) {
         let base = (round / 4).max(MIN_WAIT);
         // Changes count as received four times `poll_within` after a call that failed: half of that is left for the next.
         let held = self.poll_within.map_or(u64::MAX, |within| 2 * within);
@@ -88,7 +90,7 @@
     }
 
     /// The earliest time of the next call, by the wait and by what `Retry-After` asked for.
-    pub fn earliest(&self, now: u64) -> u64 {
+    pub fn earliest(&self, now: Micros) -> Micros {
         self.not_before.max(now + self.last_wait)
     }
 }
--- a/crates/coldstart/src/poll_scheduler/call_need.rs
+++ b/crates/coldstart/src/poll_scheduler/call_need.rs
@@ -1,6 +1,7 @@
 //! Why a call is needed, and what has become known of the others since then.
 
 use super::slots::MAX_FIRST_CALLS_SPAN;
+use crate::Micros;
 
 /// Why a call became due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,10 +17,10 @@
 pub(super) struct CallNeed {
     pub reason: CallReason,
     /// When the reason arose, in the caller's microseconds.
-    pub since: u64,
+    pub since: Micros,
     /// When the time of the call is to be reconsidered: by then statuses of others could be received. Never where there is
     /// no membership.
-    pub next_recheck: u64,
+    pub next_recheck: Micros,
     /// How often it has been reconsidered.
     pub rechecks: u32,
     /// Processes that ended since the reason arose.
@@ -30,13 +31,13 @@
 
 impl CallNeed {
     /// A need that arises now.
-    pub fn new(reason: CallReason, now: u64, has_membership: bool) -> CallNeed {
+    pub fn new(reason: CallReason, now: Micros, has_membership: bool) -> CallNeed {
         let next_recheck = if has_membership { now + MAX_FIRST_CALLS_SPAN } else { u64::MAX };
         CallNeed { reason, since: now, next_recheck, rechecks: 0, members_gone: 0, has_yielded: false }
     }
 
     /// The time of the call is reconsidered now.
-    pub fn record_recheck(&mut self, now: u64) {
+    pub fn record_recheck(&mut self, now: Micros) {
         self.rechecks += 1;
         self.next_recheck = now + 2 * MAX_FIRST_CALLS_SPAN;
     }
--- a/crates/coldstart/src/poll_scheduler/config.rs
+++ b/crates/coldstart/src/poll_scheduler/config.rs
@@ -1,9 +1,9 @@
 //! Settings of a scheduler.
 
-use crate::{ConfigError, check_place};
+use crate::{ConfigError, Micros, Millis, check_place};
 
 /// What a call costs the service where nobody knows, in microseconds.
-pub const SERVICE_TIME: u64 = 20_000;
+pub const SERVICE_TIME: Micros = 20_000;
 
 /// What a scheduler has to know.
 #[derive(Clone, Debug)]
@@ -13,12 +13,12 @@
     /// How many places there are, whether or not anybody is there.
     pub places: u16,
     /// What a call costs the service, in microseconds; [`SERVICE_TIME`] where nobody knows.
-    pub service_time: u64,
+    pub service_time: Micros,
     /// Without a watch a dispatcher is held to its list for this long from its last call, and four times as long from one
     /// that failed, in microseconds.
-    pub poll_within: Option<u64>,
+    pub poll_within: Option<Micros>,
     /// The Unix time of the caller's zero, in microseconds.
-    pub unix_at_zero: u64,
+    pub unix_at_zero: Micros,
     /// Seed of all random choices.
     pub seed: u64,
     /// Whether the statuses of others can be received at all.
@@ -35,7 +35,7 @@
     }
 
     /// The Unix time of a moment of the caller's time, in milliseconds.
-    pub(super) fn unix_ms(&self, at: u64) -> u64 {
+    pub(super) fn unix_ms(&self, at: Micros) -> Millis {
         (self.unix_at_zero + at) / 1_000
     }
 }
--- a/crates/coldstart/src/poll_scheduler/event.rs
+++ b/crates/coldstart/src/poll_scheduler/event.rs
@@ -1,6 +1,7 @@
 //! What goes into a scheduler, and what comes out.
 
 use super::ServiceStatus;
+use crate::Micros;
 
 /// One call that has to be made now. Its end comes back as an [`Event`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +18,7 @@
         /// The list's generation.
         generation: u64,
         /// From the call's first byte to the list, in microseconds.
-        waited: u64,
+        waited: Micros,
     },
     /// The watch brought a newer list.
     ListChanged {
@@ -27,9 +28,9 @@
     /// The call was refused (503).
     Refused {
         /// From the call's first byte to the refusal, in microseconds.
-        waited: u64,
+        waited: Micros,
         /// What the answer's `Retry-After` says, in microseconds.
-        retry_after: Option<u64>,
+        retry_after: Option<Micros>,
     },
     /// The call failed: no connection, a reset, an end.
     Failed,
@@ -40,12 +41,12 @@
     /// The watch has fallen silent and counts as broken.
     WatchSilent {
         /// The latest time for the next call, in the caller's microseconds.
-        deadline: u64,
+        deadline: Micros,
     },
     /// The service is another one from now on; what was learned of the old one is void.
     ServiceMoved {
         /// The latest time for the next call, in the caller's microseconds, if there is one.
-        deadline: Option<u64>,
+        deadline: Option<Micros>,
     },
     /// Which places may be there.
     Presence(Vec<bool>),
--- a/crates/coldstart/src/poll_scheduler/round_length.rs
+++ b/crates/coldstart/src/poll_scheduler/round_length.rs
@@ -3,11 +3,12 @@
 use super::call_need::CallNeed;
 use super::config::Config;
 use super::service_status::MemberStatuses;
+use crate::{Micros, Millis};
 
 /// While the service is down, each member calls it once in this time, in microseconds ...
-const OUTAGE_TURN: u64 = 26_000_000;
+const OUTAGE_TURN: Micros = 26_000_000;
 /// ... and the whole group once in this time at least, in microseconds.
-const OUTAGE_GROUP_TURN: u64 = 1_000_000;
+const OUTAGE_GROUP_TURN: Micros = 1_000_000;
 
 /// What the length of a round follows from, at one moment.
 #[derive(Clone, Copy, Debug)]
@@ -16,15 +17,15 @@
     pub need: &'a CallNeed,
     pub statuses: &'a MemberStatuses,
     /// The least time that an own call took until its answer, in microseconds.
-    pub min_answer_time: Option<u64>,
+    pub min_answer_time: Option<Micros>,
     /// The present, in Unix milliseconds.
-    pub now_ms: u64,
+    pub now_ms: Millis,
 }
 
 impl RoundLength<'_> {
     /// The length of one round in microseconds: a slot for each place that may lack a list. Those that had theirs before the
     /// reason for the call arose do not call; those that got it since had a slot in this round.
-    pub fn regular(self) -> u64 {
+    pub fn regular(self) -> Micros {
         // Refusals say that a call costs more than was thought; where members say what it costs they add nothing.
         let is_measured = self.statuses.answer_time(self.config.service_time, self.now_ms).is_some();
         let level = if is_measured { 0 } else { self.statuses.backoff_level(self.now_ms) };
@@ -33,7 +34,7 @@
 
     /// The length of a round while the service is down, in microseconds: slow, so that turns cost it little, and yet the group
     /// calls often enough to see the end of the outage soon.
-    pub fn outage(self) -> u64 {
+    pub fn outage(self) -> Micros {
         OUTAGE_TURN.min(OUTAGE_GROUP_TURN * (self.assumed_others() + 1)).max(self.regular())
     }
 
@@ -61,7 +62,7 @@
 
     /// What a call costs the service, in microseconds: as the members say, or as configured, less where an own answer came
     /// sooner.
-    fn service_time(self) -> u64 {
+    fn service_time(self) -> Micros {
         let configured = self.config.service_time;
         let own = self.min_answer_time.map_or(configured, |time| time.clamp(configured / 8 + 1, configured));
         self.statuses.answer_time(configured, self.now_ms).unwrap_or(own)
--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -1,13 +1,14 @@
 //! What the members say of the list service, and what follows from all of it together.
 
+use crate::{Micros, Millis};
 use serde::{Deserialize, Serialize};
 
 /// Statuses older than this say nothing of whether the service is down now, in milliseconds.
-const OUTAGE_EVIDENCE_TTL_MS: u64 = 60_000;
+const OUTAGE_EVIDENCE_TTL_MS: Millis = 60_000;
 /// A refusal by a busy service lengthens rounds for this long, in milliseconds.
-const BUSY_EVIDENCE_TTL_MS: u64 = 10_000;
+const BUSY_EVIDENCE_TTL_MS: Millis = 10_000;
 /// How long a call took says what calls take for this long, in milliseconds.
-const ANSWER_TIME_TTL_MS: u64 = 15_000;
+const ANSWER_TIME_TTL_MS: Millis = 15_000;
 /// So many members have to say how long their calls took: a slow service can then be distinguished from a long queue.
 const MIN_ANSWER_TIMES: usize = 8;
 /// A service that is kept just busy has a queue of so many, the call itself included.
@@ -19,7 +20,7 @@
 /// A member that sees the service down need not say so once so many others have.
 const ENOUGH_OUTAGE_REPORTS: usize = 3;
 /// An answer is news if it is this much later than the last that others have said, in milliseconds.
-const ANSWER_NEWS_MS: u64 = 1_000;
+const ANSWER_NEWS_MS: Millis = 1_000;
 
 /// What one member says of the list service, the payload of slot 0 of this crate's facts. It is encoded by position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,11 +30,11 @@
     /// It has a watch.
     pub is_watching: bool,
     /// When a call of it was last answered, in Unix milliseconds; 0 for never.
-    pub answered_at_ms: u64,
+    pub answered_at_ms: Millis,
     /// When a call of it last found the service down, in Unix milliseconds; 0 for never.
-    pub failed_at_ms: u64,
+    pub failed_at_ms: Millis,
     /// When a call of it was last refused by a busy service, in Unix milliseconds; 0 for never.
-    pub refused_at_ms: u64,
+    pub refused_at_ms: Millis,
     /// How long its last answered call took, in milliseconds.
     pub waited_ms: u32,
     /// How often it has doubled its rounds.
@@ -105,7 +106,7 @@
     }
 
     /// How many others hold a list from a watch that they had before a time and that the service has not broken since.
-    pub fn others_with_watch_since_before(&self, time_ms: u64) -> u64 {
+    pub fn others_with_watch_since_before(&self, time_ms: Millis) -> u64 {
         // Nobody's watch outlives a time at which the service was down, whatever was last said of it.
         let last_failure = self.all().map(|status| status.failed_at_ms).max().unwrap_or(0);
         let holds = |status: &&ServiceStatus| {
@@ -116,7 +117,7 @@
 
     /// Whether the service counts as down: two members found it so since anybody was last answered, or one did and nobody
     /// is known to have a watch.
-    pub fn is_service_down(&self, now_ms: u64) -> bool {
+    pub fn is_service_down(&self, now_ms: Millis) -> bool {
         // In one pass, since every member does this at every wake over the statuses of all.
         let (mut last_answer, mut last_failure, mut is_watched) = (0, 0, false);
         for status in self.all() {
@@ -131,7 +132,7 @@
 
     /// Whether the own status changes what others do: too few of them have said the same of the present state of the
     /// service, or none holds this generation.
-    pub fn has_news(&self, now_ms: u64) -> bool {
+    pub fn has_news(&self, now_ms: Millis) -> bool {
         if Self::level_of(std::iter::once(&self.own), now_ms) > Self::level_of(self.peers(), now_ms) {
             return true;
         }
@@ -146,14 +147,14 @@
     }
 
     /// How often rounds are doubled, by what all members say.
-    pub fn backoff_level(&self, now_ms: u64) -> u8 {
+    pub fn backoff_level(&self, now_ms: Millis) -> u8 {
         Self::level_of(self.all(), now_ms)
     }
 
     /// What a call costs the service in microseconds, where enough members say how long theirs took: the least of that.
     /// Up to a short queue above `configured` counts as `configured`: rounds of one length have slots that do not
     /// overlap.
-    pub fn answer_time(&self, configured: u64, now_ms: u64) -> Option<u64> {
+    pub fn answer_time(&self, configured: Micros, now_ms: Millis) -> Option<Micros> {
         let oldest = now_ms.saturating_sub(ANSWER_TIME_TTL_MS);
         let (mut count, mut least) = (0, u32::MAX);
         for status in self.all().filter(|status| status.answered_at_ms > oldest && status.waited_ms > 0) {
@@ -169,7 +170,7 @@
         Some(if is_near { configured } else { measured })
     }
 
-    fn level_of<'a>(statuses: impl Iterator<Item = &'a ServiceStatus>, now_ms: u64) -> u8 {
+    fn level_of<'a>(statuses: impl Iterator<Item = &'a ServiceStatus>, now_ms: Millis) -> u8 {
         let oldest = now_ms.saturating_sub(BUSY_EVIDENCE_TTL_MS);
         let busy = statuses.filter(|status| status.refused_at_ms > oldest);
         busy.map(|status| status.backoff_level.min(MAX_BACKOFF_LEVEL)).max().unwrap_or(0)
--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -13,8 +13,8 @@
 
 pub use wire::AbsorbError;
 
-use crate::mix;
 use crate::poll_scheduler::ServiceStatus;
+use crate::{Micros, Millis, WorkerTag, mix};
 use mothproxy_invariant::invariant;
 use observed_times::ObservedTimes;
 use serde::{Deserialize, Serialize};
@@ -30,22 +30,22 @@
 /// The most workers kept; beyond that the one whose newest observation is the oldest goes.
 pub const MAX_WORKERS: usize = 16_384;
 /// Clocks are taken to differ by this at most, in milliseconds: what is from later than that is refused.
-pub const MAX_CLOCK_SKEW_MS: u64 = 5_000;
+pub const MAX_CLOCK_SKEW_MS: Millis = 5_000;
 /// The slot of what a member says of the list service.
 const SERVICE_SLOT: u32 = 0;
 /// Between two facts of worker buckets, and before an urgent one of the service, in microseconds.
-const PUBLISH_INTERVAL: u64 = 50_000;
+const PUBLISH_INTERVAL: Micros = 50_000;
 /// Between two facts of the service that others need not act upon, in microseconds.
-const IDLE_STATUS_INTERVAL: u64 = 5_000_000;
+const IDLE_STATUS_INTERVAL: Micros = 5_000_000;
 /// An observation weighs half after this long, in milliseconds, and nothing after [`OBSERVATION_TTL_MS`].
 const HALF_LIFE_MS: f64 = 5_000.0;
 /// An observation counts for this long, in milliseconds.
-const OBSERVATION_TTL_MS: u64 = 30_000;
+const OBSERVATION_TTL_MS: Millis = 30_000;
 /// A fault is published again once it is so old, in milliseconds: members that leave a worker alone for it soon try again.
-const FAULT_REPUBLISH_MS: u64 = 2_500;
+const FAULT_REPUBLISH_MS: Millis = 2_500;
 /// Proofs of life, and reports, are published again once the last that is known is so old, in milliseconds; by the last of
 /// the places once it is twice so old: one that publishes is received before most would.
-const PROOF_REPUBLISH_MS: u64 = 12_000;
+const PROOF_REPUBLISH_MS: Millis = 12_000;
 
 /// Who published a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -93,13 +93,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerStatus {
     /// Its worst fault since the last proof of life, with its age.
-    pub fault: Option<(Fault, u64)>,
+    pub fault: Option<(Fault, Micros)>,
     /// The age of the last proof of life.
-    pub alive: Option<u64>,
+    pub alive: Option<Micros>,
     /// The age of the last sign that it is warming up.
-    pub warming_up: Option<u64>,
+    pub warming_up: Option<Micros>,
     /// Its last report, with its age.
-    pub report: Option<(Report, u64)>,
+    pub report: Option<(Report, Micros)>,
     /// How much the newest of these counts now: 1 when it was observed, half of that every 5 s.
     pub weight: f64,
 }
@@ -121,7 +121,7 @@
 }
 
 impl WorkerKey {
-    fn from_tag(tag: u64) -> WorkerKey {
+    fn from_tag(tag: WorkerTag) -> WorkerKey {
         let mixed = mix(tag);
         let bucket = 1 + (mixed % u64::from(BUCKETS)) as u32;
         WorkerKey { bucket, fingerprint: (mixed >> 32) as u32 }
@@ -142,7 +142,7 @@
     /// It changes what the others do.
     is_urgent: bool,
     published: Option<ServiceStatus>,
-    published_at: u64,
+    published_at: Micros,
 }
 
 impl OwnServiceStatus {
@@ -152,11 +152,11 @@
     }
 
     /// When it may be published next.
-    fn due_at(&self) -> u64 {
+    fn due_at(&self) -> Micros {
         self.published_at + if self.is_urgent { PUBLISH_INTERVAL } else { IDLE_STATUS_INTERVAL }
     }
 
-    fn record_published(&mut self, now: u64, status: ServiceStatus) {
+    fn record_published(&mut self, now: Micros, status: ServiceStatus) {
         self.published = Some(status);
         self.published_at = now;
         self.is_urgent = false;
@@ -166,17 +166,17 @@
 /// What is known of the workers and of the list service.
 #[derive(Debug)]
 pub struct SharedObservations {
-    unix_at_zero: u64,
-    proof_republish_ms: u64,
+    unix_at_zero: Micros,
+    proof_republish_ms: Millis,
     /// The join of everything observed here and taken in.
     all: BTreeMap<WorkerKey, ObservedTimes>,
     /// What was observed here: this is what is published.
     own: BTreeMap<WorkerKey, ObservedTimes>,
     /// The workers of `all` by the time of their newest observation.
-    by_age: BTreeSet<(u64, WorkerKey)>,
+    by_age: BTreeSet<(Millis, WorkerKey)>,
     /// Buckets to publish.
     unpublished: BTreeSet<u32>,
-    next_bucket_at: u64,
+    next_bucket_at: Micros,
     service: OwnServiceStatus,
     /// The last fact of the service of each place.
     service_stamps: HashMap<u16, Stamp>,
@@ -186,7 +186,7 @@
 
 impl SharedObservations {
     /// Nothing observed yet; `unix_at_zero` is the Unix time of the caller's zero, in microseconds.
-    pub fn new(place: u16, unix_at_zero: u64, now: u64) -> SharedObservations {
+    pub fn new(place: u16, unix_at_zero: Micros, now: Micros) -> SharedObservations {
         SharedObservations {
             unix_at_zero,
             proof_republish_ms: PROOF_REPUBLISH_MS + mix(u64::from(place)) % PROOF_REPUBLISH_MS,
@@ -207,12 +207,12 @@
         }
     }
 
-    fn unix_ms(&self, now: u64) -> u64 {
+    fn unix_ms(&self, now: Micros) -> Millis {
         (self.unix_at_zero + now) / 1_000
     }
 
     /// Takes what this dispatcher observed of a worker, by the tag that is the same at every dispatcher.
-    pub fn record(&mut self, now: u64, tag: u64, observation: Observation) {
+    pub fn record(&mut self, now: Micros, tag: WorkerTag, observation: Observation) {
         let (key, now_ms) = (WorkerKey::from_tag(tag), self.unix_ms(now));
         let before = self.all.get(&key).copied().unwrap_or_default();
         let is_news = self.is_worth_publishing(&before, observation, now_ms);
@@ -225,7 +225,7 @@
     }
 
     /// Whether an observation changes what the others believe; a proof of life that nobody doubted does only now and then.
-    fn is_worth_publishing(&self, before: &ObservedTimes, observation: Observation, now_ms: u64) -> bool {
+    fn is_worth_publishing(&self, before: &ObservedTimes, observation: Observation, now_ms: Millis) -> bool {
         let worst = before.worst_fault();
         match observation {
             Observation::Fault(fault) => {
@@ -260,9 +260,9 @@
     }
 
     /// What is known of a worker, if anything that still counts.
-    pub fn worker_status(&self, tag: u64, now: u64) -> Option<WorkerStatus> {
+    pub fn worker_status(&self, tag: WorkerTag, now: Micros) -> Option<WorkerStatus> {
         let (times, now_ms) = (self.all.get(&WorkerKey::from_tag(tag))?, self.unix_ms(now));
-        let age_of = |at_ms: u64| {
+        let age_of = |at_ms: Millis| {
             let age_ms = now_ms.saturating_sub(at_ms);
             (at_ms > 0 && age_ms <= OBSERVATION_TTL_MS).then_some(age_ms * 1_000)
         };
@@ -282,7 +282,7 @@
     }
 
     /// The slot and bytes of the next fact to publish; called until `None`.
-    pub fn publish(&mut self, now: u64) -> Option<(u32, Vec<u8>)> {
+    pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         if let Some(status) = self.service.unpublished().filter(|_| now >= self.service.due_at()) {
             self.service.record_published(now, status);
             return wire::encode(&status).map(|bytes| (SERVICE_SLOT, bytes));
@@ -301,14 +301,14 @@
     }
 
     /// When [`SharedObservations::publish`] may have something next.
-    pub fn next_wake(&self) -> Option<u64> {
+    pub fn next_wake(&self) -> Option<Micros> {
         let service = self.service.unpublished().map(|_| self.service.due_at());
         let bucket = (!self.unpublished.is_empty()).then_some(self.next_bucket_at);
         service.into_iter().chain(bucket).min()
     }
 
     /// A bucket as a fact: the newest workers first, as many as there is room for.
-    fn encode_bucket(&self, bucket: u32, now_ms: u64) -> Option<Vec<u8>> {
+    fn encode_bucket(&self, bucket: u32, now_ms: Millis) -> Option<Vec<u8>> {
         let keys = WorkerKey { bucket, fingerprint: 0 }..=WorkerKey { bucket, fingerprint: u32::MAX };
         let mut workers: Vec<(u32, &ObservedTimes)> =
             self.own.range(keys).map(|(key, times)| (key.fingerprint, times)).collect();
@@ -324,7 +324,7 @@
     /// The fact cannot be read, or its clock is too far ahead; nothing is taken in then.
     pub fn absorb(
         &mut self,
-        now: u64,
+        now: Micros,
         origin: Origin,
         slot: u32,
         number: u64,
--- a/crates/coldstart/src/shared_observations/observed_times.rs
+++ b/crates/coldstart/src/shared_observations/observed_times.rs
@@ -1,22 +1,23 @@
 //! The latest time of each thing observed of one worker.
 
 use super::{Fault, Observation, Report};
+use crate::Millis;
 
 /// Times are Unix milliseconds, 0 for never. Two of these are joined by taking the maximum of each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ObservedTimes {
-    pub alive: u64,
+    pub alive: Millis,
     /// By [`Fault`].
-    pub faults: [u64; 3],
-    pub warming_up: u64,
-    pub reported: u64,
+    pub faults: [Millis; 3],
+    pub warming_up: Millis,
+    pub reported: Millis,
     /// The report of that time.
     pub report: Report,
 }
 
 impl ObservedTimes {
     /// One observation.
-    pub fn from_observation(observation: Observation, at: u64) -> ObservedTimes {
+    pub fn from_observation(observation: Observation, at: Millis) -> ObservedTimes {
         let mut times = ObservedTimes::default();
         match observation {
             Observation::Fault(fault) => {
@@ -45,12 +46,12 @@
     }
 
     /// The time of the newest observation.
-    pub fn newest(&self) -> u64 {
+    pub fn newest(&self) -> Millis {
         self.faults.into_iter().chain([self.alive, self.warming_up, self.reported]).max().unwrap_or(0)
     }
 
     /// The worst fault that no later proof of life refutes, with its time.
-    pub fn worst_fault(&self) -> Option<(Fault, u64)> {
+    pub fn worst_fault(&self) -> Option<(Fault, Millis)> {
         let worst_first = [Fault::Refuses, Fault::Hangs, Fault::Resets];
         let mut faults = worst_first.into_iter().map(|fault| (fault, self.faults[fault as usize]));
         faults.find(|(_, at)| *at > self.alive)
--- a/crates/coldstart/src/shared_observations/wire.rs
+++ b/crates/coldstart/src/shared_observations/wire.rs
@@ -2,6 +2,7 @@
 
 use super::observed_times::ObservedTimes;
 use super::{MAX_CLOCK_SKEW_MS, MAX_FACT_BYTES, Report};
+use crate::Millis;
 use crate::poll_scheduler::ServiceStatus;
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +26,7 @@
     Slot(u32),
     /// It is from the future by more than clocks may differ.
     #[error("a finding is from {0} ms in the future")]
-    Future(u64),
+    Future(Millis),
 }
 
 /// A worker within a bucket.
@@ -42,13 +43,13 @@
 #[derive(Serialize, Deserialize)]
 struct Bucket {
     /// Unix milliseconds.
-    at: u64,
+    at: Millis,
     rows: Vec<WorkerRow>,
 }
 
 impl WorkerRow {
-    fn new(fingerprint: u32, times: &ObservedTimes, bucket_at: u64) -> WorkerRow {
-        let age = |at: u64| match at {
+    fn new(fingerprint: u32, times: &ObservedTimes, bucket_at: Millis) -> WorkerRow {
+        let age = |at: Millis| match at {
             0 => 0,
             at => u32::try_from(bucket_at.saturating_sub(at) + 1).unwrap_or(0),
         };
@@ -57,7 +58,7 @@
         WorkerRow { fingerprint, ages, report: times.report }
     }
 
-    fn to_times(&self, bucket_at: u64) -> ObservedTimes {
+    fn to_times(&self, bucket_at: Millis) -> ObservedTimes {
         let time = |age: u32| match age {
             0 => 0,
             age => (bucket_at + 1).saturating_sub(u64::from(age)),
@@ -74,7 +75,7 @@
 }
 
 /// The bytes of a bucket with as many of these workers, from the first on, as a fact has room for; `None` if there is none.
-pub(super) fn encode_bucket(now_ms: u64, workers: &[(u32, &ObservedTimes)]) -> Option<Vec<u8>> {
+pub(super) fn encode_bucket(now_ms: Millis, workers: &[(u32, &ObservedTimes)]) -> Option<Vec<u8>> {
     let mut bucket = Bucket { at: now_ms, rows: Vec::new() };
     let mut longest = None;
     for (fingerprint, times) in workers {
@@ -100,19 +101,19 @@
 }
 
 /// Reads what a member says of the service.
-pub(super) fn decode_service(body: &[u8], now_ms: u64) -> Result<ServiceStatus, AbsorbError> {
+pub(super) fn decode_service(body: &[u8], now_ms: Millis) -> Result<ServiceStatus, AbsorbError> {
     let status: ServiceStatus = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
     check_time(status.answered_at_ms.max(status.failed_at_ms).max(status.refused_at_ms), now_ms)?;
     Ok(status)
 }
 
 /// Reads a bucket: the workers' fingerprints and what was observed of them.
-pub(super) fn decode_bucket(body: &[u8], now_ms: u64) -> Result<Vec<(u32, ObservedTimes)>, AbsorbError> {
+pub(super) fn decode_bucket(body: &[u8], now_ms: Millis) -> Result<Vec<(u32, ObservedTimes)>, AbsorbError> {
     let bucket: Bucket = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
     check_time(bucket.at, now_ms)?;
     Ok(bucket.rows.iter().map(|row| (row.fingerprint, row.to_times(bucket.at))).collect())
 }
 
-fn check_time(at_ms: u64, now_ms: u64) -> Result<(), AbsorbError> {
+fn check_time(at_ms: Millis, now_ms: Millis) -> Result<(), AbsorbError> {
     if at_ms > now_ms + MAX_CLOCK_SKEW_MS { Err(AbsorbError::Future(at_ms - now_ms)) } else { Ok(()) }
 }
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -16,7 +16,7 @@
 
 pub use config::Config;
 
-use crate::ConfigError;
+use crate::{ConfigError, Micros, WorkerTag};
 use mothproxy_invariant::invariant;
 use std::collections::HashMap;
 use turn::{Phase, Turn};
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Worker {
     /// The same at every dispatcher.
-    pub tag: u64,
+    pub tag: WorkerTag,
     /// Its last start, in microseconds of Unix time; `None` where it is warm.
-    pub started_at: Option<u64>,
+    pub started_at: Option<Micros>,
     /// Requests of mean work that it does in a second when it is warm, by the settings.
     pub requests_per_second: f64,
 }
@@ -60,7 +60,7 @@
     /// Yes, and it is spent.
     Granted,
     /// Not before this time, in the caller's microseconds.
-    WaitUntil(u64),
+    WaitUntil(Micros),
     /// It is larger than any turn of this worker in its present phase.
     TooLarge,
 }
@@ -71,7 +71,7 @@
     /// How many.
     pub connections: u32,
     /// Until when, in the caller's microseconds; after that the place calls again, and closes what it may no longer hold.
-    pub valid_until: u64,
+    pub valid_until: Micros,
 }
 
 /// What a budget is for: a worker that warms up has one for all requests.
@@ -86,14 +86,14 @@
 /// One budget of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct BudgetKey {
-    tag: u64,
+    tag: WorkerTag,
     kind: BudgetKind,
 }
 
 /// What was spent of a turn, in thousandths of units.
 #[derive(Clone, Copy, Debug)]
 struct SpentTurn {
-    start: u64,
+    start: Micros,
     spent: u64,
 }
 
@@ -113,7 +113,7 @@
 pub struct WarmUpBudget {
     config: Config,
     /// Unix time at its making.
-    created_at: u64,
+    created_at: Micros,
     /// The latest turn of each budget.
     spent: HashMap<BudgetKey, SpentTurn>,
 }
@@ -129,13 +129,13 @@
     /// # Errors
     ///
     /// The place is not one of the places, or a number is out of its range.
-    pub fn new(config: Config, now: u64) -> Result<WarmUpBudget, ConfigError> {
+    pub fn new(config: Config, now: Micros) -> Result<WarmUpBudget, ConfigError> {
         config.validate()?;
         Ok(WarmUpBudget { created_at: config.unix_at_zero + now, config, spent: HashMap::new() })
     }
 
     /// A worker's budget in requests of mean work for a window that begins at this age, by the settings.
-    pub fn warming_budget(&self, worker: &Worker, age: u64) -> u64 {
+    pub fn warming_budget(&self, worker: &Worker, age: Micros) -> u64 {
         let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
         let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
         budget(self.config.overload_multiple * fraction * self.warm_capacity(worker))
@@ -152,7 +152,7 @@
     }
 
     /// Decides on one request to a worker, and spends it where it is granted.
-    pub fn try_spend(&mut self, now: u64, worker: &Worker, request: Request) -> Decision {
+    pub fn try_spend(&mut self, now: Micros, worker: &Worker, request: Request) -> Decision {
         let Some(claim) = self.claim(now, worker, request) else { return Decision::Granted };
         if claim.cost > claim.turn.units * MILLI_UNITS {
             return Decision::TooLarge;
@@ -165,12 +165,12 @@
     }
 
     /// Whether a request would be granted now, without spending it.
-    pub fn would_grant(&self, now: u64, worker: &Worker, request: Request) -> bool {
+    pub fn would_grant(&self, now: Micros, worker: &Worker, request: Request) -> bool {
         self.claim(now, worker, request).is_none_or(|claim| claim.is_open)
     }
 
     /// Spends a claim; false where there is no memory left for it.
-    fn spend(&mut self, now: u64, claim: &Claim) -> bool {
+    fn spend(&mut self, now: Micros, claim: &Claim) -> bool {
         if self.spent.len() >= MAX_SPENT_TURNS {
             let oldest = (self.config.unix_at_zero + now).saturating_sub(2 * self.config.skewed_window());
             self.spent.retain(|_, turn| turn.start >= oldest);
@@ -184,7 +184,7 @@
     }
 
     /// What stands for and against a request; `None` where it is not budgeted.
-    fn claim(&self, now: u64, worker: &Worker, request: Request) -> Option<Claim> {
+    fn claim(&self, now: Micros, worker: &Worker, request: Request) -> Option<Claim> {
         let unix = self.config.unix_at_zero + now;
         let age = worker.started_at.map(|at| unix.saturating_sub(at));
         let warm_up_age = age.filter(|age| *age < self.config.warm_up_time);
@@ -211,7 +211,7 @@
     }
 
     /// The phase of a budget at a Unix time: a warm worker has one that never ends.
-    fn phase(&self, worker: &Worker, kind: BudgetKind, warm_up_age: Option<u64>, unix: u64) -> Phase {
+    fn phase(&self, worker: &Worker, kind: BudgetKind, warm_up_age: Option<Micros>, unix: Micros) -> Phase {
         if let (BudgetKind::WarmingUp, Some(age)) = (kind, warm_up_age) {
             let window = self.config.skewed_window();
             let length = (self.config.warm_up_time / PHASES).max(window);
@@ -231,14 +231,14 @@
         Phase { start: 0, elapsed: unix, budget: self.warm_budget(worker, work) }
     }
 
-    fn owns(&self, turn: &Turn, tag: u64) -> bool {
+    fn owns(&self, turn: &Turn, tag: WorkerTag) -> bool {
         turn.is_owned_by(self.config.place, self.config.places, tag)
     }
 
     /// Connections that this place may hold to a worker now. The places' numbers never add up to more than the worker
     /// holds, also while some places are already in the next lease and some not yet. `None` where nobody knows how many it
     /// holds.
-    pub fn connection_quota(&self, now: u64, tag: u64) -> Option<ConnectionQuota> {
+    pub fn connection_quota(&self, now: Micros, tag: WorkerTag) -> Option<ConnectionQuota> {
         let all = u64::from(self.config.connections);
         let each = all / u64::from(self.config.places);
         if all == 0 {
@@ -246,7 +246,7 @@
         }
         if each > 0 {
             let connections = u32::try_from(each).unwrap_or(u32::MAX);
-            return Some(ConnectionQuota { connections, valid_until: u64::MAX });
+            return Some(ConnectionQuota { connections, valid_until: Micros::MAX });
         }
         let (unix, length) = (self.config.unix_at_zero + now, self.config.connection_lease);
         let index = unix / length;
--- a/crates/coldstart/src/warm_up_budget/config.rs
+++ b/crates/coldstart/src/warm_up_budget/config.rs
@@ -1,6 +1,6 @@
 //! Settings of the budgets.
 
-use crate::{ConfigError, check_place};
+use crate::{ConfigError, Micros, check_place};
 
 /// What the settings say.
 #[derive(Clone, Debug)]
@@ -10,17 +10,17 @@
     /// How many places there are, whether or not anybody is there.
     pub places: u16,
     /// The Unix time of the caller's zero, in microseconds.
-    pub unix_at_zero: u64,
+    pub unix_at_zero: Micros,
     /// Clocks differ from true time by this at most, in microseconds.
-    pub max_clock_skew: u64,
+    pub max_clock_skew: Micros,
     /// The overload window, in microseconds.
-    pub overload_window: u64,
+    pub overload_window: Micros,
     /// A worker that is sent more than this multiple of its present capacity over the window collapses.
     pub overload_multiple: f64,
     /// A worker starts at this fraction of its capacity ...
     pub initial_capacity: f64,
     /// ... and is warm after this, in microseconds.
-    pub warm_up_time: u64,
+    pub warm_up_time: Micros,
     /// The work of a handshake, in requests of mean work.
     pub handshake_work: f64,
     /// The work of a probe, in requests of mean work.
@@ -29,7 +29,7 @@
     pub connections: u32,
     /// Where a worker holds fewer connections than there are places, connections change hands among the places this seldom,
     /// in microseconds.
-    pub connection_lease: u64,
+    pub connection_lease: Micros,
     /// A deliberate fault for tests of the tests: every turn counts as this place's.
     #[doc(hidden)]
     pub skip_turns: bool,
@@ -60,7 +60,7 @@
     }
 
     /// How long a window is to a member whose clock is as wrong as may be, in microseconds.
-    pub(super) fn skewed_window(&self) -> u64 {
+    pub(super) fn skewed_window(&self) -> Micros {
         self.overload_window + 2 * self.max_clock_skew
     }
 }
--- a/crates/coldstart/src/warm_up_budget/turn.rs
+++ b/crates/coldstart/src/warm_up_budget/turn.rs
@@ -1,7 +1,7 @@
 //! Turns: which places own which stretch of time of a worker's budget, and how many units of it.
 
 use super::BudgetKind;
-use crate::mix;
+use crate::{Micros, WorkerTag, mix};
 use mothproxy_invariant::invariant;
 
 /// The most turns in a window; there are fewer where the budget is too small for as many.
@@ -13,9 +13,9 @@
 /// Where the turns of a budget count from, and what a window of them holds.
 pub(super) struct Phase {
     /// Unix time.
-    pub start: u64,
+    pub start: Micros,
     /// Since its start.
-    pub elapsed: u64,
+    pub elapsed: Micros,
     pub budget: u64,
 }
 
@@ -23,8 +23,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Turn {
     /// By Unix time.
-    pub start: u64,
-    pub length: u64,
+    pub start: Micros,
+    pub length: Micros,
     pub index: u64,
     /// How many places own it.
     pub owners: u64,
@@ -37,7 +37,7 @@
 impl Turn {
     /// The present turn of a budget, where a window to a member with a wrong clock is as long as `window` and there are so many
     /// places.
-    pub fn new(kind: BudgetKind, phase: &Phase, window: u64, places: u16) -> Turn {
+    pub fn new(kind: BudgetKind, phase: &Phase, window: Micros, places: u16) -> Turn {
         let budget = phase.budget;
         let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
         let turn_budget = (budget / (turns + 2)).max(1);
@@ -59,7 +59,7 @@
 
     /// Whether the turn is this place's: the owners of one turn are consecutive places, those of the next the ones after
     /// them. The worker's tag decides where they begin.
-    pub fn is_owned_by(&self, place: u16, places: u16, tag: u64) -> bool {
+    pub fn is_owned_by(&self, place: u16, places: u16, tag: WorkerTag) -> bool {
         let places = u64::from(places);
         let (kind, nth) = (self.index % self.kinds, self.index / self.kinds);
         let first = (mix(tag ^ kind << 56) % places + nth % places * (self.owners % places)) % places;
@@ -67,7 +67,7 @@
     }
 
     /// The Unix time of the next turn that this place owns, as if this phase went on.
-    pub fn next_owned_by(&self, place: u16, places: u16, tag: u64) -> u64 {
+    pub fn next_owned_by(&self, place: u16, places: u16, tag: WorkerTag) -> Micros {
         let round = u64::from(places).div_ceil(self.owners).max(1) * self.kinds;
         // Those of the same kind: the other kinds have other owners.
         let is_owned = |ahead: &u64| {
--- a/crates/fairshare/src/clock.rs
+++ b/crates/fairshare/src/clock.rs
@@ -1,6 +1,6 @@
 //! Time as the ledger counts it: buckets and sub-steps of Unix time. It moves only when the caller says so.
 
-use crate::Config;
+use crate::{Config, Micros};
 use serde::{Deserialize, Serialize};
 
 /// Sub-steps of a bucket: the resolution of the present.
@@ -56,15 +56,15 @@
 /// The ledger's present and the horizon behind it.
 #[derive(Clone, Debug)]
 pub(crate) struct Clock {
-    bucket_width: u64,
-    wall_at_zero: u64,
+    bucket_width: Micros,
+    wall_at_zero: Micros,
     horizon: u64,
-    now: u64,
+    now: Micros,
     step: Step,
 }
 
 impl Clock {
-    pub fn new(config: &Config, now: u64) -> Clock {
+    pub fn new(config: &Config, now: Micros) -> Clock {
         let mut clock = Clock {
             bucket_width: config.bucket,
             wall_at_zero: config.wall_at_zero,
@@ -77,7 +77,7 @@
     }
 
     /// Moves on to `now`, never back. Returns whether another bucket has begun.
-    pub fn advance(&mut self, now: u64) -> bool {
+    pub fn advance(&mut self, now: Micros) -> bool {
         let before = self.bucket();
         self.now = self.now.max(now);
         self.step = self.step.max(self.step_at(self.now));
@@ -85,7 +85,7 @@
     }
 
     /// The caller's time, in microseconds.
-    pub fn now(&self) -> u64 {
+    pub fn now(&self) -> Micros {
         self.now
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The sub-step of a moment of the caller's time.
-    pub fn step_at(&self, at: u64) -> Step {
+    pub fn step_at(&self, at: Micros) -> Step {
         self.step_of_unix(u128::from(self.wall_at_zero) + u128::from(at))
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// A span of sub-steps in microseconds.
-    pub fn micros(&self, sub_steps: u64) -> u64 {
+    pub fn micros(&self, sub_steps: u64) -> Micros {
         sub_steps * self.bucket_width / SUB_STEPS
     }
 }
--- a/crates/fairshare/src/config.rs
+++ b/crates/fairshare/src/config.rs
@@ -1,5 +1,6 @@
 //! Settings of a ledger and the check they pass before it is built.
 
+use crate::Micros;
 use crate::shares::SharesError;
 use crate::wire;
 use thiserror::Error;
@@ -29,12 +30,12 @@
     /// This member's epoch: milliseconds of Unix time at its start.
     pub epoch: u64,
     /// The Unix time, in microseconds, at the caller's time 0. Buckets are counted by it, the same at every member.
-    pub wall_at_zero: u64,
+    pub wall_at_zero: Micros,
 
     /// Number of peers, this one included.
     pub peers: u16,
     /// Width of a bucket of time, in microseconds.
-    pub bucket: u64,
+    pub bucket: Micros,
     /// Usage counts for this many buckets; a report of an older bucket is refused. 64 at most.
     pub horizon: u32,
     /// Usage weighs half after this many buckets: 1, 2, 4 .. 32.
@@ -52,11 +53,11 @@
     /// A tenant that pays back gets at least this fraction of its share.
     pub floor: f64,
     /// The upper estimate for a silent member is twice its likely usage after this long, in microseconds.
-    pub widen: u64,
+    pub widen: Micros,
     /// The usage of a silent member is extrapolated over at most this many buckets.
     pub extrapolation: u32,
     /// Interval between two rounds of published facts, in microseconds.
-    pub publish_interval: u64,
+    pub publish_interval: Micros,
     /// Most page facts of one round.
     pub facts_per_round: u32,
     /// Pages on which the usage of a bucket is published, [`MAX_PAGES`] at most; what does not fit goes into the next
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -15,7 +15,7 @@
 use crate::usage_estimate::{UsageEstimate, UsageEstimator};
 use crate::valuation::{JobValue, Position, Standing, ValueLimits};
 use crate::wire::MAX_AMOUNT;
-use crate::{AbsorbError, Config, ConfigError, Metrics, Origin, RecordError, TenantKey, Usage};
+use crate::{AbsorbError, Config, ConfigError, Metrics, Micros, Origin, RecordError, TenantKey, Usage};
 
 /// Largest `rate`: sums stay within 127 bits.
 const MAX_RATE: u64 = 1 << 36;
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// A [`ConfigError`] where a setting is out of range or the shares are not valid.
-    pub fn new(config: Config, shares: &Shares, now: u64) -> Result<Ledger, ConfigError> {
+    pub fn new(config: Config, shares: &Shares, now: Micros) -> Result<Ledger, ConfigError> {
         config.validate()?;
         let clock = Clock::new(&config, now);
         let landmark = clock.bucket().minus(config.horizon.into());
@@ -77,7 +77,7 @@
     }
 
     /// Moves on to `now`: drops what is beyond the horizon, and carries what had no room into the present bucket.
-    fn advance(&mut self, now: u64) {
+    fn advance(&mut self, now: Micros) {
         if !self.clock.advance(now) {
             return;
         }
@@ -110,7 +110,7 @@
     }
 
     /// The bucket of something that happened here at `at`, if it still counts.
-    fn own_bucket(&mut self, at: u64) -> Result<Bucket, RecordError> {
+    fn own_bucket(&mut self, at: Micros) -> Result<Bucket, RecordError> {
         let bucket = self.clock.step_at(at).bucket();
         let refusal = if bucket < self.clock.oldest_bucket() {
             RecordError::Late
@@ -136,8 +136,8 @@
     /// A [`RecordError`] where that is too old, in the future, or of one tenant too many.
     pub fn record(
         &mut self,
-        now: u64,
-        at: u64,
+        now: Micros,
+        at: Micros,
         tenant: TenantKey,
         class: u8,
         used: Usage,
@@ -163,8 +163,8 @@
     /// A [`RecordError`] where `at` is too old or in the future.
     pub fn correct(
         &mut self,
-        now: u64,
-        at: u64,
+        now: Micros,
+        at: Micros,
         tenant: TenantKey,
         class: u8,
         less: Usage,
@@ -179,7 +179,7 @@
     }
 
     /// The next fact to publish: slot and bytes. Called until `None`; there is nothing before [`Ledger::next_wake`].
-    pub fn publish(&mut self, now: u64) -> Option<(u32, Vec<u8>)> {
+    pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         self.advance(now);
         let fact = self.own.publish(self.clock.now(), self.clock.step())?;
         self.metrics.published += 1;
@@ -188,7 +188,7 @@
     }
 
     /// When [`Ledger::publish`] has something next.
-    pub fn next_wake(&self) -> u64 {
+    pub fn next_wake(&self) -> Micros {
         self.own.next_round()
     }
 
@@ -199,7 +199,7 @@
     /// An [`AbsorbError`] that says why the fact was refused; nothing of it is used.
     pub fn absorb(
         &mut self,
-        now: u64,
+        now: Micros,
         origin: Origin,
         slot: u32,
         number: u64,
@@ -214,13 +214,13 @@
     }
 
     /// A member left in order, or is known to have ended: nothing is extrapolated for it after this.
-    pub fn on_member_left(&mut self, now: u64, origin: Origin) {
+    pub fn on_member_left(&mut self, now: Micros, origin: Origin) {
         self.advance(now);
         self.members.left(origin, self.clock.step());
     }
 
     /// Where a tenant stands. A tenant without a share has what it used, and 0.
-    pub fn position(&mut self, tenant: TenantKey, now: u64) -> Position {
+    pub fn position(&mut self, tenant: TenantKey, now: Micros) -> Position {
         self.advance(now);
         self.lend();
         let Some(index) = self.accounts.find(tenant) else { return Position::default() };
@@ -234,7 +234,7 @@
     }
 
     /// What is known of a tenant's usage, in the account.
-    pub fn known_usage(&mut self, tenant: TenantKey, now: u64) -> Usage {
+    pub fn known_usage(&mut self, tenant: TenantKey, now: Micros) -> Usage {
         self.advance(now);
         let index = self.accounts.find(tenant);
         index.map_or(Usage::default(), |index| self.accounts.known_usage(index, self.clock.step()))
@@ -246,7 +246,7 @@
     /// At this member's part of the share per second: 1, and for a tenant that pays back at the part that is left to it,
     /// never below the floor. Faster than that, within the share by the low end: never below `1 - uncertainty_discount`.
     /// Beyond the share: from below that down to `over_quota_value`, where all that is lent is used up.
-    pub fn job_value(&mut self, tenant: TenantKey, class: u8, amount: u64, now: u64) -> JobValue {
+    pub fn job_value(&mut self, tenant: TenantKey, class: u8, amount: u64, now: Micros) -> JobValue {
         self.advance(now);
         self.lend();
         let limits = ValueLimits::new(&self.config);
@@ -303,7 +303,7 @@
     }
 
     /// The account's length in microseconds: a steady flow stands in the account as its rate times this.
-    pub fn memory(&self) -> u64 {
+    pub fn memory(&self) -> Micros {
         let memory = u128::from(self.accounts.decay().memory());
         ((memory * u128::from(self.config.bucket)) >> SPAN_BITS) as u64
     }
--- a/crates/fairshare/src/lib.rs
+++ b/crates/fairshare/src/lib.rs
@@ -54,6 +54,9 @@
 /// The kind of this crate's facts (docs/design/parts.md).
 pub const KIND: u8 = 3;
 
+/// Microseconds of the caller's monotonic clock or, where that is said, of Unix time; or a span of them.
+pub type Micros = u64;
+
 /// What a tenant used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Usage {
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -9,7 +9,7 @@
 use crate::clock::{Bucket, Step};
 use crate::members::{PageId, RATE_WINDOW};
 use crate::wire::{self, Head, MAX_HEAD_BUCKETS, encode};
-use crate::{Config, TenantKey, Usage};
+use crate::{Config, Micros, TenantKey, Usage};
 use bucket::{OwnBucket, OwnPage, Placement};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,7 +26,7 @@
 /// How often and how much is published.
 #[derive(Clone, Copy, Debug)]
 struct PublishPolicy {
-    interval: u64,
+    interval: Micros,
     facts_per_round: u32,
     horizon: u64,
     max_pages: u8,
@@ -41,7 +41,7 @@
     overflowing: BTreeSet<Bucket>,
     /// Pages that have changed since they were last published.
     queue: VecDeque<PageId>,
-    next_round: u64,
+    next_round: Micros,
     /// Pages that may still be published in this round.
     facts_left: u32,
     is_head_due: bool,
@@ -134,12 +134,12 @@
     }
 
     /// When there is something to publish next, in the caller's microseconds.
-    pub fn next_round(&self) -> u64 {
+    pub fn next_round(&self) -> Micros {
         self.next_round
     }
 
     /// The next fact of this round: slot and bytes.
-    pub fn publish(&mut self, now: u64, step: Step) -> Option<(u32, Vec<u8>)> {
+    pub fn publish(&mut self, now: Micros, step: Step) -> Option<(u32, Vec<u8>)> {
         if now >= self.next_round {
             self.next_round = now + self.policy.interval;
             self.facts_left = self.policy.facts_per_round;
--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -1,6 +1,6 @@
 //! Where a tenant stands, and the value of one more of its jobs that follows from it. [`PaceCredit`] alone has state.
 
-use crate::Config;
+use crate::{Config, Micros};
 
 /// Seconds of its pace that a tenant may be ahead.
 const MAX_CREDIT_SECONDS: f64 = 1.0;
@@ -137,12 +137,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PaceCredit {
     amount: f64,
-    updated_at: u64,
+    updated_at: Micros,
 }
 
 impl PaceCredit {
     /// Whether one more job of this amount is within the pace; takes it from the credit if so.
-    pub fn take(&mut self, now: u64, per_second: f64, amount: f64) -> bool {
+    pub fn take(&mut self, now: Micros, per_second: f64, amount: f64) -> bool {
         let seconds = (now - self.updated_at.min(now)) as f64 / 1e6;
         let most = (per_second * MAX_CREDIT_SECONDS).max(amount);
         self.amount = (self.amount + seconds * per_second).min(most);
