--- a/crates/fairshare/src/clock.rs
+++ b/crates/fairshare/src/clock.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Clock {
     bucket_width: Micros,
-    wall_at_zero: Micros,
+    unix_at_zero: Micros,
     horizon: u64,
     now: Micros,
     step: Step,
@@ -66,8 +66,8 @@
 impl Clock {
     pub fn new(config: &Config, now: Micros) -> Clock {
         let mut clock = Clock {
-            bucket_width: config.bucket,
-            wall_at_zero: config.wall_at_zero,
+            bucket_width: config.bucket_width,
+            unix_at_zero: config.unix_at_zero,
             horizon: config.horizon.into(),
             now,
             step: Step(0),
@@ -106,7 +106,7 @@
 
     /// The sub-step of a moment of the caller's time.
     pub fn step_at(&self, at: Micros) -> Step {
-        self.step_of_unix(u128::from(self.wall_at_zero) + u128::from(at))
+        self.step_of_unix(u128::from(self.unix_at_zero) + u128::from(at))
     }
 
     /// The sub-step of a Unix time in microseconds.
--- a/crates/fairshare/src/config.rs
+++ b/crates/fairshare/src/config.rs
@@ -26,22 +26,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// This member's index among the peers.
-    pub me: u16,
+    pub place: u16,
     /// This member's epoch: milliseconds of Unix time at its start.
     pub epoch: u64,
     /// The Unix time, in microseconds, at the caller's time 0. Buckets are counted by it, the same at every member.
-    pub wall_at_zero: Micros,
+    pub unix_at_zero: Micros,
 
     /// Number of peers, this one included.
     pub peers: u16,
     /// Width of a bucket of time, in microseconds.
-    pub bucket: Micros,
+    pub bucket_width: Micros,
     /// Usage counts for this many buckets; a report of an older bucket is refused. 64 at most.
     pub horizon: u32,
     /// Usage weighs half after this many buckets: 1, 2, 4 .. 32.
     pub half_life: u32,
-    /// A report of a bucket further than this ahead, in buckets, is refused: clocks differ by less.
-    pub future: u32,
+    /// A report of a bucket that is more buckets ahead than this is refused: clocks differ by less.
+    pub max_buckets_ahead: u32,
     /// Capacity of the whole federation, in units of the measure per second.
     pub rate: u64,
     /// What shares are counted in.
@@ -53,16 +53,16 @@
     /// A tenant that pays back gets at least this fraction of its share.
     pub floor: f64,
     /// The upper estimate for a silent member is twice its likely usage after this long, in microseconds.
-    pub widen: Micros,
+    pub widening_time: Micros,
     /// The usage of a silent member is extrapolated over at most this many buckets.
-    pub extrapolation: u32,
+    pub max_extrapolation: u32,
     /// Interval between two rounds of published facts, in microseconds.
     pub publish_interval: Micros,
     /// Most page facts of one round.
     pub facts_per_round: u32,
     /// Pages on which the usage of a bucket is published, [`MAX_PAGES`] at most; what does not fit goes into the next
     /// bucket.
-    pub pages: u8,
+    pub max_pages: u8,
     /// Most tenants, with usage or a share, that are kept.
     pub max_tenants: usize,
     /// Seeded fault for the proof: a later report is added to the earlier one.
@@ -73,24 +73,24 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            me: 0,
+            place: 0,
             epoch: 0,
-            wall_at_zero: 0,
+            unix_at_zero: 0,
             peers: 1,
-            bucket: 2_000_000,
+            bucket_width: 2_000_000,
             horizon: 60,
             half_life: 8,
-            future: 3,
+            max_buckets_ahead: 3,
             rate: 0,
             measure: Measure::Value,
             over_quota_value: 0.1,
             uncertainty_discount: 0.1,
             floor: 0.5,
-            widen: 10_000_000,
-            extrapolation: 60,
+            widening_time: 10_000_000,
+            max_extrapolation: 60,
             publish_interval: 1_000_000,
             facts_per_round: 24,
-            pages: MAX_PAGES,
+            max_pages: MAX_PAGES,
             max_tenants: 200_000,
             count_twice: false,
         }
@@ -100,11 +100,11 @@
 impl Config {
     /// Checks every setting but `rate`, whose bound depends on the decay.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
-        let spans = [self.bucket, self.publish_interval, self.widen];
+        let spans = [self.bucket_width, self.publish_interval, self.widening_time];
         let fractions = [self.over_quota_value, self.uncertainty_discount, self.floor];
         let max_buckets = wire::MAX_HEAD_BUCKETS as u32;
         let max_horizon = (MAX_HORIZON_HALF_LIVES * self.half_life.min(MAX_HALF_LIFE)).min(max_buckets);
-        if self.me >= self.peers {
+        if self.place >= self.peers {
             Err(ConfigError::Place)
         } else if spans.contains(&0) {
             Err(ConfigError::ZeroSpan)
@@ -112,12 +112,12 @@
             Err(ConfigError::HalfLife)
         } else if self.horizon == 0
             || self.horizon > max_horizon
-            || self.future.max(self.extrapolation) > max_buckets
+            || self.max_buckets_ahead.max(self.max_extrapolation) > max_buckets
         {
             Err(ConfigError::Horizon)
         } else if fractions.iter().any(|fraction| !(0.0..=1.0).contains(fraction)) {
             Err(ConfigError::Fraction)
-        } else if self.pages == 0 || self.pages > MAX_PAGES || self.facts_per_round == 0 {
+        } else if self.max_pages == 0 || self.max_pages > MAX_PAGES || self.facts_per_round == 0 {
             Err(ConfigError::Pages)
         } else {
             Ok(())
@@ -131,7 +131,7 @@
     /// The tree of shares is not valid.
     #[error(transparent)]
     Shares(#[from] SharesError),
-    /// `me` is not below `peers`.
+    /// `place` is not below `peers`.
     #[error("the own place is not among the peers")]
     Place,
     /// A span of time is 0.
@@ -140,13 +140,13 @@
     /// The half-life is no power of two from 1 to 32.
     #[error("a half-life is not 1, 2, 4, 8, 16 or 32 buckets")]
     HalfLife,
-    /// The horizon is 0, above 64, or more than 30 half-lives; or `future` or `extrapolation` is above 64.
+    /// The horizon is 0, above 64, or more than 30 half-lives; or `max_buckets_ahead` or `max_extrapolation` is above 64.
     #[error("the horizon is out of range")]
     Horizon,
     /// A fraction is not from 0 to 1.
     #[error("a part is not from 0 to 1")]
     Fraction,
-    /// `pages` is 0 or above [`MAX_PAGES`], or `facts_per_round` is 0.
+    /// `max_pages` is 0 or above [`MAX_PAGES`], or `facts_per_round` is 0.
     #[error("no or too many pages")]
     Pages,
     /// `rate` is above 2^36, or the federation's capacity over a horizon is out of range.
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -47,7 +47,7 @@
         let clock = Clock::new(&config, now);
         let landmark = clock.bucket().minus(config.horizon.into());
         let decay = Decay::new(config.half_life, config.horizon, landmark);
-        let capacity = u128::from(config.rate) * u128::from(config.bucket) * u128::from(decay.memory())
+        let capacity = u128::from(config.rate) * u128::from(config.bucket_width) * u128::from(decay.memory())
             / (1_000_000 << SPAN_BITS);
         if config.rate > MAX_RATE || capacity > MAX_CAPACITY {
             return Err(ConfigError::Rate);
@@ -305,7 +305,7 @@
     /// The account's length in microseconds: a steady flow stands in the account as its rate times this.
     pub fn memory(&self) -> Micros {
         let memory = u128::from(self.accounts.decay().memory());
-        ((memory * u128::from(self.config.bucket)) >> SPAN_BITS) as u64
+        ((memory * u128::from(self.config.bucket_width)) >> SPAN_BITS) as u64
     }
 
     /// Counters since the start, and present sizes.
--- a/crates/fairshare/src/lib.rs
+++ b/crates/fairshare/src/lib.rs
@@ -16,7 +16,7 @@
 //! let tenant = Tenant { name: "alpha".into(), weight: 1, classes: vec![] };
 //! let home = Installation { name: "home".into(), weight: 1, tenants: vec![tenant] };
 //! let shares = Shares { installations: vec![home] };
-//! let config = Config { wall_at_zero: 1_700_000_000_000_000, rate: 1_000, ..Config::default() };
+//! let config = Config { unix_at_zero: 1_700_000_000_000_000, rate: 1_000, ..Config::default() };
 //! let mut ledger = Ledger::new(config, &shares, 0)?;
 //!
 //! let alpha = TenantKey::from_name("alpha");
--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -83,7 +83,7 @@
     pub fn active_places(&self) -> u64 {
         let origins = self.by_origin.keys();
         let mut places: Vec<u16> =
-            origins.map(|origin| origin.place).filter(|place| *place != self.config.me).collect();
+            origins.map(|origin| origin.place).filter(|place| *place != self.config.place).collect();
         places.dedup();
         places.len() as u64 + 1
     }
@@ -217,7 +217,7 @@
 
     /// Drops what a member reported of buckets before `oldest`, and the member once nothing of it counts.
     fn expire(&mut self, index: MemberIndex, oldest: Bucket, clock: &Clock, accounts: &mut Accounts) {
-        let extrapolation = u64::from(self.config.extrapolation);
+        let extrapolation = u64::from(self.config.max_extrapolation);
         let Some(member) = self.get_mut(index) else { return };
         let kept = member.buckets.split_off(&oldest);
         let expired = std::mem::replace(&mut member.buckets, kept);
@@ -257,7 +257,7 @@
         let after = Origin { epoch: epoch.saturating_add(1), place };
         let next = self.by_origin.range(after..).next().map(|(origin, _)| *origin);
         let next = next.filter(|origin| origin.place == place).map(|origin| origin.epoch);
-        let is_own = place == self.config.me && self.config.epoch > epoch;
+        let is_own = place == self.config.place && self.config.epoch > epoch;
         let own = is_own.then_some(self.config.epoch);
         let restarted = next.into_iter().chain(own).min();
         let restarted = restarted.map(|millis| clock.step_of_unix(u128::from(millis) * 1000));
@@ -280,13 +280,13 @@
     fn compute_unreported(&self, member: &Member, clock: &Clock, decay: &Decay) -> Unreported {
         let step = clock.step();
         let from = member.reported_until;
-        let extrapolated = from.plus(u64::from(self.config.extrapolation) * SUB_STEPS);
+        let extrapolated = from.plus(u64::from(self.config.max_extrapolation) * SUB_STEPS);
         let ended = self.ended_at(member, clock).unwrap_or(Step(u64::MAX));
         let until = step.min(extrapolated).min(ended).max(from);
         let decayed = |from: Step, to: Step| decay.span(step.since(to), step.since(from));
         let silence = clock.micros(until.since(from));
         let mut likely = decayed(from, until);
-        let widened = u128::from(likely) * u128::from(silence) / u128::from(self.config.widen);
+        let widened = u128::from(likely) * u128::from(silence) / u128::from(self.config.widening_time);
         let mut high = likely + (widened as u64).min(MAX_WIDENING * likely);
         for gap in member.gaps(clock.oldest_bucket()) {
             let begin = gap.bucket.start();
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -55,7 +55,7 @@
             interval: config.publish_interval,
             facts_per_round: config.facts_per_round,
             horizon: config.horizon.into(),
-            max_pages: config.pages,
+            max_pages: config.max_pages,
         };
         OwnUsage {
             policy,
--- a/crates/fairshare/src/receiver.rs
+++ b/crates/fairshare/src/receiver.rs
@@ -38,7 +38,7 @@
 impl Receiver<'_> {
     /// Absorbs a fact, whatever came before it; a refused one changes nothing in the accounts.
     pub fn absorb(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
-        let own = Origin { place: self.config.me, epoch: self.config.epoch };
+        let own = Origin { place: self.config.place, epoch: self.config.epoch };
         if fact.origin.place >= self.config.peers {
             Err(AbsorbError::Place)
         } else if fact.origin == own {
@@ -114,7 +114,7 @@
     }
 
     fn is_future(&self, bucket: Bucket) -> bool {
-        bucket > self.clock.bucket().plus(self.config.future.into())
+        bucket > self.clock.bucket().plus(self.config.max_buckets_ahead.into())
     }
 
     /// Refuses a bucket that is before the horizon or too far ahead.
--- a/crates/fairshare/tests/ledger/refusals.rs
+++ b/crates/fairshare/tests/ledger/refusals.rs
@@ -81,7 +81,7 @@
 fn clocks_may_differ_by_seconds_and_not_by_more() {
     let shares = shares(&[("a", 1)]);
     let page = published_page(&shares);
-    let behind = |by: u64| Config { wall_at_zero: WALL - by * SECOND, ..config(6) };
+    let behind = |by: u64| Config { unix_at_zero: WALL - by * SECOND, ..config(6) };
     for (by, want) in [(5, Ok(())), (20, Err(AbsorbError::Future))] {
         let mut behind = Ledger::new(behind(by), &shares, 0).unwrap();
         assert_eq!(page.to(&mut behind, SECOND), want, "{by} s behind");
--- a/crates/fairshare/tests/ledger/support.rs
+++ b/crates/fairshare/tests/ledger/support.rs
@@ -15,12 +15,12 @@
     Shares { installations: vec![home] }
 }
 
-pub fn config(me: u16) -> Config {
-    Config { me, epoch: WALL / 1000, wall_at_zero: WALL, peers: 8, rate: 1_000, ..Config::default() }
+pub fn config(place: u16) -> Config {
+    Config { place, epoch: WALL / 1000, unix_at_zero: WALL, peers: 8, rate: 1_000, ..Config::default() }
 }
 
-pub fn ledger(me: u16, shares: &Shares) -> Ledger {
-    Ledger::new(config(me), shares, 0).unwrap()
+pub fn ledger(place: u16, shares: &Shares) -> Ledger {
+    Ledger::new(config(place), shares, 0).unwrap()
 }
 
 pub fn key(name: &str) -> TenantKey {
@@ -50,7 +50,7 @@
 
 impl Publisher {
     pub fn new(config: Config, shares: &Shares, now: u64) -> Publisher {
-        let origin = Origin { place: config.me, epoch: config.epoch };
+        let origin = Origin { place: config.place, epoch: config.epoch };
         Publisher { origin, ledger: Ledger::new(config, shares, now).unwrap(), published: Vec::new() }
     }
 
@@ -76,7 +76,7 @@
 
 /// What a use of long ago counts now, by the definition.
 pub fn decayed(uses: &[(u64, i64)], now: u64) -> f64 {
-    let Config { bucket, half_life, .. } = Config::default();
+    let Config { bucket_width: bucket, half_life, .. } = Config::default();
     let begun = |at: u64| ((WALL + at) / bucket * bucket) as f64;
     let now = ((WALL + now) / (bucket / 16) * (bucket / 16)) as f64; // the present has a resolution of sixteenths
     let age = |at: u64| (now - begun(at)) / (bucket * u64::from(half_life)) as f64;
--- a/examples/proof_fairshare/costs.rs
+++ b/examples/proof_fairshare/costs.rs
@@ -18,16 +18,16 @@
     bytes: Vec<u8>,
 }
 
-fn ledger(me: u16, shares: &Shares) -> Ledger {
-    let config = Config { me, peers: 40, wall_at_zero: WALL, rate: 1 << 20, ..Config::default() };
+fn ledger(place: u16, shares: &Shares) -> Ledger {
+    let config = Config { place, peers: 40, unix_at_zero: WALL, rate: 1 << 20, ..Config::default() };
     Ledger::new(config, shares, 0).expect("settings")
 }
 
 /// The facts of all members over the time, by their seconds.
 fn publish_facts(names: &[String], shares: &Shares, rng: &mut fastrand::Rng) -> Vec<PublishedFact> {
     let mut facts = Vec::new();
-    for me in 0..MEMBERS {
-        let mut member = ledger(me, shares);
+    for place in 0..MEMBERS {
+        let mut member = ledger(place, shares);
         let mut number = 0;
         for second in 1..SECONDS {
             for _ in 0..200 {
@@ -37,7 +37,7 @@
             }
             while let Some((slot, bytes)) = member.publish(second * SECOND) {
                 number += 1;
-                let origin = Origin { place: me, epoch: 0 };
+                let origin = Origin { place, epoch: 0 };
                 facts.push(PublishedFact { second, origin, slot, number, bytes });
             }
         }
--- a/examples/proof_fairshare/setup.rs
+++ b/examples/proof_fairshare/setup.rs
@@ -63,11 +63,11 @@
     Shares { installations: vec![Installation { name: "home".into(), weight: 1, tenants }] }
 }
 
-pub fn config(me: usize, epoch: u64) -> Config {
+pub fn config(place: usize, epoch: u64) -> Config {
     Config {
-        me: me as u16,
+        place: place as u16,
         epoch: WALL / 1000 + epoch / 1000,
-        wall_at_zero: WALL,
+        unix_at_zero: WALL,
         peers: DISPATCHERS as u16,
         rate: CAPACITY * JOB,
         over_quota_value: OVER_QUOTA_WEIGHT,
--- a/examples/proof_fairshare/simulation.rs
+++ b/examples/proof_fairshare/simulation.rs
@@ -42,8 +42,8 @@
 }
 
 impl Dispatcher {
-    fn new(me: usize, now: u64, policy: Policy, shares: &Shares) -> Dispatcher {
-        let config = Config { count_twice: policy == Policy::Mutated, ..config(me, now) };
+    fn new(place: usize, now: u64, policy: Policy, shares: &Shares) -> Dispatcher {
+        let config = Config { count_twice: policy == Policy::Mutated, ..config(place, now) };
         Dispatcher {
             is_up: true,
             epoch: config.epoch,
@@ -135,7 +135,7 @@
             total_weight: TENANTS.iter().map(|t| f64::from(t.weight)).sum(),
             rng: fastrand::Rng::with_seed(seed),
             traffic_rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
-            dispatchers: (0..DISPATCHERS).map(|me| Dispatcher::new(me, 0, policy, &shares)).collect(),
+            dispatchers: (0..DISPATCHERS).map(|place| Dispatcher::new(place, 0, policy, &shares)).collect(),
             truth: Ledger::new(config(0, 0), &shares, 0).expect("settings"),
             shares,
             carrier: Carrier::new(),
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -69,9 +69,9 @@
     ) -> mothproxy_fairshare::Config {
         let peers = u16::try_from(peers).unwrap_or(u16::MAX).max(place.saturating_add(1));
         mothproxy_fairshare::Config {
-            me: place,
+            place,
             epoch,
-            wall_at_zero: unix_at_zero,
+            unix_at_zero,
             peers,
             rate: self.millipoints_per_s,
             over_quota_value: self.over_quota_weight,
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -41,9 +41,9 @@
     let tenants = vec![tenant("a", 3), tenant("b", 1)];
     let shares = Shares { installations: vec![Installation { name: "home".into(), weight: 1, tenants }] };
     let config = mothproxy_fairshare::Config {
-        me: 2,
+        place: 2,
         epoch: UNIX / 1000,
-        wall_at_zero: UNIX,
+        unix_at_zero: UNIX,
         peers: 8,
         rate: 1_000,
         ..mothproxy_fairshare::Config::default()
--- a/tests/conformance/fairshare.rs
+++ b/tests/conformance/fairshare.rs
@@ -100,7 +100,7 @@
 
 fn begin(place: u16, shares: &Shares, now: u64) -> Result<Member, String> {
     let epoch = (WALL + now) / 1_000;
-    let config = Config { me: place, epoch, wall_at_zero: WALL, peers: 8, rate: RATE, ..Config::default() };
+    let config = Config { place, epoch, unix_at_zero: WALL, peers: 8, rate: RATE, ..Config::default() };
     let ledger = Ledger::new(config, shares, now).map_err(|e| e.to_string())?;
     Ok(Member { origin: Origin { place, epoch }, ledger, told: Vec::new() })
 }
