--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -8,16 +8,19 @@
 //!
 //! Slot 0 of this kind is what a member says of the list service ([`ServiceStatus`]); the others are buckets of workers.
 
+mod observation;
 mod observed_times;
+mod own_service_status;
 mod wire;
 
+pub use observation::{Fault, Observation, Report, WorkerStatus};
 pub use wire::AbsorbError;
 
 use crate::poll_scheduler::ServiceStatus;
 use crate::{Micros, Millis, WorkerTag, mix};
 use mothproxy_invariant::invariant;
 use observed_times::ObservedTimes;
-use serde::{Deserialize, Serialize};
+use own_service_status::OwnServiceStatus;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The kind of this crate's facts.
@@ -35,8 +38,6 @@
 const SERVICE_SLOT: u32 = 0;
 /// Between two facts of worker buckets, and before an urgent one of the service, in microseconds.
 const PUBLISH_INTERVAL: Micros = 50_000;
-/// Between two facts of the service that others need not act upon, in microseconds.
-const IDLE_STATUS_INTERVAL: Micros = 5_000_000;
 /// An observation weighs half after this long, in milliseconds, and nothing after [`OBSERVATION_TTL_MS`].
 const HALF_LIFE_MS: f64 = 5_000.0;
 /// An observation counts for this long, in milliseconds.
@@ -56,54 +57,6 @@
     pub epoch: u64,
 }
 
-/// What can be wrong with a worker, the least first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    /// It breaks connections.
-    Resets,
-    /// Connections or answers do not come.
-    Hangs,
-    /// It refuses connections.
-    Refuses,
-}
-
-/// A worker's report of its load.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Report {
-    /// CPU utilisation, in 255ths.
-    pub cpu: u8,
-    /// Free slots, 255 for that many or more.
-    pub free: u8,
-}
-
-/// One thing observed of a worker.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Observation {
-    /// It took a connection, or answered.
-    Alive,
-    /// It showed this fault.
-    Fault(Fault),
-    /// It answered as one that has just started.
-    WarmingUp,
-    /// It reported its load (and so is alive).
-    Report(Report),
-}
-
-/// What is known of a worker at present. Ages are in microseconds.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkerStatus {
-    /// Its worst fault since the last proof of life, with its age.
-    pub fault: Option<(Fault, Micros)>,
-    /// The age of the last proof of life.
-    pub alive: Option<Micros>,
-    /// The age of the last sign that it is warming up.
-    pub warming_up: Option<Micros>,
-    /// Its last report, with its age.
-    pub report: Option<(Report, Micros)>,
-    /// How much the newest of these counts now: 1 when it was observed, half of that every 5 s.
-    pub weight: f64,
-}
-
 /// What a member said of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceUpdate {
@@ -135,34 +88,6 @@
     number: u64,
 }
 
-/// The own status of the service, and what of it was published.
-#[derive(Debug)]
-struct OwnServiceStatus {
-    current: Option<ServiceStatus>,
-    /// It changes what the others do.
-    is_urgent: bool,
-    published: Option<ServiceStatus>,
-    published_at: Micros,
-}
-
-impl OwnServiceStatus {
-    /// The status, if it was not published yet.
-    fn unpublished(&self) -> Option<ServiceStatus> {
-        self.current.filter(|status| Some(*status) != self.published)
-    }
-
-    /// When it may be published next.
-    fn due_at(&self) -> Micros {
-        self.published_at + if self.is_urgent { PUBLISH_INTERVAL } else { IDLE_STATUS_INTERVAL }
-    }
-
-    fn record_published(&mut self, now: Micros, status: ServiceStatus) {
-        self.published = Some(status);
-        self.published_at = now;
-        self.is_urgent = false;
-    }
-}
-
 /// What is known of the workers and of the list service.
 #[derive(Debug)]
 pub struct SharedObservations {
@@ -195,12 +120,7 @@
             by_age: BTreeSet::new(),
             unpublished: BTreeSet::new(),
             next_bucket_at: 0,
-            service: OwnServiceStatus {
-                current: None,
-                is_urgent: false,
-                published: None,
-                published_at: now.saturating_sub(PUBLISH_INTERVAL),
-            },
+            service: OwnServiceStatus::new(now),
             service_stamps: HashMap::new(),
             service_updates: Vec::new(),
             published: 0,
@@ -239,8 +159,7 @@
 
     /// Takes what this dispatcher says of the service; urgent where it changes what the others do.
     pub fn set_service_status(&mut self, status: ServiceStatus, is_urgent: bool) {
-        self.service.current = Some(status);
-        self.service.is_urgent = is_urgent;
+        self.service.set(status, is_urgent);
     }
 
     fn join(&mut self, key: WorkerKey, observed: &ObservedTimes) {
