--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -16,7 +16,6 @@
 mod endpoint_table;
 mod error;
 pub mod event_log;
-mod executed_keys;
 pub mod http;
 pub mod link;
 pub mod load;
@@ -24,7 +23,6 @@
 mod process;
 mod tcp_relay;
 pub mod worker;
-mod worker_script;
 
 pub use auditor::{AuditRules, Finding, audit};
 pub use clients::{Clients, Job, JobOutcome};
@@ -38,8 +36,7 @@
 pub use load::{JobGenerator, LoadPlan, LoadSummary, RunningLoad};
 pub use plan::{ConfigChange, MAX_PROCESSES, MAX_WORKERS, Plan, seed_or};
 pub use process::LogLine;
-pub use worker::ScriptedWorker;
-pub use worker_script::{WorkerBehavior, WorkerMetrics, WorkerScript};
+pub use worker::{ScriptedWorker, WorkerBehavior, WorkerMetrics, WorkerScript};
 
 use address_block::AddressBlock;
 use plan::{CLIENTS_SEED, FIRST_START_SEED, derive_seed};
--- a/crates/testkit/src/fleet/executed_keys.rs
+++ b/crates/testkit/src/fleet/worker/executed_keys.rs
@@ -44,6 +44,7 @@
 }
 
 impl ExecutedKeys {
+    /// Has a key executed by whoever claims it first.
     pub(super) fn claim(&self, cell: u32, key: &str) -> KeyClaim<'_> {
         let cell_key = CellKey { cell, key: key.to_owned() };
         let mut states = self.states.lock().expect("a lock");
@@ -68,10 +69,12 @@
 }
 
 impl KeyExecution<'_> {
+    /// Its work begins.
     pub(super) fn on_run(&mut self) {
         self.has_run = true;
     }
 
+    /// Its work is done, with this result, which repeats get.
     pub(super) fn on_result(&self, result: &str) {
         self.state.send_replace(KeyState::Result(result.to_owned()));
     }
--- a/crates/testkit/src/fleet/worker_script.rs
+++ b/crates/testkit/src/fleet/worker/script.rs
@@ -99,3 +99,8 @@
     /// Callbacks that nobody answered.
     pub unanswered_callbacks: u64,
 }
+
+/// The fraction of its capacity that a worker has while it warms up, at this fraction of its warm-up time.
+pub(in crate::fleet) fn warm_up_capacity(initial_capacity: f64, progress: f64) -> f64 {
+    (initial_capacity + (1.0 - initial_capacity) * progress).min(1.0)
+}
--- /dev/null
+++ b/crates/testkit/src/fleet/worker/status_callback.rs
@@ -0,0 +1,134 @@
+//! Status callbacks: how a scripted worker reports the status of a job, on connections that it keeps.
+
+use crate::fleet::ConnectionFailed;
+use crate::fleet::http::HttpReader;
+use crate::fleet::link::Link;
+use serde_json::{Value, json};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+const MAX_ATTEMPTS: u32 = 10;
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// One attempt is answered by then.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Connections to one dispatcher that are kept.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+
+/// What a worker says of a job.
+pub(super) enum JobStatus {
+    Started,
+    /// It is done, with this result; the worker's load report comes beside.
+    Done {
+        result: String,
+        load: Value,
+    },
+    Failed,
+    /// It never ran.
+    Returned,
+    /// The worker died while it waited or ran.
+    Lost,
+}
+
+impl JobStatus {
+    /// The update in the wire's form.
+    pub(super) fn to_update(&self, job_id: &str, worker: &str) -> Value {
+        let state = match self {
+            JobStatus::Started => "started",
+            JobStatus::Done { .. } => "done",
+            JobStatus::Failed => "failed",
+            JobStatus::Returned => "returned",
+            JobStatus::Lost => "lost",
+        };
+        let mut update = json!({"id": job_id, "from": worker, "state": state});
+        if let JobStatus::Done { result, load } = self {
+            update["result"] = json!(result);
+            update["load"] = load.clone();
+        }
+        update
+    }
+}
+
+/// A connection for callbacks, and what was read from it and not used.
+struct CallbackConnection {
+    stream: TcpStream,
+    reader: HttpReader,
+}
+
+impl CallbackConnection {
+    async fn open(address: SocketAddr) -> Result<CallbackConnection, ConnectionFailed> {
+        let stream = TcpStream::connect(address).await.map_err(|_| ConnectionFailed)?;
+        let _ = stream.set_nodelay(true);
+        Ok(CallbackConnection { stream, reader: HttpReader::default() })
+    }
+}
+
+/// One worker's callbacks to all dispatchers.
+pub(super) struct CallbackClient {
+    dispatchers: Vec<SocketAddr>,
+    /// Idle connections, by dispatcher.
+    idle: Mutex<HashMap<usize, Vec<CallbackConnection>>>,
+}
+
+impl CallbackClient {
+    /// `dispatchers` are the addresses at which they are called back.
+    pub(super) fn new(dispatchers: Vec<SocketAddr>) -> CallbackClient {
+        CallbackClient { dispatchers, idle: Mutex::default() }
+    }
+
+    /// Calls back until it is answered, [`MAX_ATTEMPTS`] times at most; false if it never was. While its link is cut an
+    /// attempt takes as long as a connect that does not come up.
+    pub(super) async fn deliver(&self, link: &Link, update: &Value) -> bool {
+        for _ in 0..MAX_ATTEMPTS {
+            let is_through =
+                tokio::time::timeout(ATTEMPT_TIMEOUT, link.wait_until_not_silent()).await.is_ok();
+            if is_through && self.call_back(link.dispatcher, update).await.is_ok() {
+                return true;
+            }
+            tokio::time::sleep(RETRY_INTERVAL).await;
+        }
+        false
+    }
+
+    async fn call_back(&self, dispatcher: usize, update: &Value) -> Result<(), ConnectionFailed> {
+        let idle = self.idle.lock().expect("a lock").get_mut(&dispatcher).and_then(Vec::pop);
+        let exchange = async {
+            let connection = match idle {
+                Some(idle) => idle,
+                None => CallbackConnection::open(self.dispatchers[dispatcher]).await?,
+            };
+            self.exchange(dispatcher, connection, update).await
+        };
+        tokio::time::timeout(ATTEMPT_TIMEOUT, exchange).await.map_err(|_| ConnectionFailed)?
+    }
+
+    /// One call and its reply. The connection is kept if it stays open.
+    async fn exchange(
+        &self,
+        dispatcher: usize,
+        mut connection: CallbackConnection,
+        update: &Value,
+    ) -> Result<(), ConnectionFailed> {
+        let text = update.to_string();
+        let head = "POST /_jobs/news HTTP/1.1\r\nHost: dispatcher\r\nContent-Type: application/json\r\n";
+        let call = format!("{head}Content-Length: {}\r\n\r\n{text}", text.len());
+        connection.stream.write_all(call.as_bytes()).await.map_err(|_| ConnectionFailed)?;
+        let reply = connection.reader.read_reply(&mut connection.stream).await?;
+        let reply = reply.ok_or(ConnectionFailed)?;
+        if !reply.closes_connection() {
+            self.keep(dispatcher, connection);
+        }
+        if matches!(reply.status, 200 | 204) { Ok(()) } else { Err(ConnectionFailed) }
+    }
+
+    fn keep(&self, dispatcher: usize, connection: CallbackConnection) {
+        let mut idle = self.idle.lock().expect("a lock");
+        let idle = idle.entry(dispatcher).or_default();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
+        }
+    }
+}
