--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -3,8 +3,7 @@
 use super::address_block::{AddressBlock, TakenBlock};
 use super::clients::Clients;
 use super::datagram_relay::DatagramRelay;
-use super::discovery::ScriptedDiscovery;
-use super::endpoint_table::Endpoint;
+use super::discovery::{Endpoint, ScriptedDiscovery};
 use super::event_log::{Clock, EventLog, Lifecycle};
 use super::link::{Link, LinkRoute, LinkTarget};
 use super::plan::{CLIENTS_SEED, DISCOVERY_LINK_SEED, FIRST_WORKER_SEED, SEEDS_PER_DISPATCHER, derive_seed};
--- a/crates/testkit/src/fleet/endpoint_table.rs
+++ b/crates/testkit/src/fleet/discovery/endpoint_table.rs
@@ -1,6 +1,6 @@
 //! The endpoint list of the scripted discovery service: its generations, and what changed in each.
 
-use super::event_log::{Event, Lifecycle, NotifiedEndpoint};
+use crate::fleet::event_log::{Event, Lifecycle, NotifiedEndpoint};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -25,6 +25,7 @@
 
 /// A list as one dispatcher gets it, and the event that this dispatcher was notified.
 pub(super) struct ListFor {
+    pub(super) generation: u64,
     pub(super) list: Value,
     pub(super) notified: Event,
 }
@@ -88,7 +89,7 @@
         }
         let generation = self.generation;
         let list = json!({"generation": generation, "reset": is_full, "instances": instances});
-        ListFor { list, notified: Event::Notified { dispatcher, generation, is_full, endpoints } }
+        ListFor { generation, list, notified: Event::Notified { dispatcher, generation, is_full, endpoints } }
     }
 
     fn notified_endpoint(&self, worker: usize) -> NotifiedEndpoint {
