--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -5,12 +5,13 @@
 use super::datagram_relay::DatagramRelay;
 use super::discovery::{Endpoint, ScriptedDiscovery};
 use super::event_log::{Clock, EventLog, Lifecycle};
+use super::faults::FleetLinks;
 use super::link::{Link, LinkRoute, LinkTarget};
 use super::plan::{CLIENTS_SEED, DISCOVERY_LINK_SEED, FIRST_WORKER_SEED, SEEDS_PER_DISPATCHER, derive_seed};
 use super::process::Process;
 use super::tcp_relay::{self, TcpRelay};
 use super::worker::{ScriptedWorker, WorkerContext};
-use super::{Fleet, FleetError, FleetLinks, Plan, WorkerScript};
+use super::{Fleet, FleetError, Plan, WorkerScript};
 use crate::site;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -54,7 +55,7 @@
     Ok(Fleet {
         processes,
         configs: Mutex::new(configs),
-        settings: Mutex::new(vec![plan.settings; size]),
+        settings: plan.settings,
         starts: AtomicU64::new(0),
         datagrams,
         discovery,
--- /dev/null
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -0,0 +1,128 @@
+//! Faults of datagrams between two dispatchers, and what they do to each datagram.
+
+use std::time::Duration;
+
+/// A throttled pair queues this much and drops the rest.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
+/// The second copy of a repeated datagram comes at most this long after the first.
+const MAX_REPEAT_DELAY: Duration = Duration::from_millis(5);
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// What becomes of datagrams from one dispatcher to another.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct DatagramFaults {
+    /// The fraction that is dropped, 0 to 1; 1 is a cut.
+    pub drop: f64,
+    /// The fraction that arrives twice, the second up to 5 ms after the first.
+    pub repeat: f64,
+    /// The fraction that is held back for up to `reorder_delay` more, so that later ones overtake it.
+    pub reorder: f64,
+    /// How long these may be held back.
+    pub reorder_delay: Duration,
+    /// Every datagram takes this long ...
+    pub delay: Duration,
+    /// ... and up to this much more.
+    pub jitter: Duration,
+    /// Bytes a second that get through, if there is a limit.
+    pub rate: Option<u64>,
+}
+
+impl DatagramFaults {
+    /// Nothing is wrong.
+    pub const NONE: DatagramFaults = DatagramFaults {
+        drop: 0.0,
+        repeat: 0.0,
+        reorder: 0.0,
+        reorder_delay: Duration::from_millis(20),
+        delay: Duration::ZERO,
+        jitter: Duration::ZERO,
+        rate: None,
+    };
+    /// Nothing gets through.
+    pub const CUT: DatagramFaults = DatagramFaults { drop: 1.0, ..DatagramFaults::NONE };
+
+    /// This fraction is lost at random.
+    pub fn loss(fraction: f64) -> DatagramFaults {
+        DatagramFaults { drop: fraction, ..DatagramFaults::NONE }
+    }
+}
+
+/// One ordered pair of dispatchers.
+pub(super) struct Pair {
+    pub(super) faults: DatagramFaults,
+    pub(super) is_cut: bool,
+    rng: fastrand::Rng,
+    /// A throttled pair is busy until then, in microseconds of the harness's clock.
+    busy_until: u64,
+}
+
+/// What chance says of one datagram: a number from 0 to 1 for each kind of fault.
+struct Draws {
+    drop: f64,
+    repeat: f64,
+    reorder: f64,
+    jitter: f64,
+    reorder_delay: f64,
+    repeat_delay: f64,
+}
+
+impl Draws {
+    /// Each datagram takes the same draws whatever the faults are, so that a fault switched on does not shift what comes
+    /// after it.
+    fn next(rng: &mut fastrand::Rng) -> Draws {
+        Draws {
+            drop: rng.f64(),
+            repeat: rng.f64(),
+            reorder: rng.f64(),
+            jitter: rng.f64(),
+            reorder_delay: rng.f64(),
+            repeat_delay: rng.f64(),
+        }
+    }
+}
+
+impl Pair {
+    /// Without faults; its draws follow from the seed.
+    pub(super) fn new(seed: u64) -> Pair {
+        let rng = fastrand::Rng::with_seed(seed);
+        Pair { faults: DatagramFaults::NONE, is_cut: false, rng, busy_until: 0 }
+    }
+
+    /// How long each copy of a datagram of this length in bytes is delayed, in microseconds; none if it is dropped.
+    pub(super) fn delays(&mut self, now: u64, length: usize) -> Vec<u64> {
+        let draws = Draws::next(&mut self.rng);
+        let faults = self.faults;
+        if self.is_cut || draws.drop < faults.drop {
+            return Vec::new();
+        }
+        let mut delay = scaled_micros(faults.delay, 1.0) + scaled_micros(faults.jitter, draws.jitter);
+        if draws.reorder < faults.reorder {
+            delay += scaled_micros(faults.reorder_delay, draws.reorder_delay);
+        }
+        if let Some(rate) = faults.rate {
+            let Some(queue_time) = self.enqueue(now, length, rate) else { return Vec::new() };
+            delay += queue_time;
+        }
+        let mut delays = vec![delay];
+        if draws.repeat < faults.repeat {
+            delays.push(delay + scaled_micros(MAX_REPEAT_DELAY, draws.repeat_delay));
+        }
+        delays
+    }
+
+    /// The time in microseconds until a throttled datagram has got through; `None` if the queue has no room for it.
+    fn enqueue(&mut self, now: u64, length: usize, rate: u64) -> Option<u64> {
+        let begin = self.busy_until.max(now);
+        let end = begin + length as u64 * MICROS_PER_SECOND / rate.max(1);
+        if end - now > scaled_micros(MAX_QUEUE_TIME, 1.0) {
+            return None;
+        }
+        self.busy_until = end;
+        Some(end - now)
+    }
+}
+
+/// This part of a duration, in microseconds.
+fn scaled_micros(duration: Duration, part: f64) -> u64 {
+    (duration.as_micros() as f64 * part) as u64
+}
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -2,11 +2,13 @@
 //! distinguished by its sender's address, goes through the faults of that ordered pair, and leaves for the dispatcher behind the
 //! face from the face of its sender. So the sender's address in `peers` is where datagrams come from, as the protocol says.
 
+use super::datagram_faults::{DatagramFaults, Pair};
 use super::event_log::{Clock, Event, EventLog};
+use super::partition::{CutSides, cut_sides};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
@@ -17,47 +19,10 @@
 const MAX_RELAYED_DATAGRAMS: usize = 1 << 16;
 /// Datagrams in flight: beyond that they are dropped, as by a full queue.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 1 << 16;
-/// A throttled pair queues this much and drops the rest.
-const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
-
-/// What becomes of datagrams from one dispatcher to another.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DatagramFaults {
-    /// The fraction that is dropped, 0 to 1; 1 is a cut.
-    pub drop: f64,
-    /// The fraction that arrives twice, the second up to 5 ms after the first.
-    pub repeat: f64,
-    /// The fraction that is held back for up to `reorder_delay` more, so that later ones overtake it.
-    pub reorder: f64,
-    /// How long these may be held back.
-    pub reorder_delay: Duration,
-    /// Every datagram takes this long ...
-    pub delay: Duration,
-    /// ... and up to this much more.
-    pub jitter: Duration,
-    /// Bytes a second that get through, if there is a limit.
-    pub rate: Option<u64>,
-}
-
-impl DatagramFaults {
-    /// Nothing is wrong.
-    pub const NONE: DatagramFaults = DatagramFaults {
-        drop: 0.0,
-        repeat: 0.0,
-        reorder: 0.0,
-        reorder_delay: Duration::from_millis(20),
-        delay: Duration::ZERO,
-        jitter: Duration::ZERO,
-        rate: None,
-    };
-    /// Nothing gets through.
-    pub const CUT: DatagramFaults = DatagramFaults { drop: 1.0, ..DatagramFaults::NONE };
-
-    /// This fraction is lost at random.
-    pub fn loss(fraction: f64) -> DatagramFaults {
-        DatagramFaults { drop: fraction, ..DatagramFaults::NONE }
-    }
-}
+/// Bytes of a datagram that are read; what is longer is too long anyway.
+const RECEIVED_LENGTH: usize = 2048;
+/// The system's receive buffer of each face, in bytes.
+const RECEIVE_BUFFER_SIZE: usize = 1 << 20;
 
 /// What became of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,6 +33,15 @@
     Dropped,
 }
 
+impl DatagramOutcome {
+    fn copies(self) -> u64 {
+        match self {
+            DatagramOutcome::Passed(copies) => u64::from(copies),
+            DatagramOutcome::Dropped => 0,
+        }
+    }
+}
+
 /// A datagram that reached the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayedDatagram {
@@ -88,7 +62,7 @@
 /// What one dispatcher sent and was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DatagramTotals {
-    /// Datagrams that it sent, and their bytes; one to all counts once for each that it is for.
+    /// Datagrams that it sent; one to all counts once for each that it is for.
     pub sent: u64,
     /// Bytes of these.
     pub sent_bytes: u64,
@@ -104,26 +78,54 @@
     pub by_first_byte: BTreeMap<u8, (u64, u64)>,
 }
 
-struct Pair {
-    faults: DatagramFaults,
-    is_cut: bool,
-    rng: fastrand::Rng,
-    /// A throttled pair is busy until then, in microseconds of the harness's clock.
-    busy_until: u64,
+impl DatagramTotals {
+    fn count_sent(&mut self, datagram: &RelayedDatagram) {
+        let bytes = datagram.length as u64;
+        self.sent += 1;
+        self.sent_bytes += bytes;
+        self.dropped += u64::from(datagram.outcome == DatagramOutcome::Dropped);
+        self.too_long += u64::from(datagram.length > MAX_DATAGRAM_LENGTH);
+        let kind = self.by_first_byte.entry(datagram.first).or_default();
+        *kind = (kind.0 + 1, kind.1 + bytes);
+    }
+
+    fn count_delivered(&mut self, datagram: &RelayedDatagram) {
+        let copies = datagram.outcome.copies();
+        self.delivered += copies;
+        self.delivered_bytes += copies * datagram.length as u64;
+    }
 }
 
 struct Inner {
+    /// By sender, then by receiver.
     pairs: Vec<Pair>,
     totals: Vec<DatagramTotals>,
     relayed: VecDeque<RelayedDatagram>,
     from_strangers: u64,
 }
 
-/// The relay of a whole fleet.
+impl Inner {
+    fn remember(&mut self, datagram: RelayedDatagram) {
+        if self.relayed.len() >= MAX_RELAYED_DATAGRAMS {
+            self.relayed.pop_front();
+        }
+        self.relayed.push_back(datagram);
+    }
+}
+
+/// The seed of an ordered pair's draws, by its number.
+fn pair_seed(seed: u64, number: usize) -> u64 {
+    seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
+/// The relay of a whole fleet. Its methods take dispatchers by their numbers from 0, and panic if there is none of that
+/// number or a thread of the relay has panicked.
 pub struct DatagramRelay {
     /// Sends go out past the runtime: a datagram that cannot be sent now is lost, as datagrams are.
     faces: Vec<std::net::UdpSocket>,
+    /// The addresses of the faces.
     addresses: Vec<SocketAddr>,
+    /// Where the dispatchers themselves listen.
     own: Vec<SocketAddr>,
     broadcast: SocketAddr,
     inner: Mutex<Inner>,
@@ -147,18 +149,13 @@
         let broadcast_address = broadcast.local_addr()?;
         let socket = |socket: &std::net::UdpSocket| {
             socket.set_nonblocking(true)?;
-            let _ = socket2::SockRef::from(socket).set_recv_buffer_size(1 << 20);
+            let _ = socket2::SockRef::from(socket).set_recv_buffer_size(RECEIVE_BUFFER_SIZE);
             UdpSocket::from_std(socket.try_clone()?)
         };
         let sockets = faces.iter().map(socket).collect::<Result<Vec<_>, _>>()?;
         let broadcast = socket(broadcast)?;
         let size = own.len();
-        let pair = |n: usize| Pair {
-            faults: DatagramFaults::NONE,
-            is_cut: false,
-            rng: fastrand::Rng::with_seed(seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            busy_until: 0,
-        };
+        let pair = |number| Pair::new(pair_seed(seed, number));
         let inner = Inner {
             pairs: (0..size * size).map(pair).collect(),
             totals: vec![DatagramTotals::default(); size],
@@ -184,76 +181,80 @@
         Ok(relay)
     }
 
+    /// Passes on what comes to a face: to the dispatcher behind it, or to all but the sender if there is none.
     async fn listen(self: &Arc<Self>, socket: &UdpSocket, to: Option<usize>) {
-        let mut buf = [0; 2048];
+        let mut buffer = [0; RECEIVED_LENGTH];
         loop {
             // An error is the answer to an earlier datagram that found nobody.
-            let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
+            let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
             let Some(from) = self.own.iter().position(|own| *own == from) else {
-                self.inner.lock().expect("a lock").from_strangers += 1;
+                self.inner().from_strangers += 1;
                 continue;
             };
             match to {
-                Some(to) => self.pass(from, to, &buf[..length]),
+                Some(to) => self.pass(from, to, &buffer[..length]),
                 None => (0..self.own.len())
                     .filter(|to| *to != from)
-                    .for_each(|to| self.pass(from, to, &buf[..length])),
+                    .for_each(|to| self.pass(from, to, &buffer[..length])),
             }
         }
     }
 
+    /// Passes a datagram on, now or later, with the faults of its ordered pair.
     fn pass(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         let now = self.clock.now();
-        let delays = {
-            let mut inner = self.inner.lock().expect("a lock");
-            let pair = &mut inner.pairs[from * self.own.len() + to];
-            let delays = pair.delays(now, bytes.len());
-            let outcome = if delays.is_empty() {
-                DatagramOutcome::Dropped
-            } else {
-                DatagramOutcome::Passed(delays.len() as u8)
-            };
-            let first = bytes.first().copied().unwrap_or(0);
-            if inner.relayed.len() >= MAX_RELAYED_DATAGRAMS {
-                inner.relayed.pop_front();
-            }
-            inner.relayed.push_back(RelayedDatagram {
-                at: now,
-                from,
-                to,
-                length: bytes.len(),
-                first,
-                outcome,
-            });
-            let totals = &mut inner.totals[from];
-            totals.sent += 1;
-            totals.sent_bytes += bytes.len() as u64;
-            totals.dropped += u64::from(delays.is_empty());
-            totals.too_long += u64::from(bytes.len() > MAX_DATAGRAM_LENGTH);
-            let kind = totals.by_first_byte.entry(first).or_default();
-            *kind = (kind.0 + 1, kind.1 + bytes.len() as u64);
-            inner.totals[to].delivered += delays.len() as u64;
-            inner.totals[to].delivered_bytes += (delays.len() * bytes.len()) as u64;
-            delays
-        };
         if bytes.len() > MAX_DATAGRAM_LENGTH {
             self.event_log.add_at(now, Event::LongDatagram { dispatcher: from, length: bytes.len() });
         }
-        for delay in delays {
+        for delay in self.draw_delays(now, from, to, bytes) {
             if delay == 0 {
-                let _ = self.faces[from].send_to(bytes, self.own[to]);
-                continue;
+                self.send_on(from, to, bytes);
+            } else {
+                self.pass_later(Duration::from_micros(delay), from, to, bytes);
             }
-            let Ok(permit) = self.in_flight.clone().try_acquire_owned() else { continue };
-            let (relay, bytes) = (self.clone(), bytes.to_vec());
-            tokio::spawn(async move {
-                tokio::time::sleep(Duration::from_micros(delay)).await;
-                let _ = relay.faces[from].send_to(&bytes, relay.own[to]);
-                drop(permit);
-            });
         }
     }
 
+    /// How long each copy of a datagram is delayed, in microseconds. Counts and remembers the datagram.
+    fn draw_delays(&self, now: u64, from: usize, to: usize, bytes: &[u8]) -> Vec<u64> {
+        let mut inner = self.inner();
+        let delays = inner.pairs[self.pair_number(from, to)].delays(now, bytes.len());
+        let outcome = if delays.is_empty() {
+            DatagramOutcome::Dropped
+        } else {
+            DatagramOutcome::Passed(delays.len() as u8)
+        };
+        let first = bytes.first().copied().unwrap_or(0);
+        let datagram = RelayedDatagram { at: now, from, to, length: bytes.len(), first, outcome };
+        inner.totals[from].count_sent(&datagram);
+        inner.totals[to].count_delivered(&datagram);
+        inner.remember(datagram);
+        delays
+    }
+
+    fn pass_later(self: &Arc<Self>, delay: Duration, from: usize, to: usize, bytes: &[u8]) {
+        let Ok(permit) = self.in_flight.clone().try_acquire_owned() else { return };
+        let (relay, bytes) = (self.clone(), bytes.to_vec());
+        tokio::spawn(async move {
+            tokio::time::sleep(delay).await;
+            relay.send_on(from, to, &bytes);
+            drop(permit);
+        });
+    }
+
+    /// Sends bytes to a dispatcher by the face of another.
+    fn send_on(&self, from: usize, to: usize, bytes: &[u8]) {
+        let _ = self.faces[from].send_to(bytes, self.own[to]);
+    }
+
+    fn inner(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().expect("a lock")
+    }
+
+    fn pair_number(&self, from: usize, to: usize) -> usize {
+        from * self.own.len() + to
+    }
+
     /// The face of each dispatcher: `peers` of the configuration, the same for all.
     pub fn peers(&self) -> Value {
         json!(self.addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>())
@@ -266,96 +267,54 @@
 
     /// Sets the faults of datagrams from one to another. A cut stays.
     pub fn set(&self, from: usize, to: usize, faults: DatagramFaults) {
-        self.inner.lock().expect("a lock").pairs[from * self.own.len() + to].faults = faults;
+        self.inner().pairs[self.pair_number(from, to)].faults = faults;
     }
 
     /// Sets the faults of every ordered pair.
     pub fn set_all(&self, faults: DatagramFaults) {
-        self.inner.lock().expect("a lock").pairs.iter_mut().for_each(|pair| pair.faults = faults);
-    }
-
-    /// Sets the faults of all datagrams to and from one dispatcher.
-    pub fn set_around(&self, dispatcher: usize, faults: DatagramFaults) {
-        for other in (0..self.own.len()).filter(|other| *other != dispatcher) {
-            self.set(dispatcher, other, faults);
-            self.set(other, dispatcher, faults);
-        }
+        self.inner().pairs.iter_mut().for_each(|pair| pair.faults = faults);
     }
 
     /// Cuts one way: nothing of `from` reaches any of `to`.
     pub fn cut_one_way(&self, from: &[usize], to: &[usize]) {
-        let mut inner = self.inner.lock().expect("a lock");
-        for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (from, to))) {
-            inner.pairs[from * self.own.len() + to].is_cut = true;
+        let mut inner = self.inner();
+        for from in from {
+            for to in to {
+                inner.pairs[self.pair_number(*from, *to)].is_cut = true;
+            }
         }
     }
 
     /// Cuts between the sides. Who is on none of them can be reached by all. Any earlier cut is healed first.
     pub fn partition(&self, sides: &[&[usize]]) {
         self.heal();
-        for (n, side) in sides.iter().enumerate() {
-            sides
-                .iter()
-                .enumerate()
-                .filter(|(m, _)| *m != n)
-                .for_each(|(_, other)| self.cut_one_way(side, other));
+        for CutSides { from, to } in cut_sides(sides) {
+            self.cut_one_way(from, to);
         }
     }
 
     /// Ends all cuts and partitions; other faults stay.
     pub fn heal(&self) {
-        self.inner.lock().expect("a lock").pairs.iter_mut().for_each(|pair| pair.is_cut = false);
+        self.inner().pairs.iter_mut().for_each(|pair| pair.is_cut = false);
     }
 
     /// Sends bytes to a dispatcher as if they came from another, past all faults and counts.
     pub fn forge(&self, from: usize, to: usize, bytes: &[u8]) {
-        let _ = self.faces[from].send_to(bytes, self.own[to]);
+        self.send_on(from, to, bytes);
     }
 
     /// What each dispatcher sent and was delivered so far, by number.
     pub fn totals(&self) -> Vec<DatagramTotals> {
-        self.inner.lock().expect("a lock").totals.clone()
+        self.inner().totals.clone()
     }
 
     /// The latest datagrams, the oldest first.
     pub fn relayed(&self) -> Vec<RelayedDatagram> {
-        self.inner.lock().expect("a lock").relayed.iter().copied().collect()
+        self.inner().relayed.iter().copied().collect()
     }
 
     /// Datagrams that came from nobody of the fleet.
     pub fn from_strangers(&self) -> u64 {
-        self.inner.lock().expect("a lock").from_strangers
-    }
-}
-
-impl Pair {
-    /// How long each copy of a datagram is delayed, in microseconds; none if it is dropped. Each datagram
-    /// takes the same draws whatever the faults are, so that a fault switched on does not shift what comes after it.
-    fn delays(&mut self, now: u64, length: usize) -> Vec<u64> {
-        let (dropped, again, late, jitter) = (self.rng.f64(), self.rng.f64(), self.rng.f64(), self.rng.f64());
-        let (back, second) = (self.rng.f64(), self.rng.f64());
-        let faults = self.faults;
-        if self.is_cut || dropped < faults.drop {
-            return Vec::new();
-        }
-        let span = |span: Duration, part: f64| (span.as_micros() as f64 * part) as u64;
-        let mut delay = span(faults.delay, 1.0) + span(faults.jitter, jitter);
-        if late < faults.reorder {
-            delay += span(faults.reorder_delay, back);
-        }
-        if let Some(rate) = faults.rate {
-            let begin = self.busy_until.max(now);
-            let end = begin + length as u64 * 1_000_000 / rate.max(1);
-            if end - now > span(MAX_QUEUE_TIME, 1.0) {
-                return Vec::new();
-            }
-            self.busy_until = end;
-            delay += end - now;
-        }
-        let mut delays = vec![delay];
-        if again < faults.repeat {
-            delays.push(delay + span(Duration::from_millis(5), second));
-        }
-        delays
+        self.inner().from_strangers
     }
 }
--- a/crates/testkit/src/fleet/process.rs
+++ b/crates/testkit/src/fleet/process.rs
@@ -7,11 +7,15 @@
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
 /// Lines of a log that are kept; the oldest are dropped first.
 const MAX_LOG_LINES: usize = 20_000;
+/// Its configuration, in its folder.
+pub(super) const CONFIG_FILE: &str = "config.json";
+/// The operators' file, in its folder.
+const SETTINGS_FILE: &str = "settings.txtpb";
 
 /// A line of a process's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,6 +26,7 @@
     pub text: String,
 }
 
+/// A process that can be started again and again, at the same addresses and with the same folder.
 pub(super) struct Process {
     number: usize,
     program: PathBuf,
@@ -59,43 +64,56 @@
         done.map_err(|source| FleetError::File { path: file, source })
     }
 
+    /// Starts it with this configuration and, if there is one, this operators' file.
     pub(super) fn start(&self, config: &Value, settings: Option<&str>) -> Result<(), FleetError> {
         let mut running = self.child.lock().expect("a lock");
         if running.is_some() {
             return Err(FleetError::AlreadyRunning(self.number));
         }
-        self.write("config.json", &config.to_string())?;
-        let mut command = Command::new(&self.program);
+        self.write(CONFIG_FILE, &config.to_string())?;
         if let Some(text) = settings {
-            self.write("settings.txtpb", text)?;
-            command.arg("--settings").arg(self.file("settings.txtpb"));
-        }
-        for name in ["GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"] {
-            command.env_remove(name);
+            self.write(SETTINGS_FILE, text)?;
         }
-        // It finds nobody else's files: neither the operators' of where the test runs nor another process's socket.
-        command.current_dir(&self.folder).env("TMPDIR", &self.folder);
-        command.env("GW_CONFIG", self.file("config.json")).stdin(Stdio::null());
-        command.stdout(Stdio::null()).stderr(Stdio::piped());
+        let mut command = self.command(settings.is_some());
         self.event_log.add(Event::Started { dispatcher: self.number });
         let mut child =
             command.spawn().map_err(|source| FleetError::Start { process: self.number, source })?;
         if let Some(stderr) = child.stderr.take() {
-            let (log, clock) = (self.log.clone(), self.clock);
-            std::thread::spawn(move || {
-                for text in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let mut log = log.lock().expect("a lock");
-                    if log.len() >= MAX_LOG_LINES {
-                        log.pop_front();
-                    }
-                    log.push_back(LogLine { at: clock.now(), text });
-                }
-            });
+            self.follow_log(stderr);
         }
         *running = Some(child);
         Ok(())
     }
 
+    fn command(&self, has_settings: bool) -> Command {
+        let mut command = Command::new(&self.program);
+        if has_settings {
+            command.arg("--settings").arg(self.file(SETTINGS_FILE));
+        }
+        for name in ["GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"] {
+            command.env_remove(name);
+        }
+        // It finds nobody else's files: neither the operators' of where the test runs nor another process's socket.
+        command.current_dir(&self.folder).env("TMPDIR", &self.folder);
+        command.env("GW_CONFIG", self.file(CONFIG_FILE)).stdin(Stdio::null());
+        command.stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+    }
+
+    /// Keeps the lines of a start's log, on a thread of its own.
+    fn follow_log(&self, stderr: ChildStderr) {
+        let (log, clock) = (self.log.clone(), self.clock);
+        std::thread::spawn(move || {
+            for text in BufReader::new(stderr).lines().map_while(Result::ok) {
+                let mut log = log.lock().expect("a lock");
+                if log.len() >= MAX_LOG_LINES {
+                    log.pop_front();
+                }
+                log.push_back(LogLine { at: clock.now(), text });
+            }
+        });
+    }
+
     fn signal(child: &Child, signal: Signal) {
         // It was not waited for yet, so its number is nobody else's.
         if let Some(pid) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
@@ -130,9 +148,12 @@
         }
     }
 
-    pub(super) fn set_paused(&self, is_paused: bool) {
-        let signal = if is_paused { Signal::STOP } else { Signal::CONT };
-        self.send(signal, Event::Paused { dispatcher: self.number, is_paused });
+    pub(super) fn pause(&self) {
+        self.send(Signal::STOP, Event::Paused { dispatcher: self.number, is_paused: true });
+    }
+
+    pub(super) fn resume(&self) {
+        self.send(Signal::CONT, Event::Paused { dispatcher: self.number, is_paused: false });
     }
 
     /// Whether it runs; logs its end if it has exited by itself.
--- /dev/null
+++ b/crates/testkit/src/fleet/process_control.rs
@@ -0,0 +1,131 @@
+//! Control of a fleet's processes: starts, signals, configurations, logs.
+
+use super::plan::{FIRST_START_SEED, derive_seed};
+use super::process::{CONFIG_FILE, LogLine};
+use super::{Fleet, FleetError};
+use serde_json::{Value, json};
+use std::sync::atomic::Ordering;
+
+impl Fleet {
+    /// Starts a process, with a new seed of its own, at the addresses that are always its own.
+    ///
+    /// # Errors
+    ///
+    /// If it runs already or cannot be started, or its files cannot be written.
+    pub fn start_process(&self, dispatcher: usize) -> Result<(), FleetError> {
+        let start = self.starts.fetch_add(1, Ordering::Relaxed);
+        let seed = derive_seed(self.seed, FIRST_START_SEED | start);
+        self.change_config(dispatcher, |config| config["seed"] = json!(format!("{seed:016x}")));
+        self.processes[dispatcher].start(&self.config(dispatcher), self.settings.as_deref())
+    }
+
+    /// Starts all, one right after another, and waits for none.
+    ///
+    /// # Errors
+    ///
+    /// As [`Fleet::start_process`]; those after the first that fails are not started.
+    pub fn start_all(&self) -> Result<(), FleetError> {
+        (0..self.size()).try_for_each(|dispatcher| self.start_process(dispatcher))
+    }
+
+    /// Starts a process again that was killed or has ended, and waits until it is up.
+    ///
+    /// # Errors
+    ///
+    /// As [`Fleet::start_process`].
+    ///
+    /// # Panics
+    ///
+    /// If it is not up within [`crate::WAIT_TIMEOUT`].
+    pub fn restart(&self, dispatcher: usize) -> Result<(), FleetError> {
+        self.start_process(dispatcher)?;
+        self.wait_until_up(&[dispatcher]);
+        Ok(())
+    }
+
+    /// SIGKILL, and waits for the end.
+    pub fn kill(&self, dispatcher: usize) {
+        self.processes[dispatcher].kill();
+    }
+
+    /// SIGTERM; [`Fleet::wait_until_exited`] waits for the end.
+    pub fn terminate(&self, dispatcher: usize) {
+        self.processes[dispatcher].terminate();
+    }
+
+    /// SIGHUP, after the configuration was changed.
+    ///
+    /// # Errors
+    ///
+    /// If the configuration cannot be written.
+    pub fn reload(&self, dispatcher: usize) -> Result<(), FleetError> {
+        let config = self.config(dispatcher).to_string();
+        self.processes[dispatcher].write(CONFIG_FILE, &config)?;
+        self.processes[dispatcher].hang_up();
+        Ok(())
+    }
+
+    /// SIGSTOP.
+    pub fn pause(&self, dispatcher: usize) {
+        self.processes[dispatcher].pause();
+    }
+
+    /// SIGCONT.
+    pub fn resume(&self, dispatcher: usize) {
+        self.processes[dispatcher].resume();
+    }
+
+    /// Whether a process runs.
+    pub fn is_running(&self, dispatcher: usize) -> bool {
+        self.processes[dispatcher].is_running()
+    }
+
+    /// Logs the processes that have exited by themselves since the last look at them.
+    pub(super) fn log_exits(&self) {
+        for process in &self.processes {
+            process.is_running();
+        }
+    }
+
+    /// Waits until these processes have ended by themselves.
+    ///
+    /// # Panics
+    ///
+    /// If they have not within [`crate::WAIT_TIMEOUT`].
+    pub fn wait_until_exited(&self, dispatchers: &[usize]) {
+        self.wait_until("the processes end", || {
+            dispatchers.iter().all(|dispatcher| !self.is_running(*dispatcher))
+        });
+    }
+
+    /// Waits until these processes answer `/up` with 200.
+    ///
+    /// # Panics
+    ///
+    /// If they do not within [`crate::WAIT_TIMEOUT`].
+    pub fn wait_until_up(&self, dispatchers: &[usize]) {
+        self.wait_until("the processes are up", || {
+            dispatchers.iter().all(|dispatcher| self.is_up(*dispatcher))
+        });
+    }
+
+    /// A process's id at the system, if it runs.
+    pub fn pid(&self, dispatcher: usize) -> Option<u32> {
+        self.processes[dispatcher].pid()
+    }
+
+    /// The latest lines of a process's log, over all its starts.
+    pub fn log(&self, dispatcher: usize) -> Vec<LogLine> {
+        self.processes[dispatcher].log()
+    }
+
+    /// A process's configuration, as it will be at its next start or reload.
+    pub fn config(&self, dispatcher: usize) -> Value {
+        self.configs.lock().expect("a lock")[dispatcher].clone()
+    }
+
+    /// Changes it; it counts from the next start or reload.
+    pub fn change_config(&self, dispatcher: usize, change: impl FnOnce(&mut Value)) {
+        change(&mut self.configs.lock().expect("a lock")[dispatcher]);
+    }
+}
