--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -15,12 +15,15 @@
 use crate::site;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
+use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use tokio::runtime::{Builder, Handle};
 
+/// Threads of the harness's own runtime.
 const RUNTIME_THREADS: usize = 3;
 
+/// Makes all of a fleet and starts everything but its processes. Prints its seed.
 pub(super) fn build(plan: Plan) -> Result<Fleet, FleetError> {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
     plan.check_size()?;
@@ -32,12 +35,12 @@
     let event_log = Arc::new(EventLog::new(Clock::start()));
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let TakenBlock { block, faces, broadcast } = AddressBlock::take(size, number)?;
-    let own = (0..size).map(|i| block.peer(i)).collect();
-    let datagrams = DatagramRelay::start(runtime.handle(), own, faces, &broadcast, seed, event_log.clone());
+    let peers = (0..size).map(|dispatcher| block.peer(dispatcher)).collect();
+    let datagrams = DatagramRelay::start(runtime.handle(), peers, faces, &broadcast, seed, event_log.clone());
     let datagrams = datagrams.map_err(FleetError::Socket)?;
-    let homes: Vec<SocketAddr> = (0..size).map(|i| block.listen(i)).collect();
+    let listen: Vec<SocketAddr> = (0..size).map(|dispatcher| block.listen(dispatcher)).collect();
     let relay = TcpRelay::new(event_log.clone());
-    let parts = Surroundings {
+    let surroundings = Surroundings {
         handle: runtime.handle(),
         block: &block,
         relay: &relay,
@@ -45,13 +48,13 @@
         size,
         seed,
     };
-    let workers = parts.start_workers(&plan.workers, homes.clone())?;
-    let links = parts.start_links(workers.len())?;
-    let discovery = parts.start_discovery(&plan, &workers, &links.to_workers)?;
+    let workers = surroundings.start_workers(&plan.workers, listen.clone())?;
+    let links = surroundings.start_links(workers.len())?;
+    let discovery = surroundings.start_discovery(&plan, &workers, &links.to_workers)?;
     let folder = std::env::temp_dir().join(format!("mothproxy-fleet-{}-{number}", std::process::id()));
-    let process = |i: usize| Process::new(i, &plan.program, folder.join(i.to_string()), event_log.clone());
-    let processes = (0..size).map(process).collect::<Result<Vec<_>, _>>()?;
-    let configs = (0..size).map(|i| configure(i, &plan, &block, &discovery, &datagrams)).collect();
+    let processes = prepare_processes(&plan, &folder, &event_log)?;
+    let configure = |dispatcher| configure(dispatcher, &plan, &block, &discovery, &datagrams);
+    let configs = (0..size).map(configure).collect();
     Ok(Fleet {
         processes,
         configs: Mutex::new(configs),
@@ -61,7 +64,7 @@
         discovery,
         workers,
         links,
-        clients: Clients::new(homes, derive_seed(seed, CLIENTS_SEED), event_log.clone()),
+        clients: Clients::new(listen, derive_seed(seed, CLIENTS_SEED), event_log.clone()),
         event_log,
         block,
         seed,
@@ -70,6 +73,18 @@
     })
 }
 
+/// The processes, none of them started, each with a folder of its own in this one.
+fn prepare_processes(
+    plan: &Plan,
+    folder: &Path,
+    event_log: &Arc<EventLog>,
+) -> Result<Vec<Process>, FleetError> {
+    let prepare = |number: usize| {
+        Process::new(number, &plan.program, folder.join(number.to_string()), event_log.clone())
+    };
+    (0..plan.size).map(prepare).collect()
+}
+
 /// What the parts around the processes are made from.
 struct Surroundings<'a> {
     handle: &'a Handle,
@@ -81,13 +96,14 @@
 }
 
 impl Surroundings<'_> {
+    /// Starts the workers; `dispatchers` are the addresses at which they call the dispatchers back.
     fn start_workers(
         &self,
         scripts: &[WorkerScript],
-        homes: Vec<SocketAddr>,
+        dispatchers: Vec<SocketAddr>,
     ) -> Result<Vec<Arc<ScriptedWorker>>, FleetError> {
         let _inside = self.handle.enter();
-        let context = Arc::new(WorkerContext::new(self.relay.clone(), self.event_log.clone(), homes));
+        let context = Arc::new(WorkerContext::new(self.relay.clone(), self.event_log.clone(), dispatchers));
         let mut workers = Vec::new();
         for (number, script) in scripts.iter().enumerate() {
             let listener = tcp_relay::listen(self.block.worker(number)).map_err(FleetError::Socket)?;
--- a/crates/testkit/src/fleet/clients.rs
+++ b/crates/testkit/src/fleet/clients.rs
@@ -114,6 +114,26 @@
     last_id: String,
 }
 
+/// A job on its way to a dispatcher.
+struct Sending {
+    dispatcher: usize,
+    id: String,
+    /// In microseconds of the harness's clock.
+    begun_at: u64,
+}
+
+/// How an exchange over a connection went.
+enum Exchange {
+    /// A whole reply came.
+    Reply(HttpMessage),
+    /// The job could not be written.
+    NotWritten,
+    /// The connection closed or broke after the job was written, or what came is not HTTP.
+    Failed,
+    /// No whole reply came in time.
+    TimedOut,
+}
+
 /// The clients of a fleet.
 pub struct Clients {
     dispatchers: Vec<SocketAddr>,
@@ -169,9 +189,7 @@
 
     /// Sends a job and waits for its reply.
     pub(super) async fn send(&self, dispatcher: usize, job: &Job) -> JobOutcome {
-        let id = self.next_id();
-        let request = job.to_request(&id);
-        let begun = self.event_log.clock.now();
+        let sending = Sending { dispatcher, id: self.next_id(), begun_at: self.event_log.clock.now() };
         let mut idle = self.take_idle(dispatcher);
         loop {
             let is_reused = idle.is_some();
@@ -179,40 +197,36 @@
                 Some(idle) => Some(idle),
                 None => self.connect(dispatcher).await,
             };
-            let Some(mut connection) = connection else {
-                self.event_log.add(Event::Unreachable { dispatcher, id });
-                return JobOutcome::Unreachable;
-            };
-            connection.last_id.clone_from(&id);
-            let is_written = connection.stream.write_all(request.as_bytes()).await.is_ok();
-            if is_written {
-                let timeout = job.timeout.as_micros() as u64;
-                self.event_log.add(Event::Sent { dispatcher, id: id.clone(), timeout });
-            }
-            let reply = async {
-                if is_written {
-                    connection.reader.read_reply(&mut connection.stream).await
-                } else {
-                    Err(ConnectionFailed)
-                }
-            };
-            match tokio::time::timeout(job.timeout + TIMEOUT_MARGIN, reply).await {
-                Ok(Ok(Some(reply))) => return self.on_reply(dispatcher, id, connection, reply, begun),
+            let Some(mut connection) = connection else { return self.on_unreachable(sending) };
+            let exchange = self.exchange(&mut connection, &sending, job).await;
+            let may_resend = is_reused && !connection.reader.has_unread_bytes();
+            match exchange {
+                Exchange::Reply(reply) => return self.on_reply(sending, connection, reply),
                 // The close crossed the request: once more, on a new connection.
-                Ok(Ok(None) | Err(ConnectionFailed))
-                    if is_reused && !connection.reader.has_unread_bytes() => {}
-                Ok(_) | Err(_) if !is_written => {
-                    self.event_log.add(Event::Unreachable { dispatcher, id });
-                    return JobOutcome::Unreachable;
-                }
-                Ok(_) | Err(_) => {
-                    self.event_log.add(Event::Unanswered { dispatcher, id });
-                    return JobOutcome::NoAnswer;
-                }
+                Exchange::NotWritten | Exchange::Failed if may_resend => {}
+                Exchange::NotWritten => return self.on_unreachable(sending),
+                Exchange::Failed | Exchange::TimedOut => return self.on_unanswered(sending),
             }
         }
     }
 
+    /// Writes a job on a connection and reads its reply.
+    async fn exchange(&self, connection: &mut ClientConnection, sending: &Sending, job: &Job) -> Exchange {
+        connection.last_id.clone_from(&sending.id);
+        let request = job.to_request(&sending.id);
+        if connection.stream.write_all(request.as_bytes()).await.is_err() {
+            return Exchange::NotWritten;
+        }
+        let (dispatcher, id) = (sending.dispatcher, sending.id.clone());
+        self.event_log.add(Event::Sent { dispatcher, id, timeout: job.timeout.as_micros() as u64 });
+        let reply = connection.reader.read_reply(&mut connection.stream);
+        match tokio::time::timeout(job.timeout + TIMEOUT_MARGIN, reply).await {
+            Ok(Ok(Some(reply))) => Exchange::Reply(reply),
+            Ok(Ok(None) | Err(ConnectionFailed)) => Exchange::Failed,
+            Err(_) => Exchange::TimedOut,
+        }
+    }
+
     async fn connect(&self, dispatcher: usize) -> Option<ClientConnection> {
         let connecting = TcpStream::connect(self.dispatchers[dispatcher]);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
@@ -220,24 +234,34 @@
         Some(ClientConnection { stream, reader: HttpReader::default(), last_id: String::new() })
     }
 
-    fn on_reply(
-        &self,
-        dispatcher: usize,
-        id: String,
-        connection: ClientConnection,
-        reply: HttpMessage,
-        begun: u64,
-    ) -> JobOutcome {
+    fn on_reply(&self, sending: Sending, connection: ClientConnection, reply: HttpMessage) -> JobOutcome {
+        let Sending { dispatcher, id, begun_at } = sending;
         let closes_connection = reply.closes_connection();
         let HttpMessage { status, body, .. } = reply;
         self.event_log.add(Event::Answered { dispatcher, id, status, body: body.clone() });
         if !closes_connection && self.is_usable(dispatcher, &connection) {
-            let mut idle = self.idle[dispatcher].lock().expect("a lock");
-            if idle.len() < MAX_IDLE_CONNECTIONS {
-                idle.push(connection);
-            }
+            self.keep(dispatcher, connection);
         }
-        let latency = Duration::from_micros(self.event_log.clock.now() - begun);
+        let latency = Duration::from_micros(self.event_log.clock.now() - begun_at);
         JobOutcome::Answer { status, body, latency }
     }
+
+    fn keep(&self, dispatcher: usize, connection: ClientConnection) {
+        let mut idle = self.idle[dispatcher].lock().expect("a lock");
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
+        }
+    }
+
+    fn on_unreachable(&self, sending: Sending) -> JobOutcome {
+        let Sending { dispatcher, id, .. } = sending;
+        self.event_log.add(Event::Unreachable { dispatcher, id });
+        JobOutcome::Unreachable
+    }
+
+    fn on_unanswered(&self, sending: Sending) -> JobOutcome {
+        let Sending { dispatcher, id, .. } = sending;
+        self.event_log.add(Event::Unanswered { dispatcher, id });
+        JobOutcome::NoAnswer
+    }
 }
--- a/crates/testkit/src/fleet/link.rs
+++ b/crates/testkit/src/fleet/link.rs
@@ -95,6 +95,11 @@
         self.is_cut || stall
     }
 
+    /// Whether bytes get through in both directions.
+    pub(super) fn flows(&self) -> bool {
+        !self.is_stalled(Direction::Out) && !self.is_stalled(Direction::In)
+    }
+
     fn is_silent(&self) -> bool {
         self.is_stalled(Direction::Out) || self.connect_behavior() == ConnectBehavior::Unreachable
     }
@@ -149,8 +154,8 @@
     }
 
     /// Cuts it, whatever its faults are, or ends the cut.
-    pub fn set_cut(&self, on: bool) {
-        self.state.send_modify(|state| state.is_cut = on);
+    pub fn set_cut(&self, is_cut: bool) {
+        self.state.send_modify(|state| state.is_cut = is_cut);
     }
 
     /// Resets all its connections, on both sides.
--- a/crates/testkit/src/fleet/tcp_relay.rs
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -82,40 +82,46 @@
         Ok(link)
     }
 
+    /// Accepts the connections of a link, as its faults have it, until the link is gone.
     async fn serve(self: Arc<Self>, link: Arc<Link>, listener: TcpListener) {
         let mut state = link.state.subscribe();
         let mut listener = Some(listener);
-        loop {
-            let behavior = state.borrow_and_update().connect_behavior();
-            if behavior == ConnectBehavior::Refused {
-                listener = None;
-                if state.changed().await.is_err() {
-                    return;
+        while self.serve_until_change(&link, &mut listener, &mut state).await.is_some() {}
+    }
+
+    /// One step of [`TcpRelay::serve`]; `None` once the link is gone.
+    async fn serve_until_change(
+        self: &Arc<Self>,
+        link: &Arc<Link>,
+        listener: &mut Option<TcpListener>,
+        state: &mut watch::Receiver<LinkState>,
+    ) -> Option<()> {
+        let behavior = state.borrow_and_update().connect_behavior();
+        if behavior == ConnectBehavior::Refused {
+            *listener = None;
+            return state.changed().await.ok();
+        }
+        let open = match listener {
+            Some(open) => open,
+            None => match listen(link.address) {
+                Ok(open) => listener.insert(open),
+                Err(_) => {
+                    tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
+                    return Some(());
                 }
-                continue;
-            }
-            let open = match &listener {
-                Some(open) => open,
-                None => match listen(link.address) {
-                    Ok(open) => listener.insert(open),
-                    Err(_) => {
-                        tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
-                        continue;
-                    }
-                },
-            };
-            if behavior == ConnectBehavior::Unreachable {
-                if self.stay_unreachable(&link, open, &mut state).await.is_none() {
-                    return;
+            },
+        };
+        if behavior == ConnectBehavior::Unreachable {
+            return self.stay_unreachable(link, open, state).await;
+        }
+        tokio::select! {
+            biased;
+            changed = state.changed() => changed.ok(),
+            accepted = open.accept() => {
+                if let Ok((stream, _)) = accepted {
+                    self.on_accepted(link, stream);
                 }
-                continue;
-            }
-            tokio::select! {
-                biased;
-                changed = state.changed() => if changed.is_err() { return },
-                accepted = open.accept() => if let Ok((stream, _)) = accepted {
-                    self.on_accepted(&link, stream);
-                },
+                Some(())
             }
         }
     }
@@ -189,6 +195,7 @@
         connected.map(|stream| FarSide { own_address, stream, connection })
     }
 
+    /// Passes bytes on both ways until both have ended, something breaks, or the link ends its connections.
     async fn pass_both_ways(
         &self,
         link: &Arc<Link>,
@@ -198,8 +205,7 @@
     ) {
         let mut state = link.state.subscribe();
         let begun = *state.borrow_and_update();
-        let (mut is_far_side_dropped, mut is_forced) = (false, false);
-        let is_done = {
+        let end = {
             let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
             let both = async {
                 tokio::try_join!(
@@ -207,33 +213,23 @@
                     self.pass(link, connection, Direction::In, far_read, near_write),
                 )
             };
-            let is_ended =
-                |s: &LinkState| s.resets != begun.resets || s.far_side_drops != begun.far_side_drops;
             tokio::select! {
-                done = both => done.is_ok(),
-                end = state.wait_for(is_ended) => {
-                    is_far_side_dropped = end.is_ok_and(|s| s.far_side_drops != begun.far_side_drops);
-                    is_forced = true;
-                    false
-                }
+                done = both => if done.is_ok() { RelayEnd::Done } else { RelayEnd::Broken },
+                end = forced_end(&begun, state.clone()) => end,
             }
         };
-        if is_done {
-            return;
-        }
-        if !is_forced {
+        match end {
+            RelayEnd::Done => return,
             // What broke on one side is not noticed on the other while nothing gets through.
-            let flows = |s: &LinkState| !s.is_stalled(Direction::Out) && !s.is_stalled(Direction::In);
-            let _ = state.wait_for(flows).await;
+            RelayEnd::Broken => _ = state.wait_for(LinkState::flows).await,
+            RelayEnd::Reset | RelayEnd::FarSideDropped => {}
         }
         reset_on_drop(&far);
         drop(far);
-        if is_far_side_dropped {
-            let mut discarded = vec![0; PIECE_LENGTH];
-            let unread = async { while matches!(near.read(&mut discarded).await, Ok(1..)) {} };
+        if matches!(end, RelayEnd::FarSideDropped) {
             tokio::select! {
-                () = unread => {}
-                _ = state.wait_for(|s| s.resets != begun.resets) => {}
+                () = discard(&mut near) => {}
+                _ = state.wait_for(|state| state.resets != begun.resets) => {}
             }
         }
         reset_on_drop(&near);
@@ -314,3 +310,31 @@
         write.shutdown().await.map_err(|_| ConnectionFailed)
     }
 }
+
+/// How the relay of a connection ended.
+enum RelayEnd {
+    /// Both directions have ended.
+    Done,
+    /// One of them broke.
+    Broken,
+    /// The link reset its connections.
+    Reset,
+    /// The link dropped their far sides.
+    FarSideDropped,
+}
+
+/// Waits until a link ends the connections that it has had since `begun`.
+async fn forced_end(begun: &LinkState, mut state: watch::Receiver<LinkState>) -> RelayEnd {
+    let is_far_side_dropped = |state: &LinkState| state.far_side_drops != begun.far_side_drops;
+    let is_ended = |state: &LinkState| state.resets != begun.resets || is_far_side_dropped(state);
+    match state.wait_for(is_ended).await {
+        Ok(state) if is_far_side_dropped(&state) => RelayEnd::FarSideDropped,
+        Ok(_) | Err(_) => RelayEnd::Reset,
+    }
+}
+
+/// Reads and drops what comes until nothing more does.
+async fn discard(stream: &mut TcpStream) {
+    let mut discarded = vec![0; PIECE_LENGTH];
+    while matches!(stream.read(&mut discarded).await, Ok(1..)) {}
+}
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -27,7 +27,11 @@
 
 /// The flag that names the settings file of the event-stream listener.
 const EVENT_STREAMS_FLAG: &str = "--sse";
+const EVENT_STREAM_SETTINGS: &str = "listen = \"127.0.0.1:0\"\nheartbeat_ms = 200\n";
+/// An address at which nothing listens.
+const NO_DISCOVERY: &str = "127.0.0.1:1";
 
+/// Changes a configuration before it is written.
 type ConfigChange<'a> = Box<dyn FnOnce(&mut Value) + 'a>;
 
 /// How a [`DispatcherProcess`] is started.
@@ -81,43 +85,68 @@
     /// # Panics
     ///
     /// If it cannot be started or does not serve within [`WAIT_TIMEOUT`].
-    pub fn start(self) -> DispatcherProcess {
-        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+    pub fn start(mut self) -> DispatcherProcess {
+        let discovery = self.discovery.map_or(NO_DISCOVERY.to_owned(), |address| address.to_string());
+        let config = self.config(&discovery);
+        let files = ProcessFiles::write(&config, self.has_event_streams);
+        let mut child = self.command(&discovery, &files).spawn().expect("the program starts");
+        let mut log = ProcessLog::follow(&mut child);
+        let listeners = Listeners::wait(&mut log, self.discovery.is_none());
+        let _ = std::fs::remove_file(&files.streams);
+        for worker in self.workers {
+            worker.set_callback_address(listeners.platform);
+        }
+        let Listeners { platform, sse, admin } = listeners;
+        DispatcherProcess { child, config_file: files.config, config, platform, sse, admin, log }
+    }
+
+    fn config(&mut self, discovery: &str) -> Value {
         let entries: Vec<Value> = self.workers.iter().map(|worker| worker.endpoint_entry("up")).collect();
-        let discovery = self.discovery.map_or("127.0.0.1:1".to_owned(), |address| address.to_string());
-        let mut config = site::config("127.0.0.1:0", &discovery, json!(entries));
-        if let Some(configure) = self.configure {
+        let mut config = site::config("127.0.0.1:0", discovery, json!(entries));
+        if let Some(configure) = self.configure.take() {
             configure(&mut config);
         }
-        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
-        let stem = std::env::temp_dir().join(format!("mothproxy-test-{}-{number}", std::process::id()));
-        let (config_file, streams_file) = (stem.with_extension("json"), stem.with_extension("toml"));
-        std::fs::write(&config_file, config.to_string()).expect("a temporary file");
-        let streams =
-            if self.has_event_streams { "listen = \"127.0.0.1:0\"\nheartbeat_ms = 200\n" } else { "" };
-        std::fs::write(&streams_file, streams).expect("a temporary file");
-        let own_args = [OsStr::new(EVENT_STREAMS_FLAG), streams_file.as_os_str()];
-        let own_args = if self.args.contains(&own_args[0]) { &[][..] } else { &own_args[..] };
-        let mut child = Command::new(program_path())
-            .args(own_args.iter().chain(self.args))
+        config
+    }
+
+    fn command(&self, discovery: &str, files: &ProcessFiles) -> Command {
+        let mut command = Command::new(program_path());
+        if !self.args.contains(&OsStr::new(EVENT_STREAMS_FLAG)) {
+            command.arg(EVENT_STREAMS_FLAG).arg(&files.streams);
+        }
+        command
+            .args(self.args)
             .env_remove("GW_NAME")
             .env_remove("GW_LISTEN")
             .env_remove("GW_ADMIN_ADDR")
             .env_remove("TMPDIR")
             .envs(self.temp_dir.map(|folder| ("TMPDIR", folder)))
-            .env("GW_DISCOVERY", &discovery) // as on the platform, where it says what the file says
-            .env("GW_CONFIG", &config_file)
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the program starts");
-        let mut log = ProcessLog::follow(&mut child);
-        let listeners = Listeners::wait(&mut log, self.discovery.is_none());
-        let _ = std::fs::remove_file(streams_file);
-        for worker in self.workers {
-            worker.set_callback_address(listeners.platform);
-        }
-        let Listeners { platform, sse, admin } = listeners;
-        DispatcherProcess { child, config_file, config, platform, sse, admin, log }
+            .env("GW_DISCOVERY", discovery) // as on the platform, where it says what the file says
+            .env("GW_CONFIG", &files.config)
+            .stderr(Stdio::piped());
+        command
+    }
+}
+
+/// The files that a process is started with.
+struct ProcessFiles {
+    config: PathBuf,
+    /// The settings of its event-stream listener, which are read once.
+    streams: PathBuf,
+}
+
+impl ProcessFiles {
+    /// Writes them under names that no other process has.
+    fn write(config: &Value, has_event_streams: bool) -> ProcessFiles {
+        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+        let stem = std::env::temp_dir().join(format!("mothproxy-test-{}-{number}", std::process::id()));
+        let files =
+            ProcessFiles { config: stem.with_extension("json"), streams: stem.with_extension("toml") };
+        std::fs::write(&files.config, config.to_string()).expect("a temporary file");
+        let streams = if has_event_streams { EVENT_STREAM_SETTINGS } else { "" };
+        std::fs::write(&files.streams, streams).expect("a temporary file");
+        files
     }
 }
 
