--- a/crates/testkit/src/bin/demo/main.rs
+++ b/crates/testkit/src/bin/demo/main.rs
@@ -1,6 +1,6 @@
 //! `make demo`: test doubles, the dispatcher and a small steady load on loopback, and a page that follows a job.
 
-use mothproxy_testkit::{DispatcherProcess, FakeDiscovery, FakeWorker, job_request, read_reply};
+use mothproxy_testkit::{DispatcherProcess, FakeDiscovery, FakeWorker, job_request, read_reply, site};
 use serde_json::json;
 use std::ffi::OsStr;
 use std::io::{Read, Write};
@@ -55,7 +55,7 @@
 /// Starts the dispatcher with a discovery service that lists these workers; the page's origin may follow streams.
 fn start_dispatcher(workers: &[Arc<FakeWorker>], origin: &str) -> DispatcherProcess {
     let instances: Vec<_> = workers.iter().map(|worker| worker.endpoint_entry("up")).collect();
-    let discovery = FakeDiscovery::start(json!({"generation": 1, "reset": true, "instances": instances}));
+    let discovery = FakeDiscovery::start(site::snapshot(1, &instances));
     let streams_file = std::env::temp_dir().join(format!("mothproxy-demo-{}.toml", std::process::id()));
     let streams = format!("listen = \"127.0.0.1:0\"\norigins = [\"{origin}\"]\n");
     std::fs::write(&streams_file, streams).expect("a temporary file");
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -339,6 +339,16 @@
         (self.child.wait().expect("it ends").success(), log)
     }
 
+    /// Waits for its end: it exits with code 0 and logs that no request was open.
+    ///
+    /// # Panics
+    ///
+    /// If it does not.
+    pub fn wait_for_complete_shutdown(self) {
+        let (is_clean, log) = self.wait_for_exit();
+        assert!(is_clean && log.iter().any(|line| line == "shutdown complete open=0"), "{log:?}");
+    }
+
     /// Shuts it down and returns the metrics of its last `figures` line.
     ///
     /// # Panics
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -47,13 +47,21 @@
     Config::read(&config.to_string(), "config.json", |_| None).expect("a sound configuration")
 }
 
+/// A snapshot of the endpoint list, as discovery sends it: all endpoints of a generation.
+pub fn snapshot(generation: u64, instances: &[Value]) -> Value {
+    json!({"generation": generation, "reset": true, "instances": instances})
+}
+
+/// A delta of the endpoint list, as discovery sends it: the endpoints that changed with a generation.
+pub fn delta(generation: u64, instances: &[Value]) -> Value {
+    json!({"generation": generation, "reset": false, "instances": instances})
+}
+
 /// An endpoint list of discovery, as the program reads it.
 ///
 /// # Panics
 ///
 /// If the program refuses it.
-pub fn list(generation: u64, reset: bool, instances: Value) -> EndpointList {
-    let mut list = json!({"generation": generation, "reset": reset, "instances": null});
-    list["instances"] = instances;
-    EndpointList::from_json(&list).expect("a list")
+pub fn read_list(list: &Value) -> EndpointList {
+    EndpointList::from_json(list).expect("a list")
 }
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -10,17 +10,21 @@
 #[test]
 fn removes_unlisted_workers_and_never_reuses_their_numbers() {
     let mut harness = CoreHarness::new(2);
-    let whole = site::list(2, true, json!([site::endpoint_entry("s-1", "127.0.0.1:9101", "up")]));
+    let whole = site::read_list(&site::snapshot(2, &[site::endpoint_entry("s-1", "127.0.0.1:9101", "up")]));
     harness.core.on_endpoint_list(harness.now, &whole);
-    let changes = site::list(3, false, json!([site::endpoint_entry("s-7", "127.0.0.1:9107", "up")]));
+    let changes = site::read_list(&site::delta(3, &[site::endpoint_entry("s-7", "127.0.0.1:9107", "up")]));
     harness.core.on_endpoint_list(harness.now, &changes);
     let table = &harness.core.endpoints;
     assert!(table.get(WorkerId(0)).is_some_and(|endpoint| endpoint.removed && endpoint.stopped.is_some()));
     assert_eq!(table.get(WorkerId(1)).map(|endpoint| endpoint.address.port()), Some(9101));
     assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
-    let bad =
-        json!([{"instanceId": "s-8"}, {"hostPort": "x"}, site::endpoint_entry("s-9", "nowhere", "up"), 5]);
-    harness.core.on_endpoint_list(harness.now, &site::list(4, false, bad));
+    let bad = [
+        json!({"instanceId": "s-8"}),
+        json!({"hostPort": "x"}),
+        site::endpoint_entry("s-9", "nowhere", "up"),
+        json!(5),
+    ];
+    harness.core.on_endpoint_list(harness.now, &site::read_list(&site::delta(4, &bad)));
     assert_eq!(harness.core.endpoints.bad_rows, 4);
 }
 
@@ -29,9 +33,9 @@
 fn applies_no_part_of_a_list_before_all_of_it_has_arrived() {
     let row = |n: u64, state| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:910{n}"), state);
     let lists = [
-        json!({"generation": 2, "reset": false, "instances": [row(0, "draining"), row(2, "up")]}),
-        json!({"generation": 3, "reset": true, "instances": [row(1, "draining"), row(3, "up")]}),
-        json!({"generation": 4, "reset": false, "instances": [row(3, "removed"), row(0, "up")]}),
+        site::delta(2, &[row(0, "draining"), row(2, "up")]),
+        site::snapshot(3, &[row(1, "draining"), row(3, "up")]),
+        site::delta(4, &[row(3, "removed"), row(0, "up")]),
     ];
     let texts = [format!("{}\n\n", lists[0]), format!("{:#}\r\n", lists[1]), format!("{:#}\n", lists[2])];
     let text = texts.concat();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -54,7 +54,7 @@
             });
             let platform = program.platform;
             let held: Vec<TcpStream> = (0..90).map(|n| holder(platform, hold, n)).collect();
-            let list = json!({"generation": 2, "reset": true, "instances": [worker.endpoint_entry("up")]});
+            let list = site::snapshot(2, &[worker.endpoint_entry("up")]);
             rustix::net::listen(&socket, 16).expect("it listens");
             let discovery = FakeDiscovery::start_on(TcpListener::from(socket), list);
             wait_until("the list is read", || discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > 0);
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -49,17 +49,13 @@
     }
 }
 
-fn list(generation: u64, rows: &[Value]) -> Value {
-    json!({"generation": generation, "reset": true, "instances": rows})
-}
-
 /// A program that knows only the late worker, and the discovery that tells it of others.
 fn only_late(
     late: &Late,
     others: &[&Arc<FakeWorker>],
     change: impl FnOnce(&mut Value),
 ) -> (DispatcherProcess, Arc<FakeDiscovery>) {
-    let first = list(2, &[late.endpoint_entry("up")]);
+    let first = site::snapshot(2, &[late.endpoint_entry("up")]);
     let discovery = FakeDiscovery::start(first.clone());
     let program = DispatcherProcess::builder(&[])
         .discovery(discovery.address)
@@ -98,7 +94,7 @@
             "unnamed" => (vec![worker.endpoint_entry("up")], &worker),
             _ => (vec![back.endpoint_entry("up")], &back),
         };
-        discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
+        discovery.push_change(&site::snapshot(3, &rows).to_string(), site::snapshot(3, &rows));
         let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
         let listener = late.listener.try_clone().expect("a descriptor");
         let (first, _) = listener.accept().expect("the filler");
@@ -156,13 +152,13 @@
         config["settings"]["Grades"][1]["MemorySpanMs"] = json!(2_000.0);
     });
     let rows = [worker.endpoint_entry("up"), late.endpoint_entry("draining")];
-    discovery.push_change(&list(3, &rows).to_string(), list(3, &rows));
+    discovery.push_change(&site::snapshot(3, &rows).to_string(), site::snapshot(3, &rows));
     let mut client =
         submit(&program, &job_request("c0", "redeem", "take wait=told lost", "X-Time-Left-Ms: 7000\r\n"));
     wait_until("a job arrives", || worker.job_count.load(Ordering::SeqCst) == 1);
     let sent = Instant::now();
     let rows = [worker.endpoint_entry("draining"), late.endpoint_entry("up")];
-    discovery.push_change(&list(4, &rows).to_string(), list(4, &rows));
+    discovery.push_change(&site::snapshot(4, &rows).to_string(), site::snapshot(4, &rows));
     worker.open_gate("told");
     wait_for_connection_attempt(&late.listener);
     wait_until("the window's end", || sent.elapsed() > Duration::from_millis(2_000));
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -70,8 +70,7 @@
     assert_eq!(again.expect("an answer to the next try").status, 200);
     assert!(node.has_received("a2") && !node.has_received("a1"));
     drop(resting);
-    let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
+    program.wait_for_complete_shutdown();
 }
 
 /// The process ended as soon as its last answer was written: what the client sent then reset the connection under it. A
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -53,8 +53,7 @@
     assert_eq!(send_on_kept_connection("c0".into()).header("Connection"), Some("close"));
     // Datagrams get lost: it goes on saying that it stops.
     (0..3).for_each(|_| wait_for_datagram(&peer, b"S"));
-    let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
+    program.wait_for_complete_shutdown();
 }
 
 #[test]
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -6,10 +6,6 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-fn list(generation: u64, reset: bool, rows: &[Value]) -> Value {
-    json!({"generation": generation, "reset": reset, "instances": rows})
-}
-
 /// Hands in jobs until this worker has had one more.
 fn send_until_used(program: &DispatcherProcess, worker: &FakeWorker, name: &str) {
     let (before, mut n) = (worker.job_count.load(Ordering::SeqCst), 0);
@@ -27,7 +23,7 @@
 fn reopens_watch_of_pushed_list_after_end_or_silence() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let agent =
-        FakeDiscovery::start(list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]));
+        FakeDiscovery::start(site::snapshot(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]));
     let program = DispatcherProcess::builder(std::slice::from_ref(&old))
         .discovery(agent.address)
         .configure(|config| {
@@ -42,9 +38,12 @@
     wait_until("a watch after the end", || agent.calls.load(Ordering::SeqCst) >= 2);
     wait_until("a watch after the silence", || agent.calls.load(Ordering::SeqCst) >= 3);
     // Changes may come over many lines.
-    let change = list(3, false, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]);
+    let change = site::delta(3, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]);
     let indented = serde_json::to_string_pretty(&change).expect("JSON");
-    agent.push_change(&indented, list(3, true, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]));
+    agent.push_change(
+        &indented,
+        site::snapshot(3, &[old.endpoint_entry("up"), new.endpoint_entry("draining")]),
+    );
     assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drained until now");
     send_until_used(&program, &old, "b");
 }
@@ -53,11 +52,11 @@
 #[test]
 fn reads_indented_list_of_watch() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
+    let discovery = FakeDiscovery::start(site::snapshot(1, &[old.endpoint_entry("up")]));
     let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    let full = list(2, true, &[new.endpoint_entry("up")]);
+    let full = site::snapshot(2, &[new.endpoint_entry("up")]);
     discovery.push_change(&serde_json::to_string_pretty(&full).expect("JSON"), full);
     send_until_used(&program, &new, "a");
     assert_eq!(program.shut_down_for_metrics()["bad_lists"], 0);
@@ -73,8 +72,8 @@
 #[test]
 fn retries_discovery_soon_after_any_failure() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let before = list(1, true, &[old.endpoint_entry("up")]);
-    let after = list(2, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
+    let before = site::snapshot(1, &[old.endpoint_entry("up")]);
+    let after = site::snapshot(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     for (had_watch, responses) in [
         (true, [ScriptedResponse::Refuse, ScriptedResponse::Refuse]),
         (true, [ScriptedResponse::Truncate, ScriptedResponse::Refuse]),
@@ -127,15 +126,15 @@
 #[test]
 fn retries_full_list_that_is_truncated_or_unusable() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let first = FakeDiscovery::start(list(100, true, &[old.endpoint_entry("up")])); // its versions mean nothing at the other
-    let second = FakeDiscovery::start(list(9, false, &[new.endpoint_entry("up")]));
+    let first = FakeDiscovery::start(site::snapshot(100, &[old.endpoint_entry("up")])); // its versions mean nothing at the other
+    let second = FakeDiscovery::start(site::delta(9, &[new.endpoint_entry("up")]));
     let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
-    let full = list(9, true, &[new.endpoint_entry("up")]);
+    let full = site::snapshot(9, &[new.endpoint_entry("up")]);
     let to_the_end = format!("HTTP/1.1 200 OK\r\n\r\n{full}");
     let [changes, nobody, busy] =
-        [list(9, false, &[new.endpoint_entry("up")]), list(9, true, &[]), json!("busy")]
+        [site::delta(9, &[new.endpoint_entry("up")]), site::snapshot(9, &[]), json!("busy")]
             .map(|value| ScriptedResponse::Raw(list_response(&value).into_bytes()));
     let responses = [
         ScriptedResponse::Truncate,
@@ -158,8 +157,8 @@
 #[test]
 fn ignores_full_list_older_than_watch() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let first = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
-    let second = FakeDiscovery::start(list(9, false, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
+    let first = FakeDiscovery::start(site::snapshot(1, &[old.endpoint_entry("up")]));
+    let second = FakeDiscovery::start(site::delta(9, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
     let mut program = DispatcherProcess::builder(std::slice::from_ref(&old))
         .discovery(first.address)
         .configure(patient)
@@ -168,14 +167,14 @@
     wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
     second.script_list_calls(
         &[ScriptedResponse::Hold],
-        list(10, true, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]),
+        site::snapshot(10, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]),
     );
     move_to(&mut program, &second);
     wait_until("the whole list is asked for", || second.list_call_count() == 1);
-    let drains = list(10, false, &[old.endpoint_entry("draining")]);
+    let drains = site::delta(10, &[old.endpoint_entry("draining")]);
     second.push_change(&drains.to_string(), drains.clone());
     let used = send_until_unused(&program, &old, &new); // the drain has been heard, and the older list arrives
-    second.release_list_calls(&list(9, true, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
+    second.release_list_calls(&site::snapshot(9, &[old.endpoint_entry("up"), new.endpoint_entry("up")]));
     wait_until("the whole list is asked for again", || second.list_call_count() == 2);
     (0..20).for_each(|n| send_until_used(&program, &new, &format!("c{n}-")));
     assert_eq!(old.job_count.load(Ordering::SeqCst), used, "it drains");
@@ -185,13 +184,13 @@
 #[test]
 fn reads_pending_bytes_before_watch_counts_as_silent() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let discovery = FakeDiscovery::start(list(1, true, &[old.endpoint_entry("up")]));
+    let discovery = FakeDiscovery::start(site::snapshot(1, &[old.endpoint_entry("up")]));
     discovery.start_heartbeats();
     let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
     new.set_callback_address(program.platform);
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     send_until_used(&program, &old, "a");
-    let change = list(2, false, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
+    let change = site::delta(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     program.suspend_for(Duration::from_millis(2_600), || {
         discovery.push_change(&change.to_string(), change.clone());
     });
@@ -228,7 +227,7 @@
 impl Site {
     fn start() -> Site {
         let workers = ["s-1", "s-2", "s-3", "s-2"].map(FakeWorker::start);
-        let discovery = FakeDiscovery::start(list(1, true, &[workers[1].endpoint_entry("up")]));
+        let discovery = FakeDiscovery::start(site::snapshot(1, &[workers[1].endpoint_entry("up")]));
         let program = DispatcherProcess::builder(&workers[1..2])
             .discovery(discovery.address)
             .configure(|config| {
@@ -243,9 +242,10 @@
     fn list(&self, held_version: u64, text: &str) -> Value {
         let mut words = text.split(' ').filter(|word| !word.is_empty());
         let version = words.next().and_then(|word| word.parse::<i64>().ok()).expect("a version");
-        let full = words.next() == Some("whole");
+        let is_snapshot = words.next() == Some("whole");
         let rows: Vec<Value> = words.map(|word| endpoint_from_word(&self.workers, word)).collect();
-        list(held_version.checked_add_signed(version).expect("above 0"), full, &rows)
+        let generation = held_version.checked_add_signed(version).expect("above 0");
+        if is_snapshot { site::snapshot(generation, &rows) } else { site::delta(generation, &rows) }
     }
 
     /// The bytes of what a row says is sent, its parts apart by `|`.
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -8,7 +8,7 @@
 
 fn whole(workers: &[&Arc<FakeWorker>]) -> Value {
     let rows: Vec<Value> = workers.iter().map(|n| n.endpoint_entry("up")).collect();
-    json!({"generation": 1, "reset": true, "instances": rows})
+    site::snapshot(1, &rows)
 }
 
 fn remove(object: &mut Value, key: &str) -> Option<Value> {
@@ -80,9 +80,7 @@
 fn requests_full_list_from_new_discovery_that_sends_changes() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let first = FakeDiscovery::start(whole(&[&old]));
-    let second = FakeDiscovery::start(
-        json!({"generation": 9, "reset": false, "instances": [new.endpoint_entry("up")]}),
-    );
+    let second = FakeDiscovery::start(site::delta(9, &[new.endpoint_entry("up")]));
     let mut program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(first.address).start();
     program.replace_config(&naming(&program, &second));
     program.signal("-HUP");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -22,7 +22,7 @@
     silent: usize,
 ) -> (DispatcherProcess, Arc<FakeWorker>, Arc<FakeWorker>, Arc<FakeDiscovery>) {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    let list = site::snapshot(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     let discovery = FakeDiscovery::start(list.clone());
     discovery.script_watches(&vec![ScriptedResponse::Hold; silent], list);
     let program = DispatcherProcess::builder(std::slice::from_ref(&old))
@@ -55,7 +55,7 @@
 #[test]
 fn uses_recent_list_until_it_may_be_outdated() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    let list = site::snapshot(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     let discovery = FakeDiscovery::start(list.clone());
     discovery.script_watches(&vec![ScriptedResponse::Hold; 50], list.clone());
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
@@ -85,7 +85,7 @@
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let old = FakeWorker::start("s-1");
-    let list = json!({"generation": 2, "reset": true, "instances": [old.endpoint_entry("up")]});
+    let list = site::snapshot(2, &[old.endpoint_entry("up")]);
     let discovery = FakeDiscovery::start(list.clone());
     discovery.script_watches(&vec![ScriptedResponse::Hold; 50], list.clone());
     let program = DispatcherProcess::builder(std::slice::from_ref(&old))
@@ -143,7 +143,7 @@
 #[test]
 fn serves_by_previous_list_if_discovery_lists_nobody() {
     let old = FakeWorker::start("s-1");
-    let nobody: Value = json!({"generation": 2, "reset": true, "instances": []});
+    let nobody: Value = site::snapshot(2, &[]);
     let discovery = FakeDiscovery::start(nobody);
     let program = DispatcherProcess::builder(std::slice::from_ref(&old)).discovery(discovery.address).start();
     wait_until("it is ready", || ready(&program) == 200);
@@ -155,7 +155,7 @@
 fn serves_once_list_replaces_dead_endpoints() {
     for mode in ["on_request", "pushed"] {
         let new = FakeWorker::start("s-2");
-        let list = json!({"generation": 2, "reset": true, "instances": [new.endpoint_entry("up")]});
+        let list = site::snapshot(2, &[new.endpoint_entry("up")]);
         let discovery = FakeDiscovery::start(list.clone());
         discovery.script_watches(&[ScriptedResponse::Hold, ScriptedResponse::Hold], list);
         let program = DispatcherProcess::builder(&[])
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -223,8 +223,8 @@
 #[test]
 fn drained_worker_gets_no_jobs_and_closed_watch_reopens() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
-    let discovery = FakeDiscovery::start(whole(json!([old.endpoint_entry("up")])));
+    let whole = |rows: &[_]| site::snapshot(1, rows);
+    let discovery = FakeDiscovery::start(whole(&[old.endpoint_entry("up")]));
     // At first it knows only the old one: the new one gets a job only once the change was heard.
     let known =
         |config: &mut serde_json::Value| config["known"]["instances"] = json!([old.endpoint_entry("up")]);
@@ -238,8 +238,8 @@
     };
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
     // The list has only the old one. It drains, the new one comes up; bad lines between change nothing.
-    let after = whole(json!([old.endpoint_entry("draining"), new.endpoint_entry("up")]));
-    let change = json!({"generation": 2, "reset": false, "instances": [old.endpoint_entry("draining"), new.endpoint_entry("up")]});
+    let after = whole(&[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
+    let change = site::delta(2, &[old.endpoint_entry("draining"), new.endpoint_entry("up")]);
     discovery.push_change("this is no list", after.clone());
     discovery.push_change(&change.to_string(), after);
     let mut n = 0;
@@ -260,8 +260,8 @@
 #[test]
 fn ignores_empty_full_list() {
     let (worker, other) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
-    let whole = |rows| json!({"generation": 1, "reset": true, "instances": rows});
-    let discovery = FakeDiscovery::start(whole(json!([worker.endpoint_entry("up")])));
+    let whole = |rows: &[_]| site::snapshot(1, rows);
+    let discovery = FakeDiscovery::start(whole(&[worker.endpoint_entry("up")]));
     let program = DispatcherProcess::builder(&[worker.clone(), other.clone()])
         .discovery(discovery.address)
         .configure(|config| {
@@ -273,9 +273,9 @@
         assert_eq!(reply.expect("an answer").status, 200);
     };
     wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
-    let change = json!({"generation": 2, "reset": false, "instances": [other.endpoint_entry("up")]});
-    discovery.push_change(&whole(json!([])).to_string(), whole(json!([])));
-    discovery.push_change(&change.to_string(), whole(json!([])));
+    let change = site::delta(2, &[other.endpoint_entry("up")]);
+    discovery.push_change(&whole(&[]).to_string(), whole(&[]));
+    discovery.push_change(&change.to_string(), whole(&[]));
     let mut n = 0..;
     wait_until("the other one has a job", || {
         serve_one(format!("e{}", n.next().unwrap_or(0)));
@@ -304,11 +304,10 @@
     // New connections are still taken, and told not to stay.
     let reply = send(to, &job_request("i1", "balance", "take started done=y", "")).expect("an answer");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
-    assert_eq!(send(to, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status, 503);
+    assert_eq!(program.up_status(), 503);
     worker.open_gate("stop");
     assert_eq!(read_reply(&mut before).expect("an answer").status, 200);
-    let (clean, log) = program.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
+    program.wait_for_complete_shutdown();
 }
 
 /// Descriptors are budgeted: idle connections give way to those that come with work.
