--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -33,7 +33,8 @@
     watches: VecDeque<ScriptedResponse>,
 }
 
-/// Discovery: each watch first gets the full list, then the lines that the test pushes.
+/// Discovery: each watch first gets the full list, then the lines that the test pushes. Its methods panic if the service's
+/// thread has panicked.
 pub struct FakeDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -127,10 +128,6 @@
     }
 
     /// Scripts the next watches; those after them get `list`.
-    ///
-    /// # Panics
-    ///
-    /// If the service's thread has panicked, as the other methods do.
     pub fn script_watches(&self, responses: &[ScriptedResponse], list: Value) {
         self.scripted.lock().expect("a lock").watches.extend(responses.iter().cloned());
         *self.list.lock().expect("a lock") = list;
--- a/crates/testkit/src/fleet/event_log.rs
+++ b/crates/testkit/src/fleet/event_log.rs
@@ -112,7 +112,7 @@
     missing: u64,
 }
 
-/// All events of a fleet, bounded.
+/// All events of a fleet, bounded. Its methods panic if a thread that held the log has panicked.
 pub struct EventLog {
     /// The clock of all events.
     pub clock: Clock,
@@ -131,10 +131,6 @@
     }
 
     /// Adds what happened at another time, in microseconds of the clock.
-    ///
-    /// # Panics
-    ///
-    /// If a thread that held the log has panicked, as the other methods do.
     pub fn add_at(&self, at: u64, event: Event) {
         let mut inner = self.inner.lock().expect("a lock");
         if inner.events.len() < MAX_EVENTS {
--- a/crates/testkit/src/fleet/load.rs
+++ b/crates/testkit/src/fleet/load.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// A load that runs.
+/// A load that runs. Its methods panic if a task of the load has panicked.
 pub struct RunningLoad {
     tasks: Vec<JoinHandle<()>>,
     is_stopped: Arc<AtomicBool>,
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -61,7 +61,8 @@
 
 /// A fleet. Dropping it kills its processes and removes their files; after a panic their logs go to standard error first.
 ///
-/// Its methods take dispatchers and workers by their numbers from 0, and panic if there is none of that number.
+/// Its methods take dispatchers and workers by their numbers from 0, and panic if there is none of that number or a thread of the harness
+/// has panicked.
 pub struct Fleet {
     processes: Vec<Process>,
     /// By dispatcher.
--- a/crates/testkit/src/fleet/worker/job.rs
+++ b/crates/testkit/src/fleet/worker/job.rs
@@ -1,10 +1,10 @@
 //! The life of a job at a scripted worker: it waits for a slot, runs or is cancelled, and is reported.
 
 use super::executed_keys::{KeyClaim, KeyExecution, KeyState};
-use super::status_callback::JobStatus;
 use super::{ScriptedWorker, WorkerScript};
 use crate::fleet::event_log::Event;
 use crate::fleet::link::Link;
+use crate::job_status::JobStatus;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -180,7 +180,7 @@
     }
 
     async fn report(&self, status: JobStatus) {
-        let update = status.to_update(&self.job.id, &self.worker.name);
+        let update = status.to_callback(&self.job.id, &self.worker.name);
         if !self.worker.callbacks.deliver(&self.link, &update).await {
             self.worker.count(|metrics| metrics.unanswered_callbacks += 1);
         }
--- a/crates/testkit/src/fleet/worker/status_callback.rs
+++ b/crates/testkit/src/fleet/worker/status_callback.rs
@@ -3,7 +3,7 @@
 use crate::fleet::ConnectionFailed;
 use crate::fleet::http::HttpReader;
 use crate::fleet::link::Link;
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -18,40 +18,6 @@
 /// Connections to one dispatcher that are kept.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// What a worker says of a job.
-pub(super) enum JobStatus {
-    Started,
-    /// It is done, with this result; the worker's load report comes beside.
-    Done {
-        result: String,
-        load: Value,
-    },
-    Failed,
-    /// It never ran.
-    Returned,
-    /// The worker died while it waited or ran.
-    Lost,
-}
-
-impl JobStatus {
-    /// The update in the wire's form.
-    pub(super) fn to_update(&self, job_id: &str, worker: &str) -> Value {
-        let state = match self {
-            JobStatus::Started => "started",
-            JobStatus::Done { .. } => "done",
-            JobStatus::Failed => "failed",
-            JobStatus::Returned => "returned",
-            JobStatus::Lost => "lost",
-        };
-        let mut update = json!({"id": job_id, "from": worker, "state": state});
-        if let JobStatus::Done { result, load } = self {
-            update["result"] = json!(result);
-            update["load"] = load.clone();
-        }
-        update
-    }
-}
-
 /// A connection for callbacks, and what was read from it and not used.
 struct CallbackConnection {
     stream: TcpStream,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -9,6 +9,7 @@
 mod discovery;
 pub mod fleet;
 mod http;
+mod job_status;
 mod process;
 pub mod site;
 mod timestamp;
--- /dev/null
+++ b/crates/testkit/src/worker/mod.rs
@@ -0,0 +1,169 @@
+//! A fake worker: an HTTP server on a thread of its own, whose behaviour each job's body scripts; [`script`] has the commands.
+
+mod script;
+
+use crate::http::{BodyFraming, MAX_HEADERS, read_body, read_more, read_reply, status_update_request};
+use crate::job_status::JobStatus;
+use crate::{site, wait_until};
+use script::ScriptRun;
+use serde_json::Value;
+use std::collections::HashSet;
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// A worker whose behaviour the jobs' bodies script (`worker/script.rs` has the commands). It serves until the
+/// test's process ends.
+pub struct FakeWorker {
+    /// Its name in the endpoint list.
+    pub name: String,
+    /// Where it listens: loopback, at a port that the system picked.
+    pub address: SocketAddr,
+    /// A line for each request in order of arrival: method, target, id and idempotency key; `stale ID` and `flooded` too.
+    pub received: Mutex<Vec<String>>,
+    /// How many jobs arrived.
+    pub job_count: AtomicU64,
+    callback_address: Mutex<Option<SocketAddr>>,
+    open_gates: Mutex<HashSet<String>>,
+}
+
+/// A request as it arrived.
+struct WorkerRequest {
+    method: String,
+    target: String,
+    id: String,
+    key: String,
+    body: String,
+}
+
+impl WorkerRequest {
+    /// Reads the next one off a connection; `None` if the connection ends before it is whole.
+    fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<WorkerRequest> {
+        loop {
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+            let mut head = httparse::Request::new(&mut headers);
+            let httparse::Status::Complete(length) = head.parse(buffer).expect("an HTTP request") else {
+                read_more(stream, buffer).then_some(())?;
+                continue;
+            };
+            let field = |name: &str| {
+                let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+                found.map_or(String::new(), |h| String::from_utf8_lossy(h.value).into_owned())
+            };
+            let mut request = WorkerRequest {
+                method: head.method.unwrap_or("").to_owned(),
+                target: head.path.unwrap_or("").to_owned(),
+                id: field("X-Correlation-Id"),
+                key: field("Idempotency-Key"),
+                body: String::new(),
+            };
+            let framing = BodyFraming::from_headers(head.headers, BodyFraming::Length(0));
+            buffer.drain(..length);
+            let body = read_body(stream, buffer, framing)?;
+            request.body = String::from_utf8_lossy(&body).into_owned();
+            return Some(request);
+        }
+    }
+}
+
+impl FakeWorker {
+    /// Starts one that listens on loopback.
+    ///
+    /// # Panics
+    ///
+    /// If no port can be bound.
+    pub fn start(name: &str) -> Arc<FakeWorker> {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let worker = Arc::new(FakeWorker {
+            name: name.to_owned(),
+            address,
+            received: Mutex::default(),
+            job_count: AtomicU64::new(0),
+            callback_address: Mutex::default(),
+            open_gates: Mutex::default(),
+        });
+        let shared = worker.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let worker = shared.clone();
+                std::thread::spawn(move || worker.serve(stream));
+            }
+        });
+        worker
+    }
+
+    /// Sends status updates to this dispatcher from now on.
+    ///
+    /// # Panics
+    ///
+    /// If a thread of the worker has panicked.
+    pub fn set_callback_address(&self, dispatcher: SocketAddr) {
+        *self.callback_address.lock().expect("a lock") = Some(dispatcher);
+    }
+
+    /// Its entry in an endpoint list.
+    pub fn endpoint_entry(&self, lifecycle: &str) -> Value {
+        site::endpoint_entry(&self.name, &self.address.to_string(), lifecycle)
+    }
+
+    /// Whether a line of `received` contains this text.
+    ///
+    /// # Panics
+    ///
+    /// If a thread of the worker has panicked.
+    pub fn has_received(&self, text: &str) -> bool {
+        self.received.lock().expect("a lock").iter().any(|line| line.contains(text))
+    }
+
+    /// Lets the jobs continue that `wait` for this gate.
+    ///
+    /// # Panics
+    ///
+    /// If a thread of the worker has panicked.
+    pub fn open_gate(&self, gate: &str) {
+        self.open_gates.lock().expect("a lock").insert(gate.to_owned());
+    }
+
+    fn record(&self, line: String) {
+        self.received.lock().expect("a lock").push(line);
+    }
+
+    fn wait_for_gate(&self, gate: &str) {
+        wait_until(gate, || self.open_gates.lock().expect("a lock").contains(gate));
+    }
+
+    /// Answers the requests of a connection, each job as its script has it.
+    fn serve(self: Arc<FakeWorker>, mut stream: TcpStream) {
+        let mut buffer = Vec::new();
+        let mut is_reused = false;
+        while let Some(request) = WorkerRequest::read(&mut stream, &mut buffer) {
+            let WorkerRequest { method, target, id, key, body } = request;
+            self.record(format!("{method} {target} {id} {key}"));
+            if method == "DELETE" {
+                let _ = stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
+                continue;
+            }
+            self.job_count.fetch_add(1, Ordering::SeqCst);
+            if is_reused && body.contains(&format!("stale={}", self.name)) {
+                self.record(format!("stale {id}"));
+                return; // as if it had closed the idle connection just before
+            }
+            is_reused = true;
+            if !ScriptRun::new(&self, &mut stream, &id).run(&body) {
+                return;
+            }
+        }
+    }
+
+    /// Reports a status to the dispatcher by a call; false if that was not answered with 204.
+    fn call_back(&self, job_id: &str, status: &JobStatus) -> bool {
+        let dispatcher = self.callback_address.lock().expect("a lock").expect("the dispatcher's address");
+        let call = status_update_request(&status.to_callback(job_id, &self.name));
+        // The dispatcher may have been killed: then nobody receives it.
+        let Ok(mut stream) = TcpStream::connect(dispatcher) else { return false };
+        let _ = stream.write_all(call.as_bytes());
+        read_reply(&mut stream).is_some_and(|reply| reply.status == 204)
+    }
+}
