--- a/crates/testkit/src/bin/streams-load.rs
+++ b/crates/testkit/src/bin/streams-load.rs
@@ -16,6 +16,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The baseline has at least so many events.
+const MIN_BASELINE_EVENTS: u32 = 200;
+const BASELINE_INTERVAL: Duration = Duration::from_millis(2);
+/// The dispatcher has settled by then after the jobs are submitted, and after the streams are opened.
+const SETTLE_AFTER_JOBS: Duration = Duration::from_millis(500);
+const SETTLE_AFTER_STREAMS: Duration = Duration::from_millis(1_500);
+const WORKERS: usize = 8;
+
 #[derive(Parser)]
 struct Args {
     /// Streams open at once.
@@ -86,48 +94,54 @@
     line.trim().trim_end_matches("kB").trim().parse::<u64>().unwrap_or(0) * 1024
 }
 
-/// CPU time of a process in milliseconds.
+/// CPU time of a process in milliseconds, at 100 clock ticks a second.
 fn cpu_time(pid: u32) -> u64 {
+    // Fields of `/proc/PID/stat` after the command.
+    const USER_TICKS: usize = 11;
+    const SYSTEM_TICKS: usize = 12;
+    const MS_PER_TICK: u64 = 10;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |n: usize| fields.get(n).and_then(|t| t.parse::<u64>().ok()).unwrap_or(0);
-    (ticks(11) + ticks(12)) * 10
+    let ticks = |field: usize| fields.get(field).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+    (ticks(USER_TICKS) + ticks(SYSTEM_TICKS)) * MS_PER_TICK
 }
 
-/// The same events on a bare connection: what the machine itself takes.
+/// The delays of the same events on a bare connection: what the machine itself takes.
 fn baseline(events: u32) -> Histogram<u64> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
-    let writer = std::thread::spawn(move || {
-        let (mut conn, _) = listener.accept().expect("a connection");
-        conn.set_nodelay(true).expect("a socket option");
-        for _ in 0..events.max(200) {
-            std::thread::sleep(Duration::from_millis(2));
-            conn.write_all(format!("data: {{\"share\":{}}}\n\n", timestamp_fraction()).as_bytes())
-                .expect("written");
-        }
-    });
-    let (mut conn, mut took, mut buf) = (TcpStream::connect(at).expect("connected"), histogram(), [0; 4096]);
-    while let Ok(n) = conn.read(&mut buf) {
-        if n == 0 {
-            break;
-        }
-        shares(&buf[..n]).for_each(|share| took.saturating_record(micros_since(share).max(1)));
+    let address = listener.local_addr().expect("an address");
+    let writer =
+        std::thread::spawn(move || write_baseline_events(&listener, events.max(MIN_BASELINE_EVENTS)));
+    let mut connection = TcpStream::connect(address).expect("connected");
+    let (mut delays, mut buffer) = (histogram(), [0; 4096]);
+    while let Ok(length @ 1..) = connection.read(&mut buffer) {
+        shares(&buffer[..length]).for_each(|share| delays.saturating_record(micros_since(share).max(1)));
     }
     writer.join().expect("the writer ends");
-    took
+    delays
+}
+
+fn write_baseline_events(listener: &TcpListener, events: u32) {
+    let (mut connection, _) = listener.accept().expect("a connection");
+    connection.set_nodelay(true).expect("a socket option");
+    for _ in 0..events {
+        std::thread::sleep(BASELINE_INTERVAL);
+        let event = format!("data: {{\"share\":{}}}\n\n", timestamp_fraction());
+        connection.write_all(event.as_bytes()).expect("written");
+    }
 }
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 100_000_000, 3).expect("sound bounds")
 }
 
+/// The `share` fields of these events, which carry the times at which they were sent.
 fn shares(bytes: &[u8]) -> impl Iterator<Item = f64> + '_ {
     let text = std::str::from_utf8(bytes).unwrap_or("");
     text.split("\"share\":").skip(1).filter_map(|rest| rest.split('}').next()?.parse().ok())
 }
 
-/// Delays of progress events, and gaps that the dispatcher reported.
+/// Delays of progress events in microseconds, and gaps that the dispatcher reported.
 struct Measures {
     delays: Histogram<u64>,
     missed: u64,
@@ -180,14 +194,14 @@
 /// open, and their workers do not tick together unless they are asked to.
 fn submit_jobs(args: &Args, jobs: usize, sse: SocketAddr) -> Vec<String> {
     const THREADS: usize = 8;
-    let submit = |n: usize| {
-        let offset = if args.together { 0 } else { n as u64 * args.every / jobs as u64 };
+    let submit = |number: usize| {
+        let offset = if args.together { 0 } else { number as u64 * args.every / jobs as u64 };
         let script =
             format!("stream started wait=go pause={offset} tick={},{} done=x", args.events, args.every);
-        let request = job_request(&format!("j{n}"), "redeem", &script, "Prefer: respond-async\r\n");
+        let request = job_request(&format!("j{number}"), "redeem", &script, "Prefer: respond-async\r\n");
         let reply = send(sse, &request).expect("a reply");
         assert_eq!(reply.status, 202, "{}", reply.head);
-        (n, reply.header("Location").expect("a path").to_owned())
+        (number, reply.header("Location").expect("a path").to_owned())
     };
     let mut paths: Vec<(usize, String)> = std::thread::scope(|scope| {
         let part = |first: usize| move || -> Vec<_> { (first..jobs).step_by(THREADS).map(submit).collect() };
@@ -215,8 +229,8 @@
         let wait = rustix::event::Timespec { tv_sec: 1, tv_nsec: 0 };
         let _ = epoll::wait(epoll, rustix::buffer::spare_capacity(&mut events), Some(&wait)); // again after a signal
         for event in &events {
-            let n = event.data.u64() as usize;
-            let client = &mut clients[n];
+            let number = event.data.u64() as usize;
+            let client = &mut clients[number];
             let is_ended = match client.connection.read(&mut buffer) {
                 Ok(0) => true,
                 Ok(length) => {
@@ -235,29 +249,35 @@
             } else if is_dropped || (is_ended && client.final_events == 0) {
                 let _ = epoll::delete(epoll, &client.connection);
                 client.resume(sse);
-                watch_readable(epoll, &client.connection, n);
+                watch_readable(epoll, &client.connection, number);
             }
         }
     }
     measures
 }
 
+/// Opens so many streams, by turns to these paths.
+fn open_streams(count: usize, sse: SocketAddr, paths: &[String], epoll: &OwnedFd) -> Vec<Client> {
+    let open = |number: usize| {
+        let client = Client::open(sse, paths[number % paths.len()].clone());
+        watch_readable(epoll, &client.connection, number);
+        client
+    };
+    (0..count).map(open).collect()
+}
+
+/// Plays the load and returns what was measured.
 fn run(args: &Args) -> Value {
-    let workers: Vec<Arc<FakeWorker>> = (0..8).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
+    let workers: Vec<_> = (0..WORKERS).map(|n| FakeWorker::start(&format!("s-{n}"))).collect();
     let dispatcher = start_dispatcher(&workers);
     let (sse, pid) = (dispatcher.sse.expect("the SSE front is on"), dispatcher.pid());
     let jobs = args.jobs.unwrap_or(args.streams).max(1);
     let paths = submit_jobs(args, jobs, sse);
-    std::thread::sleep(Duration::from_millis(500));
-    let (memory_before, epoll) =
-        (resident_memory(pid), epoll::create(epoll::CreateFlags::CLOEXEC).expect("epoll"));
-    let mut clients: Vec<Client> = Vec::with_capacity(args.streams);
-    for n in 0..args.streams {
-        let client = Client::open(sse, paths[n % jobs].clone());
-        watch_readable(&epoll, &client.connection, n);
-        clients.push(client);
-    }
-    std::thread::sleep(Duration::from_millis(1500));
+    std::thread::sleep(SETTLE_AFTER_JOBS);
+    let memory_before = resident_memory(pid);
+    let epoll = epoll::create(epoll::CreateFlags::CLOEXEC).expect("epoll");
+    let mut clients = open_streams(args.streams, sse, &paths, &epoll);
+    std::thread::sleep(SETTLE_AFTER_STREAMS);
     let quiet_memory = resident_memory(pid);
     let (cpu_before, started) = (cpu_time(pid), Instant::now());
     workers.iter().for_each(|worker| worker.open_gate("go"));
@@ -268,14 +288,15 @@
     drop(clients);
     let metrics: BTreeMap<String, u64> = dispatcher.shut_down_for_metrics();
     let ended = metrics["served"] + metrics["denied"] + metrics["failed"] + metrics["gone"];
-    let ms = |histogram: &Histogram<u64>, q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
-    let base = baseline(args.events);
+    let ms =
+        |histogram: &Histogram<u64>, quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+    let baseline = baseline(args.events);
     json!({
         "streams": args.streams, "jobs": jobs, "finals": finals, "doubled": doubled, "missed": missed,
         "jobs_ended": ended, "jobs_taken": metrics["taken"], "drops": args.drops, "seed": args.seed,
         "bytes_per_quiet_stream": quiet_memory.saturating_sub(memory_before) as f64 / args.streams as f64,
         "delay_p50_ms": ms(&delays, 0.5), "delay_p99_ms": ms(&delays, 0.99), "delays": delays.len(),
-        "baseline_p50_ms": ms(&base, 0.5), "baseline_p99_ms": ms(&base, 0.99),
+        "baseline_p50_ms": ms(&baseline, 0.5), "baseline_p99_ms": ms(&baseline, 0.99),
         "cpu_ms": cpu_ms, "seconds": seconds, "events_a_second": delays.len() as f64 / seconds,
     })
 }
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -6,7 +6,7 @@
 use super::event_log::{Clock, Event, EventLog};
 use super::partition::{CutSides, cut_sides};
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -15,8 +15,6 @@
 
 /// The longest datagram that dispatchers may send.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
-/// Relayed datagrams that are remembered; the oldest are dropped first.
-const MAX_RELAYED_DATAGRAMS: usize = 1 << 16;
 /// Datagrams in flight: beyond that they are dropped, as by a full queue.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 1 << 16;
 /// Bytes of a datagram that are read; what is longer is too long anyway.
@@ -24,41 +22,6 @@
 /// The system's receive buffer of each face, in bytes.
 const RECEIVE_BUFFER_SIZE: usize = 1 << 20;
 
-/// What became of a datagram.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DatagramOutcome {
-    /// This many copies were passed on, now or later.
-    Passed(u8),
-    /// It was dropped.
-    Dropped,
-}
-
-impl DatagramOutcome {
-    fn copies(self) -> u64 {
-        match self {
-            DatagramOutcome::Passed(copies) => u64::from(copies),
-            DatagramOutcome::Dropped => 0,
-        }
-    }
-}
-
-/// A datagram that reached the relay.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RelayedDatagram {
-    /// Microseconds of the harness's clock.
-    pub at: u64,
-    /// Its sender.
-    pub from: usize,
-    /// To whom.
-    pub to: usize,
-    /// Its length in bytes.
-    pub length: usize,
-    /// Its first byte, which names the kind.
-    pub first: u8,
-    /// What became of it.
-    pub outcome: DatagramOutcome,
-}
-
 /// What one dispatcher sent and was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DatagramTotals {
@@ -79,20 +42,21 @@
 }
 
 impl DatagramTotals {
-    fn count_sent(&mut self, datagram: &RelayedDatagram) {
-        let bytes = datagram.length as u64;
+    /// Counts a datagram that the dispatcher sent; no copies if it was dropped.
+    fn count_sent(&mut self, bytes: &[u8], copies: usize) {
+        let length = bytes.len() as u64;
         self.sent += 1;
-        self.sent_bytes += bytes;
-        self.dropped += u64::from(datagram.outcome == DatagramOutcome::Dropped);
-        self.too_long += u64::from(datagram.length > MAX_DATAGRAM_LENGTH);
-        let kind = self.by_first_byte.entry(datagram.first).or_default();
-        *kind = (kind.0 + 1, kind.1 + bytes);
+        self.sent_bytes += length;
+        self.dropped += u64::from(copies == 0);
+        self.too_long += u64::from(bytes.len() > MAX_DATAGRAM_LENGTH);
+        let kind = self.by_first_byte.entry(bytes.first().copied().unwrap_or(0)).or_default();
+        *kind = (kind.0 + 1, kind.1 + length);
     }
 
-    fn count_delivered(&mut self, datagram: &RelayedDatagram) {
-        let copies = datagram.outcome.copies();
-        self.delivered += copies;
-        self.delivered_bytes += copies * datagram.length as u64;
+    /// Counts the copies of a datagram that are delivered to the dispatcher, now or later.
+    fn count_delivered(&mut self, bytes: &[u8], copies: usize) {
+        self.delivered += copies as u64;
+        self.delivered_bytes += (copies * bytes.len()) as u64;
     }
 }
 
@@ -100,19 +64,9 @@
     /// By sender, then by receiver.
     pairs: Vec<Pair>,
     totals: Vec<DatagramTotals>,
-    relayed: VecDeque<RelayedDatagram>,
     from_strangers: u64,
 }
 
-impl Inner {
-    fn remember(&mut self, datagram: RelayedDatagram) {
-        if self.relayed.len() >= MAX_RELAYED_DATAGRAMS {
-            self.relayed.pop_front();
-        }
-        self.relayed.push_back(datagram);
-    }
-}
-
 /// The seed of an ordered pair's draws, by its number.
 fn pair_seed(seed: u64, number: usize) -> u64 {
     seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -159,7 +113,6 @@
         let inner = Inner {
             pairs: (0..size * size).map(pair).collect(),
             totals: vec![DatagramTotals::default(); size],
-            relayed: VecDeque::new(),
             from_strangers: 0,
         };
         let relay = Arc::new(DatagramRelay {
@@ -215,20 +168,12 @@
         }
     }
 
-    /// How long each copy of a datagram is delayed, in microseconds. Counts and remembers the datagram.
+    /// How long each copy of a datagram is delayed, in microseconds. Counts the datagram.
     fn draw_delays(&self, now: u64, from: usize, to: usize, bytes: &[u8]) -> Vec<u64> {
         let mut inner = self.inner();
         let delays = inner.pairs[self.pair_number(from, to)].delays(now, bytes.len());
-        let outcome = if delays.is_empty() {
-            DatagramOutcome::Dropped
-        } else {
-            DatagramOutcome::Passed(delays.len() as u8)
-        };
-        let first = bytes.first().copied().unwrap_or(0);
-        let datagram = RelayedDatagram { at: now, from, to, length: bytes.len(), first, outcome };
-        inner.totals[from].count_sent(&datagram);
-        inner.totals[to].count_delivered(&datagram);
-        inner.remember(datagram);
+        inner.totals[from].count_sent(bytes, delays.len());
+        inner.totals[to].count_delivered(bytes, delays.len());
         delays
     }
 
@@ -308,11 +253,6 @@
         self.inner().totals.clone()
     }
 
-    /// The latest datagrams, the oldest first.
-    pub fn relayed(&self) -> Vec<RelayedDatagram> {
-        self.inner().relayed.iter().copied().collect()
-    }
-
     /// Datagrams that came from nobody of the fleet.
     pub fn from_strangers(&self) -> u64 {
         self.inner().from_strangers
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -104,11 +104,6 @@
         self.inner().table.forget_changes();
     }
 
-    /// The list's generation.
-    pub fn generation(&self) -> u64 {
-        self.inner().table.generation()
-    }
-
     /// What was counted so far.
     pub fn metrics(&self) -> DiscoveryMetrics {
         self.inner().metrics.clone()
--- a/crates/testkit/src/fleet/link.rs
+++ b/crates/testkit/src/fleet/link.rs
@@ -3,7 +3,6 @@
 use super::event_log::{Clock, Event, EventLog};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::watch;
@@ -77,8 +76,9 @@
 pub(super) struct LinkState {
     pub(super) faults: LinkFaults,
     is_cut: bool,
-    /// How often all connections were reset, and how often their far sides were dropped.
+    /// How often all connections were reset.
     pub(super) resets: u64,
+    /// How often the far sides of all connections were dropped.
     pub(super) far_side_drops: u64,
 }
 
@@ -126,9 +126,6 @@
     pub address: SocketAddr,
     pub(super) target: SocketAddr,
     pub(super) state: watch::Sender<LinkState>,
-    pub(super) connects: AtomicU64,
-    bytes_out: AtomicU64,
-    bytes_in: AtomicU64,
     pub(super) seed: u64,
 }
 
@@ -141,9 +138,6 @@
             address,
             target,
             state: watch::Sender::new(LinkState::default()),
-            connects: AtomicU64::new(0),
-            bytes_out: AtomicU64::new(0),
-            bytes_in: AtomicU64::new(0),
             seed,
         })
     }
@@ -177,24 +171,6 @@
     pub(super) async fn wait_until_not_silent(&self) {
         let _ = self.state.subscribe().wait_for(|state| !state.is_silent()).await;
     }
-
-    /// Connections accepted so far.
-    pub fn opened(&self) -> u64 {
-        self.connects.load(Ordering::Relaxed)
-    }
-
-    /// Bytes passed on so far: from the dispatcher, and to it.
-    pub fn bytes(&self) -> (u64, u64) {
-        (self.bytes_out.load(Ordering::Relaxed), self.bytes_in.load(Ordering::Relaxed))
-    }
-
-    pub(super) fn count_bytes(&self, direction: Direction, length: usize) {
-        let counter = match direction {
-            Direction::Out => &self.bytes_out,
-            Direction::In => &self.bytes_in,
-        };
-        counter.fetch_add(length as u64, Ordering::Relaxed);
-    }
 }
 
 /// How many bytes of the dispatcher had been received at a time.
--- a/crates/testkit/src/fleet/load.rs
+++ b/crates/testkit/src/fleet/load.rs
@@ -71,11 +71,6 @@
     pub fn served(&self) -> u64 {
         self.answers.get(&200).copied().unwrap_or(0)
     }
-
-    /// Jobs refused.
-    pub fn refused(&self) -> u64 {
-        [429, 503].iter().filter_map(|status| self.answers.get(status)).sum()
-    }
 }
 
 /// A load that runs. Its methods panic if a task of the load has panicked.
--- a/crates/testkit/src/fleet/tcp_relay.rs
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -6,7 +6,6 @@
 use super::link::{ConnectBehavior, Direction, Link, LinkRoute, LinkState, RelayedConnection};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -156,7 +155,6 @@
     }
 
     fn on_accepted(self: &Arc<Self>, link: &Arc<Link>, stream: TcpStream) {
-        link.connects.fetch_add(1, Ordering::Relaxed);
         let (relay, link) = (self.clone(), link.clone());
         tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
@@ -301,7 +299,6 @@
                 tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
             }
             write.write_all(&bytes).await.map_err(|_| ConnectionFailed)?;
-            link.count_bytes(direction, bytes.len());
             if direction == Direction::In {
                 connection.on_written(bytes.len(), &self.event_log);
             }
