--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -22,6 +22,15 @@
 /// The system's receive buffer of each face, in bytes.
 const RECEIVE_BUFFER_SIZE: usize = 1 << 20;
 
+/// Datagrams of one kind.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DatagramCount {
+    /// How many.
+    pub datagrams: u64,
+    /// Their bytes.
+    pub bytes: u64,
+}
+
 /// What one dispatcher sent and was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DatagramTotals {
@@ -37,8 +46,8 @@
     pub dropped: u64,
     /// Those that it sent and that were too long.
     pub too_long: u64,
-    /// Sent, by first byte: datagrams and bytes.
-    pub by_first_byte: BTreeMap<u8, (u64, u64)>,
+    /// What it sent, by first byte.
+    pub by_first_byte: BTreeMap<u8, DatagramCount>,
 }
 
 impl DatagramTotals {
@@ -50,7 +59,8 @@
         self.dropped += u64::from(copies == 0);
         self.too_long += u64::from(bytes.len() > MAX_DATAGRAM_LENGTH);
         let kind = self.by_first_byte.entry(bytes.first().copied().unwrap_or(0)).or_default();
-        *kind = (kind.0 + 1, kind.1 + length);
+        kind.datagrams += 1;
+        kind.bytes += length;
     }
 
     /// Counts the copies of a datagram that are delivered to the dispatcher, now or later.
--- a/crates/testkit/src/fleet/discovery/connection.rs
+++ b/crates/testkit/src/fleet/discovery/connection.rs
@@ -7,6 +7,7 @@
 use crate::fleet::http::{self, HttpMessage, HttpReader};
 use crate::fleet::link::RelayedConnection;
 use crate::fleet::tcp_relay::reset_on_drop;
+use crate::http::chunk;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -167,13 +168,13 @@
                     self.discovery.list_for(self.dispatcher(), Some(sent))
                 };
                 (is_first, sent) = (false, list.generation);
-                let text = http::chunk(&(self.discovery.format(&list.list) + "\n"));
+                let text = chunk(&(self.discovery.format(&list.list) + "\n"));
                 self.send_list(&text, list).await?;
                 continue;
             }
             match self.wait_for_change(&mut changes, &script).await {
                 WatchEvent::Changed => {}
-                WatchEvent::HeartbeatDue => self.write(&http::chunk("\n")).await?,
+                WatchEvent::HeartbeatDue => self.write(&chunk("\n")).await?,
                 WatchEvent::Closed => return Ok(()),
             }
         }
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -2,11 +2,11 @@
 //! `httparse`. Reading counts bytes, so that what was read can be found again in what crossed a relay.
 
 use super::ConnectionFailed;
+use crate::http::MAX_HEADERS;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// The longest head, and the longest body, in bytes.
 const MAX_LENGTH: usize = 256 * 1024;
-const MAX_HEADERS: usize = 64;
 
 /// A request or a reply, as it was read.
 #[derive(Clone, Debug, Default)]
@@ -50,6 +50,12 @@
     headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect()
 }
 
+/// A message without its body, and the length of its head in bytes.
+struct ParsedHead {
+    length: usize,
+    message: HttpMessage,
+}
+
 /// Reads messages off a connection: the bytes that were read and not used, and how many were used.
 #[derive(Default)]
 pub struct HttpReader {
@@ -75,18 +81,15 @@
         self.read_message(stream, |bytes| {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
-            match head.parse(bytes).map_err(|_| ConnectionFailed)? {
-                httparse::Status::Partial => Ok(None),
-                httparse::Status::Complete(length) => Ok(Some((
-                    length,
-                    HttpMessage {
-                        method: head.method.unwrap_or("").to_owned(),
-                        target: head.path.unwrap_or("").to_owned(),
-                        fields: fields(head.headers),
-                        ..HttpMessage::default()
-                    },
-                ))),
-            }
+            let parsed = head.parse(bytes).map_err(|_| ConnectionFailed)?;
+            let httparse::Status::Complete(length) = parsed else { return Ok(None) };
+            let message = HttpMessage {
+                method: head.method.unwrap_or("").to_owned(),
+                target: head.path.unwrap_or("").to_owned(),
+                fields: fields(head.headers),
+                ..HttpMessage::default()
+            };
+            Ok(Some(ParsedHead { length, message }))
         })
         .await
     }
@@ -103,16 +106,10 @@
         self.read_message(stream, |bytes| {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            match head.parse(bytes).map_err(|_| ConnectionFailed)? {
-                httparse::Status::Partial => Ok(None),
-                httparse::Status::Complete(length) => {
-                    let status = head.code.unwrap_or(0);
-                    Ok(Some((
-                        length,
-                        HttpMessage { status, fields: fields(head.headers), ..HttpMessage::default() },
-                    )))
-                }
-            }
+            let parsed = head.parse(bytes).map_err(|_| ConnectionFailed)?;
+            let httparse::Status::Complete(length) = parsed else { return Ok(None) };
+            let (status, fields) = (head.code.unwrap_or(0), fields(head.headers));
+            Ok(Some(ParsedHead { length, message: HttpMessage { status, fields, ..HttpMessage::default() } }))
         })
         .await
     }
@@ -120,9 +117,9 @@
     async fn read_message(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
-        parse: impl Fn(&[u8]) -> Result<Option<(usize, HttpMessage)>, ConnectionFailed>,
+        parse: impl Fn(&[u8]) -> Result<Option<ParsedHead>, ConnectionFailed>,
     ) -> Result<Option<HttpMessage>, ConnectionFailed> {
-        let (length, mut message) = loop {
+        let ParsedHead { length, mut message } = loop {
             if let Some(found) = parse(&self.buffer)? {
                 break found;
             }
@@ -153,8 +150,3 @@
 pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
-
-/// A chunk of a body in chunked encoding.
-pub fn chunk(text: &str) -> String {
-    format!("{:x}\r\n{text}\r\n", text.len())
-}
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -32,7 +32,7 @@
 pub use auditor::{AuditRules, Finding, audit};
 pub use clients::{Clients, Job, JobOutcome};
 pub use datagram_faults::DatagramFaults;
-pub use datagram_relay::{DatagramRelay, DatagramTotals};
+pub use datagram_relay::{DatagramCount, DatagramRelay, DatagramTotals};
 pub use discovery::{DiscoveryMetrics, DiscoveryMode, DiscoveryScript, Endpoint, ScriptedDiscovery};
 pub use error::{ConnectionFailed, FleetError};
 pub use event_log::{Event, EventLog, Lifecycle, LoggedEvent};
--- a/crates/testkit/tests/harness.rs
+++ b/crates/testkit/tests/harness.rs
@@ -108,7 +108,8 @@
     let found = fleet.audit(&AuditRules::default());
     assert!(matches!(found[..], [Finding::LongDatagram { dispatcher: 0, length: 257, .. }]), "{found:?}");
     let totals = fleet.datagrams.totals();
-    assert_eq!((totals[0].too_long, totals[0].by_first_byte[&0xf1]), (1, (1, 257)));
+    let count = DatagramCount { datagrams: 1, bytes: 257 };
+    assert_eq!((totals[0].too_long, totals[0].by_first_byte[&0xf1]), (1, count));
     UdpSocket::bind("127.0.0.1:0").and_then(|s| s.send_to(b"?", peers[0].peers[1])).expect("it is sent");
     fleet.wait_until("a stranger is counted", || fleet.datagrams.from_strangers() == 1);
     // The same seed loses the same ones.
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -163,7 +163,7 @@
     let mut run = Run::new("thirty", 30, seed, report);
     let sent = |run: &Run| -> u64 {
         let totals = run.fleet.datagrams.totals();
-        totals.iter().filter_map(|t| t.by_first_byte.get(&0xF1)).map(|(_, bytes)| bytes).sum()
+        totals.iter().filter_map(|t| t.by_first_byte.get(&0xF1)).map(|count| count.bytes).sum()
     };
     std::thread::sleep(Duration::from_millis(600)); // the news of the start has been told
     let (before, begun) = (sent(&run), Instant::now());
