--- a/crates/store/src/active_segment.rs
+++ b/crates/store/src/active_segment.rs
@@ -28,7 +28,7 @@
 pub(crate) struct WriteFailure {
     pub error: StoreError,
     /// A part of them may be in the file and cannot be cut off.
-    pub leaves_a_part: bool,
+    pub is_torn: bool,
 }
 
 /// The segment that is written to.
@@ -63,12 +63,14 @@
         self.durable_len
     }
 
-    pub fn is_durable(&self) -> bool {
-        self.durable_len >= self.len
+    /// Whether so many bytes fit into a segment of `max_len`. They always fit into an empty one.
+    pub fn has_room_for(&self, bytes: usize, max_len: u32) -> bool {
+        let is_empty = self.len <= HEADER_LEN as u64;
+        is_empty || self.len + bytes as u64 <= u64::from(max_len)
     }
 
-    pub fn exposed_bytes(&self) -> u64 {
-        self.len - self.durable_len
+    pub fn is_durable(&self) -> bool {
+        self.durable_len >= self.len
     }
 
     /// Encodes frames for the end of the segment.
@@ -96,7 +98,7 @@
     pub fn write(&mut self, frames: &EncodedFrames) -> Result<(), WriteFailure> {
         let file = &*self.segment.file;
         write_all(file, self.len, &frames.bytes).map_err(|error| WriteFailure {
-            leaves_a_part: file.truncate(self.len).is_err(),
+            is_torn: file.truncate(self.len).is_err(),
             error: io_error("cannot write", &self.segment.name)(error),
         })
     }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -2,20 +2,22 @@
 
 use crate::BatchError;
 use crate::format::{self, Operation};
+use std::time::Duration;
 
 /// Writes that take effect together or not at all.
 ///
 /// ```
 /// use mothproxy_store::Batch;
+/// use std::time::Duration;
 ///
-/// let batch = Batch::new().put("a", "1").put_with_ttl("b", "2", 60_000).delete("c");
+/// let batch = Batch::new().put("a", "1").put_with_ttl("b", "2", Duration::from_secs(60)).delete("c");
 /// assert_eq!(batch.len(), 3);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     operations: Vec<Operation>,
-    /// Times to live in milliseconds, by operation; counted from when the store takes the batch.
-    ttls: Vec<Option<u64>>,
+    /// Times to live by operation, counted from when the store takes the batch.
+    ttls: Vec<Option<Duration>>,
 }
 
 impl Batch {
@@ -30,8 +32,13 @@
         self
     }
 
-    /// Sets a value that expires after so many milliseconds.
-    pub fn put_with_ttl(mut self, key: impl Into<Vec<u8>>, value: impl Into<Vec<u8>>, ttl: u64) -> Batch {
+    /// Sets a value that expires after `ttl`, which counts in whole milliseconds.
+    pub fn put_with_ttl(
+        mut self,
+        key: impl Into<Vec<u8>>,
+        value: impl Into<Vec<u8>>,
+        ttl: Duration,
+    ) -> Batch {
         self.push(key.into(), Some(value.into()), Some(ttl));
         self
     }
@@ -42,8 +49,8 @@
         self
     }
 
-    /// Adds one operation: `value` `None` deletes; `ttl` in milliseconds.
-    pub fn push(&mut self, key: Vec<u8>, value: Option<Vec<u8>>, ttl: Option<u64>) {
+    /// Adds one operation; a `value` of `None` deletes the key.
+    pub fn push(&mut self, key: Vec<u8>, value: Option<Vec<u8>>, ttl: Option<Duration>) {
         self.operations.push(Operation { key, value, expires_at: None });
         self.ttls.push(ttl);
     }
@@ -62,7 +69,7 @@
     pub(crate) fn into_operations(self, now: u64) -> Result<Vec<Operation>, BatchError> {
         let mut operations = self.operations;
         for (operation, ttl) in operations.iter_mut().zip(self.ttls) {
-            operation.expires_at = ttl.map(|ttl| now.saturating_add(ttl));
+            operation.expires_at = ttl.map(|ttl| now.saturating_add(ttl.as_millis() as u64));
         }
         format::check_batch(&operations)?;
         Ok(operations)
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -34,6 +34,9 @@
     Shared,
 }
 
+/// Keeps a directory locked for as long as it lives.
+pub type DirectoryLock = Box<dyn Any + Send + Sync>;
+
 /// One directory of files.
 pub trait Disk: Send + Sync {
     /// Its name in messages.
@@ -51,7 +54,7 @@
     /// Returns once creations, renames and removals are durable.
     fn sync_dir(&self) -> io::Result<()>;
     /// Locks the directory for as long as what is returned lives. `None` where the lock of another process forbids it.
-    fn lock(&self, mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>>;
+    fn lock(&self, mode: LockMode) -> io::Result<Option<DirectoryLock>>;
 }
 
 /// A directory of the file system.
@@ -145,7 +148,7 @@
         File::open(&self.dir)?.sync_all()
     }
 
-    fn lock(&self, mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
+    fn lock(&self, mode: LockMode) -> io::Result<Option<DirectoryLock>> {
         use rustix::fs::{FlockOperation, flock};
         let path = self.dir.join(LOCK_FILE);
         let is_exclusive = mode == LockMode::Exclusive;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,6 +1,7 @@
 //! Errors of the store.
 
 use std::io;
+use std::sync::Arc;
 
 /// An error of the store. Each names the file and, where there is one, the offset in bytes.
 #[derive(Debug, thiserror::Error)]
@@ -47,9 +48,12 @@
     /// A key, value or batch is out of bounds.
     #[error("{0}")]
     Invalid(#[from] BatchError),
-    /// The disk failed; it is tried again with each write.
+    /// The disk failed; it is tried again with each write. The batches of a group share its error.
     #[error("the disk failed: {0}")]
-    Failing(String),
+    Failing(#[source] Arc<StoreError>),
+    /// More than [`crate::Options::max_queued_bytes`] would wait for the disk.
+    #[error("the disk failed: too many writes wait for the disk")]
+    QueueFull,
     /// The store was closed.
     #[error("the store is closed")]
     Closed,
--- a/crates/store/src/format/header.rs
+++ b/crates/store/src/format/header.rs
@@ -39,6 +39,14 @@
     pub is_merged: bool,
 }
 
+/// A header that was read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DecodedHeader {
+    pub header: Header,
+    /// Both copies are whole and equal.
+    pub has_both_copies: bool,
+}
+
 /// Why a header cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderFault {
@@ -63,13 +71,16 @@
         [copy.clone(), copy].concat()
     }
 
-    /// The first copy that is whole, and whether both are whole and equal.
-    pub fn decode(bytes: &[u8]) -> Result<(Header, bool), HeaderFault> {
+    /// Reads the first copy that is whole.
+    pub fn decode(bytes: &[u8]) -> Result<DecodedHeader, HeaderFault> {
         let copies = [bytes.get(..HEADER_COPY_LEN), bytes.get(HEADER_COPY_LEN..HEADER_LEN)];
         let [first, second] = copies.map(|copy| copy.and_then(Header::decode_copy));
         match (first, second) {
-            (Some((header, VERSION)), second) => Ok((header, second == Some((header, VERSION)))),
-            (None, Some((header, VERSION))) => Ok((header, false)),
+            (Some((header, VERSION)), second) => {
+                let has_both_copies = second == Some((header, VERSION));
+                Ok(DecodedHeader { header, has_both_copies })
+            }
+            (None, Some((header, VERSION))) => Ok(DecodedHeader { header, has_both_copies: false }),
             (Some((_, version)), _) | (None, Some((_, version))) => Err(HeaderFault::Version(version)),
             (None, None) => Err(HeaderFault::Unreadable),
         }
--- a/crates/store/src/format/mod.rs
+++ b/crates/store/src/format/mod.rs
@@ -12,7 +12,7 @@
 pub use footer::{encode_footer, footer_len};
 pub use frame::{FRAME_HEAD_LEN, FrameHead, FrameStart, MAX_FINGERPRINTS, Probe, decode_fingerprints};
 pub use frame::{encode_frame, probe, resync};
-pub use header::{HEADER_LEN, Header, HeaderFault, SegmentNumbers};
+pub use header::{DecodedHeader, HEADER_LEN, Header, HeaderFault, SegmentNumbers};
 pub use record::{EncodedBatch, Operation, Record, RecordLocation, check_batch, decode_record};
 
 use std::hash::Hasher as _;
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,4 +1,4 @@
-//! Decisions of the store as pure functions: which files count when it is opened, when a segment is closed, what to compact.
+//! Decisions of the store as pure functions: which files count when it is opened, and what to compact.
 
 use crate::format::SegmentNumbers;
 use std::cmp::Reverse;
@@ -91,7 +91,7 @@
 
 /// What to compact next, as a range of these segments, oldest first; `min_dead` is from how many dead bytes on it pays off.
 /// First where the most is freed for the bytes copied, then many small neighbours.
-pub fn compaction(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
+pub fn range_to_compact(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
     best_gain(segments, min_dead).or_else(|| small_neighbours(segments))
 }
 
@@ -130,10 +130,5 @@
     Some(found..found + MERGED_NEIGHBOURS)
 }
 
-/// Whether the active segment is closed before this frame: it would become larger than it ought to be, and it is not empty.
-pub fn is_full(len: u64, frame: u64, max: u64, is_empty: bool) -> bool {
-    !is_empty && len + frame > max
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/store/src/plan/tests.rs
+++ b/crates/store/src/plan/tests.rs
@@ -1,7 +1,7 @@
 //! Names, tilings and compactions by tables.
 
 use super::{
-    SegmentUsage, Tiling, compaction, is_unfinished_name, segment_name, segment_numbers, tile,
+    SegmentUsage, Tiling, is_unfinished_name, range_to_compact, segment_name, segment_numbers, tile,
     unfinished_name,
 };
 use crate::format::SegmentNumbers;
@@ -57,6 +57,6 @@
         (&[segment(100, 0); 9], Some(0..8)),
     ];
     for (segments, expected) in cases {
-        assert_eq!(compaction(segments, 50), expected, "{segments:?}");
+        assert_eq!(range_to_compact(segments, 50), expected, "{segments:?}");
     }
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -72,7 +72,7 @@
     fn open(disk: &dyn Disk, numbers: SegmentNumbers) -> Result<OpenedSegment, StoreError> {
         let name = plan::segment_name(numbers);
         let file = disk.open(&name).map_err(io_error("cannot open", &name))?;
-        let header = segment_loader::read_header(&*file, &name)?.map(|(header, _)| header);
+        let header = segment_loader::read_header(&*file, &name)?.map(|decoded| decoded.header);
         if let Err(HeaderFault::Version(found)) = header {
             return Err(StoreError::Version { file: name, found, known: format::VERSION });
         }
@@ -160,10 +160,11 @@
 
 fn load_one(segments: &[OpenedSegment], index: usize) -> Result<Option<LoadedSegment>, StoreError> {
     let OpenedSegment { name, file, header: Ok(header) } = &segments[index] else { return Ok(None) };
-    let next = segments.get(index + 1);
-    // Where the successor's header is lost, what it said is too: all that is there counts.
-    let previous_len = next.and_then(|next| next.header.as_ref().ok()).map(|header| header.previous_len);
-    let successor = Successor { previous_len, is_missing: next.is_none() };
+    let successor = match segments.get(index + 1).map(|next| &next.header) {
+        Some(Ok(next)) => Successor::Sound { previous_len: next.previous_len },
+        Some(Err(_)) => Successor::HeaderLost,
+        None => Successor::Missing,
+    };
     segment_loader::load(file, name, *header, successor).map(Some)
 }
 
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -2,8 +2,8 @@
 
 use crate::disk::{DiskFile, read_range};
 use crate::error::{StoreError, io_error};
-use crate::format::{self, FOOTER_HEAD_LEN, FRAME_HEAD_LEN, HEADER_LEN, Header, HeaderFault, IndexEntry};
-use crate::format::{RecordLocation, TRAILER_LEN};
+use crate::format::{self, DecodedHeader, FOOTER_HEAD_LEN, FRAME_HEAD_LEN, HEADER_LEN, Header, HeaderFault};
+use crate::format::{IndexEntry, RecordLocation, TRAILER_LEN};
 use crate::index::{DamagedRegion, Layer, RunBuilder, Segment};
 use crate::recovery::Damage;
 use crate::scan::{Hole, Scan, ScanItem, each_record, scan};
@@ -28,20 +28,36 @@
     pub end: u64,
 }
 
-/// What the header of its successor says of a segment.
+/// What is known of a segment by the one that follows it.
 #[derive(Clone, Copy, Debug)]
-pub struct Successor {
-    /// Up to where the segment is valid, in bytes; `None` where there is no header that says so.
-    pub previous_len: Option<u64>,
-    /// There is no successor at all.
-    pub is_missing: bool,
+pub enum Successor {
+    /// Its header says up to where the segment is valid, in bytes.
+    Sound { previous_len: u64 },
+    /// Its header is lost, and what it said too.
+    HeaderLost,
+    /// None follows: the end of the segment may be torn.
+    Missing,
 }
 
-/// Reads a header; the flag says whether both of its copies are whole and equal.
+impl Successor {
+    /// Up to where the segment is valid, in bytes, as far as the header of its successor says so.
+    fn previous_len(self) -> Option<u64> {
+        match self {
+            Successor::Sound { previous_len } => Some(previous_len),
+            Successor::HeaderLost | Successor::Missing => None,
+        }
+    }
+}
+
+/// Reads the header of a segment.
+///
+/// # Errors
+///
+/// [`StoreError::Io`]; a header that cannot be used is the inner error.
 pub fn read_header(
     file: &dyn DiskFile,
     name: &str,
-) -> Result<Result<(Header, bool), HeaderFault>, StoreError> {
+) -> Result<Result<DecodedHeader, HeaderFault>, StoreError> {
     let bytes = read_range(file, 0, HEADER_LEN).map_err(io_error("cannot read", name))?;
     Ok(Header::decode(&bytes))
 }
@@ -88,7 +104,7 @@
         let Some((trailer, info)) = format::decode_trailer(&tail, salt) else { return Ok(None) };
         // A footer that its successor does not go by was written in an attempt that failed.
         let is_valid = self.header.is_merged
-            || successor.previous_len.is_none_or(|previous_len| previous_len == trailer.data_end);
+            || successor.previous_len().is_none_or(|previous_len| previous_len == trailer.data_end);
         if !is_valid {
             return Ok(None);
         }
@@ -119,7 +135,11 @@
         if self.header.is_merged {
             return Some(self.len);
         }
-        successor.previous_len.or((!successor.is_missing).then_some(self.len))
+        match successor {
+            Successor::Sound { previous_len } => Some(previous_len),
+            Successor::HeaderLost => Some(self.len),
+            Successor::Missing => None,
+        }
     }
 
     fn load_by_scan(mut self, successor: Successor) -> Result<LoadedSegment, StoreError> {
--- /dev/null
+++ b/crates/store/src/segment_usage.rs
@@ -0,0 +1,64 @@
+//! How much of each segment still counts: what a compaction would free.
+
+use crate::format::HEADER_LEN;
+use crate::index::{Layer, Run, View, Walk, runs};
+use crate::plan::SegmentUsage;
+use std::sync::Arc;
+
+/// Bytes that an entry of a footer takes beside its key, about.
+const FOOTER_ENTRY_BYTES: u64 = 6;
+
+/// The names of the segments of these runs, each once, in order.
+pub(crate) fn segment_names(runs: &[Arc<Run>]) -> Vec<String> {
+    let mut names: Vec<String> = runs.iter().map(|run| run.segment.name.clone()).collect();
+    names.dedup();
+    names
+}
+
+/// What is known of the segments that take no more writes. It walks through all keys.
+pub(crate) fn segment_usage(view: &View, now: u64) -> Vec<SegmentUsage> {
+    let runs: Vec<Arc<Run>> = runs(&view.layers).cloned().collect();
+    let names = segment_names(&runs);
+    let index_of = |name: &str| names.iter().position(|known| known == name);
+    let segment_of: Vec<usize> = runs.iter().map(|run| index_of(&run.segment.name).unwrap_or(0)).collect();
+    let mut usage = vec![SegmentUsage { bytes: 0, dead: 0, is_damaged: false }; names.len()];
+    for (run, segment) in runs.iter().zip(&segment_of) {
+        usage[*segment].bytes = run.file_len;
+        // What no index names is dead: records that were overwritten within the segment.
+        usage[*segment].dead = run.file_len.saturating_sub(HEADER_LEN as u64);
+    }
+    for name in damaged_segments(&view.layers) {
+        if let Some(segment) = index_of(name) {
+            usage[segment].is_damaged = true;
+        }
+    }
+    for step in Walk::of_runs(&runs) {
+        let location = step.hit.location;
+        let is_gone = location.is_tombstone || location.is_expired(now);
+        if is_gone && !step.has_older {
+            continue;
+        }
+        // The entries of the footers count as live, about as much as they take.
+        let live = u64::from(location.len) + step.key.len() as u64 / 2 + FOOTER_ENTRY_BYTES;
+        let segment = &mut usage[segment_of[step.rank]];
+        segment.dead = segment.dead.saturating_sub(live);
+    }
+    usage
+}
+
+/// The names of segments with damage, and of those behind damage: a merge across what is lost would hide it.
+fn damaged_segments(layers: &[Layer]) -> Vec<&str> {
+    let mut names = Vec::new();
+    let mut is_behind_damage = false;
+    for layer in layers {
+        match layer {
+            Layer::Damaged(region) => {
+                names.push(region.file.as_str());
+                is_behind_damage = true;
+            }
+            Layer::Run(run) if std::mem::take(&mut is_behind_damage) => names.push(&run.segment.name),
+            Layer::Run(_) => {}
+        }
+    }
+    names
+}
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -4,9 +4,8 @@
 //! the directory is synced. Any call may be made to fail. After a failed `sync` the lost bytes still read back, as they
 //! do from a page cache, and never reach the disk.
 
-use crate::disk::{Disk, DiskFile, LockMode};
+use crate::disk::{DirectoryLock, Disk, DiskFile, LockMode};
 pub use crate::random::Rng;
-use std::any::Any;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -376,7 +375,7 @@
         Ok(())
     }
 
-    fn lock(&self, _mode: LockMode) -> io::Result<Option<Box<dyn Any + Send + Sync>>> {
+    fn lock(&self, _mode: LockMode) -> io::Result<Option<DirectoryLock>> {
         Ok(Some(Box::new(())))
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,14 +1,14 @@
 //! Reading: snapshots, iteration and statistics.
 
 use crate::clock::Clock;
-use crate::compaction::segment_usage;
-use crate::disk::{Disk, LockMode, RealDisk};
+use crate::disk::{DirectoryLock, Disk, LockMode, RealDisk};
 use crate::error::{StoreError, io_error};
 use crate::index::{View, Walk, runs};
 use crate::metrics::Metrics;
 use crate::recovery::{self, Recovery};
-use std::any::Any;
+use crate::segment_usage::segment_usage;
 use std::path::Path;
+use std::sync::Arc;
 
 /// Memory that a key of the active segment takes, about.
 const ACTIVE_KEY_BYTES: usize = 160;
@@ -33,7 +33,7 @@
     /// Counters since the store was opened.
     pub metrics: Metrics,
     /// Why the last write failed, until one succeeds.
-    pub failing: Option<String>,
+    pub last_failure: Option<Arc<StoreError>>,
 }
 
 /// The contents of a store at one moment; later writes do not change it.
@@ -113,13 +113,34 @@
     }
 }
 
-/// Opens a directory to read it only: nothing in it is changed. Writers are kept out for as long as the last value that is
-/// returned lives.
+/// A directory that was opened for reading.
+pub struct OpenedReader {
+    /// Its contents.
+    pub snapshot: Snapshot,
+    /// What was found.
+    pub recovery: Recovery,
+    /// Keeps writers out for as long as it lives.
+    pub lock: DirectoryLock,
+}
+
+/// Opens a directory to read it only: nothing in it is changed.
+///
+/// ```no_run
+/// use mothproxy_store::open_reader;
+/// use std::path::Path;
+///
+/// let opened = open_reader(Path::new("/var/lib/mothproxy"))?;
+/// for record in opened.snapshot.iter_from(b"key/") {
+///     let (key, value) = record?;
+///     println!("{} bytes, {} bytes", key.len(), value.len());
+/// }
+/// # Ok::<(), mothproxy_store::StoreError>(())
+/// ```
 ///
 /// # Errors
 ///
 /// [`StoreError::Locked`] where another process has it open for writing, [`StoreError::Version`] and [`StoreError::Io`].
-pub fn open_reader(dir: &Path) -> Result<(Snapshot, Recovery, Box<dyn Any + Send + Sync>), StoreError> {
+pub fn open_reader(dir: &Path) -> Result<OpenedReader, StoreError> {
     let name = dir.display().to_string();
     let disk = RealDisk::open(dir).map_err(io_error("cannot open", &name))?;
     let lock = disk.lock(LockMode::Shared).map_err(io_error("cannot lock", &name))?;
@@ -127,5 +148,5 @@
     let opened = recovery::open(&disk)?;
     let view = View { layers: opened.layers, ..View::default() };
     let now = Clock::new(opened.written_at).now();
-    Ok((Snapshot::new(view, now), opened.recovery, lock))
+    Ok(OpenedReader { snapshot: Snapshot::new(view, now), recovery: opened.recovery, lock })
 }
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -44,7 +44,7 @@
     }
 
     fn verify_segment(&mut self, segment: &Segment) -> Result<(), StoreError> {
-        if read_header(&*segment.file, &segment.name)?.is_ok_and(|(_, both_whole)| !both_whole) {
+        if read_header(&*segment.file, &segment.name)?.is_ok_and(|decoded| !decoded.has_both_copies) {
             self.add_damage(segment, 0, "one of the two copies of its header is damaged");
         }
         let io = || io_error("cannot read", &segment.name);
--- a/crates/store/src/waiting_thread.rs
+++ b/crates/store/src/waiting_thread.rs
@@ -4,6 +4,7 @@
 //! one by one takes longer than a sync.
 
 use crate::shared_view::lock;
+use crate::write_queue::WriteResult;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::Thread;
@@ -13,7 +14,7 @@
 
 /// What became of a thread's batch.
 struct Completion {
-    result: Result<(), String>,
+    result: WriteResult,
     /// The threads that it wakes.
     wakes: [Option<Arc<WaitingThread>>; WAKES],
 }
@@ -42,7 +43,7 @@
     }
 
     /// Completes a group and wakes its first thread.
-    pub fn complete(group: &[Arc<WaitingThread>], result: &Result<(), String>) {
+    pub fn complete(group: &[Arc<WaitingThread>], result: &WriteResult) {
         for (index, waiting) in group.iter().enumerate() {
             let wakes = std::array::from_fn(|nth| group.get(WAKES * index + 1 + nth).cloned());
             *lock(&waiting.completion) = Completion { result: result.clone(), wakes };
@@ -54,7 +55,7 @@
     }
 
     /// Waits until the batch is complete, and wakes the threads that this one is to wake. Called by the thread itself.
-    pub fn wait(&self) -> Result<(), String> {
+    pub fn wait(&self) -> WriteResult {
         while !self.is_done.load(Ordering::Acquire) {
             std::thread::park();
         }
--- a/crates/store/src/write_queue.rs
+++ b/crates/store/src/write_queue.rs
@@ -10,8 +10,11 @@
 /// Most bytes of a group.
 const MAX_GROUP_BYTES: usize = 4 << 20;
 
-/// Called once a batch is written, or is known not to be. The error is its message.
-pub type Callback = Box<dyn FnOnce(Result<(), String>) + Send>;
+/// What became of a group of batches; all that wait for one of them get the same error.
+pub type WriteResult = Result<(), Arc<StoreError>>;
+
+/// Called once a batch is written, or is known not to be.
+pub type Callback = Box<dyn FnOnce(WriteResult) + Send>;
 
 /// Who waits for a batch.
 pub(crate) enum Waiter {
@@ -19,7 +22,7 @@
     Callback(Callback),
 }
 
-/// A batch that waits.
+/// A batch that waits, with whoever waits for it.
 pub(crate) struct QueuedBatch {
     pub batch: Arc<EncodedBatch>,
     waiter: Waiter,
@@ -34,7 +37,7 @@
 /// A group that was written, or could not be.
 pub(crate) struct WrittenGroup {
     pub batches: Vec<QueuedBatch>,
-    pub result: Result<(), String>,
+    pub result: WriteResult,
 }
 
 impl WrittenGroup {
@@ -79,7 +82,7 @@
             return Err(StoreError::Closed);
         }
         if self.bytes + len > max_bytes && self.bytes > 0 {
-            return Err(StoreError::Failing("too many writes wait for the disk".to_owned()));
+            return Err(StoreError::QueueFull);
         }
         self.bytes += len;
         self.waiting.push_back(QueuedBatch { batch, waiter });
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -3,17 +3,17 @@
 
 use crate::active_segment::ActiveSegment;
 use crate::batch_group::BatchGroup;
-use crate::compaction::{Compaction, MergedSegment, SegmentSet, segment_usage};
-use crate::disk::{Disk, DiskFile, LockMode, write_all};
+use crate::compaction::{Compaction, MergedSegment, SegmentSelection, SegmentSet};
+use crate::disk::{DirectoryLock, Disk, DiskFile, LockMode, write_all};
 use crate::error::{StoreError, io_error};
-use crate::format::{self, EncodedBatch, HEADER_LEN, Header, IndexEntry, Operation, SegmentNumbers, Trailer};
+use crate::format::{self, EncodedBatch, Header, IndexEntry, Operation, SegmentNumbers, Trailer};
 use crate::index::{Layer, Segment, View, runs};
 use crate::metrics::Metrics;
 use crate::random::splitmix64;
 use crate::recovery::{self, Recovery};
+use crate::segment_usage::segment_usage;
 use crate::shared_view::{SharedView, Unpublished, lock, publish, retire_active};
 use crate::{Options, SyncMode, plan};
-use std::any::Any;
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
 
@@ -37,9 +37,7 @@
     garbage: Vec<String>,
     /// Counters since the directory was opened.
     pub metrics: Metrics,
-    /// Why the last group failed, until one succeeds.
-    pub failing: Option<String>,
-    _lock: Box<dyn Any + Send + Sync>,
+    _lock: DirectoryLock,
 }
 
 /// A directory that was opened for writing.
@@ -82,7 +80,6 @@
         unpublished: Unpublished::default(),
         garbage: opened.leftovers,
         metrics: Metrics::default(),
-        failing: None,
         _lock: lock,
     };
     writer.remove_garbage();
@@ -143,15 +140,11 @@
         let result = self.append(shared, batches, now);
         match &result {
             Ok(()) => {
-                self.failing = None;
                 self.metrics.batches += batches.len() as u64;
                 self.metrics.operations += batches.iter().map(|b| b.records.len() as u64).sum::<u64>();
                 self.metrics.groups += 1;
             }
-            Err(error) => {
-                self.metrics.failures += 1;
-                self.failing = Some(error.to_string());
-            }
+            Err(_) => self.metrics.failures += 1,
         }
         result
     }
@@ -170,7 +163,7 @@
         let Some(active) = &mut self.active else { return Err(StoreError::Closed) };
         let encoded = active.encode(&group, self.next_seq, now);
         if let Err(failure) = active.write(&encoded) {
-            if failure.leaves_a_part {
+            if failure.is_torn {
                 self.abandon_active(shared);
             }
             return Err(failure.error);
@@ -206,9 +199,7 @@
     /// Makes sure that there is an active segment with room for so many bytes.
     fn prepare_segment(&mut self, shared: &SharedView, len: usize, now: u64) -> Result<(), StoreError> {
         if let Some(active) = &self.active {
-            let is_empty = active.len() <= HEADER_LEN as u64;
-            let max = u64::from(self.options.segment_bytes);
-            if plan::is_full(active.len(), len as u64, max, is_empty) {
+            if !active.has_room_for(len, self.options.segment_bytes) {
                 self.seal(shared, now)?;
             }
         }
@@ -233,7 +224,6 @@
         if let Err(error) = active.sync() {
             let name = active.segment().name.clone();
             self.metrics.failures += 1;
-            self.failing = Some(error.to_string());
             self.abandon_active(shared);
             return Err(io_error("cannot sync", &name)(error));
         }
@@ -242,11 +232,6 @@
         Ok(())
     }
 
-    /// Bytes acknowledged that a power cut could cost.
-    pub fn exposed_bytes(&self) -> u64 {
-        self.active.as_ref().map_or(0, ActiveSegment::exposed_bytes)
-    }
-
     /// Ends the active segment without a footer: what of it is not durable does not count, as the next one's header says.
     fn abandon_active(&mut self, shared: &SharedView) {
         let Some(active) = self.active.take() else { return };
@@ -327,20 +312,20 @@
         }
     }
 
-    /// A compaction of all segments.
+    /// A compaction of all segments at a Unix time in milliseconds; `None` where there are none.
     pub fn plan_full_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
         let segments = segment_usage(view, now).len();
-        if segments == 0 { None } else { self.compaction(view, 0..segments, SegmentSet::All, now) }
+        if segments == 0 { None } else { self.compaction_of(view, 0..segments, SegmentSet::All, now) }
     }
 
-    /// A compaction of those segments for which it pays off.
+    /// A compaction of those segments for which it pays off, if there are any.
     pub fn plan_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
-        let range = plan::compaction(&segment_usage(view, now), self.min_dead_bytes())?;
-        self.compaction(view, range, SegmentSet::Some, now)
+        let range = plan::range_to_compact(&segment_usage(view, now), self.min_dead_bytes())?;
+        self.compaction_of(view, range, SegmentSet::Some, now)
     }
 
     /// A compaction of these segments, by their positions.
-    pub(crate) fn compaction(
+    pub(crate) fn compaction_of(
         &self,
         view: &View,
         range: Range<usize>,
@@ -349,11 +334,10 @@
     ) -> Option<Compaction> {
         // All together stand for every number there was, also for those that are lost.
         let last = self.active.is_none().then(|| self.next_segment - 1);
-        Compaction::new(self.disk.clone(), view, range, set, last).map(|compaction| {
-            let SegmentNumbers { first, last } = compaction.numbers();
-            let salt = splitmix64(self.salt ^ first.rotate_left(17) ^ last.rotate_left(40) ^ now);
-            compaction.with_context(salt, self.next_seq, now)
-        })
+        let selection = SegmentSelection::new(view, range, set, last)?;
+        let SegmentNumbers { first, last } = selection.numbers;
+        let salt = splitmix64(self.salt ^ first.rotate_left(17) ^ last.rotate_left(40) ^ now);
+        Some(Compaction { disk: self.disk.clone(), selection, now, salt, next_seq: self.next_seq })
     }
 
     /// Puts a merged segment in the place of those it was made of.
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -3,10 +3,12 @@
 use mothproxy_store::disk::Disk;
 use mothproxy_store::sim::{Faults, Rng, SimDisk};
 use mothproxy_store::{
-    OpenedWriter, Operation, Options, SharedView, StoreError, SyncMode, Writer, open_writer, verify, view_of,
+    DamagedRecords, OpenedWriter, Operation, Options, SharedView, StoreError, SyncMode, Writer, open_writer,
+    verify, view_of,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
 
@@ -75,7 +77,8 @@
 fn history(seed: u64) {
     let mut rng = Rng::new(seed);
     let mut disk = SimDisk::new(rng.next_u64());
-    let mode = [SyncMode::Always, SyncMode::Always, SyncMode::Interval(10)][rng.below(3) as usize];
+    let mode = [SyncMode::Always, SyncMode::Always, SyncMode::Interval(Duration::from_millis(10))]
+        [rng.below(3) as usize];
     let options =
         Options { segment_bytes: 600 + rng.below(3000) as u32, sync: mode, seed, ..Options::default() };
     let mut model = Model::default();
@@ -112,7 +115,7 @@
                         writer.plan_compaction(&view, step)
                     };
                     if let Some(merge) = compaction
-                        && let Ok(merged) = merge.run(false)
+                        && let Ok(merged) = merge.run(DamagedRecords::Refuse)
                     {
                         let _ = writer.install(&shared, merged); // a failure must cost nothing
                     }
@@ -194,7 +197,7 @@
         states.push(now.clone());
         if step == 70 {
             let merge = writer.plan_full_compaction(&view_of(&shared), step).expect("segments to merge");
-            writer.install(&shared, merge.run(false).expect("merged")).expect("installed");
+            writer.install(&shared, merge.run(DamagedRecords::Refuse).expect("merged")).expect("installed");
         }
     }
     if sealed {
@@ -300,7 +303,7 @@
         torn.cut_after(cuts);
         let view = view_of(&shared);
         let merge = writer.plan_full_compaction(&view, 1).expect("segments to merge");
-        let done = merge.run(false).and_then(|merged| writer.install(&shared, merged));
+        let done = merge.run(DamagedRecords::Refuse).and_then(|merged| writer.install(&shared, merged));
         for seed in 0..6 {
             let (_, again) = open(&torn.reboot(cuts * 31 + seed), options).expect("it opens");
             assert_eq!(contents(&again).expect("sound records"), *newest, "cut at call {cuts}, seed {seed}");
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -3,11 +3,15 @@
 use mothproxy_store::disk::Disk;
 use mothproxy_store::sim::{Faults, Rng, SimDisk};
 use mothproxy_store::{
-    Batch, BatchError, MAX_KEY, MAX_VALUE, OpenedWriter, Operation, Options, Store, StoreError, SyncMode,
-    open_reader, open_writer,
+    Batch, BatchError, DamagedRecords, MAX_KEY, MAX_VALUE, OpenedWriter, Operation, Options, Store,
+    StoreError, SyncMode, WriteResult, open_reader, open_writer,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// The time to live of what must not expire during a test.
+const HOUR: Duration = Duration::from_secs(3600);
 
 fn small() -> Options {
     Options { segment_bytes: 8 << 10, ..Options::default() }
@@ -21,7 +25,7 @@
 fn contents_survive_a_restart_in_every_sync_mode() {
     let dir = tempfile::tempdir().expect("a folder");
     let keys: [&[u8]; 5] = [b"\0", b"plain", &[0xff; 300], "\u{443}\u{448}".as_bytes(), &[7; MAX_KEY]];
-    for mode in [SyncMode::Always, SyncMode::Interval(5), SyncMode::Never] {
+    for mode in [SyncMode::Always, SyncMode::Interval(Duration::from_millis(5)), SyncMode::Never] {
         let path = dir.path().join(format!("{mode:?}"));
         let options = Options { sync: mode, ..small() };
         let (store, _) = Store::open(&path, options).expect("it opens");
@@ -91,9 +95,13 @@
     let disk = SimDisk::new(3);
     let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("it opens");
     store
-        .write(Batch::new().put_with_ttl("short", "1", 30).put_with_ttl("long", "2", 3_600_000))
+        .write(
+            Batch::new()
+                .put_with_ttl("short", "1", Duration::from_millis(30))
+                .put_with_ttl("long", "2", HOUR),
+        )
         .expect("written");
-    std::thread::sleep(std::time::Duration::from_millis(40));
+    std::thread::sleep(Duration::from_millis(40));
     assert_eq!(store.get(b"short").expect("read"), None);
     store.close().expect("closed");
     // A process whose clock was an hour ahead wrote last; then the clock was set right.
@@ -112,10 +120,10 @@
     assert!(store.now() >= ahead, "the clock fell back");
     assert_eq!(store.get(b"short").expect("read"), None, "what had run out came back");
     assert_eq!(store.get(b"stamp").expect("read"), Some(b"3".to_vec()));
-    std::thread::sleep(std::time::Duration::from_millis(510));
+    std::thread::sleep(Duration::from_millis(510));
     assert_eq!(store.get(b"stamp").expect("read"), None, "the clock stood still");
-    store.write(Batch::new().put_with_ttl("long", "2", 3_600_000)).expect("written");
-    assert_eq!(store.compact(false).expect("compacted").records, 1);
+    store.write(Batch::new().put_with_ttl("long", "2", HOUR)).expect("written");
+    assert_eq!(store.compact(DamagedRecords::Refuse).expect("compacted").records, 1);
     assert_eq!(store.get(b"long").expect("read"), Some(b"2".to_vec()), "a compaction keeps the time to live");
 }
 
@@ -128,7 +136,7 @@
     let snapshot = store.snapshot();
     (0..200).for_each(|n| store.write(Batch::new().put(key(n), vec![2; 100])).expect("written"));
     (0..200).filter(|n| n % 2 == 0).for_each(|n| store.write(Batch::new().delete(key(n))).expect("written"));
-    let stat = store.compact(false).expect("compacted");
+    let stat = store.compact(DamagedRecords::Refuse).expect("compacted");
     let old: Vec<_> = snapshot.iter_from(b"key-100").collect::<Result<Vec<_>, _>>().expect("sound");
     assert_eq!(old.len(), 100);
     assert!(old.iter().all(|(_, value)| *value == vec![1; 100]), "a snapshot changed");
@@ -158,14 +166,14 @@
     let called = Arc::new(AtomicU64::new(0));
     for n in 0..100 {
         let called = called.clone();
-        let done = Box::new(move |result: Result<(), String>| {
-            assert_eq!(result, Ok(()));
+        let done = Box::new(move |result: WriteResult| {
+            assert!(result.is_ok(), "{result:?}");
             called.fetch_add(1, Ordering::SeqCst);
         });
         store.submit(Batch::new().put(format!("later/{n}"), "x"), done).expect("taken");
     }
-    let (figures, _) = store.metrics();
-    assert!(figures.groups < figures.batches, "{} groups for {} batches", figures.groups, figures.batches);
+    let metrics = store.metrics();
+    assert!(metrics.groups < metrics.batches, "{} groups for {} batches", metrics.groups, metrics.batches);
     let count = all(&store).len();
     assert!(count >= 640);
     store.close().expect("closed");
@@ -202,14 +210,14 @@
             }
             Err(StoreError::Failing(why)) => {
                 failed += 1;
-                assert!(why.contains("No space left"), "{why}");
-                assert!(store.metrics().1.is_some(), "the failure shows");
+                assert!(why.to_string().contains("No space left"), "{why}");
+                assert!(store.last_failure().is_some(), "the failure shows");
             }
             Err(other) => panic!("{other}"),
         }
     }
     assert!((50..=100).contains(&failed), "{failed} failed");
-    assert_eq!(store.metrics().1, None, "writing resumed by itself");
+    assert!(store.last_failure().is_none(), "writing resumed by itself");
     assert_eq!(all(&store), kept);
     drop(store);
     let (store, recovery) = Store::open_on(Arc::new(disk.reboot(1)), small()).expect("it opens");
--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -3,7 +3,7 @@
 use super::{latency_histogram, operation, quantile_us, record_latency, single_put, without_compaction};
 use crate::cli::error::{BenchError, CommandError};
 use hdrhistogram::Histogram;
-use mothproxy_store::{Batch, Stat, Store, StoreError};
+use mothproxy_store::{Batch, DamagedRecords, Stat, Store, StoreError};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,7 +31,7 @@
     let undisturbed = measure_undisturbed(&store)?;
     let bytes_before = store.stat()?.bytes;
     let concurrent = ConcurrentWrites::measure(&store)?;
-    let after = store.compact(false)?;
+    let after = store.compact(DamagedRecords::Refuse)?;
     store.close()?;
     Ok(json!({
         "compactions": concurrent.compactions,
@@ -105,10 +105,10 @@
 
 /// Compacts so many times, or up to the first error; the last result.
 fn compact_repeatedly(store: &Store) -> Result<Stat, StoreError> {
-    let mut last = store.compact(false);
+    let mut last = store.compact(DamagedRecords::Refuse);
     for _ in 1..COMPACTIONS {
         if last.is_ok() {
-            last = store.compact(false);
+            last = store.compact(DamagedRecords::Refuse);
         }
     }
     last
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -3,7 +3,7 @@
 use super::{ROUNDS, median, operation, without_compaction};
 use crate::cli::error::{BenchError, CommandError};
 use mothproxy_store::disk::RealDisk;
-use mothproxy_store::{OpenedWriter, Operation, Options, SyncMode, open_reader, open_writer};
+use mothproxy_store::{OpenedReader, OpenedWriter, Operation, Options, SyncMode, open_reader, open_writer};
 use serde_json::{Value, json};
 use std::fs::File;
 use std::io::{self, Read};
@@ -28,7 +28,7 @@
         let plain_read = PlainRead::measure(&path).map_err(BenchError::Io)?;
         read_times.push(milliseconds(plain_read.time));
         let start = Instant::now();
-        let (snapshot, recovery, lock) = open_reader(&path)?;
+        let OpenedReader { snapshot, recovery, lock } = open_reader(&path)?;
         open_times.push(milliseconds(start.elapsed()));
         let stat = snapshot.stat();
         if stat.records != records || !recovery.damage.is_empty() {
--- a/src/cli/bench/writes.rs
+++ b/src/cli/bench/writes.rs
@@ -98,10 +98,10 @@
     let mut groups = Vec::new();
     let (store, _) = Store::open(&dir.join(MANY_DIR), without_compaction())?;
     for round in 0..ROUNDS as u64 {
-        let before = store.metrics().0;
+        let before = store.metrics();
         let start = Instant::now();
         write_from_many_threads(&store, round)?;
-        let after = store.metrics().0;
+        let after = store.metrics();
         let seconds = start.elapsed().as_secs_f64();
         let records = (after.batches - before.batches) as f64;
         let group = records / (after.groups - before.groups).max(1) as f64;
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -7,6 +7,7 @@
 use mothproxy_store::StoreError;
 use std::io;
 use std::path::PathBuf;
+use std::sync::Arc;
 use thiserror::Error;
 
 /// The sub-command failed, or found damage.
@@ -64,7 +65,7 @@
     StandardOutputClosed,
     /// The store could not write a record.
     #[error("{0}")]
-    WriteFailed(String),
+    WriteFailed(#[source] Arc<StoreError>),
     /// Damaged records were left out of a dump.
     #[error("{}: damaged: {damaged} places; what is whole was printed", dir.display())]
     DamageSkipped {
@@ -145,6 +146,7 @@
         | StoreError::InDoubt { .. }
         | StoreError::NeedsRepair(_)
         | StoreError::Failing(_)
+        | StoreError::QueueFull
         | StoreError::Closed => EXIT_FAILED,
         // The directory cannot be used as it was named.
         _ => EXIT_BAD_INPUT,
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -9,6 +9,7 @@
 use mothproxy_store::SyncMode;
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use std::time::Duration;
 
 /// The operators' file where none is named.
 const DEFAULT_SETTINGS_FILE: &str = "deploy/mothproxy.txtpb";
@@ -34,7 +35,7 @@
     match (text, text.strip_prefix("interval:").map(str::parse::<u32>)) {
         ("always", _) => Ok(SyncMode::Always),
         ("never", _) => Ok(SyncMode::Never),
-        (_, Some(Ok(ms))) if ms > 0 => Ok(SyncMode::Interval(ms)),
+        (_, Some(Ok(ms))) if ms > 0 => Ok(SyncMode::Interval(Duration::from_millis(u64::from(ms)))),
         _ => Err("it is always, interval:MS (MS above 0) or never".to_owned()),
     }
 }
--- a/src/cli/store/dump.rs
+++ b/src/cli/store/dump.rs
@@ -3,14 +3,14 @@
 use super::record::record_line;
 use super::{log_damage, require_store};
 use crate::cli::error::CommandError;
-use mothproxy_store::open_reader;
+use mothproxy_store::{OpenedReader, open_reader};
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
 /// Prints every record that can be read. Damage is logged and makes the command fail at its end.
 pub(super) fn run(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
-    let (snapshot, recovery, _lock) = open_reader(dir)?;
+    let OpenedReader { snapshot, recovery, lock: _lock } = open_reader(dir)?;
     log_damage(&recovery);
     let mut damaged = recovery.damage.len();
     let mut out = BufWriter::new(std::io::stdout().lock());
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -10,7 +10,9 @@
 use super::error::CommandError;
 use clap::Subcommand;
 use mothproxy_store::disk::RealDisk;
-use mothproxy_store::{Options, Recovery, Stat, Store, StoreError, open_reader, verify};
+use mothproxy_store::{
+    DamagedRecords, OpenedReader, Options, Recovery, Stat, Store, StoreError, open_reader, verify,
+};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
@@ -68,7 +70,10 @@
         StoreCommand::Put { dir } => put::run(&dir),
         StoreCommand::Dump { dir } => dump::run(&dir),
         StoreCommand::Verify { dir } => verify_all(&dir),
-        StoreCommand::Compact { dir, drop_damaged } => compact(&dir, drop_damaged),
+        StoreCommand::Compact { dir, drop_damaged } => {
+            let damaged = if drop_damaged { DamagedRecords::Drop } else { DamagedRecords::Refuse };
+            compact(&dir, damaged)
+        }
         StoreCommand::Stat { dir, json } => print_stat(&dir, json),
         StoreCommand::Bench { dir, records, json } => bench::run(&dir, records, json),
     }
@@ -114,7 +119,7 @@
 
 fn verify_all(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
-    let (_, _, _lock) = open_reader(dir)?;
+    let _reader = open_reader(dir)?; // locks the directory against writers
     let disk = RealDisk::open(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let (report, records) = verify(&disk)?;
     for damage in &report.damage {
@@ -132,19 +137,19 @@
     if report.damage.is_empty() { Ok(()) } else { Err(CommandError::DamagePrinted) }
 }
 
-fn compact(dir: &Path, drops_damaged: bool) -> Result<(), CommandError> {
+fn compact(dir: &Path, damaged: DamagedRecords) -> Result<(), CommandError> {
     require_store(dir)?;
     let (store, recovery) = Store::open(dir, Options { compacts: false, ..Options::default() })?;
-    if !recovery.damage.is_empty() && !drops_damaged {
+    if !recovery.damage.is_empty() && damaged == DamagedRecords::Refuse {
         return Err(StoreError::NeedsRepair(recovery.damage.len()).into());
     }
-    println!("{}", stat_lines(&store.compact(drops_damaged)?));
+    println!("{}", stat_lines(&store.compact(damaged)?));
     Ok(store.close()?)
 }
 
 fn print_stat(dir: &Path, as_json: bool) -> Result<(), CommandError> {
     require_store(dir)?;
-    let (snapshot, recovery, _lock) = open_reader(dir)?;
+    let OpenedReader { snapshot, recovery, lock: _lock } = open_reader(dir)?;
     log_damage(&recovery);
     let stat = snapshot.stat();
     if as_json {
--- a/src/cli/store/put.rs
+++ b/src/cli/store/put.rs
@@ -4,7 +4,7 @@
 use super::record::{Record, RecordError, key_line};
 use super::{DirectoryContent, log_damage};
 use crate::cli::error::CommandError;
-use mothproxy_store::{Batch, Options, Store, StoreError};
+use mothproxy_store::{Batch, Options, Store, StoreError, WriteResult};
 use std::io::{BufRead, BufWriter, Read, Write};
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -59,7 +59,7 @@
 struct WindowState {
     in_flight: usize,
     /// Why the first write that failed did so.
-    failure: Option<String>,
+    failure: Option<Arc<StoreError>>,
 }
 
 impl WriteWindow {
@@ -81,7 +81,7 @@
     }
 
     /// Takes the result of a write.
-    fn release(&self, result: Result<(), String>) {
+    fn release(&self, result: WriteResult) {
         let mut state = self.lock();
         state.in_flight -= 1;
         if let Err(failure) = result {
@@ -90,7 +90,7 @@
         self.released.notify_one();
     }
 
-    fn take_failure(&self) -> Option<String> {
+    fn take_failure(&self) -> Option<Arc<StoreError>> {
         self.lock().failure.take()
     }
 }
@@ -148,7 +148,7 @@
         batch.push(record.key.clone(), record.value, None);
         let window = self.window.clone();
         let acknowledge = self.acknowledge.clone();
-        let on_written = move |result: Result<(), String>| {
+        let on_written = move |result: WriteResult| {
             // The printer ends before its time only when standard output does.
             let _ = acknowledge.send(Acknowledgement { key: record.key, is_durable: result.is_ok() });
             window.release(result);
--- a/src/server/idempotency_store/completion.rs
+++ b/src/server/idempotency_store/completion.rs
@@ -18,8 +18,8 @@
     #[error(transparent)]
     Submit(Arc<StoreError>),
     /// The store took the write and reported that it failed.
-    #[error("{0}")]
-    Write(String),
+    #[error(transparent)]
+    Write(Arc<StoreError>),
 }
 
 /// Who waits for a record to be written.
--- a/src/server/idempotency_store/completion/tests.rs
+++ b/src/server/idempotency_store/completion/tests.rs
@@ -27,5 +27,5 @@
     assert_eq!(RecordWriteError::NotOpen.to_string(), "not open");
     assert_eq!(RecordWriteError::Open(cause()).to_string(), cause().to_string());
     assert_eq!(RecordWriteError::Submit(cause()).to_string(), cause().to_string());
-    assert_eq!(RecordWriteError::Write("disk full".to_owned()).to_string(), "disk full");
+    assert_eq!(RecordWriteError::Write(cause()).to_string(), cause().to_string());
 }
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -5,9 +5,9 @@
     CompletionReceiver, CompletionSender, RecordWriteError, Waiter, WriteCompletion, completion_queue,
 };
 use crate::core::idempotency::RECORD_TTL;
-use crate::policy::interface::{MICROS_PER_MS, Micros};
+use crate::policy::interface::Micros;
 use crate::server::{ServerError, StateDir};
-use mothproxy_store::{Batch, Options, Recovery, Store, StoreError};
+use mothproxy_store::{Batch, Options, Recovery, Store, StoreError, WriteResult};
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -118,11 +118,11 @@
         };
         let key = format!("{KEY_PREFIX}{key}");
         let batch = match record {
-            Some(record) => Batch::new().put_with_ttl(key, record, RECORD_TTL / MICROS_PER_MS),
+            Some(record) => Batch::new().put_with_ttl(key, record, Duration::from_micros(RECORD_TTL)),
             None => Batch::new().delete(key),
         };
         let sender = self.sender.clone();
-        let on_written = move |result: Result<(), String>| {
+        let on_written = move |result: WriteResult| {
             sender.send(WriteCompletion { waiter, result: result.map_err(RecordWriteError::Write) });
         };
         store.submit(batch, Box::new(on_written)).map_err(|error| RecordWriteError::Submit(Arc::new(error)))
--- a/src/settings/serving.rs
+++ b/src/settings/serving.rs
@@ -7,6 +7,7 @@
 use mothproxy_store::SyncMode;
 use prost_reflect::Value;
 use std::path::PathBuf;
+use std::time::Duration;
 
 /// The numbers of the schema's `SyncMode`; `ALWAYS` is the default.
 const SYNC_INTERVAL: i32 = 1;
@@ -58,7 +59,7 @@
 
 fn read_sync_mode(reader: &mut Reader<'_>, section: &Section) -> SyncMode {
     match (section.enum_number("sync"), section.number("interval_ms")) {
-        (SYNC_INTERVAL, Some(ms)) if ms > 0 => SyncMode::Interval(ms),
+        (SYNC_INTERVAL, Some(ms)) if ms > 0 => SyncMode::Interval(Duration::from_millis(u64::from(ms))),
         (SYNC_INTERVAL, _) => {
             reader.field_fault(section, "sync", FaultKind::IntervalMissing);
             SyncMode::Always
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,6 +3,7 @@
 use mothproxy::settings::{load, read};
 use mothproxy_store::SyncMode;
 use std::path::Path;
+use std::time::Duration;
 
 const ALL_SECTIONS: &str = r#"# a comment
 streams {
@@ -23,7 +24,10 @@
     assert_eq!((streams.listen.port(), streams.heartbeat, streams.streams_per_tenant), (8444, 250_000, 7));
     assert_eq!(streams.origins, ["https://pay.example", "http://localhost:3000"]);
     let state = settings.state.expect("on");
-    assert_eq!((state.dir.as_path(), state.sync), (Path::new("/var/lib/mothproxy"), SyncMode::Interval(20)));
+    assert_eq!(
+        (state.dir.as_path(), state.sync),
+        (Path::new("/var/lib/mothproxy"), SyncMode::Interval(Duration::from_millis(20)))
+    );
     assert!(settings.json_log);
     let members = settings.fleet.membership.expect("on");
     assert_eq!(
