--- a/crates/runtimes/src/backfill.rs
+++ b/crates/runtimes/src/backfill.rs
@@ -1,12 +1,14 @@
 //! Which waiting job may start first without delaying a larger one: the arithmetic of backfilling with a reservation (Lifka's
 //! EASY scheduler, 1995). The decision is the caller's; only [`IdleAllowance`] has state.
 
+use crate::Micros;
+
 /// Slots that a running job occupies at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OccupiedSlots {
-    /// When the job is expected to end, µs. Computed again while it runs ([`crate::RuntimeEstimator::remaining`]), it moves
+    /// When the job is expected to end. Computed again while it runs ([`crate::RuntimeEstimator::remaining`]), it moves
     /// later once the estimate has proved too low.
-    pub ends_at: u64,
+    pub ends_at: Micros,
     /// Number of slots.
     pub slots: f64,
 }
@@ -14,8 +16,8 @@
 /// Slots promised to a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// When the slots are expected to be free, µs; never before `now`.
-    pub at: u64,
+    /// When the slots are expected to be free; never before `now`.
+    pub at: Micros,
     /// Slots that are free then beyond its own: a job that fits into these does not delay it, however long it runs.
     pub spare: f64,
 }
@@ -30,7 +32,7 @@
 /// assert_eq!(reserve(100, 1.0, 3.0, &mut occupied), Some(Reservation { at: 500, spare: 0.0 }));
 /// assert_eq!(reserve(100, 1.0, 8.0, &mut occupied), None);
 /// ```
-pub fn reserve(now: u64, free: f64, need: f64, occupied: &mut [OccupiedSlots]) -> Option<Reservation> {
+pub fn reserve(now: Micros, free: f64, need: f64, occupied: &mut [OccupiedSlots]) -> Option<Reservation> {
     occupied.sort_by_key(|slots| slots.ends_at);
     let mut available = free;
     let mut at = now;
@@ -52,13 +54,13 @@
 
 /// Whether a job of `slots` slots that is expected to run for at most `long` µs (the conservative quantile) may start before
 /// the one that holds the reservation: it ends in time, or fits beside it.
-pub fn may_start_before(now: u64, slots: f64, long: u64, reserved: &Reservation) -> bool {
+pub fn may_start_before(now: Micros, slots: f64, long: Micros, reserved: &Reservation) -> bool {
     now.saturating_add(long) <= reserved.at || slots <= reserved.spare
 }
 
 /// Whether a reservation is still useful: its job, expected to run for `typical` µs, ends by `deadline`. Where it does not,
 /// slots are reserved for a late answer, and only the caller knows the value of that.
-pub fn meets_deadline(reserved: &Reservation, typical: u64, deadline: u64) -> bool {
+pub fn meets_deadline(reserved: &Reservation, typical: Micros, deadline: Micros) -> bool {
     reserved.at.saturating_add(typical) <= deadline
 }
 
@@ -72,21 +74,21 @@
     /// Most slot time that is saved up, in µs.
     burst: f64,
     balance: f64,
-    updated_at: u64,
+    updated_at: Micros,
     idle: f64,
 }
 
 impl IdleAllowance {
     /// An allowance of at most the fraction `fraction` of the time of `slots` slots over any span, and `burst` µs of each at
     /// once.
-    pub fn new(now: u64, slots: f64, fraction: f64, burst: u64) -> Self {
+    pub fn new(now: Micros, slots: f64, fraction: f64, burst: Micros) -> Self {
         let burst = slots * fraction * burst as f64;
         IdleAllowance { income: slots * fraction, burst, balance: burst, updated_at: now, idle: 0.0 }
     }
 
     /// Pays for the slots that were idle since the last call, and sets how many are idle from now on. Returns whether any may
     /// be: if not, jobs that wait for reserved slots must be started.
-    pub fn update(&mut self, now: u64, idle: f64) -> bool {
+    pub fn update(&mut self, now: Micros, idle: f64) -> bool {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.balance = (self.balance + (self.income - self.idle) * elapsed).min(self.burst);
         self.updated_at = self.updated_at.max(now);
--- a/crates/runtimes/src/cell_sum.rs
+++ b/crates/runtimes/src/cell_sum.rs
@@ -1,12 +1,13 @@
 //! A cell over all spans and members, weighted by age: what a fit is computed from.
 
+use crate::WorkerKind;
 use crate::distribution::BinCounts;
 use crate::summary::{FIXED_POINT, KindTotal, Summary};
 
 /// Weighted jobs of one kind of worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KindSum {
-    pub kind: u32,
+    pub kind: WorkerKind,
     pub jobs: f64,
     /// Sum of the logarithmic run times at this kind.
     pub log_sum: f64,
@@ -42,7 +43,7 @@
     }
 
     /// Adds jobs of a kind.
-    pub fn add_kind(&mut self, kind: u32, jobs: f64, log_sum: f64) {
+    pub fn add_kind(&mut self, kind: WorkerKind, jobs: f64, log_sum: f64) {
         self.jobs += jobs;
         match self.kinds.binary_search_by_key(&kind, |sum| sum.kind) {
             Ok(index) => {
@@ -65,7 +66,7 @@
     }
 
     /// The mean logarithmic work, given the slowness of the kinds.
-    pub fn mean(&self, slowness: impl Fn(u32) -> f64) -> f64 {
+    pub fn mean(&self, slowness: impl Fn(WorkerKind) -> f64) -> f64 {
         let log_work: f64 = self.kinds.iter().map(|sum| sum.log_sum - sum.jobs * slowness(sum.kind)).sum();
         log_work / self.jobs.max(1e-9)
     }
--- a/crates/runtimes/src/config.rs
+++ b/crates/runtimes/src/config.rs
@@ -1,27 +1,38 @@
 //! Settings of an estimator, and the check they pass before it is built.
 
+use crate::{Micros, WorkerKind};
+
 /// Latest epoch: a Unix time in milliseconds far ahead.
 const MAX_EPOCH: u64 = 1 << 44;
 
-/// Settings of an estimator. All spans are in µs.
+/// The speed of a kind of worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KindSpeed {
+    /// The kind.
+    pub kind: WorkerKind,
+    /// Work per time; the fleet's usual speed is 1.
+    pub speed: f64,
+}
+
+/// Settings of an estimator.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This dispatcher's place among the peers.
     pub place: u16,
-    /// Milliseconds of Unix time at its start; names this run in the facts, and dates its spans.
+    /// Unix time at its start, in milliseconds; it names this run in the facts, and dates its spans.
     pub epoch: u64,
     /// The quantile of [`crate::Estimate::long`]; 0.9 by default, from 0.5 to 0.99.
     pub long_quantile: f64,
     /// An estimate before anything was seen; 250 ms.
-    pub prior_runtime: u64,
+    pub prior_runtime: Micros,
     /// Standard deviation of the logarithm of run times before anything was seen; 1.
     pub prior_deviation: f64,
-    /// Known speeds of worker kinds beside the fleet's usual one (1), which fix what a speed of 1 is. Others are learned.
-    pub speeds: Vec<(u32, f64)>,
+    /// Known speeds of kinds of workers: they fix what a speed of 1 is. Those of other kinds are learned.
+    pub speeds: Vec<KindSpeed>,
     /// Observations are summed up and published by spans of this length; 10 minutes.
-    pub span: u64,
+    pub span: Micros,
     /// Observations weigh half after this long; 20 minutes. They are dropped after six times that.
-    pub half_life: u64,
+    pub half_life: Micros,
     /// Most summaries of its own that are kept; 2,048.
     pub max_own_summaries: usize,
     /// Most slots of the carrier in which it publishes them; 1,024.
@@ -33,18 +44,18 @@
     /// Most facts published per second; 4.
     pub facts_per_s: f64,
     /// A shared slowdown is tracked over this span; 2 s.
-    pub slowdown_span: u64,
+    pub slowdown_span: Micros,
     /// Completions against which the evidence of a slowdown is weighed; 20.
     pub slowdown_weight: f64,
     /// A slowdown that lasts becomes the usual speed over this span; 5 minutes.
-    pub slowdown_memory: u64,
-    /// Seeded fault for the proof: censored jobs are taken for short ones.
+    pub slowdown_memory: Micros,
+    /// A seeded fault, which the tests must catch: censored observations are taken for complete ones.
     #[doc(hidden)]
     pub censored_as_short: bool,
 }
 
 impl Config {
-    /// The defaults for a dispatcher.
+    /// The defaults for a dispatcher at `place` that started at `epoch`, a Unix time in milliseconds.
     pub fn new(place: u16, epoch: u64) -> Self {
         Config {
             place,
@@ -70,7 +81,7 @@
     /// Checks every setting.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         let factors = [self.prior_deviation, self.facts_per_s, self.slowdown_weight];
-        let speeds = self.speeds.iter().map(|(_, speed)| *speed);
+        let speeds = self.speeds.iter().map(|known| known.speed);
         let is_positive = |factor: f64| factor.is_finite() && factor > 0.0;
         let spans = [self.prior_runtime, self.span, self.half_life, self.slowdown_span, self.slowdown_memory];
         let bounds =
--- a/crates/runtimes/src/distribution.rs
+++ b/crates/runtimes/src/distribution.rs
@@ -1,5 +1,6 @@
-//! The distribution of run times of similar jobs about their mean: counts in logarithmic bins, ended and censored apart, and
-//! the survival curve that follows from them. All residuals are differences of natural logarithms.
+//! The distribution of run times of similar jobs about their mean: a histogram with logarithmic bins, complete and censored
+//! observations apart, and the survival curve by the Kaplan-Meier (product-limit) estimator. All residuals are differences of
+//! natural logarithms.
 
 /// Bins over the residual: the logarithm of a run time minus its expectation.
 pub(crate) const BIN_COUNT: usize = 81;
@@ -72,18 +73,19 @@
 
     /// With mean and variance computed from the curve.
     fn with_moments(mut self) -> Self {
-        let moment =
-            |f: &dyn Fn(f64) -> f64| (0..BIN_COUNT).map(|b| self.mass(b) * f(bin_middle(b))).sum::<f64>();
-        let mean = moment(&|z| z);
-        let variance = moment(&|z| (z - mean) * (z - mean));
+        let expected_value = |function: &dyn Fn(f64) -> f64| {
+            (0..BIN_COUNT).map(|bin| self.mass(bin) * function(bin_middle(bin))).sum::<f64>()
+        };
+        let mean = expected_value(&|residual| residual);
+        let variance = expected_value(&|residual| (residual - mean) * (residual - mean));
         self.mean = mean;
         self.variance = variance.max(BIN_WIDTH * BIN_WIDTH);
         self
     }
 
     /// The product-limit curve (Kaplan and Meier 1958) of the counts together with `weight` observations distributed as
-    /// `parent`: what is censored moves to the right of where it was last seen, in proportion to what lies there; the
-    /// parent has no censored observations, so its tail receives what outlived everything else.
+    /// `parent`, which act as a prior. A censored observation is redistributed to the right of its bound in proportion to what
+    /// lies there; since the parent has no censored ones, its tail receives those that outlived all others.
     pub fn fitted(counts: &BinCounts, parent: &RuntimeDistribution, weight: f64) -> Self {
         let total: f64 = (0..BIN_COUNT).map(|b| f64::from(counts.ended[b] + counts.censored[b])).sum();
         if total <= 0.0 {
--- a/crates/runtimes/src/estimator.rs
+++ b/crates/runtimes/src/estimator.rs
@@ -11,23 +11,26 @@
 use crate::running_jobs::{MIN_EXPECTATION_JOBS, RunningJob, RunningJobs};
 use crate::shared_slowdown::SharedSlowdown;
 use crate::span_clock::SpanClock;
-use crate::{Config, ConfigError, Estimate, Metrics, Origin, Outcome};
+use crate::summary::LoggedJob;
+use crate::{AttemptId, Config, ConfigError, Estimate, Metrics, Micros, Origin, Outcome, Placement};
+use crate::{WorkerKey, WorkerKind};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Interval at which running jobs add to the expected completions, µs.
-const COUNT_INTERVAL: u64 = 250_000;
-/// Interval between two fits where anything changed, µs, plus [`FIT_INTERVAL_PER_SUMMARY`]: a fit's cost grows with the
-/// number of summaries.
-const FIT_INTERVAL: u64 = 1_000_000;
-/// See [`FIT_INTERVAL`].
-const FIT_INTERVAL_PER_SUMMARY: u64 = 1_000;
-/// Where an eighth of what a fit rests on is new, the next one may come so many times as soon.
+/// Interval at which running jobs add to the expected completions.
+const COUNT_INTERVAL: Micros = 250_000;
+/// Interval between two fits where anything changed, beside [`FIT_INTERVAL_PER_SUMMARY`].
+const FIT_INTERVAL: Micros = 1_000_000;
+/// What is added to [`FIT_INTERVAL`] for each summary, since the cost of a fit grows with their number.
+const FIT_INTERVAL_PER_SUMMARY: Micros = 1_000;
+/// A fit is early where the new jobs are at least this fraction of those that the last one rests on.
+const EARLY_FIT_FRACTION: f64 = 1.0 / 8.0;
+/// An early fit comes after the interval divided by this.
 const EARLY_FIT_FACTOR: u64 = 5;
 /// A fit that rests on fewer jobs than this may be replaced at any time.
 const FEW_JOBS: f64 = 64.0;
-/// Spans of others may be this many ahead: clocks differ.
+/// The spans of others may be this many ahead, since clocks differ.
 const MAX_SPANS_AHEAD: u32 = 2;
 /// A job is expected to run for at least this fraction of what it has run.
 const MIN_REMAINING: f64 = 0.02;
@@ -35,21 +38,42 @@
 /// What became of a fact that was not refused.
 enum Absorbed {
     New,
+    /// It is known already, or too old.
     Stale,
 }
 
-/// Learns how long jobs run. Time is the caller's own monotonic clock, µs.
+/// What the end of an attempt says about its job. All fields but `expected` are logarithms.
+struct Observation {
+    expected: Expectation,
+    /// The run time at its kind; for a censored one the mean that is expected beyond the time it has run.
+    runtime: f64,
+    residual: f64,
+    slowness: f64,
+    worker_effect: f64,
+}
+
+/// Learns how long jobs run. Time is an argument of each call, by the caller's own monotonic clock.
+///
+/// ```
+/// use mothproxy_runtimes::{Config, JobFeatures, RuntimeEstimator, WorkerKind};
+///
+/// let config = Config::new(0, 1_790_000_000_000);
+/// let estimator = RuntimeEstimator::new(config, 0)?;
+/// let prior = estimator.estimate(&JobFeatures::from_class(1), WorkerKind(1), None);
+/// assert!(prior.typical < prior.long);
+/// # Ok::<(), mothproxy_runtimes::ConfigError>(())
+/// ```
 pub struct RuntimeEstimator {
     config: Config,
-    now: u64,
+    now: Micros,
     spans: SpanClock,
     own: OwnSummaries,
     received: ReceivedSummaries,
     running: RunningJobs,
-    counted_at: u64,
+    counted_at: Micros,
     slowdown: SharedSlowdown,
     model: Model,
-    fitted_at: u64,
+    fitted_at: Micros,
     fitted_span: u32,
     /// Jobs that the model rests on.
     fitted_jobs: f64,
@@ -65,7 +89,7 @@
     /// # Errors
     ///
     /// A [`ConfigError`] where a setting is out of range.
-    pub fn new(config: Config, now: u64) -> Result<Self, ConfigError> {
+    pub fn new(config: Config, now: Micros) -> Result<Self, ConfigError> {
         config.validate()?;
         let spans = SpanClock::new(&config, now);
         Ok(RuntimeEstimator {
@@ -93,7 +117,7 @@
 
     /// Moves on to `now`: the shared slowdown, the model, what expires. All calls that change something do it too; where none
     /// comes, estimates stay as they were.
-    pub fn advance(&mut self, now: u64) {
+    pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.slowdown.advance(self.now);
         if self.now - self.counted_at >= COUNT_INTERVAL {
@@ -111,75 +135,100 @@
         let interval = FIT_INTERVAL + FIT_INTERVAL_PER_SUMMARY * summaries;
         let elapsed = self.now - self.fitted_at;
         let may_be_early = self.fitted_jobs < FEW_JOBS || elapsed >= interval / EARLY_FIT_FACTOR;
-        let is_early = self.new_jobs >= 1.0 + self.fitted_jobs / 8.0 && may_be_early;
+        let is_early = self.new_jobs >= 1.0 + self.fitted_jobs * EARLY_FIT_FRACTION && may_be_early;
         let is_regular = self.new_jobs > 0.0 && elapsed >= interval;
         is_early || is_regular || self.fitted_span != self.span()
     }
 
-    /// An attempt has begun to run at a worker. `kind` and `worker` are numbers that mean the same in each dispatcher.
-    pub fn on_started(&mut self, job: u64, features: &JobFeatures, kind: u32, worker: u64, now: u64) {
+    /// An attempt at a job has begun to run.
+    pub fn on_started(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        features: &JobFeatures,
+        placement: Placement,
+    ) {
         self.advance(now);
         if self.running.len() >= self.config.max_running_jobs {
             self.metrics.dropped += 1;
             return;
         }
         let started = self.slowdown.clocks();
-        let running = RunningJob::new(CellChain::new(features), kind, worker, started, &self.model);
-        self.running.insert(job, running);
+        let running = RunningJob::new(CellChain::new(features), placement, started, &self.model);
+        self.running.insert(attempt, running);
     }
 
-    /// An attempt reported the fraction that it has done, 0 to 1. What is no number is ignored.
-    pub fn on_progress(&mut self, job: u64, fraction: f64, now: u64) {
+    /// An attempt reported the fraction that it has done, from 0 to 1. What is not finite is ignored.
+    pub fn on_progress(&mut self, now: Micros, attempt: AttemptId, fraction: f64) {
         self.advance(now);
-        self.running.on_progress(job, fraction, self.slowdown.clocks().work);
+        self.running.on_progress(attempt, fraction, self.slowdown.clocks().work);
     }
 
-    /// An attempt ended. A job that never began here is ignored.
-    pub fn on_ended(&mut self, job: u64, outcome: Outcome, now: u64) {
+    /// An attempt ended. One that is not known to have started is ignored.
+    pub fn on_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         self.advance(now);
-        let Some(job) = self.running.remove(job) else { return };
-        let has_ended = outcome == Outcome::Done || self.config.censored_as_short;
+        let Some(job) = self.running.remove(attempt) else { return };
         self.metrics.seen += 1;
         self.metrics.censored += u64::from(outcome == Outcome::Censored);
+        let learned = if self.config.censored_as_short { Outcome::Done } else { outcome };
         if job.is_tracked() {
             let expected = job.hazard_growth(&self.model, self.slowdown.clocks().work);
-            self.slowdown.update(expected, if has_ended { 1.0 } else { 0.0 });
+            let completions = match learned {
+                Outcome::Done => 1.0,
+                Outcome::Censored => 0.0,
+            };
+            self.slowdown.update(expected, completions);
         }
-        self.learn(&job, has_ended);
+        self.learn(&job, learned);
         self.new_jobs += 1.0;
     }
 
-    /// Enters a job that is over into the summaries of its cells.
-    fn learn(&mut self, job: &RunningJob, has_ended: bool) {
+    fn observe(&self, job: &RunningJob, outcome: Outcome) -> Observation {
+        let Placement { kind, worker } = job.placement;
         let elapsed = log_of_micros(self.slowdown.clocks().learning - job.started.learning);
         let expected = self.model.expectation(&job.chain);
-        let slowness = self.model.slowness(job.kind);
-        let worker_effect = self.model.worker_effect(job.worker);
+        let slowness = self.model.slowness(kind);
+        let worker_effect = self.model.worker_effect(worker);
         let residual = elapsed - worker_effect - slowness - expected.work;
-        // One that was cut off stands in the sums for what it would have come to in the mean (a step of expectation and
-        // maximisation, Dempster and others 1977), in the bins for the bound that it is.
-        let distribution = self.model.distribution(&expected);
-        let beyond = if has_ended { 0.0 } else { distribution.mean_beyond(residual) - residual };
-        let whole = log_of_micros((elapsed + beyond).exp()) - worker_effect;
+        // The sums get the conditional mean of a censored run time (the expectation step of Dempster and others 1977), the
+        // bins the lower bound itself.
+        let beyond = match outcome {
+            Outcome::Done => 0.0,
+            Outcome::Censored => self.model.distribution(&expected).mean_beyond(residual) - residual,
+        };
+        let runtime = log_of_micros((elapsed + beyond).exp()) - worker_effect;
+        Observation { expected, runtime, residual, slowness, worker_effect }
+    }
+
+    /// Adds a job that is over to the summaries of its cells and of its worker.
+    fn learn(&mut self, job: &RunningJob, outcome: Outcome) {
+        let observation = self.observe(job, outcome);
+        let Observation { expected, runtime, residual, slowness, .. } = observation;
         let class = job.chain.class().hash as u32;
         let span = self.span();
-        let is_expected = expected.class_jobs >= MIN_EXPECTATION_JOBS;
+        let has_expectation = expected.class_jobs >= MIN_EXPECTATION_JOBS;
         for (index, &cell) in job.chain.cells().iter().enumerate() {
-            if let Some(summary) = self.own.summary_mut(span, cell, class) {
-                summary.add(job.kind, whole, whole - slowness, expected.above[index]);
-                if is_expected {
-                    summary.count(bin_of(residual), has_ended);
-                }
+            let Some(summary) = self.own.summary_mut(span, cell, class) else { continue };
+            let work = runtime - slowness;
+            summary.add(job.placement.kind, LoggedJob { runtime, work, expected: expected.above[index] });
+            if has_expectation {
+                summary.count(bin_of(residual), outcome);
             }
         }
-        if is_expected {
-            let offset = whole + worker_effect - expected.work;
-            if let Some(summary) = self.own.summary_mut(span, worker_cell(job.worker), 0) {
-                summary.add(job.kind, offset, offset - slowness, 0.0);
-            }
+        if has_expectation {
+            self.learn_worker(job.placement, &observation);
         }
     }
 
+    /// Adds the difference of a job's run time from its expectation to the summary of its worker.
+    fn learn_worker(&mut self, placement: Placement, observation: &Observation) {
+        let span = self.span();
+        let Some(summary) = self.own.summary_mut(span, worker_cell(placement.worker), 0) else { return };
+        let offset = observation.runtime + observation.worker_effect - observation.expected.work;
+        let work = offset - observation.slowness;
+        summary.add(placement.kind, LoggedJob { runtime: offset, work, expected: 0.0 });
+    }
+
     /// Sums up all that has not expired and fits the model to it.
     fn fit(&mut self) {
         let (span, oldest) = (self.span(), self.spans.oldest_at(self.now));
@@ -217,17 +266,17 @@
     }
 
     /// How long such a job would occupy a slot at a worker of this kind (and at this very worker, if named) from now on.
-    pub fn estimate(&self, features: &JobFeatures, kind: u32, worker: Option<u64>) -> Estimate {
+    pub fn estimate(&self, features: &JobFeatures, kind: WorkerKind, worker: Option<WorkerKey>) -> Estimate {
         let expected = self.model.expectation(&CellChain::new(features));
-        let worker_effect = worker.map_or(0.0, |tag| self.model.worker_effect(tag));
+        let worker_effect = worker.map_or(0.0, |worker| self.model.worker_effect(worker));
         let log_runtime = expected.work + self.model.slowness(kind) + worker_effect + self.slowdown.log();
         self.quantiles(&expected, log_runtime)
     }
 
-    /// How long a running job will still occupy its slot, given that it has run so long and what it reported. Grows where the
-    /// first estimate has proved too low. `None`: no such job.
-    pub fn remaining(&self, job: u64, now: u64) -> Option<Estimate> {
-        let job = self.running.get(job)?;
+    /// How long a running attempt will still occupy its slot, given that it has run so long and what it reported. Grows where
+    /// the first estimate has proved too low. `None` where there is no such attempt.
+    pub fn remaining(&self, now: Micros, attempt: AttemptId) -> Option<Estimate> {
+        let job = self.running.get(attempt)?;
         let elapsed = (self.slowdown.work_at(now) - job.started.work).max(1.0);
         let whole = job.log_runtime(&self.model, elapsed, self.config.long_quantile);
         let factor = self.slowdown.log().exp();
@@ -240,7 +289,7 @@
 
     /// The next observation of this dispatcher that others should know: slot and bytes of a fact of kind [`crate::KIND`].
     /// Called until `None`; paced by `facts_per_s`. First comes what has grown the most since it was published.
-    pub fn publish(&mut self, now: u64) -> Option<(u32, Vec<u8>)> {
+    pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         self.advance(now);
         if !self.pacer.is_ready(self.now) {
             return None;
@@ -255,17 +304,16 @@
         Some((slot, bytes))
     }
 
-    /// Absorbs a fact of kind [`crate::KIND`], of whatever age, any number of times. It is kept by what it is about (member,
-    /// run, cell, span) and not by its slot, which its publisher uses again.
+    /// Absorbs a fact of kind [`crate::KIND`], of whatever age, any number of times. `number` orders the facts of an origin.
+    /// It is kept by what it is about (member, run, cell, span) and not by its slot, which its publisher uses again.
     ///
     /// # Errors
     ///
     /// An [`AbsorbError`] that says why the fact was refused; nothing of it is used.
     pub fn absorb(
         &mut self,
-        now: u64,
+        now: Micros,
         origin: Origin,
-        _slot: u32,
         number: u64,
         bytes: &[u8],
     ) -> Result<(), AbsorbError> {
@@ -318,7 +366,7 @@
 
     /// A hash of all that was absorbed and of what follows from it at `now`: equal where two states are equal bit by bit.
     #[doc(hidden)]
-    pub fn digest(&mut self, now: u64) -> u64 {
+    pub fn digest(&mut self, now: Micros) -> u64 {
         self.now = self.now.max(now);
         self.fit();
         let mut hasher = SipHasher13::new();
--- a/crates/runtimes/src/features.rs
+++ b/crates/runtimes/src/features.rs
@@ -1,6 +1,7 @@
 //! The features by which jobs are grouped, and the chain of cells that a job belongs to: from its class down to all of its
 //! features together.
 
+use crate::WorkerKey;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
@@ -88,8 +89,8 @@
     }
 }
 
-/// Passes a cell's hash on as it is: it is a keyed hash already. (A member that publishes made-up cells could slow the others'
-/// tables down; their number is bounded.)
+/// Returns a cell's hash as it is: it is a keyed hash already. (A member that publishes made-up cells could cause collisions
+/// in the others' tables; the number of cells is bounded.)
 #[derive(Default)]
 pub(crate) struct IdentityHasher(u64);
 
@@ -115,8 +116,8 @@
 }
 
 /// The cell of a worker.
-pub(crate) fn worker_cell(tag: u64) -> CellId {
-    cell(Level::Worker, &[tag])
+pub(crate) fn worker_cell(worker: WorkerKey) -> CellId {
+    cell(Level::Worker, &[worker.0])
 }
 
 /// The cells that a job belongs to, the widest first.
@@ -134,7 +135,7 @@
             chain.cells[usize::from(chain.len)] = cell;
             chain.len += 1;
         };
-        // An absent part and a part of any value must not meet: each part is hashed with its presence.
+        // Each part is hashed with its presence, so that an absent part and a part of value 0 differ.
         let parts = [features.tenant, features.subject, features.attributes[0], features.attributes[1]];
         let levels = [Level::Tenant, Level::Subject, Level::Attribute(0), Level::Attribute(1)];
         for (level, part) in levels.into_iter().zip(parts) {
--- /dev/null
+++ b/crates/runtimes/src/ids.rs
@@ -0,0 +1,43 @@
+//! How callers name attempts, workers and kinds of workers.
+
+use crate::stable_hash;
+use serde::{Deserialize, Serialize};
+
+/// An attempt that occupies a slot at a worker, as the caller numbers them. The numbers mean nothing to other dispatchers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId(pub u64);
+
+/// A worker. Its number means the same in each dispatcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct WorkerKey(pub u64);
+
+impl WorkerKey {
+    /// The key of a worker's name.
+    pub fn from_name(name: &str) -> WorkerKey {
+        WorkerKey(stable_hash(name.as_bytes()))
+    }
+}
+
+/// A kind of worker, such as a type of machine: all workers of a kind are about equally fast. Its number means the same in
+/// each dispatcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct WorkerKind(pub u32);
+
+impl WorkerKind {
+    /// Stands for all kinds for which a summary has no room.
+    pub(crate) const OTHER: WorkerKind = WorkerKind(u32::MAX);
+
+    /// The kind of this name.
+    pub fn from_name(name: &str) -> WorkerKind {
+        WorkerKind(stable_hash(name.as_bytes()) as u32)
+    }
+}
+
+/// Where an attempt runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Placement {
+    /// The kind of the worker.
+    pub kind: WorkerKind,
+    /// The worker.
+    pub worker: WorkerKey,
+}
--- a/crates/runtimes/src/kind_slowness.rs
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -1,12 +1,12 @@
 //! How much slower jobs run at each kind of worker: the logarithm of the inverse of the kind's speed.
 //!
-//! The additive model `log run time = work + slowness` is fitted by alternation over all cells that were seen at more than one
-//! kind. It is regularised toward the configured speeds, whose mean it keeps.
+//! This is the two-way additive model `log run time = work(unit) + slowness(kind)`, with a unit for each group of similar
+//! jobs. It is fitted by alternating least squares, with a ridge penalty toward the configured speeds; since work and slowness
+//! are determined only up to a constant, the mean of the slowness stays that of the configured speeds.
 
-use crate::Config;
 use crate::cell_sum::{CellSum, KindSum};
 use crate::features::{CellId, Level};
-use crate::summary::OTHER_KIND;
+use crate::{Config, WorkerKind};
 use std::collections::BTreeMap;
 
 /// Weight of the configured speed, in jobs.
@@ -21,7 +21,7 @@
 /// The slowness of a kind.
 #[derive(Clone, Copy, Debug)]
 struct Slowness {
-    kind: u32,
+    kind: WorkerKind,
     log: f64,
 }
 
@@ -33,21 +33,21 @@
     /// As configured, before anything was seen.
     pub fn prior(config: &Config) -> KindSlowness {
         KindSlowness(
-            config.speeds.iter().map(|(kind, speed)| Slowness { kind: *kind, log: -speed.ln() }).collect(),
+            config.speeds.iter().map(|known| Slowness { kind: known.kind, log: -known.speed.ln() }).collect(),
         )
     }
 
     /// Fitted to the sums of all cells.
     pub fn fit(sums: &BTreeMap<CellId, CellSum>, config: &Config) -> KindSlowness {
         let units = fitted_units(sums);
-        let mut kinds: Vec<u32> = units.iter().flatten().map(|sum| sum.kind).collect();
-        kinds.extend(config.speeds.iter().map(|(kind, _)| *kind));
+        let mut kinds: Vec<WorkerKind> = units.iter().flatten().map(|sum| sum.kind).collect();
+        kinds.extend(config.speeds.iter().map(|known| known.kind));
         kinds.sort_unstable();
         kinds.dedup();
         let prior: Vec<f64> = kinds.iter().map(|kind| configured_slowness(config, *kind)).collect();
         let mut slowness = prior.clone();
         for _ in 0..MAX_ROUNDS {
-            let next = next_round(&units, &kinds, &prior, &slowness);
+            let next = least_squares_round(&units, &kinds, &prior, &slowness);
             let moved = next.iter().zip(&slowness).fold(0f64, |moved, (a, b)| moved.max((a - b).abs()));
             slowness = next;
             if moved < TOLERANCE {
@@ -58,24 +58,31 @@
     }
 
     /// Logarithmic slowness of a kind; 0 for one never seen.
-    pub fn get(&self, kind: u32) -> f64 {
+    pub fn get(&self, kind: WorkerKind) -> f64 {
         let index = self.0.binary_search_by_key(&kind, |slowness| slowness.kind);
         index.map_or(0.0, |index| self.0[index].log)
     }
 
     /// All kinds, in their order.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, f64)> {
+    pub fn iter(&self) -> impl Iterator<Item = (WorkerKind, f64)> {
         self.0.iter().map(|slowness| (slowness.kind, slowness.log))
     }
 }
 
-fn configured_slowness(config: &Config, kind: u32) -> f64 {
-    config.speeds.iter().find(|(configured, _)| *configured == kind).map_or(0.0, |(_, speed)| -speed.ln())
+fn configured_slowness(config: &Config, kind: WorkerKind) -> f64 {
+    let known = config.speeds.iter().find(|known| known.kind == kind);
+    known.map_or(0.0, |known| -known.speed.ln())
 }
 
-/// The slowness of each kind, given the work that follows from the present slowness.
-fn next_round(units: &[Vec<KindSum>], kinds: &[u32], prior: &[f64], slowness: &[f64]) -> Vec<f64> {
-    let index_of = |kind: u32| kinds.binary_search(&kind).unwrap_or(0);
+/// One round of alternating least squares: the work of each unit from the present slowness, then the slowness of each kind
+/// from that work.
+fn least_squares_round(
+    units: &[Vec<KindSum>],
+    kinds: &[WorkerKind],
+    prior: &[f64],
+    slowness: &[f64],
+) -> Vec<f64> {
+    let index_of = |kind: WorkerKind| kinds.binary_search(&kind).unwrap_or(0);
     let mut jobs = vec![PRIOR_JOBS; kinds.len()];
     let mut log_sums: Vec<f64> = prior.iter().map(|prior| PRIOR_JOBS * prior).collect();
     for unit in units {
@@ -94,8 +101,8 @@
     means.iter().map(|mean| mean - offset).collect()
 }
 
-/// The units of the fit: the subjects, and each class without its subjects. What stays of a class are jobs without a subject
-/// or with one that was dropped. Units seen at one kind only say nothing.
+/// The units of the fit: the subjects, and each class without its subjects. What remains of a class are jobs without a
+/// subject, or with one that was dropped. A unit that was seen at one kind only carries no information about the kinds.
 fn fitted_units(sums: &BTreeMap<CellId, CellSum>) -> Vec<Vec<KindSum>> {
     let mut classes: BTreeMap<u32, CellSum> = BTreeMap::new();
     for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == Level::Class) {
@@ -112,7 +119,7 @@
     }
     units.extend(classes.into_values().map(|class| class.kinds));
     for unit in &mut units {
-        unit.retain(|sum| sum.jobs > MIN_UNIT_JOBS && sum.kind != OTHER_KIND);
+        unit.retain(|sum| sum.jobs > MIN_UNIT_JOBS && sum.kind != WorkerKind::OTHER);
     }
     units.retain(|unit| unit.len() > 1);
     units
--- a/crates/runtimes/src/lib.rs
+++ b/crates/runtimes/src/lib.rs
@@ -1,24 +1,41 @@
 //! Estimates of how long a job will run, learned from similar past jobs and mergeable between dispatchers; without a clock.
 //!
-//! A [`RuntimeEstimator`] is notified when jobs start, how far they are and how they end. It estimates how long a job with
+//! A [`RuntimeEstimator`] is notified when attempts start, how far they are and how they end. It estimates how long a job with
 //! some [`JobFeatures`] occupies a slot at a worker, and how long a running one still will. It publishes what it observed to
 //! the other dispatchers as facts ([`RuntimeEstimator::publish`]) and absorbs theirs ([`RuntimeEstimator::absorb`]) in any
-//! order, any number of times. [`backfill`] is the arithmetic of fitting jobs into gaps. How it works:
-//! `docs/design/runtimes.md`.
+//! order, any number of times. [`backfill`] is the arithmetic of fitting jobs into gaps. `docs/design/runtimes.md` weighs the
+//! alternatives.
+//!
+//! # Model and statistics
+//!
+//! The natural logarithm of a run time is a sum of effects and a residual: *work* (class, tenant, subject, attributes), the
+//! *slowness* of the worker's kind and of the worker itself, and a *slowdown* that all jobs share at the time.
+//!
+//! | part | statistics | module |
+//! | --- | --- | --- |
+//! | effects of tenants, subjects and attributes | partial pooling: empirical Bayes shrinkage, its variance components by the method of moments | `model` |
+//! | slowness of kinds | two-way additive model, ridge penalty toward the configured speeds, alternating least squares | `kind_slowness` |
+//! | distribution of the residual | Kaplan-Meier estimator over a histogram, shrunk toward the wider group's; Pareto tail | `distribution` |
+//! | attempts that did not run to their end | right-censored observations; one expectation-maximisation step for the mean | `estimator`, `running_jobs` |
+//! | shared slowdown | observed against expected events (Nelson-Aalen cumulative hazards, martingale residuals), with hysteresis | `shared_slowdown` |
+//! | a running job's own progress | inverse-variance weighting of the report and the estimate | `running_jobs` |
+//! | forgetting | exponential decay by spans of time | `span_clock` |
+//! | merging between dispatchers | sufficient statistics in a last-writer-wins map (a state-based CRDT) | `summary`, `received_summaries` |
 //!
 //! ```
-//! use mothproxy_runtimes::{Config, JobFeatures, Outcome, RuntimeEstimator, stable_hash};
+//! use mothproxy_runtimes::{AttemptId, Config, JobFeatures, Outcome, Placement, RuntimeEstimator};
+//! use mothproxy_runtimes::{WorkerKey, WorkerKind, stable_hash};
 //!
 //! let mut estimator = RuntimeEstimator::new(Config::new(0, 1_790_000_000_000), 0)?;
 //! let features = JobFeatures::from_class(stable_hash(b"redeem"));
-//! let (kind, worker) = (1, stable_hash(b"worker-1"));
-//! for job in 0..200 {
-//!     let now = job * 100_000;
-//!     estimator.on_started(job, &features, kind, worker, now);
-//!     estimator.on_ended(job, Outcome::Done, now + 40_000);
+//! let placement = Placement { kind: WorkerKind(1), worker: WorkerKey::from_name("worker-1") };
+//! for number in 0..200 {
+//!     let (attempt, now) = (AttemptId(number), number * 100_000);
+//!     estimator.on_started(now, attempt, &features, placement);
+//!     estimator.on_ended(now + 40_000, attempt, Outcome::Done);
 //! }
 //! estimator.advance(25_000_000);
-//! let estimate = estimator.estimate(&features, kind, Some(worker));
+//! let estimate = estimator.estimate(&features, placement.kind, Some(placement.worker));
 //! assert!((30_000..50_000).contains(&estimate.typical));
 //! # Ok::<(), mothproxy_runtimes::ConfigError>(())
 //! ```
@@ -32,6 +49,7 @@
 mod encoding;
 mod estimator;
 mod features;
+mod ids;
 mod kind_slowness;
 mod log_time;
 mod metrics;
@@ -44,15 +62,19 @@
 mod span_clock;
 mod summary;
 
-pub use config::{Config, ConfigError};
+pub use config::{Config, ConfigError, KindSpeed};
 pub use encoding::AbsorbError;
 pub use estimator::RuntimeEstimator;
 pub use features::{ATTRIBUTES, JobFeatures, stable_hash};
+pub use ids::{AttemptId, Placement, WorkerKey, WorkerKind};
 pub use metrics::Metrics;
 
 /// The kind of this crate's facts (`docs/design/parts.md`).
 pub const KIND: u8 = 2;
 
+/// A point in time of the caller's monotonic clock, or a span, in microseconds.
+pub type Micros = u64;
+
 /// Where a fact comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
@@ -62,13 +84,13 @@
     pub epoch: u64,
 }
 
-/// How long something takes, µs.
+/// How long something takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// The median.
-    pub typical: u64,
+    pub typical: Micros,
     /// The quantile [`Config::long_quantile`].
-    pub long: u64,
+    pub long: Micros,
 }
 
 /// How an attempt ended.
--- a/crates/runtimes/src/log_time.rs
+++ b/crates/runtimes/src/log_time.rs
@@ -1,6 +1,8 @@
 //! Run times and their natural logarithms.
 
-/// Longest run time at speed 1 that is represented, µs.
+use crate::Micros;
+
+/// Longest run time at speed 1 that is represented, in microseconds.
 pub(crate) const MAX_RUNTIME: f64 = 1e12;
 
 /// The logarithm of a run time in microseconds, within the representable range.
@@ -9,6 +11,6 @@
 }
 
 /// The run time in microseconds with this logarithm, within the representable range.
-pub(crate) fn micros_of_log(log: f64) -> u64 {
+pub(crate) fn micros_of_log(log: f64) -> Micros {
     log.exp().clamp(1.0, MAX_RUNTIME) as u64
 }
--- a/crates/runtimes/src/model.rs
+++ b/crates/runtimes/src/model.rs
@@ -1,13 +1,14 @@
-//! From sums to estimates: slowness of the kinds, the effect of each cell, and distributions, all shrunk toward what is wider.
+//! From sums to estimates: slowness of the kinds, the effect of each cell, and distributions.
 //!
-//! Cells are visited in their order, so that the same summaries give the same bits wherever the fit runs.
+//! Each cell is partially pooled with the wider cells of its chain: its own mean and the wider expectation are weighted by the
+//! jobs they rest on (empirical Bayes shrinkage, as in a random-effects model). Cells are visited in their order, so that the
+//! same summaries give the same bits wherever the fit runs.
 
-use crate::Config;
 use crate::cell_sum::CellSum;
 use crate::distribution::{BinCounts, RuntimeDistribution};
 use crate::features::{CellChain, CellId, IdentityHasher, Level, MAX_CHAIN, worker_cell};
 use crate::kind_slowness::KindSlowness;
-use crate::summary::OTHER_KIND;
+use crate::{Config, WorkerKey, WorkerKind};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasherDefault;
 
@@ -23,6 +24,14 @@
 const BETWEEN_WEIGHT: f64 = 60.0;
 /// No cell counts for more jobs than this in the variance between cells, and in the mean over classes.
 const MAX_CELL_WEIGHT: f64 = 30.0;
+/// A cell with fewer jobs says nothing about the variance between cells.
+const MIN_VARIANCE_JOBS: f64 = 1.5;
+/// Least variance between cells that is assumed.
+const MIN_BETWEEN_VARIANCE: f64 = 1e-3;
+const MIN_SHRINKAGE_JOBS: f64 = 0.2;
+const MAX_SHRINKAGE_JOBS: f64 = 1e4;
+/// Least weight that a mean is divided by.
+const MIN_WEIGHT: f64 = 1e-9;
 /// The levels below a class, in the order in which they are fitted.
 const FINE_LEVELS: [Level; 5] =
     [Level::Tenant, Level::Subject, Level::Attribute(0), Level::Attribute(1), Level::All];
@@ -68,24 +77,58 @@
     variance: f64,
 }
 
-/// The weight, in jobs, of the expectation against a cell's own offset: `variance within / variance between cells`, the
-/// latter by moments from the cells themselves. Cells with few jobs follow their parents where cells differ little, and stand
-/// for themselves where they differ much.
-fn shrinkage_jobs(cells: &[CellOffset]) -> f64 {
+/// The weight of the expectation against a cell's own offset, in jobs: the variance within cells divided by the variance
+/// between cells, which is estimated by the method of moments. Where cells differ little, those with few jobs follow the
+/// expectation; where they differ much, each follows its own mean.
+fn shrinkage_jobs(cells: impl Iterator<Item = CellOffset>) -> f64 {
     let mut weight = BETWEEN_WEIGHT;
     let mut between = BETWEEN_VARIANCE * BETWEEN_WEIGHT;
     let (mut within, mut seen) = (0.0, 0.0);
-    for &CellOffset { jobs, offset, variance } in cells {
+    for CellOffset { jobs, offset, variance } in cells {
         within += variance * jobs;
         seen += jobs;
-        if jobs > 1.5 {
+        if jobs > MIN_VARIANCE_JOBS {
             let counted = jobs.min(MAX_CELL_WEIGHT);
             weight += counted;
             between += counted * (offset * offset - variance / jobs);
         }
     }
     let within = if seen > 0.0 { within / seen } else { 1.0 };
-    (within / (between / weight).max(1e-3)).clamp(0.2, 1e4)
+    (within / (between / weight).max(MIN_BETWEEN_VARIANCE)).clamp(MIN_SHRINKAGE_JOBS, MAX_SHRINKAGE_JOBS)
+}
+
+/// A cell below the classes with its offset.
+struct FittedCell<'a> {
+    id: CellId,
+    sum: &'a CellSum,
+    offset: CellOffset,
+    /// Index of its class's distribution.
+    class_distribution: u32,
+}
+
+/// A worker with its offset from the expectation of its jobs.
+struct FittedWorker {
+    id: CellId,
+    kind: WorkerKind,
+    offset: CellOffset,
+}
+
+/// A mean of weighted values.
+#[derive(Clone, Copy, Debug, Default)]
+struct WeightedMean {
+    weight: f64,
+    sum: f64,
+}
+
+impl WeightedMean {
+    fn add(&mut self, weight: f64, value: f64) {
+        self.weight += weight;
+        self.sum += weight * value;
+    }
+
+    fn get(&self) -> f64 {
+        self.sum / self.weight.max(MIN_WEIGHT)
+    }
 }
 
 /// A class with its mean work.
@@ -151,60 +194,67 @@
         RuntimeDistribution::fitted(counts, &self.distributions[parent as usize], DISTRIBUTION_PRIOR_JOBS)
     }
 
-    /// The cells of one level below the classes.
+    /// Fits the cells of one level below the classes.
     fn fit_level(&mut self, level: Level, sums: &BTreeMap<CellId, CellSum>) {
+        let cells = self.cells_of_level(level, sums);
+        let shrinkage = shrinkage_jobs(cells.iter().map(|cell| cell.offset));
+        for FittedCell { id, sum, offset: CellOffset { jobs, offset, .. }, class_distribution } in cells {
+            let effect = offset * jobs / (jobs + shrinkage);
+            let counts = sum.counts.as_deref().filter(|_| jobs >= MIN_DISTRIBUTION_JOBS);
+            let distribution = counts.map(|counts| self.fit_distribution(counts, class_distribution));
+            self.insert(id, effect, jobs, distribution);
+        }
+    }
+
+    /// The cells of one level whose class is known here: nothing is learned yet from the others.
+    fn cells_of_level<'a>(&self, level: Level, sums: &'a BTreeMap<CellId, CellSum>) -> Vec<FittedCell<'a>> {
         let class_of: HashMap<u32, CellId> = (sums.keys())
             .filter(|cell| cell.level == Level::Class)
             .map(|cell| (cell.hash as u32, *cell))
             .collect();
-        let (mut cells, mut offsets) = (Vec::new(), Vec::new());
-        for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == level) {
-            // Nothing is learned yet from a cell whose class is unknown here.
+        let mut cells = Vec::new();
+        for (id, sum) in sums.iter().filter(|(cell, _)| cell.level == level) {
             let Some(class) = class_of.get(&sum.class).and_then(|class| self.cells.get(class)) else {
                 continue;
             };
             let mean = sum.mean(|kind| self.slowness(kind));
-            let offset = mean - class.effect - sum.expected / sum.jobs.max(1e-9);
-            let parent = class.distribution.unwrap_or(0);
-            let variance = self.distributions[parent as usize].variance;
-            cells.push((*cell, sum, parent));
-            offsets.push(CellOffset { jobs: sum.jobs, offset, variance });
-        }
-        let shrinkage = shrinkage_jobs(&offsets);
-        for ((cell, sum, parent), CellOffset { jobs, offset, .. }) in cells.into_iter().zip(offsets) {
-            let effect = offset * jobs / (jobs + shrinkage);
-            let counts = sum.counts.as_deref().filter(|_| jobs >= MIN_DISTRIBUTION_JOBS);
-            let distribution = counts.map(|counts| self.fit_distribution(counts, parent));
-            self.insert(cell, effect, jobs, distribution);
+            let offset = mean - class.effect - sum.expected / sum.jobs.max(MIN_WEIGHT);
+            let class_distribution = class.distribution.unwrap_or(0);
+            let variance = self.distributions[class_distribution as usize].variance;
+            let offset = CellOffset { jobs: sum.jobs, offset, variance };
+            cells.push(FittedCell { id: *id, sum, offset, class_distribution });
         }
+        cells
     }
 
-    /// How much slower each worker is than its kind; 0 in the mean over a kind's workers, since that is the kind's.
+    /// Fits how much slower each worker is than its kind. The mean over a kind's workers is 0, since that is the kind's own
+    /// slowness.
     fn fit_workers(&mut self, sums: &BTreeMap<CellId, CellSum>) {
-        let variance = self.distributions[0].variance;
-        let mut workers = Vec::new();
-        for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == Level::Worker) {
-            let kind = sum.kinds.first().map_or(OTHER_KIND, |sum| sum.kind);
-            let offset = sum.mean(|kind| self.slowness(kind));
-            workers.push((*cell, kind, CellOffset { jobs: sum.jobs, offset, variance }));
-        }
-        let mut kinds: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
-        for (_, kind, worker) in &workers {
-            let (jobs, sum) = kinds.entry(*kind).or_default();
-            *jobs += worker.jobs;
-            *sum += worker.jobs * worker.offset;
+        let mut workers = self.workers(sums);
+        let mut kinds: BTreeMap<WorkerKind, WeightedMean> = BTreeMap::new();
+        for FittedWorker { kind, offset, .. } in &workers {
+            kinds.entry(*kind).or_default().add(offset.jobs, offset.offset);
         }
-        let mean = |kind: u32| kinds.get(&kind).map_or(0.0, |(jobs, sum)| sum / jobs.max(1e-9));
-        for (_, kind, worker) in &mut workers {
-            worker.offset -= mean(*kind);
+        for FittedWorker { kind, offset, .. } in &mut workers {
+            offset.offset -= kinds.get(kind).map_or(0.0, WeightedMean::get);
         }
-        let offsets: Vec<CellOffset> = workers.iter().map(|(_, _, worker)| *worker).collect();
-        let shrinkage = shrinkage_jobs(&offsets);
-        for (cell, _, CellOffset { jobs, offset, .. }) in workers {
-            self.insert(cell, offset * jobs / (jobs + shrinkage), jobs, None);
+        let shrinkage = shrinkage_jobs(workers.iter().map(|worker| worker.offset));
+        for FittedWorker { id, offset: CellOffset { jobs, offset, .. }, .. } in workers {
+            self.insert(id, offset * jobs / (jobs + shrinkage), jobs, None);
         }
     }
 
+    fn workers(&self, sums: &BTreeMap<CellId, CellSum>) -> Vec<FittedWorker> {
+        let variance = self.distributions[0].variance;
+        let sums = sums.iter().filter(|(cell, _)| cell.level == Level::Worker);
+        let to_worker = |(id, sum): (&CellId, &CellSum)| {
+            let kind = sum.kinds.first().map_or(WorkerKind::OTHER, |sum| sum.kind);
+            let offset = sum.mean(|kind| self.slowness(kind));
+            FittedWorker { id: *id, kind, offset: CellOffset { jobs: sum.jobs, offset, variance } }
+        };
+        sums.map(to_worker).collect()
+    }
+
     fn insert(&mut self, id: CellId, effect: f64, jobs: f64, distribution: Option<RuntimeDistribution>) {
         let distribution = distribution.map(|distribution| {
             self.distributions.push(distribution);
@@ -214,13 +264,13 @@
     }
 
     /// Logarithmic slowness of a kind; 0 for one never seen.
-    pub fn slowness(&self, kind: u32) -> f64 {
+    pub fn slowness(&self, kind: WorkerKind) -> f64 {
         self.slowness.get(kind)
     }
 
     /// Logarithmic slowness of a worker beside its kind; 0 for one never seen.
-    pub fn worker_effect(&self, tag: u64) -> f64 {
-        self.cells.get(&worker_cell(tag)).map_or(0.0, |cell| cell.effect)
+    pub fn worker_effect(&self, worker: WorkerKey) -> f64 {
+        self.cells.get(&worker_cell(worker)).map_or(0.0, |cell| cell.effect)
     }
 
     /// The expectation for jobs of a chain.
@@ -269,7 +319,7 @@
     pub fn hash_into(&self, hasher: &mut impl std::hash::Hasher) {
         hasher.write_u64(self.root.to_bits());
         for (kind, slowness) in self.slowness.iter() {
-            hasher.write_u32(kind);
+            hasher.write_u32(kind.0);
             hasher.write_u64(slowness.to_bits());
         }
         let cells: BTreeMap<_, _> = self.cells.iter().collect();
--- a/crates/runtimes/src/own_summaries.rs
+++ b/crates/runtimes/src/own_summaries.rs
@@ -1,28 +1,32 @@
 //! The summaries of this dispatcher, and which of them is published next.
 
-use crate::Config;
 use crate::cell_sum::CellSum;
 use crate::encoding::{SummaryKey, encode};
 use crate::features::{CellId, Level};
 use crate::span_clock::SpanClock;
 use crate::summary::Summary;
+use crate::{Config, Micros};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
 
 /// No summary counts more jobs than this.
 const MAX_JOBS: u32 = 1 << 22;
-/// A summary that has grown by a little is published after this long, µs.
-const MAX_PUBLISH_DELAY: u64 = 30_000_000;
+/// A summary that has grown by less than [`MIN_GROWTH`] is published after this long.
+const MAX_PUBLISH_DELAY: Micros = 30_000_000;
 /// A summary that has grown by this factor is published at once.
 const MIN_GROWTH: f64 = 1.25;
-/// A cell of all features of a request gets a summary once it was seen so often recently; most of them never come again.
+/// Fewest jobs of a worker's summary that is published.
+const MIN_WORKER_JOBS: u32 = 8;
+/// Fewest jobs of a summary below the level of classes that is published.
+const MIN_FINE_JOBS: u32 = 3;
+/// A cell of all features of a job gets a summary once it was seen so often recently; most of them are never seen again.
 const MIN_SIGHTINGS: u8 = 4;
-/// Counters of [`AdmissionFilter`].
+/// Counters of [`AdmissionFilter`]; cells share them by hash.
 const SIGHTING_COUNTERS: usize = 4_096;
 
-/// How often the finest cells were seen, by a part of their hash, halved with each span (the doorkeeper of TinyLFU, Einziger
-/// and others 2017).
+/// An admission filter as in TinyLFU (Einziger and others 2017): approximate counts of how often the finest cells were seen,
+/// aged by halving them with each span.
 struct AdmissionFilter(Box<[u8; SIGHTING_COUNTERS]>);
 
 impl AdmissionFilter {
@@ -50,17 +54,17 @@
     slot: Option<u32>,
     /// Jobs that it counted when it was published last.
     published_jobs: u32,
-    published_at: u64,
+    published_at: Micros,
 }
 
 impl OwnSummary {
     /// Whether it has grown enough since it was published.
-    fn is_due(&self, level: Level, now: u64) -> bool {
+    fn is_due(&self, level: Level, now: Micros) -> bool {
         let jobs = self.summary.jobs();
         let min_jobs = match level {
             Level::Class => 1,
-            Level::Worker => 8,
-            _ => 3,
+            Level::Worker => MIN_WORKER_JOBS,
+            _ => MIN_FINE_JOBS,
         };
         let growth = f64::from(jobs) / f64::from(self.published_jobs.max(1));
         let is_ripe = growth >= MIN_GROWTH || now - self.published_at >= MAX_PUBLISH_DELAY;
@@ -74,6 +78,27 @@
     }
 }
 
+/// Where a summary that is published for the first time gets its slot from.
+enum SlotSource {
+    /// A slot is free.
+    Free,
+    /// From the published summary that is least used.
+    LeastUsed { rank: i64, key: OwnKey },
+    /// No slot is free, and none is in use.
+    Exhausted,
+}
+
+impl SlotSource {
+    /// Whether a summary of this rank may take the slot.
+    fn admits(&self, rank: i64) -> bool {
+        match self {
+            SlotSource::Free => true,
+            SlotSource::LeastUsed { rank: least, .. } => rank > *least,
+            SlotSource::Exhausted => false,
+        }
+    }
+}
+
 /// The summaries of this dispatcher.
 pub(crate) struct OwnSummaries {
     place: u16,
@@ -173,25 +198,12 @@
 
     /// The fact that is published next, as slot and bytes: of the summary that has grown the most since it was published.
     /// Where all slots are taken, that of the least used summary is used again: who received that one keeps it.
-    pub fn publish(&mut self, now: u64) -> Option<(u32, Vec<u8>)> {
-        let has_free_slot = !self.free_slots.is_empty();
-        let published = self.summaries.iter().filter(|(_, own)| own.slot.is_some() && !has_free_slot);
-        let least_used = published.map(|(key, own)| (self.rank(key, &own.summary), *key)).min();
-        let least_rank = least_used.map_or(i64::MAX, |(rank, _)| rank);
-        let can_have_slot = |key: &OwnKey, own: &OwnSummary| {
-            own.slot.is_some() || has_free_slot || self.rank(key, &own.summary) > least_rank
-        };
-        let candidates = self
-            .summaries
-            .iter()
-            .filter(|(key, own)| own.is_due(key.cell.level, now) && can_have_slot(key, own));
-        let candidates = candidates.map(|(key, own)| (own.urgency(), *key));
-        let best = candidates.max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
-        let (_, key) = best?;
-        let slot = match (self.summaries.get(&key)?.slot, least_used) {
-            (Some(slot), _) => slot,
-            (None, Some((_, least_used))) => self.summaries.get_mut(&least_used)?.slot.take()?,
-            (None, None) => self.free_slots.pop_front()?,
+    pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
+        let source = self.slot_source();
+        let key = self.most_urgent(now, &source)?;
+        let slot = match self.summaries.get(&key)?.slot {
+            Some(slot) => slot,
+            None => self.take_slot(&source)?,
         };
         let own = self.summaries.get_mut(&key)?;
         own.slot = Some(slot);
@@ -202,6 +214,35 @@
         Some((slot, encode(&own.summary, &key)))
     }
 
+    fn slot_source(&self) -> SlotSource {
+        if !self.free_slots.is_empty() {
+            return SlotSource::Free;
+        }
+        let published = self.summaries.iter().filter(|(_, own)| own.slot.is_some());
+        let least_used = published.map(|(key, own)| (self.rank(key, &own.summary), *key)).min();
+        least_used.map_or(SlotSource::Exhausted, |(rank, key)| SlotSource::LeastUsed { rank, key })
+    }
+
+    /// The summary that is due and from which others would learn the most, among those that have a slot or may take one.
+    fn most_urgent(&self, now: Micros, source: &SlotSource) -> Option<OwnKey> {
+        let can_have_slot = |key: &OwnKey, own: &OwnSummary| {
+            own.slot.is_some() || source.admits(self.rank(key, &own.summary))
+        };
+        let candidates = (self.summaries.iter())
+            .filter(|(key, own)| own.is_due(key.cell.level, now) && can_have_slot(key, own))
+            .map(|(key, own)| (own.urgency(), *key));
+        let best = candidates.max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(&a.1)));
+        best.map(|(_, key)| key)
+    }
+
+    fn take_slot(&mut self, source: &SlotSource) -> Option<u32> {
+        match source {
+            SlotSource::Free => self.free_slots.pop_front(),
+            SlotSource::LeastUsed { key, .. } => self.summaries.get_mut(key)?.slot.take(),
+            SlotSource::Exhausted => None,
+        }
+    }
+
     /// Memory beside the struct itself, approximately.
     pub fn heap_bytes(&self) -> usize {
         let summaries: usize =
--- a/crates/runtimes/src/publish_pacer.rs
+++ b/crates/runtimes/src/publish_pacer.rs
@@ -1,29 +1,29 @@
 //! The pace of published facts: a token bucket, and a pause after nothing was due.
 
-use crate::Config;
+use crate::{Config, Micros};
 
-/// Facts that were not published for want of anything new may be published at once for so many seconds.
+/// The bucket holds the tokens of so many seconds: facts may come in a burst after a time without any.
 const BURST_SECONDS: f64 = 10.0;
-/// After nothing was due, the next attempt is made after this long, µs.
-const IDLE_INTERVAL: u64 = 500_000;
+/// After nothing was due, the next attempt is made after this long.
+const IDLE_INTERVAL: Micros = 500_000;
 
 /// Says when a fact may be published.
 #[derive(Debug)]
 pub(crate) struct PublishPacer {
     facts_per_s: f64,
     tokens: f64,
-    refilled_at: u64,
-    idle_until: u64,
+    refilled_at: Micros,
+    idle_until: Micros,
 }
 
 impl PublishPacer {
-    pub fn new(config: &Config, now: u64) -> PublishPacer {
+    pub fn new(config: &Config, now: Micros) -> PublishPacer {
         let tokens = BURST_SECONDS * config.facts_per_s;
         PublishPacer { facts_per_s: config.facts_per_s, tokens, refilled_at: now, idle_until: now }
     }
 
     /// Whether a fact may be published now.
-    pub fn is_ready(&mut self, now: u64) -> bool {
+    pub fn is_ready(&mut self, now: Micros) -> bool {
         let earned = (now - self.refilled_at) as f64 * self.facts_per_s / 1e6;
         self.refilled_at = now;
         self.tokens = (self.tokens + earned).min((BURST_SECONDS * self.facts_per_s).max(1.0));
@@ -36,7 +36,7 @@
     }
 
     /// Nothing was due.
-    pub fn on_idle(&mut self, now: u64) {
+    pub fn on_idle(&mut self, now: Micros) {
         self.idle_until = now + IDLE_INTERVAL;
     }
 }
--- a/crates/runtimes/src/received_summaries.rs
+++ b/crates/runtimes/src/received_summaries.rs
@@ -1,4 +1,5 @@
-//! The summaries of other dispatchers, and of earlier runs of this one: for each key the latest version.
+//! The summaries of other dispatchers, and of earlier runs of this one: a last-writer-wins map, which keeps the latest version
+//! for each key and is therefore the same in whatever order the versions come.
 
 use crate::cell_sum::CellSum;
 use crate::encoding::{ReceivedSummary, SummaryKey};
--- a/crates/runtimes/src/running_jobs.rs
+++ b/crates/runtimes/src/running_jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs that run: what they add to the expected completions, to a fit, and to an estimate of their own end.
+//! Jobs that run: what they add to the expected completions, to a fit (as right-censored observations), and to an estimate of
+//! their own end.
 
 use crate::cell_sum::CellSum;
 use crate::distribution::bin_of;
@@ -6,6 +7,7 @@
 use crate::log_time::log_of_micros;
 use crate::model::Model;
 use crate::shared_slowdown::WorkClocks;
+use crate::{AttemptId, Placement};
 use std::collections::BTreeMap;
 
 /// Most jobs whose hazard is counted at a time, and most that enter a fit; the others come next.
@@ -30,8 +32,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RunningJob {
     pub chain: CellChain,
-    pub kind: u32,
-    pub worker: u64,
+    pub placement: Placement,
     /// The clocks when it started.
     pub started: WorkClocks,
     /// Expected logarithmic run time at its start.
@@ -50,14 +51,14 @@
 
 impl RunningJob {
     /// A job that starts now.
-    pub fn new(chain: CellChain, kind: u32, worker: u64, started: WorkClocks, model: &Model) -> RunningJob {
+    pub fn new(chain: CellChain, placement: Placement, started: WorkClocks, model: &Model) -> RunningJob {
         let expected = model.expectation(&chain);
+        let Placement { kind, worker } = placement;
         let log_runtime = expected.work + model.slowness(kind) + model.worker_effect(worker);
         let is_tracked = expected.class_jobs >= MIN_TRACKED_CLASS_JOBS;
         RunningJob {
             chain,
-            kind,
-            worker,
+            placement,
             started,
             expected: log_runtime,
             counted_until: is_tracked.then_some(f64::NEG_INFINITY),
@@ -86,7 +87,8 @@
     pub fn log_runtime(&self, model: &Model, elapsed: f64, long_quantile: f64) -> LogEstimate {
         let expected = model.expectation(&self.chain);
         let distribution = model.distribution(&expected);
-        let middle = expected.work + model.slowness(self.kind) + model.worker_effect(self.worker);
+        let Placement { kind, worker } = self.placement;
+        let middle = expected.work + model.slowness(kind) + model.worker_effect(worker);
         let residual = log_of_micros(elapsed) - middle;
         let at = |fraction: f64| distribution.conditional_residual(residual, fraction) + middle;
         let estimate = LogEstimate { typical: at(0.5), long: at(1.0 - long_quantile) };
@@ -96,22 +98,23 @@
         }
     }
 
-    /// Weighs what it reported and what is known of similar jobs by their precisions. The report counts for more the further
-    /// the job is.
+    /// Combines what it reported with what is known of similar jobs by inverse-variance weighting. The report counts for more
+    /// the further the job is.
     fn weigh_progress(&self, estimate: LogEstimate, progress: Progress) -> LogEstimate {
         let LogEstimate { typical, long } = estimate;
         let elapsed = (progress.reported_at - self.started.work).max(1.0);
         let reported = log_of_micros(elapsed / progress.fraction);
-        let doubt = 0.5 * (1.0 - progress.fraction) + 0.02;
-        let spread = (long - typical).max(0.05);
-        let trust = spread * spread / (spread * spread + doubt * doubt);
-        let spread = (long - typical) * (1.0 - trust).sqrt();
-        let typical = typical + trust * (reported - typical);
+        let report_error = 0.5 * (1.0 - progress.fraction) + 0.02;
+        let estimate_error = (long - typical).max(0.05);
+        let estimate_variance = estimate_error * estimate_error;
+        let report_weight = estimate_variance / (estimate_variance + report_error * report_error);
+        let spread = (long - typical) * (1.0 - report_weight).sqrt();
+        let typical = typical + report_weight * (reported - typical);
         LogEstimate { typical, long: typical + spread }
     }
 
-    /// Adds the job to the sums of its cells as a lower bound, standing for `count` jobs: in the bins as such, in the sums for
-    /// as much as it would have been likely to have ended by now.
+    /// Adds the job to the sums of its cells as a right-censored observation, which stands for `count` jobs: in the bins as
+    /// such, in the sums with the probability that it would have ended by now.
     fn add_lower_bound(
         &self,
         sums: &mut BTreeMap<CellId, CellSum>,
@@ -124,15 +127,16 @@
             return;
         }
         let elapsed = log_of_micros(learning_clock - self.started.learning);
-        let at_kind = elapsed - model.worker_effect(self.worker);
-        let residual = at_kind - model.slowness(self.kind) - expected.work;
+        let Placement { kind, worker } = self.placement;
+        let at_kind = elapsed - model.worker_effect(worker);
+        let residual = at_kind - model.slowness(kind) - expected.work;
         let distribution = model.distribution(&expected);
         let whole = at_kind - residual + distribution.mean_beyond(residual);
         let ended = 1.0 - distribution.survival_at(residual);
         for (index, cell) in self.chain.cells().iter().enumerate() {
             let Some(sum) = sums.get_mut(cell) else { continue };
             let weight = ended * count as f64;
-            sum.add_kind(self.kind, weight, weight * whole);
+            sum.add_kind(kind, weight, weight * whole);
             sum.expected += weight * expected.above[index];
             sum.counts_mut().censored[usize::from(bin_of(residual))] += count as f32;
         }
@@ -140,11 +144,16 @@
 }
 
 /// All jobs that run.
-#[derive(Default)]
 pub(crate) struct RunningJobs {
-    jobs: BTreeMap<u64, RunningJob>,
-    /// The job with which counting goes on.
-    next_counted: u64,
+    jobs: BTreeMap<AttemptId, RunningJob>,
+    /// The first attempt that is counted next time.
+    next_counted: AttemptId,
+}
+
+impl Default for RunningJobs {
+    fn default() -> Self {
+        RunningJobs { jobs: BTreeMap::new(), next_counted: AttemptId(0) }
+    }
 }
 
 impl RunningJobs {
@@ -154,39 +163,39 @@
     }
 
     /// Adds a job, or replaces that of the same id.
-    pub fn insert(&mut self, id: u64, job: RunningJob) {
+    pub fn insert(&mut self, id: AttemptId, job: RunningJob) {
         self.jobs.insert(id, job);
     }
 
     /// Takes a job out.
-    pub fn remove(&mut self, id: u64) -> Option<RunningJob> {
+    pub fn remove(&mut self, id: AttemptId) -> Option<RunningJob> {
         self.jobs.remove(&id)
     }
 
     /// The job of this id.
-    pub fn get(&self, id: u64) -> Option<&RunningJob> {
+    pub fn get(&self, id: AttemptId) -> Option<&RunningJob> {
         self.jobs.get(&id)
     }
 
     /// A job reported the fraction that it has done. What is no number is ignored.
-    pub fn on_progress(&mut self, id: u64, fraction: f64, work_clock: f64) {
+    pub fn on_progress(&mut self, id: AttemptId, fraction: f64, work_clock: f64) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|_| fraction.is_finite()) {
             job.progress = Some(Progress { fraction: fraction.clamp(0.0, 1.0), reported_at: work_clock });
         }
     }
 
-    /// Counts the growth of the jobs' hazards, of some of them at a time: the completions that were expected meanwhile.
+    /// Counts the growth of the jobs' cumulative hazards: the completions that were expected meanwhile. At most
+    /// [`MAX_COUNTED`] jobs are visited at a time, in turn.
     pub fn count_hazards(&mut self, model: &Model, work_clock: f64) -> f64 {
-        let most = MAX_COUNTED.min(self.jobs.len());
         let in_turn = self.jobs.range(self.next_counted..).chain(self.jobs.range(..self.next_counted));
-        let ids: Vec<u64> = in_turn.take(most).map(|(id, _)| *id).collect();
+        let ids: Vec<AttemptId> = in_turn.take(MAX_COUNTED.min(self.jobs.len())).map(|(id, _)| *id).collect();
         let mut grown = 0.0;
         for id in &ids {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_tracked()) else { continue };
             grown += job.hazard_growth(model, work_clock);
             job.counted_until = Some(job.residual(work_clock));
         }
-        self.next_counted = ids.last().map_or(0, |id| id + 1);
+        self.next_counted = ids.last().map_or(AttemptId(0), |id| AttemptId(id.0 + 1));
         grown
     }
 
@@ -200,6 +209,6 @@
 
     /// Memory beside the struct itself, approximately.
     pub fn heap_bytes(&self) -> usize {
-        self.jobs.len() * size_of::<(u64, RunningJob)>()
+        self.jobs.len() * size_of::<(AttemptId, RunningJob)>()
     }
 }
--- a/crates/runtimes/src/shared_slowdown.rs
+++ b/crates/runtimes/src/shared_slowdown.rs
@@ -1,20 +1,24 @@
 //! A slowdown that all jobs share (a busy store, a hot day), tracked within seconds.
 //!
-//! Observed completions are compared with expected completions. Each running job adds to the expected ones the growth of its
-//! cumulative hazard; over a whole life that is 1 in the mean, whether or not its end is observed, so a job that has not
-//! ended yet counts as it should (the martingale of a counting process, Aalen 1978). Where fewer end than expected, the factor
-//! rises. Work is measured by a clock that runs slower by that factor, so a job that began before a slowdown and ended in it
-//! still shows its true work.
+//! Observed completions are compared with expected ones. Each running job adds to the expected ones the growth of its
+//! cumulative hazard, which over a whole life is 1 in the mean whether or not the end is observed (the martingale of a
+//! counting process, Aalen 1978): a job that has not ended yet is accounted for without bias. Where fewer jobs end than
+//! expected, the factor rises. Work is measured by a clock that runs slower by that factor, so the work of a job that spans
+//! the start of a slowdown is measured correctly.
 //!
-//! Small or brief differences are not applied: below three standard errors the factor counts as 1. Otherwise its noise would
-//! enter what is learned, and both could drift apart without bound while their sum stays right.
+//! The factor is applied with hysteresis: from three standard errors on, and until it falls below one and a half. Otherwise
+//! its noise would enter what is learned, and both could drift apart without bound while their sum stays right.
 
-use crate::Config;
+use crate::{Config, Micros};
 
 /// Largest logarithm of the factor, either way: beyond that something else is wrong.
 const MAX_LOG_FACTOR: f64 = 3.0;
 /// Variance of the factor's logarithm, times the completions that it rests on.
 const NOISE_VARIANCE: f64 = 0.7;
+/// The factor is applied once it exceeds so many standard errors.
+const APPLY_ABOVE: f64 = 3.0;
+/// It is no longer applied once it is below so many standard errors.
+const RELEASE_BELOW: f64 = 1.5;
 
 /// The factor by which all jobs are slower at present.
 #[derive(Debug)]
@@ -27,7 +31,7 @@
     usual: f64,
     /// Work done since the start by a job at speed 1.
     clocks: WorkClocks,
-    advanced_to: u64,
+    advanced_to: Micros,
     /// Recent completions, decayed.
     recent: f64,
     span: f64,
@@ -45,7 +49,7 @@
 }
 
 impl SharedSlowdown {
-    pub fn new(config: &Config, now: u64) -> Self {
+    pub fn new(config: &Config, now: Micros) -> Self {
         SharedSlowdown {
             raw: 0.0,
             is_applied: false,
@@ -65,7 +69,7 @@
     }
 
     /// Moves the clocks on.
-    pub fn advance(&mut self, now: u64) {
+    pub fn advance(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.advanced_to) as f64;
         if passed > 0.0 {
             self.advanced_to = now;
@@ -86,7 +90,7 @@
     }
 
     /// The clock of work as it will stand at `now`, if nothing happens until then.
-    pub fn work_at(&self, now: u64) -> f64 {
+    pub fn work_at(&self, now: Micros) -> f64 {
         self.clocks.work + now.saturating_sub(self.advanced_to) as f64 * (-self.log()).exp()
     }
 
@@ -96,9 +100,9 @@
         let rests_on = self.recent + self.weight;
         self.raw = (self.raw + (expected - ended) / rests_on).clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
         let noise = (NOISE_VARIANCE / rests_on).sqrt();
-        if self.raw.abs() > 3.0 * noise {
+        if self.raw.abs() > APPLY_ABOVE * noise {
             self.is_applied = true;
-        } else if self.is_applied && self.raw.abs() < 1.5 * noise {
+        } else if self.is_applied && self.raw.abs() < RELEASE_BELOW * noise {
             self.is_applied = false;
             self.usual = 0.0;
         }
--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtimes/tests/estimates.rs
@@ -2,7 +2,8 @@
 //! and the arithmetic of backfilling against exhaustive search.
 
 use mothproxy_runtimes::backfill::{IdleAllowance, OccupiedSlots, Reservation, may_start_before, reserve};
-use mothproxy_runtimes::{Config, ConfigError, JobFeatures, Outcome, RuntimeEstimator};
+use mothproxy_runtimes::{AttemptId, Config, ConfigError, JobFeatures, KindSpeed, Outcome, Placement};
+use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind};
 use proptest::prelude::*;
 use sketches_ddsketch::DDSketch;
 
@@ -12,11 +13,15 @@
     RuntimeEstimator::new(Config::new(0, 1_790_000_000_000), 0).expect("the defaults hold")
 }
 
+fn at(kind: u32, worker: u64) -> Placement {
+    Placement { kind: WorkerKind(kind), worker: WorkerKey(worker) }
+}
+
 fn normal(rng: &mut fastrand::Rng) -> f64 {
     (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
 }
 
-/// Runs jobs of one class one after another: `of` gives likeness, kind and run time; cut off at `limit`.
+/// Runs jobs of one class one after another: `of` gives features, kind and run time; cut off at `limit`.
 fn run(
     one: &mut RuntimeEstimator,
     jobs: u64,
@@ -25,11 +30,11 @@
     of: impl Fn(&mut fastrand::Rng) -> (JobFeatures, u32, f64),
 ) {
     for id in 0..jobs {
-        let (likeness, kind, ran) = of(rng);
+        let (features, kind, ran) = of(rng);
         let now = started_at(id);
-        one.on_started(id, &likeness, kind, u64::from(kind), now);
+        one.on_started(now, AttemptId(id), &features, at(kind, u64::from(kind)));
         let outcome = if ran as u64 <= limit { Outcome::Done } else { Outcome::Censored };
-        one.on_ended(id, outcome, now + (ran as u64).min(limit));
+        one.on_ended(now + (ran as u64).min(limit), AttemptId(id), outcome);
     }
     one.advance(started_at(jobs));
 }
@@ -50,11 +55,11 @@
     let runs: Vec<f64> = (0..2_000).map(|_| 80_000.0 * normal(&mut rng).exp()).collect();
     runs.iter().for_each(|ran| exact.add(*ran));
     for (id, ran) in (0..).zip(&runs) {
-        one.on_started(id, &JobFeatures::from_class(1), 1, 1, id * 2 * S);
-        one.on_ended(id, Outcome::Done, id * 2 * S + *ran as u64);
+        one.on_started(id * 2 * S, AttemptId(id), &JobFeatures::from_class(1), at(1, 1));
+        one.on_ended(id * 2 * S + *ran as u64, AttemptId(id), Outcome::Done);
     }
     one.advance(1_000 * S);
-    let estimate = one.estimate(&JobFeatures::from_class(1), 1, None);
+    let estimate = one.estimate(&JobFeatures::from_class(1), WorkerKind(1), None);
     for (is, quantile) in [(estimate.typical, 0.5), (estimate.long, 0.9)] {
         let wanted = exact.quantile(quantile).ok().flatten().expect("there are jobs");
         assert!(near(is, wanted, 0.15), "{quantile}: {is} and {wanted}");
@@ -73,7 +78,10 @@
         let work = if subject == 7 { 100_000.0 } else { 20_000.0 };
         (of(subject), kind, work * if kind == 2 { 3.0 } else { 1.0 } * (0.3 * normal(rng)).exp())
     });
-    let (seen, predicted) = (one.estimate(&of(7), 1, None).typical, one.estimate(&of(7), 2, None).typical);
+    let (seen, predicted) = (
+        one.estimate(&of(7), WorkerKind(1), None).typical,
+        one.estimate(&of(7), WorkerKind(2), None).typical,
+    );
     assert!(near(seen, 100_000.0, 0.2) && near(predicted, 300_000.0, 0.3), "{seen} and {predicted}");
     // The work is between the two, whichever kinds it was seen at.
     let work = one.estimate_work(&of(0)).typical;
@@ -90,7 +98,7 @@
         run(&mut one, 1_500, 170_000, &mut rng, |rng| {
             (JobFeatures::from_class(1), 1, 100_000.0 * normal(rng).exp())
         });
-        let estimate = one.estimate(&JobFeatures::from_class(1), 1, None);
+        let estimate = one.estimate(&JobFeatures::from_class(1), WorkerKind(1), None);
         assert!(near(estimate.typical, 100_000.0, 0.25), "{estimate:?}");
         assert_eq!(estimate.long < 200_000, caught, "fault {fault}: {estimate:?}");
     }
@@ -104,18 +112,19 @@
         (JobFeatures::from_class(1), 1, 100_000.0 * (0.7 * normal(rng)).exp())
     });
     let from = started_at(1_000);
-    one.on_started(9_999, &JobFeatures::from_class(1), 1, 1, from);
+    let attempt = AttemptId(9_999);
+    one.on_started(from, attempt, &JobFeatures::from_class(1), at(1, 1));
     let mut ends = 0;
     for ran in [10_000, 100_000, 300_000, 1_000_000, 5_000_000] {
-        let left = one.remaining(9_999, from + ran).expect("it runs");
+        let left = one.remaining(from + ran, attempt).expect("it runs");
         assert!(left.typical > 0 && left.typical <= left.long, "{left:?}");
         assert!(ran + left.typical >= ends, "after {ran} it ends at {} and not {ends}", ran + left.typical);
         ends = ran + left.typical;
     }
-    one.on_progress(9_999, 0.5, from + 5_000_000);
-    let left = one.remaining(9_999, from + 5_000_000).expect("it runs");
+    one.on_progress(from + 5_000_000, attempt, 0.5);
+    let left = one.remaining(from + 5_000_000, attempt).expect("it runs");
     assert!((2_500_000..7_500_000).contains(&left.typical), "{left:?}");
-    assert_eq!(one.remaining(1, from), None);
+    assert_eq!(one.remaining(from, AttemptId(1)), None);
 }
 
 #[test]
@@ -126,10 +135,10 @@
     let mut slots = std::collections::BTreeSet::new();
     for id in 0..3_000u64 {
         // Two spans' worth of new subjects, and jobs that never end.
-        let likeness = JobFeatures { subject: Some(id % 700), ..JobFeatures::from_class(id % 3) };
-        one.on_started(id, &likeness, (id % 9) as u32, id % 500, id * S / 2);
+        let features = JobFeatures { subject: Some(id % 700), ..JobFeatures::from_class(id % 3) };
+        one.on_started(id * S / 2, AttemptId(id), &features, at((id % 9) as u32, id % 500));
         if id % 3 > 0 {
-            one.on_ended(id, Outcome::Done, id * S / 2 + 1_000);
+            one.on_ended(id * S / 2 + 1_000, AttemptId(id), Outcome::Done);
         }
         slots.extend(std::iter::from_fn(|| one.publish(id * S / 2 + 2_000)).map(|fact| fact.0));
     }
@@ -149,7 +158,10 @@
         refused(&|c| c.long_quantile = f64::NAN).map(|e| matches!(e, ConfigError::Quantile(_))),
         Some(true)
     );
-    assert_eq!(refused(&|c| c.speeds = vec![(1, 0.0)]), Some(ConfigError::Positive));
+    assert_eq!(
+        refused(&|c| c.speeds = vec![KindSpeed { kind: WorkerKind(1), speed: 0.0 }]),
+        Some(ConfigError::Positive)
+    );
     assert_eq!(refused(&|c| c.slots = 0), Some(ConfigError::Zero));
     assert_eq!(refused(&|c| c.epoch = u64::MAX), Some(ConfigError::Epoch));
 }
--- a/crates/runtimes/tests/facts.rs
+++ b/crates/runtimes/tests/facts.rs
@@ -1,13 +1,26 @@
 //! Facts between dispatchers: any order, any repeats, late redelivery, restarts and merged halves give the same bits; nothing
 //! counts twice; nothing unreadable does harm.
 
-use mothproxy_runtimes::{AbsorbError, Config, JobFeatures, Origin, Outcome, RuntimeEstimator};
+use mothproxy_runtimes::{AbsorbError, AttemptId, Config, JobFeatures, Origin, Outcome, Placement};
+use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
 const EPOCH: u64 = 1_790_000_000_000;
 
-type Fact = (Origin, u32, u64, Vec<u8>);
+/// A fact as the membership carries it.
+struct Fact {
+    origin: Origin,
+    slot: u32,
+    number: u64,
+    bytes: Vec<u8>,
+}
+
+impl Fact {
+    fn absorb_into(&self, one: &mut RuntimeEstimator, now: u64) -> Result<(), AbsorbError> {
+        one.absorb(now, self.origin, self.number, &self.bytes)
+    }
+}
 
 fn start(place: u16, epoch: u64, held: usize) -> RuntimeEstimator {
     RuntimeEstimator::new(Config { max_received_summaries: held, ..Config::new(place, epoch) }, 0)
@@ -22,18 +35,20 @@
     let mut facts = Vec::new();
     for id in 0..jobs {
         let now = id * S / 4;
-        let likeness = JobFeatures {
+        let features = JobFeatures {
             tenant: Some(rng.u64(..3)),
             subject: Some(rng.u64(..4)),
             attributes: [Some(rng.u64(..2)), None],
             ..JobFeatures::from_class(rng.u64(..2))
         };
-        one.on_started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
+        let placement = Placement { kind: WorkerKind(rng.u32(..3)), worker: WorkerKey(rng.u64(..4)) };
+        one.on_started(now, AttemptId(id), &features, placement);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
-        one.on_ended(id, outcome, now + rng.u64(1_000..S / 5));
+        one.on_ended(now + rng.u64(1_000..S / 5), AttemptId(id), outcome);
         while let Some((slot, bytes)) = one.publish(now + S / 4) {
             assert!(bytes.len() <= 160, "a fact of {} bytes", bytes.len());
-            facts.push((Origin { place, epoch }, slot, facts.len() as u64 + 1, bytes));
+            let (origin, number) = (Origin { place, epoch }, facts.len() as u64 + 1);
+            facts.push(Fact { origin, slot, number, bytes });
         }
     }
     facts
@@ -50,10 +65,10 @@
 
 fn absorbed<'a>(held: usize, facts: impl IntoIterator<Item = &'a Fact>) -> RuntimeEstimator {
     let mut one = start(0, EPOCH, held);
-    for (n, (origin, slot, number, bytes)) in facts.into_iter().enumerate() {
+    for (n, fact) in facts.into_iter().enumerate() {
         // At times of its own: when a fact comes must not matter either.
         let now = S * (n as u64 % 50);
-        assert_eq!(one.absorb(now, *origin, *slot, *number, bytes), Ok(()));
+        assert_eq!(fact.absorb_into(&mut one, now), Ok(()));
     }
     one
 }
@@ -81,8 +96,8 @@
         prop_assert_eq!(other.digest(60 * S), straight);
         // And once more all of it, backwards: nothing is new.
         let taken = other.metrics().absorbed;
-        for (origin, slot, number, bytes) in facts.iter().rev().filter(|_| !tight) {
-            prop_assert_eq!(other.absorb(60 * S, *origin, *slot, *number, bytes), Ok(()));
+        for fact in facts.iter().rev().filter(|_| !tight) {
+            prop_assert_eq!(fact.absorb_into(&mut other, 60 * S), Ok(()));
         }
         prop_assert_eq!(other.metrics().absorbed, taken);
         prop_assert_eq!(other.digest(60 * S), straight);
@@ -93,7 +108,10 @@
     fn a_later_fact_covers_the_earlier(seed in 0u64..1_000) {
         let facts = all_facts(seed);
         // Slots are not used again in so short a time, so that the last of a slot is the last of its summary.
-        let last = |fact: &&Fact| !facts.iter().any(|f| (f.0, f.1) == (fact.0, fact.1) && f.2 > fact.2);
+        let last = |fact: &&Fact| {
+            let is_same_slot = |other: &Fact| (other.origin, other.slot) == (fact.origin, fact.slot);
+            !facts.iter().any(|other| is_same_slot(other) && other.number > fact.number)
+        };
         let lasts: Vec<&Fact> = facts.iter().filter(last).collect();
         prop_assert!(lasts.len() < facts.len());
         prop_assert_eq!(absorbed(8_192, lasts).digest(60 * S), absorbed(8_192, &facts).digest(60 * S));
@@ -103,32 +121,31 @@
     #[test]
     fn foreign_bytes_do_no_harm(seed in 0u64..1_000, at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<bool>()) {
         let mut one = start(0, EPOCH, 64);
-        for (origin, slot, number, bytes) in published(1, EPOCH, 40, seed) {
+        for Fact { origin, number, bytes, .. } in published(1, EPOCH, 40, seed) {
             let mut bad = bytes.clone();
             let at = at.index(bad.len());
             bad[at] = byte;
             if cut {
                 bad.truncate(at);
-                prop_assert!(one.absorb(S, origin, slot, number, &bad).is_err());
+                prop_assert!(one.absorb(S, origin, number, &bad).is_err());
             }
-            let _ = one.absorb(S, origin, slot, number, &bad);
+            let _ = one.absorb(S, origin, number, &bad);
             one.advance(number * S);
-            let estimate = one.estimate(&JobFeatures::from_class(0), 0, Some(1));
+            let estimate = one.estimate(&JobFeatures::from_class(0), WorkerKind(0), Some(WorkerKey(1)));
             prop_assert!(0 < estimate.typical && estimate.typical <= estimate.long);
         }
         prop_assert!(one.metrics().summaries <= 64);
-        prop_assert_eq!(one.absorb(S, Origin { place: 1, epoch: EPOCH }, 0, 1, &[9, 1, 1]), Err(AbsorbError::Version(9)));
+        prop_assert_eq!(one.absorb(S, Origin { place: 1, epoch: EPOCH }, 1, &[9, 1, 1]), Err(AbsorbError::Version(9)));
     }
 }
 
 #[test]
 fn a_span_far_ahead_is_refused_and_one_long_past_changes_nothing() {
     let facts = published(1, EPOCH + 3_600_000, 40, 1);
-    let (origin, slot, number, bytes) = &facts[0];
     let mut early = start(0, EPOCH, 64);
-    assert!(matches!(early.absorb(S, *origin, *slot, *number, bytes), Err(AbsorbError::Future(_))));
+    assert!(matches!(facts[0].absorb_into(&mut early, S), Err(AbsorbError::Future(_))));
     let mut late = start(0, EPOCH + 24 * 3_600_000, 64);
-    assert_eq!(late.absorb(S, *origin, *slot, *number, bytes), Ok(()));
+    assert_eq!(facts[0].absorb_into(&mut late, S), Ok(()));
     assert_eq!((late.metrics().stale, late.metrics().summaries), (1, 0));
 }
 
@@ -140,8 +157,8 @@
     let mut one = absorbed(8_192, &before);
     let (known, taken) = (one.metrics().summaries, one.metrics().absorbed);
     assert!(known > 0);
-    for (origin, slot, number, bytes) in published(0, EPOCH, 80, 5) {
-        assert_eq!(one.absorb(60 * S, origin, slot, number, &bytes), Ok(()));
+    for fact in published(0, EPOCH, 80, 5) {
+        assert_eq!(fact.absorb_into(&mut one, 60 * S), Ok(()));
     }
     assert_eq!((one.metrics().summaries, one.metrics().absorbed), (known, taken));
     let with_other = absorbed(8_192, before.iter().chain(&published(1, EPOCH, 80, 5)));
--- a/examples/proof_runtimes.rs
+++ b/examples/proof_runtimes.rs
@@ -9,7 +9,8 @@
 use mothproxy_runtimes::backfill::{
     IdleAllowance, OccupiedSlots, Reservation, may_start_before, meets_deadline, reserve,
 };
-use mothproxy_runtimes::{Config, Estimate, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
+use mothproxy_runtimes::{AttemptId, Config, Estimate, JobFeatures, Origin, Outcome, Placement};
+use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind, stable_hash};
 use serde_json::{Value, json};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -53,8 +54,7 @@
 struct Job {
     class: usize,
     likeness: JobFeatures,
-    kind: u32,
-    worker: u64,
+    placement: Placement,
     /// True run time and true quantiles (logarithms).
     ran: f64,
     quantiles: [f64; 2],
@@ -126,8 +126,7 @@
         Job {
             class: at,
             likeness,
-            kind: kind as u32 + 1,
-            worker: worker as u64 + 1,
+            placement: Placement { kind: WorkerKind(kind as u32 + 1), worker: WorkerKey(worker as u64 + 1) },
             ran: here + class.draw.log(class.tail, rng),
             quantiles: class.quantiles.map(|q| here + q),
         }
@@ -265,7 +264,7 @@
             }
             self.under_way.pop();
             let Some(letter) = self.letters.remove(&id) else { continue };
-            let refused = members[usize::from(to)].absorb(at, letter.0, letter.1, letter.2, &letter.3);
+            let refused = members[usize::from(to)].absorb(at, letter.0, letter.2, &letter.3);
             assert_eq!(refused, Ok(()), "a fact told by a member must be readable");
         }
     }
@@ -351,7 +350,8 @@
         } else if next_job == now {
             let job = world.job(&mut rng);
             let at = rng.usize(..all.len());
-            let Estimate { typical, long } = all[at].estimate(&job.likeness, job.kind, Some(job.worker));
+            let Estimate { typical, long } =
+                all[at].estimate(&job.likeness, job.placement.kind, Some(job.placement.worker));
             let guess = [(typical as f64).ln(), (long as f64).ln()];
             let part = PARTS.iter().position(|p| now < p.1 * S).unwrap_or(4);
             let late =
@@ -368,7 +368,7 @@
                     day.others[late].add(&job, guess);
                 }
             }
-            all[at].on_started(id, &job.likeness, job.kind, job.worker, now);
+            all[at].on_started(now, AttemptId(id), &job.likeness, job.placement);
             // Cut off at the class's limit, and two in a hundred anywhere before their end.
             let whole = job.ran.exp();
             let limit = world.classes[job.class].middle.exp() * limit;
@@ -380,7 +380,7 @@
             next_job = now + (-(1.0 - rng.f64()).ln() / RATE * S as f64) as u64 + 1;
         } else if let Some(Reverse((_, id, at, class, done))) = ends.pop() {
             let log = logs.remove(&id).unwrap_or_default();
-            all[at].on_ended(id, if done { Outcome::Done } else { Outcome::Censored }, now);
+            all[at].on_ended(now, AttemptId(id), if done { Outcome::Done } else { Outcome::Censored });
             if done {
                 means[class].add(log);
             }
@@ -447,19 +447,20 @@
             next_look += S / 10;
         } else if next_job == now {
             let job = world.job(&mut rng);
-            let guess = one.estimate(&job.likeness, job.kind, Some(job.worker)).typical as f64;
+            let guess =
+                one.estimate(&job.likeness, job.placement.kind, Some(job.placement.worker)).typical as f64;
             let error = (guess.ln() - job.quantiles[0]).abs();
             for (at, part) in [(90 * S, slow.0), (230 * S, end)].into_iter().enumerate() {
                 if (part.0..part.1).contains(&now) {
                     errors[at] = (errors[at].0 + error, errors[at].1 + 1.0);
                 }
             }
-            one.on_started(id, &job.likeness, job.kind, job.worker, now);
+            one.on_started(now, AttemptId(id), &job.likeness, job.placement);
             ends.push(Reverse((through(now, job.ran.exp(), factor, slow), id)));
             id += 1;
             next_job = now + (-(1.0 - rng.f64()).ln() / rate * S as f64) as u64 + 1;
         } else if let Some(Reverse((_, id))) = ends.pop() {
-            one.on_ended(id, Outcome::Done, now);
+            one.on_ended(now, AttemptId(id), Outcome::Done);
         }
     }
     [follows, returns, strayed, errors[0].0 / errors[0].1, errors[1].0 / errors[1].1]
@@ -535,7 +536,7 @@
         match next_end.filter(|e| e.1 == now) {
             Some((at, _)) => {
                 let gone = running.swap_remove(at);
-                one.on_ended(gone.id, Outcome::Done, now);
+                one.on_ended(now, AttemptId(gone.id), Outcome::Done);
             }
             None => {
                 let (large, subject, work) = draw(&mut rng);
@@ -564,7 +565,7 @@
         });
         let until = |run: &Running, one: &RuntimeEstimator| match guess {
             Guess::True => run.ends,
-            Guess::Learned => one.remaining(run.id, now).map_or(now, |left| now + left.typical),
+            Guess::Learned => one.remaining(now, AttemptId(run.id)).map_or(now, |left| now + left.typical),
             // Raised by a quarter of what it has run where it proved too low.
             _ => run.guessed.max(now + (now - run.started) / 4),
         };
@@ -580,7 +581,7 @@
             let slots = if job.large { 6.0 } else { 1.0 };
             let typical = |worker: usize, long: bool| match guess {
                 Guess::Learned => {
-                    let guess = one.estimate(&job.likeness, worker as u32 % 4 + 1, None);
+                    let guess = one.estimate(&job.likeness, WorkerKind(worker as u32 % 4 + 1), None);
                     if long { guess.long } else { guess.typical }
                 }
                 _ => (job.work * job.wrong / speeds[worker]) as u64,
@@ -599,7 +600,11 @@
                 Some(worker) => {
                     let ran = (job.work / speeds[worker]) as u64 + 1;
                     let guessed = now + typical(worker, false);
-                    one.on_started(job.id, &job.likeness, worker as u32 % 4 + 1, worker as u64 + 1, now);
+                    let placement = Placement {
+                        kind: WorkerKind(worker as u32 % 4 + 1),
+                        worker: WorkerKey(worker as u64 + 1),
+                    };
+                    one.on_started(now, AttemptId(job.id), &job.likeness, placement);
                     if job.arrived >= warm {
                         let share = &mut shares[usize::from(job.large)];
                         share.1 += 1.0;
@@ -692,14 +697,14 @@
     let jobs: Vec<Job> = (0..10_000).map(|_| world.job(&mut rng)).collect();
     let (mut sum, from) = (0, Instant::now());
     for job in jobs.iter().cycle().take(500_000) {
-        sum += one.estimate(&job.likeness, job.kind, Some(job.worker)).long;
+        sum += one.estimate(&job.likeness, job.placement.kind, Some(job.placement.worker)).long;
     }
     let estimate = from.elapsed().as_nanos() as f64 / 500_000.0;
     let (mut now, from) = (PARTS[4].1 * S, Instant::now());
     for (id, job) in (1 << 40..).zip(jobs.iter().cycle()).take(100_000) {
         now += 1_000;
-        one.on_started(id, &job.likeness, job.kind, job.worker, now);
-        one.on_ended(id, Outcome::Done, now + job.ran.exp() as u64 % 1_000);
+        one.on_started(now, AttemptId(id), &job.likeness, job.placement);
+        one.on_ended(now + job.ran.exp() as u64 % 1_000, AttemptId(id), Outcome::Done);
     }
     let observed = from.elapsed().as_nanos() as f64 / 100_000.0;
     let from = Instant::now();
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -5,7 +5,8 @@
 use crate::policy::interface::{Estimate, MICROS_PER_MS, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
-use mothproxy_runtimes::{Config, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
+use mothproxy_runtimes::{AttemptId, Config, JobFeatures, Origin, Outcome, Placement, RuntimeEstimator};
+use mothproxy_runtimes::{WorkerKey, WorkerKind, stable_hash};
 
 /// Facts to publish are collected this often.
 const PUBLISH_INTERVAL: Micros = 250_000;
@@ -147,15 +148,16 @@
     /// An attempt has begun to run, at a worker of this name and kind.
     pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobLabels<'_>, worker: &str, kind: &str) {
         if let Some(runtimes) = &mut self.runtimes {
-            let (worker, kind) = (stable_hash(worker.as_bytes()), stable_hash(kind.as_bytes()) as u32);
-            runtimes.on_started(attempt, &job.features(), kind, worker, now);
+            let placement =
+                Placement { kind: WorkerKind::from_name(kind), worker: WorkerKey::from_name(worker) };
+            runtimes.on_started(now, AttemptId(attempt), &job.features(), placement);
         }
     }
 
     /// An attempt has reported that this fraction of it is done.
     pub fn on_progress(&mut self, now: Micros, attempt: u64, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.on_progress(attempt, fraction, now);
+            runtimes.on_progress(now, AttemptId(attempt), fraction);
         }
     }
 
@@ -163,7 +165,7 @@
     pub fn on_ended(&mut self, now: Micros, attempt: u64, ran_to_completion: bool) {
         if let Some(runtimes) = &mut self.runtimes {
             let outcome = if ran_to_completion { Outcome::Done } else { Outcome::Censored };
-            runtimes.on_ended(attempt, outcome, now);
+            runtimes.on_ended(now, AttemptId(attempt), outcome);
         }
     }
 
@@ -188,7 +190,7 @@
         {
             let origin = Origin { place: fact.place, epoch: fact.epoch };
             // What cannot be read is counted there.
-            let _ = runtimes.absorb(now, origin, fact.slot, fact.number, &fact.bytes);
+            let _ = runtimes.absorb(now, origin, fact.number, &fact.bytes);
         }
         if fact.kind == mothproxy_fairshare::KIND
             && let Some(shares) = &mut self.shares
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -3,7 +3,9 @@
 use crate::{assert_kept, to_hex};
 use mothproxy_coldstart::{Fault, Observation, Report, ServiceStatus, SharedObservations};
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Usage};
-use mothproxy_runtimes::{JobFeatures, Outcome, RuntimeEstimator};
+use mothproxy_runtimes::{
+    AttemptId, JobFeatures, Outcome, Placement, RuntimeEstimator, WorkerKey, WorkerKind,
+};
 
 const SECOND: u64 = 1_000_000;
 const UNIX: u64 = 1_790_000_000 * SECOND;
@@ -27,9 +29,10 @@
             attributes: [Some(rng.u64(..2)), None],
             ..JobFeatures::from_class(rng.u64(..2))
         };
-        runtimes.on_started(id, &likeness, rng.u32(..3), rng.u64(..4), now);
+        let placement = Placement { kind: WorkerKind(rng.u32(..3)), worker: WorkerKey(rng.u64(..4)) };
+        runtimes.on_started(now, AttemptId(id), &likeness, placement);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
-        runtimes.on_ended(id, outcome, now + rng.u64(1_000..SECOND / 5));
+        runtimes.on_ended(now + rng.u64(1_000..SECOND / 5), AttemptId(id), outcome);
         written.extend(std::iter::from_fn(|| runtimes.publish(now + SECOND / 4)).map(line));
     }
     assert_kept("facts/runtimes.txt", &written);
--- a/tests/conformance/runtimes.rs
+++ b/tests/conformance/runtimes.rs
@@ -3,7 +3,8 @@
 
 use crate::table::{Machine, beyond};
 use mothproxy_runtimes::backfill::{self, OccupiedSlots, Reservation};
-use mothproxy_runtimes::{Config, Estimate, JobFeatures, Origin, Outcome, RuntimeEstimator, stable_hash};
+use mothproxy_runtimes::{AttemptId, Config, Estimate, JobFeatures, Origin, Outcome, Placement};
+use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind, stable_hash};
 use serde::Deserialize;
 use toml::{Table, Value};
 
@@ -86,7 +87,7 @@
 
 pub struct Estimates {
     both: [RuntimeEstimator; 2],
-    told: [Vec<(u32, u64, Vec<u8>)>; 2],
+    told: [Vec<(u64, Vec<u8>)>; 2],
     now: u64,
     next: u64,
 }
@@ -100,6 +101,15 @@
     }
 }
 
+fn at(kind: u32, worker: u64) -> Placement {
+    Placement { kind: WorkerKind(kind), worker: WorkerKey(worker) }
+}
+
+/// A job that a row names, apart from those that are numbered here.
+fn numbered(job: u64) -> AttemptId {
+    AttemptId(1_000_000 + job)
+}
+
 fn words(estimate: Estimate) -> Vec<String> {
     let Estimate { typical, long } = estimate;
     vec![format!("typical {}", typical / MS), format!("long {}", long / MS)]
@@ -123,9 +133,10 @@
                     let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
                     self.next += 1;
                     // Each at a worker of its own, so that none is taken for a slow one.
-                    self.both[seen.by].on_started(self.next, &likeness, seen.kind, self.next, self.now);
+                    let (attempt, placement) = (AttemptId(self.next), at(seen.kind, self.next));
+                    self.both[seen.by].on_started(self.now, attempt, &likeness, placement);
                     self.now += took * MS;
-                    self.both[seen.by].on_ended(self.next, outcome, self.now);
+                    self.both[seen.by].on_ended(self.now, attempt, outcome);
                 }
                 self.pass(1_000);
             }
@@ -134,16 +145,16 @@
                 let by = &self.both[asked.by];
                 return Ok(words(asked.kind.map_or_else(
                     || by.estimate_work(&likeness),
-                    |kind| by.estimate(&likeness, kind, None),
+                    |kind| by.estimate(&likeness, WorkerKind(kind), None),
                 )));
             }
             Verb::Start { job, class, kind } => {
-                self.both[0].on_started(1_000_000 + job, &like(&class, None, None), kind, 1, self.now);
+                self.both[0].on_started(self.now, numbered(job), &like(&class, None, None), at(kind, 1));
             }
-            Verb::Progress { job, share } => self.both[0].on_progress(1_000_000 + job, share, self.now),
+            Verb::Progress { job, share } => self.both[0].on_progress(self.now, numbered(job), share),
             Verb::Pass(span) => self.pass(span),
             Verb::Remaining(job) => {
-                let left = self.both[0].remaining(1_000_000 + job, self.now);
+                let left = self.both[0].remaining(self.now, numbered(job));
                 return Ok(left.map_or(vec!["no such job".to_owned()], words));
             }
             Verb::Tell { from, to, times } => {
@@ -151,23 +162,23 @@
                 let mut rounds = 0;
                 while rounds < 3 {
                     let before = self.told[from].len();
-                    while let Some((slot, bytes)) = self.both[from].publish(self.now) {
+                    while let Some((_, bytes)) = self.both[from].publish(self.now) {
                         let number = self.told[from].len() as u64 + 1;
-                        self.told[from].push((slot, number, bytes));
+                        self.told[from].push((number, bytes));
                     }
                     rounds += u64::from(idle(&self.told[from], before));
                     self.pass(5_000);
                 }
                 let origin = Origin { place: from as u16, epoch: EPOCH };
-                for (slot, number, bytes) in std::iter::repeat_n(&self.told[from], times).flatten().rev() {
-                    let done = self.both[to].absorb(self.now, origin, *slot, *number, bytes);
+                for (number, bytes) in std::iter::repeat_n(&self.told[from], times).flatten().rev() {
+                    let done = self.both[to].absorb(self.now, origin, *number, bytes);
                     done.map_err(|e| e.to_string())?;
                 }
                 self.pass(60_000);
             }
             Verb::Forge(bytes) => {
                 let origin = Origin { place: 1, epoch: EPOCH };
-                let done = self.both[0].absorb(self.now, origin, 0, 1, &bytes);
+                let done = self.both[0].absorb(self.now, origin, 1, &bytes);
                 return Ok(vec![if done.is_ok() { "taken" } else { "refused" }.to_owned()]);
             }
             Verb::Reserve { free, need, held } => {
