--- a/crates/streams/src/broker.rs
+++ b/crates/streams/src/broker.rs
@@ -1,9 +1,11 @@
 //! The broker: jobs, their watchers, and the timers that forget them.
 
-use crate::event_log::JobEvent;
-use crate::job::Job;
+use crate::event_log::{Delivery, JobEvent};
+use crate::job::{Job, JobPhase};
+use crate::stream_counts::StreamCounts;
 use crate::watcher::{Read, Watcher};
-use crate::{BrokerError, JobId, Limits, Micros, NewJob, TransferredJob, WatcherId};
+use crate::{BrokerError, JobId, Limits, Metrics, Micros, NewJob, PublicJobId, TransferredJob};
+use crate::{WatchToken, WatcherId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
@@ -16,8 +18,8 @@
         job: JobId,
         /// The event.
         event: &'a JobEvent,
-        /// It is the final event: nothing comes after it.
-        last: bool,
+        /// Nothing comes after it.
+        is_final: bool,
     },
     /// So many events that it should have received were evicted.
     Missed(u64),
@@ -34,46 +36,25 @@
     End(JobId),
 }
 
-/// Number of streams by tenant.
-#[derive(Default)]
-struct StreamCounts(FxHashMap<u32, usize>);
-
-impl StreamCounts {
-    fn get(&self, tenant: u32) -> usize {
-        self.0.get(&tenant).copied().unwrap_or(0)
-    }
-
-    fn increment(&mut self, tenant: u32) {
-        *self.0.entry(tenant).or_default() += 1;
-    }
-
-    fn decrement(&mut self, tenant: u32) {
-        let count = self.get(tenant).saturating_sub(1);
-        if count == 0 {
-            self.0.remove(&tenant);
-        } else {
-            self.0.insert(tenant, count);
-        }
-    }
-}
-
 /// All jobs and their watchers.
 pub struct EventBroker {
     limits: Limits,
     jobs: FxHashMap<JobId, Job>,
-    by_public_id: FxHashMap<u64, JobId>,
+    by_public_id: FxHashMap<PublicJobId, JobId>,
     watchers: FxHashMap<WatcherId, Watcher>,
     streams: StreamCounts,
     timers: BTreeSet<(Micros, JobId)>,
-    next_job: JobId,
+    /// Number of jobs so far.
+    next_job: u64,
     next_watcher: u64,
+    /// Bytes that all events take.
     bytes: usize,
     /// Jobs forgotten before their time to make room.
-    pub evicted: u64,
+    evicted: u64,
     /// Events that watchers were notified to have missed.
-    pub missed: u64,
+    missed: u64,
     /// Progress events that were skipped for slow watchers.
-    pub coalesced: u64,
+    coalesced: u64,
 }
 
 impl EventBroker {
@@ -95,14 +76,16 @@
         }
     }
 
-    /// Number of jobs, and number of watchers.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.jobs.len(), self.watchers.len())
-    }
-
-    /// Bytes that all events take.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// Present sizes, and counters since the start.
+    pub fn metrics(&self) -> Metrics {
+        Metrics {
+            jobs: self.jobs.len(),
+            watchers: self.watchers.len(),
+            bytes: self.bytes,
+            evicted: self.evicted,
+            missed: self.missed,
+            coalesced: self.coalesced,
+        }
     }
 
     /// When [`EventBroker::on_timer`] has something to do next.
@@ -135,15 +118,13 @@
     }
 
     fn insert(&mut self, now: Micros, transferred: TransferredJob) -> JobId {
-        let id = self.next_job;
+        let id = JobId(self.next_job);
         self.next_job += 1;
         let job = Job::new(transferred);
-        let due = if job.log.is_finished() {
-            Some(now + self.limits.final_event_ttl)
-        } else if job.ends_unwatched {
-            Some(now + self.limits.unwatched_timeout)
-        } else {
-            None
+        let due = match job.phase() {
+            JobPhase::Running if job.ends_unwatched => Some(now + self.limits.unwatched_timeout),
+            JobPhase::Running => None,
+            JobPhase::Finished | JobPhase::Expired => Some(now + self.limits.final_event_ttl),
         };
         self.bytes += job.log.bytes();
         self.by_public_id.insert(job.public_id, id);
@@ -175,7 +156,9 @@
 
     /// Changes a running job and wakes its watchers. Returns whether there is such a job.
     fn update(&mut self, id: JobId, effects: &mut Vec<Effect>, change: impl FnOnce(&mut Job)) -> bool {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_running()) else { return false };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.phase() == JobPhase::Running) else {
+            return false;
+        };
         let before = job.log.bytes();
         change(job);
         self.bytes = self.bytes + job.log.bytes() - before;
@@ -186,14 +169,14 @@
     /// Appends an event that every watcher receives. Nothing happens after the final one.
     pub fn publish(&mut self, id: JobId, name: &str, data: String, effects: &mut Vec<Effect>) {
         let limits = self.limits;
-        self.update(id, effects, |job| job.log.push(name, data, false, &limits));
+        self.update(id, effects, |job| job.log.push(name, data, Delivery::Every, &limits));
     }
 
     /// Appends an event that a later one replaces: a slow watcher receives the latest only. Nothing happens after the final
     /// event.
     pub fn publish_progress(&mut self, id: JobId, name: &str, data: String, effects: &mut Vec<Effect>) {
         let limits = self.limits;
-        self.update(id, effects, |job| job.log.push(name, data, true, &limits));
+        self.update(id, effects, |job| job.log.push(name, data, Delivery::Latest, &limits));
     }
 
     /// Appends the final event of a job. Only the first counts.
@@ -212,38 +195,41 @@
     /// [`BrokerError::TooManyStreams`] where the tenant may have no other stream.
     pub fn watch(
         &mut self,
-        public_id: u64,
-        token: u128,
+        public_id: PublicJobId,
+        token: WatchToken,
         last_received: Option<u64>,
     ) -> Result<WatcherId, BrokerError> {
-        let found = self.by_public_id.get(&public_id).copied();
-        let found = found.and_then(|id| Some((id, self.jobs.get(&id)?)));
-        // A job that is not there is compared with as well: the answer takes as long.
-        let expected = found.as_ref().map_or(!token, |(_, job)| job.token);
-        let (true, Some((id, job))) = (is_equal_in_constant_time(expected, token), found) else {
-            return Err(BrokerError::Unknown);
-        };
-        let received = last_received.filter(|last| *last < job.log.next_id()).unwrap_or(0);
-        if job.is_expired || job.log.final_id().is_some_and(|last| received >= last) {
+        let id = self.authorize(public_id, token)?;
+        let Some(job) = self.jobs.get_mut(&id) else { return Err(BrokerError::Unknown) };
+        let next_id = job.log.next_id();
+        let received = last_received.filter(|last| *last < next_id).unwrap_or(0);
+        if job.is_over_after(received) {
             return Err(BrokerError::Over);
         }
         if self.streams.get(job.tenant) >= self.limits.streams_per_tenant {
             return Err(BrokerError::TooManyStreams);
         }
-        let (tenant, replay_until) = (job.tenant, job.log.next_id());
         let watcher = WatcherId(self.next_watcher);
         self.next_watcher += 1;
-        self.watchers.insert(watcher, Watcher::new(id, received, replay_until));
-        self.streams.increment(tenant);
-        if let Some(job) = self.jobs.get_mut(&id) {
-            job.watchers.push(watcher);
-            if !job.log.is_finished() {
-                self.set_timer(id, None);
-            }
+        self.watchers.insert(watcher, Watcher::new(id, received, next_id));
+        self.streams.increment(job.tenant);
+        job.watchers.push(watcher);
+        if job.phase() == JobPhase::Running {
+            self.set_timer(id, None); // it ends unwatched no more
         }
         Ok(watcher)
     }
 
+    /// The job of this public id, if the token is its own.
+    fn authorize(&self, public_id: PublicJobId, token: WatchToken) -> Result<JobId, BrokerError> {
+        let id = self.by_public_id.get(&public_id).copied();
+        let expected = id.and_then(|id| self.jobs.get(&id)).map(|job| job.token);
+        // Where there is no such job, the token is compared with another one, so that the answer takes as long.
+        let other = WatchToken(!token.0);
+        let is_equal = expected.unwrap_or(other).equals_in_constant_time(token);
+        id.filter(|_| is_equal).ok_or(BrokerError::Unknown)
+    }
+
     /// What a watcher receives next; it counts as received.
     pub fn pull(&mut self, id: WatcherId) -> Next<'_> {
         let Some(watcher) = self.watchers.get_mut(&id) else { return Next::Nothing };
@@ -251,8 +237,8 @@
         loop {
             match watcher.read(&job.log) {
                 Read::Event(event) => {
-                    let last = job.log.final_id() == Some(event.id);
-                    return Next::Event { job: watcher.job, event, last };
+                    let is_final = job.log.final_id() == Some(event.id);
+                    return Next::Event { job: watcher.job, event, is_final };
                 }
                 Read::Missed(count) => {
                     self.missed += count;
@@ -276,7 +262,7 @@
         let Some(job) = self.jobs.get_mut(&watcher.job) else { return };
         job.watchers.retain(|other| *other != id);
         self.streams.decrement(job.tenant);
-        if job.watchers.is_empty() && job.ends_unwatched && !job.log.is_finished() {
+        if job.should_end_unwatched() {
             self.set_timer(watcher.job, Some(now + self.limits.unwatched_timeout));
         }
     }
@@ -285,25 +271,26 @@
     pub fn on_timer(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         while let Some((_, id)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.set_timer(id, None);
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
-            if job.is_expired {
-                self.forget(id);
-            } else if !job.log.is_finished() {
-                if job.watchers.is_empty() && job.ends_unwatched {
-                    effects.push(Effect::End(id));
-                }
-            } else if !job.watchers.is_empty() {
+            let Some(job) = self.jobs.get(&id) else { continue };
+            match job.phase() {
+                JobPhase::Running if job.should_end_unwatched() => effects.push(Effect::End(id)),
+                JobPhase::Running => {}
+                JobPhase::Finished if job.watchers.is_empty() => self.expire(now, id),
                 // Somebody is still reading it.
-                self.set_timer(id, Some(now + self.limits.final_event_ttl));
-            } else {
-                self.bytes -= job.log.bytes();
-                job.log.clear();
-                job.is_expired = true;
-                self.set_timer(id, Some(now + self.limits.token_ttl));
+                JobPhase::Finished => self.set_timer(id, Some(now + self.limits.final_event_ttl)),
+                JobPhase::Expired => self.forget(id),
             }
         }
     }
 
+    /// Drops the events of a finished job; its token stays known for a while.
+    fn expire(&mut self, now: Micros, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        self.bytes -= job.log.bytes();
+        job.expire();
+        self.set_timer(id, Some(now + self.limits.token_ttl));
+    }
+
     /// The watchers of a job.
     pub fn watchers(&self, id: JobId) -> Vec<WatcherId> {
         self.jobs.get(&id).map_or(Vec::new(), |job| job.watchers.clone())
@@ -318,7 +305,7 @@
 
     /// The jobs, in the order in which they were added; without those whose final event was dropped.
     pub fn jobs(&self) -> Vec<JobId> {
-        let kept = self.jobs.iter().filter(|(_, job)| !job.is_expired);
+        let kept = self.jobs.iter().filter(|(_, job)| job.phase() != JobPhase::Expired);
         let mut ids: Vec<JobId> = kept.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
@@ -329,8 +316,3 @@
         (!self.by_public_id.contains_key(&transferred.public_id)).then(|| self.insert(now, transferred))
     }
 }
-
-/// Compares in a time that does not depend on how much is equal.
-fn is_equal_in_constant_time(a: u128, b: u128) -> bool {
-    std::hint::black_box(a ^ b) == 0
-}
--- a/crates/streams/src/event_log.rs
+++ b/crates/streams/src/event_log.rs
@@ -24,6 +24,15 @@
     }
 }
 
+/// Which of a job's events a slow watcher receives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Delivery {
+    /// This event, as all others of its kind.
+    Every,
+    /// Only the latest of its kind.
+    Latest,
+}
+
 /// The events of one job that are kept.
 pub(crate) struct EventLog {
     /// The event with the number 1: it is never evicted.
@@ -89,15 +98,16 @@
         in_ring.or(self.final_id()).unwrap_or(self.next_id)
     }
 
-    fn next_event(&mut self, name: &str, data: String, is_replaceable: bool) -> JobEvent {
+    fn next_event(&mut self, name: &str, data: String, delivery: Delivery) -> JobEvent {
+        let is_replaceable = delivery == Delivery::Latest;
         let event = JobEvent { id: self.next_id, name: name.to_owned(), data, is_replaceable };
         self.next_id += 1;
         event
     }
 
     /// Appends an event, and evicts the oldest of the ring beyond the limits.
-    pub fn push(&mut self, name: &str, data: String, is_replaceable: bool, limits: &Limits) {
-        let event = self.next_event(name, data, is_replaceable);
+    pub fn push(&mut self, name: &str, data: String, delivery: Delivery, limits: &Limits) {
+        let event = self.next_event(name, data, delivery);
         if self.first.is_none() && event.id == 1 {
             self.first = Some(event);
             return;
@@ -113,7 +123,7 @@
 
     /// Appends the final event.
     pub fn finish(&mut self, name: &str, data: String) {
-        let event = self.next_event(name, data, false);
+        let event = self.next_event(name, data, Delivery::Every);
         self.final_event = Some(event);
     }
 
--- a/crates/streams/src/job.rs
+++ b/crates/streams/src/job.rs
@@ -1,16 +1,16 @@
 //! One job of a broker, how it is added, and the form in which it is transferred to another process.
 
 use crate::event_log::{EventLog, JobEvent};
-use crate::{Micros, WatcherId};
+use crate::{Micros, PublicJobId, WatchToken, WatcherId};
 use serde::{Deserialize, Serialize};
 
 /// A job to be added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewJob {
-    /// The id by which clients name it; random.
-    pub public_id: u64,
-    /// The secret that lets a client watch it; random.
-    pub token: u128,
+    /// The id by which clients name it.
+    pub public_id: PublicJobId,
+    /// The secret that lets a client watch it.
+    pub token: WatchToken,
     /// Its tenant.
     pub tenant: u32,
     /// It ends when nobody watches it.
@@ -22,9 +22,9 @@
 pub struct TransferredJob {
     /// The id by which clients name it.
     #[serde(rename = "public")]
-    pub public_id: u64,
+    pub public_id: PublicJobId,
     /// The secret that lets a client watch it.
-    pub token: u128,
+    pub token: WatchToken,
     /// Its tenant.
     pub tenant: u32,
     /// It ends when nobody watches it.
@@ -54,18 +54,29 @@
     }
 }
 
+/// How far a job is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum JobPhase {
+    /// Its final event is still to come.
+    Running,
+    /// Its final event is in its log.
+    Finished,
+    /// Its final event was dropped; only the token is known.
+    Expired,
+}
+
 /// A job of a broker.
 pub(crate) struct Job {
-    pub public_id: u64,
-    pub token: u128,
+    pub public_id: PublicJobId,
+    pub token: WatchToken,
     pub tenant: u32,
     pub ends_unwatched: bool,
     pub log: EventLog,
     pub watchers: Vec<WatcherId>,
     /// When its timer fires: it is unwatched, or its final event or its token expires.
     pub due: Option<Micros>,
-    /// The final event was dropped; only the token is known.
-    pub is_expired: bool,
+    /// The final event was dropped.
+    is_expired: bool,
 }
 
 impl Job {
@@ -94,13 +105,34 @@
         }
     }
 
-    /// Whether its final event is still to come.
-    pub fn is_running(&self) -> bool {
-        !self.log.is_finished() && !self.is_expired
+    pub fn phase(&self) -> JobPhase {
+        if self.is_expired {
+            JobPhase::Expired
+        } else if self.log.is_finished() {
+            JobPhase::Finished
+        } else {
+            JobPhase::Running
+        }
+    }
+
+    /// Drops its events; its token stays known.
+    pub fn expire(&mut self) {
+        self.log.clear();
+        self.is_expired = true;
     }
 
     /// Whether it may be forgotten to make room.
     pub fn is_evictable(&self) -> bool {
-        !self.is_running() && self.watchers.is_empty()
+        self.phase() != JobPhase::Running && self.watchers.is_empty()
+    }
+
+    /// Whether nobody watches it, it runs, and it was added as one that ends then.
+    pub fn should_end_unwatched(&self) -> bool {
+        self.phase() == JobPhase::Running && self.ends_unwatched && self.watchers.is_empty()
+    }
+
+    /// Whether nothing is left for a watcher that has received the events up to `received`.
+    pub fn is_over_after(&self, received: u64) -> bool {
+        self.is_expired || self.log.final_id().is_some_and(|last| received >= last)
     }
 }
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -7,14 +7,14 @@
 //! Source: HTML standard, "Server-sent events" (event ids, `Last-Event-ID`, 204 ends reconnecting); docs/design/streams.md.
 //!
 //! ```
-//! use mothproxy_streams::{EventBroker, Limits, NewJob, Next};
+//! use mothproxy_streams::{EventBroker, Limits, NewJob, Next, PublicJobId, WatchToken};
 //!
 //! let mut broker = EventBroker::new(Limits::default());
-//! let new = NewJob { public_id: 1, token: 77, tenant: 0, ends_unwatched: false };
-//! let job = broker.add_job(0, new)?;
-//! let watcher = broker.watch(1, 77, None)?;
+//! let (public_id, token) = (PublicJobId(1), WatchToken(77));
+//! let job = broker.add_job(0, NewJob { public_id, token, tenant: 0, ends_unwatched: false })?;
+//! let watcher = broker.watch(public_id, token, None)?;
 //! broker.finish(10, job, "done", "{}".to_owned(), &mut Vec::new());
-//! assert!(matches!(broker.pull(watcher), Next::Event { event, last: true, .. } if event.name == "done"));
+//! assert!(matches!(broker.pull(watcher), Next::Event { event, is_final: true, .. } if event.name == "done"));
 //! # Ok::<(), mothproxy_streams::BrokerError>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -23,18 +23,21 @@
 mod broker;
 mod error;
 mod event_log;
+mod ids;
 mod job;
 mod limits;
+mod metrics;
+mod stream_counts;
 mod watcher;
 
 pub use broker::{Effect, EventBroker, Next};
 pub use error::BrokerError;
 pub use event_log::JobEvent;
+pub use ids::{JobId, PublicJobId, WatchToken};
 pub use job::{NewJob, TransferredJob};
 pub use limits::Limits;
+pub use metrics::Metrics;
 pub use watcher::WatcherId;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
-/// A job, numbered by its broker from 0.
-pub type JobId = u64;
--- a/crates/streams/tests/broker.rs
+++ b/crates/streams/tests/broker.rs
@@ -1,7 +1,8 @@
 //! The broker by tables and by seeded histories against a model: nothing lost, doubled or out of order.
 
 use mothproxy_streams::{
-    BrokerError, Effect, EventBroker, JobEvent, Limits, NewJob, Next, TransferredJob, WatcherId,
+    BrokerError, Effect, EventBroker, JobEvent, JobId, Limits, NewJob, Next, PublicJobId, TransferredJob,
+    WatchToken, WatcherId,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -9,16 +10,25 @@
 const TOKEN: u128 = 77;
 
 fn new_job(public_id: u64, token: u128, tenant: u32, ends_unwatched: bool) -> NewJob {
-    NewJob { public_id, token, tenant, ends_unwatched }
+    NewJob { public_id: PublicJobId(public_id), token: WatchToken(token), tenant, ends_unwatched }
 }
 
-fn broker(limits: Limits) -> (EventBroker, u64) {
+fn watch(
+    broker: &mut EventBroker,
+    public_id: u64,
+    token: u128,
+    last_received: Option<u64>,
+) -> Result<WatcherId, BrokerError> {
+    broker.watch(PublicJobId(public_id), WatchToken(token), last_received)
+}
+
+fn broker(limits: Limits) -> (EventBroker, JobId) {
     let mut broker = EventBroker::new(limits);
     let job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("room");
     (broker, job)
 }
 
-fn progress(broker: &mut EventBroker, job: u64, n: u64) -> Vec<Effect> {
+fn progress(broker: &mut EventBroker, job: JobId, n: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     broker.publish_progress(job, "progress", n.to_string(), &mut effects);
     effects
@@ -43,7 +53,7 @@
     (2..=6).for_each(|n| drop(progress(&mut broker, job, n)));
     // Garbage and ids from the future count as none.
     for (after, first) in [(None, 1), (Some(3), 4), (Some(6), 7), (Some(99), 1)] {
-        let watcher = broker.watch(1, TOKEN, after).expect("known");
+        let watcher = watch(&mut broker, 1, TOKEN, after).expect("known");
         assert_eq!(pulled(&mut broker, watcher), (first..7).collect::<Vec<i64>>(), "after {after:?}");
     }
 }
@@ -54,37 +64,37 @@
     broker.publish(job, "started", "{}".into(), &mut Vec::new());
     (2..=10).for_each(|n| drop(progress(&mut broker, job, n)));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    let fresh = broker.watch(1, TOKEN, None).expect("known");
+    let fresh = watch(&mut broker, 1, TOKEN, None).expect("known");
     assert_eq!(pulled(&mut broker, fresh), [1, -6, 8, 9, 10, 11]);
-    let later = broker.watch(1, TOKEN, Some(4)).expect("known");
+    let later = watch(&mut broker, 1, TOKEN, Some(4)).expect("known");
     assert_eq!(pulled(&mut broker, later), [-3, 8, 9, 10, 11]);
-    assert_eq!(broker.missed, 9);
+    assert_eq!(broker.metrics().missed, 9);
 }
 
 #[test]
 fn a_slow_reader_gets_the_newest_progress_and_always_the_end() {
     let (mut broker, job) = broker(Limits::default());
-    let watcher = broker.watch(1, TOKEN, None).expect("known");
+    let watcher = watch(&mut broker, 1, TOKEN, None).expect("known");
     broker.publish(job, "started", "{}".into(), &mut Vec::new());
     (2..=9).for_each(|n| drop(progress(&mut broker, job, n)));
     assert_eq!(pulled(&mut broker, watcher), [1, 9]);
     (10..=200).for_each(|n| drop(progress(&mut broker, job, n)));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
     assert_eq!(pulled(&mut broker, watcher), [201], "progress before the end is stale");
-    assert_eq!(broker.missed, 0);
+    assert_eq!(broker.metrics().missed, 0);
 }
 
 #[test]
 fn a_wrong_token_and_an_unknown_job_get_the_same_error() {
     let (mut broker, job) = broker(Limits::default());
     for (public, token) in [(1, TOKEN + 1), (2, TOKEN), (1, !TOKEN), (2, 0), (9, u128::MAX)] {
-        assert_eq!(broker.watch(public, token, None), Err(BrokerError::Unknown));
+        assert_eq!(watch(&mut broker, public, token, None), Err(BrokerError::Unknown));
     }
     // A token of another job's is a wrong one.
     broker.add_job(0, new_job(2, TOKEN + 5, 0, false)).expect("room");
-    assert_eq!(broker.watch(1, TOKEN + 5, None), Err(BrokerError::Unknown));
+    assert_eq!(watch(&mut broker, 1, TOKEN + 5, None), Err(BrokerError::Unknown));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    assert_eq!(broker.watch(1, TOKEN + 1, Some(1)), Err(BrokerError::Unknown));
+    assert_eq!(watch(&mut broker, 1, TOKEN + 1, Some(1)), Err(BrokerError::Unknown));
 }
 
 #[test]
@@ -92,16 +102,17 @@
     let limits = Limits::default();
     let (mut broker, job) = broker(limits);
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    let again = broker.watch(1, TOKEN, None).expect("known");
+    let again = watch(&mut broker, 1, TOKEN, None).expect("known");
     assert_eq!(pulled(&mut broker, again), [1]);
     broker.remove_watcher(1, again);
-    assert_eq!(broker.watch(1, TOKEN, Some(1)), Err(BrokerError::Over), "it has it");
+    assert_eq!(watch(&mut broker, 1, TOKEN, Some(1)), Err(BrokerError::Over), "it has it");
     broker.on_timer(limits.final_event_ttl, &mut Vec::new());
-    assert_eq!(broker.watch(1, TOKEN, None), Err(BrokerError::Over));
-    assert_eq!(broker.watch(1, TOKEN + 1, None), Err(BrokerError::Unknown));
-    assert_eq!(broker.bytes(), 0);
+    assert_eq!(watch(&mut broker, 1, TOKEN, None), Err(BrokerError::Over));
+    assert_eq!(watch(&mut broker, 1, TOKEN + 1, None), Err(BrokerError::Unknown));
+    assert_eq!(broker.metrics().bytes, 0);
     broker.on_timer(limits.final_event_ttl + limits.token_ttl, &mut Vec::new());
-    assert_eq!((broker.watch(1, TOKEN, None), broker.counts()), (Err(BrokerError::Unknown), (0, 0)));
+    assert_eq!(watch(&mut broker, 1, TOKEN, None), Err(BrokerError::Unknown));
+    assert_eq!((broker.metrics().jobs, broker.metrics().watchers), (0, 0));
 }
 
 #[test]
@@ -111,13 +122,15 @@
     let job = broker.add_job(0, new_job(1, TOKEN, 0, true)).expect("room");
     let other = broker.add_job(0, new_job(2, TOKEN, 0, false)).expect("room");
     let mut effects = Vec::new();
-    let (one, two) =
-        (broker.watch(1, TOKEN, None).expect("known"), broker.watch(1, TOKEN, None).expect("known"));
+    let (one, two) = (
+        watch(&mut broker, 1, TOKEN, None).expect("known"),
+        watch(&mut broker, 1, TOKEN, None).expect("known"),
+    );
     broker.remove_watcher(10, one);
     broker.on_timer(10 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [], "one still watches");
     broker.remove_watcher(20, two);
-    let back = broker.watch(1, TOKEN, None).expect("known");
+    let back = watch(&mut broker, 1, TOKEN, None).expect("known");
     broker.on_timer(20 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [], "it came back in time");
     broker.remove_watcher(30, back);
@@ -130,7 +143,7 @@
 fn limits_hold_and_finished_jobs_are_evicted_first() {
     let limits = Limits { jobs: 3, streams_per_tenant: 2, ..Limits::default() };
     let mut broker = EventBroker::new(limits);
-    let ids: Vec<u64> =
+    let ids: Vec<JobId> =
         (0..3).map(|n| broker.add_job(0, new_job(n, TOKEN, 0, false)).expect("room")).collect();
     assert_eq!(
         broker.add_job(0, new_job(9, TOKEN, 0, false)),
@@ -139,12 +152,16 @@
     );
     broker.finish(5, ids[1], "done", "x".into(), &mut Vec::new());
     broker.add_job(6, new_job(9, TOKEN, 1, false)).expect("the finished one gave way");
-    assert_eq!((broker.watch(1, TOKEN, None), broker.evicted), (Err(BrokerError::Unknown), 1));
-    let held = [broker.watch(0, TOKEN, None), broker.watch(2, TOKEN, None)].map(|w| w.expect("room"));
-    assert_eq!(broker.watch(0, TOKEN, None), Err(BrokerError::TooManyStreams));
-    assert!(broker.watch(9, TOKEN, None).is_ok(), "another tenant's");
+    assert_eq!(
+        (watch(&mut broker, 1, TOKEN, None), broker.metrics().evicted),
+        (Err(BrokerError::Unknown), 1)
+    );
+    let held =
+        [watch(&mut broker, 0, TOKEN, None), watch(&mut broker, 2, TOKEN, None)].map(|w| w.expect("room"));
+    assert_eq!(watch(&mut broker, 0, TOKEN, None), Err(BrokerError::TooManyStreams));
+    assert!(watch(&mut broker, 9, TOKEN, None).is_ok(), "another tenant's");
     broker.remove_watcher(7, held[0]);
-    assert!(broker.watch(0, TOKEN, None).is_ok());
+    assert!(watch(&mut broker, 0, TOKEN, None).is_ok());
 }
 
 /// A client as a browser is: it keeps the id of the last event that it got whole, and comes back with it.
@@ -186,7 +203,7 @@
             _ => {
                 let client = &mut clients[rng.random_range(0..4)];
                 let Some(watcher) = client.watcher else {
-                    match broker.watch(1, TOKEN, client.last) {
+                    match watch(&mut broker, 1, TOKEN, client.last) {
                         Ok(watcher) => client.watcher = Some(watcher),
                         Err(BrokerError::Over) => {
                             assert_eq!(client.finals, 1, "seed {seed}: over without its end");
@@ -202,16 +219,16 @@
                         broker.remove_watcher(now, watcher);
                         client.watcher = None;
                     }
-                    Next::Event { event: &JobEvent { id, ref name, .. }, last, .. } => {
+                    Next::Event { event: &JobEvent { id, ref name, .. }, is_final, .. } => {
                         assert!(
                             client.last.is_none_or(|had| id > had),
                             "seed {seed}: {id} after {:?}",
                             client.last
                         );
                         client.last = Some(id);
-                        client.finals += usize::from(last);
+                        client.finals += usize::from(is_final);
                         client.names.push(name.clone());
-                        if last {
+                        if is_final {
                             broker.remove_watcher(now, watcher);
                             client.watcher = None;
                         }
--- a/src/protocol/event_streams/request.rs
+++ b/src/protocol/event_streams/request.rs
@@ -2,6 +2,7 @@
 
 use crate::protocol::names;
 use crate::protocol::platform::RawRequest;
+use mothproxy_streams::{PublicJobId, WatchToken};
 
 /// Digits of a job's public id.
 const PUBLIC_ID_DIGITS: usize = 16;
@@ -14,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamRequest {
     /// The job's public id; `None` where the path names none.
-    pub public_id: Option<u64>,
+    pub public_id: Option<PublicJobId>,
     /// The job's token; `None` where none can be read.
-    pub token: Option<u128>,
+    pub token: Option<WatchToken>,
     /// The last event that the client has.
     pub last_event_id: Option<u64>,
 }
@@ -46,8 +47,10 @@
     // The header wins: a browser sends it with each try, the query stays as it was at the first.
     let last_event_id = request.field("last-event-id").or(query_parameter(query, "last_event_id"));
     Some(StreamRequest {
-        public_id: parse_hex(public_id, PUBLIC_ID_DIGITS).and_then(|id| u64::try_from(id).ok()),
-        token: parse_hex(token, TOKEN_DIGITS),
+        public_id: parse_hex(public_id, PUBLIC_ID_DIGITS)
+            .and_then(|id| u64::try_from(id).ok())
+            .map(PublicJobId),
+        token: parse_hex(token, TOKEN_DIGITS).map(WatchToken),
         last_event_id: last_event_id.map(str::trim).and_then(parse_event_id),
     })
 }
--- a/src/protocol/event_streams/responses.rs
+++ b/src/protocol/event_streams/responses.rs
@@ -5,6 +5,7 @@
 use crate::protocol::message::connection_line;
 use crate::protocol::names::STREAM_PATH_PREFIX;
 use crate::protocol::platform::RawRequest;
+use mothproxy_streams::{PublicJobId, WatchToken};
 use serde_json::json;
 
 /// Methods that the path of a stream takes.
@@ -58,7 +59,8 @@
 }
 
 /// The response to a job that was submitted to be watched: the path of its stream.
-pub fn submitted(public_id: u64, token: u128, cors: &str, keep_alive: bool) -> Vec<Piece> {
+pub fn submitted(public_id: PublicJobId, token: WatchToken, cors: &str, keep_alive: bool) -> Vec<Piece> {
+    let (public_id, token) = (public_id.0, token.0);
     let location = format!("{STREAM_PATH_PREFIX}{public_id:016x}?token={token:032x}");
     let body =
         json!({ "stream": location, "id": format!("{public_id:016x}"), "token": format!("{token:032x}") })
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -16,7 +16,7 @@
 use crate::server::connection::Connection;
 use crate::server::downstream::Downstream;
 use crate::server::tokens::{STREAM_SWEEP_TIMER, Token};
-use mothproxy_streams::{Effect, EventBroker, JobId, Limits, NewJob, WatcherId};
+use mothproxy_streams::{Effect, EventBroker, JobId, Limits, NewJob, PublicJobId, WatchToken, WatcherId};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -78,15 +78,15 @@
 
     /// What the admin address shows of streams.
     pub fn metrics(&self) -> StreamMetrics {
-        let (jobs, watchers) = self.broker.counts();
+        let broker = self.broker.metrics();
         StreamMetrics {
-            jobs,
-            watchers,
-            bytes: self.broker.bytes(),
+            jobs: broker.jobs,
+            watchers: broker.watchers,
+            bytes: broker.bytes,
             submitted: self.submitted,
-            missed: self.broker.missed,
-            coalesced: self.broker.coalesced,
-            evicted: self.broker.evicted,
+            missed: broker.missed,
+            coalesced: broker.coalesced,
+            evicted: broker.evicted,
         }
     }
 
@@ -139,11 +139,11 @@
         let ends_unwatched = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
         let streams = self.event_streams.as_mut().ok_or(Reject::NoSuchPath)?;
         let cors = event_streams::cors(&raw, &streams.origins);
-        let public_id = random_bytes().map(u64::from_le_bytes);
-        let secret = random_bytes().map(u128::from_le_bytes);
-        let (public_id, secret) = public_id.zip(secret).ok_or(Reject::Overloaded)?;
+        let public_id = random_bytes().map(|bytes| PublicJobId(u64::from_le_bytes(bytes)));
+        let token = random_bytes().map(|bytes| WatchToken(u128::from_le_bytes(bytes)));
+        let (public_id, token) = public_id.zip(token).ok_or(Reject::Overloaded)?;
         let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
-        let new = NewJob { public_id, token: secret, tenant, ends_unwatched };
+        let new = NewJob { public_id, token, tenant, ends_unwatched };
         let job = streams.broker.add_job(self.now, new);
         let job = job.map_err(|_| Reject::Overloaded)?;
         request.downstream = Downstream::Job(job).to_number();
@@ -155,7 +155,7 @@
         streams.submitted += 1;
         self.pending.insert(request_id, raw);
         self.schedule_stream_sweep();
-        connection.outbox.push(event_streams::submitted(public_id, secret, &cors, keep_alive));
+        connection.outbox.push(event_streams::submitted(public_id, token, &cors, keep_alive));
         Ok(())
     }
 
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -55,8 +55,8 @@
 impl EventStreams {
     /// Opens a watcher. An id or token that cannot be read is as wrong as any other.
     fn open_watcher(&mut self, wanted: &StreamRequest) -> Result<WatcherId, BrokerError> {
-        let (public_id, secret) = wanted.public_id.zip(wanted.token).ok_or(BrokerError::Unknown)?;
-        self.broker.watch(public_id, secret, wanted.last_event_id)
+        let (public_id, token) = wanted.public_id.zip(wanted.token).ok_or(BrokerError::Unknown)?;
+        self.broker.watch(public_id, token, wanted.last_event_id)
     }
 
     /// What comes next for a watcher, as it is written.
@@ -64,10 +64,10 @@
         match self.broker.pull(watcher) {
             Next::Nothing => NextPieces::Nothing,
             Next::Missed(count) => NextPieces::More(event_streams::missed(frame, count)),
-            Next::Event { job, event, last } => {
+            Next::Event { job, event, is_final } => {
                 let bytes = encode(&mut self.last_encoded, job, event, frame);
                 let piece = Piece::Shared(bytes.clone(), 0..bytes.len());
-                if last { NextPieces::Last(piece) } else { NextPieces::More(vec![piece]) }
+                if is_final { NextPieces::Last(piece) } else { NextPieces::More(vec![piece]) }
             }
         }
     }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -48,7 +48,7 @@
     pub fn from_number(number: u64) -> Downstream {
         match number & JOB_FLAG {
             0 => Downstream::Connection(Token(number)),
-            _ => Downstream::Job(number & !JOB_FLAG),
+            _ => Downstream::Job(JobId(number & !JOB_FLAG)),
         }
     }
 
@@ -56,7 +56,7 @@
     pub fn to_number(self) -> u64 {
         match self {
             Downstream::Connection(token) => token.0,
-            Downstream::Job(job) => JOB_FLAG | job,
+            Downstream::Job(job) => JOB_FLAG | job.0,
         }
     }
 }
