--- a/crates/store/src/active_segment.rs
+++ b/crates/store/src/active_segment.rs
@@ -1,5 +1,6 @@
 //! The active segment: the one that is written to.
 
+use crate::UnixMillis;
 use crate::batch_group::BatchGroup;
 use crate::disk::write_all;
 use crate::error::{StoreError, io_error};
@@ -74,7 +75,7 @@
     }
 
     /// Encodes frames for the end of the segment.
-    pub fn encode(&self, group: &BatchGroup<'_>, first_seq: u64, now: u64) -> EncodedFrames {
+    pub fn encode(&self, group: &BatchGroup<'_>, first_seq: u64, now: UnixMillis) -> EncodedFrames {
         let mut encoded = EncodedFrames {
             bytes: Vec::with_capacity(group.encoded_len()),
             keys: Vec::new(),
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,6 +1,7 @@
 //! A batch: writes that take effect together or not at all.
 
 use crate::BatchError;
+use crate::UnixMillis;
 use crate::format::{self, Operation};
 use std::time::Duration;
 
@@ -65,8 +66,8 @@
         self.operations.is_empty()
     }
 
-    /// The operations as of a Unix time in milliseconds, if they are within bounds.
-    pub(crate) fn into_operations(self, now: u64) -> Result<Vec<Operation>, BatchError> {
+    /// The operations with times to live from `now` on, if they are within bounds.
+    pub(crate) fn into_operations(self, now: UnixMillis) -> Result<Vec<Operation>, BatchError> {
         let mut operations = self.operations;
         for (operation, ttl) in operations.iter_mut().zip(self.ttls) {
             operation.expires_at = ttl.map(|ttl| now.saturating_add(ttl.as_millis() as u64));
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -1,5 +1,6 @@
 //! Compaction: segments that change no more are merged into one that has only what still counts.
 
+use crate::UnixMillis;
 use crate::disk::{Disk, DiskFile};
 use crate::error::{StoreError, io_error};
 use crate::format::{Header, Operation, SegmentNumbers};
@@ -31,8 +32,8 @@
 pub struct Compaction {
     pub(crate) disk: Arc<dyn Disk>,
     pub(crate) selection: SegmentSelection,
-    /// Unix time in milliseconds: what has expired by then is left out.
-    pub(crate) now: u64,
+    /// What has expired by then is left out.
+    pub(crate) now: UnixMillis,
     /// The salt of the merged segment.
     pub(crate) salt: u64,
     /// The number of the next operation.
--- a/crates/store/src/format/footer.rs
+++ b/crates/store/src/format/footer.rs
@@ -3,6 +3,7 @@
 use super::integer::{put_varint, u32_at, u64_at, varint};
 use super::record::RecordLocation;
 use super::{crc, crc_at};
+use crate::UnixMillis;
 
 pub(super) const FOOTER_MAGIC: u32 = 0x4d46_4f4f;
 const TRAILER_MAGIC: u32 = 0x4d54_5241;
@@ -37,8 +38,8 @@
     pub count: u32,
     /// The number after that of its last operation.
     pub next_seq: u64,
-    /// When it was sealed, Unix time in milliseconds.
-    pub sealed_at: u64,
+    /// When it was sealed.
+    pub sealed_at: UnixMillis,
 }
 
 /// The entries of a footer as its head or its trailer describes them.
--- a/crates/store/src/format/frame.rs
+++ b/crates/store/src/format/frame.rs
@@ -4,6 +4,7 @@
 use super::integer::{put_varint, u32_at, u64_at, varint};
 use super::record::EncodedBatch;
 use super::{crc, crc_at};
+use crate::UnixMillis;
 
 pub(super) const FRAME_MAGIC: u32 = 0x4d46_5241;
 /// Length of the head of a frame.
@@ -24,8 +25,8 @@
     pub first_seq: u64,
     /// Up to where this segment was durable when the frame was written, in bytes.
     pub durable_len: u32,
-    /// When it was written, Unix time in milliseconds.
-    pub written_at: u64,
+    /// When it was written.
+    pub written_at: UnixMillis,
     /// How many operations it has.
     pub count: u32,
 }
@@ -48,8 +49,8 @@
     pub first_seq: u64,
     /// Up to where the segment is durable, in bytes.
     pub durable_len: u32,
-    /// Unix time in milliseconds.
-    pub written_at: u64,
+    /// When it is written.
+    pub written_at: UnixMillis,
 }
 
 /// An encoded frame.
--- a/crates/store/src/format/record.rs
+++ b/crates/store/src/format/record.rs
@@ -2,6 +2,7 @@
 
 use super::integer::{put_varint, u32_at, varint};
 use super::{crc, fingerprint};
+use crate::UnixMillis;
 use crate::{BatchError, MAX_BATCH, MAX_KEY, MAX_VALUE};
 
 /// Most bytes of a record beside its key and its value.
@@ -18,8 +19,8 @@
     pub key: Vec<u8>,
     /// Its value; `None` deletes.
     pub value: Option<Vec<u8>>,
-    /// When it expires, Unix time in milliseconds.
-    pub expires_at: Option<u64>,
+    /// When it expires.
+    pub expires_at: Option<UnixMillis>,
 }
 
 impl Operation {
@@ -75,13 +76,13 @@
     pub len: u32,
     /// It deletes its key.
     pub is_tombstone: bool,
-    /// When it expires, Unix time in milliseconds.
-    pub expires_at: Option<u64>,
+    /// When it expires.
+    pub expires_at: Option<UnixMillis>,
 }
 
 impl RecordLocation {
-    /// Whether the record has expired at a Unix time in milliseconds.
-    pub fn is_expired(&self, now: u64) -> bool {
+    /// Whether the record has expired by `now`.
+    pub fn is_expired(&self, now: UnixMillis) -> bool {
         self.expires_at.is_some_and(|at| now >= at)
     }
 }
@@ -137,8 +138,8 @@
     pub key: &'a [u8],
     /// `None` deletes.
     pub value: Option<&'a [u8]>,
-    /// When it expires, Unix time in milliseconds.
-    pub expires_at: Option<u64>,
+    /// When it expires.
+    pub expires_at: Option<UnixMillis>,
     /// Its length with everything.
     pub len: usize,
     /// The bytes that its checksum covers, and the checksum that is written behind them.
--- a/crates/store/src/index/run.rs
+++ b/crates/store/src/index/run.rs
@@ -1,5 +1,6 @@
 //! A run: the keys of one segment, sorted, each with the location of its newest record there. It holds no values.
 
+use crate::UnixMillis;
 use crate::disk::DiskFile;
 use crate::error::StoreError;
 use crate::format::{IndexEntry, RecordLocation, SegmentNumbers};
@@ -41,7 +42,7 @@
     offset: u32,
     len: u32,
     /// 0 where it does not expire.
-    expires_at: u64,
+    expires_at: UnixMillis,
 }
 
 impl Slot {
--- a/crates/store/src/index/view.rs
+++ b/crates/store/src/index/view.rs
@@ -2,6 +2,7 @@
 
 use super::run::{Run, Segment};
 use super::walk::{Source, Walk};
+use crate::UnixMillis;
 use crate::disk::read_range;
 use crate::error::{StoreError, io_error};
 use crate::format::{self, RecordLocation};
@@ -129,12 +130,12 @@
         Ok(None)
     }
 
-    /// The value of a key at this time (Unix, in milliseconds).
+    /// The value of a key at this time.
     ///
     /// # Errors
     ///
     /// Those of [`View::find`], [`StoreError::Damaged`] and [`StoreError::Io`].
-    pub fn get(&self, key: &[u8], now: u64) -> Result<Option<Vec<u8>>, StoreError> {
+    pub fn get(&self, key: &[u8], now: UnixMillis) -> Result<Option<Vec<u8>>, StoreError> {
         match self.find(key)? {
             Some(hit) if !hit.location.is_expired(now) => hit.read(key),
             _ => Ok(None),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -35,6 +35,7 @@
 mod writer;
 
 pub use batch::Batch;
+pub use clock::UnixMillis;
 pub use compaction::{Compaction, DamagedRecords, MergedSegment};
 pub use error::{BatchError, StoreError};
 pub use format::{Operation, VERSION, fingerprint};
--- a/crates/store/src/merged_file.rs
+++ b/crates/store/src/merged_file.rs
@@ -1,5 +1,6 @@
 //! The file of a merged segment while a compaction writes it.
 
+use crate::UnixMillis;
 use crate::disk::{DiskFile, write_all};
 use crate::error::{StoreError, io_error};
 use crate::format::{self, EncodedBatch, FrameStart, Header, IndexEntry, Operation, Trailer};
@@ -13,7 +14,7 @@
     file: &'a dyn DiskFile,
     name: &'a str,
     salt: u64,
-    now: u64,
+    now: UnixMillis,
     /// Encoded, and not written yet.
     buffer: Vec<u8>,
     written: u64,
@@ -26,7 +27,7 @@
 
 impl<'a> MergedFile<'a> {
     /// A file that begins with `header`.
-    pub fn new(file: &'a dyn DiskFile, name: &'a str, header: Header, now: u64) -> MergedFile<'a> {
+    pub fn new(file: &'a dyn DiskFile, name: &'a str, header: Header, now: UnixMillis) -> MergedFile<'a> {
         MergedFile {
             file,
             name,
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,5 +1,6 @@
 //! Recovery: which files of a directory count, and the index that follows from them. Nothing is changed.
 
+use crate::UnixMillis;
 use crate::disk::{Disk, DiskFile};
 use crate::error::{StoreError, io_error};
 use crate::format::{self, HEADER_LEN, Header, HeaderFault, SegmentNumbers};
@@ -53,8 +54,8 @@
     /// The number of the next segment.
     pub next_segment: u64,
     pub next_seq: u64,
-    /// The latest time that a segment names, Unix time in milliseconds.
-    pub written_at: u64,
+    /// The latest time that a segment names.
+    pub written_at: UnixMillis,
     /// Up to where the last segment is valid, in bytes.
     pub last_end: u64,
     /// Files that may be removed: replaced by a merged segment, or left unfinished.
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -1,5 +1,6 @@
 //! A scan: the frames of a segment in order, and the holes between them where nothing can be read.
 
+use crate::UnixMillis;
 use crate::format::{self, FRAME_HEAD_LEN, FrameHead, HEADER_LEN, Probe, Record};
 
 /// A place where something cannot be read.
@@ -43,8 +44,8 @@
     /// Bytes behind it that do not count.
     pub torn: usize,
     pub next_seq: u64,
-    /// The latest time that a frame names, Unix time in milliseconds.
-    pub written_at: u64,
+    /// The latest time that a frame names.
+    pub written_at: UnixMillis,
 }
 
 /// Scans the frames of a segment. `limit`: up to where the segment is valid, where its successor says so; without one the
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -1,5 +1,6 @@
 //! Loading one segment: its index from the footer, or by a scan where there is no footer that is whole.
 
+use crate::UnixMillis;
 use crate::disk::{DiskFile, read_range};
 use crate::error::{StoreError, io_error};
 use crate::format::{self, DecodedHeader, FOOTER_HEAD_LEN, FRAME_HEAD_LEN, HEADER_LEN, Header, HeaderFault};
@@ -22,8 +23,8 @@
     /// Bytes at the end that were never acknowledged.
     pub torn: u64,
     pub next_seq: u64,
-    /// The latest time that it names, Unix time in milliseconds.
-    pub written_at: u64,
+    /// The latest time that it names.
+    pub written_at: UnixMillis,
     /// Up to where it is valid, in bytes.
     pub end: u64,
 }
--- a/crates/store/src/segment_usage.rs
+++ b/crates/store/src/segment_usage.rs
@@ -1,5 +1,6 @@
 //! How much of each segment still counts: what a compaction would free.
 
+use crate::UnixMillis;
 use crate::format::HEADER_LEN;
 use crate::index::{Layer, Run, View, Walk, runs};
 use crate::plan::SegmentUsage;
@@ -16,7 +17,7 @@
 }
 
 /// What is known of the segments that take no more writes. It walks through all keys.
-pub(crate) fn segment_usage(view: &View, now: u64) -> Vec<SegmentUsage> {
+pub(crate) fn segment_usage(view: &View, now: UnixMillis) -> Vec<SegmentUsage> {
     let runs: Vec<Arc<Run>> = runs(&view.layers).cloned().collect();
     let names = segment_names(&runs);
     let index_of = |name: &str| names.iter().position(|known| known == name);
--- /dev/null
+++ b/crates/store/src/sim/inode.rs
@@ -0,0 +1,125 @@
+//! A file of the simulated disk: what a reader sees, and what a power cut does not lose.
+
+use crate::random::Rng;
+
+/// A change that may not be durable yet.
+#[derive(Clone, Debug)]
+pub(super) enum Change {
+    Write { offset: u64, bytes: Vec<u8> },
+    Truncate { len: u64 },
+}
+
+impl Change {
+    /// Applies the change to the bytes of a file.
+    fn apply_to(&self, file: &mut Vec<u8>) {
+        match self {
+            Change::Write { offset, bytes } => {
+                let start = *offset as usize;
+                let end = start + bytes.len();
+                if file.len() < end {
+                    file.resize(end, 0);
+                }
+                file[start..end].copy_from_slice(bytes);
+            }
+            Change::Truncate { len } => file.resize(*len as usize, 0),
+        }
+    }
+}
+
+/// A file.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Inode {
+    /// What a reader sees, as in a page cache.
+    cached: Vec<u8>,
+    /// What a power cut does not lose.
+    durable: Vec<u8>,
+    /// The changes since then.
+    unsynced: Vec<Change>,
+}
+
+impl Inode {
+    /// A file whose bytes are all durable.
+    pub fn durable(bytes: Vec<u8>) -> Inode {
+        Inode { cached: bytes.clone(), durable: bytes, unsynced: Vec::new() }
+    }
+
+    /// The bytes as a reader sees them.
+    pub fn bytes(&self) -> &[u8] {
+        &self.cached
+    }
+
+    pub fn len(&self) -> u64 {
+        self.cached.len() as u64
+    }
+
+    /// Makes a change that a reader sees at once.
+    pub fn change(&mut self, change: Change) {
+        change.apply_to(&mut self.cached);
+        self.unsynced.push(change);
+    }
+
+    /// Makes all changes durable.
+    pub fn sync(&mut self) {
+        for change in std::mem::take(&mut self.unsynced) {
+            change.apply_to(&mut self.durable);
+        }
+    }
+
+    /// A sync that fails: some of the changes are durable, the others never will be.
+    pub fn sync_in_part(&mut self, rng: &mut Rng) {
+        for change in std::mem::take(&mut self.unsynced) {
+            if rng.once_in(2) {
+                change.apply_to(&mut self.durable);
+            }
+        }
+    }
+
+    /// The file after a power cut: unsynced bytes may have reached the disk in any selection, and each write in part.
+    pub fn after_power_cut(&self, rng: &mut Rng) -> Inode {
+        let mut bytes = self.durable.clone();
+        let selection = Selection::random(rng);
+        for change in &self.unsynced {
+            let is_whole = match selection {
+                Selection::All => true,
+                Selection::Some => rng.once_in(2),
+                Selection::Partial => false,
+            };
+            match change {
+                _ if is_whole => change.apply_to(&mut bytes),
+                Change::Write { offset, bytes: written } if rng.once_in(2) => {
+                    tear_write(&mut bytes, *offset, written, rng);
+                }
+                _ => {}
+            }
+        }
+        Inode::durable(bytes)
+    }
+}
+
+/// Applies a first part of a write. The length of the file may be there before the bytes are.
+fn tear_write(file: &mut Vec<u8>, offset: u64, written: &[u8], rng: &mut Rng) {
+    let part = rng.below(written.len() as u64 + 1) as usize;
+    Change::Write { offset, bytes: written[..part].to_vec() }.apply_to(file);
+    let end = offset as usize + written.len();
+    if rng.once_in(4) && file.len() < end {
+        file.resize(end, 0);
+    }
+}
+
+/// Which unsynced writes of a file survive a power cut in full.
+#[derive(Clone, Copy, Debug)]
+enum Selection {
+    All,
+    Some,
+    Partial,
+}
+
+impl Selection {
+    fn random(rng: &mut Rng) -> Selection {
+        match rng.below(3) {
+            0 => Selection::All,
+            1 => Selection::Some,
+            _ => Selection::Partial,
+        }
+    }
+}
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,5 +1,6 @@
 //! Reading: snapshots, iteration and statistics.
 
+use crate::UnixMillis;
 use crate::clock::Clock;
 use crate::disk::{DirectoryLock, Disk, LockMode, RealDisk};
 use crate::error::{StoreError, io_error};
@@ -40,11 +41,11 @@
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     view: View,
-    now: u64,
+    now: UnixMillis,
 }
 
 impl Snapshot {
-    pub(crate) fn new(view: View, now: u64) -> Snapshot {
+    pub(crate) fn new(view: View, now: UnixMillis) -> Snapshot {
         Snapshot { view, now }
     }
 
@@ -89,7 +90,7 @@
 /// Records in order of their keys.
 pub struct Iter {
     walk: Walk,
-    now: u64,
+    now: UnixMillis,
 }
 
 impl Iterator for Iter {
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -5,6 +5,7 @@
 mod write_pipeline;
 
 use crate::Options;
+use crate::UnixMillis;
 use crate::batch::Batch;
 use crate::clock::Clock;
 use crate::compaction::DamagedRecords;
@@ -166,8 +167,8 @@
         Snapshot::new(view_of(&self.context.view), self.context.clock.now())
     }
 
-    /// The store's time: Unix time in milliseconds, never less than it has seen.
-    pub fn now(&self) -> u64 {
+    /// The store's time, never less than it has seen.
+    pub fn now(&self) -> UnixMillis {
         self.context.clock.now()
     }
 
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -50,18 +50,18 @@
         let io = || io_error("cannot read", &segment.name);
         let len = segment.file.len().map_err(io())?;
         let bytes = read_range(&*segment.file, 0, len as usize).map_err(io())?;
-        let sealed_at = format::decode_trailer(&bytes, segment.salt).map(|(trailer, _)| trailer.data_end);
-        self.verify_records(segment, &bytes, sealed_at);
+        let data_end = format::decode_trailer(&bytes, segment.salt).map(|(trailer, _)| trailer.data_end);
+        self.verify_records(segment, &bytes, data_end);
         let has_damaged_head =
-            sealed_at.is_some_and(|end| format::probe(&bytes, segment.salt, end as usize) != Probe::Footer);
+            data_end.is_some_and(|end| format::probe(&bytes, segment.salt, end as usize) != Probe::Footer);
         if has_damaged_head && !self.has_damage(segment, |_| true) {
-            self.add_damage(segment, sealed_at.unwrap_or(0), "the head of its footer is damaged");
+            self.add_damage(segment, data_end.unwrap_or(0), "the head of its footer is damaged");
         }
         Ok(())
     }
 
-    fn verify_records(&mut self, segment: &Segment, bytes: &[u8], sealed_at: Option<u64>) {
-        for item in &scan(bytes, segment.salt, sealed_at, 0).items {
+    fn verify_records(&mut self, segment: &Segment, bytes: &[u8], data_end: Option<u64>) {
+        for item in &scan(bytes, segment.salt, data_end, 0).items {
             match item {
                 ScanItem::Frame { offset, head } => {
                     let body = &bytes[offset + FRAME_HEAD_LEN..][..head.body_len as usize];
@@ -69,7 +69,7 @@
                 }
                 ScanItem::Hole(hole) => {
                     let offset = hole.from as u64;
-                    if sealed_at.is_some() && !self.has_damage(segment, |known| known == offset) {
+                    if data_end.is_some() && !self.has_damage(segment, |known| known == offset) {
                         let what = format!("{} bytes of records are damaged", hole.len());
                         self.add_damage(segment, offset, &what);
                     }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,6 +1,7 @@
 //! The writer: the store without threads, over any disk. Everything happens in the call that asks for it, so that a simulated
 //! disk can be made to fail at any step.
 
+use crate::UnixMillis;
 use crate::active_segment::ActiveSegment;
 use crate::batch_group::BatchGroup;
 use crate::compaction::{Compaction, MergedSegment, SegmentSelection, SegmentSet};
@@ -48,8 +49,8 @@
     pub shared: SharedView,
     /// What was found.
     pub recovery: Recovery,
-    /// The latest time that was written, Unix time in milliseconds.
-    pub written_at: u64,
+    /// The latest time that was written.
+    pub written_at: UnixMillis,
 }
 
 /// Opens a directory for writing: what is left over from a cut compaction is removed, everything else stays as it is.
@@ -121,7 +122,7 @@
         &mut self,
         shared: &SharedView,
         batches: &[&[Operation]],
-        now: u64,
+        now: UnixMillis,
     ) -> Result<(), StoreError> {
         let encode = |operations: &&[Operation]| Arc::new(EncodedBatch::new(operations, self.salt));
         let encoded: Vec<Arc<EncodedBatch>> = batches.iter().map(encode).collect();
@@ -135,7 +136,7 @@
         &mut self,
         shared: &SharedView,
         batches: &[Arc<EncodedBatch>],
-        now: u64,
+        now: UnixMillis,
     ) -> Result<(), StoreError> {
         let result = self.append(shared, batches, now);
         match &result {
@@ -155,7 +156,7 @@
         &mut self,
         shared: &SharedView,
         batches: &[Arc<EncodedBatch>],
-        now: u64,
+        now: UnixMillis,
     ) -> Result<(), StoreError> {
         let rewritten = if self.must_rewrite { self.unsynced.clone() } else { Vec::new() };
         let group = BatchGroup::new(rewritten.iter().chain(batches));
@@ -171,13 +172,9 @@
         active.write_zeros_ahead(encoded.bytes.len(), self.options.segment_bytes);
         let is_synced = self.options.sync == SyncMode::Always;
         if is_synced {
-            self.metrics.syncs += 1;
-            if let Err(error) = active.sync() {
-                let name = active.segment().name.clone();
-                self.abandon_active(shared);
-                return Err(io_error("cannot sync", &name)(error));
-            }
+            self.sync_active(shared)?;
         }
+        let Some(active) = &mut self.active else { return Err(StoreError::Closed) };
         self.metrics.bytes_written += encoded.bytes.len() as u64;
         self.next_seq = encoded.next_seq;
         active.on_written(&encoded);
@@ -197,7 +194,12 @@
     }
 
     /// Makes sure that there is an active segment with room for so many bytes.
-    fn prepare_segment(&mut self, shared: &SharedView, len: usize, now: u64) -> Result<(), StoreError> {
+    fn prepare_segment(
+        &mut self,
+        shared: &SharedView,
+        len: usize,
+        now: UnixMillis,
+    ) -> Result<(), StoreError> {
         if let Some(active) = &self.active {
             if !active.has_room_for(len, self.options.segment_bytes) {
                 self.seal(shared, now)?;
@@ -214,21 +216,31 @@
     /// # Errors
     ///
     /// A [`StoreError`]; what was acknowledged is written again with the next group then.
-    pub fn sync(&mut self, shared: &SharedView, now: u64) -> Result<(), StoreError> {
+    pub fn sync(&mut self, shared: &SharedView, now: UnixMillis) -> Result<(), StoreError> {
         if self.must_rewrite {
             self.append(shared, &[], now)?;
             publish(shared, &self.unpublished);
         }
-        let Some(active) = self.active.as_mut().filter(|active| !active.is_durable()) else { return Ok(()) };
+        if self.active.as_ref().is_none_or(ActiveSegment::is_durable) {
+            return Ok(());
+        }
+        self.sync_active(shared).inspect_err(|_| self.metrics.failures += 1)?;
+        if let Some(active) = &mut self.active {
+            active.on_synced();
+        }
+        self.unsynced.clear();
+        Ok(())
+    }
+
+    /// Waits until the file of the active segment is durable. Where that fails, the segment is abandoned.
+    fn sync_active(&mut self, shared: &SharedView) -> Result<(), StoreError> {
+        let Some(active) = &self.active else { return Ok(()) };
         self.metrics.syncs += 1;
         if let Err(error) = active.sync() {
             let name = active.segment().name.clone();
-            self.metrics.failures += 1;
             self.abandon_active(shared);
             return Err(io_error("cannot sync", &name)(error));
         }
-        active.on_synced();
-        self.unsynced.clear();
         Ok(())
     }
 
@@ -251,7 +263,7 @@
     /// # Errors
     ///
     /// A [`StoreError`]; what was acknowledged still counts.
-    pub fn seal(&mut self, shared: &SharedView, now: u64) -> Result<(), StoreError> {
+    pub fn seal(&mut self, shared: &SharedView, now: UnixMillis) -> Result<(), StoreError> {
         // What a footer names must be durable before the footer could be.
         self.sync(shared, now)?;
         let Some(active) = &self.active else { return Ok(()) };
@@ -312,14 +324,14 @@
         }
     }
 
-    /// A compaction of all segments at a Unix time in milliseconds; `None` where there are none.
-    pub fn plan_full_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
+    /// A compaction of all segments; `None` where there are none.
+    pub fn plan_full_compaction(&self, view: &View, now: UnixMillis) -> Option<Compaction> {
         let segments = segment_usage(view, now).len();
         if segments == 0 { None } else { self.compaction_of(view, 0..segments, SegmentSet::All, now) }
     }
 
     /// A compaction of those segments for which it pays off, if there are any.
-    pub fn plan_compaction(&self, view: &View, now: u64) -> Option<Compaction> {
+    pub fn plan_compaction(&self, view: &View, now: UnixMillis) -> Option<Compaction> {
         let range = plan::range_to_compact(&segment_usage(view, now), self.min_dead_bytes())?;
         self.compaction_of(view, range, SegmentSet::Some, now)
     }
@@ -330,7 +342,7 @@
         view: &View,
         range: Range<usize>,
         set: SegmentSet,
-        now: u64,
+        now: UnixMillis,
     ) -> Option<Compaction> {
         // All together stand for every number there was, also for those that are lost.
         let last = self.active.is_none().then(|| self.next_segment - 1);
