--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -3,8 +3,8 @@
 use mothproxy_store::disk::Disk;
 use mothproxy_store::sim::{Faults, Rng, SimDisk};
 use mothproxy_store::{
-    DamagedRecords, OpenedWriter, Operation, Options, SharedView, StoreError, SyncMode, Writer, open_writer,
-    verify, view_of,
+    Compaction, DamagedRecords, OpenedWriter, Operation, Options, SharedView, StoreError, SyncMode, Writer,
+    open_writer, verify, view_of,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -73,7 +73,6 @@
 }
 
 /// One history: operations, compactions, faults, and crashes at any call; the contents are compared after each crash.
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
 fn history(seed: u64) {
     let mut rng = Rng::new(seed);
     let mut disk = SimDisk::new(rng.next_u64());
@@ -83,79 +82,109 @@
         Options { segment_bytes: 600 + rng.below(3000) as u32, sync: mode, seed, ..Options::default() };
     let mut model = Model::default();
     for _ in 0..1 + rng.below(5) {
-        let Ok((mut writer, shared)) = open(&disk, options) else { panic!("seed {seed}: cannot open") };
+        let Ok((writer, shared)) = open(&disk, options) else { panic!("seed {seed}: cannot open") };
         let found = contents(&shared).expect("sound records");
         assert!(
             model.allows(&found),
             "seed {seed}: found {} keys that no order of writes gives",
             found.len()
         );
+        let reads = found.clone();
         model = Model { sure: found, perhaps: Vec::new() };
-        if rng.once_in(2) {
-            let rate = |rng: &mut Rng| if rng.once_in(2) { 3 + rng.below(30) } else { 0 };
-            let (short, full, broken, sync) =
-                (rate(&mut rng), rate(&mut rng), rate(&mut rng), rate(&mut rng));
-            disk.set_faults(Faults { short, full, broken, sync });
-        }
-        if rng.once_in(2) {
-            disk.cut_after(1 + rng.below(60));
-        }
-        let mut reads = model.sure.clone();
+        inject_faults(&disk, &mut rng);
+        let mut life = Life { writer, shared, mode, model, reads };
         for step in 0..rng.below(40) {
-            match rng.below(10) {
-                0 => {
-                    let all = rng.once_in(2);
-                    if all && writer.seal(&shared, step).is_err() {
-                        continue;
-                    }
-                    let view = view_of(&shared);
-                    let compaction = if all {
-                        writer.plan_full_compaction(&view, step)
-                    } else {
-                        writer.plan_compaction(&view, step)
-                    };
-                    if let Some(merge) = compaction
-                        && let Ok(merged) = merge.run(DamagedRecords::Refuse)
-                    {
-                        let _ = writer.install(&shared, merged); // a failure must cost nothing
-                    }
-                }
-                1 if writer.sync(&shared, step).is_ok() => {
-                    model.sure = reads.clone();
-                    // It may have had nothing to do: what failed is gone for sure only once something is written.
-                    model.perhaps.retain(|(failed, _)| *failed);
-                }
-                _ => {
-                    let batches: Vec<Vec<Operation>> = (0..1 + rng.below(3))
-                        .map(|_| (0..1 + rng.below(3)).map(|_| random_op(&mut rng)).collect())
-                        .collect();
-                    let group: Vec<Operation> = batches.iter().flatten().cloned().collect();
-                    let slices: Vec<&[Operation]> = batches.iter().map(Vec::as_slice).collect();
-                    match writer.commit(&shared, &slices, step) {
-                        Ok(()) => {
-                            apply(&mut reads, &group);
-                            if mode == SyncMode::Always {
-                                model.sure = reads.clone();
-                                model.perhaps.clear();
-                            } else {
-                                model.perhaps.push((false, group));
-                            }
-                        }
-                        Err(_) => model.perhaps.push((true, group)),
-                    }
+            life.step(&mut rng, step, seed);
+        }
+        model = life.model;
+        // Either the power goes, or the process ends and the files stay as they are.
+        let keeps_files = rng.once_in(4) && mode == SyncMode::Always;
+        disk = if keeps_files { disk.copy() } else { disk.reboot(rng.next_u64()) };
+    }
+}
+
+fn inject_faults(disk: &SimDisk, rng: &mut Rng) {
+    if rng.once_in(2) {
+        let rate = |rng: &mut Rng| if rng.once_in(2) { 3 + rng.below(30) } else { 0 };
+        let (short, full, broken, sync) = (rate(rng), rate(rng), rate(rng), rate(rng));
+        disk.set_faults(Faults { short, full, broken, sync });
+    }
+    if rng.once_in(2) {
+        disk.cut_after(1 + rng.below(60));
+    }
+}
+
+/// A store from its opening to a crash.
+struct Life {
+    writer: Writer,
+    shared: SharedView,
+    mode: SyncMode,
+    model: Model,
+    /// What must be read.
+    reads: Contents,
+}
+
+impl Life {
+    fn step(&mut self, rng: &mut Rng, step: u64, seed: u64) {
+        match rng.below(10) {
+            0 if rng.once_in(2) => {
+                if self.compact_all(step).is_err() {
+                    return;
                 }
             }
-            // What was acknowledged reads back, whatever failed since.
-            if rng.once_in(6) {
-                assert_eq!(contents(&shared).expect("sound records"), reads, "seed {seed}: reads differ");
+            0 => self.compact_some(step),
+            1 if self.writer.sync(&self.shared, step).is_ok() => {
+                self.model.sure = self.reads.clone();
+                // It may have had nothing to do: what failed is gone for sure only once something is written.
+                self.model.perhaps.retain(|(failed, _)| *failed);
             }
+            _ => self.commit(rng, step),
         }
-        // Either the power goes, or the process ends and the files stay as they are.
-        disk = if rng.once_in(4) {
-            if mode == SyncMode::Always { disk.copy() } else { disk.reboot(rng.next_u64()) }
+        // What was acknowledged reads back, whatever failed since.
+        if rng.once_in(6) {
+            let found = contents(&self.shared).expect("sound records");
+            assert_eq!(found, self.reads, "seed {seed}: reads differ");
+        }
+    }
+
+    /// Compacts all there is; an error where it cannot be sealed first.
+    fn compact_all(&mut self, step: u64) -> Result<(), StoreError> {
+        self.writer.seal(&self.shared, step)?;
+        let compaction = self.writer.plan_full_compaction(&view_of(&self.shared), step);
+        self.carry_out(compaction);
+        Ok(())
+    }
+
+    /// Compacts what pays off.
+    fn compact_some(&mut self, step: u64) {
+        let compaction = self.writer.plan_compaction(&view_of(&self.shared), step);
+        self.carry_out(compaction);
+    }
+
+    fn carry_out(&mut self, compaction: Option<Compaction>) {
+        if let Some(compaction) = compaction
+            && let Ok(merged) = compaction.run(DamagedRecords::Refuse)
+        {
+            let _ = self.writer.install(&self.shared, merged); // a failure must cost nothing
+        }
+    }
+
+    fn commit(&mut self, rng: &mut Rng, step: u64) {
+        let batches: Vec<Vec<Operation>> =
+            (0..1 + rng.below(3)).map(|_| (0..1 + rng.below(3)).map(|_| random_op(rng)).collect()).collect();
+        let group: Vec<Operation> = batches.iter().flatten().cloned().collect();
+        let slices: Vec<&[Operation]> = batches.iter().map(Vec::as_slice).collect();
+        if self.writer.commit(&self.shared, &slices, step).is_err() {
+            self.model.perhaps.push((true, group));
+            return;
+        }
+        apply(&mut self.reads, &group);
+        if self.mode == SyncMode::Always {
+            self.model.sure = self.reads.clone();
+            self.model.perhaps.clear();
         } else {
-            disk.reboot(rng.next_u64())
-        };
+            self.model.perhaps.push((false, group));
+        }
     }
 }
 
