--- a/crates/streams/tests/broker.rs
+++ b/crates/streams/tests/broker.rs
@@ -175,84 +175,118 @@
 }
 
 /// Several watchers of one job under drops, evictions, slow reading and transfer to another broker.
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
-fn history(seed: u64) {
-    let mut rng = SmallRng::seed_from_u64(seed);
-    let limits = Limits { ring_events: 2 + rng.random_range(0..6), ..Limits::default() };
-    let mut broker = EventBroker::new(limits);
-    let mut job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("room");
-    let mut clients: Vec<Client> = (0..4).map(|_| Client::default()).collect();
-    let (mut published, total) = (0u64, 2 + rng.random_range(0..40));
-    for now in 0..10_000u64 {
-        match rng.random_range(0..10) {
-            0..3 if published < total => {
-                published += 1;
-                match published {
-                    1 => broker.publish(job, "started", "{}".into(), &mut Vec::new()),
-                    n if n == total => broker.finish(now, job, "done", "x".into(), &mut Vec::new()),
-                    n => drop(progress(&mut broker, job, n)),
+struct History {
+    seed: u64,
+    rng: SmallRng,
+    limits: Limits,
+    broker: EventBroker,
+    job: JobId,
+    clients: Vec<Client>,
+    published: u64,
+    /// Events of the job, the final one included.
+    total: u64,
+}
+
+impl History {
+    fn new(seed: u64) -> History {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let limits = Limits { ring_events: 2 + rng.random_range(0..6), ..Limits::default() };
+        let (broker, job) = broker(limits);
+        let clients = (0..4).map(|_| Client::default()).collect();
+        let total = 2 + rng.random_range(0..40);
+        History { seed, rng, limits, broker, job, clients, published: 0, total }
+    }
+
+    fn run(mut self) {
+        for now in 0..10_000u64 {
+            self.step(now);
+            if self.published == self.total && self.clients.iter().all(|c| c.finals == 1) {
+                break;
+            }
+        }
+        let (seed, total) = (self.seed, self.total);
+        for client in &self.clients {
+            assert_eq!(client.finals, 1, "seed {seed}: finals");
+            assert_eq!(client.last, Some(total), "seed {seed}");
+            let starts = client.names.iter().filter(|n| *n == "started").count();
+            assert_eq!(starts, usize::from(total > 1), "seed {seed}: the start came {starts} times");
+        }
+    }
+
+    fn step(&mut self, now: u64) {
+        match self.rng.random_range(0..10) {
+            0..3 if self.published < self.total => self.publish(now),
+            3 if self.rng.random_ratio(1, 3) => self.transfer(now),
+            _ => self.read(now),
+        }
+    }
+
+    fn publish(&mut self, now: u64) {
+        self.published += 1;
+        match self.published {
+            1 => self.broker.publish(self.job, "started", "{}".into(), &mut Vec::new()),
+            n if n == self.total => {
+                self.broker.finish(now, self.job, "done", "x".into(), &mut Vec::new());
+            }
+            n => drop(progress(&mut self.broker, self.job, n)),
+        }
+    }
+
+    /// A hot restart: every stream ends, the job goes to another process.
+    fn transfer(&mut self, now: u64) {
+        let transferred: TransferredJob = self.broker.transfer(self.job).expect("it is there");
+        self.broker = EventBroker::new(self.limits);
+        self.job = self.broker.restore(now, transferred).expect("nobody has its id");
+        self.clients.iter_mut().for_each(|client| client.watcher = None);
+    }
+
+    /// A client connects, or reads what comes next.
+    fn read(&mut self, now: u64) {
+        let (seed, broker) = (self.seed, &mut self.broker);
+        let client = &mut self.clients[self.rng.random_range(0..4)];
+        let Some(watcher) = client.watcher else {
+            match watch(broker, 1, TOKEN, client.last) {
+                Ok(watcher) => client.watcher = Some(watcher),
+                Err(BrokerError::Over) => {
+                    assert_eq!(client.finals, 1, "seed {seed}: over without its end");
                 }
+                Err(why) => panic!("seed {seed}: {why:?}"),
             }
-            3 if rng.random_ratio(1, 3) => {
-                // An upgrade: every stream ends, the job goes to another process.
-                let transferred: TransferredJob = broker.transfer(job).expect("it is there");
-                broker = EventBroker::new(limits);
-                job = broker.restore(now, transferred).expect("nobody has its id");
-                clients.iter_mut().for_each(|c| c.watcher = None);
+            return;
+        };
+        let drops = self.rng.random_ratio(1, 6);
+        match broker.pull(watcher) {
+            // What was on its way when the client dropped is lost.
+            _ if drops => {
+                broker.remove_watcher(now, watcher);
+                client.watcher = None;
             }
-            _ => {
-                let client = &mut clients[rng.random_range(0..4)];
-                let Some(watcher) = client.watcher else {
-                    match watch(&mut broker, 1, TOKEN, client.last) {
-                        Ok(watcher) => client.watcher = Some(watcher),
-                        Err(BrokerError::Over) => {
-                            assert_eq!(client.finals, 1, "seed {seed}: over without its end");
-                        }
-                        Err(why) => panic!("seed {seed}: {why:?}"),
-                    }
-                    continue;
-                };
-                let drops = rng.random_ratio(1, 6);
-                match broker.pull(watcher) {
-                    // What was on its way when the client dropped is lost.
-                    _ if drops => {
-                        broker.remove_watcher(now, watcher);
-                        client.watcher = None;
-                    }
-                    Next::Event { event: &JobEvent { id, ref name, .. }, is_final, .. } => {
-                        assert!(
-                            client.last.is_none_or(|had| id > had),
-                            "seed {seed}: {id} after {:?}",
-                            client.last
-                        );
-                        client.last = Some(id);
-                        client.finals += usize::from(is_final);
-                        client.names.push(name.clone());
-                        if is_final {
-                            broker.remove_watcher(now, watcher);
-                            client.watcher = None;
-                        }
-                    }
-                    Next::Missed(n) => client.missed += n,
-                    Next::Nothing => {}
+            Next::Event { event, is_final, .. } => {
+                client.receive(event, is_final, seed);
+                if is_final {
+                    broker.remove_watcher(now, watcher);
+                    client.watcher = None;
                 }
             }
-        }
-        if published == total && clients.iter().all(|c| c.finals == 1) {
-            break;
+            Next::Missed(n) => client.missed += n,
+            Next::Nothing => {}
         }
     }
-    for client in &clients {
-        assert_eq!(client.finals, 1, "seed {seed}: finals");
-        assert_eq!(client.last, Some(total), "seed {seed}");
-        let starts = client.names.iter().filter(|n| *n == "started").count();
-        assert_eq!(starts, usize::from(total > 1), "seed {seed}: the start came {starts} times");
+}
+
+impl Client {
+    fn receive(&mut self, event: &JobEvent, is_final: bool, seed: u64) {
+        let (id, last) = (event.id, self.last);
+        assert!(last.is_none_or(|had| id > had), "seed {seed}: {id} after {last:?}");
+        self.last = Some(id);
+        self.finals += usize::from(is_final);
+        self.names.push(event.name.clone());
     }
 }
 
 #[test]
 fn seeded_histories_give_each_client_one_end_and_nothing_twice() {
     let count = std::env::var("STREAM_HISTORIES").ok().and_then(|t| t.parse().ok()).unwrap_or(3_000);
-    (0..count).for_each(history);
+    (0..count).for_each(|seed| History::new(seed).run());
     println!("histories: {count}");
 }
