--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -46,7 +46,7 @@
 pub use shared_view::{SharedView, view_of};
 pub use snapshot::{Iter, OpenedReader, Snapshot, Stat, open_reader};
 pub use store::Store;
-pub use verify::verify;
+pub use verify::{Verification, verify};
 pub use write_queue::{Callback, WriteResult};
 pub use writer::{OpenedWriter, Writer, open as open_writer};
 
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -68,7 +68,7 @@
     /// The bytes of its file.
     pub bytes: u64,
     /// The bytes of records that no longer count.
-    pub dead: u64,
+    pub dead_bytes: u64,
     /// It is damaged, and left as it is.
     pub is_damaged: bool,
 }
@@ -76,7 +76,7 @@
 impl SegmentUsage {
     /// What is gained by copying the segment, in bytes.
     fn gain(&self) -> f64 {
-        self.dead as f64 - (self.bytes.saturating_sub(self.dead)) as f64 * MIN_DEAD_PER_COPIED
+        self.dead_bytes as f64 - (self.bytes.saturating_sub(self.dead_bytes)) as f64 * MIN_DEAD_PER_COPIED
     }
 }
 
@@ -109,7 +109,7 @@
         }
         gain += segment.gain();
         bytes += segment.bytes;
-        let dead: u64 = segments[start..=index].iter().map(|segment| segment.dead).sum();
+        let dead: u64 = segments[start..=index].iter().map(|segment| segment.dead_bytes).sum();
         if dead >= min_dead && gain > best.as_ref().map_or(0.0, |(gain, _)| *gain) {
             best = Some((gain, start..index + 1));
         }
--- a/crates/store/src/plan/tests.rs
+++ b/crates/store/src/plan/tests.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 
 fn segment(bytes: u64, dead: u64) -> SegmentUsage {
-    SegmentUsage { bytes, dead, is_damaged: false }
+    SegmentUsage { bytes, dead_bytes: dead, is_damaged: false }
 }
 
 fn numbers(first: u64, last: u64) -> SegmentNumbers {
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -38,7 +38,7 @@
     /// Keys in them; one that is in two segments counts twice.
     pub keys: usize,
     /// Bytes of writes at the end that were never acknowledged, and are left out.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// Damage to what was acknowledged.
     pub damage: Vec<Damage>,
     /// Damage that costs nothing: an index that could be read from the records instead.
@@ -212,7 +212,7 @@
 
     fn add_segment(&mut self, loaded: LoadedSegment) {
         self.recovery.segments += 1;
-        self.recovery.torn += loaded.torn;
+        self.recovery.torn_bytes += loaded.torn_bytes;
         self.recovery.damage.extend(loaded.damage);
         self.recovery.warnings.extend(loaded.warnings);
         self.recovery.keys += loaded.layers.iter().filter_map(Layer::run).map(|run| run.len()).sum::<usize>();
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -42,7 +42,7 @@
     /// Where what counts ends, in bytes.
     pub end: usize,
     /// Bytes behind it that do not count.
-    pub torn: usize,
+    pub torn_bytes: usize,
     pub next_seq: u64,
     /// The latest time that a frame names.
     pub written_at: UnixMillis,
@@ -109,7 +109,7 @@
         let Some((index, from)) = torn else { return };
         // Zeros are what was written ahead, or what a file system left behind a cut write.
         let zeros = bytes[from..self.end].iter().rev().take_while(|byte| **byte == 0).count();
-        self.torn = self.end - from - zeros;
+        self.torn_bytes = self.end - from - zeros;
         self.end = from;
         self.items.truncate(index);
         self.next_seq = self.items.iter().rev().find_map(ScanItem::next_seq).unwrap_or(first_seq);
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -21,7 +21,7 @@
     /// Damage that costs nothing.
     pub warnings: Vec<Damage>,
     /// Bytes at the end that were never acknowledged.
-    pub torn: u64,
+    pub torn_bytes: u64,
     pub next_seq: u64,
     /// The latest time that it names.
     pub written_at: UnixMillis,
@@ -123,7 +123,7 @@
             layers: vec![Layer::Run(Arc::new(run))],
             damage: Vec::new(),
             warnings: Vec::new(),
-            torn: 0,
+            torn_bytes: 0,
             next_seq: trailer.next_seq,
             written_at: trailer.sealed_at,
             end: trailer.data_end,
@@ -186,7 +186,7 @@
             layers,
             damage,
             warnings: self.warnings,
-            torn: scanned.torn as u64,
+            torn_bytes: scanned.torn_bytes as u64,
             next_seq: scanned.next_seq,
             written_at: scanned.written_at,
             end: (scanned.end as u64).min(self.len),
--- a/crates/store/src/segment_usage.rs
+++ b/crates/store/src/segment_usage.rs
@@ -22,11 +22,11 @@
     let names = segment_names(&runs);
     let index_of = |name: &str| names.iter().position(|known| known == name);
     let segment_of: Vec<usize> = runs.iter().map(|run| index_of(&run.segment.name).unwrap_or(0)).collect();
-    let mut usage = vec![SegmentUsage { bytes: 0, dead: 0, is_damaged: false }; names.len()];
+    let mut usage = vec![SegmentUsage { bytes: 0, dead_bytes: 0, is_damaged: false }; names.len()];
     for (run, segment) in runs.iter().zip(&segment_of) {
         usage[*segment].bytes = run.file_len;
         // What no index names is dead: records that were overwritten within the segment.
-        usage[*segment].dead = run.file_len.saturating_sub(HEADER_LEN as u64);
+        usage[*segment].dead_bytes = run.file_len.saturating_sub(HEADER_LEN as u64);
     }
     for name in damaged_segments(&view.layers) {
         if let Some(segment) = index_of(name) {
@@ -42,7 +42,7 @@
         // The entries of the footers count as live, about as much as they take.
         let live = u64::from(location.len) + step.key.len() as u64 / 2 + FOOTER_ENTRY_BYTES;
         let segment = &mut usage[segment_of[step.rank]];
-        segment.dead = segment.dead.saturating_sub(live);
+        segment.dead_bytes = segment.dead_bytes.saturating_sub(live);
     }
     usage
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -24,13 +24,13 @@
     /// Bytes of their files.
     pub bytes: u64,
     /// Bytes that a compaction would free, about.
-    pub dead: u64,
+    pub dead_bytes: u64,
     /// Keys with a value.
     pub records: u64,
     /// Bytes of those keys and values.
-    pub live: u64,
+    pub live_bytes: u64,
     /// Bytes of memory that the index takes, about.
-    pub memory: usize,
+    pub index_bytes: usize,
     /// Counters since the store was opened.
     pub metrics: Metrics,
     /// Why the last write failed, until one succeeds.
@@ -72,15 +72,15 @@
         let mut stat = Stat {
             segments: segments.len() + usize::from(active.is_some()),
             bytes: segments.iter().map(|segment| segment.bytes).sum::<u64>() + active_bytes,
-            dead: segments.iter().map(|segment| segment.dead).sum(),
-            memory: run_memory + self.view.active_keys.len() * ACTIVE_KEY_BYTES,
+            dead_bytes: segments.iter().map(|segment| segment.dead_bytes).sum(),
+            index_bytes: run_memory + self.view.active_keys.len() * ACTIVE_KEY_BYTES,
             ..Stat::default()
         };
         for step in self.view.walk(&[]) {
             let location = step.hit.location;
             if !location.is_tombstone && !location.is_expired(self.now) {
                 stat.records += 1;
-                stat.live += u64::from(location.len).saturating_sub(RECORD_OVERHEAD);
+                stat.live_bytes += u64::from(location.len).saturating_sub(RECORD_OVERHEAD);
             }
         }
         stat
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -9,13 +9,33 @@
 use crate::segment_loader::read_header;
 use rustc_hash::FxHashSet;
 
-/// Reads every byte of every segment that counts. Returns what is damaged, and how many records were read. Nothing is
-/// changed.
+/// What a verification found.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Verification {
+    /// What was found on opening, and all damage.
+    pub recovery: Recovery,
+    /// Records that were read.
+    pub records: u64,
+}
+
+/// Reads every byte of every segment that counts. Nothing is changed.
+///
+/// ```
+/// # use mothproxy_store::{Batch, Options, Store, StoreError, sim::SimDisk};
+/// # use std::sync::Arc;
+/// let disk = SimDisk::new(1);
+/// let (store, _) = Store::open_on(Arc::new(disk.clone()), Options::default())?;
+/// store.write(Batch::new().put("key", "value"))?;
+/// store.close()?;
+/// let verification = mothproxy_store::verify(&disk)?;
+/// assert_eq!((verification.records, verification.recovery.damage.len()), (1, 0));
+/// # Ok::<(), StoreError>(())
+/// ```
 ///
 /// # Errors
 ///
 /// A [`StoreError`] where a file cannot be read or is of another version. Damage is no error.
-pub fn verify(disk: &dyn Disk) -> Result<(Recovery, u64), StoreError> {
+pub fn verify(disk: &dyn Disk) -> Result<Verification, StoreError> {
     let opened = recovery::open(disk)?;
     let mut verification = Verification { recovery: opened.recovery, records: 0 };
     verification.recovery.damage.append(&mut verification.recovery.warnings);
@@ -25,12 +45,7 @@
             verification.verify_segment(&run.segment)?;
         }
     }
-    Ok((verification.recovery, verification.records))
-}
-
-struct Verification {
-    recovery: Recovery,
-    records: u64,
+    Ok(verification)
 }
 
 impl Verification {
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -305,7 +305,7 @@
                 let older = |(key, value): &(&Vec<u8>, &Vec<u8>)| newest.get(*key) != Some(*value);
                 if sealed {
                     assert_eq!(found.iter().find(older), None, "{name} at {at}: invented or older");
-                    let (report, _) = verify(&flipped).expect("it can be read");
+                    let report = verify(&flipped).expect("it can be read").recovery;
                     assert!(!report.damage.is_empty(), "{name} at {at}: verify sees nothing");
                 } else if found.iter().any(|kv| older(&kv)) {
                     // Only the very end of a store that was not closed may pass for a torn write.
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -38,7 +38,7 @@
         assert_eq!(store.get(keys[0]).expect("read"), Some(Vec::new()), "a value of 0 bytes is a value");
         store.close().expect("closed");
         let (store, recovery) = Store::open(&path, options).expect("it opens again");
-        assert_eq!((all(&store), recovery.damage.len(), recovery.torn), (before, 0, 0));
+        assert_eq!((all(&store), recovery.damage.len(), recovery.torn_bytes), (before, 0, 0));
     }
 }
 
@@ -142,10 +142,10 @@
     assert!(old.iter().all(|(_, value)| *value == vec![1; 100]), "a snapshot changed");
     assert_eq!(stat.records, 100);
     assert!(
-        stat.bytes as f64 <= 1.5 * stat.live as f64,
+        stat.bytes as f64 <= 1.5 * stat.live_bytes as f64,
         "{} bytes for {} of live data",
         stat.bytes,
-        stat.live
+        stat.live_bytes
     );
 }
 
--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -42,8 +42,8 @@
         "p99_beside_us": quantile_us(&concurrent.latencies, 0.99),
         "bytes_before": bytes_before,
         "bytes_after": after.bytes,
-        "live_bytes": after.live,
-        "space_per_live": after.bytes as f64 / after.live as f64,
+        "live_bytes": after.live_bytes,
+        "space_per_live": after.bytes as f64 / after.live_bytes as f64,
     }))
 }
 
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -36,7 +36,7 @@
         }
         drop(lock);
         bytes = plain_read.bytes;
-        index_bytes = stat.memory;
+        index_bytes = stat.index_bytes;
     }
     std::fs::remove_dir_all(&path).map_err(BenchError::Io)?;
     let plain_read_ms = median(read_times);
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -11,7 +11,8 @@
 use clap::Subcommand;
 use mothproxy_store::disk::RealDisk;
 use mothproxy_store::{
-    DamagedRecords, OpenedReader, Options, Recovery, Stat, Store, StoreError, open_reader, verify,
+    DamagedRecords, OpenedReader, Options, Recovery, Stat, Store, StoreError, Verification, open_reader,
+    verify,
 };
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
@@ -119,22 +120,22 @@
 
 fn verify_all(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
-    let _reader = open_reader(dir)?; // locks the directory against writers
+    let OpenedReader { lock: _lock, .. } = open_reader(dir)?; // keeps writers out
     let disk = RealDisk::open(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
-    let (report, records) = verify(&disk)?;
-    for damage in &report.damage {
+    let Verification { recovery, records } = verify(&disk)?;
+    for damage in &recovery.damage {
         println!("{damage}");
     }
-    if report.torn > 0 {
-        println!("{}: {} bytes at the end were never acknowledged", dir.display(), report.torn);
+    if recovery.torn_bytes > 0 {
+        println!("{}: {} bytes at the end were never acknowledged", dir.display(), recovery.torn_bytes);
     }
     println!(
         "{}: {} segments, {records} records read, {} damaged",
         dir.display(),
-        report.segments,
-        report.damage.len()
+        recovery.segments,
+        recovery.damage.len()
     );
-    if report.damage.is_empty() { Ok(()) } else { Err(CommandError::DamagePrinted) }
+    if recovery.damage.is_empty() { Ok(()) } else { Err(CommandError::DamagePrinted) }
 }
 
 fn compact(dir: &Path, damaged: DamagedRecords) -> Result<(), CommandError> {
@@ -165,9 +166,9 @@
         "records": stat.records,
         "segments": stat.segments,
         "bytes": stat.bytes,
-        "live_bytes": stat.live,
-        "dead_bytes": stat.dead,
-        "index_bytes": stat.memory,
+        "live_bytes": stat.live_bytes,
+        "dead_bytes": stat.dead_bytes,
+        "index_bytes": stat.index_bytes,
         "compactions": stat.metrics.compactions,
     })
 }
