--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtimes/tests/estimates.rs
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use sketches_ddsketch::DDSketch;
 
-const S: u64 = 1_000_000;
+/// A second in microseconds.
+const SECOND: u64 = 1_000_000;
 
 fn start() -> RuntimeEstimator {
     RuntimeEstimator::new(Config::new(0, 1_790_000_000_000), 0).expect("the defaults hold")
@@ -21,7 +22,7 @@
     (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
 }
 
-/// Runs jobs of one class one after another: `of` gives features, kind and run time; cut off at `limit`.
+/// Runs jobs of one class one after another: `of` gives features, kind and run time; they are cut off at `limit`.
 fn run(
     one: &mut RuntimeEstimator,
     jobs: u64,
@@ -55,10 +56,10 @@
     let runs: Vec<f64> = (0..2_000).map(|_| 80_000.0 * normal(&mut rng).exp()).collect();
     runs.iter().for_each(|ran| exact.add(*ran));
     for (id, ran) in (0..).zip(&runs) {
-        one.on_started(id * 2 * S, AttemptId(id), &JobFeatures::from_class(1), at(1, 1));
-        one.on_ended(id * 2 * S + *ran as u64, AttemptId(id), Outcome::Done);
+        one.on_started(id * 2 * SECOND, AttemptId(id), &JobFeatures::from_class(1), at(1, 1));
+        one.on_ended(id * 2 * SECOND + *ran as u64, AttemptId(id), Outcome::Done);
     }
-    one.advance(1_000 * S);
+    one.advance(1_000 * SECOND);
     let estimate = one.estimate(&JobFeatures::from_class(1), WorkerKind(1), None);
     for (is, quantile) in [(estimate.typical, 0.5), (estimate.long, 0.9)] {
         let wanted = exact.quantile(quantile).ok().flatten().expect("there are jobs");
@@ -136,11 +137,11 @@
     for id in 0..3_000u64 {
         // Two spans' worth of new subjects, and jobs that never end.
         let features = JobFeatures { subject: Some(id % 700), ..JobFeatures::from_class(id % 3) };
-        one.on_started(id * S / 2, AttemptId(id), &features, at((id % 9) as u32, id % 500));
+        one.on_started(id * SECOND / 2, AttemptId(id), &features, at((id % 9) as u32, id % 500));
         if id % 3 > 0 {
-            one.on_ended(id * S / 2 + 1_000, AttemptId(id), Outcome::Done);
+            one.on_ended(id * SECOND / 2 + 1_000, AttemptId(id), Outcome::Done);
         }
-        slots.extend(std::iter::from_fn(|| one.publish(id * S / 2 + 2_000)).map(|fact| fact.0));
+        slots.extend(std::iter::from_fn(|| one.publish(id * SECOND / 2 + 2_000)).map(|fact| fact.0));
     }
     let figures = one.metrics();
     assert!(figures.summaries <= 50 && figures.running <= 20 && figures.dropped > 0, "{figures:?}");
--- a/crates/runtimes/tests/facts.rs
+++ b/crates/runtimes/tests/facts.rs
@@ -5,7 +5,8 @@
 use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind};
 use proptest::prelude::*;
 
-const S: u64 = 1_000_000;
+/// A second in microseconds.
+const SECOND: u64 = 1_000_000;
 const EPOCH: u64 = 1_790_000_000_000;
 
 /// A fact as the membership carries it.
@@ -34,7 +35,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut facts = Vec::new();
     for id in 0..jobs {
-        let now = id * S / 4;
+        let now = id * SECOND / 4;
         let features = JobFeatures {
             tenant: Some(rng.u64(..3)),
             subject: Some(rng.u64(..4)),
@@ -44,8 +45,8 @@
         let placement = Placement { kind: WorkerKind(rng.u32(..3)), worker: WorkerKey(rng.u64(..4)) };
         one.on_started(now, AttemptId(id), &features, placement);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
-        one.on_ended(now + rng.u64(1_000..S / 5), AttemptId(id), outcome);
-        while let Some((slot, bytes)) = one.publish(now + S / 4) {
+        one.on_ended(now + rng.u64(1_000..SECOND / 5), AttemptId(id), outcome);
+        while let Some((slot, bytes)) = one.publish(now + SECOND / 4) {
             assert!(bytes.len() <= 160, "a fact of {} bytes", bytes.len());
             let (origin, number) = (Origin { place, epoch }, facts.len() as u64 + 1);
             facts.push(Fact { origin, slot, number, bytes });
@@ -67,7 +68,7 @@
     let mut one = start(0, EPOCH, held);
     for (n, fact) in facts.into_iter().enumerate() {
         // At times of its own: when a fact comes must not matter either.
-        let now = S * (n as u64 % 50);
+        let now = SECOND * (n as u64 % 50);
         assert_eq!(fact.absorb_into(&mut one, now), Ok(()));
     }
     one
@@ -82,7 +83,7 @@
     fn any_order_gives_the_same_bits(seed in 0u64..1_000, shuffle in any::<u64>(), tight in any::<bool>()) {
         let facts = all_facts(seed);
         let held = if tight { 40 } else { 8_192 };
-        let straight = absorbed(held, &facts).digest(60 * S);
+        let straight = absorbed(held, &facts).digest(60 * SECOND);
         let mut rng = fastrand::Rng::with_seed(shuffle);
         let mut order: Vec<usize> = (0..facts.len()).collect();
         rng.shuffle(&mut order);
@@ -93,14 +94,14 @@
         rng.shuffle(&mut delivered);
         delivered.extend(lost);
         let mut other = absorbed(held, delivered.iter().map(|n| &facts[*n]));
-        prop_assert_eq!(other.digest(60 * S), straight);
+        prop_assert_eq!(other.digest(60 * SECOND), straight);
         // And once more all of it, backwards: nothing is new.
         let taken = other.metrics().absorbed;
         for fact in facts.iter().rev().filter(|_| !tight) {
-            prop_assert_eq!(fact.absorb_into(&mut other, 60 * S), Ok(()));
+            prop_assert_eq!(fact.absorb_into(&mut other, 60 * SECOND), Ok(()));
         }
         prop_assert_eq!(other.metrics().absorbed, taken);
-        prop_assert_eq!(other.digest(60 * S), straight);
+        prop_assert_eq!(other.digest(60 * SECOND), straight);
     }
 
     /// A later version replaces the earlier one: only the last of each counts.
@@ -114,7 +115,7 @@
         };
         let lasts: Vec<&Fact> = facts.iter().filter(last).collect();
         prop_assert!(lasts.len() < facts.len());
-        prop_assert_eq!(absorbed(8_192, lasts).digest(60 * S), absorbed(8_192, &facts).digest(60 * S));
+        prop_assert_eq!(absorbed(8_192, lasts).digest(60 * SECOND), absorbed(8_192, &facts).digest(60 * SECOND));
     }
 
     /// Bytes of any kind are refused or taken, and leave it able to answer.
@@ -127,15 +128,15 @@
             bad[at] = byte;
             if cut {
                 bad.truncate(at);
-                prop_assert!(one.absorb(S, origin, number, &bad).is_err());
+                prop_assert!(one.absorb(SECOND, origin, number, &bad).is_err());
             }
-            let _ = one.absorb(S, origin, number, &bad);
-            one.advance(number * S);
+            let _ = one.absorb(SECOND, origin, number, &bad);
+            one.advance(number * SECOND);
             let estimate = one.estimate(&JobFeatures::from_class(0), WorkerKind(0), Some(WorkerKey(1)));
             prop_assert!(0 < estimate.typical && estimate.typical <= estimate.long);
         }
         prop_assert!(one.metrics().summaries <= 64);
-        prop_assert_eq!(one.absorb(S, Origin { place: 1, epoch: EPOCH }, 1, &[9, 1, 1]), Err(AbsorbError::Version(9)));
+        prop_assert_eq!(one.absorb(SECOND, Origin { place: 1, epoch: EPOCH }, 1, &[9, 1, 1]), Err(AbsorbError::Version(9)));
     }
 }
 
@@ -143,9 +144,9 @@
 fn a_span_far_ahead_is_refused_and_one_long_past_changes_nothing() {
     let facts = published(1, EPOCH + 3_600_000, 40, 1);
     let mut early = start(0, EPOCH, 64);
-    assert!(matches!(facts[0].absorb_into(&mut early, S), Err(AbsorbError::Future(_))));
+    assert!(matches!(facts[0].absorb_into(&mut early, SECOND), Err(AbsorbError::Future(_))));
     let mut late = start(0, EPOCH + 24 * 3_600_000, 64);
-    assert_eq!(facts[0].absorb_into(&mut late, S), Ok(()));
+    assert_eq!(facts[0].absorb_into(&mut late, SECOND), Ok(()));
     assert_eq!((late.metrics().stale, late.metrics().summaries), (1, 0));
 }
 
@@ -158,7 +159,7 @@
     let (known, taken) = (one.metrics().summaries, one.metrics().absorbed);
     assert!(known > 0);
     for fact in published(0, EPOCH, 80, 5) {
-        assert_eq!(fact.absorb_into(&mut one, 60 * S), Ok(()));
+        assert_eq!(fact.absorb_into(&mut one, 60 * SECOND), Ok(()));
     }
     assert_eq!((one.metrics().summaries, one.metrics().absorbed), (known, taken));
     let with_other = absorbed(8_192, before.iter().chain(&published(1, EPOCH, 80, 5)));
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -10,16 +10,45 @@
 /// One open file.
 pub trait DiskFile: Send + Sync {
     /// Writes at an offset; may write less than asked.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call, such as a full disk. Some of the bytes may be in the file then.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
+
     /// Reads at an offset; may read less than asked, 0 at the end.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
+
     /// Its length in bytes.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn len(&self) -> io::Result<u64>;
+
     /// Sets its length.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn truncate(&self, len: u64) -> io::Result<()>;
-    /// Returns once what was written is durable (`fdatasync`). After an error nothing unsynced may be believed.
+
+    /// Returns once what was written is durable (`fdatasync`).
+    ///
+    /// # Errors
+    ///
+    /// That of the system call: whether anything unsynced is durable is not known then, also after a later sync that succeeds.
     fn sync(&self) -> io::Result<()>;
+
     /// Whether it has no byte.
+    ///
+    /// # Errors
+    ///
+    /// That of [`DiskFile::len`].
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
@@ -41,19 +70,54 @@
 pub trait Disk: Send + Sync {
     /// Its name in messages.
     fn name(&self) -> String;
+
     /// The names of its files.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Creates a file; an error where there is one of that name.
+
+    /// Creates a file.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::AlreadyExists`] where there is one of that name; else that of the system call.
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
+
     /// Opens an existing file to read it.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] where there is none of that name; else that of the system call.
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// Renames, replacing.
+
+    /// Renames a file, replacing one that has the new name.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes.
+
+    /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] where there is none of that name; else that of the system call.
     fn remove(&self, name: &str) -> io::Result<()>;
+
     /// Returns once creations, renames and removals are durable.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call: which of them are durable is not known then.
     fn sync_dir(&self) -> io::Result<()>;
+
     /// Locks the directory for as long as what is returned lives. `None` where the lock of another process forbids it.
+    ///
+    /// # Errors
+    ///
+    /// That of the system call.
     fn lock(&self, mode: LockMode) -> io::Result<Option<DirectoryLock>>;
 }
 
