--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -11,14 +11,38 @@
 /// A worker. Its number is never given to another.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
+    row: EndpointRow,
+    address: SocketAddr,
+    /// Since when it has been known not to take work.
+    stopped_at: Option<Micros>,
+    is_removed: bool,
+}
+
+impl Endpoint {
     /// Its row, as discovery last sent it.
-    pub row: EndpointRow,
+    pub fn row(&self) -> &EndpointRow {
+        &self.row
+    }
+
+    /// The name by which workers and dispatchers know it.
+    pub fn instance_id(&self) -> &str {
+        &self.row.instance_id
+    }
+
     /// The address that it listens at.
-    pub address: SocketAddr,
-    /// Since when it has been known not to take work.
-    pub stopped: Option<Micros>,
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Whether it takes work, by discovery's list.
+    pub fn takes_work(&self) -> bool {
+        self.stopped_at.is_none()
+    }
+
     /// Whether it is off discovery's list.
-    pub removed: bool,
+    pub fn is_removed(&self) -> bool {
+        self.is_removed
+    }
 }
 
 /// Where a list came from.
@@ -51,18 +75,49 @@
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
     ids: HashMap<String, WorkerId>,
-    /// The version of the list that is held.
-    pub generation: u64,
+    generation: u64,
+    bad_rows: u64,
+    stale_lists: u64,
+    is_stale: bool,
+}
+
+impl EndpointTable {
+    /// The version of the list that is held; 0 where the next call to discovery is to ask for everything.
+    pub fn generation(&self) -> u64 {
+        self.generation
+    }
+
     /// Rows that could not be used, since the start.
-    pub bad_rows: u64,
+    pub fn bad_rows(&self) -> u64 {
+        self.bad_rows
+    }
+
     /// Lists rejected for being older than what was held, since the start.
-    pub stale_lists: u64,
+    pub fn stale_lists(&self) -> u64 {
+        self.stale_lists
+    }
+
     /// Whether its rows were known before the start and are still to be revalidated: for the decision module none of them takes
     /// work.
-    pub stale: bool,
-}
+    pub fn is_stale(&self) -> bool {
+        self.is_stale
+    }
+
+    /// The rows are to be revalidated, see [`EndpointTable::is_stale`].
+    pub(super) fn mark_stale(&mut self) {
+        self.is_stale = true;
+    }
+
+    /// The rows count as they are. Returns whether they were to be revalidated.
+    pub(super) fn clear_stale(&mut self) -> bool {
+        std::mem::take(&mut self.is_stale)
+    }
+
+    /// The version that is held means nothing any more: the next call to discovery asks for everything.
+    pub(super) fn forget_generation(&mut self) {
+        self.generation = 0;
+    }
 
-impl EndpointTable {
     /// The worker of this instance id.
     pub fn find(&self, instance_id: &str) -> Option<WorkerId> {
         self.ids.get(instance_id).copied()
@@ -85,7 +140,7 @@
             started_at_ms: 0.0,
         };
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.add(Endpoint { row, address, stopped: Some(0), removed: true })
+        self.add(Endpoint { row, address, stopped_at: Some(0), is_removed: true })
     }
 
     fn add(&mut self, endpoint: Endpoint) -> WorkerId {
@@ -102,14 +157,14 @@
 
     /// How many workers take work.
     pub fn ready(&self) -> usize {
-        self.endpoints.iter().filter(|endpoint| endpoint.stopped.is_none()).count()
+        self.endpoints.iter().filter(|endpoint| endpoint.takes_work()).count()
     }
 
     /// The table as rows of discovery's list, with those that are off it as removed.
     pub fn rows(&self) -> Vec<EndpointRow> {
         let to_row = |endpoint: &Endpoint| {
             let mut row = endpoint.row.clone();
-            if endpoint.removed {
+            if endpoint.is_removed {
                 row.lifecycle = Lifecycle::Removed;
             }
             row
@@ -119,7 +174,7 @@
 
     /// How many workers are on discovery's list.
     pub fn listed(&self) -> usize {
-        self.endpoints.iter().filter(|endpoint| !endpoint.removed).count()
+        self.endpoints.iter().filter(|endpoint| !endpoint.is_removed).count()
     }
 
     /// Every worker ever listed, by number.
@@ -127,26 +182,31 @@
         (0..).map(WorkerId).zip(&self.endpoints)
     }
 
-    /// Why a list from this source is to be rejected, if it is. This is the one place that says which version may follow which:
-    /// nothing takes the table back to an older version but a whole list in answer to a new watch, for a service that was
-    /// restarted begins to count again.
-    pub(crate) fn rejection(&mut self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
-        let is_older = list.generation < self.generation;
-        let rejection = match source {
-            _ if list.reset && list.rows.is_empty() && self.listed() > 0 => ListRejection::Empty,
-            ListSource::FullList if !list.reset => ListRejection::Partial,
-            ListSource::WatchStart if list.reset => return None,
-            ListSource::WatchStart if is_older => ListRejection::GenerationReset,
-            _ if is_older => ListRejection::Stale,
-            _ => return None,
-        };
+    /// Checks whether a list from this source may be applied, and counts one that may not.
+    pub(super) fn check(&mut self, list: &EndpointList, source: ListSource) -> Result<(), ListRejection> {
+        let Some(rejection) = self.rejection(list, source) else { return Ok(()) };
         if matches!(rejection, ListRejection::Stale | ListRejection::GenerationReset) {
             self.stale_lists += 1;
         }
         if rejection == ListRejection::GenerationReset {
-            self.generation = 0; // the next call asks for everything
+            self.forget_generation();
+        }
+        Err(rejection)
+    }
+
+    /// Why a list from this source is to be rejected, if it is. This is the one place that says which version may follow which:
+    /// nothing takes the table back to an older version but a whole list in answer to a new watch, for a service that was
+    /// restarted begins to count again.
+    fn rejection(&self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
+        let is_older = list.generation < self.generation;
+        match source {
+            _ if list.reset && list.rows.is_empty() && self.listed() > 0 => Some(ListRejection::Empty),
+            ListSource::FullList if !list.reset => Some(ListRejection::Partial),
+            ListSource::WatchStart if list.reset => None,
+            ListSource::WatchStart if is_older => Some(ListRejection::GenerationReset),
+            _ if is_older => Some(ListRejection::Stale),
+            _ => None,
         }
-        Some(rejection)
     }
 
     /// Applies a list that counts as notified since `notified_at`. Returns the workers that it names, in its order.
@@ -164,10 +224,10 @@
                 continue;
             };
             let endpoint = &mut self.endpoints[worker.0 as usize];
-            endpoint.removed = row.lifecycle == Lifecycle::Removed;
-            endpoint.stopped = match row.lifecycle {
+            endpoint.is_removed = row.lifecycle == Lifecycle::Removed;
+            endpoint.stopped_at = match row.lifecycle {
                 Lifecycle::Up => None,
-                Lifecycle::Draining | Lifecycle::Removed => endpoint.stopped.or(Some(notified_at)),
+                Lifecycle::Draining | Lifecycle::Removed => endpoint.stopped_at.or(Some(notified_at)),
             };
             workers.push(worker);
         }
@@ -182,8 +242,8 @@
         let listed: HashSet<&String> = readable.chain(&list.unread).collect();
         for endpoint in &mut self.endpoints {
             if !listed.contains(&endpoint.row.instance_id) {
-                endpoint.stopped.get_or_insert(notified_at);
-                endpoint.removed = true;
+                endpoint.stopped_at.get_or_insert(notified_at);
+                endpoint.is_removed = true;
             }
         }
     }
@@ -195,7 +255,7 @@
         names: &mut Names,
         clock: UnixClock,
     ) -> Option<EndpointEntry> {
-        let Endpoint { row, removed, .. } = self.get(worker)?;
+        let Endpoint { row, is_removed, .. } = self.get(worker)?;
         Some(EndpointEntry {
             worker,
             tag: tag(&row.instance_id),
@@ -203,8 +263,8 @@
             kind: KindId(names.kinds.id(&row.machine_type) as u16),
             cell: CellId(row.cell),
             status: match row.lifecycle {
-                _ if *removed => Status::Gone,
-                Lifecycle::Up if self.stale => Status::Draining,
+                _ if *is_removed => Status::Gone,
+                Lifecycle::Up if self.is_stale => Status::Draining,
                 Lifecycle::Up => Status::Ready,
                 Lifecycle::Draining => Status::Draining,
                 Lifecycle::Removed => Status::Gone,
@@ -222,8 +282,8 @@
             return Some(self.add(Endpoint {
                 row: row.clone(),
                 address: address?,
-                stopped: None,
-                removed: false,
+                stopped_at: None,
+                is_removed: false,
             }));
         };
         if row.lifecycle == Lifecycle::Up && address.is_none() {
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -160,7 +160,7 @@
         let endpoint = self.requests.attempt(id).and_then(|attempt| self.endpoints.get(attempt.worker));
         let job = job_traits(&self.names, request.job.class, request.job.tenant, request.job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
-            let (worker, machine_type) = (&endpoint.row.instance_id, &endpoint.row.machine_type);
+            let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
             self.learners.on_started(now, id.ticket(), &job, worker, machine_type);
         }
     }
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -2,9 +2,18 @@
 
 use super::Core;
 use crate::config::EndpointList;
+use crate::core::endpoint_table::{ListRejection, ListSource};
 use crate::policy::interface::{Event, ListKind, Micros, WorkerId};
 
 impl Core {
+    /// Checks whether a list that discovery sent may be applied by [`Core::on_endpoint_list`].
+    ///
+    /// # Errors
+    /// Why it is rejected; it is counted then.
+    pub fn check_list(&mut self, list: &EndpointList, source: ListSource) -> Result<(), ListRejection> {
+        self.endpoints.check(list, source)
+    }
+
     /// Discovery sent a list; its changes count as notified since `notified_at`.
     pub fn on_endpoint_list(&mut self, notified_at: Micros, list: &EndpointList) {
         let kind = if list.reset { ListKind::Snapshot } else { ListKind::Delta };
@@ -18,7 +27,7 @@
 
     fn apply_list(&mut self, notified_at: Micros, list: &EndpointList, kind: ListKind) {
         let named = self.endpoints.apply(notified_at, list);
-        if std::mem::take(&mut self.endpoints.stale) {
+        if self.endpoints.clear_stale() {
             // Until now none of the workers took work for the module: it needs all of them.
             self.push_all_endpoints(ListKind::Snapshot);
         } else {
@@ -31,21 +40,21 @@
     /// the last of its workers started.
     pub fn load_known_list(&mut self, now: Micros, list: &EndpointList) -> Option<Micros> {
         self.endpoints.apply(now, list);
-        self.endpoints.stale = true;
+        self.endpoints.mark_stale();
         let clock = self.clock;
         list.rows.iter().filter_map(|row| clock.module_time_of_millis(row.started_at_ms)).max()
     }
 
     /// Uses a list from before the start as it is, if it is still to be revalidated.
     pub fn use_stale_list(&mut self) {
-        if std::mem::take(&mut self.endpoints.stale) {
+        if self.endpoints.clear_stale() {
             self.push_all_endpoints(ListKind::Cached);
         }
     }
 
     /// Sends nothing more by the list from before the start until discovery has sent one, or [`Core::use_stale_list`].
     pub fn suspend_stale_list(&mut self) {
-        self.endpoints.stale = true;
+        self.endpoints.mark_stale();
         self.push_all_endpoints(ListKind::Delta);
     }
 
@@ -67,7 +76,7 @@
 
     /// Another discovery service counts from now on. Its versions mean nothing beside the old one's.
     pub fn on_discovery_moved(&mut self) {
-        self.endpoints.generation = 0;
+        self.endpoints.forget_generation();
         self.events.push(Event::DiscoveryMoved);
     }
 }
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -78,7 +78,7 @@
         };
         let Some(class) = class_name(&self.names, request.job.class) else { return };
         let to_record = |attempt: &Attempt| {
-            let row = &self.endpoints.get(attempt.worker)?.row;
+            let row = self.endpoints.get(attempt.worker)?.row();
             Some(AttemptRecord {
                 worker: row.instance_id.clone(),
                 cell: row.cell,
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -45,10 +45,8 @@
     clock: UnixClock,
     /// A batch of events is handed to the decision module at most this often.
     batch_interval: Micros,
-    /// The endpoint table.
-    pub endpoints: EndpointTable,
-    /// The ledger of all requests.
-    pub ledger: Ledger,
+    endpoints: EndpointTable,
+    ledger: Ledger,
     tallies: ClassTallies,
     requests: RequestTable,
     timers: TimerQueue,
@@ -61,9 +59,8 @@
     /// Attempts that wait until their record is persisted, by ticket.
     unpersisted: HashMap<u64, AttemptId>,
     /// What is learned of jobs and shared with other dispatchers, where that is on.
-    pub learners: Learners,
-    /// Status updates of unknown requests, or of attempts that had ended.
-    pub stale_status_updates: u64,
+    learners: Learners,
+    stale_status_updates: u64,
 }
 
 impl Core {
@@ -119,6 +116,36 @@
         Ok(())
     }
 
+    /// Learns of jobs, and shares that with other dispatchers, from now on.
+    pub fn enable_learners(&mut self, learners: Learners) {
+        self.learners = learners;
+    }
+
+    /// What is learned of jobs and shared with other dispatchers, where that is on.
+    pub fn learners(&self) -> &Learners {
+        &self.learners
+    }
+
+    /// The same, to publish what was learned here and absorb what other dispatchers have learned.
+    pub fn learners_mut(&mut self) -> &mut Learners {
+        &mut self.learners
+    }
+
+    /// The endpoint table.
+    pub fn endpoints(&self) -> &EndpointTable {
+        &self.endpoints
+    }
+
+    /// The ledger of all requests.
+    pub fn ledger(&self) -> &Ledger {
+        &self.ledger
+    }
+
+    /// Status updates of unknown requests, or of attempts that had ended, since the start.
+    pub fn stale_status_updates(&self) -> u64 {
+        self.stale_status_updates
+    }
+
     /// The clock's first reading.
     pub fn clock_start() -> Micros {
         CLOCK_START
@@ -156,7 +183,7 @@
         }
         let known = self.look_up_key(now, &request);
         let id = self.requests.allocate_id();
-        self.ledger.accepted += 1;
+        self.ledger.record_accepted();
         let job = self.new_job(now, id, &request);
         let pending = PendingRequest {
             name: request.name,
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -14,7 +14,7 @@
         let names = &self.names.0;
         LearnedState {
             clock_offset: self.clock.offset(),
-            workers: self.endpoints.iter().map(|(_, endpoint)| endpoint.row.instance_id.clone()).collect(),
+            workers: self.endpoints.iter().map(|(_, endpoint)| endpoint.instance_id().to_owned()).collect(),
             kinds: names.kinds.names().to_vec(),
             classes: names.classes.names().to_vec(),
             learned: self.dispatcher.learned(),
@@ -48,7 +48,7 @@
         let transferred = self.to_transferred(request)?;
         let request = self.requests.remove(id)?;
         self.cancel_request_timers(id, request.job.deadline, request.phase);
-        self.ledger.transferred += 1;
+        self.ledger.record_transferred();
         let job = id.job();
         self.events.push(Event::ClientDisconnected(job));
         for (attempt, Attempt { worker, .. }) in
@@ -96,7 +96,7 @@
 
     fn to_transferred_attempt(&self, attempt: &Attempt) -> Option<TransferredAttempt> {
         Some(TransferredAttempt {
-            worker: self.endpoints.get(attempt.worker)?.row.instance_id.clone(),
+            worker: self.endpoints.get(attempt.worker)?.instance_id().to_owned(),
             sent_at: self.clock.unix_time(attempt.sent_at),
             started_at: attempt.started_at.map(|at| self.clock.unix_time(at)),
             is_in_flight: attempt.is_in_flight(),
@@ -115,7 +115,7 @@
         let attempts = transferred.attempts.iter().map(|attempt| self.to_attempt(attempt));
         let attempts: Vec<Attempt> = attempts.collect::<Option<_>>()?;
         let id = self.requests.allocate_id();
-        self.ledger.accepted += 1;
+        self.ledger.record_accepted();
         let job = self.adopted_job(id, class, &transferred);
         let arrived_at = self.clock.module_time(transferred.arrived_at);
         let past = attempts.iter().map(Attempt::to_prior).collect();
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -49,15 +49,27 @@
     key_by_request: HashMap<String, String>,
     by_expiry: BTreeSet<(Micros, String)>,
     bytes: usize,
-    /// Records dropped before their time, for want of space.
-    pub evicted: u64,
-    /// Repeats that got a recorded result.
-    pub repeats_answered: u64,
-    /// Repeats of requests that may have run.
-    pub repeats_bound: u64,
+    evicted: u64,
+    repeats_answered: u64,
+    repeats_bound: u64,
 }
 
 impl IdempotencyStore {
+    /// Records dropped before their time, for want of space.
+    pub fn evicted(&self) -> u64 {
+        self.evicted
+    }
+
+    /// Repeats that got a recorded result.
+    pub fn repeats_answered(&self) -> u64 {
+        self.repeats_answered
+    }
+
+    /// Repeats of requests that may have run: they may only go where the first attempt went.
+    pub fn repeats_bound(&self) -> u64 {
+        self.repeats_bound
+    }
+
     /// How many records there are.
     pub fn len(&self) -> usize {
         self.records.len()
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -20,23 +20,27 @@
 /// Counts of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
-    /// Accepted.
-    pub accepted: u64,
-    /// Ended with a worker's result.
-    pub served: u64,
-    /// Rejected.
-    pub rejected: u64,
-    /// Failed.
-    pub failed: u64,
-    /// Ended by their clients' disconnecting.
-    pub disconnected: u64,
-    /// Transferred to another process of this dispatcher, which owes the response.
-    pub transferred: u64,
+    accepted: u64,
+    served: u64,
+    rejected: u64,
+    failed: u64,
+    disconnected: u64,
+    transferred: u64,
 }
 
 impl Ledger {
+    /// Counts a request that was accepted, from a client or from another process of this dispatcher.
+    pub(super) fn record_accepted(&mut self) {
+        self.accepted += 1;
+    }
+
+    /// Counts an open request that was transferred.
+    pub(super) fn record_transferred(&mut self) {
+        self.transferred += 1;
+    }
+
     /// Counts the end of a request.
-    pub fn record(&mut self, completion: Completion) {
+    pub(super) fn record(&mut self, completion: Completion) {
         let count = match completion {
             Completion::Served => &mut self.served,
             Completion::Rejected => &mut self.rejected,
@@ -50,7 +54,37 @@
         );
     }
 
-    /// Requests that have ended.
+    /// Requests accepted since the start.
+    pub fn accepted(&self) -> u64 {
+        self.accepted
+    }
+
+    /// Requests that ended with a worker's result.
+    pub fn served(&self) -> u64 {
+        self.served
+    }
+
+    /// Requests that were rejected.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
+    }
+
+    /// Requests that failed, also those that timed out.
+    pub fn failed(&self) -> u64 {
+        self.failed
+    }
+
+    /// Requests whose clients disconnected before a response.
+    pub fn disconnected(&self) -> u64 {
+        self.disconnected
+    }
+
+    /// Requests transferred to another process of this dispatcher, which owes the response.
+    pub fn transferred(&self) -> u64 {
+        self.transferred
+    }
+
+    /// Requests that have ended here.
     pub fn ended(&self) -> u64 {
         self.served + self.rejected + self.failed + self.disconnected
     }
@@ -95,7 +129,7 @@
 
 impl ClassTallies {
     /// Counts the end of a request of this class.
-    pub fn record(&mut self, class: ClassId, completion: Completion) {
+    pub(super) fn record(&mut self, class: ClassId, completion: Completion) {
         let class = usize::from(class.0);
         if self.0.len() <= class {
             self.0.resize(class + 1, Tally::default());
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -170,15 +170,15 @@
         MetricsSnapshot {
             classes: classes.collect(),
             attempts_written: self.metrics.attempts_written,
-            open: self.core.ledger.open(),
-            listed: self.core.endpoints.listed(),
+            open: self.core.ledger().open(),
+            listed: self.core.endpoints().listed(),
             avoided: self.core.ejected_endpoints(self.now),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             idempotency: self.idempotency_metrics(),
             streams: self.event_streams.as_ref().map(EventStreams::metrics),
             members: self.members_page(),
-            learners: self.core.learners.metrics(),
+            learners: self.core.learners().metrics(),
         }
     }
 }
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -51,9 +51,9 @@
             self.metrics.bad_lists += 1;
             return Err(CallError::NotAList);
         };
-        match self.core.endpoints.rejection(&list, call.list_source()) {
-            Some(rejection) => self.on_list_rejected(call, rejection),
-            None => {
+        match self.core.check_list(&list, call.list_source()) {
+            Err(rejection) => self.on_list_rejected(call, rejection),
+            Ok(()) => {
                 self.on_list_accepted(call, &list);
                 Ok(())
             }
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -145,7 +145,7 @@
 
     /// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
     fn connect_to_discovery(&mut self, kind: CallKind) -> Option<Token> {
-        let after = (kind == CallKind::Watch).then_some(self.core.endpoints.generation);
+        let after = (kind == CallKind::Watch).then_some(self.core.endpoints().generation());
         let mut conn = Connection::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
         conn.outbox.push(platform::discovery_call(after));
         self.add(conn, |_| Role::Discovery(DiscoveryCall::new(kind)))
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -16,7 +16,7 @@
     pub(in crate::server) fn start(&mut self, core: &mut Core, now: Micros, newest_start: Option<Micros>) {
         let opens_at = self.liveness.start(now);
         self.schedule_watch(core, opens_at);
-        if !core.endpoints.stale {
+        if !core.endpoints().is_stale() {
             return;
         }
         let stale_span = self.liveness.revalidate(now, newest_start);
@@ -31,7 +31,7 @@
     /// this process started with lacks nothing that counts. Ignored once that list is used, as the message may then have been
     /// this process's own.
     pub(in crate::server) fn on_predecessor_seen(&mut self, core: &mut Core, now: Micros, seen_at: Micros) {
-        if !core.endpoints.stale {
+        if !core.endpoints().is_stale() {
             return;
         }
         let stale_from = self.liveness.on_predecessor_seen(seen_at.min(now));
@@ -44,7 +44,7 @@
     /// Suspends the list that the program started with, or uses it. It is suspended while it is to be revalidated and discovery
     /// has sent none; once discovery cannot be reached, or has not answered in time, it is used as it is.
     pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
-        match (core.endpoints.stale, self.liveness.is_stale(now)) {
+        match (core.endpoints().is_stale(), self.liveness.is_stale(now)) {
             (true, false) => {
                 tracing::warn!("endpoint list stale: discovery silent since the start, using the known list");
                 core.use_stale_list();
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -54,7 +54,7 @@
         keep_alive: bool,
     ) -> Result<(), Reject> {
         match platform::route(self.core.names(), &self.classes, &raw, !client.is_sse)? {
-            Route::Ready if self.lifecycle.is_draining() || self.core.endpoints.stale => {
+            Route::Ready if self.lifecycle.is_draining() || self.core.endpoints().is_stale() => {
                 Err(Reject::NotReady)
             }
             Route::Ready => {
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -109,9 +109,9 @@
         Some(IdempotencyMetrics {
             keys: keys.len(),
             failures: records.failures(),
-            repeats_answered: keys.repeats_answered,
-            repeats_bound: keys.repeats_bound,
-            evicted: keys.evicted,
+            repeats_answered: keys.repeats_answered(),
+            repeats_bound: keys.repeats_bound(),
+            evicted: keys.evicted(),
         })
     }
 }
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -33,7 +33,7 @@
             return; // a repeated call starts nothing anew
         }
         self.lifecycle.drained_since = Some(self.now);
-        tracing::info!(open = self.core.ledger.open(), "drain started");
+        tracing::info!(open = self.core.ledger().open(), "drain started");
         self.on_drain_changed();
     }
 
@@ -42,7 +42,7 @@
         if self.lifecycle.drained_since.take().is_none() {
             return;
         }
-        tracing::info!(open = self.core.ledger.open(), "drain ended");
+        tracing::info!(open = self.core.ledger().open(), "drain ended");
         self.on_drain_changed();
     }
 
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -122,7 +122,7 @@
                 }
             }
             HandoverMessage::Upstream { worker, idle_time_left } => {
-                let worker = self.core.endpoints.find(&worker);
+                let worker = self.core.endpoints().find(&worker);
                 if let Some((descriptor, worker)) = descriptor.zip(worker) {
                     let connection = Connection::new(TcpStream::from(descriptor));
                     self.adopt_upstream(worker, connection, idle_time_left);
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -37,13 +37,13 @@
             has_peers: self.peers.socket().is_some(),
             is_drained: self.lifecycle.drained_since.is_some(),
             list: EndpointList {
-                generation: self.core.endpoints.generation,
+                generation: self.core.endpoints().generation(),
                 reset: true,
-                rows: self.core.endpoints.rows(),
+                rows: self.core.endpoints().rows(),
                 unread: Vec::new(),
                 bad_rows: 0,
             },
-            is_list_stale: self.core.endpoints.stale,
+            is_list_stale: self.core.endpoints().is_stale(),
             open: open.clone(),
             learned: serde_json::to_value(self.core.learned_state()).unwrap_or_default(),
         };
@@ -62,7 +62,7 @@
         self.listeners.is_accepting = false;
         self.suspend_fleet();
         self.hot_restart.socket = None;
-        tracing::info!(open = self.core.ledger.open(), "hot restart: handing over to the successor");
+        tracing::info!(open = self.core.ledger().open(), "hot restart: handing over to the successor");
         self.core.set_timer(self.now + 1, HANDOVER_TIMER);
     }
 
@@ -87,7 +87,7 @@
         }
         self.transfer_jobs();
         self.send_open_work();
-        if self.has_handed_over() && (self.connections.clients() > 0 || self.core.ledger.open() > 0) {
+        if self.has_handed_over() && (self.connections.clients() > 0 || self.core.ledger().open() > 0) {
             self.core.set_timer(self.now + HANDOVER_INTERVAL, HANDOVER_TIMER);
         }
     }
@@ -164,12 +164,12 @@
     fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
         let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
         let worker = upstream.idle_worker().filter(|_| is_unused);
-        let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints.get(worker)?)));
+        let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints().get(worker)?)));
         let Some((worker, endpoint)) = endpoint else {
             return self.put(token, connection, Role::Upstream(upstream));
         };
         let message = HandoverMessage::Upstream {
-            worker: endpoint.row.instance_id.clone(),
+            worker: endpoint.instance_id().to_owned(),
             idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
         };
         if self.hot_restart.send(&message, &[], &[connection.stream.as_fd()]) {
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -27,7 +27,7 @@
             return;
         }
         self.lifecycle.shutdown = Some(self.plan_shutdown());
-        tracing::info!(open = self.core.ledger.open(), "shutdown started");
+        tracing::info!(open = self.core.ledger().open(), "shutdown started");
         self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
         self.announce_state();
     }
@@ -51,7 +51,7 @@
         let keeps_clients = self.keeps_client_connections();
         if self.now >= plan.close_idle_at && !keeps_clients {
             // Workers send callbacks until the last job is done.
-            let which = match self.core.ledger.open() {
+            let which = match self.core.ledger().open() {
                 0 => IdleClients::All,
                 _ => IdleClients::WithoutCallbacks,
             };
@@ -66,7 +66,7 @@
             // A client whose last connection has just ended may be back with a new one.
             let since = *self.lifecycle.quiescent_since.get_or_insert(self.now);
             if self.now >= since + MIN_IDLE_BEFORE_CLOSE {
-                tracing::info!(open = self.core.ledger.open(), "shutdown complete");
+                tracing::info!(open = self.core.ledger().open(), "shutdown complete");
                 self.lifecycle.is_done = true;
                 return;
             }
@@ -82,7 +82,7 @@
             self.accept_clients(ListenerKind::Platform);
             self.accept_clients(ListenerKind::Sse);
         }
-        let is_work_left = self.core.ledger.open() > 0
+        let is_work_left = self.core.ledger().open() > 0
             || self.connections.iter().any(|(connection, role)| self.is_busy(connection, role));
         !is_work_left || self.now >= plan.give_up_at + MAX_OVERTIME
     }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -83,7 +83,7 @@
 
     /// The fleet's timer has fired.
     pub(in crate::server) fn on_fleet_timer(&mut self) {
-        self.membership.on_timer(self.now, &mut self.core.learners);
+        self.membership.on_timer(self.now, self.core.learners_mut());
         self.apply_fleet_outputs();
     }
 
@@ -113,7 +113,7 @@
         }
         let identity = new_identity(&self.config);
         let restarted = self.membership.fleet.restart(identity, self.now);
-        self.core.learners.restart(identity, self.now);
+        self.core.learners_mut().restart(identity, self.now);
         mothproxy_invariant::invariant!(restarted.is_ok(), "a configuration that was checked");
         self.apply_fleet_outputs();
     }
@@ -125,11 +125,11 @@
                 FleetOutput::Send { to, bytes } => self.send_to_peer(to, &bytes),
                 FleetOutput::PeerPresence(peers) => self.core.on_peer_presence(peers),
                 FleetOutput::MemberChanged(change) => {
-                    self.core.learners.on_member_changed(self.now, change);
+                    self.core.learners_mut().on_member_changed(self.now, change);
                     self.pace_on_member_changed(change);
                 }
                 FleetOutput::Fact(fact) => {
-                    self.core.learners.absorb(self.now, &fact);
+                    self.core.learners_mut().absorb(self.now, &fact);
                     self.pace_on_fact(&fact);
                 }
                 FleetOutput::LogChange { change, suppressed } => {
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -48,22 +48,22 @@
 impl Server {
     /// Logs one line of counters, if any has changed since the last line.
     pub(super) fn log_metrics(&mut self) {
-        let current = LoggedMetrics { network: self.metrics, ledger: self.core.ledger };
+        let current = LoggedMetrics { network: self.metrics, ledger: *self.core.ledger() };
         if current == self.logged_metrics {
             return;
         }
         self.logged_metrics = current;
-        let (network, ledger) = (&self.metrics, &self.core.ledger);
+        let (network, ledger) = (&self.metrics, self.core.ledger());
         tracing::info!(
             "figures taken={} served={} denied={} failed={} gone={} moved={} open={} dispatches={} written={} withheld={} connects={} \
              connect_failures={} resets={} untaken={} rejects={} stale_news={} bad_rows={} bad_lists={} stale_lists={} \
              bad_datagrams={} accept_pauses={} reloads={} bad_reloads={} connections={} workers={} broken_invariants={}",
-            ledger.accepted,
-            ledger.served,
-            ledger.rejected,
-            ledger.failed,
-            ledger.disconnected,
-            ledger.transferred,
+            ledger.accepted(),
+            ledger.served(),
+            ledger.rejected(),
+            ledger.failed(),
+            ledger.disconnected(),
+            ledger.transferred(),
             ledger.open(),
             network.attempts,
             network.attempts_written,
@@ -73,16 +73,16 @@
             network.resets,
             network.untaken,
             network.rejects,
-            self.core.stale_status_updates,
-            self.core.endpoints.bad_rows,
+            self.core.stale_status_updates(),
+            self.core.endpoints().bad_rows(),
             network.bad_lists,
-            self.core.endpoints.stale_lists,
+            self.core.endpoints().stale_lists(),
             network.bad_datagrams,
             network.accept_pauses,
             network.reloads,
             network.bad_reloads,
             self.connections.open_connections(),
-            self.core.endpoints.ready(),
+            self.core.endpoints().ready(),
             mothproxy_invariant::violations(env!("CARGO_PKG_NAME")),
         );
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -206,8 +206,8 @@
         core.set_timer(now + METRICS_INTERVAL, METRICS_TIMER);
         let reserved = if state.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
         let budget = Budget::new(config.limits, reserved);
-        let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints.generation);
-        core.learners = membership::new_learners(&fleet, &config, now);
+        let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints().generation());
+        core.enable_learners(membership::new_learners(&fleet, &config, now));
         let membership = MembershipLink::open(fleet, &config, now);
         let mut server = Server {
             classes,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -133,7 +133,7 @@
         }
         // A process that has just started, and may not use the list it knows yet, asks its peer group when the predecessor was
         // last heard: see `PeerDatagram::LastHeard`.
-        if self.core.endpoints.stale && !self.peers.lifecycle.is_small() {
+        if self.core.endpoints().is_stale() && !self.peers.lifecycle.is_small() {
             let question = PeerDatagram::Serving.encode();
             self.core.peer_group().iter().for_each(|to| self.send_to_peer(*to, &question));
         }
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -3,6 +3,7 @@
 use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
 use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT};
 use crate::core::RequestId;
+use crate::core::endpoint_table::Endpoint;
 use crate::http::Piece;
 use crate::policy::interface::{Micros, Outcome, WorkerId};
 use crate::protocol::platform;
@@ -88,7 +89,7 @@
     /// Sends a worker a cancel of a job, where that is allowed. The attempt that is `ending` counts as ended then.
     pub(super) fn send_cancel(&mut self, worker: WorkerId, name: &str, ending: Option<AttemptId>) {
         let exchange = Exchange::Cancel { ending };
-        let is_listed = self.core.endpoints.get(worker).is_some_and(|endpoint| !endpoint.removed);
+        let is_listed = self.core.endpoints().get(worker).is_some_and(|endpoint| !endpoint.is_removed());
         if !is_listed || !self.config.settings.may_cancel {
             return self.on_exchange_failed(None, worker, exchange, Outcome::Cancelled);
         }
@@ -124,7 +125,7 @@
 
     /// Gives an exchange an idle connection, or a new one. `None` if there can be none: then it has failed already.
     fn assign_connection(&mut self, outgoing: OutgoingExchange) -> Option<Token> {
-        let address = self.core.endpoints.get(outgoing.worker).map(|endpoint| endpoint.address);
+        let address = self.core.endpoints().get(outgoing.worker).map(Endpoint::address);
         if !outgoing.needs_new_connection
             && let Some(idle) = self.take_idle_upstream(outgoing.worker, address)
         {
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -43,10 +43,10 @@
 
     /// Whether attempts may go to a connection's worker, and it is still where the connection leads.
     fn is_endpoint_usable(&self, upstream: &UpstreamConnection) -> bool {
-        let endpoint = self.core.endpoints.get(upstream.worker);
+        let endpoint = self.core.endpoints().get(upstream.worker);
         let takes_attempts = endpoint
-            .is_some_and(|endpoint| endpoint.stopped.is_none() && upstream.address == Some(endpoint.address));
-        !self.core.endpoints.stale && takes_attempts
+            .is_some_and(|endpoint| endpoint.takes_work() && upstream.address == Some(endpoint.address()));
+        !self.core.endpoints().is_stale() && takes_attempts
     }
 
     /// Gives an attempt up whose last byte has not left: it never ran, and nobody is to blame. If nothing of it has left, the
