--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -2,38 +2,38 @@
 
 use super::request::RequestId;
 use super::timers::{Timer, TimerQueue};
-use crate::policy::interface::{Micros, Outcome, PriorAttempt, WorkerId};
+use crate::policy::interface::{AttemptEnded, Event, Micros, Outcome, PriorAttempt, WorkerId};
 
 /// Names an attempt among all requests of this process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
     pub request_id: RequestId,
     /// The attempt's number within the request, from 0.
-    pub attempt: u32,
+    pub number: u32,
 }
 
 impl AttemptId {
     /// The same as one number, for a store's ticket and for what learns of run times. It is unique as long as a request has at most
     /// 256 attempts; the settings allow far fewer.
-    pub(super) fn ticket(self) -> u64 {
-        self.request_id.0 << 8 | u64::from(self.attempt & 0xff)
+    pub(super) fn to_u64(self) -> u64 {
+        self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
 }
 
 /// An attempt and how far it has come.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub worker: WorkerId,
-    /// When it was decided.
-    pub sent_at: Micros,
-    /// When the worker first reported that it runs. It stays after the end.
-    pub started_at: Option<Micros>,
+    worker: WorkerId,
+    sent_at: Micros,
+    /// It stays after the end.
+    started_at: Option<Micros>,
     phase: AttemptPhase,
 }
 
-#[derive(Debug)]
-enum AttemptPhase {
+/// How far an attempt has come. Whether it never ran is known only of one that has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptPhase {
     /// Its end is still owed to the decision module. It may still wait for its idempotency record to be persisted.
     InFlight {
         /// When it times out, if that is before the request's deadline.
@@ -50,8 +50,8 @@
     MayHaveRun,
     /// It never ran: the worker rejected it, or was not reached, or its record could not be persisted.
     NeverRan,
-    /// The worker handed it back by a callback, which it may repeat.
-    HandedBack,
+    /// The worker returned it unstarted by a callback, which it may repeat.
+    ReturnedByCallback,
     /// It never left this process.
     NeverSent,
 }
@@ -60,7 +60,7 @@
     fn from(outcome: Outcome) -> AttemptEnd {
         match outcome {
             Outcome::NeverSent => AttemptEnd::NeverSent,
-            Outcome::HandedBack => AttemptEnd::HandedBack,
+            Outcome::HandedBack => AttemptEnd::ReturnedByCallback,
             _ if outcome.never_ran() => AttemptEnd::NeverRan,
             _ => AttemptEnd::MayHaveRun,
         }
@@ -78,6 +78,31 @@
         Attempt { worker, sent_at, started_at: None, phase: AttemptPhase::Ended(end) }
     }
 
+    /// The same, of which it is known whether and when it started.
+    pub fn with_start(self, started_at: Option<Micros>) -> Attempt {
+        Attempt { started_at, ..self }
+    }
+
+    /// The worker that it goes to.
+    pub fn worker(&self) -> WorkerId {
+        self.worker
+    }
+
+    /// When it was decided.
+    pub fn sent_at(&self) -> Micros {
+        self.sent_at
+    }
+
+    /// When the worker first reported that it runs, also after its end.
+    pub fn started_at(&self) -> Option<Micros> {
+        self.started_at
+    }
+
+    /// How far it has come.
+    pub fn phase(&self) -> AttemptPhase {
+        self.phase
+    }
+
     /// Whether its end is still owed.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.phase, AttemptPhase::InFlight { .. })
@@ -88,16 +113,6 @@
         matches!(self.phase, AttemptPhase::Ended(end) if end != AttemptEnd::MayHaveRun)
     }
 
-    /// Whether the worker handed it back by a callback.
-    pub fn is_handed_back(&self) -> bool {
-        self.has_ended_as(AttemptEnd::HandedBack)
-    }
-
-    /// Whether it has ended in this way.
-    pub fn has_ended_as(&self, end: AttemptEnd) -> bool {
-        matches!(self.phase, AttemptPhase::Ended(own) if own == end)
-    }
-
     /// When it times out, if it is in flight and that is before the request's deadline.
     pub fn timeout_at(&self) -> Option<Micros> {
         match self.phase {
@@ -106,7 +121,14 @@
         }
     }
 
-    /// Ends it and cancels its timeout. Whether it was in flight: only the first end counts.
+    /// Its worker reports that it runs. Returns whether that is the first such report.
+    pub fn record_start(&mut self, now: Micros) -> bool {
+        let is_first = self.started_at.is_none();
+        self.started_at.get_or_insert(now);
+        is_first
+    }
+
+    /// Ends it and cancels its timeout. Returns whether it was in flight: only the first end counts.
     pub fn finish(&mut self, id: AttemptId, end: AttemptEnd, timers: &mut TimerQueue) -> bool {
         let AttemptPhase::InFlight { timeout_at } = self.phase else { return false };
         if let Some(at) = timeout_at {
@@ -124,7 +146,20 @@
             out: self.is_in_flight(),
             running_since: self.started_at,
             never_ran: self.has_never_run(),
-            handed_back: self.is_handed_back(),
+            handed_back: self.phase == AttemptPhase::Ended(AttemptEnd::ReturnedByCallback),
         }
     }
 }
+
+/// The end of an attempt whose request is over, for the decision module: it shows nothing of the worker.
+pub(super) fn end_of_closed(id: AttemptId, worker: WorkerId, outcome: Outcome) -> Event {
+    Event::AttemptEnded(AttemptEnded {
+        job: id.request_id.job(),
+        attempt: id.number,
+        worker,
+        elapsed: 0,
+        closed: true,
+        outcome,
+        report: None,
+    })
+}
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,16 +1,33 @@
 //! The messages between the core and the program round it: requests and reports on attempts go in, commands come out.
 
+use super::attempt::AttemptId;
 use super::idempotency::IdempotencyKey;
 use super::request::RequestId;
 use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
+use serde::{Deserialize, Serialize};
+
+/// Where a request's final response goes: the server's own number of a downstream connection or of a job of the event streams.
+/// The core hands it back as it is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DownstreamId(pub u64);
+
+/// Names the write of an idempotency record that an attempt waits for. Across a hot restart it travels as its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
+pub struct RecordTicket(pub u64);
+
+impl From<AttemptId> for RecordTicket {
+    fn from(id: AttemptId) -> RecordTicket {
+        RecordTicket(id.to_u64())
+    }
+}
 
 /// A client's request as it arrives.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     /// The client's id of the request, by which workers name it in callbacks.
     pub name: String,
-    /// Where its final response goes: the server's own number of the downstream connection or stream.
-    pub downstream: u64,
+    /// Where its final response goes.
+    pub downstream: DownstreamId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -75,18 +92,17 @@
 pub enum Command {
     /// Send an attempt to a worker; [`Core::time_left`](super::Core::time_left) says how long to wait for its answer.
     StartAttempt {
-        /// The request.
-        request_id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: u32,
+        /// The attempt.
+        attempt: AttemptId,
         /// The worker.
         worker: WorkerId,
     },
-    /// Write an idempotency record. Where a ticket comes with it, an attempt waits for the write: report its result by
-    /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends or drops the attempt.
+    /// Write an idempotency record. Where a ticket comes with it, an attempt waits for the write: report its end by
+    /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends the attempt, or by
+    /// [`Core::on_record_failed`](super::Core::on_record_failed), which drops it.
     PersistRecord {
         /// What to report the result under, if an attempt waits for it.
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         /// The key of the record.
         key: String,
         /// The encoded record; `None` deletes the key's record.
@@ -94,10 +110,8 @@
     },
     /// Cancel an attempt at its worker, and stop waiting for it.
     CancelAttempt {
-        /// The request.
-        request_id: RequestId,
-        /// The attempt's number.
-        attempt: u32,
+        /// The attempt.
+        attempt: AttemptId,
         /// The worker that has it.
         worker: WorkerId,
         /// The request's name, by which the worker knows it.
@@ -108,14 +122,14 @@
         /// The request.
         request_id: RequestId,
         /// The receiver, from [`NewRequest::downstream`].
-        downstream: u64,
+        downstream: DownstreamId,
         /// The response.
         response: FinalResponse,
     },
     /// Notify a client that streams its job's progress.
     NotifyProgress {
         /// The receiver, from [`NewRequest::downstream`].
-        downstream: u64,
+        downstream: DownstreamId,
         /// The fraction done; `None` when the job starts.
         fraction: Option<f64>,
     },
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -14,20 +14,20 @@
 
 impl Core {
     fn request_class(&self, id: RequestId) -> Option<&Class> {
-        self.class_settings(self.requests.get(id)?.job.class)
+        self.class_settings(self.requests.get(id)?.job().class)
     }
 
     /// The name of a request, by which an attempt of it can be cancelled at its worker. `None` where the attempt has ended.
-    pub fn request_name(&self, id: RequestId, attempt: u32) -> Option<String> {
-        let request = self.requests.get(id)?;
-        request.in_flight(attempt).map(|_| request.name.clone())
+    pub fn request_name(&self, id: AttemptId) -> Option<String> {
+        let request = self.requests.get(id.request_id)?;
+        request.in_flight(id.number).map(|_| request.name().to_owned())
     }
 
     /// How long from now on an attempt's answer is waited for.
-    pub fn time_left(&self, now: Micros, id: RequestId, attempt: u32) -> Micros {
-        let Some(request) = self.requests.get(id) else { return 0 };
-        let Some(attempt) = request.attempts.get(attempt as usize) else { return 0 };
-        attempt.timeout_at().unwrap_or(request.job.deadline).saturating_sub(now)
+    pub fn time_left(&self, now: Micros, id: AttemptId) -> Micros {
+        let Some(request) = self.requests.get(id.request_id) else { return 0 };
+        let Some(attempt) = request.attempts().get(id.number as usize) else { return 0 };
+        attempt.timeout_at().unwrap_or(request.job().deadline).saturating_sub(now)
     }
 
     /// How long an attempt waits for its worker's first answer, where a connection may take `connect_timeout` to come up. `None`
@@ -39,18 +39,19 @@
 
     /// Whether bytes of an attempt may leave now, since things may have changed after it was decided. The last of them may take
     /// `transit_time` to arrive. Whether the worker has stopped is for the caller to know.
-    pub fn may_write(&self, now: Micros, id: RequestId, attempt: u32, transit_time: Micros) -> bool {
-        let Some(request) = self.requests.get(id).filter(|request| request.is_open()) else { return false };
-        let Some(this) = request.in_flight(attempt) else { return false };
-        if now >= this.timeout_at().unwrap_or(request.job.deadline) {
+    pub fn may_write(&self, now: Micros, id: AttemptId, transit_time: Micros) -> bool {
+        let request = self.requests.get(id.request_id).filter(|request| request.is_open());
+        let Some(request) = request else { return false };
+        let Some(this) = request.in_flight(id.number) else { return false };
+        if now >= this.timeout_at().unwrap_or(request.job().deadline) {
             return false;
         }
-        let others = (0..).zip(&request.attempts).filter(|(number, _)| *number != attempt);
+        let others = (0..).zip(request.attempts()).filter(|(number, _)| *number != id.number);
         let mut may_have_run = others.map(|(_, other)| other).filter(|other| !other.has_never_run());
-        match self.request_class(id).map(|class| class.idempotency) {
+        match self.request_class(id.request_id).map(|class| class.idempotency) {
             Some(Idempotency::IdempotentWithKey { window, .. }) => {
                 let arrives_at = now + self.batch_interval + transit_time;
-                may_have_run.all(|other| arrives_at < other.sent_at + window)
+                may_have_run.all(|other| arrives_at < other.sent_at() + window)
             }
             Some(Idempotency::NonIdempotent) => may_have_run.next().is_none(),
             Some(Idempotency::Idempotent) | None => true,
@@ -71,14 +72,14 @@
             _ => None,
         };
         let attempt = self.endpoints.find(from).and_then(|worker| self.requests.find_attempt(name, worker));
-        let is_new = attempt.is_some_and(|AttemptId { request_id, attempt }| match status {
+        let is_new = attempt.is_some_and(|id| match status {
             // Unlike a rejection on the attempt's own connection, a callback may be repeated: the worker gets no other attempt of
             // this request, whose end a repeat could be taken for.
             JobStatus::Returned => {
                 let outcome = AttemptOutcome::Unserved(Outcome::HandedBack);
-                self.on_attempt_ended(now, request_id, attempt, outcome, report)
+                self.on_attempt_ended(now, id, outcome, report)
             }
-            status => self.on_attempt_status(now, request_id, attempt, status, report),
+            status => self.on_attempt_status(now, id, status, report),
         });
         if !is_new {
             self.stale_status_updates += 1;
@@ -93,45 +94,36 @@
     pub fn on_attempt_status(
         &mut self,
         now: Micros,
-        id: RequestId,
-        attempt: u32,
+        id: AttemptId,
         status: JobStatus,
         report: Option<LoadReport>,
     ) -> bool {
         let outcome = match status {
-            JobStatus::Started => return self.on_started(now, id, attempt, None),
-            JobStatus::Progress(fraction) => return self.on_started(now, id, attempt, Some(fraction)),
+            JobStatus::Started => return self.on_started(now, id, None),
+            JobStatus::Progress(fraction) => return self.on_started(now, id, Some(fraction)),
             JobStatus::Done(result) => AttemptOutcome::Done(result),
             JobStatus::Failed => AttemptOutcome::Unserved(Outcome::Error),
             JobStatus::Returned => AttemptOutcome::Unserved(Outcome::Full),
             JobStatus::Lost => AttemptOutcome::Unserved(Outcome::Reset),
         };
-        self.on_attempt_ended(now, id, attempt, outcome, report)
+        self.on_attempt_ended(now, id, outcome, report)
     }
 
     /// An attempt has started, or has reported its progress, which implies that it has. Returns whether that is new.
-    fn on_started(
-        &mut self,
-        now: Micros,
-        request_id: RequestId,
-        attempt: u32,
-        fraction: Option<f64>,
-    ) -> bool {
-        let id = AttemptId { request_id, attempt };
+    fn on_started(&mut self, now: Micros, id: AttemptId, fraction: Option<f64>) -> bool {
         let Some(this) = self.requests.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
             return false;
         };
-        let is_repeated = this.started_at.is_some() && fraction.is_none();
-        this.started_at.get_or_insert(now);
-        if is_repeated {
+        let is_first = this.record_start(now);
+        if !is_first && fraction.is_none() {
             return false;
         }
         match fraction {
             None => self.learn_start(now, id),
-            Some(fraction) => self.learners.on_progress(now, id.ticket(), fraction),
+            Some(fraction) => self.learners.on_progress(now, id.to_u64(), fraction),
         }
-        self.notify_progress(request_id, fraction);
-        let job = request_id.job();
+        self.notify_progress(id.request_id, fraction);
+        let (job, attempt) = (id.request_id.job(), id.number);
         self.events.push(match fraction {
             None => Event::Started { job, attempt },
             Some(done) => Event::Progress { job, attempt, done },
@@ -142,8 +134,8 @@
     /// Notifies the client of an open request: once that it has started, and each time of its progress.
     fn notify_progress(&mut self, id: RequestId, fraction: Option<f64>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.is_open()) else { return };
-        let downstream = request.downstream;
-        if !std::mem::replace(&mut request.is_start_notified, true) {
+        let downstream = request.downstream();
+        if request.mark_start_notified() {
             self.commands.push_back(Command::NotifyProgress { downstream, fraction: None });
         }
         if fraction.is_some() {
@@ -157,11 +149,12 @@
             return;
         }
         let Some(request) = self.requests.get(id.request_id) else { return };
-        let endpoint = self.requests.attempt(id).and_then(|attempt| self.endpoints.get(attempt.worker));
-        let job = job_traits(&self.names, request.job.class, request.job.tenant, request.job.key);
+        let endpoint = self.requests.attempt(id).and_then(|attempt| self.endpoints.get(attempt.worker()));
+        let job = request.job();
+        let job = job_traits(&self.names, job.class, job.tenant, job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
-            self.learners.on_started(now, id.ticket(), &job, worker, machine_type);
+            self.learners.on_started(now, id.to_u64(), &job, worker, machine_type);
         }
     }
 
@@ -170,15 +163,14 @@
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
-        request_id: RequestId,
-        attempt: u32,
+        id: AttemptId,
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) -> bool {
-        let id = AttemptId { request_id, attempt };
+        let AttemptId { request_id, number } = id;
         let Some(this) = self.requests.attempt_mut(id) else { return false };
-        let worker = this.worker;
-        let elapsed = now.saturating_sub(this.sent_at);
+        let worker = this.worker();
+        let elapsed = now.saturating_sub(this.sent_at());
         let (outcome, result) = match outcome {
             AttemptOutcome::Done(result) => (Outcome::Ok, Some(result)),
             AttemptOutcome::Unserved(outcome) => (outcome, None),
@@ -192,10 +184,10 @@
             }
             return is_response;
         }
-        self.learners.on_ended(now, id.ticket(), outcome == Outcome::Ok);
+        self.learners.on_ended(now, id.to_u64(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = request_id.job();
-        let ended = AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report };
+        let ended = AttemptEnded { job, attempt: number, worker, elapsed, closed, outcome, report };
         self.events.push(Event::AttemptEnded(ended));
         self.requests.mark_finished(request_id);
         true
@@ -205,7 +197,7 @@
     fn on_result(&mut self, now: Micros, id: RequestId, result: Vec<u8>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_open = request.is_open();
-        if request.idempotency_key.is_some() {
+        if request.idempotency_key().is_some() {
             self.persist_record(now, id, None, Some(result.clone()));
         }
         if is_open {
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
-use crate::core::commands::{Command, NewRequest};
+use crate::core::commands::{Command, NewRequest, RecordTicket};
 use crate::core::idempotency::{
     AttemptRecord, IdempotencyStore, LookupResult, RecordDecodeError, RecordUpdate,
 };
@@ -12,14 +12,12 @@
 use mothproxy_invariant::invariant;
 
 impl Core {
-    /// Keeps records of keyed requests from now on, beginning with these. `is_clock_sound` unless time may have passed that the
-    /// clock does not show: then every window of repetition counts as over. Returns the keys whose records cannot be read, each
-    /// with the reason.
+    /// Keeps records of keyed requests from now on, beginning with these. Returns the keys whose records cannot be read, each with
+    /// the reason.
     pub fn enable_idempotency(
         &mut self,
         now: Micros,
         records: impl Iterator<Item = (String, Vec<u8>)>,
-        is_clock_sound: bool,
     ) -> Vec<(String, RecordDecodeError)> {
         let mut store = IdempotencyStore::default();
         let unreadable = records
@@ -28,13 +26,17 @@
                 Some((key, error))
             })
             .collect();
-        if !is_clock_sound {
-            store.distrust_clock();
-        }
         self.idempotency = Some(store);
         unreadable
     }
 
+    /// Time may have passed that the clock does not show: the idempotency window of every attempt on record counts as over.
+    pub fn expire_idempotency_windows(&mut self) {
+        if let Some(store) = &mut self.idempotency {
+            store.expire_windows();
+        }
+    }
+
     /// The records of keyed requests, where that is on.
     pub fn idempotency(&self) -> Option<&IdempotencyStore> {
         self.idempotency.as_ref()
@@ -46,8 +48,8 @@
         invariant!(!matches!(loaded, Some(Err(_))), "a record of the other process that cannot be read");
     }
 
-    /// What is known of a new request's key.
-    pub(super) fn look_up_key(&mut self, now: Micros, request: &NewRequest) -> LookupResult {
+    /// What the records say of a new request's key.
+    pub(super) fn look_up_record(&mut self, now: Micros, request: &NewRequest) -> LookupResult {
         let class = class_name(&self.names, request.class);
         match (&mut self.idempotency, &request.idempotency_key, class) {
             (Some(store), Some(key), Some(class)) => store.look_up(now, key, class),
@@ -69,26 +71,26 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         result: Option<Vec<u8>>,
     ) {
         let Some(request) = self.requests.get(id) else { return };
-        let Some((store, key)) = self.idempotency.as_mut().zip(request.idempotency_key.as_ref()) else {
+        let Some((store, key)) = self.idempotency.as_mut().zip(request.idempotency_key()) else {
             return;
         };
-        let Some(class) = class_name(&self.names, request.job.class) else { return };
+        let Some(class) = class_name(&self.names, request.job().class) else { return };
         let to_record = |attempt: &Attempt| {
-            let row = self.endpoints.get(attempt.worker)?.row();
+            let row = self.endpoints.get(attempt.worker())?.row();
             Some(AttemptRecord {
                 worker: row.instance_id.clone(),
                 cell: row.cell,
                 zone: row.zone.clone(),
-                sent_at: self.clock.unix_time(attempt.sent_at),
+                sent_at: self.clock.unix_time(attempt.sent_at()),
                 never_ran: attempt.has_never_run(),
             })
         };
-        let attempts = request.attempts.iter().filter_map(to_record).collect();
-        let update = RecordUpdate { class, request_name: &request.name, attempts, result };
+        let attempts = request.attempts().iter().filter_map(to_record).collect();
+        let update = RecordUpdate { class, request_name: request.name(), attempts, result };
         let record = store.record(now, key, update);
         self.commands.push_back(Command::PersistRecord { ticket, key: key.key.clone(), record });
     }
@@ -102,26 +104,38 @@
     }
 
     /// The tickets of the attempts that wait for their records.
-    pub fn pending_tickets(&self) -> Vec<u64> {
+    pub fn pending_tickets(&self) -> Vec<RecordTicket> {
         self.unpersisted.keys().copied().collect()
     }
 
-    /// The record of this ticket was written, or could not be. The attempt that waits for it is sent, or has never run and the
-    /// decision module gives its request up.
-    pub fn on_record_persisted(&mut self, ticket: u64, is_written: bool) {
+    /// The record of this ticket was written: the attempt that waits for it is sent, unless its request has been closed.
+    pub fn on_record_persisted(&mut self, ticket: RecordTicket) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
-        let AttemptId { request_id, attempt } = id;
-        let Some(request) = self.requests.get_mut(request_id) else { return };
-        let is_open = request.is_open();
-        let Some(this) = request.attempts.get_mut(attempt as usize).filter(|this| this.is_in_flight()) else {
-            return;
-        };
-        let worker = this.worker;
-        if is_written && is_open {
-            return self.commands.push_back(Command::StartAttempt { request_id, attempt, worker });
+        let Some(request) = self.requests.get(id.request_id) else { return };
+        if !request.is_open() {
+            return self.drop_unpersisted(id);
         }
-        this.finish(id, AttemptEnd::NeverRan, &mut self.timers);
-        self.events.push(Event::NotPersisted { job: request_id.job(), attempt });
+        if let Some(attempt) = request.in_flight(id.number) {
+            let worker = attempt.worker();
+            self.commands.push_back(Command::StartAttempt { attempt: id, worker });
+        }
+    }
+
+    /// The record of this ticket could not be written: the attempt that waits for it has never run, and the decision module gives
+    /// its request up.
+    pub fn on_record_failed(&mut self, ticket: RecordTicket) {
+        if let Some(id) = self.unpersisted.remove(&ticket) {
+            self.drop_unpersisted(id);
+        }
+    }
+
+    /// An attempt that waited for its record is not sent.
+    fn drop_unpersisted(&mut self, id: AttemptId) {
+        let AttemptId { request_id, number } = id;
+        let request = self.requests.get_mut(request_id);
+        let Some(attempt) = request.and_then(|request| request.in_flight_mut(number)) else { return };
+        attempt.finish(id, AttemptEnd::NeverRan, &mut self.timers);
+        self.events.push(Event::NotPersisted { job: request_id.job(), attempt: number });
         self.requests.mark_finished(request_id);
     }
 }
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -1,7 +1,8 @@
 //! The engine: takes timed events, hands them to the decision module in batches, and turns its actions into commands.
 //!
-//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module has its construction, the
-//! arrival and the end of requests, and the queries. The submodules handle what else happens:
+//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module has its construction, its
+//! settings, and access to its parts. The submodules handle what happens:
+//! - `requests`: the arrival and the end of requests;
 //! - `turn`: timers, batches, and the module's actions;
 //! - `attempts`: reports on attempts, and how they end;
 //! - `endpoint_list`: discovery's lists;
@@ -11,27 +12,26 @@
 mod attempts;
 mod endpoint_list;
 mod idempotency;
+mod requests;
 mod restart;
 mod turn;
 
-use super::attempt::{Attempt, AttemptEnd, AttemptId};
+use super::attempt::AttemptId;
 use super::clock::{CLOCK_START, UnixClock};
-use super::commands::{Command, FinalResponse, NewRequest};
+use super::commands::{Command, RecordTicket};
 use super::endpoint_table::EndpointTable;
 use super::event_queue::EventQueue;
-use super::idempotency::{AttemptRecord, IdempotencyStore, LookupResult};
-use super::ledger::{ClassTallies, Completion, Ledger, Tally};
-use super::names::{job_traits, tenant_name};
-use super::request::{PendingRequest, RequestId, RequestPhase, RequestTable};
+use super::idempotency::IdempotencyStore;
+use super::ledger::{ClassTallies, Ledger, Tally};
+use super::request::RequestTable;
 use super::timers::{Timer, TimerQueue};
 use crate::Dispatcher;
 use crate::config::SiteNames;
 use crate::fleet::Learners;
 use crate::policy::interface::{
-    Action, Class, ClassId, Event, LoadReport, Micros, NewJob, Outcome, PeerPresence, ProbeResponse,
-    Settings, SettingsError, WorkerId,
+    Action, Class, ClassId, Event, LoadReport, Micros, Outcome, PeerPresence, ProbeResponse, Settings,
+    SettingsError, WorkerId,
 };
-use mothproxy_invariant::invariant;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// The core of a dispatcher, as one state machine.
@@ -57,7 +57,7 @@
     /// The records of keyed requests, where that is on.
     idempotency: Option<IdempotencyStore>,
     /// Attempts that wait until their record is persisted, by ticket.
-    unpersisted: HashMap<u64, AttemptId>,
+    unpersisted: HashMap<RecordTicket, AttemptId>,
     /// What is learned of jobs and shared with other dispatchers, where that is on.
     learners: Learners,
     stale_status_updates: u64,
@@ -104,16 +104,19 @@
         let batch_interval = settings.tick;
         let known_classes = self.names.0.classes.names().len();
         self.dispatcher.reconfigure(settings)?;
-        let classes = names.0.classes.names();
+        self.copy_redefined_classes(known_classes, names.0.classes.names());
+        self.batch_interval = batch_interval;
+        self.names = names;
+        Ok(())
+    }
+
+    /// A class that was defined again has a new number, from `known_classes` on: it begins with what was learned of it.
+    fn copy_redefined_classes(&mut self, known_classes: usize, classes: &[String]) {
         for new in known_classes..classes.len() {
-            // A class that was defined again begins with what was learned of it.
             if let Some(old) = (0..new).rev().find(|old| classes[*old] == classes[new]) {
                 self.dispatcher.copy_class(new, old);
             }
         }
-        self.batch_interval = batch_interval;
-        self.names = names;
-        Ok(())
     }
 
     /// Learns of jobs, and shares that with other dispatchers, from now on.
@@ -176,79 +179,6 @@
         self.timers.cancel(at, Timer::Program(token));
     }
 
-    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be distinguished.
-    pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
-        if self.knows(&request.name) {
-            return None;
-        }
-        let known = self.look_up_key(now, &request);
-        let id = self.requests.allocate_id();
-        self.ledger.record_accepted();
-        let job = self.new_job(now, id, &request);
-        let pending = PendingRequest {
-            name: request.name,
-            job,
-            arrived_at: now,
-            downstream: request.downstream,
-            phase: RequestPhase::Open,
-            is_start_notified: false,
-            idempotency_key: request.idempotency_key,
-            attempts: Vec::new(),
-        };
-        self.requests.insert(id, pending);
-        self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
-        match known {
-            LookupResult::Answered(result) => {
-                self.respond(now, id, FinalResponse::Served(result), Completion::Served);
-            }
-            LookupResult::MayHaveRun(first) => self.adopt_recorded_attempt(now, job, &first),
-            LookupResult::Unknown => self.events.push(Event::Arrived(job)),
-        }
-        Some(id)
-    }
-
-    /// The request as the decision module sees it.
-    fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
-        let NewRequest { class, tenant, key, .. } = *request;
-        let traits = job_traits(&self.names, class, tenant, key);
-        let estimate = traits.and_then(|job| self.learners.estimate(&job));
-        let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
-        let tenant_name = tenant_name(&self.names, tenant);
-        NewJob {
-            job: id.job(),
-            class,
-            tenant,
-            key,
-            deadline: now + request.time_budget,
-            hint: request.hint,
-            slots: request.slots,
-            memory: request.memory,
-            repeat: request.repeat,
-            estimate,
-            tenant_weight: self.learners.tenant_weight(now, tenant_name, class.0, class_weight),
-        }
-    }
-
-    /// An earlier request with the same idempotency key may have run. That counts as an attempt of this request: the decision
-    /// module decides whether and where it may be sent again.
-    fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, first: &AttemptRecord) {
-        let sent_at = self.clock.module_time(first.sent_at).min(now);
-        let worker = self.endpoints.id_or_placeholder(first);
-        let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
-        self.events.push(Event::Adopted { new: job, since: now, past: vec![attempt.to_prior()] });
-        if let Some(request) = self.requests.get_mut(job.job.into()) {
-            request.attempts.push(attempt);
-        }
-    }
-
-    /// The client of a request disconnected.
-    pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
-        if self.requests.get(id).is_some_and(PendingRequest::is_open) {
-            self.close(now, id, Completion::ClientDisconnected);
-            self.events.push(Event::ClientDisconnected(id.job()));
-        }
-    }
-
     /// A probe came back.
     pub fn on_probe_response(
         &mut self,
@@ -270,79 +200,10 @@
         self.events.push(Event::Peers(peers));
     }
 
-    /// Fails every open request: it is past its deadline, and the process ends.
-    pub fn fail_all(&mut self, now: Micros) {
-        for id in self.open_requests() {
-            self.respond(now, id, FinalResponse::Failed, Completion::Failed);
-            self.events.push(Event::ClientDisconnected(id.job()));
-        }
-    }
-
-    /// Sends the final response, unless there was one.
-    fn respond(&mut self, now: Micros, id: RequestId, response: FinalResponse, completion: Completion) {
-        let Some(request) = self.requests.get(id).filter(|request| request.is_open()) else { return };
-        let downstream = request.downstream;
-        self.commands.push_back(Command::Respond { request_id: id, downstream, response });
-        self.close(now, id, completion);
-    }
-
-    /// Closes an open request and counts its end.
-    fn close(&mut self, now: Micros, id: RequestId, completion: Completion) {
-        let Some(request) = self.requests.get_mut(id) else { return };
-        invariant!(request.is_open(), "request {id} got a second final response");
-        let phase = std::mem::replace(&mut request.phase, RequestPhase::Closed);
-        let job = request.job;
-        let latency = now.saturating_sub(request.arrived_at);
-        let has_record = request.idempotency_key.is_some() && !request.attempts.is_empty();
-        self.cancel_request_timers(id, job.deadline, phase);
-        if completion == Completion::Served {
-            let class_weight = self.class_settings(job.class).map_or(0.0, |class| class.weight);
-            let tenant = tenant_name(&self.names, job.tenant);
-            self.learners.on_served(now, tenant, job.class.0, class_weight, latency);
-        } else if has_record {
-            self.persist_record(now, id, None, None);
-        }
-        self.ledger.record(completion);
-        self.tallies.record(job.class, completion);
-        self.requests.mark_finished(id);
-    }
-
-    fn cancel_request_timers(&mut self, id: RequestId, deadline: Micros, phase: RequestPhase) {
-        self.timers.cancel(deadline, Timer::RequestDeadline(id));
-        if let RequestPhase::Overdue { respond_at } = phase {
-            self.timers.cancel(respond_at, Timer::OverdueResponse(id));
-        }
-    }
-
     fn class_settings(&self, class: ClassId) -> Option<&Class> {
         self.dispatcher.settings().classes.get(usize::from(class.0))
     }
 
-    /// Where a request's final response goes.
-    pub fn downstream(&self, id: RequestId) -> Option<u64> {
-        self.requests.get(id).map(|request| request.downstream)
-    }
-
-    /// The open requests, in the order of their arrival.
-    pub fn open_requests(&self) -> Vec<RequestId> {
-        self.requests.open_ids()
-    }
-
-    /// The names of the requests that are open here.
-    pub fn open_request_names(&self) -> Vec<String> {
-        self.requests.names().cloned().collect()
-    }
-
-    /// Whether a request of this name is open, or has an attempt in flight.
-    pub fn knows(&self, name: &str) -> bool {
-        self.requests.find(name).is_some()
-    }
-
-    /// A request was rejected before it was accepted, for want of descriptors: its client sees a rejection like any other.
-    pub fn count_rejected(&mut self, class: ClassId) {
-        self.tallies.record(class, Completion::Rejected);
-    }
-
     /// How the requests of each class ended, by its name; of classes without requests, and of those that have vanished, too.
     pub fn tallies(&self) -> BTreeMap<&str, Tally> {
         self.tallies.by_name(self.names.0.classes.names())
--- /dev/null
+++ b/src/core/engine/requests.rs
@@ -0,0 +1,160 @@
+//! Requests as clients see them: their arrival, their one final response or their clients' disconnecting, and who is open.
+
+use super::Core;
+use crate::core::attempt::{Attempt, AttemptEnd};
+use crate::core::commands::{Command, DownstreamId, FinalResponse, NewRequest};
+use crate::core::idempotency::{AttemptRecord, LookupResult};
+use crate::core::ledger::Completion;
+use crate::core::names::{job_traits, tenant_name};
+use crate::core::request::{PendingRequest, RequestId};
+use crate::core::timers::Timer;
+use crate::policy::interface::{ClassId, Event, Micros, NewJob};
+use mothproxy_invariant::invariant;
+
+impl Core {
+    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be distinguished.
+    pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
+        if self.knows(&request.name) {
+            return None;
+        }
+        let known = self.look_up_record(now, &request);
+        let id = self.requests.allocate_id();
+        self.ledger.record_accepted();
+        let job = self.new_job(now, id, &request);
+        let NewRequest { name, downstream, idempotency_key, .. } = request;
+        let pending = PendingRequest::new(name, job, now, downstream, idempotency_key);
+        self.requests.insert(id, pending);
+        self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
+        match known {
+            LookupResult::Answered(result) => {
+                self.respond(now, id, FinalResponse::Served(result), Completion::Served);
+            }
+            LookupResult::MayHaveRun(first) => self.adopt_recorded_attempt(now, job, &first),
+            LookupResult::Unknown => self.events.push(Event::Arrived(job)),
+        }
+        Some(id)
+    }
+
+    /// The request as the decision module sees it.
+    fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
+        let NewRequest { class, tenant, key, .. } = *request;
+        let traits = job_traits(&self.names, class, tenant, key);
+        let estimate = traits.and_then(|job| self.learners.estimate(&job));
+        let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
+        let tenant_name = tenant_name(&self.names, tenant);
+        NewJob {
+            job: id.job(),
+            class,
+            tenant,
+            key,
+            deadline: now + request.time_budget,
+            hint: request.hint,
+            slots: request.slots,
+            memory: request.memory,
+            repeat: request.repeat,
+            estimate,
+            tenant_weight: self.learners.tenant_weight(now, tenant_name, class.0, class_weight),
+        }
+    }
+
+    /// An earlier request with the same idempotency key may have run. That counts as an attempt of this request: the decision
+    /// module decides whether and where it may be sent again.
+    fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, first: &AttemptRecord) {
+        let sent_at = self.clock.module_time(first.sent_at).min(now);
+        let worker = self.endpoints.id_or_placeholder(first);
+        let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
+        self.events.push(Event::Adopted { new: job, since: now, past: vec![attempt.to_prior()] });
+        if let Some(request) = self.requests.get_mut(job.job.into()) {
+            request.add_attempt(attempt);
+        }
+    }
+
+    /// The client of a request disconnected.
+    pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
+        if self.requests.get(id).is_some_and(PendingRequest::is_open) {
+            self.close(now, id, Completion::ClientDisconnected);
+            self.events.push(Event::ClientDisconnected(id.job()));
+        }
+    }
+
+    /// A request was rejected before it was accepted, for want of descriptors: its client sees a rejection like any other.
+    pub fn count_rejected(&mut self, class: ClassId) {
+        self.tallies.record(class, Completion::Rejected);
+    }
+
+    /// Fails every open request: it is past its deadline, and the process ends.
+    pub fn fail_all(&mut self, now: Micros) {
+        for id in self.open_requests() {
+            self.respond(now, id, FinalResponse::Failed, Completion::Failed);
+            self.events.push(Event::ClientDisconnected(id.job()));
+        }
+    }
+
+    /// Sends the final response, unless there was one.
+    pub(super) fn respond(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        response: FinalResponse,
+        completion: Completion,
+    ) {
+        let Some(request) = self.requests.get(id).filter(|request| request.is_open()) else { return };
+        let downstream = request.downstream();
+        self.commands.push_back(Command::Respond { request_id: id, downstream, response });
+        self.close(now, id, completion);
+    }
+
+    /// Closes an open request and counts its end.
+    fn close(&mut self, now: Micros, id: RequestId, completion: Completion) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        invariant!(request.is_open(), "request {id} got a second final response");
+        let overdue_response_at = request.overdue_response_at();
+        request.close();
+        let job = *request.job();
+        let latency = now.saturating_sub(request.arrived_at());
+        let has_record = request.idempotency_key().is_some() && !request.attempts().is_empty();
+        self.cancel_request_timers(id, job.deadline, overdue_response_at);
+        if completion == Completion::Served {
+            let class_weight = self.class_settings(job.class).map_or(0.0, |class| class.weight);
+            let tenant = tenant_name(&self.names, job.tenant);
+            self.learners.on_served(now, tenant, job.class.0, class_weight, latency);
+        } else if has_record {
+            self.persist_record(now, id, None, None);
+        }
+        self.ledger.record(completion);
+        self.tallies.record(job.class, completion);
+        self.requests.mark_finished(id);
+    }
+
+    pub(super) fn cancel_request_timers(
+        &mut self,
+        id: RequestId,
+        deadline: Micros,
+        overdue_response_at: Option<Micros>,
+    ) {
+        self.timers.cancel(deadline, Timer::RequestDeadline(id));
+        if let Some(at) = overdue_response_at {
+            self.timers.cancel(at, Timer::OverdueResponse(id));
+        }
+    }
+
+    /// Where a request's final response goes.
+    pub fn downstream(&self, id: RequestId) -> Option<DownstreamId> {
+        self.requests.get(id).map(PendingRequest::downstream)
+    }
+
+    /// The open requests, in the order of their arrival.
+    pub fn open_requests(&self) -> Vec<RequestId> {
+        self.requests.open_ids()
+    }
+
+    /// The names of the requests that are open here.
+    pub fn open_request_names(&self) -> Vec<String> {
+        self.requests.names().cloned().collect()
+    }
+
+    /// Whether a request of this name is open, or has an attempt in flight.
+    pub fn knows(&self, name: &str) -> bool {
+        self.requests.find(name).is_some()
+    }
+}
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -1,12 +1,13 @@
 //! Hot restart: open requests and learned state pass from one process of a dispatcher to its successor.
 
 use super::Core;
-use crate::core::attempt::{Attempt, AttemptEnd};
+use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, AttemptPhase, end_of_closed};
+use crate::core::commands::DownstreamId;
 use crate::core::names::{class_name, job_traits, tenant_name};
-use crate::core::request::{PendingRequest, RequestId, RequestPhase};
+use crate::core::request::{PendingRequest, RequestId};
 use crate::core::timers::Timer;
-use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredRequest};
-use crate::policy::interface::{AttemptEnded, ClassId, Event, KeyId, KindId, NewJob, Outcome, TenantId};
+use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
+use crate::policy::interface::{ClassId, Event, KeyId, KindId, NewJob, Outcome, TenantId};
 
 impl Core {
     /// What the decision module has learned, for the successor.
@@ -47,67 +48,65 @@
         }
         let transferred = self.to_transferred(request)?;
         let request = self.requests.remove(id)?;
-        self.cancel_request_timers(id, request.job.deadline, request.phase);
+        self.cancel_request_timers(id, request.job().deadline, request.overdue_response_at());
         self.ledger.record_transferred();
-        let job = id.job();
-        self.events.push(Event::ClientDisconnected(job));
-        for (attempt, Attempt { worker, .. }) in
-            (0..).zip(&request.attempts).filter(|(_, attempt)| attempt.is_in_flight())
-        {
-            self.events.push(Event::AttemptEnded(AttemptEnded {
-                job,
-                attempt,
-                worker: *worker,
-                elapsed: 0,
-                closed: true,
-                outcome: Outcome::Cancelled,
-                report: None,
-            }));
+        self.events.push(Event::ClientDisconnected(id.job()));
+        let in_flight = (0..).zip(request.attempts()).filter(|(_, attempt)| attempt.is_in_flight());
+        for (number, attempt) in in_flight {
+            let attempt_id = AttemptId { request_id: id, number };
+            self.events.push(end_of_closed(attempt_id, attempt.worker(), Outcome::Cancelled));
         }
         self.events.mark_transfer();
         Some(transferred)
     }
 
     fn to_transferred(&self, request: &PendingRequest) -> Option<TransferredRequest> {
-        let job = &request.job;
+        let job = request.job();
         let class = class_name(&self.names, job.class)?;
         // A class that was defined again keeps its old number here; there its name means the new one.
         if self.names.0.classes.find(class) != Some(u32::from(job.class.0)) {
             return None;
         }
-        // What never left is no attempt there either, and both sides number them anew.
-        let sent = request.attempts.iter().filter(|attempt| !attempt.has_ended_as(AttemptEnd::NeverSent));
+        let mut attempts = Vec::with_capacity(request.attempts().len());
+        for attempt in request.attempts() {
+            // What never left is no attempt there either, and both sides number them anew.
+            if let Some(phase) = transferred_phase(attempt) {
+                attempts.push(self.to_transferred_attempt(attempt, phase)?);
+            }
+        }
         Some(TransferredRequest {
-            name: request.name.clone(),
+            name: request.name().to_owned(),
             class: class.to_owned(),
             tenant: tenant_name(&self.names, job.tenant).map(str::to_owned),
             key: job.key.map(|key| key.0),
-            arrived_at: self.clock.unix_time(request.arrived_at),
+            arrived_at: self.clock.unix_time(request.arrived_at()),
             deadline: self.clock.unix_time(job.deadline),
             hint: job.hint,
             slots: job.slots,
             memory: job.memory,
             repeat: job.repeat,
-            is_start_notified: request.is_start_notified,
-            idempotency_key: request.idempotency_key.clone(),
-            attempts: sent.map(|attempt| self.to_transferred_attempt(attempt)).collect::<Option<_>>()?,
+            is_start_notified: request.is_start_notified(),
+            idempotency_key: request.idempotency_key().cloned(),
+            attempts,
         })
     }
 
-    fn to_transferred_attempt(&self, attempt: &Attempt) -> Option<TransferredAttempt> {
+    fn to_transferred_attempt(
+        &self,
+        attempt: &Attempt,
+        phase: TransferredPhase,
+    ) -> Option<TransferredAttempt> {
         Some(TransferredAttempt {
-            worker: self.endpoints.get(attempt.worker)?.instance_id().to_owned(),
-            sent_at: self.clock.unix_time(attempt.sent_at),
-            started_at: attempt.started_at.map(|at| self.clock.unix_time(at)),
-            is_in_flight: attempt.is_in_flight(),
-            never_ran: attempt.has_never_run(),
-            is_handed_back: attempt.is_handed_back(),
+            worker: self.endpoints.get(attempt.worker())?.instance_id().to_owned(),
+            sent_at: self.clock.unix_time(attempt.sent_at()),
+            started_at: attempt.started_at().map(|at| self.clock.unix_time(at)),
+            phase,
         })
     }
 
     /// Takes over a request that another process of this dispatcher has transferred; its final response goes to `downstream`.
     /// `None` where its class or one of its workers is not known here, or a request of its name is.
-    pub fn adopt(&mut self, transferred: TransferredRequest, downstream: u64) -> Option<RequestId> {
+    pub fn adopt(&mut self, transferred: TransferredRequest, downstream: DownstreamId) -> Option<RequestId> {
         let class = ClassId(self.names.0.classes.find(&transferred.class)? as u16);
         if self.knows(&transferred.name) {
             return None;
@@ -121,16 +120,9 @@
         let past = attempts.iter().map(Attempt::to_prior).collect();
         self.events.push(Event::Adopted { new: job, since: arrived_at, past });
         self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
-        let request = PendingRequest {
-            name: transferred.name,
-            job,
-            arrived_at,
-            downstream,
-            phase: RequestPhase::Open,
-            is_start_notified: transferred.is_start_notified,
-            idempotency_key: transferred.idempotency_key.filter(|_| self.idempotency.is_some()),
-            attempts,
-        };
+        let key = transferred.idempotency_key.filter(|_| self.idempotency.is_some());
+        let request = PendingRequest::new(transferred.name, job, arrived_at, downstream, key)
+            .with_history(attempts, transferred.is_start_notified);
         self.requests.insert(id, request);
         Some(id)
     }
@@ -159,16 +151,31 @@
     fn to_attempt(&self, transferred: &TransferredAttempt) -> Option<Attempt> {
         let worker = self.endpoints.find(&transferred.worker)?;
         let sent_at = self.clock.module_time(transferred.sent_at);
-        let mut attempt = if transferred.is_in_flight {
-            Attempt::in_flight(worker, sent_at, None)
-        } else if transferred.is_handed_back {
-            Attempt::ended(worker, sent_at, AttemptEnd::HandedBack)
-        } else if transferred.never_ran {
-            Attempt::ended(worker, sent_at, AttemptEnd::NeverRan)
-        } else {
-            Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun)
+        let attempt = match attempt_end(transferred.phase) {
+            None => Attempt::in_flight(worker, sent_at, None),
+            Some(end) => Attempt::ended(worker, sent_at, end),
         };
-        attempt.started_at = transferred.started_at.map(|at| self.clock.module_time(at));
-        Some(attempt)
+        Some(attempt.with_start(transferred.started_at.map(|at| self.clock.module_time(at))))
+    }
+}
+
+/// The phase in which an attempt is transferred; `None` where it never left this process.
+fn transferred_phase(attempt: &Attempt) -> Option<TransferredPhase> {
+    match attempt.phase() {
+        AttemptPhase::InFlight { .. } => Some(TransferredPhase::InFlight),
+        AttemptPhase::Ended(AttemptEnd::MayHaveRun) => Some(TransferredPhase::MayHaveRun),
+        AttemptPhase::Ended(AttemptEnd::NeverRan) => Some(TransferredPhase::NeverRan),
+        AttemptPhase::Ended(AttemptEnd::ReturnedByCallback) => Some(TransferredPhase::ReturnedByCallback),
+        AttemptPhase::Ended(AttemptEnd::NeverSent) => None,
+    }
+}
+
+/// What the end of a transferred attempt proves; `None` where it is in flight.
+fn attempt_end(phase: TransferredPhase) -> Option<AttemptEnd> {
+    match phase {
+        TransferredPhase::InFlight => None,
+        TransferredPhase::MayHaveRun => Some(AttemptEnd::MayHaveRun),
+        TransferredPhase::NeverRan => Some(AttemptEnd::NeverRan),
+        TransferredPhase::ReturnedByCallback => Some(AttemptEnd::ReturnedByCallback),
     }
 }
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -1,12 +1,12 @@
 //! What is due at a turn: timers fire, the decision module handles a batch of events, and its actions become commands.
 
 use super::Core;
-use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
-use crate::core::commands::{AttemptOutcome, Command, FinalResponse};
+use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, end_of_closed};
+use crate::core::commands::{AttemptOutcome, Command, FinalResponse, RecordTicket};
 use crate::core::ledger::Completion;
-use crate::core::request::{RequestId, RequestPhase};
+use crate::core::request::{PendingRequest, RequestId};
 use crate::core::timers::Timer;
-use crate::policy::interface::{Action, AttemptEnded, Event, Micros, Outcome, WorkerId};
+use crate::policy::interface::{Action, Event, Micros, Outcome, WorkerId};
 use mothproxy_invariant::invariant;
 
 /// The core itself fails a request that is still open this long after its deadline.
@@ -41,14 +41,14 @@
     }
 
     fn on_request_deadline(&mut self, now: Micros, request_id: RequestId) {
-        let attempts = self.requests.get(request_id).map_or(0, |request| request.attempts.len() as u32);
-        for attempt in 0..attempts {
-            self.cancel_attempt(now, AttemptId { request_id, attempt }, Outcome::Timeout);
+        let attempts = self.requests.get(request_id).map_or(0, PendingRequest::next_attempt_number);
+        for number in 0..attempts {
+            self.cancel_attempt(now, AttemptId { request_id, number }, Outcome::Timeout);
         }
         if let Some(request) = self.requests.get_mut(request_id) {
             // Counted from now: after a turn that came late the module must still be asked first.
             let respond_at = now + OVERDUE_GRACE;
-            request.phase = RequestPhase::Overdue { respond_at };
+            request.mark_overdue(respond_at);
             self.timers.schedule(respond_at, Timer::OverdueResponse(request_id));
         }
     }
@@ -70,7 +70,8 @@
         match action {
             Action::Send { job, worker, limit } => self.start_attempt(now, job.into(), worker, limit),
             Action::Cancel { job, attempt } => {
-                self.cancel_attempt(now, AttemptId { request_id: job.into(), attempt }, Outcome::Cancelled);
+                let id = AttemptId { request_id: job.into(), number: attempt };
+                self.cancel_attempt(now, id, Outcome::Cancelled);
             }
             Action::Reject { job, retry_after } => {
                 self.respond(now, job.into(), FinalResponse::Rejected(retry_after), Completion::Rejected);
@@ -91,7 +92,7 @@
     fn failure_response(&self, now: Micros, id: RequestId) -> FinalResponse {
         let is_late = |deadline| now + 2 * self.batch_interval >= deadline;
         match self.requests.get(id) {
-            Some(request) if is_late(request.job.deadline) => FinalResponse::TimedOut,
+            Some(request) if is_late(request.job().deadline) => FinalResponse::TimedOut,
             _ => FinalResponse::Failed,
         }
     }
@@ -108,50 +109,41 @@
             invariant!(false, "an attempt of request {request_id}, which is no more");
             return;
         };
-        let attempt = request.attempts.len() as u32;
+        let id = AttemptId { request_id, number: request.next_attempt_number() };
         if !request.is_open() {
             // The batch was fixed before its request was closed: nothing is sent after a final response.
-            request.attempts.push(Attempt::ended(worker, now, AttemptEnd::NeverSent));
-            return self.events.push(Event::AttemptEnded(AttemptEnded {
-                job: request_id.job(),
-                attempt,
-                worker,
-                elapsed: 0,
-                closed: true,
-                outcome: Outcome::NeverSent,
-                report: None,
-            }));
+            request.add_attempt(Attempt::ended(worker, now, AttemptEnd::NeverSent));
+            return self.events.push(end_of_closed(id, worker, Outcome::NeverSent));
         }
         let is_doubled = request.is_in_flight_at(worker);
         invariant!(!is_doubled, "worker {} has request {request_id} already", worker.0);
-        let timeout_at = time_limit.map(|span| now + span).filter(|at| *at < request.job.deadline);
-        request.attempts.push(Attempt::in_flight(worker, now, timeout_at));
-        let has_key = request.idempotency_key.is_some();
-        let id = AttemptId { request_id, attempt };
+        let timeout_at = time_limit.map(|span| now + span).filter(|at| *at < request.job().deadline);
+        request.add_attempt(Attempt::in_flight(worker, now, timeout_at));
+        let has_key = request.idempotency_key().is_some();
         if let Some(at) = timeout_at {
             self.timers.schedule(at, Timer::AttemptTimeout(id));
         }
         if has_key {
-            self.unpersisted.insert(id.ticket(), id);
-            self.persist_record(now, request_id, Some(id.ticket()), None);
+            let ticket = RecordTicket::from(id);
+            self.unpersisted.insert(ticket, id);
+            self.persist_record(now, request_id, Some(ticket), None);
         } else {
-            self.commands.push_back(Command::StartAttempt { request_id, attempt, worker });
+            self.commands.push_back(Command::StartAttempt { attempt: id, worker });
         }
     }
 
     /// Stops waiting for an attempt that is in flight: its worker is sent a cancel, and it ends with this outcome. One that still
     /// waits for its record has not left, and ends as never sent.
     fn cancel_attempt(&mut self, now: Micros, id: AttemptId, outcome: Outcome) {
-        let AttemptId { request_id, attempt } = id;
-        let Some(request) = self.requests.get(request_id) else { return };
-        let Some(worker) = request.in_flight(attempt).map(|attempt| attempt.worker) else { return };
-        let outcome = if self.unpersisted.remove(&id.ticket()).is_some() {
+        let Some(request) = self.requests.get(id.request_id) else { return };
+        let Some(worker) = request.in_flight(id.number).map(Attempt::worker) else { return };
+        let outcome = if self.unpersisted.remove(&RecordTicket::from(id)).is_some() {
             Outcome::NeverSent
         } else {
-            let name = request.name.clone();
-            self.commands.push_back(Command::CancelAttempt { request_id, attempt, worker, name });
+            let name = request.name().to_owned();
+            self.commands.push_back(Command::CancelAttempt { attempt: id, worker, name });
             outcome
         };
-        self.on_attempt_ended(now, request_id, attempt, AttemptOutcome::Unserved(outcome), None);
+        self.on_attempt_ended(now, id, AttemptOutcome::Unserved(outcome), None);
     }
 }
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -154,7 +154,7 @@
     }
 
     /// Treats the window of every recorded attempt as over: how much time has passed since is not known.
-    pub fn distrust_clock(&mut self) {
+    pub fn expire_windows(&mut self) {
         for stored in self.records.values_mut() {
             for attempt in &mut stored.record.attempts {
                 attempt.sent_at = i64::MIN;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -32,6 +32,9 @@
 pub mod transfer;
 pub mod watch_liveness;
 
-pub use commands::{AttemptOutcome, Command, FinalResponse, JobStatus, NewRequest};
+pub use attempt::AttemptId;
+pub use commands::{
+    AttemptOutcome, Command, DownstreamId, FinalResponse, JobStatus, NewRequest, RecordTicket,
+};
 pub use engine::Core;
 pub use request::RequestId;
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -45,23 +45,76 @@
 
 /// An attempt of a transferred request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+#[serde(from = "AttemptMessage", into = "AttemptMessage")]
 pub struct TransferredAttempt {
     /// The worker's instance id.
     pub worker: String,
     /// When it was sent.
-    #[serde(rename = "at")]
     pub sent_at: i64,
-    /// When it started to run.
-    #[serde(rename = "started")]
+    /// When it started to run, also of one that has ended.
     pub started_at: Option<i64>,
-    /// Whether its end is still to come.
+    /// How far it has come.
+    pub phase: TransferredPhase,
+}
+
+/// How far a transferred attempt has come. One that never left its process is not transferred.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TransferredPhase {
+    /// Its end is still to come.
+    InFlight,
+    /// It has ended, and ran or may have run.
+    MayHaveRun,
+    /// It has ended and never ran.
+    NeverRan,
+    /// Its worker returned it unstarted by a callback, which it may repeat.
+    ReturnedByCallback,
+}
+
+/// The form in which an attempt travels: a flag for each thing that may be known of it.
+#[derive(Clone, Deserialize, Serialize)]
+struct AttemptMessage {
+    worker: String,
+    #[serde(rename = "at")]
+    sent_at: i64,
+    #[serde(rename = "started")]
+    started_at: Option<i64>,
     #[serde(rename = "out")]
-    pub is_in_flight: bool,
-    /// Whether it has ended and never ran.
-    pub never_ran: bool,
-    /// Whether its worker handed it back by a callback.
+    is_in_flight: bool,
+    never_ran: bool,
     #[serde(default, rename = "handed_back")]
-    pub is_handed_back: bool,
+    is_returned_by_callback: bool,
+}
+
+impl From<AttemptMessage> for TransferredAttempt {
+    /// While an attempt is in flight nothing is known of how it ends, whatever the other flags are.
+    fn from(message: AttemptMessage) -> TransferredAttempt {
+        let phase = if message.is_in_flight {
+            TransferredPhase::InFlight
+        } else if message.is_returned_by_callback {
+            TransferredPhase::ReturnedByCallback
+        } else if message.never_ran {
+            TransferredPhase::NeverRan
+        } else {
+            TransferredPhase::MayHaveRun
+        };
+        let AttemptMessage { worker, sent_at, started_at, .. } = message;
+        TransferredAttempt { worker, sent_at, started_at, phase }
+    }
+}
+
+impl From<TransferredAttempt> for AttemptMessage {
+    fn from(attempt: TransferredAttempt) -> AttemptMessage {
+        let TransferredAttempt { worker, sent_at, started_at, phase } = attempt;
+        let is_returned_by_callback = phase == TransferredPhase::ReturnedByCallback;
+        AttemptMessage {
+            worker,
+            sent_at,
+            started_at,
+            is_in_flight: phase == TransferredPhase::InFlight,
+            never_ran: is_returned_by_callback || phase == TransferredPhase::NeverRan,
+            is_returned_by_callback,
+        }
+    }
 }
 
 /// What the decision module has learned, with the names behind its numbers.
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -2,8 +2,8 @@
 
 use super::{RawRequest, Reject};
 use crate::config::SiteNames;
-use crate::core::NewRequest;
 use crate::core::idempotency::IdempotencyKey;
+use crate::core::{DownstreamId, NewRequest};
 use crate::http::Framing;
 use crate::http::load::parse_pairs;
 use crate::policy::interface::{Class, ClassId, Idempotency, KeyId, Micros, TenantId};
@@ -117,7 +117,7 @@
     let hint_ms = parse_work_hint(request)?.or(fact(WORK_HINT_FACTS));
     Ok(NewRequest {
         name: request_id.to_owned(),
-        downstream: 0,
+        downstream: DownstreamId(0),
         class: class_id,
         tenant: parse_tenant(site, request)?,
         key: object_cookie(request).map(|object| KeyId(tag(object) as u32)),
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -146,7 +146,7 @@
         let new = NewJob { public_id, token, tenant, ends_unwatched };
         let job = streams.broker.add_job(self.now, new);
         let job = job.map_err(|_| Reject::Overloaded)?;
-        request.downstream = Downstream::Job(job).to_number();
+        request.downstream = Downstream::Job(job).to_id();
         let Some(request_id) = self.core.accept(self.now, request) else {
             streams.broker.transfer(job);
             return Err(Reject::DuplicateId);
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -84,7 +84,7 @@
         let Some(job) = streams.broker.restore(self.now, transferred.job) else { return };
         if let Some((exchange, raw)) = transferred.request.zip(raw) {
             self.hot_restart.forget_in_peer_process(&exchange.request.name);
-            match self.core.adopt(exchange.request, Downstream::Job(job).to_number()) {
+            match self.core.adopt(exchange.request, Downstream::Job(job).to_id()) {
                 Some(request_id) => {
                     if let Some(streams) = &mut self.event_streams {
                         streams.requests.insert(job, request_id);
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -16,6 +16,7 @@
 pub(in crate::server) use client::{ClientConnection, ClientState, StreamWatch};
 pub(in crate::server) use idle::{MIN_IDLE_BEFORE_CLOSE, PARTIAL_REQUEST_GRACE, SILENT_GRACE};
 
+use crate::core::DownstreamId;
 use crate::http::{MAX_BODY, MAX_HEAD};
 use crate::policy::interface::Micros;
 use crate::server::tokens::Token;
@@ -44,19 +45,19 @@
 }
 
 impl Downstream {
-    /// The one of this number.
-    pub fn from_number(number: u64) -> Downstream {
+    /// The one of this id.
+    pub fn from_id(DownstreamId(number): DownstreamId) -> Downstream {
         match number & JOB_FLAG {
             0 => Downstream::Connection(Token(number)),
             _ => Downstream::Job(JobId(number & !JOB_FLAG)),
         }
     }
 
-    /// Its number.
-    pub fn to_number(self) -> u64 {
+    /// Its id.
+    pub fn to_id(self) -> DownstreamId {
         match self {
-            Downstream::Connection(token) => token.0,
-            Downstream::Job(job) => JOB_FLAG | job.0,
+            Downstream::Connection(token) => DownstreamId(token.0),
+            Downstream::Job(job) => DownstreamId(JOB_FLAG | job.0),
         }
     }
 }
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -102,8 +102,7 @@
 
     /// Reads the connection of a request's client, and cancels the request if that has disconnected.
     pub(in crate::server) fn cancel_if_client_disconnected(&mut self, request_id: RequestId) {
-        if let Some(Downstream::Connection(token)) =
-            self.core.downstream(request_id).map(Downstream::from_number)
+        if let Some(Downstream::Connection(token)) = self.core.downstream(request_id).map(Downstream::from_id)
         {
             self.close_if_disconnected(token);
         }
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -138,7 +138,7 @@
         raw: RawRequest,
         keep_alive: bool,
     ) -> Result<(), Reject> {
-        request.downstream = Downstream::Connection(token).to_number();
+        request.downstream = Downstream::Connection(token).to_id();
         self.read_idempotency_key(&mut request, &raw);
         let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
         if self.core.is_key_reused(self.now, &request) {
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,7 +3,7 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::{Command, Core};
+use crate::core::{Command, Core, DownstreamId};
 use crate::policy::interface::Micros;
 use crate::server::Server;
 use crate::server::connection_table::Role;
@@ -89,16 +89,14 @@
     pub(super) fn run_commands(&mut self) {
         while let Some(command) = self.core.next_command() {
             match command {
-                Command::StartAttempt { request_id, attempt, worker } => {
-                    self.start_attempt(request_id, attempt, worker);
-                }
+                Command::StartAttempt { attempt, worker } => self.start_attempt(attempt, worker),
                 Command::PersistRecord { ticket, key, record } => self.persist_record(ticket, key, record),
-                Command::CancelAttempt { request_id, attempt, worker, name } => {
-                    self.cancel_attempt(request_id, attempt, worker, &name);
+                Command::CancelAttempt { attempt, worker, name } => {
+                    self.cancel_attempt(attempt, worker, &name);
                 }
                 Command::Respond { request_id, downstream, response } => {
                     self.pending.remove(request_id);
-                    match Downstream::from_number(downstream) {
+                    match Downstream::from_id(downstream) {
                         Downstream::Connection(token) => self.send_response(token, request_id, response),
                         Downstream::Job(job) => self.finish_job(job, response),
                     }
@@ -116,8 +114,8 @@
         self.run_stream_effects();
     }
 
-    fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
-        match Downstream::from_number(downstream) {
+    fn notify_progress(&mut self, downstream: DownstreamId, share: Option<f64>) {
+        match Downstream::from_id(downstream) {
             Downstream::Connection(token) => self.send_progress(token, share),
             Downstream::Job(job) => {
                 if let Some(streams) = &mut self.event_streams {
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -6,6 +6,7 @@
 
 pub(in crate::server) use record_store::RecordStore;
 
+use crate::core::RecordTicket;
 use crate::protocol::admin::IdempotencyMetrics;
 use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
 use completion::Waiter;
@@ -21,7 +22,10 @@
     /// If the store cannot be opened or watched.
     pub(in crate::server) fn open_record_store(&mut self, settings: StateDir) -> Result<(), ServerError> {
         let (records, loaded) = RecordStore::open(settings)?;
-        let bad = self.core.enable_idempotency(self.now, loaded.records.into_iter(), loaded.is_clock_sound);
+        let bad = self.core.enable_idempotency(self.now, loaded.records.into_iter());
+        if !loaded.is_clock_sound {
+            self.core.expire_idempotency_windows();
+        }
         for (key, error) in bad {
             tracing::error!(key, %error, "idempotency store: unreadable record");
         }
@@ -39,7 +43,7 @@
     /// Persists a record of a keyed job, or deletes it where there is none; `ticket` is what the core waits with, if it does.
     pub(in crate::server) fn persist_record(
         &mut self,
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         key: String,
         record: Option<Vec<u8>>,
     ) {
@@ -52,11 +56,11 @@
         }
     }
 
-    fn persist_at_successor(&mut self, ticket: Option<u64>, key: String, record: Option<&[u8]>) {
+    fn persist_at_successor(&mut self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) {
         if !self.hot_restart.forward_record(ticket, key, record)
             && let Some(ticket) = ticket
         {
-            self.core.on_record_persisted(ticket, false);
+            self.core.on_record_failed(ticket);
         }
     }
 
@@ -67,7 +71,8 @@
             let written = completion.result.is_ok();
             match completion.waiter {
                 Waiter::Nobody => {}
-                Waiter::Core(ticket) => self.core.on_record_persisted(ticket, written),
+                Waiter::Core(ticket) if written => self.core.on_record_persisted(ticket),
+                Waiter::Core(ticket) => self.core.on_record_failed(ticket),
                 Waiter::Predecessor(ticket) => {
                     self.hot_restart.report_record_written(ticket, written);
                 }
@@ -78,7 +83,7 @@
     /// The predecessor wants a record persisted, or deleted where there is none.
     pub(in crate::server) fn persist_for_predecessor(
         &mut self,
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         key: &str,
         record: Option<Vec<u8>>,
     ) {
@@ -99,7 +104,7 @@
     /// The successor that was to persist records has ended: all that are waited for count as failed.
     pub(in crate::server) fn fail_pending_records(&mut self) {
         for ticket in self.core.pending_tickets() {
-            self.core.on_record_persisted(ticket, false);
+            self.core.on_record_failed(ticket);
         }
     }
 
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -17,6 +17,7 @@
 
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
+use crate::core::RecordTicket;
 use crate::server::tokens::{PEER_PROCESS, PEERS, PLATFORM, RESTART_SOCKET, SSE, Token};
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
@@ -100,13 +101,13 @@
     }
 
     /// Has the other process write an idempotency record, or forget the key where there is none. False if it cannot be sent.
-    pub fn forward_record(&self, ticket: Option<u64>, key: String, record: Option<&[u8]>) -> bool {
+    pub fn forward_record(&self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) -> bool {
         let message = HandoverMessage::WriteRecord { ticket, key, is_kept: record.is_some() };
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
     /// Reports to the other process whether a record that it wanted is written. False if that cannot be sent.
-    pub fn report_record_written(&self, ticket: u64, is_written: bool) -> bool {
+    pub fn report_record_written(&self, ticket: RecordTicket, is_written: bool) -> bool {
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
 
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -141,8 +141,11 @@
             HandoverMessage::WriteRecord { ticket, key, is_kept } => {
                 self.persist_for_predecessor(ticket, &key, is_kept.then_some(bytes));
             }
-            HandoverMessage::RecordWritten { ticket, is_written } => {
-                self.core.on_record_persisted(ticket, is_written);
+            HandoverMessage::RecordWritten { ticket, is_written: true } => {
+                self.core.on_record_persisted(ticket);
+            }
+            HandoverMessage::RecordWritten { ticket, is_written: false } => {
+                self.core.on_record_failed(ticket);
             }
             HandoverMessage::Hello | HandoverMessage::Listeners { .. } => self.metrics.rejects += 1,
         }
@@ -182,7 +185,7 @@
             self.clients.track_awaiting_request(token, &client); // last read now, as far as this process knows
         }
         if let Some((exchange, raw)) = transferred.request.zip(split.request) {
-            match self.core.adopt(exchange.request, Downstream::Connection(token).to_number()) {
+            match self.core.adopt(exchange.request, Downstream::Connection(token).to_id()) {
                 Some(request_id) => {
                     self.pending.insert(request_id, raw);
                     if exchange.has_broken_attempt {
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -134,8 +134,7 @@
         // The link is full or gone: the request stays, under a new number.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
             && let Some(exchange) = transferred.request
-            && let Some(request_id) =
-                self.core.adopt(exchange.request, Downstream::Connection(token).to_number())
+            && let Some(request_id) = self.core.adopt(exchange.request, Downstream::Connection(token).to_id())
         {
             self.pending.insert(request_id, raw);
             client.replace_awaited_request(request_id);
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -1,18 +1,10 @@
 //! One connection to a worker, and the exchange on it.
 
-use crate::core::RequestId;
+use crate::core::AttemptId;
 use crate::http::{Body, EventStream};
 use crate::policy::interface::{Micros, WorkerId};
 use std::net::SocketAddr;
 
-/// An attempt of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct AttemptId {
-    pub request_id: RequestId,
-    /// Its number within the request, from 0.
-    pub number: u32,
-}
-
 /// What a connection is used for, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exchange {
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -1,7 +1,7 @@
 //! The end of an exchange: its connection is over, or its time.
 
-use super::connection::{AttemptId, Exchange, ResponseBody, UpstreamConnection, UpstreamState};
-use crate::core::AttemptOutcome;
+use super::connection::{Exchange, ResponseBody, UpstreamConnection, UpstreamState};
+use crate::core::{AttemptId, AttemptOutcome};
 use crate::http::MAX_HEAD;
 use crate::policy::interface::{Outcome, WorkerId};
 use crate::server::Server;
@@ -37,7 +37,7 @@
     ) {
         let taken = match upstream.state {
             UpstreamState::Awaiting(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
-                self.core.request_name(attempt.request_id, attempt.number)
+                self.core.request_name(attempt)
             }
             _ => None,
         };
@@ -88,8 +88,7 @@
 
     /// An attempt has come to nothing.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let AttemptId { request_id, number } = attempt;
-        self.core.on_attempt_ended(self.now, request_id, number, AttemptOutcome::Unserved(outcome), None);
+        self.core.on_attempt_ended(self.now, attempt, AttemptOutcome::Unserved(outcome), None);
     }
 
     /// An exchange is over without a response. `token` is its connection, if it had one.
@@ -175,7 +174,7 @@
         self.metrics.untaken += 1;
         self.pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
-        let name = self.core.request_name(attempt.request_id, attempt.number);
+        let name = self.core.request_name(attempt);
         // Where no two attempts may be under way, the next one starts only after the cancel is written.
         let ending = Some(attempt).filter(|_| !self.config.settings.may_hedge);
         self.upstream.attempts.remove(&attempt);
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -11,11 +11,10 @@
 
 pub(in crate::server) use connection::UpstreamConnection;
 
-use crate::core::RequestId;
+use crate::core::{AttemptId, RequestId};
 use crate::policy::interface::{Micros, WorkerId};
 use crate::server::Server;
 use crate::server::tokens::Token;
-use connection::AttemptId;
 use std::collections::HashMap;
 
 /// A cancel or a load probe must be answered by then.
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -1,8 +1,8 @@
 //! Reading what workers answer: to attempts, cancels and load probes.
 
 use super::PendingProbe;
-use super::connection::{AttemptId, Exchange, ResponseBody, StatusStream, UpstreamConnection, UpstreamState};
-use crate::core::AttemptOutcome;
+use super::connection::{Exchange, ResponseBody, StatusStream, UpstreamConnection, UpstreamState};
+use crate::core::{AttemptId, AttemptOutcome};
 use crate::http::{self, Body, EventStream, Framing, MAX_BODY, MAX_HEAD, StreamEvent};
 use crate::policy::interface::{Micros, Outcome};
 use crate::protocol::{names, platform};
@@ -209,9 +209,8 @@
                 upstream.cooldown = self.config.connect_timeout;
                 let report =
                     platform::load_report_from_head(self.core.names(), &connection.inbox, &head.fields);
-                let AttemptId { request_id, number } = attempt;
                 let outcome = AttemptOutcome::Unserved(outcome);
-                self.core.on_attempt_ended(self.now, request_id, number, outcome, report);
+                self.core.on_attempt_ended(self.now, attempt, outcome, report);
             }
         }
         connection.inbox.drain(..head.len);
@@ -238,9 +237,8 @@
         let callback = platform::parse_status_callback(self.core.names(), event.data.as_bytes(), name);
         match callback {
             Some(callback) => {
-                let AttemptId { request_id, number } = attempt;
                 let (status, report) = (callback.status, callback.report);
-                self.core.on_attempt_status(self.now, request_id, number, status, report);
+                self.core.on_attempt_status(self.now, attempt, status, report);
             }
             None => self.metrics.rejects += 1,
         }
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -1,8 +1,8 @@
 //! Attempts, cancels and load probes: each gets an idle connection to its worker, or a new one.
 
-use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
+use super::connection::{Exchange, UpstreamConnection, UpstreamState};
 use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT};
-use crate::core::RequestId;
+use crate::core::AttemptId;
 use crate::core::endpoint_table::Endpoint;
 use crate::http::Piece;
 use crate::policy::interface::{Micros, Outcome, WorkerId};
@@ -45,11 +45,11 @@
     }
 
     /// Forwards a request to a worker, unless its client has disconnected.
-    pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
+    pub(in crate::server) fn start_attempt(&mut self, attempt: AttemptId, worker: WorkerId) {
+        let request_id = attempt.request_id;
         if self.polled_at.is_old(self.elapsed_time()) {
             self.cancel_if_client_disconnected(request_id);
         }
-        let attempt = AttemptId { request_id, number };
         if !self.pending.contains(request_id) {
             // Its client left in the meantime: nothing goes out any more, which shows nothing of the worker.
             return self.end_attempt(attempt, Outcome::NeverSent);
@@ -72,14 +72,8 @@
     }
 
     /// Gives an attempt up: by closing its connection, or by a cancel where its response has come.
-    pub(in crate::server) fn cancel_attempt(
-        &mut self,
-        request_id: RequestId,
-        number: u32,
-        worker: WorkerId,
-        name: &str,
-    ) {
-        match self.upstream.attempts.remove(&AttemptId { request_id, number }) {
+    pub(in crate::server) fn cancel_attempt(&mut self, attempt: AttemptId, worker: WorkerId, name: &str) {
+        match self.upstream.attempts.remove(&attempt) {
             // Not answered yet, or streaming: closing the connection cancels it.
             Some(token) => self.close_token(token),
             None => self.send_cancel(worker, name, None),
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -1,7 +1,8 @@
 //! Writing to workers, and what is awaited of them next.
 
 use super::SIDE_EXCHANGE_TIMEOUT;
-use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
+use super::connection::{Exchange, UpstreamConnection, UpstreamState};
+use crate::core::AttemptId;
 use crate::policy::interface::Outcome;
 use crate::protocol::platform;
 use crate::server::Server;
@@ -24,8 +25,7 @@
             let has_begun = connection.outbox.len() < length;
             self.update_clock(); // a turn may be long, and the last bytes of it late
             let is_usable = self.is_endpoint_usable(upstream);
-            let AttemptId { request_id, number } = attempt;
-            let may_write = self.core.may_write(self.now, request_id, number, upstream.transit_allowance);
+            let may_write = self.core.may_write(self.now, attempt, upstream.transit_allowance);
             if !may_write || !(is_usable || has_begun) {
                 self.withhold_attempt(token, connection, upstream, attempt);
                 return is_usable && !has_begun;
@@ -75,7 +75,7 @@
         attempt: AttemptId,
     ) {
         let Some(raw) = self.pending.get(attempt.request_id) else { return };
-        let time_left = self.core.time_left(self.now, attempt.request_id, attempt.number);
+        let time_left = self.core.time_left(self.now, attempt);
         connection.outbox.clear();
         connection.outbox.push(platform::forwarded_request(raw, time_left));
         upstream.unwritten_length = Some(connection.outbox.len());
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -2,8 +2,8 @@
 
 use crate::{assert_kept, kept};
 use mothproxy::core::idempotency::IdempotencyKey;
-use mothproxy::core::transfer::{LearnedState, TransferredAttempt, TransferredRequest};
-use mothproxy::core::{AttemptOutcome, Command, Core, JobStatus, NewRequest};
+use mothproxy::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
+use mothproxy::core::{AttemptOutcome, Command, Core, DownstreamId, JobStatus, NewRequest};
 use mothproxy::{ClassId, LoadReport, Micros, Outcome, TenantId};
 use mothproxy_testkit::site;
 use serde_json::json;
@@ -27,7 +27,7 @@
         let name = format!("job-{n}");
         let arrival = NewRequest {
             name: name.clone(),
-            downstream: 70,
+            downstream: DownstreamId(70),
             class: ClassId((n % 2) as u16),
             tenant: Some(TenantId(0)),
             key: None,
@@ -42,11 +42,11 @@
         core.turn(now);
         let mut sent = Vec::new();
         while let Some(command) = core.next_command() {
-            if let Command::StartAttempt { request_id, attempt, worker } = command {
-                sent.push((request_id, attempt, worker));
+            if let Command::StartAttempt { attempt, worker } = command {
+                sent.push((attempt, worker));
             }
         }
-        for (id, attempt, worker) in sent {
+        for (attempt, worker) in sent {
             now += 8 * MS;
             let report = LoadReport {
                 cpu: Some(0.25),
@@ -55,15 +55,9 @@
                 ..LoadReport::default()
             };
             if n % 7 == 3 {
-                core.on_attempt_ended(now, id, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
+                core.on_attempt_ended(now, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
             } else if n % 7 == 5 {
-                core.on_attempt_ended(
-                    now,
-                    id,
-                    attempt,
-                    AttemptOutcome::Unserved(Outcome::Full),
-                    Some(report),
-                );
+                core.on_attempt_ended(now, attempt, AttemptOutcome::Unserved(Outcome::Full), Some(report));
             } else {
                 core.on_job_status(now, &name, &format!("s-{}", worker.0), JobStatus::Started, None);
                 now += 4 * MS;
@@ -113,13 +107,11 @@
 
 #[test]
 fn a_request_under_way_keeps_its_form() {
-    let attempt = |worker: &str, started_at, is_in_flight, never_ran, is_handed_back| TransferredAttempt {
+    let attempt = |worker: &str, started_at, phase| TransferredAttempt {
         worker: worker.to_owned(),
         sent_at: 1_790_000_000_000_000,
         started_at,
-        is_in_flight,
-        never_ran,
-        is_handed_back,
+        phase,
     };
     let moved = TransferredRequest {
         name: "job-1".into(),
@@ -135,8 +127,8 @@
         is_start_notified: true,
         idempotency_key: Some(IdempotencyKey { key: "steppe-mart/k".into(), body_fingerprint: 77 }),
         attempts: vec![
-            attempt("s-1", None, false, true, true),
-            attempt("s-2", Some(1_790_000_000_100_000), true, false, false),
+            attempt("s-1", None, TransferredPhase::ReturnedByCallback),
+            attempt("s-2", Some(1_790_000_000_100_000), TransferredPhase::InFlight),
         ],
     };
     assert_kept("request.json", &(serde_json::to_string(&moved).expect("JSON") + "\n"));
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -1,7 +1,9 @@
 //! A core on a virtual clock, with workers `s-0`, `s-1`, ... and requests `job-1`, `job-2`, ...
 
 use mothproxy::core::idempotency::IdempotencyKey;
-use mothproxy::core::{Command, Core, FinalResponse, JobStatus, NewRequest, RequestId};
+use mothproxy::core::{
+    AttemptId, Command, Core, DownstreamId, FinalResponse, JobStatus, NewRequest, RequestId,
+};
 use mothproxy::{ClassId, Micros, TenantId, WorkerId};
 use mothproxy_testkit::site;
 use serde_json::json;
@@ -40,7 +42,7 @@
     /// One that keeps records of keyed requests.
     pub fn with_idempotency(workers: usize) -> CoreHarness {
         let mut harness = CoreHarness::new(workers);
-        harness.core.enable_idempotency(harness.now, std::iter::empty(), true);
+        harness.core.enable_idempotency(harness.now, std::iter::empty());
         harness
     }
 
@@ -72,7 +74,10 @@
         let workers = self.core.endpoints().listed();
         let unix = u128::from(self.now - Core::clock_start() + elapsed);
         let mut next = CoreHarness::starting_at(workers, unix);
-        let unreadable = next.core.enable_idempotency(next.now, records.clone().into_iter(), is_clock_sound);
+        let unreadable = next.core.enable_idempotency(next.now, records.clone().into_iter());
+        if !is_clock_sound {
+            next.core.expire_idempotency_windows();
+        }
         assert_eq!(unreadable, []);
         next
     }
@@ -103,7 +108,7 @@
 fn new_request(name: &str, class: u16, time_budget: Micros) -> NewRequest {
     NewRequest {
         name: name.to_owned(),
-        downstream: 70,
+        downstream: DownstreamId(70),
         class: ClassId(class),
         tenant: Some(TenantId(0)),
         key: None,
@@ -119,23 +124,20 @@
 /// An attempt that the core has commanded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
-    pub request_id: RequestId,
-    pub attempt: u32,
+    pub id: AttemptId,
     pub worker: WorkerId,
 }
 
 impl StartedAttempt {
     /// The request's name, if it was accepted by [`CoreHarness::accept`].
     pub fn request_name(&self) -> String {
-        format!("job-{}", self.request_id.0 + 1)
+        format!("job-{}", self.id.request_id.0 + 1)
     }
 }
 
 pub fn started(commands: &[Command]) -> Vec<StartedAttempt> {
     let started = |command: &Command| match *command {
-        Command::StartAttempt { request_id, attempt, worker } => {
-            Some(StartedAttempt { request_id, attempt, worker })
-        }
+        Command::StartAttempt { attempt, worker } => Some(StartedAttempt { id: attempt, worker }),
         _ => None,
     };
     commands.iter().filter_map(started).collect()
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -2,13 +2,13 @@
 
 use crate::harness::{CoreHarness, MS, responses, started};
 use mothproxy::WorkerId;
-use mothproxy::core::{Command, FinalResponse, JobStatus};
+use mothproxy::core::{Command, FinalResponse, JobStatus, RecordTicket};
 use mothproxy_testkit::site;
 use serde_json::json;
 use std::collections::BTreeMap;
 
 /// Carries out the commands to persist records, as the store would. Returns the tickets that wait for it.
-fn persist(records: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<u64> {
+fn persist(records: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<RecordTicket> {
     let mut tickets = Vec::new();
     for command in commands {
         if let Command::PersistRecord { ticket, key, record } = command {
@@ -39,7 +39,7 @@
     assert_eq!(started(&commands), [], "it left before its record was persisted");
     let tickets = persist(&mut records, &commands);
     assert_eq!(tickets.len(), 1);
-    harness.core.on_record_persisted(tickets[0], true);
+    harness.core.on_record_persisted(tickets[0]);
     let starts = started(&harness.advance(MS));
     assert_eq!(starts.len(), 1);
     KeyedRequest { harness, records, worker: starts[0].worker }
@@ -60,7 +60,7 @@
     let mut harness = CoreHarness::with_idempotency(4);
     let id = harness.accept_keyed("r-1", "k", 5).expect("new");
     let tickets = persist(&mut BTreeMap::new(), &harness.advance(5 * MS));
-    harness.core.on_record_persisted(tickets[0], false);
+    harness.core.on_record_failed(tickets[0]);
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands), []);
     // Nothing of it may have run: it may be rejected.
@@ -82,7 +82,7 @@
         let commands = next.advance(5 * MS);
         let tickets = persist(&mut records.clone(), &commands);
         if may_go {
-            next.core.on_record_persisted(tickets[0], true);
+            next.core.on_record_persisted(tickets[0]);
             let to = started(&next.advance(MS))[0].worker;
             assert_eq!(to.0 / 2, worker.0 / 2, "it went to another cell, {elapsed} ms later");
         } else {
@@ -125,7 +125,7 @@
 fn sends_no_repeat_to_a_cell_that_was_replaced() {
     let KeyedRequest { harness, records, worker } = with_keyed_request(4);
     let mut next = CoreHarness::new(0);
-    next.core.enable_idempotency(next.now, records.into_iter(), true);
+    next.core.enable_idempotency(next.now, records.into_iter());
     let row = |n: u32, cell: u32| {
         let mut row = site::endpoint_entry(&format!("new-{n}"), &format!("127.0.0.1:{}", 9500 + n), "up");
         row["cell"] = json!(cell);
@@ -149,7 +149,7 @@
     let mut harness = CoreHarness::new(2);
     let records = [("a", vec![]), ("b", vec![9, 1, 2]), ("c", vec![1, 0xff, 0xff])];
     let records = records.into_iter().map(|(key, bytes)| (key.to_owned(), bytes));
-    let unreadable = harness.core.enable_idempotency(harness.now, records, true);
+    let unreadable = harness.core.enable_idempotency(harness.now, records);
     let reasons: Vec<String> = unreadable.iter().map(|(_, error)| error.to_string()).collect();
     assert_eq!(unreadable.len(), 3, "{unreadable:?}");
     assert!(reasons[1].contains("version 9") && reasons[0].contains("empty"), "{reasons:?}");
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -1,7 +1,7 @@
 //! The life of a request: attempts, callbacks, deadlines, and exactly one final response.
 
 use crate::harness::{CoreHarness, MS, StartedAttempt, responses, started};
-use mothproxy::core::{AttemptOutcome, Command, FinalResponse, JobStatus, RequestId};
+use mothproxy::core::{AttemptId, AttemptOutcome, Command, FinalResponse, JobStatus, RequestId};
 use mothproxy::{Outcome, WorkerId};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,9 +47,9 @@
 #[test]
 fn fails_and_does_not_reject_what_may_have_run() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 1_000 * MS).expect("new");
-    let attempt = started(&harness.advance(5 * MS))[0].attempt;
-    harness.core.on_attempt_ended(harness.now, id, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
+    harness.accept(1, 1_000 * MS).expect("new");
+    let attempt = started(&harness.advance(5 * MS))[0].id;
+    harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
     let all = responses(&harness.advance(1_050 * MS));
     assert!(matches!(all[..], [(_, FinalResponse::Failed | FinalResponse::TimedOut)]), "{all:?}");
 }
@@ -59,18 +59,18 @@
 fn writes_only_before_the_deadline_and_within_the_idempotency_window() {
     let mut harness = CoreHarness::new(2);
     let id = harness.accept(1, 5_000 * MS).expect("new");
-    let first = started(&harness.advance(5 * MS))[0].attempt;
+    let first = started(&harness.advance(5 * MS))[0].id;
     let at = harness.now;
-    assert!(harness.core.may_write(at, id, first, 0));
-    assert!(!harness.core.may_write(at + 5_000 * MS, id, first, 0), "its time is over");
-    harness.core.on_attempt_ended(harness.now, id, first, AttemptOutcome::Unserved(Outcome::Reset), None);
-    assert!(!harness.core.may_write(at, id, first, 0), "it has ended");
+    assert!(harness.core.may_write(at, first, 0));
+    assert!(!harness.core.may_write(at + 5_000 * MS, first, 0), "its time is over");
+    harness.core.on_attempt_ended(harness.now, first, AttemptOutcome::Unserved(Outcome::Reset), None);
+    assert!(!harness.core.may_write(at, first, 0), "it has ended");
     let second = (0..100).find_map(|_| started(&harness.advance(20 * MS)).pop());
-    let second = second.expect("in the same cell").attempt;
-    assert!(harness.core.may_write(harness.now, id, second, 0));
-    assert!(!harness.core.may_write(harness.now, id, second, 40_000 * MS), "it would come after the window");
+    let second = second.expect("in the same cell").id;
+    assert!(harness.core.may_write(harness.now, second, 0));
+    assert!(!harness.core.may_write(harness.now, second, 40_000 * MS), "it would come after the window");
     harness.core.on_client_disconnected(harness.now, id);
-    assert!(!harness.core.may_write(harness.now, id, second, 0), "its client has disconnected");
+    assert!(!harness.core.may_write(harness.now, second, 0), "its client has disconnected");
 }
 
 #[test]
@@ -105,7 +105,8 @@
     let mut harness = CoreHarness::new(3);
     let id = harness.accept(0, 7_000 * MS).expect("new");
     let first = started(&harness.advance(5 * MS))[0].worker;
-    harness.core.on_attempt_ended(harness.now, id, 0, AttemptOutcome::Unserved(Outcome::Timeout), None);
+    let attempt = AttemptId { request_id: id, number: 0 };
+    harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Timeout), None);
     assert!(harness.report_status("job-1", first, JobStatus::Done(b"late".to_vec())));
     assert_eq!(responses(&harness.advance(10 * MS)), [(id, FinalResponse::Served(b"late".to_vec()))]);
     assert_eq!(harness.core.ledger().served(), 1);
@@ -185,8 +186,8 @@
             harness.report_status(&attempt.request_name(), attempt.worker, JobStatus::Returned);
         }
         6 if !audit.started.is_empty() => {
-            let StartedAttempt { request_id, attempt, .. } = audit.random_attempt(random);
-            harness.core.on_attempt_status(harness.now, request_id, attempt, JobStatus::Started, None);
+            let attempt = audit.random_attempt(random).id;
+            harness.core.on_attempt_status(harness.now, attempt, JobStatus::Started, None);
         }
         _ => {}
     }
@@ -200,9 +201,9 @@
         _ => AttemptOutcome::Done(Vec::new()),
     };
     let has_never_run = matches!(outcome, AttemptOutcome::Unserved(outcome) if never_ran.contains(&outcome));
-    let StartedAttempt { request_id, attempt, worker } = ended;
-    if harness.core.on_attempt_ended(harness.now, request_id, attempt, outcome, None) && has_never_run {
-        audit.may_have_run.remove(&(request_id, worker));
+    let StartedAttempt { id, worker } = ended;
+    if harness.core.on_attempt_ended(harness.now, id, outcome, None) && has_never_run {
+        audit.may_have_run.remove(&(id.request_id, worker));
     }
 }
 
@@ -224,11 +225,12 @@
     fn check(&mut self, commands: &[Command]) {
         for command in commands {
             match *command {
-                Command::StartAttempt { request_id, attempt, worker } => {
+                Command::StartAttempt { attempt, worker } => {
+                    let request_id = attempt.request_id;
                     assert!(!self.responses.contains_key(&request_id), "sent after its final response");
                     let is_first = self.may_have_run.insert((request_id, worker));
                     assert!(is_first, "a second attempt where the first may be");
-                    self.started.push(StartedAttempt { request_id, attempt, worker });
+                    self.started.push(StartedAttempt { id: attempt, worker });
                 }
                 Command::Respond { request_id, .. } => {
                     *self.responses.entry(request_id).or_default() += 1;
--- a/tests/core/transfer.rs
+++ b/tests/core/transfer.rs
@@ -1,8 +1,10 @@
 //! Requests and learned state on their way from one process to its successor.
 
 use crate::harness::{CoreHarness, MS, responses, started};
-use mothproxy::core::{Command, FinalResponse, JobStatus};
+use mothproxy::core::transfer::{TransferredAttempt, TransferredPhase};
+use mothproxy::core::{Command, DownstreamId, FinalResponse, JobStatus};
 use mothproxy::{LoadReport, WorkerId};
+use serde_json::json;
 
 /// The callback that hands a job back may be repeated: its worker gets no other attempt of it, also from the next process.
 #[test]
@@ -13,7 +15,7 @@
     assert!(harness.report_status("job-1", worker, JobStatus::Returned));
     harness.core.batch(harness.now);
     let transferred = through_json(&harness.core.transfer(id).expect("it may go"));
-    harness.core.adopt(transferred, 70).expect("its worker is known");
+    harness.core.adopt(transferred, DownstreamId(70)).expect("its worker is known");
     assert_eq!(started(&harness.advance(2_000 * MS)), []);
 }
 
@@ -22,6 +24,25 @@
     serde_json::from_str(&serde_json::to_string(value).expect("it can be written")).expect("and read")
 }
 
+/// Other versions write a flag for each thing that may be known of an attempt: what is in flight has no end, whatever they say.
+#[test]
+fn flags_of_a_transferred_attempt_read_as_its_one_phase() {
+    let table = [
+        (json!({"out": true, "never_ran": false}), TransferredPhase::InFlight),
+        (json!({"out": true, "never_ran": true, "handed_back": true}), TransferredPhase::InFlight),
+        (json!({"out": false, "never_ran": false}), TransferredPhase::MayHaveRun),
+        (json!({"out": false, "never_ran": true}), TransferredPhase::NeverRan),
+        (json!({"out": false, "never_ran": true, "handed_back": true}), TransferredPhase::ReturnedByCallback),
+    ];
+    for (mut message, phase) in table {
+        message["worker"] = json!("s-1");
+        message["at"] = json!(1);
+        let attempt: TransferredAttempt = serde_json::from_value(message.clone()).expect("an attempt");
+        assert_eq!(attempt.phase, phase, "{message}");
+        assert_eq!(through_json(&attempt), attempt, "{message}");
+    }
+}
+
 /// A decision module that starts from nothing at each upgrade sends to workers that are known to be full.
 #[test]
 fn learned_state_guides_the_successor() {
@@ -74,8 +95,8 @@
         matches!(c, Command::CancelAttempt { .. } | Command::StartAttempt { .. } | Command::Respond { .. })
     };
     assert!(!more.iter().any(for_it), "nothing more is done for it: {more:?}");
-    let id = successor.core.adopt(transferred.clone(), 7).expect("taken over");
-    assert_eq!(successor.core.adopt(transferred, 7), None, "once");
+    let id = successor.core.adopt(transferred.clone(), DownstreamId(7)).expect("taken over");
+    assert_eq!(successor.core.adopt(transferred, DownstreamId(7)), None, "once");
     assert!(started(&successor.advance(1_000 * MS)).is_empty());
     assert!(successor.report_status("job-1", worker, JobStatus::Done(b"x".to_vec())));
     assert_eq!(responses(&successor.advance(10 * MS)), [(id, FinalResponse::Served(b"x".to_vec()))]);
