--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -5,6 +5,9 @@
 //! revalidated. Its methods take the time and return the next time at which something is due. In every state something is:
 //! a dispatcher is never without a watch and without a time for its next call.
 
+mod call_schedule;
+mod freshness;
+mod known_list;
 mod object_splitter;
 mod service_load;
 mod settings;
@@ -13,37 +16,24 @@
 pub use settings::DiscoverySettings;
 
 use crate::policy::interface::Micros;
-use service_load::{MIN_CALL_SPACING, ServiceLoad};
-use settings::{NOTIFICATION_DEADLINE, POLL_INTERVAL};
-use std::ops::{Range, RangeInclusive};
+use call_schedule::{CallSchedule, FailedCall, MIN_RETRY_INTERVAL};
+use freshness::Freshness;
+use known_list::KnownList;
+use service_load::ServiceLoad;
+use std::ops::Range;
 
 /// As long as nothing changes, a watch sends an empty line this often (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 /// A watch that has sent nothing for this long is broken: the heartbeat, and a quarter of its interval for the network and a
-/// busy core. More would leave too little of [`NOTIFICATION_DEADLINE`] to be answered by a service that has many callers.
+/// busy core. More would leave too little of the notification deadline to be answered by a service that has many callers.
 const LIVENESS_TIMEOUT: Micros = HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4;
-/// After SIGHUP a change counts as notified this soon (STANDING, "The whole fleet").
-const MOVED_NOTIFICATION_DEADLINE: Micros = 4_000_000;
-/// The last call that fits into [`NOTIFICATION_DEADLINE`], which is answered, is given this much of it: services are known that let
-/// none wait for longer.
-const LAST_CALL_RESERVE: Micros = 1_000_000;
-/// However many dispatchers there are, a refusal is made good within [`NOTIFICATION_DEADLINE`]: the rest of a wait under way,
-/// one call that is refused, and the last.
-const MAX_REFUSED_INTERVAL: Micros = (NOTIFICATION_DEADLINE - LAST_CALL_RESERVE) / 2;
 /// The connection of a call, of a watch or for the whole list, must be up within this.
 pub const CONNECT_TIMEOUT: Micros = 500_000;
 /// An agent of the own machine answers at once, or stays silent while discovery is down. What it has counts as notified from
 /// the moment it is up again, so it is called well within the least grace of a drain (400 ms).
 const AGENT_ANSWER_TIMEOUT: Micros = 200_000;
-/// Nobody is called in a busy loop: the next call comes this long after an agent refused, or after a call that took its whole time.
-const MIN_RETRY_INTERVAL: Micros = 50_000;
 /// An object of a list, once begun, is whole within this; else what follows would be taken for a part of it.
 const OBJECT_TIMEOUT: Micros = 1_000_000;
-/// A process that has just started waits this long for discovery to revalidate the list that it started with: a service that can be
-/// reached, and is not overloaded, has then answered it in the first of its calls or the next. One that sends nothing counts as one
-/// that cannot be reached, and a list that may be stale is better than none. The process is ready by then, within the 6 s of the
-/// shortest days.
-const REVALIDATION_TIMEOUT: Micros = 3 * POLL_INTERVAL;
 
 /// Why a watch is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,27 +63,6 @@
     },
 }
 
-/// Whether this dispatcher may lack changes that discovery has.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Freshness {
-    /// It lacks none that it knows of.
-    UpToDate,
-    /// A watch fell silent, and none has sent anything since: what it missed counts as notified from this time on.
-    Behind { counts_from: Micros },
-    /// Another service counts, and has sent no list yet: what it has counts as notified from this time on.
-    Moved { counts_from: Micros },
-}
-
-impl Freshness {
-    /// From when on what is missing counts as notified.
-    fn counts_from(self) -> Option<Micros> {
-        match self {
-            Freshness::UpToDate => None,
-            Freshness::Behind { counts_from } | Freshness::Moved { counts_from } => Some(counts_from),
-        }
-    }
-}
-
 /// The state of one dispatcher's watch.
 #[derive(Debug)]
 pub struct WatchLiveness {
@@ -102,9 +71,7 @@
     /// When the last call for a watch began.
     last_call: Option<Micros>,
     freshness: Freshness,
-    /// Set while the list that the program started with is to be revalidated: in this span it may lack changes that count as
-    /// notified.
-    stale: Option<Range<Micros>>,
+    known_list: KnownList,
     load: ServiceLoad,
     rng: fastrand::Rng,
 }
@@ -116,8 +83,8 @@
             settings,
             phase: WatchPhase::Closed,
             last_call: None,
-            freshness: Freshness::UpToDate,
-            stale: None,
+            freshness: Freshness::default(),
+            known_list: KnownList::default(),
             load: ServiceLoad::default(),
             rng: fastrand::Rng::with_seed(seed),
         }
@@ -134,23 +101,20 @@
     /// nothing may be sent by it.
     pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
         let newest = newest.filter(|_| !self.settings.is_pushed);
-        let from = newest.map_or(now, |start| start.min(now) + NOTIFICATION_DEADLINE);
-        self.stale.insert(from.max(now)..now + REVALIDATION_TIMEOUT).clone()
+        self.known_list.revalidate(now, newest)
     }
 
     /// Another dispatcher last received something from the process before this one at this time. What it knew then lacked no more
     /// than what it had not noticed to miss, within `LIVENESS_TIMEOUT`, and that counts `NOTIFICATION_DEADLINE` after. Returns
     /// from when on, now, nothing may be sent by that list, if it is still to be revalidated; what an agent has counts at once.
     pub fn on_predecessor_seen(&mut self, at: Micros) -> Option<Micros> {
-        let span = self.stale.as_mut().filter(|_| !self.settings.is_pushed)?;
-        span.start = span.start.max(at + NOTIFICATION_DEADLINE - LIVENESS_TIMEOUT);
-        Some(span.start)
+        if self.settings.is_pushed { None } else { self.known_list.on_predecessor_seen(at) }
     }
 
     /// Whether nothing may be sent by that list: discovery has sent none, what it would send may count as notified, and nothing
     /// shows that it cannot be reached (an agent of the own machine sends nothing as long as that is so).
     pub fn is_stale(&self, now: Micros) -> bool {
-        self.stale.as_ref().is_some_and(|span| span.contains(&now))
+        self.known_list.is_stale(now)
     }
 
     /// Other settings count. Returns whether a watch is to be opened now: where lists are pushed one always is.
@@ -163,7 +127,7 @@
     /// opened.
     pub fn on_discovery_moved(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Closed;
-        self.freshness = Freshness::Moved { counts_from: now + MOVED_NOTIFICATION_DEADLINE };
+        self.freshness = Freshness::moved(now);
         self.load = ServiceLoad::default();
         self.first_call_at(now, self.settings.hurried_spread())
     }
@@ -187,27 +151,12 @@
 
     /// A call for the whole list begins. Returns when it must be answered.
     pub fn full_list_deadline(&self, now: Micros) -> Micros {
-        now + self.answer_timeout(now)
+        now + self.schedule().answer_timeout(now)
     }
 
     fn answer_deadline(&self, now: Micros) -> Micros {
         let called_at = self.last_call.unwrap_or(now);
-        called_at + self.answer_timeout(called_at)
-    }
-
-    /// How long a call that began at `called_at` may wait for its answer, once its connection is up. Given up, it would lose its
-    /// place in the service's queue, and many services would answer it though nobody reads it. So it is given up only once the
-    /// next one is due, and later where the service has let a call wait for longer; but while what was missed can still be
-    /// received in time, there must be time for another call.
-    fn answer_timeout(&self, called_at: Micros) -> Micros {
-        let longest = self.load.answer_timeout(called_at, &self.settings);
-        let timeout = match self.freshness.counts_from() {
-            Some(counts_from) if called_at < counts_from => counts_from
-                .saturating_sub(called_at + MIN_RETRY_INTERVAL + LAST_CALL_RESERVE)
-                .clamp(POLL_INTERVAL, longest),
-            _ => longest,
-        };
-        timeout.max(self.load.observed_timeout())
+        called_at + self.schedule().answer_timeout(called_at)
     }
 
     /// The watch sent whole lists (after [`WatchLiveness::on_list`]) or empty lines. Returns when it must send more; `None` keeps
@@ -245,8 +194,8 @@
     /// A list was received. Returns since when its changes count as notified: after a silence, or a move, from a fixed time on at
     /// the latest.
     pub fn on_list(&mut self, now: Micros) -> Micros {
-        self.stale = None;
-        let freshness = std::mem::replace(&mut self.freshness, Freshness::UpToDate);
+        self.known_list.release();
+        let freshness = std::mem::take(&mut self.freshness);
         freshness.counts_from().map_or(now, |counts_from| now.min(counts_from))
     }
 
@@ -255,100 +204,39 @@
         let is_silent = failure == WatchFailure::Silent;
         let phase = std::mem::replace(&mut self.phase, WatchPhase::Closed);
         if failure == WatchFailure::Unreachable || self.settings.is_pushed && is_silent {
-            self.stale = None;
+            self.known_list.release();
         }
         if let (WatchPhase::Live { last_data_at }, true) = (phase, is_silent) {
-            self.on_silence(last_data_at);
+            self.freshness = self.freshness.after_silence(last_data_at);
         }
         if self.settings.is_pushed {
             // Also after an end: the agent may send at once what happened since.
             return now + if is_silent { 0 } else { MIN_RETRY_INTERVAL };
         }
         let called_at = self.last_call.unwrap_or(now);
-        self.observe_failure(now, called_at, phase, failure);
-        let call_by = called_at + self.call_interval(now, phase);
-        match self.retry_window(now, call_by, phase, failure) {
+        let failed = FailedCall { called_at, failed_at: now, phase, failure };
+        self.observe_failure(&failed);
+        match self.schedule().retry_window(&failed) {
             None => now + MIN_RETRY_INTERVAL,
-            Some(window) => {
-                let window = self.hurried_window(now, called_at, window);
-                self.rng.u64(window)
-            }
-        }
-    }
-
-    /// A watch that was live last sent something at this time.
-    fn on_silence(&mut self, last_data_at: Micros) {
-        if self.freshness == Freshness::UpToDate {
-            self.freshness = Freshness::Behind { counts_from: last_data_at + NOTIFICATION_DEADLINE };
+            Some(window) => self.rng.u64(window),
         }
     }
 
     /// Learns of the service's load from a call that failed.
-    fn observe_failure(&mut self, now: Micros, called_at: Micros, phase: WatchPhase, failure: WatchFailure) {
+    fn observe_failure(&mut self, failed: &FailedCall) {
+        let FailedCall { called_at, failed_at, phase, failure } = *failed;
         match (phase, failure) {
             (WatchPhase::Requested, WatchFailure::Ended) => {
-                self.load.on_refused(now, now.saturating_sub(called_at));
+                self.load.on_refused(failed_at, failed_at.saturating_sub(called_at));
             }
-            (WatchPhase::Requested, WatchFailure::Silent) => self.load.on_unanswered(now),
+            (WatchPhase::Requested, WatchFailure::Silent) => self.load.on_unanswered(failed_at),
             _ => self.load.clear_overload(),
         }
     }
 
-    /// The longest time from the call that failed to the next one.
-    fn call_interval(&self, now: Micros, phase: WatchPhase) -> Micros {
-        // Until what was missed counts, and after a watch that was live, turns are not waited for.
-        let is_hurried = self.freshness.counts_from().is_some_and(|counts_from| now < counts_from)
-            || matches!(phase, WatchPhase::Live { .. });
-        if is_hurried {
-            self.settings.hurried_call_interval()
-        } else if self.load.is_overloaded_repeatedly() {
-            self.load.backoff(now, &self.settings)
-        } else {
-            self.settings.call_interval().min(MAX_REFUSED_INTERVAL)
-        }
-    }
-
-    /// When the next call may begin, which is due by `call_by`. `None` where that is over or near: then it begins after
-    /// [`MIN_RETRY_INTERVAL`].
-    fn retry_window(
-        &self,
-        now: Micros,
-        call_by: Micros,
-        phase: WatchPhase,
-        failure: WatchFailure,
-    ) -> Option<RangeInclusive<Micros>> {
-        let was_live = matches!(phase, WatchPhase::Live { .. });
-        if was_live && call_by <= now {
-            // All dispatchers may have lost theirs together.
-            let is_silent = failure == WatchFailure::Silent;
-            let spread = if is_silent { self.settings.hurried_spread() } else { self.settings.spread() };
-            return Some(now..=now + spread);
-        }
-        if call_by <= now + MIN_RETRY_INTERVAL {
-            return None;
-        }
-        // Those that wait for a slow service in vain are spread, or they would come together again.
-        let is_spread = self.load.is_overloaded() && !self.settings.are_few();
-        let wait = call_by - now;
-        let earliest = call_by - wait / if is_spread { 2 } else { 8 };
-        Some(earliest..=call_by)
-    }
-
-    /// The window, moved forward if what was missed can still be received in time: then there is time for another call after this
-    /// one.
-    fn hurried_window(
-        &self,
-        now: Micros,
-        called_at: Micros,
-        window: RangeInclusive<Micros>,
-    ) -> RangeInclusive<Micros> {
-        let counts_from = self.freshness.counts_from();
-        let Some(spare) = counts_from.and_then(|at| at.checked_sub(now + POLL_INTERVAL)) else {
-            return window;
-        };
-        let soonest = called_at + MIN_CALL_SPACING;
-        let latest = (now + spare / 2).max(soonest);
-        if latest < *window.end() { now.max(soonest).min(latest)..=latest } else { window }
+    /// The times of calls in the present state.
+    fn schedule(&self) -> CallSchedule<'_> {
+        CallSchedule { settings: &self.settings, load: &self.load, counts_from: self.freshness.counts_from() }
     }
 
     /// A call for the whole list, which a new service must be asked for, failed. Returns when it is called for again.
