--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -74,6 +74,16 @@
     Unserved(Outcome),
 }
 
+impl AttemptOutcome {
+    /// The same as the decision module sees it, and the worker's result.
+    pub(super) fn into_parts(self) -> (Outcome, Option<Vec<u8>>) {
+        match self {
+            AttemptOutcome::Done(result) => (Outcome::Ok, Some(result)),
+            AttemptOutcome::Unserved(outcome) => (outcome, None),
+        }
+    }
+}
+
 /// The one final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -72,15 +72,7 @@
             _ => None,
         };
         let attempt = self.endpoints.find(from).and_then(|worker| self.requests.find_attempt(name, worker));
-        let is_new = attempt.is_some_and(|id| match status {
-            // Unlike a rejection on the attempt's own connection, a callback may be repeated: the worker gets no other attempt of
-            // this request, whose end a repeat could be taken for.
-            JobStatus::Returned => {
-                let outcome = AttemptOutcome::Unserved(Outcome::HandedBack);
-                self.on_attempt_ended(now, id, outcome, report)
-            }
-            status => self.on_attempt_status(now, id, status, report),
-        });
+        let is_new = attempt.is_some_and(|id| self.on_callback(now, id, status, report));
         if !is_new {
             self.stale_status_updates += 1;
             if let Some(result) = result {
@@ -90,6 +82,22 @@
         is_new
     }
 
+    /// A callback about an attempt. Unlike a rejection on the attempt's own connection, it may be repeated: a worker that returns
+    /// the job by it gets no other attempt of this request, whose end a repeat could be taken for.
+    fn on_callback(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        status: JobStatus,
+        report: Option<LoadReport>,
+    ) -> bool {
+        if status == JobStatus::Returned {
+            let outcome = AttemptOutcome::Unserved(Outcome::HandedBack);
+            return self.on_attempt_ended(now, id, outcome, report);
+        }
+        self.on_attempt_status(now, id, status, report)
+    }
+
     /// A report on one attempt, over the connection that it was sent on. Returns whether it changed anything.
     pub fn on_attempt_status(
         &mut self,
@@ -99,8 +107,8 @@
         report: Option<LoadReport>,
     ) -> bool {
         let outcome = match status {
-            JobStatus::Started => return self.on_started(now, id, None),
-            JobStatus::Progress(fraction) => return self.on_started(now, id, Some(fraction)),
+            JobStatus::Started => return self.on_started(now, id),
+            JobStatus::Progress(fraction) => return self.on_progress(now, id, fraction),
             JobStatus::Done(result) => AttemptOutcome::Done(result),
             JobStatus::Failed => AttemptOutcome::Unserved(Outcome::Error),
             JobStatus::Returned => AttemptOutcome::Unserved(Outcome::Full),
@@ -109,25 +117,25 @@
         self.on_attempt_ended(now, id, outcome, report)
     }
 
-    /// An attempt has started, or has reported its progress, which implies that it has. Returns whether that is new.
-    fn on_started(&mut self, now: Micros, id: AttemptId, fraction: Option<f64>) -> bool {
-        let Some(this) = self.requests.attempt_mut(id).filter(|attempt| attempt.is_in_flight()) else {
-            return false;
-        };
-        let is_first = this.record_start(now);
-        if !is_first && fraction.is_none() {
-            return false;
+    /// An attempt has started. Returns whether that is new.
+    fn on_started(&mut self, now: Micros, id: AttemptId) -> bool {
+        let is_first = self.requests.in_flight_mut(id).is_some_and(|attempt| attempt.record_start(now));
+        if is_first {
+            self.learn_start(now, id);
+            self.notify_progress(id.request_id, None);
+            self.events.push(Event::Started { job: id.request_id.job(), attempt: id.number });
         }
-        match fraction {
-            None => self.learn_start(now, id),
-            Some(fraction) => self.learners.on_progress(now, id.to_u64(), fraction),
-        }
-        self.notify_progress(id.request_id, fraction);
+        is_first
+    }
+
+    /// An attempt has reported its progress, which implies that it has started. Returns whether it is in flight.
+    fn on_progress(&mut self, now: Micros, id: AttemptId, fraction: f64) -> bool {
+        let Some(attempt) = self.requests.in_flight_mut(id) else { return false };
+        attempt.record_start(now);
+        self.learners.on_progress(now, id.to_u64(), fraction);
+        self.notify_progress(id.request_id, Some(fraction));
         let (job, attempt) = (id.request_id.job(), id.number);
-        self.events.push(match fraction {
-            None => Event::Started { job, attempt },
-            Some(done) => Event::Progress { job, attempt, done },
-        });
+        self.events.push(Event::Progress { job, attempt, done: fraction });
         true
     }
 
@@ -171,10 +179,7 @@
         let Some(this) = self.requests.attempt_mut(id) else { return false };
         let worker = this.worker();
         let elapsed = now.saturating_sub(this.sent_at());
-        let (outcome, result) = match outcome {
-            AttemptOutcome::Done(result) => (Outcome::Ok, Some(result)),
-            AttemptOutcome::Unserved(outcome) => (outcome, None),
-        };
+        let (outcome, result) = outcome.into_parts();
         let was_in_flight = this.finish(id, AttemptEnd::from(outcome), &mut self.timers);
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -2,7 +2,9 @@
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
+use crate::core::clock::UnixClock;
 use crate::core::commands::{Command, NewRequest, RecordTicket};
+use crate::core::endpoint_table::EndpointTable;
 use crate::core::idempotency::{
     AttemptRecord, IdempotencyStore, LookupResult, RecordDecodeError, RecordUpdate,
 };
@@ -79,17 +81,9 @@
             return;
         };
         let Some(class) = class_name(&self.names, request.job().class) else { return };
-        let to_record = |attempt: &Attempt| {
-            let row = self.endpoints.get(attempt.worker())?.row();
-            Some(AttemptRecord {
-                worker: row.instance_id.clone(),
-                cell: row.cell,
-                zone: row.zone.clone(),
-                sent_at: self.clock.unix_time(attempt.sent_at()),
-                never_ran: attempt.has_never_run(),
-            })
-        };
-        let attempts = request.attempts().iter().filter_map(to_record).collect();
+        let attempts = request.attempts().iter();
+        let attempts =
+            attempts.filter_map(|attempt| attempt_record(&self.endpoints, self.clock, attempt)).collect();
         let update = RecordUpdate { class, request_name: request.name(), attempts, result };
         let record = store.record(now, key, update);
         self.commands.push_back(Command::PersistRecord { ticket, key: key.key.clone(), record });
@@ -131,11 +125,21 @@
 
     /// An attempt that waited for its record is not sent.
     fn drop_unpersisted(&mut self, id: AttemptId) {
-        let AttemptId { request_id, number } = id;
-        let request = self.requests.get_mut(request_id);
-        let Some(attempt) = request.and_then(|request| request.in_flight_mut(number)) else { return };
+        let Some(attempt) = self.requests.in_flight_mut(id) else { return };
         attempt.finish(id, AttemptEnd::NeverRan, &mut self.timers);
-        self.events.push(Event::NotPersisted { job: request_id.job(), attempt: number });
-        self.requests.mark_finished(request_id);
+        self.events.push(Event::NotPersisted { job: id.request_id.job(), attempt: id.number });
+        self.requests.mark_finished(id.request_id);
     }
 }
+
+/// An attempt as it is recorded; `None` where its worker is not known.
+fn attempt_record(endpoints: &EndpointTable, clock: UnixClock, attempt: &Attempt) -> Option<AttemptRecord> {
+    let row = endpoints.get(attempt.worker())?.row();
+    Some(AttemptRecord {
+        worker: row.instance_id.clone(),
+        cell: row.cell,
+        zone: row.zone.clone(),
+        sent_at: clock.unix_time(attempt.sent_at()),
+        never_ran: attempt.has_never_run(),
+    })
+}
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -215,7 +215,12 @@
         self.get(id.request_id)?.attempts.get(id.number as usize)
     }
 
-    /// The same, to be changed.
+    /// An attempt that is in flight, to be changed.
+    pub fn in_flight_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.get_mut(id.request_id)?.in_flight_mut(id.number)
+    }
+
+    /// An attempt, in flight or ended, to be changed.
     pub fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.get_mut(id.request_id)?.attempts.get_mut(id.number as usize)
     }
