--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -101,9 +101,9 @@
     profile: &Profile<'_>,
     known_names: &SiteNames,
 ) -> Result<(Settings, SiteNames), ConfigError> {
-    let (settings, names) = settings(profile, &known_names.0).map_err(|error| unreadable(&error))?;
+    let (settings, names) = settings(profile, &known_names.names).map_err(|error| unreadable(&error))?;
     check_settings(&settings, &names).map_err(ConfigError::BadSettings)?;
-    Ok((settings, SiteNames(names)))
+    Ok((settings, SiteNames { names }))
 }
 
 fn unreadable(error: &impl ToString) -> ConfigError {
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -28,8 +28,8 @@
             return Err(ConfigError::Malformed { file: self.file.clone(), error });
         }
         new.initial_document = self.initial_document.clone();
-        keep_class_ids(&mut new.names.0, &mut new.settings, &known_names.0, &self.settings);
-        keep_tenant_ids(&mut new.names.0, &mut new.settings, &known_names.0, &self.settings);
+        keep_class_ids(&mut new.names.names, &mut new.settings, &known_names.names, &self.settings);
+        keep_tenant_ids(&mut new.names.names, &mut new.settings, &known_names.names, &self.settings);
         if let Some(named) = new.discovery_in_file.filter(|_| new.discovery_in_file != self.discovery_in_file)
         {
             new.discovery = named;
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,9 +2,9 @@
 
 use super::clock::UnixClock;
 use super::idempotency::AttemptRecord;
-use crate::config::{EndpointList, EndpointRow, Lifecycle};
-use crate::policy::interface::{CellId, EndpointEntry, KindId, Micros, Status, WorkerId, ZoneId};
-use crate::policy::settings_map::{Names, tag};
+use crate::config::{EndpointList, EndpointRow, Lifecycle, SiteNames};
+use crate::policy::interface::{CellId, EndpointEntry, Micros, Status, WorkerId};
+use crate::policy::settings_map::tag;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -252,15 +252,15 @@
     pub(super) fn to_entry(
         &self,
         worker: WorkerId,
-        names: &mut Names,
+        names: &mut SiteNames,
         clock: UnixClock,
     ) -> Option<EndpointEntry> {
         let Endpoint { row, is_removed, .. } = self.get(worker)?;
         Some(EndpointEntry {
             worker,
             tag: tag(&row.instance_id),
-            zone: ZoneId(names.zones.id(&row.zone) as u16),
-            kind: KindId(names.kinds.id(&row.machine_type) as u16),
+            zone: names.intern_zone(&row.zone),
+            kind: names.intern_kind(&row.machine_type),
             cell: CellId(row.cell),
             status: match row.lifecycle {
                 _ if *is_removed => Status::Gone,
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -3,8 +3,8 @@
 use super::Core;
 use crate::core::attempt::{AttemptEnd, AttemptId};
 use crate::core::commands::{AttemptOutcome, Command, FinalResponse, JobStatus};
+use crate::core::job_labels::job_labels;
 use crate::core::ledger::Completion;
-use crate::core::names::job_traits;
 use crate::core::request::RequestId;
 use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
@@ -159,7 +159,7 @@
         let Some(request) = self.requests.get(id.request_id) else { return };
         let endpoint = self.requests.attempt(id).and_then(|attempt| self.endpoints.get(attempt.worker()));
         let job = request.job();
-        let job = job_traits(&self.names, job.class, job.tenant, job.key);
+        let job = job_labels(&self.names, job.class, job.tenant, job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
             self.learners.on_started(now, id.to_u64(), &job, worker, machine_type);
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -64,7 +64,7 @@
     }
 
     fn push_endpoints(&mut self, kind: ListKind, workers: Vec<WorkerId>) {
-        let (endpoints, names, clock) = (&self.endpoints, &mut self.names.0, self.clock);
+        let (endpoints, names, clock) = (&self.endpoints, &mut self.names, self.clock);
         let entries = workers.into_iter().filter_map(|worker| endpoints.to_entry(worker, names, clock));
         self.events.push(Event::EndpointList(kind, entries.collect()));
     }
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -8,7 +8,6 @@
 use crate::core::idempotency::{
     AttemptRecord, IdempotencyStore, LookupResult, RecordDecodeError, RecordUpdate,
 };
-use crate::core::names::class_name;
 use crate::core::request::RequestId;
 use crate::policy::interface::{Event, Micros};
 use mothproxy_invariant::invariant;
@@ -52,7 +51,7 @@
 
     /// What the records say of a new request's key.
     pub(super) fn look_up_record(&mut self, now: Micros, request: &NewRequest) -> LookupResult {
-        let class = class_name(&self.names, request.class);
+        let class = self.names.class_name(request.class);
         match (&mut self.idempotency, &request.idempotency_key, class) {
             (Some(store), Some(key), Some(class)) => store.look_up(now, key, class),
             _ => LookupResult::Unknown,
@@ -61,7 +60,7 @@
 
     /// Whether the key of this request was given to one with another body or class before.
     pub fn is_key_reused(&mut self, now: Micros, request: &NewRequest) -> bool {
-        let class = class_name(&self.names, request.class);
+        let class = self.names.class_name(request.class);
         match (&mut self.idempotency, &request.idempotency_key, class) {
             (Some(store), Some(key), Some(class)) => store.is_reused(now, key, class),
             _ => false,
@@ -80,7 +79,7 @@
         let Some((store, key)) = self.idempotency.as_mut().zip(request.idempotency_key()) else {
             return;
         };
-        let Some(class) = class_name(&self.names, request.job().class) else { return };
+        let Some(class) = self.names.class_name(request.job().class) else { return };
         let attempts = request.attempts().iter();
         let attempts =
             attempts.filter_map(|attempt| attempt_record(&self.endpoints, self.clock, attempt)).collect();
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -102,9 +102,9 @@
     /// If the settings contradict themselves or lack a class; then nothing changes.
     pub fn reconfigure(&mut self, settings: Settings, names: SiteNames) -> Result<(), SettingsError> {
         let batch_interval = settings.tick;
-        let known_classes = self.names.0.classes.names().len();
+        let known_classes = self.names.class_names().len();
         self.dispatcher.reconfigure(settings)?;
-        self.copy_redefined_classes(known_classes, names.0.classes.names());
+        self.copy_redefined_classes(known_classes, names.class_names());
         self.batch_interval = batch_interval;
         self.names = names;
         Ok(())
@@ -206,7 +206,7 @@
 
     /// How the requests of each class ended, by its name; of classes without requests, and of those that have vanished, too.
     pub fn tallies(&self) -> BTreeMap<&str, Tally> {
-        self.tallies.by_name(self.names.0.classes.names())
+        self.tallies.by_name(self.names.class_names())
     }
 
     /// The other dispatchers of this one's group, which share their loads with each other.
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -4,8 +4,8 @@
 use crate::core::attempt::{Attempt, AttemptEnd};
 use crate::core::commands::{Command, DownstreamId, FinalResponse, NewRequest};
 use crate::core::idempotency::{AttemptRecord, LookupResult};
+use crate::core::job_labels::job_labels;
 use crate::core::ledger::Completion;
-use crate::core::names::{job_traits, tenant_name};
 use crate::core::request::{PendingRequest, RequestId};
 use crate::core::timers::Timer;
 use crate::policy::interface::{ClassId, Event, Micros, NewJob};
@@ -38,10 +38,10 @@
     /// The request as the decision module sees it.
     fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
         let NewRequest { class, tenant, key, .. } = *request;
-        let traits = job_traits(&self.names, class, tenant, key);
-        let estimate = traits.and_then(|job| self.learners.estimate(&job));
+        let labels = job_labels(&self.names, class, tenant, key);
+        let estimate = labels.and_then(|job| self.learners.estimate(&job));
         let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
-        let tenant_name = tenant_name(&self.names, tenant);
+        let tenant_name = tenant.and_then(|tenant| self.names.tenant_name(tenant));
         NewJob {
             job: id.job(),
             class,
@@ -116,7 +116,7 @@
         self.cancel_request_timers(id, job.deadline, overdue_response_at);
         if completion == Completion::Served {
             let class_weight = self.class_settings(job.class).map_or(0.0, |class| class.weight);
-            let tenant = tenant_name(&self.names, job.tenant);
+            let tenant = job.tenant.and_then(|tenant| self.names.tenant_name(tenant));
             self.learners.on_served(now, tenant, job.class.0, class_weight, latency);
         } else if has_record {
             self.persist_record(now, id, None, None);
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -3,34 +3,30 @@
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, AttemptPhase, end_of_closed};
 use crate::core::commands::DownstreamId;
-use crate::core::names::{class_name, job_traits, tenant_name};
+use crate::core::job_labels::job_labels;
 use crate::core::request::{PendingRequest, RequestId};
 use crate::core::timers::Timer;
 use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
-use crate::policy::interface::{ClassId, Event, KeyId, KindId, NewJob, Outcome, TenantId};
+use crate::policy::interface::{ClassId, Event, KeyId, NewJob, Outcome};
 
 impl Core {
     /// What the decision module has learned, for the successor.
     pub fn learned_state(&self) -> LearnedState {
-        let names = &self.names.0;
         LearnedState {
             clock_offset: self.clock.offset(),
             workers: self.endpoints.iter().map(|(_, endpoint)| endpoint.instance_id().to_owned()).collect(),
-            kinds: names.kinds.names().to_vec(),
-            classes: names.classes.names().to_vec(),
+            kinds: self.names.kind_names().to_vec(),
+            classes: self.names.class_names().to_vec(),
             learned: self.dispatcher.learned(),
         }
     }
 
     /// Begins with what another process has learned. The endpoint list must have been loaded already.
     pub fn restore(&mut self, state: LearnedState) {
-        let names = &self.names.0;
-        let kind = |name: &String| names.kinds.find(name).map(|number| KindId(number as u16));
-        let class = |name: &String| names.classes.find(name).map(|number| ClassId(number as u16));
         let ids = crate::policy::IdMap {
             workers: state.workers.iter().map(|name| self.endpoints.find(name)).collect(),
-            kinds: state.kinds.iter().map(kind).collect(),
-            classes: state.classes.iter().map(class).collect(),
+            kinds: state.kinds.iter().map(|name| self.names.kind_id(name)).collect(),
+            classes: state.classes.iter().map(|name| self.names.class_id(name)).collect(),
         };
         let clock_shift = self.clock.offset().saturating_sub(state.clock_offset);
         self.dispatcher.restore(state.learned, &ids, clock_shift);
@@ -62,11 +58,11 @@
 
     fn to_transferred(&self, request: &PendingRequest) -> Option<TransferredRequest> {
         let job = request.job();
-        let class = class_name(&self.names, job.class)?;
         // A class that was defined again keeps its old number here; there its name means the new one.
-        if self.names.0.classes.find(class) != Some(u32::from(job.class.0)) {
+        if !self.names.is_current_class(job.class) {
             return None;
         }
+        let class = self.names.class_name(job.class)?;
         let mut attempts = Vec::with_capacity(request.attempts().len());
         for attempt in request.attempts() {
             // What never left is no attempt there either, and both sides number them anew.
@@ -77,7 +73,7 @@
         Some(TransferredRequest {
             name: request.name().to_owned(),
             class: class.to_owned(),
-            tenant: tenant_name(&self.names, job.tenant).map(str::to_owned),
+            tenant: job.tenant.and_then(|tenant| self.names.tenant_name(tenant)).map(str::to_owned),
             key: job.key.map(|key| key.0),
             arrived_at: self.clock.unix_time(request.arrived_at()),
             deadline: self.clock.unix_time(job.deadline),
@@ -107,7 +103,7 @@
     /// Takes over a request that another process of this dispatcher has transferred; its final response goes to `downstream`.
     /// `None` where its class or one of its workers is not known here, or a request of its name is.
     pub fn adopt(&mut self, transferred: TransferredRequest, downstream: DownstreamId) -> Option<RequestId> {
-        let class = ClassId(self.names.0.classes.find(&transferred.class)? as u16);
+        let class = self.names.class_id(&transferred.class)?;
         if self.knows(&transferred.name) {
             return None;
         }
@@ -129,9 +125,7 @@
 
     /// A transferred request as the decision module of this process sees it.
     fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
-        let names = &self.names;
-        let tenant = transferred.tenant.as_ref().and_then(|name| names.0.tenants.find(name));
-        let tenant = tenant.map(|number| TenantId(number as u16));
+        let tenant = transferred.tenant.as_ref().and_then(|name| self.names.tenant_id(name));
         let key = transferred.key.map(KeyId);
         NewJob {
             job: id.job(),
@@ -143,7 +137,8 @@
             slots: transferred.slots,
             memory: transferred.memory,
             repeat: transferred.repeat,
-            estimate: job_traits(names, class, tenant, key).and_then(|job| self.learners.estimate(&job)),
+            estimate: job_labels(&self.names, class, tenant, key)
+                .and_then(|job| self.learners.estimate(&job)),
             tenant_weight: None,
         }
     }
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -6,7 +6,7 @@
 //! 4. Once nothing has been left for a moment, from `quiet` on or after a handover, the loop ends.
 
 use crate::core::shutdown_plan::ShutdownPlan;
-use crate::policy::interface::Micros;
+use crate::policy::interface::{ClassId, Micros};
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
@@ -33,11 +33,7 @@
     }
 
     fn plan_shutdown(&self) -> ShutdownPlan {
-        // A class that a reload took away has kept its number, but goes by no name.
-        let classes = &self.core.names().0.classes;
-        let is_named = |number: usize| {
-            classes.names().get(number).and_then(|name| classes.find(name)) == Some(number as u32)
-        };
+        let is_named = |number: usize| self.core.names().is_current_class(ClassId(number as u16));
         let deadlines = || self.classes.iter().map(|class| class.deadline).enumerate();
         let named = deadlines().filter(|(number, _)| is_named(*number));
         let longest_named = named.map(|(_, deadline)| deadline).max();
