--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -101,15 +101,11 @@
     profile: &Profile<'_>,
     known_names: &SiteNames,
 ) -> Result<(Settings, SiteNames), ConfigError> {
-    let (settings, names) = settings(profile, &known_names.names).map_err(|error| unreadable(&error))?;
-    check_settings(&settings, &names).map_err(ConfigError::BadSettings)?;
+    let (settings, names) = settings(profile, &known_names.names).map_err(ModuleSettingsError::from)?;
+    check_settings(&settings, &names)?;
     Ok((settings, SiteNames { names }))
 }
 
-fn unreadable(error: &impl ToString) -> ConfigError {
-    ConfigError::BadSettings(ModuleSettingsError::Unreadable(error.to_string()))
-}
-
 /// Names and settings must agree, and the decision module must take the settings.
 fn check_settings(settings: &Settings, names: &Names) -> Result<(), ModuleSettingsError> {
     let has_class_names = names.classes.names().len() == settings.classes.len();
@@ -117,7 +113,7 @@
     if !has_class_names || !has_tenant_names {
         return Err(ModuleSettingsError::DuplicateName);
     }
-    settings.check().map_err(ModuleSettingsError::Refused)
+    Ok(settings.check()?)
 }
 
 /// A duration of the settings, given in milliseconds.
@@ -126,15 +122,11 @@
     path: &'static str,
     default_ms: f64,
 ) -> Result<Micros, ConfigError> {
-    let ms = profile.number(path, default_ms).map_err(|error| unreadable(&error))?;
-    if ms > 0.0 {
-        Ok(to_micros(ms))
-    } else {
-        Err(ConfigError::BadSettings(ModuleSettingsError::NotPositive(path)))
-    }
+    let ms = profile.number(path, default_ms).map_err(ModuleSettingsError::from)?;
+    if ms > 0.0 { Ok(to_micros(ms)) } else { Err(ModuleSettingsError::NotPositive(path).into()) }
 }
 
-/// Reads an address; `what` names it in messages.
-pub(super) fn parse_address(what: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::BadAddress(what, text.to_owned()))
+/// Reads an address; `name` names it in messages.
+pub(super) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|error| ConfigError::BadAddress { name, text: text.to_owned(), error })
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,7 +1,9 @@
 //! Why a configuration is not taken.
 
 use crate::policy::interface::SettingsError;
+use crate::policy::settings_map::NotANumber;
 use std::io;
+use std::net::AddrParseError;
 use thiserror::Error;
 
 /// Why a configuration is not taken.
@@ -28,12 +30,20 @@
     /// A value that is required is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A value does not read as an address: its name and its text.
-    #[error("{0} is not an address: {1:?}")]
-    BadAddress(&'static str, String),
+    /// A value does not read as an address.
+    #[error("{name} is not an address: {text:?}")]
+    BadAddress {
+        /// The value's name.
+        name: &'static str,
+        /// Its text.
+        text: String,
+        /// What is wrong with it.
+        #[source]
+        error: AddrParseError,
+    },
     /// The settings of the decision module are not in order.
     #[error("settings: {0}")]
-    BadSettings(#[source] ModuleSettingsError),
+    BadSettings(#[from] ModuleSettingsError),
 }
 
 /// What is wrong with a file.
@@ -72,8 +82,8 @@
 #[derive(Debug, Error)]
 pub enum ModuleSettingsError {
     /// A setting cannot be read.
-    #[error("{0}")]
-    Unreadable(String),
+    #[error(transparent)]
+    Unreadable(#[from] NotANumber),
     /// A setting must be above 0; its path.
     #[error("{0} is not above 0")]
     NotPositive(&'static str),
@@ -81,6 +91,6 @@
     #[error("two classes or tenants have one name")]
     DuplicateName,
     /// The decision module does not take the settings.
-    #[error("{0}")]
-    Refused(#[source] SettingsError),
+    #[error(transparent)]
+    Refused(#[from] SettingsError),
 }
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -10,7 +10,7 @@
 /// A setting that should be a number is none.
 #[derive(Debug, thiserror::Error)]
 #[error("{path} is not a number: {text:?}")]
-pub(crate) struct NotANumber {
+pub struct NotANumber {
     path: String,
     text: String,
 }
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -1,31 +1,35 @@
 //! Faults of the operators' file.
 
 use prost_reflect::text_format::ParseError;
-use std::fmt;
 use thiserror::Error;
 
 /// All faults of a file, in the order in which they were found; there is at least one.
-#[derive(Debug)]
-pub struct SettingsFileError(pub Vec<SettingsFault>);
+#[derive(Debug, Error)]
+#[error("{}", lines_of(.faults))]
+pub struct SettingsFileError {
+    faults: Vec<SettingsFault>,
+}
 
 impl SettingsFileError {
-    pub(super) fn single(fault: SettingsFault) -> SettingsFileError {
-        SettingsFileError(vec![fault])
+    pub(super) fn new(faults: Vec<SettingsFault>) -> SettingsFileError {
+        SettingsFileError { faults }
     }
-}
 
-/// One fault a line.
-impl fmt::Display for SettingsFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(SettingsFault::to_string).collect();
-        f.write_str(&lines.join("\n"))
+    /// The faults.
+    pub fn faults(&self) -> &[SettingsFault] {
+        &self.faults
     }
 }
 
-impl std::error::Error for SettingsFileError {}
+/// One fault a line.
+fn lines_of(faults: &[SettingsFault]) -> String {
+    let lines: Vec<String> = faults.iter().map(SettingsFault::to_string).collect();
+    lines.join("\n")
+}
 
 /// One fault of a file.
-#[derive(Debug)]
+#[derive(Debug, Error)]
+#[error("{file}:{line}: {}{kind}", prefix_of(.field))]
 pub struct SettingsFault {
     /// The file's name.
     pub file: String,
@@ -34,23 +38,13 @@
     /// The path of the field, such as `streams.listen`; empty where the text cannot be read at all.
     pub field: String,
     /// What is wrong.
+    #[source]
     pub kind: FaultKind,
 }
 
-impl fmt::Display for SettingsFault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: ", self.file, self.line)?;
-        if !self.field.is_empty() {
-            write!(f, "{}: ", self.field)?;
-        }
-        write!(f, "{}", self.kind)
-    }
-}
-
-impl std::error::Error for SettingsFault {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.kind)
-    }
+/// A field as it stands before what is wrong with it; nothing where there is no field.
+fn prefix_of(field: &str) -> String {
+    if field.is_empty() { String::new() } else { format!("{field}: ") }
 }
 
 /// What is wrong with a field, or with the file as a whole.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -49,7 +49,7 @@
     mothproxy_invariant::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
     let Some(descriptor) = descriptor else { return Ok(Settings::default()) };
     let message = DynamicMessage::parse_text_format(descriptor, text)
-        .map_err(|error| SettingsFileError::single(syntax_fault(error, text, file)))?;
+        .map_err(|error| SettingsFileError::new(vec![syntax_fault(error, text, file)]))?;
     let root = Section::root(message);
     let mut reader = Reader::new(file, text);
     let settings = Settings {
@@ -77,12 +77,8 @@
         Ok(text) => read(&text, &file_name),
         Err(error) => {
             let kind = FaultKind::Unreadable(error);
-            Err(SettingsFileError::single(SettingsFault {
-                file: file_name,
-                line: 1,
-                field: String::new(),
-                kind,
-            }))
+            let fault = SettingsFault { file: file_name, line: 1, field: String::new(), kind };
+            Err(SettingsFileError::new(vec![fault]))
         }
     }
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -49,7 +49,7 @@
 
     /// What was read, if there was no fault.
     pub(super) fn finish<T>(self, read: T) -> Result<T, SettingsFileError> {
-        if self.faults.is_empty() { Ok(read) } else { Err(SettingsFileError(self.faults)) }
+        if self.faults.is_empty() { Ok(read) } else { Err(SettingsFileError::new(self.faults)) }
     }
 }
 
