--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -14,9 +14,9 @@
 }
 
 impl AttemptId {
-    /// The same as one number, for a store's ticket and for what learns of run times. It is unique as long as a request has at most
+    /// The same as one number, for a [`RecordTicket`](super::RecordTicket) and for what learns of run times. It is unique as long as a request has at most
     /// 256 attempts; the settings allow far fewer.
-    pub(super) fn to_u64(self) -> u64 {
+    pub(super) fn to_number(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
 }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -11,16 +11,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamId(pub u64);
 
-/// Names the write of an idempotency record that an attempt waits for. Across a hot restart it travels as its number.
+/// What an attempt waits with until its idempotency record is persisted. Between the processes of a hot restart it is a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
-pub struct RecordTicket(pub u64);
+#[serde(transparent)]
+pub struct RecordTicket(pub(crate) u64);
 
 impl From<AttemptId> for RecordTicket {
     fn from(id: AttemptId) -> RecordTicket {
-        RecordTicket(id.to_u64())
+        RecordTicket(id.to_number())
     }
 }
 
+/// What became of an idempotency record that was to be persisted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PersistOutcome {
+    /// It is durable, as far as the store promises.
+    Written,
+    /// It could not be written.
+    Failed,
+}
+
 /// A client's request as it arrives.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
@@ -107,9 +117,8 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Write an idempotency record. Where a ticket comes with it, an attempt waits for the write: report its end by
-    /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends the attempt, or by
-    /// [`Core::on_record_failed`](super::Core::on_record_failed), which drops it.
+    /// Write an idempotency record. Where a ticket comes with it, an attempt waits for the write: report its outcome by
+    /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends or drops the attempt.
     PersistRecord {
         /// What to report the result under, if an attempt waits for it.
         ticket: Option<RecordTicket>,
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -132,7 +132,7 @@
     fn on_progress(&mut self, now: Micros, id: AttemptId, fraction: f64) -> bool {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return false };
         attempt.record_start(now);
-        self.learners.on_progress(now, id.to_u64(), fraction);
+        self.learners.on_progress(now, id.to_number(), fraction);
         self.notify_progress(id.request_id, Some(fraction));
         let (job, attempt) = (id.request_id.job(), id.number);
         self.events.push(Event::Progress { job, attempt, done: fraction });
@@ -162,7 +162,7 @@
         let job = job_labels(&self.names, job.class, job.tenant, job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
-            self.learners.on_started(now, id.to_u64(), &job, worker, machine_type);
+            self.learners.on_started(now, id.to_number(), &job, worker, machine_type);
         }
     }
 
@@ -189,7 +189,7 @@
             }
             return is_response;
         }
-        self.learners.on_ended(now, id.to_u64(), outcome == Outcome::Ok);
+        self.learners.on_ended(now, id.to_number(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = request_id.job();
         let ended = AttemptEnded { job, attempt: number, worker, elapsed, closed, outcome, report };
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -3,7 +3,7 @@
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
 use crate::core::clock::UnixClock;
-use crate::core::commands::{Command, NewRequest, RecordTicket};
+use crate::core::commands::{Command, NewRequest, PersistOutcome, RecordTicket};
 use crate::core::endpoint_table::EndpointTable;
 use crate::core::idempotency::{
     AttemptRecord, IdempotencyStore, LookupResult, RecordDecodeError, RecordUpdate,
@@ -96,16 +96,20 @@
         self.commands.push_back(Command::PersistRecord { ticket: None, key, record });
     }
 
-    /// The tickets of the attempts that wait for their records.
-    pub fn pending_tickets(&self) -> Vec<RecordTicket> {
-        self.unpersisted.keys().copied().collect()
+    /// The records that attempts wait for cannot be written any more.
+    pub fn fail_unpersisted(&mut self) {
+        let tickets: Vec<RecordTicket> = self.unpersisted.keys().copied().collect();
+        for ticket in tickets {
+            self.on_record_persisted(ticket, PersistOutcome::Failed);
+        }
     }
 
-    /// The record of this ticket was written: the attempt that waits for it is sent, unless its request has been closed.
-    pub fn on_record_persisted(&mut self, ticket: RecordTicket) {
+    /// The record of this ticket was written, or could not be. The attempt that waits for it is sent, or has never run and the
+    /// decision module gives its request up.
+    pub fn on_record_persisted(&mut self, ticket: RecordTicket, outcome: PersistOutcome) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
         let Some(request) = self.requests.get(id.request_id) else { return };
-        if !request.is_open() {
+        if outcome == PersistOutcome::Failed || !request.is_open() {
             return self.drop_unpersisted(id);
         }
         if let Some(attempt) = request.in_flight(id.number) {
@@ -114,14 +118,6 @@
         }
     }
 
-    /// The record of this ticket could not be written: the attempt that waits for it has never run, and the decision module gives
-    /// its request up.
-    pub fn on_record_failed(&mut self, ticket: RecordTicket) {
-        if let Some(id) = self.unpersisted.remove(&ticket) {
-            self.drop_unpersisted(id);
-        }
-    }
-
     /// An attempt that waited for its record is not sent.
     fn drop_unpersisted(&mut self, id: AttemptId) {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 
 pub use attempt::AttemptId;
 pub use commands::{
-    AttemptOutcome, Command, DownstreamId, FinalResponse, JobStatus, NewRequest, RecordTicket,
+    AttemptOutcome, Command, DownstreamId, FinalResponse, JobStatus, NewRequest, PersistOutcome, RecordTicket,
 };
 pub use engine::Core;
 pub use request::RequestId;
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -6,7 +6,7 @@
 
 pub(in crate::server) use record_store::RecordStore;
 
-use crate::core::RecordTicket;
+use crate::core::{PersistOutcome, RecordTicket};
 use crate::protocol::admin::IdempotencyMetrics;
 use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
 use completion::Waiter;
@@ -60,7 +60,7 @@
         if !self.hot_restart.forward_record(ticket, key, record)
             && let Some(ticket) = ticket
         {
-            self.core.on_record_failed(ticket);
+            self.core.on_record_persisted(ticket, PersistOutcome::Failed);
         }
     }
 
@@ -68,13 +68,15 @@
     pub(in crate::server) fn on_records_written(&mut self) {
         let Some(records) = &mut self.records else { return };
         for completion in records.drain_completions() {
-            let written = completion.result.is_ok();
+            let outcome = match completion.result {
+                Ok(()) => PersistOutcome::Written,
+                Err(_) => PersistOutcome::Failed,
+            };
             match completion.waiter {
                 Waiter::Nobody => {}
-                Waiter::Core(ticket) if written => self.core.on_record_persisted(ticket),
-                Waiter::Core(ticket) => self.core.on_record_failed(ticket),
+                Waiter::Core(ticket) => self.core.on_record_persisted(ticket, outcome),
                 Waiter::Predecessor(ticket) => {
-                    self.hot_restart.report_record_written(ticket, written);
+                    self.hot_restart.report_record_persisted(ticket, outcome);
                 }
             }
         }
@@ -95,19 +97,12 @@
             }
             // This version was started without a store: the predecessor goes on as though nothing had to be persisted.
             (None, Some(ticket)) => {
-                self.hot_restart.report_record_written(ticket, true);
+                self.hot_restart.report_record_persisted(ticket, PersistOutcome::Written);
             }
             (None, None) => {}
         }
     }
 
-    /// The successor that was to persist records has ended: all that are waited for count as failed.
-    pub(in crate::server) fn fail_pending_records(&mut self) {
-        for ticket in self.core.pending_tickets() {
-            self.core.on_record_failed(ticket);
-        }
-    }
-
     /// What the admin address and the log report of the store, where it is on.
     pub(in crate::server) fn idempotency_metrics(&self) -> Option<IdempotencyMetrics> {
         let (records, keys) = self.records.as_ref().zip(self.core.idempotency())?;
--- a/src/server/idempotency_store/completion/tests.rs
+++ b/src/server/idempotency_store/completion/tests.rs
@@ -11,8 +11,8 @@
     let (sender, mut receiver) = completion_queue().expect("sockets");
     assert!(!is_woken(&receiver), "nothing has come");
     for round in 0..2 {
-        for ticket in (0..3).map(RecordTicket) {
-            sender.send(WriteCompletion { waiter: Waiter::Core(ticket), result: Ok(()) });
+        for ticket in 0..3 {
+            sender.send(WriteCompletion { waiter: Waiter::Core(RecordTicket(ticket)), result: Ok(()) });
         }
         assert!(is_woken(&receiver), "batch {round}");
         let waiters: Vec<Waiter> = receiver.drain().into_iter().map(|completion| completion.waiter).collect();
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -17,7 +17,7 @@
 
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
-use crate::core::RecordTicket;
+use crate::core::{PersistOutcome, RecordTicket};
 use crate::server::tokens::{PEER_PROCESS, PEERS, PLATFORM, RESTART_SOCKET, SSE, Token};
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
@@ -106,8 +106,9 @@
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
-    /// Reports to the other process whether a record that it wanted is written. False if that cannot be sent.
-    pub fn report_record_written(&self, ticket: RecordTicket, is_written: bool) -> bool {
+    /// Reports to the other process what became of a record that it wanted. False if that cannot be sent.
+    pub fn report_record_persisted(&self, ticket: RecordTicket, outcome: PersistOutcome) -> bool {
+        let is_written = outcome == PersistOutcome::Written;
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
 
@@ -220,7 +221,7 @@
         ];
         mothproxy_invariant::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
         self.listeners.is_accepting = true;
-        self.fail_pending_records();
+        self.core.fail_unpersisted();
         self.open_restart_socket();
         self.announce_state();
         self.restart_fleet();
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -4,8 +4,8 @@
 
 use super::protocol::{HandoverMessage, OpenWork, Packet, packet_socket, receive, send};
 use crate::config::EndpointList;
-use crate::core::FinalResponse;
 use crate::core::transfer::LearnedState;
+use crate::core::{FinalResponse, PersistOutcome};
 use crate::protocol::platform;
 use crate::server::Server;
 use crate::server::connection::Connection;
@@ -141,11 +141,9 @@
             HandoverMessage::WriteRecord { ticket, key, is_kept } => {
                 self.persist_for_predecessor(ticket, &key, is_kept.then_some(bytes));
             }
-            HandoverMessage::RecordWritten { ticket, is_written: true } => {
-                self.core.on_record_persisted(ticket);
-            }
-            HandoverMessage::RecordWritten { ticket, is_written: false } => {
-                self.core.on_record_failed(ticket);
+            HandoverMessage::RecordWritten { ticket, is_written } => {
+                let outcome = if is_written { PersistOutcome::Written } else { PersistOutcome::Failed };
+                self.core.on_record_persisted(ticket, outcome);
             }
             HandoverMessage::Hello | HandoverMessage::Listeners { .. } => self.metrics.rejects += 1,
         }
