--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `mothproxy check`: reads a configuration or an operators' file and says what it holds.
 
 use super::error::CommandError;
-use mothproxy::config::Config;
+use mothproxy::config::{Config, FilePresence};
 use mothproxy::settings;
 use std::path::Path;
 
@@ -18,7 +18,7 @@
 }
 
 fn check_settings(file: &Path) -> Result<(), CommandError> {
-    let settings = settings::load(file, true)?;
+    let settings = settings::load(file, FilePresence::Required)?;
     println!(
         "{}: sound: streams {}, state {}, membership {}, cold start {}, runtimes {}, fair share {}",
         file.display(),
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -3,7 +3,7 @@
 use super::error::CommandError;
 use super::log::{self, LogFormat};
 use clap::Args;
-use mothproxy::config::{Config, SseConfig};
+use mothproxy::config::{Config, FilePresence, SseConfig};
 use mothproxy::server::{ListenAddresses, Server, ServerError, StateDir};
 use mothproxy::settings::{self, Settings};
 use mothproxy_store::SyncMode;
@@ -43,7 +43,8 @@
 /// Serves until the program is asked to stop. The log has the format of the command line, else that of the operators' file.
 pub(super) fn run(args: ServeArgs, log_format: Option<LogFormat>) -> Result<(), CommandError> {
     let file = args.settings.clone().unwrap_or(DEFAULT_SETTINGS_FILE.into());
-    let settings = settings::load(&file, args.settings.is_some());
+    let presence = if args.settings.is_some() { FilePresence::Required } else { FilePresence::Optional };
+    let settings = settings::load(&file, presence);
     let has_json_log = settings.as_ref().is_ok_and(|settings| settings.json_log);
     let format_of_file = if has_json_log { LogFormat::Json } else { LogFormat::Text };
     log::start(log_format.unwrap_or(format_of_file));
@@ -53,7 +54,7 @@
 fn serve(args: ServeArgs, settings: Settings) -> Result<(), ServerError> {
     let config = Config::load(|name| std::env::var(name).ok())?;
     let sse = match &args.sse {
-        Some(file) => SseConfig::load(file, true)?,
+        Some(file) => SseConfig::load(file, FilePresence::Required)?,
         None => settings.streams,
     };
     let sync = args.state_sync.unwrap_or_default();
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -31,6 +31,22 @@
 /// How long a connection may take to come up where the settings do not say, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
+/// Whether a file must be there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FilePresence {
+    /// The user has named it: that it is not there is an error.
+    Required,
+    /// It has a default name: without it nothing is set.
+    Optional,
+}
+
+impl FilePresence {
+    /// Whether this file is to be read: it is there, or must be.
+    pub(crate) fn is_to_be_read(self, file: &Path) -> bool {
+        self == FilePresence::Required || file.exists()
+    }
+}
+
 /// What the machine allows.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -1,6 +1,7 @@
 //! The settings of the SSE listener, and the TOML file that holds nothing else.
 
-use super::{ConfigError, FileContentError, parse_address, read_file};
+use super::{ConfigError, FileContentError, FilePresence, parse_address, read_file};
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -33,7 +34,7 @@
     /// Where the listener is.
     pub listen: SocketAddr,
     /// The longest quiet time of a stream, in microseconds.
-    pub heartbeat: u64,
+    pub heartbeat: Micros,
     /// Pages of these origins may use the listener.
     pub origins: Vec<String>,
     /// The most streams of one tenant.
@@ -49,12 +50,12 @@
 }
 
 impl SseConfig {
-    /// Reads the file. Without it there is no listener, unless the user `named` the file.
+    /// Reads the file. Without one that is optional there is no listener.
     ///
     /// # Errors
     /// [`ConfigError`] where the file cannot be read or is not in order.
-    pub fn load(file: &Path, named: bool) -> Result<Option<SseSettings>, ConfigError> {
-        if !named && !file.exists() {
+    pub fn load(file: &Path, presence: FilePresence) -> Result<Option<SseSettings>, ConfigError> {
+        if !presence.is_to_be_read(file) {
             return Ok(None);
         }
         let malformed = |error| ConfigError::Malformed { file: file.display().to_string(), error };
@@ -64,7 +65,7 @@
         let Some(listen) = config.listen else { return Ok(None) };
         Ok(Some(SseSettings {
             listen: parse_address("listen of the SSE address", &listen)?,
-            heartbeat: config.heartbeat_ms * 1000,
+            heartbeat: config.heartbeat_ms * MICROS_PER_MS,
             origins: config.origins,
             streams_per_tenant: config.streams_per_tenant,
         }))
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -81,8 +81,8 @@
         unknown_expiry.into_iter().chain(self.report_at).fold(self.membership.next_wake(), Micros::min)
     }
 
-    /// Tells the other members that this one leaves.
-    pub(super) fn leave(&mut self, now: Micros) {
+    /// Notifies the other members that this one leaves for good.
+    pub(super) fn announce_leave(&mut self, now: Micros) {
         self.membership.leave(now);
     }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -165,10 +165,10 @@
         }
     }
 
-    /// Tells the other members that this dispatcher leaves.
-    pub fn leave(&mut self, now: Micros) {
+    /// Notifies the other members that this dispatcher leaves for good: they no longer expect it back (SWIM's `leave`).
+    pub fn announce_leave(&mut self, now: Micros) {
         if let Some(members) = self.active_members() {
-            members.leave(now);
+            members.announce_leave(now);
             self.collect_outputs(now);
         }
     }
--- a/src/policy/interface/ids.rs
+++ b/src/policy/interface/ids.rs
@@ -6,6 +6,9 @@
 /// The microseconds of a millisecond, in which messages and settings give their times.
 pub const MICROS_PER_MS: Micros = 1_000;
 
+/// The microseconds of a second.
+pub const MICROS_PER_SECOND: Micros = 1_000_000;
+
 /// A job (one client request). Never used twice within an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -15,7 +15,8 @@
     PriorAttempt, ProbeResponse, Status,
 };
 pub use ids::{
-    CellId, ClassId, JobId, KeyId, KindId, MICROS_PER_MS, Micros, TenantId, TimerId, WorkerId, ZoneId,
+    CellId, ClassId, JobId, KeyId, KindId, MICROS_PER_MS, MICROS_PER_SECOND, Micros, TenantId, TimerId,
+    WorkerId, ZoneId,
 };
 pub use settings::{
     Class, DeduplicationScope, Idempotency, MAX_NODES, Reports, Settings, SettingsError, Tenant,
--- a/src/protocol/event_streams/framing.rs
+++ b/src/protocol/event_streams/framing.rs
@@ -3,10 +3,14 @@
 use crate::core::FinalResponse;
 use crate::http::Piece;
 use crate::http::events::write_event;
+use crate::policy::interface::MICROS_PER_MS;
 use mothproxy_streams::{JobEvent, Micros};
 use serde_json::json;
 use std::rc::Rc;
 
+/// The milliseconds of a second.
+const MS_PER_SECOND: f64 = 1_000.0;
+
 /// How the bytes of a stream are framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFraming {
@@ -38,7 +42,7 @@
 
 /// How long the client waits before it opens the stream again, once it has lost it.
 pub fn retry(framing: StreamFraming, delay: Micros) -> Vec<Piece> {
-    framing.frame(format!("retry: {}\n\n", delay / 1000).into_bytes())
+    framing.frame(format!("retry: {}\n\n", delay / MICROS_PER_MS).into_bytes())
 }
 
 /// One event, framed. All watchers of the same framing share its bytes.
@@ -66,7 +70,7 @@
         FinalResponse::Rejected(None) => ("deny", json!({})),
         FinalResponse::Rejected(Some(retry_after)) => {
             // Seconds, rounded up to the millisecond.
-            ("deny", json!({ "retry_after": retry_after.div_ceil(1000) as f64 / 1000.0 }))
+            ("deny", json!({ "retry_after": retry_after.div_ceil(MICROS_PER_MS) as f64 / MS_PER_SECOND }))
         }
         FinalResponse::Failed => ("failed", json!({ "status": 500, "reason": "failed" })),
         FinalResponse::TimedOut => ("failed", json!({ "status": 504, "reason": "timed out" })),
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -6,7 +6,7 @@
 use crate::core::{DownstreamId, NewRequest};
 use crate::http::Framing;
 use crate::http::load::parse_pairs;
-use crate::policy::interface::{Class, ClassId, Idempotency, KeyId, Micros, TenantId};
+use crate::policy::interface::{Class, ClassId, Idempotency, KeyId, MICROS_PER_MS, Micros, TenantId};
 use crate::policy::settings_map::{tag, to_micros};
 use crate::protocol::names;
 
@@ -156,7 +156,7 @@
         return Err(Reject::BadRequest);
     }
     let ms = digits.parse::<u32>().map_err(|_| Reject::BadRequest)?;
-    Ok(Some(Micros::from(ms) * 1000))
+    Ok(Some(Micros::from(ms) * MICROS_PER_MS))
 }
 
 /// The expected work, in milliseconds.
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -90,7 +90,7 @@
     /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
     pub(in crate::server) fn leave_fleet(&mut self) {
         if !self.has_handed_over() {
-            self.membership.fleet.leave(self.now);
+            self.membership.fleet.announce_leave(self.now);
             self.apply_fleet_outputs();
         }
     }
--- a/src/settings/fleet.rs
+++ b/src/settings/fleet.rs
@@ -5,6 +5,7 @@
 use crate::fleet::{
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
+use crate::policy::interface::{MICROS_PER_MS, MICROS_PER_SECOND, Micros};
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant};
 use prost_reflect::Value;
 use std::ops::RangeInclusive;
@@ -46,7 +47,7 @@
 fn read_cold_start(reader: &mut Reader<'_>, section: &Section) -> ColdStartSettings {
     let Some(ms) = section.number("call_ms") else { return ColdStartSettings::default() };
     reader.check_range(section, "call_ms", f64::from(ms), CALL_MS);
-    ColdStartSettings { call_time: u64::from(ms) * 1_000 }
+    ColdStartSettings { call_time: Micros::from(ms) * MICROS_PER_MS }
 }
 
 fn read_runtimes(reader: &mut Reader<'_>, section: &Section) -> RuntimesSettings {
@@ -93,19 +94,19 @@
 fn read_membership(reader: &mut Reader<'_>, section: &Section) -> MembershipSettings {
     let mut settings = MembershipSettings::default();
     if let Some(ms) = number_in(reader, section, "probe_interval_ms", PROBE_INTERVAL_MS) {
-        settings.probe_interval = u64::from(ms) * 1000;
+        settings.probe_interval = Micros::from(ms) * MICROS_PER_MS;
         settings.probe_timeout = settings.probe_interval * 3 / 10;
     }
     if let Some(ms) = number_in(reader, section, "probe_timeout_ms", PROBE_TIMEOUT_MS) {
-        settings.probe_timeout = u64::from(ms) * 1000;
+        settings.probe_timeout = Micros::from(ms) * MICROS_PER_MS;
     }
     let keep_part = number_in(reader, section, "keep_part_s", RETENTION_S);
-    settings.dead_assignment_ttl = keep_part.map(|seconds| u64::from(seconds) * 1_000_000);
+    settings.dead_assignment_ttl = keep_part.map(|seconds| Micros::from(seconds) * MICROS_PER_SECOND);
     if let Some(bytes) = number_in(reader, section, "bytes_per_s", BYTES_PER_S) {
         settings.bytes_per_s = bytes;
     }
     if let Some(seconds) = number_in(reader, section, "forget_after_s", RETENTION_S) {
-        settings.dead_facts_ttl = u64::from(seconds) * 1_000_000;
+        settings.dead_facts_ttl = Micros::from(seconds) * MICROS_PER_SECOND;
     }
     if settings.probe_timeout >= settings.probe_interval {
         reader.field_fault(section, "probe_timeout_ms", FaultKind::ProbeTimeoutTooLong);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,7 +10,7 @@
 
 pub use fault::{FaultKind, SettingsFault, SettingsFileError};
 
-use crate::config::SseSettings;
+use crate::config::{FilePresence, SseSettings};
 use crate::fleet::FleetSettings;
 use crate::server::StateDir;
 use location::field_at;
@@ -64,12 +64,12 @@
     reader.finish(settings)
 }
 
-/// Reads an operators' file. Without it nothing is set, unless the user `named` the file.
+/// Reads an operators' file. Without one that is optional nothing is set.
 ///
 /// # Errors
 /// All faults of the file.
-pub fn load(file: &Path, named: bool) -> Result<Settings, SettingsFileError> {
-    if !named && !file.exists() {
+pub fn load(file: &Path, presence: FilePresence) -> Result<Settings, SettingsFileError> {
+    if !presence.is_to_be_read(file) {
         return Ok(Settings::default());
     }
     let file_name = file.display().to_string();
--- a/src/settings/serving.rs
+++ b/src/settings/serving.rs
@@ -3,6 +3,7 @@
 use super::fault::FaultKind;
 use super::reader::{Reader, Section};
 use crate::config::{DEFAULT_HEARTBEAT_MS, DEFAULT_STREAMS_PER_TENANT, SseSettings, is_origin};
+use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::server::StateDir;
 use mothproxy_store::SyncMode;
 use prost_reflect::Value;
@@ -29,7 +30,7 @@
     }
     Some(SseSettings {
         listen: listen?,
-        heartbeat: u64::from(heartbeat_ms) * 1000,
+        heartbeat: Micros::from(heartbeat_ms) * MICROS_PER_MS,
         origins,
         streams_per_tenant: streams_per_tenant as usize,
     })
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a dispatcher: nested JSON under the simulator's names, and the file of the SSE listener.
 
-use mothproxy::config::{Config, SseConfig, SseSettings, flatten};
+use mothproxy::config::{Config, FilePresence, SseConfig, SseSettings, flatten};
 use mothproxy::http;
 use mothproxy::protocol::platform;
 use mothproxy::*;
@@ -99,7 +99,7 @@
     let file = std::env::temp_dir().join(format!("mothproxy-sse-{}.toml", std::process::id()));
     let read = |text: &str| {
         std::fs::write(&file, text).expect("a temporary file");
-        SseConfig::load(&file, true).map_err(|e| e.to_string())
+        SseConfig::load(&file, FilePresence::Required).map_err(|e| e.to_string())
     };
     assert_eq!(read(""), Ok(None));
     let on = Some(SseSettings {
@@ -114,6 +114,6 @@
     assert!(read("streams_per_tenant = 0").is_err_and(|e| e.contains("streams_per_tenant")));
     assert!(read("lisen = \"127.0.0.1:8444\"").is_err_and(|e| e.contains("lisen")));
     std::fs::remove_file(&file).expect("it was there");
-    assert_eq!(SseConfig::load(&file, false).expect("not there is off"), None);
-    assert!(SseConfig::load(&file, true).is_err());
+    assert_eq!(SseConfig::load(&file, FilePresence::Optional).expect("not there is off"), None);
+    assert!(SseConfig::load(&file, FilePresence::Required).is_err());
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -216,7 +216,7 @@
     assert_eq!(pair.peers[0].len(), told, "nothing is said twice");
     // Another process speaks for the first: it says nothing more, no farewell either, until it begins anew.
     pair.parts[0].suspend();
-    pair.parts[0].leave(pair.now);
+    pair.parts[0].announce_leave(pair.now);
     assert!(pair.parts[0].next_wake(pair.now).is_none() && pair.parts[0].poll().is_none());
     let birth = ProcessIdentity { place: 0, peers: 3, epoch: 9_000, seed: 4 };
     pair.parts[0].restart(birth, pair.now).expect("it begins anew");
@@ -236,7 +236,7 @@
         pair.run(100 * MS, true);
     }
     pair.run(3_000 * MS, true);
-    pair.parts[1].leave(pair.now);
+    pair.parts[1].announce_leave(pair.now);
     pair.run(2_000 * MS, true);
     let (lines, hidden) = (pair.lines[0].len() as u64, pair.lines[0].iter().sum::<u64>());
     let version = pair.parts[0].view().map_or(0, mothproxy_membership::View::version);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,6 @@
 //! The operators' file: what it sets, and its faults with file, line and field.
 
+use mothproxy::config::FilePresence;
 use mothproxy::settings::{load, read};
 use mothproxy_store::SyncMode;
 use std::path::Path;
@@ -46,10 +47,12 @@
         (&Default::default(), Default::default())
     );
     assert_eq!((none.streams, none.state, none.json_log), (None, None, false));
-    let shipped = load(Path::new("deploy/mothproxy.txtpb"), true).expect("sound");
+    let shipped = load(Path::new("deploy/mothproxy.txtpb"), FilePresence::Required).expect("sound");
     assert_eq!((shipped.streams, shipped.state, shipped.json_log), (None, None, false), "off as shipped");
-    assert!(load(Path::new("/nowhere.txtpb"), false).expect("not there is off").streams.is_none());
-    assert!(load(Path::new("/nowhere.txtpb"), true).is_err_and(|e| e.to_string().contains("cannot read it")));
+    let nowhere = Path::new("/nowhere.txtpb");
+    assert!(load(nowhere, FilePresence::Optional).expect("not there is off").streams.is_none());
+    let missing = load(nowhere, FilePresence::Required);
+    assert!(missing.is_err_and(|e| e.to_string().contains("cannot read it")));
 }
 
 #[test]
