--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -14,13 +14,19 @@
 }
 
 impl AttemptId {
-    /// The same as one number, for a [`RecordTicket`](super::RecordTicket) and for what learns of run times. It is unique as long as a request has at most
-    /// 256 attempts; the settings allow far fewer.
+    /// The same as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. It is unique as long as a request
+    /// has at most 256 attempts; the settings allow far fewer.
     pub(super) fn to_number(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
 }
 
+impl From<AttemptId> for mothproxy_runtimes::AttemptId {
+    fn from(id: AttemptId) -> mothproxy_runtimes::AttemptId {
+        mothproxy_runtimes::AttemptId(id.to_number())
+    }
+}
+
 /// An attempt and how far it has come.
 #[derive(Debug)]
 pub(super) struct Attempt {
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -6,6 +6,7 @@
 use crate::core::job_labels::job_labels;
 use crate::core::ledger::Completion;
 use crate::core::request::RequestId;
+use crate::fleet::RunEnd;
 use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
 /// An attempt waits for its worker's first answer for at most the class's deadline divided by this: the rest is for another
@@ -132,7 +133,7 @@
     fn on_progress(&mut self, now: Micros, id: AttemptId, fraction: f64) -> bool {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return false };
         attempt.record_start(now);
-        self.learners.on_progress(now, id.to_number(), fraction);
+        self.learners.on_progress(now, id.into(), fraction);
         self.notify_progress(id.request_id, Some(fraction));
         let (job, attempt) = (id.request_id.job(), id.number);
         self.events.push(Event::Progress { job, attempt, done: fraction });
@@ -162,7 +163,7 @@
         let job = job_labels(&self.names, job.class, job.tenant, job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
-            self.learners.on_started(now, id.to_number(), &job, worker, machine_type);
+            self.learners.on_started(now, id.into(), &job, worker, machine_type);
         }
     }
 
@@ -189,7 +190,8 @@
             }
             return is_response;
         }
-        self.learners.on_ended(now, id.to_number(), outcome == Outcome::Ok);
+        let run_end = if outcome == Outcome::Ok { RunEnd::Completed } else { RunEnd::CutShort };
+        self.learners.on_ended(now, id.into(), run_end);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = request_id.job();
         let ended = AttemptEnded { job, attempt: number, worker, elapsed, closed, outcome, report };
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -53,7 +53,7 @@
             memory: request.memory,
             repeat: request.repeat,
             estimate,
-            tenant_weight: self.learners.tenant_weight(now, tenant_name, class.0, class_weight),
+            tenant_weight: self.learners.tenant_weight(now, tenant_name, class, class_weight),
         }
     }
 
@@ -117,7 +117,7 @@
         if completion == Completion::Served {
             let class_weight = self.class_settings(job.class).map_or(0.0, |class| class.weight);
             let tenant = job.tenant.and_then(|tenant| self.names.tenant_name(tenant));
-            self.learners.on_served(now, tenant, job.class.0, class_weight, latency);
+            self.learners.on_served(now, tenant, job.class, class_weight, latency);
         } else if has_record {
             self.persist_record(now, id, None, None);
         }
--- a/src/core/idempotency/record.rs
+++ b/src/core/idempotency/record.rs
@@ -1,5 +1,6 @@
 //! One key's record, and its encoding: a version byte, then postcard, which goes by the order of the fields.
 
+use crate::core::UnixMicros;
 use serde::{Deserialize, Serialize};
 
 /// The first byte of an encoded record.
@@ -24,8 +25,8 @@
     pub cell: u32,
     /// Its zone.
     pub zone: String,
-    /// When it was decided: Unix time in microseconds.
-    pub sent_at: i64,
+    /// When it was decided.
+    pub sent_at: UnixMicros,
     /// Whether it is known that it never ran.
     pub never_ran: bool,
 }
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -1,6 +1,7 @@
 //! The records that are kept, bounded in number, bytes and time.
 
 use super::record::{AttemptRecord, IdempotencyKey, IdempotencyRecord, RecordDecodeError};
+use crate::core::UnixMicros;
 use crate::policy::interface::Micros;
 use std::collections::{BTreeSet, HashMap};
 
@@ -157,7 +158,7 @@
     pub fn expire_windows(&mut self) {
         for stored in self.records.values_mut() {
             for attempt in &mut stored.record.attempts {
-                attempt.sent_at = i64::MIN;
+                attempt.sent_at = UnixMicros::MIN;
             }
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -33,6 +33,7 @@
 pub mod watch_liveness;
 
 pub use attempt::AttemptId;
+pub use clock::UnixMicros;
 pub use commands::{
     AttemptOutcome, Command, DownstreamId, FinalResponse, JobStatus, NewRequest, PersistOutcome, RecordTicket,
 };
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -3,6 +3,7 @@
 //! It travels as JSON, whose keys are kept for other versions. Times are Unix times in microseconds, since the clocks of the two
 //! processes start at different moments; classes, tenants and workers go by name, since their numbers may differ.
 
+use super::UnixMicros;
 use super::idempotency::IdempotencyKey;
 use crate::policy::Learned;
 use crate::policy::interface::Micros;
@@ -21,9 +22,9 @@
     pub key: Option<u32>,
     /// When it arrived.
     #[serde(rename = "arrived")]
-    pub arrived_at: i64,
+    pub arrived_at: UnixMicros,
     /// When its client gives up.
-    pub deadline: i64,
+    pub deadline: UnixMicros,
     /// Expected work.
     pub hint: Option<Micros>,
     /// Slots that it needs.
@@ -50,9 +51,9 @@
     /// The worker's instance id.
     pub worker: String,
     /// When it was sent.
-    pub sent_at: i64,
+    pub sent_at: UnixMicros,
     /// When it started to run, also of one that has ended.
-    pub started_at: Option<i64>,
+    pub started_at: Option<UnixMicros>,
     /// How far it has come.
     pub phase: TransferredPhase,
 }
@@ -75,9 +76,9 @@
 struct AttemptMessage {
     worker: String,
     #[serde(rename = "at")]
-    sent_at: i64,
+    sent_at: UnixMicros,
     #[serde(rename = "started")]
-    started_at: Option<i64>,
+    started_at: Option<UnixMicros>,
     #[serde(rename = "out")]
     is_in_flight: bool,
     never_ran: bool,
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -2,7 +2,7 @@
 //! supplies inputs to the decision module, and decides nothing itself.
 
 use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
-use crate::policy::interface::{Estimate, MICROS_PER_MS, Micros};
+use crate::policy::interface::{ClassId, Estimate, MICROS_PER_MS, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
 use mothproxy_runtimes::{AttemptId, Config, JobFeatures, Origin, Outcome, Placement, RuntimeEstimator};
@@ -12,8 +12,8 @@
 const PUBLISH_INTERVAL: Micros = 250_000;
 /// Facts that one learner publishes in one go at most.
 const MAX_FACTS_PER_ROUND: usize = 16;
-/// The ledger counts use in thousandths of a point.
-const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
+/// The ledger counts use in thousandths of a job's weight.
+const MILLIPOINTS_PER_WEIGHT: f64 = 1_000.0;
 
 /// What was counted of each learner that is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,6 +37,15 @@
     pub refused: u64,
 }
 
+/// How far an attempt that has ended had come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RunEnd {
+    /// It ran to completion.
+    Completed,
+    /// It ended before, or did not run: its run time is at least as long as it was seen.
+    CutShort,
+}
+
 /// The labels of a job by which its run time is learned.
 #[derive(Clone, Copy, Debug)]
 pub struct JobLabels<'a> {
@@ -102,28 +111,36 @@
         self.runtimes.is_some() || self.shares.is_some()
     }
 
-    /// The weight of one more job of this tenant and class, as a fraction of its `points`; `None` where no shares are kept.
+    /// The weight of one more job of this tenant and class, as a fraction of `class_weight`, which it has within the tenant's
+    /// quota; `None` where no shares are kept.
     pub fn tenant_weight(
         &mut self,
         now: Micros,
         tenant: Option<&str>,
-        class: u16,
-        points: f64,
+        class: ClassId,
+        class_weight: f64,
     ) -> Option<f64> {
         // In millipoints, since the ledger measures use by value and not by work: the default of its `Config::measure`.
-        let worth = self.shares.as_mut()?.job_value(
+        let value = self.shares.as_mut()?.job_value(
             TenantKey::from_name(tenant?),
             ledger_class(class),
-            millipoints(points),
+            millipoints(class_weight),
             now,
         );
-        Some(worth.fraction)
+        Some(value.fraction)
     }
 
-    /// A job of so many `points` was served, and ran for `runtime`.
-    pub fn on_served(&mut self, now: Micros, tenant: Option<&str>, class: u16, points: f64, runtime: Micros) {
+    /// A job of this weight was served, `latency` after it arrived.
+    pub fn on_served(
+        &mut self,
+        now: Micros,
+        tenant: Option<&str>,
+        class: ClassId,
+        class_weight: f64,
+        latency: Micros,
+    ) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
-            let used = Usage { value: millipoints(points), work: runtime / MICROS_PER_MS };
+            let used = Usage { value: millipoints(class_weight), work: latency / MICROS_PER_MS };
             // What has no room is counted there.
             let _ = shares.record(now, now, TenantKey::from_name(tenant), ledger_class(class), used);
         }
@@ -146,26 +163,36 @@
     }
 
     /// An attempt has begun to run, at a worker of this name and kind.
-    pub fn on_started(&mut self, now: Micros, attempt: u64, job: &JobLabels<'_>, worker: &str, kind: &str) {
+    pub fn on_started(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        job: &JobLabels<'_>,
+        worker: &str,
+        kind: &str,
+    ) {
         if let Some(runtimes) = &mut self.runtimes {
             let placement =
                 Placement { kind: WorkerKind::from_name(kind), worker: WorkerKey::from_name(worker) };
-            runtimes.on_started(now, AttemptId(attempt), &job.features(), placement);
+            runtimes.on_started(now, attempt, &job.features(), placement);
         }
     }
 
     /// An attempt has reported that this fraction of it is done.
-    pub fn on_progress(&mut self, now: Micros, attempt: u64, fraction: f64) {
+    pub fn on_progress(&mut self, now: Micros, attempt: AttemptId, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
-            runtimes.on_progress(now, AttemptId(attempt), fraction);
+            runtimes.on_progress(now, attempt, fraction);
         }
     }
 
-    /// An attempt has ended, having run to completion or not. One that never began to run teaches nothing.
-    pub fn on_ended(&mut self, now: Micros, attempt: u64, ran_to_completion: bool) {
+    /// An attempt has ended. One that never began to run teaches nothing.
+    pub fn on_ended(&mut self, now: Micros, attempt: AttemptId, end: RunEnd) {
         if let Some(runtimes) = &mut self.runtimes {
-            let outcome = if ran_to_completion { Outcome::Done } else { Outcome::Censored };
-            runtimes.on_ended(now, AttemptId(attempt), outcome);
+            let outcome = match end {
+                RunEnd::Completed => Outcome::Done,
+                RunEnd::CutShort => Outcome::Censored,
+            };
+            runtimes.on_ended(now, attempt, outcome);
         }
     }
 
@@ -235,13 +262,13 @@
 }
 
 /// The class in the form that the ledger keeps.
-fn ledger_class(class: u16) -> u8 {
-    u8::try_from(class).unwrap_or(u8::MAX)
+fn ledger_class(class: ClassId) -> u8 {
+    u8::try_from(class.0).unwrap_or(u8::MAX)
 }
 
-/// Points in the unit that the ledger keeps.
-fn millipoints(points: f64) -> u64 {
-    (points * MILLIPOINTS_PER_POINT).max(0.0) as u64
+/// A weight in the unit that the ledger keeps.
+fn millipoints(weight: f64) -> u64 {
+    (weight * MILLIPOINTS_PER_WEIGHT).max(0.0) as u64
 }
 
 /// Takes facts of one learner until it has no more, or a round is full.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 mod members;
 mod settings;
 
-pub use learners::{JobLabels, LearnerMetrics, Learners, LearnersMetrics};
+pub use learners::{JobLabels, LearnerMetrics, Learners, LearnersMetrics, RunEnd};
 pub use settings::{
     ColdStartSettings, FairShareSettings, FleetSettings, MembershipSettings, RuntimesSettings,
 };
