--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -3,7 +3,7 @@
 use super::clock::UnixClock;
 use super::idempotency::AttemptRecord;
 use crate::config::{EndpointList, EndpointRow, Lifecycle, SiteNames};
-use crate::policy::interface::{CellId, EndpointEntry, Micros, Status, WorkerId};
+use crate::policy::interface::{CellId, EndpointEntry, Status, WorkerId};
 use crate::policy::settings_map::tag;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,13 +13,10 @@
 pub struct Endpoint {
     row: EndpointRow,
     address: SocketAddr,
-    /// Since when it has been known not to take work.
-    stopped_at: Option<Micros>,
-    is_removed: bool,
 }
 
 impl Endpoint {
-    /// Its row, as discovery last sent it.
+    /// Its row, as discovery last sent it; as removed, if it is off discovery's list.
     pub fn row(&self) -> &EndpointRow {
         &self.row
     }
@@ -36,12 +33,12 @@
 
     /// Whether it takes work, by discovery's list.
     pub fn takes_work(&self) -> bool {
-        self.stopped_at.is_none()
+        self.row.lifecycle == Lifecycle::Up
     }
 
     /// Whether it is off discovery's list.
     pub fn is_removed(&self) -> bool {
-        self.is_removed
+        self.row.lifecycle == Lifecycle::Removed
     }
 }
 
@@ -140,7 +137,7 @@
             started_at_ms: 0.0,
         };
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.add(Endpoint { row, address, stopped_at: Some(0), is_removed: true })
+        self.add(Endpoint { row, address })
     }
 
     fn add(&mut self, endpoint: Endpoint) -> WorkerId {
@@ -160,21 +157,14 @@
         self.endpoints.iter().filter(|endpoint| endpoint.takes_work()).count()
     }
 
-    /// The table as rows of discovery's list, with those that are off it as removed.
+    /// The table as rows of discovery's list; workers that are off it are removed ones.
     pub fn rows(&self) -> Vec<EndpointRow> {
-        let to_row = |endpoint: &Endpoint| {
-            let mut row = endpoint.row.clone();
-            if endpoint.is_removed {
-                row.lifecycle = Lifecycle::Removed;
-            }
-            row
-        };
-        self.endpoints.iter().map(to_row).collect()
+        self.endpoints.iter().map(|endpoint| endpoint.row.clone()).collect()
     }
 
     /// How many workers are on discovery's list.
     pub fn listed(&self) -> usize {
-        self.endpoints.iter().filter(|endpoint| !endpoint.is_removed).count()
+        self.endpoints.iter().filter(|endpoint| !endpoint.is_removed()).count()
     }
 
     /// Every worker ever listed, by number.
@@ -209,27 +199,20 @@
         }
     }
 
-    /// Applies a list that counts as notified since `notified_at`. Returns the workers that it names, in its order.
-    pub(super) fn apply(&mut self, notified_at: Micros, list: &EndpointList) -> Vec<WorkerId> {
+    /// Applies a list. Returns the workers that it names, in its order.
+    pub(super) fn apply(&mut self, list: &EndpointList) -> Vec<WorkerId> {
         self.generation = list.generation;
         self.bad_rows += list.bad_rows;
         if list.reset {
-            self.remove_unlisted(notified_at, list);
+            self.remove_unlisted(list);
         }
         let mut workers = Vec::with_capacity(list.rows.len());
         for row in &list.rows {
-            let Some(worker) = self.upsert(row) else {
+            let worker = self.upsert(row);
+            if worker.is_none() {
                 self.bad_rows += 1;
-                workers.extend(self.find(&row.instance_id));
-                continue;
-            };
-            let endpoint = &mut self.endpoints[worker.0 as usize];
-            endpoint.is_removed = row.lifecycle == Lifecycle::Removed;
-            endpoint.stopped_at = match row.lifecycle {
-                Lifecycle::Up => None,
-                Lifecycle::Draining | Lifecycle::Removed => endpoint.stopped_at.or(Some(notified_at)),
-            };
-            workers.push(worker);
+            }
+            workers.extend(worker.or_else(|| self.find(&row.instance_id)));
         }
         // A row that cannot be used changes nothing: its worker stays as it is.
         workers.extend(list.unread.iter().filter_map(|name| self.find(name)));
@@ -237,13 +220,12 @@
     }
 
     /// Removes the workers that a whole list does not name.
-    fn remove_unlisted(&mut self, notified_at: Micros, list: &EndpointList) {
+    fn remove_unlisted(&mut self, list: &EndpointList) {
         let readable = list.rows.iter().map(|row| &row.instance_id);
         let listed: HashSet<&String> = readable.chain(&list.unread).collect();
         for endpoint in &mut self.endpoints {
             if !listed.contains(&endpoint.row.instance_id) {
-                endpoint.stopped_at.get_or_insert(notified_at);
-                endpoint.is_removed = true;
+                endpoint.row.lifecycle = Lifecycle::Removed;
             }
         }
     }
@@ -255,7 +237,7 @@
         names: &mut SiteNames,
         clock: UnixClock,
     ) -> Option<EndpointEntry> {
-        let Endpoint { row, is_removed, .. } = self.get(worker)?;
+        let Endpoint { row, .. } = self.get(worker)?;
         Some(EndpointEntry {
             worker,
             tag: tag(&row.instance_id),
@@ -263,7 +245,6 @@
             kind: names.intern_kind(&row.machine_type),
             cell: CellId(row.cell),
             status: match row.lifecycle {
-                _ if *is_removed => Status::Gone,
                 Lifecycle::Up if self.is_stale => Status::Draining,
                 Lifecycle::Up => Status::Ready,
                 Lifecycle::Draining => Status::Draining,
@@ -279,12 +260,7 @@
     fn upsert(&mut self, row: &EndpointRow) -> Option<WorkerId> {
         let address = row.host_port.parse::<SocketAddr>().ok();
         let Some(id) = self.find(&row.instance_id) else {
-            return Some(self.add(Endpoint {
-                row: row.clone(),
-                address: address?,
-                stopped_at: None,
-                is_removed: false,
-            }));
+            return Some(self.add(Endpoint { row: row.clone(), address: address? }));
         };
         if row.lifecycle == Lifecycle::Up && address.is_none() {
             return None;
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -14,19 +14,19 @@
         self.endpoints.check(list, source)
     }
 
-    /// Discovery sent a list; its changes count as notified since `notified_at`.
-    pub fn on_endpoint_list(&mut self, notified_at: Micros, list: &EndpointList) {
+    /// Discovery sent a list.
+    pub fn on_endpoint_list(&mut self, list: &EndpointList) {
         let kind = if list.reset { ListKind::Snapshot } else { ListKind::Delta };
-        self.apply_list(notified_at, list, kind);
+        self.apply_list(list, kind);
     }
 
     /// A process that held a watch handed its list over.
-    pub fn on_cached_list(&mut self, now: Micros, list: &EndpointList) {
-        self.apply_list(now, list, ListKind::Cached);
+    pub fn on_cached_list(&mut self, list: &EndpointList) {
+        self.apply_list(list, ListKind::Cached);
     }
 
-    fn apply_list(&mut self, notified_at: Micros, list: &EndpointList, kind: ListKind) {
-        let named = self.endpoints.apply(notified_at, list);
+    fn apply_list(&mut self, list: &EndpointList, kind: ListKind) {
+        let named = self.endpoints.apply(list);
         if self.endpoints.clear_stale() {
             // Until now none of the workers took work for the module: it needs all of them.
             self.push_all_endpoints(ListKind::Snapshot);
@@ -38,8 +38,8 @@
     /// Loads a list that was known before the start, perhaps long before. Its workers get their numbers, and discovery is called
     /// with its version; but nothing is sent to them before discovery has sent a list, or [`Core::use_stale_list`]. Returns when
     /// the last of its workers started.
-    pub fn load_known_list(&mut self, now: Micros, list: &EndpointList) -> Option<Micros> {
-        self.endpoints.apply(now, list);
+    pub fn load_known_list(&mut self, list: &EndpointList) -> Option<Micros> {
+        self.endpoints.apply(list);
         self.endpoints.mark_stale();
         let clock = self.clock;
         list.rows.iter().filter_map(|row| clock.module_time_of_millis(row.started_at_ms)).max()
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -77,8 +77,8 @@
 
     fn on_list_accepted(&mut self, call: &mut DiscoveryCall, list: &EndpointList) {
         call.is_answered = true;
-        let notified_at = self.discovery.liveness.on_list(self.now);
-        self.core.on_endpoint_list(notified_at, list);
+        self.discovery.liveness.on_list(self.now);
+        self.core.on_endpoint_list(list);
         if call.is_watch() {
             self.pace_on_watch_event(WatchEvent::List { generation: list.generation });
         }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -155,16 +155,15 @@
 /// list from a file started.
 fn load_initial_state(
     core: &mut Core,
-    now: Micros,
     config: &Config,
     inheritance: Option<&mut Inheritance>,
 ) -> Option<Micros> {
-    let Some(from) = inheritance else { return core.load_known_list(now, &config.known_endpoints) };
+    let Some(from) = inheritance else { return core.load_known_list(&config.known_endpoints) };
     // The list that the predecessor received last is newer than what the file holds.
     if from.is_list_stale {
-        core.load_known_list(now, &from.list);
+        core.load_known_list(&from.list);
     } else {
-        core.on_cached_list(now, &from.list);
+        core.on_cached_list(&from.list);
     }
     if let Some(learned) = from.learned.take() {
         core.restore(learned);
@@ -202,7 +201,7 @@
         let peers = open_peer_socket(inherited.peers, config.peer_listen)?;
         let epoll = Poller::new().map_err(system("epoll"))?;
         let now = Core::clock_start();
-        let newest_start = load_initial_state(&mut core, now, &config, inheritance.as_mut());
+        let newest_start = load_initial_state(&mut core, &config, inheritance.as_mut());
         core.set_timer(now + METRICS_INTERVAL, METRICS_TIMER);
         let reserved = if state.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
         let budget = Budget::new(config.limits, reserved);
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -21,7 +21,7 @@
     let unix = 1_790_000_000_000_000;
     let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
     let mut now = Core::clock_start();
-    core.on_cached_list(now, &config.known_endpoints);
+    core.on_cached_list(&config.known_endpoints);
     for n in 0..20_u64 {
         now += 40 * MS;
         let name = format!("job-{n}");
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -11,9 +11,9 @@
 fn removes_unlisted_workers_and_never_reuses_their_numbers() {
     let mut harness = CoreHarness::new(2);
     let whole = site::read_list(&site::snapshot(2, &[site::endpoint_entry("s-1", "127.0.0.1:9101", "up")]));
-    harness.core.on_endpoint_list(harness.now, &whole);
+    harness.core.on_endpoint_list(&whole);
     let changes = site::read_list(&site::delta(3, &[site::endpoint_entry("s-7", "127.0.0.1:9107", "up")]));
-    harness.core.on_endpoint_list(harness.now, &changes);
+    harness.core.on_endpoint_list(&changes);
     let table = harness.core.endpoints();
     assert!(table.get(WorkerId(0)).is_some_and(|endpoint| endpoint.is_removed() && !endpoint.takes_work()));
     assert_eq!(table.get(WorkerId(1)).map(|endpoint| endpoint.address().port()), Some(9101));
@@ -24,7 +24,7 @@
         site::endpoint_entry("s-9", "nowhere", "up"),
         json!(5),
     ];
-    harness.core.on_endpoint_list(harness.now, &site::read_list(&site::delta(4, &bad)));
+    harness.core.on_endpoint_list(&site::read_list(&site::delta(4, &bad)));
     assert_eq!(harness.core.endpoints().bad_rows(), 4);
 }
 
@@ -44,7 +44,7 @@
         objects.feed(bytes);
         while let Some(object) = objects.next_object() {
             let value = serde_json::from_slice(&object).expect("JSON");
-            harness.core.on_endpoint_list(harness.now, &EndpointList::from_json(&value).expect("a list"));
+            harness.core.on_endpoint_list(&EndpointList::from_json(&value).expect("a list"));
         }
         harness.core.endpoints().rows()
     };
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -35,7 +35,7 @@
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
         let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
         let now = Core::clock_start();
-        core.on_cached_list(now, &config.known_endpoints);
+        core.on_cached_list(&config.known_endpoints);
         CoreHarness { core, now, offered: 0 }
     }
 
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -132,10 +132,7 @@
         row
     };
     let old = harness.core.endpoints().get(worker).expect("known").row().cell;
-    next.core.on_endpoint_list(
-        next.now,
-        &site::read_list(&site::snapshot(2, &[row(0, old + 10), row(1, old + 11)])),
-    );
+    next.core.on_endpoint_list(&site::read_list(&site::snapshot(2, &[row(0, old + 10), row(1, old + 11)])));
     let id = next.accept_keyed("r-2", "k", 5).expect("new");
     let commands = next.advance(26_000 * MS);
     assert_eq!(started(&commands), []);
