--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -27,7 +27,7 @@
     /// How long from now on an attempt's answer is waited for.
     pub fn time_left(&self, now: Micros, id: AttemptId) -> Micros {
         let Some(request) = self.requests.get(id.request_id) else { return 0 };
-        let Some(attempt) = request.attempts().get(id.number as usize) else { return 0 };
+        let Some(attempt) = request.attempt(id.number) else { return 0 };
         attempt.timeout_at().unwrap_or(request.job().deadline).saturating_sub(now)
     }
 
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -23,7 +23,7 @@
 use super::event_queue::EventQueue;
 use super::idempotency::IdempotencyStore;
 use super::ledger::{ClassTallies, Ledger, Tally};
-use super::request::RequestTable;
+use super::request_table::RequestTable;
 use super::timers::{Timer, TimerQueue};
 use crate::Dispatcher;
 use crate::config::SiteNames;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! The parts of the engine, each of which owns its state:
 //! - [`commands`](Command): the messages in and out;
-//! - `request` and `attempt`: a client's request and its phase, an attempt at a worker and its phase;
+//! - `request`, `request_table` and `attempt`: a client's request and its phase, all of them, an attempt at a worker and its phase;
 //! - [`endpoint_table`]: the workers that discovery has listed, by number;
 //! - [`idempotency`]: records of requests with an idempotency key;
 //! - `event_queue`, `timers` and `clock`: batches of events for the decision module, what is due, and Unix time;
@@ -27,6 +27,7 @@
 pub mod ledger;
 pub mod peer_lifecycle;
 mod request;
+mod request_table;
 pub mod shutdown_plan;
 mod timers;
 pub mod transfer;
--- /dev/null
+++ b/src/core/request_table.rs
@@ -0,0 +1,103 @@
+//! All requests that are open, or that still have attempts in flight, by id and by name.
+
+use super::attempt::{Attempt, AttemptId};
+use super::request::{PendingRequest, RequestId};
+use crate::policy::interface::WorkerId;
+use std::collections::HashMap;
+
+/// All requests that are not over.
+#[derive(Debug, Default)]
+pub(super) struct RequestTable {
+    requests: HashMap<RequestId, PendingRequest>,
+    by_name: HashMap<String, RequestId>,
+    /// Those that may be over, until the next sweep.
+    finished: Vec<RequestId>,
+    next_id: u64,
+}
+
+impl RequestTable {
+    /// The id of the next request.
+    pub fn allocate_id(&mut self) -> RequestId {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        id
+    }
+
+    /// Adds a request, under an id of [`RequestTable::allocate_id`].
+    pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
+        self.by_name.insert(request.name().to_owned(), id);
+        self.requests.insert(id, request);
+    }
+
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.requests.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&id)
+    }
+
+    /// An attempt, in flight or ended.
+    pub fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
+        self.get(id.request_id)?.attempt(id.number)
+    }
+
+    /// An attempt that is in flight, to be changed.
+    pub fn in_flight_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.get_mut(id.request_id)?.in_flight_mut(id.number)
+    }
+
+    /// An attempt, in flight or ended, to be changed.
+    pub fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.get_mut(id.request_id)?.attempt_mut(id.number)
+    }
+
+    /// The request of this name.
+    pub fn find(&self, name: &str) -> Option<RequestId> {
+        self.by_name.get(name).copied()
+    }
+
+    /// The latest attempt of the request of this name at this worker.
+    pub fn find_attempt(&self, name: &str, worker: WorkerId) -> Option<AttemptId> {
+        let request_id = self.find(name)?;
+        let attempts = self.get(request_id)?.attempts();
+        let number = attempts.iter().rposition(|attempt| attempt.worker() == worker)? as u32;
+        Some(AttemptId { request_id, number })
+    }
+
+    pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.requests.remove(&id)?;
+        self.by_name.remove(request.name());
+        Some(request)
+    }
+
+    /// Remembers a request that may be over for the next [`RequestTable::remove_finished`].
+    ///
+    /// It may not be removed at once: until the decision module has handled the request's end it may still send an attempt of
+    /// it, and that attempt must get the number that the module gives it.
+    pub fn mark_finished(&mut self, id: RequestId) {
+        self.finished.push(id);
+    }
+
+    /// Removes the requests that are over. To be called once the module has handled all events.
+    pub fn remove_finished(&mut self) {
+        for id in std::mem::take(&mut self.finished) {
+            if self.get(id).is_some_and(PendingRequest::is_over) {
+                self.remove(id);
+            }
+        }
+    }
+
+    /// The open requests, in the order of their arrival.
+    pub fn open_ids(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| request.is_open());
+        let mut ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
+        ids.sort_unstable();
+        ids
+    }
+
+    /// The names of all requests in the table.
+    pub fn names(&self) -> impl Iterator<Item = &String> {
+        self.by_name.keys()
+    }
+}
