--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -10,6 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
 
 /// The operators' file where none is named.
 const DEFAULT_SETTINGS_FILE: &str = "deploy/mothproxy.txtpb";
@@ -30,13 +31,18 @@
     state_sync: Option<SyncMode>,
 }
 
-/// Reads `always`, `interval:MS` or `never`. The error is a text, as clap shows it to the user.
-fn parse_sync_mode(text: &str) -> Result<SyncMode, String> {
+/// A text is not a sync mode. clap shows it to the user.
+#[derive(Debug, Error)]
+#[error("it is always, interval:MS (MS above 0) or never")]
+struct UnknownSyncMode;
+
+/// Reads `always`, `interval:MS` or `never`.
+fn parse_sync_mode(text: &str) -> Result<SyncMode, UnknownSyncMode> {
     match (text, text.strip_prefix("interval:").map(str::parse::<u32>)) {
         ("always", _) => Ok(SyncMode::Always),
         ("never", _) => Ok(SyncMode::Never),
         (_, Some(Ok(ms))) if ms > 0 => Ok(SyncMode::Interval(Duration::from_millis(u64::from(ms)))),
-        _ => Err("it is always, interval:MS (MS above 0) or never".to_owned()),
+        _ => Err(UnknownSyncMode),
     }
 }
 
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -42,15 +42,15 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// The subject that it concerns.
+    /// The subject that it concerns, which requests for the same object share.
     pub key: Option<KeyId>,
-    /// How long its client will wait.
+    /// How long its client will wait, from now on.
     pub time_budget: Micros,
-    /// Expected work, where clients state it.
+    /// Expected work, as time on a standard core, where clients state it.
     pub hint: Option<Micros>,
-    /// Slots that it needs.
+    /// Slots that it needs at a worker.
     pub slots: f64,
-    /// Memory that it needs.
+    /// Memory that it needs, in the unit in which workers report theirs, where memory counts.
     pub memory: Option<f64>,
     /// Whether its client marked it as a repeat.
     pub repeat: bool,
@@ -58,7 +58,7 @@
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// A worker's report on a job.
+/// What a worker says of a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobStatus {
     /// It has started.
@@ -154,7 +154,7 @@
     },
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send bytes to another dispatcher, by its number.
+    /// Send bytes to another dispatcher, by its number among the peers; they may be lost.
     SendToPeer(u32, Vec<u8>),
     /// Open a watch of the endpoint list.
     OpenWatch,
--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -9,6 +9,8 @@
 
 /// In a fleet of up to this many, every dispatcher is a neighbor of every other.
 const MAX_SMALL_FLEET: u32 = 16;
+/// The unit of distances in a fleet of any size.
+const PERMILLE: u64 = 1_000;
 /// In a larger one, the neighbors are this far away in both directions, in thousandths of the numbers (the golden section and its
 /// powers, so that no two are near each other), ...
 const NEIGHBOR_DISTANCES_PERMILLE: [u64; 3] = [382, 236, 146];
@@ -24,7 +26,7 @@
 }
 
 impl PeerLifecycle {
-    /// That of dispatcher `me` of `fleet_size`, itself included; nobody has announced anything.
+    /// That of the dispatcher with number `me` among `fleet_size`, itself included; nobody has announced anything.
     pub fn new(me: u32, fleet_size: usize) -> PeerLifecycle {
         let fleet_size = u32::try_from(fleet_size).unwrap_or(u32::MAX);
         PeerLifecycle { me, fleet_size, stopping: BTreeSet::new() }
@@ -41,7 +43,7 @@
             return (0..self.fleet_size).filter(|peer| *peer != self.me).collect();
         }
         let (me, fleet_size) = (u64::from(self.me), u64::from(self.fleet_size));
-        let far = NEIGHBOR_DISTANCES_PERMILLE.map(|permille| fleet_size * permille / 1_000);
+        let far = NEIGHBOR_DISTANCES_PERMILLE.map(|permille| fleet_size * permille / PERMILLE);
         far.into_iter()
             .chain([NEAREST_NEIGHBOR_DISTANCE])
             .flat_map(|distance| [me + distance, me + fleet_size - distance])
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -18,18 +18,18 @@
     pub class: String,
     /// Its tenant.
     pub tenant: Option<String>,
-    /// The subject that it concerns.
+    /// The number of the subject that it concerns.
     pub key: Option<u32>,
     /// When it arrived.
     #[serde(rename = "arrived")]
     pub arrived_at: UnixMicros,
     /// When its client gives up.
     pub deadline: UnixMicros,
-    /// Expected work.
+    /// Expected work, as time on a standard core.
     pub hint: Option<Micros>,
     /// Slots that it needs.
     pub slots: f64,
-    /// Memory that it needs.
+    /// Memory that it needs, in the unit in which workers report theirs.
     pub memory: Option<f64>,
     /// Whether its client marked it as a repeat.
     pub repeat: bool,
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -25,7 +25,7 @@
     /// Without a watch, the list must be fetched within this.
     pub max_poll_interval: Option<Micros>,
     /// How many dispatchers share the service.
-    pub nodes: u32,
+    pub dispatchers: u32,
 }
 
 impl From<&Settings> for DiscoverySettings {
@@ -33,7 +33,7 @@
         DiscoverySettings {
             is_pushed: !settings.list_on_request,
             max_poll_interval: settings.ask_within,
-            nodes: settings.nodes,
+            dispatchers: settings.nodes,
         }
     }
 }
@@ -53,12 +53,12 @@
 
     /// How long the calls of all dispatchers take, in turn, at a service that is very slow.
     pub(super) fn slow_turn(&self) -> Micros {
-        POLL_INTERVAL * Micros::from(self.nodes) / MAX_UNCOORDINATED_CALLERS
+        POLL_INTERVAL * Micros::from(self.dispatchers) / MAX_UNCOORDINATED_CALLERS
     }
 
     /// All watches may end at once, and all may start at once: their dispatchers call within this, one interval at most.
     pub(super) fn spread(&self) -> Micros {
-        (SERVICE_TIME * Micros::from(self.nodes)).min(self.hurried_call_interval())
+        (SERVICE_TIME * Micros::from(self.dispatchers)).min(self.hurried_call_interval())
     }
 
     /// The same where what was missed has a time from which it counts: of one interval, half is left for a second call.
@@ -68,6 +68,6 @@
 
     /// Whether there are so few dispatchers that they need not take turns.
     pub(super) fn are_few(&self) -> bool {
-        Micros::from(self.nodes) <= MAX_UNCOORDINATED_CALLERS
+        Micros::from(self.dispatchers) <= MAX_UNCOORDINATED_CALLERS
     }
 }
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -19,8 +19,8 @@
 pub(super) struct Members {
     own_place: usize,
     membership: Membership,
-    /// Until when a place from which nothing was ever received counts as present; 0 once that time has passed.
-    unknown_until: Micros,
+    /// Until when a place from which nothing was ever received counts as present, if that time has not passed.
+    unknown_until: Option<Micros>,
     /// For how long a dead place's assignment is kept, if not for as long as it is dead.
     dead_assignment_ttl: Option<Micros>,
     /// The presence that was reported last.
@@ -51,7 +51,7 @@
         Ok(Members {
             own_place,
             membership: Membership::new(config, now)?,
-            unknown_until,
+            unknown_until: Some(unknown_until),
             dead_assignment_ttl: settings.dead_assignment_ttl,
             reported: None,
             report_at: Some(now),
@@ -69,15 +69,14 @@
         if now >= self.membership.next_wake() {
             self.membership.tick(now);
         }
-        if now >= self.unknown_until && self.unknown_until > 0 {
-            self.unknown_until = 0;
+        if self.unknown_until.take_if(|until| now >= *until).is_some() {
             self.report_at.get_or_insert(now);
         }
     }
 
     /// When [`Members::on_timer`] is due.
     pub(super) fn next_wake(&self, now: Micros) -> Micros {
-        let unknown_expiry = (now < self.unknown_until).then_some(self.unknown_until);
+        let unknown_expiry = self.unknown_until.filter(|until| now < *until);
         unknown_expiry.into_iter().chain(self.report_at).fold(self.membership.next_wake(), Micros::min)
     }
 
@@ -141,10 +140,11 @@
     fn presence(&self, now: Micros) -> Vec<PeerPresence> {
         let keeps_assignment =
             |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
+        let may_be_starting = self.unknown_until.is_some_and(|until| now < until);
         let presence_of = |(place, member): (u16, &Member)| match member.state {
             _ if usize::from(place) == self.own_place => PeerPresence::Present,
             State::Alive | State::Suspect => PeerPresence::Present,
-            State::Unknown if now < self.unknown_until => PeerPresence::Present,
+            State::Unknown if may_be_starting => PeerPresence::Present,
             State::Unknown | State::Dead if keeps_assignment(member.since) => PeerPresence::Unreachable,
             State::Unknown | State::Dead | State::Left => PeerPresence::Gone,
         };
--- a/tests/common/lists.rs
+++ b/tests/common/lists.rs
@@ -242,8 +242,11 @@
     }
 
     fn new_liveness(&mut self) -> WatchLiveness {
-        let terms =
-            DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes: self.day.callers };
+        let terms = DiscoverySettings {
+            is_pushed: false,
+            max_poll_interval: Some(10 * S),
+            dispatchers: self.day.callers,
+        };
         WatchLiveness::new(terms, self.rng.u64(..))
     }
 
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -145,7 +145,7 @@
         let settings = DiscoverySettings {
             is_pushed: given.is_pushed,
             max_poll_interval: Some(given.max_poll_interval * MILLISECOND),
-            nodes: given.nodes,
+            dispatchers: given.nodes,
         };
         let mut liveness = WatchLiveness::new(settings, seed);
         if given.is_open {
--- a/tests/watch_liveness.rs
+++ b/tests/watch_liveness.rs
@@ -148,14 +148,14 @@
     if waited_in_vain == 0 { 2 * S } else { ((1_500 * MS) << waited_in_vain.min(2)).min(4_500 * MS) }
 }
 
-fn settings_for(nodes: u32) -> DiscoverySettings {
-    DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), nodes }
+fn settings_for(dispatchers: u32) -> DiscoverySettings {
+    DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), dispatchers }
 }
 
 fn random_settings(rng: &mut fastrand::Rng) -> DiscoverySettings {
     let nodes = if rng.bool() { rng.u32(1..=10) } else { rng.u32(1..=300) };
     let max_poll_interval = Some(rng.u64(3..=60) * S);
-    DiscoverySettings { is_pushed: false, max_poll_interval, nodes }
+    DiscoverySettings { is_pushed: false, max_poll_interval, dispatchers: nodes }
 }
 
 /// How many refused calls the 6 s hold beside one that is answered, though the service may be too slow for all: two up to ten
@@ -166,7 +166,7 @@
 
 /// The longest time from one call to the next: up to ten dispatchers may call in 1.5 s.
 fn call_interval(settings: DiscoverySettings) -> Micros {
-    (150 * MS * u64::from(settings.nodes)).clamp(1_500 * MS, 4_500 * MS)
+    (150 * MS * u64::from(settings.dispatchers)).clamp(1_500 * MS, 4_500 * MS)
 }
 
 /// Random events for a while; at a random moment discovery comes back. From then on it refuses up to two calls, perhaps slowly, or
@@ -343,7 +343,7 @@
 
 #[test]
 fn calls_an_agent_forever_but_not_in_a_busy_loop() {
-    let settings = DiscoverySettings { is_pushed: true, max_poll_interval: None, nodes: 3 };
+    let settings = DiscoverySettings { is_pushed: true, max_poll_interval: None, dispatchers: 3 };
     let mut watch = WatchLiveness::new(settings, 1);
     assert!(watch.reconfigure(settings), "one is opened at the start");
     let mut now = 0;
