--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -24,7 +24,7 @@
 use super::idempotency::IdempotencyStore;
 use super::ledger::{ClassTallies, Ledger, Tally};
 use super::request_table::RequestTable;
-use super::timers::{Timer, TimerQueue};
+use super::timers::{Timer, TimerQueue, TimerToken};
 use crate::Dispatcher;
 use crate::config::SiteNames;
 use crate::fleet::Learners;
@@ -170,12 +170,12 @@
     }
 
     /// Sets a timer for the program round the core: [`Command::TimerFired`] comes at that time.
-    pub fn set_timer(&mut self, at: Micros, token: u64) {
+    pub fn set_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.schedule(at, Timer::Program(token));
     }
 
     /// Cancels such a timer.
-    pub fn cancel_timer(&mut self, at: Micros, token: u64) {
+    pub fn cancel_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.cancel(at, Timer::Program(token));
     }
 
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -153,7 +153,7 @@
     /// Closes a connection that was taken out of its slot.
     pub(super) fn close(&mut self, token: Token, connection: Connection, role: Role) {
         if let Some(at) = connection.timer {
-            self.core.cancel_timer(at, token.0);
+            self.core.cancel_timer(at, token.timer());
         }
         self.connections.remove(token, &role);
         if matches!(role, Role::Admin(_)) {
@@ -172,10 +172,10 @@
     /// Sets or drops a connection's deadline.
     pub(super) fn set_timer(&mut self, token: Token, connection: &mut Connection, at: Option<Micros>) {
         if let Some(old) = connection.timer.take() {
-            self.core.cancel_timer(old, token.0);
+            self.core.cancel_timer(old, token.timer());
         }
         if let Some(at) = at {
-            self.core.set_timer(at, token.0);
+            self.core.set_timer(at, token.timer());
         }
         connection.timer = at;
     }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,7 +3,7 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::{Command, Core, DownstreamId};
+use crate::core::{Command, Core, DownstreamId, TimerToken};
 use crate::policy::interface::Micros;
 use crate::server::Server;
 use crate::server::connection_table::Role;
@@ -125,7 +125,7 @@
         }
     }
 
-    fn on_timer(&mut self, timer: u64) {
+    fn on_timer(&mut self, timer: TimerToken) {
         match timer {
             WATCH_TIMER => self.on_watch_timer(),
             FULL_LIST_TIMER => self.on_full_list_timer(),
@@ -142,7 +142,7 @@
             POLL_TIMER => self.on_pacing_timer(),
             PEER_TIMER => self.on_peer_timer(),
             ACCEPT_TIMER => self.resume_accepting(),
-            token => self.on_connection_timer(Token(token)),
+            TimerToken(token) => self.on_connection_timer(Token(token)),
         }
     }
 
