--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -158,7 +158,7 @@
 }
 
 /// The end of an attempt whose request is over, for the decision module: it shows nothing of the worker.
-pub(super) fn end_of_closed(id: AttemptId, worker: WorkerId, outcome: Outcome) -> Event {
+pub(super) fn closed_attempt_ended(id: AttemptId, worker: WorkerId, outcome: Outcome) -> Event {
     Event::AttemptEnded(AttemptEnded {
         job: id.request_id.job(),
         attempt: id.number,
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -59,12 +59,13 @@
         }
     }
 
-    /// A worker's callback about a job, by the names that the worker uses. Returns whether it changed anything.
+    /// A worker's callback about a job, by the request's name and the worker's instance id. Returns whether it changed anything; one
+    /// that did not is counted, and a result that it has is kept where its request has an idempotency record.
     pub fn on_job_status(
         &mut self,
         now: Micros,
-        name: &str,
-        from: &str,
+        request_name: &str,
+        instance_id: &str,
         status: JobStatus,
         report: Option<LoadReport>,
     ) -> bool {
@@ -72,12 +73,13 @@
             JobStatus::Done(result) if self.idempotency.is_some() => Some(result.clone()),
             _ => None,
         };
-        let attempt = self.endpoints.find(from).and_then(|worker| self.requests.find_attempt(name, worker));
+        let worker = self.endpoints.find(instance_id);
+        let attempt = worker.and_then(|worker| self.requests.find_attempt(request_name, worker));
         let is_new = attempt.is_some_and(|id| self.on_callback(now, id, status, report));
         if !is_new {
             self.stale_status_updates += 1;
             if let Some(result) = result {
-                self.persist_late_result(now, name, result);
+                self.persist_late_result(now, request_name, result);
             }
         }
         is_new
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -1,7 +1,7 @@
 //! Hot restart: open requests and learned state pass from one process of a dispatcher to its successor.
 
 use super::Core;
-use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, AttemptPhase, end_of_closed};
+use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, AttemptPhase, closed_attempt_ended};
 use crate::core::commands::DownstreamId;
 use crate::core::job_labels::job_labels;
 use crate::core::request::{PendingRequest, RequestId};
@@ -50,7 +50,7 @@
         let in_flight = (0..).zip(request.attempts()).filter(|(_, attempt)| attempt.is_in_flight());
         for (number, attempt) in in_flight {
             let attempt_id = AttemptId { request_id: id, number };
-            self.events.push(end_of_closed(attempt_id, attempt.worker(), Outcome::Cancelled));
+            self.events.push(closed_attempt_ended(attempt_id, attempt.worker(), Outcome::Cancelled));
         }
         self.events.mark_transfer();
         Some(transferred)
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -1,7 +1,7 @@
 //! What is due at a turn: timers fire, the decision module handles a batch of events, and its actions become commands.
 
 use super::Core;
-use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, end_of_closed};
+use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, closed_attempt_ended};
 use crate::core::commands::{AttemptOutcome, Command, FinalResponse, RecordTicket};
 use crate::core::ledger::Completion;
 use crate::core::request::{PendingRequest, RequestId};
@@ -113,7 +113,7 @@
         if !request.is_open() {
             // The batch was fixed before its request was closed: nothing is sent after a final response.
             request.add_attempt(Attempt::ended(worker, now, AttemptEnd::NeverSent));
-            return self.events.push(end_of_closed(id, worker, Outcome::NeverSent));
+            return self.events.push(closed_attempt_ended(id, worker, Outcome::NeverSent));
         }
         let is_doubled = request.is_in_flight_at(worker);
         invariant!(!is_doubled, "worker {} has request {request_id} already", worker.0);
--- a/src/core/watch_liveness/object_splitter.rs
+++ b/src/core/watch_liveness/object_splitter.rs
@@ -9,14 +9,34 @@
     scanned: usize,
     /// How many brackets are open at that place.
     depth: u32,
-    is_in_string: bool,
-    is_escaped: bool,
+    string: StringState,
     /// An object has ended on the current line, so that the line's end is no empty line.
     has_object_on_line: bool,
     /// An empty line has come since [`ObjectSplitter::take_empty_line`].
     has_empty_line: bool,
 }
 
+/// Where the scan stands with regard to a JSON string, within which brackets mean nothing.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum StringState {
+    #[default]
+    Outside,
+    Inside,
+    /// Behind a backslash: the next byte ends nothing.
+    Escaped,
+}
+
+impl StringState {
+    /// The state behind a byte that is part of a string.
+    fn after(self, byte: u8) -> StringState {
+        match (self, byte) {
+            (StringState::Inside, b'"') => StringState::Outside,
+            (StringState::Inside, b'\\') => StringState::Escaped,
+            _ => StringState::Inside,
+        }
+    }
+}
+
 impl ObjectSplitter {
     /// Adds bytes as they were received.
     pub fn feed(&mut self, bytes: &[u8]) {
@@ -61,16 +81,15 @@
         None
     }
 
-    /// Scans a byte. Whether it ends an object, or a line outside of one.
+    /// Scans a byte. Returns whether it ends an object, or a line outside of one.
     fn is_end(&mut self, byte: u8) -> bool {
-        if self.is_in_string {
-            self.is_in_string = self.is_escaped || byte != b'"';
-            self.is_escaped = !self.is_escaped && byte == b'\\';
+        if self.string != StringState::Outside {
+            self.string = self.string.after(byte);
             return false;
         }
         match byte {
-            b'"' => {
-                self.is_in_string = self.depth > 0;
+            b'"' if self.depth > 0 => {
+                self.string = StringState::Inside;
                 false
             }
             b'{' | b'[' => {
