--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -1,6 +1,9 @@
 //! How many connections this process may hold, within the limits of descriptors and memory.
 
 use crate::config::MachineLimits;
+use crate::policy::interface::Micros;
+use crate::server::downstream::context::client_context;
+use crate::server::{Server, downstream};
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
 /// the sockets of a hot restart (2), those of a packet between its processes (4), callers of the admin address (16), calls to
@@ -41,3 +44,38 @@
         self.max_accepted_clients - self.clients
     }
 }
+
+/// What closes connections of clients and to workers alike.
+impl Server {
+    /// Finds a descriptor for a new connection: where the budget is used up, by closing one that has been idle for
+    /// `min_idle`. False where there is none.
+    pub(super) fn ensure_descriptor(&mut self, min_idle: Micros) -> bool {
+        if !self.is_budget_used_up() {
+            return true;
+        }
+        // A connection that only began to linger still holds its descriptor: it is closed now.
+        self.close_idle_connection(min_idle)
+            && (!self.is_budget_used_up()
+                || self.clients.close_oldest_lingering(&mut client_context!(self))
+                    && !self.is_budget_used_up())
+    }
+
+    /// Closes one connection of a client or to a worker. Partial requests that grew lately come last: well-behaved clients may
+    /// be writing them. False where there is none to close.
+    fn close_idle_connection(&mut self, min_idle: Micros) -> bool {
+        let context = &mut client_context!(self);
+        self.clients.close_oldest_lingering(context)
+            || self.clients.close_silent(context, downstream::PARTIAL_REQUEST_GRACE)
+            || self.upstream.close_idle(context.shared.core, context.shared.reactor)
+            || self.clients.close_oldest_served(context, min_idle)
+            || self.clients.close_oldest_idle(context, min_idle)
+            || self.clients.close_silent(context, downstream::SILENT_GRACE)
+    }
+
+    /// Whether no connection may be added: the other process of a hot restart has its own against the same limit.
+    fn is_budget_used_up(&self) -> bool {
+        let open =
+            self.reactor.connections().open_connections() + self.hot_restart.connections_in_peer_process();
+        open >= self.budget.connections
+    }
+}
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::core::watch_liveness::{DiscoverySettings, WatchFailure};
 use crate::policy::interface::Micros;
-use crate::server::STALE_LIST_TIMER;
+use crate::server::tokens::STALE_LIST_TIMER;
 
 impl DiscoveryClient {
     /// Schedules the first watch, and the times at which the list that is known so far becomes stale or is used anyway.
@@ -43,7 +43,7 @@
 
     /// Suspends the list that the program started with, or uses it. It is suspended while it is to be revalidated and discovery
     /// has sent none; once discovery cannot be reached, or has not answered in time, it is used as it is.
-    pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
+    pub(in crate::server) fn check_stale_list(&self, core: &mut Core, now: Micros) {
         match (core.endpoints().is_stale(), self.liveness.is_stale(now)) {
             (true, false) => {
                 tracing::warn!("endpoint list stale: discovery silent since the start, using the known list");
@@ -67,7 +67,7 @@
     }
 
     /// The time to open the watch has come. Returns whether to open it: none is open, and the poll scheduler does not decide it.
-    pub(super) fn on_watch_timer(&mut self) -> bool {
+    pub(super) fn is_watch_due(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
     }
@@ -78,7 +78,7 @@
     }
 
     /// The watch, or the call for it, is over. Returns when to open the next one where the poll scheduler does not decide that.
-    pub(super) fn on_watch_ended(&mut self, now: Micros, end: CallEnd) -> Micros {
+    pub(super) fn record_watch_end(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
             CallEnd::Unreachable => WatchFailure::Unreachable,
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -1,26 +1,24 @@
-//! Accepting connections of clients, and pausing that while there is no capacity.
+//! Accepting connections of clients, as far as there is capacity.
 
-use crate::policy::interface::Micros;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{ClientConnection, MAX_UNREAD_PROGRESS, MIN_IDLE_BEFORE_CLOSE};
 use crate::server::listeners::ListenerKind;
-use crate::server::tokens::ACCEPT_TIMER;
 use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use rustix::net::SocketFlags;
 use std::net::TcpStream;
 
-/// Accepting is tried again after this where there was no capacity.
-const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
-
+/// What needs a descriptor, for which idle connections of clients and to workers are closed.
 impl Server {
     /// Accepts what waits at a listener, as far as there is capacity.
     pub(in crate::server) fn accept_clients(&mut self, kind: ListenerKind) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.ensure_accept_capacity() {
-                return self.pause_accepting();
+                return self.listeners.pause(&mut context!(self));
             }
             let Some(listener) = self.listeners.socket(kind) else { return };
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -29,8 +27,9 @@
                 Err(Errno::AGAIN) => return,
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     // None left, here or on the machine, though the budget has some.
-                    let _ = self.close_idle_upstream() || self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
-                    return self.pause_accepting();
+                    let _ = self.upstream.close_idle(&mut self.core, &mut self.reactor)
+                        || self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
+                    return self.listeners.pause(&mut context!(self));
                 }
                 Err(_) => {}
             }
@@ -40,15 +39,16 @@
     /// Makes room for one more client. Idle connections are closed before accepting fails: a client without a request loses
     /// nothing. Those that never sent a request go first, or they would use up what well-behaved clients need.
     fn ensure_accept_capacity(&mut self) -> bool {
-        let is_full = self.active_clients() >= self.budget.clients
-            && !self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
-        let is_at_limit = is_full && self.connections.clients() >= self.budget.max_accepted_clients;
-        if is_at_limit && !self.close_oldest_lingering() {
+        let is_full = self.clients.active(&self.reactor) >= self.budget.clients
+            && !self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
+        let is_at_limit = is_full && self.reactor.connections().clients() >= self.budget.max_accepted_clients;
+        if is_at_limit && !self.clients.close_oldest_lingering(&mut client_context!(self)) {
             return false;
         }
         self.ensure_descriptor(MIN_IDLE_BEFORE_CLOSE)
     }
 
+    /// A connection has been accepted: adds it and reads what is there.
     fn on_accepted(&mut self, kind: ListenerKind, stream: TcpStream) {
         let is_sse = kind == ListenerKind::Sse;
         if is_sse {
@@ -56,31 +56,14 @@
             // memory; without a bound it grows to megabytes. Where it cannot be set, only that is lost.
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
-        let client = ClientConnection::new(is_sse, self.now);
-        let Some(token) = self.add(Connection::new(stream), |_| Role::Client(client)) else { return };
+        let client = ClientConnection::new(is_sse, self.clock.now());
+        let Some(token) = self.reactor.add(Connection::new(stream), Role::Client(client)) else { return };
         // Often the request is there already.
-        if let Some((connection, Role::Client(client))) = self.take(token) {
+        if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
             self.clients.track_awaiting_request(token, &client);
-            self.on_client_ready(token, connection, client, EventFlags::IN);
-            self.close_if_disconnected(token); // so may its end be
-        }
-    }
-
-    /// With a level-triggered listener and no capacity, every turn would end at once: it is not watched for a while.
-    fn pause_accepting(&mut self) {
-        if std::mem::replace(&mut self.listeners.is_accepting, false) {
-            self.metrics.accept_pauses += 1;
-            self.listeners.set_interest(&self.epoll, EventFlags::empty());
-            self.core.set_timer(self.now + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
-        }
-    }
-
-    /// Accepts again, unless the listeners have been handed over.
-    pub(in crate::server) fn resume_accepting(&mut self) {
-        if self.has_handed_over() {
-            return;
+            let context = &mut client_context!(self);
+            self.clients.on_ready(context, token, connection, client, EventFlags::IN);
+            self.clients.close_if_disconnected(context, token); // so may its end be
         }
-        self.listeners.is_accepting = true;
-        self.listeners.set_interest(&self.epoll, EventFlags::IN);
     }
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,11 +3,12 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::{Command, Core, DownstreamId, TimerToken};
-use crate::policy::interface::Micros;
+use crate::core::{Command, DownstreamId, FinalResponse, RequestId, TimerToken};
 use crate::server::Server;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::discovery::CallKind;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{Downstream, PollTime};
 use crate::server::error::{ServerError, system};
 use crate::server::listeners::ListenerKind;
@@ -28,30 +29,32 @@
     /// Where epoll fails.
     pub fn serve(&mut self) -> Result<(), ServerError> {
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
-        self.update_clock();
-        self.announce_state();
-        self.apply_fleet_outputs();
-        self.update_pacing();
-        while !self.lifecycle.is_done {
-            self.update_clock();
-            self.core.turn(self.now);
+        self.clock.update();
+        let context = &mut context!(self);
+        self.peers.announce_state(context);
+        self.membership.apply_outputs(context, &mut self.discovery);
+        self.discovery.update_pacing(context, &mut self.membership);
+        while !self.lifecycle.is_done() {
+            self.clock.update();
+            self.core.turn(self.clock.now());
             self.run_commands();
             self.wait_for_events(&mut events)?;
-            self.update_clock();
-            self.polled_at = PollTime::new(self.now, events.len() == MAX_EVENTS_PER_WAIT);
+            self.clock.update();
+            self.polled_at = PollTime::new(self.clock.now(), events.len() == MAX_EVENTS_PER_WAIT);
             self.handle_events(&events);
         }
-        self.log_metrics();
+        self.logged_metrics.log_changed(&context!(self));
         Ok(())
     }
 
     /// Waits for events, until the next timer of the core is due.
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let wake = self.core.next_wake();
-        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.now)));
-        self.epoll.wait(events, timeout).map_err(system("epoll"))
+        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
+        self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
+    /// Hands the events of a turn to their handlers, in the order that is part of the contract.
     fn handle_events(&mut self, events: &[Event]) {
         // A call to the admin address does not wait for the requests of this turn. And what discovery has sent counts
         // before anything of this turn is forwarded.
@@ -67,7 +70,8 @@
         }
         // Clients that leave come before those that bring work, which takes longer.
         for event in events {
-            self.on_client_hangup(Token(event.data.u64()), event.flags);
+            let context = &mut client_context!(self);
+            self.clients.on_hangup(context, Token(event.data.u64()), event.flags);
         }
         for event in events {
             let (data, flags) = (event.data, event.flags);
@@ -77,9 +81,13 @@
                 SSE => self.accept_clients(ListenerKind::Sse),
                 SIGNAL => self.on_signal(),
                 PEERS => self.on_peers_readable(),
-                RESTART_SOCKET => self.on_peer_process_connected(),
+                RESTART_SOCKET => self.hot_restart.on_process_connected(&self.reactor),
                 PEER_PROCESS => self.on_peer_process_readable(),
-                IDEMPOTENCY_STORE => self.on_records_written(),
+                IDEMPOTENCY_STORE => {
+                    if let Some(records) = &mut self.records {
+                        records.on_readable(&mut self.core, &self.hot_restart);
+                    }
+                }
                 token => self.on_ready(token, flags),
             }
         }
@@ -92,31 +100,50 @@
                 Command::StartAttempt { attempt, worker } => self.start_attempt(attempt, worker),
                 Command::PersistRecord { ticket, key, record } => self.persist_record(ticket, key, record),
                 Command::CancelAttempt { attempt, worker, name } => {
-                    self.cancel_attempt(attempt, worker, &name);
+                    self.cancel_attempt(attempt, worker, name);
                 }
                 Command::Respond { request_id, downstream, response } => {
-                    self.pending.remove(request_id);
-                    match Downstream::from_id(downstream) {
-                        Downstream::Connection(token) => self.send_response(token, request_id, response),
-                        Downstream::Job(job) => self.finish_job(job, response),
-                    }
+                    self.respond(request_id, downstream, response);
                 }
                 Command::NotifyProgress { downstream, fraction } => {
                     self.notify_progress(downstream, fraction);
                 }
                 Command::Probe(worker) => self.send_load_probe(worker),
-                Command::SendToPeer(to, bytes) => self.send_to_peer(to, &bytes),
-                Command::OpenWatch => self.on_watch_wanted(),
-                Command::FetchList => self.open_discovery_call(CallKind::FullList),
+                Command::SendToPeer(to, bytes) => context!(self).send_to_peer(to, &bytes),
+                Command::OpenWatch => {
+                    self.discovery.on_watch_wanted(&mut context!(self), &mut self.membership);
+                }
+                Command::FetchList => {
+                    self.discovery.open_call(&mut context!(self), &mut self.membership, CallKind::FullList);
+                }
                 Command::TimerFired(timer) => self.on_timer(timer),
             }
         }
         self.run_stream_effects();
     }
 
+    /// Passes the final response to a request to whoever awaits it.
+    fn respond(&mut self, request_id: RequestId, downstream: DownstreamId, response: FinalResponse) {
+        self.pending.remove(request_id);
+        match Downstream::from_id(downstream) {
+            Downstream::Connection(token) => {
+                let context = &mut client_context!(self);
+                self.clients.send_response(context, token, request_id, response);
+            }
+            Downstream::Job(job) => {
+                if let Some(streams) = &mut self.event_streams {
+                    streams.finish_job(&mut context!(self), job, response);
+                }
+            }
+        }
+    }
+
+    /// Passes the progress of a request to whoever awaits its response.
     fn notify_progress(&mut self, downstream: DownstreamId, share: Option<f64>) {
         match Downstream::from_id(downstream) {
-            Downstream::Connection(token) => self.send_progress(token, share),
+            Downstream::Connection(token) => {
+                self.clients.send_progress(&mut client_context!(self), token, share);
+            }
             Downstream::Job(job) => {
                 if let Some(streams) = &mut self.event_streams {
                     streams.publish_progress(job, share);
@@ -125,56 +152,60 @@
         }
     }
 
+    /// Hands a timer of the core to its handler.
     fn on_timer(&mut self, timer: TimerToken) {
         match timer {
-            WATCH_TIMER => self.on_watch_timer(),
-            FULL_LIST_TIMER => self.on_full_list_timer(),
-            STALE_LIST_TIMER => self.on_stale_list_timer(),
+            WATCH_TIMER => self.discovery.on_watch_timer(&mut context!(self), &mut self.membership),
+            FULL_LIST_TIMER => self.discovery.on_full_list_timer(&mut context!(self), &mut self.membership),
+            STALE_LIST_TIMER => self.discovery.on_stale_list_timer(&mut context!(self)),
             METRICS_TIMER => {
-                self.log_metrics();
-                self.core.set_timer(self.now + METRICS_INTERVAL, METRICS_TIMER);
+                self.logged_metrics.log_changed(&context!(self));
+                self.core.set_timer(self.clock.now() + METRICS_INTERVAL, METRICS_TIMER);
             }
             STREAM_SWEEP_TIMER => self.on_stream_sweep_timer(),
             SHUTDOWN_TIMER => self.on_shutdown_timer(),
             HANDOVER_TIMER => self.on_handover_timer(),
             DRAIN_TIMER => self.on_drain_timer(),
-            FLEET_TIMER => self.on_fleet_timer(),
-            POLL_TIMER => self.on_pacing_timer(),
-            PEER_TIMER => self.on_peer_timer(),
-            ACCEPT_TIMER => self.resume_accepting(),
-            TimerToken(token) => self.on_connection_timer(Token(token)),
+            FLEET_TIMER => self.membership.on_timer(&mut context!(self), &mut self.discovery),
+            POLL_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
+            PEER_TIMER => self.peers.on_timer(&mut context!(self)),
+            ACCEPT_TIMER => self.listeners.resume(&context!(self)),
+            timer => self.on_connection_timer(Token::from_timer(timer)),
         }
     }
 
     /// Passes an epoll event of a connection to the handler of its role.
     pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
-        let Some((connection, role)) = self.take(token) else { return };
+        let Some((connection, role)) = self.reactor.take(token) else { return };
         match role {
-            Role::Client(client) => self.on_client_ready(token, connection, client, flags),
+            Role::Client(client) => {
+                let context = &mut client_context!(self);
+                self.clients.on_ready(context, token, connection, client, flags);
+            }
             Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
-            Role::Discovery(call) => self.on_discovery_ready(token, connection, call, flags),
+            Role::Discovery(call) => {
+                let context = &mut context!(self);
+                self.discovery.on_ready(context, &mut self.membership, token, connection, call, flags);
+            }
             Role::Admin(caller) => self.on_admin_ready(token, connection, caller, flags),
         }
     }
 
+    /// Passes the deadline of a connection to the handler of its role.
     fn on_connection_timer(&mut self, token: Token) {
-        let Some((mut connection, role)) = self.take(token) else { return };
+        let Some((mut connection, role)) = self.reactor.take(token) else { return };
         connection.timer = None;
         match role {
-            Role::Client(client) => self.on_client_timer(token, connection, client),
+            Role::Client(client) => {
+                let context = &mut client_context!(self);
+                self.clients.on_timer(context, token, connection, client);
+            }
             Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
-            Role::Discovery(call) => self.on_discovery_timer(token, connection, call),
-            Role::Admin(caller) => self.close(token, connection, Role::Admin(caller)),
+            Role::Discovery(call) => {
+                let context = &mut context!(self);
+                self.discovery.on_call_timer(context, &mut self.membership, token, connection, call);
+            }
+            Role::Admin(caller) => self.admin.close(&mut context!(self), token, connection, caller),
         }
     }
-
-    /// Sets `now` to the present time.
-    pub(super) fn update_clock(&mut self) {
-        self.now = self.elapsed_time();
-    }
-
-    /// The present time, in the midst of a turn; `now` is when the turn's events were taken.
-    pub(super) fn elapsed_time(&self) -> Micros {
-        Core::clock_start() + self.started.elapsed().as_micros() as Micros
-    }
 }
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -18,15 +18,17 @@
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
 use crate::core::{PersistOutcome, RecordTicket};
-use crate::server::tokens::{PEER_PROCESS, PEERS, PLATFORM, RESTART_SOCKET, SSE, Token};
+use crate::server::Server;
+use crate::server::budget::RESERVED_DESCRIPTORS;
+use crate::server::context::context;
+use crate::server::reactor::Reactor;
+use crate::server::tokens::{PEER_PROCESS, PEERS, RESTART_SOCKET};
 use crate::server::transferred::TransferredExchange;
-use crate::server::{RESERVED_DESCRIPTORS, Server};
 use protocol::{HandoverMessage, OpenWork, ReceiveError, packet_socket, receive, send};
-use rustix::event::epoll::EventFlags;
 use rustix::fs::Mode;
 use rustix::io::Errno;
 use rustix::net::{SocketAddrUnix, SocketFlags};
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::fd::{BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
 /// Packets read in one go.
@@ -43,8 +45,6 @@
     socket: Option<OwnedFd>,
     /// The other process of this dispatcher, during an upgrade.
     peer_process: Option<PeerProcess>,
-    /// This process has handed its listening sockets over.
-    has_handed_over: bool,
 }
 
 /// The other process.
@@ -71,9 +71,26 @@
 }
 
 impl HotRestart {
-    /// Whether this process has handed its listening sockets over to a successor.
-    pub fn has_handed_over(&self) -> bool {
-        self.has_handed_over
+    /// Listens for the next version, where there is a folder for it.
+    fn open_socket(&mut self, reactor: &Reactor) {
+        let Some(path) = &self.socket_path else { return };
+        match listen_for_successor(path) {
+            Ok(listener) if reactor.watch(&listener, RESTART_SOCKET).is_ok() => self.socket = Some(listener),
+            Ok(_) => {}
+            Err(error) => {
+                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
+            }
+        }
+    }
+
+    /// Another process has connected; it says what it wants in its first packet.
+    pub fn on_process_connected(&mut self, reactor: &Reactor) {
+        let Some(socket) = &self.socket else { return };
+        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+        let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
+        if self.peer_process.is_none() && reactor.watch(&link, PEER_PROCESS).is_ok() {
+            self.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
+        } // a third one finds its link closed
     }
 
     /// Whether a request of this id is open with the other process.
@@ -137,11 +154,6 @@
 }
 
 impl Server {
-    /// Whether this process has handed its listening sockets over to a successor.
-    pub(in crate::server) fn has_handed_over(&self) -> bool {
-        self.hot_restart.has_handed_over()
-    }
-
     /// Listens for the next version, and takes up the link to the predecessor if there is one.
     pub(in crate::server) fn join_hot_restart(
         &mut self,
@@ -149,11 +161,11 @@
         inheritance: Option<Inheritance>,
     ) {
         self.hot_restart.socket_path = path;
-        self.open_restart_socket();
+        self.hot_restart.open_socket(&self.reactor);
         let Some(Inheritance { link, is_drained, open, .. }) = inheritance else { return };
-        self.lifecycle.drained_since = is_drained.then_some(self.now);
+        self.lifecycle.drained_since = is_drained.then_some(self.clock.now());
         let is_nonblocking = rustix::io::ioctl_fionbio(&link, true).is_ok();
-        if is_nonblocking && self.can_watch(link.as_fd(), PEER_PROCESS) {
+        if is_nonblocking && self.reactor.watch(&link, PEER_PROCESS).is_ok() {
             tracing::info!(open = open.request_names.len(), "hot restart: taking over from the predecessor");
             self.hot_restart.peer_process = Some(PeerProcess::new(link, open));
         }
@@ -162,34 +174,6 @@
         }
     }
 
-    /// Has epoll watch a descriptor for what can be read; false where it refuses.
-    fn can_watch(&self, fd: BorrowedFd<'_>, token: Token) -> bool {
-        self.epoll.add(fd, token, EventFlags::IN).is_ok()
-    }
-
-    fn open_restart_socket(&mut self) {
-        let Some(path) = self.hot_restart.socket_path.clone() else { return };
-        match listen_for_successor(&path) {
-            Ok(listener) if self.can_watch(listener.as_fd(), RESTART_SOCKET) => {
-                self.hot_restart.socket = Some(listener);
-            }
-            Ok(_) => {}
-            Err(error) => {
-                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
-            }
-        }
-    }
-
-    /// Another process has connected; it says what it wants in its first packet.
-    pub(in crate::server) fn on_peer_process_connected(&mut self) {
-        let Some(socket) = &self.hot_restart.socket else { return };
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
-        if self.hot_restart.peer_process.is_none() && self.can_watch(link.as_fd(), PEER_PROCESS) {
-            self.hot_restart.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
-        } // a third one finds its link closed
-    }
-
     /// The other process has sent something, or has closed the link.
     pub(in crate::server) fn on_peer_process_readable(&mut self) {
         for _ in 0..MAX_PACKETS_PER_TURN {
@@ -207,31 +191,31 @@
     /// The other process has ended, as it should or not.
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
-        self.epoll.remove(&process.link);
-        if !std::mem::take(&mut self.hot_restart.has_handed_over) {
+        self.reactor.unwatch(&process.link);
+        if !std::mem::take(&mut self.lifecycle.has_handed_over) {
             return tracing::info!("hot restart: the other process has ended");
         }
         // The successor died with what it had. The listening sockets are still open here.
         tracing::info!("hot restart: the successor has ended, serving again");
-        let sse = self.listeners.sse.as_ref();
-        let is_watched = [
-            self.can_watch(self.listeners.platform.as_fd(), PLATFORM),
-            sse.is_none_or(|sse| self.can_watch(sse.socket.as_fd(), SSE)),
-            self.peers.socket().is_none_or(|socket| self.can_watch(socket.as_fd(), PEERS)),
-        ];
-        mothproxy_invariant::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
-        self.listeners.is_accepting = true;
+        let are_listeners_watched = self.listeners.take_back(&self.reactor);
+        let peers = self.peer_socket.socket();
+        let are_peers_watched = peers.is_none_or(|socket| self.reactor.watch(socket, PEERS).is_ok());
+        mothproxy_invariant::invariant!(
+            are_listeners_watched && are_peers_watched,
+            "epoll does not take its listeners back"
+        );
         self.core.fail_unpersisted();
-        self.open_restart_socket();
-        self.announce_state();
-        self.restart_fleet();
+        self.hot_restart.open_socket(&self.reactor);
+        let context = &mut context!(self);
+        self.peers.announce_state(context);
+        self.membership.restart(context, &mut self.discovery);
     }
 
     /// What this process still holds.
     fn local_open_work(&self) -> OpenWork {
         OpenWork {
             request_names: self.core.open_request_names().into_iter().collect(),
-            connections: self.connections.open_connections(),
+            connections: self.reactor.connections().open_connections(),
         }
     }
 }
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -10,6 +10,8 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::listeners::InheritedListeners;
 use crate::server::transferred::{TransferredClient, split_request};
@@ -115,7 +117,7 @@
         let Packet { message, bytes, descriptors } = packet;
         let descriptor = descriptors.into_iter().next();
         match message {
-            HandoverMessage::Hello if !self.has_handed_over() => self.start_handover(),
+            HandoverMessage::Hello if !self.lifecycle.has_handed_over => self.start_handover(),
             HandoverMessage::Client(transferred) => {
                 if let Some(descriptor) = descriptor {
                     self.adopt_client(transferred, &bytes, TcpStream::from(descriptor));
@@ -125,7 +127,8 @@
                 let worker = self.core.endpoints().find(&worker);
                 if let Some((descriptor, worker)) = descriptor.zip(worker) {
                     let connection = Connection::new(TcpStream::from(descriptor));
-                    self.adopt_upstream(worker, connection, idle_time_left);
+                    let (context, pending) = (&mut context!(self), &mut self.pending);
+                    self.upstream.adopt(context, pending, worker, connection, idle_time_left);
                 }
             }
             HandoverMessage::StatusCallback => self.on_forwarded_callback(&bytes),
@@ -153,12 +156,12 @@
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
             // A job that went over in the meantime gets its callbacks there; the successor sends nothing back.
-            Some(callback) if self.has_handed_over() && !self.core.knows(&callback.id) => {
+            Some(callback) if self.lifecycle.has_handed_over && !self.core.knows(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
             Some(callback) => {
                 let (status, report) = (callback.status, callback.report);
-                self.core.on_job_status(self.now, &callback.id, &callback.from, status, report);
+                self.core.on_job_status(self.clock.now(), &callback.id, &callback.from, status, report);
             }
             None => self.metrics.rejects += 1,
         }
@@ -175,10 +178,10 @@
         if let Some(process) = &mut self.hot_restart.peer_process {
             process.on_client_transferred(transferred.request.as_ref());
         }
-        let now = self.now;
+        let now = self.clock.now();
         let client = ClientConnection::adopt(&transferred, now);
-        let Some(token) = self.add(connection, |_| Role::Client(client)) else { return };
-        let Some((mut connection, Role::Client(mut client))) = self.take(token) else { return };
+        let Some(token) = self.reactor.add(connection, Role::Client(client)) else { return };
+        let Some((mut connection, Role::Client(mut client))) = self.reactor.take(token) else { return };
         if client.is_awaiting_request() {
             self.clients.track_awaiting_request(token, &client); // last read now, as far as this process knows
         }
@@ -195,7 +198,8 @@
                 None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
-        self.advance_client(token, connection, client);
-        self.close_if_disconnected(token); // its end may have come before it was watched here
+        let context = &mut client_context!(self);
+        self.clients.advance(context, token, connection, client);
+        self.clients.close_if_disconnected(context, token); // its end may have come before it was watched here
     }
 }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -9,6 +9,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::tokens::{HANDOVER_TIMER, Token};
 use crate::server::transferred::{TransferredExchange, request_bytes};
@@ -34,7 +35,7 @@
         let Some(process) = &mut self.hot_restart.peer_process else { return };
         let message = HandoverMessage::Listeners {
             has_sse: self.listeners.sse.is_some(),
-            has_peers: self.peers.socket().is_some(),
+            has_peers: self.peer_socket.socket().is_some(),
             is_drained: self.lifecycle.drained_since.is_some(),
             list: EndpointList {
                 generation: self.core.endpoints().generation(),
@@ -49,46 +50,48 @@
         };
         let mut descriptors = vec![self.listeners.platform.as_fd()];
         descriptors.extend(self.listeners.sse.as_ref().map(|sse| sse.socket.as_fd()));
-        descriptors.extend(self.peers.socket().map(AsFd::as_fd));
+        descriptors.extend(self.peer_socket.socket().map(AsFd::as_fd));
         if send(&process.link, &message, &[], &descriptors).is_err() {
             return self.on_peer_process_closed();
         }
         process.last_sent = open;
         // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
-        for descriptor in &descriptors {
-            self.epoll.remove(descriptor);
+        self.listeners.hand_over(&self.reactor);
+        if let Some(peers) = self.peer_socket.socket() {
+            self.reactor.unwatch(peers);
         }
-        self.hot_restart.has_handed_over = true;
-        self.listeners.is_accepting = false;
-        self.suspend_fleet();
+        self.lifecycle.has_handed_over = true;
+        self.membership.suspend(&mut context!(self), &mut self.discovery);
         self.hot_restart.socket = None;
         tracing::info!(open = self.core.ledger().open(), "hot restart: handing over to the successor");
-        self.core.set_timer(self.now + 1, HANDOVER_TIMER);
+        self.core.set_timer(self.clock.now() + 1, HANDOVER_TIMER);
     }
 
     /// Hands over what can go now.
     pub(in crate::server) fn on_handover_timer(&mut self) {
-        if !self.has_handed_over() {
+        if !self.lifecycle.has_handed_over {
             return;
         }
         // What the policy still has to say of these requests comes first.
-        self.core.batch(self.now);
+        self.core.batch(self.clock.now());
         self.run_commands();
-        for slot in 0..self.connections.slot_count() {
-            let token = self.connections.token_at(slot);
-            match self.take(token) {
+        for slot in 0..self.reactor.connections().slot_count() {
+            let token = self.reactor.connections().token_at(slot);
+            match self.reactor.take(token) {
                 Some((connection, Role::Client(client))) => self.transfer_client(token, connection, client),
                 Some((connection, Role::Upstream(upstream))) => {
                     self.transfer_upstream(token, connection, upstream);
                 }
-                Some((connection, role)) => self.put(token, connection, role),
+                Some((connection, role)) => self.reactor.put(token, connection, role),
                 None => {}
             }
         }
         self.transfer_jobs();
         self.send_open_work();
-        if self.has_handed_over() && (self.connections.clients() > 0 || self.core.ledger().open() > 0) {
-            self.core.set_timer(self.now + HANDOVER_INTERVAL, HANDOVER_TIMER);
+        if self.lifecycle.has_handed_over
+            && (self.reactor.connections().clients() > 0 || self.core.ledger().open() > 0)
+        {
+            self.core.set_timer(self.clock.now() + HANDOVER_INTERVAL, HANDOVER_TIMER);
         }
     }
 
@@ -109,13 +112,13 @@
         let is_unsettled = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
         let can_go = client.is_reading() || awaited.is_some();
         if is_unsettled || !connection.outbox.is_empty() || !can_go {
-            return self.put(token, connection, Role::Client(client));
+            return self.reactor.put(token, connection, Role::Client(client));
         }
         let mut transferred = client.to_transferred();
         let mut raw = None;
         if let Some(request_id) = awaited {
             let Some(released) = self.release_request(request_id, &client) else {
-                return self.put(token, connection, Role::Client(client));
+                return self.reactor.put(token, connection, Role::Client(client));
             };
             transferred.request = Some(released.exchange);
             raw = Some(released.raw);
@@ -128,8 +131,8 @@
             self.pending.remove(request_id);
         }
         if is_sent {
-            self.epoll.remove(&connection.stream);
-            return self.release_client(token, connection, client);
+            self.reactor.unwatch(&connection.stream);
+            return self.clients.release(&mut context!(self), token, connection, client);
         }
         // The link is full or gone: the request stays, under a new number.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
@@ -139,7 +142,7 @@
             self.pending.insert(request_id, raw);
             client.replace_awaited_request(request_id);
         }
-        self.put(token, connection, Role::Client(client));
+        self.reactor.put(token, connection, Role::Client(client));
     }
 
     /// Takes a request out of the core, to go over with its client's connection.
@@ -165,18 +168,18 @@
         let worker = upstream.idle_worker().filter(|_| is_unused);
         let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints().get(worker)?)));
         let Some((worker, endpoint)) = endpoint else {
-            return self.put(token, connection, Role::Upstream(upstream));
+            return self.reactor.put(token, connection, Role::Upstream(upstream));
         };
         let message = HandoverMessage::Upstream {
             worker: endpoint.instance_id().to_owned(),
-            idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
+            idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.clock.now())),
         };
         if self.hot_restart.send(&message, &[], &[connection.stream.as_fd()]) {
-            self.epoll.remove(&connection.stream);
+            self.reactor.unwatch(&connection.stream);
             self.upstream.remove_idle(worker, token);
-            return self.close(token, connection, Role::Upstream(upstream));
+            return self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
         }
-        self.put(token, connection, Role::Upstream(upstream));
+        self.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
     /// Hands jobs of the event streams over; their watchers reconnect there.
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -16,11 +16,16 @@
         Token(u64::from(generation) << 32 | slot as u64)
     }
 
-    /// The core's timer of this connection.
+    /// The timer of a connection: its deadline.
     pub(super) fn timer(self) -> TimerToken {
         TimerToken(self.0)
     }
 
+    /// The connection whose timer this is.
+    pub(super) fn from_timer(timer: TimerToken) -> Token {
+        Token(timer.0)
+    }
+
     /// The slot of a connection's token.
     pub(super) fn slot(self) -> usize {
         (self.0 & 0xffff_ffff) as usize
