--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -50,7 +50,7 @@
     }
 
     /// A connection has been closed.
-    pub(in crate::server) fn on_closed(&mut self, token: Token) {
+    fn on_closed(&mut self, token: Token) {
         self.connections.retain(|connection| *connection != token);
     }
 
@@ -95,13 +95,13 @@
         for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
             let Some(conn) = self.admin.accept() else { return };
             if let Some(oldest) = self.admin.take_excess() {
-                self.close_token(oldest);
+                self.reactor.close_token(&mut self.core, oldest);
             }
             let connection = AdminConnection { is_answered: false };
-            let Some(token) = self.add(conn, |_| Role::Admin(connection)) else { continue };
+            let Some(token) = self.reactor.add(conn, Role::Admin(connection)) else { continue };
             self.admin.connections.push_back(token);
-            if let Some((mut conn, Role::Admin(connection))) = self.take(token) {
-                self.set_timer(token, &mut conn, Some(self.now + CALL_TIMEOUT));
+            if let Some((mut conn, Role::Admin(connection))) = self.reactor.take(token) {
+                conn.set_timer(&mut self.core, token, Some(self.now + CALL_TIMEOUT));
                 self.on_admin_ready(token, conn, connection, EventFlags::IN);
             }
         }
@@ -122,15 +122,26 @@
                 conn.outbox.push(self.answer_admin_call(call));
                 connection.is_answered = true;
             } else if end != ReadEnd::WouldBlock {
-                return self.close(token, conn, Role::Admin(connection));
+                return self.close_admin(token, conn, connection);
             }
         }
         let is_broken = !conn.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
         if is_broken || connection.is_answered && conn.outbox.is_empty() {
-            return self.close(token, conn, Role::Admin(connection));
+            return self.close_admin(token, conn, connection);
         }
-        self.update_interest(token, &mut conn, !connection.is_answered);
-        self.put(token, conn, Role::Admin(connection));
+        self.reactor.update_interest(token, &mut conn, !connection.is_answered);
+        self.reactor.put(token, conn, Role::Admin(connection));
+    }
+
+    /// Closes a connection to the admin address: it has had its response, or its time.
+    pub(in crate::server) fn close_admin(
+        &mut self,
+        token: Token,
+        conn: Connection,
+        connection: AdminConnection,
+    ) {
+        self.admin.on_closed(token);
+        self.reactor.close(&mut self.core, token, conn, Role::Admin(connection));
     }
 
     fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -1,6 +1,8 @@
 //! How many connections this process may hold, within the limits of descriptors and memory.
 
 use crate::config::MachineLimits;
+use crate::policy::interface::Micros;
+use crate::server::{Server, downstream};
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
 /// the sockets of a hot restart (2), those of a packet between its processes (4), callers of the admin address (16), calls to
@@ -41,3 +43,28 @@
         self.max_accepted_clients - self.clients
     }
 }
+
+impl Server {
+    /// Finds a descriptor for a new connection: where the budget is used up, by closing one that has been idle for
+    /// `min_idle`. False where there is none.
+    pub(super) fn ensure_descriptor(&mut self, min_idle: Micros) -> bool {
+        if !self.is_budget_used_up() {
+            return true;
+        }
+        // Partial requests that grew lately come last: well-behaved clients may be writing them.
+        let is_closed = self.close_oldest_lingering()
+            || self.close_silent_client(downstream::PARTIAL_REQUEST_GRACE)
+            || self.close_idle_upstream()
+            || self.close_oldest_served_client(min_idle)
+            || self.close_oldest_idle_client(min_idle)
+            || self.close_silent_client(downstream::SILENT_GRACE);
+        // A connection that only began to linger still holds its descriptor: it is closed now.
+        is_closed && (!self.is_budget_used_up() || self.close_oldest_lingering() && !self.is_budget_used_up())
+    }
+
+    fn is_budget_used_up(&self) -> bool {
+        let open =
+            self.reactor.connections().open_connections() + self.hot_restart.connections_in_peer_process();
+        open >= self.budget.connections
+    }
+}
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,7 +1,9 @@
 //! A buffered, non-blocking socket: what was read and not used yet, and what is to be written, in gathered writes.
 
+use crate::core::Core;
 use crate::http::Piece;
 use crate::policy::interface::Micros;
+use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use std::collections::VecDeque;
@@ -131,6 +133,19 @@
         }
     }
 
+    /// Sets or drops its deadline: the core's timer of its token. [`Reactor::close`] drops it as well.
+    ///
+    /// [`Reactor::close`]: crate::server::reactor::Reactor::close
+    pub fn set_timer(&mut self, core: &mut Core, token: Token, at: Option<Micros>) {
+        if let Some(old) = self.timer.take() {
+            core.cancel_timer(old, token.0);
+        }
+        if let Some(at) = at {
+            core.set_timer(at, token.0);
+        }
+        self.timer = at;
+    }
+
     /// Writes what the socket takes. False if the connection broke.
     pub fn flush(&mut self) -> bool {
         while !self.outbox.is_empty() {
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -1,18 +1,17 @@
-//! All open connections by token, with what each is for, their timers and what epoll watches them for.
+//! All open connections by token, with what each is for. The table belongs to the [`Reactor`], which alone changes it.
 //!
 //! A handler takes a connection out of its slot, and puts it back or closes it before it returns. While it is out, whatever
 //! else looks for it finds nothing.
+//!
+//! [`Reactor`]: crate::server::reactor::Reactor
 
-use crate::policy::interface::Micros;
-use crate::server::Server;
 use crate::server::admin::AdminConnection;
 use crate::server::connection::Connection;
 use crate::server::discovery::DiscoveryCall;
-use crate::server::downstream::{self, ClientConnection};
+use crate::server::downstream::ClientConnection;
 use crate::server::tokens::Token;
 use crate::server::upstream::UpstreamConnection;
 use mothproxy_invariant::invariant;
-use rustix::event::epoll::EventFlags;
 
 /// The bits of a slot's generation. Tokens above them belong to what is no connection.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
@@ -38,7 +37,7 @@
 }
 
 /// A connection with what it is for.
-type Entry = (Connection, Role);
+pub(super) type Entry = (Connection, Role);
 
 /// Where one connection at a time lives.
 struct Slot {
@@ -99,7 +98,7 @@
     }
 
     /// A free slot's token. It is to be filled by [`ConnectionTable::insert`] or freed by [`ConnectionTable::unreserve`].
-    fn reserve(&mut self) -> Token {
+    pub fn reserve(&mut self) -> Token {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, entry: None });
             self.slots.len() - 1
@@ -107,18 +106,20 @@
         self.token_at(slot)
     }
 
-    fn unreserve(&mut self, token: Token) {
+    /// Frees a slot that was reserved and not filled.
+    pub fn unreserve(&mut self, token: Token) {
         self.free.push(token.slot());
     }
 
-    fn insert(&mut self, token: Token, connection: Connection, role: Role) {
+    /// Fills a slot that was reserved.
+    pub fn insert(&mut self, token: Token, connection: Connection, role: Role) {
         self.open_connections += usize::from(role.is_budgeted());
         self.clients += usize::from(matches!(role, Role::Client(_)));
         self.put(token, connection, role);
     }
 
     /// Frees the slot of a connection that was taken out of it.
-    fn remove(&mut self, token: Token, role: &Role) {
+    pub fn remove(&mut self, token: Token, role: &Role) {
         let slot = &mut self.slots[token.slot()];
         invariant!(slot.entry.is_none(), "a connection closed while in its slot");
         slot.generation = slot.generation.wrapping_add(1) & GENERATION_MASK;
@@ -127,102 +128,3 @@
         self.clients -= usize::from(matches!(role, Role::Client(_)));
     }
 }
-
-impl Server {
-    /// Takes a connection out of its slot, to be put back or closed.
-    pub(super) fn take(&mut self, token: Token) -> Option<Entry> {
-        self.connections.take(token)
-    }
-
-    /// Puts a connection back that was taken.
-    pub(super) fn put(&mut self, token: Token, connection: Connection, role: Role) {
-        self.connections.put(token, connection, role);
-    }
-
-    /// Gives a connection a slot and has epoll watch it. `None` where epoll refuses it; it is closed then.
-    pub(super) fn add(&mut self, connection: Connection, role: impl FnOnce(Token) -> Role) -> Option<Token> {
-        let token = self.connections.reserve();
-        if self.epoll.add(&connection.stream, token, EventFlags::empty()).is_err() {
-            self.connections.unreserve(token);
-            return None;
-        }
-        self.connections.insert(token, connection, role(token));
-        Some(token)
-    }
-
-    /// Closes a connection that was taken out of its slot.
-    pub(super) fn close(&mut self, token: Token, connection: Connection, role: Role) {
-        if let Some(at) = connection.timer {
-            self.core.cancel_timer(at, token.0);
-        }
-        self.connections.remove(token, &role);
-        if matches!(role, Role::Admin(_)) {
-            self.admin.on_closed(token);
-        }
-        drop((connection, role)); // closing the socket takes it out of epoll as well
-    }
-
-    /// Closes a connection, if it is in its slot.
-    pub(super) fn close_token(&mut self, token: Token) {
-        if let Some((connection, role)) = self.take(token) {
-            self.close(token, connection, role);
-        }
-    }
-
-    /// Sets or drops a connection's deadline.
-    pub(super) fn set_timer(&mut self, token: Token, connection: &mut Connection, at: Option<Micros>) {
-        if let Some(old) = connection.timer.take() {
-            self.core.cancel_timer(old, token.0);
-        }
-        if let Some(at) = at {
-            self.core.set_timer(at, token.0);
-        }
-        connection.timer = at;
-    }
-
-    /// Has epoll watch a connection for what can be read, if wanted, and for being writable where something is to be written.
-    pub(super) fn update_interest(&mut self, token: Token, connection: &mut Connection, read: bool) {
-        let write = !connection.outbox.is_empty();
-        self.set_interest(token, connection, read, write);
-    }
-
-    /// Has epoll watch a connection for this.
-    pub(super) fn set_interest(
-        &mut self,
-        token: Token,
-        connection: &mut Connection,
-        read: bool,
-        write: bool,
-    ) {
-        let mut flags = EventFlags::RDHUP;
-        flags.set(EventFlags::IN, read);
-        flags.set(EventFlags::OUT, write);
-        if flags != connection.interest {
-            let is_changed = self.epoll.modify(&connection.stream, token, flags);
-            invariant!(is_changed, "epoll does not know a connection");
-            connection.interest = flags;
-        }
-    }
-
-    /// Finds a descriptor for a new connection: where the budget is used up, by closing one that has been idle for
-    /// `min_idle`. False where there is none.
-    pub(super) fn ensure_descriptor(&mut self, min_idle: Micros) -> bool {
-        if !self.is_budget_used_up() {
-            return true;
-        }
-        // Partial requests that grew lately come last: well-behaved clients may be writing them.
-        let is_closed = self.close_oldest_lingering()
-            || self.close_silent_client(downstream::PARTIAL_REQUEST_GRACE)
-            || self.close_idle_upstream()
-            || self.close_oldest_served_client(min_idle)
-            || self.close_oldest_idle_client(min_idle)
-            || self.close_silent_client(downstream::SILENT_GRACE);
-        // A connection that only began to linger still holds its descriptor: it is closed now.
-        is_closed && (!self.is_budget_used_up() || self.close_oldest_lingering() && !self.is_budget_used_up())
-    }
-
-    fn is_budget_used_up(&self) -> bool {
-        let open = self.connections.open_connections() + self.hot_restart.connections_in_peer_process();
-        open >= self.budget.connections
-    }
-}
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -33,13 +33,13 @@
     ) {
         if has_data {
             match self.discovery.liveness.on_data(self.now) {
-                Some(deadline) => self.set_timer(token, conn, Some(deadline)),
+                Some(deadline) => conn.set_timer(&mut self.core, token, Some(deadline)),
                 None => self.fetch_needed_list(),
             }
         }
         if call.has_partial_object() && (has_data || !had_partial_object) {
             let deadline = self.discovery.liveness.on_partial_object(self.now);
-            self.set_timer(token, conn, Some(deadline));
+            conn.set_timer(&mut self.core, token, Some(deadline));
         }
     }
 
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -125,7 +125,7 @@
         if kind == CallKind::Watch
             && let Some(old) = self.discovery.watch.take()
         {
-            self.close_token(old);
+            self.reactor.close_token(&mut self.core, old);
         }
         let token = self.connect_to_discovery(kind);
         let connected_by = match kind {
@@ -136,10 +136,10 @@
         if kind == CallKind::Watch {
             self.discovery.watch = Some(token);
         }
-        if let Some((mut conn, role)) = self.take(token) {
-            self.set_timer(token, &mut conn, Some(connected_by));
-            self.update_interest(token, &mut conn, true);
-            self.put(token, conn, role);
+        if let Some((mut conn, role)) = self.reactor.take(token) {
+            conn.set_timer(&mut self.core, token, Some(connected_by));
+            self.reactor.update_interest(token, &mut conn, true);
+            self.reactor.put(token, conn, role);
         }
     }
 
@@ -148,7 +148,7 @@
         let after = (kind == CallKind::Watch).then_some(self.core.endpoints.generation);
         let mut conn = Connection::connect(self.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
         conn.outbox.push(platform::discovery_call(after));
-        self.add(conn, |_| Role::Discovery(DiscoveryCall::new(kind)))
+        self.reactor.add(conn, Role::Discovery(DiscoveryCall::new(kind)))
     }
 
     /// The connection of a call is up, readable, writable or closed.
@@ -174,7 +174,9 @@
             let has_read = !conn.inbox.is_empty();
             match self.read_discovery_call(token, &mut conn, &mut call) {
                 Ok(CallProgress::Pending) => {}
-                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Discovery(call)),
+                Ok(CallProgress::Complete) => {
+                    return self.reactor.close(&mut self.core, token, conn, Role::Discovery(call));
+                }
                 Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
             match end {
@@ -183,8 +185,8 @@
                 _ => return self.fail_discovery_call(token, conn, call, CallError::Ended),
             }
         }
-        self.update_interest(token, &mut conn, true);
-        self.put(token, conn, Role::Discovery(call));
+        self.reactor.update_interest(token, &mut conn, true);
+        self.reactor.put(token, conn, Role::Discovery(call));
     }
 
     fn on_discovery_connected(&mut self, token: Token, conn: &mut Connection, call: &mut DiscoveryCall) {
@@ -193,7 +195,7 @@
             CallKind::Watch => self.discovery.liveness.on_connected(self.now),
             CallKind::FullList => self.discovery.liveness.full_list_deadline(self.now),
         };
-        self.set_timer(token, conn, Some(answered_by));
+        conn.set_timer(&mut self.core, token, Some(answered_by));
     }
 
     /// A call has received nothing for too long.
@@ -207,8 +209,10 @@
         if !call.is_connecting && conn.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_discovery_call(token, &mut conn, &mut call) {
                 Ok(CallProgress::Pending) if conn.timer.is_none() => {}
-                Ok(CallProgress::Pending) => return self.put(token, conn, Role::Discovery(call)),
-                Ok(CallProgress::Complete) => return self.close(token, conn, Role::Discovery(call)),
+                Ok(CallProgress::Pending) => return self.reactor.put(token, conn, Role::Discovery(call)),
+                Ok(CallProgress::Complete) => {
+                    return self.reactor.close(&mut self.core, token, conn, Role::Discovery(call));
+                }
                 Err(error) => return self.fail_discovery_call(token, conn, call, error),
             }
         }
@@ -250,7 +254,7 @@
         if !call.is_watch() || self.discovery.take_watch(token) {
             self.on_discovery_call_ended(call.kind, call.end(error));
         }
-        self.close(token, conn, Role::Discovery(call));
+        self.reactor.close(&mut self.core, token, conn, Role::Discovery(call));
     }
 
     /// Logs a call that failed, and counts the list that broke off with it.
@@ -290,10 +294,10 @@
         let opens_at = self.discovery.liveness.on_discovery_moved(self.now);
         self.discovery.schedule_watch(&mut self.core, opens_at);
         self.pace_on_watch_event(WatchEvent::DiscoveryMoved);
-        for slot in 0..self.connections.slot_count() {
-            let token = self.connections.token_at(slot);
-            if let Some((_, Role::Discovery(_))) = self.connections.get(token) {
-                self.close_token(token);
+        for slot in 0..self.reactor.connections().slot_count() {
+            let token = self.reactor.connections().token_at(slot);
+            if let Some((_, Role::Discovery(_))) = self.reactor.connections().get(token) {
+                self.reactor.close_token(&mut self.core, token);
             }
         }
         self.discovery.full_list = FullListState::Needed;
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -42,7 +42,7 @@
     fn ensure_accept_capacity(&mut self) -> bool {
         let is_full = self.active_clients() >= self.budget.clients
             && !self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
-        let is_at_limit = is_full && self.connections.clients() >= self.budget.max_accepted_clients;
+        let is_at_limit = is_full && self.reactor.connections().clients() >= self.budget.max_accepted_clients;
         if is_at_limit && !self.close_oldest_lingering() {
             return false;
         }
@@ -57,9 +57,9 @@
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
         let client = ClientConnection::new(is_sse, self.now);
-        let Some(token) = self.add(Connection::new(stream), |_| Role::Client(client)) else { return };
+        let Some(token) = self.reactor.add(Connection::new(stream), Role::Client(client)) else { return };
         // Often the request is there already.
-        if let Some((connection, Role::Client(client))) = self.take(token) {
+        if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
             self.clients.track_awaiting_request(token, &client);
             self.on_client_ready(token, connection, client, EventFlags::IN);
             self.close_if_disconnected(token); // so may its end be
@@ -70,7 +70,7 @@
     fn pause_accepting(&mut self) {
         if std::mem::replace(&mut self.listeners.is_accepting, false) {
             self.metrics.accept_pauses += 1;
-            self.listeners.set_interest(&self.epoll, EventFlags::empty());
+            self.listeners.set_interest(&self.reactor, EventFlags::empty());
             self.core.set_timer(self.now + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
         }
     }
@@ -81,6 +81,6 @@
             return;
         }
         self.listeners.is_accepting = true;
-        self.listeners.set_interest(&self.epoll, EventFlags::IN);
+        self.listeners.set_interest(&self.reactor, EventFlags::IN);
     }
 }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -60,7 +60,7 @@
 
     fn end_stream(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
-        match token.and_then(|token| Some((token, self.take(token)?))) {
+        match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
             Some((token, (mut connection, Role::Client(mut client)))) => {
                 if let ClientState::Watching(stream) = &client.state {
                     connection.outbox.push(event_streams::retry(stream.frame, RECONNECT_DELAY));
@@ -70,7 +70,7 @@
                 self.on_watcher_disconnected(watcher);
                 self.advance_client(token, connection, client);
             }
-            Some((token, (connection, role))) => self.put(token, connection, role),
+            Some((token, (connection, role))) => self.reactor.put(token, connection, role),
             None => self.on_watcher_disconnected(watcher),
         }
     }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -162,7 +162,7 @@
     fn reconnect_delay(&self) -> Micros {
         if self.lifecycle.is_draining() || self.has_handed_over() {
             RECONNECT_DELAY_DRAINING
-        } else if self.connections.clients() * 4 >= self.budget.clients * 3 {
+        } else if self.reactor.connections().clients() * 4 >= self.budget.clients * 3 {
             RECONNECT_DELAY_LOADED
         } else {
             RECONNECT_DELAY
@@ -224,9 +224,9 @@
     fn wake_watcher(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         let Some(token) = token else { return };
-        match self.take(token) {
+        match self.reactor.take(token) {
             Some((connection, Role::Client(client))) => self.advance_client(token, connection, client),
-            Some((connection, role)) => self.put(token, connection, role),
+            Some((connection, role)) => self.reactor.put(token, connection, role),
             None => {} // in use right now: it pulls before it is put back
         }
     }
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -24,7 +24,7 @@
 impl Server {
     /// Connections of clients whose end has not begun.
     pub(in crate::server) fn active_clients(&self) -> usize {
-        self.connections.clients() - self.clients.lingering.len()
+        self.reactor.connections().clients() - self.clients.lingering.len()
     }
 
     /// Closes idle connections until those of clients keep within their budget. False where they do not.
@@ -63,7 +63,7 @@
             // A request that comes from now on crosses the close.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.half_close_client(token, &mut connection, &mut client);
-                self.put(token, connection, Role::Client(client));
+                self.reactor.put(token, connection, Role::Client(client));
             }
             // Its client has ended it.
             _ => {
@@ -78,13 +78,13 @@
     /// been served: a request that the close crosses is sent once more, while a new client would count it as refused.
     pub(in crate::server) fn close_oldest_served_client(&mut self, min_idle: Micros) -> bool {
         while let Some(token) = self.oldest_served_client(min_idle) {
-            match self.take(token) {
+            match self.reactor.take(token) {
                 Some((connection, Role::Client(client))) => {
                     if self.close_idle_client(token, connection, client) {
                         return true;
                     }
                 }
-                Some((connection, role)) => self.put(token, connection, role),
+                Some((connection, role)) => self.reactor.put(token, connection, role),
                 None => return false,
             }
         }
@@ -93,7 +93,7 @@
 
     fn oldest_served_client(&self, min_idle: Micros) -> Option<Token> {
         self.clients.idle_for(min_idle, self.now).find(|token| {
-            let entry = self.connections.get(*token);
+            let entry = self.reactor.connections().get(*token);
             matches!(entry, Some((_, Role::Client(client))) if !client.is_awaiting_request())
         })
     }
@@ -101,7 +101,7 @@
     /// Closes the connection of a client that has been idle for longest, and for at least so long.
     pub(in crate::server) fn close_oldest_idle_client(&mut self, min_idle: Micros) -> bool {
         while let Some(token) = self.oldest_idle_client(min_idle) {
-            if let Some((connection, Role::Client(client))) = self.take(token) {
+            if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
                 if self.close_idle_client(token, connection, client) {
                     return true;
                 }
@@ -123,13 +123,13 @@
         let silent: Vec<TimedToken> = self.clients.silent_for(SILENT_GRACE, self.now).collect();
         for (last_read, token) in silent {
             // Closed, or in use right now; in the first case it is not in the set any more.
-            let Some((connection, role)) = self.take(token) else { continue };
+            let Some((connection, role)) = self.reactor.take(token) else { continue };
             let Role::Client(client) = role else {
                 mothproxy_invariant::invariant!(
                     false,
                     "a connection that asked for nothing is none of a frontend's"
                 );
-                self.put(token, connection, role);
+                self.reactor.put(token, connection, role);
                 self.clients.awaiting_request.remove(&(last_read, token));
                 continue;
             };
@@ -152,7 +152,7 @@
             return self.close_idle_client(token, connection, client);
         }
         if !is_partial_grace_over {
-            self.put(token, connection, Role::Client(client));
+            self.reactor.put(token, connection, Role::Client(client));
             return false;
         }
         if client.is_ending() {
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -52,7 +52,7 @@
         connection.inbox = Vec::new();
         client.state = ClientState::Lingering { since: self.now };
         self.clients.lingering.insert(self.now, token);
-        self.set_timer(token, connection, Some(self.now + LINGER_TIMEOUT));
+        connection.set_timer(&mut self.core, token, Some(self.now + LINGER_TIMEOUT));
         // They have a part of the budget of their own beside the clients that are served; under a flood the oldest are closed.
         if self.clients.lingering.len() > self.budget.max_lingering() {
             self.close_oldest_lingering();
@@ -62,10 +62,10 @@
     /// Closes the connection that has lingered for longest, for its descriptor. False where none lingers.
     pub(in crate::server) fn close_oldest_lingering(&mut self) -> bool {
         let Some(token) = self.clients.lingering.pop_oldest() else { return false };
-        match self.take(token) {
+        match self.reactor.take(token) {
             Some((connection, Role::Client(client))) => self.on_linger_timeout(token, connection, client),
             // The one in use right now sees it when its turn is over.
-            Some((connection, role)) => self.put(token, connection, role),
+            Some((connection, role)) => self.reactor.put(token, connection, role),
             None => {}
         }
         true
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -46,7 +46,7 @@
         flags: EventFlags,
     ) {
         if self.clients.untrack_idle(token, &mut client) {
-            self.set_timer(token, &mut connection, None); // what comes now has a time of its own
+            connection.set_timer(&mut self.core, token, None); // what comes now has a time of its own
         }
         if flags.contains(EventFlags::OUT) && !connection.flush() {
             return self.on_client_closed(token, connection, client);
@@ -73,17 +73,19 @@
         }
         self.advance_client(token, connection, client);
         // A short read does not show the end behind it. What came before the end is used; no attempt may begin for it.
-        if has_ended && let Some((connection, role)) = self.take(token) {
+        if has_ended && let Some((connection, role)) = self.reactor.take(token) {
             match role {
                 Role::Client(client) => self.on_client_closed(token, connection, client),
-                role => self.put(token, connection, role),
+                role => self.reactor.put(token, connection, role),
             }
         }
     }
 
     /// Handles the event of a client that has disconnected, as these flags say, before those of other connections.
     pub(in crate::server) fn on_client_hangup(&mut self, token: Token, flags: EventFlags) {
-        if flags.intersects(HANGUP) && matches!(self.connections.get(token), Some((_, Role::Client(_)))) {
+        if flags.intersects(HANGUP)
+            && matches!(self.reactor.connections().get(token), Some((_, Role::Client(_))))
+        {
             self.on_ready(token, flags);
         }
     }
@@ -91,12 +93,12 @@
     /// Reads a connection to see whether the client that awaits a response on it has disconnected; if so, its request is
     /// cancelled.
     pub(in crate::server) fn close_if_disconnected(&mut self, token: Token) {
-        let Some((mut connection, role)) = self.take(token) else { return };
+        let Some((mut connection, role)) = self.reactor.take(token) else { return };
         match role {
             Role::Client(client) if client.is_awaiting_response() && connection.has_ended(MAX_INBOX) => {
                 self.on_client_closed(token, connection, client);
             }
-            role => self.put(token, connection, role),
+            role => self.reactor.put(token, connection, role),
         }
     }
 
@@ -149,7 +151,7 @@
             return Progress::Broken;
         }
         if !client.is_watching() {
-            self.set_timer(token, connection, None); // it was the heartbeat's
+            connection.set_timer(&mut self.core, token, None); // it was the heartbeat's
             return Progress::Wait;
         }
         if connection.outbox.is_empty() && self.has_stream_events(client) {
@@ -263,14 +265,14 @@
         }
         let deadline = self.client_deadline(&mut connection, &client);
         if deadline != connection.timer {
-            self.set_timer(token, &mut connection, deadline);
+            connection.set_timer(&mut self.core, token, deadline);
         }
         if client.is_reading() && connection.inbox.is_empty() && is_written {
             self.clients.track_idle(token, &mut client, self.now);
         }
         let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
-        self.update_interest(token, &mut connection, can_read);
-        self.put(token, connection, Role::Client(client));
+        self.reactor.update_interest(token, &mut connection, can_read);
+        self.reactor.put(token, connection, Role::Client(client));
     }
 
     /// When a connection is to be handled again at the latest.
@@ -353,7 +355,7 @@
             _ => {}
         }
         self.clients.untrack_awaiting_request(token, &mut client);
-        self.close(token, connection, Role::Client(client));
+        self.reactor.close(&mut self.core, token, connection, Role::Client(client));
     }
 
     /// Drops a connection that has gone over to another process.
@@ -364,7 +366,7 @@
         mut client: ClientConnection,
     ) {
         self.clients.untrack(token, &mut client);
-        self.close(token, connection, Role::Client(client));
+        self.reactor.close(&mut self.core, token, connection, Role::Client(client));
     }
 }
 
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -26,7 +26,7 @@
             return;
         }
         if self.clients.untrack_awaiting_request(token, client) {
-            self.set_timer(token, connection, None);
+            connection.set_timer(&mut self.core, token, None);
         }
         let keep_alive = raw.head.keep_alive && self.keeps_client_connections();
         client.finish_response(keep_alive);
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -24,14 +24,14 @@
         request_id: RequestId,
         response: FinalResponse,
     ) {
-        let Some((mut connection, role)) = self.take(token) else { return };
+        let Some((mut connection, role)) = self.reactor.take(token) else { return };
         let Role::Client(mut client) = role else {
             mothproxy_invariant::invariant!(false, "an answer for a connection that is no frontend's");
-            return self.put(token, connection, role);
+            return self.reactor.put(token, connection, role);
         };
         let ClientState::AwaitingResponse { request_id: awaited, keep_alive, stream } = client.state else {
             mothproxy_invariant::invariant!(false, "an answer for a frontend that waits for none");
-            return self.put(token, connection, Role::Client(client));
+            return self.reactor.put(token, connection, Role::Client(client));
         };
         mothproxy_invariant::invariant!(awaited == request_id, "an answer for another session");
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
@@ -46,16 +46,16 @@
             _ => connection.outbox.push(platform::final_response(response, keep_alive)),
         }
         client.finish_response(keep_alive);
-        self.set_timer(token, &mut connection, None);
+        connection.set_timer(&mut self.core, token, None);
         self.advance_client(token, connection, client);
     }
 
     /// Writes the progress of a request to a client that wants a stream: that the job has started, or the share done.
     pub(in crate::server) fn send_progress(&mut self, token: Token, share: Option<f64>) {
-        let Some((mut connection, role)) = self.take(token) else { return };
-        let Role::Client(mut client) = role else { return self.put(token, connection, role) };
+        let Some((mut connection, role)) = self.reactor.take(token) else { return };
+        let Role::Client(mut client) = role else { return self.reactor.put(token, connection, role) };
         let ClientState::AwaitingResponse { keep_alive, stream: Some(stream), .. } = &mut client.state else {
-            return self.put(token, connection, Role::Client(client));
+            return self.reactor.put(token, connection, Role::Client(client));
         };
         if !std::mem::replace(&mut stream.has_begun, true) {
             connection.outbox.push(sse::head(*keep_alive));
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -49,7 +49,7 @@
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let wake = self.core.next_wake();
         let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.now)));
-        self.epoll.wait(events, timeout).map_err(system("epoll"))
+        self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
     fn handle_events(&mut self, events: &[Event]) {
@@ -150,7 +150,7 @@
 
     /// Passes an epoll event of a connection to the handler of its role.
     pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
-        let Some((connection, role)) = self.take(token) else { return };
+        let Some((connection, role)) = self.reactor.take(token) else { return };
         match role {
             Role::Client(client) => self.on_client_ready(token, connection, client, flags),
             Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
@@ -160,13 +160,13 @@
     }
 
     fn on_connection_timer(&mut self, token: Token) {
-        let Some((mut connection, role)) = self.take(token) else { return };
+        let Some((mut connection, role)) = self.reactor.take(token) else { return };
         connection.timer = None;
         match role {
             Role::Client(client) => self.on_client_timer(token, connection, client),
             Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
             Role::Discovery(call) => self.on_discovery_timer(token, connection, call),
-            Role::Admin(caller) => self.close(token, connection, Role::Admin(caller)),
+            Role::Admin(caller) => self.close_admin(token, connection, caller),
         }
     }
 
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -9,7 +9,6 @@
 use crate::protocol::admin::IdempotencyMetrics;
 use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
 use completion::Waiter;
-use rustix::event::epoll::{self, EventData, EventFlags};
 
 /// Files that the store may have open at a time.
 pub(in crate::server) const MAX_OPEN_FILES: usize = 48;
@@ -25,13 +24,7 @@
         for (key, error) in bad {
             tracing::error!(key, %error, "idempotency store: unreadable record");
         }
-        let watched = epoll::add(
-            &self.epoll,
-            records.socket(),
-            EventData::new_u64(IDEMPOTENCY_STORE.0),
-            EventFlags::IN,
-        );
-        watched.map_err(crate::server::system("epoll"))?;
+        self.reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(crate::server::system("epoll"))?;
         self.records = Some(records);
         Ok(())
     }
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -74,13 +74,13 @@
     pub(super) fn close_idle_clients(&mut self, min_idle: Micros, which: IdleClients) {
         let idle: Vec<Token> = self.clients.idle_for(min_idle, self.now).collect();
         for token in idle {
-            match self.take(token) {
+            match self.reactor.take(token) {
                 Some((connection, Role::Client(client)))
                     if which == IdleClients::All || !client.has_callbacks =>
                 {
                     self.close_idle_client(token, connection, client);
                 }
-                Some((connection, role)) => self.put(token, connection, role),
+                Some((connection, role)) => self.reactor.put(token, connection, role),
                 None => {}
             }
         }
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -21,7 +21,6 @@
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
 use protocol::{HandoverMessage, OpenWork, ReceiveError, packet_socket, receive, send};
-use rustix::event::epoll::EventFlags;
 use rustix::fs::Mode;
 use rustix::io::Errno;
 use rustix::net::{SocketAddrUnix, SocketFlags};
@@ -162,7 +161,7 @@
 
     /// Has epoll watch a descriptor for what can be read; false where it refuses.
     fn can_watch(&self, fd: BorrowedFd<'_>, token: Token) -> bool {
-        self.epoll.add(fd, token, EventFlags::IN).is_ok()
+        self.reactor.watch(fd, token).is_ok()
     }
 
     fn open_restart_socket(&mut self) {
@@ -205,7 +204,7 @@
     /// The other process has ended, as it should or not.
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
-        self.epoll.remove(&process.link);
+        self.reactor.unwatch(&process.link);
         if !std::mem::take(&mut self.hot_restart.has_handed_over) {
             return tracing::info!("hot restart: the other process has ended");
         }
@@ -229,7 +228,7 @@
     fn local_open_work(&self) -> OpenWork {
         OpenWork {
             request_names: self.core.open_request_names().into_iter().collect(),
-            connections: self.connections.open_connections(),
+            connections: self.reactor.connections().open_connections(),
         }
     }
 }
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -176,8 +176,8 @@
         }
         let now = self.now;
         let client = ClientConnection::adopt(&transferred, now);
-        let Some(token) = self.add(connection, |_| Role::Client(client)) else { return };
-        let Some((mut connection, Role::Client(mut client))) = self.take(token) else { return };
+        let Some(token) = self.reactor.add(connection, Role::Client(client)) else { return };
+        let Some((mut connection, Role::Client(mut client))) = self.reactor.take(token) else { return };
         if client.is_awaiting_request() {
             self.clients.track_awaiting_request(token, &client); // last read now, as far as this process knows
         }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -56,7 +56,7 @@
         process.last_sent = open;
         // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
         for descriptor in &descriptors {
-            self.epoll.remove(descriptor);
+            self.reactor.unwatch(descriptor);
         }
         self.hot_restart.has_handed_over = true;
         self.listeners.is_accepting = false;
@@ -74,20 +74,21 @@
         // What the policy still has to say of these requests comes first.
         self.core.batch(self.now);
         self.run_commands();
-        for slot in 0..self.connections.slot_count() {
-            let token = self.connections.token_at(slot);
-            match self.take(token) {
+        for slot in 0..self.reactor.connections().slot_count() {
+            let token = self.reactor.connections().token_at(slot);
+            match self.reactor.take(token) {
                 Some((connection, Role::Client(client))) => self.transfer_client(token, connection, client),
                 Some((connection, Role::Upstream(upstream))) => {
                     self.transfer_upstream(token, connection, upstream);
                 }
-                Some((connection, role)) => self.put(token, connection, role),
+                Some((connection, role)) => self.reactor.put(token, connection, role),
                 None => {}
             }
         }
         self.transfer_jobs();
         self.send_open_work();
-        if self.has_handed_over() && (self.connections.clients() > 0 || self.core.ledger.open() > 0) {
+        if self.has_handed_over() && (self.reactor.connections().clients() > 0 || self.core.ledger.open() > 0)
+        {
             self.core.set_timer(self.now + HANDOVER_INTERVAL, HANDOVER_TIMER);
         }
     }
@@ -109,13 +110,13 @@
         let is_unsettled = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
         let can_go = client.is_reading() || awaited.is_some();
         if is_unsettled || !connection.outbox.is_empty() || !can_go {
-            return self.put(token, connection, Role::Client(client));
+            return self.reactor.put(token, connection, Role::Client(client));
         }
         let mut transferred = client.to_transferred();
         let mut raw = None;
         if let Some(request_id) = awaited {
             let Some(released) = self.release_request(request_id, &client) else {
-                return self.put(token, connection, Role::Client(client));
+                return self.reactor.put(token, connection, Role::Client(client));
             };
             transferred.request = Some(released.exchange);
             raw = Some(released.raw);
@@ -128,7 +129,7 @@
             self.pending.remove(request_id);
         }
         if is_sent {
-            self.epoll.remove(&connection.stream);
+            self.reactor.unwatch(&connection.stream);
             return self.release_client(token, connection, client);
         }
         // The link is full or gone: the request stays, under a new number.
@@ -140,7 +141,7 @@
             self.pending.insert(request_id, raw);
             client.replace_awaited_request(request_id);
         }
-        self.put(token, connection, Role::Client(client));
+        self.reactor.put(token, connection, Role::Client(client));
     }
 
     /// Takes a request out of the core, to go over with its client's connection.
@@ -166,18 +167,18 @@
         let worker = upstream.idle_worker().filter(|_| is_unused);
         let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints.get(worker)?)));
         let Some((worker, endpoint)) = endpoint else {
-            return self.put(token, connection, Role::Upstream(upstream));
+            return self.reactor.put(token, connection, Role::Upstream(upstream));
         };
         let message = HandoverMessage::Upstream {
             worker: endpoint.row.instance_id.clone(),
             idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
         };
         if self.hot_restart.send(&message, &[], &[connection.stream.as_fd()]) {
-            self.epoll.remove(&connection.stream);
+            self.reactor.unwatch(&connection.stream);
             self.upstream.remove_idle(worker, token);
-            return self.close(token, connection, Role::Upstream(upstream));
+            return self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
         }
-        self.put(token, connection, Role::Upstream(upstream));
+        self.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
     /// Hands jobs of the event streams over; their watchers reconnect there.
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -83,7 +83,7 @@
             self.accept_clients(ListenerKind::Sse);
         }
         let is_work_left = self.core.ledger.open() > 0
-            || self.connections.iter().any(|(connection, role)| self.is_busy(connection, role));
+            || self.reactor.connections().iter().any(|(connection, role)| self.is_busy(connection, role));
         !is_work_left || self.now >= plan.give_up_at + MAX_OVERTIME
     }
 
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -3,7 +3,7 @@
 use crate::config::SseSettings;
 use crate::policy::interface::Micros;
 use crate::server::error::ServerError;
-use crate::server::poller::Poller;
+use crate::server::reactor::Reactor;
 use crate::server::tokens::{PLATFORM, SSE};
 use rustix::event::epoll::EventFlags;
 use std::io::ErrorKind;
@@ -57,9 +57,9 @@
     }
 
     /// Sets what epoll watches the listeners for.
-    pub fn set_interest(&self, epoll: &Poller, flags: EventFlags) {
-        let platform = epoll.modify(&self.platform, PLATFORM, flags);
-        let sse = self.sse.as_ref().is_none_or(|sse| epoll.modify(&sse.socket, SSE, flags));
+    pub fn set_interest(&self, reactor: &Reactor, flags: EventFlags) {
+        let platform = reactor.set_watched_events(&self.platform, PLATFORM, flags);
+        let sse = self.sse.as_ref().is_none_or(|sse| reactor.set_watched_events(&sse.socket, SSE, flags));
         mothproxy_invariant::invariant!(platform && sse, "epoll does not know a listener");
     }
 }
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -81,7 +81,7 @@
             network.accept_pauses,
             network.reloads,
             network.bad_reloads,
-            self.connections.open_connections(),
+            self.reactor.connections().open_connections(),
             self.core.endpoints.ready(),
             mothproxy_invariant::violations(env!("CARGO_PKG_NAME")),
         );
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -19,6 +19,7 @@
 mod peers;
 mod pending_requests;
 mod poller;
+mod reactor;
 mod timer_slot;
 mod tokens;
 mod transferred;
@@ -32,7 +33,7 @@
 use crate::policy::interface::{Class, Micros};
 use admin::AdminServer;
 use budget::{Budget, RESERVED_DESCRIPTORS};
-use connection_table::{ConnectionTable, Role};
+use connection_table::Role;
 use discovery::DiscoveryClient;
 use downstream::event_streams::EventStreams;
 use downstream::{ClientConnections, PollTime};
@@ -46,8 +47,7 @@
 use metrics::{LoggedMetrics, METRICS_INTERVAL, Metrics};
 use peers::PeerLink;
 use pending_requests::PendingRequests;
-use poller::Poller;
-use rustix::event::epoll::EventFlags;
+use reactor::Reactor;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::path::{Path, PathBuf};
@@ -84,7 +84,8 @@
     now: Micros,
     /// When all connections were last polled.
     polled_at: PollTime,
-    epoll: Poller,
+    /// Epoll, and all connections, of clients and others.
+    reactor: Reactor,
     listeners: Listeners,
     admin: AdminServer,
     signals: Signals,
@@ -96,8 +97,6 @@
     records: Option<RecordStore>,
     /// Jobs apart from their clients' connections, where the SSE address is on.
     event_streams: Option<EventStreams>,
-    /// All connections, of clients and others.
-    connections: ConnectionTable,
     budget: Budget,
     /// Connections of clients that may be closed to make room.
     clients: ClientConnections,
@@ -200,7 +199,7 @@
         let listeners = inherited.listeners.into_listeners(config.listen, sse.as_ref(), should_retry)?;
         let admin = config.admin.map(listen).transpose()?;
         let peers = open_peer_socket(inherited.peers, config.peer_listen)?;
-        let epoll = Poller::new().map_err(system("epoll"))?;
+        let reactor = Reactor::new().map_err(system("epoll"))?;
         let now = Core::clock_start();
         let newest_start = load_initial_state(&mut core, now, &config, inheritance.as_mut());
         core.set_timer(now + METRICS_INTERVAL, METRICS_TIMER);
@@ -215,7 +214,7 @@
             started,
             now,
             polled_at: PollTime::default(),
-            epoll,
+            reactor,
             listeners,
             admin: AdminServer::new(admin),
             signals,
@@ -224,7 +223,6 @@
             membership,
             records: None,
             event_streams: sse.map(EventStreams::new),
-            connections: ConnectionTable::default(),
             budget,
             clients: ClientConnections::default(),
             pending: PendingRequests::default(),
@@ -261,7 +259,7 @@
     }
 
     fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
-        self.epoll.add(fd, token, EventFlags::IN).map_err(system("epoll"))
+        self.reactor.watch(fd, token).map_err(system("epoll"))
     }
 
     /// Where the program listens.
--- a/src/server/poller.rs
+++ b/src/server/poller.rs
@@ -4,7 +4,7 @@
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
 use rustix::io::Errno;
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
 /// Events taken at a time.
@@ -47,9 +47,3 @@
         }
     }
 }
-
-impl AsFd for Poller {
-    fn as_fd(&self) -> BorrowedFd<'_> {
-        self.0.as_fd()
-    }
-}
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -83,7 +83,7 @@
             }
             UpstreamState::ReadingBody(_) => {} // what its head said has been used
         }
-        self.close(token, connection, Role::Upstream(upstream));
+        self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
     }
 
     /// An attempt has come to nothing.
@@ -179,7 +179,7 @@
         // Where no two attempts may be under way, the next one starts only after the cancel is written.
         let ending = Some(attempt).filter(|_| !self.config.settings.may_hedge);
         self.upstream.attempts.remove(&attempt);
-        self.close(token, connection, Role::Upstream(upstream));
+        self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
         if ending.is_none() || name.is_none() {
             self.on_exchange_failed(None, worker, Exchange::Attempt(attempt), Outcome::Cancelled);
         }
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -81,7 +81,7 @@
     /// is idle.
     pub(in crate::server) fn close_idle_upstream(&mut self) -> bool {
         let Some(token) = self.upstream.pop_oldest_idle() else { return false };
-        self.close_token(token);
+        self.reactor.close_token(&mut self.core, token);
         true
     }
 }
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -59,7 +59,7 @@
                 return self.on_upstream_closed(token, connection, upstream);
             }
             if !flags.contains(EventFlags::OUT) {
-                return self.put(token, connection, Role::Upstream(upstream));
+                return self.reactor.put(token, connection, Role::Upstream(upstream));
             }
             self.on_connected(token, &mut connection, &mut upstream, exchange);
         }
@@ -102,7 +102,7 @@
         let connect_time = self.now.saturating_sub(upstream.connect_started);
         upstream.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
         let deadline = upstream.response_timeout.map(|timeout| self.now + timeout);
-        self.set_timer(token, connection, deadline);
+        connection.set_timer(&mut self.core, token, deadline);
     }
 
     /// Uses what was read. False if the other side does not keep to the protocol.
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -33,13 +33,13 @@
         idle_time_left: Micros,
     ) {
         let upstream = UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), self.now);
-        let Some(token) = self.add(connection, |_| Role::Upstream(upstream)) else { return };
-        let Some((connection, Role::Upstream(upstream))) = self.take(token) else { return };
+        let Some(token) = self.reactor.add(connection, Role::Upstream(upstream)) else { return };
+        let Some((connection, Role::Upstream(upstream))) = self.reactor.take(token) else { return };
         self.finish_upstream_event(token, connection, upstream);
-        if let Some((mut connection, role)) = self.take(token) {
+        if let Some((mut connection, role)) = self.reactor.take(token) {
             let until = self.now + idle_time_left.min(self.max_upstream_idle());
-            self.set_timer(token, &mut connection, Some(until));
-            self.put(token, connection, role);
+            connection.set_timer(&mut self.core, token, Some(until));
+            self.reactor.put(token, connection, role);
         }
     }
 
@@ -80,7 +80,7 @@
     ) {
         match self.upstream.attempts.remove(&AttemptId { request_id, number }) {
             // Not answered yet, or streaming: closing the connection cancels it.
-            Some(token) => self.close_token(token),
+            Some(token) => self.reactor.close_token(&mut self.core, token),
             None => self.send_cancel(worker, name, None),
         }
     }
@@ -131,7 +131,7 @@
             let IdleUpstream { token, mut connection, mut upstream } = idle;
             connection.outbox.push(outgoing.pieces);
             upstream.reuse(outgoing.exchange, outgoing.response_timeout);
-            self.put(token, connection, Role::Upstream(upstream));
+            self.reactor.put(token, connection, Role::Upstream(upstream));
             return Some(token);
         }
         self.connect_upstream(outgoing, address)
@@ -140,11 +140,11 @@
     /// Takes the freshest idle connection to a worker that can still be used, and closes those that cannot.
     fn take_idle_upstream(&mut self, worker: WorkerId, address: Option<SocketAddr>) -> Option<IdleUpstream> {
         while let Some(token) = self.upstream.pop_idle(worker) {
-            let Some((mut connection, Role::Upstream(upstream))) = self.take(token) else { continue };
+            let Some((mut connection, Role::Upstream(upstream))) = self.reactor.take(token) else { continue };
             // Its worker has another address now, or has ended it, or has sent something unsolicited: what arrives before a
             // request cannot be the response to it.
             if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
-                self.close(token, connection, Role::Upstream(upstream));
+                self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
                 continue;
             }
             return Some(IdleUpstream { token, connection, upstream });
@@ -162,7 +162,7 @@
             connection.outbox.push(pieces);
             let upstream =
                 UpstreamConnection::connecting(worker, address, exchange, response_timeout, self.now);
-            self.add(connection, |_| Role::Upstream(upstream))
+            self.reactor.add(connection, Role::Upstream(upstream))
         });
         if token.is_none() {
             self.metrics.connect_failures += 1;
@@ -175,17 +175,17 @@
 
     /// Sets an exchange going on its connection.
     fn start_exchange(&mut self, token: Token) {
-        let Some((mut connection, Role::Upstream(upstream))) = self.take(token) else { return };
+        let Some((mut connection, Role::Upstream(upstream))) = self.reactor.take(token) else { return };
         let timeout = match upstream.state {
             UpstreamState::Connecting(_) => Some(self.config.connect_timeout),
             UpstreamState::Awaiting(_) => upstream.response_timeout,
             _ => None,
         };
-        self.set_timer(token, &mut connection, timeout.map(|timeout| self.now + timeout));
+        connection.set_timer(&mut self.core, token, timeout.map(|timeout| self.now + timeout));
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
             // Writable once it is up; the message waits until then.
-            self.set_interest(token, &mut connection, true, true);
-            return self.put(token, connection, Role::Upstream(upstream));
+            self.reactor.set_interest(token, &mut connection, true, true);
+            return self.reactor.put(token, connection, Role::Upstream(upstream));
         }
         self.finish_upstream_event(token, connection, upstream);
     }
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -105,16 +105,16 @@
         }
         match upstream.state {
             // Its request's deadline ends it.
-            UpstreamState::Streaming(_) => self.set_timer(token, &mut connection, None),
+            UpstreamState::Streaming(_) => connection.set_timer(&mut self.core, token, None),
             // A response may never end.
             UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
-                self.set_timer(token, &mut connection, Some(self.now + SIDE_EXCHANGE_TIMEOUT));
+                connection.set_timer(&mut self.core, token, Some(self.now + SIDE_EXCHANGE_TIMEOUT));
             }
             UpstreamState::Idle => self.rest_upstream(token, &mut connection, &upstream),
             _ => {}
         }
-        self.update_interest(token, &mut connection, true);
-        self.put(token, connection, Role::Upstream(upstream));
+        self.reactor.update_interest(token, &mut connection, true);
+        self.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
     /// Keeps an idle connection: in the pool, or out of it until it has rested.
@@ -122,7 +122,7 @@
         let max_idle = self.max_upstream_idle();
         let cooldown = upstream.cooldown.min(max_idle / 2);
         let until = self.now + if cooldown > 0 { cooldown } else { max_idle };
-        self.set_timer(token, connection, Some(until));
+        connection.set_timer(&mut self.core, token, Some(until));
         if cooldown == 0 && connection.outbox.is_empty() {
             self.upstream.add_idle(upstream.worker, token);
         }
