--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -101,7 +101,7 @@
             let Some(token) = self.reactor.add(conn, Role::Admin(connection)) else { continue };
             self.admin.connections.push_back(token);
             if let Some((mut conn, Role::Admin(connection))) = self.reactor.take(token) {
-                conn.set_timer(&mut self.core, token, Some(self.now + CALL_TIMEOUT));
+                conn.set_timer(&mut self.core, token, Some(self.clock.now() + CALL_TIMEOUT));
                 self.on_admin_ready(token, conn, connection, EventFlags::IN);
             }
         }
@@ -148,13 +148,13 @@
         match call {
             // Whether it takes clients is up to its successor.
             Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
-                if self.has_handed_over() =>
+                if self.lifecycle.has_handed_over =>
             {
                 admin::unavailable_page()
             }
             Ok(AdminCall::Ready) => admin::ok_page(),
             Ok(AdminCall::Counters) => admin::counters_page(&self.metrics_snapshot()),
-            Ok(AdminCall::Members) => match self.members_page() {
+            Ok(AdminCall::Members) => match self.membership.members_page(&self.config, self.clock.now()) {
                 Some(page) => admin::members_page(&page),
                 None => platform::reject(Reject::NoSuchPath, false),
             },
@@ -183,12 +183,12 @@
             attempts_written: self.metrics.attempts_written,
             open: self.core.ledger.open(),
             listed: self.core.endpoints.listed(),
-            avoided: self.core.ejected_endpoints(self.now),
+            avoided: self.core.ejected_endpoints(self.clock.now()),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             idempotency: self.idempotency_metrics(),
             streams: self.event_streams.as_ref().map(EventStreams::metrics),
-            members: self.members_page(),
+            members: self.membership.members_page(&self.config, self.clock.now()),
             learners: self.core.learners.metrics(),
         }
     }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -6,14 +6,16 @@
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
+use super::DiscoveryClient;
 use super::call::{CallEnd, CallKind};
 use crate::config::Config;
 use crate::core::Core;
 use crate::fleet::{FleetSettings, OutgoingFact};
 use crate::policy::interface::Micros;
+use crate::server::POLL_TIMER;
+use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
-use crate::server::{POLL_TIMER, Server};
 use mothproxy_coldstart::poll_scheduler::{Config as SchedulerConfig, Event, PollScheduler};
 use mothproxy_coldstart::{KIND, Origin, SharedObservations};
 use mothproxy_membership::{Change, OwnedFact, State, View};
@@ -195,42 +197,64 @@
     })
 }
 
-impl Server {
+impl DiscoveryClient {
     /// Publishes what this dispatcher has observed of discovery, and sets the pacing's timer.
-    pub(in crate::server) fn update_pacing(&mut self) {
-        self.discovery.pacing.update(self.now, &mut self.membership, &mut self.core);
+    pub(in crate::server) fn update_pacing(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+    ) {
+        self.pacing.update(context.now(), membership, context.core);
     }
 
     /// A member's state or epoch has changed.
-    pub(in crate::server) fn pace_on_member_changed(&mut self, change: Change) {
-        let view = self.membership.view();
-        if self.discovery.pacing.on_member_changed(self.now, change, view) {
-            self.update_pacing();
+    pub(in crate::server) fn on_member_changed(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        change: Change,
+    ) {
+        if self.pacing.on_member_changed(context.now(), change, membership.view()) {
+            self.update_pacing(context, membership);
         }
     }
 
     /// A fact has arrived, of any kind and from any place, this one included.
-    pub(in crate::server) fn pace_on_fact(&mut self, fact: &OwnedFact) {
-        let is_own = u32::from(fact.place) == self.config.settings.me;
-        if !is_own && self.discovery.pacing.on_fact(self.now, fact) {
-            self.update_pacing();
+    pub(in crate::server) fn on_fact(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        fact: &OwnedFact,
+    ) {
+        let is_own = u32::from(fact.place) == context.config.settings.me;
+        if !is_own && self.pacing.on_fact(context.now(), fact) {
+            self.update_pacing(context, membership);
         }
     }
 
     /// The pacing's timer has fired.
-    pub(in crate::server) fn on_pacing_timer(&mut self) {
-        if self.discovery.pacing.on_timer(self.now) {
-            self.open_discovery_call(CallKind::Watch);
+    pub(in crate::server) fn on_pacing_timer(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+    ) {
+        if self.pacing.on_timer(context.now()) {
+            self.open_call(context, membership, CallKind::Watch);
         }
-        self.update_pacing();
-        self.apply_fleet_outputs();
+        self.update_pacing(context, membership);
+        membership.apply_outputs(context, self);
     }
 
     /// Passes an event of the watch to the scheduler, and does what follows from it.
-    pub(super) fn pace_on_watch_event(&mut self, event: WatchEvent) {
-        if self.discovery.pacing.on_watch_event(self.now, event) {
-            self.update_pacing();
-            self.apply_fleet_outputs();
+    pub(super) fn pace_on_watch_event(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        event: WatchEvent,
+    ) {
+        if self.pacing.on_watch_event(context.now(), event) {
+            self.update_pacing(context, membership);
+            membership.apply_outputs(context, self);
         }
     }
 }
--- /dev/null
+++ b/src/server/discovery/transport.rs
@@ -0,0 +1,157 @@
+//! The connection of a call: it comes up, is read, and ends.
+
+use super::DiscoveryClient;
+use super::call::{CallError, CallKind, CallProgress, DiscoveryCall};
+use crate::http::MAX_HEAD;
+use crate::server::connection::{Connection, ReadEnd};
+use crate::server::context::Context;
+use crate::server::membership::MembershipLink;
+use crate::server::{Role, Token};
+use rustix::event::epoll::EventFlags;
+
+impl DiscoveryClient {
+    /// The connection of a call is up, readable, writable or closed.
+    pub(in crate::server) fn on_ready(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        token: Token,
+        mut connection: Connection,
+        mut call: DiscoveryCall,
+        flags: EventFlags,
+    ) {
+        if call.is_connecting {
+            let has_failed = connection.stream.take_error().map_or(true, |error| error.is_some());
+            if has_failed || flags.contains(EventFlags::ERR) {
+                return self.fail_call(context, membership, token, connection, call, CallError::NotConnected);
+            }
+            self.on_connected(context, token, &mut connection, &mut call);
+        }
+        if !connection.flush() {
+            return self.fail_call(context, membership, token, connection, call, CallError::ConnectionLost);
+        }
+        loop {
+            let end = connection.fill(MAX_HEAD);
+            let has_read = !connection.inbox.is_empty();
+            match self.read_call(context, membership, token, &mut connection, &mut call) {
+                Ok(CallProgress::Pending) => {}
+                Ok(CallProgress::Complete) => {
+                    return context.reactor.close(context.core, token, connection, Role::Discovery(call));
+                }
+                Err(error) => return self.fail_call(context, membership, token, connection, call, error),
+            }
+            match end {
+                ReadEnd::WouldBlock => break,
+                ReadEnd::LimitReached if has_read => {}
+                _ => return self.fail_call(context, membership, token, connection, call, CallError::Ended),
+            }
+        }
+        context.reactor.update_interest(token, &mut connection, true);
+        context.reactor.put(token, connection, Role::Discovery(call));
+    }
+
+    /// The connection of a call is up; its answer is awaited.
+    fn on_connected(
+        &mut self,
+        context: &mut Context<'_>,
+        token: Token,
+        connection: &mut Connection,
+        call: &mut DiscoveryCall,
+    ) {
+        call.is_connecting = false;
+        let answered_by = match call.kind {
+            CallKind::Watch => self.liveness.on_connected(context.now()),
+            CallKind::FullList => self.liveness.full_list_deadline(context.now()),
+        };
+        connection.set_timer(context.core, token, Some(answered_by));
+    }
+
+    /// A call has received nothing for too long.
+    pub(in crate::server) fn on_call_timer(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        token: Token,
+        mut connection: Connection,
+        mut call: DiscoveryCall,
+    ) {
+        // After a long turn of the loop, data may have arrived that was not read yet.
+        if !call.is_connecting && connection.fill(MAX_HEAD) != ReadEnd::Broken {
+            match self.read_call(context, membership, token, &mut connection, &mut call) {
+                Ok(CallProgress::Pending) if connection.timer.is_none() => {}
+                Ok(CallProgress::Pending) => {
+                    return context.reactor.put(token, connection, Role::Discovery(call));
+                }
+                Ok(CallProgress::Complete) => {
+                    return context.reactor.close(context.core, token, connection, Role::Discovery(call));
+                }
+                Err(error) => return self.fail_call(context, membership, token, connection, call, error),
+            }
+        }
+        let error = if call.is_answered { CallError::FellSilent } else { CallError::TimedOut };
+        self.fail_call(context, membership, token, connection, call, error);
+    }
+
+    /// Processes what has been read of a call.
+    fn read_call(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        token: Token,
+        connection: &mut Connection,
+        call: &mut DiscoveryCall,
+    ) -> Result<CallProgress, CallError> {
+        if !call.read_head(&mut connection.inbox)? {
+            return Ok(CallProgress::Pending);
+        }
+        let had_partial_object = call.has_partial_object();
+        let framing = call.read_body(&mut connection.inbox);
+        let (has_lists, lists) = self.take_lists(context, membership, call);
+        let has_data = call.take_heartbeat() || has_lists;
+        if call.is_watch() {
+            if has_data {
+                self.on_watch_data(context, membership, token, connection);
+            }
+            // It must be complete within the time that it was given when it began.
+            if call.has_partial_object() && (has_data || !had_partial_object) {
+                self.on_partial_object(context, token, connection);
+            }
+        }
+        lists.and(framing)?;
+        let progress = call.progress();
+        // A list that has begun is counted at the call's end.
+        if let Err(CallError::TooLong | CallError::NoList) = progress
+            && !call.has_partial_object()
+        {
+            context.metrics.bad_lists += 1;
+        }
+        progress
+    }
+
+    /// Ends a call that has failed, and schedules the next one.
+    fn fail_call(
+        &mut self,
+        context: &mut Context<'_>,
+        membership: &mut MembershipLink,
+        token: Token,
+        connection: Connection,
+        call: DiscoveryCall,
+        error: CallError,
+    ) {
+        self.report_failed_call(context, &call, error);
+        if !call.is_watch() || self.take_watch(token) {
+            self.on_call_ended(context, membership, call.kind, call.end(error));
+        }
+        context.reactor.close(context.core, token, connection, Role::Discovery(call));
+    }
+
+    /// Logs a call that failed, and counts the list that broke off with it.
+    fn report_failed_call(&mut self, context: &mut Context<'_>, call: &DiscoveryCall, error: CallError) {
+        if call.has_partial_object() {
+            context.metrics.bad_lists += 1;
+        }
+        if self.admit_failure_log(context.now(), call.is_answered) {
+            tracing::warn!("discovery: {} failed: {error}", call.kind.log_name());
+        }
+    }
+}
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -67,7 +67,7 @@
     }
 
     /// The time to open the watch has come. Returns whether to open it: none is open, and the poll scheduler does not decide it.
-    pub(super) fn on_watch_timer(&mut self) -> bool {
+    pub(super) fn is_watch_due(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
     }
@@ -78,7 +78,7 @@
     }
 
     /// The watch, or the call for it, is over. Returns when to open the next one where the poll scheduler does not decide that.
-    pub(super) fn on_watch_ended(&mut self, now: Micros, end: CallEnd) -> Micros {
+    pub(super) fn record_watch_end(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
             CallEnd::Unreachable => WatchFailure::Unreachable,
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -56,7 +56,7 @@
             // memory; without a bound it grows to megabytes. Where it cannot be set, only that is lost.
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
-        let client = ClientConnection::new(is_sse, self.now);
+        let client = ClientConnection::new(is_sse, self.clock.now());
         let Some(token) = self.reactor.add(Connection::new(stream), Role::Client(client)) else { return };
         // Often the request is there already.
         if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
@@ -71,13 +71,13 @@
         if std::mem::replace(&mut self.listeners.is_accepting, false) {
             self.metrics.accept_pauses += 1;
             self.listeners.set_interest(&self.reactor, EventFlags::empty());
-            self.core.set_timer(self.now + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
+            self.core.set_timer(self.clock.now() + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
         }
     }
 
     /// Accepts again, unless the listeners have been handed over.
     pub(in crate::server) fn resume_accepting(&mut self) {
-        if self.has_handed_over() {
+        if self.lifecycle.has_handed_over {
             return;
         }
         self.listeners.is_accepting = true;
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -144,10 +144,10 @@
         let (public_id, token) = public_id.zip(token).ok_or(Reject::Overloaded)?;
         let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
         let new = NewJob { public_id, token, tenant, ends_unwatched };
-        let job = streams.broker.add_job(self.now, new);
+        let job = streams.broker.add_job(self.clock.now(), new);
         let job = job.map_err(|_| Reject::Overloaded)?;
         request.downstream = Downstream::Job(job).to_number();
-        let Some(request_id) = self.core.accept(self.now, request) else {
+        let Some(request_id) = self.core.accept(self.clock.now(), request) else {
             streams.broker.transfer(job);
             return Err(Reject::DuplicateId);
         };
@@ -161,7 +161,7 @@
 
     /// A job has its final response.
     pub(in crate::server) fn finish_job(&mut self, job: JobId, response: FinalResponse) {
-        let now = self.now;
+        let now = self.clock.now();
         let Some(streams) = &mut self.event_streams else { return };
         streams.requests.remove(&job);
         let (name, data) = event_streams::final_event(response);
@@ -171,14 +171,14 @@
 
     fn schedule_stream_sweep(&mut self) {
         if self.event_streams.as_mut().is_some_and(EventStreams::needs_sweep) {
-            self.core.set_timer(self.now + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
+            self.core.set_timer(self.clock.now() + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
         }
     }
 
     /// Lets time pass for jobs and watchers.
     pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
-        streams.sweep(self.now);
+        streams.sweep(self.clock.now());
         self.run_stream_effects();
         self.schedule_stream_sweep();
     }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -81,7 +81,7 @@
             self.metrics.rejects += 1;
             return;
         };
-        let Some(job) = streams.broker.restore(self.now, transferred.job) else { return };
+        let Some(job) = streams.broker.restore(self.clock.now(), transferred.job) else { return };
         if let Some((exchange, raw)) = transferred.request.zip(raw) {
             self.hot_restart.forget_in_peer_process(&exchange.request.name);
             match self.core.adopt(exchange.request, Downstream::Job(job).to_number()) {
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -149,18 +149,18 @@
         let keep_alive = request.keep_alive && frame == StreamFraming::Chunked;
         connection.outbox.push(event_streams::stream_head(frame, &request.cors, keep_alive));
         if !request.has_body {
-            streams.broker.remove_watcher(self.now, watcher);
+            streams.broker.remove_watcher(self.clock.now(), watcher);
             return;
         }
         streams.tokens.insert(watcher, token);
         connection.outbox.push(event_streams::retry(frame, reconnect_delay));
         client.state =
-            ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: self.now });
+            ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: self.clock.now() });
     }
 
     /// How long a client that loses its stream now should stay away.
     fn reconnect_delay(&self) -> Micros {
-        if self.lifecycle.is_draining() || self.has_handed_over() {
+        if self.lifecycle.is_draining() || self.lifecycle.has_handed_over {
             RECONNECT_DELAY_DRAINING
         } else if self.reactor.connections().clients() * 4 >= self.budget.clients * 3 {
             RECONNECT_DELAY_LOADED
@@ -184,13 +184,13 @@
                 NextPieces::Last(piece) => {
                     connection.outbox.push(vec![piece]);
                     connection.outbox.push(stream.frame.end());
-                    streams.broker.remove_watcher(self.now, stream.watcher);
+                    streams.broker.remove_watcher(self.clock.now(), stream.watcher);
                     streams.tokens.remove(&stream.watcher);
                     let keep_alive = stream.keep_alive;
                     return client.finish_response(keep_alive);
                 }
             }
-            stream.last_write = self.now;
+            stream.last_write = self.clock.now();
         }
     }
 
@@ -202,7 +202,7 @@
 
     /// A watcher's connection is over.
     pub(in crate::server::downstream) fn on_watcher_disconnected(&mut self, watcher: WatcherId) {
-        let now = self.now;
+        let now = self.clock.now();
         if let Some(streams) = &mut self.event_streams {
             streams.tokens.remove(&watcher);
             streams.broker.remove_watcher(now, watcher);
@@ -237,7 +237,7 @@
         if let Some(request_id) = streams.requests.remove(&job) {
             streams.broker.transfer(job); // nobody can watch it any more
             self.pending.remove(request_id);
-            self.core.on_client_disconnected(self.now, request_id);
+            self.core.on_client_disconnected(self.clock.now(), request_id);
         }
     }
 }
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -92,7 +92,7 @@
     }
 
     fn oldest_served_client(&self, min_idle: Micros) -> Option<Token> {
-        self.clients.idle_for(min_idle, self.now).find(|token| {
+        self.clients.idle_for(min_idle, self.clock.now()).find(|token| {
             let entry = self.reactor.connections().get(*token);
             matches!(entry, Some((_, Role::Client(client))) if !client.is_awaiting_request())
         })
@@ -114,13 +114,13 @@
     }
 
     fn oldest_idle_client(&self, min_idle: Micros) -> Option<Token> {
-        self.clients.idle_for(min_idle, self.now).next()
+        self.clients.idle_for(min_idle, self.clock.now()).next()
     }
 
     /// Closes the connection that has been silent for longest, and for at least [`SILENT_GRACE`], of those that a whole
     /// request is awaited on; with a part of a request, for at least `partial_grace`. False where there is none.
     pub(in crate::server) fn close_silent_client(&mut self, partial_grace: Micros) -> bool {
-        let silent: Vec<TimedToken> = self.clients.silent_for(SILENT_GRACE, self.now).collect();
+        let silent: Vec<TimedToken> = self.clients.silent_for(SILENT_GRACE, self.clock.now()).collect();
         for (last_read, token) in silent {
             // Closed, or in use right now; in the first case it is not in the set any more.
             let Some((connection, role)) = self.reactor.take(token) else { continue };
@@ -133,7 +133,7 @@
                 self.clients.awaiting_request.remove(&(last_read, token));
                 continue;
             };
-            let is_partial_grace_over = last_read + partial_grace <= self.now;
+            let is_partial_grace_over = last_read + partial_grace <= self.clock.now();
             if self.close_if_silent(token, connection, client, is_partial_grace_over) {
                 return true;
             }
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -50,9 +50,9 @@
         let _ = connection.stream.shutdown(Shutdown::Write); // it may be gone; the timer ends it
         self.clients.untrack(token, client);
         connection.inbox = Vec::new();
-        client.state = ClientState::Lingering { since: self.now };
-        self.clients.lingering.insert(self.now, token);
-        connection.set_timer(&mut self.core, token, Some(self.now + LINGER_TIMEOUT));
+        client.state = ClientState::Lingering { since: self.clock.now() };
+        self.clients.lingering.insert(self.clock.now(), token);
+        connection.set_timer(&mut self.core, token, Some(self.clock.now() + LINGER_TIMEOUT));
         // They have a part of the budget of their own beside the clients that are served; under a flood the oldest are closed.
         if self.clients.lingering.len() > self.budget.max_lingering() {
             self.close_oldest_lingering();
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -56,7 +56,7 @@
             let length_before = connection.inbox.len();
             let end = connection.fill(MAX_INBOX);
             if connection.inbox.len() > length_before {
-                self.clients.on_bytes_read(token, &mut client, self.now);
+                self.clients.on_bytes_read(token, &mut client, self.clock.now());
             }
             match end {
                 ReadEnd::WouldBlock => has_ended = flags.intersects(HANGUP),
@@ -168,7 +168,7 @@
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) -> Progress {
-        if connection.inbox.is_empty() || self.has_handed_over() {
+        if connection.inbox.is_empty() || self.lifecycle.has_handed_over {
             return Progress::Wait;
         }
         if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
@@ -259,8 +259,8 @@
         };
         if has_partial_request && is_written && !client.is_awaiting_request() {
             // A later request has begun: it has as long as a first one, and may be closed for others like it.
-            client.awaiting_request_since = Some(self.now);
-            client.last_read = self.now;
+            client.awaiting_request_since = Some(self.clock.now());
+            client.last_read = self.clock.now();
             self.clients.track_awaiting_request(token, &client);
         }
         let deadline = self.client_deadline(&mut connection, &client);
@@ -268,7 +268,7 @@
             connection.set_timer(&mut self.core, token, deadline);
         }
         if client.is_reading() && connection.inbox.is_empty() && is_written {
-            self.clients.track_idle(token, &mut client, self.now);
+            self.clients.track_idle(token, &mut client, self.clock.now());
         }
         let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
         self.reactor.update_interest(token, &mut connection, can_read);
@@ -283,11 +283,11 @@
         match &client.state {
             ClientState::Lingering { .. } => connection.timer,
             ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
-                Some(client.awaiting_request_since.unwrap_or(self.now) + REQUEST_TIMEOUT)
+                Some(client.awaiting_request_since.unwrap_or(self.clock.now()) + REQUEST_TIMEOUT)
             }
-            ClientState::Reading if connection.outbox.is_empty() => Some(self.now + IDLE_TIMEOUT),
+            ClientState::Reading if connection.outbox.is_empty() => Some(self.clock.now() + IDLE_TIMEOUT),
             ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
-                Some(stall_deadline.unwrap_or(self.now + WRITE_STALL_TIMEOUT))
+                Some(stall_deadline.unwrap_or(self.clock.now() + WRITE_STALL_TIMEOUT))
             }
             ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
                 Some(stream.last_write + heartbeat)
@@ -314,14 +314,14 @@
                 return self.on_linger_timeout(token, connection, client);
             }
             ClientState::AwaitingResponse { stream: Some(stream), .. } => {
-                stream.last_write = self.now;
+                stream.last_write = self.clock.now();
                 if connection.outbox.is_empty() {
                     connection.outbox.push(sse::heartbeat());
                 }
             }
             ClientState::Watching(watch) => {
-                if watch.last_write + self.listeners.heartbeat() <= self.now {
-                    watch.last_write = self.now;
+                if watch.last_write + self.listeners.heartbeat() <= self.clock.now() {
+                    watch.last_write = self.clock.now();
                     if connection.outbox.is_empty() {
                         connection.outbox.push(event_streams::heartbeat(watch.frame));
                     }
@@ -348,7 +348,7 @@
         match &client.state {
             ClientState::AwaitingResponse { request_id, .. } => {
                 self.pending.remove(*request_id);
-                self.core.on_client_disconnected(self.now, *request_id);
+                self.core.on_client_disconnected(self.clock.now(), *request_id);
             }
             ClientState::Watching(watch) => self.on_watcher_disconnected(watch.watcher),
             ClientState::Lingering { since } => self.clients.lingering.remove(*since, token),
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -19,7 +19,7 @@
         client: &mut ClientConnection,
         raw: RawRequest,
     ) {
-        if self.has_handed_over() {
+        if self.lifecycle.has_handed_over {
             // Its last chunk came after the handover began: it goes over as it came, to be taken there.
             connection.inbox = chunked_again(&raw, &connection.inbox);
             client.state = ClientState::Reading;
@@ -64,7 +64,7 @@
             Route::StatusCallback => self.on_status_callback(connection, client, &raw, keep_alive),
             Route::Submit(mut request) => {
                 if let Some(plan) = self.lifecycle.shutdown {
-                    request.time_budget = plan.time_budget(self.now, request.time_budget);
+                    request.time_budget = plan.time_budget(self.clock.now(), request.time_budget);
                 }
                 // All descriptors for clients are at work: this one is rejected before anything has run, since
                 // one left in the queue of connections would be lost at its deadline.
@@ -104,7 +104,13 @@
         if keep_alive {
             client.state = ClientState::Reading;
         }
-        self.core.on_job_status(self.now, &callback.id, &callback.from, callback.status, callback.report);
+        self.core.on_job_status(
+            self.clock.now(),
+            &callback.id,
+            &callback.from,
+            callback.status,
+            callback.report,
+        );
         connection.outbox.push(platform::callback_accepted(keep_alive));
         Ok(())
     }
@@ -119,7 +125,7 @@
     ) -> Result<(), Reject> {
         self.read_idempotency_key(&mut request, &raw);
         let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
-        let is_key_reused = self.core.is_key_reused(self.now, &request);
+        let is_key_reused = self.core.is_key_reused(self.clock.now(), &request);
         if is_open_elsewhere {
             return Err(Reject::DuplicateId);
         }
@@ -141,16 +147,16 @@
         request.downstream = Downstream::Connection(token).to_number();
         self.read_idempotency_key(&mut request, &raw);
         let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
-        if self.core.is_key_reused(self.now, &request) {
+        if self.core.is_key_reused(self.clock.now(), &request) {
             return Err(Reject::KeyReused);
         }
         if is_open_elsewhere {
             return Err(Reject::DuplicateId);
         }
         let has_stream = client.is_sse && sse::wants_stream(&raw);
-        let request_id = self.core.accept(self.now, request).ok_or(Reject::DuplicateId)?;
+        let request_id = self.core.accept(self.clock.now(), request).ok_or(Reject::DuplicateId)?;
         self.pending.insert(request_id, raw);
-        let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: self.now });
+        let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: self.clock.now() });
         client.state = ClientState::AwaitingResponse { request_id, keep_alive, stream };
         Ok(())
     }
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -64,7 +64,7 @@
         if let Some(share) = share.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
             connection.outbox.push(sse::progress(share));
         }
-        stream.last_write = self.now;
+        stream.last_write = self.clock.now();
         self.finish_client_event(token, connection, client);
     }
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,10 +3,10 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::{Command, Core};
-use crate::policy::interface::Micros;
+use crate::core::Command;
 use crate::server::Server;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::discovery::CallKind;
 use crate::server::downstream::{Downstream, PollTime};
 use crate::server::error::{ServerError, system};
@@ -28,17 +28,18 @@
     /// Where epoll fails.
     pub fn serve(&mut self) -> Result<(), ServerError> {
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
-        self.update_clock();
-        self.announce_state();
-        self.apply_fleet_outputs();
-        self.update_pacing();
+        self.clock.update();
+        let context = &mut context!(self);
+        self.peers.announce_state(context);
+        self.membership.apply_outputs(context, &mut self.discovery);
+        self.discovery.update_pacing(context, &mut self.membership);
         while !self.lifecycle.is_done {
-            self.update_clock();
-            self.core.turn(self.now);
+            self.clock.update();
+            self.core.turn(self.clock.now());
             self.run_commands();
             self.wait_for_events(&mut events)?;
-            self.update_clock();
-            self.polled_at = PollTime::new(self.now, events.len() == MAX_EVENTS_PER_WAIT);
+            self.clock.update();
+            self.polled_at = PollTime::new(self.clock.now(), events.len() == MAX_EVENTS_PER_WAIT);
             self.handle_events(&events);
         }
         self.log_metrics();
@@ -48,7 +49,7 @@
     /// Waits for events, until the next timer of the core is due.
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let wake = self.core.next_wake();
-        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.now)));
+        let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
         self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
@@ -107,9 +108,13 @@
                     self.notify_progress(downstream, fraction);
                 }
                 Command::Probe(worker) => self.send_load_probe(worker),
-                Command::SendToPeer(to, bytes) => self.send_to_peer(to, &bytes),
-                Command::OpenWatch => self.on_watch_wanted(),
-                Command::FetchList => self.open_discovery_call(CallKind::FullList),
+                Command::SendToPeer(to, bytes) => context!(self).send_to_peer(to, &bytes),
+                Command::OpenWatch => {
+                    self.discovery.on_watch_wanted(&mut context!(self), &mut self.membership);
+                }
+                Command::FetchList => {
+                    self.discovery.open_call(&mut context!(self), &mut self.membership, CallKind::FullList);
+                }
                 Command::TimerFired(timer) => self.on_timer(timer),
             }
         }
@@ -129,20 +134,20 @@
 
     fn on_timer(&mut self, timer: u64) {
         match timer {
-            WATCH_TIMER => self.on_watch_timer(),
-            FULL_LIST_TIMER => self.on_full_list_timer(),
-            STALE_LIST_TIMER => self.on_stale_list_timer(),
+            WATCH_TIMER => self.discovery.on_watch_timer(&mut context!(self), &mut self.membership),
+            FULL_LIST_TIMER => self.discovery.on_full_list_timer(&mut context!(self), &mut self.membership),
+            STALE_LIST_TIMER => self.discovery.on_stale_list_timer(&mut context!(self)),
             METRICS_TIMER => {
                 self.log_metrics();
-                self.core.set_timer(self.now + METRICS_INTERVAL, METRICS_TIMER);
+                self.core.set_timer(self.clock.now() + METRICS_INTERVAL, METRICS_TIMER);
             }
             STREAM_SWEEP_TIMER => self.on_stream_sweep_timer(),
             SHUTDOWN_TIMER => self.on_shutdown_timer(),
             HANDOVER_TIMER => self.on_handover_timer(),
             DRAIN_TIMER => self.on_drain_timer(),
-            FLEET_TIMER => self.on_fleet_timer(),
-            POLL_TIMER => self.on_pacing_timer(),
-            PEER_TIMER => self.on_peer_timer(),
+            FLEET_TIMER => self.membership.on_timer(&mut context!(self), &mut self.discovery),
+            POLL_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
+            PEER_TIMER => self.peers.on_timer(&mut context!(self)),
             ACCEPT_TIMER => self.resume_accepting(),
             token => self.on_connection_timer(Token(token)),
         }
@@ -154,7 +159,10 @@
         match role {
             Role::Client(client) => self.on_client_ready(token, connection, client, flags),
             Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
-            Role::Discovery(call) => self.on_discovery_ready(token, connection, call, flags),
+            Role::Discovery(call) => {
+                let context = &mut context!(self);
+                self.discovery.on_ready(context, &mut self.membership, token, connection, call, flags);
+            }
             Role::Admin(caller) => self.on_admin_ready(token, connection, caller, flags),
         }
     }
@@ -165,18 +173,11 @@
         match role {
             Role::Client(client) => self.on_client_timer(token, connection, client),
             Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
-            Role::Discovery(call) => self.on_discovery_timer(token, connection, call),
+            Role::Discovery(call) => {
+                let context = &mut context!(self);
+                self.discovery.on_call_timer(context, &mut self.membership, token, connection, call);
+            }
             Role::Admin(caller) => self.close_admin(token, connection, caller),
         }
     }
-
-    /// Sets `now` to the present time.
-    pub(super) fn update_clock(&mut self) {
-        self.now = self.elapsed_time();
-    }
-
-    /// The present time, in the midst of a turn; `now` is when the turn's events were taken.
-    pub(super) fn elapsed_time(&self) -> Micros {
-        Core::clock_start() + self.started.elapsed().as_micros() as Micros
-    }
 }
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -20,7 +20,8 @@
     /// If the store cannot be opened or watched.
     pub(in crate::server) fn open_record_store(&mut self, settings: StateDir) -> Result<(), ServerError> {
         let (records, loaded) = RecordStore::open(settings)?;
-        let bad = self.core.enable_idempotency(self.now, loaded.records.into_iter(), loaded.is_clock_sound);
+        let bad =
+            self.core.enable_idempotency(self.clock.now(), loaded.records.into_iter(), loaded.is_clock_sound);
         for (key, error) in bad {
             tracing::error!(key, %error, "idempotency store: unreadable record");
         }
@@ -36,12 +37,12 @@
         key: String,
         record: Option<Vec<u8>>,
     ) {
-        if self.has_handed_over() {
+        if self.lifecycle.has_handed_over {
             return self.persist_at_successor(ticket, key, record.as_deref());
         }
         if let Some(records) = &mut self.records {
             let waiter = ticket.map_or(Waiter::Nobody, Waiter::Core);
-            records.write(self.now, waiter, &key, record);
+            records.write(self.clock.now(), waiter, &key, record);
         }
     }
 
@@ -75,11 +76,11 @@
         key: &str,
         record: Option<Vec<u8>>,
     ) {
-        self.core.load_record(self.now, key, record.as_deref());
+        self.core.load_record(self.clock.now(), key, record.as_deref());
         match (&mut self.records, ticket) {
             (Some(records), ticket) => {
                 let waiter = ticket.map_or(Waiter::Nobody, Waiter::Predecessor);
-                records.write(self.now, waiter, key, record);
+                records.write(self.clock.now(), waiter, key, record);
             }
             // This version was started without a store: the predecessor goes on as though nothing had to be persisted.
             (None, Some(ticket)) => {
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -8,6 +8,7 @@
 use crate::policy::interface::Micros;
 use crate::server::Server;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::lifecycle::shutdown::STEP_INTERVAL;
 use crate::server::tokens::{DRAIN_TIMER, Token};
 
@@ -32,7 +33,7 @@
         if self.lifecycle.drained_since.is_some() {
             return; // a repeated call starts nothing anew
         }
-        self.lifecycle.drained_since = Some(self.now);
+        self.lifecycle.drained_since = Some(self.clock.now());
         tracing::info!(open = self.core.ledger.open(), "drain started");
         self.on_drain_changed();
     }
@@ -50,13 +51,13 @@
         if !self.lifecycle.is_drain_timer_set {
             self.resume_drain();
         }
-        self.announce_state();
+        self.peers.announce_state(&mut context!(self));
     }
 
     /// Sets the timer of the drain, also that of the process that this one takes over from.
     pub(in crate::server) fn resume_drain(&mut self) {
         self.lifecycle.is_drain_timer_set = true;
-        self.core.set_timer(self.now + STEP_INTERVAL, DRAIN_TIMER);
+        self.core.set_timer(self.clock.now() + STEP_INTERVAL, DRAIN_TIMER);
     }
 
     /// While draining, closes connections of clients that have been idle since the load balancer could know.
@@ -64,7 +65,7 @@
         self.lifecycle.is_drain_timer_set = false;
         let since = self.lifecycle.drained_since.filter(|_| !self.lifecycle.is_shutting_down());
         let Some(since) = since else { return };
-        if self.now >= since + DRAIN_CLOSE_DELAY {
+        if self.clock.now() >= since + DRAIN_CLOSE_DELAY {
             self.close_idle_clients(DRAIN_IDLE_TIME, IdleClients::WithoutCallbacks);
         }
         self.resume_drain();
@@ -72,7 +73,7 @@
 
     /// Closes connections of clients that have been idle for so long.
     pub(super) fn close_idle_clients(&mut self, min_idle: Micros, which: IdleClients) {
-        let idle: Vec<Token> = self.clients.idle_for(min_idle, self.now).collect();
+        let idle: Vec<Token> = self.clients.idle_for(min_idle, self.clock.now()).collect();
         for token in idle {
             match self.reactor.take(token) {
                 Some((connection, Role::Client(client)))
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -17,6 +17,7 @@
 
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
+use crate::server::context::context;
 use crate::server::tokens::{PEER_PROCESS, PEERS, PLATFORM, RESTART_SOCKET, SSE, Token};
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
@@ -41,8 +42,6 @@
     socket: Option<OwnedFd>,
     /// The other process of this dispatcher, during an upgrade.
     peer_process: Option<PeerProcess>,
-    /// This process has handed its listening sockets over.
-    has_handed_over: bool,
 }
 
 /// The other process.
@@ -69,11 +68,6 @@
 }
 
 impl HotRestart {
-    /// Whether this process has handed its listening sockets over to a successor.
-    pub fn has_handed_over(&self) -> bool {
-        self.has_handed_over
-    }
-
     /// Whether a request of this id is open with the other process.
     pub fn is_open_in_peer_process(&self, name: &str) -> bool {
         let process = self.peer_process.as_ref();
@@ -134,11 +128,6 @@
 }
 
 impl Server {
-    /// Whether this process has handed its listening sockets over to a successor.
-    pub(in crate::server) fn has_handed_over(&self) -> bool {
-        self.hot_restart.has_handed_over()
-    }
-
     /// Listens for the next version, and takes up the link to the predecessor if there is one.
     pub(in crate::server) fn join_hot_restart(
         &mut self,
@@ -148,7 +137,7 @@
         self.hot_restart.socket_path = path;
         self.open_restart_socket();
         let Some(Inheritance { link, is_drained, open, .. }) = inheritance else { return };
-        self.lifecycle.drained_since = is_drained.then_some(self.now);
+        self.lifecycle.drained_since = is_drained.then_some(self.clock.now());
         let is_nonblocking = rustix::io::ioctl_fionbio(&link, true).is_ok();
         if is_nonblocking && self.can_watch(link.as_fd(), PEER_PROCESS) {
             tracing::info!(open = open.request_names.len(), "hot restart: taking over from the predecessor");
@@ -205,7 +194,7 @@
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
         self.reactor.unwatch(&process.link);
-        if !std::mem::take(&mut self.hot_restart.has_handed_over) {
+        if !std::mem::take(&mut self.lifecycle.has_handed_over) {
             return tracing::info!("hot restart: the other process has ended");
         }
         // The successor died with what it had. The listening sockets are still open here.
@@ -214,14 +203,15 @@
         let is_watched = [
             self.can_watch(self.listeners.platform.as_fd(), PLATFORM),
             sse.is_none_or(|sse| self.can_watch(sse.socket.as_fd(), SSE)),
-            self.peers.socket().is_none_or(|socket| self.can_watch(socket.as_fd(), PEERS)),
+            self.peer_socket.socket().is_none_or(|socket| self.can_watch(socket.as_fd(), PEERS)),
         ];
         mothproxy_invariant::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
         self.listeners.is_accepting = true;
         self.fail_pending_records();
         self.open_restart_socket();
-        self.announce_state();
-        self.restart_fleet();
+        let context = &mut context!(self);
+        self.peers.announce_state(context);
+        self.membership.restart(context, &mut self.discovery);
     }
 
     /// What this process still holds.
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -115,7 +115,7 @@
         let Packet { message, bytes, descriptors } = packet;
         let descriptor = descriptors.into_iter().next();
         match message {
-            HandoverMessage::Hello if !self.has_handed_over() => self.start_handover(),
+            HandoverMessage::Hello if !self.lifecycle.has_handed_over => self.start_handover(),
             HandoverMessage::Client(transferred) => {
                 if let Some(descriptor) = descriptor {
                     self.adopt_client(transferred, &bytes, TcpStream::from(descriptor));
@@ -152,12 +152,12 @@
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
             // A job that went over in the meantime gets its callbacks there; the successor sends nothing back.
-            Some(callback) if self.has_handed_over() && !self.core.knows(&callback.id) => {
+            Some(callback) if self.lifecycle.has_handed_over && !self.core.knows(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
             Some(callback) => {
                 let (status, report) = (callback.status, callback.report);
-                self.core.on_job_status(self.now, &callback.id, &callback.from, status, report);
+                self.core.on_job_status(self.clock.now(), &callback.id, &callback.from, status, report);
             }
             None => self.metrics.rejects += 1,
         }
@@ -174,7 +174,7 @@
         if let Some(process) = &mut self.hot_restart.peer_process {
             process.on_client_transferred(transferred.request.as_ref());
         }
-        let now = self.now;
+        let now = self.clock.now();
         let client = ClientConnection::adopt(&transferred, now);
         let Some(token) = self.reactor.add(connection, Role::Client(client)) else { return };
         let Some((mut connection, Role::Client(mut client))) = self.reactor.take(token) else { return };
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -9,6 +9,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::tokens::{HANDOVER_TIMER, Token};
 use crate::server::transferred::{TransferredExchange, request_bytes};
@@ -34,7 +35,7 @@
         let Some(process) = &mut self.hot_restart.peer_process else { return };
         let message = HandoverMessage::Listeners {
             has_sse: self.listeners.sse.is_some(),
-            has_peers: self.peers.socket().is_some(),
+            has_peers: self.peer_socket.socket().is_some(),
             is_drained: self.lifecycle.drained_since.is_some(),
             list: EndpointList {
                 generation: self.core.endpoints.generation,
@@ -49,7 +50,7 @@
         };
         let mut descriptors = vec![self.listeners.platform.as_fd()];
         descriptors.extend(self.listeners.sse.as_ref().map(|sse| sse.socket.as_fd()));
-        descriptors.extend(self.peers.socket().map(AsFd::as_fd));
+        descriptors.extend(self.peer_socket.socket().map(AsFd::as_fd));
         if send(&process.link, &message, &[], &descriptors).is_err() {
             return self.on_peer_process_closed();
         }
@@ -58,21 +59,21 @@
         for descriptor in &descriptors {
             self.reactor.unwatch(descriptor);
         }
-        self.hot_restart.has_handed_over = true;
+        self.lifecycle.has_handed_over = true;
         self.listeners.is_accepting = false;
-        self.suspend_fleet();
+        self.membership.suspend(&mut context!(self), &mut self.discovery);
         self.hot_restart.socket = None;
         tracing::info!(open = self.core.ledger.open(), "hot restart: handing over to the successor");
-        self.core.set_timer(self.now + 1, HANDOVER_TIMER);
+        self.core.set_timer(self.clock.now() + 1, HANDOVER_TIMER);
     }
 
     /// Hands over what can go now.
     pub(in crate::server) fn on_handover_timer(&mut self) {
-        if !self.has_handed_over() {
+        if !self.lifecycle.has_handed_over {
             return;
         }
         // What the policy still has to say of these requests comes first.
-        self.core.batch(self.now);
+        self.core.batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
             let token = self.reactor.connections().token_at(slot);
@@ -87,9 +88,10 @@
         }
         self.transfer_jobs();
         self.send_open_work();
-        if self.has_handed_over() && (self.reactor.connections().clients() > 0 || self.core.ledger.open() > 0)
+        if self.lifecycle.has_handed_over
+            && (self.reactor.connections().clients() > 0 || self.core.ledger.open() > 0)
         {
-            self.core.set_timer(self.now + HANDOVER_INTERVAL, HANDOVER_TIMER);
+            self.core.set_timer(self.clock.now() + HANDOVER_INTERVAL, HANDOVER_TIMER);
         }
     }
 
@@ -171,7 +173,7 @@
         };
         let message = HandoverMessage::Upstream {
             worker: endpoint.row.instance_id.clone(),
-            idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.now)),
+            idle_time_left: connection.timer.map_or(0, |at| at.saturating_sub(self.clock.now())),
         };
         if self.hot_restart.send(&message, &[], &[connection.stream.as_fd()]) {
             self.reactor.unwatch(&connection.stream);
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -10,7 +10,7 @@
 use crate::policy::interface::Micros;
 use crate::server::Server;
 
-/// Whether this process is draining or shutting down, and how far it is.
+/// Whether this process is draining, shutting down or being replaced, and how far it is.
 #[derive(Default)]
 pub(in crate::server) struct Lifecycle {
     /// The plan of the shutdown, once that has been asked for.
@@ -23,6 +23,8 @@
     pub is_drain_timer_set: bool,
     /// The shutdown is complete.
     pub is_done: bool,
+    /// This process has handed its listening sockets over to a successor.
+    pub has_handed_over: bool,
 }
 
 impl Lifecycle {
@@ -41,11 +43,11 @@
     /// Whether clients keep their connections: all the time while serving, and while shutting down as long as no other
     /// dispatcher could take them. Out of service they are let go in any case.
     pub(in crate::server) fn keeps_client_connections(&self) -> bool {
-        if self.has_handed_over() {
+        if self.lifecycle.has_handed_over {
             return true; // they go over to the successor as they are
         }
         let is_held =
-            |plan: ShutdownPlan| self.now < plan.keep_clients_until && self.peers.have_all_stopped();
+            |plan: ShutdownPlan| self.clock.now() < plan.keep_clients_until && self.peers.have_all_stopped();
         self.lifecycle.drained_since.is_none() && self.lifecycle.shutdown.is_none_or(is_held)
     }
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -12,6 +12,7 @@
 use crate::policy::interface::SettingsError;
 use crate::server::Server;
 use crate::server::budget::Budget;
+use crate::server::context::context;
 use crate::server::idempotency_store;
 
 /// Why a new configuration was not taken.
@@ -34,7 +35,7 @@
         self.signals.clear_wakeups();
         if self.signals.take_shutdown() {
             self.start_shutdown();
-            self.leave_fleet();
+            self.membership.leave(&mut context!(self), &mut self.discovery);
         }
         // Also while shutting down: what discovery sends until the end still counts.
         if self.signals.take_reload() {
@@ -57,7 +58,7 @@
     fn load_new_config(&mut self) -> Result<Config, ReloadError> {
         let mut config = self.config.reload(self.core.names())?;
         let names = std::mem::take(&mut config.names);
-        self.check_fleet_restart(&config)?;
+        self.membership.check_restart(&config, self.clock.now())?;
         self.core.reconfigure(config.settings.clone(), names)?;
         Ok(config)
     }
@@ -72,13 +73,17 @@
         let old = std::mem::replace(&mut self.config, config);
         let own_place = self.config.settings.me;
         if own_place != old.settings.me || self.config.peers != old.peers {
-            self.peers.renumber(&old.peers, &self.config);
-            self.restart_fleet();
+            self.peers.renumber(&mut self.peer_socket, &old.peers, &self.config);
+            self.membership.restart(&mut context!(self), &mut self.discovery);
         }
         if has_discovery_moved {
-            self.on_discovery_moved();
+            self.discovery.on_service_moved(&mut context!(self), &mut self.membership);
             self.core.on_discovery_moved();
         }
-        self.discovery.reconfigure(&mut self.core, self.now, DiscoverySettings::from(&self.config.settings));
+        self.discovery.reconfigure(
+            &mut self.core,
+            self.clock.now(),
+            DiscoverySettings::from(&self.config.settings),
+        );
     }
 }
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -10,6 +10,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::downstream::MIN_IDLE_BEFORE_CLOSE;
 use crate::server::lifecycle::drain::IdleClients;
 use crate::server::listeners::ListenerKind;
@@ -28,8 +29,8 @@
         }
         self.lifecycle.shutdown = Some(self.plan_shutdown());
         tracing::info!(open = self.core.ledger.open(), "shutdown started");
-        self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
-        self.announce_state();
+        self.core.set_timer(self.clock.now() + STEP_INTERVAL, SHUTDOWN_TIMER);
+        self.peers.announce_state(&mut context!(self));
     }
 
     fn plan_shutdown(&self) -> ShutdownPlan {
@@ -42,14 +43,14 @@
         let named = deadlines().filter(|(number, _)| is_named(*number));
         let longest_named = named.map(|(_, deadline)| deadline).max();
         let longest = deadlines().map(|(_, deadline)| deadline).max();
-        ShutdownPlan::new(self.now, longest_named.unwrap_or(0), longest.unwrap_or(0))
+        ShutdownPlan::new(self.clock.now(), longest_named.unwrap_or(0), longest.unwrap_or(0))
     }
 
     /// Takes the next step of the plan that is due.
     pub(in crate::server) fn on_shutdown_timer(&mut self) {
         let Some(plan) = self.lifecycle.shutdown else { return };
         let keeps_clients = self.keeps_client_connections();
-        if self.now >= plan.close_idle_at && !keeps_clients {
+        if self.clock.now() >= plan.close_idle_at && !keeps_clients {
             // Workers send callbacks until the last job is done.
             let which = match self.core.ledger.open() {
                 0 => IdleClients::All,
@@ -57,15 +58,16 @@
             };
             self.close_idle_clients(MIN_IDLE_BEFORE_CLOSE, which);
         }
-        if self.now >= plan.give_up_at {
-            self.core.fail_all(self.now);
+        if self.clock.now() >= plan.give_up_at {
+            self.core.fail_all(self.clock.now());
             self.run_commands();
         }
-        let may_end = self.has_handed_over() || self.now >= plan.arrivals_end_at && !keeps_clients;
+        let may_end =
+            self.lifecycle.has_handed_over || self.clock.now() >= plan.arrivals_end_at && !keeps_clients;
         if may_end && self.is_quiescent(plan) {
             // A client whose last connection has just ended may be back with a new one.
-            let since = *self.lifecycle.quiescent_since.get_or_insert(self.now);
-            if self.now >= since + MIN_IDLE_BEFORE_CLOSE {
+            let since = *self.lifecycle.quiescent_since.get_or_insert(self.clock.now());
+            if self.clock.now() >= since + MIN_IDLE_BEFORE_CLOSE {
                 tracing::info!(open = self.core.ledger.open(), "shutdown complete");
                 self.lifecycle.is_done = true;
                 return;
@@ -73,27 +75,29 @@
         } else {
             self.lifecycle.quiescent_since = None;
         }
-        self.core.set_timer(self.now + STEP_INTERVAL, SHUTDOWN_TIMER);
+        self.core.set_timer(self.clock.now() + STEP_INTERVAL, SHUTDOWN_TIMER);
     }
 
     /// Whether nothing is left to answer or to be read: what the kernel has accepted by now is taken too.
     fn is_quiescent(&mut self, plan: ShutdownPlan) -> bool {
-        if !self.has_handed_over() {
+        if !self.lifecycle.has_handed_over {
             self.accept_clients(ListenerKind::Platform);
             self.accept_clients(ListenerKind::Sse);
         }
         let is_work_left = self.core.ledger.open() > 0
             || self.reactor.connections().iter().any(|(connection, role)| self.is_busy(connection, role));
-        !is_work_left || self.now >= plan.give_up_at + MAX_OVERTIME
+        !is_work_left || self.clock.now() >= plan.give_up_at + MAX_OVERTIME
     }
 
     /// Whether a connection may still have something to answer, or to be read.
     fn is_busy(&self, connection: &Connection, role: &Role) -> bool {
-        let idle_before = self.now.saturating_sub(MIN_IDLE_BEFORE_CLOSE);
+        let idle_before = self.clock.now().saturating_sub(MIN_IDLE_BEFORE_CLOSE);
         let has_output = !connection.outbox.is_empty();
         match role {
             Role::Client(client) => {
-                client.is_busy(idle_before) || self.has_handed_over() && client.is_reading() || has_output
+                client.is_busy(idle_before)
+                    || self.lifecycle.has_handed_over && client.is_reading()
+                    || has_output
             }
             _ => has_output,
         }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -3,12 +3,13 @@
 //! the admin page.
 
 use crate::config::Config;
-use crate::core::Core;
 use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::admin::{MemberRow, MembersPage};
+use crate::server::FLEET_TIMER;
+use crate::server::context::Context;
+use crate::server::discovery::DiscoveryClient;
 use crate::server::timer_slot::TimerSlot;
-use crate::server::{FLEET_TIMER, Server};
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -52,124 +53,137 @@
         self.fleet.publish(now, fact);
     }
 
-    fn on_timer(&mut self, now: Micros, learners: &mut Learners) {
-        self.timer.on_fired();
-        self.fleet.on_timer(now);
-        if self.fleet.can_publish() && self.next_publish.is_some_and(|at| at <= now) {
-            for fact in learners.publish(now) {
-                self.fleet.publish(now, &fact);
-            }
-            self.next_publish = learners.next_publish(now);
-        }
-    }
-
-    fn update_timer(&mut self, now: Micros, core: &mut Core) {
-        let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
-        let wake = self.fleet.next_wake(now).into_iter().chain(next_publish).min();
-        self.timer.set(core, wake);
-    }
-}
-
-impl Server {
     /// Takes a datagram if it belongs to the fleet; returns whether it does.
-    pub(in crate::server) fn on_fleet_datagram(&mut self, from: u32, bytes: &[u8]) -> bool {
-        let is_accepted = self.membership.fleet.accepts(bytes);
+    pub(in crate::server) fn on_datagram(
+        &mut self,
+        context: &mut Context<'_>,
+        discovery: &mut DiscoveryClient,
+        from: u32,
+        bytes: &[u8],
+    ) -> bool {
+        let is_accepted = self.fleet.accepts(bytes);
         if is_accepted {
-            self.membership.fleet.on_datagram(self.now, from, bytes);
-            self.apply_fleet_outputs();
+            self.fleet.on_datagram(context.now(), from, bytes);
+            self.apply_outputs(context, discovery);
         }
         is_accepted
     }
 
     /// The fleet's timer has fired.
-    pub(in crate::server) fn on_fleet_timer(&mut self) {
-        self.membership.on_timer(self.now, &mut self.core.learners);
-        self.apply_fleet_outputs();
+    pub(in crate::server) fn on_timer(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
+        let now = context.now();
+        self.timer.on_fired();
+        self.fleet.on_timer(now);
+        if self.fleet.can_publish() && self.next_publish.is_some_and(|at| at <= now) {
+            self.publish_learned(now, &mut context.core.learners);
+        }
+        self.apply_outputs(context, discovery);
+    }
+
+    fn publish_learned(&mut self, now: Micros, learners: &mut Learners) {
+        for fact in learners.publish(now) {
+            self.fleet.publish(now, &fact);
+        }
+        self.next_publish = learners.next_publish(now);
     }
 
     /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
-    pub(in crate::server) fn leave_fleet(&mut self) {
-        if !self.has_handed_over() {
-            self.membership.fleet.leave(self.now);
-            self.apply_fleet_outputs();
+    pub(in crate::server) fn leave(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
+        if !context.lifecycle.has_handed_over {
+            self.fleet.leave(context.now());
+            self.apply_outputs(context, discovery);
         }
     }
 
     /// Another process speaks for this place from now on.
-    pub(in crate::server) fn suspend_fleet(&mut self) {
-        self.membership.fleet.suspend();
-        self.apply_fleet_outputs();
+    pub(in crate::server) fn suspend(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
+        self.fleet.suspend();
+        self.apply_outputs(context, discovery);
     }
 
     /// Whether the parts that are on could restart under this configuration.
-    pub(in crate::server) fn check_fleet_restart(&self, config: &Config) -> Result<(), FleetError> {
-        self.membership.fleet.check_restart(new_identity(config), self.now)
+    ///
+    /// # Errors
+    /// Where they lack what they need.
+    pub(in crate::server) fn check_restart(&self, config: &Config, now: Micros) -> Result<(), FleetError> {
+        self.fleet.check_restart(new_identity(config), now)
     }
 
     /// Restarts with a new epoch: among other peers, or since the process that spoke for this place has ended.
-    pub(in crate::server) fn restart_fleet(&mut self) {
-        if self.has_handed_over() {
+    pub(in crate::server) fn restart(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
+        if context.lifecycle.has_handed_over {
             return;
         }
-        let identity = new_identity(&self.config);
-        let restarted = self.membership.fleet.restart(identity, self.now);
-        self.core.learners.restart(identity, self.now);
+        let (identity, now) = (new_identity(context.config), context.now());
+        let restarted = self.fleet.restart(identity, now);
+        context.core.learners.restart(identity, now);
         mothproxy_invariant::invariant!(restarted.is_ok(), "a configuration that was checked");
-        self.apply_fleet_outputs();
+        self.apply_outputs(context, discovery);
     }
 
-    /// Does what the fleet wants done, and sets its timer.
-    pub(in crate::server) fn apply_fleet_outputs(&mut self) {
-        while let Some(output) = self.membership.fleet.poll() {
+    /// Does what the fleet wants done, and sets its timer. What other members publish may concern the pacing of `discovery`,
+    /// which publishes in return.
+    pub(in crate::server) fn apply_outputs(
+        &mut self,
+        context: &mut Context<'_>,
+        discovery: &mut DiscoveryClient,
+    ) {
+        while let Some(output) = self.fleet.poll() {
             match output {
-                FleetOutput::Send { to, bytes } => self.send_to_peer(to, &bytes),
-                FleetOutput::PeerPresence(peers) => self.core.on_peer_presence(peers),
+                FleetOutput::Send { to, bytes } => context.send_to_peer(to, &bytes),
+                FleetOutput::PeerPresence(peers) => context.core.on_peer_presence(peers),
                 FleetOutput::MemberChanged(change) => {
-                    self.core.learners.on_member_changed(self.now, change);
-                    self.pace_on_member_changed(change);
+                    context.core.learners.on_member_changed(context.clock.now(), change);
+                    discovery.on_member_changed(context, self, change);
                 }
                 FleetOutput::Fact(fact) => {
-                    self.core.learners.absorb(self.now, &fact);
-                    self.pace_on_fact(&fact);
+                    context.core.learners.absorb(context.clock.now(), &fact);
+                    discovery.on_fact(context, self, &fact);
                 }
                 FleetOutput::LogChange { change, suppressed } => {
-                    self.log_member_change(change, suppressed);
+                    log_member_change(context.config, change, suppressed);
                 }
             }
         }
-        self.membership.update_timer(self.now, &mut self.core);
+        self.update_timer(context);
     }
 
-    fn log_member_change(&self, change: Change, suppressed: u64) {
-        let address = self.config.peers.get(usize::from(change.place));
-        let address = address.map_or("?".to_owned(), ToString::to_string);
-        let more = if suppressed > 0 { format!(", {suppressed} not shown before") } else { String::new() };
-        tracing::info!(
-            "member {} at {address}: {:?} to {:?}, epoch {}, view {}{more}",
-            change.place,
-            change.from,
-            change.to,
-            change.epoch,
-            change.version
-        );
+    fn update_timer(&mut self, context: &mut Context<'_>) {
+        let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
+        let wake = self.fleet.next_wake(context.now()).into_iter().chain(next_publish).min();
+        self.timer.set(context.core, wake);
     }
 
     /// The members as this process sees them, where membership is on.
-    pub(in crate::server) fn members_page(&self) -> Option<MembersPage> {
-        let (view, figures) = self.membership.fleet.view().zip(self.membership.fleet.metrics())?;
+    pub(in crate::server) fn members_page(&self, config: &Config, now: Micros) -> Option<MembersPage> {
+        let (view, figures) = self.fleet.view().zip(self.fleet.metrics())?;
         let row = |(place, member): (u16, &Member)| MemberRow {
             place,
-            address: self.config.peers.get(usize::from(place)).map(ToString::to_string).unwrap_or_default(),
+            address: config.peers.get(usize::from(place)).map(ToString::to_string).unwrap_or_default(),
             state: format!("{:?}", member.state).to_lowercase(),
             epoch: member.epoch,
             incarnation: member.incarnation,
-            for_ms: self.now.saturating_sub(member.since) / MICROS_PER_MS,
+            for_ms: now.saturating_sub(member.since) / MICROS_PER_MS,
         };
         Some(MembersPage {
-            me: self.config.settings.me,
+            me: config.settings.me,
             version: view.version(),
             members: view.iter().map(row).collect(),
             figures,
         })
     }
 }
+
+fn log_member_change(config: &Config, change: Change, suppressed: u64) {
+    let address = config.peers.get(usize::from(change.place));
+    let address = address.map_or("?".to_owned(), ToString::to_string);
+    let more = if suppressed > 0 { format!(", {suppressed} not shown before") } else { String::new() };
+    tracing::info!(
+        "member {} at {address}: {:?} to {:?}, epoch {}, view {}{more}",
+        change.place,
+        change.from,
+        change.to,
+        change.epoch,
+        change.version
+    );
+}
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,8 +5,10 @@
 
 mod admin;
 mod budget;
+mod clock;
 mod connection;
 mod connection_table;
+mod context;
 mod discovery;
 mod downstream;
 mod error;
@@ -33,6 +35,7 @@
 use crate::policy::interface::{Class, Micros};
 use admin::AdminServer;
 use budget::{Budget, RESERVED_DESCRIPTORS};
+use clock::Clock;
 use connection_table::Role;
 use discovery::DiscoveryClient;
 use downstream::event_streams::EventStreams;
@@ -45,13 +48,13 @@
 use listeners::{Listeners, is_at, listen};
 use membership::MembershipLink;
 use metrics::{LoggedMetrics, METRICS_INTERVAL, Metrics};
-use peers::PeerLink;
+use peers::{PeerLink, PeerSocket};
 use pending_requests::PendingRequests;
 use reactor::Reactor;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::path::{Path, PathBuf};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokens::{
     ADMIN, FLEET_TIMER, FULL_LIST_TIMER, IDEMPOTENCY_STORE, METRICS_TIMER, PEER_TIMER, PEERS, PLATFORM,
     POLL_TIMER, SIGNAL, SSE, STALE_LIST_TIMER, Token, WATCH_TIMER,
@@ -78,10 +81,7 @@
     classes: Vec<Class>,
     /// Everything that is decided.
     core: Core,
-    /// The origin of this process's clock.
-    started: Instant,
-    /// When the events of this turn were taken.
-    now: Micros,
+    clock: Clock,
     /// When all connections were last polled.
     polled_at: PollTime,
     /// Epoll, and all connections, of clients and others.
@@ -90,7 +90,9 @@
     admin: AdminServer,
     signals: Signals,
     hot_restart: HotRestart,
-    /// The datagrams between dispatchers.
+    /// The datagram socket between dispatchers.
+    peer_socket: PeerSocket,
+    /// What dispatchers announce to each other.
     peers: PeerLink,
     membership: MembershipLink,
     /// Where idempotency records are persisted, if they are.
@@ -191,7 +193,7 @@
         let takeover = restart_path.as_deref().map_or(TakeoverResult::NoPredecessor, request_takeover);
         let should_retry = matches!(takeover, TakeoverResult::Refused);
         let mut inheritance = takeover.into_inheritance();
-        let started = Instant::now();
+        let clock = Clock::start();
         let classes = config.settings.classes.clone();
         let mut core = open_core(&mut config)?;
         let inherited =
@@ -200,7 +202,7 @@
         let admin = config.admin.map(listen).transpose()?;
         let peers = open_peer_socket(inherited.peers, config.peer_listen)?;
         let reactor = Reactor::new().map_err(system("epoll"))?;
-        let now = Core::clock_start();
+        let now = clock.now();
         let newest_start = load_initial_state(&mut core, now, &config, inheritance.as_mut());
         core.set_timer(now + METRICS_INTERVAL, METRICS_TIMER);
         let reserved = if state.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
@@ -211,15 +213,15 @@
         let mut server = Server {
             classes,
             core,
-            started,
-            now,
+            clock,
             polled_at: PollTime::default(),
             reactor,
             listeners,
             admin: AdminServer::new(admin),
             signals,
             hot_restart: HotRestart::default(),
-            peers: PeerLink::new(peers, &config),
+            peer_socket: PeerSocket::new(peers, &config),
+            peers: PeerLink::new(&config),
             membership,
             records: None,
             event_streams: sse.map(EventStreams::new),
@@ -238,7 +240,7 @@
             server.open_record_store(dir)?;
         }
         server.join_hot_restart(restart_path, inheritance);
-        server.discovery.start(&mut server.core, server.now, newest_start);
+        server.discovery.start(&mut server.core, server.clock.now(), newest_start);
         Ok(server)
     }
 
@@ -252,7 +254,7 @@
         if let Some(admin) = self.admin.listener() {
             self.watch_descriptor(admin.as_fd(), ADMIN)?;
         }
-        if let Some(peers) = self.peers.socket() {
+        if let Some(peers) = self.peer_socket.socket() {
             self.watch_descriptor(peers.as_fd(), PEERS)?;
         }
         Ok(())
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -89,7 +89,13 @@
     /// An attempt has come to nothing.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let AttemptId { request_id, number } = attempt;
-        self.core.on_attempt_ended(self.now, request_id, number, AttemptOutcome::Unserved(outcome), None);
+        self.core.on_attempt_ended(
+            self.clock.now(),
+            request_id,
+            number,
+            AttemptOutcome::Unserved(outcome),
+            None,
+        );
     }
 
     /// An exchange is over without a response. `token` is its connection, if it had one.
@@ -118,13 +124,13 @@
     /// A load probe has failed: without a connection it never went out; with one it fails once.
     fn on_load_probe_failed(&mut self, token: Option<Token>, worker: WorkerId, outcome: Outcome) {
         let sent_at = match token {
-            None => self.now,
+            None => self.clock.now(),
             Some(token) => match self.upstream.probes.remove(&token) {
                 Some(probe) => probe.sent_at,
                 None => return,
             },
         };
-        self.core.on_probe_response(worker, outcome, self.now.saturating_sub(sent_at), None);
+        self.core.on_probe_response(worker, outcome, self.clock.now().saturating_sub(sent_at), None);
     }
 
     /// The deadline of a connection has come.
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -99,9 +99,9 @@
             self.cancel_if_client_disconnected(attempt.request_id); // then nothing of it is written from here
         }
         upstream.state = UpstreamState::Awaiting(exchange);
-        let connect_time = self.now.saturating_sub(upstream.connect_started);
+        let connect_time = self.clock.now().saturating_sub(upstream.connect_started);
         upstream.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
-        let deadline = upstream.response_timeout.map(|timeout| self.now + timeout);
+        let deadline = upstream.response_timeout.map(|timeout| self.clock.now() + timeout);
         connection.set_timer(&mut self.core, token, deadline);
     }
 
@@ -211,7 +211,7 @@
                     platform::load_report_from_head(self.core.names(), &connection.inbox, &head.fields);
                 let AttemptId { request_id, number } = attempt;
                 let outcome = AttemptOutcome::Unserved(outcome);
-                self.core.on_attempt_ended(self.now, request_id, number, outcome, report);
+                self.core.on_attempt_ended(self.clock.now(), request_id, number, outcome, report);
             }
         }
         connection.inbox.drain(..head.len);
@@ -229,7 +229,7 @@
         let Some(PendingProbe { worker, sent_at }) = self.upstream.probes.remove(&token) else { return };
         let outcome = if status == 200 { Outcome::Ok } else { Outcome::Error };
         let report = platform::load_report_from_body(self.core.names(), body);
-        self.core.on_probe_response(worker, outcome, self.now.saturating_sub(sent_at), report);
+        self.core.on_probe_response(worker, outcome, self.clock.now().saturating_sub(sent_at), report);
     }
 
     /// An event of a worker's stream; its data has the form of a status callback.
@@ -240,7 +240,7 @@
             Some(callback) => {
                 let AttemptId { request_id, number } = attempt;
                 let (status, report) = (callback.status, callback.report);
-                self.core.on_attempt_status(self.now, request_id, number, status, report);
+                self.core.on_attempt_status(self.clock.now(), request_id, number, status, report);
             }
             None => self.metrics.rejects += 1,
         }
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -32,12 +32,13 @@
         connection: Connection,
         idle_time_left: Micros,
     ) {
-        let upstream = UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), self.now);
+        let upstream =
+            UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), self.clock.now());
         let Some(token) = self.reactor.add(connection, Role::Upstream(upstream)) else { return };
         let Some((connection, Role::Upstream(upstream))) = self.reactor.take(token) else { return };
         self.finish_upstream_event(token, connection, upstream);
         if let Some((mut connection, role)) = self.reactor.take(token) {
-            let until = self.now + idle_time_left.min(self.max_upstream_idle());
+            let until = self.clock.now() + idle_time_left.min(self.max_upstream_idle());
             connection.set_timer(&mut self.core, token, Some(until));
             self.reactor.put(token, connection, role);
         }
@@ -45,7 +46,7 @@
 
     /// Forwards a request to a worker, unless its client has disconnected.
     pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
-        if self.polled_at.is_old(self.elapsed_time()) {
+        if self.polled_at.is_old(self.clock.elapsed()) {
             self.cancel_if_client_disconnected(request_id);
         }
         let attempt = AttemptId { request_id, number };
@@ -117,7 +118,7 @@
             needs_new_connection: false,
         };
         if let Some(token) = self.assign_connection(outgoing) {
-            self.upstream.probes.insert(token, PendingProbe { worker, sent_at: self.now });
+            self.upstream.probes.insert(token, PendingProbe { worker, sent_at: self.clock.now() });
             self.start_exchange(token);
         }
     }
@@ -161,7 +162,7 @@
         let token = connection.and_then(|mut connection| {
             connection.outbox.push(pieces);
             let upstream =
-                UpstreamConnection::connecting(worker, address, exchange, response_timeout, self.now);
+                UpstreamConnection::connecting(worker, address, exchange, response_timeout, self.clock.now());
             self.reactor.add(connection, Role::Upstream(upstream))
         });
         if token.is_none() {
@@ -181,7 +182,7 @@
             UpstreamState::Awaiting(_) => upstream.response_timeout,
             _ => None,
         };
-        connection.set_timer(&mut self.core, token, timeout.map(|timeout| self.now + timeout));
+        connection.set_timer(&mut self.core, token, timeout.map(|timeout| self.clock.now() + timeout));
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
             // Writable once it is up; the message waits until then.
             self.reactor.set_interest(token, &mut connection, true, true);
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -22,10 +22,11 @@
             && let UpstreamState::Awaiting(Exchange::Attempt(attempt)) = upstream.state
         {
             let has_begun = connection.outbox.len() < length;
-            self.update_clock(); // a turn may be long, and the last bytes of it late
+            self.clock.update(); // a turn may be long, and the last bytes of it late
             let is_usable = self.is_endpoint_usable(upstream);
             let AttemptId { request_id, number } = attempt;
-            let may_write = self.core.may_write(self.now, request_id, number, upstream.transit_allowance);
+            let may_write =
+                self.core.may_write(self.clock.now(), request_id, number, upstream.transit_allowance);
             if !may_write || !(is_usable || has_begun) {
                 self.withhold_attempt(token, connection, upstream, attempt);
                 return is_usable && !has_begun;
@@ -75,7 +76,7 @@
         attempt: AttemptId,
     ) {
         let Some(raw) = self.pending.get(attempt.request_id) else { return };
-        let time_left = self.core.time_left(self.now, attempt.request_id, attempt.number);
+        let time_left = self.core.time_left(self.clock.now(), attempt.request_id, attempt.number);
         connection.outbox.clear();
         connection.outbox.push(platform::forwarded_request(raw, time_left));
         upstream.unwritten_length = Some(connection.outbox.len());
@@ -108,7 +109,7 @@
             UpstreamState::Streaming(_) => connection.set_timer(&mut self.core, token, None),
             // A response may never end.
             UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
-                connection.set_timer(&mut self.core, token, Some(self.now + SIDE_EXCHANGE_TIMEOUT));
+                connection.set_timer(&mut self.core, token, Some(self.clock.now() + SIDE_EXCHANGE_TIMEOUT));
             }
             UpstreamState::Idle => self.rest_upstream(token, &mut connection, &upstream),
             _ => {}
@@ -121,7 +122,7 @@
     fn rest_upstream(&mut self, token: Token, connection: &mut Connection, upstream: &UpstreamConnection) {
         let max_idle = self.max_upstream_idle();
         let cooldown = upstream.cooldown.min(max_idle / 2);
-        let until = self.now + if cooldown > 0 { cooldown } else { max_idle };
+        let until = self.clock.now() + if cooldown > 0 { cooldown } else { max_idle };
         connection.set_timer(&mut self.core, token, Some(until));
         if cooldown == 0 && connection.outbox.is_empty() {
             self.upstream.add_idle(upstream.worker, token);
