--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -14,9 +14,11 @@
 }
 
 impl AttemptId {
-    /// The same as one number, for a store's ticket and for what learns of run times. It is unique as long as a request has at most
+    /// The same as one number, for a [`RecordTicket`] and for what learns of run times. It is unique as long as a request has at most
     /// 256 attempts; the settings allow far fewer.
-    pub(super) fn ticket(self) -> u64 {
+    ///
+    /// [`RecordTicket`]: super::commands::RecordTicket
+    pub(super) fn to_number(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.attempt & 0xff)
     }
 }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -3,6 +3,7 @@
 use super::idempotency::IdempotencyKey;
 use super::request::RequestId;
 use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
+use serde::{Deserialize, Serialize};
 
 /// A client's request as it arrives.
 #[derive(Clone, Debug)]
@@ -70,6 +71,20 @@
     TimedOut,
 }
 
+/// What an attempt waits with until its idempotency record is persisted. Between the processes of a hot restart it is a number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
+#[serde(transparent)]
+pub struct RecordTicket(pub(crate) u64);
+
+/// What became of an idempotency record that was to be persisted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PersistOutcome {
+    /// It is durable, as far as the store promises.
+    Written,
+    /// It could not be written.
+    Failed,
+}
+
 /// What the program round the core must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
@@ -86,7 +101,7 @@
     /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends or drops the attempt.
     PersistRecord {
         /// What to report the result under, if an attempt waits for it.
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         /// The key of the record.
         key: String,
         /// The encoded record; `None` deletes the key's record.
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -128,7 +128,7 @@
         }
         match fraction {
             None => self.learn_start(now, id),
-            Some(fraction) => self.learners.on_progress(now, id.ticket(), fraction),
+            Some(fraction) => self.learners.on_progress(now, id.to_number(), fraction),
         }
         self.notify_progress(request_id, fraction);
         let job = request_id.job();
@@ -161,7 +161,7 @@
         let job = job_traits(&self.names, request.job.class, request.job.tenant, request.job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let (worker, machine_type) = (&endpoint.row.instance_id, &endpoint.row.machine_type);
-            self.learners.on_started(now, id.ticket(), &job, worker, machine_type);
+            self.learners.on_started(now, id.to_number(), &job, worker, machine_type);
         }
     }
 
@@ -192,7 +192,7 @@
             }
             return is_response;
         }
-        self.learners.on_ended(now, id.ticket(), outcome == Outcome::Ok);
+        self.learners.on_ended(now, id.to_number(), outcome == Outcome::Ok);
         let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = request_id.job();
         let ended = AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report };
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
-use crate::core::commands::{Command, NewRequest};
+use crate::core::commands::{Command, NewRequest, PersistOutcome, RecordTicket};
 use crate::core::idempotency::{
     AttemptRecord, IdempotencyStore, LookupResult, RecordDecodeError, RecordUpdate,
 };
@@ -69,7 +69,7 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         result: Option<Vec<u8>>,
     ) {
         let Some(request) = self.requests.get(id) else { return };
@@ -101,14 +101,17 @@
         self.commands.push_back(Command::PersistRecord { ticket: None, key, record });
     }
 
-    /// The tickets of the attempts that wait for their records.
-    pub fn pending_tickets(&self) -> Vec<u64> {
-        self.unpersisted.keys().copied().collect()
+    /// The records that attempts wait for cannot be written any more.
+    pub fn fail_unpersisted(&mut self) {
+        let tickets: Vec<RecordTicket> = self.unpersisted.keys().copied().collect();
+        for ticket in tickets {
+            self.on_record_persisted(ticket, PersistOutcome::Failed);
+        }
     }
 
     /// The record of this ticket was written, or could not be. The attempt that waits for it is sent, or has never run and the
     /// decision module gives its request up.
-    pub fn on_record_persisted(&mut self, ticket: u64, is_written: bool) {
+    pub fn on_record_persisted(&mut self, ticket: RecordTicket, outcome: PersistOutcome) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
         let AttemptId { request_id, attempt } = id;
         let Some(request) = self.requests.get_mut(request_id) else { return };
@@ -117,7 +120,7 @@
             return;
         };
         let worker = this.worker;
-        if is_written && is_open {
+        if outcome == PersistOutcome::Written && is_open {
             return self.commands.push_back(Command::StartAttempt { request_id, attempt, worker });
         }
         this.finish(id, AttemptEnd::NeverRan, &mut self.timers);
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -16,7 +16,7 @@
 
 use super::attempt::{Attempt, AttemptEnd, AttemptId};
 use super::clock::{CLOCK_START, UnixClock};
-use super::commands::{Command, FinalResponse, NewRequest};
+use super::commands::{Command, FinalResponse, NewRequest, RecordTicket};
 use super::endpoint_table::EndpointTable;
 use super::event_queue::EventQueue;
 use super::idempotency::{AttemptRecord, IdempotencyStore, LookupResult};
@@ -59,7 +59,7 @@
     /// The records of keyed requests, where that is on.
     idempotency: Option<IdempotencyStore>,
     /// Attempts that wait until their record is persisted, by ticket.
-    unpersisted: HashMap<u64, AttemptId>,
+    unpersisted: HashMap<RecordTicket, AttemptId>,
     /// What is learned of jobs and shared with other dispatchers, where that is on.
     pub learners: Learners,
     /// Status updates of unknown requests, or of attempts that had ended.
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
-use crate::core::commands::{AttemptOutcome, Command, FinalResponse};
+use crate::core::commands::{AttemptOutcome, Command, FinalResponse, RecordTicket};
 use crate::core::ledger::Completion;
 use crate::core::request::{RequestId, RequestPhase};
 use crate::core::timers::Timer;
@@ -132,8 +132,9 @@
             self.timers.schedule(at, Timer::AttemptTimeout(id));
         }
         if has_key {
-            self.unpersisted.insert(id.ticket(), id);
-            self.persist_record(now, request_id, Some(id.ticket()), None);
+            let ticket = RecordTicket(id.to_number());
+            self.unpersisted.insert(ticket, id);
+            self.persist_record(now, request_id, Some(ticket), None);
         } else {
             self.commands.push_back(Command::StartAttempt { request_id, attempt, worker });
         }
@@ -145,7 +146,7 @@
         let AttemptId { request_id, attempt } = id;
         let Some(request) = self.requests.get(request_id) else { return };
         let Some(worker) = request.in_flight(attempt).map(|attempt| attempt.worker) else { return };
-        let outcome = if self.unpersisted.remove(&id.ticket()).is_some() {
+        let outcome = if self.unpersisted.remove(&RecordTicket(id.to_number())).is_some() {
             Outcome::NeverSent
         } else {
             let name = request.name.clone();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -32,6 +32,8 @@
 pub mod transfer;
 pub mod watch_liveness;
 
-pub use commands::{AttemptOutcome, Command, FinalResponse, JobStatus, NewRequest};
+pub use commands::{
+    AttemptOutcome, Command, FinalResponse, JobStatus, NewRequest, PersistOutcome, RecordTicket,
+};
 pub use engine::Core;
 pub use request::RequestId;
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -6,6 +6,7 @@
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
 use crate::server::connection::{Connection, ReadEnd};
+use crate::server::context::{Context, context};
 use crate::server::downstream::event_streams::EventStreams;
 use crate::server::{ADMIN, Role, Server, Token};
 use rustix::event::epoll::EventFlags;
@@ -49,11 +50,6 @@
         token == ADMIN || self.connections.contains(&token)
     }
 
-    /// A connection has been closed.
-    fn on_closed(&mut self, token: Token) {
-        self.connections.retain(|connection| *connection != token);
-    }
-
     /// The next connection that waits to be accepted.
     fn accept(&self) -> Option<Connection> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -61,10 +57,79 @@
         Some(Connection::new(TcpStream::from(fd)))
     }
 
+    /// Takes a new connection in; the oldest one gives way where no more may be held. `None` where epoll refuses it.
+    fn add(&mut self, context: &mut Context<'_>, connection: Connection) -> Option<Token> {
+        if let Some(oldest) = self.take_excess() {
+            context.reactor.close_token(context.core, oldest);
+        }
+        let token = context.reactor.add(connection, Role::Admin(AdminConnection { is_answered: false }))?;
+        self.connections.push_back(token);
+        if let Some((mut connection, role)) = context.reactor.take(token) {
+            connection.set_timer(context.core, token, Some(context.clock.now() + CALL_TIMEOUT));
+            context.reactor.put(token, connection, role);
+        }
+        Some(token)
+    }
+
     /// The connection that gives way to a new one, where no more may be held.
     fn take_excess(&mut self) -> Option<Token> {
         if self.connections.len() >= MAX_CONNECTIONS { self.connections.pop_front() } else { None }
     }
+
+    /// Writes the answer of a call, and closes its connection once that is written.
+    fn write_answer(
+        &mut self,
+        context: &mut Context<'_>,
+        token: Token,
+        mut connection: Connection,
+        caller: AdminConnection,
+        flags: EventFlags,
+    ) {
+        let is_broken = !connection.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
+        if is_broken || caller.is_answered && connection.outbox.is_empty() {
+            return self.close(context, token, connection, caller);
+        }
+        context.reactor.update_interest(token, &mut connection, !caller.is_answered);
+        context.reactor.put(token, connection, Role::Admin(caller));
+    }
+
+    /// Closes a connection: it has had its answer, or its time.
+    pub(in crate::server) fn close(
+        &mut self,
+        context: &mut Context<'_>,
+        token: Token,
+        connection: Connection,
+        caller: AdminConnection,
+    ) {
+        self.connections.retain(|other| *other != token);
+        context.reactor.close(context.core, token, connection, Role::Admin(caller));
+    }
+}
+
+/// What has come of a call.
+enum CallRead {
+    /// Nothing new: it is not whole yet, or answered already.
+    Pending,
+    /// It is whole, or known to be none.
+    Complete(Result<AdminCall, Reject>),
+    /// Its caller has gone.
+    Ended,
+}
+
+impl AdminConnection {
+    /// Reads what has come, as the flags say.
+    fn read_call(&self, connection: &mut Connection, flags: EventFlags) -> CallRead {
+        let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
+        if self.is_answered || !is_readable {
+            return CallRead::Pending;
+        }
+        let end = connection.fill(MAX_CALL_BYTES);
+        match parse_call(&connection.inbox, end) {
+            Some(call) => CallRead::Complete(call),
+            None if end != ReadEnd::WouldBlock => CallRead::Ended,
+            None => CallRead::Pending,
+        }
+    }
 }
 
 /// Reads a call. `None` until it is whole, or known to be none.
@@ -89,20 +154,14 @@
     Some(admin::route(inbox, &head))
 }
 
+/// What needs all parts: the calls are answered out of them.
 impl Server {
-    /// Connections wait to be accepted.
+    /// Connections wait to be accepted. Often the call is there already.
     pub(in crate::server) fn accept_admin(&mut self) {
         for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
-            let Some(conn) = self.admin.accept() else { return };
-            if let Some(oldest) = self.admin.take_excess() {
-                self.reactor.close_token(&mut self.core, oldest);
-            }
-            let connection = AdminConnection { is_answered: false };
-            let Some(token) = self.reactor.add(conn, Role::Admin(connection)) else { continue };
-            self.admin.connections.push_back(token);
-            if let Some((mut conn, Role::Admin(connection))) = self.reactor.take(token) {
-                conn.set_timer(&mut self.core, token, Some(self.clock.now() + CALL_TIMEOUT));
-                self.on_admin_ready(token, conn, connection, EventFlags::IN);
+            let Some(connection) = self.admin.accept() else { return };
+            if let Some(token) = self.admin.add(&mut context!(self), connection) {
+                self.on_ready(token, EventFlags::IN);
             }
         }
     }
@@ -111,44 +170,26 @@
     pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
-        mut conn: Connection,
-        mut connection: AdminConnection,
+        mut connection: Connection,
+        mut caller: AdminConnection,
         flags: EventFlags,
     ) {
-        let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
-        if !connection.is_answered && is_readable {
-            let end = conn.fill(MAX_CALL_BYTES);
-            if let Some(call) = parse_call(&conn.inbox, end) {
-                conn.outbox.push(self.answer_admin_call(call));
-                connection.is_answered = true;
-            } else if end != ReadEnd::WouldBlock {
-                return self.close_admin(token, conn, connection);
+        match caller.read_call(&mut connection, flags) {
+            CallRead::Pending => {}
+            CallRead::Complete(call) => {
+                connection.outbox.push(self.answer_admin_call(call));
+                caller.is_answered = true;
             }
+            CallRead::Ended => return self.admin.close(&mut context!(self), token, connection, caller),
         }
-        let is_broken = !conn.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
-        if is_broken || connection.is_answered && conn.outbox.is_empty() {
-            return self.close_admin(token, conn, connection);
-        }
-        self.reactor.update_interest(token, &mut conn, !connection.is_answered);
-        self.reactor.put(token, conn, Role::Admin(connection));
-    }
-
-    /// Closes a connection to the admin address: it has had its response, or its time.
-    pub(in crate::server) fn close_admin(
-        &mut self,
-        token: Token,
-        conn: Connection,
-        connection: AdminConnection,
-    ) {
-        self.admin.on_closed(token);
-        self.reactor.close(&mut self.core, token, conn, Role::Admin(connection));
+        self.admin.write_answer(&mut context!(self), token, connection, caller, flags);
     }
 
     fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
             // Whether it takes clients is up to its successor.
             Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
-                if self.lifecycle.has_handed_over =>
+                if self.lifecycle.has_handed_over() =>
             {
                 admin::unavailable_page()
             }
@@ -186,7 +227,7 @@
             avoided: self.core.ejected_endpoints(self.clock.now()),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
-            idempotency: self.idempotency_metrics(),
+            idempotency: self.records.as_ref().and_then(|records| records.metrics(&self.core)),
             streams: self.event_streams.as_ref().map(EventStreams::metrics),
             members: self.membership.members_page(&self.config, self.clock.now()),
             learners: self.core.learners.metrics(),
--- a/src/server/context.rs
+++ b/src/server/context.rs
@@ -36,7 +36,7 @@
 
     /// Sends a datagram to another dispatcher, which may get lost. During an upgrade the successor speaks for both processes.
     pub fn send_to_peer(&self, to: u32, bytes: &[u8]) {
-        if !self.lifecycle.has_handed_over {
+        if !self.lifecycle.has_handed_over() {
             self.peer_socket.send(self.config, to, bytes);
         }
     }
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -1,26 +1,22 @@
-//! Accepting connections of clients, and pausing that while there is no capacity.
+//! Accepting connections of clients, as far as there is capacity.
 
-use crate::policy::interface::Micros;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::downstream::{ClientConnection, MAX_UNREAD_PROGRESS, MIN_IDLE_BEFORE_CLOSE};
 use crate::server::listeners::ListenerKind;
-use crate::server::tokens::ACCEPT_TIMER;
 use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use rustix::net::SocketFlags;
 use std::net::TcpStream;
 
-/// Accepting is tried again after this where there was no capacity.
-const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
-
 impl Server {
     /// Accepts what waits at a listener, as far as there is capacity.
     pub(in crate::server) fn accept_clients(&mut self, kind: ListenerKind) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.ensure_accept_capacity() {
-                return self.pause_accepting();
+                return self.listeners.pause(&mut context!(self));
             }
             let Some(listener) = self.listeners.socket(kind) else { return };
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -30,7 +26,7 @@
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     // None left, here or on the machine, though the budget has some.
                     let _ = self.close_idle_upstream() || self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
-                    return self.pause_accepting();
+                    return self.listeners.pause(&mut context!(self));
                 }
                 Err(_) => {}
             }
@@ -65,22 +61,4 @@
             self.close_if_disconnected(token); // so may its end be
         }
     }
-
-    /// With a level-triggered listener and no capacity, every turn would end at once: it is not watched for a while.
-    fn pause_accepting(&mut self) {
-        if std::mem::replace(&mut self.listeners.is_accepting, false) {
-            self.metrics.accept_pauses += 1;
-            self.listeners.set_interest(&self.reactor, EventFlags::empty());
-            self.core.set_timer(self.clock.now() + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
-        }
-    }
-
-    /// Accepts again, unless the listeners have been handed over.
-    pub(in crate::server) fn resume_accepting(&mut self) {
-        if self.lifecycle.has_handed_over {
-            return;
-        }
-        self.listeners.is_accepting = true;
-        self.listeners.set_interest(&self.reactor, EventFlags::IN);
-    }
 }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -160,7 +160,7 @@
 
     /// How long a client that loses its stream now should stay away.
     fn reconnect_delay(&self) -> Micros {
-        if self.lifecycle.is_draining() || self.lifecycle.has_handed_over {
+        if self.lifecycle.is_draining() || self.lifecycle.has_handed_over() {
             RECONNECT_DELAY_DRAINING
         } else if self.reactor.connections().clients() * 4 >= self.budget.clients * 3 {
             RECONNECT_DELAY_LOADED
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -168,7 +168,7 @@
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) -> Progress {
-        if connection.inbox.is_empty() || self.lifecycle.has_handed_over {
+        if connection.inbox.is_empty() || self.lifecycle.has_handed_over() {
             return Progress::Wait;
         }
         if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -19,7 +19,7 @@
         client: &mut ClientConnection,
         raw: RawRequest,
     ) {
-        if self.lifecycle.has_handed_over {
+        if self.lifecycle.has_handed_over() {
             // Its last chunk came after the handover began: it goes over as it came, to be taken there.
             connection.inbox = chunked_again(&raw, &connection.inbox);
             client.state = ClientState::Reading;
@@ -28,7 +28,8 @@
         if self.clients.untrack_awaiting_request(token, client) {
             connection.set_timer(&mut self.core, token, None);
         }
-        let keep_alive = raw.head.keep_alive && self.keeps_client_connections();
+        let keep_alive =
+            raw.head.keep_alive && self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers);
         client.finish_response(keep_alive);
         // A body longer than its stated length: what was cut off of it must not run as though it were whole.
         if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
@@ -63,7 +64,7 @@
             }
             Route::StatusCallback => self.on_status_callback(connection, client, &raw, keep_alive),
             Route::Submit(mut request) => {
-                if let Some(plan) = self.lifecycle.shutdown {
+                if let Some(plan) = self.lifecycle.shutdown() {
                     request.time_budget = plan.time_budget(self.clock.now(), request.time_budget);
                 }
                 // All descriptors for clients are at work: this one is rejected before anything has run, since
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -35,7 +35,8 @@
         };
         mothproxy_invariant::invariant!(awaited == request_id, "an answer for another session");
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
-        let keep_alive = keep_alive && (self.keeps_client_connections() || has_stream_begun);
+        let keep_alive = keep_alive
+            && (self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers) || has_stream_begun);
         match (stream, &response) {
             (Some(_), _) if has_stream_begun => connection.outbox.push(sse::final_event(response)),
             (Some(_), FinalResponse::Served(_)) => {
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -33,7 +33,7 @@
         self.peers.announce_state(context);
         self.membership.apply_outputs(context, &mut self.discovery);
         self.discovery.update_pacing(context, &mut self.membership);
-        while !self.lifecycle.is_done {
+        while !self.lifecycle.is_done() {
             self.clock.update();
             self.core.turn(self.clock.now());
             self.run_commands();
@@ -42,7 +42,7 @@
             self.polled_at = PollTime::new(self.clock.now(), events.len() == MAX_EVENTS_PER_WAIT);
             self.handle_events(&events);
         }
-        self.log_metrics();
+        self.logged_metrics.log_changed(&context!(self));
         Ok(())
     }
 
@@ -78,9 +78,13 @@
                 SSE => self.accept_clients(ListenerKind::Sse),
                 SIGNAL => self.on_signal(),
                 PEERS => self.on_peers_readable(),
-                RESTART_SOCKET => self.on_peer_process_connected(),
+                RESTART_SOCKET => self.hot_restart.on_process_connected(&self.reactor),
                 PEER_PROCESS => self.on_peer_process_readable(),
-                IDEMPOTENCY_STORE => self.on_records_written(),
+                IDEMPOTENCY_STORE => {
+                    if let Some(records) = &mut self.records {
+                        records.on_readable(&mut self.core, &self.hot_restart);
+                    }
+                }
                 token => self.on_ready(token, flags),
             }
         }
@@ -138,7 +142,7 @@
             FULL_LIST_TIMER => self.discovery.on_full_list_timer(&mut context!(self), &mut self.membership),
             STALE_LIST_TIMER => self.discovery.on_stale_list_timer(&mut context!(self)),
             METRICS_TIMER => {
-                self.log_metrics();
+                self.logged_metrics.log_changed(&context!(self));
                 self.core.set_timer(self.clock.now() + METRICS_INTERVAL, METRICS_TIMER);
             }
             STREAM_SWEEP_TIMER => self.on_stream_sweep_timer(),
@@ -148,7 +152,7 @@
             FLEET_TIMER => self.membership.on_timer(&mut context!(self), &mut self.discovery),
             POLL_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
             PEER_TIMER => self.peers.on_timer(&mut context!(self)),
-            ACCEPT_TIMER => self.resume_accepting(),
+            ACCEPT_TIMER => self.listeners.resume(&context!(self)),
             token => self.on_connection_timer(Token(token)),
         }
     }
@@ -177,7 +181,7 @@
                 let context = &mut context!(self);
                 self.discovery.on_call_timer(context, &mut self.membership, token, connection, call);
             }
-            Role::Admin(caller) => self.close_admin(token, connection, caller),
+            Role::Admin(caller) => self.admin.close(&mut context!(self), token, connection, caller),
         }
     }
 }
--- a/src/server/idempotency_store/completion.rs
+++ b/src/server/idempotency_store/completion.rs
@@ -1,5 +1,6 @@
 //! What the store's threads report back to the loop: a queue of completions, and a socket that wakes the loop.
 
+use crate::core::RecordTicket;
 use mothproxy_store::StoreError;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -28,9 +29,9 @@
     /// Nobody.
     Nobody,
     /// The core of this process, by its ticket.
-    Core(u64),
+    Core(RecordTicket),
     /// The process before this one, by the ticket of its core.
-    Predecessor(u64),
+    Predecessor(RecordTicket),
 }
 
 /// The end of a write.
--- a/src/server/idempotency_store/completion/tests.rs
+++ b/src/server/idempotency_store/completion/tests.rs
@@ -1,4 +1,5 @@
 use super::{CompletionReceiver, RecordWriteError, Waiter, WriteCompletion, completion_queue};
+use crate::core::RecordTicket;
 use std::io::Read;
 
 fn is_woken(receiver: &CompletionReceiver) -> bool {
@@ -11,11 +12,11 @@
     assert!(!is_woken(&receiver), "nothing has come");
     for round in 0..2 {
         for ticket in 0..3 {
-            sender.send(WriteCompletion { waiter: Waiter::Core(ticket), result: Ok(()) });
+            sender.send(WriteCompletion { waiter: Waiter::Core(RecordTicket(ticket)), result: Ok(()) });
         }
         assert!(is_woken(&receiver), "batch {round}");
         let waiters: Vec<Waiter> = receiver.drain().into_iter().map(|completion| completion.waiter).collect();
-        assert_eq!(waiters, [Waiter::Core(0), Waiter::Core(1), Waiter::Core(2)]);
+        assert_eq!(waiters, [0, 1, 2].map(|ticket| Waiter::Core(RecordTicket(ticket))));
         assert!(receiver.drain().is_empty());
         assert!(!is_woken(&receiver), "all was taken");
     }
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -17,15 +17,17 @@
 
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
+use crate::core::{PersistOutcome, RecordTicket};
 use crate::server::context::context;
-use crate::server::tokens::{PEER_PROCESS, PEERS, PLATFORM, RESTART_SOCKET, SSE, Token};
+use crate::server::reactor::Reactor;
+use crate::server::tokens::{PEER_PROCESS, PEERS, RESTART_SOCKET};
 use crate::server::transferred::TransferredExchange;
 use crate::server::{RESERVED_DESCRIPTORS, Server};
 use protocol::{HandoverMessage, OpenWork, ReceiveError, packet_socket, receive, send};
 use rustix::fs::Mode;
 use rustix::io::Errno;
 use rustix::net::{SocketAddrUnix, SocketFlags};
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::fd::{BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
 /// Packets read in one go.
@@ -68,6 +70,28 @@
 }
 
 impl HotRestart {
+    /// Listens for the next version, where there is a folder for it.
+    fn open_socket(&mut self, reactor: &Reactor) {
+        let Some(path) = &self.socket_path else { return };
+        match listen_for_successor(path) {
+            Ok(listener) if reactor.watch(&listener, RESTART_SOCKET).is_ok() => self.socket = Some(listener),
+            Ok(_) => {}
+            Err(error) => {
+                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
+            }
+        }
+    }
+
+    /// Another process has connected; it says what it wants in its first packet.
+    pub fn on_process_connected(&mut self, reactor: &Reactor) {
+        let Some(socket) = &self.socket else { return };
+        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+        let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
+        if self.peer_process.is_none() && reactor.watch(&link, PEER_PROCESS).is_ok() {
+            self.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
+        } // a third one finds its link closed
+    }
+
     /// Whether a request of this id is open with the other process.
     pub fn is_open_in_peer_process(&self, name: &str) -> bool {
         let process = self.peer_process.as_ref();
@@ -93,13 +117,14 @@
     }
 
     /// Has the other process write an idempotency record, or forget the key where there is none. False if it cannot be sent.
-    pub fn forward_record(&self, ticket: Option<u64>, key: String, record: Option<&[u8]>) -> bool {
+    pub fn forward_record(&self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) -> bool {
         let message = HandoverMessage::WriteRecord { ticket, key, is_kept: record.is_some() };
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
-    /// Reports to the other process whether a record that it wanted is written. False if that cannot be sent.
-    pub fn report_record_written(&self, ticket: u64, is_written: bool) -> bool {
+    /// Reports to the other process what became of a record that it wanted. False if that cannot be sent.
+    pub fn report_record_persisted(&self, ticket: RecordTicket, outcome: PersistOutcome) -> bool {
+        let is_written = outcome == PersistOutcome::Written;
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
 
@@ -135,11 +160,11 @@
         inheritance: Option<Inheritance>,
     ) {
         self.hot_restart.socket_path = path;
-        self.open_restart_socket();
+        self.hot_restart.open_socket(&self.reactor);
         let Some(Inheritance { link, is_drained, open, .. }) = inheritance else { return };
         self.lifecycle.drained_since = is_drained.then_some(self.clock.now());
         let is_nonblocking = rustix::io::ioctl_fionbio(&link, true).is_ok();
-        if is_nonblocking && self.can_watch(link.as_fd(), PEER_PROCESS) {
+        if is_nonblocking && self.reactor.watch(&link, PEER_PROCESS).is_ok() {
             tracing::info!(open = open.request_names.len(), "hot restart: taking over from the predecessor");
             self.hot_restart.peer_process = Some(PeerProcess::new(link, open));
         }
@@ -148,34 +173,6 @@
         }
     }
 
-    /// Has epoll watch a descriptor for what can be read; false where it refuses.
-    fn can_watch(&self, fd: BorrowedFd<'_>, token: Token) -> bool {
-        self.reactor.watch(fd, token).is_ok()
-    }
-
-    fn open_restart_socket(&mut self) {
-        let Some(path) = self.hot_restart.socket_path.clone() else { return };
-        match listen_for_successor(&path) {
-            Ok(listener) if self.can_watch(listener.as_fd(), RESTART_SOCKET) => {
-                self.hot_restart.socket = Some(listener);
-            }
-            Ok(_) => {}
-            Err(error) => {
-                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
-            }
-        }
-    }
-
-    /// Another process has connected; it says what it wants in its first packet.
-    pub(in crate::server) fn on_peer_process_connected(&mut self) {
-        let Some(socket) = &self.hot_restart.socket else { return };
-        let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
-        if self.hot_restart.peer_process.is_none() && self.can_watch(link.as_fd(), PEER_PROCESS) {
-            self.hot_restart.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
-        } // a third one finds its link closed
-    }
-
     /// The other process has sent something, or has closed the link.
     pub(in crate::server) fn on_peer_process_readable(&mut self) {
         for _ in 0..MAX_PACKETS_PER_TURN {
@@ -199,16 +196,15 @@
         }
         // The successor died with what it had. The listening sockets are still open here.
         tracing::info!("hot restart: the successor has ended, serving again");
-        let sse = self.listeners.sse.as_ref();
-        let is_watched = [
-            self.can_watch(self.listeners.platform.as_fd(), PLATFORM),
-            sse.is_none_or(|sse| self.can_watch(sse.socket.as_fd(), SSE)),
-            self.peer_socket.socket().is_none_or(|socket| self.can_watch(socket.as_fd(), PEERS)),
-        ];
-        mothproxy_invariant::invariant!(is_watched == [true; 3], "epoll does not take its listeners back");
-        self.listeners.is_accepting = true;
-        self.fail_pending_records();
-        self.open_restart_socket();
+        let are_listeners_watched = self.listeners.take_back(&self.reactor);
+        let peers = self.peer_socket.socket();
+        let are_peers_watched = peers.is_none_or(|socket| self.reactor.watch(socket, PEERS).is_ok());
+        mothproxy_invariant::invariant!(
+            are_listeners_watched && are_peers_watched,
+            "epoll does not take its listeners back"
+        );
+        self.core.fail_unpersisted();
+        self.hot_restart.open_socket(&self.reactor);
         let context = &mut context!(self);
         self.peers.announce_state(context);
         self.membership.restart(context, &mut self.discovery);
--- a/src/server/lifecycle/hot_restart/protocol.rs
+++ b/src/server/lifecycle/hot_restart/protocol.rs
@@ -4,6 +4,7 @@
 //! speaks of; descriptors go beside it. The names in JSON are those of the versions that are running.
 
 use crate::config::EndpointList;
+use crate::core::RecordTicket;
 use crate::policy::interface::Micros;
 use crate::server::transferred::{TransferredClient, TransferredJob};
 use rustix::fs::MemfdFlags;
@@ -75,7 +76,7 @@
     /// The predecessor wants an idempotency record written: the bytes behind this where `kept`, else the key is forgotten.
     #[serde(rename = "Write")]
     WriteRecord {
-        ticket: Option<u64>,
+        ticket: Option<RecordTicket>,
         key: String,
         #[serde(rename = "kept")]
         is_kept: bool,
@@ -83,7 +84,7 @@
     /// Whether it was.
     #[serde(rename = "Written")]
     RecordWritten {
-        ticket: u64,
+        ticket: RecordTicket,
         #[serde(rename = "written")]
         is_written: bool,
     },
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -4,8 +4,8 @@
 
 use super::protocol::{HandoverMessage, OpenWork, Packet, packet_socket, receive, send};
 use crate::config::EndpointList;
-use crate::core::FinalResponse;
 use crate::core::transfer::LearnedState;
+use crate::core::{FinalResponse, PersistOutcome};
 use crate::protocol::platform;
 use crate::server::Server;
 use crate::server::connection::Connection;
@@ -142,7 +142,8 @@
                 self.persist_for_predecessor(ticket, &key, is_kept.then_some(bytes));
             }
             HandoverMessage::RecordWritten { ticket, is_written } => {
-                self.core.on_record_persisted(ticket, is_written);
+                let outcome = if is_written { PersistOutcome::Written } else { PersistOutcome::Failed };
+                self.core.on_record_persisted(ticket, outcome);
             }
             HandoverMessage::Hello | HandoverMessage::Listeners { .. } => self.metrics.rejects += 1,
         }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -56,11 +56,11 @@
         }
         process.last_sent = open;
         // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
-        for descriptor in &descriptors {
-            self.reactor.unwatch(descriptor);
+        self.listeners.hand_over(&self.reactor);
+        if let Some(peers) = self.peer_socket.socket() {
+            self.reactor.unwatch(peers);
         }
         self.lifecycle.has_handed_over = true;
-        self.listeners.is_accepting = false;
         self.membership.suspend(&mut context!(self), &mut self.discovery);
         self.hot_restart.socket = None;
         tracing::info!(open = self.core.ledger.open(), "hot restart: handing over to the successor");
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -49,7 +49,7 @@
     /// Takes the next step of the plan that is due.
     pub(in crate::server) fn on_shutdown_timer(&mut self) {
         let Some(plan) = self.lifecycle.shutdown else { return };
-        let keeps_clients = self.keeps_client_connections();
+        let keeps_clients = self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers);
         if self.clock.now() >= plan.close_idle_at && !keeps_clients {
             // Workers send callbacks until the last job is done.
             let which = match self.core.ledger.open() {
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -2,9 +2,10 @@
 
 use crate::config::SseSettings;
 use crate::policy::interface::Micros;
+use crate::server::context::Context;
 use crate::server::error::ServerError;
 use crate::server::reactor::Reactor;
-use crate::server::tokens::{PLATFORM, SSE};
+use crate::server::tokens::{ACCEPT_TIMER, PLATFORM, SSE};
 use rustix::event::epoll::EventFlags;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -15,6 +16,9 @@
 /// ... at this interval.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
+/// Accepting is tried again after this where there was no capacity.
+const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
+
 /// Which of the clients' addresses a connection came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
@@ -39,7 +43,7 @@
     /// The one for event streams, where it is on.
     pub sse: Option<SseListener>,
     /// Whether epoll watches them.
-    pub is_accepting: bool,
+    is_accepting: bool,
 }
 
 impl Listeners {
@@ -56,12 +60,47 @@
         }
     }
 
+    /// With a level-triggered listener and no capacity, every turn would end at once: it is not watched for a while.
+    pub fn pause(&mut self, context: &mut Context<'_>) {
+        if std::mem::replace(&mut self.is_accepting, false) {
+            context.metrics.accept_pauses += 1;
+            self.set_interest(context.reactor, EventFlags::empty());
+            context.core.set_timer(context.clock.now() + ACCEPT_RETRY_INTERVAL, ACCEPT_TIMER);
+        }
+    }
+
+    /// Accepts again, unless the listeners have been handed over.
+    pub fn resume(&mut self, context: &Context<'_>) {
+        if context.lifecycle.has_handed_over() {
+            return;
+        }
+        self.is_accepting = true;
+        self.set_interest(context.reactor, EventFlags::IN);
+    }
+
     /// Sets what epoll watches the listeners for.
-    pub fn set_interest(&self, reactor: &Reactor, flags: EventFlags) {
+    fn set_interest(&self, reactor: &Reactor, flags: EventFlags) {
         let platform = reactor.set_watched_events(&self.platform, PLATFORM, flags);
         let sse = self.sse.as_ref().is_none_or(|sse| reactor.set_watched_events(&sse.socket, SSE, flags));
         mothproxy_invariant::invariant!(platform && sse, "epoll does not know a listener");
     }
+
+    /// Has epoll forget the listeners: they go on in another process.
+    pub fn hand_over(&mut self, reactor: &Reactor) {
+        reactor.unwatch(&self.platform);
+        if let Some(sse) = &self.sse {
+            reactor.unwatch(&sse.socket);
+        }
+        self.is_accepting = false;
+    }
+
+    /// Takes the listeners back from a successor that has ended. False where epoll refuses one of them.
+    pub fn take_back(&mut self, reactor: &Reactor) -> bool {
+        self.is_accepting = true;
+        let is_platform_watched = reactor.watch(&self.platform, PLATFORM).is_ok();
+        let is_sse_watched = self.sse.as_ref().is_none_or(|sse| reactor.watch(&sse.socket, SSE).is_ok());
+        is_platform_watched && is_sse_watched
+    }
 }
 
 /// The sockets that a predecessor handed over.
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -89,7 +89,7 @@
 
     /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
     pub(in crate::server) fn leave(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
-        if !context.lifecycle.has_handed_over {
+        if !context.lifecycle.has_handed_over() {
             self.fleet.leave(context.now());
             self.apply_outputs(context, discovery);
         }
@@ -111,7 +111,7 @@
 
     /// Restarts with a new epoch: among other peers, or since the process that spoke for this place has ended.
     pub(in crate::server) fn restart(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
-        if context.lifecycle.has_handed_over {
+        if context.lifecycle.has_handed_over() {
             return;
         }
         let (identity, now) = (new_identity(context.config), context.now());
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::core::ledger::Ledger;
 use crate::policy::interface::Micros;
-use crate::server::Server;
+use crate::server::context::Context;
 
 /// The log's line of counters comes this often, if any of them has changed.
 pub(super) const METRICS_INTERVAL: Micros = 10_000_000;
@@ -45,15 +45,16 @@
     ledger: Ledger,
 }
 
-impl Server {
+impl LoggedMetrics {
     /// Logs one line of counters, if any has changed since the last line.
-    pub(super) fn log_metrics(&mut self) {
-        let current = LoggedMetrics { network: self.metrics, ledger: self.core.ledger };
-        if current == self.logged_metrics {
+    pub fn log_changed(&mut self, context: &Context<'_>) {
+        let core = &*context.core;
+        let current = LoggedMetrics { network: *context.metrics, ledger: core.ledger };
+        if current == *self {
             return;
         }
-        self.logged_metrics = current;
-        let (network, ledger) = (&self.metrics, &self.core.ledger);
+        *self = current;
+        let (network, ledger) = (&self.network, &self.ledger);
         tracing::info!(
             "figures taken={} served={} denied={} failed={} gone={} moved={} open={} dispatches={} written={} withheld={} connects={} \
              connect_failures={} resets={} untaken={} rejects={} stale_news={} bad_rows={} bad_lists={} stale_lists={} \
@@ -73,16 +74,16 @@
             network.resets,
             network.untaken,
             network.rejects,
-            self.core.stale_status_updates,
-            self.core.endpoints.bad_rows,
+            core.stale_status_updates,
+            core.endpoints.bad_rows,
             network.bad_lists,
-            self.core.endpoints.stale_lists,
+            core.endpoints.stale_lists,
             network.bad_datagrams,
             network.accept_pauses,
             network.reloads,
             network.bad_reloads,
-            self.reactor.connections().open_connections(),
-            self.core.endpoints.ready(),
+            context.reactor.connections().open_connections(),
+            core.endpoints.ready(),
             mothproxy_invariant::violations(env!("CARGO_PKG_NAME")),
         );
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -41,7 +41,7 @@
 use downstream::event_streams::EventStreams;
 use downstream::{ClientConnections, PollTime};
 use error::system;
-use idempotency_store::RecordStore;
+use idempotency_store::{RecordStore, open_record_store};
 use lifecycle::Lifecycle;
 use lifecycle::hot_restart::{HotRestart, Inheritance, TakeoverResult, request_takeover, socket_path};
 use lifecycle::signals::Signals;
@@ -237,7 +237,8 @@
         };
         server.watch_listeners()?;
         if let Some(dir) = state {
-            server.open_record_store(dir)?;
+            let records = open_record_store(dir, &mut server.core, &server.reactor, now)?;
+            server.records = Some(records);
         }
         server.join_hot_restart(restart_path, inheritance);
         server.discovery.start(&mut server.core, server.clock.now(), newest_start);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -117,7 +117,7 @@
     fn announce_state_once(&self, context: &mut Context<'_>) {
         let is_draining = context.lifecycle.is_draining();
         let state = if is_draining { PeerDatagram::Stopping } else { PeerDatagram::Serving };
-        if !context.lifecycle.has_handed_over {
+        if !context.lifecycle.has_handed_over() {
             self.announce(context, state);
         }
         // A process that has just started, and may not use the list it knows yet, asks its peer group when the predecessor was
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -2,13 +2,13 @@
 
 use crate::harness::{CoreHarness, MS, responses, started};
 use mothproxy::WorkerId;
-use mothproxy::core::{Command, FinalResponse, JobStatus};
+use mothproxy::core::{Command, FinalResponse, JobStatus, PersistOutcome, RecordTicket};
 use mothproxy_testkit::site;
 use serde_json::json;
 use std::collections::BTreeMap;
 
 /// Carries out the commands to persist records, as the store would. Returns the tickets that wait for it.
-fn persist(records: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<u64> {
+fn persist(records: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<RecordTicket> {
     let mut tickets = Vec::new();
     for command in commands {
         if let Command::PersistRecord { ticket, key, record } = command {
@@ -39,7 +39,7 @@
     assert_eq!(started(&commands), [], "it left before its record was persisted");
     let tickets = persist(&mut records, &commands);
     assert_eq!(tickets.len(), 1);
-    harness.core.on_record_persisted(tickets[0], true);
+    harness.core.on_record_persisted(tickets[0], PersistOutcome::Written);
     let starts = started(&harness.advance(MS));
     assert_eq!(starts.len(), 1);
     KeyedRequest { harness, records, worker: starts[0].worker }
@@ -60,7 +60,7 @@
     let mut harness = CoreHarness::with_idempotency(4);
     let id = harness.accept_keyed("r-1", "k", 5).expect("new");
     let tickets = persist(&mut BTreeMap::new(), &harness.advance(5 * MS));
-    harness.core.on_record_persisted(tickets[0], false);
+    harness.core.on_record_persisted(tickets[0], PersistOutcome::Failed);
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands), []);
     // Nothing of it may have run: it may be rejected.
@@ -82,7 +82,7 @@
         let commands = next.advance(5 * MS);
         let tickets = persist(&mut records.clone(), &commands);
         if may_go {
-            next.core.on_record_persisted(tickets[0], true);
+            next.core.on_record_persisted(tickets[0], PersistOutcome::Written);
             let to = started(&next.advance(MS))[0].worker;
             assert_eq!(to.0 / 2, worker.0 / 2, "it went to another cell, {elapsed} ms later");
         } else {
