--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -54,7 +54,7 @@
         // Partial requests that grew lately come last: well-behaved clients may be writing them.
         let is_closed = self.close_oldest_lingering()
             || self.close_silent_client(downstream::PARTIAL_REQUEST_GRACE)
-            || self.close_idle_upstream()
+            || self.upstream.close_idle(&mut self.core, &mut self.reactor)
             || self.close_oldest_served_client(min_idle)
             || self.close_oldest_idle_client(min_idle)
             || self.close_silent_client(downstream::SILENT_GRACE);
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -144,7 +144,7 @@
         {
             context.reactor.close_token(context.core, old);
         }
-        let token = self.connect(context, kind);
+        let token = connect(context, kind);
         let connected_by = match kind {
             CallKind::Watch => self.liveness.on_call_started(context.now()),
             CallKind::FullList => context.now() + CONNECT_TIMEOUT,
@@ -162,14 +162,6 @@
         }
     }
 
-    /// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
-    fn connect(&self, context: &mut Context<'_>, kind: CallKind) -> Option<Token> {
-        let after = (kind == CallKind::Watch).then_some(context.core.endpoints.generation);
-        let mut connection = Connection::connect(context.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
-        connection.outbox.push(platform::discovery_call(after));
-        context.reactor.add(connection, Role::Discovery(DiscoveryCall::new(kind)))
-    }
-
     /// A call has ended: schedules the next one.
     fn on_call_ended(
         &mut self,
@@ -217,3 +209,11 @@
         self.full_list = FullListState::Needed;
     }
 }
+
+/// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
+fn connect(context: &mut Context<'_>, kind: CallKind) -> Option<Token> {
+    let after = (kind == CallKind::Watch).then_some(context.core.endpoints.generation);
+    let mut connection = Connection::connect(context.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
+    connection.outbox.push(platform::discovery_call(after));
+    context.reactor.add(connection, Role::Discovery(DiscoveryCall::new(kind)))
+}
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -25,7 +25,8 @@
                 Err(Errno::AGAIN) => return,
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     // None left, here or on the machine, though the budget has some.
-                    let _ = self.close_idle_upstream() || self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
+                    let _ = self.upstream.close_idle(&mut self.core, &mut self.reactor)
+                        || self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
                     return self.listeners.pause(&mut context!(self));
                 }
                 Err(_) => {}
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -99,7 +99,7 @@
                 }
                 Command::PersistRecord { ticket, key, record } => self.persist_record(ticket, key, record),
                 Command::CancelAttempt { request_id, attempt, worker, name } => {
-                    self.cancel_attempt(request_id, attempt, worker, &name);
+                    self.cancel_attempt(request_id, attempt, worker, name);
                 }
                 Command::Respond { request_id, downstream, response } => {
                     self.pending.remove(request_id);
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -10,6 +10,7 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
 use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::listeners::InheritedListeners;
 use crate::server::transferred::{TransferredClient, split_request};
@@ -125,7 +126,8 @@
                 let worker = self.core.endpoints.find(&worker);
                 if let Some((descriptor, worker)) = descriptor.zip(worker) {
                     let connection = Connection::new(TcpStream::from(descriptor));
-                    self.adopt_upstream(worker, connection, idle_time_left);
+                    let (context, pending) = (&mut context!(self), &mut self.pending);
+                    self.upstream.adopt(context, pending, worker, connection, idle_time_left);
                 }
             }
             HandoverMessage::StatusCallback => self.on_forwarded_callback(&bytes),
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -3,8 +3,12 @@
 use crate::core::RequestId;
 use crate::http::{Body, EventStream};
 use crate::policy::interface::{Micros, WorkerId};
-use std::net::SocketAddr;
+use rustix::event::epoll::EventFlags;
+use std::net::{SocketAddr, TcpStream};
 
+/// The last byte of an attempt on a new connection may arrive so many times later as the connection took: that is one
+/// round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
+const HANDSHAKE_ROUND_TRIPS: Micros = 3;
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId {
@@ -13,6 +17,15 @@
     pub number: u32,
 }
 
+/// A cancel that is to be sent to a worker.
+pub(super) struct CancelRequest {
+    pub worker: WorkerId,
+    /// The request's name, by which the worker knows the job.
+    pub name: String,
+    /// The attempt that counts as ended only once the cancel is written.
+    pub ending: Option<AttemptId>,
+}
+
 /// What a connection is used for, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exchange {
@@ -65,6 +78,18 @@
     pub events: EventStream,
 }
 
+/// How far a connection is that is being established.
+pub(super) enum ConnectProgress {
+    /// It was up before.
+    Established,
+    /// It has just come up, for this exchange.
+    Connected(Exchange),
+    /// It is not up yet.
+    Pending,
+    /// It will not come up.
+    Failed,
+}
+
 /// A connection to a worker.
 pub(in crate::server) struct UpstreamConnection {
     pub(super) worker: WorkerId,
@@ -131,6 +156,27 @@
         self.transit_allowance = 0;
     }
 
+    /// Whether the connection has come up by an event with these flags.
+    pub(super) fn connect_progress(&self, stream: &TcpStream, flags: EventFlags) -> ConnectProgress {
+        let UpstreamState::Connecting(exchange) = self.state else { return ConnectProgress::Established };
+        let has_failed = stream.take_error().map_or(true, |error| error.is_some());
+        if has_failed || flags.contains(EventFlags::ERR) {
+            ConnectProgress::Failed
+        } else if flags.contains(EventFlags::OUT) {
+            ConnectProgress::Connected(exchange)
+        } else {
+            ConnectProgress::Pending
+        }
+    }
+
+    /// The connection is up: the exchange that it was begun for goes on. Returns by when its first response must have come.
+    pub(super) fn on_connected(&mut self, exchange: Exchange, now: Micros) -> Option<Micros> {
+        self.state = UpstreamState::Awaiting(exchange);
+        let connect_time = now.saturating_sub(self.connect_started);
+        self.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
+        self.response_timeout.map(|timeout| now + timeout)
+    }
+
     /// Its worker, if it is idle and may be used.
     pub(in crate::server) fn idle_worker(&self) -> Option<WorkerId> {
         (matches!(self.state, UpstreamState::Idle) && self.cooldown == 0).then_some(self.worker)
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -1,18 +1,24 @@
 //! The end of an exchange: its connection is over, or its time.
 
-use super::connection::{AttemptId, Exchange, ResponseBody, UpstreamConnection, UpstreamState};
+use super::UpstreamPool;
+use super::connection::{
+    AttemptId, CancelRequest, Exchange, ResponseBody, UpstreamConnection, UpstreamState,
+};
 use crate::core::AttemptOutcome;
 use crate::http::MAX_HEAD;
 use crate::policy::interface::{Outcome, WorkerId};
-use crate::server::Server;
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
+use crate::server::context::Context;
+use crate::server::pending_requests::PendingRequests;
 use crate::server::tokens::Token;
 
-impl Server {
+impl UpstreamPool {
     /// The other side has ended its sending.
-    pub(super) fn on_upstream_eof(
+    pub(super) fn on_eof(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         connection: Connection,
         mut upstream: UpstreamConnection,
@@ -22,35 +28,37 @@
             && response.body.ends_with_connection()
         {
             let body = std::mem::take(&mut response.read);
-            self.on_load_probe_response(token, response.status, &body);
+            self.on_load_probe_response(context, token, response.status, &body);
         }
-        self.on_upstream_closed(token, connection, upstream);
+        self.on_closed(context, pending, token, connection, upstream);
     }
 
     /// The other side does not keep to the protocol. Where that was its response to an attempt it may have taken it, and then
-    /// only a cancel stops it.
+    /// only a cancel stops it, which is returned.
     pub(super) fn on_protocol_violation(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         connection: Connection,
         upstream: UpstreamConnection,
-    ) {
+    ) -> Option<CancelRequest> {
         let taken = match upstream.state {
             UpstreamState::Awaiting(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
-                self.core.request_name(attempt.request_id, attempt.number)
+                context.core.request_name(attempt.request_id, attempt.number)
             }
             _ => None,
         };
         let worker = upstream.worker;
-        self.on_upstream_closed(token, connection, upstream);
-        if let Some(name) = taken {
-            self.send_cancel(worker, &name, None);
-        }
+        self.on_closed(context, pending, token, connection, upstream);
+        taken.map(|name| CancelRequest { worker, name, ending: None })
     }
 
     /// The connection is over; so is what it was used for.
-    pub(super) fn on_upstream_closed(
+    pub(super) fn on_closed(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         connection: Connection,
         upstream: UpstreamConnection,
@@ -58,49 +66,38 @@
         let is_written = connection.outbox.is_empty();
         let worker = upstream.worker;
         match &upstream.state {
-            UpstreamState::Idle => self.upstream.remove_idle(worker, token),
+            UpstreamState::Idle => self.remove_idle(worker, token),
             UpstreamState::Connecting(exchange) => {
-                self.metrics.connect_failures += 1;
-                self.on_exchange_failed(Some(token), worker, *exchange, Outcome::ConnectFailed);
+                context.metrics.connect_failures += 1;
+                self.on_exchange_failed(context, Some(token), worker, *exchange, Outcome::ConnectFailed);
             }
             UpstreamState::Awaiting(exchange) => {
                 // Before its last byte is written a request has not begun anywhere.
                 if let Exchange::Attempt(attempt) = exchange
                     && upstream.is_reused
                 {
-                    self.pending.record_broken_attempt(attempt.request_id);
+                    pending.record_broken_attempt(attempt.request_id);
                 }
-                self.metrics.resets += 1;
+                context.metrics.resets += 1;
                 let outcome = outcome_of_break(is_written, upstream.is_reused);
-                self.on_exchange_failed(Some(token), worker, *exchange, outcome);
+                self.on_exchange_failed(context, Some(token), worker, *exchange, outcome);
             }
             UpstreamState::Streaming(stream) => {
                 let exchange = Exchange::Attempt(stream.attempt);
-                self.on_exchange_failed(Some(token), worker, exchange, Outcome::Reset);
+                self.on_exchange_failed(context, Some(token), worker, exchange, Outcome::Reset);
             }
             UpstreamState::ReadingBody(ResponseBody { exchange: Exchange::Probe, .. }) => {
-                self.on_exchange_failed(Some(token), worker, Exchange::Probe, Outcome::Reset);
+                self.on_exchange_failed(context, Some(token), worker, Exchange::Probe, Outcome::Reset);
             }
             UpstreamState::ReadingBody(_) => {} // what its head said has been used
         }
-        self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
-    }
-
-    /// An attempt has come to nothing.
-    pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let AttemptId { request_id, number } = attempt;
-        self.core.on_attempt_ended(
-            self.clock.now(),
-            request_id,
-            number,
-            AttemptOutcome::Unserved(outcome),
-            None,
-        );
+        context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
     }
 
     /// An exchange is over without a response. `token` is its connection, if it had one.
     pub(super) fn on_exchange_failed(
         &mut self,
+        context: &mut Context<'_>,
         token: Option<Token>,
         worker: WorkerId,
         exchange: Exchange,
@@ -108,90 +105,101 @@
     ) {
         match exchange {
             Exchange::Attempt(attempt) => {
-                self.upstream.attempts.remove(&attempt);
-                self.end_attempt(attempt, outcome);
+                self.attempts.remove(&attempt);
+                end_attempt(context, attempt, outcome);
             }
-            Exchange::Probe => self.on_load_probe_failed(token, worker, outcome),
+            Exchange::Probe => self.on_load_probe_failed(context, token, worker, outcome),
             // Answered or not, its connection is closed and its time over.
             Exchange::Cancel { ending: Some(attempt) } => {
-                self.upstream.attempts.remove(&attempt);
-                self.end_attempt(attempt, Outcome::Cancelled);
+                self.attempts.remove(&attempt);
+                end_attempt(context, attempt, Outcome::Cancelled);
             }
             Exchange::Cancel { ending: None } => {}
         }
     }
 
     /// A load probe has failed: without a connection it never went out; with one it fails once.
-    fn on_load_probe_failed(&mut self, token: Option<Token>, worker: WorkerId, outcome: Outcome) {
+    fn on_load_probe_failed(
+        &mut self,
+        context: &mut Context<'_>,
+        token: Option<Token>,
+        worker: WorkerId,
+        outcome: Outcome,
+    ) {
         let sent_at = match token {
-            None => self.clock.now(),
-            Some(token) => match self.upstream.probes.remove(&token) {
+            None => context.now(),
+            Some(token) => match self.probes.remove(&token) {
                 Some(probe) => probe.sent_at,
                 None => return,
             },
         };
-        self.core.on_probe_response(worker, outcome, self.clock.now().saturating_sub(sent_at), None);
+        context.core.on_probe_response(worker, outcome, context.now().saturating_sub(sent_at), None);
     }
 
-    /// The deadline of a connection has come.
-    pub(in crate::server) fn on_upstream_timer(
+    /// The deadline of a connection has come. Returns the cancel that is to be sent.
+    pub(super) fn on_timer(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         mut connection: Connection,
         mut upstream: UpstreamConnection,
-    ) {
+    ) -> Option<CancelRequest> {
         let is_written = connection.outbox.is_empty();
         if is_written && matches!(upstream.state, UpstreamState::Awaiting(Exchange::Attempt(_))) {
             // After a long turn its response may be here, unread.
             let end = connection.fill(MAX_HEAD);
-            let is_sound = self.read_upstream(token, &mut connection, &mut upstream);
+            let is_sound = self.read(context, token, &mut connection, &mut upstream);
             let is_answered = !matches!(upstream.state, UpstreamState::Awaiting(_));
             let is_open = matches!(end, ReadEnd::WouldBlock | ReadEnd::LimitReached);
             if is_answered && is_sound && is_open {
-                return self.finish_upstream_event(token, connection, upstream);
+                self.finish_event(context, pending, token, connection, upstream);
+                return None;
             }
             if is_answered {
-                return self.on_upstream_eof(token, connection, upstream);
+                self.on_eof(context, pending, token, connection, upstream);
+                return None;
             }
         }
         match upstream.state {
             UpstreamState::Idle if upstream.cooldown > 0 => {
                 upstream.cooldown = 0;
-                self.finish_upstream_event(token, connection, upstream);
+                self.finish_event(context, pending, token, connection, upstream);
             }
             UpstreamState::Awaiting(Exchange::Attempt(attempt)) if is_written => {
-                self.on_attempt_unanswered(token, connection, upstream, attempt);
+                return self.on_attempt_unanswered(context, pending, token, connection, upstream, attempt);
             }
-            _ => self.on_upstream_closed(token, connection, upstream),
+            _ => self.on_closed(context, pending, token, connection, upstream),
         }
+        None
     }
 
     /// An attempt that is written has no response in time. The worker may have read it. Closing the connection gives it up, and
     /// the request is retried elsewhere instead of waiting until its deadline. Where a response is lost or in flight, the
-    /// worker has taken the job: then only a cancel stops it.
+    /// worker has taken the job: then only a cancel stops it, which is returned.
     fn on_attempt_unanswered(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         connection: Connection,
         upstream: UpstreamConnection,
         attempt: AttemptId,
-    ) {
+    ) -> Option<CancelRequest> {
         // That is no fault of the worker, whose other connections serve: it is not held against it. If its
         // machine is gone, new connections to it will not come up, which is.
-        self.metrics.untaken += 1;
-        self.pending.record_broken_attempt(attempt.request_id);
+        context.metrics.untaken += 1;
+        pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
-        let name = self.core.request_name(attempt.request_id, attempt.number);
+        let name = context.core.request_name(attempt.request_id, attempt.number);
         // Where no two attempts may be under way, the next one starts only after the cancel is written.
-        let ending = Some(attempt).filter(|_| !self.config.settings.may_hedge);
-        self.upstream.attempts.remove(&attempt);
-        self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
+        let ending = Some(attempt).filter(|_| !context.config.settings.may_hedge);
+        self.attempts.remove(&attempt);
+        context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
         if ending.is_none() || name.is_none() {
-            self.on_exchange_failed(None, worker, Exchange::Attempt(attempt), Outcome::Cancelled);
-        }
-        if let Some(name) = name {
-            self.send_cancel(worker, &name, ending);
+            self.on_exchange_failed(context, None, worker, Exchange::Attempt(attempt), Outcome::Cancelled);
         }
+        name.map(|name| CancelRequest { worker, name, ending })
     }
 }
 
@@ -206,3 +214,9 @@
         (false, false) => Outcome::ConnectFailed,
     }
 }
+
+/// An attempt has come to nothing.
+pub(super) fn end_attempt(context: &mut Context<'_>, attempt: AttemptId, outcome: Outcome) {
+    let AttemptId { request_id, number } = attempt;
+    context.core.on_attempt_ended(context.now(), request_id, number, AttemptOutcome::Unserved(outcome), None);
+}
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -1,20 +1,20 @@
 //! Reading what workers answer: to attempts, cancels and load probes.
 
 use super::PendingProbe;
-use super::connection::{AttemptId, Exchange, ResponseBody, StatusStream, UpstreamConnection, UpstreamState};
+use super::UpstreamPool;
+use super::connection::{
+    AttemptId, CancelRequest, Exchange, ResponseBody, StatusStream, UpstreamConnection, UpstreamState,
+};
 use crate::core::AttemptOutcome;
 use crate::http::{self, Body, EventStream, Framing, MAX_BODY, MAX_HEAD, StreamEvent};
-use crate::policy::interface::{Micros, Outcome};
+use crate::policy::interface::Outcome;
 use crate::protocol::{names, platform};
-use crate::server::Server;
 use crate::server::connection::{Connection, ReadEnd};
-use crate::server::connection_table::Role;
+use crate::server::context::Context;
+use crate::server::pending_requests::PendingRequests;
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 
-/// The last byte of an attempt on a new connection may arrive so many times later as the connection took: that is one
-/// round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
-const HANDSHAKE_ROUND_TRIPS: Micros = 3;
 /// An event stream of a worker is read in pieces of this size, in bytes.
 const MAX_STREAM_READ: usize = 64 * 1024;
 /// What says that there is something to read, or that the other side has ended.
@@ -44,30 +44,24 @@
     }
 }
 
-impl Server {
-    /// A connection to a worker is up, or can be read or written, or its worker has ended it.
-    pub(in crate::server) fn on_upstream_ready(
+impl UpstreamPool {
+    /// A connection that is up can be read or written, or its worker has ended it. Returns the cancel that is to be sent.
+    pub(super) fn on_ready(
         &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
         token: Token,
         mut connection: Connection,
         mut upstream: UpstreamConnection,
         flags: EventFlags,
-    ) {
-        if let UpstreamState::Connecting(exchange) = upstream.state {
-            let has_failed = connection.stream.take_error().map_or(true, |error| error.is_some());
-            if has_failed || flags.contains(EventFlags::ERR) {
-                return self.on_upstream_closed(token, connection, upstream);
-            }
-            if !flags.contains(EventFlags::OUT) {
-                return self.reactor.put(token, connection, Role::Upstream(upstream));
-            }
-            self.on_connected(token, &mut connection, &mut upstream, exchange);
-        }
-        if !self.flush_upstream(token, &mut connection, &mut upstream) {
-            return self.on_upstream_closed(token, connection, upstream);
+    ) -> Option<CancelRequest> {
+        if !self.flush(context, pending, token, &mut connection, &mut upstream) {
+            self.on_closed(context, pending, token, connection, upstream);
+            return None;
         }
         if !flags.intersects(READABLE) {
-            return self.finish_upstream_event(token, connection, upstream);
+            self.finish_event(context, pending, token, connection, upstream);
+            return None;
         }
         loop {
             let limit = match upstream.state {
@@ -76,38 +70,27 @@
             };
             let end = connection.fill(limit);
             let length_before = connection.inbox.len();
-            if !self.read_upstream(token, &mut connection, &mut upstream) {
-                return self.on_protocol_violation(token, connection, upstream);
+            if !self.read(context, token, &mut connection, &mut upstream) {
+                return self.on_protocol_violation(context, pending, token, connection, upstream);
             }
             match end {
-                ReadEnd::WouldBlock => return self.finish_upstream_event(token, connection, upstream),
+                ReadEnd::WouldBlock => {
+                    self.finish_event(context, pending, token, connection, upstream);
+                    return None;
+                }
                 ReadEnd::LimitReached if connection.inbox.len() < length_before => {}
-                _ => return self.on_upstream_eof(token, connection, upstream),
+                _ => {
+                    self.on_eof(context, pending, token, connection, upstream);
+                    return None;
+                }
             }
         }
     }
 
-    /// A new connection is up.
-    fn on_connected(
-        &mut self,
-        token: Token,
-        connection: &mut Connection,
-        upstream: &mut UpstreamConnection,
-        exchange: Exchange,
-    ) {
-        if let Exchange::Attempt(attempt) = exchange {
-            self.cancel_if_client_disconnected(attempt.request_id); // then nothing of it is written from here
-        }
-        upstream.state = UpstreamState::Awaiting(exchange);
-        let connect_time = self.clock.now().saturating_sub(upstream.connect_started);
-        upstream.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
-        let deadline = upstream.response_timeout.map(|timeout| self.clock.now() + timeout);
-        connection.set_timer(&mut self.core, token, deadline);
-    }
-
     /// Uses what was read. False if the other side does not keep to the protocol.
-    pub(super) fn read_upstream(
+    pub(super) fn read(
         &mut self,
+        context: &mut Context<'_>,
         token: Token,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
@@ -119,10 +102,12 @@
                 UpstreamState::Idle => Progress::Unusable,
                 UpstreamState::Awaiting(exchange) => {
                     let exchange = *exchange;
-                    self.read_response_head(connection, upstream, exchange)
+                    self.read_response_head(context, connection, upstream, exchange)
                 }
-                UpstreamState::ReadingBody(_) => self.read_response_body(token, connection, upstream),
-                UpstreamState::Streaming(stream) => self.read_status_stream(connection, stream),
+                UpstreamState::ReadingBody(_) => {
+                    self.read_response_body(context, token, connection, upstream)
+                }
+                UpstreamState::Streaming(stream) => read_status_stream(context, connection, stream),
             };
             match progress {
                 Progress::Continue => {}
@@ -134,6 +119,7 @@
 
     fn read_response_head(
         &mut self,
+        context: &mut Context<'_>,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
         exchange: Exchange,
@@ -142,7 +128,7 @@
             Ok(None) => return Progress::Wait,
             Ok(Some(head)) if head.status == 100 => drop(connection.inbox.drain(..head.len)),
             Ok(Some(head)) if is_response_to(exchange, &head, connection) => {
-                self.on_response_head(connection, upstream, exchange, &head);
+                self.on_response_head(context, connection, upstream, exchange, &head);
             }
             _ => return Progress::Unusable,
         }
@@ -151,6 +137,7 @@
 
     fn read_response_body(
         &mut self,
+        context: &mut Context<'_>,
         token: Token,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
@@ -165,7 +152,7 @@
         }
         if response.exchange == Exchange::Probe {
             let body = std::mem::take(&mut response.read);
-            self.on_load_probe_response(token, response.status, &body);
+            self.on_load_probe_response(context, token, response.status, &body);
         }
         if !response.keep_alive {
             return Progress::Unusable;
@@ -174,23 +161,11 @@
         Progress::Continue
     }
 
-    fn read_status_stream(&mut self, connection: &mut Connection, stream: &mut StatusStream) -> Progress {
-        // What came before the framing broke is as good as any: the final event may be in it.
-        let mut read = Vec::new();
-        let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
-        let mut events: Vec<StreamEvent> = Vec::new();
-        let is_parsed = stream.events.feed(&read, |event| events.push(event)).is_ok();
-        for event in events {
-            self.on_stream_event(stream.attempt, &event);
-        }
-        // The stream may end only after the final event: then this changes nothing any more.
-        if is_framed && is_parsed && !stream.body.is_done() { Progress::Wait } else { Progress::Unusable }
-    }
-
     /// The head of a worker's response: what it says of an attempt counts at once. A response that turns a job away would turn
     /// away the next one too, were it said twice, so the connection rests until the second has had time to come.
     fn on_response_head(
         &mut self,
+        context: &mut Context<'_>,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
         exchange: Exchange,
@@ -204,14 +179,14 @@
                 upstream.state = UpstreamState::Streaming(StatusStream { attempt, body, events });
                 return;
             }
-            self.upstream.attempts.remove(&attempt);
+            self.attempts.remove(&attempt);
             if let Some(outcome) = refusal(connection, head) {
-                upstream.cooldown = self.config.connect_timeout;
+                upstream.cooldown = context.config.connect_timeout;
                 let report =
-                    platform::load_report_from_head(self.core.names(), &connection.inbox, &head.fields);
+                    platform::load_report_from_head(context.core.names(), &connection.inbox, &head.fields);
                 let AttemptId { request_id, number } = attempt;
                 let outcome = AttemptOutcome::Unserved(outcome);
-                self.core.on_attempt_ended(self.clock.now(), request_id, number, outcome, report);
+                context.core.on_attempt_ended(context.now(), request_id, number, outcome, report);
             }
         }
         connection.inbox.drain(..head.len);
@@ -225,25 +200,17 @@
     }
 
     /// A load probe is answered.
-    pub(super) fn on_load_probe_response(&mut self, token: Token, status: u16, body: &[u8]) {
-        let Some(PendingProbe { worker, sent_at }) = self.upstream.probes.remove(&token) else { return };
+    pub(super) fn on_load_probe_response(
+        &mut self,
+        context: &mut Context<'_>,
+        token: Token,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(PendingProbe { worker, sent_at }) = self.probes.remove(&token) else { return };
         let outcome = if status == 200 { Outcome::Ok } else { Outcome::Error };
-        let report = platform::load_report_from_body(self.core.names(), body);
-        self.core.on_probe_response(worker, outcome, self.clock.now().saturating_sub(sent_at), report);
-    }
-
-    /// An event of a worker's stream; its data has the form of a status callback.
-    fn on_stream_event(&mut self, attempt: AttemptId, event: &StreamEvent) {
-        let name = Some(event.name.as_str()).filter(|name| !name.is_empty() && *name != "message");
-        let callback = platform::parse_status_callback(self.core.names(), event.data.as_bytes(), name);
-        match callback {
-            Some(callback) => {
-                let AttemptId { request_id, number } = attempt;
-                let (status, report) = (callback.status, callback.report);
-                self.core.on_attempt_status(self.clock.now(), request_id, number, status, report);
-            }
-            None => self.metrics.rejects += 1,
-        }
+        let report = platform::load_report_from_body(context.core.names(), body);
+        context.core.on_probe_response(worker, outcome, context.now().saturating_sub(sent_at), report);
     }
 }
 
@@ -256,3 +223,35 @@
         _ => Some(Outcome::Error),
     }
 }
+
+/// Reads more of an event stream.
+fn read_status_stream(
+    context: &mut Context<'_>,
+    connection: &mut Connection,
+    stream: &mut StatusStream,
+) -> Progress {
+    // What came before the framing broke is as good as any: the final event may be in it.
+    let mut read = Vec::new();
+    let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
+    let mut events: Vec<StreamEvent> = Vec::new();
+    let is_parsed = stream.events.feed(&read, |event| events.push(event)).is_ok();
+    for event in events {
+        report_stream_event(context, stream.attempt, &event);
+    }
+    // The stream may end only after the final event: then this changes nothing any more.
+    if is_framed && is_parsed && !stream.body.is_done() { Progress::Wait } else { Progress::Unusable }
+}
+
+/// An event of a worker's stream; its data has the form of a status callback.
+fn report_stream_event(context: &mut Context<'_>, attempt: AttemptId, event: &StreamEvent) {
+    let name = Some(event.name.as_str()).filter(|name| !name.is_empty() && *name != "message");
+    let callback = platform::parse_status_callback(context.core.names(), event.data.as_bytes(), name);
+    match callback {
+        Some(callback) => {
+            let AttemptId { request_id, number } = attempt;
+            let (status, report) = (callback.status, callback.report);
+            context.core.on_attempt_status(context.now(), request_id, number, status, report);
+        }
+        None => context.metrics.rejects += 1,
+    }
+}
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -1,7 +1,9 @@
 //! Attempts, cancels and load probes: each gets an idle connection to its worker, or a new one.
 
-use super::connection::{AttemptId, Exchange, UpstreamConnection, UpstreamState};
-use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT};
+use super::UpstreamPool;
+use super::connection::{AttemptId, CancelRequest, Exchange, UpstreamConnection, UpstreamState};
+use super::end::end_attempt;
+use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT, max_idle_time};
 use crate::core::RequestId;
 use crate::http::Piece;
 use crate::policy::interface::{Micros, Outcome, WorkerId};
@@ -9,6 +11,9 @@
 use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
+use crate::server::context::{Context, context};
+use crate::server::pending_requests::PendingRequests;
+use crate::server::reactor::Reactor;
 use crate::server::tokens::Token;
 use std::net::SocketAddr;
 
@@ -24,26 +29,16 @@
     needs_new_connection: bool,
 }
 
-impl Server {
-    /// Takes an idle connection over from another process; it may stay idle for so long.
-    pub(in crate::server) fn adopt_upstream(
-        &mut self,
-        worker: WorkerId,
-        connection: Connection,
-        idle_time_left: Micros,
-    ) {
-        let upstream =
-            UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), self.clock.now());
-        let Some(token) = self.reactor.add(connection, Role::Upstream(upstream)) else { return };
-        let Some((connection, Role::Upstream(upstream))) = self.reactor.take(token) else { return };
-        self.finish_upstream_event(token, connection, upstream);
-        if let Some((mut connection, role)) = self.reactor.take(token) {
-            let until = self.clock.now() + idle_time_left.min(self.max_upstream_idle());
-            connection.set_timer(&mut self.core, token, Some(until));
-            self.reactor.put(token, connection, role);
-        }
-    }
+/// A connection that was taken out of the pool.
+struct IdleUpstream {
+    token: Token,
+    connection: Connection,
+    upstream: UpstreamConnection,
+}
 
+/// What concerns clients as well: the client of an attempt may have disconnected, and a new connection needs a descriptor, for
+/// which an idle one of a client may be closed.
+impl Server {
     /// Forwards a request to a worker, unless its client has disconnected.
     pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
         if self.polled_at.is_old(self.clock.elapsed()) {
@@ -52,7 +47,7 @@
         let attempt = AttemptId { request_id, number };
         if !self.pending.contains(request_id) {
             // Its client left in the meantime: nothing goes out any more, which shows nothing of the worker.
-            return self.end_attempt(attempt, Outcome::NeverSent);
+            return end_attempt(&mut context!(self), attempt, Outcome::NeverSent);
         }
         self.metrics.attempts += 1;
         let outgoing = OutgoingExchange {
@@ -67,7 +62,7 @@
         };
         if let Some(token) = self.assign_connection(outgoing) {
             self.upstream.attempts.insert(attempt, token);
-            self.start_exchange(token);
+            self.upstream.start_exchange(&mut context!(self), &mut self.pending, token);
         }
     }
 
@@ -77,21 +72,23 @@
         request_id: RequestId,
         number: u32,
         worker: WorkerId,
-        name: &str,
+        name: String,
     ) {
         match self.upstream.attempts.remove(&AttemptId { request_id, number }) {
             // Not answered yet, or streaming: closing the connection cancels it.
             Some(token) => self.reactor.close_token(&mut self.core, token),
-            None => self.send_cancel(worker, name, None),
+            None => self.send_cancel(&CancelRequest { worker, name, ending: None }),
         }
     }
 
-    /// Sends a worker a cancel of a job, where that is allowed. The attempt that is `ending` counts as ended then.
-    pub(super) fn send_cancel(&mut self, worker: WorkerId, name: &str, ending: Option<AttemptId>) {
+    /// Sends a worker a cancel of a job, where that is allowed. The attempt that is ending counts as ended then.
+    pub(super) fn send_cancel(&mut self, cancel: &CancelRequest) {
+        let CancelRequest { worker, ref name, ending } = *cancel;
         let exchange = Exchange::Cancel { ending };
         let is_listed = self.core.endpoints.get(worker).is_some_and(|endpoint| !endpoint.removed);
         if !is_listed || !self.config.settings.may_cancel {
-            return self.on_exchange_failed(None, worker, exchange, Outcome::Cancelled);
+            let context = &mut context!(self);
+            return self.upstream.on_exchange_failed(context, None, worker, exchange, Outcome::Cancelled);
         }
         let outgoing = OutgoingExchange {
             worker,
@@ -104,7 +101,7 @@
             if let Some(attempt) = ending {
                 self.upstream.attempts.insert(attempt, token);
             }
-            self.start_exchange(token);
+            self.upstream.start_exchange(&mut context!(self), &mut self.pending, token);
         }
     }
 
@@ -118,8 +115,9 @@
             needs_new_connection: false,
         };
         if let Some(token) = self.assign_connection(outgoing) {
-            self.upstream.probes.insert(token, PendingProbe { worker, sent_at: self.clock.now() });
-            self.start_exchange(token);
+            let probe = PendingProbe { worker, sent_at: self.clock.now() };
+            self.upstream.probes.insert(token, probe);
+            self.upstream.start_exchange(&mut context!(self), &mut self.pending, token);
         }
     }
 
@@ -127,25 +125,65 @@
     fn assign_connection(&mut self, outgoing: OutgoingExchange) -> Option<Token> {
         let address = self.core.endpoints.get(outgoing.worker).map(|endpoint| endpoint.address);
         if !outgoing.needs_new_connection
-            && let Some(idle) = self.take_idle_upstream(outgoing.worker, address)
+            && let Some(idle) = self.upstream.take_idle(&mut context!(self), outgoing.worker, address)
         {
-            let IdleUpstream { token, mut connection, mut upstream } = idle;
-            connection.outbox.push(outgoing.pieces);
-            upstream.reuse(outgoing.exchange, outgoing.response_timeout);
-            self.reactor.put(token, connection, Role::Upstream(upstream));
-            return Some(token);
+            return Some(idle.reuse(&mut self.reactor, outgoing));
+        }
+        if address.is_some() && !self.ensure_descriptor(0) {
+            self.upstream.on_no_descriptor(&mut context!(self), &outgoing);
+            return None;
+        }
+        self.upstream.connect(&mut context!(self), outgoing, address)
+    }
+}
+
+impl IdleUpstream {
+    /// Uses the connection for an exchange.
+    fn reuse(self, reactor: &mut Reactor, outgoing: OutgoingExchange) -> Token {
+        let IdleUpstream { token, mut connection, mut upstream } = self;
+        connection.outbox.push(outgoing.pieces);
+        upstream.reuse(outgoing.exchange, outgoing.response_timeout);
+        reactor.put(token, connection, Role::Upstream(upstream));
+        token
+    }
+}
+
+impl UpstreamPool {
+    /// Takes an idle connection over from another process; it may stay idle for so long.
+    pub(in crate::server) fn adopt(
+        &mut self,
+        context: &mut Context<'_>,
+        pending: &mut PendingRequests,
+        worker: WorkerId,
+        connection: Connection,
+        idle_time_left: Micros,
+    ) {
+        let upstream = UpstreamConnection::adopted(worker, connection.stream.peer_addr().ok(), context.now());
+        let Some(token) = context.reactor.add(connection, Role::Upstream(upstream)) else { return };
+        let Some((connection, Role::Upstream(upstream))) = context.reactor.take(token) else { return };
+        self.finish_event(context, pending, token, connection, upstream);
+        if let Some((mut connection, role)) = context.reactor.take(token) {
+            let until = context.now() + idle_time_left.min(max_idle_time(context.config));
+            connection.set_timer(context.core, token, Some(until));
+            context.reactor.put(token, connection, role);
         }
-        self.connect_upstream(outgoing, address)
     }
 
     /// Takes the freshest idle connection to a worker that can still be used, and closes those that cannot.
-    fn take_idle_upstream(&mut self, worker: WorkerId, address: Option<SocketAddr>) -> Option<IdleUpstream> {
-        while let Some(token) = self.upstream.pop_idle(worker) {
-            let Some((mut connection, Role::Upstream(upstream))) = self.reactor.take(token) else { continue };
+    fn take_idle(
+        &mut self,
+        context: &mut Context<'_>,
+        worker: WorkerId,
+        address: Option<SocketAddr>,
+    ) -> Option<IdleUpstream> {
+        while let Some(token) = self.pop_idle(worker) {
+            let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else {
+                continue;
+            };
             // Its worker has another address now, or has ended it, or has sent something unsolicited: what arrives before a
             // request cannot be the response to it.
             if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
-                self.reactor.close(&mut self.core, token, connection, Role::Upstream(upstream));
+                context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
                 continue;
             }
             return Some(IdleUpstream { token, connection, upstream });
@@ -154,47 +192,50 @@
     }
 
     /// Begins a new connection to a worker for an exchange.
-    fn connect_upstream(&mut self, outgoing: OutgoingExchange, address: Option<SocketAddr>) -> Option<Token> {
+    fn connect(
+        &mut self,
+        context: &mut Context<'_>,
+        outgoing: OutgoingExchange,
+        address: Option<SocketAddr>,
+    ) -> Option<Token> {
         let OutgoingExchange { worker, exchange, response_timeout, pieces, .. } = outgoing;
-        let has_descriptor = address.is_none() || self.ensure_descriptor(0);
-        let connection = address.filter(|_| has_descriptor).and_then(|at| Connection::connect(at).ok());
-        self.metrics.connects += 1;
+        let connection = address.and_then(|at| Connection::connect(at).ok());
+        context.metrics.connects += 1;
         let token = connection.and_then(|mut connection| {
             connection.outbox.push(pieces);
-            let upstream =
-                UpstreamConnection::connecting(worker, address, exchange, response_timeout, self.clock.now());
-            self.reactor.add(connection, Role::Upstream(upstream))
+            let now = context.now();
+            let upstream = UpstreamConnection::connecting(worker, address, exchange, response_timeout, now);
+            context.reactor.add(connection, Role::Upstream(upstream))
         });
         if token.is_none() {
-            self.metrics.connect_failures += 1;
-            // That all descriptors are at work here shows nothing of the worker.
-            let outcome = if has_descriptor { Outcome::ConnectFailed } else { Outcome::NeverSent };
-            self.on_exchange_failed(None, worker, exchange, outcome);
+            context.metrics.connect_failures += 1;
+            self.on_exchange_failed(context, None, worker, exchange, Outcome::ConnectFailed);
         }
         token
     }
 
+    /// An exchange has no connection since all descriptors are at work here, which shows nothing of the worker.
+    fn on_no_descriptor(&mut self, context: &mut Context<'_>, outgoing: &OutgoingExchange) {
+        context.metrics.connects += 1;
+        context.metrics.connect_failures += 1;
+        self.on_exchange_failed(context, None, outgoing.worker, outgoing.exchange, Outcome::NeverSent);
+    }
+
     /// Sets an exchange going on its connection.
-    fn start_exchange(&mut self, token: Token) {
-        let Some((mut connection, Role::Upstream(upstream))) = self.reactor.take(token) else { return };
+    fn start_exchange(&mut self, context: &mut Context<'_>, pending: &mut PendingRequests, token: Token) {
+        let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else { return };
         let timeout = match upstream.state {
-            UpstreamState::Connecting(_) => Some(self.config.connect_timeout),
+            UpstreamState::Connecting(_) => Some(context.config.connect_timeout),
             UpstreamState::Awaiting(_) => upstream.response_timeout,
             _ => None,
         };
-        connection.set_timer(&mut self.core, token, timeout.map(|timeout| self.clock.now() + timeout));
+        let deadline = timeout.map(|timeout| context.now() + timeout);
+        connection.set_timer(context.core, token, deadline);
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
             // Writable once it is up; the message waits until then.
-            self.reactor.set_interest(token, &mut connection, true, true);
-            return self.reactor.put(token, connection, Role::Upstream(upstream));
+            context.reactor.set_interest(token, &mut connection, true, true);
+            return context.reactor.put(token, connection, Role::Upstream(upstream));
         }
-        self.finish_upstream_event(token, connection, upstream);
+        self.finish_event(context, pending, token, connection, upstream);
     }
 }
-
-/// A connection that was taken out of the pool.
-struct IdleUpstream {
-    token: Token,
-    connection: Connection,
-    upstream: UpstreamConnection,
-}
