--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -6,9 +6,11 @@
 use crate::protocol::admin::{self, AdminCall, ClassMetrics, MetricsSnapshot};
 use crate::protocol::platform::{self, Reject};
 use crate::server::connection::{Connection, ReadEnd};
+use crate::server::connection_table::Role;
 use crate::server::context::{Context, context};
 use crate::server::downstream::event_streams::EventStreams;
-use crate::server::{ADMIN, Role, Server, Token};
+use crate::server::tokens::{ADMIN, Token};
+use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
 use std::collections::VecDeque;
@@ -158,7 +160,7 @@
 impl Server {
     /// Connections wait to be accepted. Often the call is there already.
     pub(in crate::server) fn accept_admin(&mut self) {
-        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(connection) = self.admin.accept() else { return };
             if let Some(token) = self.admin.add(&mut context!(self), connection) {
                 self.on_ready(token, EventFlags::IN);
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -6,10 +6,10 @@
 use super::pacing::WatchEvent;
 use crate::config::EndpointList;
 use crate::core::endpoint_table::ListRejection;
-use crate::server::Token;
 use crate::server::connection::Connection;
 use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
+use crate::server::tokens::Token;
 
 impl DiscoveryClient {
     /// Processes whole objects until none is left or one fails. Returns whether any was accepted, and the failure.
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -4,9 +4,10 @@
 use super::call::{CallError, CallKind, CallProgress, DiscoveryCall};
 use crate::http::MAX_HEAD;
 use crate::server::connection::{Connection, ReadEnd};
+use crate::server::connection_table::Role;
 use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
-use crate::server::{Role, Token};
+use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 
 impl DiscoveryClient {
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::core::watch_liveness::{DiscoverySettings, WatchFailure};
 use crate::policy::interface::Micros;
-use crate::server::STALE_LIST_TIMER;
+use crate::server::tokens::STALE_LIST_TIMER;
 
 impl DiscoveryClient {
     /// Schedules the first watch, and the times at which the list that is known so far becomes stale or is used anyway.
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -25,6 +25,11 @@
     State(PathBuf, #[source] mothproxy_store::StoreError),
 }
 
+/// Wraps an I/O error with the name of what was being done.
+pub(super) fn io_failed(what: &'static str) -> impl Fn(std::io::Error) -> ServerError {
+    move |error| ServerError::System(what, error)
+}
+
 /// Wraps an error of a system call with the name of what was being done.
 pub(super) fn system(what: &'static str) -> impl Fn(rustix::io::Errno) -> ServerError {
     move |error| ServerError::System(what, error.into())
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -9,13 +9,20 @@
 use crate::core::{Core, PersistOutcome, RecordTicket};
 use crate::policy::interface::Micros;
 use crate::protocol::admin::IdempotencyMetrics;
+use crate::server::error::system;
 use crate::server::lifecycle::hot_restart::HotRestart;
 use crate::server::reactor::Reactor;
-use crate::server::{IDEMPOTENCY_STORE, Server, ServerError, StateDir};
+use crate::server::tokens::IDEMPOTENCY_STORE;
+use crate::server::{Server, ServerError, StateDir};
 use completion::Waiter;
 
 /// Files that the store may have open at a time.
-pub(in crate::server) const MAX_OPEN_FILES: usize = 48;
+const MAX_OPEN_FILES: usize = 48;
+
+/// Descriptors that are kept for the store, if there is one.
+pub(in crate::server) fn reserved_files(has_store: bool) -> usize {
+    if has_store { MAX_OPEN_FILES } else { 0 }
+}
 
 /// Opens the store, before anything else is promised to clients, and hands what is in it to the core.
 ///
@@ -32,7 +39,7 @@
     for (key, error) in bad {
         tracing::error!(key, %error, "idempotency store: unreadable record");
     }
-    reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(crate::server::system("epoll"))?;
+    reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(system("epoll"))?;
     Ok(records)
 }
 
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -18,11 +18,12 @@
 pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
 
 use crate::core::{PersistOutcome, RecordTicket};
+use crate::server::Server;
+use crate::server::budget::RESERVED_DESCRIPTORS;
 use crate::server::context::context;
 use crate::server::reactor::Reactor;
 use crate::server::tokens::{PEER_PROCESS, PEERS, RESTART_SOCKET};
 use crate::server::transferred::TransferredExchange;
-use crate::server::{RESERVED_DESCRIPTORS, Server};
 use protocol::{HandoverMessage, OpenWork, ReceiveError, packet_socket, receive, send};
 use rustix::fs::Mode;
 use rustix::io::Errno;
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -13,7 +13,7 @@
 use crate::server::Server;
 use crate::server::budget::Budget;
 use crate::server::context::context;
-use crate::server::idempotency_store;
+use crate::server::idempotency_store::reserved_files;
 
 /// Why a new configuration was not taken.
 #[derive(Debug, thiserror::Error)]
@@ -67,8 +67,7 @@
         self.metrics.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
         self.classes = config.settings.classes.clone();
-        let reserved = if self.records.is_some() { idempotency_store::MAX_OPEN_FILES } else { 0 };
-        self.budget = Budget::new(config.limits, reserved);
+        self.budget = Budget::new(config.limits, reserved_files(self.records.is_some()));
         let has_discovery_moved = config.discovery != self.config.discovery;
         let old = std::mem::replace(&mut self.config, config);
         let own_place = self.config.settings.me;
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -6,10 +6,10 @@
 use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::admin::{MemberRow, MembersPage};
-use crate::server::FLEET_TIMER;
 use crate::server::context::Context;
 use crate::server::discovery::DiscoveryClient;
 use crate::server::timer_slot::TimerSlot;
+use crate::server::tokens::FLEET_TIMER;
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- /dev/null
+++ b/src/server/open.rs
@@ -0,0 +1,193 @@
+//! The start: takes over from a predecessor where there is one, opens all sockets, and puts the parts together.
+
+use crate::config::{Config, SseSettings};
+use crate::core::Core;
+use crate::fleet::FleetSettings;
+use crate::policy::interface::Micros;
+use crate::server::admin::AdminServer;
+use crate::server::budget::Budget;
+use crate::server::clock::Clock;
+use crate::server::discovery::DiscoveryClient;
+use crate::server::downstream::event_streams::EventStreams;
+use crate::server::downstream::{ClientConnections, PollTime};
+use crate::server::error::{io_failed, system};
+use crate::server::idempotency_store::{open_record_store, reserved_files};
+use crate::server::lifecycle::Lifecycle;
+use crate::server::lifecycle::hot_restart::{
+    HotRestart, Inheritance, TakeoverResult, request_takeover, socket_path,
+};
+use crate::server::lifecycle::signals::Signals;
+use crate::server::listeners::{Listeners, listen};
+use crate::server::membership::{self, MembershipLink};
+use crate::server::metrics::{LoggedMetrics, METRICS_INTERVAL, Metrics};
+use crate::server::peers::{PeerLink, PeerSocket};
+use crate::server::pending_requests::PendingRequests;
+use crate::server::reactor::Reactor;
+use crate::server::tokens::{ADMIN, METRICS_TIMER, PEERS, PLATFORM, SIGNAL, SSE, Token};
+use crate::server::upstream::UpstreamPool;
+use crate::server::{Server, ServerError, StateDir};
+use std::net::TcpListener;
+use std::os::fd::{AsFd, BorrowedFd};
+use std::path::Path;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// All that has to succeed before the server can be put together.
+struct Foundation {
+    signals: Signals,
+    core: Core,
+    clock: Clock,
+    reactor: Reactor,
+    sockets: OpenSockets,
+}
+
+/// The sockets that are open from the start.
+struct OpenSockets {
+    listeners: Listeners,
+    admin: Option<TcpListener>,
+    peers: PeerSocket,
+}
+
+impl OpenSockets {
+    /// Takes the predecessor's sockets, or opens new ones. With `should_retry`, an address in use is waited for.
+    fn open(
+        inheritance: Option<&mut Inheritance>,
+        config: &Config,
+        sse: Option<&SseSettings>,
+        should_retry: bool,
+    ) -> Result<OpenSockets, ServerError> {
+        let inherited = inheritance.map(|from| std::mem::take(&mut from.sockets)).unwrap_or_default();
+        Ok(OpenSockets {
+            listeners: inherited.listeners.into_listeners(config.listen, sse, should_retry)?,
+            admin: config.admin.map(listen).transpose()?,
+            peers: PeerSocket::open(inherited.peers, config)?,
+        })
+    }
+}
+
+/// The core under a configuration, whose names it takes.
+fn open_core(config: &mut Config) -> Result<Core, ServerError> {
+    let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros();
+    let names = std::mem::take(&mut config.names);
+    Core::new(config.settings.clone(), names, config.seed, unix_now).map_err(ServerError::Settings)
+}
+
+/// Loads the endpoint list that is known at the start, and what a predecessor has learned. Returns when the last worker of a
+/// list from a file started.
+fn load_initial_state(
+    core: &mut Core,
+    now: Micros,
+    config: &Config,
+    inheritance: Option<&mut Inheritance>,
+) -> Option<Micros> {
+    let Some(from) = inheritance else { return core.load_known_list(now, &config.known_endpoints) };
+    // The list that the predecessor received last is newer than what the file holds.
+    if from.is_list_stale {
+        core.load_known_list(now, &from.list);
+    } else {
+        core.on_cached_list(now, &from.list);
+    }
+    if let Some(learned) = from.learned.take() {
+        core.restore(learned);
+    }
+    None
+}
+
+impl Server {
+    /// Opens everything. `sse` is where event streams are served; `restart_folder` is where the processes of one dispatcher
+    /// meet at an upgrade, and without it there is no handover; `state` is where idempotency records are stored.
+    ///
+    /// # Errors
+    /// Where the settings are out of order, an address cannot be listened on, the store cannot be opened, or the system
+    /// refuses something else.
+    pub fn open(
+        mut config: Config,
+        sse: Option<SseSettings>,
+        restart_folder: Option<&Path>,
+        state: Option<StateDir>,
+        fleet: FleetSettings,
+    ) -> Result<Server, ServerError> {
+        // First of all: a SIGHUP that no handler awaits ends the program, with all it has taken.
+        let signals = Signals::register().map_err(io_failed("signals"))?;
+        let restart_path = restart_folder.map(|folder| socket_path(folder, &config.name));
+        let takeover = restart_path.as_deref().map_or(TakeoverResult::NoPredecessor, request_takeover);
+        let should_retry = matches!(takeover, TakeoverResult::Refused);
+        let mut inheritance = takeover.into_inheritance();
+        let clock = Clock::start();
+        let mut core = open_core(&mut config)?;
+        let sockets = OpenSockets::open(inheritance.as_mut(), &config, sse.as_ref(), should_retry)?;
+        let reactor = Reactor::new().map_err(system("epoll"))?;
+        let newest_start = load_initial_state(&mut core, clock.now(), &config, inheritance.as_mut());
+        core.set_timer(clock.now() + METRICS_INTERVAL, METRICS_TIMER);
+        let foundation = Foundation { signals, core, clock, reactor, sockets };
+        let budget = Budget::new(config.limits, reserved_files(state.is_some()));
+        let mut server = Server::assemble(foundation, config, sse, fleet, budget);
+        server.watch_listeners()?;
+        if let Some(state) = state {
+            let now = server.clock.now();
+            server.records = Some(open_record_store(state, &mut server.core, &server.reactor, now)?);
+        }
+        server.join_hot_restart(restart_path, inheritance);
+        server.discovery.start(&mut server.core, server.clock.now(), newest_start);
+        Ok(server)
+    }
+
+    /// Puts the parts together.
+    fn assemble(
+        foundation: Foundation,
+        config: Config,
+        sse: Option<SseSettings>,
+        fleet: FleetSettings,
+        budget: Budget,
+    ) -> Server {
+        let Foundation { signals, mut core, clock, reactor, sockets } = foundation;
+        let now = clock.now();
+        let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints.generation);
+        core.learners = membership::new_learners(&fleet, &config, now);
+        let membership = MembershipLink::open(fleet, &config, now);
+        Server {
+            classes: config.settings.classes.clone(),
+            core,
+            clock,
+            polled_at: PollTime::default(),
+            reactor,
+            listeners: sockets.listeners,
+            admin: AdminServer::new(sockets.admin),
+            signals,
+            hot_restart: HotRestart::default(),
+            peer_socket: sockets.peers,
+            peers: PeerLink::new(&config),
+            membership,
+            records: None,
+            event_streams: sse.map(EventStreams::new),
+            budget,
+            clients: ClientConnections::default(),
+            pending: PendingRequests::default(),
+            upstream: UpstreamPool::default(),
+            discovery,
+            lifecycle: Lifecycle::default(),
+            metrics: Metrics::default(),
+            logged_metrics: LoggedMetrics::default(),
+            config,
+        }
+    }
+
+    /// Has epoll watch everything that is not a connection and is open from the start.
+    fn watch_listeners(&self) -> Result<(), ServerError> {
+        self.watch_descriptor(self.listeners.platform.as_fd(), PLATFORM)?;
+        self.watch_descriptor(self.signals.as_fd(), SIGNAL)?;
+        if let Some(sse) = &self.listeners.sse {
+            self.watch_descriptor(sse.socket.as_fd(), SSE)?;
+        }
+        if let Some(admin) = self.admin.listener() {
+            self.watch_descriptor(admin.as_fd(), ADMIN)?;
+        }
+        if let Some(peers) = self.peer_socket.socket() {
+            self.watch_descriptor(peers.as_fd(), PEERS)?;
+        }
+        Ok(())
+    }
+
+    fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
+        self.reactor.watch(fd, token).map_err(system("epoll"))
+    }
+}
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -10,7 +10,10 @@
 use crate::core::peer_lifecycle::PeerLifecycle;
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::server::context::{Context, context};
-use crate::server::{PEER_TIMER, Server};
+use crate::server::error::io_failed;
+use crate::server::listeners::is_at;
+use crate::server::tokens::PEER_TIMER;
+use crate::server::{MAX_ACCEPTS_PER_TURN, Server, ServerError};
 use datagram::{MAX_DATAGRAM, PeerDatagram};
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -37,9 +40,24 @@
 struct BadDatagram;
 
 impl PeerSocket {
-    /// The dispatchers of a configuration, over this socket if datagrams are on.
-    pub(in crate::server) fn new(socket: Option<UdpSocket>, config: &Config) -> PeerSocket {
-        PeerSocket { socket, places: places_by_address(&config.peers) }
+    /// The dispatchers of a configuration, over the inherited socket if that is at the configured address, or a new one there.
+    ///
+    /// # Errors
+    /// Where the address cannot be bound.
+    pub(in crate::server) fn open(
+        inherited: Option<UdpSocket>,
+        config: &Config,
+    ) -> Result<PeerSocket, ServerError> {
+        let at = config.peer_listen;
+        let inherited = inherited.filter(|socket| at.is_some_and(|at| is_at(socket.local_addr(), at)));
+        let socket = match (inherited, at) {
+            (Some(socket), _) => Some(socket),
+            (None, at) => at.map(UdpSocket::bind).transpose().map_err(io_failed("peer socket"))?,
+        };
+        if let Some(socket) = &socket {
+            socket.set_nonblocking(true).map_err(io_failed("peer socket"))?;
+        }
+        Ok(PeerSocket { socket, places: places_by_address(&config.peers) })
     }
 
     /// The socket, where datagrams are on.
@@ -186,7 +204,7 @@
     /// Datagrams have come. They are for the peers' lifecycle, discovery, the membership or the decision module.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
-        for _ in 0..crate::server::MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.peer_socket.receive(&mut buffer) {
                 None => return,
                 Some(Ok(datagram)) => self.on_peer_datagram(datagram.from, datagram.bytes),
