--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -2,6 +2,7 @@
 
 use crate::config::MachineLimits;
 use crate::policy::interface::Micros;
+use crate::server::downstream::context::client_context;
 use crate::server::{Server, downstream};
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
@@ -44,6 +45,7 @@
     }
 }
 
+/// What closes connections of clients and to workers alike.
 impl Server {
     /// Finds a descriptor for a new connection: where the budget is used up, by closing one that has been idle for
     /// `min_idle`. False where there is none.
@@ -51,15 +53,26 @@
         if !self.is_budget_used_up() {
             return true;
         }
-        // Partial requests that grew lately come last: well-behaved clients may be writing them.
-        let is_closed = self.close_oldest_lingering()
-            || self.close_silent_client(downstream::PARTIAL_REQUEST_GRACE)
-            || self.upstream.close_idle(&mut self.core, &mut self.reactor)
-            || self.close_oldest_served_client(min_idle)
-            || self.close_oldest_idle_client(min_idle)
-            || self.close_silent_client(downstream::SILENT_GRACE);
         // A connection that only began to linger still holds its descriptor: it is closed now.
-        is_closed && (!self.is_budget_used_up() || self.close_oldest_lingering() && !self.is_budget_used_up())
+        self.close_idle_connection(min_idle)
+            && (!self.is_budget_used_up()
+                || self.clients.close_oldest_lingering(&mut client_context!(self))
+                    && !self.is_budget_used_up())
+    }
+
+    /// Closes one connection of a client or to a worker. Partial requests that grew lately come last: well-behaved clients may
+    /// be writing them. False where there is none to close.
+    fn close_idle_connection(&mut self, min_idle: Micros) -> bool {
+        let context = &mut client_context!(self);
+        if self.clients.close_oldest_lingering(context)
+            || self.clients.close_silent(context, downstream::PARTIAL_REQUEST_GRACE)
+            || self.upstream.close_idle(context.shared.core, context.shared.reactor)
+        {
+            return true;
+        }
+        self.clients.close_oldest_served(context, min_idle)
+            || self.clients.close_oldest_idle(context, min_idle)
+            || self.clients.close_silent(context, downstream::SILENT_GRACE)
     }
 
     fn is_budget_used_up(&self) -> bool {
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -3,6 +3,7 @@
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{ClientConnection, MAX_UNREAD_PROGRESS, MIN_IDLE_BEFORE_CLOSE};
 use crate::server::listeners::ListenerKind;
 use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
@@ -11,6 +12,7 @@
 use rustix::net::SocketFlags;
 use std::net::TcpStream;
 
+/// What needs a descriptor, for which idle connections of clients and to workers are closed.
 impl Server {
     /// Accepts what waits at a listener, as far as there is capacity.
     pub(in crate::server) fn accept_clients(&mut self, kind: ListenerKind) {
@@ -26,7 +28,7 @@
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     // None left, here or on the machine, though the budget has some.
                     let _ = self.upstream.close_idle(&mut self.core, &mut self.reactor)
-                        || self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
+                        || self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
                     return self.listeners.pause(&mut context!(self));
                 }
                 Err(_) => {}
@@ -37,10 +39,10 @@
     /// Makes room for one more client. Idle connections are closed before accepting fails: a client without a request loses
     /// nothing. Those that never sent a request go first, or they would use up what well-behaved clients need.
     fn ensure_accept_capacity(&mut self) -> bool {
-        let is_full = self.active_clients() >= self.budget.clients
-            && !self.close_any_idle_client(MIN_IDLE_BEFORE_CLOSE);
+        let is_full = self.clients.active(&self.reactor) >= self.budget.clients
+            && !self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
         let is_at_limit = is_full && self.reactor.connections().clients() >= self.budget.max_accepted_clients;
-        if is_at_limit && !self.close_oldest_lingering() {
+        if is_at_limit && !self.clients.close_oldest_lingering(&mut client_context!(self)) {
             return false;
         }
         self.ensure_descriptor(MIN_IDLE_BEFORE_CLOSE)
@@ -58,8 +60,9 @@
         // Often the request is there already.
         if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
             self.clients.track_awaiting_request(token, &client);
-            self.on_client_ready(token, connection, client, EventFlags::IN);
-            self.close_if_disconnected(token); // so may its end be
+            let context = &mut client_context!(self);
+            self.clients.on_ready(context, token, connection, client, EventFlags::IN);
+            self.clients.close_if_disconnected(context, token); // so may its end be
         }
     }
 }
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -2,10 +2,13 @@
 //! decided.
 //!
 //! A client submits a job and gets its id and a secret token; with those it watches the job's events, on as many connections
-//! as it likes. [`watchers`] serves these, [`transfer`] moves jobs to another process.
+//! as it likes. [`watchers`] serves these, [`transfer`] moves jobs to another process. [`EventStreams`] owns the jobs; a watcher's
+//! connection is one of [`ClientConnections`].
+//!
+//! [`ClientConnections`]: crate::server::downstream::ClientConnections
 
 mod transfer;
-mod watchers;
+pub(super) mod watchers;
 
 use crate::config::SseSettings;
 use crate::core::{FinalResponse, NewRequest, RequestId};
@@ -14,7 +17,9 @@
 use crate::protocol::{admin::StreamMetrics, event_streams};
 use crate::server::Server;
 use crate::server::connection::Connection;
-use crate::server::downstream::Downstream;
+use crate::server::context::{Context, context};
+use crate::server::downstream::context::client_context;
+use crate::server::downstream::{ClientContext, Downstream};
 use crate::server::tokens::{STREAM_SWEEP_TIMER, Token};
 use mothproxy_streams::{Effect, EventBroker, JobId, Limits, NewJob, PublicJobId, WatchToken, WatcherId};
 use std::collections::HashMap;
@@ -115,6 +120,21 @@
     fn token(&self, watcher: WatcherId) -> Option<Token> {
         self.tokens.get(&watcher).copied()
     }
+
+    /// A job has its final response.
+    pub fn finish_job(&mut self, context: &mut Context<'_>, job: JobId, response: FinalResponse) {
+        self.requests.remove(&job);
+        let (name, data) = event_streams::final_event(response);
+        self.broker.finish(context.now(), job, name, data, &mut self.effects);
+        self.schedule_sweep(context);
+    }
+
+    /// Sets the timer at which time passes for the broker, unless it is set or none is due.
+    fn schedule_sweep(&mut self, context: &mut Context<'_>) {
+        if self.needs_sweep() {
+            context.core.set_timer(context.clock.now() + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
+        }
+    }
 }
 
 /// Random bytes that nobody can guess; `None` where the system gives none.
@@ -124,62 +144,78 @@
     Some(bytes)
 }
 
+/// Takes a job whose client will watch it later, and writes its id and token.
+///
+/// # Errors
+/// Why it is refused.
+pub(super) fn submit_job(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    raw: RawRequest,
+    mut request: NewRequest,
+    keep_alive: bool,
+) -> Result<(), Reject> {
+    let ends_unwatched = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
+    let streams = context.event_streams.as_mut().ok_or(Reject::NoSuchPath)?;
+    let shared = &mut context.shared;
+    let cors = event_streams::cors(&raw, &streams.origins);
+    let public_id = random_bytes().map(|bytes| PublicJobId(u64::from_le_bytes(bytes)));
+    let token = random_bytes().map(|bytes| WatchToken(u128::from_le_bytes(bytes)));
+    let (public_id, token) = public_id.zip(token).ok_or(Reject::Overloaded)?;
+    let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
+    let new = NewJob { public_id, token, tenant, ends_unwatched };
+    let job = streams.broker.add_job(shared.now(), new);
+    let job = job.map_err(|_| Reject::Overloaded)?;
+    request.downstream = Downstream::Job(job).to_number();
+    let Some(request_id) = shared.core.accept(shared.clock.now(), request) else {
+        streams.broker.transfer(job);
+        return Err(Reject::DuplicateId);
+    };
+    streams.requests.insert(job, request_id);
+    streams.submitted += 1;
+    context.pending.insert(request_id, raw);
+    streams.schedule_sweep(shared);
+    connection.outbox.push(event_streams::submitted(public_id, token, &cors, keep_alive));
+    Ok(())
+}
+
+/// What concerns the watchers' connections as well.
 impl Server {
-    /// Takes a job whose client will watch it later, and writes its id and token.
-    ///
-    /// # Errors
-    /// Why it is refused.
-    pub(super) fn submit_job(
-        &mut self,
-        connection: &mut Connection,
-        raw: RawRequest,
-        mut request: NewRequest,
-        keep_alive: bool,
-    ) -> Result<(), Reject> {
-        let ends_unwatched = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
-        let streams = self.event_streams.as_mut().ok_or(Reject::NoSuchPath)?;
-        let cors = event_streams::cors(&raw, &streams.origins);
-        let public_id = random_bytes().map(|bytes| PublicJobId(u64::from_le_bytes(bytes)));
-        let token = random_bytes().map(|bytes| WatchToken(u128::from_le_bytes(bytes)));
-        let (public_id, token) = public_id.zip(token).ok_or(Reject::Overloaded)?;
-        let tenant = request.tenant.map_or(0, |tenant| 1 + u32::from(tenant.0));
-        let new = NewJob { public_id, token, tenant, ends_unwatched };
-        let job = streams.broker.add_job(self.clock.now(), new);
-        let job = job.map_err(|_| Reject::Overloaded)?;
-        request.downstream = Downstream::Job(job).to_number();
-        let Some(request_id) = self.core.accept(self.clock.now(), request) else {
-            streams.broker.transfer(job);
-            return Err(Reject::DuplicateId);
-        };
-        streams.requests.insert(job, request_id);
-        streams.submitted += 1;
-        self.pending.insert(request_id, raw);
-        self.schedule_stream_sweep();
-        connection.outbox.push(event_streams::submitted(public_id, token, &cors, keep_alive));
-        Ok(())
+    /// Lets time pass for jobs and watchers.
+    pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
+        let Some(streams) = &mut self.event_streams else { return };
+        streams.sweep(self.clock.now());
+        self.run_stream_effects();
+        if let Some(streams) = &mut self.event_streams {
+            streams.schedule_sweep(&mut context!(self));
+        }
     }
 
-    /// A job has its final response.
-    pub(in crate::server) fn finish_job(&mut self, job: JobId, response: FinalResponse) {
-        let now = self.clock.now();
+    /// Does what the broker wants done, once a turn: a watcher that is woken pulls the newest progress.
+    pub(in crate::server) fn run_stream_effects(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
-        streams.requests.remove(&job);
-        let (name, data) = event_streams::final_event(response);
-        streams.broker.finish(now, job, name, data, &mut streams.effects);
-        self.schedule_stream_sweep();
+        for effect in streams.take_effects() {
+            match effect {
+                Effect::Wake(watcher) => self.wake_watcher(watcher),
+                Effect::End(job) => self.cancel_job(job),
+            }
+        }
     }
 
-    fn schedule_stream_sweep(&mut self) {
-        if self.event_streams.as_mut().is_some_and(EventStreams::needs_sweep) {
-            self.core.set_timer(self.clock.now() + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
+    fn wake_watcher(&mut self, watcher: WatcherId) {
+        let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
+        if let Some(token) = token {
+            self.clients.advance_token(&mut client_context!(self), token);
         }
     }
 
-    /// Lets time pass for jobs and watchers.
-    pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
+    /// Cancels a job that nobody watches and that is not to go on without.
+    fn cancel_job(&mut self, job: JobId) {
         let Some(streams) = &mut self.event_streams else { return };
-        streams.sweep(self.clock.now());
-        self.run_stream_effects();
-        self.schedule_stream_sweep();
+        if let Some(request_id) = streams.requests.remove(&job) {
+            streams.broker.transfer(job); // nobody can watch it any more
+            self.pending.remove(request_id);
+            self.core.on_client_disconnected(self.clock.now(), request_id);
+        }
     }
 }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -5,6 +5,8 @@
 use crate::protocol::platform::RawRequest;
 use crate::server::Server;
 use crate::server::connection_table::Role;
+use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::event_streams::watchers::RECONNECT_DELAY;
 use crate::server::downstream::{ClientState, Downstream};
 use crate::server::transferred::{TransferredExchange, TransferredJob};
@@ -19,6 +21,7 @@
     pub request_id: Option<RequestId>,
 }
 
+/// What concerns the watchers' connections, the open requests and the other process as well.
 impl Server {
     /// All jobs.
     pub(in crate::server) fn stream_jobs(&self) -> Vec<JobId> {
@@ -67,11 +70,17 @@
                     connection.outbox.push(stream.frame.end());
                 }
                 client.state = ClientState::Closing;
-                self.on_watcher_disconnected(watcher);
-                self.advance_client(token, connection, client);
+                self.forget_watcher(watcher);
+                self.clients.advance(&mut client_context!(self), token, connection, client);
             }
             Some((token, (connection, role))) => self.reactor.put(token, connection, role),
-            None => self.on_watcher_disconnected(watcher),
+            None => self.forget_watcher(watcher),
+        }
+    }
+
+    fn forget_watcher(&mut self, watcher: WatcherId) {
+        if let Some(streams) = &mut self.event_streams {
+            streams.on_watcher_disconnected(&mut context!(self), watcher);
         }
     }
 
@@ -86,18 +95,16 @@
             self.hot_restart.forget_in_peer_process(&exchange.request.name);
             match self.core.adopt(exchange.request, Downstream::Job(job).to_number()) {
                 Some(request_id) => {
-                    if let Some(streams) = &mut self.event_streams {
-                        streams.requests.insert(job, request_id);
-                    }
+                    streams.requests.insert(job, request_id);
                     self.pending.insert(request_id, raw);
                     if exchange.has_broken_attempt {
                         self.pending.record_broken_attempt(request_id);
                     }
                 }
                 // Nothing here could serve it: it fails at once.
-                None => self.finish_job(job, FinalResponse::Failed),
+                None => streams.finish_job(&mut context!(self), job, FinalResponse::Failed),
             }
         }
-        self.schedule_stream_sweep();
+        streams.schedule_sweep(&mut context!(self));
     }
 }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -4,13 +4,12 @@
 use crate::policy::interface::Micros;
 use crate::protocol::event_streams::{self, StreamFraming, StreamRequest};
 use crate::protocol::platform::RawRequest;
-use crate::server::Server;
 use crate::server::connection::Connection;
-use crate::server::connection_table::Role;
+use crate::server::context::Context;
 use crate::server::downstream::event_streams::{EncodedEvent, EventStreams};
-use crate::server::downstream::{ClientConnection, ClientState, StreamWatch};
+use crate::server::downstream::{ClientConnection, ClientContext, ClientState, StreamWatch};
 use crate::server::tokens::Token;
-use mothproxy_streams::{BrokerError, Effect, JobEvent, JobId, Next, WatcherId};
+use mothproxy_streams::{BrokerError, JobEvent, JobId, Next, WatcherId};
 use std::rc::Rc;
 
 /// A watcher's connection is given more once it has less than this left to write, in bytes.
@@ -59,6 +58,17 @@
         self.broker.watch(public_id, token, wanted.last_event_id)
     }
 
+    /// A watcher's connection is over.
+    pub(in crate::server::downstream) fn on_watcher_disconnected(
+        &mut self,
+        context: &mut Context<'_>,
+        watcher: WatcherId,
+    ) {
+        self.tokens.remove(&watcher);
+        self.broker.remove_watcher(context.now(), watcher);
+        self.schedule_sweep(context);
+    }
+
     /// What comes next for a watcher, as it is written.
     fn next_for(&mut self, watcher: WatcherId, frame: StreamFraming) -> NextPieces {
         match self.broker.pull(watcher) {
@@ -97,147 +107,107 @@
     bytes
 }
 
-impl Server {
-    /// A request at a job's path, or a preflight. False where it is neither.
-    pub(in crate::server::downstream) fn on_stream_request(
-        &mut self,
-        token: Token,
-        connection: &mut Connection,
-        client: &mut ClientConnection,
-        raw: &RawRequest,
-        keep_alive: bool,
-    ) -> bool {
-        let Some(streams) = &mut self.event_streams else { return false };
-        let cors = event_streams::cors(raw, &streams.origins);
-        let method = &raw.bytes[raw.head.method.clone()];
-        if method == b"OPTIONS" {
-            connection.outbox.push(event_streams::preflight(&cors, keep_alive));
-            return true;
-        }
-        let Some(wanted) = event_streams::stream_request(raw) else { return false };
-        if method != b"GET" && method != b"HEAD" {
-            connection.outbox.push(event_streams::wrong_method(keep_alive));
-            return true;
-        }
-        let has_body = method == b"GET";
-        let frame =
-            if event_streams::is_http_1_0(raw) { StreamFraming::UntilClose } else { StreamFraming::Chunked };
-        let request = ResponseOptions { cors, has_body, keep_alive, frame };
-        if !event_streams::accepts_event_stream(raw) {
-            connection.outbox.push(request.not_acceptable());
-            return true;
-        }
-        match streams.open_watcher(&wanted) {
-            Ok(watcher) => self.start_stream(token, connection, client, watcher, &request),
-            Err(why) => connection.outbox.push(request.refusal(&why)),
-        }
-        true
+/// A request at a job's path, or a preflight. False where it is neither.
+pub(in crate::server::downstream) fn on_stream_request(
+    context: &mut ClientContext<'_>,
+    token: Token,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+    raw: &RawRequest,
+    keep_alive: bool,
+) -> bool {
+    let Some(streams) = &mut *context.event_streams else { return false };
+    let cors = event_streams::cors(raw, &streams.origins);
+    let method = &raw.bytes[raw.head.method.clone()];
+    if method == b"OPTIONS" {
+        connection.outbox.push(event_streams::preflight(&cors, keep_alive));
+        return true;
     }
-
-    /// Begins the stream of a watcher that the broker has opened.
-    fn start_stream(
-        &mut self,
-        token: Token,
-        connection: &mut Connection,
-        client: &mut ClientConnection,
-        watcher: WatcherId,
-        request: &ResponseOptions,
-    ) {
-        let reconnect_delay = self.reconnect_delay();
-        let Some(streams) = &mut self.event_streams else { return };
-        let frame = request.frame;
-        let keep_alive = request.keep_alive && frame == StreamFraming::Chunked;
-        connection.outbox.push(event_streams::stream_head(frame, &request.cors, keep_alive));
-        if !request.has_body {
-            streams.broker.remove_watcher(self.clock.now(), watcher);
-            return;
-        }
-        streams.tokens.insert(watcher, token);
-        connection.outbox.push(event_streams::retry(frame, reconnect_delay));
-        client.state =
-            ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: self.clock.now() });
+    let Some(wanted) = event_streams::stream_request(raw) else { return false };
+    if method != b"GET" && method != b"HEAD" {
+        connection.outbox.push(event_streams::wrong_method(keep_alive));
+        return true;
     }
-
-    /// How long a client that loses its stream now should stay away.
-    fn reconnect_delay(&self) -> Micros {
-        if self.lifecycle.is_draining() || self.lifecycle.has_handed_over() {
-            RECONNECT_DELAY_DRAINING
-        } else if self.reactor.connections().clients() * 4 >= self.budget.clients * 3 {
-            RECONNECT_DELAY_LOADED
-        } else {
-            RECONNECT_DELAY
-        }
+    let has_body = method == b"GET";
+    let frame =
+        if event_streams::is_http_1_0(raw) { StreamFraming::UntilClose } else { StreamFraming::Chunked };
+    let request = ResponseOptions { cors, has_body, keep_alive, frame };
+    if !event_streams::accepts_event_stream(raw) {
+        connection.outbox.push(request.not_acceptable());
+        return true;
     }
-
-    /// Gives a watcher's connection what comes next, as much as it can write soon.
-    pub(in crate::server::downstream) fn fill_stream(
-        &mut self,
-        connection: &mut Connection,
-        client: &mut ClientConnection,
-    ) {
-        let ClientState::Watching(stream) = &mut client.state else { return };
-        let Some(streams) = &mut self.event_streams else { return };
-        while connection.outbox.len() < MAX_STREAM_BACKLOG {
-            match streams.next_for(stream.watcher, stream.frame) {
-                NextPieces::Nothing => return,
-                NextPieces::More(pieces) => connection.outbox.push(pieces),
-                NextPieces::Last(piece) => {
-                    connection.outbox.push(vec![piece]);
-                    connection.outbox.push(stream.frame.end());
-                    streams.broker.remove_watcher(self.clock.now(), stream.watcher);
-                    streams.tokens.remove(&stream.watcher);
-                    let keep_alive = stream.keep_alive;
-                    return client.finish_response(keep_alive);
-                }
-            }
-            stream.last_write = self.clock.now();
-        }
+    match streams.open_watcher(&wanted) {
+        Ok(watcher) => start_stream(context, token, connection, client, watcher, &request),
+        Err(why) => connection.outbox.push(request.refusal(&why)),
     }
+    true
+}
 
-    /// Whether a watcher could be given more at once.
-    pub(in crate::server::downstream) fn has_stream_events(&self, client: &ClientConnection) -> bool {
-        let ClientState::Watching(stream) = &client.state else { return false };
-        self.event_streams.as_ref().is_some_and(|streams| streams.broker.has_more(stream.watcher))
+/// Begins the stream of a watcher that the broker has opened.
+fn start_stream(
+    context: &mut ClientContext<'_>,
+    token: Token,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+    watcher: WatcherId,
+    request: &ResponseOptions,
+) {
+    let reconnect_delay = reconnect_delay(context);
+    let Some(streams) = &mut *context.event_streams else { return };
+    let frame = request.frame;
+    let keep_alive = request.keep_alive && frame == StreamFraming::Chunked;
+    connection.outbox.push(event_streams::stream_head(frame, &request.cors, keep_alive));
+    if !request.has_body {
+        streams.broker.remove_watcher(context.shared.now(), watcher);
+        return;
     }
+    streams.tokens.insert(watcher, token);
+    connection.outbox.push(event_streams::retry(frame, reconnect_delay));
+    client.state =
+        ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: context.shared.now() });
+}
 
-    /// A watcher's connection is over.
-    pub(in crate::server::downstream) fn on_watcher_disconnected(&mut self, watcher: WatcherId) {
-        let now = self.clock.now();
-        if let Some(streams) = &mut self.event_streams {
-            streams.tokens.remove(&watcher);
-            streams.broker.remove_watcher(now, watcher);
-            self.schedule_stream_sweep();
-        }
+/// How long a client that loses its stream now should stay away.
+fn reconnect_delay(context: &ClientContext<'_>) -> Micros {
+    if context.shared.lifecycle.is_draining() || context.shared.lifecycle.has_handed_over() {
+        RECONNECT_DELAY_DRAINING
+    } else if context.shared.reactor.connections().clients() * 4 >= context.budget.clients * 3 {
+        RECONNECT_DELAY_LOADED
+    } else {
+        RECONNECT_DELAY
     }
+}
 
-    /// Does what the broker wants done, once a turn: a watcher that is woken pulls the newest progress.
-    pub(in crate::server) fn run_stream_effects(&mut self) {
-        let Some(streams) = &mut self.event_streams else { return };
-        for effect in streams.take_effects() {
-            match effect {
-                Effect::Wake(watcher) => self.wake_watcher(watcher),
-                Effect::End(job) => self.cancel_job(job),
+/// Gives a watcher's connection what comes next, as much as it can write soon.
+pub(in crate::server::downstream) fn fill_stream(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+) {
+    let ClientState::Watching(stream) = &mut client.state else { return };
+    let Some(streams) = &mut *context.event_streams else { return };
+    while connection.outbox.len() < MAX_STREAM_BACKLOG {
+        match streams.next_for(stream.watcher, stream.frame) {
+            NextPieces::Nothing => return,
+            NextPieces::More(pieces) => connection.outbox.push(pieces),
+            NextPieces::Last(piece) => {
+                connection.outbox.push(vec![piece]);
+                connection.outbox.push(stream.frame.end());
+                streams.broker.remove_watcher(context.shared.now(), stream.watcher);
+                streams.tokens.remove(&stream.watcher);
+                let keep_alive = stream.keep_alive;
+                return client.finish_response(keep_alive);
             }
         }
+        stream.last_write = context.shared.now();
     }
+}
 
-    fn wake_watcher(&mut self, watcher: WatcherId) {
-        let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
-        let Some(token) = token else { return };
-        match self.reactor.take(token) {
-            Some((connection, Role::Client(client))) => self.advance_client(token, connection, client),
-            Some((connection, role)) => self.reactor.put(token, connection, role),
-            None => {} // in use right now: it pulls before it is put back
-        }
-    }
-
-    /// Cancels a job that nobody watches and that is not to go on without.
-    fn cancel_job(&mut self, job: JobId) {
-        let Some(streams) = &mut self.event_streams else { return };
-        if let Some(request_id) = streams.requests.remove(&job) {
-            streams.broker.transfer(job); // nobody can watch it any more
-            self.pending.remove(request_id);
-            self.core.on_client_disconnected(self.clock.now(), request_id);
-        }
-    }
+/// Whether a watcher could be given more at once.
+pub(in crate::server::downstream) fn has_stream_events(
+    context: &ClientContext<'_>,
+    client: &ClientConnection,
+) -> bool {
+    let ClientState::Watching(stream) = &client.state else { return false };
+    context.event_streams.as_ref().is_some_and(|streams| streams.broker.has_more(stream.watcher))
 }
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -3,10 +3,11 @@
 //! client whose request crossed the end sends it again elsewhere.
 
 use crate::policy::interface::Micros;
-use crate::server::Server;
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
-use crate::server::downstream::{ClientConnection, ClientState, MAX_INBOX, TimedToken};
+use crate::server::downstream::{
+    ClientConnection, ClientConnections, ClientContext, ClientState, MAX_INBOX, TimedToken,
+};
 use crate::server::tokens::Token;
 use std::collections::BTreeSet;
 use std::net::Shutdown;
@@ -39,33 +40,36 @@
     }
 }
 
-impl Server {
+impl ClientConnections {
     /// Ends this side of a connection on which all is written.
-    pub(super) fn half_close_client(
+    pub(super) fn half_close(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) {
         let _ = connection.stream.shutdown(Shutdown::Write); // it may be gone; the timer ends it
-        self.clients.untrack(token, client);
+        self.untrack(token, client);
         connection.inbox = Vec::new();
-        client.state = ClientState::Lingering { since: self.clock.now() };
-        self.clients.lingering.insert(self.clock.now(), token);
-        connection.set_timer(&mut self.core, token, Some(self.clock.now() + LINGER_TIMEOUT));
+        client.state = ClientState::Lingering { since: context.now() };
+        self.lingering.insert(context.now(), token);
+        connection.set_timer(context.shared.core, token, Some(context.now() + LINGER_TIMEOUT));
         // They have a part of the budget of their own beside the clients that are served; under a flood the oldest are closed.
-        if self.clients.lingering.len() > self.budget.max_lingering() {
-            self.close_oldest_lingering();
+        if self.lingering.len() > context.budget.max_lingering() {
+            self.close_oldest_lingering(context);
         }
     }
 
     /// Closes the connection that has lingered for longest, for its descriptor. False where none lingers.
-    pub(in crate::server) fn close_oldest_lingering(&mut self) -> bool {
-        let Some(token) = self.clients.lingering.pop_oldest() else { return false };
-        match self.reactor.take(token) {
-            Some((connection, Role::Client(client))) => self.on_linger_timeout(token, connection, client),
+    pub(in crate::server) fn close_oldest_lingering(&mut self, context: &mut ClientContext<'_>) -> bool {
+        let Some(token) = self.lingering.pop_oldest() else { return false };
+        match context.shared.reactor.take(token) {
+            Some((connection, Role::Client(client))) => {
+                self.on_linger_timeout(context, token, connection, client);
+            }
             // The one in use right now sees it when its turn is over.
-            Some((connection, role)) => self.reactor.put(token, connection, role),
+            Some((connection, role)) => context.shared.reactor.put(token, connection, role),
             None => {}
         }
         true
@@ -74,12 +78,13 @@
     /// Closes a connection whose client has had its time; what it has sent by now is read.
     pub(super) fn on_linger_timeout(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         mut connection: Connection,
         client: ClientConnection,
     ) {
         connection.inbox.clear();
         let _: ReadEnd = connection.fill(MAX_INBOX);
-        self.on_client_closed(token, connection, client);
+        self.on_closed(context, token, connection, client);
     }
 }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -3,9 +3,12 @@
 //! `accept` takes them in, `read` puts requests together, `request` routes each of them, `respond` writes what the core
 //! answers, `idle` closes those that must make room, and `lingering` ends a connection without losing its last response.
 //! `event_streams` serves jobs whose clients come back for their events.
+//!
+//! All but `accept` are methods of [`ClientConnections`], which are given a [`ClientContext`].
 
 mod accept;
 mod client;
+pub(in crate::server) mod context;
 pub(in crate::server) mod event_streams;
 mod idle;
 mod lingering;
@@ -14,6 +17,7 @@
 mod respond;
 
 pub(in crate::server) use client::{ClientConnection, ClientState, StreamWatch};
+pub(in crate::server) use context::ClientContext;
 pub(in crate::server) use idle::{MIN_IDLE_BEFORE_CLOSE, PARTIAL_REQUEST_GRACE, SILENT_GRACE};
 
 use crate::http::{MAX_BODY, MAX_HEAD};
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -5,11 +5,15 @@
 use crate::policy::interface::Micros;
 use crate::protocol::platform::{RawRequest, Reject};
 use crate::protocol::{event_streams, sse};
-use crate::server::Server;
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
+use crate::server::context::Context;
 use crate::server::downstream::client::ChunkedRequest;
-use crate::server::downstream::{ClientConnection, ClientState, Downstream, MAX_INBOX};
+use crate::server::downstream::event_streams::watchers::{fill_stream, has_stream_events};
+use crate::server::downstream::respond::reject;
+use crate::server::downstream::{
+    ClientConnection, ClientConnections, ClientContext, ClientState, Downstream, MAX_INBOX,
+};
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
@@ -26,7 +30,7 @@
 /// What says that the other side of a connection has ended it.
 const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
 
-/// What a step of [`Server::advance_client`] has come to.
+/// What a step of [`Server::advance`] has come to.
 enum Progress {
     /// There may be more to do.
     Continue,
@@ -36,84 +40,107 @@
     Broken,
 }
 
-impl Server {
+impl ClientConnections {
     /// A connection of a client can be read or written, or its client has ended it.
-    pub(in crate::server) fn on_client_ready(
+    pub(in crate::server) fn on_ready(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         mut connection: Connection,
         mut client: ClientConnection,
         flags: EventFlags,
     ) {
-        if self.clients.untrack_idle(token, &mut client) {
-            connection.set_timer(&mut self.core, token, None); // what comes now has a time of its own
+        if self.untrack_idle(token, &mut client) {
+            connection.set_timer(context.shared.core, token, None); // what comes now has a time of its own
         }
         if flags.contains(EventFlags::OUT) && !connection.flush() {
-            return self.on_client_closed(token, connection, client);
+            return self.on_closed(context, token, connection, client);
         }
         let mut has_ended = false;
         if flags.intersects(EventFlags::IN | HANGUP) {
             let length_before = connection.inbox.len();
             let end = connection.fill(MAX_INBOX);
             if connection.inbox.len() > length_before {
-                self.clients.on_bytes_read(token, &mut client, self.clock.now());
+                self.on_bytes_read(token, &mut client, context.now());
             }
             match end {
                 ReadEnd::WouldBlock => has_ended = flags.intersects(HANGUP),
                 ReadEnd::LimitReached
                     if client.is_awaiting_response() || connection.outbox.len() >= MAX_UNREAD_RESPONSES =>
                 {
-                    self.metrics.rejects += 1;
-                    return self.on_client_closed(token, connection, client);
+                    context.shared.metrics.rejects += 1;
+                    return self.on_closed(context, token, connection, client);
                 }
                 ReadEnd::LimitReached => {}
                 // Its client has disconnected, which cancels its request.
-                ReadEnd::Eof | ReadEnd::Broken => return self.on_client_closed(token, connection, client),
+                ReadEnd::Eof | ReadEnd::Broken => return self.on_closed(context, token, connection, client),
             }
         }
-        self.advance_client(token, connection, client);
+        self.advance(context, token, connection, client);
         // A short read does not show the end behind it. What came before the end is used; no attempt may begin for it.
-        if has_ended && let Some((connection, role)) = self.reactor.take(token) {
+        if has_ended && let Some((connection, role)) = context.shared.reactor.take(token) {
             match role {
-                Role::Client(client) => self.on_client_closed(token, connection, client),
-                role => self.reactor.put(token, connection, role),
+                Role::Client(client) => self.on_closed(context, token, connection, client),
+                role => context.shared.reactor.put(token, connection, role),
             }
         }
     }
 
     /// Handles the event of a client that has disconnected, as these flags say, before those of other connections.
-    pub(in crate::server) fn on_client_hangup(&mut self, token: Token, flags: EventFlags) {
+    pub(in crate::server) fn on_hangup(
+        &mut self,
+        context: &mut ClientContext<'_>,
+        token: Token,
+        flags: EventFlags,
+    ) {
+        let is_client =
+            || matches!(context.shared.reactor.connections().get(token), Some((_, Role::Client(_))));
         if flags.intersects(HANGUP)
-            && matches!(self.reactor.connections().get(token), Some((_, Role::Client(_))))
+            && is_client()
+            && let Some((connection, Role::Client(client))) = context.shared.reactor.take(token)
         {
-            self.on_ready(token, flags);
+            self.on_ready(context, token, connection, client, flags);
         }
     }
 
     /// Reads a connection to see whether the client that awaits a response on it has disconnected; if so, its request is
     /// cancelled.
-    pub(in crate::server) fn close_if_disconnected(&mut self, token: Token) {
-        let Some((mut connection, role)) = self.reactor.take(token) else { return };
+    pub(in crate::server) fn close_if_disconnected(&mut self, context: &mut ClientContext<'_>, token: Token) {
+        let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         match role {
             Role::Client(client) if client.is_awaiting_response() && connection.has_ended(MAX_INBOX) => {
-                self.on_client_closed(token, connection, client);
+                self.on_closed(context, token, connection, client);
             }
-            role => self.reactor.put(token, connection, role),
+            role => context.shared.reactor.put(token, connection, role),
         }
     }
 
     /// Reads the connection of a request's client, and cancels the request if that has disconnected.
-    pub(in crate::server) fn cancel_if_client_disconnected(&mut self, request_id: RequestId) {
+    pub(in crate::server) fn cancel_if_disconnected(
+        &mut self,
+        context: &mut ClientContext<'_>,
+        request_id: RequestId,
+    ) {
         if let Some(Downstream::Connection(token)) =
-            self.core.downstream(request_id).map(Downstream::from_number)
+            context.shared.core.downstream(request_id).map(Downstream::from_number)
         {
-            self.close_if_disconnected(token);
+            self.close_if_disconnected(context, token);
+        }
+    }
+
+    /// Uses what is there for a connection that is in its slot; one in use right now does so before it is put back.
+    pub(super) fn advance_token(&mut self, context: &mut ClientContext<'_>, token: Token) {
+        match context.shared.reactor.take(token) {
+            Some((connection, Role::Client(client))) => self.advance(context, token, connection, client),
+            Some((connection, role)) => context.shared.reactor.put(token, connection, role),
+            None => {}
         }
     }
 
     /// Uses what was read, writes what is there to write, and sets what to wait for.
-    pub(in crate::server) fn advance_client(
+    pub(in crate::server) fn advance(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         mut connection: Connection,
         mut client: ClientConnection,
@@ -125,50 +152,30 @@
                     Progress::Wait
                 }
                 ClientState::AwaitingResponse { .. } => Progress::Wait,
-                ClientState::Watching(_) => self.write_events(token, &mut connection, &mut client),
-                ClientState::Reading => self.read_request(token, &mut connection, &mut client),
-                ClientState::ReadingChunks(_) => self.read_chunks(token, &mut connection, &mut client),
+                ClientState::Watching(_) => write_events(context, token, &mut connection, &mut client),
+                ClientState::Reading => self.read_request(context, token, &mut connection, &mut client),
+                ClientState::ReadingChunks(_) => {
+                    self.read_chunks(context, token, &mut connection, &mut client)
+                }
             };
             match progress {
                 Progress::Continue => {}
                 Progress::Wait => break,
-                Progress::Broken => return self.on_client_closed(token, connection, client),
+                Progress::Broken => return self.on_closed(context, token, connection, client),
             }
         }
-        self.finish_client_event(token, connection, client);
-    }
-
-    /// Writes the events of the job that a client watches.
-    fn write_events(
-        &mut self,
-        token: Token,
-        connection: &mut Connection,
-        client: &mut ClientConnection,
-    ) -> Progress {
-        self.fill_stream(connection, client);
-        // What the socket takes at once makes room for more.
-        if !connection.flush() {
-            return Progress::Broken;
-        }
-        if !client.is_watching() {
-            connection.set_timer(&mut self.core, token, None); // it was the heartbeat's
-            return Progress::Wait;
-        }
-        if connection.outbox.is_empty() && self.has_stream_events(client) {
-            Progress::Continue
-        } else {
-            Progress::Wait
-        }
+        self.finish_event(context, token, connection, client);
     }
 
     /// Reads a request's head, and its body where that has a length.
     fn read_request(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) -> Progress {
-        if connection.inbox.is_empty() || self.lifecycle.has_handed_over() {
+        if connection.inbox.is_empty() || context.shared.lifecycle.has_handed_over() {
             return Progress::Wait;
         }
         if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
@@ -183,7 +190,7 @@
             Ok(None) => return Progress::Wait,
             Ok(Some(head)) => head,
             Err(error) => {
-                self.reject(connection, client, error.into());
+                reject(context, connection, client, error.into());
                 return Progress::Continue;
             }
         };
@@ -207,21 +214,24 @@
         }
         let bytes = split_front(&mut connection.inbox, length);
         let body = Piece::Shared(bytes.clone(), head.len..length);
-        self.on_request(token, connection, client, RawRequest { bytes, head, body });
+        self.on_request(context, token, connection, client, RawRequest { bytes, head, body });
         Progress::Continue
     }
 
     /// Reads more of a chunked body.
     fn read_chunks(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) -> Progress {
         let ClientState::ReadingChunks(request) = &mut client.state else { return Progress::Continue };
         match request.decoder.decode(&connection.inbox, &mut request.body) {
-            Err(_) => self.reject(connection, client, Reject::BadRequest),
-            Ok(_) if request.body.len() > MAX_BODY => self.reject(connection, client, Reject::BodyTooLarge),
+            Err(_) => reject(context, connection, client, Reject::BadRequest),
+            Ok(_) if request.body.len() > MAX_BODY => {
+                reject(context, connection, client, Reject::BodyTooLarge);
+            }
             Ok(used) => {
                 connection.inbox.drain(..used);
                 if !request.decoder.is_done() {
@@ -230,7 +240,7 @@
                 let state = std::mem::replace(&mut client.state, ClientState::Reading);
                 if let ClientState::ReadingChunks(ChunkedRequest { bytes, head, body, .. }) = state {
                     let raw = RawRequest { bytes, head, body: Piece::Owned(body) };
-                    self.on_request(token, connection, client, raw);
+                    self.on_request(context, token, connection, client, raw);
                 }
             }
         }
@@ -239,18 +249,19 @@
 
     /// Ends the handling of an event: writes what is there to write, sets the deadline and what epoll watches for, and puts
     /// the connection back.
-    pub(in crate::server) fn finish_client_event(
+    pub(in crate::server) fn finish_event(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         mut connection: Connection,
         mut client: ClientConnection,
     ) {
         if !connection.flush() {
-            return self.on_client_closed(token, connection, client);
+            return self.on_closed(context, token, connection, client);
         }
         let is_written = connection.outbox.is_empty();
         if matches!(client.state, ClientState::Closing) && is_written {
-            self.half_close_client(token, &mut connection, &mut client);
+            self.half_close(context, token, &mut connection, &mut client);
         }
         let has_partial_request = match client.state {
             ClientState::Reading => !connection.inbox.is_empty(),
@@ -259,69 +270,47 @@
         };
         if has_partial_request && is_written && !client.is_awaiting_request() {
             // A later request has begun: it has as long as a first one, and may be closed for others like it.
-            client.awaiting_request_since = Some(self.clock.now());
-            client.last_read = self.clock.now();
-            self.clients.track_awaiting_request(token, &client);
+            client.awaiting_request_since = Some(context.now());
+            client.last_read = context.now();
+            self.track_awaiting_request(token, &client);
         }
-        let deadline = self.client_deadline(&mut connection, &client);
+        let deadline = deadline(context, &mut connection, &client);
         if deadline != connection.timer {
-            connection.set_timer(&mut self.core, token, deadline);
+            connection.set_timer(context.shared.core, token, deadline);
         }
         if client.is_reading() && connection.inbox.is_empty() && is_written {
-            self.clients.track_idle(token, &mut client, self.clock.now());
+            self.track_idle(token, &mut client, context.now());
         }
         let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
-        self.reactor.update_interest(token, &mut connection, can_read);
-        self.reactor.put(token, connection, Role::Client(client));
-    }
-
-    /// When a connection is to be handled again at the latest.
-    fn client_deadline(&self, connection: &mut Connection, client: &ClientConnection) -> Option<Micros> {
-        let has_progressed = std::mem::take(&mut connection.has_written);
-        let stall_deadline = connection.timer.filter(|_| !has_progressed);
-        let heartbeat = self.listeners.heartbeat();
-        match &client.state {
-            ClientState::Lingering { .. } => connection.timer,
-            ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
-                Some(client.awaiting_request_since.unwrap_or(self.clock.now()) + REQUEST_TIMEOUT)
-            }
-            ClientState::Reading if connection.outbox.is_empty() => Some(self.clock.now() + IDLE_TIMEOUT),
-            ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
-                Some(stall_deadline.unwrap_or(self.clock.now() + WRITE_STALL_TIMEOUT))
-            }
-            ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
-                Some(stream.last_write + heartbeat)
-            }
-            // Set anew only once it is due: an event more does not move it.
-            ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
-            ClientState::AwaitingResponse { .. } => None,
-        }
+        context.shared.reactor.update_interest(token, &mut connection, can_read);
+        context.shared.reactor.put(token, connection, Role::Client(client));
     }
 
     /// The deadline of a connection has come.
-    pub(in crate::server) fn on_client_timer(
+    pub(in crate::server) fn on_timer(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         mut connection: Connection,
         mut client: ClientConnection,
     ) {
         if client.idle_since.is_some() {
-            self.close_idle_client(token, connection, client);
+            self.close_idle(context, token, connection, client);
             return;
         }
         match &mut client.state {
             ClientState::Closing | ClientState::Lingering { .. } => {
-                return self.on_linger_timeout(token, connection, client);
+                return self.on_linger_timeout(context, token, connection, client);
             }
             ClientState::AwaitingResponse { stream: Some(stream), .. } => {
-                stream.last_write = self.clock.now();
+                stream.last_write = context.now();
                 if connection.outbox.is_empty() {
                     connection.outbox.push(sse::heartbeat());
                 }
             }
             ClientState::Watching(watch) => {
-                if watch.last_write + self.listeners.heartbeat() <= self.clock.now() {
-                    watch.last_write = self.clock.now();
+                if watch.last_write + context.heartbeat <= context.now() {
+                    watch.last_write = context.now();
                     if connection.outbox.is_empty() {
                         connection.outbox.push(event_streams::heartbeat(watch.frame));
                     }
@@ -329,44 +318,100 @@
             }
             ClientState::AwaitingResponse { .. } => {}
             ClientState::Reading | ClientState::ReadingChunks(_) if !connection.outbox.is_empty() => {
-                return self.on_client_closed(token, connection, client); // it does not read its response
+                return self.on_closed(context, token, connection, client); // it does not read its response
             }
             ClientState::Reading | ClientState::ReadingChunks(_) => {
-                self.reject(&mut connection, &mut client, Reject::TooSlow);
+                reject(context, &mut connection, &mut client, Reject::TooSlow);
             }
         }
-        self.finish_client_event(token, connection, client);
+        self.finish_event(context, token, connection, client);
     }
 
     /// The connection is over; a request whose response was awaited on it has lost its client.
-    pub(in crate::server) fn on_client_closed(
+    pub(in crate::server) fn on_closed(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: Connection,
         mut client: ClientConnection,
     ) {
         match &client.state {
             ClientState::AwaitingResponse { request_id, .. } => {
-                self.pending.remove(*request_id);
-                self.core.on_client_disconnected(self.clock.now(), *request_id);
+                context.pending.remove(*request_id);
+                context.shared.core.on_client_disconnected(context.now(), *request_id);
             }
-            ClientState::Watching(watch) => self.on_watcher_disconnected(watch.watcher),
-            ClientState::Lingering { since } => self.clients.lingering.remove(*since, token),
+            ClientState::Watching(watch) => {
+                if let Some(streams) = context.event_streams {
+                    streams.on_watcher_disconnected(&mut context.shared, watch.watcher);
+                }
+            }
+            ClientState::Lingering { since } => self.lingering.remove(*since, token),
             _ => {}
         }
-        self.clients.untrack_awaiting_request(token, &mut client);
-        self.reactor.close(&mut self.core, token, connection, Role::Client(client));
+        self.untrack_awaiting_request(token, &mut client);
+        context.shared.reactor.close(context.shared.core, token, connection, Role::Client(client));
     }
 
     /// Drops a connection that has gone over to another process.
-    pub(in crate::server) fn release_client(
+    pub(in crate::server) fn release(
         &mut self,
+        context: &mut Context<'_>,
         token: Token,
         connection: Connection,
         mut client: ClientConnection,
     ) {
-        self.clients.untrack(token, &mut client);
-        self.reactor.close(&mut self.core, token, connection, Role::Client(client));
+        self.untrack(token, &mut client);
+        context.reactor.close(context.core, token, connection, Role::Client(client));
+    }
+}
+
+/// Writes the events of the job that a client watches.
+fn write_events(
+    context: &mut ClientContext<'_>,
+    token: Token,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+) -> Progress {
+    fill_stream(context, connection, client);
+    // What the socket takes at once makes room for more.
+    if !connection.flush() {
+        return Progress::Broken;
+    }
+    if !client.is_watching() {
+        connection.set_timer(context.shared.core, token, None); // it was the heartbeat's
+        return Progress::Wait;
+    }
+    if connection.outbox.is_empty() && has_stream_events(context, client) {
+        Progress::Continue
+    } else {
+        Progress::Wait
+    }
+}
+
+/// When a connection is to be handled again at the latest.
+fn deadline(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    client: &ClientConnection,
+) -> Option<Micros> {
+    let has_progressed = std::mem::take(&mut connection.has_written);
+    let stall_deadline = connection.timer.filter(|_| !has_progressed);
+    let heartbeat = context.heartbeat;
+    match &client.state {
+        ClientState::Lingering { .. } => connection.timer,
+        ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
+            Some(client.awaiting_request_since.unwrap_or(context.now()) + REQUEST_TIMEOUT)
+        }
+        ClientState::Reading if connection.outbox.is_empty() => Some(context.now() + IDLE_TIMEOUT),
+        ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
+            Some(stall_deadline.unwrap_or(context.now() + WRITE_STALL_TIMEOUT))
+        }
+        ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
+            Some(stream.last_write + heartbeat)
+        }
+        // Set anew only once it is due: an event more does not move it.
+        ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
+        ClientState::AwaitingResponse { .. } => None,
     }
 }
 
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -4,170 +4,183 @@
 use crate::http::{self, Framing};
 use crate::protocol::platform::{self, RawRequest, Reject, Route};
 use crate::protocol::{event_streams, sse};
-use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::downstream::client::ResponseStream;
-use crate::server::downstream::{ClientConnection, ClientState, Downstream};
+use crate::server::downstream::event_streams::submit_job;
+use crate::server::downstream::event_streams::watchers::on_stream_request;
+use crate::server::downstream::respond::reject;
+use crate::server::downstream::{
+    ClientConnection, ClientConnections, ClientContext, ClientState, Downstream,
+};
 use crate::server::tokens::Token;
 
-impl Server {
+impl ClientConnections {
     /// A whole request has come. It is answered at once, or its response is awaited from the core.
     pub(super) fn on_request(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
         raw: RawRequest,
     ) {
-        if self.lifecycle.has_handed_over() {
+        if context.shared.lifecycle.has_handed_over() {
             // Its last chunk came after the handover began: it goes over as it came, to be taken there.
             connection.inbox = chunked_again(&raw, &connection.inbox);
             client.state = ClientState::Reading;
             return;
         }
-        if self.clients.untrack_awaiting_request(token, client) {
-            connection.set_timer(&mut self.core, token, None);
+        if self.untrack_awaiting_request(token, client) {
+            connection.set_timer(context.shared.core, token, None);
         }
-        let keep_alive =
-            raw.head.keep_alive && self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers);
+        let keep_alive = raw.head.keep_alive && context.keeps_connections();
         client.finish_response(keep_alive);
         // A body longer than its stated length: what was cut off of it must not run as though it were whole.
         if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
-            return self.reject(connection, client, Reject::BadRequest);
+            return reject(context, connection, client, Reject::BadRequest);
         }
-        if client.is_sse && self.on_stream_request(token, connection, client, &raw, keep_alive) {
+        if client.is_sse && on_stream_request(context, token, connection, client, &raw, keep_alive) {
             return;
         }
-        let Err(why) = self.route_request(token, connection, client, raw, keep_alive) else { return };
+        let Err(why) = self.route_request(context, token, connection, client, raw, keep_alive) else {
+            return;
+        };
         if why.closes() {
-            return self.reject(connection, client, why);
+            return reject(context, connection, client, why);
         }
-        self.metrics.rejects += u64::from(why != Reject::NotReady);
+        context.shared.metrics.rejects += u64::from(why != Reject::NotReady);
         connection.outbox.push(platform::reject(why, keep_alive));
     }
 
     fn route_request(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
         raw: RawRequest,
         keep_alive: bool,
     ) -> Result<(), Reject> {
-        match platform::route(self.core.names(), &self.classes, &raw, !client.is_sse)? {
-            Route::Ready if self.lifecycle.is_draining() || self.core.endpoints.stale => {
+        match platform::route(
+            context.shared.core.names(),
+            &context.shared.config.settings.classes,
+            &raw,
+            !client.is_sse,
+        )? {
+            Route::Ready if context.shared.lifecycle.is_draining() || context.shared.core.endpoints.stale => {
                 Err(Reject::NotReady)
             }
             Route::Ready => {
                 connection.outbox.push(platform::ready());
                 Ok(())
             }
-            Route::StatusCallback => self.on_status_callback(connection, client, &raw, keep_alive),
+            Route::StatusCallback => on_status_callback(context, connection, client, &raw, keep_alive),
             Route::Submit(mut request) => {
-                if let Some(plan) = self.lifecycle.shutdown() {
-                    request.time_budget = plan.time_budget(self.clock.now(), request.time_budget);
+                if let Some(plan) = context.shared.lifecycle.shutdown() {
+                    request.time_budget = plan.time_budget(context.now(), request.time_budget);
                 }
                 // All descriptors for clients are at work: this one is rejected before anything has run, since
                 // one left in the queue of connections would be lost at its deadline.
-                if !self.ensure_client_capacity() {
-                    self.core.count_rejected(request.class);
+                if !self.ensure_capacity(context) {
+                    context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
                 }
                 if client.is_sse && event_streams::prefers_async(&raw) {
-                    self.on_job_submitted(connection, request, raw, keep_alive)
+                    on_job_submitted(context, connection, request, raw, keep_alive)
                 } else {
-                    self.on_request_submitted(token, client, request, raw, keep_alive)
+                    on_request_submitted(context, token, client, request, raw, keep_alive)
                 }
             }
         }
     }
+}
 
-    /// A worker says how a job gets on.
-    fn on_status_callback(
-        &mut self,
-        connection: &mut Connection,
-        client: &mut ClientConnection,
-        raw: &RawRequest,
-        keep_alive: bool,
-    ) -> Result<(), Reject> {
-        let body = raw.body.bytes();
-        let callback =
-            platform::parse_status_callback(self.core.names(), body, None).ok_or(Reject::BadRequest)?;
-        client.has_callbacks = true;
-        if self.hot_restart.is_open_in_peer_process(&callback.id) && !self.core.knows(&callback.id) {
-            if !self.hot_restart.forward_status_callback(body) {
-                return Err(Reject::Overloaded); // the worker tries again
-            }
-            connection.outbox.push(platform::callback_accepted(keep_alive));
-            return Ok(());
-        }
-        let keep_alive = raw.head.keep_alive && (keep_alive || !self.lifecycle.is_shutting_down());
-        if keep_alive {
-            client.state = ClientState::Reading;
+/// A worker says how a job gets on.
+fn on_status_callback(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+    raw: &RawRequest,
+    keep_alive: bool,
+) -> Result<(), Reject> {
+    let body = raw.body.bytes();
+    let callback =
+        platform::parse_status_callback(context.shared.core.names(), body, None).ok_or(Reject::BadRequest)?;
+    client.has_callbacks = true;
+    if context.hot_restart.is_open_in_peer_process(&callback.id) && !context.shared.core.knows(&callback.id) {
+        if !context.hot_restart.forward_status_callback(body) {
+            return Err(Reject::Overloaded); // the worker tries again
         }
-        self.core.on_job_status(
-            self.clock.now(),
-            &callback.id,
-            &callback.from,
-            callback.status,
-            callback.report,
-        );
         connection.outbox.push(platform::callback_accepted(keep_alive));
-        Ok(())
+        return Ok(());
     }
+    let keep_alive = raw.head.keep_alive && (keep_alive || !context.shared.lifecycle.is_shutting_down());
+    if keep_alive {
+        client.state = ClientState::Reading;
+    }
+    context.shared.core.on_job_status(
+        context.now(),
+        &callback.id,
+        &callback.from,
+        callback.status,
+        callback.report,
+    );
+    connection.outbox.push(platform::callback_accepted(keep_alive));
+    Ok(())
+}
 
-    /// A client submits a job whose events it will come back for.
-    fn on_job_submitted(
-        &mut self,
-        connection: &mut Connection,
-        mut request: NewRequest,
-        raw: RawRequest,
-        keep_alive: bool,
-    ) -> Result<(), Reject> {
-        self.read_idempotency_key(&mut request, &raw);
-        let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
-        let is_key_reused = self.core.is_key_reused(self.clock.now(), &request);
-        if is_open_elsewhere {
-            return Err(Reject::DuplicateId);
-        }
-        if is_key_reused {
-            return Err(Reject::KeyReused);
-        }
-        self.submit_job(connection, raw, request, keep_alive)
+/// Reads a request's idempotency key, where such keys are heeded.
+fn read_idempotency_key(context: &mut ClientContext<'_>, request: &mut NewRequest, raw: &RawRequest) {
+    if context.shared.core.idempotency().is_some() {
+        request.idempotency_key =
+            platform::idempotency_key(&context.shared.config.settings.classes, raw, request.class);
     }
+}
 
-    /// A client submits a request and awaits its response.
-    fn on_request_submitted(
-        &mut self,
-        token: Token,
-        client: &mut ClientConnection,
-        mut request: NewRequest,
-        raw: RawRequest,
-        keep_alive: bool,
-    ) -> Result<(), Reject> {
-        request.downstream = Downstream::Connection(token).to_number();
-        self.read_idempotency_key(&mut request, &raw);
-        let is_open_elsewhere = self.hot_restart.is_open_in_peer_process(&request.name);
-        if self.core.is_key_reused(self.clock.now(), &request) {
-            return Err(Reject::KeyReused);
-        }
-        if is_open_elsewhere {
-            return Err(Reject::DuplicateId);
-        }
-        let has_stream = client.is_sse && sse::wants_stream(&raw);
-        let request_id = self.core.accept(self.clock.now(), request).ok_or(Reject::DuplicateId)?;
-        self.pending.insert(request_id, raw);
-        let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: self.clock.now() });
-        client.state = ClientState::AwaitingResponse { request_id, keep_alive, stream };
-        Ok(())
+/// A client submits a job whose events it will come back for.
+fn on_job_submitted(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    mut request: NewRequest,
+    raw: RawRequest,
+    keep_alive: bool,
+) -> Result<(), Reject> {
+    read_idempotency_key(context, &mut request, &raw);
+    let is_open_elsewhere = context.hot_restart.is_open_in_peer_process(&request.name);
+    let is_key_reused = context.shared.core.is_key_reused(context.now(), &request);
+    if is_open_elsewhere {
+        return Err(Reject::DuplicateId);
     }
+    if is_key_reused {
+        return Err(Reject::KeyReused);
+    }
+    submit_job(context, connection, raw, request, keep_alive)
+}
 
-    /// Reads a request's idempotency key, where such keys are heeded.
-    fn read_idempotency_key(&self, request: &mut NewRequest, raw: &RawRequest) {
-        if self.core.idempotency().is_some() {
-            request.idempotency_key = platform::idempotency_key(&self.classes, raw, request.class);
-        }
+/// A client submits a request and awaits its response.
+fn on_request_submitted(
+    context: &mut ClientContext<'_>,
+    token: Token,
+    client: &mut ClientConnection,
+    mut request: NewRequest,
+    raw: RawRequest,
+    keep_alive: bool,
+) -> Result<(), Reject> {
+    request.downstream = Downstream::Connection(token).to_number();
+    read_idempotency_key(context, &mut request, &raw);
+    let is_open_elsewhere = context.hot_restart.is_open_in_peer_process(&request.name);
+    if context.shared.core.is_key_reused(context.now(), &request) {
+        return Err(Reject::KeyReused);
+    }
+    if is_open_elsewhere {
+        return Err(Reject::DuplicateId);
     }
+    let has_stream = client.is_sse && sse::wants_stream(&raw);
+    let request_id = context.shared.core.accept(context.now(), request).ok_or(Reject::DuplicateId)?;
+    context.pending.insert(request_id, raw);
+    let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: context.now() });
+    client.state = ClientState::AwaitingResponse { request_id, keep_alive, stream };
+    Ok(())
 }
 
 /// A chunked request as it came, with what was read behind it.
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -3,40 +3,34 @@
 use crate::core::{FinalResponse, RequestId};
 use crate::protocol::platform::{self, Reject};
 use crate::protocol::sse;
-use crate::server::Server;
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
-use crate::server::downstream::{ClientConnection, ClientState, MAX_UNREAD_PROGRESS};
+use crate::server::downstream::{
+    ClientConnection, ClientConnections, ClientContext, ClientState, MAX_UNREAD_PROGRESS,
+};
 use crate::server::tokens::Token;
 
-impl Server {
-    /// Refuses what has been read, and ends the connection once that is written.
-    pub(super) fn reject(&mut self, connection: &mut Connection, client: &mut ClientConnection, why: Reject) {
-        self.metrics.rejects += u64::from(why != Reject::NotReady);
-        connection.outbox.push(platform::reject(why, false));
-        client.state = ClientState::Closing;
-    }
-
+impl ClientConnections {
     /// Writes the final response to a request.
     pub(in crate::server) fn send_response(
         &mut self,
+        context: &mut ClientContext<'_>,
         token: Token,
         request_id: RequestId,
         response: FinalResponse,
     ) {
-        let Some((mut connection, role)) = self.reactor.take(token) else { return };
+        let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         let Role::Client(mut client) = role else {
             mothproxy_invariant::invariant!(false, "an answer for a connection that is no frontend's");
-            return self.reactor.put(token, connection, role);
+            return context.shared.reactor.put(token, connection, role);
         };
         let ClientState::AwaitingResponse { request_id: awaited, keep_alive, stream } = client.state else {
             mothproxy_invariant::invariant!(false, "an answer for a frontend that waits for none");
-            return self.reactor.put(token, connection, Role::Client(client));
+            return context.shared.reactor.put(token, connection, Role::Client(client));
         };
         mothproxy_invariant::invariant!(awaited == request_id, "an answer for another session");
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
-        let keep_alive = keep_alive
-            && (self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers) || has_stream_begun);
+        let keep_alive = keep_alive && (context.keeps_connections() || has_stream_begun);
         match (stream, &response) {
             (Some(_), _) if has_stream_begun => connection.outbox.push(sse::final_event(response)),
             (Some(_), FinalResponse::Served(_)) => {
@@ -47,16 +41,23 @@
             _ => connection.outbox.push(platform::final_response(response, keep_alive)),
         }
         client.finish_response(keep_alive);
-        connection.set_timer(&mut self.core, token, None);
-        self.advance_client(token, connection, client);
+        connection.set_timer(context.shared.core, token, None);
+        self.advance(context, token, connection, client);
     }
 
     /// Writes the progress of a request to a client that wants a stream: that the job has started, or the share done.
-    pub(in crate::server) fn send_progress(&mut self, token: Token, share: Option<f64>) {
-        let Some((mut connection, role)) = self.reactor.take(token) else { return };
-        let Role::Client(mut client) = role else { return self.reactor.put(token, connection, role) };
+    pub(in crate::server) fn send_progress(
+        &mut self,
+        context: &mut ClientContext<'_>,
+        token: Token,
+        share: Option<f64>,
+    ) {
+        let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
+        let Role::Client(mut client) = role else {
+            return context.shared.reactor.put(token, connection, role);
+        };
         let ClientState::AwaitingResponse { keep_alive, stream: Some(stream), .. } = &mut client.state else {
-            return self.reactor.put(token, connection, Role::Client(client));
+            return context.shared.reactor.put(token, connection, Role::Client(client));
         };
         if !std::mem::replace(&mut stream.has_begun, true) {
             connection.outbox.push(sse::head(*keep_alive));
@@ -65,7 +66,19 @@
         if let Some(share) = share.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
             connection.outbox.push(sse::progress(share));
         }
-        stream.last_write = self.clock.now();
-        self.finish_client_event(token, connection, client);
+        stream.last_write = context.now();
+        self.finish_event(context, token, connection, client);
     }
 }
+
+/// Refuses what has been read, and ends the connection once that is written.
+pub(super) fn reject(
+    context: &mut ClientContext<'_>,
+    connection: &mut Connection,
+    client: &mut ClientConnection,
+    why: Reject,
+) {
+    context.shared.metrics.rejects += u64::from(why != Reject::NotReady);
+    connection.outbox.push(platform::reject(why, false));
+    client.state = ClientState::Closing;
+}
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -8,6 +8,7 @@
 use crate::server::connection_table::Role;
 use crate::server::context::context;
 use crate::server::discovery::CallKind;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{Downstream, PollTime};
 use crate::server::error::{ServerError, system};
 use crate::server::listeners::ListenerKind;
@@ -68,7 +69,8 @@
         }
         // Clients that leave come before those that bring work, which takes longer.
         for event in events {
-            self.on_client_hangup(Token(event.data.u64()), event.flags);
+            let context = &mut client_context!(self);
+            self.clients.on_hangup(context, Token(event.data.u64()), event.flags);
         }
         for event in events {
             let (data, flags) = (event.data, event.flags);
@@ -104,8 +106,15 @@
                 Command::Respond { request_id, downstream, response } => {
                     self.pending.remove(request_id);
                     match Downstream::from_number(downstream) {
-                        Downstream::Connection(token) => self.send_response(token, request_id, response),
-                        Downstream::Job(job) => self.finish_job(job, response),
+                        Downstream::Connection(token) => {
+                            let context = &mut client_context!(self);
+                            self.clients.send_response(context, token, request_id, response);
+                        }
+                        Downstream::Job(job) => {
+                            if let Some(streams) = &mut self.event_streams {
+                                streams.finish_job(&mut context!(self), job, response);
+                            }
+                        }
                     }
                 }
                 Command::NotifyProgress { downstream, fraction } => {
@@ -127,7 +136,9 @@
 
     fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
         match Downstream::from_number(downstream) {
-            Downstream::Connection(token) => self.send_progress(token, share),
+            Downstream::Connection(token) => {
+                self.clients.send_progress(&mut client_context!(self), token, share);
+            }
             Downstream::Job(job) => {
                 if let Some(streams) = &mut self.event_streams {
                     streams.publish_progress(job, share);
@@ -161,7 +172,10 @@
     pub(super) fn on_ready(&mut self, token: Token, flags: EventFlags) {
         let Some((connection, role)) = self.reactor.take(token) else { return };
         match role {
-            Role::Client(client) => self.on_client_ready(token, connection, client, flags),
+            Role::Client(client) => {
+                let context = &mut client_context!(self);
+                self.clients.on_ready(context, token, connection, client, flags);
+            }
             Role::Upstream(upstream) => self.on_upstream_ready(token, connection, upstream, flags),
             Role::Discovery(call) => {
                 let context = &mut context!(self);
@@ -175,7 +189,10 @@
         let Some((mut connection, role)) = self.reactor.take(token) else { return };
         connection.timer = None;
         match role {
-            Role::Client(client) => self.on_client_timer(token, connection, client),
+            Role::Client(client) => {
+                let context = &mut client_context!(self);
+                self.clients.on_timer(context, token, connection, client);
+            }
             Role::Upstream(upstream) => self.on_upstream_timer(token, connection, upstream),
             Role::Discovery(call) => {
                 let context = &mut context!(self);
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -9,6 +9,7 @@
 use crate::server::Server;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::lifecycle::shutdown::STEP_INTERVAL;
 use crate::server::tokens::{DRAIN_TIMER, Token};
 
@@ -79,7 +80,8 @@
                 Some((connection, Role::Client(client)))
                     if which == IdleClients::All || !client.has_callbacks =>
                 {
-                    self.close_idle_client(token, connection, client);
+                    let context = &mut client_context!(self);
+                    self.clients.close_idle(context, token, connection, client);
                 }
                 Some((connection, role)) => self.reactor.put(token, connection, role),
                 None => {}
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -11,6 +11,7 @@
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::downstream::{ClientConnection, Downstream};
 use crate::server::listeners::InheritedListeners;
 use crate::server::transferred::{TransferredClient, split_request};
@@ -197,7 +198,8 @@
                 None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
-        self.advance_client(token, connection, client);
-        self.close_if_disconnected(token); // its end may have come before it was watched here
+        let context = &mut client_context!(self);
+        self.clients.advance(context, token, connection, client);
+        self.clients.close_if_disconnected(context, token); // its end may have come before it was watched here
     }
 }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -132,7 +132,7 @@
         }
         if is_sent {
             self.reactor.unwatch(&connection.stream);
-            return self.release_client(token, connection, client);
+            return self.clients.release(&mut context!(self), token, connection, client);
         }
         // The link is full or gone: the request stays, under a new number.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -66,7 +66,6 @@
     fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
-        self.classes = config.settings.classes.clone();
         self.budget = Budget::new(config.limits, reserved_files(self.records.is_some()));
         let has_discovery_moved = config.discovery != self.config.discovery;
         let old = std::mem::replace(&mut self.config, config);
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -39,7 +39,7 @@
         let is_named = |number: usize| {
             classes.names().get(number).and_then(|name| classes.find(name)) == Some(number as u32)
         };
-        let deadlines = || self.classes.iter().map(|class| class.deadline).enumerate();
+        let deadlines = || self.config.settings.classes.iter().map(|class| class.deadline).enumerate();
         let named = deadlines().filter(|(number, _)| is_named(*number));
         let longest_named = named.map(|(_, deadline)| deadline).max();
         let longest = deadlines().map(|(_, deadline)| deadline).max();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -41,7 +41,6 @@
 
 use crate::config::Config;
 use crate::core::Core;
-use crate::policy::interface::Class;
 use admin::AdminServer;
 use budget::Budget;
 use clock::Clock;
@@ -78,8 +77,6 @@
 pub struct Server {
     /// The configuration that counts; a reload replaces it.
     config: Config,
-    /// The classes of its settings, by number.
-    classes: Vec<Class>,
     /// Everything that is decided.
     core: Core,
     clock: Clock,
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -145,7 +145,6 @@
         core.learners = membership::new_learners(&fleet, &config, now);
         let membership = MembershipLink::open(fleet, &config, now);
         Server {
-            classes: config.settings.classes.clone(),
             core,
             clock,
             polled_at: PollTime::default(),
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -21,6 +21,7 @@
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
+use crate::server::downstream::context::client_context;
 use crate::server::reactor::Reactor;
 use crate::server::tokens::Token;
 use connection::{AttemptId, ConnectProgress, Exchange};
@@ -107,7 +108,8 @@
             ConnectProgress::Established => {}
             ConnectProgress::Connected(exchange) => {
                 if let Exchange::Attempt(attempt) = exchange {
-                    self.cancel_if_client_disconnected(attempt.request_id); // then nothing of it is written from here
+                    // Then nothing of it is written from here.
+                    self.clients.cancel_if_disconnected(&mut client_context!(self), attempt.request_id);
                 }
                 let deadline = upstream.on_connected(exchange, self.clock.now());
                 connection.set_timer(&mut self.core, token, deadline);
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -12,6 +12,7 @@
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
 use crate::server::context::{Context, context};
+use crate::server::downstream::context::client_context;
 use crate::server::pending_requests::PendingRequests;
 use crate::server::reactor::Reactor;
 use crate::server::tokens::Token;
@@ -42,7 +43,7 @@
     /// Forwards a request to a worker, unless its client has disconnected.
     pub(in crate::server) fn start_attempt(&mut self, request_id: RequestId, number: u32, worker: WorkerId) {
         if self.polled_at.is_old(self.clock.elapsed()) {
-            self.cancel_if_client_disconnected(request_id);
+            self.clients.cancel_if_disconnected(&mut client_context!(self), request_id);
         }
         let attempt = AttemptId { request_id, number };
         if !self.pending.contains(request_id) {
