--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// The list that the program started with may have become stale, or may be used again.
-    pub(in crate::server) fn on_stale_list_timer(&mut self, context: &mut Context<'_>) {
+    pub(in crate::server) fn on_stale_list_timer(&self, context: &mut Context<'_>) {
         self.check_stale_list(context.core, context.now());
     }
 
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -43,7 +43,7 @@
 
     /// Suspends the list that the program started with, or uses it. It is suspended while it is to be revalidated and discovery
     /// has sent none; once discovery cannot be reached, or has not answered in time, it is used as it is.
-    pub(in crate::server) fn check_stale_list(&mut self, core: &mut Core, now: Micros) {
+    pub(in crate::server) fn check_stale_list(&self, core: &mut Core, now: Micros) {
         match (core.endpoints.stale, self.liveness.is_stale(now)) {
             (true, false) => {
                 tracing::warn!("endpoint list stale: discovery silent since the start, using the known list");
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -97,7 +97,7 @@
         false
     }
 
-    fn oldest_served(&self, context: &mut ClientContext<'_>, min_idle: Micros) -> Option<Token> {
+    fn oldest_served(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).find(|token| {
             let entry = context.shared.reactor.connections().get(*token);
             matches!(entry, Some((_, Role::Client(client))) if !client.is_awaiting_request())
@@ -123,7 +123,7 @@
         false
     }
 
-    fn oldest_idle(&self, context: &mut ClientContext<'_>, min_idle: Micros) -> Option<Token> {
+    fn oldest_idle(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).next()
     }
 
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -9,6 +9,7 @@
 mod accept;
 mod client;
 pub(in crate::server) mod context;
+mod deadline;
 pub(in crate::server) mod event_streams;
 mod idle;
 mod lingering;
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -2,13 +2,12 @@
 
 use crate::core::RequestId;
 use crate::http::{self, Chunked, Framing, MAX_BODY, Piece};
-use crate::policy::interface::Micros;
 use crate::protocol::platform::{RawRequest, Reject};
-use crate::protocol::{event_streams, sse};
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
 use crate::server::context::Context;
 use crate::server::downstream::client::ChunkedRequest;
+use crate::server::downstream::deadline::deadline;
 use crate::server::downstream::event_streams::watchers::{fill_stream, has_stream_events};
 use crate::server::downstream::respond::reject;
 use crate::server::downstream::{
@@ -18,19 +17,12 @@
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
 
-/// A client that sends what cannot be read, or nothing, is owed an error or a close within 3 s of connecting. Its
-/// first request must be complete this long after it connected, later ones this long after their first byte.
-const REQUEST_TIMEOUT: Micros = 2_500_000;
-/// An idle connection is closed after this.
-const IDLE_TIMEOUT: Micros = 120_000_000;
-/// A client that reads nothing of a finished response for this long is given up: it is owed a close within 3 s as well.
-const WRITE_STALL_TIMEOUT: Micros = 2_500_000;
 /// No more requests of a client are read while it has this many bytes of its responses left to read.
 const MAX_UNREAD_RESPONSES: usize = 16 * 1024;
 /// What says that the other side of a connection has ended it.
 const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
 
-/// What a step of [`Server::advance`] has come to.
+/// What a step of [`ClientConnections::advance`] has come to.
 enum Progress {
     /// There may be more to do.
     Continue,
@@ -286,47 +278,6 @@
         context.shared.reactor.put(token, connection, Role::Client(client));
     }
 
-    /// The deadline of a connection has come.
-    pub(in crate::server) fn on_timer(
-        &mut self,
-        context: &mut ClientContext<'_>,
-        token: Token,
-        mut connection: Connection,
-        mut client: ClientConnection,
-    ) {
-        if client.idle_since.is_some() {
-            self.close_idle(context, token, connection, client);
-            return;
-        }
-        match &mut client.state {
-            ClientState::Closing | ClientState::Lingering { .. } => {
-                return self.on_linger_timeout(context, token, connection, client);
-            }
-            ClientState::AwaitingResponse { stream: Some(stream), .. } => {
-                stream.last_write = context.now();
-                if connection.outbox.is_empty() {
-                    connection.outbox.push(sse::heartbeat());
-                }
-            }
-            ClientState::Watching(watch) => {
-                if watch.last_write + context.heartbeat <= context.now() {
-                    watch.last_write = context.now();
-                    if connection.outbox.is_empty() {
-                        connection.outbox.push(event_streams::heartbeat(watch.frame));
-                    }
-                }
-            }
-            ClientState::AwaitingResponse { .. } => {}
-            ClientState::Reading | ClientState::ReadingChunks(_) if !connection.outbox.is_empty() => {
-                return self.on_closed(context, token, connection, client); // it does not read its response
-            }
-            ClientState::Reading | ClientState::ReadingChunks(_) => {
-                reject(context, &mut connection, &mut client, Reject::TooSlow);
-            }
-        }
-        self.finish_event(context, token, connection, client);
-    }
-
     /// The connection is over; a request whose response was awaited on it has lost its client.
     pub(in crate::server) fn on_closed(
         &mut self,
@@ -388,33 +339,6 @@
     }
 }
 
-/// When a connection is to be handled again at the latest.
-fn deadline(
-    context: &mut ClientContext<'_>,
-    connection: &mut Connection,
-    client: &ClientConnection,
-) -> Option<Micros> {
-    let has_progressed = std::mem::take(&mut connection.has_written);
-    let stall_deadline = connection.timer.filter(|_| !has_progressed);
-    let heartbeat = context.heartbeat;
-    match &client.state {
-        ClientState::Lingering { .. } => connection.timer,
-        ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
-            Some(client.awaiting_request_since.unwrap_or(context.now()) + REQUEST_TIMEOUT)
-        }
-        ClientState::Reading if connection.outbox.is_empty() => Some(context.now() + IDLE_TIMEOUT),
-        ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
-            Some(stall_deadline.unwrap_or(context.now() + WRITE_STALL_TIMEOUT))
-        }
-        ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
-            Some(stream.last_write + heartbeat)
-        }
-        // Set anew only once it is due: an event more does not move it.
-        ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
-        ClientState::AwaitingResponse { .. } => None,
-    }
-}
-
 /// Takes the first bytes out of an inbox.
 fn split_front(inbox: &mut Vec<u8>, length: usize) -> Rc<Vec<u8>> {
     let rest = inbox.split_off(length);
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -130,7 +130,7 @@
 }
 
 /// Reads a request's idempotency key, where such keys are heeded.
-fn read_idempotency_key(context: &mut ClientContext<'_>, request: &mut NewRequest, raw: &RawRequest) {
+fn read_idempotency_key(context: &ClientContext<'_>, request: &mut NewRequest, raw: &RawRequest) {
     if context.shared.core.idempotency().is_some() {
         request.idempotency_key =
             platform::idempotency_key(&context.shared.config.settings.classes, raw, request.class);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -3,14 +3,12 @@
 //! Nothing is decided here. [`Server`] owns the parts, each with its own state; `open` starts them, and `event_loop` says in
 //! what order a turn serves them.
 //!
-//! - The [`Reactor`] alone has epoll and the table of connections; it begins and ends the life of each of them.
-//! - A part's handlers are methods of the part. They are given a [`Context`]: the core, the reactor, the counters and the clock
+//! - The `reactor` alone has epoll and the table of connections; it begins and ends the life of each of them.
+//! - A part's handlers are methods of the part. They are given a `Context` (`context`): the core, the reactor, the counters and the clock
 //!   to use, the configuration, the lifecycle and the peers' socket to read. Another part that a handler changes is in its
 //!   signature.
 //! - What concerns several parts at once is a method of [`Server`], in the file of the part that it begins with: making room for
-//!   a descriptor, a client's request, a handover, the steps of a shutdown.
-//!
-//! [`Context`]: context::Context
+//!   a descriptor, the start of an attempt, a handover, the steps of a shutdown.
 
 mod admin;
 mod budget;
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -17,7 +17,7 @@
     pub(super) fn flush(
         &mut self,
         context: &mut Context<'_>,
-        pending: &mut PendingRequests,
+        pending: &PendingRequests,
         token: Token,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
@@ -121,7 +121,7 @@
 }
 
 /// Whether attempts may go to a connection's worker, and it is still where the connection leads.
-fn is_endpoint_usable(context: &mut Context<'_>, upstream: &UpstreamConnection) -> bool {
+fn is_endpoint_usable(context: &Context<'_>, upstream: &UpstreamConnection) -> bool {
     let endpoint = context.core.endpoints.get(upstream.worker);
     let takes_attempts = endpoint
         .is_some_and(|endpoint| endpoint.stopped.is_none() && upstream.address == Some(endpoint.address));
@@ -131,8 +131,8 @@
 /// Puts an attempt's request into its connection's outbox. It says how much time the client has left, which must be right
 /// at the first byte: the connection may have taken long to come up.
 fn encode_attempt(
-    context: &mut Context<'_>,
-    pending: &mut PendingRequests,
+    context: &Context<'_>,
+    pending: &PendingRequests,
     connection: &mut Connection,
     upstream: &mut UpstreamConnection,
     attempt: AttemptId,
