--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -9,6 +9,7 @@
 use crate::server::connection_table::Role;
 use crate::server::context::{Context, context};
 use crate::server::downstream::event_streams::EventStreams;
+use crate::server::reactor::Reading;
 use crate::server::tokens::{ADMIN, Token};
 use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
@@ -91,7 +92,8 @@
         if is_broken || caller.is_answered && connection.outbox.is_empty() {
             return self.close(context, token, connection, caller);
         }
-        context.reactor.update_interest(token, &mut connection, !caller.is_answered);
+        let reading = if caller.is_answered { Reading::Paused } else { Reading::Wanted };
+        context.reactor.update_interest(token, &mut connection, reading);
         context.reactor.put(token, connection, Role::Admin(caller));
     }
 
@@ -187,6 +189,7 @@
         self.admin.write_answer(&mut context!(self), token, connection, caller, flags);
     }
 
+    /// The response to a call, which is carried out.
     fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
             // Whether it takes clients is up to its successor.
@@ -213,6 +216,7 @@
         }
     }
 
+    /// What all parts count, at this moment.
     fn metrics_snapshot(&self) -> MetricsSnapshot {
         let tallies = self.core.tallies();
         let classes = tallies.into_iter().map(|(name, tally)| ClassMetrics {
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -75,6 +75,7 @@
             || self.clients.close_silent(context, downstream::SILENT_GRACE)
     }
 
+    /// Whether no connection may be added: the other process of a hot restart has its own against the same limit.
     fn is_budget_used_up(&self) -> bool {
         let open =
             self.reactor.connections().open_connections() + self.hot_restart.connections_in_peer_process();
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -120,6 +120,7 @@
         }
     }
 
+    /// Whether it is the watch, or the call for it.
     pub(super) fn is_watch(&self) -> bool {
         self.kind == CallKind::Watch
     }
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -23,6 +23,7 @@
 use crate::server::connection_table::Role;
 use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
+use crate::server::reactor::Reading;
 use crate::server::timer_slot::TimerSlot;
 use crate::server::tokens::{FULL_LIST_TIMER, Token, WATCH_TIMER};
 use call::CallEnd;
@@ -158,7 +159,7 @@
         }
         if let Some((mut connection, role)) = context.reactor.take(token) {
             connection.set_timer(context.core, token, Some(connected_by));
-            context.reactor.update_interest(token, &mut connection, true);
+            context.reactor.update_interest(token, &mut connection, Reading::Wanted);
             context.reactor.put(token, connection, role);
         }
     }
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -7,6 +7,7 @@
 use crate::server::connection_table::Role;
 use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
+use crate::server::reactor::Reading;
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 
@@ -47,7 +48,7 @@
                 _ => return self.fail_call(context, membership, token, connection, call, CallError::Ended),
             }
         }
-        context.reactor.update_interest(token, &mut connection, true);
+        context.reactor.update_interest(token, &mut connection, Reading::Wanted);
         context.reactor.put(token, connection, Role::Discovery(call));
     }
 
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -48,6 +48,7 @@
         self.ensure_descriptor(MIN_IDLE_BEFORE_CLOSE)
     }
 
+    /// A connection has been accepted: adds it and reads what is there.
     fn on_accepted(&mut self, kind: ListenerKind, stream: TcpStream) {
         let is_sse = kind == ListenerKind::Sse;
         if is_sse {
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -202,6 +202,7 @@
         }
     }
 
+    /// Writes what a watcher has not got yet.
     fn wake_watcher(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         if let Some(token) = token {
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Ends a watcher's stream, with the delay after which it is to reconnect.
     fn end_stream(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
@@ -78,6 +79,7 @@
         }
     }
 
+    /// A watcher's stream is over.
     fn forget_watcher(&mut self, watcher: WatcherId) {
         if let Some(streams) = &mut self.event_streams {
             streams.on_watcher_disconnected(&mut context!(self), watcher);
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -45,6 +45,7 @@
         }
     }
 
+    /// The answer to a client that accepts no event stream.
     fn not_acceptable(&self) -> Vec<Piece> {
         let text = "it comes as text/event-stream only";
         event_streams::plain("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -97,6 +97,7 @@
         false
     }
 
+    /// The connection that has been idle for longest of those that have been served, if it has been for so long.
     fn oldest_served(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).find(|token| {
             let entry = context.shared.reactor.connections().get(*token);
@@ -123,6 +124,7 @@
         false
     }
 
+    /// The connection that has been idle for longest, if it has been for so long.
     fn oldest_idle(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).next()
     }
@@ -155,6 +157,7 @@
         false
     }
 
+    /// Ends a silent connection; one with a part of a request only once its grace is over. True where it was ended.
     fn close_if_silent(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -13,6 +13,7 @@
 use crate::server::downstream::{
     ClientConnection, ClientConnections, ClientContext, ClientState, Downstream, MAX_INBOX,
 };
+use crate::server::reactor::Reading;
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
@@ -274,7 +275,8 @@
             self.track_idle(token, &mut client, context.now());
         }
         let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
-        context.shared.reactor.update_interest(token, &mut connection, can_read);
+        let reading = if can_read { Reading::Wanted } else { Reading::Paused };
+        context.shared.reactor.update_interest(token, &mut connection, reading);
         context.shared.reactor.put(token, connection, Role::Client(client));
     }
 
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -52,6 +52,10 @@
         connection.outbox.push(platform::reject(why, keep_alive));
     }
 
+    /// Does what a request is for.
+    ///
+    /// # Errors
+    /// Why it is refused.
     fn route_request(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -54,6 +54,7 @@
         self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
+    /// Hands the events of a turn to their handlers, in the order that is part of the contract.
     fn handle_events(&mut self, events: &[Event]) {
         // A call to the admin address does not wait for the requests of this turn. And what discovery has sent counts
         // before anything of this turn is forwarded.
@@ -134,6 +135,7 @@
         self.run_stream_effects();
     }
 
+    /// Passes the progress of a request to whoever awaits its response.
     fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
         match Downstream::from_number(downstream) {
             Downstream::Connection(token) => {
@@ -147,6 +149,7 @@
         }
     }
 
+    /// Hands a timer of the core to its handler.
     fn on_timer(&mut self, timer: u64) {
         match timer {
             WATCH_TIMER => self.discovery.on_watch_timer(&mut context!(self), &mut self.membership),
@@ -185,6 +188,7 @@
         }
     }
 
+    /// Passes the deadline of a connection to the handler of its role.
     fn on_connection_timer(&mut self, token: Token) {
         let Some((mut connection, role)) = self.reactor.take(token) else { return };
         connection.timer = None;
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -92,6 +92,7 @@
         }
     }
 
+    /// Has the successor persist a record; one that cannot be sent has failed.
     fn persist_at_successor(&mut self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) {
         if !self.hot_restart.forward_record(ticket, key, record)
             && let Some(ticket) = ticket
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -48,6 +48,7 @@
         self.on_drain_changed();
     }
 
+    /// Sets the timer of the drain, unless it is set, and announces whether clients are to turn elsewhere.
     fn on_drain_changed(&mut self) {
         if !self.lifecycle.is_drain_timer_set {
             self.resume_drain();
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -63,6 +63,7 @@
         Ok(config)
     }
 
+    /// Switches to a configuration that the core has taken.
     fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -33,6 +33,7 @@
         self.peers.announce_state(&mut context!(self));
     }
 
+    /// The plan of a shutdown that begins now.
     fn plan_shutdown(&self) -> ShutdownPlan {
         // A class that a reload took away has kept its number, but goes by no name.
         let classes = &self.core.names().0.classes;
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -80,6 +80,7 @@
         self.apply_outputs(context, discovery);
     }
 
+    /// Publishes what was learned of jobs.
     fn publish_learned(&mut self, now: Micros, learners: &mut Learners) {
         for fact in learners.publish(now) {
             self.fleet.publish(now, &fact);
@@ -148,6 +149,7 @@
         self.update_timer(context);
     }
 
+    /// Sets the timer to when the fleet, or the next publication, is due.
     fn update_timer(&mut self, context: &mut Context<'_>) {
         let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
         let wake = self.fleet.next_wake(context.now()).into_iter().chain(next_publish).min();
@@ -174,6 +176,7 @@
     }
 }
 
+/// Logs a change of a member's state; `suppressed` were not shown before it.
 fn log_member_change(config: &Config, change: Change, suppressed: u64) {
     let address = config.peers.get(usize::from(change.place));
     let address = address.map_or("?".to_owned(), ToString::to_string);
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -186,6 +186,7 @@
         Ok(())
     }
 
+    /// Has epoll watch one descriptor.
     fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
         self.reactor.watch(fd, token).map_err(system("epoll"))
     }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Announces the own state, and sets the timer of the next time.
     fn announce_state_once(&self, context: &mut Context<'_>) {
         let is_draining = context.lifecycle.is_draining();
         let state = if is_draining { PeerDatagram::Stopping } else { PeerDatagram::Serving };
@@ -213,6 +214,7 @@
         }
     }
 
+    /// Hands a datagram to the part that it is for.
     fn on_peer_datagram(&mut self, from: u32, bytes: &[u8]) {
         let context = &mut context!(self);
         match PeerDatagram::decode(bytes) {
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -14,6 +14,15 @@
 use std::os::fd::AsFd;
 use std::time::Duration;
 
+/// Whether what can be read on a connection is wanted now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Reading {
+    /// It is to be read.
+    Wanted,
+    /// It stays in the socket until something else has happened.
+    Paused,
+}
+
 /// The epoll instance of the loop, and all connections.
 pub(super) struct Reactor {
     epoll: Poller,
@@ -91,17 +100,22 @@
         }
     }
 
-    /// Watches a connection for what can be read, if wanted, and for being writable where something is to be written.
-    pub fn update_interest(&self, token: Token, connection: &mut Connection, read: bool) {
-        let write = !connection.outbox.is_empty();
-        self.set_interest(token, connection, read, write);
+    /// Watches a connection for what can be read, unless reading pauses, and for being writable where something is to be
+    /// written.
+    pub fn update_interest(&self, token: Token, connection: &mut Connection, reading: Reading) {
+        let mut flags = EventFlags::RDHUP;
+        flags.set(EventFlags::IN, reading == Reading::Wanted);
+        flags.set(EventFlags::OUT, !connection.outbox.is_empty());
+        self.set_interest(token, connection, flags);
+    }
+
+    /// Watches a connection that is being established: it is writable once it is up.
+    pub fn await_connected(&self, token: Token, connection: &mut Connection) {
+        self.set_interest(token, connection, EventFlags::RDHUP | EventFlags::IN | EventFlags::OUT);
     }
 
-    /// Watches a connection for this.
-    pub fn set_interest(&self, token: Token, connection: &mut Connection, read: bool, write: bool) {
-        let mut flags = EventFlags::RDHUP;
-        flags.set(EventFlags::IN, read);
-        flags.set(EventFlags::OUT, write);
+    /// Watches a connection for this, where that is not so already.
+    fn set_interest(&self, token: Token, connection: &mut Connection, flags: EventFlags) {
         if flags != connection.interest {
             let is_changed = self.epoll.modify(&connection.stream, token, flags);
             invariant!(is_changed, "epoll does not know a connection");
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Uses the head of a response, once it is whole.
     fn read_response_head(
         &mut self,
         context: &mut Context<'_>,
@@ -135,6 +136,7 @@
         Progress::Continue
     }
 
+    /// Reads more of the rest of a response.
     fn read_response_body(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -233,8 +233,7 @@
         let deadline = timeout.map(|timeout| context.now() + timeout);
         connection.set_timer(context.core, token, deadline);
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
-            // Writable once it is up; the message waits until then.
-            context.reactor.set_interest(token, &mut connection, true, true);
+            context.reactor.await_connected(token, &mut connection); // the message waits until then
             return context.reactor.put(token, connection, Role::Upstream(upstream));
         }
         self.finish_event(context, pending, token, connection, upstream);
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -9,6 +9,7 @@
 use crate::server::connection_table::Role;
 use crate::server::context::Context;
 use crate::server::pending_requests::PendingRequests;
+use crate::server::reactor::Reading;
 use crate::server::tokens::Token;
 
 impl UpstreamPool {
@@ -98,7 +99,7 @@
             UpstreamState::Idle => self.rest(context, token, &mut connection, &upstream),
             _ => {}
         }
-        context.reactor.update_interest(token, &mut connection, true);
+        context.reactor.update_interest(token, &mut connection, Reading::Wanted);
         context.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
