--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -2,6 +2,7 @@
 
 use super::idempotency::IdempotencyKey;
 use super::request::RequestId;
+use super::timers::TimerToken;
 use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
 use serde::{Deserialize, Serialize};
 
@@ -143,5 +144,5 @@
     /// Fetch the whole endpoint list once.
     FetchList,
     /// A timer that was set by [`Core::set_timer`](super::Core::set_timer) has fired; its token.
-    TimerFired(u64),
+    TimerFired(TimerToken),
 }
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -23,7 +23,7 @@
 use super::ledger::{ClassTallies, Completion, Ledger, Tally};
 use super::names::{job_traits, tenant_name};
 use super::request::{PendingRequest, RequestId, RequestPhase, RequestTable};
-use super::timers::{Timer, TimerQueue};
+use super::timers::{Timer, TimerQueue, TimerToken};
 use crate::Dispatcher;
 use crate::config::SiteNames;
 use crate::fleet::Learners;
@@ -140,12 +140,12 @@
     }
 
     /// Sets a timer for the program round the core: [`Command::TimerFired`] comes at that time.
-    pub fn set_timer(&mut self, at: Micros, token: u64) {
+    pub fn set_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.schedule(at, Timer::Program(token));
     }
 
     /// Cancels such a timer.
-    pub fn cancel_timer(&mut self, at: Micros, token: u64) {
+    pub fn cancel_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.cancel(at, Timer::Program(token));
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,3 +37,4 @@
 };
 pub use engine::Core;
 pub use request::RequestId;
+pub use timers::TimerToken;
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -5,6 +5,10 @@
 use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
+/// Names a timer of the program round the core. Those that are due at the same time fire in the order of these numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimerToken(pub u64);
+
 /// What a timer is for. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
@@ -16,8 +20,8 @@
     OverdueResponse(RequestId),
     /// A timer of the decision module.
     Policy(TimerId),
-    /// A timer of the program round the core; the token is its own.
-    Program(u64),
+    /// A timer of the program round the core.
+    Program(TimerToken),
 }
 
 /// Timers in the order of their times.
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -138,10 +138,10 @@
     /// [`Reactor::close`]: crate::server::reactor::Reactor::close
     pub fn set_timer(&mut self, core: &mut Core, token: Token, at: Option<Micros>) {
         if let Some(old) = self.timer.take() {
-            core.cancel_timer(old, token.0);
+            core.cancel_timer(old, token.timer());
         }
         if let Some(at) = at {
-            core.set_timer(at, token.0);
+            core.set_timer(at, token.timer());
         }
         self.timer = at;
     }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,7 +3,7 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::Command;
+use crate::core::{Command, TimerToken};
 use crate::server::Server;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
@@ -150,7 +150,7 @@
     }
 
     /// Hands a timer of the core to its handler.
-    fn on_timer(&mut self, timer: u64) {
+    fn on_timer(&mut self, timer: TimerToken) {
         match timer {
             WATCH_TIMER => self.discovery.on_watch_timer(&mut context!(self), &mut self.membership),
             FULL_LIST_TIMER => self.discovery.on_full_list_timer(&mut context!(self), &mut self.membership),
@@ -167,7 +167,7 @@
             POLL_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
             PEER_TIMER => self.peers.on_timer(&mut context!(self)),
             ACCEPT_TIMER => self.listeners.resume(&context!(self)),
-            token => self.on_connection_timer(Token(token)),
+            timer => self.on_connection_timer(Token::from_timer(timer)),
         }
     }
 
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -87,7 +87,7 @@
     /// Closes a connection that was taken out of its slot; its timer in the core goes with it.
     pub fn close(&mut self, core: &mut Core, token: Token, connection: Connection, role: Role) {
         if let Some(at) = connection.timer {
-            core.cancel_timer(at, token.0);
+            core.cancel_timer(at, token.timer());
         }
         self.connections.remove(token, &role);
         drop((connection, role)); // closing the socket takes it out of epoll as well
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -1,17 +1,17 @@
 //! One timer of a part of the server, kept in the core's timer queue.
 
-use crate::core::Core;
+use crate::core::{Core, TimerToken};
 use crate::policy::interface::Micros;
 
 /// A timer that is set to one time at most. Its owner calls [`TimerSlot::on_fired`] when the core reports it.
 pub(in crate::server) struct TimerSlot {
-    token: u64,
+    token: TimerToken,
     at: Option<Micros>,
 }
 
 impl TimerSlot {
     /// The timer of this token, not set.
-    pub(in crate::server) fn new(token: u64) -> TimerSlot {
+    pub(in crate::server) fn new(token: TimerToken) -> TimerSlot {
         TimerSlot { token, at: None }
     }
 
--- a/src/server/timer_slot/tests.rs
+++ b/src/server/timer_slot/tests.rs
@@ -1,10 +1,10 @@
 use super::TimerSlot;
-use crate::core::{Command, Core};
+use crate::core::{Command, Core, TimerToken};
 
-const TOKEN: u64 = 7;
+const TOKEN: TimerToken = TimerToken(7);
 
 /// The tokens of the timers that fire until a time.
-fn fired(core: &mut Core, until: u64) -> Vec<u64> {
+fn fired(core: &mut Core, until: u64) -> Vec<TimerToken> {
     core.turn(until);
     let commands = std::iter::from_fn(|| core.next_command());
     commands
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -3,6 +3,8 @@
 //! Connections use the numbers from 0 up: a slot of the connection table and its generation. Everything else has a fixed
 //! number at the top of the range, which no connection reaches since a generation has 31 bits.
 
+use crate::core::TimerToken;
+
 /// What an epoll event belongs to. For a connection: its slot in the table, and how often the slot was used before, so that an
 /// event of an earlier connection is not taken for one of its successor in the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -14,6 +16,16 @@
         Token(u64::from(generation) << 32 | slot as u64)
     }
 
+    /// The timer of a connection: its deadline.
+    pub(super) fn timer(self) -> TimerToken {
+        TimerToken(self.0)
+    }
+
+    /// The connection whose timer this is.
+    pub(super) fn from_timer(timer: TimerToken) -> Token {
+        Token(timer.0)
+    }
+
     /// The slot of a connection's token.
     pub(super) fn slot(self) -> usize {
         (self.0 & 0xffff_ffff) as usize
@@ -31,15 +43,15 @@
 pub(super) const IDEMPOTENCY_STORE: Token = Token(u64::MAX - 13);
 
 // Timers of the core that belong to no connection. Timers due at the same time fire in the order of these numbers.
-pub(super) const METRICS_TIMER: u64 = u64::MAX - 5;
-pub(super) const SHUTDOWN_TIMER: u64 = u64::MAX - 6;
-pub(super) const ACCEPT_TIMER: u64 = u64::MAX - 7;
-pub(super) const PEER_TIMER: u64 = u64::MAX - 8;
-pub(super) const DRAIN_TIMER: u64 = u64::MAX - 9;
-pub(super) const HANDOVER_TIMER: u64 = u64::MAX - 12;
-pub(super) const STREAM_SWEEP_TIMER: u64 = u64::MAX - 14;
-pub(super) const WATCH_TIMER: u64 = u64::MAX - 15;
-pub(super) const FLEET_TIMER: u64 = u64::MAX - 16;
-pub(super) const POLL_TIMER: u64 = u64::MAX - 17;
-pub(super) const FULL_LIST_TIMER: u64 = u64::MAX - 21;
-pub(super) const STALE_LIST_TIMER: u64 = u64::MAX - 22;
+pub(super) const METRICS_TIMER: TimerToken = TimerToken(u64::MAX - 5);
+pub(super) const SHUTDOWN_TIMER: TimerToken = TimerToken(u64::MAX - 6);
+pub(super) const ACCEPT_TIMER: TimerToken = TimerToken(u64::MAX - 7);
+pub(super) const PEER_TIMER: TimerToken = TimerToken(u64::MAX - 8);
+pub(super) const DRAIN_TIMER: TimerToken = TimerToken(u64::MAX - 9);
+pub(super) const HANDOVER_TIMER: TimerToken = TimerToken(u64::MAX - 12);
+pub(super) const STREAM_SWEEP_TIMER: TimerToken = TimerToken(u64::MAX - 14);
+pub(super) const WATCH_TIMER: TimerToken = TimerToken(u64::MAX - 15);
+pub(super) const FLEET_TIMER: TimerToken = TimerToken(u64::MAX - 16);
+pub(super) const POLL_TIMER: TimerToken = TimerToken(u64::MAX - 17);
+pub(super) const FULL_LIST_TIMER: TimerToken = TimerToken(u64::MAX - 21);
+pub(super) const STALE_LIST_TIMER: TimerToken = TimerToken(u64::MAX - 22);
