--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -64,13 +64,10 @@
     /// be writing them. False where there is none to close.
     fn close_idle_connection(&mut self, min_idle: Micros) -> bool {
         let context = &mut client_context!(self);
-        if self.clients.close_oldest_lingering(context)
+        self.clients.close_oldest_lingering(context)
             || self.clients.close_silent(context, downstream::PARTIAL_REQUEST_GRACE)
             || self.upstream.close_idle(context.shared.core, context.shared.reactor)
-        {
-            return true;
-        }
-        self.clients.close_oldest_served(context, min_idle)
+            || self.clients.close_oldest_served(context, min_idle)
             || self.clients.close_oldest_idle(context, min_idle)
             || self.clients.close_silent(context, downstream::SILENT_GRACE)
     }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -3,7 +3,7 @@
 //! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
 //! disconnected, then everything else in the order in which epoll reports it.
 
-use crate::core::{Command, TimerToken};
+use crate::core::{Command, FinalResponse, RequestId, TimerToken};
 use crate::server::Server;
 use crate::server::connection_table::Role;
 use crate::server::context::context;
@@ -105,18 +105,7 @@
                     self.cancel_attempt(request_id, attempt, worker, name);
                 }
                 Command::Respond { request_id, downstream, response } => {
-                    self.pending.remove(request_id);
-                    match Downstream::from_number(downstream) {
-                        Downstream::Connection(token) => {
-                            let context = &mut client_context!(self);
-                            self.clients.send_response(context, token, request_id, response);
-                        }
-                        Downstream::Job(job) => {
-                            if let Some(streams) = &mut self.event_streams {
-                                streams.finish_job(&mut context!(self), job, response);
-                            }
-                        }
-                    }
+                    self.respond(request_id, downstream, response);
                 }
                 Command::NotifyProgress { downstream, fraction } => {
                     self.notify_progress(downstream, fraction);
@@ -135,6 +124,22 @@
         self.run_stream_effects();
     }
 
+    /// Passes the final response to a request to whoever awaits it.
+    fn respond(&mut self, request_id: RequestId, downstream: u64, response: FinalResponse) {
+        self.pending.remove(request_id);
+        match Downstream::from_number(downstream) {
+            Downstream::Connection(token) => {
+                let context = &mut client_context!(self);
+                self.clients.send_response(context, token, request_id, response);
+            }
+            Downstream::Job(job) => {
+                if let Some(streams) = &mut self.event_streams {
+                    streams.finish_job(&mut context!(self), job, response);
+                }
+            }
+        }
+    }
+
     /// Passes the progress of a request to whoever awaits its response.
     fn notify_progress(&mut self, downstream: u64, share: Option<f64>) {
         match Downstream::from_number(downstream) {
