--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{MS, Node, worker};
+use common::{MS, TestDispatcher, attempt_ended, worker};
 use criterion::{BenchmarkId, Criterion, Throughput};
 use mothproxy::policy::interface::*;
 use std::time::Duration;
@@ -17,9 +17,13 @@
 const WARM_UP: u64 = 2_000;
 
 /// One of 30 dispatchers over workers that answer at once, past the cold start and the first probes.
-fn steady(workers: u32) -> Node {
-    let mut node =
-        Node::new(Settings { nodes: 30, may_probe: true, may_message_peers: true, ..Settings::default() });
+fn steady(workers: u32) -> TestDispatcher {
+    let mut node = TestDispatcher::new(Settings {
+        nodes: 30,
+        may_probe: true,
+        may_message_peers: true,
+        ..Settings::default()
+    });
     let entry = |w: u32| EndpointEntry {
         tag: u64::from(w).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         zone: ZoneId((w % 3) as u16),
@@ -34,15 +38,20 @@
 }
 
 /// Does what was asked, and what that leads to: probes and jobs are answered, with a report.
-fn follow(node: &mut Node, mut actions: Vec<Action>) {
+fn follow(node: &mut TestDispatcher, mut actions: Vec<Action>) {
     let report =
         LoadReport { cpu: Some(0.3), free_slots: Some(4.0), active: Some(1.0), ..LoadReport::default() };
     while let Some(action) = actions.pop() {
         actions.extend(match action {
-            Action::Probe(worker) => node.echo(worker.0, Outcome::Ok, Some(report)),
+            Action::Probe(worker) => node.end_probe(worker.0, Outcome::Ok, Some(report)),
             // Each attempt is served, so it is its job's first.
             Action::Send { job, worker, .. } => {
-                node.end_told(job.0, 0, worker, Outcome::Ok, 50 * MS, Some(report))
+                let ended = attempt_ended(job.0, 0, worker, Outcome::Ok);
+                node.feed(Event::AttemptEnded(AttemptEnded {
+                    elapsed: 50 * MS,
+                    report: Some(report),
+                    ..ended
+                }))
             }
             _ => Vec::new(),
         });
@@ -50,10 +59,10 @@
 }
 
 /// One job's whole cycle, and a millisecond of the clock.
-fn cycle(node: &mut Node, job: u64) {
+fn cycle(node: &mut TestDispatcher, job: u64) {
     let actions = node.arrive_sized(job, 0, 5_000 * MS, 50 * MS);
     follow(node, actions);
-    let actions = node.pass(MS);
+    let actions = node.advance(MS);
     follow(node, actions);
 }
 
@@ -75,12 +84,12 @@
         let (mut node, mut job) = (steady(workers), WARM_UP);
         group.bench_with_input(BenchmarkId::from_parameter(workers), &workers, |b, _| {
             b.iter_custom(|jobs| {
-                node.spent = Duration::ZERO;
+                node.time_spent = Duration::ZERO;
                 for _ in 0..jobs {
                     cycle(&mut node, job);
                     job += 1;
                 }
-                node.spent
+                node.time_spent
             });
         });
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,83 +1,134 @@
-//! What the tests share: a hand-driven dispatcher.
-#![allow(dead_code)]
+//! A decision module driven by hand: events go in, actions come out, and time passes only when a test says so.
+#![allow(dead_code)] // each of its users needs a part
 
 use mothproxy::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
+/// A millisecond, in the module's unit of time.
 pub const MS: Micros = 1_000;
 
-pub struct Node {
+/// Where the clock of a [`TestDispatcher`] begins.
+pub const CLOCK_START: Micros = 1_000 * MS;
+
+/// The seed of a [`TestDispatcher`] whose test does not choose one.
+const DEFAULT_SEED: u64 = 7;
+
+/// How long an attempt takes that ends by [`TestDispatcher::end_attempt`].
+const ATTEMPT_TIME: Micros = 5 * MS;
+
+/// How long a probe takes.
+const PROBE_TIME: Micros = 300;
+
+/// How long the estimate says that a job of [`TestDispatcher::arrive`] runs.
+const JOB_TIME: Micros = 100 * MS;
+
+/// A timer that the module has set. The order of the fields is the order in which timers fire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PendingTimer {
+    /// When it fires.
+    pub due: Micros,
+    /// How many timers were set before it: of those due at one time the one set first fires first.
+    number: u64,
+    id: TimerId,
+}
+
+/// The decision module of one dispatcher, with a virtual clock and its pending timers.
+pub struct TestDispatcher {
+    /// The module.
     pub dispatcher: Dispatcher,
+    /// The virtual time.
     pub now: Micros,
-    /// When they are due, the first set first, and how many were set.
-    pub timers: BinaryHeap<Reverse<(Micros, u64, TimerId)>>,
-    pub timers_set: u64,
-    /// The time that the module has taken.
-    pub spent: std::time::Duration,
+    timers: BinaryHeap<Reverse<PendingTimer>>,
+    timers_set: u64,
+    /// The real time that the module has taken to handle its events.
+    pub time_spent: std::time::Duration,
 }
 
-impl Node {
-    pub fn new(settings: Settings) -> Node {
-        Node::seeded(settings, 7)
+impl TestDispatcher {
+    /// A module with these settings and the usual seed.
+    pub fn new(settings: Settings) -> TestDispatcher {
+        TestDispatcher::with_seed(settings, DEFAULT_SEED)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Node {
-        let dispatcher = Dispatcher::new(settings, seed).expect("settings agree");
-        let spent = std::time::Duration::ZERO;
-        Node { dispatcher, now: 1_000 * MS, timers: BinaryHeap::new(), timers_set: 0, spent }
+    /// A module with these settings whose random draws follow from this seed.
+    pub fn with_seed(settings: Settings, seed: u64) -> TestDispatcher {
+        TestDispatcher {
+            dispatcher: Dispatcher::new(settings, seed).expect("settings agree"),
+            now: CLOCK_START,
+            timers: BinaryHeap::new(),
+            timers_set: 0,
+            time_spent: std::time::Duration::ZERO,
+        }
     }
 
-    /// Feeds one event and returns what it led to; timers are kept for `pass`.
+    /// Feeds one event and returns what it led to; timers are kept for [`TestDispatcher::advance`].
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         self.dispatcher.handle(self.now, event, &mut actions);
-        self.spent += begun.elapsed();
+        self.time_spent += started.elapsed();
         for action in &actions {
             if let Action::SetTimer(id, after) = action {
-                self.timers.push(Reverse((self.now + after, self.timers_set, *id)));
+                let timer = PendingTimer { due: self.now + after, number: self.timers_set, id: *id };
+                self.timers.push(Reverse(timer));
                 self.timers_set += 1;
             }
         }
         actions
     }
 
-    /// Lets time pass and fires the timers that fall due.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// When the next timer is due, if one is pending.
+    pub fn next_timer(&self) -> Option<Micros> {
+        self.timers.peek().map(|Reverse(timer)| timer.due)
+    }
+
+    /// How many timers are pending.
+    pub fn pending_timers(&self) -> usize {
+        self.timers.len()
+    }
+
+    /// Lets this much time pass and fires the timers that fall due.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
-        let mut all = Vec::new();
-        while let Some(Reverse((at, _, id))) = self.timers.peek().copied().filter(|next| next.0.0 <= until) {
+        let mut actions = Vec::new();
+        while let Some(Reverse(timer)) = self.timers.peek().copied().filter(|next| next.0.due <= until) {
             self.timers.pop();
-            self.now = self.now.max(at);
-            all.extend(self.feed(Event::Timer(id)));
+            self.now = self.now.max(timer.due);
+            actions.extend(self.feed(Event::Timer(timer.id)));
         }
         self.now = until;
-        all
+        actions
     }
 
-    pub fn roster(&mut self, entries: Vec<EndpointEntry>) -> Vec<Action> {
+    /// Gives it the endpoint list that was held before the start.
+    pub fn load_cached_list(&mut self, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.feed(Event::EndpointList(ListKind::Cached, entries))
     }
 
-    pub fn report(&mut self, id: u32, cpu: f64, free: f64) -> Vec<Action> {
-        let report = LoadReport { cpu: Some(cpu), free_slots: Some(free), ..LoadReport::default() };
-        self.echo(id, Outcome::Ok, Some(report))
+    /// A probe of the worker brings a load report with this CPU use (0 to 1) and this many free slots.
+    pub fn report_load(&mut self, id: u32, cpu: f64, free_slots: f64) -> Vec<Action> {
+        let report = LoadReport { cpu: Some(cpu), free_slots: Some(free_slots), ..LoadReport::default() };
+        self.end_probe(id, Outcome::Ok, Some(report))
     }
 
     /// A report of an idle worker, unless it is this one.
     pub fn report_unless(&mut self, id: u32, silent: WorkerId) -> Vec<Action> {
-        if id == silent.0 { Vec::new() } else { self.report(id, 0.1, 4.0) }
+        if id == silent.0 { Vec::new() } else { self.report_load(id, 0.1, 4.0) }
     }
 
-    pub fn echo(&mut self, id: u32, outcome: Outcome, report: Option<LoadReport>) -> Vec<Action> {
-        self.feed(Event::ProbeResponse(ProbeResponse { worker: WorkerId(id), outcome, elapsed: 300, report }))
+    /// A probe of the worker ends so.
+    pub fn end_probe(&mut self, id: u32, outcome: Outcome, report: Option<LoadReport>) -> Vec<Action> {
+        let response = ProbeResponse { worker: WorkerId(id), outcome, elapsed: PROBE_TIME, report };
+        self.feed(Event::ProbeResponse(response))
     }
 
+    /// A job of this class arrives, whose client waits for this long.
     pub fn arrive(&mut self, job: u64, class: u16, time_budget: Micros) -> Vec<Action> {
-        self.arrive_sized(job, class, time_budget, 100 * MS)
+        self.arrive_sized(job, class, time_budget, JOB_TIME)
     }
 
+    /// A job arrives of which this is known: how long it runs.
     pub fn arrive_sized(&mut self, job: u64, class: u16, time_budget: Micros, hint: Micros) -> Vec<Action> {
         let new = NewJob {
             job: JobId(job),
@@ -95,33 +146,26 @@
         self.feed(Event::Arrived(new))
     }
 
-    pub fn end(&mut self, job: u64, attempt: u32, worker: WorkerId, outcome: Outcome) -> Vec<Action> {
-        self.end_told(job, attempt, worker, outcome, 5 * MS, None)
+    /// An attempt ends shortly after its start, without a load report.
+    pub fn end_attempt(&mut self, job: u64, attempt: u32, worker: WorkerId, outcome: Outcome) -> Vec<Action> {
+        self.feed(Event::AttemptEnded(attempt_ended(job, attempt, worker, outcome)))
     }
+}
 
-    /// An attempt ends after this long, with a report of its worker perhaps.
-    pub fn end_told(
-        &mut self,
-        job: u64,
-        attempt: u32,
-        worker: WorkerId,
-        outcome: Outcome,
-        elapsed: Micros,
-        report: Option<LoadReport>,
-    ) -> Vec<Action> {
-        let (job, closed) = (JobId(job), outcome == Outcome::Ok);
-        self.feed(Event::AttemptEnded(AttemptEnded {
-            job,
-            attempt,
-            worker,
-            elapsed,
-            closed,
-            outcome,
-            report,
-        }))
+/// The end of an attempt shortly after its start, without a load report; an attempt that succeeds closes its job.
+pub fn attempt_ended(job: u64, attempt: u32, worker: WorkerId, outcome: Outcome) -> AttemptEnded {
+    AttemptEnded {
+        job: JobId(job),
+        attempt,
+        worker,
+        elapsed: ATTEMPT_TIME,
+        closed: outcome == Outcome::Ok,
+        outcome,
+        report: None,
     }
 }
 
+/// A ready worker of weight 1 in zone, kind and cell 0, which started long ago.
 pub fn worker(id: u32) -> EndpointEntry {
     EndpointEntry {
         worker: WorkerId(id),
@@ -135,18 +179,48 @@
     }
 }
 
+/// The attempts that the module starts: each job with its worker.
 pub fn sends(actions: &[Action]) -> Vec<(u64, WorkerId)> {
-    let send = |a: &Action| match a {
+    let send = |action: &Action| match action {
         Action::Send { job, worker, .. } => Some((job.0, *worker)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
+/// The workers that the module probes.
 pub fn probes(actions: &[Action]) -> Vec<WorkerId> {
-    actions.iter().filter_map(|a| if let Action::Probe(w) = a { Some(*w) } else { None }).collect()
+    let probe = |action: &Action| match action {
+        Action::Probe(worker) => Some(*worker),
+        _ => None,
+    };
+    actions.iter().filter_map(probe).collect()
+}
+
+/// A message to a peer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerDatagram {
+    /// The number of the peer.
+    pub to: u32,
+    /// What it gets.
+    pub bytes: Vec<u8>,
+}
+
+/// The messages that the module sends to its peers.
+pub fn peer_datagrams(actions: &[Action]) -> Vec<PeerDatagram> {
+    let datagram = |action: &Action| match action {
+        Action::SendToPeer { to, bytes } => Some(PeerDatagram { to: *to, bytes: bytes.clone() }),
+        _ => None,
+    };
+    actions.iter().filter_map(datagram).collect()
+}
+
+/// The messages that the module sends to this peer.
+pub fn datagrams_to(actions: &[Action], peer: u32) -> Vec<Vec<u8>> {
+    peer_datagrams(actions).into_iter().filter(|datagram| datagram.to == peer).map(|d| d.bytes).collect()
 }
 
-pub fn class(effect: Idempotency) -> Class {
-    Class { idempotency: effect, late_weight: 0.5, ..Settings::default().classes[0].clone() }
+/// The default class, with this idempotency; a late response keeps half its weight.
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { idempotency, late_weight: 0.5, ..Settings::default().classes[0].clone() }
 }
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -17,7 +17,7 @@
 }
 
 struct Groups {
-    nodes: Vec<Node>,
+    nodes: Vec<TestDispatcher>,
     mail: VecDeque<(u32, u32, Vec<u8>)>,
     running: BTreeMap<u32, VecDeque<(u32, u64, u32)>>,
     sent: String,
@@ -26,10 +26,11 @@
 
 impl Groups {
     fn new(workers: u32) -> Groups {
-        let mut nodes: Vec<Node> = (0..NODES).map(|me| Node::seeded(settings(me), u64::from(me))).collect();
+        let mut nodes: Vec<TestDispatcher> =
+            (0..NODES).map(|me| TestDispatcher::with_seed(settings(me), u64::from(me))).collect();
         for node in &mut nodes {
-            node.roster((0..workers).map(worker).collect());
-            node.report(0, 0.0, SLOTS);
+            node.load_cached_list((0..workers).map(worker).collect());
+            node.report_load(0, 0.0, SLOTS);
         }
         let (mail, running, sent, kinds) = Default::default();
         Groups { nodes, mail, running, sent, kinds }
@@ -53,7 +54,7 @@
                     };
                     let outcome = if worker.0 % 7 == 3 { Outcome::Timeout } else { Outcome::Ok };
                     let report = (outcome == Outcome::Ok).then_some(report);
-                    let echoed = self.nodes[from as usize].echo(worker.0, outcome, report);
+                    let echoed = self.nodes[from as usize].end_probe(worker.0, outcome, report);
                     self.act(from, echoed);
                 }
                 Action::SendToPeer { to, bytes } => self.mail.push_back((from, to, bytes)),
@@ -77,7 +78,7 @@
 
     fn pass(&mut self, span: Micros) {
         for n in 0..NODES {
-            let actions = self.nodes[n as usize].pass(span);
+            let actions = self.nodes[n as usize].advance(span);
             self.act(n, actions);
         }
         self.deliver();
@@ -89,7 +90,7 @@
                 continue;
             };
             let outcome = if job % 5 == 0 { Outcome::Reset } else { Outcome::Ok };
-            let ended = self.nodes[node as usize].end(job, attempt, WorkerId(worker), outcome);
+            let ended = self.nodes[node as usize].end_attempt(job, attempt, WorkerId(worker), outcome);
             self.act(node, ended);
         }
         self.deliver();
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -1,6 +1,6 @@
 //! The decision module, driven by a table: settings and workers, then reports, jobs, ends and the passing of time.
 
-use crate::common::{MS, Node, worker};
+use crate::common::{MS, TestDispatcher, worker};
 use crate::table::{Machine, Row, beyond, judge, play, read};
 use mothproxy::*;
 use serde::Deserialize;
@@ -235,7 +235,7 @@
 }
 
 pub struct Decision {
-    node: Node,
+    node: TestDispatcher,
     jobs: BTreeMap<u64, Held>,
     sends: Vec<WorkerId>,
     /// One that says to whom in the module's place, by the ready workers with the jobs out at each, and the job.
@@ -326,7 +326,7 @@
             ..Settings::default()
         };
         settings.check().map_err(|e| e.to_string())?;
-        let mut node = Node::seeded(settings, seed);
+        let mut node = TestDispatcher::with_seed(settings, seed);
         node.now = 1_000_000 * MS;
         node.feed(Event::EndpointList(ListKind::Snapshot, list(&given.workers, node.now)));
         let ready = list(&given.workers, node.now).iter().map(|line| (line.worker.0, 0)).collect();
@@ -338,16 +338,16 @@
         let verb = Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())?;
         let (mut looked_at, now) = (None, self.node.now);
         let actions = match verb {
-            Verb::Report(told) => self.node.echo(told.worker, Outcome::Ok, Some(told.load())),
-            Verb::Echo { worker, outcome } => self.node.echo(worker, outcome.into(), None),
+            Verb::Report(told) => self.node.end_probe(told.worker, Outcome::Ok, Some(told.load())),
+            Verb::Echo { worker, outcome } => self.node.end_probe(worker, outcome.into(), None),
             Verb::Reports { every, times, of } => {
                 let mut actions = Vec::new();
                 for n in 0..times {
                     for told in &of {
-                        actions.extend(self.node.echo(told.worker, Outcome::Ok, Some(told.load())));
+                        actions.extend(self.node.end_probe(told.worker, Outcome::Ok, Some(told.load())));
                     }
                     if n + 1 < times {
-                        actions.extend(self.node.pass(every * MS));
+                        actions.extend(self.node.advance(every * MS));
                     }
                 }
                 actions
@@ -404,7 +404,7 @@
             Verb::List(lines) => self.node.feed(Event::EndpointList(ListKind::Snapshot, list(&lines, now))),
             Verb::Changes(lines) => self.node.feed(Event::EndpointList(ListKind::Delta, list(&lines, now))),
             Verb::ListFailed(times) => (0..times).flat_map(|_| self.node.feed(Event::ListFailed)).collect(),
-            Verb::Pass(span) => self.node.pass(span * MS),
+            Verb::Pass(span) => self.node.advance(span * MS),
             Verb::Spread(last) => {
                 let places: BTreeSet<WorkerId> = self.sends.iter().rev().take(last).copied().collect();
                 return Ok(vec![format!("spread {}", places.len())]);
--- /dev/null
+++ b/tests/fleet/borrowed_slots.rs
@@ -0,0 +1,95 @@
+//! A group whose workers are full asks other groups for a slot.
+
+use crate::common::*;
+use crate::simulation::Fleet;
+use crate::*;
+use std::collections::BTreeSet;
+
+/// The message that asks for a slot.
+const SLOT_REQUEST: [u8; 2] = [b'A', 0];
+/// The first byte of a message that offers one.
+const SLOT_OFFER_KIND: u8 = b'O';
+
+/// More jobs than the slots of one group run at once, at workers that other groups have offered, and the lenders count them.
+/// 373 jobs in 25 s found their group full and went where a probe showed room: 211 of them queued there, and what the group of
+/// that worker knew was wrong from then on.
+#[test]
+fn a_full_group_borrows_slots_and_sends_none_blindly() {
+    const GROUPS: u32 = DISPATCHERS / GROUP_SIZE;
+    const JOBS: u32 = 60; // for the ten dispatchers of one group, whose six workers have 24 slots
+    let mut fleet = Fleet::new();
+    for job in 0..JOBS {
+        let member = job % GROUP_SIZE * GROUPS;
+        fleet.submit(member, u64::from(job));
+    }
+    fleet.advance(100 * MS);
+    assert_eq!(fleet.running_jobs(), JOBS as usize, "all run at once");
+    fleet.assert_within_slots();
+    assert_eq!(fleet.counters.probes, 0);
+    // The lenders know it: what their own dispatchers send goes elsewhere.
+    fleet.submit_to_each(1);
+    fleet.assert_within_slots();
+}
+
+/// Where reports come with probes alone, a worker whose size nobody has told is good for one job; once all have one they are
+/// probed, and then all their slots are used and no more.
+#[test]
+fn a_full_group_probes_unsized_workers_where_reports_come_with_probes() {
+    let settings = Settings { nodes: 20, reports: Reports::Probes, ..settings(OWN_NUMBER) };
+    let mut dispatcher = TestDispatcher::new(settings);
+    dispatcher.load_cached_list((0..4).map(worker).collect());
+    let mut next_job = 0..;
+    let mut arrive =
+        |dispatcher: &mut TestDispatcher| dispatcher.arrive(next_job.next().unwrap_or(0), 0, 7_500 * MS);
+    let mut busy = BTreeSet::new();
+    let probed = loop {
+        let actions = arrive(&mut dispatcher);
+        if sends(&actions).is_empty() {
+            break probes(&actions);
+        }
+        for (job, worker) in sends(&actions) {
+            assert!(busy.insert(worker), "a second job at {worker:?}");
+            dispatcher.feed(Event::Started { job: JobId(job), attempt: 0 });
+        }
+    };
+    assert!(!probed.is_empty(), "the group's workers may have room, and none is probed");
+    // One of its four slots is taken by what this dispatcher has there.
+    let one_slot_taken = load_report(0.25, 3.0, 0.0);
+    let sent: Vec<_> = probed
+        .iter()
+        .flat_map(|worker| sends(&dispatcher.end_probe(worker.0, Outcome::Ok, one_slot_taken)))
+        .collect();
+    assert_eq!(sent.len(), 1, "the waiting job has room now");
+    let more: usize = (0..20).map(|_| sends(&arrive(&mut dispatcher)).len()).sum();
+    assert_eq!(busy.len() + 1 + more, busy.len() * SLOTS as usize, "all slots are used, and no more");
+}
+
+/// A slot that was offered is kept for a moment, which the lender's group knows, and is free again if it is not taken.
+#[test]
+fn reserves_an_offered_slot_for_a_moment() {
+    const BORROWER: u32 = 1;
+    const LENDER: u32 = 0;
+    const LENDERS_PEER: u32 = 10;
+    let member = |me| {
+        let mut dispatcher = TestDispatcher::new(settings(me));
+        dispatcher.load_cached_list((0..WORKERS).map(worker).collect());
+        dispatcher.report_load(0, 0.0, 1.0); // workers of this kind have one slot
+        dispatcher
+    };
+    let (mut lender, mut peer) = (member(LENDER), member(LENDERS_PEER));
+    let request = || Event::PeerMessage { from: BORROWER, bytes: SLOT_REQUEST.to_vec() };
+    let offers = |actions: &[Action]| {
+        let messages = datagrams_to(actions, BORROWER);
+        messages.iter().filter(|bytes| bytes[0] == SLOT_OFFER_KIND).count()
+    };
+    // Six workers with one slot each, then none.
+    let made: usize = (0..8).map(|_| offers(&lender.feed(request()))).sum();
+    assert_eq!(made, 6);
+    for bytes in datagrams_to(&lender.advance(5 * MS), LENDERS_PEER) {
+        peer.feed(Event::PeerMessage { from: LENDER, bytes });
+    }
+    assert_eq!(offers(&peer.feed(request())), 0, "the peer knows of them");
+    assert!(sends(&peer.arrive(1, 0, TIME_BUDGET)).is_empty());
+    lender.advance(100 * MS);
+    assert_eq!(offers(&lender.feed(request())), 1, "none of them was taken");
+}
--- a/tests/four_rules.rs
+++ b/tests/four_rules.rs
@@ -59,7 +59,7 @@
 
 /// The checker: what was told, what was done, and whether that keeps the rules.
 struct World {
-    node: Node,
+    node: TestDispatcher,
     settings: Settings,
     jobs: BTreeMap<u64, Owed>,
     stopped: BTreeMap<u32, Micros>,
@@ -92,9 +92,9 @@
             may_probe,
             ..Settings::default()
         };
-        let mut node = Node::new(settings.clone());
+        let mut node = TestDispatcher::new(settings.clone());
         let roster = (0..6).map(|id| entry(id, Status::Ready, None)).collect();
-        node.roster(roster);
+        node.load_cached_list(roster);
         let (jobs, stopped, cold) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         World { node, settings, jobs, stopped, cold, cold_sent: Vec::new(), next: 0 }
     }
@@ -197,7 +197,9 @@
                 Some((job, attempt, _)) => self.node.feed(Event::Started { job: JobId(job), attempt }),
                 None => return,
             },
-            Step::LoadReport(id, cpu, free) => self.node.report(id, f64::from(cpu) / 255.0, f64::from(free)),
+            Step::LoadReport(id, cpu, free) => {
+                self.node.report_load(id, f64::from(cpu) / 255.0, f64::from(free))
+            }
             Step::Roster(id, status) => {
                 let now = self.node.now;
                 let (status, started) = match status {
@@ -224,7 +226,7 @@
             Step::Pass(span) => {
                 // Step by step, so that each action is judged at its own time.
                 for _ in 0..span {
-                    let actions = self.node.pass(MS);
+                    let actions = self.node.advance(MS);
                     self.judge(actions);
                 }
                 return;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,7 +5,7 @@
 #[path = "common/members.rs"]
 mod members;
 
-use common::{MS, Node, sends, worker};
+use common::{MS, TestDispatcher, sends, worker};
 use members::*;
 use mothproxy::fleet::{Fleet as Parts, FleetOutput, FleetSettings, MembershipSettings, ProcessIdentity};
 use mothproxy::policy::interface::PeerPresence::{self, Present, Unreachable};
@@ -247,7 +247,7 @@
 /// Twenty nodes in two groups before twelve workers with four slots each, cut into two sides that hold members of both
 /// groups and do not hear each other.
 struct Cut {
-    nodes: Vec<Node>,
+    nodes: Vec<TestDispatcher>,
     running: Vec<usize>,
 }
 
@@ -268,12 +268,12 @@
         };
         let base =
             mothproxy::Settings { nodes: Cut::NODES, may_message_peers: true, classes: vec![class], ..base };
-        let node = |me| Node::seeded(mothproxy::Settings { me, ..base.clone() }, u64::from(me));
+        let node = |me| TestDispatcher::with_seed(mothproxy::Settings { me, ..base.clone() }, u64::from(me));
         let mut cut = Cut { nodes: (0..Cut::NODES).map(node).collect(), running: vec![0; 12] };
         for me in 0..Cut::NODES {
             let node = &mut cut.nodes[me as usize];
-            node.roster((0..12).map(worker).collect());
-            node.report(0, 0.0, 4.0); // workers of this kind have four slots
+            node.load_cached_list((0..12).map(worker).collect());
+            node.report_load(0, 0.0, 4.0); // workers of this kind have four slots
             if told {
                 let believed = |n| if Cut::side(n) == Cut::side(me) { Present } else { Unreachable };
                 node.feed(Event::Peers((0..Cut::NODES).map(believed).collect()));
@@ -301,7 +301,7 @@
 
     fn pass(&mut self, span: u64) {
         for n in 0..Cut::NODES {
-            let actions = self.nodes[n as usize].pass(span);
+            let actions = self.nodes[n as usize].advance(span);
             self.act(n, actions);
         }
     }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -33,47 +33,51 @@
     Class { latency_objective: 2_000 * MS, ..class(effect) }
 }
 
-fn probing_node() -> Node {
+fn probing_node() -> TestDispatcher {
     let settings = Settings {
         reports: Reports::Probes,
         may_probe: true,
         classes: vec![patient(Idempotency::NonIdempotent), patient(Idempotency::Idempotent)],
         ..Settings::default()
     };
-    Node::new(settings)
+    TestDispatcher::new(settings)
 }
 
 #[test]
 fn picks_the_best_fresh_score() {
     let mut node = probing_node();
-    node.roster((0..3).map(worker).collect());
-    node.report(0, 0.9, 1.0);
-    node.report(1, 0.1, 4.0);
-    node.report(2, 0.6, 2.0);
+    node.load_cached_list((0..3).map(worker).collect());
+    node.report_load(0, 0.9, 1.0);
+    node.report_load(1, 0.1, 4.0);
+    node.report_load(2, 0.6, 2.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(1))]);
 }
 
 #[test]
 fn unknown_ranks_after_fresh_and_before_full() {
-    let mut node =
-        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
-    node.roster((0..2).map(worker).collect());
-    node.report(0, 0.9, 1.0);
+    let mut node = TestDispatcher::new(Settings {
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    });
+    node.load_cached_list((0..2).map(worker).collect());
+    node.report_load(0, 0.9, 1.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(0))]);
-    let mut node =
-        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
-    node.roster((0..2).map(worker).collect());
-    node.report(0, 0.9, 0.0);
+    let mut node = TestDispatcher::new(Settings {
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    });
+    node.load_cached_list((0..2).map(worker).collect());
+    node.report_load(0, 0.9, 0.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(1))]);
 }
 
 #[test]
 fn load_samples_go_stale() {
     let mut node = probing_node();
-    node.roster((0..2).map(worker).collect());
-    node.report(0, 0.1, 4.0);
-    node.report(1, 0.9, 1.0);
-    node.pass(10_000 * MS);
+    node.load_cached_list((0..2).map(worker).collect());
+    node.report_load(0, 0.1, 4.0);
+    node.report_load(1, 0.9, 1.0);
+    node.advance(10_000 * MS);
     // The old reports do not decide: both workers are asked again and the job waits for that.
     let actions = node.arrive(1, 0, 5_000 * MS);
     assert_eq!((probes(&actions).len(), sends(&actions).len()), (2, 0));
@@ -82,48 +86,50 @@
 #[test]
 fn no_second_assignment_in_a_row_unless_utilisation_changed_and_is_lowest() {
     let mut node = probing_node();
-    node.roster((0..2).map(worker).collect());
-    node.report(0, 0.1, 8.0);
-    node.report(1, 0.3, 8.0);
+    node.load_cached_list((0..2).map(worker).collect());
+    node.report_load(0, 0.1, 8.0);
+    node.report_load(1, 0.3, 8.0);
     assert_eq!(sends(&node.arrive(1, 0, 5_000 * MS)), [(1, WorkerId(0))]);
     // Same report: the next best wins though the first still scores higher.
     assert_eq!(sends(&node.arrive(2, 0, 5_000 * MS)), [(2, WorkerId(1))]);
     assert_eq!(sends(&node.arrive(3, 0, 5_000 * MS)), [(3, WorkerId(0))]);
     // Changed, and lowest of all: it may have the next one too.
-    node.report(0, 0.05, 8.0);
+    node.report_load(0, 0.05, 8.0);
     assert_eq!(sends(&node.arrive(4, 0, 5_000 * MS)), [(4, WorkerId(0))]);
 }
 
 #[test]
 fn picks_the_fastest_worker_when_all_are_full() {
     let mut node = probing_node();
-    node.roster((0..2).map(worker).collect());
+    node.load_cached_list((0..2).map(worker).collect());
     for (job, slow, elapsed) in [(1, 0, 700 * MS), (2, 1, 90 * MS)] {
-        node.report(slow, 0.1, 4.0);
-        node.report(1 - slow, 0.9, 1.0);
+        node.report_load(slow, 0.1, 4.0);
+        node.report_load(1 - slow, 0.9, 1.0);
         assert_eq!(sends(&node.arrive(job, 1, 5_000 * MS)), [(job, WorkerId(slow))]);
         let (job, worker, outcome) = (JobId(job), WorkerId(slow), Outcome::Ok);
         let end = AttemptEnded { job, attempt: 0, worker, elapsed, closed: true, outcome, report: None };
         node.feed(Event::AttemptEnded(end));
     }
-    node.report(0, 1.0, 0.0);
-    node.report(1, 1.0, 0.0);
+    node.report_load(0, 1.0, 0.0);
+    node.report_load(1, 1.0, 0.0);
     let mut sent = sends(&node.arrive(3, 0, 5_000 * MS));
     for _ in 0..300 {
-        node.report(0, 1.0, 0.0);
-        node.report(1, 1.0, 0.0);
-        sent.extend(sends(&node.pass(5 * MS)));
+        node.report_load(0, 1.0, 0.0);
+        node.report_load(1, 1.0, 0.0);
+        sent.extend(sends(&node.advance(5 * MS)));
     }
     assert_eq!(sent.first(), Some(&(3, WorkerId(1))));
 }
 
 #[test]
 fn a_worker_with_too_few_free_slots_counts_as_full() {
-    let mut node =
-        Node::new(Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() });
-    node.roster((0..2).map(worker).collect());
-    node.report(0, 0.0, 1.0);
-    node.report(1, 0.8, 3.0);
+    let mut node = TestDispatcher::new(Settings {
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    });
+    node.load_cached_list((0..2).map(worker).collect());
+    node.report_load(0, 0.0, 1.0);
+    node.report_load(1, 0.8, 3.0);
     let new = NewJob {
         job: JobId(1),
         class: ClassId(0),
@@ -148,17 +154,18 @@
         [(0.0, 0.5, 0), (0.1, 0.5, 60 * MS), (0.2, 0.5, 120 * MS), (0.2, 0.0, 60 * MS)]
     {
         let classes = vec![Class { late_weight, ..class(Idempotency::Idempotent) }];
-        let mut node = Node::new(Settings { classes, price_cross_zone: price, ..Settings::default() });
+        let mut node =
+            TestDispatcher::new(Settings { classes, price_cross_zone: price, ..Settings::default() });
         let zones = |id: u32| EndpointEntry { zone: ZoneId(id as u16), ..worker(id) };
-        node.roster((0..2).map(zones).collect());
-        node.report(0, 1.0, 0.0);
-        node.report(1, 0.1, 4.0);
+        node.load_cached_list((0..2).map(zones).collect());
+        node.report_load(0, 1.0, 0.0);
+        node.report_load(1, 0.1, 4.0);
         let begun = node.now;
         let mut sent = sends(&node.arrive(1, 0, 5_000 * MS)); // it must start within 300 ms
         while sent.is_empty() && node.now < begun + 300 * MS {
-            sent = sends(&node.pass(5 * MS));
-            node.report(0, 1.0, 0.0);
-            node.report(1, 0.1, 4.0);
+            sent = sends(&node.advance(5 * MS));
+            node.report_load(0, 1.0, 0.0);
+            node.report_load(1, 0.1, 4.0);
         }
         let waited = node.now - begun;
         assert_eq!(sent, [(1, WorkerId(1))], "price {price}");
@@ -175,21 +182,21 @@
         classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
-    let mut node = Node::new(settings);
-    node.roster(vec![worker(0)]);
+    let mut node = TestDispatcher::new(settings);
+    node.load_cached_list(vec![worker(0)]);
     let mut actions = Vec::new();
     for job in 1..=6 {
         actions.extend(node.arrive(job, 0, 5_000 * MS));
         actions.extend(node.feed(Event::Started { job: JobId(job), attempt: 0 }));
-        actions.extend(node.pass(MS));
+        actions.extend(node.advance(MS));
     }
     assert_eq!(sends(&actions), [(1, WorkerId(0)), (2, WorkerId(0))], "as many as it may have room for");
-    node.pass(400 * MS); // the rest had to start within 300 ms
+    node.advance(400 * MS); // the rest had to start within 300 ms
     node.arrive(7, 0, 5_000 * MS);
-    assert_eq!(sends(&node.end(1, 0, WorkerId(0), Outcome::Ok)), [(7, WorkerId(0))]);
+    assert_eq!(sends(&node.end_attempt(1, 0, WorkerId(0), Outcome::Ok)), [(7, WorkerId(0))]);
     node.feed(Event::Started { job: JobId(7), attempt: 0 });
     assert_eq!(
-        sends(&node.end(2, 0, WorkerId(0), Outcome::Ok)),
+        sends(&node.end_attempt(2, 0, WorkerId(0), Outcome::Ok)),
         [(6, WorkerId(0))],
         "late ones follow, the newest first"
     );
--- /dev/null
+++ b/tests/ramp/simulation.rs
@@ -0,0 +1,406 @@
+//! Dispatchers and workers on a virtual clock, driven by scheduled events.
+
+use crate::common::{self, MS, TestDispatcher};
+use crate::scenario::{END, REPLACEMENT_SPAN, REPLACEMENT_START, START, Scenario};
+use crate::worker::{Call, QueueFull, Window, Worker};
+use mothproxy::*;
+use std::collections::BTreeMap;
+
+/// How long a call, a probe or an answer travels.
+const NETWORK_DELAY: Micros = MS;
+/// How long a message between dispatchers travels.
+const PEER_DELAY: Micros = 2 * MS;
+/// How long the client of a job waits.
+const TIME_BUDGET: Micros = 7_500 * MS;
+
+enum Scheduled {
+    JobArrives {
+        dispatcher: u32,
+    },
+    WorkerReplaced {
+        worker: u32,
+    },
+    DispatcherRestarted {
+        dispatcher: u32,
+    },
+    EndpointNotified {
+        dispatcher: u32,
+        entry: EndpointEntry,
+    },
+    /// What only the process knows that it is meant for.
+    EventDelivered {
+        dispatcher: u32,
+        process: u64,
+        event: Event,
+    },
+    CallArrives {
+        worker: u32,
+        call: Call,
+    },
+    CallDone {
+        worker: u32,
+        worker_process: u64,
+        call: Call,
+        duration: Micros,
+    },
+}
+
+/// A dispatcher with what outlives its processes.
+struct SimulatedDispatcher {
+    module: TestDispatcher,
+    /// How often it has restarted.
+    process: u64,
+    /// What it has been notified of, and thus a new process of it.
+    list: BTreeMap<u32, EndpointEntry>,
+}
+
+/// The connection of one process of a dispatcher to a worker.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ConnectionKey {
+    dispatcher: u32,
+    process: u64,
+    worker: u32,
+}
+
+/// A job of one process of a dispatcher.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct JobKey {
+    dispatcher: u32,
+    process: u64,
+    job: JobId,
+}
+
+/// What a day shows of the workers that started during it.
+pub struct DayOutcome {
+    /// The fullest window of each, the emptiest first.
+    pub windows: Vec<Window>,
+    /// What they got while they warmed up, as a part of what they could have run.
+    pub capacity_used: f64,
+}
+
+pub struct Simulation {
+    scenario: Scenario,
+    now: Micros,
+    /// By time, and by the order in which they were scheduled.
+    scheduled: BTreeMap<(Micros, u64), Scheduled>,
+    scheduled_count: u64,
+    dispatchers: Vec<SimulatedDispatcher>,
+    workers: Vec<Worker>,
+    /// When each connection is up.
+    connections: BTreeMap<ConnectionKey, Micros>,
+    /// How many attempts each job has had.
+    attempts: BTreeMap<JobKey, u32>,
+    arrived_jobs: u64,
+    rng: fastrand::Rng,
+}
+
+/// A worker's tag, by its number.
+fn tag(worker: u32) -> u64 {
+    u64::from(worker + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
+        let entry = |id: u32| EndpointEntry {
+            tag: tag(id),
+            zone: ZoneId((id % 2) as u16),
+            weight: scenario.window_calls,
+            ..common::worker(id)
+        };
+        let list: BTreeMap<u32, EndpointEntry> = (0..scenario.workers).map(|id| (id, entry(id))).collect();
+        let mut simulation = Simulation {
+            scenario,
+            now: START,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            dispatchers: Vec::new(),
+            workers: (0..scenario.workers).map(|id| Worker::new(entry(id))).collect(),
+            connections: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            arrived_jobs: 0,
+            rng: fastrand::Rng::with_seed(scenario.seed),
+        };
+        simulation.start_dispatchers(&list);
+        simulation.schedule_replacements();
+        simulation.schedule_restarts();
+        simulation.schedule_bursts();
+        simulation
+    }
+
+    fn start_dispatchers(&mut self, list: &BTreeMap<u32, EndpointEntry>) {
+        for dispatcher in 0..self.scenario.dispatchers {
+            let module = self.new_process(dispatcher, list);
+            self.dispatchers.push(SimulatedDispatcher { module, process: 0, list: list.clone() });
+            self.schedule_in(u64::from(dispatcher) * MS, Scheduled::JobArrives { dispatcher });
+        }
+    }
+
+    /// Six in ten of the workers are replaced, at even intervals.
+    fn schedule_replacements(&mut self) {
+        let replaced = self.scenario.workers * 6 / 10;
+        for worker in 0..replaced {
+            let after = REPLACEMENT_SPAN * u64::from(worker) / u64::from(replaced);
+            self.schedule_in(REPLACEMENT_START - START + after, Scheduled::WorkerReplaced { worker });
+        }
+    }
+
+    /// How long it is from the start to the middle of the replacements.
+    fn middle() -> Micros {
+        REPLACEMENT_START - START + REPLACEMENT_SPAN / 2
+    }
+
+    fn schedule_restarts(&mut self) {
+        let count = self.scenario.dispatchers;
+        let restarts =
+            |number: u32| f64::from(number * 7 % count) < self.scenario.restarted * f64::from(count);
+        let restarted: Vec<u32> = (0..count).filter(|number| restarts(*number)).collect();
+        for dispatcher in restarted {
+            self.schedule_in(Simulation::middle(), Scheduled::DispatcherRestarted { dispatcher });
+        }
+    }
+
+    fn schedule_bursts(&mut self) {
+        for dispatcher in 0..self.scenario.dispatchers {
+            for _ in 0..self.scenario.burst {
+                self.schedule_in(Simulation::middle() + 1, Scheduled::JobArrives { dispatcher });
+            }
+        }
+    }
+
+    /// A new process of a dispatcher, with the list that its agent has.
+    fn new_process(&self, dispatcher: u32, list: &BTreeMap<u32, EndpointEntry>) -> TestDispatcher {
+        let seed = self.scenario.seed << 32 | u64::from(dispatcher);
+        let mut module = TestDispatcher::with_seed(self.scenario.settings(dispatcher), seed);
+        module.now = self.now;
+        module.feed(Event::EndpointList(ListKind::Snapshot, list.values().copied().collect()));
+        module
+    }
+
+    fn schedule_in(&mut self, after: Micros, scheduled: Scheduled) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((self.now + after, self.scheduled_count), scheduled);
+    }
+
+    /// A random time of this mean, of an exponential distribution.
+    fn random_time(&mut self, mean: f64) -> Micros {
+        (-(1.0 - self.rng.f64()).ln() * mean) as Micros
+    }
+
+    /// The process that a dispatcher has now gets this event later, if it is still there.
+    fn deliver_in(&mut self, after: Micros, dispatcher: u32, event: Event) {
+        let process = self.dispatchers[dispatcher as usize].process;
+        self.schedule_in(after, Scheduled::EventDelivered { dispatcher, process, event });
+    }
+
+    fn feed(&mut self, dispatcher: u32, event: Event) {
+        let module = &mut self.dispatchers[dispatcher as usize].module;
+        module.now = self.now;
+        let actions = module.feed(event);
+        self.perform(dispatcher, actions);
+    }
+
+    /// Does what a dispatcher wants done.
+    fn perform(&mut self, dispatcher: u32, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send { job, worker, .. } => self.send(dispatcher, job, worker),
+                Action::Probe(worker) => {
+                    let report = Some(self.workers[worker.0 as usize].load_report());
+                    let response =
+                        ProbeResponse { worker, outcome: Outcome::Ok, elapsed: NETWORK_DELAY, report };
+                    self.deliver_in(NETWORK_DELAY, dispatcher, Event::ProbeResponse(response));
+                }
+                Action::SendToPeer { to, bytes } if self.scenario.peer_network.connects(dispatcher, to) => {
+                    self.deliver_in(PEER_DELAY, to, Event::PeerMessage { from: dispatcher, bytes });
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Sends an attempt, which leaves as soon as the connection to its worker is up.
+    fn send(&mut self, dispatcher: u32, job: JobId, worker: WorkerId) {
+        let process = self.dispatchers[dispatcher as usize].process;
+        let attempts = self.attempts.entry(JobKey { dispatcher, process, job }).or_insert(0);
+        let call = Call { dispatcher, process, job, attempt: *attempts };
+        *attempts += 1;
+        let new_connection_up = self.now + self.rng.u64(0..=self.scenario.max_connect_time);
+        let key = ConnectionKey { dispatcher, process, worker: worker.0 };
+        let connection_up = *self.connections.entry(key).or_insert(new_connection_up);
+        let travel_time = connection_up.saturating_sub(self.now) + NETWORK_DELAY;
+        self.schedule_in(travel_time, Scheduled::CallArrives { worker: worker.0, call });
+    }
+
+    /// Whether the process that sent a call is still there.
+    fn is_sender_alive(&self, call: &Call) -> bool {
+        self.dispatchers[call.dispatcher as usize].process == call.process
+    }
+
+    /// A worker answers a call, of which its sender learns if it is still there.
+    fn end_call(&mut self, worker: u32, call: Call, outcome: Outcome, elapsed: Micros) {
+        if !self.is_sender_alive(&call) {
+            return;
+        }
+        let is_served = outcome == Outcome::Ok;
+        let ended = AttemptEnded {
+            job: call.job,
+            attempt: call.attempt,
+            worker: WorkerId(worker),
+            elapsed,
+            closed: is_served,
+            outcome,
+            report: is_served.then(|| self.workers[worker as usize].load_report()),
+        };
+        self.deliver_in(NETWORK_DELAY, call.dispatcher, Event::AttemptEnded(ended));
+    }
+
+    /// Starts what waits at a worker, if a slot is free.
+    fn start_next_call(&mut self, worker: u32) {
+        let (mean, now) = (self.scenario.mean_job_duration(), self.now);
+        let machine = &mut self.workers[worker as usize];
+        let Some(call) = machine.start_next() else { return };
+        let worker_process = machine.process;
+        let capacity = machine.capacity(now);
+        let duration = self.random_time(mean / capacity).max(MS);
+        self.schedule_in(duration, Scheduled::CallDone { worker, worker_process, call, duration });
+        if self.is_sender_alive(&call) {
+            let started = Event::Started { job: call.job, attempt: call.attempt };
+            self.deliver_in(NETWORK_DELAY, call.dispatcher, started);
+        }
+    }
+
+    fn handle(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::JobArrives { dispatcher } => self.on_job_arrives(dispatcher),
+            Scheduled::WorkerReplaced { worker } => self.on_worker_replaced(worker),
+            Scheduled::EndpointNotified { dispatcher, entry } => {
+                self.dispatchers[dispatcher as usize].list.insert(entry.worker.0, entry);
+                self.feed(dispatcher, Event::EndpointList(ListKind::Delta, vec![entry]));
+            }
+            Scheduled::DispatcherRestarted { dispatcher } => {
+                let module = self.new_process(dispatcher, &self.dispatchers[dispatcher as usize].list);
+                let restarted = &mut self.dispatchers[dispatcher as usize];
+                restarted.process += 1;
+                restarted.module = module;
+            }
+            Scheduled::EventDelivered { dispatcher, process, event } => {
+                if self.dispatchers[dispatcher as usize].process == process {
+                    self.feed(dispatcher, event);
+                }
+            }
+            Scheduled::CallArrives { worker, call } => self.on_call_arrives(worker, call),
+            Scheduled::CallDone { worker, worker_process, call, duration } => {
+                let machine = &mut self.workers[worker as usize];
+                if machine.process == worker_process {
+                    machine.running -= 1;
+                    self.end_call(worker, call, Outcome::Ok, duration);
+                    self.start_next_call(worker);
+                } else {
+                    self.end_call(worker, call, Outcome::Reset, MS);
+                }
+            }
+        }
+    }
+
+    /// A job arrives at a dispatcher, and the next one is scheduled.
+    fn on_job_arrives(&mut self, dispatcher: u32) {
+        self.arrived_jobs += 1;
+        let interval = self.random_time(self.scenario.mean_arrival_interval(dispatcher));
+        self.schedule_in(interval, Scheduled::JobArrives { dispatcher });
+        let new = NewJob {
+            job: JobId(self.arrived_jobs),
+            class: ClassId(0),
+            tenant: None,
+            key: None,
+            deadline: self.now + TIME_BUDGET,
+            hint: None,
+            slots: 1.0,
+            memory: None,
+            repeat: false,
+            estimate: None,
+            tenant_weight: None,
+        };
+        self.feed(dispatcher, Event::Arrived(new));
+    }
+
+    /// A worker starts anew in place, or another one is there instead; each dispatcher is notified at another time.
+    fn on_worker_replaced(&mut self, worker: u32) {
+        let old = self.workers[worker as usize].entry;
+        let fresh = EndpointEntry { started_at: Some(self.now), ..old };
+        let changes = if self.scenario.restarts_in_place {
+            let lost = self.workers[worker as usize].restart(fresh);
+            for call in lost {
+                self.end_call(worker, call, Outcome::Reset, MS);
+            }
+            vec![fresh]
+        } else {
+            let id = self.workers.len() as u32;
+            let fresh = EndpointEntry { worker: WorkerId(id), tag: tag(id), ..fresh };
+            self.workers.push(Worker::new(fresh));
+            vec![fresh, EndpointEntry { status: Status::Draining, ..old }]
+        };
+        for dispatcher in 0..self.scenario.dispatchers {
+            let delay = self.rng.u64(0..=self.scenario.max_notification_delay);
+            for entry in &changes {
+                self.schedule_in(delay, Scheduled::EndpointNotified { dispatcher, entry: *entry });
+            }
+        }
+    }
+
+    fn on_call_arrives(&mut self, worker: u32, call: Call) {
+        let known = self.dispatchers[call.dispatcher as usize].list.get(&worker);
+        let known_start = known.and_then(|entry| entry.started_at);
+        let machine = &mut self.workers[worker as usize];
+        if known_start == machine.entry.started_at {
+            machine.notified_calls.push(self.now);
+        }
+        if let Err(QueueFull) = machine.enqueue(call) {
+            self.end_call(worker, call, Outcome::Full, MS);
+        }
+        self.start_next_call(worker);
+    }
+
+    /// When the next timer of a dispatcher is due; the end of the day if none is.
+    fn next_timer(dispatcher: &SimulatedDispatcher) -> Micros {
+        dispatcher.module.next_timer().unwrap_or(END)
+    }
+
+    /// Fires the timers that are due, of one dispatcher after the other.
+    fn fire_timers(&mut self) {
+        for number in 0..self.dispatchers.len() {
+            while Simulation::next_timer(&self.dispatchers[number]) <= self.now {
+                let module = &mut self.dispatchers[number].module;
+                module.now = self.now;
+                let actions = module.advance(0);
+                self.perform(number as u32, actions);
+            }
+        }
+    }
+
+    /// Plays the day to its end.
+    pub fn play(mut self) -> DayOutcome {
+        loop {
+            let next_scheduled = self.scheduled.first_key_value().map_or(END, |((at, _), _)| *at);
+            let next_timer = self.dispatchers.iter().map(Simulation::next_timer).min().unwrap_or(END);
+            self.now = next_scheduled.min(next_timer).max(self.now);
+            if self.now >= END {
+                return self.outcome();
+            }
+            if next_timer <= next_scheduled {
+                self.fire_timers();
+            } else if let Some((_, scheduled)) = self.scheduled.pop_first() {
+                self.handle(scheduled);
+            }
+        }
+    }
+
+    fn outcome(&self) -> DayOutcome {
+        let started: Vec<&Worker> = self.workers.iter().filter(|worker| worker.has_started_anew()).collect();
+        let mut windows: Vec<Window> = started.iter().map(|worker| worker.fullest_window()).collect();
+        windows.sort_by(|a, b| a.fill.total_cmp(&b.fill));
+        let calls: usize = started.iter().map(|worker| worker.warm_up_call_count()).sum();
+        let mean_job_duration = self.scenario.mean_job_duration();
+        let capacity: f64 = started.iter().map(|worker| worker.warm_up_capacity(mean_job_duration)).sum();
+        DayOutcome { windows, capacity_used: calls as f64 / capacity }
+    }
+}
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,7 +1,7 @@
 //! A thousand dispatchers and a thousand workers: what one may not do because all do it, what no list may be too long for.
 
 mod common;
-use common::{MS, Node as Module, class, sends, worker};
+use common::{MS, TestDispatcher, class, sends, worker};
 use mothproxy::core::peer_lifecycle::PeerLifecycle;
 use mothproxy::policy::gossip::GroupGossip;
 use mothproxy::*;
@@ -227,19 +227,19 @@
 }
 
 /// One of so many nodes, among workers that have one slot each.
-fn among(me: u32, nodes: u32, workers: &[EndpointEntry]) -> Module {
-    let mut node = Module::seeded(settings(me, nodes), me.into());
-    node.roster(workers.to_vec());
-    node.report(0, 0.0, 1.0);
+fn among(me: u32, nodes: u32, workers: &[EndpointEntry]) -> TestDispatcher {
+    let mut node = TestDispatcher::with_seed(settings(me, nodes), me.into());
+    node.load_cached_list(workers.to_vec());
+    node.report_load(0, 0.0, 1.0);
     node
 }
 
 /// This many jobs arrive at a node, one each 3 ms, from this number on: where they go, and what it tells this other one.
-fn load(node: &mut Module, from: u64, jobs: u64, to: u32) -> (Vec<(u64, WorkerId)>, Vec<Vec<u8>>) {
+fn load(node: &mut TestDispatcher, from: u64, jobs: u64, to: u32) -> (Vec<(u64, WorkerId)>, Vec<Vec<u8>>) {
     let (mut used, mut told) = (Vec::new(), Vec::new());
     for job in from..from + jobs {
         let mut actions = node.arrive(job, 0, 60_000 * MS);
-        actions.extend(node.pass(3 * MS));
+        actions.extend(node.advance(3 * MS));
         for (job, at) in sends(&actions) {
             actions.extend(node.feed(Event::Started { job: JobId(job), attempt: 0 }));
             used.push((job, at));
@@ -256,7 +256,7 @@
     })
 }
 
-fn hear(node: &mut Module, from: u32, told: impl IntoIterator<Item = Vec<u8>>) -> Vec<Action> {
+fn hear(node: &mut TestDispatcher, from: u32, told: impl IntoIterator<Item = Vec<u8>>) -> Vec<Action> {
     told.into_iter().flat_map(|bytes| node.feed(Event::PeerMessage { from, bytes })).collect()
 }
 
@@ -272,7 +272,7 @@
     // A start changes one message or splits it in two; in 1.8 s nothing has to be said again.
     assert!((600..=620).contains(&told.len()), "{} messages of 600 starts", told.len());
     hear(&mut mate, 0, told);
-    let apart = |mate: &mut Module, from, jobs, out: &[(u64, WorkerId)]| {
+    let apart = |mate: &mut TestDispatcher, from, jobs, out: &[(u64, WorkerId)]| {
         let full: BTreeSet<WorkerId> = out.iter().map(|(_, worker)| *worker).collect();
         let (mine, _) = load(mate, from, jobs, 0);
         let both = mine.iter().filter(|(_, worker)| full.contains(worker)).count();
@@ -285,14 +285,14 @@
     apart(&mut mate, 0, 300, &out);
     // What gets lost is said again; and what has ended takes no room any more, though messages of less than all are merged.
     out.extend(load(&mut node, 600, 50, 1).0);
-    let again: Vec<Vec<u8>> = tells(node.pass(2_000 * MS), 1).collect();
+    let again: Vec<Vec<u8>> = tells(node.advance(2_000 * MS), 1).collect();
     assert!((6..=12).contains(&again.len()), "{} messages of 650 that are out", again.len());
     hear(&mut mate, 0, again);
     apart(&mut mate, 300, 30, &out);
     for (job, worker) in out.split_off(20) {
-        node.end(job, 0, worker, Outcome::Ok);
+        node.end_attempt(job, 0, worker, Outcome::Ok);
     }
-    let left: Vec<Vec<u8>> = tells(node.pass(3 * MS), 1).collect();
+    let left: Vec<Vec<u8>> = tells(node.advance(3 * MS), 1).collect();
     assert_eq!(left.len(), 1, "it says all in one message again");
     hear(&mut mate, 0, left);
     apart(&mut mate, 330, 300, &out);
@@ -342,16 +342,16 @@
 }
 
 /// The least time of the module for a job, over five rounds of 40 that start and end.
-fn least(node: &mut Module) -> std::time::Duration {
+fn least(node: &mut TestDispatcher) -> std::time::Duration {
     let mut round = |from: u64| {
-        node.spent = Default::default();
+        node.time_spent = Default::default();
         for job in from..from + 40 {
             for (job, at) in sends(&node.arrive(job, 0, 5_000 * MS)) {
-                node.end(job, 0, at, Outcome::Ok);
+                node.end_attempt(job, 0, at, Outcome::Ok);
             }
-            node.pass(MS);
+            node.advance(MS);
         }
-        node.spent / 40
+        node.time_spent / 40
     };
     (0..5).map(|n| round(n * 40)).min().unwrap_or_default()
 }
@@ -365,9 +365,9 @@
     let of = |kinds: bool| {
         let mut set = settings(0, SIZE);
         set.classes.extend((kinds).then(|| Class { kind: Some(KindId(1)), ..set.classes[0].clone() }));
-        let mut node = Module::new(set);
-        node.roster(workers.clone());
-        (0..SIZE).for_each(|w| drop(node.report(w, 0.3, 4.0)));
+        let mut node = TestDispatcher::new(set);
+        node.load_cached_list(workers.clone());
+        (0..SIZE).for_each(|w| drop(node.report_load(w, 0.3, 4.0)));
         node
     };
     let mut node = of(false);
@@ -375,7 +375,7 @@
     for from in (0..SIZE).filter(|from| from % 103 != 0) {
         node.feed(Event::PeerMessage { from, bytes: vec![b'G', 0, 0, 1] });
     }
-    node.pass(11_000 * MS);
+    node.advance(11_000 * MS);
     let after = least(&mut node);
     println!("{before:?}, {kinds:?}, {after:?}");
     assert!(after < before * 8, "a job: {before:?}, and {after:?} after 1,014 nodes were lent a slot");
@@ -408,10 +408,10 @@
             node.dispatcher.reconfigure(settings(0, SIZE - step as u32 / 20)).expect("sound settings");
         }
         actions.extend(node.arrive(step, 0, 7_000 * MS));
-        actions.extend(node.pass(3 * MS));
+        actions.extend(node.advance(3 * MS));
         for (job, at) in sends(&actions) {
             assert!(ready.contains(&at), "{at:?} is not ready");
-            (sent, _) = (sent + 1, node.end(job, 0, at, Outcome::Ok));
+            (sent, _) = (sent + 1, node.end_attempt(job, 0, at, Outcome::Ok));
         }
         assert!(
             actions.iter().all(|act| !matches!(act, Action::SendToPeer { bytes, .. } if bytes.len() > 256))
