--- a/tests/conformance/fairshare.rs
+++ b/tests/conformance/fairshare.rs
@@ -1,60 +1,75 @@
 //! Ledgers of a few members over the tenants of one installation, driven by a table. Words: of a tenant's use `low`, `likely`
 //! and `high` in units a second; of one more job's worth its tier and `part` in hundredths; of facts what became of them.
 
-use crate::table::{Machine, beyond};
+use crate::runner::{Machine, MachineError};
+use crate::table::beyond;
 use mothproxy_fairshare::{
     AbsorbError, Config, Installation, Ledger, Origin, RecordError, Shares, Tenant, TenantKey, Tier, Usage,
 };
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
-use toml::{Table, Value};
 
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
-/// Unix time at time 0.
+/// Unix time at time 0, in microseconds.
 const WALL: u64 = 1_700_000_000 * SECOND;
 /// What all together can do, in units a second.
 const RATE: u64 = 1_000;
+/// Members that the ledgers have room for.
+const MAX_MEMBERS: u16 = 8;
+/// In each second of [`FairshareStep::Serve`] members serve and publish so many times.
+const ROUNDS_PER_SECOND: u64 = 4;
 
+/// The situation in which a row begins.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Given {
+pub struct Given {
     members: u16,
     /// The tenants' weights.
     weights: BTreeMap<String, u32>,
 }
 
+/// A member serves a tenant at this rate, in units a second.
+#[derive(Deserialize)]
+pub struct ServiceRate(usize, String, u64);
+
+/// Usage that a member records or corrects.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct UsageEntry {
+    /// The member.
+    by: usize,
+    tenant: String,
+    #[serde(rename = "worth")]
+    units: u64,
+    /// How many seconds ago it happened, to come if negative.
+    ago: i64,
+}
+
+/// What happens to the members, or what is asked of them.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Verb {
+pub enum FairshareStep {
     /// For so many seconds members serve tenants at these rates; facts reach everybody but those that are `cut` off.
     Serve {
         seconds: u64,
-        rates: Vec<(usize, String, u64)>,
+        rates: Vec<ServiceRate>,
         #[serde(default)]
         cut: Vec<usize>,
     },
-    /// A member serves so much of what happened so many seconds ago (before now if negative), or takes it back.
-    Record {
-        by: usize,
-        tenant: String,
-        worth: u64,
-        ago: i64,
-    },
-    Correct {
-        by: usize,
-        tenant: String,
-        worth: u64,
-        ago: i64,
-    },
-    /// All that a member ever told, the newest first if `reversed`, so many times.
+    /// A member serves so much.
+    Record(UsageEntry),
+    /// A member takes so much back.
+    Correct(UsageEntry),
+    /// All that a member ever published, the newest first if `reversed`, so many times.
     Hand {
         from: usize,
         to: usize,
-        #[serde(default)]
-        reversed: bool,
+        #[serde(default, rename = "reversed")]
+        is_reversed: bool,
         times: usize,
     },
-    /// The last fact of a member as if another place, or bytes that cannot be read, had come.
+    /// A fact of these bytes as if another place had published it.
     Forge {
         to: usize,
         place: u16,
@@ -67,30 +82,74 @@
         at: usize,
         tenant: String,
     },
-    /// `beyond_pace`: asked when its jobs of this second have used up what it may have at full worth.
     Worth {
         at: usize,
         tenant: String,
-        #[serde(default)]
-        beyond_pace: bool,
+        /// Asked when its jobs of this second have used up what it may have at full worth.
+        #[serde(default, rename = "beyond_pace")]
+        is_beyond_pace: bool,
     },
     /// Whether two hold the same of every tenant, in every bit.
     Same(usize, usize),
 }
 
+/// A fact that a member has published.
+#[derive(Clone)]
+struct PublishedFact {
+    origin: Origin,
+    slot: u32,
+    number: u64,
+    bytes: Vec<u8>,
+}
+
 struct Member {
     origin: Origin,
     ledger: Ledger,
-    told: Vec<(Origin, u32, u64, Vec<u8>)>,
+    /// What it has published, also before it restarted.
+    published: Vec<PublishedFact>,
 }
 
-pub struct Fair {
+impl Member {
+    fn start(place: u16, shares: &Shares, now: u64) -> Result<Member, MachineError> {
+        let epoch = (WALL + now) / 1_000;
+        let config =
+            Config { place, epoch, unix_at_zero: WALL, peers: MAX_MEMBERS, rate: RATE, ..Config::default() };
+        let ledger = Ledger::new(config, shares, now).map_err(MachineError::refused)?;
+        Ok(Member { origin: Origin { place, epoch }, ledger, published: Vec::new() })
+    }
+
+    /// Publishes what it has to say now.
+    fn publish(&mut self, now: u64) -> Vec<PublishedFact> {
+        let first = self.published.len();
+        while let Some((slot, bytes)) = self.ledger.publish(now) {
+            let number = self.published.len() as u64 + 1;
+            self.published.push(PublishedFact { origin: self.origin, slot, number, bytes });
+        }
+        self.published[first..].to_vec()
+    }
+
+    fn absorb(&mut self, now: u64, fact: &PublishedFact) -> Result<(), AbsorbError> {
+        self.ledger.absorb(now, fact.origin, fact.slot, fact.number, &fact.bytes)
+    }
+
+    /// Records usage of the present moment.
+    fn serve(&mut self, now: u64, tenant: &str, units: u64) -> Result<(), RecordError> {
+        self.ledger.record(now, now, TenantKey::from_name(tenant), 0, usage(units))
+    }
+}
+
+/// The members of a group with their ledgers.
+pub struct FairshareMachine {
     members: Vec<Member>,
     shares: Shares,
     tenants: BTreeSet<String>,
     now: u64,
 }
 
+fn usage(units: u64) -> Usage {
+    Usage { value: units, work: units }
+}
+
 fn shares(weights: &BTreeMap<String, u32>) -> Shares {
     let tenant =
         |(name, weight): (&String, &u32)| Tenant { name: name.clone(), weight: *weight, classes: vec![] };
@@ -98,168 +157,190 @@
     Shares { installations: vec![home] }
 }
 
-fn begin(place: u16, shares: &Shares, now: u64) -> Result<Member, String> {
-    let epoch = (WALL + now) / 1_000;
-    let config = Config { place, epoch, unix_at_zero: WALL, peers: 8, rate: RATE, ..Config::default() };
-    let ledger = Ledger::new(config, shares, now).map_err(|e| e.to_string())?;
-    Ok(Member { origin: Origin { place, epoch }, ledger, told: Vec::new() })
+fn record_word(result: Result<(), RecordError>) -> &'static str {
+    match result {
+        Ok(()) => "taken",
+        Err(RecordError::Late) => "too old",
+        Err(RecordError::Future) => "from the future",
+        Err(RecordError::Full) => "too many",
+    }
+}
+
+fn absorb_word(result: Result<(), AbsorbError>) -> &'static str {
+    match result {
+        Ok(()) => "taken",
+        Err(AbsorbError::Late) => "too old",
+        Err(AbsorbError::Future) => "from the future",
+        Err(AbsorbError::Place | AbsorbError::Epoch) => "of nobody listed",
+        Err(AbsorbError::Full) => "too many",
+        Err(AbsorbError::TooLong | AbsorbError::Version | AbsorbError::Malformed) => "not to be read",
+    }
 }
 
-impl Machine for Fair {
+fn tier_word(tier: Tier) -> &'static str {
+    match tier {
+        Tier::Within => "within",
+        Tier::Floor => "floor",
+        Tier::Lent => "lent",
+        Tier::Over => "over",
+    }
+}
+
+impl Machine for FairshareMachine {
     const SEEDS: u64 = 1; // nothing is random
 
-    fn new(given: Value, _: u64) -> Result<Fair, String> {
-        let given = Given::deserialize(given).map_err(|e| e.to_string())?;
+    type Given = Given;
+    type Step = FairshareStep;
+
+    fn new(given: Given, _: u64) -> Result<FairshareMachine, MachineError> {
         let shares = shares(&given.weights);
-        let members = (0..given.members).map(|place| begin(place, &shares, 0)).collect::<Result<_, _>>()?;
-        Ok(Fair { members, shares, tenants: given.weights.into_keys().collect(), now: 0 })
+        let members = (0..given.members).map(|place| Member::start(place, &shares, 0));
+        let members = members.collect::<Result<_, _>>()?;
+        Ok(FairshareMachine { members, shares, tenants: given.weights.into_keys().collect(), now: 0 })
     }
 
-    #[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
-    fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
-        let now = self.now;
-        let at = |ago: i64| now.saturating_add_signed(-ago * SECOND as i64);
-        let key = |tenant: &str| TenantKey::from_name(tenant);
-        match Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())? {
-            Verb::Serve { seconds, rates, cut } => self.serve(seconds, &rates, &cut)?,
-            Verb::Record { by, tenant, worth, ago } => {
-                let used = Usage { value: worth, work: worth };
-                let done = self.members[by].ledger.record(now, at(ago), key(&tenant), 0, used);
-                self.tenants.insert(tenant);
-                return Ok(vec![recorded(done.err()).to_owned()]);
-            }
-            Verb::Correct { by, tenant, worth, ago } => {
-                let less = Usage { value: worth, work: worth };
-                return Ok(match self.members[by].ledger.correct(now, at(ago), key(&tenant), 0, less) {
-                    Ok(taken) => vec![format!("took {}", taken.value)],
-                    Err(fault) => vec![recorded(Some(fault)).to_owned()],
-                });
-            }
-            Verb::Hand { from, to, reversed, times } => {
-                let mut told = self.members[from].told.clone();
-                if reversed {
-                    told.reverse();
-                }
-                let mut words = BTreeSet::new();
-                for (origin, slot, number, bytes) in std::iter::repeat_n(&told, times).flatten() {
-                    let done = self.members[to].ledger.absorb(now, *origin, *slot, *number, bytes);
-                    words.insert(absorbed(done.err()).to_owned());
+    fn step(&mut self, step: FairshareStep) -> Result<Vec<String>, MachineError> {
+        match step {
+            FairshareStep::Serve { seconds, rates, cut } => self.serve(seconds, &rates, &cut)?,
+            FairshareStep::Restart(place) => self.restart(place)?,
+            FairshareStep::Weights(weights) => self.set_weights(weights)?,
+            FairshareStep::Record(entry) => return Ok(vec![self.record(entry)]),
+            FairshareStep::Correct(entry) => return Ok(vec![self.correct(&entry)]),
+            FairshareStep::Hand { from, to, is_reversed, times } => {
+                let mut facts = self.members[from].published.clone();
+                if is_reversed {
+                    facts.reverse();
                 }
-                return Ok(words.into_iter().collect());
+                return Ok(self.absorb_all(to, &facts, times));
             }
-            Verb::Forge { to, place, bytes } => {
+            FairshareStep::Forge { to, place, bytes } => {
                 let origin = Origin { place, epoch: WALL / 1_000 };
-                let done = self.members[to].ledger.absorb(now, origin, 1, 1, &bytes);
-                return Ok(vec![absorbed(done.err()).to_owned()]);
+                let forged = PublishedFact { origin, slot: 1, number: 1, bytes };
+                return Ok(vec![absorb_word(self.members[to].absorb(self.now, &forged)).to_owned()]);
             }
-            Verb::Restart(place) => {
-                let told = std::mem::take(&mut self.members[place].told);
-                self.members[place] = begin(place as u16, &self.shares, now)?;
-                self.members[place].told = told;
-            }
-            Verb::Weights(weights) => {
-                self.shares = shares(&weights);
-                for member in &mut self.members {
-                    member.ledger.set_shares(&self.shares).map_err(|e| e.to_string())?;
+            FairshareStep::Used { at, tenant } => return Ok(self.used(at, &tenant)),
+            FairshareStep::Worth { at, tenant, is_beyond_pace } => {
+                if is_beyond_pace {
+                    self.use_up_pace(at, &tenant);
                 }
-                self.tenants.extend(weights.into_keys());
+                return Ok(self.worth(at, &tenant));
             }
-            Verb::Used { at, tenant } => {
-                let ledger = &mut self.members[at].ledger;
-                let (used, memory) = (ledger.position(key(&tenant), now).used, ledger.memory() as f64 / 1e6);
-                let words = [("low", used.low), ("likely", used.likely), ("high", used.high)];
-                return Ok(words.map(|(name, n)| format!("{name} {:.0}", n as f64 / memory)).to_vec());
-            }
-            Verb::Worth { at, tenant, beyond_pace } => {
-                if beyond_pace {
-                    self.members[at].ledger.job_value(key(&tenant), 0, u64::MAX >> 16, now);
-                }
-                let worth = self.members[at].ledger.job_value(key(&tenant), 0, 1, now);
-                let tier = match worth.tier {
-                    Tier::Within => "within",
-                    Tier::Floor => "floor",
-                    Tier::Lent => "lent",
-                    Tier::Over => "over",
-                };
-                return Ok(vec![tier.to_owned(), format!("part {:.0}", worth.fraction * 100.0)]);
-            }
-            Verb::Same(a, b) => {
-                let tenants: Vec<TenantKey> = self.tenants.iter().map(|name| key(name)).collect();
-                let mut all = |at: usize| -> Vec<Usage> {
-                    tenants.iter().map(|tenant| self.members[at].ledger.known_usage(*tenant, now)).collect()
-                };
-                return Ok(vec![if all(a) == all(b) { "same" } else { "different" }.to_owned()]);
+            FairshareStep::Same(one, other) => {
+                let is_same = self.known_usage(one) == self.known_usage(other);
+                return Ok(vec![if is_same { "same" } else { "different" }.to_owned()]);
             }
         }
         Ok(Vec::new())
     }
 
     fn contrary(word: &str) -> String {
-        let pairs = [
-            ("same", "different"),
-            ("within", "over"),
-            ("floor", "over"),
-            ("lent", "within"),
-            ("over", "within"),
-            ("taken", "too old"),
-            ("too old", "taken"),
-            ("from the future", "taken"),
-            ("of nobody listed", "taken"),
-            ("not to be read", "taken"),
-        ];
-        let other = pairs.iter().find(|pair| pair.0 == word);
-        other.map_or_else(|| beyond(word), |pair| pair.1.to_owned())
+        let contrary = match word {
+            "same" => "different",
+            "within" | "floor" => "over",
+            "lent" | "over" => "within",
+            "taken" => "too old",
+            "too old" | "from the future" | "of nobody listed" | "not to be read" => "taken",
+            _ => return beyond(word),
+        };
+        contrary.to_owned()
     }
 }
 
-fn recorded(fault: Option<RecordError>) -> &'static str {
-    match fault {
-        None => "taken",
-        Some(RecordError::Late) => "too old",
-        Some(RecordError::Future) => "from the future",
-        Some(RecordError::Full) => "too many",
+impl FairshareMachine {
+    /// The time so many seconds ago.
+    fn seconds_ago(&self, seconds: i64) -> u64 {
+        self.now.saturating_add_signed(-seconds * SECOND as i64)
     }
-}
 
-fn absorbed(fault: Option<AbsorbError>) -> &'static str {
-    match fault {
-        None => "taken",
-        Some(AbsorbError::Late) => "too old",
-        Some(AbsorbError::Future) => "from the future",
-        Some(AbsorbError::Place | AbsorbError::Epoch) => "of nobody listed",
-        Some(AbsorbError::Full) => "too many",
-        Some(AbsorbError::TooLong | AbsorbError::Version | AbsorbError::Malformed) => "not to be read",
+    fn record(&mut self, entry: UsageEntry) -> String {
+        let UsageEntry { by, tenant, units, ago } = entry;
+        let (at, key) = (self.seconds_ago(ago), TenantKey::from_name(&tenant));
+        let recorded = self.members[by].ledger.record(self.now, at, key, 0, usage(units));
+        self.tenants.insert(tenant);
+        record_word(recorded).to_owned()
+    }
+
+    fn correct(&mut self, entry: &UsageEntry) -> String {
+        let UsageEntry { by, tenant, units, ago } = entry;
+        let (at, key) = (self.seconds_ago(*ago), TenantKey::from_name(tenant));
+        match self.members[*by].ledger.correct(self.now, at, key, 0, usage(*units)) {
+            Ok(taken) => format!("took {}", taken.value),
+            Err(error) => record_word(Err(error)).to_owned(),
+        }
+    }
+
+    /// A member absorbs these facts so many times: what became of them, each word once.
+    fn absorb_all(&mut self, to: usize, facts: &[PublishedFact], times: usize) -> Vec<String> {
+        let mut words = BTreeSet::new();
+        for fact in std::iter::repeat_n(facts, times).flatten() {
+            words.insert(absorb_word(self.members[to].absorb(self.now, fact)));
+        }
+        words.into_iter().map(str::to_owned).collect()
+    }
+
+    /// A new process of a member, which knows nothing.
+    fn restart(&mut self, place: usize) -> Result<(), MachineError> {
+        let published = std::mem::take(&mut self.members[place].published);
+        let member = Member::start(place as u16, &self.shares, self.now)?;
+        self.members[place] = Member { published, ..member };
+        Ok(())
     }
-}
 
-impl Fair {
-    fn serve(&mut self, seconds: u64, rates: &[(usize, String, u64)], cut: &[usize]) -> Result<(), String> {
-        for _ in 0..seconds * 4 {
-            self.now += SECOND / 4;
-            for (member, tenant, rate) in rates {
-                let used = Usage { value: rate / 4, work: rate / 4 };
-                let done = self.members[*member].ledger.record(
-                    self.now,
-                    self.now,
-                    TenantKey::from_name(tenant),
-                    0,
-                    used,
-                );
-                done.map_err(|e| e.to_string())?;
+    fn set_weights(&mut self, weights: BTreeMap<String, u32>) -> Result<(), MachineError> {
+        self.shares = shares(&weights);
+        for member in &mut self.members {
+            member.ledger.set_shares(&self.shares).map_err(MachineError::refused)?;
+        }
+        self.tenants.extend(weights.into_keys());
+        Ok(())
+    }
+
+    fn used(&mut self, at: usize, tenant: &str) -> Vec<String> {
+        let ledger = &mut self.members[at].ledger;
+        let used = ledger.position(TenantKey::from_name(tenant), self.now).used;
+        let memory = ledger.memory() as f64 / SECOND as f64;
+        let word = |name: &str, units: u64| format!("{name} {:.0}", units as f64 / memory);
+        vec![word("low", used.low), word("likely", used.likely), word("high", used.high)]
+    }
+
+    /// A tenant's jobs of this second use up what it may have at full worth.
+    fn use_up_pace(&mut self, at: usize, tenant: &str) {
+        let all_of_it = u64::MAX >> 16;
+        self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, all_of_it, self.now);
+    }
+
+    fn worth(&mut self, at: usize, tenant: &str) -> Vec<String> {
+        let worth = self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, 1, self.now);
+        vec![tier_word(worth.tier).to_owned(), format!("part {:.0}", worth.fraction * 100.0)]
+    }
+
+    /// What a member knows of each tenant's usage.
+    fn known_usage(&mut self, at: usize) -> Vec<Usage> {
+        let ledger = &mut self.members[at].ledger;
+        let keys = self.tenants.iter().map(|name| TenantKey::from_name(name));
+        keys.map(|tenant| ledger.known_usage(tenant, self.now)).collect()
+    }
+
+    fn serve(&mut self, seconds: u64, rates: &[ServiceRate], cut: &[usize]) -> Result<(), MachineError> {
+        for _ in 0..seconds * ROUNDS_PER_SECOND {
+            self.now += SECOND / ROUNDS_PER_SECOND;
+            for ServiceRate(member, tenant, rate) in rates {
+                let served = self.members[*member].serve(self.now, tenant, rate / ROUNDS_PER_SECOND);
+                served.map_err(MachineError::refused)?;
             }
-            for from in 0..self.members.len() {
-                let member = &mut self.members[from];
-                let before = member.told.len();
-                while let Some((slot, bytes)) = member.ledger.publish(self.now) {
-                    member.told.push((member.origin, slot, member.told.len() as u64 + 1, bytes));
-                }
-                let facts = member.told[before..].to_vec();
-                let apart = |place: &usize| cut.contains(place);
-                for to in (0..self.members.len()).filter(|to| *to != from && !apart(to) && !apart(&from)) {
-                    for (origin, slot, number, bytes) in &facts {
-                        let done = self.members[to].ledger.absorb(self.now, *origin, *slot, *number, bytes);
-                        done.map_err(|e| e.to_string())?;
-                    }
+            self.exchange_facts(cut)?;
+        }
+        Ok(())
+    }
+
+    /// Each member publishes, and all others absorb that but those that are cut off.
+    fn exchange_facts(&mut self, cut: &[usize]) -> Result<(), MachineError> {
+        let count = self.members.len();
+        for from in 0..count {
+            let facts = self.members[from].publish(self.now);
+            for to in (0..count).filter(|to| *to != from && !cut.contains(to) && !cut.contains(&from)) {
+                for fact in &facts {
+                    self.members[to].absorb(self.now, fact).map_err(MachineError::refused)?;
                 }
             }
         }
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -2,18 +2,20 @@
 //! what all running members but P hold of it (one word for each state that some hold), `P from to to` a change that some
 //! of them saw since the last `seen`.
 
-use crate::table::{Machine, beyond};
+use crate::runner::{Machine, MachineError};
+use crate::table::beyond;
 use mothproxy_membership::simulation::{Direction, Network, Start};
-use mothproxy_membership::{Config, Membership, Output, State, VERSION};
+use mothproxy_membership::{Config, Membership, Metrics, Output, State, VERSION};
 use serde::Deserialize;
 use std::collections::BTreeSet;
-use toml::{Table, Value};
 
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
 
+/// The situation in which a row begins.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Given {
+pub struct Given {
     members: u16,
     /// They all know each other already.
     warm: bool,
@@ -27,33 +29,43 @@
     }
 }
 
+/// What happens to the group, or what is asked of it.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Verb {
+pub enum MembershipStep {
     /// Milliseconds go by.
     Run(u64),
     Kill(u16),
     Start(u16),
     Leave(u16),
-    Stop(u16),
+    #[serde(rename = "stop")]
+    Pause(u16),
     Resume(u16),
-    /// Nothing reaches this place from now on, though what it sends arrives; or all of it again.
-    Deaf(u16),
-    Hears(u16),
+    /// Nothing reaches this place from now on, though what it sends arrives.
+    #[serde(rename = "deaf")]
+    BlockInbound(u16),
+    /// All of it arrives again.
+    #[serde(rename = "hears")]
+    UnblockInbound(u16),
     /// From here to there nothing comes through.
     OneWay(u16, u16),
     /// The side of each place; nothing crosses.
-    Sides(Vec<u8>),
-    /// What is held of a place.
-    Held(u16),
+    #[serde(rename = "sides")]
+    Partition(Vec<u8>),
+    /// The state that the others hold of a place.
+    #[serde(rename = "held")]
+    StateOf(u16),
     /// Whether the members that hold it alive know its present start.
     StartOf(u16),
     /// What was seen of a place.
-    Seen(u16),
+    #[serde(rename = "seen")]
+    ChangesOf(u16),
     /// Whether a place may hold work, as the others see it.
-    Holds(u16),
+    #[serde(rename = "holds")]
+    MayHoldWork(u16),
     /// What a place holds of itself.
-    Own(u16),
+    #[serde(rename = "own")]
+    OwnState(u16),
     /// How often a place has refuted.
     Refuted(u16),
     /// Bytes from a place that no member sent, and which figure counts them.
@@ -62,7 +74,8 @@
         from: u16,
         bytes: Bytes,
     },
-    Tell {
+    #[serde(rename = "tell")]
+    Publish {
         by: u16,
         slot: u32,
         text: String,
@@ -74,22 +87,24 @@
     },
 }
 
+/// What is wrong with forged bytes.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Bytes {
+pub enum Bytes {
     TooLong,
     CutShort,
     OtherVersion,
     Sound,
 }
 
-pub struct Members {
-    net: Network,
-    /// Changes up to here have been asked for.
-    asked: usize,
+/// The members of a group over a simulated network.
+pub struct MembershipMachine {
+    network: Network,
+    /// How many changes have been asked for.
+    reported_changes: usize,
 }
 
-fn name(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Unknown => "unknown",
         State::Alive => "alive",
@@ -99,108 +114,48 @@
     }
 }
 
-impl Machine for Members {
+impl Machine for MembershipMachine {
     const SEEDS: u64 = 4;
 
-    fn new(given: Value, seed: u64) -> Result<Members, String> {
-        let given = Given::deserialize(given).map_err(|e| e.to_string())?;
+    type Given = Given;
+    type Step = MembershipStep;
+
+    fn new(given: Given, seed: u64) -> Result<MembershipMachine, MachineError> {
         let start = if given.warm { Start::Warm } else { Start::Cold };
-        let mut net = Network::new(given.members, seed, start, |_| {});
-        net.faults.loss = given.loss;
-        Ok(Members { net, asked: 0 })
-    }
-
-    #[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
-    fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
-        let net = &mut self.net;
-        let all = |net: &Network, but: u16, what: &dyn Fn(&Membership) -> String| {
-            let words: BTreeSet<String> =
-                net.members().filter(|(place, _)| *place != but).map(|(_, m)| what(m)).collect();
-            words.into_iter().map(|word| format!("{but} {word}")).collect()
-        };
-        match Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())? {
-            Verb::Run(span) => net.run_to(net.now + span * MS),
-            Verb::Kill(place) => net.kill(place),
-            Verb::Start(place) => net.start(place),
-            Verb::Leave(place) => {
-                net.with(place, mothproxy_membership::Membership::leave);
-            }
-            Verb::Stop(place) => net.pause(place),
-            Verb::Resume(place) => net.resume(place),
-            Verb::Deaf(place) => net.faults.inbound_blocked[usize::from(place)] = true,
-            Verb::Hears(place) => net.faults.inbound_blocked[usize::from(place)] = false,
-            Verb::OneWay(from, to) => net.faults.one_way.push(Direction { from, to }),
-            Verb::Sides(sides) => net.faults.sides = sides,
-            Verb::Held(of) => return Ok(all(net, of, &|m| name(m.view().state(of)).to_owned())),
-            Verb::StartOf(of) => {
-                let start = net.member(of).and_then(|m| m.view().member(of)).map(|m| m.epoch);
-                let knows = |m: &Membership| {
-                    if m.view().member(of).map(|m| m.epoch) == start {
-                        "present start"
-                    } else {
-                        "earlier start"
-                    }
-                };
-                return Ok(all(net, of, &|m| knows(m).to_owned()));
-            }
-            Verb::Holds(of) => {
-                let holds = |m: &Membership| m.view().holders()[usize::from(of)];
-                return Ok(all(net, of, &|m| if holds(m) { "may hold" } else { "holds none" }.to_owned()));
-            }
-            Verb::Own(of) => {
-                let own = net.member(of).map_or("no process", |m| name(m.view().state(of)));
-                return Ok(vec![format!("{of} {own}")]);
-            }
-            Verb::Refuted(of) => {
-                let times = net.member(of).map_or(0, |m| m.metrics().refuted);
-                return Ok(vec![format!("{of} refuted {times}")]);
-            }
-            Verb::Seen(of) => {
-                let new = &net.changes[self.asked..];
-                let of = new.iter().filter(|s| s.change.place == of && s.by != of).map(|s| s.change);
-                let words: BTreeSet<String> =
-                    of.map(|c| format!("{} {} to {}", c.place, name(c.from), name(c.to))).collect();
-                self.asked = net.changes.len();
-                return Ok(words.into_iter().collect());
-            }
-            Verb::Forge { to, from, bytes } => {
-                let sound = sound(net, to)?;
-                let bytes = match bytes {
-                    Bytes::TooLong => [sound.as_slice(), &[0; 256]].concat(),
-                    Bytes::CutShort => sound[..sound.len() / 2].to_vec(),
-                    Bytes::OtherVersion => [&[VERSION + 1], &sound[1..]].concat(),
-                    Bytes::Sound => sound,
-                };
-                let figures = |net: &Network| {
-                    net.member(to).map(mothproxy_membership::Membership::metrics).unwrap_or_default()
-                };
-                let before = figures(net);
-                net.forge(to, from, &bytes);
-                let after = figures(net);
-                let counts = [
-                    ("understood", after.received - before.received),
-                    ("too long", after.refused_long - before.refused_long),
-                    ("of another version", after.refused_version - before.refused_version),
-                    ("foreign", after.refused_foreign - before.refused_foreign),
-                    ("not to be read", after.refused_malformed - before.refused_malformed),
-                ];
-                return Ok(counts.iter().filter(|c| c.1 > 0).map(|c| c.0.to_owned()).collect());
+        let mut network = Network::new(given.members, seed, start, |_| {});
+        network.faults.loss = given.loss;
+        Ok(MembershipMachine { network, reported_changes: 0 })
+    }
+
+    fn step(&mut self, step: MembershipStep) -> Result<Vec<String>, MachineError> {
+        let network = &mut self.network;
+        match step {
+            MembershipStep::Run(span) => network.run_to(network.now + span * MS),
+            MembershipStep::Kill(place) => network.kill(place),
+            MembershipStep::Start(place) => network.start(place),
+            MembershipStep::Leave(place) => drop(network.with(place, Membership::leave)),
+            MembershipStep::Pause(place) => network.pause(place),
+            MembershipStep::Resume(place) => network.resume(place),
+            MembershipStep::BlockInbound(place) => {
+                network.faults.inbound_blocked[usize::from(place)] = true;
             }
-            Verb::Tell { by, slot, text } => {
-                let told = net.with(by, |member, now| member.publish(now, 1, slot, text.as_bytes()));
-                if let Some(Err(fault)) = told {
-                    return Err(fault.to_string());
-                }
+            MembershipStep::UnblockInbound(place) => {
+                network.faults.inbound_blocked[usize::from(place)] = false;
             }
-            Verb::Fact { of, slot } => {
-                let holds = |m: &Membership| {
-                    let mut facts = m.facts().filter(|f| f.place == of && f.slot == slot);
-                    facts
-                        .next()
-                        .map_or("nothing".to_owned(), |f| String::from_utf8_lossy(f.bytes).into_owned())
-                };
-                return Ok(all(net, of, &|m| format!("says {}", holds(m))));
+            MembershipStep::OneWay(from, to) => network.faults.one_way.push(Direction { from, to }),
+            MembershipStep::Partition(sides) => network.faults.sides = sides,
+            MembershipStep::Publish { by, slot, text } => {
+                let published = network.with(by, |member, now| member.publish(now, 1, slot, text.as_bytes()));
+                published.transpose().map_err(MachineError::refused)?;
             }
+            MembershipStep::StateOf(place) => return Ok(self.states_of(place)),
+            MembershipStep::StartOf(place) => return Ok(self.known_starts_of(place)),
+            MembershipStep::MayHoldWork(place) => return Ok(self.holders(place)),
+            MembershipStep::OwnState(place) => return Ok(self.own_state(place)),
+            MembershipStep::Refuted(place) => return Ok(self.refuted(place)),
+            MembershipStep::ChangesOf(place) => return Ok(self.new_changes_of(place)),
+            MembershipStep::Fact { of, slot } => return Ok(self.facts(of, slot)),
+            MembershipStep::Forge { to, from, bytes } => return self.forge(to, from, bytes),
         }
         Ok(Vec::new())
     }
@@ -227,20 +182,109 @@
     }
 }
 
-/// A datagram as a member might have sent it.
-fn sound(net: &Network, to: u16) -> Result<Vec<u8>, String> {
+impl MembershipMachine {
+    /// `P word` for each word that some running member other than P says of P.
+    fn words_of_others(&self, place: u16, word: impl Fn(&Membership) -> String) -> Vec<String> {
+        let others = self.network.members().filter(|(other, _)| *other != place);
+        let words: BTreeSet<String> = others.map(|(_, member)| word(member)).collect();
+        words.into_iter().map(|word| format!("{place} {word}")).collect()
+    }
+
+    fn states_of(&self, place: u16) -> Vec<String> {
+        self.words_of_others(place, |member| state_name(member.view().state(place)).to_owned())
+    }
+
+    fn known_starts_of(&self, place: u16) -> Vec<String> {
+        let epoch = |member: &Membership| member.view().member(place).map(|known| known.epoch);
+        let present = self.network.member(place).and_then(epoch);
+        let word = |member: &Membership| {
+            let is_present = epoch(member) == present;
+            if is_present { "present start" } else { "earlier start" }.to_owned()
+        };
+        self.words_of_others(place, word)
+    }
+
+    fn holders(&self, place: u16) -> Vec<String> {
+        let word = |member: &Membership| {
+            let may_hold = member.view().holders()[usize::from(place)];
+            if may_hold { "may hold" } else { "holds none" }.to_owned()
+        };
+        self.words_of_others(place, word)
+    }
+
+    fn own_state(&self, place: u16) -> Vec<String> {
+        let member = self.network.member(place);
+        let state = member.map_or("no process", |member| state_name(member.view().state(place)));
+        vec![format!("{place} {state}")]
+    }
+
+    fn refuted(&self, place: u16) -> Vec<String> {
+        let times = self.network.member(place).map_or(0, |member| member.metrics().refuted);
+        vec![format!("{place} refuted {times}")]
+    }
+
+    /// What other members have seen of a place since changes were asked for last.
+    fn new_changes_of(&mut self, place: u16) -> Vec<String> {
+        let new = &self.network.changes[self.reported_changes..];
+        let seen_by_others = new.iter().filter(|seen| seen.change.place == place && seen.by != place);
+        let words: BTreeSet<String> = seen_by_others
+            .map(|seen| format!("{place} {} to {}", state_name(seen.change.from), state_name(seen.change.to)))
+            .collect();
+        self.reported_changes = self.network.changes.len();
+        words.into_iter().collect()
+    }
+
+    fn facts(&self, place: u16, slot: u32) -> Vec<String> {
+        let word = |member: &Membership| {
+            let mut facts = member.facts().filter(|fact| fact.place == place && fact.slot == slot);
+            let text = facts.next().map(|fact| String::from_utf8_lossy(fact.bytes).into_owned());
+            format!("says {}", text.unwrap_or_else(|| "nothing".to_owned()))
+        };
+        self.words_of_others(place, word)
+    }
+
+    /// Sends bytes that no member sent, and says which metrics of the receiver count them.
+    fn forge(&mut self, to: u16, from: u16, bytes: Bytes) -> Result<Vec<String>, MachineError> {
+        let sound = sound_datagram(&self.network, to)?;
+        let bytes = match bytes {
+            Bytes::TooLong => [sound.as_slice(), &[0; 256]].concat(),
+            Bytes::CutShort => sound[..sound.len() / 2].to_vec(),
+            Bytes::OtherVersion => [&[VERSION + 1], &sound[1..]].concat(),
+            Bytes::Sound => sound,
+        };
+        let before = self.metrics(to);
+        self.network.forge(to, from, &bytes);
+        let after = self.metrics(to);
+        let counts = [
+            ("understood", after.received - before.received),
+            ("too long", after.refused_long - before.refused_long),
+            ("of another version", after.refused_version - before.refused_version),
+            ("foreign", after.refused_foreign - before.refused_foreign),
+            ("not to be read", after.refused_malformed - before.refused_malformed),
+        ];
+        Ok(counts.iter().filter(|(_, count)| *count > 0).map(|(word, _)| (*word).to_owned()).collect())
+    }
+
+    fn metrics(&self, place: u16) -> Metrics {
+        self.network.member(place).map(Membership::metrics).unwrap_or_default()
+    }
+}
+
+/// A datagram as a member might have sent it to this place.
+fn sound_datagram(network: &Network, to: u16) -> Result<Vec<u8>, MachineError> {
     let from = u16::from(to == 0);
-    let epoch = net.member(from).and_then(|m| m.view().member(from)).map_or(0, |m| m.epoch);
-    let config = Config::new(from, net.members().count() as u16, epoch, 1);
-    let mut member = Membership::new(config, 0).map_err(|e| e.to_string())?;
+    let known = network.member(from).and_then(|member| member.view().member(from));
+    let epoch = known.map_or(0, |known| known.epoch);
+    let config = Config::new(from, network.members().count() as u16, epoch, 1);
+    let mut member = Membership::new(config, 0).map_err(MachineError::refused)?;
     for now in 0..1_000 {
         member.tick(now * 100 * MS);
         while let Some(output) = member.poll() {
             match output {
-                Output::Send { to: whom, bytes } if whom == to => return Ok(bytes),
+                Output::Send { to: receiver, bytes } if receiver == to => return Ok(bytes),
                 _ => {}
             }
         }
     }
-    Err("it sends nothing".to_owned())
+    Err(MachineError::Missing("datagram: the member sends nothing"))
 }
--- a/tests/conformance/runtimes.rs
+++ b/tests/conformance/runtimes.rs
@@ -1,24 +1,32 @@
 //! Estimates of run times, driven by a table: dispatchers 0 and 1, jobs seen at workers of some kind, and facts between
 //! them. Words: `typical` and `long` in milliseconds; of [`backfill`] `at` and `spare`, `never`, `may go`, `must wait`.
 
-use crate::table::{Machine, beyond};
+use crate::runner::{Machine, MachineError};
+use crate::table::beyond;
 use mothproxy_runtimes::backfill::{self, OccupiedSlots, Reservation};
-use mothproxy_runtimes::{AttemptId, Config, Estimate, JobFeatures, Origin, Outcome, Placement};
-use mothproxy_runtimes::{RuntimeEstimator, WorkerKey, WorkerKind, stable_hash};
+use mothproxy_runtimes::{
+    AttemptId, Config, Estimate, JobFeatures, Origin, Outcome, Placement, RuntimeEstimator, WorkerKey,
+    WorkerKind, stable_hash,
+};
 use serde::Deserialize;
-use toml::{Table, Value};
 
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
+/// The epoch of both dispatchers.
 const EPOCH: u64 = 1_700_000_000_000;
+/// Jobs that a row starts by number are counted from here, beyond those of [`RuntimesStep::Saw`].
+const FIRST_NUMBERED_JOB: u64 = 1_000_000;
 
+/// Nothing is given: both dispatchers start empty.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Given {}
+pub struct Given {}
 
-/// So many jobs of this likeness, one after another.
+/// So many jobs of these features, one after another.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Seen {
+pub struct SeenJobs {
+    /// The dispatcher that saw them.
     #[serde(default)]
     by: usize,
     class: String,
@@ -26,16 +34,17 @@
     subject: Option<String>,
     #[serde(default)]
     kind: u32,
-    /// In turn, if there are several.
+    /// How long each took, in turn if there are several.
     took: Vec<u64>,
     jobs: usize,
     /// Those that took this long were cut off then, not done.
     cut: Option<u64>,
 }
 
+/// What an estimate is asked for.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Asked {
+pub struct EstimateQuery {
     #[serde(default)]
     by: usize,
     class: String,
@@ -45,11 +54,22 @@
     kind: Option<u32>,
 }
 
+/// Slots that a running job holds until it ends.
+#[derive(Deserialize)]
+pub struct HeldSlots(u64, f64);
+
+impl From<HeldSlots> for OccupiedSlots {
+    fn from(HeldSlots(ends_at, slots): HeldSlots) -> OccupiedSlots {
+        OccupiedSlots { ends_at: ends_at * MS, slots }
+    }
+}
+
+/// What happens to the dispatchers, or what is asked of them. Times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Verb {
-    Saw(Seen),
-    Estimate(Asked),
+pub enum RuntimesStep {
+    Saw(SeenJobs),
+    Estimate(EstimateQuery),
     Start {
         job: u64,
         class: String,
@@ -63,20 +83,21 @@
     Pass(u64),
     /// How long a running job will still be.
     Remaining(u64),
-    /// All that one has to tell goes to the other, so many times.
+    /// All that one has to publish goes to the other, so many times.
     Tell {
         from: usize,
         to: usize,
         times: usize,
     },
-    /// Bytes that nobody told.
+    /// Bytes that nobody published.
     Forge(Vec<u8>),
     /// The earliest time that there is room, by what is held: when each ends, and its slots.
     Reserve {
         free: f64,
         need: f64,
-        held: Vec<(u64, f64)>,
+        held: Vec<HeldSlots>,
     },
+    /// Whether a job may start before a reservation.
     MayGo {
         slots: f64,
         long: u64,
@@ -85,132 +106,171 @@
     },
 }
 
-pub struct Estimates {
-    both: [RuntimeEstimator; 2],
-    told: [Vec<(u64, Vec<u8>)>; 2],
+/// The estimators of two dispatchers.
+pub struct RuntimesMachine {
+    estimators: [RuntimeEstimator; 2],
+    /// The facts that each has published; the number of a fact is its place among them, from 1.
+    published: [Vec<Vec<u8>>; 2],
     now: u64,
-    next: u64,
+    seen_jobs: u64,
 }
 
-fn like(class: &str, tenant: Option<&str>, subject: Option<&str>) -> JobFeatures {
-    let of = |name: Option<&str>| name.map(|name| stable_hash(name.as_bytes()));
+fn features(class: &str, tenant: Option<&str>, subject: Option<&str>) -> JobFeatures {
+    let hash = |name: &str| stable_hash(name.as_bytes());
     JobFeatures {
-        tenant: of(tenant),
-        subject: of(subject),
-        ..JobFeatures::from_class(stable_hash(class.as_bytes()))
+        tenant: tenant.map(hash),
+        subject: subject.map(hash),
+        ..JobFeatures::from_class(hash(class))
     }
 }
 
-fn at(kind: u32, worker: u64) -> Placement {
+fn placement(kind: u32, worker: u64) -> Placement {
     Placement { kind: WorkerKind(kind), worker: WorkerKey(worker) }
 }
 
-/// A job that a row names, apart from those that are numbered here.
-fn numbered(job: u64) -> AttemptId {
-    AttemptId(1_000_000 + job)
+/// The attempt of a job that a row numbers.
+fn numbered_attempt(job: u64) -> AttemptId {
+    AttemptId(FIRST_NUMBERED_JOB + job)
 }
 
-fn words(estimate: Estimate) -> Vec<String> {
+fn estimate_words(estimate: Estimate) -> Vec<String> {
     let Estimate { typical, long } = estimate;
     vec![format!("typical {}", typical / MS), format!("long {}", long / MS)]
 }
 
-impl Machine for Estimates {
+impl Machine for RuntimesMachine {
     const SEEDS: u64 = 1; // nothing is random
 
-    fn new(given: Value, _: u64) -> Result<Estimates, String> {
-        Given::deserialize(given).map_err(|e| e.to_string())?;
-        let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(|e| e.to_string());
-        Ok(Estimates { both: [new(0)?, new(1)?], told: Default::default(), now: 0, next: 0 })
+    type Given = Given;
+    type Step = RuntimesStep;
+
+    fn new(_: Given, _: u64) -> Result<RuntimesMachine, MachineError> {
+        let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(MachineError::refused);
+        let estimators = [new(0)?, new(1)?];
+        Ok(RuntimesMachine { estimators, published: Default::default(), now: 0, seen_jobs: 0 })
     }
 
-    #[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
-    fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
-        match Verb::deserialize(Value::Table(step)).map_err(|e| e.to_string())? {
-            Verb::Saw(seen) => {
-                let likeness = like(&seen.class, seen.tenant.as_deref(), seen.subject.as_deref());
-                for took in seen.took.iter().cycle().take(seen.jobs) {
-                    let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
-                    self.next += 1;
-                    // Each at a worker of its own, so that none is taken for a slow one.
-                    let (attempt, placement) = (AttemptId(self.next), at(seen.kind, self.next));
-                    self.both[seen.by].on_started(self.now, attempt, &likeness, placement);
-                    self.now += took * MS;
-                    self.both[seen.by].on_ended(self.now, attempt, outcome);
-                }
-                self.pass(1_000);
-            }
-            Verb::Estimate(asked) => {
-                let likeness = like(&asked.class, asked.tenant.as_deref(), asked.subject.as_deref());
-                let by = &self.both[asked.by];
-                return Ok(words(asked.kind.map_or_else(
-                    || by.estimate_work(&likeness),
-                    |kind| by.estimate(&likeness, WorkerKind(kind), None),
-                )));
-            }
-            Verb::Start { job, class, kind } => {
-                self.both[0].on_started(self.now, numbered(job), &like(&class, None, None), at(kind, 1));
-            }
-            Verb::Progress { job, share } => self.both[0].on_progress(self.now, numbered(job), share),
-            Verb::Pass(span) => self.pass(span),
-            Verb::Remaining(job) => {
-                let left = self.both[0].remaining(self.now, numbered(job));
-                return Ok(left.map_or(vec!["no such job".to_owned()], words));
+    fn step(&mut self, step: RuntimesStep) -> Result<Vec<String>, MachineError> {
+        match step {
+            RuntimesStep::Saw(seen) => self.see_jobs(&seen),
+            RuntimesStep::Start { job, class, kind } => {
+                let features = features(&class, None, None);
+                let attempt = numbered_attempt(job);
+                self.estimators[0].on_started(self.now, attempt, &features, placement(kind, 1));
             }
-            Verb::Tell { from, to, times } => {
-                let idle = |told: &Vec<_>, before| told.len() == before;
-                let mut rounds = 0;
-                while rounds < 3 {
-                    let before = self.told[from].len();
-                    while let Some((_, bytes)) = self.both[from].publish(self.now) {
-                        let number = self.told[from].len() as u64 + 1;
-                        self.told[from].push((number, bytes));
-                    }
-                    rounds += u64::from(idle(&self.told[from], before));
-                    self.pass(5_000);
-                }
-                let origin = Origin { place: from as u16, epoch: EPOCH };
-                for (number, bytes) in std::iter::repeat_n(&self.told[from], times).flatten().rev() {
-                    let done = self.both[to].absorb(self.now, origin, *number, bytes);
-                    done.map_err(|e| e.to_string())?;
-                }
-                self.pass(60_000);
+            RuntimesStep::Progress { job, share } => {
+                self.estimators[0].on_progress(self.now, numbered_attempt(job), share);
             }
-            Verb::Forge(bytes) => {
-                let origin = Origin { place: 1, epoch: EPOCH };
-                let done = self.both[0].absorb(self.now, origin, 1, &bytes);
-                return Ok(vec![if done.is_ok() { "taken" } else { "refused" }.to_owned()]);
-            }
-            Verb::Reserve { free, need, held } => {
-                let mut held: Vec<OccupiedSlots> = held
-                    .into_iter()
-                    .map(|(ends, slots)| OccupiedSlots { ends_at: ends * MS, slots })
-                    .collect();
-                let room = backfill::reserve(self.now, free, need, &mut held);
-                let words = |r: Reservation| vec![format!("at {}", r.at / MS), format!("spare {}", r.spare)];
-                return Ok(room.map_or(vec!["never".to_owned()], words));
-            }
-            Verb::MayGo { slots, long, at, spare } => {
+            RuntimesStep::Pass(span) => self.advance(span),
+            RuntimesStep::Tell { from, to, times } => self.exchange_facts(from, to, times)?,
+            RuntimesStep::Estimate(query) => return Ok(self.estimate(&query)),
+            RuntimesStep::Remaining(job) => return Ok(self.remaining(job)),
+            RuntimesStep::Forge(bytes) => return Ok(vec![self.absorb_forged(&bytes).to_owned()]),
+            RuntimesStep::Reserve { free, need, held } => return Ok(self.reserve(free, need, held)),
+            RuntimesStep::MayGo { slots, long, at, spare } => {
                 let reserved = Reservation { at: at * MS, spare };
-                let may = backfill::may_start_before(self.now, slots, long * MS, &reserved);
-                return Ok(vec![if may { "may go" } else { "must wait" }.to_owned()]);
+                let may_start = backfill::may_start_before(self.now, slots, long * MS, &reserved);
+                return Ok(vec![if may_start { "may go" } else { "must wait" }.to_owned()]);
             }
         }
         Ok(Vec::new())
     }
 
     fn contrary(word: &str) -> String {
-        let pairs =
-            [("may go", "must wait"), ("taken", "refused"), ("never", "at 0"), ("no such job", "typical 1")];
-        let other =
-            pairs.iter().find_map(|(a, b)| (word == *a).then_some(*b).or_else(|| (word == *b).then_some(*a)));
-        other.map_or_else(|| beyond(word), str::to_owned)
+        match word {
+            "may go" => "must wait".to_owned(),
+            "must wait" => "may go".to_owned(),
+            "taken" => "refused".to_owned(),
+            "refused" => "taken".to_owned(),
+            "never" => "at 0".to_owned(),
+            "at 0" => "never".to_owned(),
+            "no such job" => "typical 1".to_owned(),
+            "typical 1" => "no such job".to_owned(),
+            _ => beyond(word),
+        }
     }
 }
 
-impl Estimates {
-    fn pass(&mut self, span: u64) {
+impl RuntimesMachine {
+    /// Lets so many milliseconds pass.
+    fn advance(&mut self, span: u64) {
         self.now += span * MS;
-        self.both.iter_mut().for_each(|one| one.advance(self.now));
+        for estimator in &mut self.estimators {
+            estimator.advance(self.now);
+        }
+    }
+
+    fn see_jobs(&mut self, seen: &SeenJobs) {
+        let features = features(&seen.class, seen.tenant.as_deref(), seen.subject.as_deref());
+        for took in seen.took.iter().cycle().take(seen.jobs) {
+            let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
+            self.seen_jobs += 1;
+            // Each at a worker of its own, so that none is taken for a slow one.
+            let attempt = AttemptId(self.seen_jobs);
+            let placement = placement(seen.kind, self.seen_jobs);
+            self.estimators[seen.by].on_started(self.now, attempt, &features, placement);
+            self.now += took * MS;
+            self.estimators[seen.by].on_ended(self.now, attempt, outcome);
+        }
+        self.advance(1_000);
+    }
+
+    fn estimate(&self, query: &EstimateQuery) -> Vec<String> {
+        let features = features(&query.class, query.tenant.as_deref(), query.subject.as_deref());
+        let estimator = &self.estimators[query.by];
+        let estimate = match query.kind {
+            Some(kind) => estimator.estimate(&features, WorkerKind(kind), None),
+            None => estimator.estimate_work(&features),
+        };
+        estimate_words(estimate)
+    }
+
+    fn remaining(&self, job: u64) -> Vec<String> {
+        let remaining = self.estimators[0].remaining(self.now, numbered_attempt(job));
+        remaining.map_or_else(|| vec!["no such job".to_owned()], estimate_words)
+    }
+
+    /// Lets a dispatcher publish until it has had nothing to say three times.
+    fn publish_all(&mut self, from: usize) {
+        let mut idle_rounds = 0;
+        while idle_rounds < 3 {
+            let before = self.published[from].len();
+            while let Some((_, fact)) = self.estimators[from].publish(self.now) {
+                self.published[from].push(fact);
+            }
+            if self.published[from].len() == before {
+                idle_rounds += 1;
+            }
+            self.advance(5_000);
+        }
+    }
+
+    /// One dispatcher absorbs all that the other has published, the newest first.
+    fn exchange_facts(&mut self, from: usize, to: usize, times: usize) -> Result<(), MachineError> {
+        self.publish_all(from);
+        let origin = Origin { place: from as u16, epoch: EPOCH };
+        for _ in 0..times {
+            for (place, fact) in self.published[from].iter().enumerate().rev() {
+                let number = place as u64 + 1;
+                let absorbed = self.estimators[to].absorb(self.now, origin, number, fact);
+                absorbed.map_err(MachineError::refused)?;
+            }
+        }
+        self.advance(60_000);
+        Ok(())
+    }
+
+    fn absorb_forged(&mut self, bytes: &[u8]) -> &'static str {
+        let origin = Origin { place: 1, epoch: EPOCH };
+        let absorbed = self.estimators[0].absorb(self.now, origin, 1, bytes);
+        if absorbed.is_ok() { "taken" } else { "refused" }
+    }
+
+    fn reserve(&self, free: f64, need: f64, held: Vec<HeldSlots>) -> Vec<String> {
+        let mut occupied: Vec<OccupiedSlots> = held.into_iter().map(OccupiedSlots::from).collect();
+        match backfill::reserve(self.now, free, need, &mut occupied) {
+            Some(Reservation { at, spare }) => vec![format!("at {}", at / MS), format!("spare {spare}")],
+            None => vec!["never".to_owned()],
+        }
     }
 }
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -1,10 +1,10 @@
 //! The liveness of a watch, driven by a table. Its words: `due`, `again` (milliseconds from now), `told` (milliseconds since the
 //! start), `open`, `as it is`, `stale` and `usable`.
 
-use crate::table::{Machine, beyond};
+use crate::runner::{Machine, MachineError};
+use crate::table::beyond;
 use mothproxy::core::watch_liveness::{DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness};
 use serde::Deserialize;
-use toml::{Table, Value};
 
 /// When a row begins, in microseconds; above 0 so that nothing lies before the clock began.
 const START: u64 = 1_000_000_000;
@@ -13,7 +13,7 @@
 /// The situation in which a row begins.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Given {
+pub struct Given {
     #[serde(default, rename = "pushed")]
     is_pushed: bool,
     /// A watch is open, and has just sent something.
@@ -51,7 +51,7 @@
 /// A step of a row. Spans are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-enum Step {
+pub enum Step {
     Pass(u64),
     #[serde(rename = "begin")]
     Start {},
@@ -85,7 +85,7 @@
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Failure {
+pub enum Failure {
     Silent,
     Ended,
     Unreachable,
@@ -101,14 +101,15 @@
     }
 }
 
-pub struct Watch {
+/// The liveness of one watch, and what splits its bytes.
+pub struct WatchLivenessMachine {
     liveness: WatchLiveness,
     settings: DiscoverySettings,
     objects: ObjectSplitter,
     now: u64,
 }
 
-impl Watch {
+impl WatchLivenessMachine {
     fn milliseconds_from_now(&self, at: u64) -> u64 {
         (at - self.now) / MILLISECOND
     }
@@ -121,6 +122,20 @@
         vec![format!("again {}", self.milliseconds_from_now(at))]
     }
 
+    fn on_data(&mut self, is_partial: bool) -> Vec<String> {
+        let due = if is_partial {
+            Some(self.liveness.on_partial_object(self.now))
+        } else {
+            self.liveness.on_data(self.now)
+        };
+        due.map_or_else(|| vec!["as it is".to_owned()], |at| self.due(at))
+    }
+
+    fn reconfigure(&mut self, is_pushed: bool) -> Vec<String> {
+        let opens = self.liveness.reconfigure(DiscoverySettings { is_pushed, ..self.settings });
+        vec![if opens { "open" } else { "as it is" }.to_owned()]
+    }
+
     fn staleness(&self) -> Vec<String> {
         let is_stale = self.liveness.is_stale(self.now);
         vec![if is_stale { "stale" } else { "usable" }.to_owned()]
@@ -139,9 +154,11 @@
     }
 }
 
-impl Machine for Watch {
-    fn new(given: Value, seed: u64) -> Result<Watch, String> {
-        let given = Given::deserialize(given).map_err(|error| error.to_string())?;
+impl Machine for WatchLivenessMachine {
+    type Given = Given;
+    type Step = Step;
+
+    fn new(given: Given, seed: u64) -> Result<WatchLivenessMachine, MachineError> {
         let settings = DiscoverySettings {
             is_pushed: given.is_pushed,
             max_poll_interval: Some(given.max_poll_interval * MILLISECOND),
@@ -162,12 +179,11 @@
                 liveness.on_partial_object(START);
             }
         }
-        Ok(Watch { liveness, settings, objects: ObjectSplitter::default(), now: START })
+        Ok(WatchLivenessMachine { liveness, settings, objects: ObjectSplitter::default(), now: START })
     }
 
-    fn step(&mut self, step: Table) -> Result<Vec<String>, String> {
+    fn step(&mut self, step: Step) -> Result<Vec<String>, MachineError> {
         let now = self.now;
-        let step = Step::deserialize(Value::Table(step)).map_err(|error| error.to_string())?;
         Ok(match step {
             Step::Pass(span) => {
                 self.now += span * MILLISECOND;
@@ -185,14 +201,7 @@
                 let at = self.liveness.on_connected(now);
                 self.due(at)
             }
-            Step::Data { is_partial: true } => {
-                let at = self.liveness.on_partial_object(now);
-                self.due(at)
-            }
-            Step::Data { is_partial: false } => match self.liveness.on_data(now) {
-                Some(at) => self.due(at),
-                None => vec!["as it is".to_owned()],
-            },
+            Step::Data { is_partial } => self.on_data(is_partial),
             Step::List {} => {
                 let notified_at = self.liveness.on_list(now);
                 vec![format!("told {}", (notified_at - START) / MILLISECOND)]
@@ -201,11 +210,7 @@
                 let at = self.liveness.on_watch_failed(now, failure.into());
                 self.again(at)
             }
-            Step::Reconfigure { is_pushed } => {
-                let settings = DiscoverySettings { is_pushed, ..self.settings };
-                let opens = self.liveness.reconfigure(settings);
-                vec![if opens { "open" } else { "as it is" }.to_owned()]
-            }
+            Step::Reconfigure { is_pushed } => self.reconfigure(is_pushed),
             Step::Moved {} => {
                 let at = self.liveness.on_discovery_moved(now);
                 self.again(at)
