--- a/examples/proof_lists.rs
+++ b/examples/proof_lists.rs
@@ -3,10 +3,11 @@
 //! nobody reads; the last line is JSON; exit code 1 where a caller is starved. `proof_lists NAME` also shows each service of the
 //! scenarios whose names hold NAME.
 
-#[path = "../tests/common/lists.rs"]
+#[path = "../tests/common/lists/mod.rs"]
 mod lists;
 
-use lists::{Day, MS, Outcome, Pays, Scenario, play};
+use lists::scenario::{AbandonedCallCost, Day, MS, Outcome, Scenario};
+use lists::simulation::play;
 use serde_json::json;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -22,12 +23,18 @@
     for scenario in Scenario::ALL {
         let name = format!("{scenario:?}");
         for callers in CALLERS {
-            for pays in [Pays::Nothing, Pays::Gone, Pays::Late] {
+            for pays in [AbandonedCallCost::Nothing, AbandonedCallCost::Gone, AbandonedCallCost::Late] {
                 let mut all = Vec::new();
                 for call in CALLS_MS {
                     for wait in WAITS_MS {
-                        let day =
-                            Day { scenario, callers, call: call * MS, wait: wait * MS, pays, seed: SEED };
+                        let day = Day {
+                            scenario,
+                            callers,
+                            call_time: call * MS,
+                            max_wait: wait * MS,
+                            abandoned_call_cost: pays,
+                            seed: SEED,
+                        };
                         let outcome = play(day);
                         if shown.as_ref().is_some_and(|shown| name.contains(shown)) {
                             println!("{call} ms a call, waits {wait} ms, {pays:?}: {outcome:?}");
@@ -52,7 +59,7 @@
                     sum(|o| o.p99 / MS),
                     max.unwrap_or(0),
                 );
-                if pays != Pays::Late {
+                if pays != AbandonedCallCost::Late {
                     starved += all.iter().map(|o| o.never).sum::<u32>();
                 }
                 rows.push(json!([name, callers, format!("{pays:?}"), late, never, calls]));
--- a/tests/watch_liveness.rs
+++ b/tests/watch_liveness.rs
@@ -1,9 +1,10 @@
 //! The liveness of a watch under random orders of events, and its objects however they are cut.
 
-#[path = "common/lists.rs"]
+#[path = "common/lists/mod.rs"]
 mod lists;
 
-use lists::{Day, MS, Pays, S, Scenario, play};
+use lists::scenario::{AbandonedCallCost, Day, MS, S, Scenario};
+use lists::simulation::play;
 use mothproxy::Micros;
 use mothproxy::core::watch_liveness::{DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness};
 
@@ -289,10 +290,20 @@
 fn hundreds_of_callers_are_all_served_by_a_slow_service() {
     for scenario in Scenario::ALL {
         for (callers, call) in [(300, 20), (350, 50), (1_024, 20)] {
-            for (wait, pays) in
-                [(500, Pays::Gone), (2_500, Pays::Gone), (6_000, Pays::Gone), (3_000, Pays::Nothing)]
-            {
-                let day = Day { scenario, callers, call: call * MS, wait: wait * MS, pays, seed: 11 };
+            for (wait, pays) in [
+                (500, AbandonedCallCost::Gone),
+                (2_500, AbandonedCallCost::Gone),
+                (6_000, AbandonedCallCost::Gone),
+                (3_000, AbandonedCallCost::Nothing),
+            ] {
+                let day = Day {
+                    scenario,
+                    callers,
+                    call_time: call * MS,
+                    max_wait: wait * MS,
+                    abandoned_call_cost: pays,
+                    seed: 11,
+                };
                 let outcome = play(day);
                 let service_time = u64::from(callers) * call * MS * 2;
                 // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
@@ -318,7 +329,14 @@
 fn a_few_callers_are_all_served_by_a_very_slow_service() {
     for scenario in Scenario::ALL {
         for (callers, call) in [(5, 500), (10, 250), (10, 400)] {
-            let day = Day { scenario, callers, call: call * MS, wait: 3 * S, pays: Pays::Gone, seed: 11 };
+            let day = Day {
+                scenario,
+                callers,
+                call_time: call * MS,
+                max_wait: 3 * S,
+                abandoned_call_cost: AbandonedCallCost::Gone,
+                seed: 11,
+            };
             let outcome = play(day);
             let turn = u64::from(callers) * call * MS;
             assert!(
