--- /dev/null
+++ b/tests/lists/main.rs
@@ -0,0 +1,89 @@
+//! Discovery's lists, pushed and asked for, however they are cut and whenever they fall silent.
+
+mod case;
+mod full_list;
+mod table;
+mod watch;
+
+use mothproxy_testkit::*;
+use serde_json::{Value, json};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+
+/// A poll interval under which the module's own waits are long beside what a change may take to be notified, in milliseconds.
+const LONG_POLL_INTERVAL_MS: f64 = 80_000.0;
+
+fn set_long_poll_interval(config: &mut Value) {
+    config["settings"]["Obligations"]["AskWithinMs"] = json!(LONG_POLL_INTERVAL_MS);
+}
+
+/// The worker that the program knows at its start, and one that only discovery can name.
+struct Workers {
+    old: Arc<FakeWorker>,
+    new: Arc<FakeWorker>,
+}
+
+impl Workers {
+    fn start() -> Workers {
+        Workers { old: FakeWorker::start("s-1"), new: FakeWorker::start("s-2") }
+    }
+
+    /// The entries of both.
+    fn entries(&self, old_lifecycle: &str, new_lifecycle: &str) -> [Value; 2] {
+        [self.old.endpoint_entry(old_lifecycle), self.new.endpoint_entry(new_lifecycle)]
+    }
+
+    /// Starts the program with the old worker before this service.
+    fn start_program(
+        &self,
+        discovery: &FakeDiscovery,
+        configure: impl FnOnce(&mut Value),
+    ) -> DispatcherProcess {
+        let program = DispatcherProcess::builder(std::slice::from_ref(&self.old))
+            .discovery(discovery.address)
+            .configure(configure)
+            .start();
+        self.new.set_callback_address(program.platform);
+        program
+    }
+}
+
+fn job_count(worker: &FakeWorker) -> u64 {
+    worker.job_count.load(Ordering::SeqCst)
+}
+
+/// Calls that opened a watch, or were to.
+fn watch_calls(discovery: &FakeDiscovery) -> u64 {
+    discovery.calls.load(Ordering::SeqCst)
+}
+
+fn wait_for_watch(discovery: &FakeDiscovery) {
+    wait_until("a watch", || watch_calls(discovery) > 0);
+}
+
+/// Sends jobs until this worker has had one more. Their ids begin with this prefix.
+fn send_until_used(program: &DispatcherProcess, worker: &FakeWorker, id_prefix: &str) {
+    let before = job_count(worker);
+    let mut number = 0;
+    wait_until(&format!("{} gets work", worker.name), || {
+        number += 1;
+        let request = simple_job(&format!("{id_prefix}{number}"));
+        assert_eq!(send(program.platform, &request).expect("an answer").status, 200);
+        job_count(worker) > before
+    });
+}
+
+/// Sends jobs until none of twenty in a row has gone to this worker; how many it has had then.
+fn send_until_unused(program: &DispatcherProcess, worker: &FakeWorker, other: &FakeWorker) -> u64 {
+    let mut used = job_count(worker);
+    let mut unused_in_a_row = 0;
+    let mut number = 0;
+    while unused_in_a_row < 20 {
+        number += 1;
+        send_until_used(program, other, &format!("u{number}-"));
+        let jobs = job_count(worker);
+        unused_in_a_row = if jobs == used { unused_in_a_row + 1 } else { 0 };
+        used = jobs;
+    }
+    used
+}
