--- /dev/null
+++ b/tests/sockets/configuration.rs
@@ -0,0 +1,51 @@
+//! A configuration that cannot be used.
+
+use mothproxy_testkit::*;
+use serde_json::json;
+use std::path::Path;
+use std::process::Command;
+
+/// Asserts that the program ends at once with the code for a bad configuration and this message.
+fn assert_refuses_to_start(config: &Path, args: &[&str], message: &str) {
+    let program = Command::new(env!("CARGO_BIN_EXE_mothproxy"))
+        .args(args)
+        .env("GW_CONFIG", config)
+        .env_remove("GW_LISTEN")
+        .output()
+        .expect("the program starts");
+    let errors = String::from_utf8_lossy(&program.stderr);
+    assert_eq!(program.status.code(), Some(2), "{message}: {errors}");
+    assert!(errors.contains(message) && !errors.contains("panicked"), "{message}: {errors}");
+}
+
+/// A configuration that cannot be used ends the process with code 2 and a plain message.
+#[test]
+fn reports_bad_configuration_plainly() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("config.json");
+    let good = site::config("127.0.0.1:0", "127.0.0.1:1", json!([]));
+    let without = |key: &str| {
+        let mut config = good.clone();
+        config.as_object_mut().expect("an object").remove(key);
+        config.to_string()
+    };
+    let replaced = |old: &str, new: &str| good.to_string().replace(old, new);
+    let cases = [
+        ("{".to_owned(), "not JSON"),
+        (without("settings"), "settings is missing"),
+        (without("known"), "known is missing"),
+        (replaced("127.0.0.1:0", "here"), "listen is not an address: \"here\""),
+        (replaced("\"MaxAttempts\":3", "\"MaxAttempts\":0"), "settings allow no attempt"),
+        (replaced("\"Siblings\":1", "\"Siblings\":0"), "not below the count of nodes"),
+        (replaced("\"Siblings\":1", "\"Siblings\":4e9"), "more than 10,000 nodes"),
+        (replaced("\"MaxAttempts\":3", "\"MaxAttempts\":\"x\""), "Limits.MaxAttempts is not a number"),
+    ];
+    for (text, message) in cases {
+        std::fs::write(&file, text).expect("a temporary file");
+        assert_refuses_to_start(&file, &[], message);
+    }
+    std::fs::write(&file, good.to_string()).expect("a temporary file");
+    assert_refuses_to_start(&file, &["--sse", "/nowhere/sse.toml"], "cannot read /nowhere/sse.toml");
+    std::fs::remove_file(&file).expect("it was there");
+    assert_refuses_to_start(&file, &[], "cannot read");
+}
