--- a/examples/proof_lists.rs
+++ b/examples/proof_lists.rs
@@ -1,4 +1,4 @@
-//! `make proof-lists`: up to 1,024 of the program's own clocks of watches before a slow list service, on a virtual clock
+//! `make proof-lists`: up to 1,024 of the program's own watches before a slow list service, on a virtual clock
 //! (`docs/design/lists.md`). Each line sums up 25 services (2 to 50 ms a call; waits of 0.5 to 6 s) as they treat calls that
 //! nobody reads; the last line is JSON; exit code 1 where a caller is starved. `proof_lists NAME` also shows each service of the
 //! scenarios whose names hold NAME.
@@ -8,7 +8,7 @@
 
 use lists::scenario::{AbandonedCallCost, Day, MS, Outcome, Scenario};
 use lists::simulation::play;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -17,59 +17,110 @@
 const WAITS_MS: [u64; 5] = [500, 1_000, 2_500, 3_000, 6_000];
 const SEED: u64 = 7;
 
+/// The outcomes of one scenario with one number of callers, at all services that treat abandoned calls alike.
+struct Summary {
+    scenario: Scenario,
+    callers: u32,
+    cost: AbandonedCallCost,
+    outcomes: Vec<Outcome>,
+}
+
+impl Summary {
+    /// Plays the days; shows each of them if the scenario's name holds `shown`.
+    fn play(scenario: Scenario, callers: u32, cost: AbandonedCallCost, shown: Option<&str>) -> Summary {
+        let is_shown = shown.is_some_and(|shown| format!("{scenario:?}").contains(shown));
+        let mut outcomes = Vec::new();
+        for call in CALLS_MS {
+            for wait in WAITS_MS {
+                let outcome = play(Day {
+                    scenario,
+                    callers,
+                    call_time: call * MS,
+                    max_wait: wait * MS,
+                    abandoned_call_cost: cost,
+                    seed: SEED,
+                });
+                if is_shown {
+                    println!("{call} ms a call, waits {wait} ms, {cost:?}: {outcome:?}");
+                }
+                outcomes.push(outcome);
+            }
+        }
+        Summary { scenario, callers, cost, outcomes }
+    }
+
+    /// The mean over the services.
+    fn mean(&self, figure: fn(&Outcome) -> u64) -> f64 {
+        self.outcomes.iter().map(figure).sum::<u64>() as f64 / self.outcomes.len() as f64
+    }
+
+    /// The mean for each caller.
+    fn per_caller(&self, figure: fn(&Outcome) -> u64) -> f64 {
+        self.mean(figure) / f64::from(self.callers)
+    }
+
+    fn print(&self) {
+        println!(
+            "{:16} {:5} {:8} late {:.3} of which {:.3} inevitable, never {:.3}; a caller: \
+             calls {:.2} refused {:.2} cut {:.2}; wasted {:6.0} ms; p50 {:6.0} p99 {:6.0} max {:6} ms",
+            format!("{:?}", self.scenario),
+            self.callers,
+            format!("{:?}", self.cost),
+            self.per_caller(|outcome| outcome.late.into()),
+            self.per_caller(|outcome| outcome.beyond.into()),
+            self.per_caller(|outcome| outcome.never.into()),
+            self.per_caller(|outcome| outcome.calls.into()),
+            self.per_caller(|outcome| outcome.refused.into()),
+            self.per_caller(|outcome| outcome.cut.into()),
+            self.mean(|outcome| outcome.wasted / MS),
+            self.mean(|outcome| outcome.p50 / MS),
+            self.mean(|outcome| outcome.p99 / MS),
+            self.outcomes.iter().map(|outcome| outcome.max / MS).max().unwrap_or(0),
+        );
+    }
+
+    /// Callers that never get a list, of services that see when a caller has gone.
+    fn starved(&self) -> u32 {
+        if self.cost == AbandonedCallCost::Late {
+            return 0;
+        }
+        self.outcomes.iter().map(|outcome| outcome.never).sum()
+    }
+
+    /// The row of the last line.
+    fn to_json(&self) -> Value {
+        json!([
+            format!("{:?}", self.scenario),
+            self.callers,
+            format!("{:?}", self.cost),
+            self.per_caller(|outcome| outcome.late.into()),
+            self.per_caller(|outcome| outcome.never.into()),
+            self.per_caller(|outcome| outcome.calls.into()),
+        ])
+    }
+}
+
 fn main() -> ExitCode {
-    let (began, shown) = (Instant::now(), std::env::args().nth(1));
-    let (mut starved, mut rows) = (0, Vec::new());
+    const COSTS: [AbandonedCallCost; 3] =
+        [AbandonedCallCost::Nothing, AbandonedCallCost::Gone, AbandonedCallCost::Late];
+    let started = Instant::now();
+    let shown = std::env::args().nth(1);
+    let mut starved = 0;
+    let mut rows = Vec::new();
     for scenario in Scenario::ALL {
-        let name = format!("{scenario:?}");
         for callers in CALLERS {
-            for pays in [AbandonedCallCost::Nothing, AbandonedCallCost::Gone, AbandonedCallCost::Late] {
-                let mut all = Vec::new();
-                for call in CALLS_MS {
-                    for wait in WAITS_MS {
-                        let day = Day {
-                            scenario,
-                            callers,
-                            call_time: call * MS,
-                            max_wait: wait * MS,
-                            abandoned_call_cost: pays,
-                            seed: SEED,
-                        };
-                        let outcome = play(day);
-                        if shown.as_ref().is_some_and(|shown| name.contains(shown)) {
-                            println!("{call} ms a call, waits {wait} ms, {pays:?}: {outcome:?}");
-                        }
-                        all.push(outcome);
-                    }
-                }
-                let sum = |of: fn(&Outcome) -> u64| all.iter().map(of).sum::<u64>() as f64 / all.len() as f64;
-                let part = |of: fn(&Outcome) -> u64| sum(of) / f64::from(callers);
-                let (late, beyond) = (part(|o| o.late.into()), part(|o| o.beyond.into()));
-                let never = part(|o| o.never.into());
-                let calls = part(|o| o.calls.into());
-                let max = all.iter().map(|o| o.max / MS).max();
-                println!(
-                    "{name:16} {callers:5} {:8} late {late:.3} of which {beyond:.3} inevitable, never {never:.3}; a caller: \
-                     calls {calls:.2} refused {:.2} cut {:.2}; wasted {:6.0} ms; p50 {:6.0} p99 {:6.0} max {:6} ms",
-                    format!("{pays:?}"),
-                    part(|o| o.refused.into()),
-                    part(|o| o.cut.into()),
-                    sum(|o| o.wasted / MS),
-                    sum(|o| o.p50 / MS),
-                    sum(|o| o.p99 / MS),
-                    max.unwrap_or(0),
-                );
-                if pays != AbandonedCallCost::Late {
-                    starved += all.iter().map(|o| o.never).sum::<u32>();
-                }
-                rows.push(json!([name, callers, format!("{pays:?}"), late, never, calls]));
+            for cost in COSTS {
+                let summary = Summary::play(scenario, callers, cost, shown.as_deref());
+                summary.print();
+                starved += summary.starved();
+                rows.push(summary.to_json());
             }
         }
     }
     let held = starved == 0;
     println!(
         "{}",
-        json!({"proof": "lists", "held": held, "seed": SEED, "seconds": began.elapsed().as_secs_f64().round(),
+        json!({"proof": "lists", "held": held, "seed": SEED, "seconds": started.elapsed().as_secs_f64().round(),
                "scenario, callers, pays, late, never, calls": rows})
     );
     ExitCode::from(u8::from(!held))
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -158,57 +158,79 @@
     }
 }
 
+/// The first byte of a membership datagram.
+const MEMBERSHIP_KIND: u8 = 0xF1;
+/// Processes of the large fleet.
+const THIRTY: usize = 30;
+
+/// Bytes that members have sent each other since the start.
+fn membership_bytes(fleet: &Fleet) -> u64 {
+    let totals = fleet.datagrams.totals();
+    totals.iter().filter_map(|link| link.by_first_byte.get(&MEMBERSHIP_KIND)).map(|count| count.bytes).sum()
+}
+
+/// What thirty members send while nothing happens.
+fn measure_idle_traffic(run: &Run) {
+    std::thread::sleep(Duration::from_millis(600)); // the start has been gossiped
+    let before = membership_bytes(&run.fleet);
+    let started = Instant::now();
+    std::thread::sleep(Duration::from_millis(2_000));
+    let sent = membership_bytes(&run.fleet) - before;
+    let rate = sent as f64 / started.elapsed().as_secs_f64() / THIRTY as f64;
+    run.report.record("bytes_a_second_a_member_30", rate.round());
+}
+
+/// One member gets random bytes that look like datagrams of all others.
+fn send_rubbish(run: &Run, seed: u64) {
+    const RECEIVER: usize = THIRTY - 1;
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let started = Instant::now();
+    let mut sent = 0;
+    while started.elapsed() < Duration::from_millis(5_000) {
+        let mut bytes: Vec<u8> = (0..rng.usize(1..400)).map(|_| rng.u8(..)).collect();
+        bytes[0] = MEMBERSHIP_KIND;
+        run.fleet.datagrams.forge(sent % RECEIVER, RECEIVER, &bytes);
+        sent += 1;
+        std::thread::sleep(Duration::from_micros(500));
+    }
+    run.fleet.datagrams.set_all(DatagramFaults::NONE);
+    let refused = membership_metric(&run.fleet, RECEIVER, "refused");
+    run.report.record("rubbish_sent", sent);
+    run.report.record("rubbish_refused", refused);
+    run.report.check(refused > 0, "no rubbish was refused");
+}
+
+/// Seven in ten are killed at once, and started again.
+fn test_mass_kill(run: &mut Run) {
+    let killed: Vec<usize> = (0..THIRTY).filter(|member| member % 10 >= 3).collect();
+    let survivors = run.others(&killed);
+    run.expect_deaths(&killed);
+    let killed_at = run.fleet.now();
+    killed.iter().for_each(|member| run.fleet.kill(*member));
+    run.wait_for("seven in ten are dead", || all_believe(&run.fleet, &survivors, &killed, "dead"));
+    run.report.record("mass_kill_all_known_ms", (run.fleet.now() - killed_at) / 1000);
+    let are_alive = all_believe(&run.fleet, &survivors, &survivors, "alive");
+    run.report.check(are_alive, "a survivor of the mass kill is held dead");
+    let started_at = run.fleet.now();
+    killed.iter().for_each(|member| run.fleet.start_process(*member).expect("it starts again"));
+    run.wait_until_agreed("after seven in ten started again");
+    run.report.record("mass_restart_all_known_ms", (run.fleet.now() - started_at) / 1000);
+    run.end_expected_deaths();
+}
+
 /// Thirty processes: bytes at rest, kills, a tenth of all datagrams lost, rubbish, and seven in ten killed at once.
 fn test_thirty(seed: u64, report: &Report) -> usize {
-    let mut run = Run::new("thirty", 30, seed, report);
-    let sent = |run: &Run| -> u64 {
-        let totals = run.fleet.datagrams.totals();
-        totals.iter().filter_map(|t| t.by_first_byte.get(&0xF1)).map(|count| count.bytes).sum()
-    };
-    std::thread::sleep(Duration::from_millis(600)); // the news of the start has been told
-    let (before, begun) = (sent(&run), Instant::now());
-    std::thread::sleep(Duration::from_millis(2_000));
-    let rate = (sent(&run) - before) as f64 / begun.elapsed().as_secs_f64() / 30.0;
-    report.record("bytes_a_second_a_member_30", rate.round());
+    let mut run = Run::new("thirty", THIRTY, seed, report);
+    measure_idle_traffic(&run);
     for victim in [7, 19] {
         run.test_kill(victim);
     }
     run.fleet.datagrams.set_all(DatagramFaults::loss(0.1));
     let load = run.fleet.start_plain_load(&[0, 1, 2], 30.0, Duration::from_secs(30));
-    let rubbish = |run: &Run, n: usize, rng: &mut fastrand::Rng| {
-        let mut bytes: Vec<u8> = (0..rng.usize(1..400)).map(|_| rng.u8(..)).collect();
-        bytes[0] = 0xF1;
-        run.fleet.datagrams.forge(n % 29, 29, &bytes);
-    };
-    let (mut rng, lost) = (fastrand::Rng::with_seed(seed), Instant::now());
-    let mut n = 0;
-    while lost.elapsed() < Duration::from_millis(5_000) {
-        rubbish(&run, n, &mut rng);
-        n += 1;
-        std::thread::sleep(Duration::from_micros(500));
-    }
-    run.fleet.datagrams.set_all(DatagramFaults::NONE);
-    let refused = membership_metric(&run.fleet, 29, "refused");
-    report.record("rubbish_sent", n);
-    report.record("rubbish_refused", refused);
-    report.check(refused > 0, "no rubbish was refused");
+    send_rubbish(&run, seed);
     run.wait_until_agreed("after loss and rubbish");
-    let gone: Vec<usize> = (0..30).filter(|i| i % 10 >= 3).collect();
-    let left = run.others(&gone);
-    run.expect_deaths(&gone);
-    let killed = run.fleet.now();
-    gone.iter().for_each(|i| run.fleet.kill(*i));
-    run.wait_for("seven in ten are dead", || all_believe(&run.fleet, &left, &gone, "dead"));
-    report.record("mass_kill_all_known_ms", (run.fleet.now() - killed) / 1000);
-    run.report
-        .check(all_believe(&run.fleet, &left, &left, "alive"), "a survivor of the mass kill is held dead");
-    let started = run.fleet.now();
-    gone.iter().for_each(|i| run.fleet.start_process(*i).expect("it starts again"));
-    run.wait_until_agreed("after seven in ten started again");
-    report.record("mass_restart_all_known_ms", (run.fleet.now() - started) / 1000);
-    run.end_expected_deaths();
-    let load = load.stop();
-    report.record("served_meanwhile", load.served());
+    test_mass_kill(&mut run);
+    report.record("served_meanwhile", load.stop().served());
     run.close()
 }
 
@@ -263,55 +285,89 @@
     wrong
 }
 
-fn quantiles(of: &[u64]) -> (f64, f64) {
-    let mut all = Histogram::<u64>::new(3).expect("three digits");
-    of.iter().for_each(|n| all.record(*n).expect("it grows as needed"));
-    (all.value_at_quantile(0.5) as f64, all.value_at_quantile(0.99) as f64)
+/// The median and the 99th percentile.
+struct Quantiles {
+    p50: f64,
+    p99: f64,
 }
 
-fn main() -> ExitCode {
-    let first: u64 = std::env::args().nth(1).and_then(|arg| arg.parse().ok()).unwrap_or(1);
-    let (report, begun) = (Report::default(), Instant::now());
-    let until = begun + Duration::from_secs(17);
-    let wrong: usize = std::thread::scope(|scope| {
+impl Quantiles {
+    fn new(samples: &[u64]) -> Quantiles {
+        let mut histogram = Histogram::<u64>::new(3).expect("three digits");
+        samples.iter().for_each(|sample| histogram.record(*sample).expect("it grows as needed"));
+        let quantile = |part| histogram.value_at_quantile(part) as f64;
+        Quantiles { p50: quantile(0.5), p99: quantile(0.99) }
+    }
+}
+
+/// Seconds since a moment, in tenths.
+fn tenths_of_seconds_since(moment: Instant) -> f64 {
+    (moment.elapsed().as_secs_f64() * 10.0).round() / 10.0
+}
+
+/// Runs all fleets at once; how many false deaths they saw.
+fn run_fleets(first_seed: u64, started: Instant, report: &Report) -> usize {
+    let until = started + Duration::from_secs(17);
+    let seeds = |after: u64| first_seed + after..first_seed + after + 100;
+    std::thread::scope(|scope| {
         let runs = [
-            scope.spawn(|| test_thirty(first, &report)),
-            scope.spawn(|| test_ten(first + 1, &report)),
-            scope.spawn(|| test_small_fleets(first + 100..first + 200, 3, "three", until, &report)),
-            scope.spawn(|| test_small_fleets(first + 200..first + 300, 5, "five", until, &report)),
-            scope.spawn(|| test_small_fleets(first + 300..first + 400, 6, "six", until, &report)),
+            scope.spawn(|| test_thirty(first_seed, report)),
+            scope.spawn(|| test_ten(first_seed + 1, report)),
+            scope.spawn(|| test_small_fleets(seeds(100), 3, "three", until, report)),
+            scope.spawn(|| test_small_fleets(seeds(200), 5, "five", until, report)),
+            scope.spawn(|| test_small_fleets(seeds(300), 6, "six", until, report)),
         ];
         runs.into_iter().map(|run| run.join().expect("a run came to its end")).sum()
-    });
-    report.record("real_s", (begun.elapsed().as_secs_f64() * 10.0).round() / 10.0);
-    report.record("false_deaths", wrong);
-    let detect = report.detect.lock().expect("a lock").clone();
-    let (p50, p99) = quantiles(&detect);
+    })
+}
+
+/// Records how soon deaths and heals were known, and checks how many seeds were played.
+fn record_latencies(report: &Report) {
+    let detections = report.detect.lock().expect("a lock").clone();
+    let Quantiles { p50, p99 } = Quantiles::new(&detections);
     report.record("detect_p50_ms", (p50 / 1000.0).round());
     report.record("detect_p99_ms", (p99 / 1000.0).round());
-    report.record("detect_samples", detect.len());
-    let (p50, p99) = quantiles(&report.heals.lock().expect("a lock"));
+    report.record("detect_samples", detections.len());
+    let Quantiles { p50, p99 } = Quantiles::new(&report.heals.lock().expect("a lock"));
     report.record("heal_agree_p50_ms", p50);
     report.record("heal_agree_p99_ms", p99);
     let seeds = report.seeds.lock().expect("a lock").len();
     report.record("seeds", seeds);
     report.check(seeds >= 20, &format!("{seeds} seeds, and 20 are asked for"));
-    // The model of the same machine, and the seeded mistake: without suspicion its checks must fail.
-    let model = run(Extent { seeds: 2, large_seeds: 1, first_seed: first, skip_suspicion: false });
+}
+
+/// The model of the same machine, and the seeded mistake: without suspicion its checks must fail.
+fn check_model(first_seed: u64, report: &Report) {
+    let model = run(Extent { seeds: 2, large_seeds: 1, first_seed, skip_suspicion: false });
     for (name, value) in model.metrics.iter().filter(|(name, _)| name.contains("300")) {
         report.record(&format!("model_{name}"), *value);
     }
-    model.violations.iter().for_each(|what| report.check(false, &format!("model: {what}")));
-    let mistaken = run(Extent { seeds: 1, large_seeds: 0, first_seed: first, skip_suspicion: true });
+    for violation in &model.violations {
+        report.check(false, &format!("model: {violation}"));
+    }
+    let mistaken = run(Extent { seeds: 1, large_seeds: 0, first_seed, skip_suspicion: true });
     report.record("mutation_skip_suspicion_broke", mistaken.violations.len());
     report.check(!mistaken.violations.is_empty(), "the mutation skip_suspicion was not caught");
-    report.record("all_s", (begun.elapsed().as_secs_f64() * 10.0).round() / 10.0);
-    let (figures, broken) = (report.figures.into_inner(), report.broken.into_inner());
-    let (figures, broken) = (figures.expect("a lock"), broken.expect("a lock"));
-    let sound = broken.is_empty();
+}
+
+fn main() -> ExitCode {
+    let first_seed: u64 = std::env::args().nth(1).and_then(|arg| arg.parse().ok()).unwrap_or(1);
+    let report = Report::default();
+    let started = Instant::now();
+    let false_deaths = run_fleets(first_seed, started, &report);
+    report.record("real_s", tenths_of_seconds_since(started));
+    report.record("false_deaths", false_deaths);
+    record_latencies(&report);
+    check_model(first_seed, &report);
+    report.record("all_s", tenths_of_seconds_since(started));
+    let figures = report.figures.into_inner().expect("a lock");
+    let broken = report.broken.into_inner().expect("a lock");
     for (name, value) in &figures {
         println!("{name:36} {value:>10}");
     }
-    println!("{}", json!({"proof": "membership", "first_seed": first, "figures": figures, "broken": broken}));
-    ExitCode::from(u8::from(!sound))
+    println!(
+        "{}",
+        json!({"proof": "membership", "first_seed": first_seed, "figures": figures, "broken": broken})
+    );
+    ExitCode::from(u8::from(!broken.is_empty()))
 }
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -1,7 +1,7 @@
-//! `make proof-ramp`: twenty processes of the built program share six workers. Two of these start anew, cold, while a cut
+//! `make proof-ramp`: twenty processes of the built program share six workers. Two of these start anew while a cut
 //! divides the peers, then nobody hears anybody, a quarter of the processes are killed and started again, and half of them
-//! are told late. What each cold worker got in any stretch of the fall window, from those that had been told, stays within N
-//! calls and 2 x root of N + 2. The last line is JSON; exit code 1 where something did not hold. `proof_ramp SEED` plays
+//! are notified late. What each worker that is warming up got in any stretch of the collapse window, from those that had been
+//! notified, stays within N calls and 2 x root of N + 2. The last line is JSON; exit code 1 where something did not hold. `proof_ramp SEED` plays
 //! with another seed.
 
 use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Event, Fleet, Plan, seed_or};
@@ -11,71 +11,103 @@
 
 const SIZE: usize = 20;
 const WORKERS: usize = 6;
+/// The mean time of a job at a worker.
 const WORK: Duration = Duration::from_millis(400);
 /// Jobs a second at each: nine tenths of what the workers can run.
 const RATE: f64 = 0.9 * WORKERS as f64 * 4.0 / 0.4 / SIZE as f64;
 
-/// The most calls that came within a stretch of the fall window while the worker was cold.
-fn max_calls_in_window(fleet: &Fleet, rules: &AuditRules, worker: usize, begun: u64) -> usize {
+/// A worker that has started anew, and when, in microseconds of the harness's clock.
+struct Restart {
+    worker: usize,
+    at: u64,
+}
+
+/// The most calls that came within a stretch of the collapse window while the worker was warming up.
+fn max_calls_in_window(fleet: &Fleet, rules: &AuditRules, restart: &Restart) -> usize {
+    let warm_up = restart.at..restart.at + rules.warm_up_time;
     let mut arrivals = Vec::new();
     fleet.event_log.for_each(|entry| match entry.event {
-        Event::Reached { worker: w, .. }
-            if w == worker && (begun..begun + rules.warm_up_time).contains(&entry.at) =>
-        {
+        Event::Reached { worker, .. } if worker == restart.worker && warm_up.contains(&entry.at) => {
             arrivals.push(entry.at);
         }
         _ => {}
     });
-    let within =
-        |from: &u64| arrivals.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
-    arrivals.iter().map(within).max().unwrap_or(0)
+    let calls_from = |from: &u64| {
+        let window = *from..*from + rules.overload_window;
+        arrivals.iter().filter(|at| window.contains(at)).count()
+    };
+    arrivals.iter().map(calls_from).max().unwrap_or(0)
+}
+
+fn sleep_seconds(seconds: u64) {
+    std::thread::sleep(Duration::from_secs(seconds));
+}
+
+fn restart_worker(fleet: &Fleet, worker: usize) -> Restart {
+    fleet.kill_worker(worker);
+    let at = fleet.now();
+    fleet.revive_worker(worker);
+    Restart { worker, at }
+}
+
+/// A worker starts anew while a cut divides the peers; then a quarter of the processes is restarted.
+fn restart_during_partition(fleet: &Fleet) -> Restart {
+    let (first_half, second_half) = halves();
+    fleet.datagrams.partition(&[&first_half, &second_half]);
+    let restart = restart_worker(fleet, 0);
+    sleep_seconds(1);
+    (0..SIZE / 4).for_each(|dispatcher| fleet.kill(dispatcher));
+    (0..SIZE / 4).for_each(|dispatcher| fleet.restart(dispatcher).expect("it starts again"));
+    fleet.wait_until_up(&fleet.all());
+    fleet.datagrams.heal();
+    restart
+}
+
+/// Another one starts anew while nobody hears anybody, and half of the processes do not hear of it for three seconds.
+fn restart_during_silence(fleet: &Fleet) -> Restart {
+    let (_, second_half) = halves();
+    fleet.datagrams.set_all(DatagramFaults::loss(1.0));
+    fleet.set_discovery_cut(&second_half, true);
+    let restart = restart_worker(fleet, 1);
+    sleep_seconds(3);
+    fleet.set_discovery_cut(&second_half, false);
+    fleet.datagrams.set_all(DatagramFaults::loss(0.0));
+    restart
+}
+
+fn halves() -> (Vec<usize>, Vec<usize>) {
+    ((0..SIZE / 2).collect(), (SIZE / 2..SIZE).collect())
+}
+
+/// N: the calls that a worker may get in a window at its start.
+fn initial_window_calls(rules: &AuditRules) -> f64 {
+    rules.overload_multiple * rules.initial_capacity * rules.capacity * rules.overload_window as f64
+        / rules.mean_work as f64
 }
 
 fn main() -> ExitCode {
     let seed = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| seed_or(0x7261_6d70));
     let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, WORKERS, seed);
     for worker in &mut plan.workers {
-        (worker.work, worker.random_work) = (WORK, true);
+        worker.work = WORK;
+        worker.random_work = true;
     }
     let rules = AuditRules { mean_work: WORK.as_micros() as u64, ..AuditRules::default() };
     let fleet = Fleet::start(plan).expect("a fleet");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_plain_load(&fleet.all(), RATE, Duration::from_secs(120));
-    let sleep = |s: u64| std::thread::sleep(Duration::from_secs(s));
-    let restart_worker = |worker: usize| {
-        fleet.kill_worker(worker);
-        let begun = fleet.now();
-        fleet.revive_worker(worker);
-        begun
-    };
-    sleep(6); // they learn what jobs take and what a worker runs
-    let halves: [Vec<usize>; 2] = [(0..SIZE / 2).collect(), (SIZE / 2..SIZE).collect()];
-    fleet.datagrams.partition(&[&halves[0], &halves[1]]);
-    let first = restart_worker(0);
-    sleep(1);
-    (0..SIZE / 4).for_each(|i| fleet.kill(i));
-    (0..SIZE / 4).for_each(|i| fleet.restart(i).expect("it starts again"));
-    fleet.wait_until_up(&fleet.all());
-    fleet.datagrams.heal();
-    fleet.datagrams.set_all(DatagramFaults::loss(1.0));
-    fleet.set_discovery_cut(&halves[1], true);
-    let second = restart_worker(1);
-    sleep(3);
-    fleet.set_discovery_cut(&halves[1], false);
-    fleet.datagrams.set_all(DatagramFaults::loss(0.0));
-    sleep(7);
+    sleep_seconds(6); // they learn what jobs take and what a worker runs
+    let restarts = [restart_during_partition(&fleet), restart_during_silence(&fleet)];
+    sleep_seconds(7);
     let report = load.stop();
     let found = fleet.audit(&rules);
-    let max_calls =
-        [(0, first), (1, second)].map(|(worker, begun)| max_calls_in_window(&fleet, &rules, worker, begun));
-    let calls =
-        rules.overload_multiple * rules.initial_capacity * rules.capacity * rules.overload_window as f64
-            / rules.mean_work as f64;
+    let max_calls = restarts.map(|restart| max_calls_in_window(&fleet, &rules, &restart));
     let held = found.is_empty() && max_calls.iter().all(|calls| *calls > 0);
     found.iter().for_each(|what| println!("BROKEN: {what:?}"));
     let line = json!({
-        "proof": "ramp", "held": held, "seed": seed, "processes": SIZE, "calls_at_the_start": calls,
-        "most_in_a_window": max_calls, "jobs": report.jobs, "served": report.served(),
+        "proof": "ramp", "held": held, "seed": seed, "processes": SIZE,
+        "calls_at_the_start": initial_window_calls(&rules), "most_in_a_window": max_calls, "jobs": report.jobs,
+        "served": report.served(),
     });
     println!("{line}");
     ExitCode::from(u8::from(!held))
--- a/examples/proof_store.rs
+++ b/examples/proof_store.rs
@@ -15,62 +15,100 @@
     rest[..rest.find(after)?].trim().parse().ok()
 }
 
-fn main() -> ExitCode {
-    let started = Instant::now();
-    let cargo = ["cargo", "test", "--locked", "--release", "-q"];
-    let test = |rest: &[&'static str]| [&cargo[..], rest, &["--", "--nocapture"]].concat();
-    let histories = run_part(
-        "histories, cuts and flips",
-        &[("STORE_HISTORIES", "12000")],
-        &test(&["-p", "mothproxy-store", "--test", "histories"]),
-    );
-    let put =
-        run_part("store put, killed", &[("STORE_KILLS", "40")], &test(&["--test", "store_cli", "killed"]));
-    let dispatcher = run_part(
-        "dispatcher, killed",
-        &[("DURABLE_RUNS", "25")],
-        &test(&["--test", "durable", "kill_at_any_point"]),
-    );
-    let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
-    let at = folder.display().to_string();
-    let bench = ["target/release/mothproxy", "store", "bench", &at, "--records", "1000000", "--json"];
-    let bench = run_part("figures", &[], &bench);
-    let _ = std::fs::remove_dir_all(&folder); // the bench removes it itself, unless it failed
-    let bench: Option<Value> = bench.as_deref().and_then(|text| serde_json::from_str(text).ok());
-    let mut aims = Map::new();
-    if let Some(bench) = &bench {
-        let figure = |path: &str| bench.pointer(path).and_then(Value::as_f64).unwrap_or(f64::NAN);
-        let rows = bench["recovery"].as_array().cloned().unwrap_or_default();
-        let large: Vec<_> = rows.iter().filter(|r| r["records"].as_u64() >= Some(100_000)).collect();
-        let soon = |r: &&Value| {
-            let of = |name: &str| r[name].as_f64().unwrap_or(f64::NAN);
-            of("ratio") <= 3.0 && of("recovery_ms") <= of("records") / 100.0 // 100,000 records within 1 s
-        };
-        aims.insert(
-            "one writer's median at most 1.3 of raw".into(),
-            (figure("/one_writer/ratio") <= 1.3).into(),
-        );
-        aims.insert("64 writers at least 0.7 of raw".into(), (figure("/many_writers/ratio") >= 0.7).into());
-        aims.insert("space at most 1.5 of live".into(), (figure("/compaction/space_per_live") <= 1.5).into());
-        let recovers = !large.is_empty() && large.iter().all(soon);
-        aims.insert("recovery at most 3 plain reads, 100,000 within 1 s".into(), recovers.into());
+/// The number between two texts in the output of a part, if that came to its end.
+fn output_number(output: Option<&str>, before: &str, after: &str) -> Option<u64> {
+    output.and_then(|text| number(text, before, after))
+}
+
+const CARGO: [&str; 5] = ["cargo", "test", "--locked", "--release", "-q"];
+
+/// Runs tests with these variables; their output.
+fn run_tests(name: &str, environment: &[(&str, &str)], arguments: &[&str]) -> Option<String> {
+    run_part(name, environment, &[&CARGO[..], arguments, &["--", "--nocapture"]].concat())
+}
+
+/// The output of the parts that are tests.
+struct TestOutputs {
+    histories: Option<String>,
+    put: Option<String>,
+    dispatcher: Option<String>,
+}
+
+impl TestOutputs {
+    fn run() -> TestOutputs {
+        TestOutputs {
+            histories: run_tests(
+                "histories, cuts and flips",
+                &[("STORE_HISTORIES", "12000")],
+                &["-p", "mothproxy-store", "--test", "histories"],
+            ),
+            put: run_tests("store put, killed", &[("STORE_KILLS", "40")], &["--test", "store_cli", "killed"]),
+            dispatcher: run_tests(
+                "dispatcher, killed",
+                &[("DURABLE_RUNS", "25")],
+                &["--test", "durable", "kill_at_any_point"],
+            ),
+        }
     }
-    let held = histories.is_some()
-        && put.is_some()
-        && dispatcher.is_some()
-        && !aims.is_empty()
-        && aims.values().all(|held| *held == json!(true));
-    let flips = |text: &str| {
+
+    fn held(&self) -> bool {
+        self.histories.is_some() && self.put.is_some() && self.dispatcher.is_some()
+    }
+
+    /// Bits that were flipped in sealed and in open segments.
+    fn flips(&self) -> Option<u64> {
+        let text = self.histories.as_deref()?;
         let sealed = number(text, "sealed true: ", " flips")?;
         Some(sealed + number(text, "sealed false: ", " flips")?)
-    };
-    let of = |text: &Option<String>, before, after| text.as_deref().and_then(|t| number(t, before, after));
+    }
+}
+
+/// Runs the benchmark of the store beside the raw disk; its figures.
+fn run_bench() -> Option<Value> {
+    let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
+    let path = folder.display().to_string();
+    let command = ["target/release/mothproxy", "store", "bench", &path, "--records", "1000000", "--json"];
+    let output = run_part("figures", &[], &command);
+    let _ = std::fs::remove_dir_all(&folder); // the bench removes it itself, unless it failed
+    serde_json::from_str(&output?).ok()
+}
+
+/// Whether a recovery took no longer than three plain reads, and 100,000 records no longer than 1 s.
+fn recovers_in_time(recovery: &Value) -> bool {
+    let figure = |name: &str| recovery[name].as_f64().unwrap_or(f64::NAN);
+    figure("ratio") <= 3.0 && figure("recovery_ms") <= figure("records") / 100.0
+}
+
+/// Which aims the figures of the benchmark reach.
+fn check_aims(bench: &Value) -> Map<String, Value> {
+    let figure = |path: &str| bench.pointer(path).and_then(Value::as_f64).unwrap_or(f64::NAN);
+    let recoveries = bench["recovery"].as_array().cloned().unwrap_or_default();
+    let large: Vec<&Value> =
+        recoveries.iter().filter(|recovery| recovery["records"].as_u64() >= Some(100_000)).collect();
+    let recovers = !large.is_empty() && large.into_iter().all(recovers_in_time);
+    let aims = [
+        ("one writer's median at most 1.3 of raw", figure("/one_writer/ratio") <= 1.3),
+        ("64 writers at least 0.7 of raw", figure("/many_writers/ratio") >= 0.7),
+        ("space at most 1.5 of live", figure("/compaction/space_per_live") <= 1.5),
+        ("recovery at most 3 plain reads, 100,000 within 1 s", recovers),
+    ];
+    aims.into_iter().map(|(aim, is_reached)| (aim.to_owned(), is_reached.into())).collect()
+}
+
+fn main() -> ExitCode {
+    let started = Instant::now();
+    let tests = TestOutputs::run();
+    let bench = run_bench();
+    let aims = bench.as_ref().map(check_aims).unwrap_or_default();
+    let held = tests.held() && !aims.is_empty() && aims.values().all(|held| *held == json!(true));
+    let (put, dispatcher) = (tests.put.as_deref(), tests.dispatcher.as_deref());
     let line = json!({
         "proof": "store", "held": held, "aims": aims, "seconds": started.elapsed().as_secs_f64(),
-        "histories": of(&histories, "histories: ", "\n"), "flips": histories.as_deref().and_then(flips),
-        "put_killed": of(&put, "killed ", " times"), "put_writes": of(&put, " times; ", " writes"),
-        "dispatcher_killed": of(&dispatcher, "killed ", " times"),
-        "repeats_after": of(&dispatcher, "answered before, ", " repeats"), "figures": bench,
+        "histories": output_number(tests.histories.as_deref(), "histories: ", "\n"), "flips": tests.flips(),
+        "put_killed": output_number(put, "killed ", " times"),
+        "put_writes": output_number(put, " times; ", " writes"),
+        "dispatcher_killed": output_number(dispatcher, "killed ", " times"),
+        "repeats_after": output_number(dispatcher, "answered before, ", " repeats"), "figures": bench,
     });
     println!("{line}");
     if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
