--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -14,123 +14,154 @@
 /// The service's time for one call of every dispatcher.
 const SERVICE_TIME_FOR_ALL: u64 = 20_000 * SIZE as u64;
 
-type Holds = fn(&SimulationSummary) -> bool;
+/// Whether a day shows what has to hold.
+type Check = fn(&SimulationSummary) -> bool;
+
 /// A hard case of the model.
 struct HardCase {
     name: &'static str,
     /// How it differs from a plain start.
     change: fn(&mut SimulationScenario),
     /// What has to hold where dispatchers do not hear each other, and where they do.
-    alone: Holds,
-    heard: Holds,
+    alone: Check,
+    heard: Check,
 }
 
-const fn case(
-    name: &'static str,
-    change: fn(&mut SimulationScenario),
-    alone: Holds,
-    heard: Holds,
-) -> HardCase {
-    HardCase { name, change, alone, heard }
+impl HardCase {
+    fn check(&self, seed: u64) {
+        let mut day =
+            SimulationScenario { duration: 20 * SECOND, load: 0.1, ..SimulationScenario::start(SIZE, seed) };
+        (self.change)(&mut day);
+        for (behaviour, holds) in [
+            (PollingStrategy::SchedulerAlone, self.alone),
+            (PollingStrategy::SchedulerWithGossip, self.heard),
+        ] {
+            let outcome = simulate(&day, behaviour);
+            let shown = format!("{}, seed {seed}, {behaviour:?}: {outcome:?}", self.name);
+            assert!(spares_the_service(&outcome) && holds(&outcome), "{shown}");
+            assert!(outcome.jobs > 100, "{shown}");
+        }
+    }
+}
+
+fn spares_the_service(outcome: &SimulationSummary) -> bool {
+    let peak_is_low = outcome.peak_calls_after_outage <= 2 * CALLS_IN_100MS;
+    peak_is_low
+        && outcome.max_open_calls == 1
+        && outcome.processes_without_watch == 0
+        && outcome.collapses == 0
+}
+
+fn loses_no_job(outcome: &SimulationSummary) -> bool {
+    outcome.lost_jobs == 0
+}
+
+fn all_hold_a_list_soon(outcome: &SimulationSummary) -> bool {
+    outcome.calls_per_process <= 1.5
+        && outcome.list_time_p99 <= 2 * SERVICE_TIME_FOR_ALL
+        && loses_no_job(outcome)
+}
+
+fn notices_silence_in_time(outcome: &SimulationSummary) -> bool {
+    outcome.late_watches == 0
+}
+
+fn keeps_warm_up_budget(outcome: &SimulationSummary) -> bool {
+    outcome.max_budget_fraction <= 1.0
 }
 
-fn spares_the_service(o: &SimulationSummary) -> bool {
-    o.peak_calls_after_outage <= 2 * CALLS_IN_100MS
-        && o.max_open_calls == 1
-        && o.processes_without_watch == 0
-        && o.collapses == 0
+fn calls_less_than_twice(outcome: &SimulationSummary) -> bool {
+    outcome.calls_per_process <= 1.8
 }
 
+const HARD_CASES: [HardCase; 11] = [
+    HardCase {
+        name: "all start within 1 s",
+        change: |_| {},
+        alone: all_hold_a_list_soon,
+        heard: all_hold_a_list_soon,
+    },
+    HardCase {
+        name: "7 in 10 killed and restarted at once",
+        change: |day| day.restart = Some(MassRestart { at: 6 * SECOND, fraction: 0.7 }),
+        alone: all_hold_a_list_soon,
+        heard: all_hold_a_list_soon,
+    },
+    HardCase {
+        name: "down 8 s into the start",
+        change: |day| day.outage = Some(Outage { from: 0, until: 8 * SECOND }),
+        alone: |outcome| outcome.calls_per_process <= 9.0,
+        heard: |outcome| {
+            let is_soon = outcome.list_time_p99 <= 3 * SERVICE_TIME_FOR_ALL;
+            outcome.calls_per_process <= 2.0 && is_soon && loses_no_job(outcome)
+        },
+    },
+    HardCase {
+        name: "slow, refusing beyond its queue",
+        change: |day| day.service_time = 100_000,
+        alone: |outcome| outcome.calls_per_process <= 2.0,
+        heard: |outcome| outcome.calls_per_process <= 2.0 && loses_no_job(outcome),
+    },
+    HardCase {
+        name: "a watch opened that stays silent",
+        change: |day| day.silent_first_watches = 0.3,
+        alone: calls_less_than_twice,
+        heard: calls_less_than_twice,
+    },
+    HardCase {
+        name: "all watches fall silent",
+        change: |day| day.watches_silent_at = Some(6 * SECOND),
+        alone: notices_silence_in_time,
+        heard: notices_silence_in_time,
+    },
+    HardCase {
+        name: "peers paused in their turn to ask",
+        change: |day| {
+            day.pause = Some(Pause { dispatchers: 6, duration: 2 * SECOND });
+            day.outage = Some(Outage { from: 0, until: 4 * SECOND });
+        },
+        alone: loses_no_job,
+        heard: loses_no_job,
+    },
+    HardCase {
+        name: "two halves that start apart and heal",
+        change: |day| day.partitioned_until = Some(5 * SECOND),
+        alone: all_hold_a_list_soon,
+        heard: all_hold_a_list_soon,
+    },
+    HardCase {
+        name: "workers as cold as dispatchers",
+        change: |day| day.workers_warm_up = true,
+        alone: keeps_warm_up_budget,
+        heard: keeps_warm_up_budget,
+    },
+    HardCase {
+        name: "known names only dead workers",
+        change: |day| {
+            day.dead_workers = 1.0;
+            day.outage = Some(Outage { from: 0, until: 2 * SECOND });
+        },
+        alone: loses_no_job,
+        heard: |outcome| outcome.calls_per_process <= 1.6 && loses_no_job(outcome),
+    },
+    HardCase {
+        name: "down, killed and slow",
+        change: |day| {
+            day.outage = Some(Outage { from: 0, until: 4 * SECOND });
+            day.restart = Some(MassRestart { at: 3 * SECOND, fraction: 0.7 });
+            day.service_time = 30_000;
+        },
+        alone: loses_no_job,
+        heard: loses_no_job,
+    },
+];
+
+/// In each hard case the service is spared and what the case asks holds, whether or not dispatchers hear each other.
 #[test]
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
 fn model_holds_in_hard_cases() {
-    let soon: Holds =
-        |o| o.calls_per_process <= 1.5 && o.list_time_p99 <= 2 * SERVICE_TIME_FOR_ALL && o.lost_jobs == 0;
-    let holds: Holds = |o| o.lost_jobs == 0;
-    let cases = [
-        case("all start within 1 s", |_| {}, soon, soon),
-        case(
-            "7 in 10 killed and restarted at once",
-            |s| s.restart = Some(MassRestart { at: 6 * SECOND, fraction: 0.7 }),
-            soon,
-            soon,
-        ),
-        case(
-            "down 8 s into the start",
-            |s| s.outage = Some(Outage { from: 0, until: 8 * SECOND }),
-            |o| o.calls_per_process <= 9.0,
-            |o| o.calls_per_process <= 2.0 && o.list_time_p99 <= 3 * SERVICE_TIME_FOR_ALL && o.lost_jobs == 0,
-        ),
-        case(
-            "slow, refusing beyond its queue",
-            |s| s.service_time = 100_000,
-            |o| o.calls_per_process <= 2.0,
-            |o| o.calls_per_process <= 2.0 && o.lost_jobs == 0,
-        ),
-        case(
-            "a watch opened that stays silent",
-            |s| s.silent_first_watches = 0.3,
-            |o| o.calls_per_process <= 1.8,
-            |o| o.calls_per_process <= 1.8,
-        ),
-        case(
-            "all watches fall silent",
-            |s| s.watches_silent_at = Some(6 * SECOND),
-            |o| o.late_watches == 0,
-            |o| o.late_watches == 0,
-        ),
-        case(
-            "peers paused in their turn to ask",
-            |s| {
-                s.pause = Some(Pause { dispatchers: 6, duration: 2 * SECOND });
-                s.outage = Some(Outage { from: 0, until: 4 * SECOND });
-            },
-            holds,
-            holds,
-        ),
-        case("two halves that start apart and heal", |s| s.partitioned_until = Some(5 * SECOND), soon, soon),
-        case(
-            "workers as cold as dispatchers",
-            |s| s.workers_warm_up = true,
-            |o| o.max_budget_fraction <= 1.0,
-            |o| o.max_budget_fraction <= 1.0,
-        ),
-        case(
-            "known names only dead workers",
-            |s| {
-                s.dead_workers = 1.0;
-                s.outage = Some(Outage { from: 0, until: 2 * SECOND });
-            },
-            holds,
-            |o| o.calls_per_process <= 1.6 && o.lost_jobs == 0,
-        ),
-        case(
-            "down, killed and slow",
-            |s| {
-                s.outage = Some(Outage { from: 0, until: 4 * SECOND });
-                s.restart = Some(MassRestart { at: 3 * SECOND, fraction: 0.7 });
-                s.service_time = 30_000;
-            },
-            holds,
-            holds,
-        ),
-    ];
-    for HardCase { name, change, alone, heard } in cases {
+    for case in &HARD_CASES {
         for seed in [1, 2, 3] {
-            let mut day = SimulationScenario {
-                duration: 20 * SECOND,
-                load: 0.1,
-                ..SimulationScenario::start(SIZE, seed)
-            };
-            change(&mut day);
-            for (how, holds) in
-                [(PollingStrategy::SchedulerAlone, alone), (PollingStrategy::SchedulerWithGossip, heard)]
-            {
-                let outcome = simulate(&day, how);
-                let wrong = format!("{name}, seed {seed}, {how:?}: {outcome:?}");
-                assert!(spares_the_service(&outcome) && holds(&outcome), "{wrong}");
-                assert!(outcome.jobs > 100, "{wrong}");
-            }
+            case.check(seed);
         }
     }
 }
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -3,76 +3,112 @@
 use crate::{assert_kept, kept};
 use mothproxy::core::idempotency::IdempotencyKey;
 use mothproxy::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
-use mothproxy::core::{AttemptOutcome, Command, Core, DownstreamId, JobStatus, NewRequest};
-use mothproxy::{ClassId, LoadReport, Micros, Outcome, TenantId};
+use mothproxy::core::{AttemptId, AttemptOutcome, Command, Core, DownstreamId, JobStatus, NewRequest};
+use mothproxy::{ClassId, LoadReport, Micros, Outcome, TenantId, WorkerId};
 use mothproxy_testkit::site;
 use serde_json::json;
 
 const MS: Micros = 1_000;
 
-/// A core that has served, been refused and failed on three workers.
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
-fn taught() -> Core {
-    let mut rows: Vec<_> = (0..3)
-        .map(|n| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:{}", 9000 + n), "up"))
-        .collect();
-    rows[2]["startedAtMs"] = json!(1_790_000_000_500.0);
-    let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
-    let unix = 1_790_000_000_000_000;
-    let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
-    let mut now = Core::clock_start();
-    core.on_cached_list(&config.known_endpoints);
-    for n in 0..20_u64 {
-        now += 40 * MS;
-        let name = format!("job-{n}");
-        let arrival = NewRequest {
-            name: name.clone(),
-            downstream: DownstreamId(70),
-            class: ClassId((n % 2) as u16),
-            tenant: Some(TenantId(0)),
-            key: None,
-            time_budget: 5_000 * MS,
-            hint: None,
-            slots: 1.0,
-            memory: None,
-            repeat: false,
-            idempotency_key: None,
-        };
-        core.accept(now, arrival).expect("a request");
-        core.turn(now);
-        let mut sent = Vec::new();
-        while let Some(command) = core.next_command() {
-            if let Command::StartAttempt { attempt, worker } = command {
-                sent.push((attempt, worker));
+/// Unix time at the start of the core, in microseconds.
+const UNIX_TIME_AT_START: u128 = 1_790_000_000_000_000;
+/// Requests that the core gets.
+const REQUESTS: u64 = 20;
+
+/// A core with three workers, and its clock.
+struct Lesson {
+    core: Core,
+    now: Micros,
+}
+
+impl Lesson {
+    fn start() -> Lesson {
+        let address = |number| format!("127.0.0.1:{}", 9000 + number);
+        let entry = |number| site::endpoint_entry(&format!("s-{number}"), &address(number), "up");
+        let mut entries: Vec<_> = (0..3).map(entry).collect();
+        entries[2]["startedAtMs"] = json!(1_790_000_000_500.0);
+        let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(entries)));
+        let core = Core::new(config.settings, config.names, config.seed, UNIX_TIME_AT_START);
+        let mut core = core.expect("sound settings");
+        let now = Core::clock_start();
+        core.on_cached_list(&config.known_endpoints);
+        Lesson { core, now }
+    }
+
+    /// A request arrives, and each of its attempts ends: most are served, some are reset and some meet a full worker.
+    fn play_request(&mut self, number: u64) {
+        self.now += 40 * MS;
+        let name = format!("job-{number}");
+        self.core.accept(self.now, request(&name, number)).expect("a request");
+        self.core.turn(self.now);
+        for attempt in self.started_attempts() {
+            self.now += 8 * MS;
+            match number % 7 {
+                3 => self.end_unserved(&attempt, Outcome::Reset, None),
+                5 => self.end_unserved(&attempt, Outcome::Full, Some(load_report())),
+                _ => self.serve(&attempt, &name),
             }
+            self.core.turn(self.now);
         }
-        for (attempt, worker) in sent {
-            now += 8 * MS;
-            let report = LoadReport {
-                cpu: Some(0.25),
-                free_slots: Some(4.0),
-                waiting: Some(0.0),
-                ..LoadReport::default()
-            };
-            if n % 7 == 3 {
-                core.on_attempt_ended(now, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
-            } else if n % 7 == 5 {
-                core.on_attempt_ended(now, attempt, AttemptOutcome::Unserved(Outcome::Full), Some(report));
-            } else {
-                core.on_job_status(now, &name, &format!("s-{}", worker.0), JobStatus::Started, None);
-                now += 4 * MS;
-                core.on_job_status(
-                    now,
-                    &name,
-                    &format!("s-{}", worker.0),
-                    JobStatus::Done(b"x".to_vec()),
-                    Some(report),
-                );
+    }
+
+    fn started_attempts(&mut self) -> Vec<StartedAttempt> {
+        let mut started = Vec::new();
+        while let Some(command) = self.core.next_command() {
+            if let Command::StartAttempt { attempt, worker } = command {
+                started.push(StartedAttempt { attempt, worker });
             }
-            core.turn(now);
         }
+        started
+    }
+
+    fn end_unserved(&mut self, started: &StartedAttempt, outcome: Outcome, report: Option<LoadReport>) {
+        let outcome = AttemptOutcome::Unserved(outcome);
+        self.core.on_attempt_ended(self.now, started.attempt, outcome, report);
+    }
+
+    fn serve(&mut self, started: &StartedAttempt, name: &str) {
+        let worker = format!("s-{}", started.worker.0);
+        self.core.on_job_status(self.now, name, &worker, JobStatus::Started, None);
+        self.now += 4 * MS;
+        let done = JobStatus::Done(b"x".to_vec());
+        self.core.on_job_status(self.now, name, &worker, done, Some(load_report()));
+    }
+}
+
+/// An attempt that the core has started.
+struct StartedAttempt {
+    attempt: AttemptId,
+    worker: WorkerId,
+}
+
+fn load_report() -> LoadReport {
+    LoadReport { cpu: Some(0.25), free_slots: Some(4.0), waiting: Some(0.0), ..LoadReport::default() }
+}
+
+fn request(name: &str, number: u64) -> NewRequest {
+    NewRequest {
+        name: name.to_owned(),
+        downstream: DownstreamId(70),
+        class: ClassId((number % 2) as u16),
+        tenant: Some(TenantId(0)),
+        key: None,
+        time_budget: 5_000 * MS,
+        hint: None,
+        slots: 1.0,
+        memory: None,
+        repeat: false,
+        idempotency_key: None,
+    }
+}
+
+/// A core that has served, been refused and failed on three workers.
+fn core_with_history() -> Core {
+    let mut lesson = Lesson::start();
+    for number in 0..REQUESTS {
+        lesson.play_request(number);
     }
-    core
+    lesson.core
 }
 
 /// The file's value, which the type writes again alike: the same keys in the same order, the same values. The last bit of a
@@ -94,17 +130,19 @@
     value
 }
 
+/// What a core has learned is written as it was, is read again, and is used.
 #[test]
 fn what_is_learned_keeps_its_form() {
-    let lesson = serde_json::to_string(&taught().learned_state()).expect("JSON");
-    assert_kept("learned.json", &(lesson + "\n"));
-    let lesson: LearnedState = read_and_written_again("learned.json");
-    let mut core = taught();
-    core.restore(lesson);
+    let learned = serde_json::to_string(&core_with_history().learned_state()).expect("JSON");
+    assert_kept("learned.json", &(learned + "\n"));
+    let learned: LearnedState = read_and_written_again("learned.json");
+    let mut core = core_with_history();
+    core.restore(learned);
     let again = serde_json::to_value(core.learned_state()).expect("JSON");
     assert_eq!(again["learned"]["workers"].as_array().map(Vec::len), Some(3), "what was read is used");
 }
 
+/// A request under way, with its attempts, is written as it was and read again.
 #[test]
 fn a_request_under_way_keeps_its_form() {
     let attempt = |worker: &str, started_at, phase| TransferredAttempt {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -3,6 +3,7 @@
 use mothproxy_testkit::*;
 use serde_json::{Value, json};
 use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -26,7 +27,8 @@
     assert_eq!(reply.status, 200);
 }
 
-/// SIGHUP used to end the program, and what it had taken was lost. `GW_DISCOVERY` still says the old address.
+/// After SIGHUP with another discovery the program follows that, and jobs under way are answered. SIGHUP used to end the program,
+/// and what it had accepted was lost. `GW_DISCOVERY` still says the old address.
 #[test]
 fn reload_switches_discovery_and_keeps_open_jobs() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
@@ -40,7 +42,7 @@
     let request = |id| job_request(id, "redeem", "take started wait=moved done=kept", "");
     let mut plain = connect(program.platform);
     plain.write_all(request("a0").as_bytes()).expect("written");
-    let mut stream = connect(program.sse.expect("the SSE front is on"));
+    let mut stream = connect(program.sse.expect("the SSE listener is on"));
     stream.write_all(request("a1").as_bytes()).expect("written");
     wait_until("both jobs arrive", || old.job_count.load(Ordering::SeqCst) == 2);
     wait_until("a watch", || first.calls.load(Ordering::SeqCst) > 0);
@@ -91,6 +93,7 @@
     });
 }
 
+/// A configuration that cannot be used is rejected with its reason; the old one stays, with its watch, and jobs are served.
 #[test]
 fn reload_of_bad_configuration_changes_nothing() {
     let worker = FakeWorker::start("s-1");
@@ -143,77 +146,100 @@
     assert_eq!(discovery.calls.load(Ordering::SeqCst), 1);
 }
 
-/// A file that dropped a class, or put classes in another order, was turned down. Jobs under way must keep their class, also
-/// where its name now means something else.
+/// The program with the classes of the usual configuration, and clients on both listeners.
+struct ClassesSite {
+    workers: [Arc<FakeWorker>; 2],
+    program: DispatcherProcess,
+    platform: SocketAddr,
+    sse: SocketAddr,
+}
+
+impl ClassesSite {
+    fn start() -> ClassesSite {
+        // Two, since one without a report yet is not given a third job beside two.
+        let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
+        let program = DispatcherProcess::builder(&workers)
+            .event_streams(true)
+            .configure(|config| config["admin_addr"] = json!("127.0.0.1:0"))
+            .start();
+        let sse = program.sse.expect("the SSE listener is on");
+        ClassesSite { workers, platform: program.platform, sse, program }
+    }
+
+    /// The configuration without "balance", with "redeem" first and not to be repeated any more, and "check" as a new class.
+    fn other_classes(&self) -> Value {
+        let mut config = self.program.config.clone();
+        let classes = config["settings"]["Grades"].as_array_mut().expect("a list");
+        classes[0]["Name"] = json!("check");
+        classes[1]["Semantics"] = json!("side_effect");
+        classes.reverse();
+        config["settings"]["Limits"]["MaxAttempts"] = json!(1);
+        config
+    }
+
+    /// Jobs of two classes on both listeners, which run until the gate is open.
+    fn start_jobs(&self) -> Vec<TcpStream> {
+        const SCRIPT: &str = "take started wait=retuned done=kept";
+        const ACCEPT: &str = "Accept: text/event-stream\r\n";
+        let jobs =
+            [(self.platform, "a0", "balance"), (self.sse, "a1", "balance"), (self.platform, "a2", "redeem")];
+        let mut open = Vec::new();
+        for (to, id, class) in jobs {
+            let mut stream = connect(to);
+            stream.write_all(job_request(id, class, SCRIPT, ACCEPT).as_bytes()).expect("written");
+            open.push(stream);
+        }
+        wait_until("the jobs arrive", || {
+            let received = self.workers.iter().map(|worker| worker.job_count.load(Ordering::SeqCst));
+            received.sum::<u64>() == open.len() as u64
+        });
+        open
+    }
+
+    fn reload(&mut self, config: &str, expected_log: &str) {
+        self.program.replace_config(config);
+        self.program.signal("-HUP");
+        self.program.wait_for_log(expected_log);
+    }
+}
+
+/// The status of a job of this class.
+fn job_status(to: SocketAddr, id: &str, class: &str) -> u16 {
+    send(to, &job_request(id, class, "take started done=x", "")).expect("an answer").status
+}
+
+/// A new file may drop a class, add one and put them in another order: jobs under way keep their class, also where its name now
+/// means something else. Such a file was refused.
 #[test]
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
 fn reload_changes_classes_under_open_jobs() {
-    // Two, since one without a report yet is not given a third job beside two.
-    let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let mut program = DispatcherProcess::builder(&workers)
-        .event_streams(true)
-        .configure(|config| {
-            config["admin_addr"] = json!("127.0.0.1:0");
-        })
-        .start();
-    let (platform, sse) = (program.platform, program.sse.expect("the SSE front is on"));
-    let status = |to, id: &str, class: &str| {
-        send(to, &job_request(id, class, "take started done=x", "")).expect("an answer").status
-    };
-    let good = program.config.clone();
-    let mut config = good.clone();
-    let grades = config["settings"]["Grades"].as_array_mut().expect("a list");
-    // "balance" goes, "redeem" comes first and may not be repeated any more, "check" is new.
-    grades[0]["Name"] = json!("check");
-    grades[1]["Semantics"] = json!("side_effect");
-    grades.reverse();
-    config["settings"]["Limits"]["MaxAttempts"] = json!(1);
-    let mut open: Vec<_> = [(platform, "a0", "balance"), (sse, "a1", "balance"), (platform, "a2", "redeem")]
-        .into_iter()
-        .map(|(to, id, class)| {
-            let mut stream = connect(to);
-            let text = job_request(
-                id,
-                class,
-                "take started wait=retuned done=kept",
-                "Accept: text/event-stream\r\n",
-            );
-            stream.write_all(text.as_bytes()).expect("written");
-            stream
-        })
-        .collect();
-    wait_until("the jobs arrive", || {
-        workers.iter().map(|n| n.job_count.load(Ordering::SeqCst)).sum::<u64>() == 3
-    });
-    program.replace_config(&config.to_string());
-    program.signal("-HUP");
-    program.wait_for_log("configuration reloaded");
-    workers.iter().for_each(|worker| worker.open_gate("retuned"));
+    let mut site = ClassesSite::start();
+    let (platform, sse) = (site.platform, site.sse);
+    let before = site.program.config.to_string();
+    let mut open = site.start_jobs();
+    let other_classes = site.other_classes().to_string();
+    site.reload(&other_classes, "configuration reloaded");
+    site.workers.iter().for_each(|worker| worker.open_gate("retuned"));
     for stream in &mut open {
         let reply = read_reply(stream).expect("an answer");
         assert!(reply.status == 200 && reply.body.contains("kept"), "{}", reply.body);
     }
-    for (n, to) in [platform, sse].into_iter().enumerate() {
-        assert_eq!(status(to, &format!("b{n}"), "balance"), 400, "it has vanished");
-        assert_eq!(status(to, &format!("c{n}"), "check"), 200, "it has appeared");
-        assert_eq!(status(to, &format!("d{n}"), "redeem"), 200);
+    for (number, to) in [platform, sse].into_iter().enumerate() {
+        assert_eq!(job_status(to, &format!("b{number}"), "balance"), 400, "it has vanished");
+        assert_eq!(job_status(to, &format!("c{number}"), "check"), 200, "it has appeared");
+        assert_eq!(job_status(to, &format!("d{number}"), "redeem"), 200);
     }
-    program.replace_config("{");
-    program.signal("-HUP");
-    program.wait_for_log("reload rejected");
-    program.replace_config(&good.to_string());
-    program.signal("-HUP");
-    program.wait_for_log("configuration reloaded");
-    assert_eq!((status(platform, "e0", "balance"), status(platform, "e1", "check")), (200, 400));
-    let metrics = program.call_admin("GET", "/control/counters").body;
-    for line in [
+    site.reload("{", "reload rejected");
+    site.reload(&before, "configuration reloaded");
+    assert_eq!((job_status(platform, "e0", "balance"), job_status(platform, "e1", "check")), (200, 400));
+    let counters = site.program.call_admin("GET", "/control/counters").body;
+    for expected in [
         "dispatcher.success.balance:3|c",
         "dispatcher.success.redeem:3|c",
         "dispatcher.success.check:2|c",
         "dispatcher.reconfig_ok:2|c",
         "dispatcher.reconfig_failed:1|c",
     ] {
-        assert!(metrics.lines().any(|l| l == line), "{line} in {metrics}");
+        assert!(counters.lines().any(|line| line == expected), "{expected} in {counters}");
     }
 }
 
