--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,7 +5,7 @@
 #[path = "common/members.rs"]
 mod members;
 
-use common::{MS, TestDispatcher, sends, worker};
+use common::{MS, PeerDatagram, TestDispatcher, peer_datagrams, sends, workers};
 use members::*;
 use mothproxy::fleet::{Fleet as Parts, FleetOutput, FleetSettings, MembershipSettings, ProcessIdentity};
 use mothproxy::policy::interface::PeerPresence::{self, Present, Unreachable};
@@ -13,6 +13,11 @@
 use mothproxy_testkit::fleet::*;
 use std::time::Duration;
 
+/// The first byte of a membership datagram, and of one of another version.
+const MEMBERSHIP_KIND: u8 = 0xF1;
+const OTHER_VERSION_KIND: u8 = 0xF2;
+
+/// Settings with membership on.
 const ON: &str = "fleet { membership { probe_interval_ms: 100 } }";
 
 fn plan(size: usize, seed: u64, settings: Option<&str>) -> Plan {
@@ -20,65 +25,97 @@
     Plan { settings: settings.map(str::to_owned), ..plan }
 }
 
+fn others(fleet: &Fleet, member: usize) -> Vec<usize> {
+    fleet.all().into_iter().filter(|other| *other != member).collect()
+}
+
+/// Waits until all hold all alive.
 fn agree(fleet: &Fleet, what: &str) {
     fleet.wait_until(&format!("all hold all alive {what}"), || {
         all_believe(fleet, &fleet.all(), &fleet.all(), "alive")
     });
 }
 
-/// Rubbish, a kill, a restart, two sides, a one-way cut, a pause and a farewell; jobs are served all along.
-#[test]
-fn five_processes_agree_on_members_through_faults() {
-    let fleet = Fleet::start(plan(5, 0x6d65_6d01, Some(ON))).expect("a fleet");
-    agree(&fleet, "at the start");
-    let load = fleet.start_plain_load(&[0, 2], 20.0, Duration::from_secs(60));
-    // Rubbish: each is refused and nobody dies of it.
+/// Random bytes that look like datagrams of this or another version: each is refused and nobody dies of it.
+fn send_rubbish(fleet: &Fleet, receiver: usize) {
     let mut rng = fastrand::Rng::with_seed(5);
-    for n in 0..400_usize {
+    for number in 0..400_usize {
         let mut bytes: Vec<u8> = (0..rng.usize(1..300)).map(|_| rng.u8(..)).collect();
-        bytes[0] = if n % 4 == 0 { 0xF2 } else { 0xF1 };
-        fleet.datagrams.forge(n % 4, 4, &bytes);
+        bytes[0] = if number % 4 == 0 { OTHER_VERSION_KIND } else { MEMBERSHIP_KIND };
+        fleet.datagrams.forge(number % 4, receiver, &bytes);
     }
-    fleet.wait_until("rubbish is counted", || membership_metric(&fleet, 4, "refused") > 100);
-    agree(&fleet, "after rubbish");
-    // A kill, and a restart at the same place with a greater epoch.
-    let (rest, before) = ([0, 1, 2, 4], member_epoch(&fleet, 0, 3));
-    fleet.kill(3);
-    fleet.wait_until("the killed one is dead", || all_believe(&fleet, &rest, &[3], "dead"));
-    assert!(all_believe(&fleet, &rest, &rest, "alive"), "and no other");
-    fleet.restart(3).expect("it starts again");
-    agree(&fleet, "after a restart");
-    assert!(member_epoch(&fleet, 0, 3) > before, "a new epoch");
-    // Two sides: each holds the other dead and none of its own.
-    let (few, many) = ([0, 1], [2, 3, 4]);
-    fleet.datagrams.partition(&[&few, &many]);
+    fleet.wait_until("rubbish is counted", || membership_metric(fleet, receiver, "refused") > 100);
+    agree(fleet, "after rubbish");
+}
+
+/// A kill, and a restart at the same place with a greater epoch.
+fn kill_and_restart(fleet: &Fleet, victim: usize) {
+    let others = others(fleet, victim);
+    let epoch = member_epoch(fleet, 0, victim);
+    fleet.kill(victim);
+    fleet.wait_until("the killed one is dead", || all_believe(fleet, &others, &[victim], "dead"));
+    assert!(all_believe(fleet, &others, &others, "alive"), "and no other");
+    fleet.restart(victim).expect("it starts again");
+    agree(fleet, "after a restart");
+    assert!(member_epoch(fleet, 0, victim) > epoch, "a new epoch");
+}
+
+/// Two sides: each holds the other dead and none of its own.
+fn partition_and_heal(fleet: &Fleet, one: &[usize], other: &[usize]) {
+    fleet.datagrams.partition(&[one, other]);
     fleet.wait_until("each side is alone", || {
-        all_believe(&fleet, &few, &many, "dead") && all_believe(&fleet, &many, &few, "dead")
+        all_believe(fleet, one, other, "dead") && all_believe(fleet, other, one, "dead")
     });
-    assert!(all_believe(&fleet, &few, &few, "alive") && all_believe(&fleet, &many, &many, "alive"));
+    assert!(all_believe(fleet, one, one, "alive") && all_believe(fleet, other, other, "alive"));
     fleet.datagrams.heal();
-    agree(&fleet, "after the heal");
-    // One cannot reach one other directly: nobody dies, however many probes fail on that way.
-    let healed = fleet.now();
-    fleet.datagrams.cut_one_way(&[0], &[1]);
-    let probes = membership_metric(&fleet, 0, "probes");
-    fleet.wait_until("many probes", || membership_metric(&fleet, 0, "probes") > probes + 20);
+    agree(fleet, "after the heal");
+}
+
+/// One cannot reach one other directly: nobody dies, however many probes fail on that way.
+fn cut_one_way_and_heal(fleet: &Fleet, from: usize, to: usize) {
+    let cut_at = fleet.now();
+    fleet.datagrams.cut_one_way(&[from], &[to]);
+    let probes = membership_metric(fleet, from, "probes");
+    fleet.wait_until("many probes", || membership_metric(fleet, from, "probes") > probes + 20);
     fleet.datagrams.heal();
-    agree(&fleet, "after a one-way cut");
-    assert_eq!(state_changes(&fleet, &fleet.all(), "Dead", healed), [], "nobody died of it");
-    // A pause that outlasts the suspicion: it is dead to the others, and they to it are not.
-    let paused = fleet.now();
-    fleet.pause(1);
-    fleet.wait_until("the paused one is dead", || all_believe(&fleet, &[0, 2, 3, 4], &[1], "dead"));
-    fleet.resume(1);
-    agree(&fleet, "after a pause");
-    assert_eq!(state_changes(&fleet, &[1], "Dead", paused), [], "it held nobody dead for its own sleep");
-    // A farewell is no death.
-    let stopped = fleet.now();
-    fleet.terminate(4);
-    fleet.wait_until("it has left", || all_believe(&fleet, &[0, 1, 2, 3], &[4], "left"));
-    fleet.wait_until_exited(&[4]);
-    assert_eq!(state_changes(&fleet, &fleet.all(), "Dead", stopped), [], "who has left is not dead");
+    agree(fleet, "after a one-way cut");
+    assert_eq!(state_changes(fleet, &fleet.all(), "Dead", cut_at), [], "nobody died of it");
+}
+
+/// A pause that outlasts the suspicion: it is dead to the others, and they to it are not.
+fn pause_and_resume(fleet: &Fleet, paused: usize) {
+    let paused_at = fleet.now();
+    fleet.pause(paused);
+    fleet.wait_until("the paused one is dead", || {
+        all_believe(fleet, &others(fleet, paused), &[paused], "dead")
+    });
+    fleet.resume(paused);
+    agree(fleet, "after a pause");
+    let deaths = state_changes(fleet, &[paused], "Dead", paused_at);
+    assert_eq!(deaths, [], "it held nobody dead for its own sleep");
+}
+
+/// A process that leaves is not dead.
+fn terminate(fleet: &Fleet, leaving: usize) {
+    let stopped_at = fleet.now();
+    fleet.terminate(leaving);
+    fleet.wait_until("it has left", || all_believe(fleet, &others(fleet, leaving), &[leaving], "left"));
+    fleet.wait_until_exited(&[leaving]);
+    assert_eq!(state_changes(fleet, &fleet.all(), "Dead", stopped_at), [], "who has left is not dead");
+}
+
+/// Rubbish, a kill, a restart, two sides, a one-way cut, a pause and a shutdown; jobs are served all along.
+#[test]
+fn five_processes_agree_on_members_through_faults() {
+    let fleet = Fleet::start(plan(5, 0x6d65_6d01, Some(ON))).expect("a fleet");
+    agree(&fleet, "at the start");
+    let load = fleet.start_plain_load(&[0, 2], 20.0, Duration::from_secs(60));
+    send_rubbish(&fleet, 4);
+    kill_and_restart(&fleet, 3);
+    partition_and_heal(&fleet, &[0, 1], &[2, 3, 4]);
+    cut_one_way_and_heal(&fleet, 0, 1);
+    pause_and_resume(&fleet, 1);
+    terminate(&fleet, 4);
     let report = load.stop();
     let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
@@ -244,86 +281,131 @@
     assert_eq!(lines + hidden, version, "each change has a line or is counted");
 }
 
-/// Twenty nodes in two groups before twelve workers with four slots each, cut into two sides that hold members of both
-/// groups and do not hear each other.
-struct Cut {
-    nodes: Vec<TestDispatcher>,
+/// Twenty dispatchers in two groups before twelve workers with four slots each, partitioned into two sides that hold members of
+/// both groups and do not hear each other.
+struct PartitionedFleet {
+    dispatchers: Vec<TestDispatcher>,
+    /// The jobs at each worker.
     running: Vec<usize>,
 }
 
-impl Cut {
-    const NODES: u32 = 20;
+/// Jobs that run in a [`PartitionedFleet`].
+struct RunningJobs {
+    /// At the fullest worker.
+    max_per_worker: usize,
+    in_all: usize,
+}
+
+impl PartitionedFleet {
+    const DISPATCHERS: u32 = 20;
+    const WORKERS: u32 = 12;
+    const SLOTS: usize = 4;
 
-    fn side(node: u32) -> u32 {
-        node / 2 % 2
+    fn side(dispatcher: u32) -> u32 {
+        dispatcher / 2 % 2
     }
 
-    /// `told` of the cut or not: each then has seen the others die.
-    fn new(told: bool) -> Cut {
-        let base = mothproxy::Settings { may_probe: true, reports_start: true, ..Default::default() };
+    fn settings(me: u32) -> mothproxy::Settings {
+        let default = mothproxy::Settings::default();
         let class = mothproxy::Class {
             latency_objective: 20_000 * MS,
             deadline: 60_000 * MS,
-            ..base.classes[0].clone()
+            ..default.classes[0].clone()
         };
-        let base =
-            mothproxy::Settings { nodes: Cut::NODES, may_message_peers: true, classes: vec![class], ..base };
-        let node = |me| TestDispatcher::with_seed(mothproxy::Settings { me, ..base.clone() }, u64::from(me));
-        let mut cut = Cut { nodes: (0..Cut::NODES).map(node).collect(), running: vec![0; 12] };
-        for me in 0..Cut::NODES {
-            let node = &mut cut.nodes[me as usize];
-            node.load_cached_list((0..12).map(worker).collect());
-            node.report_load(0, 0.0, 4.0); // workers of this kind have four slots
-            if told {
-                let believed = |n| if Cut::side(n) == Cut::side(me) { Present } else { Unreachable };
-                node.feed(Event::Peers((0..Cut::NODES).map(believed).collect()));
-            }
+        mothproxy::Settings {
+            me,
+            nodes: PartitionedFleet::DISPATCHERS,
+            classes: vec![class],
+            may_probe: true,
+            reports_start: true,
+            may_message_peers: true,
+            ..default
         }
-        cut.pass(5_000 * MS); // workers that came from the other group are let rest
-        cut
     }
 
-    fn act(&mut self, from: u32, actions: Vec<Action>) {
-        for (job, to) in sends(&actions) {
-            self.running[to.0 as usize] += 1;
-            let started = self.nodes[from as usize].feed(Event::Started { job: JobId(job), attempt: 0 });
-            self.act(from, started);
+    /// A fleet whose dispatchers take each other for present.
+    fn unaware() -> PartitionedFleet {
+        PartitionedFleet::with_presence(|_, _| None)
+    }
+
+    /// A fleet whose dispatchers have each seen those of the other side die.
+    fn aware() -> PartitionedFleet {
+        let is_near = |me, other| PartitionedFleet::side(me) == PartitionedFleet::side(other);
+        PartitionedFleet::with_presence(|me, other| {
+            Some(if is_near(me, other) { Present } else { Unreachable })
+        })
+    }
+
+    /// A fleet in which each dispatcher is notified of what it believes of each, if of anything.
+    fn with_presence(presence: impl Fn(u32, u32) -> Option<PeerPresence>) -> PartitionedFleet {
+        let count = PartitionedFleet::DISPATCHERS;
+        let dispatcher = |me| {
+            let settings = PartitionedFleet::settings(me);
+            let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(me));
+            dispatcher.load_cached_list(workers(PartitionedFleet::WORKERS));
+            // One report says how many slots workers of this kind have.
+            dispatcher.report_load(0, 0.0, PartitionedFleet::SLOTS as f64);
+            let believed: Option<Vec<PeerPresence>> = (0..count).map(|other| presence(me, other)).collect();
+            if let Some(believed) = believed {
+                dispatcher.feed(Event::Peers(believed));
+            }
+            dispatcher
+        };
+        let mut fleet = PartitionedFleet {
+            dispatchers: (0..count).map(dispatcher).collect(),
+            running: vec![0; PartitionedFleet::WORKERS as usize],
+        };
+        fleet.advance(5_000 * MS); // workers that came from the other group are let rest
+        fleet
+    }
+
+    /// Does what a dispatcher wants done, and what follows from that.
+    fn perform(&mut self, from: u32, actions: &[Action]) {
+        for (job, worker) in sends(actions) {
+            self.running[worker.0 as usize] += 1;
+            self.feed(from, Event::Started { job: JobId(job), attempt: 0 });
         }
-        for action in actions {
-            if let Action::SendToPeer { to, bytes } = action
-                && Cut::side(to) == Cut::side(from)
-            {
-                let heard = self.nodes[to as usize].feed(Event::PeerMessage { from, bytes });
-                self.act(to, heard);
+        for PeerDatagram { to, bytes } in peer_datagrams(actions) {
+            if PartitionedFleet::side(to) == PartitionedFleet::side(from) {
+                self.feed(to, Event::PeerMessage { from, bytes });
             }
         }
     }
 
-    fn pass(&mut self, span: u64) {
-        for n in 0..Cut::NODES {
-            let actions = self.nodes[n as usize].advance(span);
-            self.act(n, actions);
+    fn feed(&mut self, dispatcher: u32, event: Event) {
+        let actions = self.dispatchers[dispatcher as usize].feed(event);
+        self.perform(dispatcher, &actions);
+    }
+
+    fn advance(&mut self, span: u64) {
+        for number in 0..PartitionedFleet::DISPATCHERS {
+            let actions = self.dispatchers[number as usize].advance(span);
+            self.perform(number, &actions);
         }
     }
 
-    /// Far more jobs than there are slots, for 2 s: how many run at the fullest worker, and in all.
-    fn fill(mut self) -> (usize, usize) {
-        for n in 0..400 {
-            let actions = self.nodes[(n % Cut::NODES) as usize].arrive(u64::from(n), 0, 60_000 * MS);
-            self.act(n % Cut::NODES, actions);
-            self.pass(5 * MS);
+    /// Far more jobs than there are slots arrive within 2 s.
+    fn fill(mut self) -> RunningJobs {
+        for job in 0..400 {
+            let number = job % PartitionedFleet::DISPATCHERS;
+            let actions = self.dispatchers[number as usize].arrive(u64::from(job), 0, 60_000 * MS);
+            self.perform(number, &actions);
+            self.advance(5 * MS);
+        }
+        RunningJobs {
+            max_per_worker: self.running.iter().copied().max().unwrap_or(0),
+            in_all: self.running.iter().sum(),
         }
-        (self.running.iter().copied().max().unwrap_or(0), self.running.iter().sum())
     }
 }
 
-/// What both sides of a cut take is within each worker's slots once each has seen the cut, and nearly all of them are used;
+/// What both sides of a partition take is within each worker's slots once each has seen it, and nearly all of them are used;
 /// without the view both fill every worker by themselves.
 #[test]
 fn partitioned_sides_stay_within_worker_slots() {
-    let (most, all) = Cut::new(true).fill();
-    assert!(most <= 4, "{most} jobs at once on one worker with four slots");
-    assert!(all >= 36, "{all} of 48 slots are used");
-    let (most, _) = Cut::new(false).fill();
-    assert!(most > 4, "the measure: without the view {most} at once");
+    let RunningJobs { max_per_worker, in_all } = PartitionedFleet::aware().fill();
+    assert!(max_per_worker <= 4, "{max_per_worker} jobs at once on one worker with four slots");
+    assert!(in_all >= 36, "{in_all} of 48 slots are used");
+    let RunningJobs { max_per_worker, .. } = PartitionedFleet::unaware().fill();
+    assert!(max_per_worker > 4, "the measure: without the view {max_per_worker} at once");
 }
