--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -11,6 +11,7 @@
 
 const BATCH: &str = include_str!("batch.txt");
 
+/// Messages and fields that the adapter does not know change nothing.
 #[test]
 fn ignores_unknown_messages_and_fields() {
     let (result, out) = serve(BATCH.as_bytes());
@@ -19,6 +20,7 @@
     assert_eq!(out.matches("transmit\tJob=00000000000000aa").count(), 1);
 }
 
+/// Input that cannot be read is refused with its line and field.
 #[test]
 fn malformed_input_names_line_and_field() {
     let cases = [
@@ -38,6 +40,7 @@
     }
 }
 
+/// Two instances in one batch answer as each does alone.
 #[test]
 fn instances_do_not_affect_each_other() {
     let (_, alone) = serve(BATCH.as_bytes());
@@ -74,11 +77,13 @@
         ..ProptestConfig::default()
     })]
 
+    /// Any bytes are answered or refused.
     #[test]
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = serve(&bytes);
     }
 
+    /// A batch with a few bytes changed is answered or refused.
     #[test]
     fn damaged_batches_never_panic(cuts in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
         let mut bytes = BATCH.as_bytes().to_vec();
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -1,10 +1,15 @@
-//! Clients that send what cannot be read, or nothing, on both fronts: each gets an error or a close, and usual
+//! Clients that send what cannot be read, or nothing, on both listeners: each gets an error or a close, and usual
 //! clients are served beside them.
 
+#[path = "common/process_memory.rs"]
+mod process_memory;
+
 use mothproxy_testkit::*;
+use process_memory::memory_kib;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
 
 /// Reads until the other side closes: what it said.
 fn to_the_end(mut stream: TcpStream) -> String {
@@ -21,19 +26,34 @@
     String::from_utf8_lossy(&seen).into_owned()
 }
 
-fn fronts(program: &DispatcherProcess) -> [SocketAddr; 2] {
-    [program.platform, program.sse.expect("the SSE front is on")]
+/// Starts the program with one worker and its event-stream listener on.
+fn start_with_both_listeners() -> (Arc<FakeWorker>, DispatcherProcess) {
+    let worker = FakeWorker::start("s-1");
+    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
+    (worker, program)
+}
+
+/// Starts the program with one worker and a budget of 80 sockets.
+fn start_with_few_sockets() -> DispatcherProcess {
+    DispatcherProcess::builder(&[FakeWorker::start("s-1")])
+        .configure(|config| config["limits"]["sockets"] = json!(80))
+        .start()
+}
+
+/// The addresses of the platform's listener and of that for event streams.
+fn listeners(program: &DispatcherProcess) -> [SocketAddr; 2] {
+    [program.platform, program.sse.expect("the SSE listener is on")]
 }
 
-/// These were kept for 20 s, and silent ones for 120 s; the limit is a fact of the program, not of the test.
+/// A connection that sends nothing is closed, and half a request is answered 408; one that has been served is kept. They were
+/// kept for 20 s, and silent ones for 120 s; the limit is a fact of the program, not of the test.
 #[test]
 fn answers_or_closes_what_never_becomes_a_request() {
-    let worker = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
+    let (worker, program) = start_with_both_listeners();
     let whole = simple_job("a0");
     let half_body = &whole[..whole.len() - 5];
     let chunks = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab";
-    for (n, to) in fronts(&program).into_iter().enumerate() {
+    for (n, to) in listeners(&program).into_iter().enumerate() {
         // A connection that has been served once is kept, however long it says nothing.
         let mut kept = connect(to);
         kept.write_all(simple_job(&format!("k{n}")).as_bytes()).expect("written");
@@ -63,9 +83,8 @@
 /// still sending.
 #[test]
 fn rejects_endless_heads_and_huge_bodies_early() {
-    let worker = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
-    for to in fronts(&program) {
+    let (_worker, program) = start_with_both_listeners();
+    for to in listeners(&program) {
         let huge =
             job_request("b0", "balance", "", "").replace("Content-Length: 0", "Content-Length: 60000000");
         let endless = "POST /balance HTTP/1.1\r\nHost: h\r\n".to_owned();
@@ -87,12 +106,10 @@
     assert_eq!(program.shut_down_for_metrics()["taken"], 0);
 }
 
-/// Half requests used to hold every descriptor that usual clients need: nothing could be closed for those.
+/// Usual clients are served beside half requests. These used to hold every descriptor that usual clients need: nothing could be closed for those.
 #[test]
 fn half_requests_do_not_exhaust_descriptors() {
-    let worker = FakeWorker::start("s-1");
-    let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = json!(80);
-    let program = DispatcherProcess::builder(&[worker]).configure(few).start();
+    let program = start_with_few_sockets();
     let half = |n: usize| {
         let mut stream = connect(program.platform);
         stream
@@ -114,15 +131,10 @@
     assert_eq!(program.shut_down_for_metrics()["served"], 20);
 }
 
-/// Half requests gave way by when they were accepted: in a crowd, usual clients that write slowly were cut off first.
+/// A client that writes slowly is answered, and half requests that say nothing give way to others. They gave way by when they were accepted: in a crowd, usual clients that write slowly were cut off first.
 #[test]
 fn writing_client_outlasts_stalled_crowd() {
-    let worker = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
-        .configure(|config| {
-            config["limits"]["sockets"] = json!(80);
-        })
-        .start();
+    let program = start_with_few_sockets();
     let request = job_request("slow-0", "balance", "take started done=whole", "");
     let mut slow = connect(program.platform);
     let mut crowd = Vec::new();
@@ -148,17 +160,14 @@
     assert!(crowd.iter_mut().map(gave_way).filter(|gave| *gave).count() > 30, "the crowd has given way");
 }
 
-/// A connection was closed as idle in the instant between its coming and its first byte, once half requests filled the
+/// A connection that has just been accepted is not closed before its first byte. It was closed as idle in the instant between its coming and its first byte, once half requests filled the
 /// budget: callbacks of workers were lost that way, and with them the jobs.
 #[test]
 fn does_not_close_new_connection_as_idle_in_crowd() {
     // It asks in time unless this machine is kept from it, which is no fault of the program's: then it tries again.
     let answered = (0..10).any(|_| {
-        let worker = FakeWorker::start("s-1");
         // Of 40 connections 26 may be those of clients before some are closed for new ones.
-        let program = DispatcherProcess::builder(&[worker])
-            .configure(|config| config["limits"]["sockets"] = json!(80))
-            .start();
+        let program = start_with_few_sockets();
         let half = || {
             let mut stream = connect(program.platform);
             let _ = stream.write_all(b"POST /balance HTTP/1.1\r\nHost: or");
@@ -186,120 +195,155 @@
 }
 
 /// What is wrong with a client.
-enum Bad {
-    /// It sends this and no more; the answer.
-    Stops(&'static str, &'static str),
+enum Fault {
+    /// It sends this and no more, and gets this status.
+    Stops { sent: &'static str, status: &'static str },
     /// It sends this over and over and reads nothing.
     Floods(String),
-    /// It sends this over and over and goes.
-    Goes(String),
+    /// It sends this and disconnects.
+    Disconnects(String),
 }
 
-/// A client of this kind, and usual ones before and after it.
-fn meets(to: SocketAddr, name: &str, bad: &Bad, kept: bool) {
-    let usual = |when: &str| {
-        let (mut tries, mut served) = (0, None);
-        // While the machine is busy with floods a worker may take nothing in time: then one is refused, and tries again.
-        wait_until("a usual client is served", || {
-            tries += 1;
-            let mut stream = connect(to);
-            let id = format!("{name}, {when}, {tries}").replace([' ', ','], "-");
-            stream.write_all(simple_job(&id).as_bytes()).expect("written");
-            let status = read_reply(&mut stream).expect("an answer").status;
-            assert!(matches!(status, 200 | 503), "{name}: {status}");
-            served = Some(stream).filter(|_| status == 200);
-            status == 200
-        });
-        served.expect("it was served")
-    };
-    let mut stream = if kept { usual("before") } else { connect(to) };
-    stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
-    match bad {
-        Bad::Stops(sent, status) => {
-            stream.write_all(sent.as_bytes()).expect("written");
-            let said = said_by(&mut stream);
-            assert!(said.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {said}");
-        }
-        Bad::Floods(sent) => {
-            // It may be shut out at any point, but is not borne for ever.
-            let mut rounds = 0;
-            while stream.write_all(sent.as_bytes()).is_ok() {
-                rounds += 1;
-                assert!(rounds < 1_000_000, "{name}: it goes on and on");
+/// A client that is at fault.
+struct BadClient {
+    name: &'static str,
+    fault: Fault,
+}
+
+impl BadClient {
+    fn stops(name: &'static str, sent: &'static str, status: &'static str) -> BadClient {
+        BadClient { name, fault: Fault::Stops { sent, status } }
+    }
+
+    fn floods(name: &'static str, sent: String) -> BadClient {
+        BadClient { name, fault: Fault::Floods(sent) }
+    }
+
+    fn disconnects(name: &'static str, sent: String) -> BadClient {
+        BadClient { name, fault: Fault::Disconnects(sent) }
+    }
+
+    /// Runs on a connection, and is shut out if it does not go by itself. What is left of the connection.
+    fn run(&self, mut stream: TcpStream, name: &str) -> Option<TcpStream> {
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+        match &self.fault {
+            Fault::Stops { sent, status } => {
+                stream.write_all(sent.as_bytes()).expect("written");
+                let said = said_by(&mut stream);
+                assert!(said.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {said}");
+                Some(stream)
+            }
+            Fault::Floods(sent) => {
+                // It may be shut out at any point, but is not borne for ever.
+                let mut rounds = 0;
+                while stream.write_all(sent.as_bytes()).is_ok() {
+                    rounds += 1;
+                    assert!(rounds < 1_000_000, "{name}: it goes on and on");
+                }
+                wait_until("it is closed", || is_closed(&stream) || stream.write(b"x").is_err());
+                Some(stream)
+            }
+            Fault::Disconnects(sent) => {
+                let _ = stream.write_all(sent.as_bytes());
+                None
             }
-            wait_until("it is closed", || is_closed(&stream) || stream.write(b"x").is_err());
-        }
-        Bad::Goes(sent) => {
-            let _ = stream.write_all(sent.as_bytes());
-            drop(stream);
         }
     }
-    usual("after");
 }
 
-/// A later request that stopped half way was waited for as long as an idle connection is kept, two minutes; requests were
-/// read on while none of their answers were, and those piled up.
-#[test]
-fn bad_clients_get_error_or_close() {
-    let worker = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).event_streams(true).start();
+/// A usual client is served; its connection, which is kept.
+fn serve_usual_client(to: SocketAddr, name: &str) -> TcpStream {
+    let mut tries = 0;
+    let mut served = None;
+    // While the machine is busy with floods a worker may accept nothing in time: then one is rejected, and tries again.
+    wait_until("a usual client is served", || {
+        tries += 1;
+        let mut stream = connect(to);
+        let id = format!("{name}, {tries}").replace([' ', ','], "-");
+        stream.write_all(simple_job(&id).as_bytes()).expect("written");
+        let status = read_reply(&mut stream).expect("an answer").status;
+        assert!(matches!(status, 200 | 503), "{name}: {status}");
+        served = Some(stream).filter(|_| status == 200);
+        status == 200
+    });
+    served.expect("it was served")
+}
+
+/// The bad client on a new connection.
+fn meet_on_new_connection(to: SocketAddr, name: &str, client: &BadClient) {
+    let _connection = client.run(connect(to), name);
+    serve_usual_client(to, &format!("{name}, after"));
+}
+
+/// The bad client on a connection that has been served before.
+fn meet_on_kept_connection(to: SocketAddr, name: &str, client: &BadClient) {
+    let kept = serve_usual_client(to, &format!("{name}, before"));
+    let _connection = client.run(kept, name);
+    serve_usual_client(to, &format!("{name}, after"));
+}
+
+fn bad_clients() -> Vec<BadClient> {
     let chunked = "POST /balance HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let up = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n".to_owned();
-    let cases = [
-        ("half a line", Bad::Stops("POST /bal", "408")),
-        ("half a head", Bad::Stops("POST /balance HTTP/1.1\r\nHost: h\r\n", "408")),
-        (
+    let chunk = "400\r\n".to_owned() + &"x".repeat(1024) + "\r\n";
+    let up = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n";
+    let short_job = job_request("q", "balance", "take started hang", "X-Time-Left-Ms: 7000\r\n");
+    let job = job_request("r", "balance", "take started hang", "");
+    vec![
+        BadClient::stops("half a line", "POST /bal", "408"),
+        BadClient::stops("half a head", "POST /balance HTTP/1.1\r\nHost: h\r\n", "408"),
+        BadClient::stops(
             "half a body",
-            Bad::Stops("POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nab", "408"),
+            "POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nab",
+            "408",
         ),
-        (
+        BadClient::stops(
             "half a chunk",
-            Bad::Stops("POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "408"),
+            "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+            "408",
         ),
-        (
+        BadClient::stops(
             "two bodies",
-            Bad::Stops("POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nabab", "400"),
+            "POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nabab",
+            "400",
         ),
-        (
+        BadClient::stops(
             "no number",
-            Bad::Stops("POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 2,3\r\n\r\nab", "400"),
+            "POST /balance HTTP/1.1\r\nHost: h\r\nContent-Length: 2,3\r\n\r\nab",
+            "400",
         ),
-        (
-            "endless chunks",
-            Bad::Floods(format!("{chunked}{}", "400\r\n".to_owned() + &"x".repeat(1024) + "\r\n")),
-        ),
-        ("endless trailers", Bad::Floods(format!("{chunked}0\r\n{}", "X-Trailer: x\r\n".repeat(100)))),
-        ("endless blank lines", Bad::Floods("\r\n".repeat(1000))),
-        ("endless requests", Bad::Floods(up.repeat(100))),
-        (
-            "endless jobs",
-            Bad::Floods(
-                job_request("q", "balance", "take started hang", "X-Time-Left-Ms: 7000\r\n").repeat(100),
-            ),
-        ),
-        ("much, and gone", Bad::Goes(up.repeat(1000))),
-        ("much of a head, and gone", Bad::Goes("X-Filler: 0123456789abcdef\r\n".repeat(3000))),
-        ("jobs, and gone", Bad::Goes(job_request("r", "balance", "take started hang", "").repeat(300))),
-    ];
+        BadClient::floods("endless chunks", format!("{chunked}{chunk}")),
+        BadClient::floods("endless trailers", format!("{chunked}0\r\n{}", "X-Trailer: x\r\n".repeat(100))),
+        BadClient::floods("endless blank lines", "\r\n".repeat(1000)),
+        BadClient::floods("endless requests", up.repeat(100)),
+        BadClient::floods("endless jobs", short_job.repeat(100)),
+        BadClient::disconnects("much, and gone", up.repeat(1000)),
+        BadClient::disconnects("much of a head, and gone", "X-Filler: 0123456789abcdef\r\n".repeat(3000)),
+        BadClient::disconnects("jobs, and gone", job.repeat(300)),
+    ]
+}
+
+/// Each bad client gets an error or a close, on a new and on a kept connection, and usual ones are served before and after it; the
+/// program needs little memory and few lines of its log for them. A later request that stopped half way was waited for as long as
+/// an idle connection is kept, two minutes; requests were read on while none of their answers were, and those piled up.
+#[test]
+fn bad_clients_get_error_or_close() {
+    const MAX_MEMORY_KIB: u64 = 64 * 1024;
+    let (worker, program) = start_with_both_listeners();
+    let clients = bad_clients();
     std::thread::scope(|scope| {
-        for (side, to) in fronts(&program).into_iter().enumerate() {
-            for (name, bad) in &cases {
-                for kept in [false, true] {
-                    scope.spawn(move || meets(to, &format!("{name}, {kept}, {side}"), bad, kept));
-                }
+        for (side, to) in listeners(&program).into_iter().enumerate() {
+            for client in &clients {
+                let name = client.name;
+                scope.spawn(move || meet_on_new_connection(to, &format!("{name}, false, {side}"), client));
+                scope.spawn(move || meet_on_kept_connection(to, &format!("{name}, true, {side}"), client));
             }
         }
     });
-    // The program's memory was never more than some megabytes.
-    let status = std::fs::read_to_string(format!("/proc/{}/status", program.pid())).expect("Linux");
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
-    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
-    assert!(peak < 64 * 1024, "{peak} kB");
-    let (clean, log) = {
-        program.terminate();
-        program.wait_for_exit()
-    };
-    assert!(clean, "{log:?}");
+    let peak = memory_kib(program.pid(), "VmHWM");
+    assert!(peak < MAX_MEMORY_KIB, "{peak} kB");
+    program.terminate();
+    let (is_clean, log) = program.wait_for_exit();
+    assert!(is_clean, "{log:?}");
     assert!(log.len() < 40, "no line of the log is one client's: {}", log.len());
     assert!(log.iter().any(|line| line.contains("broken_invariants=0")) && !worker.has_received("ab"));
 }
--- a/tests/compatibility/adapter.rs
+++ b/tests/compatibility/adapter.rs
@@ -4,6 +4,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// The simulator's batch has the same answer, byte for byte.
 #[test]
 fn answers_its_batch_as_before() {
     let batch = std::fs::read(path("../batch.txt")).expect("the batch");
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -89,6 +89,7 @@
     }
 }
 
+/// The admin pages are written as before.
 #[test]
 fn pages_keep_their_bytes() {
     assert_kept("admin/counters.http", &text(&counters_page(&all_figures())));
@@ -98,6 +99,7 @@
     assert_kept("admin/no.http", &text(&unavailable_page()));
 }
 
+/// The admin paths and methods mean what they did.
 #[test]
 fn paths_keep_their_meaning() {
     let table = [
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -14,6 +14,7 @@
     format!("{slot} {}\n", to_hex(&bytes))
 }
 
+/// Facts on run times are written as before.
 #[test]
 fn runtimes_facts_keep_their_bytes() {
     let config =
@@ -38,6 +39,7 @@
     assert_kept("facts/runtimes.txt", &written);
 }
 
+/// Facts on fair shares are written as before.
 #[test]
 fn fair_share_facts_keep_their_bytes() {
     let tenant = |name: &str, weight| Tenant { name: name.to_owned(), weight, classes: vec![] };
@@ -63,6 +65,7 @@
     assert_kept("facts/fairshare.txt", &written);
 }
 
+/// Facts of a cold start are written as before.
 #[test]
 fn cold_start_facts_keep_their_bytes() {
     let mut observations = SharedObservations::new(2, UNIX, 0);
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -97,6 +97,7 @@
     }
 }
 
+/// Datagrams of two groups under load, and of one with more work out than a datagram names, are written as before.
 #[test]
 fn group_datagrams_keep_their_bytes() {
     let mut groups = Groups::new(WORKERS);
--- a/tests/compatibility/membership.rs
+++ b/tests/compatibility/membership.rs
@@ -12,6 +12,7 @@
     Membership::new(Config::new(place, MEMBERS, epoch, u64::from(place)), now).expect("sound settings")
 }
 
+/// Membership datagrams are written as before.
 #[test]
 fn membership_datagrams_keep_their_bytes() {
     let mut machines: Vec<Membership> = (0..MEMBERS).map(|place| start(place, EPOCH, 0)).collect();
--- a/tests/compatibility/process.rs
+++ b/tests/compatibility/process.rs
@@ -32,6 +32,7 @@
     }
 }
 
+/// Datagrams by which dispatchers announce their state are read and written as before.
 #[test]
 fn datagrams_of_state_keep_their_bytes() {
     let words: Vec<Vec<u8>> = kept("state-datagrams.hex").lines().map(from_hex).collect();
@@ -50,6 +51,7 @@
     assert!(program.wait_for_exit().0);
 }
 
+/// The summary in the log has the keys that scripts read, in their order.
 #[test]
 fn the_figures_line_keeps_its_keys_in_order() {
     let node = FakeWorker::start("s-1");
--- a/tests/compatibility/records.rs
+++ b/tests/compatibility/records.rs
@@ -18,6 +18,7 @@
     }
 }
 
+/// Idempotency records are written as before and read again.
 #[test]
 fn records_keep_their_bytes() {
     let first = sent("s-1", 1_790_000_000_000_000, false);
--- a/tests/compatibility/store.rs
+++ b/tests/compatibility/store.rs
@@ -24,6 +24,7 @@
     }
 }
 
+/// A store that the version before wrote is read, and written to.
 #[test]
 fn a_store_of_the_version_before_is_read_and_goes_on() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -7,6 +7,7 @@
 use mothproxy_testkit::site;
 use serde_json::json;
 
+/// The settings of the file reach the decision module, each in its unit.
 #[test]
 fn maps_settings_for_the_decision_module() {
     let config = site::read(&site::config(
@@ -47,6 +48,7 @@
     assert_eq!(callback.expect("a callback").report, Some(expected));
 }
 
+/// Nested settings become pairs as the simulator's protocol has them.
 #[test]
 fn flattens_lists_and_objects_and_keeps_blanks_in_names() {
     let flat =
@@ -86,6 +88,7 @@
     }
 }
 
+/// An address of the environment counts before that of the file.
 #[test]
 fn prefers_the_environment_to_the_file() {
     let config = site::config("127.0.0.1:1", "127.0.0.1:2", json!([])).to_string();
@@ -94,6 +97,7 @@
     assert_eq!((config.listen.port(), config.discovery.port(), config.name.as_str()), (9, 2, "n0"));
 }
 
+/// The file of the event-stream listener is read with its defaults, and refused with a reason.
 #[test]
 fn reads_the_file_of_the_sse_listener() {
     let file = std::env::temp_dir().join(format!("mothproxy-sse-{}.toml", std::process::id()));
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -110,6 +110,7 @@
     });
 }
 
+/// Unknown paths, other methods and what is no request are refused, and the process serves on.
 #[test]
 fn rejects_unknown_admin_calls() {
     let worker = FakeWorker::start("s-1");
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -41,6 +41,7 @@
     })
 }
 
+/// Each link from page to page leads to a file that is there.
 #[test]
 fn links_between_pages_lead_somewhere() {
     let mut seen = 0;
@@ -58,6 +59,7 @@
 /// The verdicts of days that were played name the sources of their day.
 const HISTORY: [&str; 2] = ["docs/operate/acceptance.md", "CHANGELOG.md"];
 
+/// Each path of the source that a page names is there.
 #[test]
 fn paths_in_pages_exist() {
     let mut seen = 0;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -56,6 +56,7 @@
     program.wait_for_complete_shutdown();
 }
 
+/// A dispatcher that stops sends its clients away while a peer serves.
 #[test]
 fn closes_client_connections_while_peer_serves() {
     let worker = FakeWorker::start("s-1");
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -6,14 +6,17 @@
 /// Set in the runs that the check starts: only then does the red test fail.
 const INNER: &str = "KNOWN_RED_INNER";
 
+/// Fails in the runs that the check below starts, and passes otherwise.
 #[test]
 fn inner_test_that_fails() {
     assert!(std::env::var_os(INNER).is_none(), "red on purpose");
 }
 
+/// Passes in all runs.
 #[test]
 fn inner_test_that_passes() {}
 
+/// Listed tests may fail and are named; any other failure, and a list that is wrong, fails the run.
 #[test]
 fn skips_only_listed_tests_and_refuses_a_wrong_list() {
     if std::env::var_os(INNER).is_some() {
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -9,9 +9,13 @@
 use std::thread::spawn;
 use std::time::Duration;
 
+/// Processes.
 const SIZE: usize = 20;
+/// All are notified of a change this long after discovery had it and could be reached, and after a SIGHUP that names another one.
+const NOTIFICATION_SECONDS: u64 = 6;
+const NOTIFICATION_SECONDS_AFTER_MOVE: u64 = 4;
 
-/// Another address for this one.
+/// Another address that forwards to this one.
 fn forward(to: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -30,6 +34,7 @@
     address
 }
 
+/// The fleet before its discovery service.
 struct OutageTest {
     fleet: Fleet,
     /// Lines of failed watches of each, as last looked at.
@@ -38,8 +43,8 @@
 
 impl OutageTest {
     fn failures(&self) -> Vec<usize> {
-        let failures_before = |line: &LogLine| line.text.contains("discovery: watch failed");
-        (0..SIZE).map(|i| self.fleet.log(i).iter().filter(|line| failures_before(line)).count()).collect()
+        let is_failure = |line: &&LogLine| line.text.contains("discovery: watch failed");
+        (0..SIZE).map(|i| self.fleet.log(i).iter().filter(is_failure).count()).collect()
     }
 
     /// Waits until all have had a watch fail since the last round.
@@ -79,59 +84,87 @@
     }
 }
 
-#[test]
-fn twenty_processes_get_list_in_time_after_outages() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), SIZE, 4, seed_or(0x6c69_7374));
-    let calls_take = |ms| move |script: &mut DiscoveryScript| script.service_time = Duration::from_millis(ms);
-    calls_take(50)(&mut plan.discovery);
-    plan.discovery.max_wait = Duration::from_millis(2_500);
-    plan.change = Some(Arc::new(|_, config| {
-        config["settings"]["Obligations"]["AskWithinMs"] = json!(10_000.0);
-    }));
-    let mut test = OutageTest { fleet: Fleet::start(plan).expect("a fleet"), failures_before: vec![0; SIZE] };
-    test.fleet.wait_until_notified(&test.fleet.all(), 1, 0);
-    let load = test.fleet.start_plain_load(&test.fleet.all(), 3.0, Duration::from_secs(120));
+/// What a step of the test changes in the discovery service: how long a call takes it.
+fn set_service_time(script: &mut DiscoveryScript, milliseconds: u64) {
+    script.service_time = Duration::from_millis(milliseconds);
+}
+
+impl OutageTest {
+    fn start() -> OutageTest {
+        let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), SIZE, 4, seed_or(0x6c69_7374));
+        set_service_time(&mut plan.discovery, 50);
+        plan.discovery.max_wait = Duration::from_millis(2_500);
+        plan.change = Some(Arc::new(|_, config| {
+            config["settings"]["Obligations"]["AskWithinMs"] = json!(10_000.0);
+        }));
+        let fleet = Fleet::start(plan).expect("a fleet");
+        fleet.wait_until_notified(&fleet.all(), 1, 0);
+        OutageTest { fleet, failures_before: vec![0; SIZE] }
+    }
+
+    /// All calls need 4.4 s, and a call may wait for 2.5 s of them.
+    fn test_slow_service(&mut self) {
+        self.fleet.discovery.change_script(|script| set_service_time(script, 220));
+        self.reset_links();
+        self.wait_until_all_watches_fail();
+        self.check_worker_leaves("slow", 0, self.fleet.now(), NOTIFICATION_SECONDS);
+        self.fleet.discovery.change_script(|script| set_service_time(script, 100));
+    }
 
-    // All calls need 4.4 s, and a call may wait for 2.5 s of them.
-    test.fleet.discovery.change_script(calls_take(220));
-    test.reset_links();
-    test.wait_until_all_watches_fail();
-    test.check_worker_leaves("slow", 0, test.fleet.now(), 6);
-
-    test.fleet.discovery.change_script(calls_take(100));
-    test.set_link_faults(LinkFaults { connect: ConnectBehavior::Refused, ..LinkFaults::default() });
-    test.reset_links();
-    test.wait_until_all_watches_fail();
-    test.set_link_faults(LinkFaults::default());
-    test.check_worker_leaves("refusing", 1, test.fleet.now(), 6);
-
-    for (mode, what, worker) in [(DiscoveryMode::Down, "down", 2), (DiscoveryMode::Mute, "silent", 3)] {
-        test.fleet.discovery.set_mode(mode);
-        test.wait_until_all_watches_fail();
-        test.wait_until_all_call(&test.fleet.discovery.metrics().calls);
-        test.fleet.discovery.set_mode(DiscoveryMode::Up);
-        test.check_worker_leaves(what, worker, test.fleet.now(), 6);
+    fn test_refused_connections(&mut self) {
+        self.set_link_faults(LinkFaults { connect: ConnectBehavior::Refused, ..LinkFaults::default() });
+        self.reset_links();
+        self.wait_until_all_watches_fail();
+        self.set_link_faults(LinkFaults::default());
+        self.check_worker_leaves("refusing", 1, self.fleet.now(), NOTIFICATION_SECONDS);
     }
 
-    test.fleet.set_discovery_cut(&test.fleet.all(), true);
-    test.wait_until_all_watches_fail();
-    test.reset_links();
-    test.fleet.set_discovery_cut(&test.fleet.all(), false);
-    test.check_worker_leaves("cut", 0, test.fleet.now(), 6);
-
-    // Each asks for changes, and for the whole list as well.
-    test.fleet.discovery.change_script(calls_take(50));
-    let (reloaded_at, before) = (test.fleet.now(), test.fleet.discovery.metrics().calls);
-    for i in 0..SIZE {
-        let address = forward(test.fleet.discovery_link(i).address).to_string();
-        test.fleet.change_config(i, |config| config["discovery"] = json!(address));
-        test.fleet.reload(i).expect("it rereads");
+    /// The service is in this mode until all have called it so; then a worker leaves.
+    fn test_mode(&mut self, mode: DiscoveryMode, what: &str, worker: usize) {
+        self.fleet.discovery.set_mode(mode);
+        self.wait_until_all_watches_fail();
+        self.wait_until_all_call(&self.fleet.discovery.metrics().calls);
+        self.fleet.discovery.set_mode(DiscoveryMode::Up);
+        self.check_worker_leaves(what, worker, self.fleet.now(), NOTIFICATION_SECONDS);
     }
-    test.wait_until_all_call(&before);
-    test.check_worker_leaves("moved", 1, reloaded_at, 4);
 
+    fn test_cut_links(&mut self) {
+        self.fleet.set_discovery_cut(&self.fleet.all(), true);
+        self.wait_until_all_watches_fail();
+        self.reset_links();
+        self.fleet.set_discovery_cut(&self.fleet.all(), false);
+        self.check_worker_leaves("cut", 0, self.fleet.now(), NOTIFICATION_SECONDS);
+    }
+
+    /// SIGHUP names another address: each asks for changes, and for the whole list as well.
+    fn test_moved_service(&mut self) {
+        self.fleet.discovery.change_script(|script| set_service_time(script, 50));
+        let reloaded_at = self.fleet.now();
+        let before = self.fleet.discovery.metrics().calls;
+        for dispatcher in 0..SIZE {
+            let address = forward(self.fleet.discovery_link(dispatcher).address).to_string();
+            self.fleet.change_config(dispatcher, |config| config["discovery"] = json!(address));
+            self.fleet.reload(dispatcher).expect("it rereads");
+        }
+        self.wait_until_all_call(&before);
+        self.check_worker_leaves("moved", 1, reloaded_at, NOTIFICATION_SECONDS_AFTER_MOVE);
+    }
+}
+
+/// After each kind of outage all processes are notified of a change in time, and no job is lost or sent to a worker that left.
+#[test]
+fn twenty_processes_get_list_in_time_after_outages() {
+    let mut test = OutageTest::start();
+    let load = test.fleet.start_plain_load(&test.fleet.all(), 3.0, Duration::from_secs(120));
+    test.test_slow_service();
+    test.test_refused_connections();
+    test.test_mode(DiscoveryMode::Down, "down", 2);
+    test.test_mode(DiscoveryMode::Mute, "silent", 3);
+    test.test_cut_links();
+    test.test_moved_service();
     let report = load.stop();
-    let found =
-        test.fleet.audit(&AuditRules { assume_notified_after: Some(6_000_000), ..AuditRules::default() });
+    let rules =
+        AuditRules { assume_notified_after: Some(NOTIFICATION_SECONDS * 1_000_000), ..AuditRules::default() };
+    let found = test.fleet.audit(&rules);
     assert!(found.is_empty() && report.unanswered == 0 && report.served() > 300, "{found:#?} {report:?}");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -26,6 +26,7 @@
     (0..1 + usize::arbitrary(g) % 12).filter_map(|_| g.choose(&letters).copied()).collect()
 }
 
+/// Whether bytes may become a request is known from its first ones on.
 #[test]
 fn recognizes_the_beginning_of_a_request() {
     for text in ["", "P", "POST", "POST /x", "\r\nGET /", "DELETE /jobs/1 HTTP/1.1\r\n"] {
@@ -36,6 +37,7 @@
     }
 }
 
+/// A head is read alike wherever its bytes are cut, with either line end.
 #[test]
 fn parses_a_request_head_at_any_cuts() {
     each_round(|g| {
@@ -63,6 +65,7 @@
     });
 }
 
+/// A chunked body is decoded alike wherever its bytes are cut.
 #[test]
 fn decodes_a_chunked_body_at_any_cuts() {
     each_round(|g| {
@@ -82,6 +85,7 @@
     });
 }
 
+/// Events are read alike wherever their bytes are cut.
 #[test]
 fn parses_an_event_stream_at_any_cuts() {
     each_round(|g| {
@@ -106,6 +110,7 @@
     });
 }
 
+/// Random bytes, and sound ones with a few changed, are refused or read, and nothing piles up.
 #[test]
 fn garbage_neither_panics_nor_grows_without_bound() {
     let valid = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
@@ -134,6 +139,7 @@
     });
 }
 
+/// A head whose length could be understood in two ways is refused.
 #[test]
 fn refuses_what_could_smuggle_a_request() {
     let read = |fields: &str| {
@@ -159,6 +165,7 @@
     assert_eq!(http::read_request(&vec![b'a'; http::MAX_HEAD]), Err(HeadError::TooLarge));
 }
 
+/// A line without an end is refused at its limit.
 #[test]
 fn refuses_an_endless_line() {
     assert!(Chunked::default().decode(&[b'0'; 2_000], &mut Vec::new()).is_err());
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -34,6 +34,7 @@
     owner
 }
 
+/// Each worker has one group, and when one leaves hardly any other changes its group.
 #[test]
 fn assigns_each_worker_to_one_group_and_moves_few_when_one_leaves() {
     let all: Vec<EndpointEntry> = (0..60).map(listed).collect();
@@ -178,6 +179,7 @@
     }
 }
 
+/// A view of another number of dispatchers, or in which the dispatcher itself is gone, changes nothing.
 #[test]
 fn ignores_presence_of_another_size_or_without_the_node_itself() {
     let mut gossip = GroupGossip::new(&settings(3));
@@ -199,6 +201,7 @@
     );
 }
 
+/// Workers that are new on the list do not change the group of older ones.
 #[test]
 fn new_workers_do_not_move_older_ones() {
     let mut all: Vec<EndpointEntry> = (0..52).map(listed).collect();
@@ -222,6 +225,7 @@
     );
 }
 
+/// A dispatcher that is alone, or may not message its peers, has no group.
 #[test]
 fn has_no_group_alone_or_without_messages() {
     for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_message_peers: false, ..settings(0) }] {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -18,6 +18,7 @@
 fleet { membership { probe_interval_ms: 100 suspicion_mult: 2 bytes_per_s: 4096 } }
 "#;
 
+/// Each section that is set is read, and what is not set stays off.
 #[test]
 fn reads_what_is_set_and_leaves_the_rest_off() {
     let settings = read(ALL_SECTIONS, "f").expect("sound");
@@ -55,6 +56,7 @@
     assert!(missing.is_err_and(|e| e.to_string().contains("cannot read it")));
 }
 
+/// Each fault of a file is named with its line and field, all in one go.
 #[test]
 fn names_each_fault_with_its_line_and_field() {
     let cases: [(&str, &[&str]); 12] = [
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -72,6 +72,7 @@
     names
 }
 
+/// Names of sites stand in their own files alone, not in the program or the deploy file.
 #[test]
 fn program_and_deploy_file_name_no_site() {
     let mut known: BTreeMap<String, String> =
--- a/tests/size/main.rs
+++ b/tests/size/main.rs
@@ -2,6 +2,8 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+#[path = "../common/process_memory.rs"]
+mod process_memory;
 
 mod cost;
 mod groups;
--- a/tests/size/process.rs
+++ b/tests/size/process.rs
@@ -1,6 +1,7 @@
 //! The built program as one of a thousand dispatchers over a thousand workers.
 
 use crate::SIZE;
+use crate::process_memory::memory_kib;
 use mothproxy::core::peer_lifecycle::PeerLifecycle;
 use mothproxy_testkit::*;
 use serde_json::{Value, json};
@@ -107,9 +108,7 @@
 
 /// What a program has in memory, in KiB.
 fn resident_memory(program: &DispatcherProcess) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", program.pid())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its size");
-    line.trim().trim_end_matches(" kB").parse().expect("a number")
+    memory_kib(program.pid(), "VmRSS")
 }
 
 /// Dispatcher 0 of a thousand, with the peers that it has something to say to.
--- a/tests/store_cli.rs
+++ b/tests/store_cli.rs
@@ -27,6 +27,7 @@
     format!("{}\n", serde_json::json!({ "key": key, "value": value }))
 }
 
+/// What was put is dumped in the order of its keys, the last value of each.
 #[test]
 fn dumps_what_was_put_in_the_order_of_keys() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -54,6 +55,7 @@
     assert!(mothproxy(&["store", "dump", &at], "").1.contains(odd.trim()));
 }
 
+/// Damage is named with its file and place, and what is sound is dumped.
 #[test]
 fn names_damage_with_file_and_offset_and_dumps_the_rest() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -78,6 +80,7 @@
     assert_eq!(mothproxy(&["store", "dump", &at], "").1.lines().count(), 49);
 }
 
+/// Bad input, or a folder that is no store, ends the command with 2 and is left as it is.
 #[test]
 fn exits_with_2_on_bad_input_and_changes_nothing() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -180,6 +183,7 @@
     newest.max(from) + 1
 }
 
+/// A writer that is killed loses no key whose record it has acknowledged.
 #[test]
 fn killed_writer_loses_no_key_that_it_printed() {
     let kills = std::env::var("STORE_KILLS").ok().and_then(|t| t.parse().ok()).unwrap_or(8);
--- a/tests/watch_liveness.rs
+++ b/tests/watch_liveness.rs
@@ -359,6 +359,7 @@
     assert!(simulation.calls.len() <= 60, "{} calls in a minute", simulation.calls.len());
 }
 
+/// An agent that fails for ever is called for ever, about once in 200 ms.
 #[test]
 fn calls_an_agent_forever_but_not_in_a_busy_loop() {
     let settings = DiscoverySettings { is_pushed: true, max_poll_interval: None, dispatchers: 3 };
@@ -373,6 +374,7 @@
     assert!((200 * S..=250 * S).contains(&now), "{now}");
 }
 
+/// Objects of a watch are split alike wherever its bytes are cut; empty lines between them are seen.
 #[test]
 fn splits_objects_however_they_are_cut_and_indented() {
     let text =
