--- a/tests/four_rules.rs
+++ b/tests/four_rules/checker.rs
@@ -1,104 +1,16 @@
-//! Random legal event sequences, checked against the four rules by code that shares nothing with `src/policy/rules`.
+//! Drives the decision module by steps, and asserts that what it does keeps the rules.
 
-mod common;
-use common::*;
+use crate::common::{self, *};
+use crate::steps::*;
 use mothproxy::*;
-use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// How long a worker remembers an idempotency key.
-const DEDUPLICATION_WINDOW: Micros = 300 * MS;
 /// How long the client of a job waits.
 const TIME_BUDGET: Micros = 1_000 * MS;
-/// Workers of the list.
-const WORKERS: u32 = 6;
 /// Slots of a worker, as the module takes them by default.
 const SLOTS: f64 = 4.0;
 /// The work of a job, in seconds.
 const JOB_SECONDS: f64 = 0.1;
-/// How an attempt may end; a full worker is twice as likely as any other end.
-const OUTCOMES: [Outcome; 8] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Full,
-    Outcome::Timeout,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::Full,
-];
-
-/// The classes of jobs, in the order of the settings.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JobClass {
-    Idempotent,
-    NonIdempotent,
-    /// Repeated within the window and within one zone only.
-    KeyedByZone,
-    /// Repeated within the window, anywhere.
-    KeyedEverywhere,
-}
-
-impl JobClass {
-    const ALL: [JobClass; 4] =
-        [JobClass::Idempotent, JobClass::NonIdempotent, JobClass::KeyedByZone, JobClass::KeyedEverywhere];
-
-    fn idempotency(self) -> Idempotency {
-        let window = DEDUPLICATION_WINDOW;
-        match self {
-            JobClass::Idempotent => Idempotency::Idempotent,
-            JobClass::NonIdempotent => Idempotency::NonIdempotent,
-            JobClass::KeyedByZone => {
-                Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, window }
-            }
-            JobClass::KeyedEverywhere => {
-                Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window }
-            }
-        }
-    }
-}
-
-/// One event. A `pick` chooses among what is there when the step is taken.
-#[derive(Clone, Debug)]
-enum Step {
-    Arrive { class: u16 },
-    EndAttempt { pick: usize, outcome: usize },
-    StartAttempt { pick: usize },
-    ReportLoad { worker: u32, cpu: u8, free_slots: u8 },
-    ChangeList { worker: u32, change: ListChange },
-    Disconnect { pick: usize },
-    Advance { milliseconds: u64 },
-}
-
-/// What discovery says of a worker.
-#[derive(Clone, Copy, Debug)]
-enum ListChange {
-    Draining,
-    Gone,
-    /// Ready, and just started.
-    Restarted,
-    Ready,
-}
-
-impl ListChange {
-    const ALL: [ListChange; 4] =
-        [ListChange::Draining, ListChange::Gone, ListChange::Restarted, ListChange::Ready];
-}
-
-fn step() -> impl Strategy<Value = Step> {
-    prop_oneof![
-        4 => (0u16..4).prop_map(|class| Step::Arrive { class }),
-        5 => (any::<usize>(), any::<usize>()).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
-        2 => any::<usize>().prop_map(|pick| Step::StartAttempt { pick }),
-        3 => (0..WORKERS, any::<u8>(), 0u8..4)
-            .prop_map(|(worker, cpu, free_slots)| Step::ReportLoad { worker, cpu, free_slots }),
-        1 => (0..WORKERS, 0u8..4).prop_map(|(worker, change)| {
-            Step::ChangeList { worker, change: ListChange::ALL[usize::from(change)] }
-        }),
-        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
-        5 => (1u64..200).prop_map(|milliseconds| Step::Advance { milliseconds }),
-    ]
-}
 
 #[derive(Clone, Copy)]
 struct Attempt {
@@ -182,7 +94,7 @@
 }
 
 /// The checker: what the module was notified of, what it did, and whether that keeps the rules.
-struct Checker {
+pub struct Checker {
     dispatcher: TestDispatcher,
     settings: Settings,
     jobs: BTreeMap<u64, Job>,
@@ -195,7 +107,8 @@
 }
 
 impl Checker {
-    fn new(settings: Settings) -> Checker {
+    /// The checker of a module with these settings and the classes of [`JobClass`].
+    pub fn new(settings: Settings) -> Checker {
         let settings = Settings {
             classes: JobClass::ALL.iter().map(|class| common::class(class.idempotency())).collect(),
             ..settings
@@ -341,15 +254,23 @@
         self.dispatcher.feed(Event::ClientDisconnected(JobId(job)))
     }
 
+    /// Asserts that each job has had its final answer, or its end.
+    pub fn assert_no_job_lost(&self) {
+        for (id, job) in &self.jobs {
+            assert!(job.is_finished(), "job {id} was lost");
+        }
+    }
+
     /// Lets time pass by the millisecond, so that each action is checked at its own time.
-    fn advance(&mut self, milliseconds: u64) {
+    pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             let actions = self.dispatcher.advance(MS);
             self.check(&actions);
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    /// Takes a step, if there is what it is about, and checks what comes of it.
+    pub fn take(&mut self, step: &Step) {
         let actions = match *step {
             Step::Arrive { class } => self.arrive(class),
             Step::EndAttempt { pick, outcome } => match self.pick_open_attempt(pick) {
@@ -376,35 +297,3 @@
         self.check(&actions);
     }
 }
-
-proptest! {
-    #![proptest_config(ProptestConfig {
-        cases: 300,
-        failure_persistence: None,
-        rng_seed: proptest::test_runner::RngSeed::Fixed(20_261_128),
-        ..ProptestConfig::default()
-    })]
-
-    /// Whatever happens in whatever order: each job has one final answer in time, runs as often as its class allows, goes to no
-    /// worker that has stopped, and pushes none over that is warming up.
-    #[test]
-    fn four_rules_hold(
-        steps in prop::collection::vec(step(), 1..150),
-        may_hedge: bool,
-        reports_start: bool,
-        may_probe: bool,
-    ) {
-        let settings = Settings { may_hedge, reports_start, may_probe, ..Settings::default() };
-        let mut checker = Checker::new(settings);
-        for step in &steps {
-            checker.take(step);
-        }
-        // Longer than any client waits.
-        for _ in 0..60 {
-            checker.advance(25);
-        }
-        for (id, job) in &checker.jobs {
-            prop_assert!(job.is_finished(), "job {} was lost", id);
-        }
-    }
-}
--- /dev/null
+++ b/tests/watch_liveness/slow_service.rs
@@ -0,0 +1,104 @@
+//! Many watches before one service that is slow.
+
+use crate::lists::scenario::{AbandonedCallCost, Day, MS, Scenario};
+use crate::lists::simulation::play;
+use mothproxy::Micros;
+
+/// Dispatchers, and the service's time for each call.
+#[derive(Clone, Copy)]
+struct Load {
+    callers: u32,
+    call_ms: u64,
+}
+
+impl Load {
+    /// The service's time for one call of each dispatcher.
+    fn service_time(self) -> Micros {
+        u64::from(self.callers) * self.call_ms * MS
+    }
+}
+
+/// How the service treats calls that wait.
+#[derive(Clone, Copy)]
+struct Queue {
+    max_wait_ms: u64,
+    abandoned_call_cost: AbandonedCallCost,
+}
+
+fn day(scenario: Scenario, load: Load, queue: Queue) -> Day {
+    Day {
+        scenario,
+        callers: load.callers,
+        call_time: load.call_ms * MS,
+        max_wait: queue.max_wait_ms * MS,
+        abandoned_call_cost: queue.abandoned_call_cost,
+        seed: 11,
+    }
+}
+
+/// Asserts that a day of many callers went as well as the service's own time allows.
+fn assert_served_as_the_service_allows(day: Day, load: Load, queue: Queue) {
+    let outcome = play(day);
+    // A whole list takes twice the time of a call.
+    let service_time = load.service_time() * 2;
+    // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
+    let loses_places = queue.max_wait_ms > 4_500;
+    let is_hurried = matches!(day.scenario, Scenario::Silent | Scenario::Moved);
+    let max_wasted = if loses_places { 2 } else { 1 };
+    let late_divisor = match (loses_places, is_hurried) {
+        (true, _) => 2,
+        (false, true) => 3,
+        (false, false) => 4,
+    };
+    let is_served = outcome.never == 0 && outcome.max <= 4 * service_time;
+    assert!(is_served && outcome.wasted <= max_wasted * service_time, "{day:?}: {outcome:?}");
+    let max_late = match day.scenario {
+        Scenario::Restarts => day.callers,
+        _ => outcome.beyond + day.callers / late_divisor,
+    };
+    assert!(outcome.late <= max_late && outcome.calls <= 10 * day.callers, "{day:?}: {outcome:?}");
+}
+
+/// Hundreds of dispatchers before a service that cannot answer all within the 6 s: as many as it can answer are notified in time,
+/// the last not long after the service's own time for all, and it hardly works for calls that nobody reads.
+#[test]
+fn hundreds_of_callers_are_all_served_by_a_slow_service() {
+    let loads = [
+        Load { callers: 300, call_ms: 20 },
+        Load { callers: 350, call_ms: 50 },
+        Load { callers: 1_024, call_ms: 20 },
+    ];
+    let queues = [
+        Queue { max_wait_ms: 500, abandoned_call_cost: AbandonedCallCost::Gone },
+        Queue { max_wait_ms: 2_500, abandoned_call_cost: AbandonedCallCost::Gone },
+        Queue { max_wait_ms: 6_000, abandoned_call_cost: AbandonedCallCost::Gone },
+        Queue { max_wait_ms: 3_000, abandoned_call_cost: AbandonedCallCost::Nothing },
+    ];
+    for scenario in Scenario::ALL {
+        for load in loads {
+            for queue in queues {
+                assert_served_as_the_service_allows(day(scenario, load, queue), load, queue);
+            }
+        }
+    }
+}
+
+/// In one deployment a service took 0.2 s a call, and let calls wait for 3 s: a few dispatchers are enough for it. Given up
+/// after 1.5 s each time, their calls kept it busy with what nobody read, and some were never notified.
+#[test]
+fn a_few_callers_are_all_served_by_a_very_slow_service() {
+    let loads = [
+        Load { callers: 5, call_ms: 500 },
+        Load { callers: 10, call_ms: 250 },
+        Load { callers: 10, call_ms: 400 },
+    ];
+    let queue = Queue { max_wait_ms: 3_000, abandoned_call_cost: AbandonedCallCost::Gone };
+    for scenario in Scenario::ALL {
+        for load in loads {
+            let day = day(scenario, load, queue);
+            let outcome = play(day);
+            let is_served = outcome.never == 0 && outcome.max <= 6 * load.service_time();
+            assert!(is_served && outcome.calls <= 10 * load.callers, "{day:?}: {outcome:?}");
+        }
+    }
+}
