--- a/tests/common/members.rs
+++ b/tests/common/members.rs
@@ -1,4 +1,4 @@
-//! What dispatchers believe of each other, as their admin pages and logs say. Shared by tests/membership.rs and
+//! What dispatchers believe of each other, as their admin pages and logs say. Shared by tests/membership/ and
 //! examples/proof_membership.rs.
 #![allow(dead_code)] // each of its users needs a part
 
