--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -18,8 +18,12 @@
 
 /// One of 30 dispatchers over workers that answer at once, past the cold start and the first probes.
 fn steady(workers: u32) -> Node {
-    let mut node =
-        Node::new(Settings { nodes: 30, may_probe: true, may_message_peers: true, ..Settings::default() });
+    let mut node = Node::new(Settings {
+        dispatcher_count: 30,
+        may_probe: true,
+        may_message_peers: true,
+        ..Settings::default()
+    });
     let entry = |w: u32| EndpointEntry {
         tag: u64::from(w).wrapping_mul(0x9E37_79B9_7F4A_7C15),
         zone: ZoneId((w % 3) as u16),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -144,7 +144,8 @@
         let peer_listen = document.optional_address("peer_listen")?;
         let may_announce_lifecycle = settings.may_message_peers;
         // Without everybody's address a group would take silence for idle workers.
-        settings.may_message_peers &= peer_listen.is_some() && peers.len() == settings.nodes as usize;
+        settings.may_message_peers &=
+            peer_listen.is_some() && peers.len() == settings.dispatcher_count as usize;
         let admin = document.variable_or_text("GW_ADMIN_ADDR", "admin_addr");
         Ok(Config {
             file: file.to_owned(),
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -42,27 +42,27 @@
 /// and its old definition for the requests that were accepted with it.
 fn keep_class_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
     let is_same = |new: usize, old: usize| settings.classes[new] == old_settings.classes[old];
-    let (classes, ids) = names.classes.after(&old_names.classes, is_same);
+    let renumbered = names.classes.keep_numbers(&old_names.classes, is_same);
     let defined = std::mem::replace(&mut settings.classes, old_settings.classes.clone());
-    for (class, id) in defined.into_iter().zip(ids) {
+    for (class, id) in defined.into_iter().zip(renumbered.numbers) {
         if id == settings.classes.len() {
             settings.classes.push(class);
         }
     }
-    names.classes = classes;
+    names.classes = renumbered.interner;
 }
 
 /// Gives tenants the ids by which requests in progress know them. A tenant's new definition holds for those requests as well.
 fn keep_tenant_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
-    let (tenants, ids) = names.tenants.after(&old_names.tenants, |_, _| true);
+    let renumbered = names.tenants.keep_numbers(&old_names.tenants, |_, _| true);
     let defined = std::mem::replace(&mut settings.tenants, old_settings.tenants.clone());
-    for (tenant, id) in defined.into_iter().zip(ids) {
+    for (tenant, id) in defined.into_iter().zip(renumbered.numbers) {
         match settings.tenants.get_mut(id) {
             Some(old) => *old = tenant,
             None => settings.tenants.push(tenant),
         }
     }
-    names.tenants = tenants;
+    names.tenants = renumbered.interner;
 }
 
 /// The path of the first key that `old` has and `new` lacks. Of a list's objects, keys count that all of them have.
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -148,11 +148,11 @@
     pub fn to_prior(&self) -> PriorAttempt {
         PriorAttempt {
             worker: self.worker,
-            at: self.sent_at,
-            out: self.is_in_flight(),
+            sent_at: self.sent_at,
+            is_outstanding: self.is_in_flight(),
             running_since: self.started_at,
             never_ran: self.has_never_run(),
-            handed_back: self.phase == AttemptPhase::Ended(AttemptEnd::ReturnedByCallback),
+            is_handed_back: self.phase == AttemptPhase::Ended(AttemptEnd::ReturnedByCallback),
         }
     }
 }
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -63,7 +63,8 @@
         let sent_at = self.clock.module_time(first.sent_at).min(now);
         let worker = self.endpoints.id_or_placeholder(first);
         let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
-        self.events.push(Event::Adopted { new: job, since: now, past: vec![attempt.to_prior()] });
+        let prior_attempts = vec![attempt.to_prior()];
+        self.events.push(Event::Adopted { request: job, arrived_at: now, prior_attempts });
         if let Some(request) = self.requests.get_mut(job.job.into()) {
             request.add_attempt(attempt);
         }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -113,8 +113,8 @@
         self.ledger.record_accepted();
         let job = self.adopted_job(id, class, &transferred);
         let arrived_at = self.clock.module_time(transferred.arrived_at);
-        let past = attempts.iter().map(Attempt::to_prior).collect();
-        self.events.push(Event::Adopted { new: job, since: arrived_at, past });
+        let prior_attempts = attempts.iter().map(Attempt::to_prior).collect();
+        self.events.push(Event::Adopted { request: job, arrived_at, prior_attempts });
         self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
         let key = transferred.idempotency_key.filter(|_| self.idempotency.is_some());
         let request = PendingRequest::new(transferred.name, job, arrived_at, downstream, key)
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -32,8 +32,8 @@
     fn from(settings: &Settings) -> DiscoverySettings {
         DiscoverySettings {
             is_pushed: !settings.list_on_request,
-            max_poll_interval: settings.ask_within,
-            dispatchers: settings.nodes,
+            max_poll_interval: settings.max_poll_interval,
+            dispatchers: settings.dispatcher_count,
         }
     }
 }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -52,7 +52,9 @@
             Event::ListFailed => self.on_list_failed(actions),
             Event::DiscoveryMoved => actions.push(Action::OpenWatch),
             Event::Arrived(request) => policy.on_arrived(request, actions),
-            Event::Adopted { new, since, past } => self.on_adopted(new, since, &past, actions),
+            Event::Adopted { request, arrived_at, prior_attempts } => {
+                self.on_adopted(request, arrived_at, &prior_attempts, actions);
+            }
             Event::StreamStarted { job, attempt }
             | Event::Started { job, attempt }
             | Event::Progress { job, attempt, .. } => self.on_attempt_started(job, attempt, actions),
@@ -86,13 +88,13 @@
     fn on_adopted(
         &mut self,
         request: NewJob,
-        since: Micros,
-        past: &[PriorAttempt],
+        arrived_at: Micros,
+        prior_attempts: &[PriorAttempt],
         actions: &mut Vec<Action>,
     ) {
         let policy = &mut self.policy;
-        policy.state.add_job(request, since, &policy.settings, actions);
-        policy.state.adopt_attempts(request.job, past);
+        policy.state.add_job(request, arrived_at, &policy.settings, actions);
+        policy.state.adopt_attempts(request.job, prior_attempts);
         policy.review(request.job, actions);
     }
 
--- a/src/policy/gossip/advertisements.rs
+++ b/src/policy/gossip/advertisements.rs
@@ -15,8 +15,8 @@
 pub(super) enum Recipient {
     /// The other nodes of the group.
     Group,
-    /// A node of another group that lent a slot.
-    Lender(u32),
+    /// A node of another group at whose worker this node uses a borrowed slot.
+    SlotOwner(u32),
 }
 
 /// The parts of an advertisement, sorted by whether they must be sent.
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -28,6 +28,12 @@
     pub presence_changed_at: Option<Micros>,
 }
 
+/// A worker in a set of bits that stand for positions in [`Assignment::assigned`].
+struct PositionBit {
+    word: usize,
+    mask: u64,
+}
+
 impl Assignment {
     /// Assigns the ready workers to the groups, zone by zone, the oldest first: each goes to the group that ranks highest for
     /// it among those that have not had their part yet, so that one more or less moves few others. But one that warms up goes
@@ -63,7 +69,8 @@
     }
 
     fn index(&mut self, tags: &ShortTags, own: &[&EndpointEntry]) {
-        self.workers = own.iter().map(|entry| (tags.of(entry.worker, entry.tag), entry.worker)).collect();
+        self.workers =
+            own.iter().map(|entry| (tags.short_tag(entry.worker, entry.tag), entry.worker)).collect();
         self.assigned = own.iter().map(|entry| entry.worker).collect();
         self.assigned.sort_unstable();
         let position = |entry: &&EndpointEntry| self.assigned.binary_search(&entry.worker).ok();
@@ -81,11 +88,11 @@
             return assigned.clone();
         }
         let mut drawn = vec![0_u64; assigned.len().div_ceil(64)];
-        let bit = |place: usize| (self.positions[place] / 64, 1_u64 << (self.positions[place] % 64));
         for last in assigned.len() - max..assigned.len() {
-            let (word, mask) = bit(random.usize(..=last));
-            let (word, mask) = if drawn[word] & mask == 0 { (word, mask) } else { bit(last) };
-            drawn[word] |= mask;
+            let drawn_bit = self.position_bit(random.usize(..=last));
+            let is_new = drawn[drawn_bit.word] & drawn_bit.mask == 0;
+            let bit = if is_new { drawn_bit } else { self.position_bit(last) };
+            drawn[bit.word] |= bit.mask;
         }
         let mut sample = Vec::with_capacity(max);
         for (word, mut bits) in drawn.into_iter().enumerate() {
@@ -97,6 +104,12 @@
         sample
     }
 
+    /// The bit that stands for a worker, by its place in the order of assignment.
+    fn position_bit(&self, place: usize) -> PositionBit {
+        let position = self.positions[place];
+        PositionBit { word: position / 64, mask: 1 << (position % 64) }
+    }
+
     /// The group's workers by id.
     pub fn assigned(&self) -> &[WorkerId] {
         &self.assigned
@@ -118,7 +131,7 @@
     }
 
     /// The group of a ready worker.
-    pub fn owner(&self, worker: WorkerId) -> Option<u32> {
+    pub fn owning_group(&self, worker: WorkerId) -> Option<u32> {
         self.owners.get(&worker).copied()
     }
 
@@ -138,15 +151,15 @@
     let group_count = u64::from(group.count.max(1));
     let hashes: Vec<u64> = (0..group_count).map(group_hash).collect();
     let mut owners = Vec::with_capacity(sorted.len());
-    for zone in sorted.chunk_by(|a, b| a.zone == b.zone) {
+    for zone in sorted.chunk_by(|entry, next| entry.zone == next.zone) {
         let part = zone.len().div_ceil(group_count as usize);
         let mut counts = vec![0; group_count as usize];
         for entry in zone {
             let is_warming_up = warming_up.binary_search(&entry.worker).is_ok();
-            let open = (0..group_count).filter(|g| is_warming_up || counts[*g as usize] < part);
-            let best = open.max_by_key(|g| mix(entry.tag ^ hashes[*g as usize])).unwrap_or(0);
+            let open = (0..group_count).filter(|group| is_warming_up || counts[*group as usize] < part);
+            let best = open.max_by_key(|group| mix(entry.tag ^ hashes[*group as usize])).unwrap_or(0);
             counts[best as usize] += 1;
-            owners.push(if is_warming_up { best as u32 } else { group.owner(entry.tag, best as u32) });
+            owners.push(if is_warming_up { best as u32 } else { group.owning_group(entry.tag, best as u32) });
         }
     }
     owners
--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -1,4 +1,4 @@
-//! Slots that groups lend each other: a node whose group's workers are full uses a slot of another group's worker.
+//! Borrowed slots: a node whose group's workers are full uses a slot of another group's worker, whose owner has offered it.
 
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,17 +19,17 @@
 /// A slot that another node has offered.
 #[derive(Debug)]
 struct ReceivedOffer {
-    lender: u32,
+    from: u32,
     until: Micros,
 }
 
-/// The slots that are on offer or lent.
+/// The slots that are on offer or borrowed.
 #[derive(Debug, Default)]
 pub(super) struct BorrowedSlots {
     granted: Vec<GrantedOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
-    /// The node that lent the slot at a worker where this node has work.
-    lenders: BTreeMap<WorkerId, u32>,
+    /// The node that offered the slot at a worker of another group where this node has work.
+    slot_owners: BTreeMap<WorkerId, u32>,
 }
 
 impl BorrowedSlots {
@@ -49,8 +49,8 @@
     }
 
     /// Another node offers a slot.
-    pub fn receive(&mut self, now: Micros, worker: WorkerId, lender: u32) {
-        self.received.insert(worker, ReceivedOffer { lender, until: now + OFFER_VALID_FOR });
+    pub fn receive(&mut self, now: Micros, worker: WorkerId, from: u32) {
+        self.received.insert(worker, ReceivedOffer { from, until: now + OFFER_VALID_FOR });
     }
 
     /// The workers at which slots are on offer.
@@ -60,41 +60,44 @@
 
     /// The node that offers a slot at this worker.
     pub fn offering_node(&self, worker: WorkerId, now: Micros) -> Option<u32> {
-        self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.lender)
+        self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.from)
     }
 
     /// The offer for this worker, if there is one, is used.
     pub fn use_offer(&mut self, worker: WorkerId) {
         if let Some(offer) = self.received.remove(&worker) {
-            self.lenders.insert(worker, offer.lender);
+            self.slot_owners.insert(worker, offer.from);
         }
     }
 
+    /// Drops the offers that are not valid any more.
     pub fn drop_expired(&mut self, now: Micros) {
         self.granted.retain(|offer| now < offer.until);
         self.received.retain(|_, offer| now < offer.until);
     }
 
-    /// The node that lent the slot at this worker.
-    pub fn lender(&self, worker: WorkerId) -> Option<u32> {
-        self.lenders.get(&worker).copied()
+    /// The node that offered the slot that this node uses at a worker.
+    pub fn slot_owner(&self, worker: WorkerId) -> Option<u32> {
+        self.slot_owners.get(&worker).copied()
     }
 
-    pub fn set_lender(&mut self, worker: WorkerId, lender: u32) {
-        self.lenders.insert(worker, lender);
+    /// This node uses a slot at a worker as if its owner had offered it.
+    pub fn set_slot_owner(&mut self, worker: WorkerId, owner: u32) {
+        self.slot_owners.insert(worker, owner);
     }
 
-    pub fn clear_lender(&mut self, worker: WorkerId) {
-        self.lenders.remove(&worker);
+    /// This node borrows no slot at a worker.
+    pub fn clear_slot_owner(&mut self, worker: WorkerId) {
+        self.slot_owners.remove(&worker);
     }
 
-    /// All nodes that have lent a slot.
-    pub fn lenders(&self) -> BTreeSet<u32> {
-        self.lenders.values().copied().collect()
+    /// All nodes whose slots this node uses.
+    pub fn slot_owners(&self) -> BTreeSet<u32> {
+        self.slot_owners.values().copied().collect()
     }
 
-    /// A lender has been notified that nothing is used any more.
-    pub fn forget_lender(&mut self, lender: u32) {
-        self.lenders.retain(|_, by| *by != lender);
+    /// The owner of borrowed slots has been notified that none is used any more.
+    pub fn forget_slot_owner(&mut self, owner: u32) {
+        self.slot_owners.retain(|_, by| *by != owner);
     }
 }
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -19,6 +19,14 @@
     pub nodes: u32,
 }
 
+impl SlowStartRank {
+    /// The rank of the node of this index among so many, which differs from worker to worker.
+    fn new(tag: u64, index: u32, nodes: u32) -> SlowStartRank {
+        let first = (mix(tag ^ RANK_SALT) % u64::from(nodes)) as u32;
+        SlowStartRank { rank: (index + first) % nodes, nodes }
+    }
+}
+
 /// The group of a node, and the presence of all nodes.
 #[derive(Debug, Default)]
 pub(super) struct PeerGroup {
@@ -36,17 +44,24 @@
 impl PeerGroup {
     /// The group of a node. A node by itself, or one that may send no messages or probe no worker, has no peers.
     pub fn new(settings: &Settings) -> PeerGroup {
-        let count = settings.nodes.div_ceil(MAX_GROUP_SIZE).max(1);
-        let index = settings.me % count;
+        let count = settings.dispatcher_count.div_ceil(MAX_GROUP_SIZE).max(1);
+        let index = settings.own_index % count;
         let is_allowed = settings.may_message_peers && settings.may_probe;
-        let nodes = (index..settings.nodes).step_by(count as usize);
-        let peers = nodes.filter(|node| is_allowed && *node != settings.me).collect();
-        PeerGroup { nodes: settings.nodes, own_node: settings.me, index, count, peers, presence: Vec::new() }
+        let nodes = (index..settings.dispatcher_count).step_by(count as usize);
+        let peers = nodes.filter(|node| is_allowed && *node != settings.own_index).collect();
+        PeerGroup {
+            nodes: settings.dispatcher_count,
+            own_node: settings.own_index,
+            index,
+            count,
+            peers,
+            presence: Vec::new(),
+        }
     }
 
     /// Whether the two have the same nodes.
-    pub fn is_same(&self, other: &PeerGroup) -> bool {
-        (&self.peers, self.nodes) == (&other.peers, other.nodes)
+    pub fn has_same_nodes(&self, other: &PeerGroup) -> bool {
+        self.peers == other.peers && self.nodes == other.nodes
     }
 
     /// Whether there is a group.
@@ -78,6 +93,7 @@
         self.presence.get(node as usize).is_none_or(|presence| *presence == PeerPresence::Present)
     }
 
+    /// Whether a node is unreachable.
     pub fn has_unreachable(&self) -> bool {
         self.presence.contains(&PeerPresence::Unreachable)
     }
@@ -85,7 +101,7 @@
     /// The group that has a worker which is this group's while all nodes are present. Each worker is held by one node of its
     /// group; where that one is gone, by the first of a sequence of nodes, the worker's own, that is not. So the end of one of
     /// n nodes moves the workers it held, about one in n of all, and its return moves these back, and no other.
-    pub fn owner(&self, tag: u64, group: u32) -> u32 {
+    pub fn owning_group(&self, tag: u64, group: u32) -> u32 {
         if self.presence.is_empty() {
             return group;
         }
@@ -95,7 +111,7 @@
         // As many tries as there are nodes find one of three in ten that are left in all but a few cases; then in order.
         let tries = (1..=u64::from(self.nodes)).map(next);
         let mut sequence = std::iter::once(first).chain(tries).chain(0..self.nodes);
-        sequence.find(|node| self.is_present(*node)).map_or(group, |node| node % self.count)
+        sequence.find(|node| self.is_present(*node)).map_or(group, |node| self.group_of(node))
     }
 
     /// The ranks of those nodes whose part of a worker is reserved for unreachable nodes. All nodes rank each other alike for
@@ -105,9 +121,10 @@
         let mut order: Vec<u32> = (0..self.nodes).collect();
         order.sort_unstable_by_key(|node| (mix(tag ^ mix(RANK_SALT + u64::from(*node))), *node));
         let presence = |node: &u32| self.presence[*node as usize];
-        let heirs = |rank: usize| order.iter().cycle().skip(rank).take(order.len()).map(presence);
+        let presence_from = |rank: usize| order.iter().cycle().skip(rank).take(order.len()).map(presence);
         let is_reserved = |rank: &usize| {
-            heirs(*rank).find(|heir| *heir != PeerPresence::Gone) == Some(PeerPresence::Unreachable)
+            let holder = presence_from(*rank).find(|presence| *presence != PeerPresence::Gone);
+            holder == Some(PeerPresence::Unreachable)
         };
         (0..order.len()).filter(is_reserved).filter_map(|rank| u16::try_from(rank).ok()).collect()
     }
@@ -120,15 +137,17 @@
     /// This node's rank for a worker that is warming up, of so many that may send to it: those of its group, or where there
     /// are no groups all of them; `None` for one of another group. It follows from the settings and the worker's tag alone.
     pub fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
-        let (nodes, place) = if !self.is_grouped() {
-            (self.nodes.max(1), self.own_node)
-        } else if self.slow_start_group(tag) == self.index {
-            (self.peers.len() as u32 + 1, self.own_node / self.count)
-        } else {
-            return None;
-        };
-        let first = (mix(tag ^ RANK_SALT) % u64::from(nodes)) as u32;
-        Some(SlowStartRank { rank: (place + first) % nodes, nodes })
+        if !self.is_grouped() {
+            return Some(SlowStartRank::new(tag, self.own_node, self.nodes.max(1)));
+        }
+        let group_size = self.peers.len() as u32 + 1;
+        let is_own = self.slow_start_group(tag) == self.index;
+        is_own.then(|| SlowStartRank::new(tag, self.own_node / self.count, group_size))
+    }
+
+    /// The group of a node.
+    pub fn group_of(&self, node: u32) -> u32 {
+        node % self.count
     }
 
     /// A node of this group, chosen by a random number; one that is present if there is any.
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -22,7 +22,7 @@
     /// Those of the sender's own group, to the other nodes of it.
     Group,
     /// Those of another group, to the node of it that offered a slot.
-    Lender,
+    SlotOwner,
 }
 
 /// A message of another node.
@@ -121,7 +121,7 @@
     pub fn encode(&self, audience: Audience) -> Vec<u8> {
         let kind = match audience {
             Audience::Group => GROUP_LOAD,
-            Audience::Lender => BORROWER_LOAD,
+            Audience::SlotOwner => BORROWER_LOAD,
         };
         let (first, last) = self.range.clone().into_inner();
         let [high, low] = first.to_be_bytes();
@@ -137,7 +137,7 @@
         let (range, rest) = if kind & PART == 0 { (0..=u16::MAX, rest) } else { decode_range(rest)? };
         let audience = match kind & !PART {
             GROUP_LOAD => Audience::Group,
-            BORROWER_LOAD => Audience::Lender,
+            BORROWER_LOAD => Audience::SlotOwner,
             _ => return None,
         };
         let (suspect_count, tags) = rest.split_first()?;
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -73,7 +73,7 @@
     /// The group under other settings; what was advertised is kept if it is the same.
     pub fn regroup(&mut self, settings: &Settings) {
         let new = GroupGossip::new(settings);
-        if !new.group.is_same(&self.group) {
+        if !new.group.has_same_nodes(&self.group) {
             *self = new;
         }
     }
@@ -158,7 +158,7 @@
     }
 
     fn short_tag(&self, listed: &EndpointEntry) -> u16 {
-        self.tags.of(listed.worker, listed.tag)
+        self.tags.short_tag(listed.worker, listed.tag)
     }
 }
 
@@ -189,13 +189,13 @@
 
     /// Whether at least half of the peers have advertised so lately that what they have sent since is a small part of what a
     /// worker that warms up can bear in its collapse window.
-    pub(crate) fn hears_peers(&self, now: Micros, window: Micros) -> bool {
+    pub(crate) fn has_recent_advertisements(&self, now: Micros, window: Micros) -> bool {
         let recent = self.advertisements.recent_count(self.peers(), now, window / RECENT_WINDOW_DIVISOR);
         self.is_grouped() && 2 * recent >= self.peers().len()
     }
 }
 
-/// Slots that groups lend each other.
+/// Borrowed slots.
 impl GroupGossip {
     /// The workers at which slots are on offer.
     pub(crate) fn offered_workers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
@@ -210,8 +210,8 @@
     /// Whether a slot at a worker that is warming up is on offer by its group: the list of another one does not show yet that
     /// it has started.
     pub(crate) fn is_offered_by_slow_start_group(&self, listed: &EndpointEntry, now: Micros) -> bool {
-        let lender = self.slots.offering_node(listed.worker, now);
-        lender.is_some_and(|lender| lender % self.group.count == self.group.slow_start_group(listed.tag))
+        let owner = self.slots.offering_node(listed.worker, now);
+        owner.is_some_and(|owner| self.group.group_of(owner) == self.group.slow_start_group(listed.tag))
     }
 
     /// The offer for this worker, if there is one, is used.
@@ -222,8 +222,8 @@
     /// Asks a node of another group, chosen by a random number, for a slot.
     pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         if self.can_borrow() {
-            let (own_group, count) = (self.group.index, self.group.count);
-            let group = (own_group + 1 + random % (count - 1)) % count;
+            let count = self.group.count;
+            let group = (self.group.index + 1 + random % (count - 1)) % count;
             let to = self.group.node_of(group, random / count);
             actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_request(zone) });
         }
@@ -243,18 +243,18 @@
         actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_offer(tag) });
     }
 
-    /// Work at a worker that was assigned to another group goes on as if that group had lent the slot.
+    /// Work at a worker that was assigned to another group goes on as if that group had offered the slot.
     fn follow_assignment(&mut self, own_loads: &[OwnLoad]) {
         if !self.can_borrow() {
             return;
         }
         for worker in own_loads.iter().filter(|load| !load.outstanding.is_empty()).map(|load| load.worker) {
-            let Some(owner) = self.assignment.owner(worker) else { continue };
-            if owner == self.group.index {
-                self.slots.clear_lender(worker);
-            } else if self.slots.lender(worker).is_none_or(|lender| lender % self.group.count != owner) {
-                let lender = self.group.node_of(owner, hash::mix(u64::from(self.group.own_node)) as u32);
-                self.slots.set_lender(worker, lender);
+            let Some(group) = self.assignment.owning_group(worker) else { continue };
+            if group == self.group.index {
+                self.slots.clear_slot_owner(worker);
+            } else if self.slots.slot_owner(worker).is_none_or(|owner| self.group.group_of(owner) != group) {
+                let owner = self.group.node_of(group, hash::mix(u64::from(self.group.own_node)) as u32);
+                self.slots.set_slot_owner(worker, owner);
             }
         }
     }
@@ -274,25 +274,27 @@
         }
     }
 
-    /// Advertises to the peers, and to lenders, what there is to know of their workers, if that is news or due again.
+    /// Advertises to the peers, and to the owners of borrowed slots, what there is to know of their workers, if that is news or
+    /// due again.
     pub(crate) fn advertise(&mut self, now: Micros, own_loads: &[OwnLoad], actions: &mut Vec<Action>) {
         if !self.is_grouped() {
             return;
         }
         self.follow_assignment(own_loads);
         let to_group = self.group_advertisement(now, own_loads);
-        let to_lenders = self.lender_advertisements(now, own_loads);
+        let to_slot_owners = self.slot_owner_advertisements(now, own_loads);
         self.slots.drop_expired(now);
         self.advertisements.drop_expired(now, &self.group.peers);
         self.publish(Recipient::Group, to_group, actions);
-        for (lender, advertisement) in to_lenders {
-            self.publish(Recipient::Lender(lender), advertisement, actions);
+        for (owner, advertisement) in to_slot_owners {
+            self.publish(Recipient::SlotOwner(owner), advertisement, actions);
         }
     }
 
-    /// What this node, and those to which it lends, have outstanding at the group's workers.
+    /// What this node, and those that borrow its slots, have outstanding at the group's workers.
     fn group_advertisement(&self, now: Micros, own_loads: &[OwnLoad]) -> LoadAdvertisement {
-        let is_own = |load: &OwnLoad| self.assignment.has(self.tags.of(load.worker, load.tag), load.worker);
+        let is_own =
+            |load: &OwnLoad| self.assignment.has(self.tags.short_tag(load.worker, load.tag), load.worker);
         let mut advertisement = self.advertisement_of(now, own_loads, is_own);
         let outstanding = &mut advertisement.outstanding;
         outstanding.extend(self.slots.reserved_tags(now));
@@ -302,13 +304,13 @@
         advertisement
     }
 
-    /// What this node has outstanding at the workers of each lender.
-    fn lender_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
-        let of_lender = |lender: u32| {
-            let is_lent = |load: &OwnLoad| self.slots.lender(load.worker) == Some(lender);
-            (lender, self.advertisement_of(now, own_loads, is_lent))
+    /// What this node has outstanding in the borrowed slots of each owner.
+    fn slot_owner_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
+        let for_owner = |owner: u32| {
+            let is_borrowed = |load: &OwnLoad| self.slots.slot_owner(load.worker) == Some(owner);
+            (owner, self.advertisement_of(now, own_loads, is_borrowed))
         };
-        self.slots.lenders().into_iter().map(of_lender).collect()
+        self.slots.slot_owners().into_iter().map(for_owner).collect()
     }
 
     /// What this node has to say of the workers that meet a condition.
@@ -318,11 +320,12 @@
         own_loads: &[OwnLoad],
         is_included: impl Fn(&OwnLoad) -> bool,
     ) -> LoadAdvertisement {
-        let slots = |slots: &f64| slots.ceil().clamp(1.0, MAX_SLOTS_PER_ATTEMPT) as usize;
-        let (mut outstanding, mut suspects) = (Vec::new(), Vec::new());
+        let whole_slots = |slots: &f64| slots.ceil().clamp(1.0, MAX_SLOTS_PER_ATTEMPT) as usize;
+        let mut outstanding = Vec::new();
+        let mut suspects = Vec::new();
         for load in own_loads.iter().filter(|load| is_included(load)) {
-            let tag = self.tags.of(load.worker, load.tag);
-            outstanding.extend(std::iter::repeat_n(tag, load.outstanding.iter().map(slots).sum()));
+            let tag = self.tags.short_tag(load.worker, load.tag);
+            outstanding.extend(std::iter::repeat_n(tag, load.outstanding.iter().map(whole_slots).sum()));
             suspects.extend(load.is_suspect.then_some(tag));
         }
         LoadAdvertisement::new(now, 0..=u16::MAX, outstanding, suspects)
@@ -338,15 +341,17 @@
             actions.push(Action::SetTimer(Timer::Advertise.into(), REPEAT_INTERVAL));
         }
         match recipient {
-            Recipient::Lender(lender) if is_idle && !parts.due.is_empty() => self.slots.forget_lender(lender),
+            Recipient::SlotOwner(owner) if is_idle && !parts.due.is_empty() => {
+                self.slots.forget_slot_owner(owner);
+            }
             _ => self.advertisements.record_sent(recipient, parts.all),
         }
     }
 
     fn send(&self, recipient: Recipient, part: &LoadAdvertisement, actions: &mut Vec<Action>) {
         match recipient {
-            Recipient::Lender(to) => {
-                actions.push(Action::SendToPeer { to, bytes: part.encode(Audience::Lender) });
+            Recipient::SlotOwner(to) => {
+                actions.push(Action::SendToPeer { to, bytes: part.encode(Audience::SlotOwner) });
             }
             Recipient::Group => {
                 let bytes = part.encode(Audience::Group);
--- a/src/policy/gossip/short_tags.rs
+++ b/src/policy/gossip/short_tags.rs
@@ -12,27 +12,41 @@
     aliases: BTreeMap<WorkerId, u16>,
 }
 
+/// What a worker's tag shortens to.
 fn shorten(tag: u64) -> u16 {
     mix(tag) as u16
 }
 
+/// A worker and what its tag shortens to; in the order in which workers choose their short tags.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Shortened {
+    short: u16,
+    tag: u64,
+    worker: WorkerId,
+}
+
+impl Shortened {
+    fn new(entry: &EndpointEntry) -> Shortened {
+        Shortened { short: shorten(entry.tag), tag: entry.tag, worker: entry.worker }
+    }
+}
+
 impl ShortTags {
     /// Gives each ready worker a short tag of its own. Where several would have the same, the first by its whole tag has it,
     /// and the others, in order, the next ones that are free. So whoever holds the same list names all alike, and while lists
     /// differ only workers that share one can be taken for each other. (Beyond 65,536 workers some have none.)
     pub fn assign(&mut self, ready: &[EndpointEntry]) {
-        let mut order: Vec<_> =
-            ready.iter().map(|entry| (shorten(entry.tag), entry.tag, entry.worker)).collect();
+        let mut order: Vec<Shortened> = ready.iter().map(Shortened::new).collect();
         order.sort_unstable();
         let mut conflicting = Vec::new();
         order.dedup_by(|next, first| {
-            let is_same = next.0 == first.0;
+            let is_same = next.short == first.short;
             conflicting.extend(is_same.then_some(*next));
             is_same
         });
-        self.workers = order.into_iter().map(|(short, _, worker)| (short, worker)).collect();
+        self.workers = order.into_iter().map(|shortened| (shortened.short, shortened.worker)).collect();
         self.aliases.clear();
-        for (short, _, worker) in conflicting {
+        for Shortened { short, worker, .. } in conflicting {
             if self.workers.len() > usize::from(u16::MAX) {
                 return;
             }
@@ -45,7 +59,7 @@
     }
 
     /// The short tag of a worker.
-    pub fn of(&self, worker: WorkerId, tag: u64) -> u16 {
+    pub fn short_tag(&self, worker: WorkerId, tag: u64) -> u16 {
         self.aliases.get(&worker).copied().unwrap_or_else(|| shorten(tag))
     }
 
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -198,15 +198,15 @@
     /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
-    pub at: Micros,
+    pub sent_at: Micros,
     /// It has not ended yet.
-    pub out: bool,
+    pub is_outstanding: bool,
     /// When it started to run, if it did.
     pub running_since: Option<Micros>,
     /// It ended, and it is known that it never ran.
     pub never_ran: bool,
     /// Its worker handed it back by a callback.
-    pub handed_back: bool,
+    pub is_handed_back: bool,
 }
 
 /// What membership says of a node.
@@ -234,11 +234,11 @@
     /// A job that another process of this node had accepted: this one owes the final response from now on.
     Adopted {
         /// The job.
-        new: NewJob,
+        request: NewJob,
         /// When it arrived.
-        since: Micros,
+        arrived_at: Micros,
         /// Its attempts, in the order sent.
-        past: Vec<PriorAttempt>,
+        prior_attempts: Vec<PriorAttempt>,
     },
     /// The response stream of this attempt has started.
     StreamStarted {
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -19,5 +19,5 @@
     WorkerId, ZoneId,
 };
 pub use settings::{
-    Class, DeduplicationScope, Idempotency, MAX_NODES, Reports, Settings, SettingsError, Tenant,
+    Class, DeduplicationScope, Idempotency, MAX_DISPATCHERS, Reports, Settings, SettingsError, Tenant,
 };
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -82,13 +82,13 @@
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its quota: jobs a second over all nodes.
+    /// Its quota: jobs a second over all dispatchers.
     pub quota_per_s: f64,
     /// Its fair-share weight.
     pub share_weight: f64,
 }
 
-/// How load reports reach the node.
+/// How load reports reach the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
     /// With attempt outcomes and probe responses.
@@ -99,14 +99,14 @@
     Silent,
 }
 
-/// The settings of one instance. [`Settings::default`] is a single node with one idempotent class.
+/// The settings of one instance. [`Settings::default`] is a single dispatcher with one idempotent class.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This node's number among `nodes`, from 0.
-    pub me: u32,
-    /// How many nodes there are.
-    pub nodes: u32,
-    /// This node's zone.
+    /// This dispatcher's number among its peers and itself, from 0.
+    pub own_index: u32,
+    /// How many dispatchers there are, this one included.
+    pub dispatcher_count: u32,
+    /// This dispatcher's zone.
     pub zone: ZoneId,
     /// The classes of jobs.
     pub classes: Vec<Class>,
@@ -118,7 +118,7 @@
     pub tick: Micros,
     /// Whether weight counts for each unit of work, not for each job.
     pub weight_by_work: bool,
-    /// How load reports reach the node.
+    /// How load reports reach the dispatcher.
     pub reports: Reports,
     /// Workers report when a job starts ([`super::Event::Started`]).
     pub reports_start: bool,
@@ -142,8 +142,8 @@
     pub answer_slack: Micros,
     /// No attempt may be sent to a draining or gone worker after this.
     pub drain_grace: Micros,
-    /// Where lists are sent only on request, the longest time between requests.
-    pub ask_within: Option<Micros>,
+    /// Where lists are sent only on request, the longest time from one poll to the next.
+    pub max_poll_interval: Option<Micros>,
     /// The fraction of its capacity that a worker has at its start, at least.
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
@@ -176,8 +176,8 @@
             priority: 0,
         };
         Settings {
-            me: 0,
-            nodes: 1,
+            own_index: 0,
+            dispatcher_count: 1,
             zone: ZoneId(0),
             classes: vec![class],
             tenants: Vec::new(),
@@ -196,7 +196,7 @@
             max_retry_after: None,
             answer_slack: 20_000,
             drain_grace: 500_000,
-            ask_within: None,
+            max_poll_interval: None,
             initial_capacity: 0.2,
             warm_up_time: 10_000_000,
             collapse_multiple: 2.5,
@@ -209,8 +209,8 @@
     }
 }
 
-/// The most nodes there may be: each assigns all workers to all groups at every endpoint list.
-pub const MAX_NODES: u32 = 10_000;
+/// The most dispatchers there may be: each assigns all workers to all groups at every endpoint list.
+pub const MAX_DISPATCHERS: u32 = 10_000;
 
 /// Why [`crate::Dispatcher::new`] refused the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -218,12 +218,12 @@
     /// There is no class.
     #[error("settings name no class of jobs")]
     NoClasses,
-    /// `me` is not below `nodes`.
+    /// `own_index` is not below `dispatcher_count`.
     #[error("this node's number is not below the count of nodes")]
-    NotAmongNodes,
-    /// There are more than [`MAX_NODES`].
+    NotAmongDispatchers,
+    /// There are more than [`MAX_DISPATCHERS`].
     #[error("there are more than 10,000 nodes")]
-    TooManyNodes,
+    TooManyDispatchers,
     /// No attempt is allowed.
     #[error("settings allow no attempt")]
     NoAttempts,
@@ -248,11 +248,11 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if self.me >= self.nodes {
-            return Err(SettingsError::NotAmongNodes);
+        if self.own_index >= self.dispatcher_count {
+            return Err(SettingsError::NotAmongDispatchers);
         }
-        if self.nodes > MAX_NODES {
-            return Err(SettingsError::TooManyNodes);
+        if self.dispatcher_count > MAX_DISPATCHERS {
+            return Err(SettingsError::TooManyDispatchers);
         }
         if self.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
--- a/src/policy/interner.rs
+++ b/src/policy/interner.rs
@@ -36,23 +36,33 @@
         self.current.is_empty()
     }
 
-    /// The same names under the numbers that they had in `older`, where what they stand for is the `same` (by the new number
-    /// and the old), else under new ones; and the number of each. Names that are missing here lose theirs.
-    pub(crate) fn after(
+    /// The same names with the numbers that they have in `older`, so that these stay valid. A name keeps its number there if
+    /// `is_same`, given its number here and there, says that both stand for the same; else it gets a new one. Names that are
+    /// missing here have no number any more.
+    pub(crate) fn keep_numbers(
         &self,
         older: &Interner,
-        same: impl Fn(usize, usize) -> bool,
-    ) -> (Interner, Vec<usize>) {
-        let (mut names, mut current, mut numbers) = (older.names.clone(), HashMap::new(), Vec::new());
-        for (new, name) in self.names.iter().enumerate() {
-            let kept = (0..older.names.len()).rev().find(|old| older.names[*old] == *name && same(new, *old));
-            let number = kept.unwrap_or_else(|| {
+        is_same: impl Fn(usize, usize) -> bool,
+    ) -> RenumberedNames {
+        let mut names = older.names.clone();
+        let mut current = HashMap::new();
+        let mut numbers = Vec::new();
+        for (here, name) in self.names.iter().enumerate() {
+            let is_kept = |there: &usize| older.names[*there] == *name && is_same(here, *there);
+            let number = (0..older.names.len()).rev().find(is_kept).unwrap_or(names.len());
+            if number == names.len() {
                 names.push(name.clone());
-                names.len() - 1
-            });
+            }
             current.insert(name.clone(), number as u32);
             numbers.push(number);
         }
-        (Interner { current, names }, numbers)
+        RenumberedNames { interner: Interner { current, names }, numbers }
     }
 }
+
+/// The names of one interner with the numbers of an older one.
+pub(crate) struct RenumberedNames {
+    pub(crate) interner: Interner,
+    /// The number that each name has now, by its number before.
+    pub(crate) numbers: Vec<usize>,
+}
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -76,7 +76,7 @@
 
 /// The place of a job among those queued here; the least goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Turn {
+pub(crate) struct QueuePosition {
     pub is_late: bool,
     pub order: Micros,
     pub job: JobId,
@@ -100,7 +100,7 @@
 
     /// A worker of the group, of so many slots, by what the nodes of the group have outstanding there; `None` for another
     /// worker.
-    pub fn of_group(
+    pub fn from_group(
         state: &PolicyState,
         worker: &Worker,
         listed: &EndpointEntry,
@@ -117,7 +117,7 @@
     }
 
     /// A worker's load sample, charged with own attempts that it cannot show yet.
-    pub fn of_sample(sample: &LoadSample, worker: &Worker, window: Micros, slots: f64) -> LoadInputs {
+    pub fn from_sample(sample: &LoadSample, worker: &Worker, window: Micros, slots: f64) -> LoadInputs {
         let unseen = worker.slots_sent_since(sample.at.saturating_sub(window));
         let cpu = (sample.cpu + unseen / slots).min(1.0);
         let unlimited = if sample.cpu < 1.0 { f64::INFINITY } else { 0.0 };
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -23,7 +23,7 @@
     /// the other nodes, can have run what is queued here.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
-        let own_slots = self.state.ready_slots() / f64::from(self.settings.nodes);
+        let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
         let jobs = (self.state.queue().len() + 1) as f64;
         let work = jobs * self.estimates().mean_work() * self.slowness();
         let wait = (work / own_slots).min(max as f64) as Micros;
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -15,14 +15,14 @@
         }
         let slots = self.estimates().slots(listed.kind).max(1.0);
         let capacity = self.planned_capacity(listed, slots);
-        let advertised = LoadInputs::of_group(&self.state, worker, listed, capacity);
+        let advertised = LoadInputs::from_group(&self.state, worker, listed, capacity);
         // A peer that is silent may still send there: then a report is needed as well.
         if advertised.is_some() && !self.gossip().has_silent_peer(self.now()) {
             return advertised;
         }
         let window = self.window();
         let sample = self.state.fresh_load(listed.worker, window)?;
-        let sampled = LoadInputs::of_sample(sample, worker, window, slots);
+        let sampled = LoadInputs::from_sample(sample, worker, window, slots);
         Some(advertised.map_or(sampled, |advertised| advertised.worst(sampled)))
     }
 
@@ -60,7 +60,7 @@
         let Some(place) = self.gossip().slow_start_rank(listed.tag) else { return false };
         let now = self.now();
         let window = self.settings.collapse_window;
-        let knows_peer_work = self.gossip().hears_peers(now, window);
+        let knows_peer_work = self.gossip().has_recent_advertisements(now, window);
         let sent = if knows_peer_work { 0.0 } else { worker.work_sent_since(now.saturating_sub(window)) };
         let safety = if knows_peer_work { 1.0 } else { WARM_UP_SAFETY };
         let age = now.saturating_sub(listed.started_at.unwrap_or(0));
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -33,7 +33,7 @@
 impl Policy {
     /// Opens a watch after a random wait, longer after each failure, so that nodes do not call all at once.
     pub fn schedule_watch(&mut self, actions: &mut Vec<Action>) {
-        if let Some(interval) = self.settings.ask_within.filter(|_| self.settings.list_on_request) {
+        if let Some(interval) = self.settings.max_poll_interval.filter(|_| self.settings.list_on_request) {
             let max_wait = (interval / FIRST_LIST_DELAY_DIVISOR) << self.state.list_wait_doublings();
             actions.push(Action::SetTimer(Timer::OpenWatch.into(), self.random.u64(0..=max_wait)));
         }
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -114,29 +114,29 @@
     /// A job's place among those queued here: the one that must start soonest first. But where late ones earn
     /// too, one past its latency objective goes last, the newest first, or under overload all would be served
     /// just too late. One that was rejected again and again has none: its last attempts are spread.
-    fn turn(&self, id: JobId) -> Option<Turn> {
+    fn queue_position(&self, id: JobId) -> Option<QueuePosition> {
         let job = self.state.job(id).filter(|job| job.unrun_count() < QUICK_RETRIES)?;
         let latest = self.latest_start(job);
         let class = self.class(job);
         let is_late = class.late_weight > 0.0 && self.now() >= job.arrived + class.latency_objective;
-        Some(Turn { is_late, order: if is_late { Micros::MAX - latest } else { latest }, job: id })
+        Some(QueuePosition { is_late, order: if is_late { Micros::MAX - latest } else { latest }, job: id })
     }
 
     /// The places of the jobs queued here, but for those that have none.
-    fn turns(&self) -> impl Iterator<Item = Turn> {
-        self.state.queue().iter().filter_map(|id| self.turn(id))
+    fn queue_positions(&self) -> impl Iterator<Item = QueuePosition> {
+        self.state.queue().iter().filter_map(|id| self.queue_position(id))
     }
 
     /// Whether a job that is queued here goes before this one.
     fn is_behind_queue(&self, id: JobId) -> bool {
-        self.turns().min().is_some_and(|first| Some(first) < self.turn(id))
+        self.queue_positions().min().is_some_and(|first| Some(first) < self.queue_position(id))
     }
 
     /// A start or an end may mean capacity: the queued jobs are reviewed in turn as long as one is sent.
     pub fn review_queued(&mut self, actions: &mut Vec<Action>) {
-        let mut turns: Vec<Turn> = self.turns().collect();
-        turns.sort_unstable();
-        for Turn { job: id, .. } in turns {
+        let mut positions: Vec<QueuePosition> = self.queue_positions().collect();
+        positions.sort_unstable();
+        for QueuePosition { job: id, .. } in positions {
             self.state.end_wait(id);
             self.review(id, actions);
             if self.state.queue().contains(id) {
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -209,8 +209,8 @@
     let list_on_request = profile.text("Discovery") == Some("on_request");
     let has_retry_after = profile.flag("Limits.RetryAfter", false);
     let settings = Settings {
-        me: profile.number("Me", 0.0)? as u32,
-        nodes: profile.number("Siblings", 1.0)? as u32,
+        own_index: profile.number("Me", 0.0)? as u32,
+        dispatcher_count: profile.number("Siblings", 1.0)? as u32,
         zone: ZoneId(names.zones.id(profile.text("Zone").unwrap_or("")) as u16),
         classes,
         tenants,
@@ -229,7 +229,7 @@
         max_retry_after: profile.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
         answer_slack: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
         drain_grace: profile.micros("Obligations.StopSendingWithinMs", 0.0)?,
-        ask_within: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
+        max_poll_interval: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
         initial_capacity: profile.number("Obligations.ColdFrom", 0.1)?,
         warm_up_time: profile.micros("Obligations.ColdMs", 0.0)?,
         collapse_multiple: profile.number("Obligations.FallMultiple", 1.0)?,
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -32,18 +32,18 @@
             let Some(job) = self.jobs.get_mut(&id) else { return };
             let attempt = job.add_attempt(Attempt {
                 worker: prior.worker,
-                sent_at: prior.at,
-                state: AttemptState::of_prior(prior),
+                sent_at: prior.sent_at,
+                state: AttemptState::from_prior(prior),
                 running_since: prior.running_since,
                 is_start_expected: false,
             });
             let slots = job.request.slots;
             let worker = self.workers.touch(prior.worker);
-            if prior.out {
+            if prior.is_outstanding {
                 worker.adopt(OutstandingAttempt {
                     job: id,
                     attempt,
-                    sent_at: prior.at,
+                    sent_at: prior.sent_at,
                     slots,
                     is_started: prior.running_since.is_some(),
                 });
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -31,13 +31,14 @@
     }
 
     /// The state of an attempt that another process of this node made.
-    pub fn of_prior(prior: &PriorAttempt) -> AttemptState {
-        match (prior.out, prior.running_since, prior.never_ran) {
-            (true, None, _) => AttemptState::Sent,
-            (true, Some(_), _) => AttemptState::Running,
-            (false, _, true) if prior.handed_back => AttemptState::HandedBack,
-            (false, _, true) => AttemptState::NotRun,
-            (false, _, false) => AttemptState::MayHaveRun,
+    pub fn from_prior(prior: &PriorAttempt) -> AttemptState {
+        if prior.is_outstanding {
+            return if prior.running_since.is_some() { AttemptState::Running } else { AttemptState::Sent };
+        }
+        match prior.never_ran {
+            true if prior.is_handed_back => AttemptState::HandedBack,
+            true => AttemptState::NotRun,
+            false => AttemptState::MayHaveRun,
         }
     }
 }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -69,7 +69,7 @@
             let scheduler = PollScheduler::new(scheduler_config, now, generation);
             scheduler.inspect_err(|error| tracing::warn!(%error, "cold start: poll scheduler disabled")).ok()
         });
-        let place = u16::try_from(config.settings.me).unwrap_or(u16::MAX);
+        let place = u16::try_from(config.settings.own_index).unwrap_or(u16::MAX);
         let hears_members = hears_members(settings, config);
         let observations = scheduler
             .as_ref()
@@ -186,10 +186,10 @@
 fn scheduler_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<SchedulerConfig> {
     let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
     Some(SchedulerConfig {
-        place: u16::try_from(config.settings.me).ok()?,
-        places: u16::try_from(config.settings.nodes).ok()?,
+        place: u16::try_from(config.settings.own_index).ok()?,
+        places: u16::try_from(config.settings.dispatcher_count).ok()?,
         service_time: cold_start.call_time,
-        poll_within: config.settings.ask_within,
+        poll_within: config.settings.max_poll_interval,
         unix_at_zero,
         seed: config.seed,
         has_membership: hears_members(settings, config),
@@ -226,7 +226,7 @@
         membership: &mut MembershipLink,
         fact: &OwnedFact,
     ) {
-        let is_own = u32::from(fact.place) == context.config.settings.me;
+        let is_own = u32::from(fact.place) == context.config.settings.own_index;
         if !is_own && self.pacing.on_fact(context.now(), fact) {
             self.update_pacing(context, membership);
         }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -70,8 +70,8 @@
         self.budget = Budget::new(config.limits, reserved_files(self.records.is_some()));
         let has_discovery_moved = config.discovery != self.config.discovery;
         let old = std::mem::replace(&mut self.config, config);
-        let own_place = self.config.settings.me;
-        if own_place != old.settings.me || self.config.peers != old.peers {
+        let own_place = self.config.settings.own_index;
+        if own_place != old.settings.own_index || self.config.peers != old.peers {
             self.peers.renumber(&mut self.peer_socket, &old.peers, &self.config);
             self.membership.restart(&mut context!(self), &mut self.discovery);
         }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -25,7 +25,12 @@
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     // A dispatcher without an address for datagrams cannot hear any peer.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
-    ProcessIdentity { place: config.settings.me, peers, epoch: unix.as_millis() as u64, seed: config.seed }
+    ProcessIdentity {
+        place: config.settings.own_index,
+        peers,
+        epoch: unix.as_millis() as u64,
+        seed: config.seed,
+    }
 }
 
 /// The learners that the settings name, for a process that starts now.
@@ -168,7 +173,7 @@
             for_ms: now.saturating_sub(member.since) / MICROS_PER_MS,
         };
         Some(MembersPage {
-            me: config.settings.me,
+            me: config.settings.own_index,
             version: view.version(),
             members: view.iter().map(row).collect(),
             figures,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -97,7 +97,7 @@
     /// Nothing has been announced yet among the dispatchers of a configuration.
     pub(in crate::server) fn new(config: &Config) -> PeerLink {
         PeerLink {
-            lifecycle: PeerLifecycle::new(config.settings.me, config.peers.len()),
+            lifecycle: PeerLifecycle::new(config.settings.own_index, config.peers.len()),
             last_message_at: HashMap::new(),
             repeats_left: 0,
         }
@@ -114,7 +114,7 @@
         socket.places = places_by_address(&config.peers);
         let new_place =
             |old: u32| old_peers.get(old as usize).and_then(|address| socket.places.get(address)).copied();
-        self.lifecycle.renumber(config.settings.me, config.peers.len(), new_place);
+        self.lifecycle.renumber(config.settings.own_index, config.peers.len(), new_place);
         let messages = std::mem::take(&mut self.last_message_at).into_iter();
         self.last_message_at = messages.filter_map(|(old, at)| Some((new_place(old)?, at))).collect();
     }
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -13,7 +13,13 @@
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     let base =
         Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
-    Settings { me, nodes: NODES, classes: vec![class], zone: ZoneId((me % 3) as u16), ..base }
+    Settings {
+        own_index: me,
+        dispatcher_count: NODES,
+        classes: vec![class],
+        zone: ZoneId((me % 3) as u16),
+        ..base
+    }
 }
 
 struct Groups {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -24,7 +24,7 @@
         settings.classes[1].idempotency,
         Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 40_000_000 }
     );
-    assert_eq!((settings.ask_within, settings.max_retry_after), (Some(400_000), Some(2_000_000)));
+    assert_eq!((settings.max_poll_interval, settings.max_retry_after), (Some(400_000), Some(2_000_000)));
     assert_eq!(
         (config.idle_timeout, config.connect_timeout, config.known_endpoints.rows.len()),
         (5_000_000, 250_000, 1)
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -313,7 +313,7 @@
         let given = Given::deserialize(given).map_err(|e| e.to_string())?;
         let settings = Settings {
             zone: ZoneId(given.zone),
-            nodes: given.nodes,
+            dispatcher_count: given.nodes,
             classes: given.classes.iter().map(class).collect(),
             may_probe: given.probe,
             reports_start: given.tells_start,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -156,8 +156,13 @@
 #[test]
 fn all_nodes_keep_a_warming_up_worker_within_its_budget() {
     let nodes = 12;
-    let base = Settings { nodes, classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
-    let mut fleet: Vec<Node> = (0..nodes).map(|me| Node::new(Settings { me, ..base.clone() })).collect();
+    let base = Settings {
+        dispatcher_count: nodes,
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
+    let mut fleet: Vec<Node> =
+        (0..nodes).map(|me| Node::new(Settings { own_index: me, ..base.clone() })).collect();
     let start = fleet[0].now;
     let cold = EndpointEntry { started_at: Some(start), ..worker(0) };
     let mut sent: Vec<(Micros, f64)> = Vec::new();
@@ -210,7 +215,8 @@
 
 #[test]
 fn requests_the_list_with_jitter_and_again_after_failure() {
-    let settings = Settings { list_on_request: true, ask_within: Some(10_000 * MS), ..Settings::default() };
+    let settings =
+        Settings { list_on_request: true, max_poll_interval: Some(10_000 * MS), ..Settings::default() };
     let mut node = Node::new(settings);
     node.roster(vec![worker(0)]);
     assert!(node.pass(10_000 * MS).contains(&Action::OpenWatch));
@@ -223,12 +229,12 @@
     let refused = |s: Settings| Dispatcher::new(s, 1).err();
     assert_eq!(refused(Settings { classes: vec![], ..Settings::default() }), Some(SettingsError::NoClasses));
     assert_eq!(
-        refused(Settings { me: 3, nodes: 3, ..Settings::default() }),
-        Some(SettingsError::NotAmongNodes)
+        refused(Settings { own_index: 3, dispatcher_count: 3, ..Settings::default() }),
+        Some(SettingsError::NotAmongDispatchers)
     );
     assert_eq!(
-        refused(Settings { nodes: u32::MAX, ..Settings::default() }),
-        Some(SettingsError::TooManyNodes)
+        refused(Settings { dispatcher_count: u32::MAX, ..Settings::default() }),
+        Some(SettingsError::TooManyDispatchers)
     );
     assert_eq!(refused(Settings { max_attempts: 0, ..Settings::default() }), Some(SettingsError::NoAttempts));
     assert_eq!(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,12 +13,12 @@
 fn settings(me: u32, may_message_peers: bool) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     let base = Settings { may_probe: true, reports_start: true, ..Settings::default() };
-    Settings { me, nodes: NODES, classes: vec![class], may_message_peers, ..base }
+    Settings { own_index: me, dispatcher_count: NODES, classes: vec![class], may_message_peers, ..base }
 }
 
 /// A node whose group has this worker and no other.
 fn node() -> Node {
-    let mut node = Node::new(Settings { nodes: 10, ..settings(7, true) });
+    let mut node = Node::new(Settings { dispatcher_count: 10, ..settings(7, true) });
     node.roster(vec![worker(0)]);
     node
 }
@@ -58,11 +58,11 @@
     }
 
     fn of(count: u32, may_message_peers: bool) -> Fleet {
-        let ask_within = Some(2_000 * MS);
+        let max_poll_interval = Some(2_000 * MS);
         let set = |me| Settings {
-            nodes: count,
+            dispatcher_count: count,
             list_on_request: true,
-            ask_within,
+            max_poll_interval,
             ..settings(me, may_message_peers)
         };
         let node = |me| Node::seeded(set(me), u64::from(me));
@@ -193,7 +193,7 @@
 /// What a mate that died had out is forgotten; one that lives says it again.
 #[test]
 fn load_advertisements_are_repeated_or_expire() {
-    let mut sender = Node::new(Settings { nodes: 10, ..settings(3, true) });
+    let mut sender = Node::new(Settings { dispatcher_count: 10, ..settings(3, true) });
     let mut node = node();
     for n in [&mut sender, &mut node] {
         n.roster(vec![worker(0)]);
@@ -241,7 +241,7 @@
 /// to seventeen at a worker with five slots, since its new group did not know what nodes of the one before had out there.
 #[test]
 fn a_full_group_probes_unsized_workers_where_reports_come_with_probes() {
-    let base = Settings { nodes: 20, reports: Reports::Probes, ..settings(7, true) };
+    let base = Settings { dispatcher_count: 20, reports: Reports::Probes, ..settings(7, true) };
     let mut node = Node::new(base);
     node.roster((0..4).map(worker).collect());
     let mut next = 0..;
@@ -322,7 +322,7 @@
 /// Ten nodes each found out by themselves that a worker of theirs was dead: 818 refused connections on a day, and 30 since.
 #[test]
 fn a_worker_that_one_node_suspects_is_avoided_by_its_group() {
-    let mut first = Node::new(Settings { nodes: 10, ..settings(3, true) });
+    let mut first = Node::new(Settings { dispatcher_count: 10, ..settings(3, true) });
     first.roster(vec![worker(0)]);
     let to = sends(&first.arrive(1, 0, 5_000 * MS))[0].1;
     first.end(1, 0, to, Outcome::ConnectFailed);
@@ -436,7 +436,7 @@
 /// The least time of the module over five rounds of `round`, in one of 30 dispatchers among so many reporting workers:
 /// the least, so that a busy machine slows both sides of a comparison alike.
 fn least_of_five(workers: u32, mut round: impl FnMut(&mut Node, u64)) -> std::time::Duration {
-    let mut node = Node::new(Settings { nodes: 30, ..settings(0, true) });
+    let mut node = Node::new(Settings { dispatcher_count: 30, ..settings(0, true) });
     node.roster((0..workers).map(worker).collect());
     (0..workers).for_each(|w| drop(node.report(w, 0.3, SLOTS)));
     (0..5).fold(std::time::Duration::MAX, |least, n| {
@@ -479,7 +479,7 @@
 /// a group sent to the same full workers; 22 % of the jobs of 10 to 15 s came late, and the queues lasted into the heal.
 #[test]
 fn a_silent_peer_is_not_taken_for_idle() {
-    let (mut node, mut mate) = (node(), Node::new(Settings { nodes: 10, ..settings(3, true) }));
+    let (mut node, mut mate) = (node(), Node::new(Settings { dispatcher_count: 10, ..settings(3, true) }));
     mate.roster(vec![worker(0)]);
     [&mut node, &mut mate].into_iter().for_each(|n| drop(n.report(0, 0.0, SLOTS)));
     assert_eq!(sends(&mate.arrive(1, 0, 5_000 * MS)).len(), 1);
@@ -501,7 +501,7 @@
 /// Where jobs begin and end within a tick all workers were 0 slow, so lots were worth nothing and the first of the list got all.
 #[test]
 fn spreads_jobs_that_take_no_time() {
-    let mut node = Node::new(Settings { nodes: 10, ..settings(7, true) });
+    let mut node = Node::new(Settings { dispatcher_count: 10, ..settings(7, true) });
     node.roster((0..8).map(worker).collect());
     let mut used = BTreeSet::new();
     for job in 0..100 {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -266,9 +266,13 @@
             deadline: 60_000 * MS,
             ..base.classes[0].clone()
         };
-        let base =
-            mothproxy::Settings { nodes: Cut::NODES, may_message_peers: true, classes: vec![class], ..base };
-        let node = |me| Node::seeded(mothproxy::Settings { me, ..base.clone() }, u64::from(me));
+        let base = mothproxy::Settings {
+            dispatcher_count: Cut::NODES,
+            may_message_peers: true,
+            classes: vec![class],
+            ..base
+        };
+        let node = |me| Node::seeded(mothproxy::Settings { own_index: me, ..base.clone() }, u64::from(me));
         let mut cut = Cut { nodes: (0..Cut::NODES).map(node).collect(), running: vec![0; 12] };
         for me in 0..Cut::NODES {
             let node = &mut cut.nodes[me as usize];
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -5,7 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings(me: u32) -> Settings {
-    Settings { me, nodes: 100, may_message_peers: true, may_probe: true, ..Settings::default() }
+    Settings {
+        own_index: me,
+        dispatcher_count: 100,
+        may_message_peers: true,
+        may_probe: true,
+        ..Settings::default()
+    }
 }
 
 fn listed(n: u32) -> EndpointEntry {
@@ -80,7 +86,7 @@
     let believed = |here: &bool| if *here { PeerPresence::Present } else { PeerPresence::Gone };
     let peers: Vec<PeerPresence> = holders.iter().map(believed).collect();
     for me in (0..nodes).filter(|n| holders[*n as usize]) {
-        let mut gossip = GroupGossip::new(&Settings { nodes, ..settings(me) });
+        let mut gossip = GroupGossip::new(&Settings { dispatcher_count: nodes, ..settings(me) });
         gossip.set_presence(1, &peers);
         gossip.assign(workers, &[]);
         for worker in gossip.assigned().iter().copied() {
@@ -151,7 +157,7 @@
             // One node of each group that has somebody on this side; the rest of it does what it does.
             let mut groups = BTreeSet::new();
             for me in (0..nodes).filter(|n| peers[*n as usize] == PeerPresence::Present) {
-                let mut gossip = GroupGossip::new(&Settings { nodes, ..settings(me) });
+                let mut gossip = GroupGossip::new(&Settings { dispatcher_count: nodes, ..settings(me) });
                 if gossip.is_grouped() && groups.insert(gossip.group()) {
                     gossip.assign(&all, &[]);
                     let before = gossip.assigned().to_vec();
@@ -212,8 +218,8 @@
 /// The group of node 0 is the same with 92 nodes and with 91; who may be asked for a slot is not.
 #[test]
 fn requests_no_slot_from_a_removed_node() {
-    let mut gossip = GroupGossip::new(&Settings { nodes: 92, ..settings(0) });
-    gossip.regroup(&Settings { nodes: 91, ..settings(0) });
+    let mut gossip = GroupGossip::new(&Settings { dispatcher_count: 92, ..settings(0) });
+    gossip.regroup(&Settings { dispatcher_count: 91, ..settings(0) });
     let mut actions = Vec::new();
     (0..1_000).for_each(|random| gossip.request_slot(ZoneId(0), random, &mut actions));
     assert!(
@@ -224,7 +230,10 @@
 
 #[test]
 fn has_no_group_alone_or_without_messages() {
-    for set in [Settings { nodes: 1, ..settings(0) }, Settings { may_message_peers: false, ..settings(0) }] {
+    for set in [
+        Settings { dispatcher_count: 1, ..settings(0) },
+        Settings { may_message_peers: false, ..settings(0) },
+    ] {
         let mut gossip = GroupGossip::new(&set);
         gossip.assign(&[listed(1)], &[]);
         assert!(
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -65,8 +65,8 @@
             ..class(Idempotency::Idempotent)
         };
         Settings {
-            me,
-            nodes: self.nodes,
+            own_index: me,
+            dispatcher_count: self.nodes,
             classes: vec![class],
             may_probe: true,
             may_message_peers: self.peers,
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -203,7 +203,7 @@
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     let base =
         Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
-    Settings { me, nodes, classes: vec![class], ..base }
+    Settings { own_index: me, dispatcher_count: nodes, classes: vec![class], ..base }
 }
 
 /// So many workers, each two of which have a tag that messages shorten to the same 16 bits.
