--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -4,14 +4,14 @@
 use crate::policy::interface::{Class, EndpointEntry, Micros, Settings, WorkerId};
 use crate::policy::state::{Estimates, Job, PolicyState};
 
-/// A constant that differs between a node by itself and one in a group.
+/// A constant that differs between a dispatcher by itself and one in a group.
 pub(crate) struct ByGrouping<T> {
     pub alone: T,
     pub grouped: T,
 }
 
-/// The decisions of one node, with their settings, their random numbers and what they rest on. The decisions themselves are
-/// methods in `src/policy/rules`.
+/// The decisions of one dispatcher, with their settings, their random numbers and what they rest on. The decisions themselves
+/// are methods in `src/policy/rules`.
 pub(crate) struct Policy {
     pub settings: Settings,
     pub state: PolicyState,
@@ -35,7 +35,7 @@
         self.state.now()
     }
 
-    /// What is known of this node's group.
+    /// What is known of this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         self.state.gossip()
     }
@@ -55,12 +55,12 @@
         self.state.is_warm(listed, self.settings.warm_up_time)
     }
 
-    /// The value that holds for this node, alone or in a group.
+    /// The value that holds for this dispatcher, alone or in a group.
     pub fn by_grouping<T: Copy>(&self, values: &ByGrouping<T>) -> T {
         if self.is_grouped() { values.grouped } else { values.alone }
     }
 
-    /// Whether the node shares its workers with a group of nodes.
+    /// Whether the dispatcher shares its workers with a group of dispatchers.
     pub fn is_grouped(&self) -> bool {
         self.gossip().is_grouped()
     }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The decision module of one node, as its host sees it: events in, actions out.
+//! The decision module of one dispatcher, as its host sees it: events in, actions out.
 //!
 //! A handler of an event keeps the books in `state` and calls the decisions in `rules`; it decides nothing itself.
 
@@ -12,7 +12,7 @@
 use super::state::{IdMap, Learned};
 use super::timer::Timer;
 
-/// The decision module of one node.
+/// The decision module of one dispatcher.
 pub struct Dispatcher {
     policy: Policy,
 }
@@ -163,7 +163,7 @@
         &self.policy.settings
     }
 
-    /// The indices of the other nodes of this node's group.
+    /// The indices of the other dispatchers of this dispatcher's group.
     pub(crate) fn group_peers(&self) -> &[u32] {
         self.policy.state.gossip().peers()
     }
--- a/src/policy/gossip/advertisements.rs
+++ b/src/policy/gossip/advertisements.rs
@@ -1,4 +1,4 @@
-//! The load advertisements that a node has received and sent.
+//! The load advertisements that a dispatcher has received and sent.
 
 use super::messages::LoadAdvertisement;
 use super::{ADVERTISEMENT_TTL, REPEAT_INTERVAL};
@@ -13,9 +13,9 @@
 /// To whom an advertisement goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Recipient {
-    /// The other nodes of the group.
+    /// The other dispatchers of the group.
     Group,
-    /// A node of another group at whose worker this node uses a borrowed slot.
+    /// A dispatcher of another group at whose worker this dispatcher uses a borrowed slot.
     SlotOwner(u32),
 }
 
@@ -28,7 +28,7 @@
     pub due: Vec<usize>,
 }
 
-/// What each node has advertised, in parts that do not overlap, and what this node has sent last.
+/// What each dispatcher has advertised, in parts that do not overlap, and what this dispatcher has sent last.
 #[derive(Debug, Default)]
 pub(super) struct Advertisements {
     received: BTreeMap<u32, Vec<LoadAdvertisement>>,
@@ -36,7 +36,7 @@
 }
 
 impl Advertisements {
-    /// What a node says of these workers now is all that it has outstanding there and suspects of them.
+    /// What a dispatcher says of these workers now is all that it has outstanding there and suspects of them.
     pub fn receive(&mut self, from: u32, advertisement: LoadAdvertisement) {
         let parts = self.received.entry(from).or_default();
         parts.iter_mut().for_each(|part| part.remove(&advertisement.range));
@@ -47,16 +47,16 @@
     /// The advertisements that are still valid, with their senders.
     pub fn valid(&self, now: Micros) -> impl Iterator<Item = (u32, &LoadAdvertisement)> {
         let parts =
-            self.received.iter().flat_map(|(node, parts)| parts.iter().map(move |part| (*node, part)));
+            self.received.iter().flat_map(|(sender, parts)| parts.iter().map(move |part| (*sender, part)));
         parts.filter(move |(_, part)| now < part.at + ADVERTISEMENT_TTL)
     }
 
-    /// Drops what is void of nodes other than these: every node of a large fleet may have sent some, and it would be looked
-    /// through for each job.
+    /// Drops what is void of dispatchers other than these: every dispatcher of a large fleet may have sent some, and it would
+    /// be looked through for each job.
     pub fn drop_expired(&mut self, now: Micros, peers: &[u32]) {
         let is_valid =
             |parts: &[LoadAdvertisement]| parts.iter().any(|part| now < part.at + ADVERTISEMENT_TTL);
-        self.received.retain(|node, parts| peers.contains(node) || is_valid(parts));
+        self.received.retain(|sender, parts| peers.contains(sender) || is_valid(parts));
     }
 
     /// Whether a peer that had outstanding work when it last advertised has missed advertising it again.
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -1,4 +1,4 @@
-//! Which workers are assigned to this node's group, and how much of them is reserved for nodes that are away.
+//! Which workers are assigned to this dispatcher's group, and how much of them is reserved for dispatchers that are away.
 
 use super::ADVERTISEMENT_TTL;
 use super::group::{PeerGroup, group_hash};
@@ -22,9 +22,9 @@
     owners: BTreeMap<WorkerId, u32>,
     /// Of the group's workers those that came from another group by a change of presence, and when.
     gained: BTreeMap<WorkerId, Micros>,
-    /// The ranks of parts that are reserved for unreachable nodes, where there are any.
+    /// The ranks of parts that are reserved for unreachable dispatchers, where there are any.
     reserved_ranks: BTreeMap<WorkerId, Vec<u16>>,
-    /// The presence of nodes has changed at this time, and the workers are not assigned by it yet.
+    /// The presence of dispatchers has changed at this time, and the workers are not assigned by it yet.
     pub presence_changed_at: Option<Micros>,
 }
 
@@ -37,7 +37,7 @@
 impl Assignment {
     /// Assigns the ready workers to the groups, zone by zone, the oldest first: each goes to the group that ranks highest for
     /// it among those that have not had their part yet, so that one more or less moves few others. But one that warms up goes
-    /// to the group that ranks highest of all: whichever lists and presence a node has, that worker has the same group.
+    /// to the group that ranks highest of all: whichever lists and presence a dispatcher has, that worker has the same group.
     pub fn assign(
         &mut self,
         group: &PeerGroup,
@@ -140,7 +140,7 @@
         self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
     }
 
-    /// The ranks of the parts of a worker that are reserved for unreachable nodes.
+    /// The ranks of the parts of a worker that are reserved for unreachable dispatchers.
     pub fn reserved_ranks(&self, worker: WorkerId) -> &[u16] {
         self.reserved_ranks.get(&worker).map_or(&[], Vec::as_slice)
     }
--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -1,14 +1,15 @@
-//! Borrowed slots: a node whose group's workers are full uses a slot of another group's worker, whose owner has offered it.
+//! Borrowed slots: a dispatcher whose group's workers are full uses a slot of another group's worker, whose owner has offered
+//! it.
 
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slot that was offered is reserved for this long, for a node that does not say whether it uses it.
+/// A slot that was offered is reserved for this long, for a dispatcher that does not say whether it uses it.
 const OFFER_RESERVED_FOR: Micros = 60_000;
 /// An offer may be used for this long: less, so that the use is advertised while the slot is still reserved.
 const OFFER_VALID_FOR: Micros = OFFER_RESERVED_FOR / 2;
 
-/// A slot that this node has offered to another one and that is not known to be used.
+/// A slot that this dispatcher has offered to another one and that is not known to be used.
 #[derive(Debug)]
 struct GrantedOffer {
     to: u32,
@@ -16,7 +17,7 @@
     until: Micros,
 }
 
-/// A slot that another node has offered.
+/// A slot that another dispatcher has offered.
 #[derive(Debug)]
 struct ReceivedOffer {
     from: u32,
@@ -28,12 +29,12 @@
 pub(super) struct BorrowedSlots {
     granted: Vec<GrantedOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
-    /// The node that offered the slot at a worker of another group where this node has work.
+    /// The dispatcher that offered the slot at a worker of another group where this dispatcher has work.
     slot_owners: BTreeMap<WorkerId, u32>,
 }
 
 impl BorrowedSlots {
-    /// This node offers a slot at the worker of this short tag.
+    /// This dispatcher offers a slot at the worker of this short tag.
     pub fn grant(&mut self, now: Micros, to: u32, tag: u16) {
         self.granted.push(GrantedOffer { to, tag, until: now + OFFER_RESERVED_FOR });
     }
@@ -48,7 +49,7 @@
         self.granted.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
     }
 
-    /// Another node offers a slot.
+    /// Another dispatcher offers a slot.
     pub fn receive(&mut self, now: Micros, worker: WorkerId, from: u32) {
         self.received.insert(worker, ReceivedOffer { from, until: now + OFFER_VALID_FOR });
     }
@@ -58,8 +59,8 @@
         self.received.iter().filter(move |(_, offer)| now < offer.until).map(|(worker, _)| *worker)
     }
 
-    /// The node that offers a slot at this worker.
-    pub fn offering_node(&self, worker: WorkerId, now: Micros) -> Option<u32> {
+    /// The dispatcher that offers a slot at this worker.
+    pub fn offered_by(&self, worker: WorkerId, now: Micros) -> Option<u32> {
         self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.from)
     }
 
@@ -76,22 +77,22 @@
         self.received.retain(|_, offer| now < offer.until);
     }
 
-    /// The node that offered the slot that this node uses at a worker.
+    /// The dispatcher that offered the slot that this dispatcher uses at a worker.
     pub fn slot_owner(&self, worker: WorkerId) -> Option<u32> {
         self.slot_owners.get(&worker).copied()
     }
 
-    /// This node uses a slot at a worker as if its owner had offered it.
+    /// This dispatcher uses a slot at a worker as if its owner had offered it.
     pub fn set_slot_owner(&mut self, worker: WorkerId, owner: u32) {
         self.slot_owners.insert(worker, owner);
     }
 
-    /// This node borrows no slot at a worker.
+    /// This dispatcher borrows no slot at a worker.
     pub fn clear_slot_owner(&mut self, worker: WorkerId) {
         self.slot_owners.remove(&worker);
     }
 
-    /// All nodes whose slots this node uses.
+    /// All dispatchers whose slots this dispatcher uses.
     pub fn slot_owners(&self) -> BTreeSet<u32> {
         self.slot_owners.values().copied().collect()
     }
--- a/src/policy/gossip/hash.rs
+++ b/src/policy/gossip/hash.rs
@@ -1,6 +1,6 @@
-//! Hashes that are the same at every node.
+//! Hashes that are the same at every dispatcher.
 
-/// A number that looks random and is the same at every node: the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
+/// A number that looks random and is the same at every dispatcher: the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
 ///
 /// `crates/membership` has the same function for its own hash. Both stay apart: each is part of a wire format with a version
 /// of its own, and a change of one must not change the other.
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -1,4 +1,4 @@
-//! The datagrams that nodes send each other, as typed messages and as bytes.
+//! The datagrams that dispatchers send each other, as typed messages and as bytes.
 //!
 //! The first byte says what a message is. A load advertisement has the number of suspect workers next, then their short tags,
 //! then those of the outstanding work, each in two bytes, the high one first; it is all that its sender has to say. Where that
@@ -19,13 +19,13 @@
 /// Whose workers a load advertisement is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Audience {
-    /// Those of the sender's own group, to the other nodes of it.
+    /// Those of the sender's own group, to the other dispatchers of it.
     Group,
-    /// Those of another group, to the node of it that offered a slot.
+    /// Those of another group, to the dispatcher of it that offered a slot.
     SlotOwner,
 }
 
-/// A message of another node.
+/// A message of another dispatcher.
 #[derive(Debug)]
 pub(super) enum Message {
     Load(Audience, LoadAdvertisement),
@@ -57,8 +57,8 @@
     vec![SLOT_OFFER, high, low]
 }
 
-/// What a node says of the workers of a range of short tags, all of them or a part: when, where it has outstanding work, once
-/// for each slot, and which of them are suspect; in order.
+/// What a dispatcher says of the workers of a range of short tags, all of them or a part: when, where it has outstanding work,
+/// once for each slot, and which of them are suspect; in order.
 #[derive(Debug)]
 pub(super) struct LoadAdvertisement {
     pub at: Micros,
@@ -95,8 +95,8 @@
     }
 
     /// The same in as few messages as may name so many, each of a half, a quarter and so on of the tags: what changes at one
-    /// worker changes one of them. Only at a single worker can one node have more outstanding than a message names, and the
-    /// rest is left out: it is full in any case.
+    /// worker changes one of them. Only at a single worker can one dispatcher have more outstanding than a message names, and
+    /// the rest is left out: it is full in any case.
     pub fn into_parts(self) -> Vec<LoadAdvertisement> {
         let (first, last) = self.range.clone().into_inner();
         if self.outstanding.len() + self.suspects.len() <= MAX_TAGS || first == last {
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -1,7 +1,7 @@
-//! What the nodes of one group advertise to each other: the work that each has outstanding at the group's workers.
+//! What the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
 //!
-//! The nodes are grouped by index, and every group has its part of the workers, which all nodes work out alike from the
-//! endpoint list. What a group has outstanding at a worker of its own is then known within a datagram's time, while a load
+//! The dispatchers are grouped by index, and every group has its part of the workers, which all dispatchers work out alike from
+//! the endpoint list. What a group has outstanding at a worker of its own is then known within a datagram's time, while a load
 //! report shows it about a second later. Knowledge only: what follows from it is decided in `src/policy/rules`.
 
 mod advertisements;
@@ -33,16 +33,16 @@
 /// The most slots that one attempt is advertised with.
 const MAX_SLOTS_PER_ATTEMPT: f64 = 16.0;
 
-/// What a message asks of this node.
+/// What a message asks of this dispatcher.
 #[derive(Debug, PartialEq)]
 pub(crate) enum PeerRequest {
-    /// A node of another group asks for a slot, in this zone if there is one.
+    /// A dispatcher of another group asks for a slot, in this zone if there is one.
     Slot(ZoneId),
-    /// A node of another group offers a slot.
+    /// A dispatcher of another group offers a slot.
     Offer,
 }
 
-/// A worker as this node sees it.
+/// A worker as this dispatcher sees it.
 pub(crate) struct OwnLoad {
     pub worker: WorkerId,
     pub tag: u64,
@@ -51,7 +51,7 @@
     pub is_suspect: bool,
 }
 
-/// What one node knows of its group: who is in it, which workers are the group's, and what its peers have advertised.
+/// What one dispatcher knows of its group: who is in it, which workers are the group's, and what its peers have advertised.
 #[derive(Debug, Default)]
 pub struct GroupGossip {
     group: PeerGroup,
@@ -63,9 +63,9 @@
     is_changed: bool,
 }
 
-/// Nodes, groups and the workers assigned to them.
+/// Dispatchers, groups and the workers assigned to them.
 impl GroupGossip {
-    /// The group of a node. A node by itself, or one that may send no messages or probe no worker, has none.
+    /// The group of a dispatcher. A dispatcher by itself, or one that may send no messages or probe no worker, has none.
     pub fn new(settings: &Settings) -> GroupGossip {
         GroupGossip { group: PeerGroup::new(settings), ..GroupGossip::default() }
     }
@@ -73,13 +73,13 @@
     /// The group under other settings; what was advertised is kept if it is the same.
     pub fn regroup(&mut self, settings: &Settings) {
         let new = GroupGossip::new(settings);
-        if !new.group.has_same_nodes(&self.group) {
+        if !new.group.has_same_members(&self.group) {
             *self = new;
         }
     }
 
-    /// Takes the presence of each node. Whether that has changed anything: the workers must then be assigned anew. A list that
-    /// is not of this many nodes, or in which this one is not present, is ignored.
+    /// Takes the presence of each dispatcher. Whether that has changed anything: the workers must then be assigned anew. A list
+    /// that is not of this many dispatchers, or in which this one is not present, is ignored.
     pub fn set_presence(&mut self, now: Micros, presence: &[PeerPresence]) -> bool {
         let is_changed = self.group.set_presence(presence);
         if is_changed {
@@ -98,12 +98,12 @@
         self.group.can_borrow()
     }
 
-    /// The index of the node's group.
+    /// The index of the dispatcher's group.
     pub fn group(&self) -> u32 {
         self.group.index
     }
 
-    /// The other nodes of the group.
+    /// The other dispatchers of the group.
     pub(crate) fn peers(&self) -> &[u32] {
         &self.group.peers
     }
@@ -133,18 +133,19 @@
         if self.is_grouped() { self.assignment.sample(random, max) } else { Vec::new() }
     }
 
-    /// How many of a worker's slots nobody on this side of a partition may take: those of nodes that are away, and all of them
-    /// for a while where the worker came from another group because of a change of presence, which others may not share yet.
+    /// How many of a worker's slots nobody on this side of a partition may take: those of dispatchers that are away, and all of
+    /// them for a while where the worker came from another group because of a change of presence, which others may not share
+    /// yet.
     ///
-    /// So the sum over the sides of a partition is never above `slots`: the parts of all nodes add up to it, and a node is
-    /// present on one side alone.
+    /// So the sum over the sides of a partition is never above `slots`: the parts of all dispatchers add up to it, and a
+    /// dispatcher is present on one side alone.
     pub fn reserved_slots(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
         if self.assignment.is_newly_gained(worker, now) {
             return slots;
         }
-        let nodes = self.group.nodes.min(u32::from(u16::MAX)) as u16;
+        let dispatcher_count = self.group.dispatcher_count.min(u32::from(u16::MAX)) as u16;
         let ranks = self.assignment.reserved_ranks(worker).iter();
-        let reserved = ranks.map(|rank| partition::allotment(slots, nodes, *rank)).sum();
+        let reserved = ranks.map(|rank| partition::allotment(slots, dispatcher_count, *rank)).sum();
         mothproxy_invariant::invariant!(
             reserved <= slots,
             "{reserved} of {slots} slots are kept for others at {worker:?}"
@@ -152,7 +153,7 @@
         reserved
     }
 
-    /// This node's rank for a worker that is warming up; `None` for a worker of another group.
+    /// This dispatcher's rank for a worker that is warming up; `None` for a worker of another group.
     pub(crate) fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
         self.group.slow_start_rank(tag)
     }
@@ -162,7 +163,7 @@
     }
 }
 
-/// What the other nodes have advertised.
+/// What the other dispatchers have advertised.
 impl GroupGossip {
     /// The slots that others occupy at a worker of the group, by what they have advertised; `None` for another worker.
     pub fn peer_load(&self, listed: &EndpointEntry, now: Micros) -> Option<f64> {
@@ -204,13 +205,13 @@
 
     /// Whether a slot at this worker is on offer.
     pub(crate) fn has_offer(&self, worker: WorkerId, now: Micros) -> bool {
-        self.slots.offering_node(worker, now).is_some()
+        self.slots.offered_by(worker, now).is_some()
     }
 
     /// Whether a slot at a worker that is warming up is on offer by its group: the list of another one does not show yet that
     /// it has started.
     pub(crate) fn is_offered_by_slow_start_group(&self, listed: &EndpointEntry, now: Micros) -> bool {
-        let owner = self.slots.offering_node(listed.worker, now);
+        let owner = self.slots.offered_by(listed.worker, now);
         owner.is_some_and(|owner| self.group.group_of(owner) == self.group.slow_start_group(listed.tag))
     }
 
@@ -219,12 +220,12 @@
         self.slots.use_offer(worker);
     }
 
-    /// Asks a node of another group, chosen by a random number, for a slot.
+    /// Asks a dispatcher of another group, chosen by a random number, for a slot.
     pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         if self.can_borrow() {
             let count = self.group.count;
             let group = (self.group.index + 1 + random % (count - 1)) % count;
-            let to = self.group.node_of(group, random / count);
+            let to = self.group.member_of(group, random / count);
             actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_request(zone) });
         }
     }
@@ -253,7 +254,7 @@
             if group == self.group.index {
                 self.slots.clear_slot_owner(worker);
             } else if self.slots.slot_owner(worker).is_none_or(|owner| self.group.group_of(owner) != group) {
-                let owner = self.group.node_of(group, hash::mix(u64::from(self.group.own_node)) as u32);
+                let owner = self.group.member_of(group, hash::mix(u64::from(self.group.own_index)) as u32);
                 self.slots.set_slot_owner(worker, owner);
             }
         }
@@ -291,20 +292,20 @@
         }
     }
 
-    /// What this node, and those that borrow its slots, have outstanding at the group's workers.
+    /// What this dispatcher, and those that borrow its slots, have outstanding at the group's workers.
     fn group_advertisement(&self, now: Micros, own_loads: &[OwnLoad]) -> LoadAdvertisement {
         let is_own =
             |load: &OwnLoad| self.assignment.has(self.tags.short_tag(load.worker, load.tag), load.worker);
         let mut advertisement = self.advertisement_of(now, own_loads, is_own);
         let outstanding = &mut advertisement.outstanding;
         outstanding.extend(self.slots.reserved_tags(now));
-        let borrowers = self.advertisements.valid(now).filter(|(node, _)| !self.peers().contains(node));
+        let borrowers = self.advertisements.valid(now).filter(|(sender, _)| !self.peers().contains(sender));
         outstanding.extend(borrowers.flat_map(|(_, load)| &load.outstanding));
         outstanding.sort_unstable();
         advertisement
     }
 
-    /// What this node has outstanding in the borrowed slots of each owner.
+    /// What this dispatcher has outstanding in the borrowed slots of each owner.
     fn slot_owner_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
         let for_owner = |owner: u32| {
             let is_borrowed = |load: &OwnLoad| self.slots.slot_owner(load.worker) == Some(owner);
@@ -313,7 +314,7 @@
         self.slots.slot_owners().into_iter().map(for_owner).collect()
     }
 
-    /// What this node has to say of the workers that meet a condition.
+    /// What this dispatcher has to say of the workers that meet a condition.
     fn advertisement_of(
         &self,
         now: Micros,
@@ -361,7 +362,7 @@
         }
     }
 
-    /// Takes a message. One that is not understood, or not from a node that may send it, is ignored.
+    /// Takes a message. One that is not understood, or not from a dispatcher that may send it, is ignored.
     pub(crate) fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         let is_peer = self.peers().contains(&from);
         match Message::decode(now, bytes)? {
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -1,8 +1,8 @@
-//! What the decision module asks the node to do.
+//! What the decision module asks its host to do.
 
 use super::{JobId, Micros, TimerId, WorkerId};
 
-/// Something that the node must do now; the actions of one event are done in order.
+/// Something that the host must do now; the actions of one event are done in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the job's next attempt (numbered 0, 1, 2 ... in the order sent).
@@ -34,7 +34,7 @@
     SetTimer(TimerId, Micros),
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send bytes (256 at most) to another node; they may be lost.
+    /// Send bytes (256 at most) to another dispatcher; they may be lost.
     SendToPeer {
         /// Its index.
         to: u32,
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the node reports to the decision module: endpoint lists, jobs, attempts, probe responses and peer messages.
+//! What the host reports to the decision module: endpoint lists, jobs, attempts, probe responses and peer messages.
 
 use super::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
 
@@ -18,7 +18,7 @@
 pub struct EndpointEntry {
     /// The worker.
     pub worker: WorkerId,
-    /// A number that is the same for this worker at every node, such as a hash of its name.
+    /// A number that is the same for this worker at every dispatcher, such as a hash of its name.
     pub tag: u64,
     /// Its zone.
     pub zone: ZoneId,
@@ -137,7 +137,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled by this node; it may have run.
+    /// Cancelled by this dispatcher; it may have run.
     Cancelled,
     /// Never sent; it does not count as an attempt.
     NeverSent,
@@ -192,7 +192,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// An attempt that another process of this node made for a job.
+/// An attempt that another process of this dispatcher made for a job.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
     /// The worker.
@@ -209,12 +209,12 @@
     pub is_handed_back: bool,
 }
 
-/// What membership says of a node.
+/// What membership says of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPresence {
     /// It takes work.
     Present,
-    /// It does not answer, and may have work out that this node cannot see: its part of each worker is reserved.
+    /// It does not answer, and may have work out that this dispatcher cannot see: its part of each worker is reserved.
     Unreachable,
     /// It has no work any more: its part goes to the others.
     Gone,
@@ -231,7 +231,7 @@
     DiscoveryMoved,
     /// A job has arrived: exactly one final response is due before its deadline.
     Arrived(NewJob),
-    /// A job that another process of this node had accepted: this one owes the final response from now on.
+    /// A job that another process of this dispatcher had accepted: this one owes the final response from now on.
     Adopted {
         /// The job.
         request: NewJob,
@@ -279,9 +279,9 @@
     Timer(TimerId),
     /// A probe was answered or failed.
     ProbeResponse(ProbeResponse),
-    /// The presence of each node by index; where this is never sent, all of them are present.
+    /// The presence of each dispatcher by index; where this is never sent, all of them are present.
     Peers(Vec<PeerPresence>),
-    /// Another node's message.
+    /// Another dispatcher's message.
     PeerMessage {
         /// The sender's index.
         from: u32,
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -1,8 +1,7 @@
 //! The whole interface of the decision module: settings, events, actions, ids.
 //!
-//! Time is a whole number of microseconds on any clock that only goes forward. Ids are small numbers that the
-//! embedding node hands out; the module compares them and never interprets them. Whatever a deployment may leave
-//! out is an `Option`.
+//! Time is a whole number of microseconds on any clock that only goes forward. Ids are small numbers that the host hands
+//! out; the module compares them and never interprets them. Whatever a deployment may leave out is an `Option`.
 
 mod actions;
 mod events;
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -98,7 +98,7 @@
         LoadInputs { cpu: HALF_LOADED, load: HALF_LOADED, free_slots }
     }
 
-    /// A worker of the group, of so many slots, by what the nodes of the group have outstanding there; `None` for another
+    /// A worker of the group, of so many slots, by what the dispatchers of the group have outstanding there; `None` for another
     /// worker.
     pub fn from_group(
         state: &PolicyState,
@@ -169,7 +169,7 @@
 }
 
 impl<'a> Considered<'a> {
-    /// A listed worker as a node of `own_zone` sees it; `random` is its tie-break among equals.
+    /// A listed worker as a dispatcher of `own_zone` sees it; `random` is its tie-break among equals.
     pub fn new(
         state: &PolicyState,
         worker: &'a Worker,
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -10,7 +10,7 @@
 const MIN_LOSS: f64 = 0.01;
 
 impl Policy {
-    /// The node's final response: a rejection only where nothing may have run or a repeat does no harm.
+    /// The dispatcher's final response: a rejection only where nothing may have run or a repeat does no harm.
     pub fn give_up(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let is_harmless = job.never_ran() || self.class(job).idempotency.is_repeatable_anywhere();
@@ -20,7 +20,7 @@
     }
 
     /// How long a rejected client should wait, where clients are told: until the ready workers, shared with
-    /// the other nodes, can have run what is queued here.
+    /// the other dispatchers, can have run what is queued here.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// The part of the warm-up budget that all nodes plan to use: a window may touch two lives of each.
+/// The part of the warm-up budget that all dispatchers plan to use: a window may touch two lives of each.
 const WARM_UP_SAFETY: f64 = 0.5;
 
 impl Policy {
     /// The worker's load, if it is known. For one of the group's own: what the group has outstanding there.
-    /// Else: its fresh sample, with the own attempts that it cannot show yet, or every node would keep
+    /// Else: its fresh sample, with the own attempts that it cannot show yet, or every dispatcher would keep
     /// sending to one top score until it moves.
     pub(super) fn load_inputs(&self, worker: &Worker, listed: &EndpointEntry) -> Option<LoadInputs> {
         if self.gossip().has_offer(listed.worker, self.now()) {
@@ -26,7 +26,7 @@
         Some(advertised.map_or(sampled, |advertised| advertised.worst(sampled)))
     }
 
-    /// The slots that the nodes of a group plan to use at a worker, 1 at least.
+    /// The slots that the dispatchers of a group plan to use at a worker, 1 at least.
     fn planned_capacity(&self, listed: &EndpointEntry, slots: f64) -> f64 {
         let warm_up_time = self.settings.warm_up_time;
         let age = listed.started_at.map_or(warm_up_time, |start| self.now().saturating_sub(start));
@@ -41,8 +41,8 @@
         initial + (1.0 - initial) * (age as f64 / self.settings.warm_up_time as f64).min(1.0)
     }
 
-    /// Whether a worker is warm, or may get this job too while it warms up. In a group each of its nodes has
-    /// one job at most there, and all together what it can run.
+    /// Whether a worker is warm, or may get this job too while it warms up. In a group each of its
+    /// dispatchers has one job at most there, and all together what it can run.
     pub(super) fn is_warm_enough(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         if self.is_warm(listed) || self.gossip().is_offered_by_slow_start_group(listed, self.now()) {
             return true;
@@ -52,7 +52,7 @@
         is_free && self.fits_warm_up_budget(worker, listed, work)
     }
 
-    /// Slow start: all nodes keep within the fleet's budget. What they plan of it in any stretch of the
+    /// Slow start: all dispatchers keep within the fleet's budget. What they plan of it in any stretch of the
     /// collapse window is assigned attempt by attempt, by ranks that no message changes; the first rank may
     /// send one job in any case. Where peers have advertised lately, their work there is known, and only what
     /// several send at once has to fit.
@@ -68,7 +68,7 @@
         let slowness = self.estimates().worker_slowness(worker, listed).max(1.0);
         let budget = multiple * window as f64 * self.estimates().slots(listed.kind) / slowness;
         let attempt_work = work.max(self.estimates().mean_attempt_work());
-        let planned = f64::from(place.nodes) * sent + f64::from(place.rank + 1) * attempt_work;
+        let planned = f64::from(place.candidate_count) * sent + f64::from(place.rank + 1) * attempt_work;
         place.rank == 0 && sent == 0.0 || planned <= budget * safety
     }
 }
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -31,7 +31,7 @@
 const FIRST_LIST_DELAY_DIVISOR: u64 = 8;
 
 impl Policy {
-    /// Opens a watch after a random wait, longer after each failure, so that nodes do not call all at once.
+    /// Opens a watch after a random wait, longer after each failure, so that dispatchers spread their calls.
     pub fn schedule_watch(&mut self, actions: &mut Vec<Action>) {
         if let Some(interval) = self.settings.max_poll_interval.filter(|_| self.settings.list_on_request) {
             let max_wait = (interval / FIRST_LIST_DELAY_DIVISOR) << self.state.list_wait_doublings();
@@ -49,8 +49,8 @@
         self.review(request.job, actions);
     }
 
-    /// A node of another group, whose own workers are full, gets a slot at the least used of this group's
-    /// workers that has one to offer, in its zone if there is one.
+    /// A dispatcher of another group, whose own workers are full, gets a slot at the least used of this
+    /// group's workers that has one to offer, in its zone if there is one.
     pub fn on_slot_request(&mut self, from: u32, zone: ZoneId, actions: &mut Vec<Action>) {
         let slots = self.gossip().workers().filter_map(|id| self.offerable_slot(id));
         let best = slots.min_by(|slot, other| {
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -4,8 +4,8 @@
 
 /// A failure counts as a response so many times slower than expected.
 const MAX_SLOWNESS: f64 = 8.0;
-/// An ejection doubles with each failure in a row, up to this many doublings of the window; for a zone
-/// as in a group. Alone a node learns that a worker is well again only from a job that it risks there.
+/// An ejection doubles with each failure in a row, up to this many doublings of the window; for a zone as in
+/// a group. Alone a dispatcher learns that a worker is well again only from a job that it risks there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
 /// A worker that reports more errors a second than this, and more than it can have served, is failing.
 const MAX_ERROR_RATE: f64 = 1.0;
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -145,8 +145,8 @@
         inputs.free_slots < needs.request.slots || sample.is_some_and(|sample| needs.exceed_memory_of(sample))
     }
 
-    /// How full a worker without a free slot is: its queue is the group's, or only this node's; where starts
-    /// are reported, one job waits there at most.
+    /// How full a worker without a free slot is: its queue is the group's, or only this dispatcher's; where
+    /// starts are reported, one job waits there at most.
     fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
         let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -53,7 +53,7 @@
     span as f64 / 1000.0
 }
 
-/// A number that is the same at any node for this name (FNV-1a).
+/// A number that is the same at any dispatcher for this name (FNV-1a).
 pub(crate) fn tag(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -132,7 +132,8 @@
     }
 
     fn on_table(&mut self, fields: &Fields) -> Result<(), LineError> {
-        let (number, rows): (usize, usize) = (fields.required("Table")?, fields.required("RowsIn")?);
+        let number: usize = fields.required("Table")?;
+        let rows: usize = fields.required("RowsIn")?;
         if number > MAX_TABLE {
             return Err(LineError::TableOutOfRange(number));
         }
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -26,7 +26,7 @@
 }
 
 impl PolicyState {
-    /// Takes over the attempts that another process of this node made for a job.
+    /// Takes over the attempts that another process of this dispatcher made for a job.
     pub fn adopt_attempts(&mut self, id: JobId, prior_attempts: &[PriorAttempt]) {
         for prior in prior_attempts {
             let Some(job) = self.jobs.get_mut(&id) else { return };
--- a/src/policy/state/capacity.rs
+++ b/src/policy/state/capacity.rs
@@ -54,16 +54,16 @@
         self.worker(id).last_load().filter(|load| self.now <= load.at + window)
     }
 
-    /// The slots of a worker of the group that this node may not use: those that peers occupy, and those reserved for nodes
-    /// that are unreachable; `None` for another worker.
+    /// The slots of a worker of the group that this dispatcher may not use: those that peers occupy, and those reserved for
+    /// dispatchers that are unreachable; `None` for another worker.
     fn unavailable_slots(&self, listed: &EndpointEntry) -> Option<f64> {
         let occupied = self.gossip.peer_load(listed, self.now)?;
         let slots = self.estimates.slots(listed.kind).max(1.0) as u32;
         Some(occupied + f64::from(self.gossip.reserved_slots(listed.worker, slots, self.now)))
     }
 
-    /// The slots of a worker of the group that are not free for this node's next attempt: those that it may not use, and those
-    /// of its own attempts there; `None` for another worker.
+    /// The slots of a worker of the group that are not free for this dispatcher's next attempt: those that it may not use, and
+    /// those of its own attempts there; `None` for another worker.
     pub fn group_occupied_slots(&self, worker: &Worker, listed: &EndpointEntry) -> Option<f64> {
         self.unavailable_slots(listed).map(|by_others| by_others + worker.occupied_slots())
     }
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The state of an attempt that another process of this node made.
+    /// The state of an attempt that another process of this dispatcher made.
     pub fn from_prior(prior: &PriorAttempt) -> AttemptState {
         if prior.is_outstanding {
             return if prior.running_since.is_some() { AttemptState::Running } else { AttemptState::Sent };
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -1,4 +1,4 @@
-//! What an instance has learned, in the form in which one process of a node passes it to the next.
+//! What an instance has learned, in the form in which one process of a dispatcher passes it to the next.
 //!
 //! The serialized names are those of the first version and must stay.
 
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PolicyState {
     now: Micros,
-    /// What the nodes of its group have advertised.
+    /// What the dispatchers of its group have advertised.
     gossip: GroupGossip,
     workers: WorkerTable,
     ready: ReadyWorkers,
@@ -67,7 +67,7 @@
         self.now
     }
 
-    /// What is known of this node's group.
+    /// What is known of this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         &self.gossip
     }
@@ -129,7 +129,7 @@
         self.now = self.now.max(now);
     }
 
-    /// Makes room for these settings' classes, and for their group of nodes if it is another.
+    /// Makes room for these settings' classes, and for their group of dispatchers if it is another.
     pub fn reconfigure(&mut self, settings: &Settings) {
         self.estimates.reconfigure(settings);
         self.gossip.regroup(settings);
@@ -158,21 +158,22 @@
     }
 }
 
-/// The group of nodes.
+/// The group of dispatchers.
 impl PolicyState {
-    /// Takes the presence of each node, by which the workers are assigned.
+    /// Takes the presence of each dispatcher, by which the workers are assigned.
     pub fn update_presence(&mut self, peers: &[PeerPresence], settings: &Settings) {
         if self.gossip.set_presence(self.now, peers) {
             self.index_ready(settings);
         }
     }
 
-    /// Takes another node's message. What it asks of this node, if anything.
+    /// Takes another dispatcher's message. What it asks of this dispatcher, if anything.
     pub fn receive_message(&mut self, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         self.gossip.receive(self.now, from, bytes)
     }
 
-    /// Advertises this node's outstanding attempts and suspect workers to the group, if they have changed or are due again.
+    /// Advertises this dispatcher's outstanding attempts and suspect workers to the group, if they have changed or are due
+    /// again.
     pub fn advertise(&mut self, actions: &mut Vec<Action>) {
         let own_loads = self.workers.own_loads();
         self.gossip.advertise(self.now, &own_loads, actions);
@@ -183,12 +184,12 @@
         self.gossip.schedule_advertisement(actions);
     }
 
-    /// Asks a node of another group, chosen by a random number, for a slot.
+    /// Asks a dispatcher of another group, chosen by a random number, for a slot.
     pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         self.gossip.request_slot(zone, random, actions);
     }
 
-    /// Offers a slot at a listed worker of the group to another node. It counts as work that is sent there, for a window.
+    /// Offers a slot at a listed worker of the group to another dispatcher. It counts as work that is sent there, for a window.
     pub fn offer_slot(&mut self, to: u32, listed: &EndpointEntry, window: Micros, actions: &mut Vec<Action>) {
         self.record_work(listed.worker, 0.0, window);
         self.gossip.offer_slot(self.now, to, listed, actions);
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
     all: Vec<WorkerId>,
-    /// Those of the node's own zone.
+    /// Those of the dispatcher's own zone.
     home: Vec<WorkerId>,
     /// Those that are not warm yet.
     warming_up: Vec<WorkerId>,
@@ -19,7 +19,7 @@
 pub(crate) const MIN_WEIGHT: f64 = 0.01;
 
 impl ReadyWorkers {
-    /// The workers of these list entries, which are given by ascending id, as a node of this zone sees them now.
+    /// The workers of these list entries, which are given by ascending id, as a dispatcher of this zone sees them now.
     pub fn new(entries: &[EndpointEntry], zone: ZoneId, now: Micros, warm_up_time: Micros) -> ReadyWorkers {
         let ids = |is_included: &dyn Fn(&&EndpointEntry) -> bool| {
             entries.iter().filter(is_included).map(|entry| entry.worker).collect()
@@ -46,7 +46,7 @@
         &self.warming_up
     }
 
-    /// Whether there is one in the node's own zone.
+    /// Whether there is one in the dispatcher's own zone.
     pub fn has_home(&self) -> bool {
         !self.home.is_empty()
     }
--- a/src/policy/state/worker.rs
+++ b/src/policy/state/worker.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// An attempt of this node that has not ended at its worker.
+/// An attempt of this dispatcher that has not ended at its worker.
 #[derive(Debug)]
 pub(super) struct OutstandingAttempt {
     pub job: JobId,
@@ -136,22 +136,22 @@
         self.last_seen > at
     }
 
-    /// Whether it has no attempt of this node.
+    /// Whether it has no attempt of this dispatcher.
     pub fn is_idle(&self) -> bool {
         self.outstanding.is_empty()
     }
 
-    /// The slots that this node's attempts occupy or wait for there.
+    /// The slots that this dispatcher's attempts occupy or wait for there.
     pub fn occupied_slots(&self) -> f64 {
         self.outstanding.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Whether it has an attempt of this node that it has not started.
+    /// Whether it has an attempt of this dispatcher that it has not started.
     pub fn has_unstarted(&self) -> bool {
         self.outstanding.iter().any(|attempt| !attempt.is_started)
     }
 
-    /// Whether it has an attempt of this node that it has not started this long after it was sent.
+    /// Whether it has an attempt of this dispatcher that it has not started this long after it was sent.
     pub fn has_unstarted_before(&self, now: Micros, timeout: Micros) -> bool {
         self.outstanding.iter().any(|attempt| !attempt.is_started && now > attempt.sent_at + timeout)
     }
@@ -178,7 +178,7 @@
     }
 }
 
-/// What this node has to advertise of a worker.
+/// What this dispatcher has to advertise of a worker.
 impl Worker {
     /// Whether there is an outstanding attempt or a suspicion, listed or not.
     pub(super) fn has_something_to_advertise(&self) -> bool {
@@ -226,7 +226,7 @@
         self.outstanding.push(attempt);
     }
 
-    /// Records an attempt that another process of this node sent to it.
+    /// Records an attempt that another process of this dispatcher sent to it.
     pub(super) fn adopt(&mut self, attempt: OutstandingAttempt) {
         self.outstanding.push(attempt);
     }
--- a/src/policy/state/worker_table.rs
+++ b/src/policy/state/worker_table.rs
@@ -61,7 +61,7 @@
         self.workers.iter().filter_map(Worker::ready_entry).collect()
     }
 
-    /// What this node has to advertise: its outstanding attempts and suspicions at listed workers.
+    /// What this dispatcher has to advertise: its outstanding attempts and suspicions at listed workers.
     pub fn own_loads(&mut self) -> Vec<OwnLoad> {
         let workers = &self.workers;
         self.touched.retain(|id| workers[id.0 as usize].has_something_to_advertise());
--- a/src/policy/state/zone_outliers.rs
+++ b/src/policy/state/zone_outliers.rs
@@ -1,4 +1,4 @@
-//! The zones that look cut off from this node.
+//! The zones that look cut off from this dispatcher.
 
 use super::OutlierRecord;
 use crate::policy::interface::{Micros, ZoneId};
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -7,7 +7,7 @@
 pub(crate) enum Timer {
     /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Advertise this node's load to its group.
+    /// Advertise this dispatcher's load to its group.
     Advertise,
     /// Review a job.
     Review(JobId),
