--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -72,6 +72,7 @@
         self.policy.state.schedule_advertisement(actions);
     }
 
+    /// Takes an endpoint list over. After one from an earlier run, a watch is opened for the present one.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.update_list(kind, entries, &policy.settings);
@@ -80,11 +81,13 @@
         }
     }
 
+    /// Opens a watch again after a while.
     fn on_list_failed(&mut self, actions: &mut Vec<Action>) {
         self.policy.state.record_list_failure();
         self.policy.schedule_watch(actions);
     }
 
+    /// Takes a job over from another process of this dispatcher.
     fn on_adopted(
         &mut self,
         request: NewJob,
@@ -108,6 +111,7 @@
         policy.review_queued(actions);
     }
 
+    /// Learns from an attempt's end, and decides what becomes of its job and of the queued ones, which may have capacity now.
     fn on_attempt_ended(&mut self, end: &AttemptEnded, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(ended) = policy.state.attempt_ended(end) else { return };
@@ -125,6 +129,7 @@
         }
     }
 
+    /// Does what a timer was set for.
     fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::OpenWatch => actions.push(Action::OpenWatch),
@@ -133,6 +138,7 @@
         }
     }
 
+    /// Learns from a probe, and reviews the jobs that waited for this one alone.
     fn on_probe_response(&mut self, response: &ProbeResponse, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(probe) = policy.state.probe_ended(response) else { return };
@@ -149,6 +155,7 @@
         }
     }
 
+    /// Takes another dispatcher's message, and does what it asks for.
     fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         match policy.state.receive_message(from, bytes) {
--- a/src/policy/gossip/advertisements.rs
+++ b/src/policy/gossip/advertisements.rs
@@ -5,10 +5,11 @@
 use crate::policy::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Whoever has outstanding work and has not advertised it again after this, one and a half times the interval for it, is
-/// missed; for so long, by when the work of a dead one has ended and one that is back has advertised.
-const MISSED_AFTER: Micros = ADVERTISEMENT_TTL / 4 * 3;
-const MISSED_FOR: Micros = 5 * ADVERTISEMENT_TTL / 2;
+/// A dispatcher that has outstanding work and has not advertised it again after this is silent: one and a half times the
+/// interval at which it should.
+const SILENT_AFTER: Micros = ADVERTISEMENT_TTL / 4 * 3;
+/// It no longer counts as silent after this: by then the work of a dead one has ended, and one that is back has advertised.
+const SILENT_UNTIL: Micros = 5 * ADVERTISEMENT_TTL / 2;
 
 /// To whom an advertisement goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,7 +25,7 @@
 pub(super) struct Parts {
     /// All of them, with the times at which they were sent.
     pub all: Vec<LoadAdvertisement>,
-    /// The indices in `all` of those that are news or due again.
+    /// The indices in `all` of those that have changed or are due again.
     pub due: Vec<usize>,
 }
 
@@ -36,11 +37,11 @@
 }
 
 impl Advertisements {
-    /// What a dispatcher says of these workers now is all that it has outstanding there and suspects of them.
+    /// Takes an advertisement: it replaces what its sender has advertised of the workers of its range.
     pub fn receive(&mut self, from: u32, advertisement: LoadAdvertisement) {
         let parts = self.received.entry(from).or_default();
         parts.iter_mut().for_each(|part| part.remove(&advertisement.range));
-        parts.retain(|part| !part.is_empty() && advertisement.at < part.at + MISSED_FOR);
+        parts.retain(|part| !part.is_empty() && advertisement.at < part.at + SILENT_UNTIL);
         parts.push(advertisement);
     }
 
@@ -51,8 +52,8 @@
         parts.filter(move |(_, part)| now < part.at + ADVERTISEMENT_TTL)
     }
 
-    /// Drops what is void of dispatchers other than these: every dispatcher of a large fleet may have sent some, and it would
-    /// be looked through for each job.
+    /// Drops the expired advertisements of dispatchers other than these. Every dispatcher of a large fleet may have sent some,
+    /// and each job looks through those that are kept.
     pub fn drop_expired(&mut self, now: Micros, peers: &[u32]) {
         let is_valid =
             |parts: &[LoadAdvertisement]| parts.iter().any(|part| now < part.at + ADVERTISEMENT_TTL);
@@ -61,10 +62,10 @@
 
     /// Whether a peer that had outstanding work when it last advertised has missed advertising it again.
     pub fn has_silent(&self, peers: &[u32], now: Micros) -> bool {
-        let is_missed =
-            |part: &LoadAdvertisement| now >= part.at + MISSED_AFTER && now < part.at + MISSED_FOR;
+        let is_silent =
+            |part: &LoadAdvertisement| now >= part.at + SILENT_AFTER && now < part.at + SILENT_UNTIL;
         let mut parts = peers.iter().filter_map(|peer| self.received.get(peer)).flatten();
-        parts.any(|part| !part.outstanding.is_empty() && is_missed(part))
+        parts.any(|part| !part.outstanding.is_empty() && is_silent(part))
     }
 
     /// How many of the peers have advertised within this span.
@@ -73,7 +74,7 @@
         peers.iter().filter_map(|peer| self.received.get(peer)).filter(is_recent).count()
     }
 
-    /// Splits an advertisement into parts, and finds those that are news to the recipient or due again.
+    /// Splits an advertisement into parts, and finds those that the recipient does not have, or that are due again.
     pub fn parts_for(&mut self, recipient: Recipient, advertisement: LoadAdvertisement) -> Parts {
         let now = advertisement.at;
         let previous = self.sent.remove(&recipient).unwrap_or_default();
@@ -92,13 +93,14 @@
         parts
     }
 
+    /// Notes the parts last sent to a recipient, with their times.
     pub fn record_sent(&mut self, recipient: Recipient, parts: Vec<LoadAdvertisement>) {
         self.sent.insert(recipient, parts);
     }
 }
 
-/// When this part was last sent, if it is still the same. That nothing is outstanding is no news to one to which nothing was
-/// sent.
+/// When this part was last sent, if it is still the same. An empty part counts as sent to a recipient that has been sent
+/// nothing yet.
 fn unchanged_since(previous: &[LoadAdvertisement], part: &LoadAdvertisement) -> Option<Micros> {
     let Some(last) = previous.iter().find(|last| last.range == part.range) else {
         return (previous.is_empty() && part.is_empty()).then_some(0);
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -35,9 +35,9 @@
 }
 
 impl Assignment {
-    /// Assigns the ready workers to the groups, zone by zone, the oldest first: each goes to the group that ranks highest for
-    /// it among those that have not had their part yet, so that one more or less moves few others. But one that warms up goes
-    /// to the group that ranks highest of all: whichever lists and presence a dispatcher has, that worker has the same group.
+    /// Assigns the ready workers to the groups, zone by zone, the oldest first. Each goes to the group that ranks highest for it
+    /// among those that do not have their part yet, so that one worker more or less moves few others. One that warms up goes
+    /// to the group that ranks highest of all: it has the same group whichever list and presence a dispatcher has.
     pub fn assign(
         &mut self,
         group: &PeerGroup,
@@ -68,6 +68,7 @@
         self.index(tags, &own);
     }
 
+    /// Indexes the workers that were assigned to this group.
     fn index(&mut self, tags: &ShortTags, own: &[&EndpointEntry]) {
         self.workers =
             own.iter().map(|entry| (tags.short_tag(entry.worker, entry.tag), entry.worker)).collect();
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -98,10 +98,10 @@
         self.presence.contains(&PeerPresence::Unreachable)
     }
 
-    /// The group that has a worker which is this group's while all dispatchers are present. Each worker is held by one
-    /// dispatcher of its group; where that one is gone, by the first of a sequence of dispatchers, the worker's own, that is
-    /// not. So the end of one of n dispatchers moves the workers it held, about one in n of all, and its return moves these
-    /// back, and no other.
+    /// The group that has a worker, given the one that has it while all dispatchers are present. Each worker is held by one
+    /// dispatcher of that group. If this one is not present, the first that is present holds it, of a sequence of dispatchers
+    /// that the worker's tag determines. So the end of one of n dispatchers moves only the workers that it held, about one in n
+    /// of all, and its return moves them back.
     pub fn owning_group(&self, tag: u64, group: u32) -> u32 {
         if self.presence.is_empty() {
             return group;
@@ -109,15 +109,16 @@
         let size = self.size_of(group);
         let first = group + (mix(tag ^ mix(HOLDER_SALT)) % u64::from(size)) as u32 * self.count;
         let next = |n: u64| (mix(tag ^ mix(HOLDER_SALT + n)) % u64::from(self.dispatcher_count)) as u32;
-        // As many tries as there are dispatchers find one of three in ten that are left in all but a few cases; then in order.
+        // Even where only three in ten dispatchers are left, as many tries as there are dispatchers nearly always find one.
+        // Else they are tried in order.
         let tries = (1..=u64::from(self.dispatcher_count)).map(next);
         let mut sequence = std::iter::once(first).chain(tries).chain(0..self.dispatcher_count);
         sequence.find(|holder| self.is_present(*holder)).map_or(group, |holder| self.group_of(holder))
     }
 
     /// The ranks of those dispatchers whose part of a worker is reserved for unreachable dispatchers. All dispatchers rank each
-    /// other alike for a worker. The part of a dispatcher that is gone is that of the next in rank that is not: whoever
-    /// believes it gone, on whatever side of a partition, gives it to the same one.
+    /// other alike for a worker. The part of a dispatcher that is gone goes to the next in rank that is not, so that both sides
+    /// of a partition give it to the same one.
     pub fn reserved_ranks(&self, tag: u64) -> Vec<u16> {
         let mut order: Vec<u32> = (0..self.dispatcher_count).collect();
         order.sort_unstable_by_key(|index| (mix(tag ^ mix(RANK_SALT + u64::from(*index))), *index));
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -1,17 +1,23 @@
 //! The datagrams that dispatchers send each other, as typed messages and as bytes.
 //!
-//! The first byte says what a message is. A load advertisement has the number of suspect workers next, then their short tags,
-//! then those of the outstanding work, each in two bytes, the high one first; it is all that its sender has to say. Where that
-//! is more than a message may name it is sent in parts, with the bit [`PART`] in the first byte: how many leading bits the
-//! tags of the part have in common, the first such tag, and then as above.
+//! The first byte says what a message is. In a load advertisement the number of suspect workers follows, then their short tags,
+//! then those of the outstanding work, each in two bytes, the high one first; it is all that its sender has to advertise. If
+//! that is more than a message may name, it is sent in parts, with the bit [`PART`] in the first byte. In a part, the first
+//! byte is followed by the number of leading bits that the tags of the part have in common and the first such tag; the rest is
+//! as above.
 
 use crate::policy::interface::{Micros, ZoneId};
 use std::ops::RangeInclusive;
 
+/// The bit of the first byte that marks a part of a load advertisement.
 const PART: u8 = 0x20;
+/// The first byte of a load advertisement to the sender's group.
 const GROUP_LOAD: u8 = b'W';
+/// The first byte of a load advertisement to the owner of borrowed slots.
 const BORROWER_LOAD: u8 = b'G';
+/// The first byte of a request for a slot.
 const SLOT_REQUEST: u8 = b'A';
+/// The first byte of an offer of a slot.
 const SLOT_OFFER: u8 = b'O';
 /// The most workers that a message names; it is no longer than a datagram may be.
 const MAX_TAGS: usize = 120;
@@ -68,6 +74,7 @@
 }
 
 impl LoadAdvertisement {
+    /// What a dispatcher advertises at this time of the workers of a range; the tags may be in any order.
     pub fn new(
         at: Micros,
         range: RangeInclusive<u16>,
@@ -79,6 +86,7 @@
         LoadAdvertisement { at, range, outstanding, suspects }
     }
 
+    /// Whether nothing is outstanding and no worker is suspect.
     pub fn is_empty(&self) -> bool {
         self.outstanding.is_empty() && self.suspects.is_empty()
     }
@@ -94,9 +102,9 @@
         self.suspects.retain(|tag| !range.contains(tag));
     }
 
-    /// The same in as few messages as may name so many, each of a half, a quarter and so on of the tags: what changes at one
-    /// worker changes one of them. Only at a single worker can one dispatcher have more outstanding than a message names, and
-    /// the rest is left out: it is full in any case.
+    /// Splits it into as few messages as may name so many workers, each of a half, a quarter and so on of the range of tags, so
+    /// that a change at one worker changes one message. If one dispatcher has more outstanding at a single worker than a
+    /// message can name, the rest is left out: the worker is full in any case.
     pub fn into_parts(self) -> Vec<LoadAdvertisement> {
         let (first, last) = self.range.clone().into_inner();
         if self.outstanding.len() + self.suspects.len() <= MAX_TAGS || first == last {
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -1,8 +1,8 @@
 //! What the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
 //!
-//! The dispatchers are grouped by index, and every group has its part of the workers, which all dispatchers work out alike from
+//! The dispatchers are grouped by index, and every group has its part of the workers, which all dispatchers compute alike from
 //! the endpoint list. What a group has outstanding at a worker of its own is then known within a datagram's time, while a load
-//! report shows it about a second later. Knowledge only: what follows from it is decided in `src/policy/rules`.
+//! report shows it about a second later. This module only keeps that knowledge; `src/policy/rules` decides what follows.
 
 mod advertisements;
 mod assignment;
@@ -24,11 +24,11 @@
 
 /// What a peer has advertised is valid for this long.
 pub const ADVERTISEMENT_TTL: Micros = 4_000_000;
-/// Whoever has outstanding work advertises it again after this.
+/// A dispatcher that has outstanding work advertises it again after this.
 const REPEAT_INTERVAL: Micros = ADVERTISEMENT_TTL / 2;
-/// A change is advertised this late, so that what happens at once is advertised at once.
+/// A change is advertised after this delay, so that changes in quick succession share a message.
 const ADVERTISEMENT_DELAY: Micros = 2_000;
-/// Peers count as heard that have advertised within this part of the collapse window.
+/// A peer's advertisement counts as recent for this part of the collapse window.
 const RECENT_WINDOW_DIVISOR: Micros = 4;
 /// The most slots that one attempt is advertised with.
 const MAX_SLOTS_PER_ATTEMPT: f64 = 16.0;
@@ -133,9 +133,8 @@
         if self.is_grouped() { self.assignment.sample(random, max) } else { Vec::new() }
     }
 
-    /// How many of a worker's slots nobody on this side of a partition may take: those of dispatchers that are away, and all of
-    /// them for a while where the worker came from another group because of a change of presence, which others may not share
-    /// yet.
+    /// How many of a worker's slots nobody on this side of a partition may take: those of unreachable dispatchers. If the worker
+    /// came from another group by a change of presence, which others may not know yet, that is all of them for a while.
     ///
     /// So the sum over the sides of a partition is never above `slots`: the parts of all dispatchers add up to it, and a
     /// dispatcher is present on one side alone.
@@ -158,6 +157,7 @@
         self.group.slow_start_rank(tag)
     }
 
+    /// The short tag that messages name a worker by.
     fn short_tag(&self, listed: &EndpointEntry) -> u16 {
         self.tags.short_tag(listed.worker, listed.tag)
     }
@@ -182,13 +182,13 @@
         self.advertisements.valid(now).any(|(_, load)| load.at > since && load.suspects.contains(&tag))
     }
 
-    /// Whether a peer that had outstanding work when it last advertised has missed advertising it again: it may be cut off, or
-    /// dead, and what it has outstanding at the group's workers is not known.
+    /// Whether a peer that had outstanding work when it last advertised has not advertised it again in time. It may be cut off
+    /// or dead, and what it has outstanding at the group's workers is not known.
     pub(crate) fn has_silent_peer(&self, now: Micros) -> bool {
         self.advertisements.has_silent(self.peers(), now)
     }
 
-    /// Whether at least half of the peers have advertised so lately that what they have sent since is a small part of what a
+    /// Whether at least half of the peers have advertised recently: what they have sent since then is a small part of what a
     /// worker that warms up can bear in its collapse window.
     pub(crate) fn has_recent_advertisements(&self, now: Micros, window: Micros) -> bool {
         let recent = self.advertisements.recent_count(self.peers(), now, window / RECENT_WINDOW_DIVISOR);
@@ -208,8 +208,8 @@
         self.slots.offered_by(worker, now).is_some()
     }
 
-    /// Whether a slot at a worker that is warming up is on offer by its group: the list of another one does not show yet that
-    /// it has started.
+    /// Whether a slot at a worker that is warming up is on offer by the group that may use it. Another group offers one if its
+    /// endpoint list does not show yet that the worker has started.
     pub(crate) fn is_offered_by_slow_start_group(&self, listed: &EndpointEntry, now: Micros) -> bool {
         let owner = self.slots.offered_by(listed.worker, now);
         owner.is_some_and(|owner| self.group.group_of(owner) == self.group.slow_start_group(listed.tag))
@@ -275,8 +275,7 @@
         }
     }
 
-    /// Advertises to the peers, and to the owners of borrowed slots, what there is to know of their workers, if that is news or
-    /// due again.
+    /// Advertises this dispatcher's load to the peers, and to the owners of borrowed slots, if it has changed or is due again.
     pub(crate) fn advertise(&mut self, now: Micros, own_loads: &[OwnLoad], actions: &mut Vec<Action>) {
         if !self.is_grouped() {
             return;
@@ -314,7 +313,7 @@
         self.slots.slot_owners().into_iter().map(for_owner).collect()
     }
 
-    /// What this dispatcher has to say of the workers that meet a condition.
+    /// This dispatcher's load at the workers that meet a condition.
     fn advertisement_of(
         &self,
         now: Micros,
@@ -332,7 +331,7 @@
         LoadAdvertisement::new(now, 0..=u16::MAX, outstanding, suspects)
     }
 
-    /// Sends those parts of an advertisement that are news or due again.
+    /// Sends those parts of an advertisement that have changed or are due again.
     fn publish(&mut self, recipient: Recipient, advertisement: LoadAdvertisement, actions: &mut Vec<Action>) {
         let is_idle = advertisement.outstanding.is_empty();
         let parts = self.advertisements.parts_for(recipient, advertisement);
@@ -349,6 +348,7 @@
         }
     }
 
+    /// Sends a part of an advertisement.
     fn send(&self, recipient: Recipient, part: &LoadAdvertisement, actions: &mut Vec<Action>) {
         match recipient {
             Recipient::SlotOwner(to) => {
@@ -382,6 +382,7 @@
         }
     }
 
+    /// Takes a load advertisement of a peer, or of one that borrows slots.
     fn receive_load(&mut self, from: u32, is_peer: bool, load: LoadAdvertisement) {
         self.advertisements.receive(from, load);
         if !is_peer {
--- a/src/policy/gossip/short_tags.rs
+++ b/src/policy/gossip/short_tags.rs
@@ -26,6 +26,7 @@
 }
 
 impl Shortened {
+    /// The worker of this list entry.
     fn new(entry: &EndpointEntry) -> Shortened {
         Shortened { short: shorten(entry.tag), tag: entry.tag, worker: entry.worker }
     }
@@ -33,8 +34,9 @@
 
 impl ShortTags {
     /// Gives each ready worker a short tag of its own. Where several would have the same, the first by its whole tag has it,
-    /// and the others, in order, the next ones that are free. So whoever holds the same list names all alike, and while lists
-    /// differ only workers that share one can be taken for each other. (Beyond 65,536 workers some have none.)
+    /// and the others, in order, the next ones that are free. Dispatchers that hold the same list thus use the same short tags;
+    /// while lists differ, only workers whose tags shorten to the same can be mistaken for each other. Beyond 65,536 workers
+    /// some have none.
     pub fn assign(&mut self, ready: &[EndpointEntry]) {
         let mut order: Vec<Shortened> = ready.iter().map(Shortened::new).collect();
         order.sort_unstable();
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -266,6 +266,7 @@
         Ok(())
     }
 
+    /// Whether all numbers are finite and in their range.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
         let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
--- a/src/policy/interner.rs
+++ b/src/policy/interner.rs
@@ -32,6 +32,7 @@
         &self.names
     }
 
+    /// Whether no name has a number now.
     pub(crate) fn is_empty(&self) -> bool {
         self.current.is_empty()
     }
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -19,8 +19,8 @@
         self.state.close_job(id, &self.settings, actions);
     }
 
-    /// How long a rejected client should wait, where clients are told: until the ready workers, shared with
-    /// the other dispatchers, can have run what is queued here.
+    /// How long a rejected client should wait, if clients are given a time: until the ready workers, shared
+    /// with the other dispatchers, can have run what is queued here.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -59,6 +59,7 @@
 }
 
 impl ReportValue {
+    /// What the value of this name stands for in this deployment.
     fn new(name: &str, profile: &Profile) -> ReportValue {
         match name {
             "cpu" => ReportValue::Cpu,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Puts a number where it belongs in a report; one that is not finite counts as absent.
-    pub(crate) fn enter(self, report: &mut LoadReport, number: f64) {
+    /// Stores a number in its field of a report; one that is not finite counts as absent.
+    pub(crate) fn store(self, report: &mut LoadReport, number: f64) {
         let field = match self {
             ReportValue::Cpu => &mut report.cpu,
             ReportValue::FreeSlots => &mut report.free_slots,
@@ -91,15 +92,18 @@
 }
 
 impl<'a> Profile<'a> {
+    /// The text of a setting.
     fn text(&self, path: &str) -> Option<&'a str> {
         self.0.get(path).copied()
     }
 
+    /// A setting that is a number.
     pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, NotANumber> {
         let Some(text) = self.text(path) else { return Ok(default) };
         text.parse().map_err(|_| NotANumber { path: path.to_owned(), text: text.to_owned() })
     }
 
+    /// A setting that is a span of milliseconds.
     fn micros(&self, path: &str, default_ms: f64) -> Result<Micros, NotANumber> {
         Ok(to_micros(self.number(path, default_ms)?))
     }
@@ -114,10 +118,12 @@
         Ok((self.number(path, 0.0)? as usize).min(self.0.len()))
     }
 
+    /// A setting that is true or false.
     fn flag(&self, path: &str, default: bool) -> bool {
         self.text(path).map_or(default, |text| text == "true" || text == "1")
     }
 
+    /// The elements of a list, which are separated by commas.
     fn list(&self, path: &str) -> Vec<&'a str> {
         self.text(path).map_or(Vec::new(), |text| text.split(',').filter(|item| !item.is_empty()).collect())
     }
@@ -127,6 +133,7 @@
         self.list(path).get(index).and_then(|text| text.parse().ok())
     }
 
+    /// The class of this index.
     fn class(&self, index: usize) -> Result<Class, NotANumber> {
         let path = |name: &str| format!("Grades.{index}.{name}");
         let deadline = self.micros(&path("DeadlineMs"), 1e12)?;
@@ -145,6 +152,7 @@
         })
     }
 
+    /// Whether the jobs of a class may be repeated; `path` gives the path of one of the class's settings.
     fn idempotency(&self, path: &dyn Fn(&str) -> String) -> Result<Idempotency, NotANumber> {
         Ok(match self.text(&path("Semantics")) {
             Some("pure") => Idempotency::Idempotent,
@@ -160,6 +168,7 @@
         })
     }
 
+    /// The tenant of this index.
     fn tenant(&self, index: usize) -> Result<Tenant, NotANumber> {
         Ok(Tenant {
             quota_per_s: self.number(&format!("Projects.{index}.QuotaPerS"), 0.0)?,
@@ -167,6 +176,7 @@
         })
     }
 
+    /// How load reports reach the dispatcher.
     fn reports(&self) -> Reports {
         match self.text("LoadInfo.Source") {
             Some("piggyback") => Reports::Answers,
--- a/src/policy/simulator/fields.rs
+++ b/src/policy/simulator/fields.rs
@@ -11,12 +11,14 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Splits a line at its tabs. A part that is not a field is ignored.
     pub fn parse(line: &'a str) -> Self {
         let mut parts = line.split('\t');
         let message = parts.next().unwrap_or("");
         Fields { message, pairs: parts.filter_map(|part| part.split_once('=')).collect() }
     }
 
+    /// The text of a field.
     pub fn find(&self, name: &str) -> Option<&'a str> {
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
@@ -26,14 +28,17 @@
         self.find(name).filter(|value| !value.is_empty()).ok_or_else(|| self.missing(name))
     }
 
+    /// The number in a field, if there is one.
     pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, LineError> {
         self.find(name).map(|text| self.parse_number(name, text)).transpose()
     }
 
+    /// The number in a field that must be there.
     pub fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, LineError> {
         self.parsed(name)?.ok_or_else(|| self.missing(name))
     }
 
+    /// The finite number in a field, if there is one.
     pub fn finite(&self, name: &str) -> Result<Option<f64>, LineError> {
         match self.parsed::<f64>(name)? {
             Some(value) if !value.is_finite() => {
@@ -43,10 +48,12 @@
         }
     }
 
+    /// The span or time in a field of milliseconds, if there is one.
     pub fn micros(&self, name: &str) -> Result<Option<Micros>, LineError> {
         Ok(self.finite(name)?.map(to_micros))
     }
 
+    /// The span or time in a field of milliseconds that must be there.
     pub fn required_micros(&self, name: &str) -> Result<Micros, LineError> {
         self.micros(name)?.ok_or_else(|| self.missing(name))
     }
@@ -60,6 +67,7 @@
         })
     }
 
+    /// The error where a field is not there.
     fn missing(&self, name: &str) -> LineError {
         LineError::MissingField { message: self.message.to_owned(), field: name.to_owned() }
     }
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -12,8 +12,9 @@
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-/// The bits of a job's `Flags`.
+/// The bit of a job's `Flags` that says that its hint counts.
 const HAS_HINT: u64 = 1;
+/// The bit of a job's `Flags` that says that it is a retry.
 const IS_REPEAT: u64 = 2;
 
 /// The name of a job that is not over, and what is still to come of it.
@@ -80,14 +81,17 @@
         })
     }
 
+    /// The id of a worker; a new one if it has none.
     fn worker(&mut self, name: &str) -> WorkerId {
         WorkerId(self.workers.id(name))
     }
 
+    /// The id of the job that a line is about, if it is open.
     fn job(&self, fields: &Fields) -> Result<Option<JobId>, LineError> {
         Ok(self.job_ids.get(fields.text("Job")?).copied())
     }
 
+    /// The event of an `announce` line.
     fn endpoint_list(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Event, LineError> {
         let kind = match fields.required::<i64>("Kind")? {
             0 => ListKind::Delta,
@@ -102,6 +106,7 @@
         Ok(Event::EndpointList(kind, entries.collect::<Result<_, _>>()?))
     }
 
+    /// The list entry of an `executor` row.
     fn endpoint(&mut self, fields: &Fields) -> Result<EndpointEntry, LineError> {
         let name = fields.text("Executor")?;
         Ok(EndpointEntry {
@@ -121,6 +126,7 @@
         })
     }
 
+    /// The event of an `accept` line, with a new id for its job.
     fn arrived(&mut self, fields: &Fields) -> Result<Event, LineError> {
         let name = fields.text("Job")?;
         let job = JobId(self.next_job);
@@ -146,6 +152,7 @@
         Ok(Event::Arrived(request))
     }
 
+    /// The event of a `change` line: an attempt has started, or reports its progress.
     fn attempt_changed(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         Ok(match (self.job(fields)?, fields.required::<i64>("Topic")?) {
             (Some(job), 1) => Some(Event::Started { job, attempt: attempt(fields)? }),
@@ -157,6 +164,7 @@
         })
     }
 
+    /// The event of an `ended` line.
     fn attempt_ended(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let elapsed = fields.micros("TimeTakenMs")?.unwrap_or(0);
         let outcome = outcome(fields)?;
@@ -172,6 +180,7 @@
         Ok(Some(Event::AttemptEnded(AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report })))
     }
 
+    /// The event of a `hangup` line.
     fn disconnected(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let Some(job) = self.job(fields)? else { return Ok(None) };
         if let Some(open) = self.jobs.get_mut(&job) {
@@ -180,6 +189,7 @@
         Ok(Some(Event::ClientDisconnected(job)))
     }
 
+    /// The load report of a line, if it has one. Its values stand in the order of the settings.
     fn report(&self, fields: &Fields) -> Result<Option<LoadReport>, LineError> {
         let Some(row) = fields.find("Feedback").filter(|row| !row.is_empty() && *row != "-") else {
             return Ok(None);
@@ -187,7 +197,7 @@
         let mut report = LoadReport::default();
         for (text, (_, value)) in row.split(',').zip(&self.names.values).filter(|(text, _)| !text.is_empty())
         {
-            value.enter(&mut report, fields.parse_number("Feedback", text)?);
+            value.store(&mut report, fields.parse_number("Feedback", text)?);
         }
         Ok(Some(report))
     }
@@ -232,6 +242,7 @@
         line.expect("a string takes any text");
     }
 
+    /// Appends the line of an attempt that is sent, unless its job is not open.
     fn print_send(
         &mut self,
         job: JobId,
@@ -248,6 +259,7 @@
         writeln!(reply, "\tExecutor={}", self.worker_name(worker))
     }
 
+    /// The name of a worker that was seen before.
     fn worker_name(&self, worker: WorkerId) -> &str {
         &self.workers.names()[worker.0 as usize]
     }
@@ -265,6 +277,7 @@
     Ok(fields.parsed("RoundNo")?.unwrap_or(0))
 }
 
+/// How an attempt or a probe ended.
 fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
     Ok(match fields.text("Ending")? {
         "ok" => Outcome::Ok,
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -84,10 +84,12 @@
         }
     }
 
+    /// The error of the line that is being read.
     fn malformed(&self, error: LineError) -> WireError {
         WireError::Malformed { line: self.line, error }
     }
 
+    /// Takes one line.
     fn on_line(&mut self, fields: &Fields) -> Result<Step, LineError> {
         if fields.message == "batch" {
             if self.now.is_some() {
@@ -131,6 +133,7 @@
         Ok(Step::Continue)
     }
 
+    /// Begins a table, whose rows follow.
     fn on_table(&mut self, fields: &Fields) -> Result<(), LineError> {
         let number: usize = fields.required("Table")?;
         let rows: usize = fields.required("RowsIn")?;
@@ -143,6 +146,7 @@
         Ok(())
     }
 
+    /// Adds a row to a table.
     fn on_table_row(&mut self, fields: &Fields, table: OpenTable) -> Result<(), LineError> {
         let OpenTable { number, missing_rows } = table;
         if fields.message != "executor" {
@@ -155,10 +159,13 @@
         Ok(())
     }
 
+    /// The instance to which lines go.
     fn current_name(&self, fields: &Fields) -> Result<&str, LineError> {
         self.current.as_deref().ok_or_else(|| LineError::NoInstance(fields.message.to_owned()))
     }
 
+    /// Hands the event of a line to its instance, and appends what that leads to. A panic of the decision module stops that event
+    /// alone, and is reported.
     fn on_event(&mut self, now: Micros, fields: &Fields) -> Result<(), LineError> {
         let Some(name) = &self.current else { return Err(LineError::NoInstance(fields.message.to_owned())) };
         let instance = self.instances.get_mut(name).ok_or_else(|| unknown_instance(fields, name))?;
@@ -187,6 +194,7 @@
     }
 }
 
+/// The error where a line is for an instance that does not exist.
 fn unknown_instance(fields: &Fields, name: &str) -> LineError {
     LineError::UnknownInstance { message: fields.message.to_owned(), name: name.to_owned() }
 }
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -94,7 +94,7 @@
         unstarted.is_some_and(|attempt| std::mem::take(&mut attempt.is_start_expected))
     }
 
-    /// Records that an attempt runs, if that is news.
+    /// Records that an attempt runs, if that was not known yet.
     pub fn attempt_started(&mut self, id: JobId, index: u32) -> Option<StartedAttempt> {
         let attempt = self.jobs.get_mut(&id)?.attempt_mut(index)?;
         if !attempt.is_unstarted() {
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -153,6 +153,7 @@
         worker.slowness.blend(self.kind_slowness(listed.kind), PRIOR_COUNT)
     }
 
+    /// Response time for each unit of expected work of a kind, blended with that of all workers.
     fn kind_slowness(&self, kind: KindId) -> f64 {
         let all = self.slowness.value_or(1.0);
         self.slowness_by_kind.get(&kind).map_or(all, |mean| mean.blend(all, PRIOR_COUNT))
--- a/src/policy/state/job_queue.rs
+++ b/src/policy/state/job_queue.rs
@@ -19,14 +19,17 @@
         self.0.retain(|queued| *queued != job);
     }
 
+    /// Whether a job is queued.
     pub fn contains(&self, job: JobId) -> bool {
         self.0.contains(&job)
     }
 
+    /// How many jobs are queued.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// The queued jobs, the one that was queued first at the front.
     pub fn iter(&self) -> impl Iterator<Item = JobId> {
         self.0.iter().copied()
     }
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -62,6 +62,7 @@
 }
 
 impl LearnedWorker {
+    /// What is known of a worker.
     fn new(worker: &Worker) -> LearnedWorker {
         LearnedWorker {
             load: worker.load.clone(),
--- a/src/policy/state/list_backoff.rs
+++ b/src/policy/state/list_backoff.rs
@@ -10,10 +10,12 @@
 }
 
 impl ListBackoff {
+    /// A request for the list has failed.
     pub fn record_failure(&mut self) {
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
     }
 
+    /// A list has arrived.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/src/policy/state/mean.rs
+++ b/src/policy/state/mean.rs
@@ -11,8 +11,10 @@
 }
 
 impl Mean {
+    /// The most observations that the mean rests on.
     const MAX_COUNT: f64 = 40.0;
 
+    /// Adds an observation.
     pub fn add(&mut self, observation: f64) {
         self.count = (self.count + 1.0).min(Self::MAX_COUNT);
         self.value += (observation - self.value) / self.count;
--- a/src/policy/state/outlier_record.rs
+++ b/src/policy/state/outlier_record.rs
@@ -38,6 +38,7 @@
         self.consecutive_failures = 0;
     }
 
+    /// Whether it is ejected now.
     pub fn is_ejected(&self, now: Micros) -> bool {
         now < self.ejected_until
     }
--- a/src/policy/state/zone_outliers.rs
+++ b/src/policy/state/zone_outliers.rs
@@ -19,6 +19,7 @@
         self.0.remove(&zone);
     }
 
+    /// Whether the zone is ejected now.
     pub fn is_ejected(&self, zone: ZoneId, now: Micros) -> bool {
         self.0.get(&zone).is_some_and(|record| record.is_ejected(now))
     }
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -13,7 +13,9 @@
     Review(JobId),
 }
 
+/// The id of [`Timer::OpenWatch`].
 const OPEN_WATCH_ID: u64 = 0;
+/// The id of [`Timer::Advertise`].
 const ADVERTISE_ID: u64 = u64::MAX;
 /// The timer of job n has the id `FIRST_REVIEW_ID + n`.
 const FIRST_REVIEW_ID: u64 = 1;
--- a/src/protocol/platform/load_reports.rs
+++ b/src/protocol/platform/load_reports.rs
@@ -28,7 +28,7 @@
     let mut has_value = false;
     for (name, number) in pairs {
         if let Some(value) = site.report_value(settings_name(name), name) {
-            value.enter(&mut report, number);
+            value.store(&mut report, number);
             has_value = true;
         }
     }
