--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -164,7 +164,7 @@
         attempt: id.number,
         worker,
         elapsed: 0,
-        closed: true,
+        is_job_closed: true,
         outcome,
         report: None,
     })
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -194,9 +194,9 @@
         }
         let run_end = if outcome == Outcome::Ok { RunEnd::Completed } else { RunEnd::CutShort };
         self.learners.on_ended(now, id.into(), run_end);
-        let closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
+        let is_job_closed = self.requests.get(request_id).is_none_or(|request| !request.is_open());
         let job = request_id.job();
-        let ended = AttemptEnded { job, attempt: number, worker, elapsed, closed, outcome, report };
+        let ended = AttemptEnded { job, attempt: number, worker, elapsed, is_job_closed, outcome, report };
         self.events.push(Event::AttemptEnded(ended));
         self.requests.mark_finished(request_id);
         true
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -116,7 +116,7 @@
         let policy = &mut self.policy;
         let Some(ended) = policy.state.attempt_ended(end) else { return };
         policy.record_outcome(end, &ended);
-        if end.closed {
+        if end.is_job_closed {
             policy.state.close_job(end.job, &policy.settings, actions);
         } else {
             policy.delay_retry(end, &ended, actions);
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -41,8 +41,8 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Open a watch of the endpoint list; one list event or failure answers.
+    /// Open a watch of the endpoint list; one list event or failure follows.
     OpenWatch,
-    /// Fetch the complete endpoint list once; one list event or failure answers.
+    /// Fetch the complete endpoint list once; one list event or failure follows.
     FetchList,
 }
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -171,8 +171,8 @@
     pub worker: WorkerId,
     /// Time since it was sent.
     pub elapsed: Micros,
-    /// Whether the client has been answered, by this attempt or before it. If not, a final response is still due.
-    pub closed: bool,
+    /// Whether the final response has been given, by this attempt or before it; if not, it is still due.
+    pub is_job_closed: bool,
     /// Its outcome.
     pub outcome: Outcome,
     /// The load report that came with the response, if there was one.
@@ -184,7 +184,7 @@
 pub struct ProbeResponse {
     /// The worker.
     pub worker: WorkerId,
-    /// [`Outcome::Ok`] if it answered.
+    /// [`Outcome::Ok`] if there was one.
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Micros,
@@ -277,7 +277,7 @@
     ClientDisconnected(JobId),
     /// A timer that the module set has expired.
     Timer(TimerId),
-    /// A probe was answered or failed.
+    /// A probe got its response or failed.
     ProbeResponse(ProbeResponse),
     /// The presence of each dispatcher by index; where this is never sent, all of them are present.
     Peers(Vec<PeerPresence>),
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -59,7 +59,7 @@
 /// One class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer is in time within this span of the arrival, plus `latency_factor` times the job's own work.
+    /// A response is in time within this span of the arrival, plus `latency_factor` times the job's own work.
     pub latency_objective: Micros,
     /// The multiple of the job's own work that is added to `latency_objective`.
     pub latency_factor: f64,
@@ -69,10 +69,10 @@
     pub idempotency: Idempotency,
     /// The priority weight of a job.
     pub weight: f64,
-    /// The fraction of `weight` that an answer after the latency objective still has.
+    /// The fraction of `weight` that a response after the latency objective still has.
     pub late_weight: f64,
-    /// The answer is a stream, whose start [`super::Event::StreamStarted`] reports.
-    pub stream: bool,
+    /// The response is a stream, whose start [`super::Event::StreamStarted`] reports.
+    pub is_stream: bool,
     /// The only kind of worker that can run it; `None` for any.
     pub kind: Option<KindId>,
     /// Its priority in the workers' queues.
@@ -92,11 +92,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
     /// With attempt outcomes and probe responses.
-    Answers,
+    WithResponses,
     /// With probe responses only.
-    Probes,
+    ProbesOnly,
     /// Not at all.
-    Silent,
+    Never,
 }
 
 /// The settings of one instance. [`Settings::default`] is a single dispatcher with one idempotent class.
@@ -138,8 +138,8 @@
     pub max_attempts: u32,
     /// The longest `retry_after` that clients respect; `None` where they are given none.
     pub max_retry_after: Option<Micros>,
-    /// Final answers still count this long after the client's deadline.
-    pub answer_slack: Micros,
+    /// Final responses still count this long after the client's deadline.
+    pub response_grace: Micros,
     /// No attempt may be sent to a draining or gone worker after this.
     pub drain_grace: Micros,
     /// Where lists are sent only on request, the longest time from one poll to the next.
@@ -171,7 +171,7 @@
             idempotency: Idempotency::Idempotent,
             weight: 1.0,
             late_weight: 0.0,
-            stream: false,
+            is_stream: false,
             kind: None,
             priority: 0,
         };
@@ -184,7 +184,7 @@
             over_quota_weight: 1.0,
             tick: 1_000,
             weight_by_work: false,
-            reports: Reports::Answers,
+            reports: Reports::WithResponses,
             reports_start: false,
             progress: None,
             list_on_request: false,
@@ -194,7 +194,7 @@
             may_hedge: true,
             max_attempts: 5,
             max_retry_after: None,
-            answer_slack: 20_000,
+            response_grace: 20_000,
             drain_grace: 500_000,
             max_poll_interval: None,
             initial_capacity: 0.2,
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -88,7 +88,7 @@
 
     /// Whether only the final response is left: at the deadline, unless a stream runs, which has none.
     pub(super) fn is_past_deadline(&self, job: &Job) -> bool {
-        let is_streaming = self.class(job).stream && job.has(AttemptState::Running);
+        let is_streaming = self.class(job).is_stream && job.has(AttemptState::Running);
         self.now() + self.settings.tick >= job.request.deadline && !is_streaming
     }
 
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -60,9 +60,8 @@
             let random = exponential(&mut self.random);
             let considered = Considered::new(&self.state, worker, listed, self.settings.zone, random);
             let candidate = self.rank(&needs, &considered);
-            let fresh_load =
-                self.state.fresh_load(id, self.window()).filter(|_| candidate.rank == Rank::Fresh);
-            lowest_cpu = fresh_load.map_or(lowest_cpu, |load| lowest_cpu.min(load.cpu));
+            let load = self.state.fresh_load(id, self.window()).filter(|_| candidate.rank == Rank::Fresh);
+            lowest_cpu = load.map_or(lowest_cpu, |load| lowest_cpu.min(load.cpu));
             ranked.push(candidate);
         }
         ranked.sort_by(Candidate::compare);
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -146,7 +146,7 @@
             idempotency,
             weight: self.number(&path("Points"), 1.0)?,
             late_weight: self.number(&path("LateWorth"), 0.0)?,
-            stream: self.flag(&path("Stream"), false),
+            is_stream: self.flag(&path("Stream"), false),
             kind: self.element("Domain.ClassKind", index).map(KindId),
             priority: self.element("Domain.ClassPriority", index).unwrap_or(0),
         })
@@ -179,9 +179,9 @@
     /// How load reports reach the dispatcher.
     fn reports(&self) -> Reports {
         match self.text("LoadInfo.Source") {
-            Some("piggyback") => Reports::Answers,
-            Some("pull") => Reports::Probes,
-            _ => Reports::Silent,
+            Some("piggyback") => Reports::WithResponses,
+            Some("pull") => Reports::ProbesOnly,
+            _ => Reports::Never,
         }
     }
 
@@ -237,7 +237,7 @@
         may_hedge: profile.flag("Limits.SecondCopies", false),
         max_attempts: profile.number("Limits.MaxAttempts", 1.0)? as u32,
         max_retry_after: profile.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
-        answer_slack: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
+        response_grace: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
         drain_grace: profile.micros("Obligations.StopSendingWithinMs", 0.0)?,
         max_poll_interval: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
         initial_capacity: profile.number("Obligations.ColdFrom", 0.1)?,
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -171,13 +171,21 @@
         let report = self.report(fields)?;
         let attempt = attempt(fields)?;
         let worker = self.worker(fields.text("Executor")?);
-        let closed = fields.parsed::<u8>("Closed")?.unwrap_or(0) == 1;
+        let is_job_closed = fields.parsed::<u8>("Closed")?.unwrap_or(0) == 1;
         let Some(job) = self.job(fields)? else { return Ok(None) };
         if let Some(open) = self.jobs.get_mut(&job) {
             open.ended += 1;
-            open.is_closed |= closed;
+            open.is_closed |= is_job_closed;
         }
-        Ok(Some(Event::AttemptEnded(AttemptEnded { job, attempt, worker, elapsed, closed, outcome, report })))
+        Ok(Some(Event::AttemptEnded(AttemptEnded {
+            job,
+            attempt,
+            worker,
+            elapsed,
+            is_job_closed,
+            outcome,
+            report,
+        })))
     }
 
     /// The event of a `hangup` line.
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -51,7 +51,7 @@
 
     /// Makes room for these settings' classes.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        self.is_probed_only = settings.reports == Reports::Probes;
+        self.is_probed_only = settings.reports == Reports::ProbesOnly;
         self.classes.resize(settings.classes.len(), ClassStats::default());
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -109,13 +109,13 @@
         elapsed: Micros,
         report: Option<LoadReport>,
     ) -> Vec<Action> {
-        let (job, closed) = (JobId(job), outcome == Outcome::Ok);
+        let (job, is_job_closed) = (JobId(job), outcome == Outcome::Ok);
         self.feed(Event::AttemptEnded(AttemptEnded {
             job,
             attempt,
             worker,
             elapsed,
-            closed,
+            is_job_closed,
             outcome,
             report,
         }))
--- a/tests/conformance/decision.rs
+++ b/tests/conformance/decision.rs
@@ -388,7 +388,7 @@
                     attempt,
                     worker,
                     elapsed,
-                    closed,
+                    is_job_closed: closed,
                     outcome,
                     report,
                 }))
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -74,7 +74,7 @@
     let settings = Settings {
         may_probe: true,
         reports_start: true,
-        reports: Reports::Probes,
+        reports: Reports::ProbesOnly,
         classes: vec![class(Idempotency::NonIdempotent)],
         ..Settings::default()
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -241,7 +241,7 @@
 /// to seventeen at a worker with five slots, since its new group did not know what nodes of the one before had out there.
 #[test]
 fn a_full_group_probes_unsized_workers_where_reports_come_with_probes() {
-    let base = Settings { dispatcher_count: 20, reports: Reports::Probes, ..settings(7, true) };
+    let base = Settings { dispatcher_count: 20, reports: Reports::ProbesOnly, ..settings(7, true) };
     let mut node = Node::new(base);
     node.roster((0..4).map(worker).collect());
     let mut next = 0..;
--- a/tests/four_rules.rs
+++ b/tests/four_rules.rs
@@ -119,7 +119,7 @@
     fn answer(&mut self, now: Micros, id: u64) {
         let job = self.jobs.get_mut(&id).expect("a known job");
         assert!(!job.answered && !job.over, "a second final answer");
-        assert!(now <= job.deadline + self.settings.answer_slack, "answered too late");
+        assert!(now <= job.deadline + self.settings.response_grace, "answered too late");
         job.answered = true;
     }
 
@@ -171,7 +171,15 @@
         let done = job.answered || job.over || outcome == Outcome::Ok;
         job.over |= outcome == Outcome::Ok;
         let (job, worker) = (JobId(id), WorkerId(worker));
-        let end = AttemptEnded { job, attempt, worker, elapsed: 5 * MS, closed: done, outcome, report: None };
+        let end = AttemptEnded {
+            job,
+            attempt,
+            worker,
+            elapsed: 5 * MS,
+            is_job_closed: done,
+            outcome,
+            report: None,
+        };
         let actions = self.node.feed(Event::AttemptEnded(end));
         self.judge(actions);
     }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -35,7 +35,7 @@
 
 fn probing_node() -> Node {
     let settings = Settings {
-        reports: Reports::Probes,
+        reports: Reports::ProbesOnly,
         may_probe: true,
         classes: vec![patient(Idempotency::NonIdempotent), patient(Idempotency::Idempotent)],
         ..Settings::default()
@@ -103,7 +103,8 @@
         node.report(1 - slow, 0.9, 1.0);
         assert_eq!(sends(&node.arrive(job, 1, 5_000 * MS)), [(job, WorkerId(slow))]);
         let (job, worker, outcome) = (JobId(job), WorkerId(slow), Outcome::Ok);
-        let end = AttemptEnded { job, attempt: 0, worker, elapsed, closed: true, outcome, report: None };
+        let end =
+            AttemptEnded { job, attempt: 0, worker, elapsed, is_job_closed: true, outcome, report: None };
         node.feed(Event::AttemptEnded(end));
     }
     node.report(0, 1.0, 0.0);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -273,8 +273,8 @@
             let report = (outcome == Outcome::Ok).then(|| self.machines[worker as usize].report());
             self.served += u64::from(outcome == Outcome::Ok);
             let Call { job, attempt, .. } = call;
-            let (worker, closed) = (WorkerId(worker), outcome == Outcome::Ok);
-            let ended = AttemptEnded { job, attempt, worker, elapsed: took, closed, outcome, report };
+            let (worker, is_job_closed) = (WorkerId(worker), outcome == Outcome::Ok);
+            let ended = AttemptEnded { job, attempt, worker, elapsed: took, is_job_closed, outcome, report };
             self.hear(MS, call.node, Event::AttemptEnded(ended));
         }
     }
