--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -4,14 +4,14 @@
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slot that was offered is reserved for this long, for a dispatcher that does not say whether it uses it.
+/// A slot that was offered is reserved for this long, unless the borrower advertises before whether it uses it.
 const OFFER_RESERVED_FOR: Micros = 60_000;
 /// An offer may be used for this long: less, so that the use is advertised while the slot is still reserved.
 const OFFER_VALID_FOR: Micros = OFFER_RESERVED_FOR / 2;
 
 /// A slot that this dispatcher has offered to another one and that is not known to be used.
 #[derive(Debug)]
-struct GrantedOffer {
+struct SentOffer {
     to: u32,
     tag: u16,
     until: Micros,
@@ -27,30 +27,30 @@
 /// The slots that are on offer or borrowed.
 #[derive(Debug, Default)]
 pub(super) struct BorrowedSlots {
-    granted: Vec<GrantedOffer>,
+    sent: Vec<SentOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
     /// The dispatcher that offered the slot at a worker of another group where this dispatcher has work.
     slot_owners: BTreeMap<WorkerId, u32>,
 }
 
 impl BorrowedSlots {
-    /// This dispatcher offers a slot at the worker of this short tag.
-    pub fn grant(&mut self, now: Micros, to: u32, tag: u16) {
-        self.granted.push(GrantedOffer { to, tag, until: now + OFFER_RESERVED_FOR });
+    /// Records that this dispatcher offers a slot at the worker of this short tag.
+    pub fn record_sent(&mut self, now: Micros, to: u32, tag: u16) {
+        self.sent.push(SentOffer { to, tag, until: now + OFFER_RESERVED_FOR });
     }
 
-    /// A borrower has said what it uses.
-    pub fn end_grants_to(&mut self, borrower: u32) {
-        self.granted.retain(|offer| offer.to != borrower);
+    /// Ends the offers to a borrower: it has advertised which of the slots it uses.
+    pub fn end_offers_to(&mut self, borrower: u32) {
+        self.sent.retain(|offer| offer.to != borrower);
     }
 
     /// The short tags of the workers at which slots are reserved, once for each slot.
     pub fn reserved_tags(&self, now: Micros) -> impl Iterator<Item = u16> {
-        self.granted.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
+        self.sent.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
     }
 
-    /// Another dispatcher offers a slot.
-    pub fn receive(&mut self, now: Micros, worker: WorkerId, from: u32) {
+    /// Records that another dispatcher offers a slot.
+    pub fn record_received(&mut self, now: Micros, worker: WorkerId, from: u32) {
         self.received.insert(worker, ReceivedOffer { from, until: now + OFFER_VALID_FOR });
     }
 
@@ -73,7 +73,7 @@
 
     /// Drops the offers that are not valid any more.
     pub fn drop_expired(&mut self, now: Micros) {
-        self.granted.retain(|offer| now < offer.until);
+        self.sent.retain(|offer| now < offer.until);
         self.received.retain(|_, offer| now < offer.until);
     }
 
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -239,7 +239,7 @@
         actions: &mut Vec<Action>,
     ) {
         let tag = self.short_tag(listed);
-        self.slots.grant(now, to, tag);
+        self.slots.record_sent(now, to, tag);
         self.is_changed = true;
         actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_offer(tag) });
     }
@@ -376,7 +376,7 @@
             Message::SlotOffer(_) if is_peer => None,
             Message::SlotOffer(tag) => {
                 let worker = self.tags.worker(tag).filter(|worker| !self.assignment.has(tag, *worker))?;
-                self.slots.receive(now, worker, from);
+                self.slots.record_received(now, worker, from);
                 Some(PeerRequest::Offer)
             }
         }
@@ -386,7 +386,7 @@
     fn receive_load(&mut self, from: u32, is_peer: bool, load: LoadAdvertisement) {
         self.advertisements.receive(from, load);
         if !is_peer {
-            self.slots.end_grants_to(from);
+            self.slots.end_offers_to(from);
             self.is_changed = true;
         }
     }
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -5,7 +5,7 @@
 use super::class_stats::ClassStats;
 use super::outlier_record::convert_unless_never;
 use super::worker::SentWork;
-use super::{LoadSample, Mean, OutlierRecord, PolicyState, Worker};
+use super::{Estimates, LoadSample, Mean, OutlierRecord, PolicyState, Worker};
 use crate::policy::interface::{ClassId, KindId, Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -29,6 +29,31 @@
     recent_work: VecDeque<SentWork>,
 }
 
+/// What an instance has learned of a class.
+#[derive(Clone, Copy, Debug, Deserialize, Serialize)]
+#[serde(from = "LearnedClassForm", into = "LearnedClassForm")]
+struct LearnedClass {
+    run_time: Mean,
+    /// How much expected work has arrived, and in how many jobs.
+    work_sum: f64,
+    job_count: f64,
+}
+
+/// The serialized form of a class: its mean run time, and then the work that has arrived and in how many jobs.
+type LearnedClassForm = (Mean, (f64, f64));
+
+impl From<LearnedClassForm> for LearnedClass {
+    fn from((run_time, (work_sum, job_count)): LearnedClassForm) -> Self {
+        LearnedClass { run_time, work_sum, job_count }
+    }
+}
+
+impl From<LearnedClass> for LearnedClassForm {
+    fn from(class: LearnedClass) -> Self {
+        (class.run_time, (class.work_sum, class.job_count))
+    }
+}
+
 /// What an instance has learned, for another one that continues in its place. Ids and times are those of the first.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Learned {
@@ -37,8 +62,7 @@
     slowness_by_kind: Vec<(u16, Mean)>,
     #[serde(rename = "kind_slots")]
     slots_by_kind: Vec<(u16, f64)>,
-    /// Of each class the mean run time, and the work that has arrived in how many jobs.
-    classes: Vec<(Mean, (f64, f64))>,
+    classes: Vec<LearnedClass>,
     #[serde(rename = "slow")]
     slowness: Mean,
     report_interval: f64,
@@ -88,52 +112,71 @@
     }
 }
 
+impl LearnedClass {
+    fn new(stats: &ClassStats) -> LearnedClass {
+        LearnedClass { run_time: stats.run_time, work_sum: stats.work_sum, job_count: stats.job_count }
+    }
+
+    /// The statistics with what was learned; the rest is as in `stats`.
+    fn restored(self, stats: &ClassStats) -> ClassStats {
+        let LearnedClass { run_time, work_sum, job_count } = self;
+        ClassStats { run_time, work_sum, job_count, ..*stats }
+    }
+}
+
 impl PolicyState {
     /// What it has learned so far.
     pub fn learned(&self) -> Learned {
-        let class = |stats: &ClassStats| (stats.run_time, (stats.work_sum, stats.job_count));
+        let estimates = &self.estimates;
         Learned {
             workers: self.workers.iter().map(LearnedWorker::new).collect(),
-            slowness_by_kind: self
-                .estimates
-                .slowness_by_kind
-                .iter()
-                .map(|(kind, mean)| (kind.0, *mean))
-                .collect(),
-            slots_by_kind: self.estimates.slots_by_kind.iter().map(|(kind, most)| (kind.0, *most)).collect(),
-            classes: self.estimates.classes.iter().map(class).collect(),
-            slowness: self.estimates.slowness,
-            report_interval: self.estimates.report_interval,
-            start_delay: self.estimates.start_delay,
-            probe_delay: self.estimates.probe_delay,
-            reports_queue_length: self.estimates.reports_queue_length,
+            slowness_by_kind: estimates.slowness_by_kind.iter().map(|(kind, mean)| (kind.0, *mean)).collect(),
+            slots_by_kind: estimates.slots_by_kind.iter().map(|(kind, slots)| (kind.0, *slots)).collect(),
+            classes: estimates.classes.iter().map(LearnedClass::new).collect(),
+            slowness: estimates.slowness,
+            report_interval: estimates.report_interval,
+            start_delay: estimates.start_delay,
+            probe_delay: estimates.probe_delay,
+            reports_queue_length: estimates.reports_queue_length,
         }
     }
 
     /// Starts from what another instance had learned, whose clock is behind by `shift`.
-    pub fn restore(&mut self, learned: Learned, ids: &IdMap, shift: i64) {
-        for (worker, id) in learned.workers.into_iter().zip(&ids.workers) {
+    pub fn restore(&mut self, mut learned: Learned, ids: &IdMap, shift: i64) {
+        let workers = std::mem::take(&mut learned.workers);
+        for (worker, id) in workers.into_iter().zip(&ids.workers) {
             if let Some(id) = id {
                 worker.restore(self.workers.touch(*id), shift);
             }
         }
-        let kind = |n: u16| ids.kinds.get(usize::from(n)).copied().flatten();
-        let slowness_by_kind = learned.slowness_by_kind.into_iter();
-        self.estimates
-            .slowness_by_kind
-            .extend(slowness_by_kind.filter_map(|(n, mean)| Some((kind(n)?, mean))));
-        let slots_by_kind = learned.slots_by_kind.into_iter();
-        self.estimates.slots_by_kind.extend(slots_by_kind.filter_map(|(n, most)| Some((kind(n)?, most))));
-        for ((run_time, (work_sum, job_count)), id) in learned.classes.into_iter().zip(&ids.classes) {
-            if let Some(stats) = id.and_then(|id| self.estimates.classes.get_mut(usize::from(id.0))) {
-                *stats = ClassStats { run_time, work_sum, job_count, ..*stats };
+        self.estimates.restore(learned, ids);
+    }
+}
+
+impl Estimates {
+    /// Takes the estimates of another instance over, but for those that are not valid.
+    fn restore(&mut self, learned: Learned, ids: &IdMap) {
+        let kind = |number: u16| ids.kinds.get(usize::from(number)).copied().flatten();
+        for (number, slowness) in learned.slowness_by_kind {
+            if let Some(kind) = kind(number) {
+                self.slowness_by_kind.insert(kind, slowness);
+            }
+        }
+        for (number, slots) in learned.slots_by_kind {
+            if let Some(kind) = kind(number) {
+                self.slots_by_kind.insert(kind, slots);
+            }
+        }
+        for (class, id) in learned.classes.into_iter().zip(&ids.classes) {
+            if let Some(stats) = id.and_then(|id| self.classes.get_mut(usize::from(id.0))) {
+                *stats = class.restored(stats);
             }
         }
-        self.estimates.slowness = learned.slowness;
-        self.estimates.probe_delay = learned.probe_delay;
-        self.estimates.reports_queue_length = learned.reports_queue_length;
+        self.slowness = learned.slowness;
+        self.probe_delay = learned.probe_delay;
+        self.reports_queue_length = learned.reports_queue_length;
         let valid_or = |value: f64, own: f64| if value.is_finite() && value > 0.0 { value } else { own };
-        self.estimates.report_interval = valid_or(learned.report_interval, self.estimates.report_interval);
-        self.estimates.start_delay = valid_or(learned.start_delay, self.estimates.start_delay);
+        self.report_interval = valid_or(learned.report_interval, self.report_interval);
+        self.start_delay = valid_or(learned.start_delay, self.start_delay);
     }
 }
