--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -19,7 +19,7 @@
 /// One of 30 dispatchers over workers that answer at once, past the cold start and the first probes.
 fn steady(workers: u32) -> TestDispatcher {
     let mut node = TestDispatcher::new(Settings {
-        nodes: 30,
+        dispatcher_count: 30,
         may_probe: true,
         may_message_peers: true,
         ..Settings::default()
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The decision module of one node, as its host sees it: events in, actions out.
+//! The decision module of one dispatcher, as its host sees it: events in, actions out.
 //!
 //! A handler of an event keeps the books in `state` and calls the decisions in `rules`; it decides nothing itself.
 
@@ -12,7 +12,7 @@
 use super::state::{IdMap, Learned};
 use super::timer::Timer;
 
-/// The decision module of one node.
+/// The decision module of one dispatcher.
 pub struct Dispatcher {
     policy: Policy,
 }
@@ -40,20 +40,21 @@
         }
         self.policy.state.reconfigure(&settings);
         self.policy.settings = settings;
-        self.policy.state.index_ready(&self.policy.settings);
         Ok(())
     }
 
     /// Takes one event and appends to `actions` what must be done about it. A `now` before an earlier one counts as that.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
-        policy.state.now = policy.state.now.max(now);
+        policy.state.advance_to(now);
         match event {
             Event::EndpointList(kind, entries) => self.on_endpoint_list(kind, &entries, actions),
             Event::ListFailed => self.on_list_failed(actions),
             Event::DiscoveryMoved => actions.push(Action::OpenWatch),
             Event::Arrived(request) => policy.on_arrived(request, actions),
-            Event::Adopted { new, since, past } => self.on_adopted(new, since, &past, actions),
+            Event::Adopted { request, arrived_at, prior_attempts } => {
+                self.on_adopted(request, arrived_at, &prior_attempts, actions);
+            }
             Event::StreamStarted { job, attempt }
             | Event::Started { job, attempt }
             | Event::Progress { job, attempt, .. } => self.on_attempt_started(job, attempt, actions),
@@ -68,34 +69,35 @@
             Event::Peers(peers) => policy.state.update_presence(&peers, &policy.settings),
             Event::PeerMessage { from, bytes } => self.on_peer_message(from, &bytes, actions),
         }
-        self.policy.state.gossip.schedule_advertisement(actions);
+        self.policy.state.schedule_advertisement(actions);
     }
 
+    /// Takes an endpoint list over. After one from an earlier run, a watch is opened for the present one.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
-        policy.state.update_list(kind, entries);
-        policy.state.index_ready(&policy.settings);
-        match kind {
-            ListKind::Cached => policy.schedule_watch(actions),
-            ListKind::Delta | ListKind::Snapshot => policy.state.list_failures = 0,
+        policy.state.update_list(kind, entries, &policy.settings);
+        if kind == ListKind::Cached {
+            policy.schedule_watch(actions);
         }
     }
 
+    /// Opens a watch again after a while.
     fn on_list_failed(&mut self, actions: &mut Vec<Action>) {
         self.policy.state.record_list_failure();
         self.policy.schedule_watch(actions);
     }
 
+    /// Takes a job over from another process of this dispatcher.
     fn on_adopted(
         &mut self,
         request: NewJob,
-        since: Micros,
-        past: &[PriorAttempt],
+        arrived_at: Micros,
+        prior_attempts: &[PriorAttempt],
         actions: &mut Vec<Action>,
     ) {
         let policy = &mut self.policy;
-        policy.state.open_job(request, since, &policy.settings, actions);
-        policy.state.adopt_attempts(request.job, past);
+        policy.state.add_job(request, arrived_at, &policy.settings, actions);
+        policy.state.adopt_attempts(request.job, prior_attempts);
         policy.review(request.job, actions);
     }
 
@@ -105,15 +107,16 @@
         let Some(started) = policy.state.attempt_started(id, attempt) else { return };
         policy.record_start(&started);
         policy.state.cancel_unstarted(id, &policy.settings, actions);
-        policy.state.estimates.learn_start_delay(started.waited as f64, policy.settings.tick as f64);
+        policy.state.learn_start_delay(started.waited, policy.settings.tick);
         policy.review_queued(actions);
     }
 
+    /// Learns from an attempt's end, and decides what becomes of its job and of the queued ones, which may have capacity now.
     fn on_attempt_ended(&mut self, end: &AttemptEnded, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(ended) = policy.state.attempt_ended(end) else { return };
         policy.record_outcome(end, &ended);
-        if end.closed {
+        if end.is_job_closed {
             policy.state.close_job(end.job, &policy.settings, actions);
         } else {
             policy.delay_retry(end, &ended, actions);
@@ -126,6 +129,7 @@
         }
     }
 
+    /// Does what a timer was set for.
     fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::OpenWatch => actions.push(Action::OpenWatch),
@@ -134,15 +138,16 @@
         }
     }
 
+    /// Learns from a probe, and reviews the jobs that waited for this one alone.
     fn on_probe_response(&mut self, response: &ProbeResponse, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
-        let Some(probe) = policy.state.probe_ended(response.worker, response.outcome) else { return };
+        let Some(probe) = policy.state.probe_ended(response) else { return };
         if response.outcome != Outcome::Ok {
             policy.record_probe_failure(response, probe.last_seen);
         } else if let Some(report) = &response.report {
             policy.record_report(response.worker, report);
         }
-        policy.state.estimates.probe_delay.add(response.elapsed.min(policy.window()) as f64);
+        policy.state.learn_probe_delay(response.elapsed.min(policy.window()));
         for job in probe.waiting_jobs {
             if policy.state.is_last_probe_of(job) {
                 policy.review(job, actions);
@@ -150,9 +155,10 @@
         }
     }
 
+    /// Takes another dispatcher's message, and does what it asks for.
     fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
-        match policy.state.gossip.receive(policy.state.now, from, bytes) {
+        match policy.state.receive_message(from, bytes) {
             Some(PeerRequest::Slot(zone)) => policy.on_slot_request(from, zone, actions),
             Some(PeerRequest::Offer) => policy.review_queued(actions),
             None => {}
@@ -164,9 +170,9 @@
         &self.policy.settings
     }
 
-    /// The indices of the other nodes of this node's group.
+    /// The indices of the other dispatchers of this dispatcher's group.
     pub(crate) fn group_peers(&self) -> &[u32] {
-        self.policy.state.gossip.peers()
+        self.policy.state.gossip().peers()
     }
 
     /// How many listed workers get no work now: those that drain, are ejected, or are in a zone that looks cut off.
@@ -176,7 +182,7 @@
 
     /// Copies what was learned of the class `source` to another one.
     pub fn copy_class(&mut self, class: usize, source: usize) {
-        self.policy.state.estimates.copy_class(class, source);
+        self.policy.state.copy_class(class, source);
     }
 
     /// What it has learned so far.
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -1,4 +1,4 @@
-//! Which workers are assigned to this node's group, and how much of them is reserved for nodes that are away.
+//! Which workers are assigned to this dispatcher's group, and how much of them is reserved for dispatchers that are away.
 
 use super::ADVERTISEMENT_TTL;
 use super::group::{PeerGroup, group_hash};
@@ -22,16 +22,22 @@
     owners: BTreeMap<WorkerId, u32>,
     /// Of the group's workers those that came from another group by a change of presence, and when.
     gained: BTreeMap<WorkerId, Micros>,
-    /// The ranks of parts that are reserved for unreachable nodes, where there are any.
+    /// The ranks of parts that are reserved for unreachable dispatchers, where there are any.
     reserved_ranks: BTreeMap<WorkerId, Vec<u16>>,
-    /// The presence of nodes has changed at this time, and the workers are not assigned by it yet.
+    /// The presence of dispatchers has changed at this time, and the workers are not assigned by it yet.
     pub presence_changed_at: Option<Micros>,
 }
 
+/// A worker in a set of bits that stand for positions in [`Assignment::assigned`].
+struct PositionBit {
+    word: usize,
+    mask: u64,
+}
+
 impl Assignment {
-    /// Assigns the ready workers to the groups, zone by zone, the oldest first: each goes to the group that ranks highest for
-    /// it among those that have not had their part yet, so that one more or less moves few others. But one that warms up goes
-    /// to the group that ranks highest of all: whichever lists and presence a node has, that worker has the same group.
+    /// Assigns the ready workers to the groups, zone by zone, the oldest first. Each goes to the group that ranks highest for it
+    /// among those that do not have their part yet, so that one worker more or less moves few others. One that warms up goes
+    /// to the group that ranks highest of all: it has the same group whichever list and presence a dispatcher has.
     pub fn assign(
         &mut self,
         group: &PeerGroup,
@@ -62,8 +68,10 @@
         self.index(tags, &own);
     }
 
+    /// Indexes the workers that were assigned to this group.
     fn index(&mut self, tags: &ShortTags, own: &[&EndpointEntry]) {
-        self.workers = own.iter().map(|entry| (tags.of(entry.worker, entry.tag), entry.worker)).collect();
+        self.workers =
+            own.iter().map(|entry| (tags.short_tag(entry.worker, entry.tag), entry.worker)).collect();
         self.assigned = own.iter().map(|entry| entry.worker).collect();
         self.assigned.sort_unstable();
         let position = |entry: &&EndpointEntry| self.assigned.binary_search(&entry.worker).ok();
@@ -81,11 +89,11 @@
             return assigned.clone();
         }
         let mut drawn = vec![0_u64; assigned.len().div_ceil(64)];
-        let bit = |place: usize| (self.positions[place] / 64, 1_u64 << (self.positions[place] % 64));
         for last in assigned.len() - max..assigned.len() {
-            let (word, mask) = bit(random.usize(..=last));
-            let (word, mask) = if drawn[word] & mask == 0 { (word, mask) } else { bit(last) };
-            drawn[word] |= mask;
+            let drawn_bit = self.position_bit(random.usize(..=last));
+            let is_new = drawn[drawn_bit.word] & drawn_bit.mask == 0;
+            let bit = if is_new { drawn_bit } else { self.position_bit(last) };
+            drawn[bit.word] |= bit.mask;
         }
         let mut sample = Vec::with_capacity(max);
         for (word, mut bits) in drawn.into_iter().enumerate() {
@@ -97,6 +105,12 @@
         sample
     }
 
+    /// The bit that stands for a worker, by its place in the order of assignment.
+    fn position_bit(&self, place: usize) -> PositionBit {
+        let position = self.positions[place];
+        PositionBit { word: position / 64, mask: 1 << (position % 64) }
+    }
+
     /// The group's workers by id.
     pub fn assigned(&self) -> &[WorkerId] {
         &self.assigned
@@ -118,7 +132,7 @@
     }
 
     /// The group of a ready worker.
-    pub fn owner(&self, worker: WorkerId) -> Option<u32> {
+    pub fn owning_group(&self, worker: WorkerId) -> Option<u32> {
         self.owners.get(&worker).copied()
     }
 
@@ -127,7 +141,7 @@
         self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
     }
 
-    /// The ranks of the parts of a worker that are reserved for unreachable nodes.
+    /// The ranks of the parts of a worker that are reserved for unreachable dispatchers.
     pub fn reserved_ranks(&self, worker: WorkerId) -> &[u16] {
         self.reserved_ranks.get(&worker).map_or(&[], Vec::as_slice)
     }
@@ -138,15 +152,15 @@
     let group_count = u64::from(group.count.max(1));
     let hashes: Vec<u64> = (0..group_count).map(group_hash).collect();
     let mut owners = Vec::with_capacity(sorted.len());
-    for zone in sorted.chunk_by(|a, b| a.zone == b.zone) {
+    for zone in sorted.chunk_by(|entry, next| entry.zone == next.zone) {
         let part = zone.len().div_ceil(group_count as usize);
         let mut counts = vec![0; group_count as usize];
         for entry in zone {
             let is_warming_up = warming_up.binary_search(&entry.worker).is_ok();
-            let open = (0..group_count).filter(|g| is_warming_up || counts[*g as usize] < part);
-            let best = open.max_by_key(|g| mix(entry.tag ^ hashes[*g as usize])).unwrap_or(0);
+            let open = (0..group_count).filter(|group| is_warming_up || counts[*group as usize] < part);
+            let best = open.max_by_key(|group| mix(entry.tag ^ hashes[*group as usize])).unwrap_or(0);
             counts[best as usize] += 1;
-            owners.push(if is_warming_up { best as u32 } else { group.owner(entry.tag, best as u32) });
+            owners.push(if is_warming_up { best as u32 } else { group.owning_group(entry.tag, best as u32) });
         }
     }
     owners
--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -1,56 +1,57 @@
-//! Slots that groups lend each other: a node whose group's workers are full uses a slot of another group's worker.
+//! Borrowed slots: a dispatcher whose group's workers are full uses a slot of another group's worker, whose owner has offered
+//! it.
 
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slot that was offered is reserved for this long, for a node that does not say whether it uses it.
+/// A slot that was offered is reserved for this long, unless the borrower advertises before whether it uses it.
 const OFFER_RESERVED_FOR: Micros = 60_000;
 /// An offer may be used for this long: less, so that the use is advertised while the slot is still reserved.
 const OFFER_VALID_FOR: Micros = OFFER_RESERVED_FOR / 2;
 
-/// A slot that this node has offered to another one and that is not known to be used.
+/// A slot that this dispatcher has offered to another one and that is not known to be used.
 #[derive(Debug)]
-struct GrantedOffer {
+struct SentOffer {
     to: u32,
     tag: u16,
     until: Micros,
 }
 
-/// A slot that another node has offered.
+/// A slot that another dispatcher has offered.
 #[derive(Debug)]
 struct ReceivedOffer {
-    lender: u32,
+    from: u32,
     until: Micros,
 }
 
-/// The slots that are on offer or lent.
+/// The slots that are on offer or borrowed.
 #[derive(Debug, Default)]
 pub(super) struct BorrowedSlots {
-    granted: Vec<GrantedOffer>,
+    sent: Vec<SentOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
-    /// The node that lent the slot at a worker where this node has work.
-    lenders: BTreeMap<WorkerId, u32>,
+    /// The dispatcher that offered the slot at a worker of another group where this dispatcher has work.
+    slot_owners: BTreeMap<WorkerId, u32>,
 }
 
 impl BorrowedSlots {
-    /// This node offers a slot at the worker of this short tag.
-    pub fn grant(&mut self, now: Micros, to: u32, tag: u16) {
-        self.granted.push(GrantedOffer { to, tag, until: now + OFFER_RESERVED_FOR });
+    /// Records that this dispatcher offers a slot at the worker of this short tag.
+    pub fn record_sent(&mut self, now: Micros, to: u32, tag: u16) {
+        self.sent.push(SentOffer { to, tag, until: now + OFFER_RESERVED_FOR });
     }
 
-    /// A borrower has said what it uses.
-    pub fn end_grants_to(&mut self, borrower: u32) {
-        self.granted.retain(|offer| offer.to != borrower);
+    /// Ends the offers to a borrower: it has advertised which of the slots it uses.
+    pub fn end_offers_to(&mut self, borrower: u32) {
+        self.sent.retain(|offer| offer.to != borrower);
     }
 
     /// The short tags of the workers at which slots are reserved, once for each slot.
     pub fn reserved_tags(&self, now: Micros) -> impl Iterator<Item = u16> {
-        self.granted.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
+        self.sent.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
     }
 
-    /// Another node offers a slot.
-    pub fn receive(&mut self, now: Micros, worker: WorkerId, lender: u32) {
-        self.received.insert(worker, ReceivedOffer { lender, until: now + OFFER_VALID_FOR });
+    /// Records that another dispatcher offers a slot.
+    pub fn record_received(&mut self, now: Micros, worker: WorkerId, from: u32) {
+        self.received.insert(worker, ReceivedOffer { from, until: now + OFFER_VALID_FOR });
     }
 
     /// The workers at which slots are on offer.
@@ -58,43 +59,46 @@
         self.received.iter().filter(move |(_, offer)| now < offer.until).map(|(worker, _)| *worker)
     }
 
-    /// The node that offers a slot at this worker.
-    pub fn offering_node(&self, worker: WorkerId, now: Micros) -> Option<u32> {
-        self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.lender)
+    /// The dispatcher that offers a slot at this worker.
+    pub fn offered_by(&self, worker: WorkerId, now: Micros) -> Option<u32> {
+        self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.from)
     }
 
     /// The offer for this worker, if there is one, is used.
     pub fn use_offer(&mut self, worker: WorkerId) {
         if let Some(offer) = self.received.remove(&worker) {
-            self.lenders.insert(worker, offer.lender);
+            self.slot_owners.insert(worker, offer.from);
         }
     }
 
+    /// Drops the offers that are not valid any more.
     pub fn drop_expired(&mut self, now: Micros) {
-        self.granted.retain(|offer| now < offer.until);
+        self.sent.retain(|offer| now < offer.until);
         self.received.retain(|_, offer| now < offer.until);
     }
 
-    /// The node that lent the slot at this worker.
-    pub fn lender(&self, worker: WorkerId) -> Option<u32> {
-        self.lenders.get(&worker).copied()
+    /// The dispatcher that offered the slot that this dispatcher uses at a worker.
+    pub fn slot_owner(&self, worker: WorkerId) -> Option<u32> {
+        self.slot_owners.get(&worker).copied()
     }
 
-    pub fn set_lender(&mut self, worker: WorkerId, lender: u32) {
-        self.lenders.insert(worker, lender);
+    /// This dispatcher uses a slot at a worker as if its owner had offered it.
+    pub fn set_slot_owner(&mut self, worker: WorkerId, owner: u32) {
+        self.slot_owners.insert(worker, owner);
     }
 
-    pub fn clear_lender(&mut self, worker: WorkerId) {
-        self.lenders.remove(&worker);
+    /// This dispatcher borrows no slot at a worker.
+    pub fn clear_slot_owner(&mut self, worker: WorkerId) {
+        self.slot_owners.remove(&worker);
     }
 
-    /// All nodes that have lent a slot.
-    pub fn lenders(&self) -> BTreeSet<u32> {
-        self.lenders.values().copied().collect()
+    /// All dispatchers whose slots this dispatcher uses.
+    pub fn slot_owners(&self) -> BTreeSet<u32> {
+        self.slot_owners.values().copied().collect()
     }
 
-    /// A lender has been notified that nothing is used any more.
-    pub fn forget_lender(&mut self, lender: u32) {
-        self.lenders.retain(|_, by| *by != lender);
+    /// The owner of borrowed slots has been notified that none is used any more.
+    pub fn forget_slot_owner(&mut self, owner: u32) {
+        self.slot_owners.retain(|_, by| *by != owner);
     }
 }
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the node reports to the decision module: endpoint lists, jobs, attempts, probe responses and peer messages.
+//! What the host reports to the decision module: endpoint lists, jobs, attempts, probe responses and peer messages.
 
 use super::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
 
@@ -18,7 +18,7 @@
 pub struct EndpointEntry {
     /// The worker.
     pub worker: WorkerId,
-    /// A number that is the same for this worker at every node, such as a hash of its name.
+    /// A number that is the same for this worker at every dispatcher, such as a hash of its name.
     pub tag: u64,
     /// Its zone.
     pub zone: ZoneId,
@@ -137,7 +137,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled by this node; it may have run.
+    /// Cancelled by this dispatcher; it may have run.
     Cancelled,
     /// Never sent; it does not count as an attempt.
     NeverSent,
@@ -171,8 +171,8 @@
     pub worker: WorkerId,
     /// Time since it was sent.
     pub elapsed: Micros,
-    /// Whether the client has been answered, by this attempt or before it. If not, a final response is still due.
-    pub closed: bool,
+    /// Whether the final response has been given, by this attempt or before it; if not, it is still due.
+    pub is_job_closed: bool,
     /// Its outcome.
     pub outcome: Outcome,
     /// The load report that came with the response, if there was one.
@@ -184,7 +184,7 @@
 pub struct ProbeResponse {
     /// The worker.
     pub worker: WorkerId,
-    /// [`Outcome::Ok`] if it answered.
+    /// [`Outcome::Ok`] if there was one.
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Micros,
@@ -192,29 +192,29 @@
     pub report: Option<LoadReport>,
 }
 
-/// An attempt that another process of this node made for a job.
+/// An attempt that another process of this dispatcher made for a job.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
     /// The worker.
     pub worker: WorkerId,
     /// When it was sent.
-    pub at: Micros,
+    pub sent_at: Micros,
     /// It has not ended yet.
-    pub out: bool,
+    pub is_outstanding: bool,
     /// When it started to run, if it did.
     pub running_since: Option<Micros>,
     /// It ended, and it is known that it never ran.
     pub never_ran: bool,
     /// Its worker handed it back by a callback.
-    pub handed_back: bool,
+    pub is_handed_back: bool,
 }
 
-/// What membership says of a node.
+/// What membership says of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPresence {
     /// It takes work.
     Present,
-    /// It does not answer, and may have work out that this node cannot see: its part of each worker is reserved.
+    /// It does not answer, and may have work out that this dispatcher cannot see: its part of each worker is reserved.
     Unreachable,
     /// It has no work any more: its part goes to the others.
     Gone,
@@ -231,14 +231,14 @@
     DiscoveryMoved,
     /// A job has arrived: exactly one final response is due before its deadline.
     Arrived(NewJob),
-    /// A job that another process of this node had accepted: this one owes the final response from now on.
+    /// A job that another process of this dispatcher had accepted: this one owes the final response from now on.
     Adopted {
         /// The job.
-        new: NewJob,
+        request: NewJob,
         /// When it arrived.
-        since: Micros,
+        arrived_at: Micros,
         /// Its attempts, in the order sent.
-        past: Vec<PriorAttempt>,
+        prior_attempts: Vec<PriorAttempt>,
     },
     /// The response stream of this attempt has started.
     StreamStarted {
@@ -277,11 +277,11 @@
     ClientDisconnected(JobId),
     /// A timer that the module set has expired.
     Timer(TimerId),
-    /// A probe was answered or failed.
+    /// A probe got its response or failed.
     ProbeResponse(ProbeResponse),
-    /// The presence of each node by index; where this is never sent, all of them are present.
+    /// The presence of each dispatcher by index; where this is never sent, all of them are present.
     Peers(Vec<PeerPresence>),
-    /// Another node's message.
+    /// Another dispatcher's message.
     PeerMessage {
         /// The sender's index.
         from: u32,
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -41,6 +41,11 @@
 }
 
 impl Idempotency {
+    /// Whether an attempt that may have run may be repeated at all.
+    pub fn is_repeatable(self) -> bool {
+        self != Idempotency::NonIdempotent
+    }
+
     /// Whether a repeat does no harm, whichever worker receives it.
     pub fn is_repeatable_anywhere(self) -> bool {
         match self {
@@ -54,7 +59,7 @@
 /// One class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer is in time within this span of the arrival, plus `latency_factor` times the job's own work.
+    /// A response is in time within this span of the arrival, plus `latency_factor` times the job's own work.
     pub latency_objective: Micros,
     /// The multiple of the job's own work that is added to `latency_objective`.
     pub latency_factor: f64,
@@ -64,10 +69,10 @@
     pub idempotency: Idempotency,
     /// The priority weight of a job.
     pub weight: f64,
-    /// The fraction of `weight` that an answer after the latency objective still has.
+    /// The fraction of `weight` that a response after the latency objective still has.
     pub late_weight: f64,
-    /// The answer is a stream, whose start [`super::Event::StreamStarted`] reports.
-    pub stream: bool,
+    /// The response is a stream, whose start [`super::Event::StreamStarted`] reports.
+    pub is_stream: bool,
     /// The only kind of worker that can run it; `None` for any.
     pub kind: Option<KindId>,
     /// Its priority in the workers' queues.
@@ -77,31 +82,31 @@
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its quota: jobs a second over all nodes.
+    /// Its quota: jobs a second over all dispatchers.
     pub quota_per_s: f64,
     /// Its fair-share weight.
     pub share_weight: f64,
 }
 
-/// How load reports reach the node.
+/// How load reports reach the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
     /// With attempt outcomes and probe responses.
-    Answers,
+    WithResponses,
     /// With probe responses only.
-    Probes,
+    ProbesOnly,
     /// Not at all.
-    Silent,
+    Never,
 }
 
-/// The settings of one instance. [`Settings::default`] is a single node with one idempotent class.
+/// The settings of one instance. [`Settings::default`] is a single dispatcher with one idempotent class.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This node's number among `nodes`, from 0.
-    pub me: u32,
-    /// How many nodes there are.
-    pub nodes: u32,
-    /// This node's zone.
+    /// This dispatcher's number among its peers and itself, from 0.
+    pub own_index: u32,
+    /// How many dispatchers there are, this one included.
+    pub dispatcher_count: u32,
+    /// This dispatcher's zone.
     pub zone: ZoneId,
     /// The classes of jobs.
     pub classes: Vec<Class>,
@@ -113,7 +118,7 @@
     pub tick: Micros,
     /// Whether weight counts for each unit of work, not for each job.
     pub weight_by_work: bool,
-    /// How load reports reach the node.
+    /// How load reports reach the dispatcher.
     pub reports: Reports,
     /// Workers report when a job starts ([`super::Event::Started`]).
     pub reports_start: bool,
@@ -133,12 +138,12 @@
     pub max_attempts: u32,
     /// The longest `retry_after` that clients respect; `None` where they are given none.
     pub max_retry_after: Option<Micros>,
-    /// Final answers still count this long after the client's deadline.
-    pub answer_slack: Micros,
+    /// Final responses still count this long after the client's deadline.
+    pub response_grace: Micros,
     /// No attempt may be sent to a draining or gone worker after this.
     pub drain_grace: Micros,
-    /// Where lists are sent only on request, the longest time between requests.
-    pub ask_within: Option<Micros>,
+    /// Where lists are sent only on request, the longest time from one poll to the next.
+    pub max_poll_interval: Option<Micros>,
     /// The fraction of its capacity that a worker has at its start, at least.
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
@@ -166,20 +171,20 @@
             idempotency: Idempotency::Idempotent,
             weight: 1.0,
             late_weight: 0.0,
-            stream: false,
+            is_stream: false,
             kind: None,
             priority: 0,
         };
         Settings {
-            me: 0,
-            nodes: 1,
+            own_index: 0,
+            dispatcher_count: 1,
             zone: ZoneId(0),
             classes: vec![class],
             tenants: Vec::new(),
             over_quota_weight: 1.0,
             tick: 1_000,
             weight_by_work: false,
-            reports: Reports::Answers,
+            reports: Reports::WithResponses,
             reports_start: false,
             progress: None,
             list_on_request: false,
@@ -189,9 +194,9 @@
             may_hedge: true,
             max_attempts: 5,
             max_retry_after: None,
-            answer_slack: 20_000,
+            response_grace: 20_000,
             drain_grace: 500_000,
-            ask_within: None,
+            max_poll_interval: None,
             initial_capacity: 0.2,
             warm_up_time: 10_000_000,
             collapse_multiple: 2.5,
@@ -204,8 +209,8 @@
     }
 }
 
-/// The most nodes there may be: each assigns all workers to all groups at every endpoint list.
-pub const MAX_NODES: u32 = 10_000;
+/// The most dispatchers there may be: each assigns all workers to all groups at every endpoint list.
+pub const MAX_DISPATCHERS: u32 = 10_000;
 
 /// Why [`crate::Dispatcher::new`] refused the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -213,12 +218,12 @@
     /// There is no class.
     #[error("settings name no class of jobs")]
     NoClasses,
-    /// `me` is not below `nodes`.
+    /// `own_index` is not below `dispatcher_count`.
     #[error("this node's number is not below the count of nodes")]
-    NotAmongNodes,
-    /// There are more than [`MAX_NODES`].
+    NotAmongDispatchers,
+    /// There are more than [`MAX_DISPATCHERS`].
     #[error("there are more than 10,000 nodes")]
-    TooManyNodes,
+    TooManyDispatchers,
     /// No attempt is allowed.
     #[error("settings allow no attempt")]
     NoAttempts,
@@ -243,11 +248,11 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if self.me >= self.nodes {
-            return Err(SettingsError::NotAmongNodes);
+        if self.own_index >= self.dispatcher_count {
+            return Err(SettingsError::NotAmongDispatchers);
         }
-        if self.nodes > MAX_NODES {
-            return Err(SettingsError::TooManyNodes);
+        if self.dispatcher_count > MAX_DISPATCHERS {
+            return Err(SettingsError::TooManyDispatchers);
         }
         if self.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
@@ -261,6 +266,7 @@
         Ok(())
     }
 
+    /// Whether all numbers are finite and in their range.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
         let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -53,12 +53,13 @@
     span as f64 / 1000.0
 }
 
-/// A number that is the same at any node for this name (FNV-1a).
+/// A number that is the same at any dispatcher for this name (FNV-1a).
 pub(crate) fn tag(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl ReportValue {
+    /// What the value of this name stands for in this deployment.
     fn new(name: &str, profile: &Profile) -> ReportValue {
         match name {
             "cpu" => ReportValue::Cpu,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Puts a number where it belongs in a report; one that is not finite counts as absent.
-    pub(crate) fn enter(self, report: &mut LoadReport, number: f64) {
+    /// Stores a number in its field of a report; one that is not finite counts as absent.
+    pub(crate) fn store(self, report: &mut LoadReport, number: f64) {
         let field = match self {
             ReportValue::Cpu => &mut report.cpu,
             ReportValue::FreeSlots => &mut report.free_slots,
@@ -91,15 +92,18 @@
 }
 
 impl<'a> Profile<'a> {
+    /// The text of a setting.
     fn text(&self, path: &str) -> Option<&'a str> {
         self.0.get(path).copied()
     }
 
+    /// A setting that is a number.
     pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, NotANumber> {
         let Some(text) = self.text(path) else { return Ok(default) };
         text.parse().map_err(|_| NotANumber { path: path.to_owned(), text: text.to_owned() })
     }
 
+    /// A setting that is a span of milliseconds.
     fn micros(&self, path: &str, default_ms: f64) -> Result<Micros, NotANumber> {
         Ok(to_micros(self.number(path, default_ms)?))
     }
@@ -114,10 +118,12 @@
         Ok((self.number(path, 0.0)? as usize).min(self.0.len()))
     }
 
+    /// A setting that is true or false.
     fn flag(&self, path: &str, default: bool) -> bool {
         self.text(path).map_or(default, |text| text == "true" || text == "1")
     }
 
+    /// The elements of a list, which are separated by commas.
     fn list(&self, path: &str) -> Vec<&'a str> {
         self.text(path).map_or(Vec::new(), |text| text.split(',').filter(|item| !item.is_empty()).collect())
     }
@@ -127,6 +133,7 @@
         self.list(path).get(index).and_then(|text| text.parse().ok())
     }
 
+    /// The class of this index.
     fn class(&self, index: usize) -> Result<Class, NotANumber> {
         let path = |name: &str| format!("Grades.{index}.{name}");
         let deadline = self.micros(&path("DeadlineMs"), 1e12)?;
@@ -139,12 +146,13 @@
             idempotency,
             weight: self.number(&path("Points"), 1.0)?,
             late_weight: self.number(&path("LateWorth"), 0.0)?,
-            stream: self.flag(&path("Stream"), false),
+            is_stream: self.flag(&path("Stream"), false),
             kind: self.element("Domain.ClassKind", index).map(KindId),
             priority: self.element("Domain.ClassPriority", index).unwrap_or(0),
         })
     }
 
+    /// Whether the jobs of a class may be repeated; `path` gives the path of one of the class's settings.
     fn idempotency(&self, path: &dyn Fn(&str) -> String) -> Result<Idempotency, NotANumber> {
         Ok(match self.text(&path("Semantics")) {
             Some("pure") => Idempotency::Idempotent,
@@ -160,6 +168,7 @@
         })
     }
 
+    /// The tenant of this index.
     fn tenant(&self, index: usize) -> Result<Tenant, NotANumber> {
         Ok(Tenant {
             quota_per_s: self.number(&format!("Projects.{index}.QuotaPerS"), 0.0)?,
@@ -167,11 +176,12 @@
         })
     }
 
+    /// How load reports reach the dispatcher.
     fn reports(&self) -> Reports {
         match self.text("LoadInfo.Source") {
-            Some("piggyback") => Reports::Answers,
-            Some("pull") => Reports::Probes,
-            _ => Reports::Silent,
+            Some("piggyback") => Reports::WithResponses,
+            Some("pull") => Reports::ProbesOnly,
+            _ => Reports::Never,
         }
     }
 
@@ -209,8 +219,8 @@
     let list_on_request = profile.text("Discovery") == Some("on_request");
     let has_retry_after = profile.flag("Limits.RetryAfter", false);
     let settings = Settings {
-        me: profile.number("Me", 0.0)? as u32,
-        nodes: profile.number("Siblings", 1.0)? as u32,
+        own_index: profile.number("Me", 0.0)? as u32,
+        dispatcher_count: profile.number("Siblings", 1.0)? as u32,
         zone: ZoneId(names.zones.id(profile.text("Zone").unwrap_or("")) as u16),
         classes,
         tenants,
@@ -227,9 +237,9 @@
         may_hedge: profile.flag("Limits.SecondCopies", false),
         max_attempts: profile.number("Limits.MaxAttempts", 1.0)? as u32,
         max_retry_after: profile.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
-        answer_slack: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
+        response_grace: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
         drain_grace: profile.micros("Obligations.StopSendingWithinMs", 0.0)?,
-        ask_within: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
+        max_poll_interval: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
         initial_capacity: profile.number("Obligations.ColdFrom", 0.1)?,
         warm_up_time: profile.micros("Obligations.ColdMs", 0.0)?,
         collapse_multiple: profile.number("Obligations.FallMultiple", 1.0)?,
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -7,13 +7,15 @@
 pub(crate) enum Timer {
     /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Advertise this node's load to its group.
+    /// Advertise this dispatcher's load to its group.
     Advertise,
     /// Review a job.
     Review(JobId),
 }
 
+/// The id of [`Timer::OpenWatch`].
 const OPEN_WATCH_ID: u64 = 0;
+/// The id of [`Timer::Advertise`].
 const ADVERTISE_ID: u64 = u64::MAX;
 /// The timer of job n has the id `FIRST_REVIEW_ID + n`.
 const FIRST_REVIEW_ID: u64 = 1;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -159,7 +159,7 @@
         attempt,
         worker,
         elapsed: ATTEMPT_TIME,
-        closed: outcome == Outcome::Ok,
+        is_job_closed: outcome == Outcome::Ok,
         outcome,
         report: None,
     }
--- a/tests/conformance/decision/mod.rs
+++ b/tests/conformance/decision/mod.rs
@@ -171,7 +171,7 @@
             attempt: attempt as u32,
             worker,
             elapsed: elapsed * MS,
-            closed,
+            is_job_closed: closed,
             outcome,
             report: report.map(LoadReport::from),
         }));
--- a/tests/conformance/decision/situation.rs
+++ b/tests/conformance/decision/situation.rs
@@ -55,7 +55,7 @@
     pub fn settings(&self) -> Settings {
         Settings {
             zone: ZoneId(self.zone),
-            nodes: self.nodes,
+            dispatcher_count: self.nodes,
             classes: self.classes.iter().map(JobClass::to_class).collect(),
             may_probe: self.may_probe,
             reports_start: self.reports_start,
--- a/tests/failures/upkeep.rs
+++ b/tests/failures/upkeep.rs
@@ -8,7 +8,8 @@
 #[test]
 fn requests_the_list_with_jitter_and_again_after_failure() {
     const POLL_INTERVAL: Micros = 10_000 * MS;
-    let settings = Settings { list_on_request: true, ask_within: Some(POLL_INTERVAL), ..Settings::default() };
+    let settings =
+        Settings { list_on_request: true, max_poll_interval: Some(POLL_INTERVAL), ..Settings::default() };
     let mut dispatcher = TestDispatcher::new(settings);
     dispatcher.load_cached_list(vec![worker(0)]);
     assert!(dispatcher.advance(POLL_INTERVAL).contains(&Action::OpenWatch));
@@ -22,8 +23,14 @@
     let error = |settings: Settings| Dispatcher::new(settings, 1).err();
     let base = Settings::default;
     assert_eq!(error(Settings { classes: vec![], ..base() }), Some(SettingsError::NoClasses));
-    assert_eq!(error(Settings { me: 3, nodes: 3, ..base() }), Some(SettingsError::NotAmongNodes));
-    assert_eq!(error(Settings { nodes: u32::MAX, ..base() }), Some(SettingsError::TooManyNodes));
+    assert_eq!(
+        error(Settings { own_index: 3, dispatcher_count: 3, ..base() }),
+        Some(SettingsError::NotAmongDispatchers)
+    );
+    assert_eq!(
+        error(Settings { dispatcher_count: u32::MAX, ..base() }),
+        Some(SettingsError::TooManyDispatchers)
+    );
     assert_eq!(error(Settings { max_attempts: 0, ..base() }), Some(SettingsError::NoAttempts));
     let not_a_number = Settings { collapse_multiple: f64::NAN, ..base() };
     assert_eq!(error(not_a_number), Some(SettingsError::OutOfRange));
--- a/tests/failures/warm_up.rs
+++ b/tests/failures/warm_up.rs
@@ -29,8 +29,9 @@
 #[test]
 fn all_nodes_keep_a_warming_up_worker_within_its_budget() {
     const DISPATCHERS: u32 = 12;
-    let settings = Settings { nodes: DISPATCHERS, ..settings_with(class(Idempotency::Idempotent)) };
-    let dispatcher = |me| TestDispatcher::new(Settings { me, ..settings.clone() });
+    let settings =
+        Settings { dispatcher_count: DISPATCHERS, ..settings_with(class(Idempotency::Idempotent)) };
+    let dispatcher = |me| TestDispatcher::new(Settings { own_index: me, ..settings.clone() });
     let mut fleet: Vec<TestDispatcher> = (0..DISPATCHERS).map(dispatcher).collect();
     let start = fleet[0].now;
     fleet.iter_mut().for_each(load_list_with_new_worker);
--- a/tests/fleet/borrowed_slots.rs
+++ b/tests/fleet/borrowed_slots.rs
@@ -35,7 +35,7 @@
 /// probed, and then all their slots are used and no more.
 #[test]
 fn a_full_group_probes_unsized_workers_where_reports_come_with_probes() {
-    let settings = Settings { nodes: 20, reports: Reports::Probes, ..settings(OWN_NUMBER) };
+    let settings = Settings { dispatcher_count: 20, reports: Reports::ProbesOnly, ..settings(OWN_NUMBER) };
     let mut dispatcher = TestDispatcher::new(settings);
     dispatcher.load_cached_list((0..4).map(worker).collect());
     let mut next_job = 0..;
--- a/tests/fleet/decision_time.rs
+++ b/tests/fleet/decision_time.rs
@@ -78,7 +78,7 @@
 /// the least, so that a busy machine slows both sides of a comparison alike.
 fn least_of_five(workers: u32, mut play_round: impl FnMut(&mut TestDispatcher, u64)) -> Duration {
     const ROUNDS: u64 = 5;
-    let mut dispatcher = TestDispatcher::new(Settings { nodes: 30, ..settings(0) });
+    let mut dispatcher = TestDispatcher::new(Settings { dispatcher_count: 30, ..settings(0) });
     dispatcher.load_cached_list((0..workers).map(worker).collect());
     for id in 0..workers {
         dispatcher.report_load(id, 0.3, SLOTS);
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -33,8 +33,8 @@
 fn settings(me: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        me,
-        nodes: DISPATCHERS,
+        own_index: me,
+        dispatcher_count: DISPATCHERS,
         classes: vec![class],
         may_probe: true,
         may_message_peers: true,
@@ -50,7 +50,7 @@
 
 /// A dispatcher of a fleet that is one group, with these workers.
 fn group_member(me: u32, workers: Vec<EndpointEntry>) -> TestDispatcher {
-    let mut dispatcher = TestDispatcher::new(Settings { nodes: GROUP_SIZE, ..settings(me) });
+    let mut dispatcher = TestDispatcher::new(Settings { dispatcher_count: GROUP_SIZE, ..settings(me) });
     dispatcher.load_cached_list(workers);
     dispatcher
 }
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -60,9 +60,9 @@
     fn with_settings(count: u32, settings: impl Fn(u32) -> Settings) -> Fleet {
         let dispatcher = |me| {
             let settings = Settings {
-                nodes: count,
+                dispatcher_count: count,
                 list_on_request: true,
-                ask_within: Some(2_000 * MS),
+                max_poll_interval: Some(2_000 * MS),
                 ..settings(me)
             };
             let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(me));
--- a/tests/four_rules/checker.rs
+++ b/tests/four_rules/checker.rs
@@ -145,7 +145,7 @@
     /// Each job has one final answer, in time.
     fn check_answer(&mut self, id: u64) {
         let now = self.dispatcher.now;
-        let latest = self.jobs[&id].deadline + self.settings.answer_slack;
+        let latest = self.jobs[&id].deadline + self.settings.response_grace;
         let job = self.job_mut(id);
         assert!(!job.is_answered && !job.is_over, "a second final answer");
         assert!(now <= latest, "answered too late");
@@ -226,7 +226,7 @@
         job.is_over |= outcome == Outcome::Ok;
         let closed = job.is_finished();
         let ended = attempt_ended(id, attempt, WorkerId(worker), outcome);
-        self.dispatcher.feed(Event::AttemptEnded(AttemptEnded { closed, ..ended }))
+        self.dispatcher.feed(Event::AttemptEnded(AttemptEnded { is_job_closed: closed, ..ended }))
     }
 
     fn change_list(&mut self, worker: u32, change: ListChange) -> Vec<Action> {
--- a/tests/membership/partitioned_fleet.rs
+++ b/tests/membership/partitioned_fleet.rs
@@ -36,8 +36,8 @@
             ..default.classes[0].clone()
         };
         mothproxy::Settings {
-            me,
-            nodes: PartitionedFleet::DISPATCHERS,
+            own_index: me,
+            dispatcher_count: PartitionedFleet::DISPATCHERS,
             classes: vec![class],
             may_probe: true,
             reports_start: true,
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -42,7 +42,7 @@
 /// A dispatcher whose reports all come with probes.
 fn probing_dispatcher() -> TestDispatcher {
     let settings = Settings {
-        reports: Reports::Probes,
+        reports: Reports::ProbesOnly,
         may_probe: true,
         classes: vec![patient_class(Idempotency::NonIdempotent), patient_class(Idempotency::Idempotent)],
         ..Settings::default()
@@ -113,7 +113,8 @@
         dispatcher.report_load(1 - slow, 0.9, 1.0);
         assert_eq!(sends(&dispatcher.arrive(job, 1, TIME_BUDGET)), [(job, WorkerId(slow))]);
         let (job, worker, outcome) = (JobId(job), WorkerId(slow), Outcome::Ok);
-        let end = AttemptEnded { job, attempt: 0, worker, elapsed, closed: true, outcome, report: None };
+        let end =
+            AttemptEnded { job, attempt: 0, worker, elapsed, is_job_closed: true, outcome, report: None };
         dispatcher.feed(Event::AttemptEnded(end));
     }
     dispatcher.report_load(0, 1.0, 0.0);
--- a/tests/ramp/scenario.rs
+++ b/tests/ramp/scenario.rs
@@ -110,8 +110,8 @@
             ..class(Idempotency::Idempotent)
         };
         Settings {
-            me,
-            nodes: self.dispatchers,
+            own_index: me,
+            dispatcher_count: self.dispatchers,
             classes: vec![class],
             may_probe: true,
             may_message_peers: self.may_message_peers,
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -247,7 +247,7 @@
             attempt: call.attempt,
             worker: WorkerId(worker),
             elapsed,
-            closed: is_served,
+            is_job_closed: is_served,
             outcome,
             report: is_served.then(|| self.workers[worker as usize].load_report()),
         };
--- a/tests/size/main.rs
+++ b/tests/size/main.rs
@@ -20,8 +20,8 @@
 fn settings(me: u32, nodes: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        me,
-        nodes,
+        own_index: me,
+        dispatcher_count: nodes,
         classes: vec![class],
         may_probe: true,
         may_message_peers: true,
