--- a/src/bin/mothproxy-simhost.rs
+++ b/src/bin/mothproxy-simhost.rs
@@ -1,4 +1,5 @@
-//! Hosts dispatchers behind the line protocol of [`mothproxy::policy::simulator`] on standard input and output.
+//! The program `mothproxy-simhost`: hosts dispatchers behind the line protocol of [`mothproxy::policy::simulator`], on standard
+//! input and output.
 #![forbid(unsafe_code)]
 
 use mothproxy::policy::simulator::Host;
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,21 +1,21 @@
-//! Bodies of responses, whichever way they are delimited (RFC 9112, 6.3).
+//! Bodies of responses under each kind of framing (RFC 9112, 6.3).
 
 use super::chunked::ChunkError;
 use super::{Chunked, Framing};
 use thiserror::Error;
 
-/// What is still to come of a body.
+/// The part of a body that has not been read yet.
 #[derive(Debug)]
 pub enum Body {
-    /// This many bytes.
+    /// This many bytes are left.
     Length(usize),
-    /// Chunks.
+    /// The rest of a chunked body, with the state of its decoder.
     Chunked(Chunked),
-    /// All bytes until the connection closes.
+    /// All bytes up to the close of the connection.
     UntilClose,
 }
 
-/// The body does not keep to its framing.
+/// The body violates its framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the body does not keep to its framing")]
 pub struct BodyError(#[from] ChunkError);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether the body is complete. One that lasts until the connection closes never is.
+    /// Whether the body is complete. A body without framing never is: only the close of the connection completes it.
     pub fn is_done(&self) -> bool {
         match self {
             Body::Length(remaining) => *remaining == 0,
@@ -47,7 +47,7 @@
     /// Moves the bytes that belong to the body from `inbox` to `out`, decoded.
     ///
     /// # Errors
-    /// [`BodyError`] where the chunked coding is broken.
+    /// [`BodyError`] if the chunked coding is malformed.
     pub fn feed(&mut self, inbox: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
         match self {
             Body::Length(remaining) => {
--- a/src/http/chunked.rs
+++ b/src/http/chunked.rs
@@ -1,13 +1,13 @@
-//! The chunked transfer coding (RFC 9112, 7.1), decoded as its bytes arrive.
+//! An incremental decoder of the chunked transfer coding (RFC 9112, 7.1).
 
 use thiserror::Error;
 
-/// The longest line with the size of a chunk, its extensions included, and the longest trailer field, in bytes.
+/// The maximum length of a chunk-size line with its extensions, and of a trailer field, in bytes.
 const MAX_LINE_LENGTH: usize = 1024;
-/// The most hexadecimal digits of a chunk's size.
+/// The maximum number of hexadecimal digits of a chunk's size.
 const MAX_SIZE_DIGITS: usize = 8;
 
-/// The chunked coding is broken.
+/// The chunked coding is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the chunked coding is broken")]
 pub struct ChunkError;
@@ -18,7 +18,7 @@
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// The data of a chunk, of which this many bytes are still to come.
+    /// The data of a chunk; this many bytes are left.
     Data(usize),
     /// The end of line that follows the data of a chunk.
     DataEnd,
@@ -28,11 +28,11 @@
     Done,
 }
 
-/// Decodes a chunked body, across any cuts of its bytes.
+/// Decodes a chunked body whose bytes may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Chunked {
     state: State,
-    /// The beginning of a line whose end is still to come.
+    /// The start of a line that is not complete yet.
     partial_line: Vec<u8>,
 }
 
@@ -42,10 +42,10 @@
         matches!(self.state, State::Done)
     }
 
-    /// Appends decoded bytes to `out` and returns how many bytes of the input belong to this body.
+    /// Appends the decoded bytes to `out`. Returns how many bytes of `input` belong to this body.
     ///
     /// # Errors
-    /// [`ChunkError`] where the coding is broken or a line too long. The decoder is of no use after that.
+    /// [`ChunkError`] if the coding is malformed or a line is too long. The decoder cannot be used after an error.
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, ChunkError> {
         let mut rest = input;
         while !rest.is_empty() && !self.is_done() {
@@ -63,7 +63,7 @@
         Ok(input.len() - rest.len())
     }
 
-    /// Takes a line without its end, if it is complete; otherwise keeps its beginning.
+    /// Takes the next line without its line end. Buffers an incomplete line and returns `None`.
     fn take_line(&mut self, input: &mut &[u8]) -> Result<Option<Vec<u8>>, ChunkError> {
         let end = input.iter().position(|byte| *byte == b'\n');
         let (piece, rest) = input.split_at(end.map_or(input.len(), |at| at + 1));
@@ -83,7 +83,7 @@
         Ok(Some(line))
     }
 
-    /// The state after a line outside a chunk's data.
+    /// The state that follows a line outside a chunk's data.
     fn on_line(&self, line: &[u8]) -> Result<State, ChunkError> {
         match self.state {
             State::Size => match parse_size(line)? {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The size of a chunk; extensions behind it are skipped.
+/// Parses the size of a chunk, in bytes. Chunk extensions are ignored.
 fn parse_size(line: &[u8]) -> Result<usize, ChunkError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or(b"").trim_ascii();
     let has_valid_length = (1..=MAX_SIZE_DIGITS).contains(&digits.len());
--- a/src/http/events.rs
+++ b/src/http/events.rs
@@ -1,49 +1,49 @@
-//! Event streams (`text/event-stream`): a parser and a writer as the WHATWG HTML standard, "Server-sent events", defines them.
+//! A parser and a writer of event streams (`text/event-stream`; WHATWG HTML standard, "Server-sent events").
 
 use thiserror::Error;
 
-/// The longest event that is kept, in bytes; the result of a job fits.
+/// The maximum length of an event, in bytes; the longest result of a job fits.
 const MAX_EVENT_LENGTH: usize = 2 * super::MAX_BODY;
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The event's name; empty where the stream gives none.
+    /// The event's name; empty if the stream gives none.
     pub name: String,
-    /// The event's data, its lines joined by a line feed.
+    /// The event's data; its lines are joined by line feeds.
     pub data: String,
-    /// The stream's last event id when the event was dispatched; it holds for later events until another id comes.
+    /// The stream's last event id when the event was dispatched. It applies to later events until the stream sends another id.
     pub id: String,
 }
 
-/// An event is longer than any that is kept.
+/// An event exceeds the maximum length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("an event of the stream is too long")]
 pub struct EventTooLarge;
 
-/// Parses an event stream, across any cuts of its bytes.
+/// Parses an event stream whose bytes may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct EventStream {
     /// The line that is being read.
     line: Vec<u8>,
-    /// Whether the last byte was a carriage return, which a line feed may complete.
+    /// Whether the last byte was a carriage return; a line feed after it belongs to the same line end.
     ended_with_cr: bool,
-    /// Whether the first line has been read, which may begin with a byte order mark.
+    /// Whether the first line has been read. Only that line may begin with a byte order mark.
     is_past_first_line: bool,
     /// The event that is being read.
     event: StreamEvent,
-    /// Whether it has any data; without data it is not dispatched.
+    /// Whether the current event has any data; an event without data is not dispatched.
     has_data: bool,
     last_event_id: String,
     retry_ms: Option<u64>,
 }
 
 impl EventStream {
-    /// Takes bytes of the stream and calls `on_event` for each complete event.
+    /// Parses more bytes of the stream and calls `on_event` for each complete event.
     ///
     /// # Errors
-    /// [`EventTooLarge`]; the parser is of no use after that.
+    /// [`EventTooLarge`] if an event exceeds the maximum length. The parser cannot be used after an error.
     pub fn feed(&mut self, input: &[u8], mut on_event: impl FnMut(StreamEvent)) -> Result<(), EventTooLarge> {
         for &byte in input {
             let completes_crlf = std::mem::take(&mut self.ended_with_cr) && byte == b'\n';
@@ -65,17 +65,17 @@
         Ok(())
     }
 
-    /// The last event id, which a client sends when it reconnects; empty where there is none.
+    /// The last event id, which a client sends when it reconnects; empty if there is none.
     pub fn last_id(&self) -> &str {
         &self.last_event_id
     }
 
-    /// How long the stream asks a client to wait before it reconnects, in milliseconds, if it said so.
+    /// How long a client should wait before it reconnects, in milliseconds; `None` if the stream does not say.
     pub fn retry(&self) -> Option<u64> {
         self.retry_ms
     }
 
-    /// Takes a line without its end; a blank one dispatches the event.
+    /// Handles a line without its line end. A blank line dispatches the event.
     fn on_line(&mut self, line: &[u8]) -> Option<StreamEvent> {
         let is_first_line = !std::mem::replace(&mut self.is_past_first_line, true);
         let line = line.strip_prefix(BYTE_ORDER_MARK).filter(|_| is_first_line).unwrap_or(line);
@@ -108,12 +108,12 @@
             "retry" if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit()) => {
                 self.retry_ms = value.parse().ok().or(self.retry_ms);
             }
-            _ => {} // comments (an empty field name), ids with NUL, and whatever is unknown
+            _ => {} // comments (an empty field name), ids with NUL and unknown fields are ignored
         }
     }
 }
 
-/// One event as bytes; data of several lines takes several `data` fields.
+/// Encodes one event. Each line of the data takes its own `data` field.
 pub fn write_event(name: &str, data: &str) -> Vec<u8> {
     let mut out = format!("event: {name}\n");
     for line in data.split(['\n', '\r']) {
--- a/src/http/fields.rs
+++ b/src/http/fields.rs
@@ -1,9 +1,9 @@
-//! The header fields of a message (RFC 9112, 5), as ranges of the buffer that holds it.
+//! The header fields of a message (RFC 9112, 5), as ranges of the buffer that holds the message.
 
 use super::head::HeadError;
 use std::ops::Range;
 
-/// The most fields of a head.
+/// The maximum number of fields of a head.
 const MAX_FIELDS: usize = 100;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,12 +12,15 @@
     value: Range<usize>,
 }
 
-/// The fields of a head, in their order. All methods take the buffer from which the head was read.
+/// The fields of a head, in their order. Every method takes the buffer from which the head was parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<Field>);
 
 impl Fields {
-    /// Parses the lines of a head behind its first; `lines` are ranges of `buffer`.
+    /// Parses the lines of a head after the first one; `lines` are ranges of `buffer`.
+    ///
+    /// # Errors
+    /// [`HeadError`] if a line is malformed or there are too many fields.
     pub(super) fn parse(
         buffer: &[u8],
         lines: impl Iterator<Item = Range<usize>>,
@@ -38,7 +41,7 @@
         self.find_all(buffer, name).next()
     }
 
-    /// The values of all fields of this name. Names are the same whatever their case.
+    /// The values of all fields of this name. Names are case-insensitive.
     pub(super) fn find_all<'a>(
         &'a self,
         buffer: &'a [u8],
@@ -48,12 +51,12 @@
         self.0.iter().filter(has_name).map(|field| field.value.clone())
     }
 
-    /// The value of the first field of this name, where it is UTF-8.
+    /// The value of the first field of this name; `None` if there is none or its value is not UTF-8.
     pub fn text<'a>(&self, buffer: &'a [u8], name: &str) -> Option<&'a str> {
         self.find(buffer, name).and_then(|range| std::str::from_utf8(&buffer[range]).ok())
     }
 
-    /// Whether the comma-separated list in the fields of this name has such an item, whatever its case.
+    /// Whether the comma-separated list in the fields of this name contains `item`. Items are case-insensitive.
     pub fn lists(&self, buffer: &[u8], name: &str, item: &str) -> bool {
         self.find_all(buffer, name).any(|range| {
             let mut items = buffer[range].split(|byte| *byte == b',');
@@ -66,7 +69,7 @@
     let text = &buffer[line.clone()];
     let colon = text.iter().position(|byte| *byte == b':').ok_or(HeadError::Malformed)?;
     let (name, value) = (&text[..colon], &text[colon + 1..]);
-    // A folded line, a space before the colon and a control byte are all ways to smuggle a request.
+    // Folded lines, spaces before the colon and control bytes are all ways to smuggle a request.
     let is_control = |byte: &u8| (*byte < 0x20 && *byte != b'\t') || *byte == 0x7f;
     if name.is_empty() || !name.iter().all(|byte| is_token(*byte)) || value.iter().any(is_control) {
         return Err(HeadError::Malformed);
@@ -79,7 +82,7 @@
     })
 }
 
-/// Whether a byte may stand in a token: a method or the name of a field (RFC 9110, 5.6.2).
+/// Whether a byte may be part of a token: a method or a field name (RFC 9110, 5.6.2).
 pub(super) fn is_token(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -7,16 +7,19 @@
 /// How the body of a message is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// Neither a length nor a transfer coding was given.
+    /// The message has neither a length nor a transfer coding.
     Absent,
-    /// This many bytes.
+    /// By its length, in bytes.
     Length(usize),
-    /// Chunks.
+    /// By the chunked transfer coding.
     Chunked,
 }
 
-/// Reads the framing from the fields of a head. Where two of them could disagree, the message is refused: a server behind this
-/// one might believe the other.
+/// Reads the framing from the fields of a head.
+///
+/// # Errors
+/// [`HeadError`] if a value is malformed or unsupported, or if two fields could contradict each other: a server behind this one
+/// might trust the other field, so that the two would see different requests.
 pub(super) fn parse_framing(buffer: &[u8], fields: &Fields) -> Result<Framing, HeadError> {
     let length = find_only(buffer, fields, "content-length")?;
     let coding = find_only(buffer, fields, "transfer-encoding")?;
@@ -31,7 +34,10 @@
     }
 }
 
-/// The value of a field that may stand in a head only once.
+/// The value of a field that may occur at most once in a head.
+///
+/// # Errors
+/// [`HeadError::Ambiguous`] if it occurs more than once.
 fn find_only(buffer: &[u8], fields: &Fields, name: &str) -> Result<Option<Range<usize>>, HeadError> {
     let mut values = fields.find_all(buffer, name);
     let first = values.next();
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,43 +1,43 @@
-//! Heads of HTTP/1.1 messages (RFC 9112, 2 to 6), parsed in place: the results are ranges of the buffer.
+//! A parser of the heads of HTTP/1.1 messages (RFC 9112, 2 to 6). It works in place: the results are ranges of the buffer.
 
 use super::fields::{Fields, is_token};
 use super::framing::{Framing, keeps_alive, parse_framing};
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest head that is read, in bytes.
+/// The maximum length of a head, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The longest body, in bytes.
+/// The maximum length of a body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The most line ends before a request that are skipped, in bytes.
+/// The maximum number of bytes of line ends that are skipped before a request.
 const MAX_LEADING_BLANKS: usize = 4;
 /// The methods of RFC 9110 and RFC 5789.
 const METHODS: [&str; 9] = ["GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"];
 
-/// What is wrong with a head; each error maps to one status.
+/// Why a head is refused; each error maps to one status code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// The head does not read as HTTP/1.x.
+    /// The head is not valid HTTP/1.x.
     #[error("the head does not read as HTTP/1.x")]
     Malformed,
     /// The head is longer than [`MAX_HEAD`] or has too many fields.
     #[error("the head is too large")]
     TooLarge,
-    /// Two lengths, or a length and a transfer coding: where the body ends is not certain.
+    /// The head has two lengths, or a length and a transfer coding, so the end of the body is uncertain.
     #[error("the length of the body is ambiguous")]
     Ambiguous,
     /// The body is longer than [`MAX_BODY`].
     #[error("the body is too large")]
     BodyTooLarge,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not chunked.
     #[error("the transfer coding is not supported")]
     UnknownCoding,
-    /// Another version of HTTP.
+    /// The version of HTTP is not supported.
     #[error("the version of HTTP is not supported")]
     Version,
 }
 
-/// The version of a message.
+/// The HTTP version of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HttpVersion {
     Http10,
@@ -76,14 +76,14 @@
     pub len: usize,
 }
 
-/// The head of a message, whose first line is still to be parsed.
+/// The head of a message. Its first line has not been parsed yet.
 struct MessageHead {
     first_line: Range<usize>,
     fields: Fields,
     len: usize,
 }
 
-/// The end of the head: just past its blank line. Reads no more than [`MAX_HEAD`] bytes.
+/// The end of the head, just past its blank line; `None` if the head is not complete yet. Reads at most [`MAX_HEAD`] bytes.
 fn find_head_end(buffer: &[u8]) -> Result<Option<usize>, HeadError> {
     let readable = &buffer[..buffer.len().min(MAX_HEAD)];
     let mut line_start = 0;
@@ -134,34 +134,50 @@
     blanks.min(MAX_LEADING_BLANKS)
 }
 
-/// Whether bytes that follow a request can be the beginning of another. Where they cannot, its length was wrong.
+/// Whether the bytes after a request can be the start of another request. If not, the length of the first one was wrong.
 pub fn may_begin_request(buffer: &[u8]) -> bool {
     let rest = &buffer[leading_blanks(buffer)..];
     METHODS.iter().any(|method| {
-        // Of the method and the space behind it, as much as has arrived.
+        // Compares as much of the method and the space after it as has arrived.
         let mut compared = rest.iter().zip(method.bytes().chain([b' ']));
         compared.all(|(found, expected)| *found == expected)
     })
 }
 
+/// The first line of a request.
+struct RequestLine<'a> {
+    method: &'a [u8],
+    target: &'a [u8],
+    version: HttpVersion,
+}
+
+fn parse_request_line(line: &[u8]) -> Result<RequestLine<'_>, HeadError> {
+    let mut words = line.split(|byte| *byte == b' ');
+    let mut next_word = || words.next().ok_or(HeadError::Malformed);
+    let method = next_word()?;
+    let target = next_word()?;
+    let version = next_word()?;
+    if words.next().is_some() {
+        return Err(HeadError::Malformed);
+    }
+    let version = parse_version(version)?;
+    let is_valid_method = !method.is_empty() && method.iter().all(|byte| is_token(*byte));
+    let is_valid_target = !target.is_empty() && target.iter().all(u8::is_ascii_graphic);
+    if is_valid_method && is_valid_target {
+        Ok(RequestLine { method, target, version })
+    } else {
+        Err(HeadError::Malformed)
+    }
+}
+
 /// Reads the head of a request; `None` if it is not complete yet.
 ///
 /// # Errors
-/// [`HeadError`]: where the next request begins is then not known.
+/// [`HeadError`] if the head is refused. The start of the next request is unknown then.
 pub fn read_request(buffer: &[u8]) -> Result<Option<RequestHead>, HeadError> {
     // Blank lines before a request are skipped, as RFC 9112, 2.2 asks.
     let Some(head) = read_head(buffer, leading_blanks(buffer))? else { return Ok(None) };
-    let mut words = buffer[head.first_line.clone()].split(|byte| *byte == b' ');
-    let (Some(method), Some(target), Some(version), None) =
-        (words.next(), words.next(), words.next(), words.next())
-    else {
-        return Err(HeadError::Malformed);
-    };
-    let version = parse_version(version)?;
-    let is_printable = target.iter().all(|byte| (0x21..0x7f).contains(byte));
-    if method.is_empty() || !method.iter().all(|byte| is_token(*byte)) || target.is_empty() || !is_printable {
-        return Err(HeadError::Malformed);
-    }
+    let RequestLine { method, target, version } = parse_request_line(&buffer[head.first_line.clone()])?;
     if version == HttpVersion::Http11 && head.fields.find(buffer, "host").is_none() {
         return Err(HeadError::Malformed);
     }
@@ -180,13 +196,13 @@
 /// Reads the head of a response; `None` if it is not complete yet.
 ///
 /// # Errors
-/// [`HeadError`]: the connection is then of no more use.
+/// [`HeadError`] if the head is refused. The connection cannot be used after that.
 pub fn read_response(buffer: &[u8]) -> Result<Option<ResponseHead>, HeadError> {
     let Some(head) = read_head(buffer, 0)? else { return Ok(None) };
     let mut words = buffer[head.first_line.clone()].splitn(3, |byte| *byte == b' ');
     let version = parse_version(words.next().unwrap_or(b""))?;
     let status = parse_status(words.next().unwrap_or(b""))?;
-    // These never have a body, whatever their fields say (RFC 9112, 6.3).
+    // Responses with these statuses have no body, whatever their fields say (RFC 9112, 6.3).
     let never_has_body = status < 200 || status == 204 || status == 304;
     let framing = if never_has_body { Framing::Length(0) } else { parse_framing(buffer, &head.fields)? };
     let keep_alive = keeps_alive(buffer, &head.fields, version) && framing != Framing::Absent;
--- a/src/http/load.rs
+++ b/src/http/load.rs
@@ -1,7 +1,6 @@
-//! Load reports in one line: `inflight=7,queue=2,util=0.61`.
+//! A parser of load reports in one line, such as `inflight=7,queue=2,util=0.61`.
 
-/// The name=value pairs of a report, in their order; an item that does not read as a pair of a name and a finite number is
-/// skipped.
+/// The name=value pairs of a report, in their order. Items that are not a name and a finite number are skipped.
 pub fn parse_pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
     text.split(',').filter_map(|item| {
         let (name, value) = item.split_once('=')?;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,5 +1,7 @@
-//! Parsers of HTTP/1.1 heads and bodies, load reports and event streams, and the pieces of messages to be written. They work
-//! on byte slices, keep what they need to continue after any cut, and do no input or output.
+//! Parsers of HTTP/1.1 heads and bodies, load reports and event streams, and the pieces of messages to be written.
+//!
+//! The parsers work on byte slices and do no input or output. Input may be cut at any byte: each parser either keeps its state
+//! or starts again from the same buffer.
 
 pub mod body;
 pub mod chunked;
--- a/src/http/piece.rs
+++ b/src/http/piece.rs
@@ -1,4 +1,4 @@
-//! Messages to be written, as pieces that go out together by a gathered write without being copied.
+//! Pieces of a message to be written. A gathered write sends them together without a copy.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -6,9 +6,9 @@
 /// One contiguous piece of a message.
 #[derive(Clone, Debug)]
 pub enum Piece {
-    /// Text of the program.
+    /// Text that is part of the program.
     Static(&'static [u8]),
-    /// Bytes of this message alone.
+    /// Bytes that belong to this message alone.
     Owned(Vec<u8>),
     /// A range of a buffer that other messages may share.
     Shared(Rc<Vec<u8>>, Range<usize>),
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! What the pages of the admin address show: a snapshot of the metrics of this process, and its view of its peers.
+//! The content of the admin pages: a snapshot of the metrics of this process, and its view of its peers.
 
 use crate::fleet::LearnersMetrics;
 use mothproxy_membership::Metrics as MemberMetrics;
@@ -19,34 +19,34 @@
 /// The metrics of the idempotency store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdempotencyMetrics {
-    /// Keys that are remembered.
+    /// Keys with a record.
     pub keys: usize,
     /// Records that could not be written.
     pub failures: u64,
-    /// Repeats that got a kept result.
+    /// Repeats that were answered with a recorded result.
     pub repeats_answered: u64,
-    /// Repeats of requests that may have run: they were kept within their deduplication scope, or failed.
+    /// Repeats of requests that may have run. Each was either sent within its deduplication scope or failed.
     pub repeats_bound: u64,
-    /// Keys forgotten before their time, for want of space.
+    /// Keys evicted before they expired, because the store was full.
     pub evicted: u64,
 }
 
-/// The metrics of jobs whose events are watched apart from their submission.
+/// The metrics of submitted jobs, whose events watchers follow on other connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamMetrics {
-    /// Jobs that are known.
+    /// Submitted jobs that are held.
     pub jobs: usize,
-    /// Streams that watch them.
+    /// Watchers of these jobs.
     pub watchers: usize,
-    /// Bytes that their events take.
+    /// Bytes that their events occupy.
     pub bytes: usize,
-    /// Jobs submitted to be watched.
+    /// Jobs submitted since the start.
     pub submitted: u64,
-    /// Events that watchers were notified they had missed.
+    /// Events that were reported to watchers as missed.
     pub missed: u64,
     /// Progress events left out for slow watchers.
     pub coalesced: u64,
-    /// Finished jobs forgotten before their time.
+    /// Finished jobs evicted before they expired.
     pub evicted: u64,
 }
 
@@ -59,7 +59,7 @@
     pub address: String,
     /// `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// The start of the process there, in milliseconds of Unix time; 0 while unknown.
+    /// When its process started, in milliseconds of Unix time; 0 while unknown.
     pub epoch: u64,
     /// How often the member itself has refuted a suspicion.
     pub incarnation: u32,
@@ -72,7 +72,7 @@
 pub struct MembersPage {
     /// The slot of this process.
     pub me: u32,
-    /// Grows by one with every change of the view.
+    /// The version of the view; it grows by one with every change.
     pub version: u64,
     /// All slots.
     pub members: Vec<MemberRow>,
@@ -83,25 +83,25 @@
 /// The metrics of this process, counted from its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MetricsSnapshot {
-    /// Each class, those without requests included.
+    /// The metrics of each class, also of classes without requests.
     pub classes: Vec<ClassMetrics>,
-    /// Attempts written whole to workers.
+    /// Attempts whose last byte was written to a worker.
     pub attempts_written: u64,
-    /// Requests accepted and not ended.
+    /// Accepted requests that are still open.
     pub open: u64,
     /// Workers in the endpoint table.
     pub listed: usize,
-    /// Workers among them that the decision module avoids.
+    /// Listed workers that the decision module sends nothing to.
     pub avoided: usize,
     /// Configurations accepted at SIGHUP.
     pub reloads: u64,
     /// Configurations refused at SIGHUP.
     pub bad_reloads: u64,
-    /// The idempotency store, where there is one.
+    /// The idempotency store; `None` if it is off.
     pub idempotency: Option<IdempotencyMetrics>,
-    /// Watched jobs, where the SSE listener is on.
+    /// Submitted jobs; `None` if the SSE listener is off.
     pub streams: Option<StreamMetrics>,
-    /// The peer group, where membership is on.
+    /// The members; `None` if membership is off.
     pub members: Option<MembersPage>,
     /// What is learned of jobs and tenants.
     pub learners: LearnersMetrics,
--- a/src/protocol/admin/mod.rs
+++ b/src/protocol/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin address, for the staff and the platform: whether this process takes clients, its metrics, and drain. One call a
-//! connection; a 2xx response means yes, any other no.
+//! The protocol of the admin address, for operators and the platform: readiness, metrics and drain. Each connection carries one
+//! call. A 2xx response means yes, any other status no.
 
 mod metrics;
 mod pages;
@@ -10,25 +10,25 @@
 use super::platform::Reject;
 use crate::http::RequestHead;
 
-/// What a call asks for.
+/// A call at the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process takes clients.
+    /// Asks whether this process takes clients.
     Ready,
-    /// The metrics.
+    /// Asks for the metrics.
     Counters,
-    /// The other dispatchers, and the state in which this one sees them.
+    /// Asks for the members and their states, as this process sees them.
     Members,
-    /// Drain: clients are asked to leave, and the process keeps running.
+    /// Starts a drain: clients are asked to leave, and the process keeps running.
     OutOfService,
-    /// End a drain.
+    /// Ends a drain.
     InService,
 }
 
-/// Finds out what a call asks for.
+/// Finds the call that a request makes, by its method and path.
 ///
 /// # Errors
-/// [`Reject::BadRequest`], [`Reject::NoSuchPath`] or [`Reject::WrongMethod`].
+/// [`Reject::BadRequest`] if the target is not UTF-8, [`Reject::NoSuchPath`] or [`Reject::WrongMethod`].
 pub fn route(buffer: &[u8], head: &RequestHead) -> Result<AdminCall, Reject> {
     let target = std::str::from_utf8(&buffer[head.target.clone()]).map_err(|_| Reject::BadRequest)?;
     let (call, method) = match target.split(['?', '#']).next().unwrap_or("") {
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -1,4 +1,4 @@
-//! The wording of the pages. The lines of the counters page and the keys of the members page are read by scripts.
+//! The text of the admin pages. Scripts read the lines of the counters page and the keys of the members page.
 
 use super::{ClassMetrics, IdempotencyMetrics, MemberRow, MembersPage, MetricsSnapshot, StreamMetrics};
 use crate::fleet::LearnerMetrics;
@@ -7,26 +7,26 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// The states of a member, in the order of their lines.
+/// The states of a member, in the order of their lines on the counters page.
 const MEMBER_STATES: [&str; 5] = ["unknown", "alive", "suspect", "dead", "left"];
 
-/// The counters page, a line a metric: `dispatcher.NAME:VALUE|KIND`.
+/// The counters page, with one line for each metric: `dispatcher.NAME:VALUE|KIND`.
 #[derive(Default)]
 struct CounterLines(String);
 
 impl CounterLines {
-    /// A value that only grows.
+    /// Adds a value that only grows.
     fn counter(&mut self, name: &str, value: u64) {
         self.line(name, value, 'c');
     }
 
-    /// A value that goes up and down.
+    /// Adds a value that goes up and down.
     fn gauge(&mut self, name: &str, value: u64) {
         self.line(name, value, 'g');
     }
 
     fn line(&mut self, name: &str, value: u64, kind: char) {
-        let _ = writeln!(self.0, "dispatcher.{name}:{value}|{kind}"); // a String takes all
+        let _ = writeln!(self.0, "dispatcher.{name}:{value}|{kind}"); // writing to a String cannot fail
     }
 
     fn class(&mut self, class: &ClassMetrics) {
@@ -108,7 +108,7 @@
     page("200 OK", "text/plain", lines.0)
 }
 
-/// All datagrams that were refused, whatever the reason.
+/// The number of datagrams that were refused, for any reason.
 fn refused(figures: &MemberMetrics) -> u64 {
     figures.refused_long
         + figures.refused_version
--- a/src/protocol/event_streams/framing.rs
+++ b/src/protocol/event_streams/framing.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// The milliseconds of a second.
+/// Milliseconds in one second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
 /// How the bytes of a stream are framed.
@@ -16,7 +16,7 @@
 pub enum StreamFraming {
     /// In chunks (RFC 9112, 7.1); the connection may stay open after the stream.
     Chunked,
-    /// As they are, until the connection closes: for HTTP/1.0.
+    /// Without framing, up to the close of the connection: for HTTP/1.0.
     UntilClose,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// How long the client waits before it opens the stream again, once it has lost it.
+/// The field that says how long a client waits before it reconnects to a lost stream. `delay` is in microseconds.
 pub fn retry(framing: StreamFraming, delay: Micros) -> Vec<Piece> {
     framing.frame(format!("retry: {}\n\n", delay / MICROS_PER_MS).into_bytes())
 }
@@ -53,7 +53,8 @@
     Rc::new(pieces.iter().flat_map(|piece| piece.bytes().iter().copied()).collect())
 }
 
-/// An event that says how many events the client has missed. It has no id, so that a client that reconnects skips no more.
+/// An event that says how many events the client has missed. It has no id, so that the client's last event id stays as it was
+/// and a reconnect skips no further events.
 pub fn missed(framing: StreamFraming, count: u64) -> Vec<Piece> {
     framing.frame(write_event("missed", &json!({ "count": count }).to_string()))
 }
--- a/src/protocol/event_streams/mod.rs
+++ b/src/protocol/event_streams/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs apart from their connections, on the SSE listener: a job is submitted with `Prefer: respond-async` (RFC 7240), gets a
-//! path of its own, and its events are a stream there that a browser's `EventSource` can open again (HTML standard,
-//! "Server-sent events").
+//! Submitted jobs on the SSE listener. A client submits a job with `Prefer: respond-async` (RFC 7240), and the job gets a path of
+//! its own. Its events are a stream at that path, to which a browser's `EventSource` can reconnect (HTML standard, "Server-sent
+//! events").
 
 mod framing;
 mod request;
--- a/src/protocol/event_streams/request.rs
+++ b/src/protocol/event_streams/request.rs
@@ -1,24 +1,24 @@
-//! What the headers and the path of a request ask of an event stream.
+//! The parts of a request that concern an event stream: path, query and headers.
 
 use crate::protocol::names;
 use crate::protocol::platform::RawRequest;
 use mothproxy_streams::{PublicJobId, WatchToken};
 
-/// Digits of a job's public id.
+/// Hexadecimal digits of a job's public id.
 const PUBLIC_ID_DIGITS: usize = 16;
-/// Digits of a job's token.
+/// Hexadecimal digits of a job's token.
 const TOKEN_DIGITS: usize = 32;
-/// Digits of the longest event id, [`u64::MAX`].
+/// Decimal digits of the largest event id, [`u64::MAX`].
 const MAX_EVENT_ID_DIGITS: usize = 20;
 
 /// Which job's stream a request asks for, and from which event on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamRequest {
-    /// The job's public id; `None` where the path names none.
+    /// The job's public id; `None` if the path has no valid one.
     pub public_id: Option<PublicJobId>,
-    /// The job's token; `None` where none can be read.
+    /// The job's token; `None` if the request has no valid one.
     pub token: Option<WatchToken>,
-    /// The last event that the client has.
+    /// The id of the last event that the client received.
     pub last_event_id: Option<u64>,
 }
 
@@ -28,7 +28,7 @@
     preferences.split([',', ';']).any(|item| item.trim().eq_ignore_ascii_case("respond-async"))
 }
 
-/// Whether the job ends once nobody watches it; `None` where [`names::UNWATCHED`] has an unknown value.
+/// Whether the job ends once it has no watcher; `None` if [`names::UNWATCHED`] has an unknown value.
 pub fn ends_unwatched(request: &RawRequest) -> Option<bool> {
     match request.field(names::UNWATCHED).map(str::trim) {
         None | Some("go-on") => Some(false),
@@ -37,14 +37,14 @@
     }
 }
 
-/// The stream that a request asks for; `None` where its path is not one of a stream.
+/// The stream that a request asks for; `None` if its path is not that of a stream.
 pub fn stream_request(request: &RawRequest) -> Option<StreamRequest> {
     let target = request.target().ok()?;
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let public_id = path.strip_prefix(names::STREAM_PATH_PREFIX)?;
     let bearer = request.field("authorization").and_then(|value| value.trim().strip_prefix("Bearer "));
     let token = bearer.map(str::trim).or(query_parameter(query, "token")).unwrap_or("");
-    // The header wins: a browser sends it with each try, the query stays as it was at the first.
+    // The header takes precedence: a browser updates it with each reconnect, while the query stays that of the first request.
     let last_event_id = request.field("last-event-id").or(query_parameter(query, "last_event_id"));
     Some(StreamRequest {
         public_id: parse_hex(public_id, PUBLIC_ID_DIGITS)
@@ -60,7 +60,7 @@
     parameters.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Reads exactly this many lower-case hexadecimal digits.
+/// Parses a text of exactly `digits` lower-case hexadecimal digits.
 fn parse_hex(text: &str, digits: usize) -> Option<u128> {
     let is_lower_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
     if text.len() != digits || !text.bytes().all(is_lower_hex) {
@@ -74,15 +74,15 @@
     if is_number { text.parse().ok() } else { None }
 }
 
-/// A media range of an `Accept` header that `text/event-stream` matches.
+/// A media range of an `Accept` header that includes `text/event-stream`.
 struct MediaRange {
-    /// 1 for `*/*`, 2 for `text/*`, 3 for the type itself; the highest counts.
+    /// 1 for `*/*`, 2 for `text/*`, 3 for the type itself; the range with the highest precedence decides.
     precedence: u8,
     /// Whether its quality value is above 0.
     is_accepted: bool,
 }
 
-/// Reads one item of an `Accept` header; `None` where `text/event-stream` does not match it.
+/// Parses one item of an `Accept` header; `None` if it does not include `text/event-stream`.
 fn matching_media_range(item: &str) -> Option<MediaRange> {
     let mut parts = item.split(';').map(str::trim);
     let precedence = match parts.next().unwrap_or("").to_ascii_lowercase().as_str() {
@@ -96,8 +96,8 @@
     Some(MediaRange { precedence, is_accepted: quality > 0.0 })
 }
 
-/// Whether a client accepts an event stream (RFC 9110, 12.5.1): without `Accept` it does, and with `q=0` it does not. Of ranges
-/// of the same precedence the first one counts.
+/// Whether a client accepts an event stream (RFC 9110, 12.5.1). Without an `Accept` header it does; with `q=0` it does not. The
+/// first of several ranges with the same precedence decides.
 pub fn accepts_event_stream(request: &RawRequest) -> bool {
     let Some(accept) = request.field("accept") else { return true };
     let mut best: Option<MediaRange> = None;
@@ -109,7 +109,7 @@
     best.is_some_and(|best| best.is_accepted)
 }
 
-/// Whether the request is of HTTP/1.0, which knows no chunks.
+/// Whether the request is of HTTP/1.0, which has no chunked coding.
 pub fn is_http_1_0(request: &RawRequest) -> bool {
     let version = request.bytes.get(request.head.target.end + 1..);
     version.is_some_and(|version| version.starts_with(b"HTTP/1.0"))
--- a/src/protocol/event_streams/responses.rs
+++ b/src/protocol/event_streams/responses.rs
@@ -1,4 +1,4 @@
-//! Responses at the path of a stream and to a job submitted with `Prefer: respond-async`.
+//! Responses to requests at a stream's path, and to submissions with `Prefer: respond-async`.
 
 use super::StreamFraming;
 use crate::http::Piece;
@@ -8,11 +8,11 @@
 use mothproxy_streams::{PublicJobId, WatchToken};
 use serde_json::json;
 
-/// Methods that the path of a stream takes.
+/// The methods allowed at a stream's path.
 const STREAM_METHODS: &str = "GET, HEAD, OPTIONS";
 
-/// The header lines that let pages of an allowed origin read the response (Fetch standard, "CORS protocol"); empty where the
-/// request's origin is not among `allowed_origins`.
+/// The header lines that let pages of an allowed origin read the response (Fetch standard, "CORS protocol"); empty if the
+/// request's origin is not in `allowed_origins`.
 pub fn cors(request: &RawRequest, allowed_origins: &[String]) -> String {
     let origin = request.field("origin").unwrap_or("");
     if !allowed_origins.iter().any(|allowed| allowed == origin) {
@@ -23,7 +23,7 @@
     )
 }
 
-/// The response to a preflight: what may be sent, or 403 where `cors` is empty because the origin is not allowed.
+/// The response to a CORS preflight: the allowed methods and headers, or 403 if `cors` is empty because the origin is not allowed.
 pub fn preflight(cors: &str, keep_alive: bool) -> Vec<Piece> {
     let connection = connection_line(keep_alive);
     let head = if cors.is_empty() {
@@ -39,26 +39,33 @@
     vec![head.into()]
 }
 
-/// A response of plain text at the path of a stream. `extra` are further header lines; `has_body` is false for `HEAD`.
+/// A plain-text response at a stream's path. `extra` holds further header lines; `has_body` is false for `HEAD`, whose response
+/// states the length of the text without the text itself.
 pub fn plain(status: &str, extra: &str, text: &str, keep_alive: bool, has_body: bool) -> Vec<Piece> {
+    let head = plain_head(status, extra, text.len(), keep_alive);
+    let body: Piece = if has_body { text.to_owned().into() } else { "".into() };
+    vec![head, body]
+}
+
+/// The head of a plain-text response. A 204 response has no content and so no header lines about it.
+fn plain_head(status: &str, extra: &str, content_length: usize, keep_alive: bool) -> Piece {
     let connection = connection_line(keep_alive);
     let content = if status.starts_with("204") {
         String::new()
     } else {
-        format!("Content-Type: text/plain\r\nContent-Length: {}\r\n", text.len())
+        format!("Content-Type: text/plain\r\nContent-Length: {content_length}\r\n")
     };
-    let head = format!("HTTP/1.1 {status}\r\nCache-Control: no-store\r\n{extra}{connection}{content}\r\n");
-    let body: Piece = if has_body { text.to_owned().into() } else { "".into() };
-    vec![head.into(), body]
+    format!("HTTP/1.1 {status}\r\nCache-Control: no-store\r\n{extra}{connection}{content}\r\n").into()
 }
 
-/// The response to a method that the path of a stream does not take.
+/// The response to a method that is not allowed at a stream's path.
 pub fn wrong_method(keep_alive: bool) -> Vec<Piece> {
     let allow = format!("Allow: {STREAM_METHODS}\r\n");
-    plain("405 Method Not Allowed", &allow, "Method Not Allowed", keep_alive, true)
+    let text = "Method Not Allowed";
+    vec![plain_head("405 Method Not Allowed", &allow, text.len(), keep_alive), text.into()]
 }
 
-/// The response to a job that was submitted to be watched: the path of its stream.
+/// The response to a submitted job: the path of its stream.
 pub fn submitted(public_id: PublicJobId, token: WatchToken, cors: &str, keep_alive: bool) -> Vec<Piece> {
     let (public_id, token) = (public_id.0, token.0);
     let location = format!("{STREAM_PATH_PREFIX}{public_id:016x}?token={token:032x}");
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -1,4 +1,4 @@
-//! What the heads of several responses have in common.
+//! Header lines that several responses share.
 
 use crate::http::Piece;
 
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Wording of the protocols: requests to events of the core, and responses of the core to bytes. Pure functions; no
-//! sockets, no clock and no decision.
+//! The encoding of the protocols: parsed requests become events of the core, and responses of the core become bytes. All of it
+//! is pure functions, without sockets, clock or decisions.
 
 pub mod admin;
 pub mod event_streams;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -1,4 +1,4 @@
-//! Names that the deployment gives to headers, paths, cookies and hosts.
+//! The names of headers, paths, cookies and hosts in this deployment.
 
 /// Header: the id of a request.
 pub const REQUEST_ID: &str = "X-Correlation-Id";
@@ -12,7 +12,7 @@
 pub const REPEAT: &str = "X-Repeat";
 /// Header: the expected work in milliseconds, where clients know it.
 pub const WORK_HINT: &str = "X-Weight-Hint";
-/// Header: further figures of a request, as name=value pairs.
+/// Header: further numbers about a request, as name=value pairs.
 pub const FACTS: &str = "X-Facts";
 /// Header: the idempotency key of a request, where its class requires one.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
@@ -20,14 +20,14 @@
 pub const OBJECT_COOKIE: &str = "obj";
 /// Header of a worker's response: its load report.
 pub const LOAD_REPORT: &str = "X-Backend-Load";
-/// Header of a worker's response: `1` says that it has not begun the request.
+/// Header of a worker's response: `1` says that the worker has not started the request.
 pub const UNPROCESSED: &str = "X-Unprocessed";
-/// Header: whether a submitted job ends once nobody watches its stream, `end` or `go-on`.
+/// Header: whether a submitted job ends once its stream has no watcher: `end` or `go-on`.
 pub const UNWATCHED: &str = "X-Unwatched";
 
 /// Path: whether this dispatcher takes requests.
 pub const READY_PATH: &str = "/up";
-/// Path: where workers report what becomes of a job.
+/// Path: where workers send status callbacks.
 pub const STATUS_CALLBACK_PATH: &str = "/_jobs/news";
 /// Path on a worker: its load report.
 pub const LOAD_PROBE_PATH: &str = "/metrics/load";
--- a/src/protocol/platform/forwarding.rs
+++ b/src/protocol/platform/forwarding.rs
@@ -1,4 +1,4 @@
-//! The wording of requests that this dispatcher sends: to workers, and to discovery.
+//! The requests that this dispatcher sends to workers and to discovery.
 
 use super::RawRequest;
 use crate::http::Piece;
@@ -6,16 +6,16 @@
 use crate::protocol::names;
 use std::ops::Range;
 
-/// Headers that a forwarded request takes over from the client's, beside its id and idempotency key.
+/// Headers that are copied from the client's request, in addition to the request's id and idempotency key.
 const FORWARDED_HEADERS: [&str; 4] = ["content-type", names::CLASS, names::TENANT, "cookie"];
 
-/// The request that is forwarded to a worker, which has `time_left` for it. Method, target, id, key and body are as the client
-/// sent them, and none of them is copied.
+/// The request that is forwarded to a worker, which has `time_left` (in microseconds) to answer. Method, target, id, key and body
+/// are the client's own bytes, shared without a copy.
 pub fn forwarded_request(request: &RawRequest, time_left: Micros) -> Vec<Piece> {
     let shared = |range: Range<usize>| Piece::Shared(request.bytes.clone(), range);
     let find = |name| request.head.fields.find(&request.bytes, name);
     let mut pieces = vec![shared(request.head.method.start..request.head.target.end)];
-    // `names::UPSTREAM_HOST`, `names::REQUEST_ID` and `names::IDEMPOTENCY_KEY`, spelled out so that nothing is allocated.
+    // These are `names::UPSTREAM_HOST`, `names::REQUEST_ID` and `names::IDEMPOTENCY_KEY`, spelled out to avoid allocations.
     pieces.push(" HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: ".into());
     pieces.extend(find(names::REQUEST_ID).map(shared));
     if let Some(key) = find(names::IDEMPOTENCY_KEY) {
@@ -36,7 +36,7 @@
     pieces
 }
 
-/// The request that cancels the job of this id at a worker.
+/// The request that cancels a job at a worker.
 pub fn cancel(request_id: &str) -> Vec<Piece> {
     vec![format!("DELETE /jobs/{request_id} HTTP/1.1\r\nHost: {}\r\n\r\n", names::UPSTREAM_HOST).into()]
 }
@@ -46,7 +46,7 @@
     vec![get(names::LOAD_PROBE_PATH)]
 }
 
-/// The request for discovery's endpoint list. With `after` it starts a watch of the changes from that version on.
+/// The request for discovery's endpoint list. With `after`, it opens a watch of the changes since that generation.
 pub fn discovery_call(after: Option<u64>) -> Vec<Piece> {
     let query = after.map_or(String::new(), |version| format!("?stream=1&index={version}"));
     vec![get(&format!("{}{query}", names::ENDPOINT_LIST_PATH))]
--- a/src/protocol/platform/load_reports.rs
+++ b/src/protocol/platform/load_reports.rs
@@ -6,7 +6,7 @@
 use crate::policy::interface::LoadReport;
 use crate::protocol::names;
 
-/// The name that the settings use for a value which the sockets may call by a plain name.
+/// The settings' name of a load value that a worker may send under a plain name. Any other name is returned unchanged.
 fn settings_name(name: &str) -> &str {
     match name {
         "inflight" => "active",
@@ -19,7 +19,7 @@
     }
 }
 
-/// The load report in these name=value pairs; `None` where the settings name none of the values.
+/// The load report in these name=value pairs; `None` if the settings name none of the values.
 pub fn load_report_from_pairs<'a>(
     site: &SiteNames,
     pairs: impl Iterator<Item = (&'a str, f64)>,
@@ -47,7 +47,7 @@
     load_report_from_pairs(site, pairs)
 }
 
-/// The load report in the body of a probe's response: JSON, on its own or under `load`, or name=value pairs.
+/// The load report in the body of a probe's response: a JSON object, at the top level or under `load`, or name=value pairs.
 pub fn load_report_from_body(site: &SiteNames, body: &[u8]) -> Option<LoadReport> {
     match serde_json::from_slice::<serde_json::Value>(body) {
         Ok(value) => load_report_from_json(site, value.get("load").unwrap_or(&value)),
--- a/src/protocol/platform/mod.rs
+++ b/src/protocol/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol: a client submits a job by one `POST` and gets one plain response; workers send load reports and
-//! status callbacks; discovery serves the endpoint list.
+//! The platform's protocol. A client submits a job by one `POST` and gets one plain response. Workers send load reports and
+//! status callbacks. Discovery serves the endpoint list.
 
 mod callbacks;
 mod forwarding;
--- a/src/protocol/platform/responses.rs
+++ b/src/protocol/platform/responses.rs
@@ -1,4 +1,4 @@
-//! The wording of responses to clients and workers.
+//! The responses to clients and workers.
 
 use super::Reject;
 use crate::core::FinalResponse;
@@ -6,7 +6,7 @@
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::protocol::message::{connection_line, end_of_head};
 
-/// The response to a request that is not taken.
+/// The response to a request that is refused.
 pub fn reject(reason: Reject, keep_alive: bool) -> Vec<Piece> {
     let extra = match reason {
         Reject::WrongMethod(method) => format!("Allow: {method}\r\n"),
@@ -48,7 +48,7 @@
     format!("{}.{:03}", ms / 1000, ms % 1000)
 }
 
-/// The response at `/up` while this dispatcher is ready.
+/// The response at [`names::READY_PATH`](crate::protocol::names::READY_PATH) while this dispatcher is ready.
 pub fn ready() -> Vec<Piece> {
     vec!["HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nup".into()]
 }
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -1,4 +1,4 @@
-//! What a request on the platform's protocol is for, and whether its fields are in order.
+//! Routes requests of the platform's protocol, and validates their fields.
 
 use super::{RawRequest, Reject};
 use crate::config::SiteNames;
@@ -10,30 +10,30 @@
 use crate::policy::settings_map::{tag, to_micros};
 use crate::protocol::names;
 
-/// The longest request id, in bytes.
+/// The maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 128;
 /// Names of the expected work in milliseconds among the pairs of [`names::FACTS`].
 const WORK_HINT_FACTS: [&str; 2] = ["hint", "HintMs"];
-/// Names of the slots that a request takes, likewise.
+/// Names of the slots that a request takes, among the same pairs.
 const SLOTS_FACTS: [&str; 2] = ["slots", "Needs"];
-/// Names of the memory that a request takes, likewise.
+/// Names of the memory that a request takes, among the same pairs.
 const MEMORY_FACTS: [&str; 2] = ["memory", "MemNeeded"];
 
-/// What a request is for.
+/// The purpose of a request.
 #[derive(Debug)]
 pub enum Route {
     /// The platform asks whether this dispatcher is ready.
     Ready,
-    /// A worker reports what becomes of a job.
+    /// A worker reports the status of a job.
     StatusCallback,
-    /// A client submits a job. The caller fills in `downstream` and `token`.
+    /// A client submits a job. The caller fills in `downstream` and `idempotency_key`.
     Submit(NewRequest),
 }
 
-/// Finds out what a request is for. `serves_platform` says whether this listener takes `/up` and status callbacks.
+/// Finds the purpose of a request. `serves_platform` says whether this listener serves readiness checks and status callbacks.
 ///
 /// # Errors
-/// The reason why the request is not taken.
+/// The reason why the request is refused.
 pub fn route(
     site: &SiteNames,
     classes: &[Class],
@@ -85,6 +85,9 @@
 }
 
 /// The class that the first segment of the path names.
+///
+/// # Errors
+/// [`Reject::BadRequest`] or [`Reject::NoSuchPath`] if there is no such class.
 fn find_class(
     site: &SiteNames,
     classes: &[Class],
@@ -94,12 +97,12 @@
     if let Some(class) = site.class_id(class_name).filter(|class| usize::from(class.0) < classes.len()) {
         return Ok(class);
     }
-    // A class that is unknown in path and header alike is a bad request; any other path is simply not served.
+    // If path and header name the same unknown class, the request is bad. Any other path is simply not served.
     let is_unknown_class = !class_name.is_empty() && request.field(names::CLASS) == Some(class_name);
     Err(if is_unknown_class { Reject::BadRequest } else { Reject::NoSuchPath })
 }
 
-/// Reads the fields of a submitted job.
+/// Parses the fields of a submitted job.
 fn parse_submission(
     site: &SiteNames,
     class_id: ClassId,
@@ -112,9 +115,7 @@
     }
     let facts: Vec<(&str, f64)> =
         request.field(names::FACTS).map_or(Vec::new(), |text| parse_pairs(text).collect());
-    let fact =
-        |accepted: [&str; 2]| facts.iter().find(|(name, _)| accepted.contains(name)).map(|(_, value)| *value);
-    let hint_ms = parse_work_hint(request)?.or(fact(WORK_HINT_FACTS));
+    let hint_ms = parse_work_hint(request)?.or(find_fact(&facts, WORK_HINT_FACTS));
     Ok(NewRequest {
         name: request_id.to_owned(),
         downstream: DownstreamId(0),
@@ -123,13 +124,18 @@
         key: object_cookie(request).map(|object| KeyId(tag(object) as u32)),
         time_budget: parse_time_left(request)?.map_or(class.deadline, |left| left.min(class.deadline)),
         hint: hint_ms.map(to_micros).filter(|hint| *hint > 0),
-        slots: fact(SLOTS_FACTS).unwrap_or(1.0),
-        memory: fact(MEMORY_FACTS),
+        slots: find_fact(&facts, SLOTS_FACTS).unwrap_or(1.0),
+        memory: find_fact(&facts, MEMORY_FACTS),
         repeat: request.field(names::REPEAT) == Some("1"),
         idempotency_key: None,
     })
 }
 
+/// The value of the first pair that has one of these names.
+fn find_fact(facts: &[(&str, f64)], names: [&str; 2]) -> Option<f64> {
+    facts.iter().find(|(name, _)| names.contains(name)).map(|(_, value)| *value)
+}
+
 fn parse_request_id(request: &RawRequest) -> Result<&str, Reject> {
     // The id becomes a part of a path (`DELETE /jobs/ID`).
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
@@ -140,7 +146,7 @@
     Ok(id)
 }
 
-/// The tenant of a request; `None` where the site has no tenants.
+/// The tenant of a request; `None` if the site has no tenants.
 fn parse_tenant(site: &SiteNames, request: &RawRequest) -> Result<Option<TenantId>, Reject> {
     if !site.has_tenants() {
         return Ok(None);
@@ -149,7 +155,7 @@
     site.tenant_id(name).map(Some).ok_or(Reject::BadRequest)
 }
 
-/// The time that the client will wait: whole milliseconds, and no more than the 49 days that no client waits for.
+/// How long the client will wait. The header has whole milliseconds, up to [`u32::MAX`] (49 days, longer than any client waits).
 fn parse_time_left(request: &RawRequest) -> Result<Option<Micros>, Reject> {
     let Some(digits) = request.field(names::TIME_LEFT) else { return Ok(None) };
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -159,7 +165,7 @@
     Ok(Some(Micros::from(ms) * MICROS_PER_MS))
 }
 
-/// The expected work, in milliseconds.
+/// The expected work in milliseconds, if the client states it.
 fn parse_work_hint(request: &RawRequest) -> Result<Option<f64>, Reject> {
     let Some(text) = request.field(names::WORK_HINT) else { return Ok(None) };
     match text.parse::<f64>() {
@@ -178,7 +184,7 @@
     matches!(class.idempotency, Idempotency::IdempotentWithKey { .. })
 }
 
-/// The idempotency key of a request under its tenant, with the fingerprint of its body; `None` where the class requires none.
+/// The idempotency key of a request under its tenant, with the fingerprint of its body; `None` if the class requires no key.
 pub fn idempotency_key(classes: &[Class], request: &RawRequest, class: ClassId) -> Option<IdempotencyKey> {
     let class = classes.get(usize::from(class.0))?;
     let key = request.field(names::IDEMPOTENCY_KEY).filter(|_| requires_key(class))?;
--- a/src/protocol/raw_request.rs
+++ b/src/protocol/raw_request.rs
@@ -1,4 +1,4 @@
-//! A request as it was read, before its meaning is known.
+//! A request as it was read, before it is routed.
 
 use crate::http::{Piece, RequestHead};
 use std::rc::Rc;
@@ -7,11 +7,11 @@
 /// A complete request: its head as it was read, and its body.
 #[derive(Clone, Debug)]
 pub struct RawRequest {
-    /// The head's bytes; the ranges of `head` point into them.
+    /// The bytes of the head; the ranges of `head` refer to them.
     pub bytes: Rc<Vec<u8>>,
     /// The head, parsed in place.
     pub head: RequestHead,
-    /// The body: a range of `bytes` as well, or decoded chunks.
+    /// The body: a range of `bytes`, or decoded chunks.
     pub body: Piece,
 }
 
@@ -25,7 +25,7 @@
         std::str::from_utf8(&self.bytes[self.head.target.clone()])
     }
 
-    /// The value of the first field of this name, where it is text.
+    /// The value of the first field of this name; `None` if there is none or its value is not UTF-8.
     pub(super) fn field(&self, name: &str) -> Option<&str> {
         self.head.fields.text(&self.bytes, name)
     }
--- a/src/protocol/reject.rs
+++ b/src/protocol/reject.rs
@@ -1,15 +1,15 @@
-//! Why a request is not taken, and the status that says so.
+//! The reasons why a request is refused before it is accepted, and the status of each.
 
 use crate::http::HeadError;
 
-/// Why a request is not taken; each reason has its status.
+/// Why a request is refused. Each reason has one status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reject {
     /// 400: the request is malformed, or its class or tenant is unknown.
     BadRequest,
     /// 404: nothing is served at this path.
     NoSuchPath,
-    /// 405: the path takes only the method that is given here.
+    /// 405: the path allows only this method.
     WrongMethod(&'static str),
     /// 408: the request was not complete in time.
     TooSlow,
@@ -17,7 +17,7 @@
     DuplicateId,
     /// 411: the request states no length of its body.
     NoLength,
-    /// 422: the idempotency key belongs to a request with another body.
+    /// 422: the idempotency key was given to a request with another body or class.
     KeyReused,
     /// 413: the body is too large.
     BodyTooLarge,
@@ -25,9 +25,9 @@
     HeadTooLarge,
     /// 501: the transfer coding is not supported.
     UnknownCoding,
-    /// 503: the machine has no descriptors left for the request.
+    /// 503: no file descriptors are left for the request.
     Overloaded,
-    /// 503 at `/up`: this dispatcher is not ready, or about to stop.
+    /// 503 to a readiness check: this dispatcher is not ready, or is about to stop.
     NotReady,
     /// 505: the request is of an unsupported version of HTTP.
     Version,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether the connection closes after this response, because the start of the next request is not known.
+    /// Whether the connection closes after this response, because the start of the next request is unknown.
     pub fn closes(self) -> bool {
         !matches!(
             self,
--- a/src/protocol/sse.rs
+++ b/src/protocol/sse.rs
@@ -1,5 +1,5 @@
-//! Server-sent events in the response to a submitted job: a plain `POST` with `Accept: text/event-stream` gets its progress
-//! and one final event.
+//! Server-sent events in the response to a job: a `POST` with `Accept: text/event-stream` is answered with the job's progress and
+//! one final event.
 
 use super::event_streams::{self, StreamFraming};
 use super::message::connection_line;
@@ -25,12 +25,12 @@
     StreamFraming::Chunked.frame(write_event(name, data))
 }
 
-/// The event that says that the job has started.
+/// The event that reports the start of the job.
 pub fn started() -> Vec<Piece> {
     event("started", "{}")
 }
 
-/// The event that says which fraction of the job is done, 0 to 1.
+/// The event that reports which fraction of the job is done, 0 to 1.
 pub fn progress(fraction: f64) -> Vec<Piece> {
     event("progress", &json!({ "share": fraction }).to_string())
 }
