--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -1,4 +1,4 @@
-//! Latencies of writes while a compaction of many dead records runs, and without one.
+//! Measures the latencies of writes, with and without a concurrent compaction of many dead records.
 
 use super::{latency_histogram, operation, quantile_us, record_latency, single_put, without_compaction};
 use crate::cli::error::{BenchError, CommandError};
@@ -9,22 +9,22 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-/// The store that is compacted.
+/// The directory of the store that is compacted.
 pub(super) const STORE_DIR: &str = "compact";
 
-/// Keys that are written, each of them several times.
+/// The number of keys that fill the store; each is written several times.
 const FILL_KEYS: u64 = 20_000;
 const FILL_BATCHES: u64 = 60;
 const RECORDS_PER_BATCH: u64 = 1000;
-/// Writes that are measured without a compaction.
+/// The number of writes that are measured without a compaction.
 const UNDISTURBED_WRITES: u64 = 1500;
-/// Compactions beside which writes are measured.
+/// The number of compactions during which writes are measured.
 const COMPACTIONS: usize = 5;
-/// The numbers of records that are measured, apart from each other and from those of the fill.
-const UNDISTURBED_NUMBERS: u64 = 1 << 40;
-const CONCURRENT_NUMBERS: u64 = 2 << 40;
+/// The first numbers of the records that are measured. They keep these records apart from each other and from the fill.
+const FIRST_UNDISTURBED_NUMBER: u64 = 1 << 40;
+const FIRST_CONCURRENT_NUMBER: u64 = 2 << 40;
 
-/// Measures p50 and p99 of writes in both cases, and the space that compaction frees.
+/// Measures the p50 and p99 latency of writes in both cases, and the space that the compaction frees.
 pub(super) fn measure(dir: &Path) -> Result<Value, CommandError> {
     let (store, _) = Store::open(&dir.join(STORE_DIR), without_compaction())?;
     fill(&store)?;
@@ -64,16 +64,16 @@
     let mut latencies = latency_histogram()?;
     for n in 0..UNDISTURBED_WRITES {
         let start = Instant::now();
-        store.write(single_put(UNDISTURBED_NUMBERS | n))?;
+        store.write(single_put(FIRST_UNDISTURBED_NUMBER | n))?;
         record_latency(&mut latencies, start.elapsed());
     }
     Ok(latencies)
 }
 
-/// Writes that were made while compactions ran.
+/// The result of writes that were made while compactions ran.
 struct ConcurrentWrites {
     latencies: Histogram<u64>,
-    /// The store's count of compactions at their end.
+    /// How many compactions the store had run at the end.
     compactions: u64,
 }
 
@@ -90,7 +90,7 @@
             let mut n = 0;
             while !is_over.load(Ordering::Relaxed) {
                 let start = Instant::now();
-                store.write(single_put(CONCURRENT_NUMBERS | n))?;
+                store.write(single_put(FIRST_CONCURRENT_NUMBER | n))?;
                 record_latency(&mut latencies, start.elapsed());
                 n += 1;
             }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Compacts so many times, or up to the first error; the last result.
+/// Compacts [`COMPACTIONS`] times, or up to the first error. Returns the last result.
 fn compact_repeatedly(store: &Store) -> Result<Stat, StoreError> {
     let mut last = store.compact(DamagedRecords::Refuse);
     for _ in 1..COMPACTIONS {
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -1,4 +1,4 @@
-//! `mothproxy store bench`: the store beside the same bytes appended, synced and read by hand.
+//! `mothproxy store bench`: compares the store with plain appends, syncs and reads of the same bytes.
 
 mod compaction;
 mod recovery;
@@ -11,28 +11,37 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Bytes of each value.
+/// The length of each value, in bytes.
 const VALUE_LENGTH: usize = 200;
-/// Figures that vary from one moment to the next are measured so many times in turn, and the median counts.
+/// How often each measurement is repeated. The median counts, because results vary from one moment to the next.
 const ROUNDS: usize = 5;
-/// Numbers of records for which recovery is measured, as far as they are below the number asked for.
+/// The numbers of records for which recovery is measured, if they are below the requested number.
 const RECOVERY_SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
-/// The longest time that a histogram holds, in nanoseconds.
+/// The maximum latency that a histogram can hold, in nanoseconds.
 const MAX_LATENCY_NS: u64 = 60_000_000_000;
+/// The number of significant decimal digits that a histogram keeps.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// Nanoseconds in one microsecond.
+const NS_PER_US: f64 = 1_000.0;
+/// An odd multiplier (the 64-bit golden ratio) that scatters consecutive numbers.
+const SCATTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Measures, prints, and leaves the folder as it was.
+/// Runs all measurements, prints the results, and leaves the folder as it was.
+///
+/// # Errors
+/// [`CommandError`] if the folder is not empty or a measurement fails.
 pub(super) fn run(dir: &Path, records: u64, as_json: bool) -> Result<(), CommandError> {
-    let was_there = dir.exists();
-    if was_there && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
+    let has_existed = dir.exists();
+    if has_existed && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
         return Err(CommandError::NotEmpty(dir.to_owned()));
     }
     std::fs::create_dir_all(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let measured = measure_all(dir, records);
     for name in [writes::BASELINE_FILE, writes::SINGLE_DIR, writes::MANY_DIR, compaction::STORE_DIR] {
         let path = dir.join(name);
-        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // what it made itself
+        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // what a measurement left behind
     }
-    if !was_there {
+    if !has_existed {
         let _ = std::fs::remove_dir(dir);
     }
     let measured = measured?;
@@ -58,10 +67,10 @@
     }))
 }
 
-/// The write of one record; the same number makes the same record.
+/// The write of one record. The same number always gives the same record.
 fn operation(number: u64) -> Operation {
-    // Keys in no order, as idempotency keys come.
-    let key = format!("key-{:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes();
+    // The keys are in no order, like idempotency keys.
+    let key = format!("key-{:016x}", number.wrapping_mul(SCATTER_MULTIPLIER)).into_bytes();
     Operation { key, value: Some(vec![number as u8; VALUE_LENGTH]), expires_at: None }
 }
 
@@ -70,14 +79,14 @@
     Batch::new().put(operation.key, operation.value.unwrap_or_default())
 }
 
-/// Options without compactions of the store's own accord.
+/// Options without automatic compactions.
 fn without_compaction() -> Options {
     Options { compacts: false, ..Options::default() }
 }
 
 /// A histogram of nanoseconds.
 fn latency_histogram() -> Result<Histogram<u64>, BenchError> {
-    Ok(Histogram::new_with_bounds(1, MAX_LATENCY_NS, 3)?)
+    Ok(Histogram::new_with_bounds(1, MAX_LATENCY_NS, HISTOGRAM_DIGITS)?)
 }
 
 fn record_latency(histogram: &mut Histogram<u64>, latency: Duration) {
@@ -85,7 +94,7 @@
 }
 
 fn quantile_us(histogram: &Histogram<u64>, quantile: f64) -> f64 {
-    histogram.value_at_quantile(quantile) as f64 / 1000.0
+    histogram.value_at_quantile(quantile) as f64 / NS_PER_US
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery after a crash, beside a plain read of the same files.
+//! Measures recovery after a crash, and a plain read of the same files for comparison.
 
 use super::{ROUNDS, median, operation, without_compaction};
 use crate::cli::error::{BenchError, CommandError};
@@ -11,12 +11,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Records that are written at a time.
+/// The number of records in each write.
 const RECORDS_PER_GROUP: u64 = 64;
-/// Bytes that a plain read takes at a time.
-const READ_LENGTH: usize = 1 << 20;
+/// The size of the buffer of a plain read, in bytes.
+const READ_BUFFER_LENGTH: usize = 1 << 20;
+/// Milliseconds in one second.
+const MS_PER_SECOND: f64 = 1e3;
+/// Nanoseconds in one millisecond.
+const NS_PER_MS: f64 = 1e6;
 
-/// Measures the recovery of so many records whose last segment has no footer, as a crash leaves it.
+/// Measures the recovery of a store with this many records. Its last segment has no footer, as after a crash.
 pub(super) fn measure(dir: &Path, records: u64) -> Result<Value, CommandError> {
     let path = dir.join(format!("recover-{records}"));
     write_without_seal(&path, records)?;
@@ -47,7 +51,7 @@
         "plain_read_ms": plain_read_ms,
         "recovery_ms": recovery_ms,
         "ratio": recovery_ms / plain_read_ms,
-        "ns_per_record": recovery_ms * 1e6 / records as f64,
+        "ns_per_record": recovery_ms * NS_PER_MS / records as f64,
         "index_bytes_per_record": index_bytes as f64 / records as f64,
     }))
 }
@@ -63,14 +67,14 @@
         writer.commit(&shared, &[&group], 1)?;
         written += group.len() as u64;
     }
-    Ok(()) // dropped without a seal, as a crash would leave it
+    Ok(()) // the writer is dropped without a seal, as by a crash
 }
 
 fn milliseconds(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
+    time.as_secs_f64() * MS_PER_SECOND
 }
 
-/// A read of all files of a folder from first to last.
+/// The result of a sequential read of all files of a folder.
 struct PlainRead {
     time: Duration,
     bytes: u64,
@@ -81,7 +85,7 @@
         let mut files: Vec<PathBuf> =
             std::fs::read_dir(dir)?.map(|entry| Ok(entry?.path())).collect::<io::Result<_>>()?;
         files.sort();
-        let mut buffer = vec![0; READ_LENGTH];
+        let mut buffer = vec![0; READ_BUFFER_LENGTH];
         let mut bytes = 0;
         let start = Instant::now();
         for file in files {
--- a/src/cli/bench/writes.rs
+++ b/src/cli/bench/writes.rs
@@ -1,4 +1,4 @@
-//! Durable writes, of one writer and of many, beside appends and syncs by hand.
+//! Measures durable writes of one writer and of many writers, and plain appends with syncs for comparison.
 
 use super::{
     ROUNDS, VALUE_LENGTH, latency_histogram, median, quantile_us, record_latency, single_put,
@@ -14,34 +14,45 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The file of the appends by hand.
+/// The file of the plain appends.
 pub(super) const BASELINE_FILE: &str = "raw";
-/// The store of one writer.
+/// The directory of the store with one writer.
 pub(super) const SINGLE_DIR: &str = "one";
-/// The store of many writers.
+/// The directory of the store with many writers.
 pub(super) const MANY_DIR: &str = "many";
 
+/// The number of concurrent writers.
 const WRITERS: usize = 64;
-/// How long many writers write, in all rounds together.
+/// How long the concurrent writers run, in all rounds together.
 const MANY_WRITERS_TIME: Duration = Duration::from_millis(1500);
-/// Writes of the single writer, in all rounds together.
+/// The number of writes of the single writer, in all rounds together.
 const SINGLE_WRITES: usize = 2000;
-/// Appends by hand beside many writers, in each round.
+/// The number of plain appends in each round with concurrent writers.
 const BASELINE_APPENDS: usize = 400;
+/// The length of a record's key, in bytes.
+const KEY_LENGTH: usize = 20;
+/// Approximate bytes that the log adds to each group of records.
+const GROUP_OVERHEAD: usize = 49;
+/// Approximate bytes that the log adds to each record.
+const RECORD_OVERHEAD: usize = 16;
+/// The position of a writer's number in the number of a record; the number of the write is below it.
+const WRITER_SHIFT: u32 = 32;
+/// The position of a round's number in the number of a record.
+const ROUND_SHIFT: u32 = 48;
 
-/// Bytes that a group of records takes in the log, about: the frame, and each record's own.
+/// The approximate length of a group of records in the log, in bytes.
 fn group_length(records: usize) -> usize {
-    49 + records * (8 + 20 + VALUE_LENGTH + 8)
+    GROUP_OVERHEAD + records * (RECORD_OVERHEAD + KEY_LENGTH + VALUE_LENGTH)
 }
 
-/// Appends and syncs by hand.
+/// The result of plain appends, each with a sync.
 struct Baseline {
     latencies: Histogram<u64>,
     appends_per_s: f64,
 }
 
 impl Baseline {
-    /// Makes this many appends of this many bytes, each synced.
+    /// Makes `appends` appends of `length` bytes, and syncs after each.
     fn measure(dir: &Path, length: usize, appends: usize) -> Result<Baseline, BenchError> {
         let path = dir.join(BASELINE_FILE);
         let mut file = File::create(&path)?;
@@ -61,7 +72,7 @@
     }
 }
 
-/// Latencies of one writer.
+/// Measures the latencies of one writer.
 pub(super) fn measure_single_writer(dir: &Path) -> Result<Value, CommandError> {
     let mut ratios = Vec::new();
     let mut baseline_p50s = Vec::new();
@@ -90,7 +101,7 @@
     }))
 }
 
-/// Throughput of many writers, whose writes are synced in groups.
+/// Measures the throughput of many writers, whose writes the store syncs in groups.
 pub(super) fn measure_many_writers(dir: &Path) -> Result<Value, CommandError> {
     let mut ratios = Vec::new();
     let mut rates = Vec::new();
@@ -123,13 +134,13 @@
     }))
 }
 
-/// Writes for one round; the first error of any writer counts.
+/// Runs all writers for one round. Returns the first error of any writer.
 fn write_from_many_threads(store: &Store, round: u64) -> Result<(), StoreError> {
     let is_over = AtomicBool::new(false);
     let write = |writer: u64| {
         let mut n = 0;
         while !is_over.load(Ordering::Relaxed) {
-            store.write(single_put(round << 48 | writer << 32 | n))?;
+            store.write(single_put(round << ROUND_SHIFT | writer << WRITER_SHIFT | n))?;
             n += 1;
         }
         Ok(())
@@ -139,7 +150,7 @@
         let writers: Vec<_> = (0..WRITERS as u64).map(|writer| scope.spawn(move || write(writer))).collect();
         std::thread::sleep(MANY_WRITERS_TIME / ROUNDS as u32);
         is_over.store(true, Ordering::Relaxed);
-        // A writer that panicked is passed over; all of them are joined.
+        // All writers are joined; the result of one that panicked is skipped.
         let results: Vec<Result<(), StoreError>> =
             writers.into_iter().filter_map(|writer| writer.join().ok()).collect();
         results.into_iter().collect()
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,14 +1,14 @@
-//! `mothproxy check`: reads a configuration or an operators' file and says what it holds.
+//! `mothproxy check`: validates a configuration or an operators' file, and prints a summary of it.
 
 use super::error::CommandError;
 use mothproxy::config::{Config, FilePresence};
 use mothproxy::settings;
 use std::path::Path;
 
-/// The extension of operators' files.
+/// The file name extension of operators' files.
 const SETTINGS_EXTENSION: &str = "txtpb";
 
-/// Checks a file; its extension says of which kind it is.
+/// Checks a file. Its extension says which kind of file it is.
 pub(super) fn run(file: &Path) -> Result<(), CommandError> {
     if file.extension().is_some_and(|extension| extension == SETTINGS_EXTENSION) {
         check_settings(file)
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a sub-command failed, and the exit code that says so.
+//! The errors of sub-commands, and the exit code of each.
 
 use super::store::RecordError;
 use mothproxy::config::ConfigError;
@@ -10,24 +10,24 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The sub-command failed, or found damage.
+/// The exit code of a sub-command that failed or found damage.
 const EXIT_FAILED: u8 = 1;
-/// What it was given is not in order.
+/// The exit code of a sub-command with invalid input.
 const EXIT_BAD_INPUT: u8 = 2;
 
 /// Why a sub-command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The operators' file is not in order.
+    /// The operators' file is invalid.
     #[error("{0}")]
     Settings(#[from] SettingsFileError),
-    /// The configuration is not in order.
+    /// The configuration is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
     /// The program cannot serve.
     #[error("{0}")]
     Serve(#[from] ServerError),
-    /// The store refused a call.
+    /// The store returned an error.
     #[error("{0}")]
     Store(#[from] StoreError),
     /// A directory cannot be used.
@@ -39,16 +39,16 @@
         #[source]
         error: io::Error,
     },
-    /// A directory holds no store.
+    /// A directory contains no store.
     #[error("{}: no store is there", .0.display())]
     NoStore(PathBuf),
-    /// A directory holds files of something else.
+    /// A directory contains files that do not belong to a store.
     #[error("{}: it holds files that are no store's", .0.display())]
     ForeignFiles(PathBuf),
-    /// A directory must be empty and is not.
+    /// A directory that must be empty is not.
     #[error("{}: the folder is not empty", .0.display())]
     NotEmpty(PathBuf),
-    /// A line of standard input is not in order.
+    /// A line of standard input is invalid.
     #[error("standard input: line {line}: {error}")]
     BadLine {
         /// The line's number, from 1.
@@ -66,7 +66,7 @@
     /// The store could not write a record.
     #[error("{0}")]
     WriteFailed(#[source] Arc<StoreError>),
-    /// Damaged records were left out of a dump.
+    /// A dump skipped damaged records.
     #[error("{}: damaged: {damaged} places; what is whole was printed", dir.display())]
     DamageSkipped {
         /// The store's directory.
@@ -74,7 +74,7 @@
         /// How many places are damaged.
         damaged: usize,
     },
-    /// The store is damaged, and each damage has been printed.
+    /// The store is damaged; each damage has been printed already.
     #[error("the store is damaged")]
     DamagePrinted,
     /// A measurement failed.
@@ -88,19 +88,19 @@
     /// The folder cannot be read.
     #[error("bench: {0}")]
     Folder(#[source] io::Error),
-    /// The system refused a call.
+    /// A system call failed.
     #[error("bench: {0}")]
     Io(#[from] io::Error),
-    /// A histogram cannot be made.
+    /// A histogram cannot be created.
     #[error("{0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// The figures cannot be printed.
+    /// The results cannot be encoded as JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The compaction panicked.
+    /// The thread of the compaction panicked.
     #[error("the compaction ended in a panic")]
     CompactionPanicked,
-    /// Recovery has lost records.
+    /// Recovery lost records.
     #[error("bench: {found} of {written} records came back")]
     RecordsLost {
         /// Records that were found.
@@ -111,7 +111,7 @@
 }
 
 impl CommandError {
-    /// Whether the user has been informed already.
+    /// Whether the error has been printed already.
     pub(super) fn is_reported(&self) -> bool {
         matches!(self, CommandError::DamagePrinted)
     }
@@ -148,7 +148,7 @@
         | StoreError::Failing(_)
         | StoreError::QueueFull
         | StoreError::Closed => EXIT_FAILED,
-        // The directory cannot be used as it was named.
+        // The others say that the directory on the command line cannot be used.
         _ => EXIT_BAD_INPUT,
     }
 }
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard error, by `tracing`. In text form a line is its message and its fields: docs/on-call.md names their
-//! words.
+//! Log lines on standard error, by `tracing`. In text form, a line is the event's message followed by its fields. docs/on-call.md
+//! lists the messages.
 
 use clap::ValueEnum;
 use std::fmt;
@@ -34,7 +34,7 @@
         let _ = match field.name() {
             "message" => write!(self.message, "{value:?}"),
             name => write!(self.fields, " {name}={value:?}"),
-        }; // a String takes all
+        }; // writing to a String cannot fail
     }
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sends log lines to standard error from now on.
+/// Starts to write log lines to standard error. If that fails, the reason is printed and there is no log.
 pub(super) fn start(format: LogFormat) {
     let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(tracing::Level::INFO);
     let started = match format {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -42,7 +42,7 @@
     Store(StoreCommand),
 }
 
-/// Reads the command line and does what it says.
+/// Runs the command on the command line, and returns the exit code of the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match run(cli) {
@@ -58,7 +58,7 @@
 
 fn run(cli: Cli) -> Result<(), CommandError> {
     match cli.command.unwrap_or(Command::Serve(cli.serve)) {
-        // It starts the log itself, once it has read the operators' file.
+        // `serve` starts the log itself, because the operators' file may set the format.
         Command::Serve(args) => serve::run(args, cli.log),
         Command::Check { file } => {
             log::start(cli.log.unwrap_or_default());
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `mothproxy serve`: a dispatcher.
+//! `mothproxy serve`: runs a dispatcher.
 
 use super::error::CommandError;
 use super::log::{self, LogFormat};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The operators' file where none is named.
+/// The default name of the operators' file.
 const DEFAULT_SETTINGS_FILE: &str = "deploy/mothproxy.txtpb";
 
 #[derive(Args)]
@@ -36,17 +36,26 @@
 #[error("it is always, interval:MS (MS above 0) or never")]
 struct UnknownSyncMode;
 
-/// Reads `always`, `interval:MS` or `never`.
+/// Parses `always`, `interval:MS` or `never`.
 fn parse_sync_mode(text: &str) -> Result<SyncMode, UnknownSyncMode> {
-    match (text, text.strip_prefix("interval:").map(str::parse::<u32>)) {
-        ("always", _) => Ok(SyncMode::Always),
-        ("never", _) => Ok(SyncMode::Never),
-        (_, Some(Ok(ms))) if ms > 0 => Ok(SyncMode::Interval(Duration::from_millis(u64::from(ms)))),
-        _ => Err(UnknownSyncMode),
+    match text {
+        "always" => Ok(SyncMode::Always),
+        "never" => Ok(SyncMode::Never),
+        _ => parse_sync_interval(text).map(SyncMode::Interval).ok_or(UnknownSyncMode),
     }
 }
 
-/// Serves until the program is asked to stop. The log has the format of the command line, else that of the operators' file.
+/// Parses `interval:MS` with `MS` above 0.
+fn parse_sync_interval(text: &str) -> Option<Duration> {
+    let ms: u32 = text.strip_prefix("interval:")?.parse().ok()?;
+    (ms > 0).then(|| Duration::from_millis(u64::from(ms)))
+}
+
+/// Serves until the program is asked to stop. The format of the log is that of the command line, or else that of the operators'
+/// file.
+///
+/// # Errors
+/// [`CommandError`] if a file is invalid or the dispatcher cannot serve.
 pub(super) fn run(args: ServeArgs, log_format: Option<LogFormat>) -> Result<(), CommandError> {
     let file = args.settings.clone().unwrap_or(DEFAULT_SETTINGS_FILE.into());
     let presence = if args.settings.is_some() { FilePresence::Required } else { FilePresence::Optional };
--- a/src/cli/store/dump.rs
+++ b/src/cli/store/dump.rs
@@ -7,7 +7,10 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-/// Prints every record that can be read. Damage is logged and makes the command fail at its end.
+/// Prints every readable record. Damage is logged, and the command then fails at the end.
+///
+/// # Errors
+/// [`CommandError`] if there is no store, it cannot be opened or it is damaged.
 pub(super) fn run(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
     let OpenedReader { snapshot, recovery, lock: _lock } = open_reader(dir)?;
@@ -18,7 +21,7 @@
         match record {
             Ok((key, value)) => {
                 if writeln!(out, "{}", record_line(key, value)).is_err() {
-                    return Ok(()); // whoever reads it has seen enough
+                    return Ok(()); // the reader has closed standard output
                 }
             }
             Err(error) => {
@@ -27,6 +30,6 @@
             }
         }
     }
-    let _ = out.flush(); // likewise
+    let _ = out.flush(); // a closed standard output is no error here either
     if damaged == 0 { Ok(()) } else { Err(CommandError::DamageSkipped { dir: dir.to_owned(), damaged }) }
 }
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -1,4 +1,4 @@
-//! `mothproxy store`: a store's directory from the command line.
+//! `mothproxy store`: works on the directory of a store.
 
 mod dump;
 mod put;
@@ -65,7 +65,10 @@
     },
 }
 
-/// Runs a command.
+/// Runs a command on a store.
+///
+/// # Errors
+/// [`CommandError`] if the command fails or finds damage.
 pub(super) fn run(command: StoreCommand) -> Result<(), CommandError> {
     match command {
         StoreCommand::Put { dir } => put::run(&dir),
@@ -80,7 +83,7 @@
     }
 }
 
-/// What the files of a directory are.
+/// Which kinds of files a directory contains.
 #[derive(Default)]
 struct DirectoryContent {
     has_store_files: bool,
@@ -103,7 +106,10 @@
     }
 }
 
-/// Fails where a directory holds no store.
+/// Checks that a directory contains a store.
+///
+/// # Errors
+/// [`CommandError::Directory`] if it cannot be read, [`CommandError::NoStore`] if it contains no store.
 fn require_store(dir: &Path) -> Result<(), CommandError> {
     if DirectoryContent::read(dir)?.has_store_files {
         Ok(())
@@ -120,7 +126,7 @@
 
 fn verify_all(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
-    let OpenedReader { lock: _lock, .. } = open_reader(dir)?; // keeps writers out
+    let OpenedReader { lock: _lock, .. } = open_reader(dir)?; // its lock keeps writers out
     let disk = RealDisk::open(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let Verification { recovery, records } = verify(&disk)?;
     for damage in &recovery.damage {
@@ -173,7 +179,7 @@
     })
 }
 
-/// The figures, a line each.
+/// The figures, one line each.
 fn stat_lines(stat: &Stat) -> String {
     let json = stat_json(stat);
     let fields = json.as_object().into_iter().flatten();
--- a/src/cli/store/put.rs
+++ b/src/cli/store/put.rs
@@ -1,5 +1,5 @@
-//! `mothproxy store put`: JSON lines of standard input into a store. Many writes are in flight at a time; each key is printed
-//! once its record is durable.
+//! `mothproxy store put`: writes JSON lines from standard input to a store. Many writes are in flight at the same time. Each key
+//! is printed once its record is durable.
 
 use super::record::{Record, RecordError, key_line};
 use super::{DirectoryContent, log_damage};
@@ -10,12 +10,15 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// The most writes in flight.
+/// The maximum number of writes in flight.
 const MAX_IN_FLIGHT: usize = 1024;
-/// The longest line, in bytes: the longest value may take six for each of its own.
+/// The maximum length of a line, in bytes. JSON may take six bytes for each byte of the longest value.
 const MAX_LINE_LENGTH: u64 = 64 << 20;
 
 /// Writes all lines of standard input.
+///
+/// # Errors
+/// [`CommandError`] if a line is invalid, the store fails or standard output is closed. The lines before it stay written.
 pub(super) fn run(dir: &Path) -> Result<(), CommandError> {
     if dir.exists() {
         let content = DirectoryContent::read(dir)?;
@@ -28,7 +31,7 @@
     let window = Arc::new(WriteWindow::default());
     let mut writer = LineWriter { dir, store: None, window: window.clone(), acknowledge };
     let written = writer.write_lines(&mut std::io::stdin().lock());
-    // What was taken is written and printed, whatever ended the input.
+    // Every accepted line is written and printed, also if the input ended with an error.
     let closed = writer.close();
     let has_printed_all = printer.join().unwrap_or(false);
     written?;
@@ -48,7 +51,7 @@
     is_durable: bool,
 }
 
-/// How many writes are in flight, and whether one failed.
+/// Limits how many writes are in flight, and keeps the first failure.
 #[derive(Default)]
 struct WriteWindow {
     state: Mutex<WindowState>,
@@ -58,7 +61,7 @@
 #[derive(Default)]
 struct WindowState {
     in_flight: usize,
-    /// Why the first write that failed did so.
+    /// The error of the first write that failed.
     failure: Option<Arc<StoreError>>,
 }
 
@@ -67,7 +70,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until another write may begin. False where one has failed: no more should.
+    /// Waits until another write may begin. Returns false if a write has failed, after which no other should begin.
     fn acquire(&self) -> bool {
         let mut state = self.lock();
         while state.in_flight >= MAX_IN_FLIGHT {
@@ -80,7 +83,7 @@
         true
     }
 
-    /// Takes the result of a write.
+    /// Ends a write, with its result.
     fn release(&self, result: WriteResult) {
         let mut state = self.lock();
         state.in_flight -= 1;
@@ -95,7 +98,7 @@
     }
 }
 
-/// Writes lines into a store, which it opens for the first one.
+/// Writes lines to a store, which it opens for the first valid line.
 struct LineWriter<'a> {
     dir: &'a Path,
     store: Option<Store>,
@@ -114,7 +117,7 @@
             if text.trim().is_empty() {
                 continue;
             }
-            // Nothing is made of the directory before a first line is in order.
+            // The directory stays unchanged until the first line is valid.
             let record = Record::parse(text).map_err(bad_line)?;
             self.open_store()?;
             if !self.window.acquire() {
@@ -149,20 +152,20 @@
         let window = self.window.clone();
         let acknowledge = self.acknowledge.clone();
         let on_written = move |result: WriteResult| {
-            // The printer ends before its time only when standard output does.
+            // A send fails only if the printer has ended early, and `run` reports that.
             let _ = acknowledge.send(Acknowledgement { key: record.key, is_durable: result.is_ok() });
             window.release(result);
         };
         store.submit(batch, Box::new(on_written))
     }
 
-    /// Ends all writes in flight and closes the store.
+    /// Waits for the writes in flight and closes the store.
     fn close(self) -> Result<(), StoreError> {
         self.store.map_or(Ok(()), Store::close)
     }
 }
 
-/// Reads a line; false at the end of the input. A line that is too long comes in parts.
+/// Reads a line; returns false at the end of the input. A line that is too long is returned in parts.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> Result<bool, CommandError> {
     line.clear();
     let mut limited = input.take(MAX_LINE_LENGTH);
@@ -170,7 +173,7 @@
     Ok(length > 0)
 }
 
-/// Prints keys that are durable; false once standard output is closed.
+/// Prints the keys whose records are durable. Returns false if standard output was closed before all of them were printed.
 fn print_keys(acknowledged: &Receiver<Acknowledgement>) -> bool {
     let mut out = BufWriter::new(std::io::stdout().lock());
     let mut is_open = true;
--- a/src/cli/store/record.rs
+++ b/src/cli/store/record.rs
@@ -1,4 +1,4 @@
-//! Records as JSON lines.
+//! The format of records as JSON lines.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,7 +9,7 @@
 /// The fields that a line may have.
 const FIELDS: [&str; 4] = ["key", "value", "key_base64", "value_base64"];
 
-/// What is wrong with a line.
+/// Why a line is invalid.
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The line is not UTF-8.
@@ -21,10 +21,10 @@
     /// The line is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The object has a field that is not known; its name.
+    /// The object has an unknown field; its name.
     #[error("\"{0}\" is no field; it has \"key\" and \"value\"")]
     UnknownField(String),
-    /// A field is given as text and as base64; its name.
+    /// A field is given both as text and in base64; its name.
     #[error("both \"{0}\" and \"{0}_base64\"")]
     GivenTwice(&'static str),
     /// A field is not a string; its name.
@@ -39,28 +39,28 @@
         #[source]
         error: base64::DecodeError,
     },
-    /// There is no key.
+    /// The key is missing.
     #[error("no \"key\"")]
     NoKey,
-    /// There is no value.
+    /// The value is missing.
     #[error("no \"value\" (null deletes)")]
     NoValue,
     /// The key is empty.
     #[error("the key is empty")]
     EmptyKey,
-    /// The store does not take the record.
+    /// The store refuses the record.
     #[error("{0}")]
     Invalid(#[from] BatchError),
 }
 
-/// A record to be written.
+/// A record to write.
 pub(super) struct Record {
     pub(super) key: Vec<u8>,
     /// `None` deletes the key.
     pub(super) value: Option<Vec<u8>>,
 }
 
-/// What a line says of a field.
+/// The value of a field of a line.
 enum FieldValue {
     Absent,
     Null,
@@ -69,6 +69,9 @@
 
 impl Record {
     /// Parses a line.
+    ///
+    /// # Errors
+    /// [`RecordError`] if the line is invalid.
     pub(super) fn parse(line: &str) -> Result<Record, RecordError> {
         let value: Value = serde_json::from_str(line)?;
         let fields = value.as_object().ok_or(RecordError::NotAnObject)?;
@@ -92,7 +95,7 @@
     }
 }
 
-/// Reads a field that may be given as text or, with `_base64` behind its name, in base64.
+/// Reads a field that is given as text or, with `_base64` appended to its name, in base64.
 fn read_field(fields: &Map<String, Value>, name: &'static str) -> Result<FieldValue, RecordError> {
     let base64_name = format!("{name}_base64");
     match (fields.get(name), fields.get(&base64_name)) {
@@ -121,7 +124,7 @@
     Value::Object(fields).to_string()
 }
 
-/// The line of a key alone. One that holds a line break is written as a JSON string, one that is not UTF-8 in base64.
+/// The line of a key alone. A key with a line break is written as a JSON string, a key that is not UTF-8 in base64.
 pub(super) fn key_line(key: Vec<u8>) -> String {
     match String::from_utf8(key) {
         Ok(text) if !text.contains(['\n', '\r']) => text,
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The JSON document of a configuration file, together with the environment variables that win over it.
+//! The JSON document of a configuration file, and the environment variables that override it.
 
 use super::flatten::flatten;
 use super::{ConfigError, EndpointList, FileContentError, MachineLimits, ModuleSettingsError, SiteNames};
@@ -16,7 +16,7 @@
 }
 
 impl<'a, Env: Fn(&str) -> Option<String>> Document<'a, Env> {
-    /// Parses the text of a file; `file` names it in messages.
+    /// Parses the text of a file; error messages call it `file`.
     pub(super) fn parse(text: &str, file: &'a str, env: Env) -> Result<Self, ConfigError> {
         match serde_json::from_str(text) {
             Ok(root) => Ok(Document { root, file, env }),
@@ -39,27 +39,27 @@
         self.root.get(key).and_then(Value::as_str)
     }
 
-    /// A value that must be there.
+    /// A value that the file must have.
     pub(super) fn require(&self, key: &'static str) -> Result<&Value, ConfigError> {
         self.root.get(key).ok_or(ConfigError::Missing(key))
     }
 
-    /// A text that an environment variable may give in the file's place.
+    /// A text from the environment variable, or else from the file.
     pub(super) fn variable_or_text(&self, variable: &str, key: &str) -> Option<String> {
         (self.env)(variable).or_else(|| self.text(key).map(str::to_owned))
     }
 
-    /// A text that the environment variable or the file must give.
+    /// A text that the environment variable or the file must have.
     pub(super) fn required_text(&self, variable: &str, key: &'static str) -> Result<String, ConfigError> {
         self.variable_or_text(variable, key).ok_or(ConfigError::Missing(key))
     }
 
-    /// An address that the file may give.
+    /// An address that the file may have.
     pub(super) fn optional_address(&self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         self.text(key).map(|text| parse_address(key, text)).transpose()
     }
 
-    /// The seed: a number, or a text of hexadecimal digits.
+    /// The seed, which the file gives as a number or as a text of hexadecimal digits.
     pub(super) fn seed(&self) -> Result<u64, ConfigError> {
         let seed = match self.require("seed")? {
             Value::String(digits) => u64::from_str_radix(digits, 16).ok(),
@@ -68,13 +68,13 @@
         seed.ok_or_else(|| self.malformed(FileContentError::BadSeed))
     }
 
-    /// The machine's limits; the defaults where the file gives none.
+    /// The machine's limits; the defaults if the file has none.
     pub(super) fn limits(&self) -> Result<MachineLimits, ConfigError> {
         let Some(value) = self.root.get("limits") else { return Ok(MachineLimits::default()) };
         MachineLimits::deserialize(value).map_err(|error| self.malformed(FileContentError::BadLimits(error)))
     }
 
-    /// The addresses of all dispatchers of the tier; empty where the file gives none.
+    /// The addresses of all dispatchers of the tier; empty if the file has none.
     pub(super) fn peers(&self) -> Result<Vec<SocketAddr>, ConfigError> {
         let peers = self.root.get("peers").and_then(Value::as_array);
         let addresses = peers.into_iter().flatten().map(|peer| match peer.as_str() {
@@ -84,19 +84,19 @@
         addresses.collect()
     }
 
-    /// The endpoint list last known.
+    /// The endpoint list that was last known.
     pub(super) fn known_endpoints(&self) -> Result<EndpointList, ConfigError> {
         let known = self.require("known")?;
         EndpointList::from_json(known).ok_or_else(|| self.malformed(FileContentError::BadKnownList))
     }
 
-    /// The settings as path=value.
+    /// The settings, flattened to path=value pairs.
     pub(super) fn settings(&self) -> Result<Vec<(String, String)>, ConfigError> {
         self.require("settings").map(flatten)
     }
 }
 
-/// The settings of the decision module and the names that they give. Zones and kinds in `known_names` keep their ids.
+/// Parses the settings of the decision module and the names in them. Zones and kinds in `known_names` keep their ids.
 pub(super) fn parse_settings(
     profile: &Profile<'_>,
     known_names: &SiteNames,
@@ -106,7 +106,7 @@
     Ok((settings, SiteNames { names }))
 }
 
-/// Names and settings must agree, and the decision module must take the settings.
+/// Checks that names and settings agree, and that the decision module accepts the settings.
 fn check_settings(settings: &Settings, names: &Names) -> Result<(), ModuleSettingsError> {
     let has_class_names = names.classes.names().len() == settings.classes.len();
     let has_tenant_names = names.tenants.names().len() == settings.tenants.len();
@@ -116,7 +116,7 @@
     Ok(settings.check()?)
 }
 
-/// A duration of the settings, given in milliseconds.
+/// A duration above 0. The settings and `default_ms` are in milliseconds, the result is in microseconds.
 pub(super) fn positive_duration(
     profile: &Profile<'_>,
     path: &'static str,
@@ -126,7 +126,7 @@
     if ms > 0.0 { Ok(to_micros(ms)) } else { Err(ModuleSettingsError::NotPositive(path).into()) }
 }
 
-/// Reads an address; `name` names it in messages.
+/// Parses an address; error messages call it `name`.
 pub(super) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|error| ConfigError::BadAddress { name, text: text.to_owned(), error })
 }
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -27,7 +27,7 @@
     /// The worker's size relative to others.
     #[serde(default)]
     pub weight: Option<f64>,
-    /// The worker's last start in Unix milliseconds, 0 for long ago.
+    /// When the worker last started, in milliseconds of Unix time; 0 for long ago.
     #[serde(default)]
     pub started_at_ms: f64,
 }
@@ -40,29 +40,29 @@
     Up,
     /// It finishes the work that it has.
     Draining,
-    /// It is gone.
+    /// It is removed.
     Removed,
 }
 
 /// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// The list's version.
+    /// The version of the list.
     pub generation: u64,
-    /// Whether the list is a snapshot.
+    /// Whether the list is a snapshot; otherwise it is a delta.
     pub reset: bool,
-    /// The rows that could be read.
+    /// The valid rows.
     pub rows: Vec<EndpointRow>,
-    /// Names of workers whose rows could not be read.
+    /// Names of the workers with invalid rows.
     #[serde(default)]
     pub unread: Vec<String>,
-    /// Rows that were dropped, because they could not be read or a later row of the same worker replaced them.
+    /// How many rows were dropped: invalid ones, and those that a later row of the same worker replaced.
     pub bad_rows: u64,
 }
 
 impl EndpointList {
-    /// Reads a list from discovery's JSON. Bad rows are dropped and counted; of two rows of one worker the later one counts,
-    /// in the place of the first. `None` where the object itself is not in order.
+    /// Parses a list from discovery's JSON. Invalid rows are dropped and counted. If a worker has several rows, the last one
+    /// replaces the others, at the position of the first. Returns `None` if the object itself is invalid.
     pub fn from_json(value: &Value) -> Option<EndpointList> {
         let generation = value.get("generation")?.as_u64()?;
         let reset = value.get("reset")?.as_bool()?;
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is not taken.
+//! Why a configuration is refused.
 
 use crate::policy::interface::SettingsError;
 use crate::policy::settings_map::NotANumber;
@@ -6,7 +6,7 @@
 use std::net::AddrParseError;
 use thiserror::Error;
 
-/// Why a configuration is not taken.
+/// Why a configuration is refused.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file could not be read.
@@ -18,7 +18,7 @@
         #[source]
         error: io::Error,
     },
-    /// A file is not in order.
+    /// The content of a file is invalid.
     #[error("{file}: {error}")]
     Malformed {
         /// The file's name.
@@ -27,10 +27,10 @@
         #[source]
         error: FileContentError,
     },
-    /// A value that is required is missing.
+    /// A required value is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A value does not read as an address.
+    /// A value is not an address.
     #[error("{name} is not an address: {text:?}")]
     BadAddress {
         /// The value's name.
@@ -41,7 +41,7 @@
         #[source]
         error: AddrParseError,
     },
-    /// The settings of the decision module are not in order.
+    /// The settings of the decision module are invalid.
     #[error("settings: {0}")]
     BadSettings(#[from] ModuleSettingsError),
 }
@@ -52,19 +52,19 @@
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// The file is not TOML, or has keys that are not known.
+    /// The file is not TOML, or it has unknown keys.
     #[error("{0}")]
     NotToml(#[source] toml::de::Error),
-    /// The limits of the machine cannot be read.
+    /// The limits of the machine are invalid.
     #[error("limits: {0}")]
     BadLimits(#[source] serde_json::Error),
-    /// A peer is not a text.
+    /// A peer is not a JSON string.
     #[error("peers: not an address")]
     BadPeer,
-    /// The endpoint list last known cannot be read.
+    /// The endpoint list that was last known is invalid.
     #[error("known is not a list")]
     BadKnownList,
-    /// The seed cannot be read.
+    /// The seed is invalid.
     #[error("seed is not a hexadecimal number")]
     BadSeed,
     /// A key that the running configuration has is missing.
@@ -81,16 +81,16 @@
 /// What is wrong with the settings of the decision module.
 #[derive(Debug, Error)]
 pub enum ModuleSettingsError {
-    /// A setting cannot be read.
+    /// A setting is not a number.
     #[error(transparent)]
     Unreadable(#[from] NotANumber),
     /// A setting must be above 0; its path.
     #[error("{0} is not above 0")]
     NotPositive(&'static str),
-    /// Two classes or two tenants have one name.
+    /// Two classes or two tenants have the same name.
     #[error("two classes or tenants have one name")]
     DuplicateName,
-    /// The decision module does not take the settings.
+    /// The decision module refuses the settings.
     #[error(transparent)]
     Refused(#[from] SettingsError),
 }
--- a/src/config/flatten.rs
+++ b/src/config/flatten.rs
@@ -1,11 +1,12 @@
-//! Nested JSON as name=value pairs, the form of the simulator's protocol.
+//! Flattens nested JSON to path=value pairs, the form of the simulator's protocol.
 
 use serde_json::Value;
 
-/// Settings below this path are names of values, which the simulator's protocol writes without blanks.
+/// The prefix of the paths whose values are names, which the simulator's protocol writes without blanks.
 const VALUE_NAMES: &str = "Domain.";
 
-/// Flattens nested JSON to path=value: plain lists with commas, lists of objects by number and count.
+/// Flattens nested JSON to path=value pairs. A list of plain values becomes one pair, its values joined by commas. A list of
+/// objects or lists becomes a count, and pairs with the index of each item in their path.
 pub fn flatten(value: &Value) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     flatten_into("", value, &mut pairs);
@@ -33,15 +34,16 @@
     }
 }
 
-fn join(path: &str, name: &str) -> String {
+/// Appends a name to a path.
+pub(super) fn join(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// The text of a value that is neither list nor object nor null.
+/// The text of a plain value; `None` for a list, an object or null.
 fn plain_text(path: &str, value: &Value) -> Option<String> {
     match value {
-        // The simulator's protocol writes "free slots" as "free_slots", and its adapter knows it by that. Without this the
-        // free slots of every load report were skipped. Names elsewhere keep their blanks.
+        // The simulator's protocol writes "free slots" as "free_slots", and its adapter expects that name. Without the
+        // replacement it would skip the free slots of every load report. Names at other paths keep their blanks.
         Value::String(text) if path.starts_with(VALUE_NAMES) => Some(text.replace([' ', ','], "_")),
         Value::String(text) => Some(text.clone()),
         Value::Number(number) => Some(number.to_string()),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration of a dispatcher: the JSON file that `GW_CONFIG` names, and the file of the SSE listener.
 //!
-//! The settings are nested JSON under the names of the simulator's first message; they are flattened to the
-//! same name=value form and mapped by the same code ([`crate::policy::simulator`]).
+//! The settings are nested JSON with the names of the simulator's first message. They are flattened to the same name=value form
+//! and mapped by the same code ([`crate::policy::simulator`]).
 
 mod document;
 mod endpoint_list;
@@ -26,34 +26,34 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// How long workers keep an idle connection open where the settings do not say, in milliseconds.
+/// The default of [`Config::idle_timeout`], in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 5_000.0;
-/// How long a connection may take to come up where the settings do not say, in milliseconds.
+/// The default of [`Config::connect_timeout`], in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
-/// Whether a file must be there.
+/// Whether a file must exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FilePresence {
-    /// The user has named it: that it is not there is an error.
+    /// It must exist, because the user has named it.
     Required,
-    /// It has a default name: without it nothing is set.
+    /// It may be missing, because it has a default name; nothing is set then.
     Optional,
 }
 
 impl FilePresence {
-    /// Whether this file is to be read: it is there, or must be.
+    /// Whether this file is to be read: it exists, or it must exist.
     pub(crate) fn is_to_be_read(self, file: &Path) -> bool {
         self == FilePresence::Required || file.exists()
     }
 }
 
-/// What the machine allows.
+/// The limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
     /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// File descriptors, of all the program's processes together.
+    /// File descriptors of all processes of the program together.
     pub sockets: u64,
 }
 
@@ -66,9 +66,9 @@
 /// The configuration of a dispatcher.
 #[derive(Debug)]
 pub struct Config {
-    /// The file from which it was read.
+    /// The name of the configuration file.
     pub file: String,
-    /// What the file held at the start: a reload must have its keys.
+    /// The content of the file at the start. A reload must have the same keys.
     initial_document: Value,
     /// The dispatcher's name.
     pub name: String,
@@ -76,55 +76,54 @@
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Discovery's address according to the file, whatever the environment says.
+    /// Discovery's address in the file, also if the environment overrides it.
     discovery_in_file: Option<SocketAddr>,
-    /// Seed of random choices.
+    /// The seed of all random choices.
     pub seed: u64,
     /// The machine's limits.
     pub limits: MachineLimits,
     /// The address for datagrams of other dispatchers.
     pub peer_listen: Option<SocketAddr>,
-    /// The admin address, for the staff and the platform; without it there is none.
+    /// The admin address, for operators and the platform; `None` turns it off.
     pub admin: Option<SocketAddr>,
-    /// The dispatchers of the tier, this one included, by number.
+    /// The addresses of all dispatchers of the tier, by number. This one is included.
     pub peers: Vec<SocketAddr>,
-    /// Whether the other dispatchers may be notified that this one serves or stops. The decision module sends them more only
-    /// where the address of each is known.
+    /// Whether this dispatcher may announce to the others that it serves or stops. The decision module sends them other messages
+    /// only if the address of each is known.
     pub may_announce_lifecycle: bool,
-    /// An address that reaches all of them.
+    /// An address that reaches all dispatchers of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// The endpoint list last known.
+    /// The endpoint list that was last known.
     pub known_endpoints: EndpointList,
     /// The decision module's settings.
     pub settings: Settings,
-    /// The names behind the settings' numbers.
+    /// The names of the ids in the settings.
     pub names: SiteNames,
-    /// How long workers keep an idle connection open, in microseconds.
+    /// How long workers keep an idle connection open, in microseconds; the setting `Limits.ConnIdleMs`.
     pub idle_timeout: Micros,
-    /// A connection that is not up after this time counts as failed, in microseconds.
+    /// How long a connection may take to be established, in microseconds; the setting `Limits.ConnectTimeoutMs`.
     pub connect_timeout: Micros,
 }
 
 impl Config {
-    /// Reads the file that `GW_CONFIG` names. `GW_NAME`, `GW_LISTEN`, `GW_DISCOVERY` and
-    /// `GW_ADMIN_ADDR` win over its values.
+    /// Reads the file that `GW_CONFIG` names. `GW_NAME`, `GW_LISTEN`, `GW_DISCOVERY` and `GW_ADMIN_ADDR` override its values.
     ///
     /// # Errors
-    /// [`ConfigError`] where the file cannot be read or is not in order.
+    /// [`ConfigError`] if the file cannot be read or its content is invalid.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let file = env("GW_CONFIG").ok_or(ConfigError::Missing("the environment variable GW_CONFIG"))?;
         Config::read(&read_file(Path::new(&file))?, &file, env)
     }
 
-    /// Reads a configuration's text; `file` names it in messages.
+    /// Parses the text of a configuration file; error messages call it `file`.
     ///
     /// # Errors
-    /// [`ConfigError`] where the text is not in order.
+    /// [`ConfigError`] if the text is invalid.
     pub fn read(text: &str, file: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         Config::parse(text, file, env, &SiteNames::default())
     }
 
-    /// Parses a configuration's text, for a program that has met `known_names`: their zones and kinds keep their ids.
+    /// Parses the text of a configuration file. Zones and kinds in `known_names` keep their ids.
     fn parse(
         text: &str,
         file: &str,
@@ -143,7 +142,7 @@
         let (mut settings, names) = parse_settings(&profile, known_names)?;
         let peer_listen = document.optional_address("peer_listen")?;
         let may_announce_lifecycle = settings.may_message_peers;
-        // Without everybody's address a group would take silence for idle workers.
+        // Without the address of every peer, a group would mistake the silence of one for idle workers.
         settings.may_message_peers &=
             peer_listen.is_some() && peers.len() == settings.dispatcher_count as usize;
         let admin = document.variable_or_text("GW_ADMIN_ADDR", "admin_addr");
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,5 +1,6 @@
-//! Reading the configuration again while the program runs.
+//! Reloads the configuration while the program runs.
 
+use super::flatten::join;
 use super::{Config, ConfigError, FileContentError, SiteNames, read_file};
 use crate::policy::interface::Settings;
 use crate::policy::settings_map::Names;
@@ -7,14 +8,14 @@
 use std::path::Path;
 
 impl Config {
-    /// Reads the configuration's file again, for a program that runs under this configuration and has met `known_names`. Name
-    /// and listeners stay. A discovery address that the file did not name before counts, though the environment won at the
-    /// start: that is how a running program gets another one.
+    /// Reads the configuration file again, for a program that runs with this configuration. Names in `known_names` keep their
+    /// ids. The dispatcher's name and its listeners stay the same. If the file has a new discovery address, that address applies
+    /// even though the environment overrode the old one at the start: this is how a running program gets another address.
     ///
     /// # Errors
-    /// [`ConfigError`] where the new configuration is not in order, or lacks a key that this one has.
+    /// [`ConfigError`] if the file cannot be read, the new configuration is invalid, or it lacks a key of this one.
     pub fn reload(&self, known_names: &SiteNames) -> Result<Config, ConfigError> {
-        let kept = |variable: &str| match variable {
+        let current_value = |variable: &str| match variable {
             "GW_NAME" => Some(self.name.clone()),
             "GW_LISTEN" => Some(self.listen.to_string()),
             "GW_DISCOVERY" => Some(self.discovery.to_string()),
@@ -22,7 +23,7 @@
             _ => None,
         };
         let text = read_file(Path::new(&self.file))?;
-        let mut new = Config::parse(&text, &self.file, kept, known_names)?;
+        let mut new = Config::parse(&text, &self.file, current_value, known_names)?;
         if let Some(key) = find_missing_key("", &self.initial_document, &new.initial_document) {
             let error = FileContentError::MissingKey(key);
             return Err(ConfigError::Malformed { file: self.file.clone(), error });
@@ -30,16 +31,16 @@
         new.initial_document = self.initial_document.clone();
         keep_class_ids(&mut new.names.names, &mut new.settings, &known_names.names, &self.settings);
         keep_tenant_ids(&mut new.names.names, &mut new.settings, &known_names.names, &self.settings);
-        if let Some(named) = new.discovery_in_file.filter(|_| new.discovery_in_file != self.discovery_in_file)
-        {
-            new.discovery = named;
+        let has_new_discovery = new.discovery_in_file != self.discovery_in_file;
+        if let Some(address) = new.discovery_in_file.filter(|_| has_new_discovery) {
+            new.discovery = address;
         }
         Ok(new)
     }
 }
 
-/// Gives classes the ids by which requests in progress know them. A class that is gone, or was defined otherwise, keeps its id
-/// and its old definition for the requests that were accepted with it.
+/// Gives classes the ids that open requests refer to. A class that was removed or redefined keeps its id and its old definition
+/// for the requests that were accepted with it.
 fn keep_class_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
     let is_same = |new: usize, old: usize| settings.classes[new] == old_settings.classes[old];
     let renumbered = names.classes.keep_numbers(&old_names.classes, is_same);
@@ -52,7 +53,7 @@
     names.classes = renumbered.interner;
 }
 
-/// Gives tenants the ids by which requests in progress know them. A tenant's new definition holds for those requests as well.
+/// Gives tenants the ids that open requests refer to. A tenant's new definition applies to those requests as well.
 fn keep_tenant_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
     let renumbered = names.tenants.keep_numbers(&old_names.tenants, |_, _| true);
     let defined = std::mem::replace(&mut settings.tenants, old_settings.tenants.clone());
@@ -65,24 +66,34 @@
     names.tenants = renumbered.interner;
 }
 
-/// The path of the first key that `old` has and `new` lacks. Of a list's objects, keys count that all of them have.
+/// The path of the first key that `old` has and `new` lacks. In a list of objects, only the keys that all old objects share are
+/// required.
 fn find_missing_key(path: &str, old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
-        (Value::Object(old), _) => old.iter().find_map(|(key, old)| {
-            let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-            match new.get(key) {
-                None | Some(Value::Null) if !old.is_null() => Some(path),
-                Some(new) => find_missing_key(&path, old, new),
-                None => None,
-            }
-        }),
-        (Value::Array(old), Value::Array(new)) => {
-            let first = old.first()?.as_object()?;
-            let mut shared = first.keys().filter(|key| old.iter().all(|item| item.get(key).is_some()));
-            let is_missing = |key: &str| new.iter().any(|item| item.get(key).is_none_or(Value::is_null));
-            shared.find(|key| is_missing(key)).map(|key| format!("{path}.{key}"))
+        (Value::Object(old_fields), _) => old_fields
+            .iter()
+            .find_map(|(key, old_value)| find_missing_in_field(&join(path, key), old_value, new.get(key))),
+        (Value::Array(old_items), Value::Array(new_items)) => {
+            find_missing_in_list(path, old_items, new_items)
         }
         (Value::Array(_), _) => Some(path.to_owned()),
         _ => None,
     }
 }
+
+/// The path of the first key that a field lacks in the new document: the field itself, or a key in it.
+fn find_missing_in_field(path: &str, old: &Value, new: Option<&Value>) -> Option<String> {
+    match new {
+        None | Some(Value::Null) if !old.is_null() => Some(path.to_owned()),
+        Some(new) => find_missing_key(path, old, new),
+        None => None,
+    }
+}
+
+/// The path of the first key that all objects of the old list have and one of the new list lacks.
+fn find_missing_in_list(path: &str, old: &[Value], new: &[Value]) -> Option<String> {
+    let first = old.first()?.as_object()?;
+    let mut shared_keys = first.keys().filter(|key| old.iter().all(|item| item.get(key).is_some()));
+    let is_missing = |key: &str| new.iter().any(|item| item.get(key).is_none_or(Value::is_null));
+    shared_keys.find(|key| is_missing(key)).map(|key| join(path, key))
+}
--- a/src/config/site_names.rs
+++ b/src/config/site_names.rs
@@ -1,4 +1,4 @@
-//! The names behind the settings' numbers.
+//! The names of the ids in the settings.
 
 use crate::policy::interface::{ClassId, KindId, TenantId, ZoneId};
 use crate::policy::settings_map::{Names, ReportValue};
@@ -10,12 +10,12 @@
 }
 
 impl SiteNames {
-    /// The names of all classes by their ids, those included that the settings name no longer.
+    /// The names of all classes by id, including classes that the settings no longer have.
     pub(crate) fn class_names(&self) -> &[String] {
         self.names.classes.names()
     }
 
-    /// The names of all kinds of machines by their ids.
+    /// The names of all kinds of machines, by id.
     pub(crate) fn kind_names(&self) -> &[String] {
         self.names.kinds.names()
     }
@@ -30,13 +30,13 @@
         self.names.tenants.names().get(usize::from(tenant.0)).map(String::as_str)
     }
 
-    /// Whether the settings have this class now. One that a reload took away, or that was defined again, has kept its id, but its
-    /// name means another class or none.
+    /// Whether the current settings have this class. A class that a reload removed or redefined keeps its id, but its name then
+    /// stands for another class or none.
     pub(crate) fn is_current_class(&self, class: ClassId) -> bool {
         self.class_name(class).and_then(|name| self.class_id(name)) == Some(class)
     }
 
-    /// The id of a kind of machines that has one.
+    /// The id of a kind of machines; `None` if it has none.
     pub(crate) fn kind_id(&self, name: &str) -> Option<KindId> {
         self.names.kinds.find(name).map(|id| KindId(id as u16))
     }
@@ -51,22 +51,22 @@
         ZoneId(self.names.zones.id(name) as u16)
     }
 
-    /// The id of a class that the settings name now.
+    /// The id of a class of the current settings.
     pub(crate) fn class_id(&self, name: &str) -> Option<ClassId> {
         self.names.classes.find(name).and_then(|id| u16::try_from(id).ok()).map(ClassId)
     }
 
-    /// The id of a tenant that the settings name now.
+    /// The id of a tenant of the current settings.
     pub(crate) fn tenant_id(&self, name: &str) -> Option<TenantId> {
         self.names.tenants.find(name).map(|id| TenantId(id as u16))
     }
 
-    /// Whether the settings name any tenant.
+    /// Whether the settings have any tenant.
     pub(crate) fn has_tenants(&self) -> bool {
         !self.names.tenants.is_empty()
     }
 
-    /// What the value of a load report under either of these names stands for; `None` where the settings do not say.
+    /// The meaning of a load report's value under either of these names; `None` if the settings do not define one.
     pub(crate) fn report_value(&self, settings_name: &str, name: &str) -> Option<&ReportValue> {
         let mut values = self.names.values.iter();
         let value = values.find(|(known, _)| known == settings_name || known == name);
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -6,38 +6,38 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The heartbeat interval where none is set, in milliseconds.
+/// The default heartbeat interval, in milliseconds.
 pub(crate) const DEFAULT_HEARTBEAT_MS: u32 = 5_000;
-/// The streams of one tenant where no limit is set.
+/// The default limit of streams per tenant.
 pub(crate) const DEFAULT_STREAMS_PER_TENANT: u32 = 1_024;
 
 /// The TOML file that `--sse` names.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SseConfig {
-    /// Where the listener is; without it there is none.
+    /// The listener's address; without it there is no listener.
     pub listen: Option<String>,
-    /// A comment is sent on a stream that has been quiet for this long, in milliseconds.
+    /// The heartbeat interval, in milliseconds: a stream that was quiet for this long gets a comment.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Pages of these origins may use the listener, such as `https://pay.example`; of none, where it is empty.
+    /// The origins whose pages may use the listener, such as `https://pay.example`; none if it is empty.
     #[serde(default)]
     pub origins: Vec<String>,
-    /// The most streams of one tenant's submitted jobs.
+    /// The maximum number of streams of one tenant's submitted jobs.
     #[serde(default = "default_streams_per_tenant")]
     pub streams_per_tenant: usize,
 }
 
-/// The settings of the SSE listener, where there is one.
+/// The settings of the SSE listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SseSettings {
-    /// Where the listener is.
+    /// The listener's address.
     pub listen: SocketAddr,
-    /// The longest quiet time of a stream, in microseconds.
+    /// The heartbeat interval, in microseconds.
     pub heartbeat: Micros,
-    /// Pages of these origins may use the listener.
+    /// The origins whose pages may use the listener.
     pub origins: Vec<String>,
-    /// The most streams of one tenant.
+    /// The maximum number of streams of one tenant.
     pub streams_per_tenant: usize,
 }
 
@@ -50,10 +50,10 @@
 }
 
 impl SseConfig {
-    /// Reads the file. Without one that is optional there is no listener.
+    /// Reads the file. Returns `None` if it is optional and missing, or if it has no address.
     ///
     /// # Errors
-    /// [`ConfigError`] where the file cannot be read or is not in order.
+    /// [`ConfigError`] if the file cannot be read or its content is invalid.
     pub fn load(file: &Path, presence: FilePresence) -> Result<Option<SseSettings>, ConfigError> {
         if !presence.is_to_be_read(file) {
             return Ok(None);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether a text is what a browser sends as its origin: scheme and host, nothing behind it.
+/// Whether a text is an origin as a browser sends it: scheme and host, with nothing after them.
 pub(crate) fn is_origin(text: &str) -> bool {
     let parts = text.split_once("://");
     parts.is_some_and(|(scheme, host)| !scheme.is_empty() && !host.is_empty() && !host.contains('/'))
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -1,9 +1,9 @@
-//! Faults of the operators' file.
+//! The faults in an operators' file.
 
 use prost_reflect::text_format::ParseError;
 use thiserror::Error;
 
-/// All faults of a file, in the order in which they were found; there is at least one.
+/// All faults in a file, in the order in which they were found. There is at least one.
 #[derive(Debug, Error)]
 #[error("{}", lines_of(.faults))]
 pub struct SettingsFileError {
@@ -21,13 +21,13 @@
     }
 }
 
-/// One fault a line.
+/// The text of all faults, one line each.
 fn lines_of(faults: &[SettingsFault]) -> String {
     let lines: Vec<String> = faults.iter().map(SettingsFault::to_string).collect();
     lines.join("\n")
 }
 
-/// One fault of a file.
+/// One fault in a file.
 #[derive(Debug, Error)]
 #[error("{file}:{line}: {}{kind}", prefix_of(.field))]
 pub struct SettingsFault {
@@ -35,14 +35,14 @@
     pub file: String,
     /// The line, from 1.
     pub line: usize,
-    /// The path of the field, such as `streams.listen`; empty where the text cannot be read at all.
+    /// The path of the field, such as `streams.listen`; empty if the fault is not in a field.
     pub field: String,
     /// What is wrong.
     #[source]
     pub kind: FaultKind,
 }
 
-/// A field as it stands before what is wrong with it; nothing where there is no field.
+/// The prefix of a fault's text: the field, or nothing if the fault is not in a field.
 fn prefix_of(field: &str) -> String {
     if field.is_empty() { String::new() } else { format!("{field}: ") }
 }
@@ -53,7 +53,7 @@
     /// The file cannot be read.
     #[error("cannot read it: {0}")]
     Unreadable(#[source] std::io::Error),
-    /// The text does not fit the schema.
+    /// The text does not match the schema.
     #[error("{0}")]
     Syntax(#[source] ParseError),
     /// A text is not an address.
@@ -68,27 +68,27 @@
     /// A number is out of range.
     #[error("is not {min} to {max}")]
     OutOfRange {
-        /// The least value.
+        /// The smallest allowed value.
         min: f64,
-        /// The largest value.
+        /// The largest allowed value.
         max: f64,
     },
-    /// Writes at an interval have no interval.
+    /// The sync mode `INTERVAL` has no interval.
     #[error("INTERVAL needs interval_ms above 0")]
     IntervalMissing,
-    /// An interval is given for writes that have none.
+    /// An interval is set, but the sync mode is not `INTERVAL`.
     #[error("it counts with sync: INTERVAL only")]
     IntervalUnused,
     /// The idempotency store has no directory.
     #[error("it has no directory")]
     DirectoryMissing,
-    /// A probe may take longer than the interval between probes.
+    /// The probe timeout is not below the probe interval.
     #[error("is not below probe_interval_ms (500 where that is absent)")]
     ProbeTimeoutTooLong,
     /// A tenant has no name.
     #[error("one has no name")]
     TenantNameMissing,
-    /// The shares of the tenants are not in order.
+    /// The shares of the tenants are invalid.
     #[error("{0}")]
     BadShares(#[source] mothproxy_fairshare::ConfigError),
 }
--- a/src/settings/fleet.rs
+++ b/src/settings/fleet.rs
@@ -1,4 +1,4 @@
-//! The section `fleet`: what the dispatchers of a site know of each other, and do together.
+//! Reads the section `fleet`: membership of the dispatchers, and what they share with each other.
 
 use super::fault::FaultKind;
 use super::reader::{Reader, Section};
@@ -10,28 +10,32 @@
 use prost_reflect::Value;
 use std::ops::RangeInclusive;
 
-/// The length of a call to discovery, in milliseconds.
-const CALL_MS: RangeInclusive<f64> = 1.0..=10_000.0;
-/// The points a second that a federation can serve.
+/// The range of the time of a call to discovery, in milliseconds.
+const CALL_TIME_MS: RangeInclusive<f64> = 1.0..=10_000.0;
+/// The range of the rate that a federation can serve, in points per second.
 const POINTS_PER_S: RangeInclusive<f64> = 0.001..=1e6;
-/// The rate of a federation, in thousandths of a point a second.
-const MIN_RATE: f64 = 1.0;
-const MAX_RATE: f64 = 1e9;
-/// The weight of a job beyond its tenant's quota, as a fraction of the weight of its class.
-const OVER_SHARE: RangeInclusive<f64> = 0.0..=1.0;
-/// That fraction where none is set.
-const DEFAULT_OVER_SHARE: f64 = 0.1;
-/// The quantile of run times that counts as long.
+/// Thousandths of a point in one point.
+const MILLIPOINTS_PER_POINT: f64 = 1_000.0;
+/// The range of the rate that a federation can serve, in thousandths of a point per second.
+const MIN_MILLIPOINTS_PER_S: f64 = 1.0;
+const MAX_MILLIPOINTS_PER_S: f64 = 1e9;
+/// The range of the weight of a job beyond its tenant's quota, as a fraction of the weight of its class.
+const OVER_QUOTA_WEIGHT: RangeInclusive<f64> = 0.0..=1.0;
+/// The default of that fraction.
+const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 0.1;
+/// The range of the quantile of run times that counts as long.
 const LONG_QUANTILE: RangeInclusive<f64> = 0.5..=0.99;
-/// The factor of the time for which a member is suspected.
-const SUSPICION_MULT: RangeInclusive<f64> = 0.1..=100.0;
-/// The interval between probes, in milliseconds.
+/// The range of the multiplier of a suspicion's duration.
+const SUSPICION_MULTIPLIER: RangeInclusive<f64> = 0.1..=100.0;
+/// The range of the interval between probes, in milliseconds.
 const PROBE_INTERVAL_MS: RangeInclusive<u32> = 20..=60_000;
-/// The time for a probe's response, in milliseconds.
+/// The range of the timeout of a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: RangeInclusive<u32> = 5..=59_999;
-/// What is kept of a dead member, in seconds: up to a day.
+/// The default of the probe timeout, in percent of a probe interval that is set.
+const DEFAULT_PROBE_TIMEOUT_PERCENT: Micros = 30;
+/// The range of the time for which anything is kept for a dead member, in seconds: up to a day.
 const RETENTION_S: RangeInclusive<u32> = 1..=86_400;
-/// Bytes of datagrams that a member sends a second.
+/// The range of the budget for a member's datagrams, in bytes per second.
 const BYTES_PER_S: RangeInclusive<u32> = 1_024..=100_000_000;
 
 /// Reads `fleet`.
@@ -46,14 +50,14 @@
 
 fn read_cold_start(reader: &mut Reader<'_>, section: &Section) -> ColdStartSettings {
     let Some(ms) = section.number("call_ms") else { return ColdStartSettings::default() };
-    reader.check_range(section, "call_ms", f64::from(ms), CALL_MS);
+    reader.check_range(section, "call_ms", f64::from(ms), CALL_TIME_MS);
     ColdStartSettings { call_time: Micros::from(ms) * MICROS_PER_MS }
 }
 
 fn read_runtimes(reader: &mut Reader<'_>, section: &Section) -> RuntimesSettings {
-    let long = section.real("long").unwrap_or(RuntimesSettings::default().long_quantile);
-    reader.check_range(section, "long", long, LONG_QUANTILE);
-    RuntimesSettings { long_quantile: long }
+    let long_quantile = section.real("long").unwrap_or(RuntimesSettings::default().long_quantile);
+    reader.check_range(section, "long", long_quantile, LONG_QUANTILE);
+    RuntimesSettings { long_quantile }
 }
 
 fn read_fair_share(reader: &mut Reader<'_>, section: &Section) -> FairShareSettings {
@@ -61,10 +65,11 @@
     let shares = Shares { installations: installations.iter().map(read_installation).collect() };
     let points_per_s = section.real("points_per_s").unwrap_or(0.0);
     reader.check_range(section, "points_per_s", points_per_s, POINTS_PER_S);
-    let over_share = section.real("over_share").unwrap_or(DEFAULT_OVER_SHARE);
-    reader.check_range(section, "over_share", over_share, OVER_SHARE);
-    let millipoints_per_s = (points_per_s * 1_000.0).clamp(MIN_RATE, MAX_RATE) as u64;
-    let settings = FairShareSettings { shares, millipoints_per_s, over_quota_weight: over_share };
+    let over_quota_weight = section.real("over_share").unwrap_or(DEFAULT_OVER_QUOTA_WEIGHT);
+    reader.check_range(section, "over_share", over_quota_weight, OVER_QUOTA_WEIGHT);
+    let millipoints_per_s =
+        (points_per_s * MILLIPOINTS_PER_POINT).clamp(MIN_MILLIPOINTS_PER_S, MAX_MILLIPOINTS_PER_S) as u64;
+    let settings = FairShareSettings { shares, millipoints_per_s, over_quota_weight };
     let mut tenants = settings.shares.installations.iter().flat_map(|installation| &installation.tenants);
     if tenants.any(|tenant| tenant.name.is_empty()) {
         reader.field_fault(section, "installations.tenants", FaultKind::TenantNameMissing);
@@ -95,13 +100,14 @@
     let mut settings = MembershipSettings::default();
     if let Some(ms) = number_in(reader, section, "probe_interval_ms", PROBE_INTERVAL_MS) {
         settings.probe_interval = Micros::from(ms) * MICROS_PER_MS;
-        settings.probe_timeout = settings.probe_interval * 3 / 10;
+        settings.probe_timeout = settings.probe_interval * DEFAULT_PROBE_TIMEOUT_PERCENT / 100;
     }
     if let Some(ms) = number_in(reader, section, "probe_timeout_ms", PROBE_TIMEOUT_MS) {
         settings.probe_timeout = Micros::from(ms) * MICROS_PER_MS;
     }
-    let keep_part = number_in(reader, section, "keep_part_s", RETENTION_S);
-    settings.dead_assignment_ttl = keep_part.map(|seconds| Micros::from(seconds) * MICROS_PER_SECOND);
+    let dead_assignment_ttl = number_in(reader, section, "keep_part_s", RETENTION_S);
+    settings.dead_assignment_ttl =
+        dead_assignment_ttl.map(|seconds| Micros::from(seconds) * MICROS_PER_SECOND);
     if let Some(bytes) = number_in(reader, section, "bytes_per_s", BYTES_PER_S) {
         settings.bytes_per_s = bytes;
     }
@@ -114,11 +120,11 @@
     if let Some(factor) = section.real("suspicion_mult") {
         settings.suspicion_multiplier = factor;
     }
-    reader.check_range(section, "suspicion_mult", settings.suspicion_multiplier, SUSPICION_MULT);
+    reader.check_range(section, "suspicion_mult", settings.suspicion_multiplier, SUSPICION_MULTIPLIER);
     settings
 }
 
-/// A whole number where it is set, moved into its range. One that was out of range is a fault.
+/// A whole number, if it is set. A number out of range is recorded as a fault and clamped.
 fn number_in(
     reader: &mut Reader<'_>,
     section: &Section,
--- a/src/settings/location.rs
+++ b/src/settings/location.rs
@@ -1,6 +1,7 @@
-//! Where a field stands in the text of the operators' file.
+//! Finds the position of a field in the text of the operators' file.
 
-/// The line of a field, from 1: the first that names it after the first that names what it is in.
+/// The line of a field, from 1. For each name of the path in turn, this is the first line with that name at or after the line of
+/// the name before it. A name that the text does not have is skipped.
 pub(super) fn line_of(text: &str, field_path: &str) -> usize {
     let mut first_line = 0;
     let mut line = 1;
@@ -13,7 +14,7 @@
     line
 }
 
-/// Whether a line holds this word outside a comment.
+/// Whether a line has this word outside a comment.
 fn names_field(line: &str, name: &str) -> bool {
     let code = line.split('#').next().unwrap_or("");
     let mut words = code.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
@@ -30,12 +31,12 @@
     scanner.into_path()
 }
 
-/// Follows the fields of a text, token by token.
+/// Tracks the current field of a text, token by token.
 struct FieldScanner<'a> {
     text: &'a str,
     /// The messages around the current position, from the outermost.
     enclosing: Vec<&'a str>,
-    /// The field named last.
+    /// The field that was named last.
     field: &'a str,
 }
 
@@ -75,12 +76,12 @@
     }
 }
 
-/// The number of bytes before the first that ends a token.
+/// The number of bytes before the first one for which `is_end` holds.
 fn length_until(bytes: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
     bytes.iter().position(|byte| is_end(*byte)).unwrap_or(bytes.len())
 }
 
-/// The length of a quoted text, both quotes included. A line break ends it as well.
+/// The length of a quoted text, including both quotes. A line break ends it as well.
 fn quoted_length(bytes: &[u8], quote: u8) -> usize {
     let mut end = 1;
     while end < bytes.len() && bytes[end] != quote && bytes[end] != b'\n' {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' file, `deploy/mothproxy.txtpb`: protobuf text format by the schema in `proto/mothproxy.proto`.
+//! The operators' file, `deploy/mothproxy.txtpb`: protobuf text format with the schema `proto/mothproxy.proto`.
 //!
-//! All faults of a file are collected, each with its line and its field.
+//! All faults in a file are collected, each with its line and its field.
 
 mod fault;
 mod fleet;
@@ -20,30 +20,30 @@
 use reader::{Reader, Section};
 use std::path::Path;
 
-/// The schema, compiled when the program was built.
+/// The compiled schema; `build.rs` makes it.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/mothproxy.desc"));
-/// The message that the file holds.
+/// The name of the message that the file contains.
 const MESSAGE: &str = "mothproxy.v1.Settings";
 /// The number of `JSON` in the schema's `Log.Form`.
 const LOG_FORM_JSON: i32 = 1;
 
-/// What the file sets.
+/// The settings in an operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// The SSE listener, where there is one.
+    /// The SSE listener; `None` turns it off.
     pub streams: Option<SseSettings>,
-    /// The directory of the idempotency store, where there is one.
+    /// The directory of the idempotency store; `None` turns it off.
     pub state: Option<StateDir>,
     /// Whether log lines are JSON objects.
     pub json_log: bool,
-    /// What the dispatchers of a site know of each other, and do together.
+    /// Membership of the dispatchers, and what they share with each other.
     pub fleet: FleetSettings,
 }
 
-/// Reads the text of an operators' file; `file` names it in messages.
+/// Parses the text of an operators' file; error messages call it `file`.
 ///
 /// # Errors
-/// All faults of the text.
+/// [`SettingsFileError`] with all faults in the text.
 pub fn read(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
     let descriptor = descriptor();
     mothproxy_invariant::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
@@ -64,10 +64,10 @@
     reader.finish(settings)
 }
 
-/// Reads an operators' file. Without one that is optional nothing is set.
+/// Reads an operators' file. If it is optional and missing, nothing is set.
 ///
 /// # Errors
-/// All faults of the file.
+/// [`SettingsFileError`] with all faults in the file, or if it cannot be read.
 pub fn load(file: &Path, presence: FilePresence) -> Result<Settings, SettingsFileError> {
     if !presence.is_to_be_read(file) {
         return Ok(Settings::default());
