--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,10 +1,10 @@
-//! One attempt of a request: it is forwarded once, to one worker.
+//! One attempt of a request: one forwarding to one worker.
 
 use super::request::RequestId;
 use super::timers::{Timer, TimerQueue};
 use crate::policy::interface::{AttemptEnded, Event, Micros, Outcome, PriorAttempt, WorkerId};
 
-/// Names an attempt among all requests of this process.
+/// Identifies an attempt among all requests of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
@@ -14,8 +14,8 @@
 }
 
 impl AttemptId {
-    /// The same as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. It is unique as long as a request
-    /// has at most 256 attempts; the settings allow far fewer.
+    /// The id as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. It is unique if a request has at
+    /// most 256 attempts; the settings allow far fewer.
     pub(super) fn to_number(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
@@ -32,17 +32,17 @@
 pub(super) struct Attempt {
     worker: WorkerId,
     sent_at: Micros,
-    /// It stays after the end.
+    /// Kept after the end.
     started_at: Option<Micros>,
     phase: AttemptPhase,
 }
 
-/// How far an attempt has come. Whether it never ran is known only of one that has ended.
+/// The phase of an attempt. Only after its end can it be known that it never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptPhase {
-    /// Its end is still owed to the decision module. It may still wait for its idempotency record to be persisted.
+    /// The decision module is still owed its end. It may still wait for its idempotency record to be persisted.
     InFlight {
-        /// When it times out, if that is before the request's deadline.
+        /// When it times out; `None` if that is at the request's deadline.
         timeout_at: Option<Micros>,
     },
     /// It has ended.
@@ -54,7 +54,7 @@
 pub(super) enum AttemptEnd {
     /// It ran, or may have run.
     MayHaveRun,
-    /// It never ran: the worker rejected it, or was not reached, or its record could not be persisted.
+    /// It never ran: the worker rejected it or was not reached, or its idempotency record could not be persisted.
     NeverRan,
     /// The worker returned it unstarted by a callback, which it may repeat.
     ReturnedByCallback,
@@ -74,17 +74,17 @@
 }
 
 impl Attempt {
-    /// One that is in flight from `now` on.
+    /// An attempt that is in flight from `now` on.
     pub fn in_flight(worker: WorkerId, now: Micros, timeout_at: Option<Micros>) -> Attempt {
         Attempt { worker, sent_at: now, started_at: None, phase: AttemptPhase::InFlight { timeout_at } }
     }
 
-    /// One that has ended already.
+    /// An attempt that has ended already.
     pub fn ended(worker: WorkerId, sent_at: Micros, end: AttemptEnd) -> Attempt {
         Attempt { worker, sent_at, started_at: None, phase: AttemptPhase::Ended(end) }
     }
 
-    /// The same, of which it is known whether and when it started.
+    /// Sets when the attempt started; `None` if it has not reported a start.
     pub fn with_start(self, started_at: Option<Micros>) -> Attempt {
         Attempt { started_at, ..self }
     }
@@ -94,12 +94,12 @@
         self.worker
     }
 
-    /// When it was decided.
+    /// When the decision module decided to send it.
     pub fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
-    /// When the worker first reported that it runs, also after its end.
+    /// When the worker first reported that it runs; kept after its end.
     pub fn started_at(&self) -> Option<Micros> {
         self.started_at
     }
@@ -119,7 +119,7 @@
         matches!(self.phase, AttemptPhase::Ended(end) if end != AttemptEnd::MayHaveRun)
     }
 
-    /// When it times out, if it is in flight and that is before the request's deadline.
+    /// When it times out; `None` if it has ended or times out at the request's deadline.
     pub fn timeout_at(&self) -> Option<Micros> {
         match self.phase {
             AttemptPhase::InFlight { timeout_at } => timeout_at,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Its worker reports that it runs. Returns whether that is the first such report.
+    /// Records that its worker reports that it runs. Returns whether this is the first such report.
     pub fn record_start(&mut self, now: Micros) -> bool {
         let is_first = self.started_at.is_none();
         self.started_at.get_or_insert(now);
@@ -144,7 +144,7 @@
         true
     }
 
-    /// It as the decision module adopts it from another process.
+    /// The attempt in the form in which the decision module adopts it from another process.
     pub fn to_prior(&self) -> PriorAttempt {
         PriorAttempt {
             worker: self.worker,
@@ -157,7 +157,7 @@
     }
 }
 
-/// The end of an attempt whose request is over, for the decision module: it shows nothing of the worker.
+/// The event for the end of an attempt whose request is over. It says nothing about the worker's performance.
 pub(super) fn closed_attempt_ended(id: AttemptId, worker: WorkerId, outcome: Outcome) -> Event {
     Event::AttemptEnded(AttemptEnded {
         job: id.request_id.job(),
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -1,4 +1,4 @@
-//! The messages between the core and the program round it: requests and reports on attempts go in, commands come out.
+//! The messages between the core and the server: requests and reports on attempts go in, and commands come out.
 
 use super::attempt::AttemptId;
 use super::idempotency::IdempotencyKey;
@@ -7,12 +7,12 @@
 use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
 use serde::{Deserialize, Serialize};
 
-/// Where a request's final response goes: the server's own number of a downstream connection or of a job of the event streams.
-/// The core hands it back as it is.
+/// Identifies the receiver of a request's final response: a downstream connection, or a submitted job of the SSE listener. The
+/// server chooses the number, and the core returns it unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamId(pub u64);
 
-/// What an attempt waits with until its idempotency record is persisted. Between the processes of a hot restart it is a number.
+/// Identifies an idempotency record that an attempt waits for. In the messages of a hot restart it is a plain number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct RecordTicket(pub(crate) u64);
@@ -23,19 +23,19 @@
     }
 }
 
-/// What became of an idempotency record that was to be persisted.
+/// The outcome of the write of an idempotency record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PersistOutcome {
-    /// It is durable, as far as the store promises.
+    /// The record is as durable as the store's sync mode promises.
     Written,
-    /// It could not be written.
+    /// The record could not be written.
     Failed,
 }
 
 /// A client's request as it arrives.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
-    /// The client's id of the request, by which workers name it in callbacks.
+    /// The client's id of the request, which workers repeat in callbacks.
     pub name: String,
     /// Where its final response goes.
     pub downstream: DownstreamId,
@@ -43,34 +43,34 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// The subject that it concerns, which requests for the same object share.
+    /// The subject. Requests that concern the same object have the same subject.
     pub key: Option<KeyId>,
-    /// How long its client will wait, from now on.
+    /// How long its client will wait from now on, in microseconds.
     pub time_budget: Micros,
-    /// Expected work, as time on a standard core, where clients state it.
+    /// The expected work, as time on a standard core; `None` if the client does not state it.
     pub hint: Option<Micros>,
     /// Slots that it needs at a worker.
     pub slots: f64,
-    /// Memory that it needs, in the unit in which workers report theirs, where memory counts.
+    /// Memory that it needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
     /// Whether its client marked it as a repeat.
     pub repeat: bool,
-    /// The idempotency key that its client gave it, where such keys are recorded.
+    /// Its idempotency key; `None` if it has none or keys are not recorded.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// What a worker says of a job that it has accepted.
+/// A worker's report about a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobStatus {
     /// It has started.
     Started,
     /// The fraction done, 0 to 1.
     Progress(f64),
-    /// It is done; the result.
+    /// It is done, with this result.
     Done(Vec<u8>),
     /// It failed; it may have run.
     Failed,
-    /// The worker handed it back unstarted.
+    /// The worker returned it unstarted.
     Returned,
     /// It was lost; it may have run.
     Lost,
@@ -81,12 +81,12 @@
 pub enum AttemptOutcome {
     /// The worker gave a result.
     Done(Vec<u8>),
-    /// It ended without one, in this way.
+    /// It ended without a result.
     Unserved(Outcome),
 }
 
 impl AttemptOutcome {
-    /// The same as the decision module sees it, and the worker's result.
+    /// The outcome for the decision module, and the worker's result if there is one.
     pub(super) fn into_parts(self) -> (Outcome, Option<Vec<u8>>) {
         match self {
             AttemptOutcome::Done(result) => (Outcome::Ok, Some(result)),
@@ -100,7 +100,7 @@
 pub enum FinalResponse {
     /// A worker's result.
     Served(Vec<u8>),
-    /// Rejected; how long the client ought to wait before it retries.
+    /// Rejected. The client should wait for this time before it retries, if one is given.
     Rejected(Option<Micros>),
     /// Failed.
     Failed,
@@ -108,33 +108,33 @@
     TimedOut,
 }
 
-/// What the program round the core must do.
+/// A command for the server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send an attempt to a worker; [`Core::time_left`](super::Core::time_left) says how long to wait for its answer.
+    /// Send an attempt to a worker. [`Core::time_left`](super::Core::time_left) says how long to wait for its response.
     StartAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
         worker: WorkerId,
     },
-    /// Write an idempotency record. Where a ticket comes with it, an attempt waits for the write: report its outcome by
+    /// Write an idempotency record. If there is a ticket, an attempt waits for the write: report its outcome by
     /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends or drops the attempt.
     PersistRecord {
-        /// What to report the result under, if an attempt waits for it.
+        /// The ticket for the report of the outcome; `None` if no attempt waits for it.
         ticket: Option<RecordTicket>,
         /// The key of the record.
         key: String,
         /// The encoded record; `None` deletes the key's record.
         record: Option<Vec<u8>>,
     },
-    /// Cancel an attempt at its worker, and stop waiting for it.
+    /// Cancel an attempt at its worker and stop waiting for it.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// The worker that has it.
         worker: WorkerId,
-        /// The request's name, by which the worker knows it.
+        /// The request's name, by which the worker knows the job.
         name: String,
     },
     /// Send the final response.
@@ -155,12 +155,12 @@
     },
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send bytes to another dispatcher, by its number among the peers; they may be lost.
+    /// Send a datagram to another dispatcher, by its number among the peers. It may be lost.
     SendToPeer(u32, Vec<u8>),
     /// Open a watch of the endpoint list.
     OpenWatch,
     /// Fetch the whole endpoint list once.
     FetchList,
-    /// A timer that was set by [`Core::set_timer`](super::Core::set_timer) has fired; its token.
+    /// Handle a timer that was set by [`Core::set_timer`](super::Core::set_timer) and has fired.
     TimerFired(TimerToken),
 }
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: discovery's list of workers, under the numbers that the decision module knows them by.
+//! The endpoint table: the workers on discovery's list, under the ids that the decision module uses.
 
 use super::clock::UnixClock;
 use super::idempotency::AttemptRecord;
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A worker. Its number is never given to another.
+/// A worker in the table. Its id is never reused.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     row: EndpointRow,
@@ -16,7 +16,7 @@
 }
 
 impl Endpoint {
-    /// Its row, as discovery last sent it; as removed, if it is off discovery's list.
+    /// Its row as discovery last sent it, with the lifecycle `removed` if it is no longer on the list.
     pub fn row(&self) -> &EndpointRow {
         &self.row
     }
@@ -31,43 +31,43 @@
         self.address
     }
 
-    /// Whether it takes work, by discovery's list.
+    /// Whether it takes work according to discovery's list.
     pub fn takes_work(&self) -> bool {
         self.row.lifecycle == Lifecycle::Up
     }
 
-    /// Whether it is off discovery's list.
+    /// Whether it is no longer on discovery's list.
     pub fn is_removed(&self) -> bool {
         self.row.lifecycle == Lifecycle::Removed
     }
 }
 
-/// Where a list came from.
+/// The origin of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// The first list of a watch: the changes since the version held here, or the whole list.
+    /// The first list of a watch: a delta since the generation held here, or a snapshot.
     WatchStart,
     /// A later list of a watch.
     WatchUpdate,
-    /// The response to a call for the whole list, which may cross a watch's lists.
+    /// The response to a poll of the whole list, which may overlap with lists of a watch.
     FullList,
 }
 
-/// Why a list is rejected. Nothing of it is applied.
+/// Why a list is rejected. No part of a rejected list is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRejection {
-    /// It is a whole list without workers though some are known: discovery has lost its table, not the fleet its workers.
+    /// It is an empty snapshot although workers are known: discovery has lost its table, and the workers are still there.
     Empty,
-    /// It is older than what is held: delayed, or a duplicate.
+    /// It is older than the list held here: it is delayed or a duplicate.
     Stale,
-    /// A new watch was answered with changes up to an older version than the one asked after: the service has begun to count
-    /// again. From now on its versions mean nothing beside the one that was held.
+    /// A new watch was answered with a delta of an older generation than the requested one: the service has restarted its
+    /// numbering. Its generations cannot be compared with the one held here.
     GenerationReset,
-    /// It has changes where the whole list was asked for.
+    /// It is a delta, although a snapshot was requested.
     Partial,
 }
 
-/// All workers ever listed, the list's version, and what of it could not be used.
+/// All workers ever listed, the generation of the list, and counts of what could not be used.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -79,38 +79,38 @@
 }
 
 impl EndpointTable {
-    /// The version of the list that is held; 0 where the next call to discovery is to ask for everything.
+    /// The generation of the list held here; 0 if the next call must request a snapshot.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Rows that could not be used, since the start.
+    /// The number of rows that could not be used, since the start.
     pub fn bad_rows(&self) -> u64 {
         self.bad_rows
     }
 
-    /// Lists rejected for being older than what was held, since the start.
+    /// The number of lists that were rejected as older than the list held here, since the start.
     pub fn stale_lists(&self) -> u64 {
         self.stale_lists
     }
 
-    /// Whether its rows were known before the start and are still to be revalidated: for the decision module none of them takes
-    /// work.
+    /// Whether the rows date from before the start and must be revalidated. Until then, no worker takes work for the decision
+    /// module.
     pub fn is_stale(&self) -> bool {
         self.is_stale
     }
 
-    /// The rows are to be revalidated, see [`EndpointTable::is_stale`].
+    /// Marks the rows as to be revalidated, see [`EndpointTable::is_stale`].
     pub(super) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// The rows count as they are. Returns whether they were to be revalidated.
+    /// Marks the rows as valid. Returns whether they were to be revalidated.
     pub(super) fn clear_stale(&mut self) -> bool {
         std::mem::take(&mut self.is_stale)
     }
 
-    /// The version that is held means nothing any more: the next call to discovery asks for everything.
+    /// Forgets the generation, so that the next call to discovery requests a snapshot.
     pub(super) fn forget_generation(&mut self) {
         self.generation = 0;
     }
@@ -120,8 +120,8 @@
         self.ids.get(instance_id).copied()
     }
 
-    /// The worker of a recorded attempt. One that is on no list any more gets a number and a placeholder row: what was sent to it
-    /// still counts.
+    /// The worker of a recorded attempt. A worker that is not in the table gets an id and a placeholder row, because its attempts
+    /// still count.
     pub(super) fn id_or_placeholder(&mut self, attempt: &AttemptRecord) -> WorkerId {
         if let Some(id) = self.find(&attempt.worker) {
             return id;
@@ -147,7 +147,7 @@
         id
     }
 
-    /// The worker of this number.
+    /// The worker with this id.
     pub fn get(&self, worker: WorkerId) -> Option<&Endpoint> {
         self.endpoints.get(worker.0 as usize)
     }
@@ -157,7 +157,7 @@
         self.endpoints.iter().filter(|endpoint| endpoint.takes_work()).count()
     }
 
-    /// The table as rows of discovery's list; workers that are off it are removed ones.
+    /// The table as rows of a list. Workers that are no longer on discovery's list have the lifecycle `removed`.
     pub fn rows(&self) -> Vec<EndpointRow> {
         self.endpoints.iter().map(|endpoint| endpoint.row.clone()).collect()
     }
@@ -167,12 +167,15 @@
         self.endpoints.iter().filter(|endpoint| !endpoint.is_removed()).count()
     }
 
-    /// Every worker ever listed, by number.
+    /// Every worker ever listed, in the order of ids.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Endpoint)> {
         (0..).map(WorkerId).zip(&self.endpoints)
     }
 
-    /// Checks whether a list from this source may be applied, and counts one that may not.
+    /// Checks whether a list from this source may be applied. Counts a list of an older generation.
+    ///
+    /// # Errors
+    /// [`ListRejection`] if the list may not be applied.
     pub(super) fn check(&mut self, list: &EndpointList, source: ListSource) -> Result<(), ListRejection> {
         let Some(rejection) = self.rejection(list, source) else { return Ok(()) };
         if matches!(rejection, ListRejection::Stale | ListRejection::GenerationReset) {
@@ -184,9 +187,9 @@
         Err(rejection)
     }
 
-    /// Why a list from this source is to be rejected, if it is. This is the one place that says which version may follow which:
-    /// nothing takes the table back to an older version but a whole list in answer to a new watch, for a service that was
-    /// restarted begins to count again.
+    /// Why a list from this source is to be rejected; `None` if it may be applied. This is the only place that decides which
+    /// generation may follow which. Only a snapshot in answer to a new watch may take the table back to an older generation,
+    /// because a service that was restarted begins its numbering again.
     fn rejection(&self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
         let is_older = list.generation < self.generation;
         match source {
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Applies a list. Returns the workers that it names, in its order.
+    /// Applies a list. Returns the workers on it, in the list's order.
     pub(super) fn apply(&mut self, list: &EndpointList) -> Vec<WorkerId> {
         self.generation = list.generation;
         self.bad_rows += list.bad_rows;
@@ -214,12 +217,12 @@
             }
             workers.extend(worker.or_else(|| self.find(&row.instance_id)));
         }
-        // A row that cannot be used changes nothing: its worker stays as it is.
+        // An invalid row changes nothing: its worker stays as it is.
         workers.extend(list.unread.iter().filter_map(|name| self.find(name)));
         workers
     }
 
-    /// Removes the workers that a whole list does not name.
+    /// Marks the workers that are not on a snapshot as removed.
     fn remove_unlisted(&mut self, list: &EndpointList) {
         let readable = list.rows.iter().map(|row| &row.instance_id);
         let listed: HashSet<&String> = readable.chain(&list.unread).collect();
@@ -230,7 +233,7 @@
         }
     }
 
-    /// A worker as the decision module's list has it.
+    /// A worker in the form of the decision module's endpoint list; `None` if the id is unknown.
     pub(super) fn to_entry(
         &self,
         worker: WorkerId,
@@ -255,8 +258,8 @@
         })
     }
 
-    /// Adds a row's worker, or updates its row and address. `None` where a row names no address and its worker has none, or
-    /// needs one to take work.
+    /// Adds the worker of a row, or updates its row and address. Returns `None` if the row has no valid address but needs one,
+    /// because its worker is new or is to take work.
     fn upsert(&mut self, row: &EndpointRow) -> Option<WorkerId> {
         let address = row.host_port.parse::<SocketAddr>().ok();
         let Some(id) = self.find(&row.instance_id) else {
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts under way: reports of workers and upstream connections on them, and whether they may still be written.
+//! Attempts in flight: reports about them from workers and upstream connections, and whether they may still be written.
 
 use super::Core;
 use crate::core::attempt::{AttemptEnd, AttemptId};
@@ -9,8 +9,8 @@
 use crate::fleet::RunEnd;
 use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
-/// An attempt waits for its worker's first answer for at most the class's deadline divided by this: the rest is for another
-/// worker.
+/// An attempt waits for its worker's first response for at most the class's deadline divided by this number. The rest of the time
+/// is left for another worker.
 const ACCEPT_TIMEOUT_DIVISOR: Micros = 2;
 
 impl Core {
@@ -18,28 +18,28 @@
         self.class_settings(self.requests.get(id)?.job().class)
     }
 
-    /// The name of a request, by which an attempt of it can be cancelled at its worker. `None` where the attempt has ended.
+    /// The name of an attempt's request, which its worker needs to cancel it. `None` if the attempt has ended.
     pub fn request_name(&self, id: AttemptId) -> Option<String> {
         let request = self.requests.get(id.request_id)?;
         request.in_flight(id.number).map(|_| request.name().to_owned())
     }
 
-    /// How long from now on an attempt's answer is waited for.
+    /// How long to wait for an attempt's response from now on, in microseconds.
     pub fn time_left(&self, now: Micros, id: AttemptId) -> Micros {
         let Some(request) = self.requests.get(id.request_id) else { return 0 };
         let Some(attempt) = request.attempt(id.number) else { return 0 };
         attempt.timeout_at().unwrap_or(request.job().deadline).saturating_sub(now)
     }
 
-    /// How long an attempt waits for its worker's first answer, where a connection may take `connect_timeout` to come up. `None`
-    /// where it could not be sent again: then it is waited for until its deadline.
+    /// How long an attempt waits for its worker's first response, in microseconds. `connect_timeout` is how long a connection may
+    /// take to be established. `None` if the request may not be repeated: the attempt then waits until its deadline.
     pub fn accept_timeout(&self, id: RequestId, connect_timeout: Micros) -> Option<Micros> {
         let class = self.request_class(id).filter(|class| class.idempotency != Idempotency::NonIdempotent)?;
         Some(connect_timeout.min(class.deadline / ACCEPT_TIMEOUT_DIVISOR))
     }
 
-    /// Whether bytes of an attempt may leave now, since things may have changed after it was decided. The last of them may take
-    /// `transit_time` to arrive. Whether the worker has stopped is for the caller to know.
+    /// Whether bytes of an attempt may still be written now, because the state may have changed after the decision to send it. The
+    /// last byte may take `transit_time` to arrive. The caller must check by itself whether the worker has stopped.
     pub fn may_write(&self, now: Micros, id: AttemptId, transit_time: Micros) -> bool {
         let request = self.requests.get(id.request_id).filter(|request| request.is_open());
         let Some(request) = request else { return false };
@@ -59,8 +59,8 @@
         }
     }
 
-    /// A worker's callback about a job, by the request's name and the worker's instance id. Returns whether it changed anything; one
-    /// that did not is counted, and a result that it has is kept where its request has an idempotency record.
+    /// Handles a worker's status callback, by the request's name and the worker's instance id. Returns whether it changed
+    /// anything. A callback that changed nothing is counted, and its result is kept if the request has an idempotency record.
     pub fn on_job_status(
         &mut self,
         now: Micros,
@@ -85,8 +85,8 @@
         is_new
     }
 
-    /// A callback about an attempt. Unlike a rejection on the attempt's own connection, it may be repeated: a worker that returns
-    /// the job by it gets no other attempt of this request, whose end a repeat could be taken for.
+    /// Handles a callback about an attempt. Unlike a rejection on the attempt's own connection, a callback may be repeated. So a
+    /// worker that returns the job by a callback gets no other attempt of this request: a repeat could be mistaken for its end.
     fn on_callback(
         &mut self,
         now: Micros,
@@ -101,7 +101,7 @@
         self.on_attempt_status(now, id, status, report)
     }
 
-    /// A report on one attempt, over the connection that it was sent on. Returns whether it changed anything.
+    /// Handles a status of an attempt, from the connection that it was sent on. Returns whether it changed anything.
     pub fn on_attempt_status(
         &mut self,
         now: Micros,
@@ -137,12 +137,11 @@
         attempt.record_start(now);
         self.learners.on_progress(now, id.into(), fraction);
         self.notify_progress(id.request_id, Some(fraction));
-        let (job, attempt) = (id.request_id.job(), id.number);
-        self.events.push(Event::Progress { job, attempt, done: fraction });
+        self.events.push(Event::Progress { job: id.request_id.job(), attempt: id.number, done: fraction });
         true
     }
 
-    /// Notifies the client of an open request: once that it has started, and each time of its progress.
+    /// Notifies the client of an open request: once of its start, and each time of its progress.
     fn notify_progress(&mut self, id: RequestId, fraction: Option<f64>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.is_open()) else { return };
         let downstream = request.downstream();
@@ -154,7 +153,7 @@
         }
     }
 
-    /// An attempt has begun to run: what learns of run times needs its worker and that worker's kind of machine.
+    /// Reports the start of an attempt to the learner of run times, which needs its worker and that worker's kind of machine.
     fn learn_start(&mut self, now: Micros, id: AttemptId) {
         if !self.learners.is_enabled() {
             return;
@@ -164,13 +163,14 @@
         let job = request.job();
         let job = job_labels(&self.names, job.class, job.tenant, job.key);
         if let Some((endpoint, job)) = endpoint.zip(job) {
-            let (worker, machine_type) = (endpoint.instance_id(), &endpoint.row().machine_type);
-            self.learners.on_started(now, id.into(), &job, worker, machine_type);
+            let machine_type = &endpoint.row().machine_type;
+            self.learners.on_started(now, id.into(), &job, endpoint.instance_id(), machine_type);
         }
     }
 
-    /// An attempt ended. Only its first end counts, but a result is the request's final response as long as it has none, also
-    /// where it comes after the attempt was given up: it is as good as any. Returns whether it changed anything.
+    /// Handles the end of an attempt. Only its first end counts. But a result becomes the final response of a request that has
+    /// none yet, also if it arrives after the attempt was given up: it is as good as any other. Returns whether it changed
+    /// anything.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -179,14 +179,15 @@
         report: Option<LoadReport>,
     ) -> bool {
         let AttemptId { request_id, number } = id;
-        let Some(this) = self.requests.attempt_mut(id) else { return false };
-        let worker = this.worker();
-        let elapsed = now.saturating_sub(this.sent_at());
+        let Some(attempt) = self.requests.attempt_mut(id) else { return false };
+        let worker = attempt.worker();
+        let elapsed = now.saturating_sub(attempt.sent_at());
         let (outcome, result) = outcome.into_parts();
-        let was_in_flight = this.finish(id, AttemptEnd::from(outcome), &mut self.timers);
+        let was_in_flight = attempt.finish(id, AttemptEnd::from(outcome), &mut self.timers);
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
-            // The decision module has had this attempt's end before, and may have others in flight: the request is over for it.
+            // The decision module has already handled this attempt's end and may have other attempts in flight. This event ends
+            // the request for it.
             if is_response {
                 self.events.push(Event::ClientDisconnected(request_id.job()));
             }
@@ -202,7 +203,7 @@
         true
     }
 
-    /// A worker gave a result. Returns whether it became the request's final response.
+    /// Handles a worker's result. Returns whether it became the request's final response.
     fn on_result(&mut self, now: Micros, id: RequestId, result: Vec<u8>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_open = request.is_open();
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher learns from its jobs and shares with the others: how long jobs run, and how much tenants have used. It
-//! supplies inputs to the decision module, and decides nothing itself.
+//! What a dispatcher learns from its jobs and shares with the others: the run times of jobs and the usage of tenants. The
+//! learners supply inputs to the decision module and decide nothing themselves.
 
 use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
 use crate::policy::interface::{ClassId, Estimate, MICROS_PER_MS, Micros};
@@ -8,52 +8,52 @@
 use mothproxy_runtimes::{AttemptId, Config, JobFeatures, Origin, Outcome, Placement, RuntimeEstimator};
 use mothproxy_runtimes::{WorkerKey, WorkerKind, stable_hash};
 
-/// Facts to publish are collected this often.
+/// The interval between rounds of publishing, in microseconds.
 const PUBLISH_INTERVAL: Micros = 250_000;
-/// Facts that one learner publishes in one go at most.
+/// The maximum number of facts that one learner publishes in one round.
 const MAX_FACTS_PER_ROUND: usize = 16;
-/// The ledger counts use in thousandths of a job's weight.
+/// The ledger counts usage in thousandths of a job's weight.
 const MILLIPOINTS_PER_WEIGHT: f64 = 1_000.0;
 
-/// What was counted of each learner that is on.
+/// The metrics of each learner; `None` for one that is off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnersMetrics {
     /// Run times of jobs.
     pub runtimes: Option<LearnerMetrics>,
-    /// Use by tenants.
+    /// Usage by tenants.
     pub shares: Option<LearnerMetrics>,
 }
 
-/// What was counted of one learner.
+/// The metrics of one learner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnerMetrics {
-    /// Attempts whose end was seen; or tenants that are held.
+    /// For run times, the attempts whose end was seen; for shares, the tenants that are held.
     pub seen: u64,
     /// Facts published.
     pub published: u64,
-    /// Facts of others that changed what is held.
+    /// Facts of others that changed the learner's state.
     pub absorbed: u64,
-    /// Facts that could not be absorbed.
+    /// Facts of others that the learner refused.
     pub refused: u64,
 }
 
-/// How far an attempt that has ended had come.
+/// Whether an attempt ran to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// It ran to completion.
     Completed,
-    /// It ended before, or did not run: its run time is at least as long as it was seen.
+    /// It ended earlier or did not run. The observed time is a lower bound of its run time.
     CutShort,
 }
 
-/// The labels of a job by which its run time is learned.
+/// The labels of a job that its run time is estimated from.
 #[derive(Clone, Copy, Debug)]
 pub struct JobLabels<'a> {
     /// The name of its class.
     pub class: &'a str,
     /// The name of its tenant.
     pub tenant: Option<&'a str>,
-    /// Its subject: a number that is the same at every dispatcher.
+    /// A number for its subject, the same at every dispatcher.
     pub subject: Option<u64>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The learners, those that are on.
+/// The learners that are on.
 #[derive(Default)]
 pub struct Learners {
     runtimes: Option<RuntimeEstimator>,
@@ -77,7 +77,7 @@
 }
 
 impl Learners {
-    /// The learners that the settings name; `identity` signs what they publish.
+    /// Creates the learners that the settings turn on. They publish under the place and the epoch of `identity`.
     pub fn new(settings: &FleetSettings, identity: ProcessIdentity, now: Micros) -> Learners {
         let place = place_of(identity);
         let runtimes = settings.runtimes.as_ref().and_then(|settings| {
@@ -92,9 +92,9 @@
         learners
     }
 
-    /// Publishes under another epoch from now on. Reports of use are distinguished by their epoch, so the ledger starts empty:
-    /// what was published before comes back from the others, and is not counted twice. Estimates of run times name their run
-    /// themselves and stay.
+    /// Publishes under another epoch from now on. The ledger starts empty, because the epoch distinguishes reports of usage: the
+    /// others send back what was published before, and it must not count twice. Estimates of run times carry their own run and
+    /// stay.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
         let place = place_of(identity);
         self.shares = self.share_settings.as_ref().and_then(|settings| {
@@ -111,8 +111,8 @@
         self.runtimes.is_some() || self.shares.is_some()
     }
 
-    /// The weight of one more job of this tenant and class, as a fraction of `class_weight`, which it has within the tenant's
-    /// quota; `None` where no shares are kept.
+    /// The weight of one more job of this tenant and class, as a fraction of `class_weight`, the weight of a job within the
+    /// tenant's quota. `None` if there is no tenant or shares are off.
     pub fn tenant_weight(
         &mut self,
         now: Micros,
@@ -141,12 +141,12 @@
     ) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
             let used = Usage { value: millipoints(class_weight), work: latency / MICROS_PER_MS };
-            // What has no room is counted there.
+            // The ledger counts what it has no room for.
             let _ = shares.record(now, now, TenantKey::from_name(tenant), ledger_class(class), used);
         }
     }
 
-    /// The belief about a member has changed: one that has left reports no more.
+    /// The state of a member has changed. A member that has left publishes no more.
     pub fn on_member_changed(&mut self, now: Micros, change: Change) {
         if let Some(shares) = self.shares.as_mut().filter(|_| change.to == State::Left) {
             shares.on_member_left(
@@ -156,13 +156,13 @@
         }
     }
 
-    /// How long such a job will run, where that is learned.
+    /// How long a job with these labels will run; `None` if run times are not learned.
     pub fn estimate(&self, job: &JobLabels<'_>) -> Option<Estimate> {
         let work = self.runtimes.as_ref()?.estimate_work(&job.features());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
-    /// An attempt has begun to run, at a worker of this name and kind.
+    /// An attempt has started at a worker of this name and kind.
     pub fn on_started(
         &mut self,
         now: Micros,
@@ -178,14 +178,14 @@
         }
     }
 
-    /// An attempt has reported that this fraction of it is done.
+    /// An attempt has reported its progress, as the fraction done.
     pub fn on_progress(&mut self, now: Micros, attempt: AttemptId, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
             runtimes.on_progress(now, attempt, fraction);
         }
     }
 
-    /// An attempt has ended. One that never began to run teaches nothing.
+    /// An attempt has ended. If it never started, nothing is learned from it.
     pub fn on_ended(&mut self, now: Micros, attempt: AttemptId, end: RunEnd) {
         if let Some(runtimes) = &mut self.runtimes {
             let outcome = match end {
@@ -210,13 +210,13 @@
         facts
     }
 
-    /// Takes in what another member has published, or this place at an earlier start.
+    /// Absorbs a fact that another member has published, or an earlier process at this place.
     pub fn absorb(&mut self, now: Micros, fact: &OwnedFact) {
         if fact.kind == mothproxy_runtimes::KIND
             && let Some(runtimes) = &mut self.runtimes
         {
             let origin = Origin { place: fact.place, epoch: fact.epoch };
-            // What cannot be read is counted there.
+            // The estimator counts the facts that it refuses.
             let _ = runtimes.absorb(now, origin, fact.number, &fact.bytes);
         }
         if fact.kind == mothproxy_fairshare::KIND
@@ -227,51 +227,56 @@
         }
     }
 
-    /// When [`Learners::publish`] is due next, if a learner is on.
+    /// When [`Learners::publish`] is due next; `None` if no learner is on.
     pub fn next_publish(&self, now: Micros) -> Option<Micros> {
         self.is_enabled().then_some(now + PUBLISH_INTERVAL)
     }
 
-    /// What was counted of each learner that is on.
+    /// The metrics of each learner that is on.
     pub fn metrics(&self) -> LearnersMetrics {
-        let runtimes = self.runtimes.as_ref().map(|runtimes| {
-            let counts = runtimes.metrics();
-            LearnerMetrics {
-                seen: counts.seen,
-                published: counts.published,
-                absorbed: counts.absorbed,
-                refused: counts.refused,
-            }
-        });
-        let shares = self.shares.as_ref().map(|shares| {
-            let counts = shares.metrics();
-            LearnerMetrics {
-                seen: counts.tenants,
-                published: counts.published,
-                absorbed: counts.absorbed - counts.stale,
-                refused: counts.late + counts.future + counts.malformed + counts.foreign + counts.full,
-            }
-        });
-        LearnersMetrics { runtimes, shares }
+        LearnersMetrics {
+            runtimes: self.runtimes.as_ref().map(estimator_metrics),
+            shares: self.shares.as_ref().map(ledger_metrics),
+        }
+    }
+}
+
+fn estimator_metrics(estimator: &RuntimeEstimator) -> LearnerMetrics {
+    let counts = estimator.metrics();
+    LearnerMetrics {
+        seen: counts.seen,
+        published: counts.published,
+        absorbed: counts.absorbed,
+        refused: counts.refused,
+    }
+}
+
+fn ledger_metrics(ledger: &Ledger) -> LearnerMetrics {
+    let counts = ledger.metrics();
+    LearnerMetrics {
+        seen: counts.tenants,
+        published: counts.published,
+        absorbed: counts.absorbed - counts.stale,
+        refused: counts.late + counts.future + counts.malformed + counts.foreign + counts.full,
     }
 }
 
-/// The place in the form that facts carry.
+/// The place of a process, in the type that facts use.
 fn place_of(identity: ProcessIdentity) -> u16 {
     u16::try_from(identity.place).unwrap_or(u16::MAX)
 }
 
-/// The class in the form that the ledger keeps.
+/// A class, in the type that the ledger uses.
 fn ledger_class(class: ClassId) -> u8 {
     u8::try_from(class.0).unwrap_or(u8::MAX)
 }
 
-/// A weight in the unit that the ledger keeps.
+/// A weight, in the ledger's unit.
 fn millipoints(weight: f64) -> u64 {
     (weight * MILLIPOINTS_PER_WEIGHT).max(0.0) as u64
 }
 
-/// Takes facts of one learner until it has no more, or a round is full.
+/// Takes the facts of one learner until it has no more or the round is full.
 fn round_of_facts(
     kind: u8,
     next: impl FnMut() -> Option<(u32, Vec<u8>)>,
--- a/src/fleet/log_limiter.rs
+++ b/src/fleet/log_limiter.rs
@@ -1,10 +1,10 @@
-//! A rate limiter of log lines that counts the lines it holds back.
+//! A rate limiter for log lines that counts the lines it suppresses.
 
 use crate::policy::interface::Micros;
 
-/// Lines that may be written in one go.
+/// The maximum number of lines in a burst.
 const MAX_BURST: u64 = 16;
-/// After a burst, one more line may be written each time this span has passed.
+/// The interval at which one more line is admitted after a burst, in microseconds.
 const REFILL_INTERVAL: Micros = 500_000;
 
 /// A token bucket: a burst of [`MAX_BURST`] lines, refilled by one line each [`REFILL_INTERVAL`].
@@ -12,12 +12,12 @@
 pub(super) struct LogLimiter {
     tokens: u64,
     last_refill: Micros,
-    /// Lines held back since the last line that was admitted.
+    /// Lines suppressed since the last admitted line.
     suppressed: u64,
 }
 
 impl LogLimiter {
-    /// A limiter whose burst is still whole.
+    /// A limiter that admits a full burst.
     pub(super) fn new(now: Micros) -> LogLimiter {
         LogLimiter { tokens: MAX_BURST, last_refill: now, suppressed: 0 }
     }
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The membership protocol of this dispatcher, and what its view means for the peers that may hold work.
+//! The membership protocol of this dispatcher, and the presence of each peer that follows from its view.
 
 use super::log_limiter::LogLimiter;
 use super::{FleetError, FleetOutput, MembershipSettings, OutgoingFact, ProcessIdentity};
@@ -6,12 +6,12 @@
 use mothproxy_membership::{Change, Member, Membership, Metrics, Output, State, View};
 use std::collections::VecDeque;
 
-/// Changes of the view reach the decision module at most this often: after a heal they come by the dozen, and each makes
-/// it assign the workers anew.
+/// The minimum interval between reports of presence to the decision module, in microseconds. After a partition heals, changes
+/// come by the dozen, and each report makes the module assign the workers anew.
 const PRESENCE_INTERVAL: Micros = 200_000;
-/// While a dead member's assignment is kept for a limited time, its expiry is checked this often.
+/// How often the expiry of a dead member's assignment is checked, in microseconds, if it is kept for a limited time.
 const EXPIRY_CHECK_INTERVAL: Micros = 1_000_000;
-/// Membership needs at least this many places.
+/// The minimum number of places for membership.
 const MIN_PEERS: usize = 2;
 
 /// The membership state machine of one process, and the presence of each place that is derived from its view.
@@ -19,22 +19,22 @@
 pub(super) struct Members {
     own_place: usize,
     membership: Membership,
-    /// Until when a place from which nothing was ever received counts as present, if that time has not passed.
+    /// Until when a place that has never sent anything counts as present; `None` once that time has passed.
     unknown_until: Option<Micros>,
-    /// For how long a dead place's assignment is kept, if not for as long as it is dead.
+    /// For how long a dead place's assignment is kept; `None` for as long as the place is dead.
     dead_assignment_ttl: Option<Micros>,
-    /// The presence that was reported last.
+    /// The last reported presence.
     reported: Option<Vec<PeerPresence>>,
-    /// When the presence is derived anew, if anything may have changed it.
+    /// When the presence is to be derived again; `None` if nothing can have changed it.
     report_at: Option<Micros>,
     log_limiter: LogLimiter,
 }
 
 impl Members {
-    /// A member that starts now.
+    /// Creates the member of a process that starts now.
     ///
     /// # Errors
-    /// If there are too few or too many places, or the settings do not agree with each other.
+    /// [`FleetError`] if there are too few or too many places, or the settings contradict each other.
     pub(super) fn new(
         settings: &MembershipSettings,
         identity: ProcessIdentity,
@@ -87,21 +87,21 @@
 
     /// Publishes a fact to the other members.
     pub(super) fn publish(&mut self, now: Micros, fact: &OutgoingFact) {
-        // Refused where the facts are full or this member has left: then nobody receives it.
+        // The fact is refused, and nobody receives it, if there is no room for more facts or this member has left.
         let _ = self.membership.publish(now, fact.kind, fact.slot, &fact.bytes);
     }
 
-    /// What is believed of all places.
+    /// The view: what this member believes about all places.
     pub(super) fn view(&self) -> &View {
         self.membership.view()
     }
 
-    /// What was counted.
+    /// The metrics of the membership protocol.
     pub(super) fn metrics(&self) -> Metrics {
         self.membership.metrics()
     }
 
-    /// Moves what the protocol wants done, and a presence that has changed, to `outputs`.
+    /// Appends the outputs of the protocol to `outputs`, and the presence if it is due and has changed.
     pub(super) fn collect_outputs(&mut self, now: Micros, outputs: &mut VecDeque<FleetOutput>) {
         while let Some(output) = self.membership.poll() {
             match output {
@@ -135,8 +135,9 @@
         }
     }
 
-    /// Which places may hold work: those alive or suspected, those from which nothing was ever received for a while, and one's
-    /// own. A dead one may be alive on the other side of a partition; one that has left is not.
+    /// The presence of each place. A place counts as present while it is alive or suspected, and for a while if it has never sent
+    /// anything; the own place always does. A dead place, or one that stays unknown, counts as unreachable until its
+    /// assignment expires, because it may be alive on the other side of a partition. A place that has left is gone.
     fn presence(&self, now: Micros) -> Vec<PeerPresence> {
         let keeps_assignment =
             |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What the dispatchers of a site know of each other, and what they learn together.
+//! Membership of the dispatchers of a site, and what they learn together.
 //!
-//! [`Fleet`] is a state machine without socket or clock: datagrams and time go in, [`FleetOutput`]s come out
-//! ([`Fleet::poll`]). It owns the membership protocol; [`Learners`] owns what is learned of jobs and tenants, which travels
-//! as facts of the membership. A part that the settings leave off does not exist: with all of them off nothing ever comes
-//! out. `docs/design/parts.md` has what crosses between the parts.
+//! [`Fleet`] is a state machine without socket or clock: datagrams and time go in, and [`FleetOutput`]s come out
+//! ([`Fleet::poll`]). It owns the membership protocol. [`Learners`] owns what is learned about jobs and tenants, which travels as
+//! facts of the membership. A part that the settings turn off does not exist; if all are off, there is never any output.
+//! `docs/design/parts.md` describes the interfaces of the parts.
 
 mod learners;
 mod log_limiter;
@@ -20,62 +20,62 @@
 use mothproxy_membership::{Change, ConfigError, Metrics, OwnedFact, VERSION, View};
 use std::collections::VecDeque;
 
-/// What the driver has to do or to pass on, in this order.
+/// An output of [`Fleet`]. The driver handles outputs in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetOutput {
-    /// Send these bytes to the dispatcher of this place; they may be lost.
+    /// Send a datagram to a dispatcher; it may be lost.
     Send {
-        /// Its place.
+        /// The dispatcher's place.
         to: u32,
-        /// The bytes, 256 at most.
+        /// The datagram, 256 bytes at most.
         bytes: Vec<u8>,
     },
-    /// The presence of each place has changed, for [`crate::Event::Peers`].
+    /// The presence of each place, after a change, for [`crate::Event::Peers`].
     PeerPresence(Vec<PeerPresence>),
-    /// A member's state or epoch has changed, for the parts that are not owned by [`Fleet`].
+    /// A change of a member's state or epoch, for the parts that [`Fleet`] does not own.
     MemberChanged(Change),
-    /// A fact published by another member, or by this place at an earlier start, for the part that owns its kind.
+    /// A fact of another member, or of an earlier process at this place, for the part that owns the fact's kind.
     Fact(OwnedFact),
-    /// A change of the view that gets a line of the log.
+    /// A change of the view that is to be logged.
     LogChange {
         /// The change.
         change: Change,
-        /// Changes without a line since the last one that got one.
+        /// The number of changes that were not logged since the last logged one.
         suppressed: u64,
     },
 }
 
-/// One start of a dispatcher process at its place.
+/// Identifies one process of a dispatcher: its place and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
-    /// Its place among the peers.
+    /// The place among the peers.
     pub place: u32,
-    /// How many places there are.
+    /// The number of places.
     pub peers: usize,
-    /// When it started, in milliseconds of Unix time: it tells the processes at one place apart.
+    /// The start of the process, in milliseconds of Unix time. It distinguishes the processes at one place.
     pub epoch: u64,
-    /// The seed of all that is random.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
 /// A fact to publish to the other members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingFact {
-    /// Which part owns it, and with it the encoding of its content.
+    /// The kind: which part owns the fact and its encoding.
     pub kind: u8,
-    /// What it is about: it replaces the earlier fact of the same kind, place and slot.
+    /// The slot. The fact replaces an earlier one of the same kind, place and slot.
     pub slot: u32,
-    /// Its content, at most as long as the membership carries.
+    /// The content, no longer than the membership protocol allows.
     pub bytes: Vec<u8>,
 }
 
-/// Why the parts cannot start.
+/// Why the membership cannot start.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetError {
     /// There are too few or too many places.
     #[error("membership needs 2 to 65535 peers, and there are {0}")]
     Peers(usize),
-    /// The member's settings do not agree.
+    /// The settings of the membership contradict each other.
     #[error("membership: {0}")]
     Membership(#[from] ConfigError),
 }
@@ -86,15 +86,15 @@
     settings: FleetSettings,
     members: Option<Members>,
     outputs: VecDeque<FleetOutput>,
-    /// Another process speaks for this place: nothing is sent.
+    /// Whether another process acts for this place, so that this one sends nothing.
     is_suspended: bool,
 }
 
 impl Fleet {
-    /// The parts that the settings name, for a process that starts now.
+    /// Creates the parts that the settings turn on, for a process that starts now.
     ///
     /// # Errors
-    /// If a part cannot start with these settings among so many peers.
+    /// [`FleetError`] if the membership cannot start with these settings and this number of peers.
     pub fn new(settings: FleetSettings, identity: ProcessIdentity, now: Micros) -> Result<Fleet, FleetError> {
         let mut fleet = Fleet { settings, ..Fleet::default() };
         fleet.restart(identity, now)?;
@@ -109,10 +109,10 @@
         self.new_members(identity, now).map(drop)
     }
 
-    /// Starts anew, with another epoch and perhaps among other peers, and ends a suspension.
+    /// Restarts the membership, with another epoch and perhaps other peers, and ends a suspension.
     ///
     /// # Errors
-    /// If a part cannot start; then nothing changes.
+    /// [`FleetError`] if the membership cannot start; nothing changes then.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) -> Result<(), FleetError> {
         self.members = self.new_members(identity, now)?;
         self.is_suspended = false;
@@ -125,7 +125,7 @@
         settings.map(|settings| Members::new(settings, identity, now)).transpose()
     }
 
-    /// Whether a datagram is for this struct: by its first byte, where membership is on.
+    /// Whether a datagram belongs to the membership protocol, by its first byte. Always false if membership is off.
     pub fn accepts(&self, bytes: &[u8]) -> bool {
         self.members.is_some() && bytes.first() == Some(&VERSION)
     }
@@ -147,12 +147,12 @@
         }
     }
 
-    /// When to call [`Fleet::on_timer`] at the latest; changes with every call.
+    /// The latest time at which to call [`Fleet::on_timer`]. Every call of another method may change it.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         self.members.as_ref().filter(|_| !self.is_suspended).map(|members| members.next_wake(now))
     }
 
-    /// Whether a fact that is published may reach anybody.
+    /// Whether a published fact can reach any member.
     pub fn can_publish(&self) -> bool {
         self.members.is_some() && !self.is_suspended
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Notifies the other members that this dispatcher leaves for good: they no longer expect it back (SWIM's `leave`).
+    /// Notifies the other members that this dispatcher leaves for good (SWIM's `leave`), so that they do not expect it back.
     pub fn announce_leave(&mut self, now: Micros) {
         if let Some(members) = self.active_members() {
             members.announce_leave(now);
@@ -173,23 +173,23 @@
         }
     }
 
-    /// Another process speaks for this place from now on: this one sends nothing more, until [`Fleet::restart`].
+    /// Another process acts for this place from now on. This one sends nothing until [`Fleet::restart`].
     pub fn suspend(&mut self) {
         self.is_suspended = true;
         self.outputs.retain(|output| !matches!(output, FleetOutput::Send { .. }));
     }
 
-    /// The next thing to do; to be called until `None` after each call of the other methods.
+    /// The next output. To be called after each call of another method, until it returns `None`.
     pub fn poll(&mut self) -> Option<FleetOutput> {
         self.outputs.pop_front()
     }
 
-    /// What is believed of all places, where membership is on.
+    /// The view of all places; `None` if membership is off.
     pub fn view(&self) -> Option<&View> {
         self.members.as_ref().map(Members::view)
     }
 
-    /// What was counted, where membership is on.
+    /// The metrics of the membership protocol; `None` if membership is off.
     pub fn metrics(&self) -> Option<Metrics> {
         self.members.as_ref().map(Members::metrics)
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -4,26 +4,26 @@
 use mothproxy_fairshare::Shares;
 use mothproxy_membership::Config;
 
-/// The shortest span that a scaled interval of the membership may have, in microseconds.
+/// The minimum of an interval that is scaled with the probe interval, in microseconds.
 const MIN_SCALED_INTERVAL: Micros = 1_000;
 
-/// The settings of each part that is on.
+/// The settings of each part; `None` turns a part off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSettings {
-    /// Which members there are, and which of them are alive.
+    /// Membership: which dispatchers there are, and which of them are alive.
     pub membership: Option<MembershipSettings>,
-    /// When each dispatcher calls discovery.
+    /// The schedule on which dispatchers call discovery.
     pub cold_start: Option<ColdStartSettings>,
-    /// How long jobs run.
+    /// Learning of run times.
     pub runtimes: Option<RuntimesSettings>,
-    /// What tenants may use.
+    /// Quotas of tenants.
     pub fair_share: Option<FairShareSettings>,
 }
 
-/// How a cold start spares discovery; all dispatchers of a site must have the same.
+/// How a cold start limits the load on discovery. All dispatchers of a site must have the same settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ColdStartSettings {
-    /// What one call is assumed to cost discovery, in microseconds.
+    /// The assumed time that discovery needs for one call, in microseconds.
     pub call_time: Micros,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// How run times are learned.
+/// The settings of the learning of run times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuntimesSettings {
     /// The quantile of run times that counts as long, 0.5 to 0.99.
@@ -46,20 +46,20 @@
     }
 }
 
-/// The quotas of tenants; all dispatchers of a federation must have the same.
+/// The quotas of tenants. All dispatchers of a federation must have the same settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FairShareSettings {
     /// The tree of shares.
     pub shares: Shares,
-    /// What the whole federation can serve, in thousandths of a point a second.
+    /// The rate that the whole federation can serve, in thousandths of a point per second.
     pub millipoints_per_s: u64,
     /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight, 0 to 1.
     pub over_quota_weight: f64,
 }
 
 impl FairShareSettings {
-    /// The ledger's configuration for the member at a place. `unix_at_zero` is the Unix time, in microseconds, at which the
-    /// caller's clock showed 0.
+    /// The ledger's configuration for the member at a place. `unix_at_zero` is the Unix time at which the caller's clock was 0, in
+    /// microseconds.
     pub fn config(
         &self,
         place: u16,
@@ -80,19 +80,18 @@
     }
 }
 
-/// How the members detect each other's failures; all dispatchers of a site must have the same.
+/// The settings of failure detection among members. All dispatchers of a site must have the same settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// The time from one probe of another member to the next, in microseconds.
+    /// The interval between probes of other members, in microseconds.
     pub probe_interval: Micros,
-    /// A probe without an answer for this long is repeated through other members; in microseconds.
+    /// How long a probe waits for its answer before it is repeated through other members, in microseconds.
     pub probe_timeout: Micros,
-    /// A suspicion that others confirm lasts this many times `2 + ln(members + 1)` probe intervals.
+    /// A suspicion that others confirm lasts for this number times `2 + ln(members + 1)` probe intervals.
     pub suspicion_multiplier: f64,
-    /// The most bytes of datagrams that a member sends in a second.
+    /// The maximum number of bytes of datagrams that a member sends in a second.
     pub bytes_per_s: u32,
-    /// For how long a dead member's assignment of each worker is kept for it, in microseconds; `None` keeps it for as long as
-    /// the member is dead.
+    /// For how long a dead member's assignment is kept, in microseconds. `None` keeps it for as long as the member is dead.
     pub dead_assignment_ttl: Option<Micros>,
     /// For how long the facts of a dead member are kept, in microseconds.
     pub dead_facts_ttl: Micros,
@@ -113,12 +112,11 @@
 }
 
 impl MembershipSettings {
-    /// The configuration of the member at a place. The spans that have no setting keep their proportion to the probe
-    /// interval.
+    /// The configuration of the member at a place. Intervals without a setting scale with the probe interval.
     pub fn config(&self, place: u16, peers: u16, epoch: u64, seed: u64) -> Config {
         let default = Config::new(place, peers, epoch, seed);
-        let scaled = |span: Micros| {
-            let factor = span as f64 / default.probe_period as f64;
+        let scaled = |interval: Micros| {
+            let factor = interval as f64 / default.probe_period as f64;
             ((self.probe_interval as f64 * factor) as Micros).max(MIN_SCALED_INTERVAL)
         };
         Config {
@@ -134,8 +132,8 @@
         }
     }
 
-    /// For how long after one's own start a place from which nothing was ever received may hold work, in microseconds: as long
-    /// as the longest suspicion.
+    /// For how long after the own start a place that has never sent anything counts as present, in microseconds: the duration of
+    /// the longest suspicion.
     pub fn unknown_member_ttl(&self, config: &Config) -> Micros {
         let factor = config.suspicion_factor * (2.0 + f64::from(config.peers + 1).ln());
         (factor * config.suspicion_spread * config.probe_period as f64) as Micros + 2 * config.meet_period
