--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -1,4 +1,5 @@
-//! Requests with an idempotency key: what is known of the key, and the records that must be persisted before an attempt leaves.
+//! Requests with an idempotency key: lookups of the key's record, and the records that must be persisted before an attempt is
+//! sent.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId};
@@ -13,8 +14,8 @@
 use mothproxy_invariant::invariant;
 
 impl Core {
-    /// Keeps records of keyed requests from now on, beginning with these. Returns the keys whose records cannot be read, each with
-    /// the reason.
+    /// Keeps records of keyed requests from now on, beginning with `records`. Returns the keys whose records cannot be decoded,
+    /// each with the reason.
     pub fn enable_idempotency(
         &mut self,
         now: Micros,
@@ -31,25 +32,26 @@
         unreadable
     }
 
-    /// Time may have passed that the clock does not show: the idempotency window of every attempt on record counts as over.
+    /// Treats the deduplication window of every recorded attempt as over, because time may have passed that the clock does not
+    /// show.
     pub fn expire_idempotency_windows(&mut self) {
         if let Some(store) = &mut self.idempotency {
             store.expire_windows();
         }
     }
 
-    /// The records of keyed requests, where that is on.
+    /// The records of keyed requests; `None` if they are not kept.
     pub fn idempotency(&self) -> Option<&IdempotencyStore> {
         self.idempotency.as_ref()
     }
 
-    /// Another process of this dispatcher has written this record; `None` deletes the key's record.
+    /// Loads a record that another process of this dispatcher has written; `None` deletes the key's record.
     pub fn load_record(&mut self, now: Micros, key: &str, record: Option<&[u8]>) {
         let loaded = self.idempotency.as_mut().map(|store| store.load(now, key, record));
         invariant!(!matches!(loaded, Some(Err(_))), "a record of the other process that cannot be read");
     }
 
-    /// What the records say of a new request's key.
+    /// Looks up the record of a new request's key.
     pub(super) fn look_up_record(&mut self, now: Micros, request: &NewRequest) -> LookupResult {
         let class = self.names.class_name(request.class);
         match (&mut self.idempotency, &request.idempotency_key, class) {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Whether the key of this request was given to one with another body or class before.
+    /// Whether the key of this request was used before by a request with another body or class.
     pub fn is_key_reused(&mut self, now: Micros, request: &NewRequest) -> bool {
         let class = self.names.class_name(request.class);
         match (&mut self.idempotency, &request.idempotency_key, class) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Records the attempts of a keyed request, with its result if there is one, and commands that to be persisted.
+    /// Records the attempts of a keyed request and its result, if there is one, and issues the command to persist the record.
     pub(super) fn persist_record(
         &mut self,
         now: Micros,
@@ -88,7 +90,7 @@
         self.commands.push_back(Command::PersistRecord { ticket, key: key.key.clone(), record });
     }
 
-    /// A worker reported the result of a job that an earlier process sent: its client's repeat will ask for it.
+    /// Records the result of a job that an earlier process sent, because its client may repeat the request.
     pub(super) fn persist_late_result(&mut self, now: Micros, request_name: &str, result: Vec<u8>) {
         let Some(store) = &mut self.idempotency else { return };
         let Some(key) = store.key_of_request(request_name) else { return };
@@ -96,7 +98,7 @@
         self.commands.push_back(Command::PersistRecord { ticket: None, key, record });
     }
 
-    /// The records that attempts wait for cannot be written any more.
+    /// Fails every write that an attempt waits for, because records can no longer be written.
     pub fn fail_unpersisted(&mut self) {
         let tickets: Vec<RecordTicket> = self.unpersisted.keys().copied().collect();
         for ticket in tickets {
@@ -104,8 +106,8 @@
         }
     }
 
-    /// The record of this ticket was written, or could not be. The attempt that waits for it is sent, or has never run and the
-    /// decision module gives its request up.
+    /// Handles the outcome of the write of a ticket's record. The attempt that waits for it is sent if the record was written.
+    /// Otherwise it never runs, and the decision module gives its request up.
     pub fn on_record_persisted(&mut self, ticket: RecordTicket, outcome: PersistOutcome) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
         let Some(request) = self.requests.get(id.request_id) else { return };
@@ -118,7 +120,7 @@
         }
     }
 
-    /// An attempt that waited for its record is not sent.
+    /// Ends an attempt that waited for its record, without sending it.
     fn drop_unpersisted(&mut self, id: AttemptId) {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return };
         attempt.finish(id, AttemptEnd::NeverRan, &mut self.timers);
@@ -127,7 +129,7 @@
     }
 }
 
-/// An attempt as it is recorded; `None` where its worker is not known.
+/// The record of an attempt; `None` if its worker is unknown.
 fn attempt_record(endpoints: &EndpointTable, clock: UnixClock, attempt: &Attempt) -> Option<AttemptRecord> {
     let row = endpoints.get(attempt.worker())?.row();
     Some(AttemptRecord {
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -1,10 +1,10 @@
-//! The engine: takes timed events, hands them to the decision module in batches, and turns its actions into commands.
+//! The engine takes timed events, passes them to the decision module in batches, and turns the module's actions into commands.
 //!
-//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module has its construction, its
-//! settings, and access to its parts. The submodules handle what happens:
+//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module constructs and reconfigures it
+//! and gives access to its parts. The submodules handle the events:
 //! - `requests`: the arrival and the end of requests;
 //! - `turn`: timers, batches, and the module's actions;
-//! - `attempts`: reports on attempts, and how they end;
+//! - `attempts`: reports on attempts, and their ends;
 //! - `endpoint_list`: discovery's lists;
 //! - `idempotency`: keyed requests and their records;
 //! - `restart`: transfer of requests and learned state to a successor process.
@@ -43,7 +43,7 @@
     dispatcher: Dispatcher,
     names: SiteNames,
     clock: UnixClock,
-    /// A batch of events is handed to the decision module at most this often.
+    /// The minimum interval between batches of events for the decision module.
     batch_interval: Micros,
     endpoints: EndpointTable,
     ledger: Ledger,
@@ -51,23 +51,23 @@
     requests: RequestTable,
     timers: TimerQueue,
     events: EventQueue,
-    /// The module's actions; kept only for its allocation.
+    /// A buffer for the module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// The records of keyed requests, where that is on.
+    /// The records of keyed requests; `None` if they are not kept.
     idempotency: Option<IdempotencyStore>,
-    /// Attempts that wait until their record is persisted, by ticket.
+    /// Attempts that wait for their record to be persisted, by ticket.
     unpersisted: HashMap<RecordTicket, AttemptId>,
-    /// What is learned of jobs and shared with other dispatchers, where that is on.
+    /// The learners that are on.
     learners: Learners,
     stale_status_updates: u64,
 }
 
 impl Core {
-    /// A core without endpoints and requests. `unix_now` is the Unix time, in microseconds, at which its clock starts.
+    /// Creates a core without endpoints and requests. `unix_now` is the Unix time at which its clock starts, in microseconds.
     ///
     /// # Errors
-    /// If the settings contradict themselves.
+    /// [`SettingsError`] if the settings contradict themselves.
     pub fn new(
         settings: Settings,
         names: SiteNames,
@@ -95,11 +95,11 @@
         })
     }
 
-    /// Continues under other settings. Classes and tenants must have kept their numbers; one that has vanished, or was defined
-    /// again, keeps its number for the requests under way.
+    /// Continues with other settings. Classes and tenants must have kept their ids. A class or tenant that was removed or
+    /// redefined keeps its id for the open requests.
     ///
     /// # Errors
-    /// If the settings contradict themselves or lack a class; then nothing changes.
+    /// [`SettingsError`] if the settings contradict themselves or lack a class; nothing changes then.
     pub fn reconfigure(&mut self, settings: Settings, names: SiteNames) -> Result<(), SettingsError> {
         let batch_interval = settings.tick;
         let known_classes = self.names.class_names().len();
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// A class that was defined again has a new number, from `known_classes` on: it begins with what was learned of it.
+    /// Copies what was learned about a class to its redefinition, whose id is `known_classes` or higher.
     fn copy_redefined_classes(&mut self, known_classes: usize, classes: &[String]) {
         for new in known_classes..classes.len() {
             if let Some(old) = (0..new).rev().find(|old| classes[*old] == classes[new]) {
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Learns of jobs, and shares that with other dispatchers, from now on.
+    /// Uses these learners from now on.
     pub fn enable_learners(&mut self, learners: Learners) {
         self.learners = learners;
     }
 
-    /// What is learned of jobs and shared with other dispatchers, where that is on.
+    /// The learners that are on.
     pub fn learners(&self) -> &Learners {
         &self.learners
     }
 
-    /// The same, to publish what was learned here and absorb what other dispatchers have learned.
+    /// The learners, to publish their facts and to absorb facts of other dispatchers.
     pub fn learners_mut(&mut self) -> &mut Learners {
         &mut self.learners
     }
@@ -144,42 +144,42 @@
         &self.ledger
     }
 
-    /// Status updates of unknown requests, or of attempts that had ended, since the start.
+    /// The number of status callbacks for unknown attempts or for attempts that had ended, since the start.
     pub fn stale_status_updates(&self) -> u64 {
         self.stale_status_updates
     }
 
-    /// The clock's first reading.
+    /// The first reading of the module's clock, in microseconds.
     pub fn clock_start() -> Micros {
         CLOCK_START
     }
 
-    /// The names behind the settings' numbers.
+    /// The names of the ids in the settings.
     pub fn names(&self) -> &SiteNames {
         &self.names
     }
 
-    /// The next thing to do, in order.
+    /// The next command, in order.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// When [`Core::turn`] must run next.
+    /// When [`Core::turn`] must run next; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Micros> {
         self.events.next_batch().into_iter().chain(self.timers.next_due()).min()
     }
 
-    /// Sets a timer for the program round the core: [`Command::TimerFired`] comes at that time.
+    /// Sets a timer for the server: [`Command::TimerFired`] is issued at that time.
     pub fn set_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.schedule(at, Timer::Program(token));
     }
 
-    /// Cancels such a timer.
+    /// Cancels a timer that was set by [`Core::set_timer`].
     pub fn cancel_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.cancel(at, Timer::Program(token));
     }
 
-    /// A probe came back.
+    /// Handles the response to a load probe, or its failure.
     pub fn on_probe_response(
         &mut self,
         worker: WorkerId,
@@ -190,12 +190,12 @@
         self.events.push(Event::ProbeResponse(ProbeResponse { worker, outcome, elapsed, report }));
     }
 
-    /// A message of another dispatcher, by its number.
+    /// Handles a message of another dispatcher, by its number among the peers.
     pub fn on_peer_message(&mut self, from: u32, bytes: Vec<u8>) {
         self.events.push(Event::PeerMessage { from, bytes });
     }
 
-    /// What is believed of each dispatcher, by their numbers.
+    /// Handles a change of presence. `peers` has the presence of each dispatcher, by its number.
     pub fn on_peer_presence(&mut self, peers: Vec<PeerPresence>) {
         self.events.push(Event::Peers(peers));
     }
@@ -204,17 +204,17 @@
         self.dispatcher.settings().classes.get(usize::from(class.0))
     }
 
-    /// How the requests of each class ended, by its name; of classes without requests, and of those that have vanished, too.
+    /// How the requests of each class ended, by the class's name. Classes without requests and removed classes are included.
     pub fn tallies(&self) -> BTreeMap<&str, Tally> {
         self.tallies.by_name(self.names.class_names())
     }
 
-    /// The other dispatchers of this one's group, which share their loads with each other.
+    /// The other dispatchers in this one's peer group.
     pub fn peer_group(&self) -> &[u32] {
         self.dispatcher.group_peers()
     }
 
-    /// How many listed workers the decision module sends nothing to.
+    /// The number of listed workers that the decision module sends nothing to.
     pub fn ejected_endpoints(&self, now: Micros) -> usize {
         self.dispatcher.unavailable_count(now)
     }
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as clients see them: their arrival, their one final response or their clients' disconnecting, and who is open.
+//! Requests as clients see them: their arrival, and their end by the one final response or by a disconnect.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd};
@@ -12,7 +12,8 @@
 use mothproxy_invariant::invariant;
 
 impl Core {
-    /// A request has arrived. `None` where one of its name is still open: their callbacks could not be distinguished.
+    /// Accepts a request that has arrived. Returns `None` if a request of the same name is still open, because the callbacks of
+    /// the two could not be distinguished.
     pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
         if self.knows(&request.name) {
             return None;
@@ -35,7 +36,7 @@
         Some(id)
     }
 
-    /// The request as the decision module sees it.
+    /// The job that the decision module sees for a request.
     fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
         let NewRequest { class, tenant, key, .. } = *request;
         let labels = job_labels(&self.names, class, tenant, key);
@@ -57,8 +58,8 @@
         }
     }
 
-    /// An earlier request with the same idempotency key may have run. That counts as an attempt of this request: the decision
-    /// module decides whether and where it may be sent again.
+    /// Adopts the attempt of an earlier request with the same idempotency key that may have run. It counts as an attempt of this
+    /// request, and the decision module decides whether and where to send another.
     fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, first: &AttemptRecord) {
         let sent_at = self.clock.module_time(first.sent_at).min(now);
         let worker = self.endpoints.id_or_placeholder(first);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The client of a request disconnected.
+    /// Handles the disconnect of a request's client.
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         if self.requests.get(id).is_some_and(PendingRequest::is_open) {
             self.close(now, id, Completion::ClientDisconnected);
@@ -78,12 +79,13 @@
         }
     }
 
-    /// A request was rejected before it was accepted, for want of descriptors: its client sees a rejection like any other.
+    /// Counts a request that was rejected before it was accepted, because no file descriptors were left. To its client this is a
+    /// rejection like any other.
     pub fn count_rejected(&mut self, class: ClassId) {
         self.tallies.record(class, Completion::Rejected);
     }
 
-    /// Fails every open request: it is past its deadline, and the process ends.
+    /// Fails every open request, because the process ends and their deadlines have passed.
     pub fn fail_all(&mut self, now: Micros) {
         for id in self.open_requests() {
             self.respond(now, id, FinalResponse::Failed, Completion::Failed);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Sends the final response, unless there was one.
+    /// Sends the final response, unless the request is closed.
     pub(super) fn respond(
         &mut self,
         now: Micros,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Where a request's final response goes.
+    /// The receiver of a request's final response.
     pub fn downstream(&self, id: RequestId) -> Option<DownstreamId> {
         self.requests.get(id).map(PendingRequest::downstream)
     }
@@ -149,7 +151,7 @@
         self.requests.open_ids()
     }
 
-    /// The names of the requests that are open here.
+    /// The names of the requests that are open, or that still have attempts in flight.
     pub fn open_request_names(&self) -> Vec<String> {
         self.requests.names().cloned().collect()
     }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -1,4 +1,4 @@
-//! Hot restart: open requests and learned state pass from one process of a dispatcher to its successor.
+//! Hot restart: the transfer of open requests and learned state from one process of a dispatcher to its successor.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, AttemptPhase, closed_attempt_ended};
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Begins with what another process has learned. The endpoint list must have been loaded already.
+    /// Restores what another process has learned. The endpoint list must be loaded before.
     pub fn restore(&mut self, state: LearnedState) {
         let ids = crate::policy::IdMap {
             workers: state.workers.iter().map(|name| self.endpoints.find(name)).collect(),
@@ -32,9 +32,9 @@
         self.dispatcher.restore(state.learned, &ids, clock_shift);
     }
 
-    /// Hands an open request to another process of this dispatcher. Nothing more is done for it here. `None` where that is not
-    /// possible now: an event of any request still waits for the decision module, an attempt of this one waits for its record,
-    /// or its class or a worker is no more, so that the other process could not know it.
+    /// Removes an open request from this process, so that another process of this dispatcher can adopt it. Returns `None` if that
+    /// is not possible now: an event of any request still waits for the decision module, an attempt of this request waits for its
+    /// record, or its class or a worker no longer exists, so that the other process could not know it.
     pub fn transfer(&mut self, id: RequestId) -> Option<TransferredRequest> {
         let request = self.requests.get(id).filter(|request| request.is_open())?;
         if !self.events.has_only_transfers()
@@ -58,14 +58,14 @@
 
     fn to_transferred(&self, request: &PendingRequest) -> Option<TransferredRequest> {
         let job = request.job();
-        // A class that was defined again keeps its old number here; there its name means the new one.
+        // A redefined class keeps its old id here, while its name means the new definition in the other process.
         if !self.names.is_current_class(job.class) {
             return None;
         }
         let class = self.names.class_name(job.class)?;
         let mut attempts = Vec::with_capacity(request.attempts().len());
         for attempt in request.attempts() {
-            // What never left is no attempt there either, and both sides number them anew.
+            // An attempt that was never sent is not transferred. Both processes number the remaining attempts anew.
             if let Some(phase) = transferred_phase(attempt) {
                 attempts.push(self.to_transferred_attempt(attempt, phase)?);
             }
@@ -100,8 +100,8 @@
         })
     }
 
-    /// Takes over a request that another process of this dispatcher has transferred; its final response goes to `downstream`.
-    /// `None` where its class or one of its workers is not known here, or a request of its name is.
+    /// Adopts a request that another process of this dispatcher has transferred. Its final response goes to `downstream`. Returns
+    /// `None` if its class or one of its workers is unknown here, or a request of its name is open here.
     pub fn adopt(&mut self, transferred: TransferredRequest, downstream: DownstreamId) -> Option<RequestId> {
         let class = self.names.class_id(&transferred.class)?;
         if self.knows(&transferred.name) {
@@ -117,13 +117,16 @@
         self.events.push(Event::Adopted { request: job, arrived_at, prior_attempts });
         self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
         let key = transferred.idempotency_key.filter(|_| self.idempotency.is_some());
-        let request = PendingRequest::new(transferred.name, job, arrived_at, downstream, key)
-            .with_history(attempts, transferred.is_start_notified);
+        let mut request =
+            PendingRequest::new(transferred.name, job, arrived_at, downstream, key).with_attempts(attempts);
+        if transferred.is_start_notified {
+            request.mark_start_notified();
+        }
         self.requests.insert(id, request);
         Some(id)
     }
 
-    /// A transferred request as the decision module of this process sees it.
+    /// The job that the decision module of this process sees for a transferred request.
     fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
         let tenant = transferred.tenant.as_ref().and_then(|name| self.names.tenant_id(name));
         let key = transferred.key.map(KeyId);
@@ -154,7 +157,7 @@
     }
 }
 
-/// The phase in which an attempt is transferred; `None` where it never left this process.
+/// The phase in which an attempt is transferred; `None` if it was never sent.
 fn transferred_phase(attempt: &Attempt) -> Option<TransferredPhase> {
     match attempt.phase() {
         AttemptPhase::InFlight { .. } => Some(TransferredPhase::InFlight),
@@ -165,7 +168,7 @@
     }
 }
 
-/// What the end of a transferred attempt proves; `None` where it is in flight.
+/// What the end of a transferred attempt proves; `None` if it is in flight.
 fn attempt_end(phase: TransferredPhase) -> Option<AttemptEnd> {
     match phase {
         TransferredPhase::InFlight => None,
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -1,4 +1,4 @@
-//! What is due at a turn: timers fire, the decision module handles a batch of events, and its actions become commands.
+//! A turn of the core: timers fire, the decision module handles a batch of events, and its actions become commands.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, closed_attempt_ended};
@@ -9,11 +9,11 @@
 use crate::policy::interface::{Action, Event, Micros, Outcome, WorkerId};
 use mothproxy_invariant::invariant;
 
-/// The core itself fails a request that is still open this long after its deadline.
+/// How long after its deadline the core itself fails a request that is still open, in microseconds.
 const OVERDUE_GRACE: Micros = 15_000;
 
 impl Core {
-    /// Fires the timers that are due and, if the next batch is due, hands the decision module what has come in.
+    /// Fires the timers that are due. If the next batch is due, passes the pending events to the decision module.
     pub fn turn(&mut self, now: Micros) {
         let mut is_batch_urgent = false;
         while let Some(timer) = self.timers.pop_due(now) {
@@ -32,7 +32,7 @@
             Timer::AttemptTimeout(id) => self.cancel_attempt(now, id, Outcome::Timeout),
             Timer::RequestDeadline(id) => self.on_request_deadline(now, id),
             Timer::OverdueResponse(id) => {
-                // The module ends a request in time by itself; this guards the rule should it ever not.
+                // The module ends each request in time by itself. This is a safeguard in case it does not.
                 invariant!(false, "request {id} is past its deadline and open");
                 self.respond(now, id, FinalResponse::TimedOut, Completion::Failed);
                 self.events.push(Event::ClientDisconnected(id.job()));
@@ -46,14 +46,14 @@
             self.cancel_attempt(now, AttemptId { request_id, number }, Outcome::Timeout);
         }
         if let Some(request) = self.requests.get_mut(request_id) {
-            // Counted from now: after a turn that came late the module must still be asked first.
+            // The grace begins now and not at the deadline: also after a late turn, the module gets to end the request first.
             let respond_at = now + OVERDUE_GRACE;
             request.mark_overdue(respond_at);
             self.timers.schedule(respond_at, Timer::OverdueResponse(request_id));
         }
     }
 
-    /// Hands the decision module what has come in, and carries out its actions.
+    /// Passes the pending events to the decision module, and carries out its actions.
     pub fn batch(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for event in self.events.take_batch(now, self.batch_interval) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// How a request fails now: at its deadline, or within two batches of it, it timed out.
+    /// The response to a request that fails now: it timed out if it is past its deadline, or within two batches of it.
     fn failure_response(&self, now: Micros, id: RequestId) -> FinalResponse {
         let is_late = |deadline| now + 2 * self.batch_interval >= deadline;
         match self.requests.get(id) {
@@ -97,7 +97,8 @@
         }
     }
 
-    /// The decision module starts an attempt, which times out after `time_limit`, or at the request's deadline.
+    /// Starts an attempt for the decision module. It times out after `time_limit`, or at the request's deadline if that is
+    /// earlier.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -111,7 +112,7 @@
         };
         let id = AttemptId { request_id, number: request.next_attempt_number() };
         if !request.is_open() {
-            // The batch was fixed before its request was closed: nothing is sent after a final response.
+            // The request was closed after the module decided. Nothing is sent after the final response.
             request.add_attempt(Attempt::ended(worker, now, AttemptEnd::NeverSent));
             return self.events.push(closed_attempt_ended(id, worker, Outcome::NeverSent));
         }
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Stops waiting for an attempt that is in flight: its worker is sent a cancel, and it ends with this outcome. One that still
-    /// waits for its record has not left, and ends as never sent.
+    /// Cancels an attempt that is in flight: its worker is sent a cancellation, and the attempt ends with this outcome. An attempt
+    /// that still waits for its record ends as never sent.
     fn cancel_attempt(&mut self, now: Micros, id: AttemptId, outcome: Outcome) {
         let Some(request) = self.requests.get(id.request_id) else { return };
         let Some(worker) = request.in_flight(id.number).map(Attempt::worker) else { return };
--- a/src/core/event_queue.rs
+++ b/src/core/event_queue.rs
@@ -1,14 +1,14 @@
-//! Events that wait for the decision module, which handles them in batches.
+//! The queue of events for the decision module, which handles them in batches.
 
 use crate::policy::interface::{Event, Micros};
 
-/// Events that have come in since the last batch.
+/// The events since the last batch.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: Vec<Event>,
-    /// How many there were right after the last transfer of a request, or 0 if none was since the last batch.
+    /// The length of the queue right after the last transfer of a request; 0 if there was none since the last batch.
     len_after_transfer: usize,
-    /// The next batch begins no sooner.
+    /// The earliest start of the next batch.
     next_batch: Micros,
 }
 
@@ -17,23 +17,23 @@
         self.events.push(event);
     }
 
-    /// When the next batch is due, if anything waits.
+    /// When the next batch is due; `None` if the queue is empty.
     pub fn next_batch(&self) -> Option<Micros> {
         (!self.events.is_empty()).then_some(self.next_batch)
     }
 
-    /// Whether the module has handled everything but the ends of requests that were transferred. Then another one may be: the
-    /// module decides nothing more that concerns it.
+    /// Whether the queue contains nothing but the ends of transferred requests. Only then may another request be transferred,
+    /// because the module makes no further decision about it.
     pub fn has_only_transfers(&self) -> bool {
         self.events.len() == self.len_after_transfer
     }
 
-    /// A transfer's events were pushed. Requires that [`EventQueue::has_only_transfers`] held before it.
+    /// Records that the events of a transfer were pushed. [`EventQueue::has_only_transfers`] must have held before them.
     pub fn mark_transfer(&mut self) {
         self.len_after_transfer = self.events.len();
     }
 
-    /// Takes the events of a batch that begins now; the next one begins `tick` later at the soonest.
+    /// Takes the events of a batch that begins now. The next batch begins `tick` later at the earliest.
     pub fn take_batch(&mut self, now: Micros, tick: Micros) -> Vec<Event> {
         self.len_after_transfer = 0;
         self.next_batch = now + tick;
--- a/src/core/idempotency/mod.rs
+++ b/src/core/idempotency/mod.rs
@@ -1,7 +1,8 @@
-//! Records of requests with an `Idempotency-Key`, so that a repeat is answered, or is sent only where and as long as the rules
-//! allow, also after a crash.
+//! Records of requests with an `Idempotency-Key`. With them a repeat is either answered from the record, or sent only where and as
+//! long as the rules allow, also after a crash.
 //!
-//! Pure: whoever owns the [`IdempotencyStore`] writes the bytes that it returns, and loads what was written at the next start.
+//! The module does no input or output. The owner of the [`IdempotencyStore`] writes the bytes that it returns, and loads them at
+//! the next start.
 
 mod record;
 mod store;
--- a/src/core/idempotency/record.rs
+++ b/src/core/idempotency/record.rs
@@ -1,4 +1,4 @@
-//! One key's record, and its encoding: a version byte, then postcard, which goes by the order of the fields.
+//! The record of one key, and its encoding: a version byte, then postcard, which depends on the order of the fields.
 
 use crate::core::UnixMicros;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 pub struct IdempotencyKey {
     /// Tenant and key.
     pub key: String,
-    /// The body's fingerprint: a key stands for one body.
+    /// The fingerprint of the body. A key is valid for one body only.
     #[serde(rename = "body")]
     pub body_fingerprint: u64,
 }
@@ -25,56 +25,56 @@
     pub cell: u32,
     /// Its zone.
     pub zone: String,
-    /// When it was decided.
+    /// When the decision module decided to send it.
     pub sent_at: UnixMicros,
     /// Whether it is known that it never ran.
     pub never_ran: bool,
 }
 
-/// What is recorded of one key.
+/// The record of one key.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct IdempotencyRecord {
     /// The class's name.
     pub class: String,
     /// The body's fingerprint.
     pub body_fingerprint: u64,
-    /// The newest request's name, by which workers name it in callbacks.
+    /// The name of the newest request, which workers repeat in callbacks.
     pub request_name: String,
-    /// Where it was sent, oldest first.
+    /// The attempts, oldest first.
     pub attempts: Vec<AttemptRecord>,
-    /// A worker's result.
+    /// A worker's result, if there is one.
     pub result: Option<Vec<u8>>,
 }
 
-/// Why the bytes of a record cannot be read.
+/// Why a record cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordDecodeError {
-    /// There are none.
+    /// There are no bytes.
     #[error("an empty note")]
     Empty,
-    /// They are of another version.
+    /// The record has another version.
     #[error("a note of version {found}; this program reads version {VERSION}")]
     UnknownVersion {
-        /// Its number.
+        /// The version that was found.
         found: u8,
     },
-    /// They do not follow the format.
+    /// The bytes are not a record.
     #[error("not a note: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
 impl IdempotencyRecord {
-    /// Its bytes.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_extend(self, vec![VERSION]);
         mothproxy_invariant::invariant!(bytes.is_ok(), "a record that cannot be written");
         bytes.unwrap_or_default()
     }
 
-    /// Reads the bytes of [`IdempotencyRecord::encode`].
+    /// Decodes the bytes of [`IdempotencyRecord::encode`].
     ///
     /// # Errors
-    /// If they are empty, of another version, or malformed.
+    /// [`RecordDecodeError`] if the bytes are empty, of another version or malformed.
     pub fn decode(bytes: &[u8]) -> Result<IdempotencyRecord, RecordDecodeError> {
         match bytes.split_first() {
             Some((&VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
@@ -93,12 +93,12 @@
         self.attempts.iter().filter(|attempt| !attempt.never_ran).min_by_key(|attempt| attempt.sent_at)
     }
 
-    /// Whether it is of a request with this body and class.
+    /// Whether the record belongs to a request with this body and class.
     pub(super) fn matches(&self, key: &IdempotencyKey, class: &str) -> bool {
         self.body_fingerprint == key.body_fingerprint && self.class == class
     }
 
-    /// Updates the attempts that it has, and adds the others.
+    /// Updates the recorded attempts, and adds new ones.
     pub(super) fn merge(&mut self, attempts: Vec<AttemptRecord>) {
         for attempt in attempts {
             let is_same = |known: &&mut AttemptRecord| {
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -1,29 +1,29 @@
-//! The records that are kept, bounded in number, bytes and time.
+//! The store of records, bounded in number, bytes and time.
 
 use super::record::{AttemptRecord, IdempotencyKey, IdempotencyRecord, RecordDecodeError};
 use crate::core::UnixMicros;
 use crate::policy::interface::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// A record is kept for this long after it was last written: far beyond what clients wait and workers remember.
+/// How long a record is kept after it was last written, in microseconds: far longer than clients wait and workers deduplicate.
 pub const RECORD_TTL: Micros = 3_600_000_000;
-/// Records kept; beyond that the oldest are evicted.
+/// The maximum number of records; beyond it the oldest are evicted.
 const MAX_RECORDS: usize = 50_000;
-/// Bytes of records and keys kept; beyond that the oldest are evicted.
+/// The maximum number of bytes of records and keys; beyond it the oldest are evicted.
 const MAX_RECORD_BYTES: usize = 16 << 20;
 
-/// What is known of a key that comes with a request.
+/// The result of looking up the key of a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// Nothing: the request is handled like any other.
+    /// Nothing is known of it: the request is handled like any other.
     Unknown,
-    /// A worker's result.
+    /// An earlier request got this result.
     Answered(Vec<u8>),
-    /// It may have run; the first attempt that may have.
+    /// An earlier request may have run; this is the first attempt that may have.
     MayHaveRun(AttemptRecord),
 }
 
-/// What has become of a keyed request.
+/// The current state of a keyed request.
 #[derive(Debug)]
 pub struct RecordUpdate<'a> {
     /// The class's name.
@@ -43,7 +43,7 @@
     expires_at: Micros,
 }
 
-/// The records that are kept, by key.
+/// The records, by key.
 #[derive(Debug, Default)]
 pub struct IdempotencyStore {
     records: HashMap<String, StoredRecord>,
@@ -56,27 +56,28 @@
 }
 
 impl IdempotencyStore {
-    /// Records dropped before their time, for want of space.
+    /// The number of records evicted before they expired, because the store was full.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Repeats that got a recorded result.
+    /// The number of repeats that were answered with a recorded result.
     pub fn repeats_answered(&self) -> u64 {
         self.repeats_answered
     }
 
-    /// Repeats of requests that may have run: they may only go where the first attempt went.
+    /// The number of repeats of requests that may have run. They may be sent only within the deduplication scope of the first
+    /// attempt.
     pub fn repeats_bound(&self) -> u64 {
         self.repeats_bound
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -91,13 +92,13 @@
         self.key_by_request.get(request_name).cloned()
     }
 
-    /// Whether a key was given to a request of another body or class.
+    /// Whether a key was used before by a request with another body or class.
     pub fn is_reused(&mut self, now: Micros, key: &IdempotencyKey, class: &str) -> bool {
         self.remove_expired(now);
         self.get(&key.key).is_some_and(|record| !record.matches(key, class))
     }
 
-    /// What is known of a key that comes with a request of this class.
+    /// Looks up the key of a new request of this class. Counts the repeat if there is a record of it.
     pub fn look_up(&mut self, now: Micros, key: &IdempotencyKey, class: &str) -> LookupResult {
         self.remove_expired(now);
         // A request that reuses a key has been rejected before, see `is_reused`.
@@ -108,7 +109,7 @@
             self.repeats_answered += 1;
             return LookupResult::Answered(result);
         }
-        // The oldest attempt decides for how long a repeat is safe; by the rules all of them went to one cell.
+        // The oldest attempt decides for how long a repeat is safe. By the rules, all attempts went to the same cell.
         match record.first_that_may_have_run().cloned() {
             Some(first) => {
                 self.repeats_bound += 1;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Records what has become of a keyed request. Returns the bytes to be written; `None` where nothing needs to be remembered any
-    /// more, and the key's record is deleted.
+    /// Records the current state of a keyed request. Returns the bytes to write; `None` if no record is needed any more and the
+    /// key's record is to be deleted.
     pub fn record(&mut self, now: Micros, key: &IdempotencyKey, update: RecordUpdate<'_>) -> Option<Vec<u8>> {
         let mut record = self.remove(&key.key).unwrap_or_default();
         record.class = update.class.to_owned();
@@ -133,7 +134,7 @@
         Some(self.encode_and_insert(now, key.key.clone(), record))
     }
 
-    /// Records a result that a worker reported after its request was gone. Returns the bytes to be written, if the key has a
+    /// Records a result that a worker reported after its request was closed. Returns the bytes to write; `None` if the key has no
     /// record.
     pub fn record_result(&mut self, now: Micros, key: &str, result: Vec<u8>) -> Option<Vec<u8>> {
         let mut record = self.remove(key)?;
@@ -141,10 +142,10 @@
         Some(self.encode_and_insert(now, key.to_owned(), record))
     }
 
-    /// Loads what was written earlier, or by another process of this dispatcher; `None` deletes the key's record.
+    /// Loads a record that was written earlier, or by another process of this dispatcher; `None` deletes the key's record.
     ///
     /// # Errors
-    /// If the bytes cannot be read; then nothing changes.
+    /// [`RecordDecodeError`] if the bytes cannot be decoded; nothing changes then.
     pub fn load(&mut self, now: Micros, key: &str, bytes: Option<&[u8]>) -> Result<(), RecordDecodeError> {
         let record = bytes.map(IdempotencyRecord::decode).transpose()?;
         self.remove(key);
@@ -154,7 +155,7 @@
         Ok(())
     }
 
-    /// Treats the window of every recorded attempt as over: how much time has passed since is not known.
+    /// Treats the deduplication window of every recorded attempt as over, because the time since then is unknown.
     pub fn expire_windows(&mut self) {
         for stored in self.records.values_mut() {
             for attempt in &mut stored.record.attempts {
--- a/src/core/job_labels.rs
+++ b/src/core/job_labels.rs
@@ -1,11 +1,10 @@
-//! What jobs are learned by: the names behind the numbers of their classes and tenants.
+//! The labels by which run times are learned: the names of a job's class and tenant, and its subject.
 
 use crate::config::SiteNames;
 use crate::fleet::JobLabels;
 use crate::policy::interface::{ClassId, KeyId, TenantId};
 
-/// The labels by which jobs are learned of; `None` where the class is not known. A subject's number is a hash, the same at every
-/// dispatcher.
+/// The labels of a job; `None` if the class is unknown. The number of a subject is a hash, the same at every dispatcher.
 pub(super) fn job_labels(
     names: &SiteNames,
     class: ClassId,
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -17,7 +17,7 @@
     ClientDisconnected,
 }
 
-/// Counts of all requests.
+/// The counts of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     accepted: u64,
@@ -79,7 +79,7 @@
         self.disconnected
     }
 
-    /// Requests transferred to another process of this dispatcher, which owes the response.
+    /// Requests transferred to another process of this dispatcher, which now owes the response.
     pub fn transferred(&self) -> u64 {
         self.transferred
     }
@@ -95,7 +95,7 @@
     }
 }
 
-/// How the requests of one class ended. Those whose clients disconnected are in none of these counts.
+/// How the requests of one class ended. Requests whose clients disconnected are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Served.
@@ -123,7 +123,7 @@
     }
 }
 
-/// The tallies of all classes, by their numbers.
+/// The tallies of all classes, by id.
 #[derive(Debug, Default)]
 pub struct ClassTallies(Vec<Tally>);
 
@@ -137,7 +137,7 @@
         self.0[class].record(completion);
     }
 
-    /// The tallies by the classes' names, which are given by number. Numbers with the same name are added up.
+    /// The tallies by class name. `names` has the name of each id; the tallies of ids with the same name are added up.
     pub fn by_name<'a>(&self, names: &'a [String]) -> BTreeMap<&'a str, Tally> {
         let mut by_name: BTreeMap<&str, Tally> = BTreeMap::new();
         for (number, name) in names.iter().enumerate() {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -6,15 +6,16 @@
 //!
 //! The parts of the engine, each of which owns its state:
 //! - [`commands`](Command): the messages in and out;
-//! - `request`, `request_table` and `attempt`: a client's request and its phase, all of them, an attempt at a worker and its phase;
-//! - [`endpoint_table`]: the workers that discovery has listed, by number;
+//! - `request`, `request_table` and `attempt`: a client's request and its phase, the table of all requests, and an attempt at a
+//!   worker with its phase;
+//! - [`endpoint_table`]: the workers that discovery has listed, by id;
 //! - [`idempotency`]: records of requests with an idempotency key;
-//! - `event_queue`, `timers` and `clock`: batches of events for the decision module, what is due, and Unix time;
+//! - `event_queue`, `timers` and `clock`: batches of events for the decision module, timers, and conversion to Unix time;
 //! - [`ledger`]: counts of how requests ended;
-//! - [`transfer`]: the form in which requests and learned state pass to a successor process.
+//! - [`transfer`]: the messages by which requests and learned state pass to a successor process.
 //!
-//! Three state machines stand beside it, which the server drives itself: [`watch_liveness`] of a watch of discovery's list,
-//! [`shutdown_plan`] of a graceful shutdown, and [`peer_lifecycle`] of what the other dispatchers announce.
+//! The server itself drives three further state machines: [`watch_liveness`] for a watch of discovery's list, [`shutdown_plan`]
+//! for a graceful shutdown, and [`peer_lifecycle`] for the announcements of the other dispatchers.
 
 mod attempt;
 mod clock;
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -6,7 +6,7 @@
 use crate::policy::interface::{JobId, Micros, NewJob, WorkerId};
 use std::fmt::{self, Display, Formatter};
 
-/// A request of a client; numbered from 0 in the order of arrival at this process.
+/// Identifies a client's request. Ids count from 0, in the order of arrival at this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -39,26 +39,26 @@
     phase: RequestPhase,
     is_start_notified: bool,
     idempotency_key: Option<IdempotencyKey>,
-    /// By their numbers.
+    /// The attempts, by number.
     attempts: Vec<Attempt>,
 }
 
-/// How far a request has come.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestPhase {
     /// Its final response is owed.
     Open,
-    /// The same, and its deadline has passed: the core itself responds at this time.
+    /// Its final response is owed and its deadline has passed. The core itself will respond.
     Overdue {
-        /// When.
+        /// When the core will respond.
         respond_at: Micros,
     },
-    /// It has its final response, or its client has disconnected.
+    /// Its final response was sent, or its client has disconnected.
     Closed,
 }
 
 impl PendingRequest {
-    /// An open request without attempts, whose final response goes to `downstream`.
+    /// Creates an open request without attempts. Its final response goes to `downstream`.
     pub fn new(
         name: String,
         job: NewJob,
@@ -78,17 +78,17 @@
         }
     }
 
-    /// The same, with what another process has done for it.
-    pub fn with_history(self, attempts: Vec<Attempt>, is_start_notified: bool) -> PendingRequest {
-        PendingRequest { attempts, is_start_notified, ..self }
+    /// Sets the attempts that another process has made for it.
+    pub fn with_attempts(self, attempts: Vec<Attempt>) -> PendingRequest {
+        PendingRequest { attempts, ..self }
     }
 
-    /// The client's id of it, by which workers name it.
+    /// The client's id of the request, which workers repeat in callbacks.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What the decision module knows of it.
+    /// The job that the decision module sees.
     pub fn job(&self) -> &NewJob {
         &self.job
     }
@@ -98,22 +98,22 @@
         self.arrived_at
     }
 
-    /// Where the final response goes.
+    /// The receiver of the final response.
     pub fn downstream(&self) -> DownstreamId {
         self.downstream
     }
 
-    /// The key that its client gave it, where such keys are recorded.
+    /// Its idempotency key; `None` if it has none or keys are not recorded.
     pub fn idempotency_key(&self) -> Option<&IdempotencyKey> {
         self.idempotency_key.as_ref()
     }
 
-    /// Whether its client was notified that it has started.
+    /// Whether its client has been notified of its start.
     pub fn is_start_notified(&self) -> bool {
         self.is_start_notified
     }
 
-    /// Its client is notified that it has started. Returns whether that is due, and has not been done before.
+    /// Records that its client is notified of its start. Returns whether this is the first time, so that the notification is due.
     pub fn mark_start_notified(&mut self) -> bool {
         !std::mem::replace(&mut self.is_start_notified, true)
     }
@@ -123,7 +123,7 @@
         self.phase != RequestPhase::Closed
     }
 
-    /// When the core itself responds, if the deadline has passed without a response.
+    /// When the core itself will respond; `None` unless the request is overdue.
     pub fn overdue_response_at(&self) -> Option<Micros> {
         match self.phase {
             RequestPhase::Overdue { respond_at } => Some(respond_at),
@@ -131,22 +131,22 @@
         }
     }
 
-    /// Its deadline has passed: the core itself responds at this time.
+    /// Marks it as past its deadline. The core itself will respond at `respond_at`.
     pub fn mark_overdue(&mut self, respond_at: Micros) {
         self.phase = RequestPhase::Overdue { respond_at };
     }
 
-    /// It has its final response, or its client has disconnected.
+    /// Closes it: its final response was sent, or its client has disconnected.
     pub fn close(&mut self) {
         self.phase = RequestPhase::Closed;
     }
 
-    /// Whether it is over: closed, with nothing in flight.
+    /// Whether it is closed and has no attempt in flight.
     pub fn is_over(&self) -> bool {
         !self.is_open() && !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Its attempts, by their numbers.
+    /// Its attempts, by number.
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
@@ -166,7 +166,7 @@
         self.attempts.get(number as usize)
     }
 
-    /// The same, to be changed.
+    /// Mutable access to an attempt, in flight or ended.
     pub fn attempt_mut(&mut self, number: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(number as usize)
     }
@@ -176,12 +176,12 @@
         self.attempt(number).filter(|attempt| attempt.is_in_flight())
     }
 
-    /// The same, to be changed.
+    /// Mutable access to an attempt that is in flight.
     pub fn in_flight_mut(&mut self, number: u32) -> Option<&mut Attempt> {
         self.attempt_mut(number).filter(|attempt| attempt.is_in_flight())
     }
 
-    /// Whether this worker has an attempt of it.
+    /// Whether an attempt at this worker is in flight.
     pub fn is_in_flight_at(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker() == worker && attempt.is_in_flight())
     }
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -5,18 +5,18 @@
 use crate::policy::interface::WorkerId;
 use std::collections::HashMap;
 
-/// All requests that are not over.
+/// All requests that are open, or that still have attempts in flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
     by_name: HashMap<String, RequestId>,
-    /// Those that may be over, until the next sweep.
+    /// Requests that may be over, to be checked by [`RequestTable::remove_finished`].
     finished: Vec<RequestId>,
     next_id: u64,
 }
 
 impl RequestTable {
-    /// The id of the next request.
+    /// Returns the id of the next request.
     pub fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -42,12 +42,12 @@
         self.get(id.request_id)?.attempt(id.number)
     }
 
-    /// An attempt that is in flight, to be changed.
+    /// Mutable access to an attempt that is in flight.
     pub fn in_flight_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.get_mut(id.request_id)?.in_flight_mut(id.number)
     }
 
-    /// An attempt, in flight or ended, to be changed.
+    /// Mutable access to an attempt, in flight or ended.
     pub fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.get_mut(id.request_id)?.attempt_mut(id.number)
     }
@@ -71,10 +71,10 @@
         Some(request)
     }
 
-    /// Remembers a request that may be over for the next [`RequestTable::remove_finished`].
+    /// Marks a request that may be over for the next [`RequestTable::remove_finished`].
     ///
-    /// It may not be removed at once: until the decision module has handled the request's end it may still send an attempt of
-    /// it, and that attempt must get the number that the module gives it.
+    /// It cannot be removed at once. Until the decision module has handled the request's end, it may still send an attempt, and
+    /// that attempt must get the same number here as in the module.
     pub fn mark_finished(&mut self, id: RequestId) {
         self.finished.push(id);
     }
--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -1,20 +1,21 @@
-//! The schedule of a graceful shutdown: all of it from the protocol's figures and the longest deadline in force.
+//! The schedule of a graceful shutdown, derived from the protocol's figures and the longest deadline in force.
 
 use crate::policy::interface::Micros;
 
-/// New connections keep arriving for at most this long after the signal.
+/// How long after the signal new connections may still arrive, in microseconds.
 const ARRIVAL_WINDOW: Micros = 400_000;
-/// A request that comes later than this after the signal is lost if the process is killed before it is answered. What came sooner
-/// is answered by its own deadline as always, and does not count as lost with a process that is killed before that.
+/// The time after the signal, in microseconds, from which on a request counts as lost if the process is killed before the
+/// response. An earlier request is answered by its own deadline as usual, and does not count as lost if the process is killed
+/// before that.
 const LATE_ARRIVAL_LIMIT: Micros = 700_000;
-/// A longest deadline above this counts as this when the moment is determined from which the process may be killed.
+/// The cap on the longest deadline, in microseconds, in the calculation of the time from which the process may be killed.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// A job that comes with the last connections, and takes all its time, ends this long before the process may be killed.
-/// The same is left to answer whatever else came late: the signal is seen late on a busy core, and the last answers
-/// take their time there.
+/// How long before the process may be killed a job ends that arrives with the last connections and uses all its time, in
+/// microseconds. The other late requests get the same margin, because on a busy core the signal is seen late and the last
+/// responses take time.
 const ANSWER_MARGIN: Micros = LATE_ARRIVAL_LIMIT - ARRIVAL_WINDOW;
-/// Idle downstream connections are closed after this, so that their clients turn elsewhere: none is new any more, and a
-/// request that was on its way with the last of them has come.
+/// How long after the signal idle downstream connections are closed, in microseconds, so that their clients go elsewhere. No
+/// connection is new by then, and a request that was on its way on the last one has arrived.
 const IDLE_CLOSE_DELAY: Micros = ARRIVAL_WINDOW + 50_000;
 
 /// The moments of a graceful shutdown.
@@ -22,22 +23,22 @@
 pub struct ShutdownPlan {
     /// When the signal was seen.
     pub started_at: Micros,
-    /// From now on idle downstream connections are closed.
+    /// When idle downstream connections are closed from.
     pub close_idle_at: Micros,
-    /// Where clients have nowhere else to go, their connections are kept until now: half of the longest deadline is left for
-    /// the last of their requests.
+    /// Until when the connections of clients with nowhere else to go are kept. Half of the longest deadline is left for the last
+    /// of their requests.
     pub keep_clients_until: Micros,
-    /// Nothing new arrives after this: the process ends once nothing is left.
+    /// After this nothing new arrives, and the process ends once no request is left.
     pub arrivals_end_at: Micros,
-    /// What comes late must be answered by now.
+    /// By when late requests must be answered.
     pub answer_late_by: Micros,
-    /// Every job has had its deadline: nothing is waited for any longer.
+    /// When the process stops waiting, because the deadline of every job has passed.
     pub give_up_at: Micros,
 }
 
 impl ShutdownPlan {
-    /// The plan of a shutdown that begins `now`. `longest_deadline` is that of the classes in force, `longest_open_deadline` that
-    /// of all classes with open jobs: a reload may have removed some.
+    /// The plan of a shutdown that begins `now`. `longest_deadline` is the longest of the current classes, `longest_open_deadline`
+    /// that of all classes with open jobs, some of which a reload may have removed. Both are in microseconds.
     pub fn new(now: Micros, longest_deadline: Micros, longest_open_deadline: Micros) -> ShutdownPlan {
         let counted = longest_deadline.min(MAX_COUNTED_DEADLINE);
         ShutdownPlan {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// How long a request may take that comes now and whose client waits for `time_budget`.
+    /// How long a request that arrives now may take, in microseconds, if its client waits for `time_budget`.
     pub fn time_budget(&self, now: Micros, time_budget: Micros) -> Micros {
         if now <= self.started_at + ARRIVAL_WINDOW {
             time_budget
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,26 +1,26 @@
-//! All timers of the program, in one sorted queue.
+//! The sorted queue of all timers of the program.
 
 use super::attempt::AttemptId;
 use super::request::RequestId;
 use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
-/// Names a timer of the program round the core, in its own way. Timers due at the same time fire in the order of these numbers.
+/// Identifies a timer of the server, which chooses the number. Timers due at the same time fire in the order of these numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// What a timer is for. Timers that are due at the same time fire in the order of these variants.
+/// The purpose of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// An attempt times out.
     AttemptTimeout(AttemptId),
     /// A request's client gives up.
     RequestDeadline(RequestId),
-    /// The decision module should have ended the request by now: the core does.
+    /// The core ends a request that the decision module should have ended by now.
     OverdueResponse(RequestId),
     /// A timer of the decision module.
     Policy(TimerId),
-    /// A timer of the program round the core.
+    /// A timer of the server.
     Program(TimerToken),
 }
 
@@ -29,22 +29,22 @@
 pub struct TimerQueue(BTreeSet<(Micros, Timer)>);
 
 impl TimerQueue {
-    /// Adds a timer. One that is there already is not added twice.
+    /// Adds a timer. If the same timer is scheduled at the same time already, nothing changes.
     pub fn schedule(&mut self, at: Micros, timer: Timer) {
         self.0.insert((at, timer));
     }
 
-    /// Removes a timer, if it is there.
+    /// Removes a timer, if it is scheduled at this time.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
         self.0.remove(&(at, timer));
     }
 
-    /// When the earliest is due.
+    /// When the earliest timer is due; `None` if there is no timer.
     pub fn next_due(&self) -> Option<Micros> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest that is due, if there is one.
+    /// Removes and returns the earliest timer that is due; `None` if none is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -1,7 +1,9 @@
-//! What one process of a dispatcher hands to its successor: requests under way, and the decision module's learned state.
+//! The messages by which one process of a dispatcher transfers open requests and the decision module's learned state to its
+//! successor.
 //!
-//! It travels as JSON, whose keys are kept for other versions. Times are Unix times in microseconds, since the clocks of the two
-//! processes start at different moments; classes, tenants and workers go by name, since their numbers may differ.
+//! They are encoded as JSON, whose keys must stay the same for other versions. Times are Unix times in microseconds, because the
+//! clocks of the two processes start at different moments. Classes, tenants and workers are identified by name, because their ids
+//! may differ.
 
 use super::UnixMicros;
 use super::idempotency::IdempotencyKey;
@@ -9,7 +11,7 @@
 use crate::policy::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A request under way.
+/// An open request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TransferredRequest {
     /// The client's id of the request.
@@ -18,25 +20,25 @@
     pub class: String,
     /// Its tenant.
     pub tenant: Option<String>,
-    /// The number of the subject that it concerns.
+    /// The number of its subject.
     pub key: Option<u32>,
     /// When it arrived.
     #[serde(rename = "arrived")]
     pub arrived_at: UnixMicros,
-    /// When its client gives up.
+    /// Its deadline, when its client gives up.
     pub deadline: UnixMicros,
-    /// Expected work, as time on a standard core.
+    /// The expected work, as time on a standard core.
     pub hint: Option<Micros>,
     /// Slots that it needs.
     pub slots: f64,
-    /// Memory that it needs, in the unit in which workers report theirs.
+    /// Memory that it needs, in the unit of the workers' reports.
     pub memory: Option<f64>,
     /// Whether its client marked it as a repeat.
     pub repeat: bool,
-    /// Whether its client was notified that it has started.
+    /// Whether its client has been notified of its start.
     #[serde(rename = "told_started")]
     pub is_start_notified: bool,
-    /// The idempotency key that its client gave it, where such keys are recorded.
+    /// Its idempotency key; `None` if it has none or keys are not recorded.
     #[serde(default, rename = "token")]
     pub idempotency_key: Option<IdempotencyKey>,
     /// Its attempts so far, in the order sent.
@@ -52,16 +54,16 @@
     pub worker: String,
     /// When it was sent.
     pub sent_at: UnixMicros,
-    /// When it started to run, also of one that has ended.
+    /// When it started to run; kept after its end.
     pub started_at: Option<UnixMicros>,
-    /// How far it has come.
+    /// Its phase.
     pub phase: TransferredPhase,
 }
 
-/// How far a transferred attempt has come. One that never left its process is not transferred.
+/// The phase of a transferred attempt. An attempt that was never sent is not transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferredPhase {
-    /// Its end is still to come.
+    /// It has not ended.
     InFlight,
     /// It has ended, and ran or may have run.
     MayHaveRun,
@@ -71,7 +73,7 @@
     ReturnedByCallback,
 }
 
-/// The form in which an attempt travels: a flag for each thing that may be known of it.
+/// The encoded form of an attempt, with one flag for each fact that may be known about it.
 #[derive(Clone, Deserialize, Serialize)]
 struct AttemptMessage {
     worker: String,
@@ -87,7 +89,7 @@
 }
 
 impl From<AttemptMessage> for TransferredAttempt {
-    /// While an attempt is in flight nothing is known of how it ends, whatever the other flags are.
+    /// While an attempt is in flight, the other flags mean nothing.
     fn from(message: AttemptMessage) -> TransferredAttempt {
         let phase = if message.is_in_flight {
             TransferredPhase::InFlight
@@ -118,18 +120,18 @@
     }
 }
 
-/// What the decision module has learned, with the names behind its numbers.
+/// What the decision module has learned, with the names of the ids in it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LearnedState {
-    /// The module's clock less Unix time, in microseconds.
+    /// The module's clock minus Unix time, in microseconds.
     #[serde(rename = "offset")]
     pub clock_offset: i64,
-    /// Workers by number.
+    /// Names of workers, by id.
     pub workers: Vec<String>,
-    /// Kinds of machines by number.
+    /// Names of kinds of machines, by id.
     pub kinds: Vec<String>,
-    /// Classes by number. Where a class was defined again, its later number counts.
+    /// Names of classes, by id. A redefined class has several ids, of which the last one counts.
     pub classes: Vec<String>,
-    /// What was learned.
+    /// The learned state.
     pub learned: Learned,
 }
