--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -23,7 +23,7 @@
 pub struct ShutdownPlan {
     /// When the signal was seen.
     pub started_at: Micros,
-    /// When idle downstream connections are closed from.
+    /// From when on idle downstream connections are closed.
     pub close_idle_at: Micros,
     /// Until when the connections of clients with nowhere else to go are kept. Half of the longest deadline is left for the last
     /// of their requests.
@@ -37,8 +37,9 @@
 }
 
 impl ShutdownPlan {
-    /// The plan of a shutdown that begins `now`. `longest_deadline` is the longest of the current classes, `longest_open_deadline`
-    /// that of all classes with open jobs, some of which a reload may have removed. Both are in microseconds.
+    /// The plan of a shutdown that begins `now`. `longest_deadline` is the longest of the current classes,
+    /// `longest_open_deadline` that of all classes with open jobs, some of which a reload may have removed. Both are in
+    /// microseconds.
     pub fn new(now: Micros, longest_deadline: Micros, longest_open_deadline: Micros) -> ShutdownPlan {
         let counted = longest_deadline.min(MAX_COUNTED_DEADLINE);
         ShutdownPlan {
--- a/src/core/watch_liveness/call_schedule.rs
+++ b/src/core/watch_liveness/call_schedule.rs
@@ -1,4 +1,4 @@
-//! When a call for a watch is given up, and when the next one begins.
+//! The timeouts of calls for a watch, and the start of the next call.
 
 use super::service_load::{MIN_CALL_SPACING, ServiceLoad};
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
@@ -6,53 +6,57 @@
 use crate::policy::interface::Micros;
 use std::ops::RangeInclusive;
 
-/// The last call that fits into [`NOTIFICATION_DEADLINE`], which is answered, is given this much of it: services are known that let
-/// none wait for longer.
+/// The part of [`NOTIFICATION_DEADLINE`] that is left for the last call, the one that is answered, in microseconds. Services
+/// are known that make no call wait for longer.
 const LAST_CALL_RESERVE: Micros = 1_000_000;
-/// However many dispatchers there are, a refusal is made good within [`NOTIFICATION_DEADLINE`]: the rest of a wait under way,
-/// one call that is refused, and the last.
+/// The maximum interval between calls after a refusal, in microseconds. With any number of dispatchers, [`NOTIFICATION_DEADLINE`]
+/// has room for the rest of a wait, one refused call and the last call.
 const MAX_REFUSED_INTERVAL: Micros = (NOTIFICATION_DEADLINE - LAST_CALL_RESERVE) / 2;
-/// Nobody is called in a busy loop: the next call comes this long after an agent refused, or after a call that took its whole time.
+/// The minimum delay before the next call after an agent refused, or after a call that used all its time, in microseconds. It
+/// prevents a busy loop.
 pub(super) const MIN_RETRY_INTERVAL: Micros = 50_000;
-/// The next call begins within the last eighth of the time until it is due: not all dispatchers call at the same moment.
+/// The next call begins at random within the last part of the time until it is due, so that dispatchers do not call at the same
+/// moment. The part is one divided by this number.
 const RETRY_SPREAD_DIVISOR: Micros = 8;
-/// Where many of them wait for a slow service in vain it is the last half, or they would come together again.
+/// The same divisor if many dispatchers wait for a slow service without an answer: with a smaller part they would call at the
+/// same time again.
 const OVERLOAD_SPREAD_DIVISOR: Micros = 2;
 
-/// A watch, or a call for one, that is over.
+/// A watch that has failed, or a call for one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedCall {
     /// When the call began.
     pub called_at: Micros,
     /// When it failed.
     pub failed_at: Micros,
-    /// How far it had come.
+    /// The phase in which it failed.
     pub phase: WatchPhase,
-    /// Why it is over.
+    /// Why it failed.
     pub failure: WatchFailure,
 }
 
 impl FailedCall {
-    /// Whether the watch had sent lists or empty lines.
+    /// Whether the watch had sent data: lists or empty lines.
     fn was_live(&self) -> bool {
         matches!(self.phase, WatchPhase::Live { .. })
     }
 }
 
-/// What the times of calls are derived from.
+/// The inputs from which the times of calls are derived.
 #[derive(Debug)]
 pub(super) struct CallSchedule<'a> {
     pub settings: &'a DiscoverySettings,
     pub load: &'a ServiceLoad,
-    /// From when on what this dispatcher may lack counts as notified, if it may lack anything.
+    /// From when on the changes that this dispatcher may lack count as notified; `None` if it lacks none.
     pub counts_from: Option<Micros>,
 }
 
 impl CallSchedule<'_> {
-    /// How long a call that began at `called_at` may wait for its answer, once its connection is up. Given up, it would lose its
-    /// place in the service's queue, and many services would answer it though nobody reads it. So it is given up only once the
-    /// next one is due, and later where the service has let a call wait for longer; but while what was missed can still be
-    /// received in time, there must be time for another call.
+    /// How long a call that began at `called_at` may wait for its answer, in microseconds, once its connection is established.
+    ///
+    /// A call that times out loses its place in the service's queue, and many services answer it although nobody reads the
+    /// answer. So it times out only when the next call is due, or later if the service has made a call wait for longer. But as
+    /// long as missed changes can still be received in time, there must be time for another call.
     pub fn answer_timeout(&self, called_at: Micros) -> Micros {
         let longest = self.load.answer_timeout(called_at, self.settings);
         let timeout = match self.counts_from {
@@ -64,8 +68,8 @@
         timeout.max(self.load.observed_timeout())
     }
 
-    /// When the call after one that failed may begin. `None` where its time is over or near: then it begins after
-    /// [`MIN_RETRY_INTERVAL`].
+    /// The window in which the next call after a failed one begins. `None` if that window has passed or is about to: then the
+    /// call begins after [`MIN_RETRY_INTERVAL`].
     pub fn retry_window(&self, failed: &FailedCall) -> Option<RangeInclusive<Micros>> {
         let call_by = failed.called_at + self.retry_interval(failed);
         let window = if failed.was_live() && call_by <= failed.failed_at {
@@ -76,9 +80,9 @@
         Some(self.hurried_window(failed, window))
     }
 
-    /// The longest time from the call that failed to the next one.
+    /// The maximum time from the start of the failed call to the start of the next one, in microseconds.
     fn retry_interval(&self, failed: &FailedCall) -> Micros {
-        // Until what was missed counts, and after a watch that was live, turns are not waited for.
+        // Before missed changes count as notified, and after a live watch, the dispatchers do not take turns.
         let is_in_time = self.counts_from.is_some_and(|counts_from| failed.failed_at < counts_from);
         if is_in_time || failed.was_live() {
             self.settings.hurried_call_interval()
@@ -89,7 +93,8 @@
         }
     }
 
-    /// The window after a watch that was live and whose interval is over: all dispatchers may have lost theirs together.
+    /// The window after a live watch whose retry interval has passed. All dispatchers may have lost their watches together, so
+    /// their calls are spread.
     fn window_after_common_loss(&self, failed: &FailedCall) -> RangeInclusive<Micros> {
         let spread = match failed.failure {
             WatchFailure::Silent => self.settings.hurried_spread(),
@@ -98,7 +103,7 @@
         failed.failed_at..=failed.failed_at + spread
     }
 
-    /// The window of a call that is due by `call_by`; `None` where that is over or near.
+    /// The window of a call that is due by `call_by`; `None` if that time has passed or is near.
     fn window_before(&self, call_by: Micros, now: Micros) -> Option<RangeInclusive<Micros>> {
         if call_by <= now + MIN_RETRY_INTERVAL {
             return None;
@@ -109,8 +114,8 @@
         Some(earliest..=call_by)
     }
 
-    /// The window, moved forward if what was missed can still be received in time: then there is time for another call after this
-    /// one.
+    /// The window, moved to an earlier time if missed changes can still be received in time, so that there is time for another
+    /// call after this one.
     fn hurried_window(&self, failed: &FailedCall, window: RangeInclusive<Micros>) -> RangeInclusive<Micros> {
         let now = failed.failed_at;
         let Some(spare) = self.counts_from.and_then(|at| at.checked_sub(now + POLL_INTERVAL)) else {
--- a/src/core/watch_liveness/freshness.rs
+++ b/src/core/watch_liveness/freshness.rs
@@ -1,30 +1,31 @@
-//! Whether this dispatcher may lack changes that discovery has.
+//! Whether this dispatcher may lack changes of discovery's list.
 
 use super::settings::NOTIFICATION_DEADLINE;
 use crate::policy::interface::Micros;
 
-/// After SIGHUP a change counts as notified this soon (STANDING, "The whole fleet").
+/// How long after a move to another service at SIGHUP its changes count as notified, in microseconds (STANDING, "The whole
+/// fleet").
 const MOVED_NOTIFICATION_DEADLINE: Micros = 4_000_000;
 
-/// Whether this dispatcher may lack changes that discovery has.
+/// Whether this dispatcher may lack changes of discovery's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// It lacks none that it knows of.
+    /// It lacks no changes, as far as it knows.
     #[default]
     UpToDate,
-    /// A watch fell silent, and none has sent anything since: what it missed counts as notified from this time on.
+    /// A watch fell silent, and no watch has sent data since. The missed changes count as notified from this time on.
     Behind { counts_from: Micros },
-    /// Another service counts, and has sent no list yet: what it has counts as notified from this time on.
+    /// Another service is used and has sent no list yet. Its changes count as notified from this time on.
     Moved { counts_from: Micros },
 }
 
 impl Freshness {
-    /// Another service counts from `now` on.
+    /// The state after a move to another service at `now`.
     pub fn moved(now: Micros) -> Freshness {
         Freshness::Moved { counts_from: now + MOVED_NOTIFICATION_DEADLINE }
     }
 
-    /// The same after a watch that was live fell silent, which last sent something at this time.
+    /// The state after a live watch fell silent that sent its last data at `last_data_at`.
     pub fn after_silence(self, last_data_at: Micros) -> Freshness {
         match self {
             Freshness::UpToDate => Freshness::Behind { counts_from: last_data_at + NOTIFICATION_DEADLINE },
@@ -32,7 +33,7 @@
         }
     }
 
-    /// From when on what is missing counts as notified, if anything may be missing.
+    /// From when on the changes that may be missing count as notified; `None` if none are missing.
     pub fn counts_from(self) -> Option<Micros> {
         match self {
             Freshness::UpToDate => None,
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -1,9 +1,9 @@
-//! The liveness of a watch of discovery's list, as a state machine without a clock and a socket of its own.
+//! The liveness of a watch of discovery's list, as a state machine without clock and socket.
 //!
-//! It decides when a watch is broken though its connection stands, when a watch is opened (the first one, and the next after any
-//! end), since when what was missed counts as notified, and whether the list that the program started with is still to be
-//! revalidated. Its methods take the time and return the next time at which something is due. In every state something is:
-//! a dispatcher is never without a watch and without a time for its next call.
+//! It decides when a watch counts as broken although its connection is open, when the first and each further watch is opened,
+//! from when on missed changes count as notified, and whether the list that the process started with must still be revalidated.
+//! Its methods take the time and return the next time at which something is due. There always is one: a dispatcher either has a
+//! watch or a time for its next call.
 
 mod call_schedule;
 mod freshness;
@@ -22,53 +22,57 @@
 use service_load::ServiceLoad;
 use std::ops::Range;
 
-/// As long as nothing changes, a watch sends an empty line this often (PROTOCOL, "Discovery").
+/// The interval at which a watch sends an empty line while nothing changes, in microseconds (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
-/// A watch that has sent nothing for this long is broken: the heartbeat, and a quarter of its interval for the network and a
-/// busy core. More would leave too little of the notification deadline to be answered by a service that has many callers.
+/// How long a watch may send nothing before it counts as broken, in microseconds: the heartbeat interval, and a quarter of it for
+/// the network and a busy core. More would leave too little of the notification deadline for a service with many callers to
+/// answer.
 const LIVENESS_TIMEOUT: Micros = HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4;
-/// The connection of a call, of a watch or for the whole list, must be up within this.
+/// How long a connection to discovery may take to be established, in microseconds.
 pub const CONNECT_TIMEOUT: Micros = 500_000;
-/// An agent of the own machine answers at once, or stays silent while discovery is down. What it has counts as notified from
-/// the moment it is up again, so it is called well within the least grace of a drain (400 ms).
+/// How long a call of the local agent may take, in microseconds. The agent answers at once, or stays silent while discovery is
+/// down. Its changes count as notified from the moment it is up again, so it is called well within the shortest grace period of a
+/// drain (400 ms).
 const AGENT_ANSWER_TIMEOUT: Micros = 200_000;
-/// An object of a list, once begun, is whole within this; else what follows would be taken for a part of it.
+/// How long an object of a list may take from its first byte to its last, in microseconds. Without this limit, the data after a
+/// truncated object would be taken for a part of it.
 const OBJECT_TIMEOUT: Micros = 1_000_000;
 
-/// Why a watch is over.
+/// Why a watch has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// It, or its call, sent nothing for too long.
+    /// The watch, or the call for it, was silent for too long.
     Silent,
-    /// It was refused, or its connection ended.
+    /// The call was refused, or the connection ended.
     Ended,
-    /// No connection came up: nobody listens there, or nothing comes through.
+    /// No connection could be established.
     Unreachable,
 }
 
+/// The phase of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchPhase {
     /// No watch is open.
     Closed,
-    /// Its connection is being set up.
+    /// The connection is being established.
     Connecting,
-    /// It is requested, and the service has not answered yet.
+    /// The call was sent, and the service has not answered yet.
     Requested,
-    /// The service has begun to answer, but has sent nothing whole yet.
+    /// The service has begun to answer, but has sent nothing complete yet.
     Partial,
-    /// It has sent lists or empty lines.
+    /// The watch has sent data: lists or empty lines.
     Live {
-        /// When it sent the last.
+        /// When it last sent data.
         last_data_at: Micros,
     },
 }
 
-/// The state of one dispatcher's watch.
+/// The state machine of one dispatcher's watch.
 #[derive(Debug)]
 pub struct WatchLiveness {
     settings: DiscoverySettings,
     phase: WatchPhase,
-    /// When the last call for a watch began.
+    /// When the latest call for a watch began.
     last_call: Option<Micros>,
     freshness: Freshness,
     known_list: KnownList,
@@ -77,7 +81,7 @@
 }
 
 impl WatchLiveness {
-    /// No watch yet; `seed` determines the random waits.
+    /// Creates the state without a watch. `seed` determines the random waits.
     pub fn new(settings: DiscoverySettings, seed: u64) -> WatchLiveness {
         WatchLiveness {
             settings,
@@ -90,41 +94,42 @@
         }
     }
 
-    /// The program starts. Returns when the first watch is to be opened: where lists are pushed, at once.
+    /// Starts the state machine. Returns when to open the first watch: at once if a local agent pushes lists.
     pub fn start(&mut self, now: Micros) -> Micros {
         self.first_call_at(now, self.settings.spread())
     }
 
-    /// The list that the program starts with is to be revalidated: it may lack changes that count as notified (a process that
-    /// comes back after a while knows what its predecessor knew). `newest` is the latest start of a worker on it: the list is no
-    /// older, so what it lacks counts as notified `NOTIFICATION_DEADLINE` after that at the soonest. Returns the span in which
-    /// nothing may be sent by it.
+    /// Starts the revalidation of the list that the process started with. The list may lack changes that count as notified,
+    /// because it is what the previous process knew. `newest` is the latest start of a worker on the list. The list is no older
+    /// than that, so the changes that it lacks count as notified `NOTIFICATION_DEADLINE` after it at the earliest. Returns the
+    /// span in which nothing may be sent by the list.
     pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
         let newest = newest.filter(|_| !self.settings.is_pushed);
         self.known_list.revalidate(now, newest)
     }
 
-    /// Another dispatcher last received something from the process before this one at this time. What it knew then lacked no more
-    /// than what it had not noticed to miss, within `LIVENESS_TIMEOUT`, and that counts `NOTIFICATION_DEADLINE` after. Returns
-    /// from when on, now, nothing may be sent by that list, if it is still to be revalidated; what an agent has counts at once.
+    /// Another dispatcher last received a message of the previous process at `at`. That process detected a silent watch within
+    /// `LIVENESS_TIMEOUT`, so it can have lacked only changes of that time before `at`, which count as notified
+    /// `NOTIFICATION_DEADLINE` after they were made. Returns from when on nothing may be sent by the list; `None` if it need not
+    /// be revalidated, or if a local agent pushes lists, whose changes count at once.
     pub fn on_predecessor_seen(&mut self, at: Micros) -> Option<Micros> {
         if self.settings.is_pushed { None } else { self.known_list.on_predecessor_seen(at) }
     }
 
-    /// Whether nothing may be sent by that list: discovery has sent none, what it would send may count as notified, and nothing
-    /// shows that it cannot be reached (an agent of the own machine sends nothing as long as that is so).
+    /// Whether nothing may be sent by the list that the process started with: discovery has sent no list yet, its changes may
+    /// count as notified, and nothing shows that it cannot be reached. (The silence of a local agent shows that.)
     pub fn is_stale(&self, now: Micros) -> bool {
         self.known_list.is_stale(now)
     }
 
-    /// Other settings count. Returns whether a watch is to be opened now: where lists are pushed one always is.
+    /// Applies other settings. Returns whether to open a watch now, because a local agent pushes lists and no watch is open.
     pub fn reconfigure(&mut self, settings: DiscoverySettings) -> bool {
         self.settings = settings;
         settings.is_pushed && self.phase == WatchPhase::Closed
     }
 
-    /// Another service counts from now on; until it sends a list, this dispatcher is behind. Returns when its watch is to be
-    /// opened.
+    /// Moves to another service. Until that service sends a list, this dispatcher may lack changes. Returns when to open the
+    /// watch.
     pub fn on_discovery_moved(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Closed;
         self.freshness = Freshness::moved(now);
@@ -136,20 +141,20 @@
         now + if self.settings.is_pushed { 0 } else { self.rng.u64(0..=spread) }
     }
 
-    /// A call for a watch begins. Returns when its connection must be up.
+    /// Handles the start of a call for a watch. Returns when its connection must be established.
     pub fn on_call_started(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Connecting;
         self.last_call = Some(now);
         now + if self.settings.is_pushed { AGENT_ANSWER_TIMEOUT } else { CONNECT_TIMEOUT }
     }
 
-    /// Its connection is up. Returns when it must have sent something.
+    /// Handles the established connection of a call for a watch. Returns when the service must have sent something.
     pub fn on_connected(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Requested;
         if self.settings.is_pushed { now + AGENT_ANSWER_TIMEOUT } else { self.answer_deadline(now) }
     }
 
-    /// A call for the whole list begins. Returns when it must be answered.
+    /// Returns when a call for the whole list that begins now must be answered.
     pub fn full_list_deadline(&self, now: Micros) -> Micros {
         now + self.schedule().answer_timeout(now)
     }
@@ -159,12 +164,12 @@
         called_at + self.schedule().answer_timeout(called_at)
     }
 
-    /// The watch sent whole lists (after [`WatchLiveness::on_list`]) or empty lines. Returns when it must send more; `None` keeps
-    /// the present deadline.
+    /// Handles complete lists of the watch (after [`WatchLiveness::on_list`]) or empty lines. Returns when the watch must send
+    /// more; `None` keeps the current deadline.
     pub fn on_data(&mut self, now: Micros) -> Option<Micros> {
         self.observe_answer(now);
         if let Freshness::Moved { .. } = self.freshness {
-            // A service that has sent no list yet cannot say by an empty line that nothing was missed.
+            // An empty line does not show that nothing was missed if the service has sent no list yet.
             self.phase = WatchPhase::Partial;
             return None;
         }
@@ -173,44 +178,48 @@
         Some(now + LIVENESS_TIMEOUT)
     }
 
-    /// The watch sent the beginning of an object. Returns when the object must be whole.
+    /// Handles the start of an object. Returns when the object must be complete.
     pub fn on_partial_object(&mut self, now: Micros) -> Micros {
         self.observe_answer(now);
         if let WatchPhase::Live { .. } = self.phase {
             return now + OBJECT_TIMEOUT;
         }
-        // The first of a call has the rest of the call's time, but half of its own at least.
+        // The first object of a call has the rest of the call's time, but at least half of the object timeout.
         self.phase = WatchPhase::Partial;
         self.answer_deadline(now).max(now + OBJECT_TIMEOUT / 2).min(now + OBJECT_TIMEOUT)
     }
 
-    /// Learns of the service's load from the first data of a call.
+    /// Records how long the service took to answer, at the first data of a call.
     fn observe_answer(&mut self, now: Micros) {
-        if let (WatchPhase::Requested, Some(called_at)) = (self.phase, self.last_call) {
+        if self.phase == WatchPhase::Requested
+            && let Some(called_at) = self.last_call
+        {
             self.load.on_answered(now.saturating_sub(called_at));
         }
     }
 
-    /// A list was received. Returns since when its changes count as notified: after a silence, or a move, from a fixed time on at
-    /// the latest.
+    /// Handles a list. Returns from when on its changes count as notified: now, or earlier if a silence or a move set an earlier
+    /// time.
     pub fn on_list(&mut self, now: Micros) -> Micros {
         self.known_list.release();
         let freshness = std::mem::take(&mut self.freshness);
         freshness.counts_from().map_or(now, |counts_from| now.min(counts_from))
     }
 
-    /// The watch, or the call for it, is over. Returns when the next is to be opened.
+    /// Handles the failure of the watch, or of the call for it. Returns when to open the next one.
     pub fn on_watch_failed(&mut self, now: Micros, failure: WatchFailure) -> Micros {
         let is_silent = failure == WatchFailure::Silent;
         let phase = std::mem::replace(&mut self.phase, WatchPhase::Closed);
         if failure == WatchFailure::Unreachable || self.settings.is_pushed && is_silent {
             self.known_list.release();
         }
-        if let (WatchPhase::Live { last_data_at }, true) = (phase, is_silent) {
+        if let WatchPhase::Live { last_data_at } = phase
+            && is_silent
+        {
             self.freshness = self.freshness.after_silence(last_data_at);
         }
         if self.settings.is_pushed {
-            // Also after an end: the agent may send at once what happened since.
+            // Also after an end, because the agent may send the changes since then at once.
             return now + if is_silent { 0 } else { MIN_RETRY_INTERVAL };
         }
         let called_at = self.last_call.unwrap_or(now);
@@ -222,7 +231,7 @@
         }
     }
 
-    /// Learns of the service's load from a call that failed.
+    /// Records what a failed call shows of the service's load.
     fn observe_failure(&mut self, failed: &FailedCall) {
         let FailedCall { called_at, failed_at, phase, failure } = *failed;
         match (phase, failure) {
@@ -234,12 +243,12 @@
         }
     }
 
-    /// The times of calls in the present state.
+    /// The schedule of calls in the current state.
     fn schedule(&self) -> CallSchedule<'_> {
         CallSchedule { settings: &self.settings, load: &self.load, counts_from: self.freshness.counts_from() }
     }
 
-    /// A call for the whole list, which a new service must be asked for, failed. Returns when it is called for again.
+    /// Handles the failure of a call for the whole list, which a new service must send. Returns when to repeat the call.
     pub fn on_full_list_failed(&mut self, now: Micros) -> Micros {
         now + self.settings.call_interval()
     }
--- a/src/core/watch_liveness/object_splitter.rs
+++ b/src/core/watch_liveness/object_splitter.rs
@@ -1,33 +1,33 @@
-//! The framing of a watch: objects and empty lines out of a stream of bytes.
+//! The framing of a watch: splits a stream of bytes into objects and empty lines.
 
-/// Splits what a watch sends into JSON objects, however many lines each takes. Each byte is scanned once.
+/// Splits the data of a watch into JSON objects, each of any number of lines. Each byte is scanned once.
 #[derive(Debug, Default)]
 pub struct ObjectSplitter {
-    /// What was received and not returned.
+    /// The bytes that were received and not yet returned.
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that were scanned.
+    /// The number of bytes of `buffer` that were scanned.
     scanned: usize,
-    /// How many brackets are open at that place.
+    /// The number of open brackets after the scanned bytes.
     depth: u32,
     string: StringState,
-    /// An object has ended on the current line, so that the line's end is no empty line.
+    /// Whether an object has ended on the current line, so that the line is not empty.
     has_object_on_line: bool,
-    /// An empty line has come since [`ObjectSplitter::take_empty_line`].
+    /// Whether an empty line was received since [`ObjectSplitter::take_empty_line`].
     has_empty_line: bool,
 }
 
-/// Where the scan stands with regard to a JSON string, within which brackets mean nothing.
+/// Whether the scan is inside a JSON string, where brackets have no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StringState {
     #[default]
     Outside,
     Inside,
-    /// Behind a backslash: the next byte ends nothing.
+    /// Inside, after a backslash: the next byte does not end the string.
     Escaped,
 }
 
 impl StringState {
-    /// The state behind a byte that is part of a string.
+    /// The state after a byte of a string.
     fn after(self, byte: u8) -> StringState {
         match (self, byte) {
             (StringState::Inside, b'"') => StringState::Outside,
@@ -38,12 +38,12 @@
 }
 
 impl ObjectSplitter {
-    /// Adds bytes as they were received.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// How many bytes are buffered.
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
@@ -58,12 +58,13 @@
         self.depth > 0
     }
 
-    /// Whether an empty line has come since the last call.
+    /// Whether an empty line was received since the last call.
     pub fn take_empty_line(&mut self) -> bool {
         std::mem::take(&mut self.has_empty_line)
     }
 
-    /// The next whole object, or a line that begins none (which is no list). Empty lines are dropped.
+    /// The next complete object, or a line outside of any object (which is not a list); `None` if neither is complete. Empty
+    /// lines are skipped.
     pub fn next_object(&mut self) -> Option<Vec<u8>> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -1,32 +1,32 @@
-//! What a dispatcher's own calls show of the discovery service's load, and how it backs off from an overloaded one.
+//! The load of the discovery service as a dispatcher's own calls show it, and the backoff from an overloaded service.
 
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
 use crate::policy::interface::Micros;
 
-/// Where calls draw nearer to each other, one begins no sooner than this after the one before. A call that failed sooner was
-/// refused at once, and shows no overload.
+/// The minimum time between the starts of two calls when calls are hurried, in microseconds. A call that failed faster was
+/// refused at once, which shows no overload.
 pub(super) const MIN_CALL_SPACING: Micros = 200_000;
-/// The answer timeout is doubled at most this often.
+/// How often the answer timeout is doubled at most.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
-/// After a call that failed, the decision module uses the list for four poll intervals, of which the last is left for the next
-/// call.
+/// The maximum backoff, in poll intervals. After a failed call the decision module uses the list for four poll intervals, and the
+/// last of them is left for the next call.
 const MAX_BACKOFF_INTERVALS: Micros = 3;
 
-/// How long the service has let calls wait.
+/// What calls have shown of the service's load.
 #[derive(Debug, Default)]
 pub(super) struct ServiceLoad {
-    /// The longest that it has let a call wait before it answered or refused it.
+    /// The longest wait of a call that was answered or refused, in microseconds.
     longest_wait: Micros,
-    /// Set while calls, one after another, wait and are not answered: perhaps it is overloaded.
+    /// Set while consecutive calls wait and are not answered, so that the service may be overloaded.
     overload: Option<Overload>,
 }
 
-/// Calls that waited in the service's queue, as it seems, and were not answered.
+/// Consecutive calls that probably waited in the service's queue and were not answered.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
     /// When the first of them failed.
     since: Micros,
-    /// How many.
+    /// The number of these calls.
     failed_calls: u32,
 }
 
@@ -36,7 +36,7 @@
         self.overload.is_some()
     }
 
-    /// Whether that is so of the last two calls, or more.
+    /// Whether at least the last two calls waited and were not answered.
     pub fn is_overloaded_repeatedly(&self) -> bool {
         self.failed_calls() >= 2
     }
@@ -45,13 +45,13 @@
         self.overload.map_or(0, |overload| overload.failed_calls)
     }
 
-    /// A call was answered after this wait.
+    /// Records that a call was answered after this wait.
     pub fn on_answered(&mut self, wait: Micros) {
         self.longest_wait = self.longest_wait.max(wait);
         self.overload = None;
     }
 
-    /// A call was refused after this wait.
+    /// Records that a call was refused after this wait.
     pub fn on_refused(&mut self, now: Micros, wait: Micros) {
         if wait < MIN_CALL_SPACING {
             self.overload = None;
@@ -61,20 +61,20 @@
         }
     }
 
-    /// A call was given up without an answer.
+    /// Records that a call timed out without an answer.
     pub fn on_unanswered(&mut self, now: Micros) {
         let before = self.overload.unwrap_or(Overload { since: now, failed_calls: 0 });
         self.overload = Some(Overload { failed_calls: before.failed_calls.saturating_add(1), ..before });
     }
 
-    /// A call failed in a way that shows no overload.
+    /// Records that a call failed in a way that shows no overload.
     pub fn clear_overload(&mut self) {
         self.overload = None;
     }
 
-    /// The longest time from one call to the next while the service may be overloaded. For two notification deadlines all
-    /// dispatchers may still be served within one; beyond that the wait grows with the time spent in vain, until it is enough
-    /// for a very slow service.
+    /// The maximum time between the starts of two calls while the service may be overloaded, in microseconds. It does not grow
+    /// for two notification deadlines, because all dispatchers may still be served within one. After that it grows with the time
+    /// since the first failure, up to what a very slow service needs.
     pub fn backoff(&self, now: Micros, settings: &DiscoverySettings) -> Micros {
         let overloaded_for = self.overload.map_or(0, |overload| now.saturating_sub(overload.since));
         let while_list_is_valid =
@@ -83,15 +83,15 @@
         overloaded_for.saturating_sub(2 * NOTIFICATION_DEADLINE).min(longest).max(settings.call_interval())
     }
 
-    /// The timeout of a call's answer that would do for the service: doubled with each call that was in vain, as long as a call
-    /// after it has time to be answered, and longer once the backoff is.
+    /// The timeout for the answer to a call, in microseconds. It doubles with each call that was not answered, as long as there
+    /// is time for another call after it, and it is at least the backoff.
     pub fn answer_timeout(&self, called_at: Micros, settings: &DiscoverySettings) -> Micros {
         let doublings = self.failed_calls().min(MAX_TIMEOUT_DOUBLINGS);
         let doubled = (POLL_INTERVAL << doublings).min(NOTIFICATION_DEADLINE - POLL_INTERVAL);
         self.backoff(called_at, settings).clamp(doubled, 2 * NOTIFICATION_DEADLINE)
     }
 
-    /// A call is not given up before this: the service has answered one after such a wait, and a quarter of it.
+    /// The minimum timeout of a call, in microseconds: the longest wait that the service has caused so far, and a quarter more.
     pub fn observed_timeout(&self) -> Micros {
         self.longest_wait + self.longest_wait / 4
     }
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -1,30 +1,30 @@
-//! The intervals at which discovery is called, from the protocol's figures and the settings.
+//! The intervals between calls to discovery, derived from the protocol's figures and the settings.
 
 use crate::policy::interface::{Micros, Settings};
 
-/// A change counts as notified this long after discovery had it and could be reached, and what a silent watch missed this long
-/// after it fell silent, whether it arrived or not (PROTOCOL, "Figures"; STANDING, "The whole fleet").
+/// How long after discovery has a change and can be reached the change counts as notified, received or not, in microseconds. The
+/// changes that a silent watch missed count this long after it fell silent (PROTOCOL, "Figures"; STANDING, "The whole fleet").
 pub(super) const NOTIFICATION_DEADLINE: Micros = 6_000_000;
-/// From the moment at which discovery can be reached again, [`NOTIFICATION_DEADLINE`] has to hold the rest of a call or wait under
-/// way, two calls that are refused, and one that is answered: a quarter each. Among a few dispatchers a call begins at the latest
-/// this long after the one before it, and is given up this long after it began.
+/// The maximum time between the starts of two calls among few dispatchers, and the timeout of a call there, in microseconds. From
+/// the moment at which discovery can be reached again, [`NOTIFICATION_DEADLINE`] must have room for the rest of a current call or
+/// wait, two refused calls and one that is answered: a quarter each.
 pub(super) const POLL_INTERVAL: Micros = NOTIFICATION_DEADLINE / 4;
-/// This many dispatchers may call within one [`POLL_INTERVAL`]. More of them take turns, or a slow service would be kept from
-/// answering any by those that call again; however many they are, there is time for one call, which is answered, within
-/// [`NOTIFICATION_DEADLINE`].
+/// How many dispatchers may call within one [`POLL_INTERVAL`]. A larger number takes turns, because otherwise repeated calls
+/// would keep a slow service from answering any of them. With any number, [`NOTIFICATION_DEADLINE`] has room for one answered
+/// call.
 const MAX_UNCOORDINATED_CALLERS: Micros = 10;
-/// What the service is taken to need for a call, where the operators' file says nothing else: it handles calls in turn, so
-/// those of n dispatchers that lost their watches together are spread over n times this.
+/// The assumed time that the service needs for one call if the operators' file does not set another, in microseconds. It handles
+/// calls in turn, so the calls of n dispatchers that lost their watches together are spread over n times this.
 const SERVICE_TIME: Micros = 20_000;
 
-/// How discovery is reached, and by how many.
+/// How discovery is reached, and by how many dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoverySettings {
-    /// Lists are pushed to an agent of the own machine, which answers at once and at no cost.
+    /// Whether lists are pushed to a local agent, which answers at once and at no cost.
     pub is_pushed: bool,
-    /// Without a watch, the list must be fetched within this.
+    /// The maximum time between polls without a watch, in microseconds; `None` if there is no maximum.
     pub max_poll_interval: Option<Micros>,
-    /// How many dispatchers share the service.
+    /// The number of dispatchers that share the service.
     pub dispatchers: u32,
 }
 
@@ -39,34 +39,36 @@
 }
 
 impl DiscoverySettings {
-    /// The longest time between the beginnings of two calls. Both a call that failed and the next one lie within the settings'
-    /// poll interval: a dispatcher that has not called for so long counts as notified.
+    /// The maximum time between the starts of two calls, in microseconds. A failed call and the next one both fit into the
+    /// maximum poll interval of the settings, because a dispatcher that has not called for that long counts as notified.
     pub(super) fn call_interval(&self) -> Micros {
         let fair = self.slow_turn().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
         self.max_poll_interval.map_or(fair, |within| fair.min(within / 2))
     }
 
-    /// The same where turns are not waited for.
+    /// The maximum time between the starts of two calls if the dispatchers do not take turns, in microseconds.
     pub(super) fn hurried_call_interval(&self) -> Micros {
         self.call_interval().min(POLL_INTERVAL)
     }
 
-    /// How long the calls of all dispatchers take, in turn, at a service that is very slow.
+    /// How long one call of each dispatcher takes at a very slow service, in turn, in microseconds.
     pub(super) fn slow_turn(&self) -> Micros {
         POLL_INTERVAL * Micros::from(self.dispatchers) / MAX_UNCOORDINATED_CALLERS
     }
 
-    /// All watches may end at once, and all may start at once: their dispatchers call within this, one interval at most.
+    /// The span over which the calls of all dispatchers are spread, in microseconds, because all watches may start or end
+    /// together. It is at most one interval.
     pub(super) fn spread(&self) -> Micros {
         (SERVICE_TIME * Micros::from(self.dispatchers)).min(self.hurried_call_interval())
     }
 
-    /// The same where what was missed has a time from which it counts: of one interval, half is left for a second call.
+    /// The span if missed changes count as notified from a fixed time on, in microseconds. It is at most half an interval, so
+    /// that the other half is left for a second call.
     pub(super) fn hurried_spread(&self) -> Micros {
         self.spread().min(self.hurried_call_interval() / 2)
     }
 
-    /// Whether there are so few dispatchers that they need not take turns.
+    /// Whether the dispatchers are few enough that they need not take turns.
     pub(super) fn are_few(&self) -> bool {
         Micros::from(self.dispatchers) <= MAX_UNCOORDINATED_CALLERS
     }
