--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -79,30 +79,33 @@
 
 impl ConcurrentWrites {
     fn measure(store: &Store) -> Result<ConcurrentWrites, CommandError> {
-        let mut latencies = latency_histogram()?;
         let is_over = AtomicBool::new(false);
-        let stat = std::thread::scope(|scope| {
+        std::thread::scope(|scope| {
             let compaction = scope.spawn(|| {
                 let last = compact_repeatedly(store);
                 is_over.store(true, Ordering::Relaxed);
                 last
             });
-            let mut n = 0;
-            while !is_over.load(Ordering::Relaxed) {
-                let start = Instant::now();
-                store.write(single_put(FIRST_CONCURRENT_NUMBER | n))?;
-                record_latency(&mut latencies, start.elapsed());
-                n += 1;
-            }
-            match compaction.join() {
-                Ok(last) => Ok(last?),
-                Err(_) => Err(CommandError::from(BenchError::CompactionPanicked)),
-            }
-        })?;
-        Ok(ConcurrentWrites { latencies, compactions: stat.metrics.compactions })
+            let latencies = measure_writes_until(store, &is_over)?;
+            let stat = compaction.join().map_err(|_| BenchError::CompactionPanicked)??;
+            Ok(ConcurrentWrites { latencies, compactions: stat.metrics.compactions })
+        })
     }
 }
 
+/// Writes until `is_over`, and measures the latency of each write.
+fn measure_writes_until(store: &Store, is_over: &AtomicBool) -> Result<Histogram<u64>, CommandError> {
+    let mut latencies = latency_histogram()?;
+    let mut n = 0;
+    while !is_over.load(Ordering::Relaxed) {
+        let start = Instant::now();
+        store.write(single_put(FIRST_CONCURRENT_NUMBER | n))?;
+        record_latency(&mut latencies, start.elapsed());
+        n += 1;
+    }
+    Ok(latencies)
+}
+
 /// Compacts [`COMPACTIONS`] times, or up to the first error. Returns the last result.
 fn compact_repeatedly(store: &Store) -> Result<Stat, StoreError> {
     let mut last = store.compact(DamagedRecords::Refuse);
--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher learns from its jobs and shares with the others: the run times of jobs and the usage of tenants. The
 //! learners supply inputs to the decision module and decide nothing themselves.
 
-use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity};
+use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity, RuntimesSettings};
 use crate::policy::interface::{ClassId, Estimate, MICROS_PER_MS, Micros};
 use mothproxy_fairshare::{Ledger, TenantKey, Usage};
 use mothproxy_membership::{Change, OwnedFact, State};
@@ -79,15 +79,11 @@
 impl Learners {
     /// Creates the learners that the settings turn on. They publish under the place and the epoch of `identity`.
     pub fn new(settings: &FleetSettings, identity: ProcessIdentity, now: Micros) -> Learners {
-        let place = place_of(identity);
-        let runtimes = settings.runtimes.as_ref().and_then(|settings| {
-            let config =
-                Config { long_quantile: settings.long_quantile, ..Config::new(place, identity.epoch) };
-            let runtimes = RuntimeEstimator::new(config, now);
-            mothproxy_invariant::invariant!(runtimes.is_ok(), "settings that were checked");
-            runtimes.ok()
-        });
-        let mut learners = Learners { runtimes, shares: None, share_settings: settings.fair_share.clone() };
+        let mut learners = Learners {
+            runtimes: settings.runtimes.as_ref().and_then(|runtimes| new_estimator(runtimes, identity, now)),
+            shares: None,
+            share_settings: settings.fair_share.clone(),
+        };
         learners.restart(identity, now);
         learners
     }
@@ -96,14 +92,7 @@
     /// others send back what was published before, and it must not count twice. Estimates of run times carry their own run and
     /// stay.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
-        let place = place_of(identity);
-        self.shares = self.share_settings.as_ref().and_then(|settings| {
-            let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
-            let config = settings.config(place, identity.peers, identity.epoch, unix_at_zero);
-            let ledger = Ledger::new(config, &settings.shares, now);
-            mothproxy_invariant::invariant!(ledger.is_ok(), "shares that were checked");
-            ledger.ok()
-        });
+        self.shares = self.share_settings.as_ref().and_then(|settings| new_ledger(settings, identity, now));
     }
 
     /// Whether any learner is on.
@@ -241,6 +230,25 @@
     }
 }
 
+fn new_estimator(
+    settings: &RuntimesSettings,
+    identity: ProcessIdentity,
+    now: Micros,
+) -> Option<RuntimeEstimator> {
+    let default = Config::new(place_of(identity), identity.epoch);
+    let estimator = RuntimeEstimator::new(Config { long_quantile: settings.long_quantile, ..default }, now);
+    mothproxy_invariant::invariant!(estimator.is_ok(), "settings that were checked");
+    estimator.ok()
+}
+
+fn new_ledger(settings: &FairShareSettings, identity: ProcessIdentity, now: Micros) -> Option<Ledger> {
+    let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
+    let config = settings.config(place_of(identity), identity.peers, identity.epoch, unix_at_zero);
+    let ledger = Ledger::new(config, &settings.shares, now);
+    mothproxy_invariant::invariant!(ledger.is_ok(), "shares that were checked");
+    ledger.ok()
+}
+
 fn estimator_metrics(estimator: &RuntimeEstimator) -> LearnerMetrics {
     let counts = estimator.metrics();
     LearnerMetrics {
