--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -1,27 +1,30 @@
-//! A start on an old list: its workers are tried few at a time until a dispatcher has seen them alive.
+//! Confirmation of the workers of an old endpoint list after a start.
+//!
+//! Nobody has seen these workers alive since the start, so only a few of them are tried at a time. A worker is confirmed
+//! once a dispatcher has seen it alive.
 
 use crate::shared_observations::WorkerStatus;
 use crate::{Micros, WorkerTag};
 use std::collections::HashMap;
 
-/// The most trials of unconfirmed workers under way at once, to begin with.
+/// The initial limit of concurrent trials of unconfirmed workers.
 const FIRST_MAX_TRIALS: usize = 4;
-/// Each failure allows one trial more at once, up to this: a list that names only dead workers is gone through quickly.
+/// Each failed trial raises the limit by one, up to this, so that a list of dead workers is worked through quickly.
 const MAX_TRIALS: usize = 32;
-/// A worker that showed a fault is left alone for this long, in microseconds, and by the last of the places for twice as
-/// long: one that looks again publishes what it sees.
+/// How long a faulty worker gets no jobs, in microseconds: this long at the first place, rising to twice as long at the
+/// last. The first places to try it again publish what they observe, which saves the others a trial.
 const FAULT_BACKOFF: Micros = 5_000_000;
 
-/// What is known of one unconfirmed worker since the start.
+/// The state of one unconfirmed worker since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TrialState {
     Untried,
     UnderWay,
-    /// It failed here then.
+    /// A trial or another use by this dispatcher failed at this time.
     FailedAt(Micros),
 }
 
-/// Which workers of the list at the start may be used how.
+/// Tracks the unconfirmed workers of the list that was held at the start, and how each may be used.
 #[derive(Debug)]
 pub struct HealthConfirmation {
     unconfirmed: HashMap<WorkerTag, TrialState>,
@@ -33,24 +36,24 @@
 /// How a worker may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// As any other.
+    /// Like any confirmed worker.
     Unrestricted,
-    /// With one job, which counts as a trial: call [`HealthConfirmation::begin_trial`] when it goes out.
+    /// For one job, which counts as a trial. Call [`HealthConfirmation::begin_trial`] when it is sent.
     Trial,
-    /// Not now.
+    /// Not at present.
     Refused,
 }
 
 impl HealthConfirmation {
-    /// These workers are on the list at the start; nobody has seen them yet.
+    /// Starts with the workers of the list that was held at the start, all unconfirmed.
     pub fn new(tags: impl IntoIterator<Item = WorkerTag>, place: u16, places: u16) -> HealthConfirmation {
         let fault_backoff = FAULT_BACKOFF + FAULT_BACKOFF * u64::from(place) / u64::from(places.max(1));
         let unconfirmed = tags.into_iter().map(|tag| (tag, TrialState::Untried)).collect();
         HealthConfirmation { unconfirmed, trials: 0, max_trials: FIRST_MAX_TRIALS, fault_backoff }
     }
 
-    /// How this worker may be used now, with what the members observed of it. An observation never admits a worker that is
-    /// on no list, and never counts as a list of the service.
+    /// How this worker may be used now, given what the members observed of it. An observation never admits a worker that is
+    /// on no list, and never replaces a list from the service.
     pub fn admission(&self, tag: WorkerTag, status: Option<&WorkerStatus>, now: Micros) -> Admission {
         let fault = status.and_then(|status| status.fault);
         let is_faulty = fault.is_some_and(|(_, age)| age < self.fault_backoff);
@@ -65,16 +68,16 @@
         }
     }
 
-    /// A trial of this worker begins.
+    /// Records that a trial of this worker begins.
     pub fn begin_trial(&mut self, tag: WorkerTag) {
         if let Some(state) = self.unconfirmed.get_mut(&tag).filter(|state| **state != TrialState::UnderWay) {
             *state = TrialState::UnderWay;
             self.trials += 1;
         }
-        mothproxy_invariant::invariant!(self.trials <= MAX_TRIALS, "more tries at once than may be");
+        mothproxy_invariant::invariant!(self.trials <= MAX_TRIALS, "more concurrent trials than the limit");
     }
 
-    /// A trial, or any other use, ended: the worker is alive or it is not.
+    /// Records the result of a trial or of any other use: whether the worker is alive.
     pub fn on_result(&mut self, tag: WorkerTag, is_alive: bool, now: Micros) {
         let Some(state) = self.unconfirmed.get_mut(&tag) else { return };
         let was_trial = *state == TrialState::UnderWay;
@@ -87,19 +90,19 @@
         }
     }
 
-    /// The service's own list names it: it needs no trial.
+    /// Records that the service's current list has this worker, which then needs no trial.
     pub fn on_listed(&mut self, tag: WorkerTag) {
         if self.unconfirmed.remove(&tag) == Some(TrialState::UnderWay) {
             self.trials -= 1;
         }
     }
 
-    /// How many trials are under way.
+    /// The number of trials under way.
     pub fn trials(&self) -> usize {
         self.trials
     }
 
-    /// How many workers nobody here has confirmed yet.
+    /// The number of workers that this dispatcher has not confirmed yet.
     pub fn unconfirmed(&self) -> usize {
         self.unconfirmed.len()
     }
--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -1,13 +1,14 @@
-//! When this dispatcher calls the list service.
+//! Schedules the calls of this dispatcher to the list service.
 //!
-//! Time is cut into **rounds** of `places x service time`, by Unix time; in each round every place has one slot as long as
-//! the service takes for a call, so calls of all places in their slots come one after another however the processes
-//! started. A failure is followed by a wait with decorrelated jitter (as described by M. Brooker, "Exponential Backoff And
-//! Jitter", 2015: each wait is drawn between a base and three times the wait before, up to a cap), moved on to the next
-//! own slot. A refusal after a wait in the queue doubles the round: the service is slower than was thought.
+//! Time is divided into **rounds** of `places x service time`, aligned to Unix time. In each round every place has one slot,
+//! as long as the service takes for a call. Calls of different places therefore follow one another, whenever the processes
+//! started. After a failure the scheduler waits with decorrelated jitter (M. Brooker, "Exponential Backoff And Jitter",
+//! 2015: each wait is drawn between a base and three times the wait before, up to a cap), and then until its next slot. A
+//! refusal after a wait in the service's queue doubles the round: the service is slower than assumed.
 //!
-//! Where dispatchers know each other's statuses, and two of them found the service down, they call in turns of a much slower
-//! round until one is answered; then all spread over one round. What a peer says moves only *when* this one calls.
+//! Dispatchers may know each other's statuses. If two of them found the service down, they call in turns of a much slower
+//! round until one of them is answered; then all spread their calls over one round. A peer's status changes only *when*
+//! this dispatcher calls, never whether.
 
 mod backoff;
 mod call_need;
@@ -29,16 +30,16 @@
 use service_status::{MAX_BACKOFF_LEVEL, MemberStatuses, SIGNIFICANT_CHANGE};
 use slots::Slots;
 
-/// Slots of a call that has a deadline end this long before it, in microseconds.
+/// A call that has a deadline is due at least this long before it, in microseconds.
 const DEADLINE_MARGIN: Micros = 20_000;
 
-/// When the next call is due, and by which rounds that was chosen.
+/// When the next call is due, and the kind of round that determined it.
 #[derive(Debug)]
 struct PlannedCall {
     due_at: Micros,
-    /// The length of the regular rounds at the time of the choice.
+    /// The length of the regular rounds when `due_at` was chosen, in microseconds.
     round: Micros,
-    /// `due_at` is a turn of the slow rounds while the service is down.
+    /// Whether `due_at` is a turn of the slow rounds that are used while the service is down.
     is_outage_turn: bool,
 }
 
@@ -52,21 +53,22 @@
     has_open_call: bool,
     need: CallNeed,
     planned: PlannedCall,
-    /// The latest time for the next call, where there is one.
+    /// The latest time for the next call, if there is a limit.
     deadline: Option<Micros>,
     backoff: Backoff,
-    /// The least time that an own call took until its answer.
+    /// The shortest time from a call of this dispatcher to its answer, in microseconds.
     min_answer_time: Option<Micros>,
     statuses: MemberStatuses,
     metrics: Metrics,
 }
 
 impl PollScheduler {
-    /// A scheduler that starts now, with no watch; its first call is due in its slot of this round.
+    /// Creates a scheduler that starts at `now` without a watch. Its first call is due in its slot of the current round.
+    /// `generation` is that of the endpoint list that the dispatcher already holds.
     ///
     /// # Errors
     ///
-    /// The place is not one of the places, or the service time is 0.
+    /// Returns an error if the place is not one of the places, or if the service time is 0.
     pub fn new(config: Config, now: Micros, generation: u64) -> Result<PollScheduler, ConfigError> {
         config.validate()?;
         let mut rng = fastrand::Rng::with_seed(config.seed ^ mix(u64::from(config.place)));
@@ -89,13 +91,13 @@
         Ok(scheduler)
     }
 
-    /// When [`PollScheduler::tick`] is to be called next, if nothing comes before; never earlier than now. `None` while a
-    /// call or a watch is open.
+    /// When to call [`PollScheduler::tick`] next unless an event arrives first; never in the past. `None` while a call or a
+    /// watch is open.
     pub fn next_wake(&self) -> Option<Micros> {
         self.needs_call().then(|| self.planned.due_at.min(self.need.next_recheck).max(self.now))
     }
 
-    /// Lets time pass; returns a call where one is due. At most one is open at any time.
+    /// Advances the time to `now` and returns a call if one is due. At most one call is open at any time.
     pub fn tick(&mut self, now: Micros) -> Option<Call> {
         self.now = self.now.max(now);
         if !self.needs_call() {
@@ -116,7 +118,7 @@
         Some(Call { number: self.metrics.calls })
     }
 
-    /// Takes one event.
+    /// Processes one event.
     pub fn handle(&mut self, now: Micros, event: Event) {
         self.now = self.now.max(now);
         if event.ends_call() && !std::mem::take(&mut self.has_open_call) {
@@ -152,24 +154,24 @@
         }
     }
 
-    /// What this dispatcher says of the service.
+    /// This dispatcher's own status of the service, for the others.
     pub fn status(&self) -> ServiceStatus {
         self.statuses.own
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// Whether the service counts as down: two members found it so since anybody was last answered, or one did and nobody
-    /// is known to have a watch.
+    /// Whether the service counts as down: since the last answer to any member, two members found it down, or one did while
+    /// no member is known to have a watch.
     pub fn is_service_down(&self) -> bool {
         self.statuses.is_service_down(self.unix_ms())
     }
 
-    /// Whether [`PollScheduler::status`] changes what others do: too few of them have said the same of the present state of
-    /// the service, or none holds this generation.
+    /// Whether [`PollScheduler::status`] would change what others do: too few of them have reported the same state of the
+    /// service, or none of them holds this generation of the list.
     pub fn has_news(&self) -> bool {
         self.statuses.has_news(self.unix_ms())
     }
@@ -231,7 +233,7 @@
             return;
         }
         let own = &self.statuses.own;
-        // A member was answered since this one found the service down: one round for all that wait for that.
+        // A member was answered after this one found the service down: all that waited for that share one round.
         let is_back = self.backoff.is_active()
             && own.failed_at_ms > own.answered_at_ms
             && status.answered_at_ms > own.failed_at_ms;
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Neither a call nor a watch is open.
+    /// Whether neither a call nor a watch is open.
     fn needs_call(&self) -> bool {
         !self.has_open_call && !self.statuses.own.is_watching
     }
@@ -260,7 +262,7 @@
         }
     }
 
-    /// A reason for a call has arisen: it goes into the own slot of this round.
+    /// Schedules the call for a new reason into the own slot of the current round.
     fn schedule_first_call(&mut self, reason: CallReason) {
         self.need = CallNeed::new(reason, self.now, self.config.has_membership);
         let round = self.round_length().regular();
@@ -274,7 +276,8 @@
         self.set_due(at);
     }
 
-    /// A call came to nothing: the next one comes after a wait, and not before what `Retry-After` says.
+    /// Schedules the next call after one that failed: after a wait, and not before the time that `Retry-After` allows. A
+    /// `retry_after` of 0 means that there was no such header.
     fn schedule_retry(&mut self, failure: Failure, retry_after: Micros) {
         if self.deadline.is_some_and(|deadline| deadline <= self.now + DEADLINE_MARGIN) {
             self.deadline = None;
@@ -299,13 +302,13 @@
         self.backoff.reset();
         let round = self.round_length().regular();
         let at = self.slots.next(self.now.max(self.backoff.not_before()), round);
-        // Who learns of it late has no whole round left: its slot, or the time that it has, whichever is sooner.
+        // If the news is old, less than a whole round is left: take the next slot or the planned time, whichever is sooner.
         let age = self.unix_ms().saturating_sub(answered_at_ms) * 1_000;
         let due_at = if age > round / 8 { self.planned.due_at.min(at) } else { at };
         self.planned = PlannedCall { due_at, round, is_outage_turn: false };
     }
 
-    /// Makes the next call due then, or earlier where it has a deadline.
+    /// Sets the time of the next call to `at`, or to an earlier time if it has a deadline.
     fn set_due(&mut self, at: Micros) {
         self.planned.due_at = match self.deadline {
             _ if self.config.skip_scheduling => self.now + self.rng.u64(0..backoff::MIN_WAIT),
@@ -317,8 +320,8 @@
         };
     }
 
-    /// Statuses of others could be received by now: those that lack a list may be far fewer than all, or nobody else may be
-    /// there.
+    /// Reconsiders the planned time now that the statuses of others have had time to arrive. Far fewer members than assumed
+    /// may lack a list, or no other member may be present.
     fn recheck(&mut self) {
         self.need.record_recheck(self.now);
         let round = self.round_length().regular();
@@ -337,7 +340,7 @@
         }
     }
 
-    /// Defers a call that is due now if what was learned since its slot was chosen asks for it; returns whether it did.
+    /// Defers a call that is due now if anything learned since its slot was chosen requires it. Returns whether it did.
     fn defer(&mut self) -> bool {
         if self.planned.is_outage_turn {
             return false;
@@ -351,7 +354,7 @@
             self.planned.round = round;
             self.planned.due_at = self.slots.next(self.now + 1, round);
         } else if !self.need.has_yielded && self.is_list_being_distributed() {
-            // This one goes last, and is not deferred again.
+            // The others call first; this call is not deferred a second time.
             self.need.has_yielded = true;
             self.planned.due_at = self.now + self.rng.u64(1..=1 + round / 2);
         } else {
@@ -361,7 +364,7 @@
         true
     }
 
-    /// Whether most of the others have a new list from the service that answered this one before.
+    /// Whether most of the others already hold a newer list, from the service that has answered this dispatcher before.
     fn is_list_being_distributed(&self) -> bool {
         self.statuses.own.answered_at_ms > 0
             && self.statuses.others_with_newer_list() * 2 > self.statuses.present_others()
--- a/crates/coldstart/src/poll_scheduler/backoff.rs
+++ b/crates/coldstart/src/poll_scheduler/backoff.rs
@@ -9,46 +9,46 @@
 const MIN_CAP: Micros = 2_000_000;
 /// No wait after a failure is drawn below this, in microseconds.
 pub(super) const MIN_WAIT: Micros = 50_000;
-/// A refusal after the time of so many calls, and after [`MIN_BUSY_WAIT`], is of a busy service; a quicker one is of a
-/// service that is down.
+/// A refusal means that the service is busy if it took at least as long as this many calls and [`MIN_BUSY_WAIT`]. A quicker
+/// one means that the service is down.
 const BUSY_CALLS: u64 = 5;
 /// See [`BUSY_CALLS`], in microseconds.
 const MIN_BUSY_WAIT: Micros = 100_000;
 
-/// What ended a call without a list.
+/// Why a call ended without a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// The service has too much to do, or says nothing.
+    /// The service is overloaded, or does not answer.
     Busy,
     /// The service cannot be reached.
     Down,
 }
 
 impl Failure {
-    /// What a refusal after a wait says, both spans in microseconds.
+    /// Classifies a refusal by the time until it came. Both spans are in microseconds.
     pub fn from_refusal(waited: Micros, service_time: Micros) -> Failure {
         if waited >= MIN_BUSY_WAIT.max(BUSY_CALLS * service_time) { Failure::Busy } else { Failure::Down }
     }
 }
 
-/// Whether an answer after this wait is of a service without a long queue, both spans in microseconds.
+/// Whether an answer after this wait shows that the service has no long queue. Both spans are in microseconds.
 pub(super) fn is_quick_answer(waited: Micros, service_time: Micros) -> bool {
     waited < BUSY_CALLS * service_time
 }
 
-/// The waits of one run of failures, in microseconds.
+/// The waits of consecutive failures, in microseconds.
 #[derive(Debug)]
 pub(super) struct Backoff {
     /// See [`super::Config::poll_within`].
     poll_within: Option<Micros>,
-    /// The last wait, 0 where no call has failed since the last answer.
+    /// The last wait; 0 if no call has failed since the last answer.
     last_wait: Micros,
-    /// No call before this time: what the last `Retry-After` asked for.
+    /// The earliest time that the last `Retry-After` allows.
     not_before: Micros,
 }
 
 impl Backoff {
-    /// No call has failed yet.
+    /// The state before any failure.
     pub fn new(poll_within: Option<Micros>) -> Backoff {
         Backoff { poll_within, last_wait: 0, not_before: 0 }
     }
@@ -58,38 +58,39 @@
         self.last_wait > 0
     }
 
-    /// The last wait, 0 where no call has failed since the last answer.
+    /// The last wait; 0 if no call has failed since the last answer.
     pub fn last_wait(&self) -> Micros {
         self.last_wait
     }
 
-    /// No call before this time.
+    /// The earliest time that the last `Retry-After` allows.
     pub fn not_before(&self) -> Micros {
         self.not_before
     }
 
-    /// Begins anew; what `Retry-After` asked for still holds.
+    /// Starts again after an answer; a `Retry-After` still holds.
     pub fn reset(&mut self) {
         self.last_wait = 0;
     }
 
-    /// Drops what `Retry-After` asked for: it was another service's.
+    /// Drops the last `Retry-After`, which came from another service.
     pub fn forget_retry_after(&mut self) {
         self.not_before = 0;
     }
 
-    /// Draws the wait after a call that failed now, for rounds of this length. `retry_after` is 0 where the answer asked for
-    /// nothing.
+    /// Draws the wait after a call that failed at `now`, for rounds of this length. `retry_after` is 0 if the answer had no
+    /// such header.
     pub fn draw(&mut self, rng: &mut fastrand::Rng, now: Micros, round: Micros, retry_after: Micros) {
         let base = (round / 4).max(MIN_WAIT);
-        // Changes count as received four times `poll_within` after a call that failed: half of that is left for the next.
-        let held = self.poll_within.map_or(u64::MAX, |within| 2 * within);
-        let cap = (2 * round).max(MIN_CAP.min(held)).max(base);
+        // After a failed call, changes count as received once four times `poll_within` has passed. A wait uses half of that
+        // and leaves the other half for the next call.
+        let max_wait = self.poll_within.map_or(u64::MAX, |within| 2 * within);
+        let cap = (2 * round).max(MIN_CAP.min(max_wait)).max(base);
         self.last_wait = rng.u64(base..=(3 * self.last_wait.max(base)).min(cap));
         self.not_before = now + retry_after;
     }
 
-    /// The earliest time of the next call, by the wait and by what `Retry-After` asked for.
+    /// The earliest time of the next call, by the last wait and the last `Retry-After`.
     pub fn earliest(&self, now: Micros) -> Micros {
         self.not_before.max(now + self.last_wait)
     }
--- a/crates/coldstart/src/poll_scheduler/call_need.rs
+++ b/crates/coldstart/src/poll_scheduler/call_need.rs
@@ -1,4 +1,4 @@
-//! Why a call is needed, and what has become known of the others since then.
+//! Why a call is needed, and what has been learned of the others since then.
 
 use super::slots::MAX_FIRST_CALLS_SPAN;
 use crate::Micros;
@@ -6,9 +6,9 @@
 /// Why a call became due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallReason {
-    /// The process or the service is new. Others may hold a list since before: they need no slot in the round.
+    /// The process or the service is new. Others that already hold a list need no slot in the round.
     Start,
-    /// The watch has ended; those of the others may have, too.
+    /// The watch has ended; the watches of the others may have ended too.
     WatchEnded,
 }
 
@@ -18,31 +18,31 @@
     pub reason: CallReason,
     /// When the reason arose, in the caller's microseconds.
     pub since: Micros,
-    /// When the time of the call is to be reconsidered: by then statuses of others could be received. Never where there is
-    /// no membership.
+    /// When to reconsider the time of the call: by then the statuses of others have had time to arrive. `u64::MAX`, that is
+    /// never, without membership.
     pub next_recheck: Micros,
-    /// How often it has been reconsidered.
+    /// How often the time of the call has been reconsidered.
     pub rechecks: u32,
-    /// Processes that ended since the reason arose.
+    /// The number of members whose processes ended since the reason arose.
     pub members_gone: u64,
-    /// The call was deferred once because the service is distributing a new list.
+    /// Whether the call was deferred once because the service is distributing a new list.
     pub has_yielded: bool,
 }
 
 impl CallNeed {
-    /// A need that arises now.
+    /// A need that arises at `now`.
     pub fn new(reason: CallReason, now: Micros, has_membership: bool) -> CallNeed {
         let next_recheck = if has_membership { now + MAX_FIRST_CALLS_SPAN } else { u64::MAX };
         CallNeed { reason, since: now, next_recheck, rechecks: 0, members_gone: 0, has_yielded: false }
     }
 
-    /// The time of the call is reconsidered now.
+    /// Records that the time of the call is reconsidered at `now`, and sets the next time to do so.
     pub fn record_recheck(&mut self, now: Micros) {
         self.rechecks += 1;
         self.next_recheck = now + 2 * MAX_FIRST_CALLS_SPAN;
     }
 
-    /// Whether others may have a list since before the need arose, and their statuses had time to arrive.
+    /// Whether others may have held a list before the need arose, and their statuses have had time to arrive.
     pub fn may_know_holders(&self) -> bool {
         self.reason == CallReason::Start && self.rechecks > 1
     }
--- a/crates/coldstart/src/poll_scheduler/config.rs
+++ b/crates/coldstart/src/poll_scheduler/config.rs
@@ -2,20 +2,20 @@
 
 use crate::{ConfigError, Micros, Millis, check_place};
 
-/// What a call costs the service where nobody knows, in microseconds.
+/// The default of [`Config::service_time`], in microseconds.
 pub const SERVICE_TIME: Micros = 20_000;
 
-/// What a scheduler has to know.
+/// Settings of a [`PollScheduler`](super::PollScheduler).
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This dispatcher's place, from 0.
     pub place: u16,
-    /// How many places there are, whether or not anybody is there.
+    /// The number of places, whether or not a dispatcher runs at each of them.
     pub places: u16,
-    /// What a call costs the service, in microseconds; [`SERVICE_TIME`] where nobody knows.
+    /// The time that the service needs for a call, in microseconds; [`SERVICE_TIME`] if unknown.
     pub service_time: Micros,
-    /// Without a watch a dispatcher is held to its list for this long from its last call, and four times as long from one
-    /// that failed, in microseconds.
+    /// How long a dispatcher without a watch may rely on its list after its last call, in microseconds; four times as long
+    /// after a call that failed.
     pub poll_within: Option<Micros>,
     /// The Unix time of the caller's zero, in microseconds.
     pub unix_at_zero: Micros,
@@ -34,7 +34,7 @@
         if self.service_time == 0 { Err(ConfigError::Zero("service_time")) } else { Ok(()) }
     }
 
-    /// The Unix time of a moment of the caller's time, in milliseconds.
+    /// Converts a point in the caller's time to Unix time, in milliseconds.
     pub(super) fn unix_ms(&self, at: Micros) -> Millis {
         (self.unix_at_zero + at) / 1_000
     }
--- a/crates/coldstart/src/poll_scheduler/event.rs
+++ b/crates/coldstart/src/poll_scheduler/event.rs
@@ -1,40 +1,40 @@
-//! What goes into a scheduler, and what comes out.
+//! The inputs, outputs and counters of a scheduler.
 
 use super::ServiceStatus;
 use crate::Micros;
 
-/// One call that has to be made now. Its end comes back as an [`Event`].
+/// A call to make now. The caller reports its end as an [`Event`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Its number at this scheduler, from 1.
+    /// The number of the call at this scheduler, from 1.
     pub number: u64,
 }
 
-/// What a scheduler has to know of.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The call was answered by a list; its watch is open.
+    /// The call was answered with a list; its watch is open.
     Answered {
         /// The list's generation.
         generation: u64,
-        /// From the call's first byte to the list, in microseconds.
+        /// The time from the call's first byte to the list, in microseconds.
         waited: Micros,
     },
-    /// The watch brought a newer list.
+    /// The watch delivered a newer list.
     ListChanged {
-        /// Its generation.
+        /// The generation of the newer list.
         generation: u64,
     },
     /// The call was refused (503).
     Refused {
-        /// From the call's first byte to the refusal, in microseconds.
+        /// The time from the call's first byte to the refusal, in microseconds.
         waited: Micros,
-        /// What the answer's `Retry-After` says, in microseconds.
+        /// The wait that the answer's `Retry-After` header asks for, in microseconds.
         retry_after: Option<Micros>,
     },
-    /// The call failed: no connection, a reset, an end.
+    /// The call failed: it could not connect, or the connection was reset or closed.
     Failed,
-    /// No answer came in time. That says nothing of the service for others: a watch may be silent by itself.
+    /// No answer came in time. This is no evidence of an outage for the others: a single watch may be silent.
     TimedOut,
     /// The watch has ended.
     WatchEnded,
@@ -43,20 +43,20 @@
         /// The latest time for the next call, in the caller's microseconds.
         deadline: Micros,
     },
-    /// The service is another one from now on; what was learned of the old one is void.
+    /// Another service is configured from now on; everything learned of the old one is discarded.
     ServiceMoved {
         /// The latest time for the next call, in the caller's microseconds, if there is one.
         deadline: Option<Micros>,
     },
-    /// Which places may be there.
+    /// Which members may be present, by place.
     Presence(Vec<bool>),
-    /// The process at this place has ended, or another has taken its place: what it said is void.
+    /// The process at this place has ended or was replaced; its status is discarded.
     MemberGone(u16),
-    /// A member said this of the service.
+    /// A member's status of the service arrived.
     PeerStatus {
-        /// Its place.
+        /// The member's place.
         place: u16,
-        /// What it said.
+        /// The member's status.
         status: ServiceStatus,
     },
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
     /// Calls begun.
@@ -79,8 +79,8 @@
     pub refused: u64,
     /// Calls that failed or timed out.
     pub failed: u64,
-    /// Times that a call was put off because of what others said.
+    /// How often a due call was deferred because of the others' statuses.
     pub deferred: u64,
-    /// Events that fitted no call or watch.
+    /// Events that matched no open call or watch.
     pub stray: u64,
 }
--- a/crates/coldstart/src/poll_scheduler/slots.rs
+++ b/crates/coldstart/src/poll_scheduler/slots.rs
@@ -2,22 +2,22 @@
 
 use crate::Micros;
 
-/// The first calls of a start are stretched over this fraction of a round, within the bounds below, so that a member that
-/// finds the service down is known of before most have called.
+/// The first calls after a start are stretched over this fraction of a round, within the bounds below. If the service is
+/// down, most members then learn that from the first ones before they call.
 const FIRST_CALLS_FRACTION: f64 = 1.0;
-/// The least time over which first calls are stretched, in microseconds.
+/// The shortest time over which first calls are stretched, in microseconds.
 const MIN_FIRST_CALLS_SPAN: Micros = 100_000;
-/// The most time over which first calls are stretched, in microseconds.
+/// The longest time over which first calls are stretched, in microseconds.
 pub(super) const MAX_FIRST_CALLS_SPAN: Micros = 600_000;
 
-/// Where the slot of one place lies in rounds of any length. Times are the caller's microseconds.
+/// The position of one place's slot in rounds of any length. Times are the caller's microseconds.
 #[derive(Debug)]
 pub(super) struct Slots {
-    /// The fraction of a round at which the own slot begins, with a random place within the slot.
+    /// The position of the own call as a fraction of a round: the start of the own slot plus a random offset within it.
     phase: f64,
     unix_at_zero: Micros,
-    /// First calls are stretched, which only helps where statuses of others can be received. All slots are later by as much
-    /// then, for slots not to overlap.
+    /// Whether first calls are stretched, which helps only if statuses of others can be received. All slots are then shifted
+    /// by the same amount, so that they do not overlap.
     stretches_first_calls: bool,
 }
 
@@ -26,16 +26,16 @@
         Slots { phase, unix_at_zero, stretches_first_calls }
     }
 
-    /// The first time from `from` on that is the own slot of rounds of this length.
+    /// The first time at or after `from` that lies in the own slot, for rounds of this length.
     pub fn next(&self, from: Micros, round: Micros) -> Micros {
         let shift = if self.stretches_first_calls { shift(round) } else { 0 };
         let elapsed = (self.unix_at_zero + from) % round;
-        let own = (self.offset_in(round) + shift) % round;
-        from + (own + round - elapsed) % round
+        let own_offset = (self.offset_in(round) + shift) % round;
+        from + (own_offset + round - elapsed) % round
     }
 
-    /// The time of a first call. Where first calls are stretched, one in four of the slots in this round is moved to four
-    /// times its distance; the others come in the next round.
+    /// The time of a first call. If first calls are stretched, slots within the first quarter of the span move to four times their
+    /// distance; all later slots are shifted.
     pub fn first(&self, now: Micros, round: Micros) -> Micros {
         let at = self.next(now, round);
         if !self.stretches_first_calls {
@@ -52,12 +52,12 @@
     }
 }
 
-/// Over how long first calls are stretched.
+/// The time over which first calls are stretched.
 fn first_calls_span(round: Micros) -> Micros {
     ((round as f64 * FIRST_CALLS_FRACTION) as u64).clamp(MIN_FIRST_CALLS_SPAN, MAX_FIRST_CALLS_SPAN)
 }
 
-/// How much later slots are where first calls are stretched.
+/// How much later slots are if first calls are stretched.
 fn shift(round: Micros) -> Micros {
     first_calls_span(round) / 4 * 3
 }
