--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -1,12 +1,13 @@
-//! What was observed of workers, by this dispatcher and by the others, as facts that a carrier brings.
+//! Observations of workers, made by this dispatcher and by its peers, which exchange them as facts.
 //!
-//! Of each worker the latest time of each thing observed is kept: proofs of life, refusals, hangs, resets, signs of warming up,
-//! and the latest report. Taking a fact in is a maximum in each of these, so the state is the same in whatever order and
-//! however often facts come (a join-semilattice, as in Shapiro and others, "Conflict-free Replicated Data Types", 2011).
-//! A worker's status is computed from that on demand: the worst fault that no later proof of life refutes, with a weight
-//! that halves with its age.
+//! For each worker the state holds the latest time of each kind of observation: proof of life, refusal, hang, reset, sign of
+//! warming up, and report. Absorbing a fact takes the maximum of each of these times, so the state does not depend on the
+//! order in which facts arrive, nor on how often one arrives (a join-semilattice, as in Shapiro and others, "Conflict-free
+//! Replicated Data Types", 2011). A worker's status is computed from these times on demand: the worst fault that no later
+//! proof of life refutes, with a weight that halves at a fixed interval of its age.
 //!
-//! Slot 0 of this kind is what a member says of the list service ([`ServiceStatus`]); the others are buckets of workers.
+//! Slot 0 of this kind of fact holds a member's status of the list service ([`ServiceStatus`]); each other slot holds a
+//! bucket of workers.
 
 mod observation;
 mod observed_times;
@@ -25,48 +26,49 @@
 
 /// The kind of this crate's facts.
 pub const KIND: u8 = 1;
-/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
-/// it, since none of them depends on the carrier.
+/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
+/// since none of them depends on the crate that carries them.
 pub const MAX_FACT_BYTES: usize = 160;
-/// Buckets of workers: slots 1 to this.
+/// The number of buckets of workers, which are slots 1 to this.
 pub const BUCKETS: u32 = 512;
-/// The most workers kept; beyond that the one whose newest observation is the oldest goes.
+/// The maximum number of workers kept. Beyond that, the worker with the oldest last observation is dropped.
 pub const MAX_WORKERS: usize = 16_384;
-/// Clocks are taken to differ by this at most, in milliseconds: what is from later than that is refused.
+/// The assumed maximum difference between clocks, in milliseconds. Facts from further in the future are refused.
 pub const MAX_CLOCK_SKEW_MS: Millis = 5_000;
-/// The slot of what a member says of the list service.
+/// The slot of a member's status of the list service.
 const SERVICE_SLOT: u32 = 0;
-/// Between two facts of worker buckets, and before an urgent one of the service, in microseconds.
+/// The minimum interval between two facts of worker buckets, and before an urgent fact of the service, in microseconds.
 const PUBLISH_INTERVAL: Micros = 50_000;
-/// An observation weighs half after this long, in milliseconds, and nothing after [`OBSERVATION_TTL_MS`].
+/// The weight of an observation halves every this many milliseconds; it is 0 after [`OBSERVATION_TTL_MS`].
 const HALF_LIFE_MS: f64 = 5_000.0;
 /// An observation counts for this long, in milliseconds.
 const OBSERVATION_TTL_MS: Millis = 30_000;
-/// A fault is published again once it is so old, in milliseconds: members that leave a worker alone for it soon try again.
+/// A fault is published again once the last known one is this old, in milliseconds: members that avoid the worker because
+/// of it will soon try again.
 const FAULT_REPUBLISH_MS: Millis = 2_500;
-/// Proofs of life, and reports, are published again once the last that is known is so old, in milliseconds; by the last of
-/// the places once it is twice so old: one that publishes is received before most would.
+/// Proofs of life and reports are published again once the last known one is this old, in milliseconds, plus up to as much
+/// again by place. Most places then receive the observation of another before they publish their own.
 const PROOF_REPUBLISH_MS: Millis = 12_000;
 
-/// Who published a fact.
+/// The process that published a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Origin {
-    /// Its place.
+    /// The place of the process.
     pub place: u16,
-    /// Its epoch, in milliseconds of Unix time.
+    /// The epoch of the process, in milliseconds of Unix time.
     pub epoch: u64,
 }
 
-/// What a member said of the service.
+/// A status of the service that another member published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceUpdate {
     /// The member's place.
     pub place: u16,
-    /// What it said.
+    /// The member's status.
     pub status: ServiceStatus,
 }
 
-/// A worker, by the bucket of its tag and its fingerprint there.
+/// The key of a worker: the bucket of its tag, and its fingerprint within the bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WorkerKey {
     bucket: u32,
@@ -81,36 +83,36 @@
     }
 }
 
-/// Which of two facts of one member is later.
+/// The version of a fact of one member; the greater of two is the later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Stamp {
     epoch: u64,
     number: u64,
 }
 
-/// What is known of the workers and of the list service.
+/// The observations of workers and the statuses of the list service, from this dispatcher and its peers.
 #[derive(Debug)]
 pub struct SharedObservations {
     unix_at_zero: Micros,
     proof_republish_ms: Millis,
-    /// The join of everything observed here and taken in.
+    /// The join of all own observations and all absorbed ones.
     all: BTreeMap<WorkerKey, ObservedTimes>,
-    /// What was observed here: this is what is published.
+    /// This dispatcher's own observations, which it publishes.
     own: BTreeMap<WorkerKey, ObservedTimes>,
     /// The workers of `all` by the time of their newest observation.
     by_age: BTreeSet<(Millis, WorkerKey)>,
-    /// Buckets to publish.
+    /// The buckets to publish.
     unpublished: BTreeSet<u32>,
     next_bucket_at: Micros,
     service: OwnServiceStatus,
-    /// The last fact of the service of each place.
+    /// The version of the last status of the service from each place.
     service_stamps: HashMap<u16, Stamp>,
     service_updates: Vec<ServiceUpdate>,
     published: u64,
 }
 
 impl SharedObservations {
-    /// Nothing observed yet; `unix_at_zero` is the Unix time of the caller's zero, in microseconds.
+    /// Creates the state without any observation. `unix_at_zero` is the Unix time of the caller's zero, in microseconds.
     pub fn new(place: u16, unix_at_zero: Micros, now: Micros) -> SharedObservations {
         SharedObservations {
             unix_at_zero,
@@ -131,9 +133,10 @@
         (self.unix_at_zero + now) / 1_000
     }
 
-    /// Takes what this dispatcher observed of a worker, by the tag that is the same at every dispatcher.
+    /// Records an observation of a worker by this dispatcher. It is published if it is news to the others.
     pub fn record(&mut self, now: Micros, tag: WorkerTag, observation: Observation) {
-        let (key, now_ms) = (WorkerKey::from_tag(tag), self.unix_ms(now));
+        let key = WorkerKey::from_tag(tag);
+        let now_ms = self.unix_ms(now);
         let before = self.all.get(&key).copied().unwrap_or_default();
         let is_news = self.is_worth_publishing(&before, observation, now_ms);
         let observed = ObservedTimes::from_observation(observation, now_ms);
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Whether an observation changes what the others believe; a proof of life that nobody doubted does only now and then.
+    /// Whether an observation changes what the others conclude, or renews one that will soon be too old. A proof of life of
+    /// a worker without a known fault is published only at long intervals.
     fn is_worth_publishing(&self, before: &ObservedTimes, observation: Observation, now_ms: Millis) -> bool {
         let worst = before.worst_fault();
         match observation {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Takes what this dispatcher says of the service; urgent where it changes what the others do.
+    /// Sets this dispatcher's status of the service. It is published sooner if `is_urgent`: it changes what the others do.
     pub fn set_service_status(&mut self, status: ServiceStatus, is_urgent: bool) {
         self.service.set(status, is_urgent);
     }
@@ -178,9 +182,10 @@
         invariant!(self.by_age.len() == self.all.len(), "a worker without its age");
     }
 
-    /// What is known of a worker, if anything that still counts.
+    /// The status of a worker at `now`; `None` if no observation of it is recent enough.
     pub fn worker_status(&self, tag: WorkerTag, now: Micros) -> Option<WorkerStatus> {
-        let (times, now_ms) = (self.all.get(&WorkerKey::from_tag(tag))?, self.unix_ms(now));
+        let times = self.all.get(&WorkerKey::from_tag(tag))?;
+        let now_ms = self.unix_ms(now);
         let age_of = |at_ms: Millis| {
             let age_ms = now_ms.saturating_sub(at_ms);
             (at_ms > 0 && age_ms <= OBSERVATION_TTL_MS).then_some(age_ms * 1_000)
@@ -195,12 +200,12 @@
         })
     }
 
-    /// What other members said of the service since the last call.
+    /// Takes the statuses of the service that arrived since the last call, at most one from each member.
     pub fn take_service_updates(&mut self) -> Vec<ServiceUpdate> {
         std::mem::take(&mut self.service_updates)
     }
 
-    /// The slot and bytes of the next fact to publish; called until `None`.
+    /// The slot and bytes of the next fact to publish. Call this until it returns `None`.
     pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         if let Some(status) = self.service.unpublished().filter(|_| now >= self.service.due_at()) {
             self.service.record_published(now, status);
@@ -219,14 +224,14 @@
         None
     }
 
-    /// When [`SharedObservations::publish`] may have something next.
+    /// When [`SharedObservations::publish`] may return the next fact; `None` if nothing is to be published.
     pub fn next_wake(&self) -> Option<Micros> {
         let service = self.service.unpublished().map(|_| self.service.due_at());
         let bucket = (!self.unpublished.is_empty()).then_some(self.next_bucket_at);
         service.into_iter().chain(bucket).min()
     }
 
-    /// A bucket as a fact: the newest workers first, as many as there is room for.
+    /// Encodes a bucket as a fact: the workers with the newest observations first, as many as fit.
     fn encode_bucket(&self, bucket: u32, now_ms: Millis) -> Option<Vec<u8>> {
         let keys = WorkerKey { bucket, fingerprint: 0 }..=WorkerKey { bucket, fingerprint: u32::MAX };
         let mut workers: Vec<(u32, &ObservedTimes)> =
@@ -236,11 +241,11 @@
         wire::encode_bucket(now_ms, &workers)
     }
 
-    /// Takes a fact in. The same one again, or an older one after a newer, changes nothing.
+    /// Absorbs a fact of another member. A repeated fact, or an older one after a newer, changes nothing.
     ///
     /// # Errors
     ///
-    /// The fact cannot be read, or its clock is too far ahead; nothing is taken in then.
+    /// Returns an error and changes nothing if the fact cannot be decoded or is from too far in the future.
     pub fn absorb(
         &mut self,
         now: Micros,
@@ -271,18 +276,18 @@
         let last = self.service_stamps.entry(place).or_default();
         if stamp > *last {
             *last = stamp;
-            // Of each member the last status counts: one that was not taken yet is replaced.
+            // Only the last status of each member counts: it replaces one that was not taken yet.
             self.service_updates.retain(|update| update.place != place);
             self.service_updates.push(ServiceUpdate { place, status });
         }
     }
 
-    /// How many facts on workers were published so far.
+    /// The number of facts on workers that were published so far.
     pub fn published(&self) -> u64 {
         self.published
     }
 
-    /// All that is known of workers, for comparing two states: their times in order.
+    /// The observed times of all workers, in order of their keys; for comparing two states in tests.
     pub fn state(&self) -> impl PartialEq + std::fmt::Debug + use<> {
         self.all.iter().map(|(key, times)| (*key, *times)).collect::<Vec<_>>()
     }
--- a/crates/coldstart/src/shared_observations/observation.rs
+++ b/crates/coldstart/src/shared_observations/observation.rs
@@ -1,52 +1,52 @@
-//! What can be observed of a worker, and what is known of one.
+//! Observations of a worker, and the status that they add up to.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What can be wrong with a worker, the least first.
+/// A fault of a worker, in order of severity, the least severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// It breaks connections.
+    /// The worker resets connections.
     Resets,
-    /// Connections or answers do not come.
+    /// A connection attempt or a request to the worker timed out.
     Hangs,
-    /// It refuses connections.
+    /// The worker refuses connections.
     Refuses,
 }
 
 /// A worker's report of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Report {
-    /// CPU utilisation, in 255ths.
+    /// The CPU utilisation, in 255ths.
     pub cpu: u8,
-    /// Free slots, 255 for that many or more.
+    /// The number of free slots; 255 stands for 255 or more.
     pub free: u8,
 }
 
-/// One thing observed of a worker.
+/// One observation of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It took a connection, or answered.
+    /// The worker accepted a connection or answered.
     Alive,
-    /// It showed this fault.
+    /// The worker showed this fault.
     Fault(Fault),
-    /// It answered as one that has just started.
+    /// The worker's answer shows that it has just started.
     WarmingUp,
-    /// It reported its load (and so is alive).
+    /// The worker reported its load, and so is alive.
     Report(Report),
 }
 
-/// What is known of a worker at present. Ages are in microseconds.
+/// The current status of a worker. Ages are in microseconds; observations that are too old are `None`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerStatus {
-    /// Its worst fault since the last proof of life, with its age.
+    /// The worst fault since the last proof of life, with its age.
     pub fault: Option<(Fault, Micros)>,
     /// The age of the last proof of life.
     pub alive: Option<Micros>,
-    /// The age of the last sign that it is warming up.
+    /// The age of the last sign that the worker is warming up.
     pub warming_up: Option<Micros>,
-    /// Its last report, with its age.
+    /// The last load report, with its age.
     pub report: Option<(Report, Micros)>,
-    /// How much the newest of these counts now: 1 when it was observed, half of that every 5 s.
+    /// The weight of the newest of these observations: 1 when it was made, halved every 5 s.
     pub weight: f64,
 }
--- a/crates/coldstart/src/shared_observations/own_service_status.rs
+++ b/crates/coldstart/src/shared_observations/own_service_status.rs
@@ -1,24 +1,24 @@
-//! What this member says of the list service, and when it may publish that.
+//! This member's own status of the list service, and when it may be published.
 
 use super::PUBLISH_INTERVAL;
 use crate::Micros;
 use crate::poll_scheduler::ServiceStatus;
 
-/// Between two facts of the service that others need not act upon, in microseconds.
+/// The minimum interval before a status that is not urgent, in microseconds.
 const IDLE_STATUS_INTERVAL: Micros = 5_000_000;
 
-/// The own status of the service, and what of it was published.
+/// The current status of the service, and the last one published.
 #[derive(Debug)]
 pub(super) struct OwnServiceStatus {
     current: Option<ServiceStatus>,
-    /// It changes what the others do.
+    /// Whether the current status changes what the others do.
     is_urgent: bool,
     published: Option<ServiceStatus>,
     published_at: Micros,
 }
 
 impl OwnServiceStatus {
-    /// Nothing to say yet; a first status that is urgent may be published at once.
+    /// The state without any status. A first status that is urgent may be published at once.
     pub fn new(now: Micros) -> OwnServiceStatus {
         OwnServiceStatus {
             current: None,
@@ -28,23 +28,23 @@
         }
     }
 
-    /// Replaces the status; urgent where it changes what the others do.
+    /// Replaces the status. It is urgent if it changes what the others do.
     pub fn set(&mut self, status: ServiceStatus, is_urgent: bool) {
         self.current = Some(status);
         self.is_urgent = is_urgent;
     }
 
-    /// The status, if it was not published yet.
+    /// The current status, unless it is already published.
     pub fn unpublished(&self) -> Option<ServiceStatus> {
         self.current.filter(|status| Some(*status) != self.published)
     }
 
-    /// When it may be published next.
+    /// The earliest time for the next publication.
     pub fn due_at(&self) -> Micros {
         self.published_at + if self.is_urgent { PUBLISH_INTERVAL } else { IDLE_STATUS_INTERVAL }
     }
 
-    /// It was published now.
+    /// Records that `status` was published at `now`.
     pub fn record_published(&mut self, now: Micros, status: ServiceStatus) {
         self.published = Some(status);
         self.published_at = now;
--- a/crates/coldstart/src/shared_observations/wire.rs
+++ b/crates/coldstart/src/shared_observations/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of facts: a version, then postcard. Postcard goes by position: fields keep their order.
+//! The encoding of facts: a version byte, then postcard. Postcard encodes by position, so fields must keep their order.
 
 use super::observed_times::ObservedTimes;
 use super::{MAX_CLOCK_SKEW_MS, MAX_FACT_BYTES, Report};
@@ -9,40 +9,40 @@
 /// The first byte of every fact.
 const VERSION: u8 = 1;
 
-/// Why a fact was not taken in.
+/// Why a fact was not absorbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AbsorbError {
-    /// It has another version.
+    /// The fact has an unknown version.
     #[error("version {0} of a finding is not known here")]
     Version(u8),
-    /// It cannot be read.
+    /// The fact cannot be decoded.
     #[error("a finding cannot be read")]
     Malformed,
-    /// It is longer than a fact may be.
+    /// The fact is longer than [`MAX_FACT_BYTES`]. Holds its length, in bytes.
     #[error("a finding has {0} bytes, {MAX_FACT_BYTES} at most")]
     TooLong(usize),
-    /// It is about a slot that this kind does not have.
+    /// The fact has a slot that this kind of fact does not use.
     #[error("slot {0} is none of this kind's")]
     Slot(u32),
-    /// It is from the future by more than clocks may differ.
+    /// The fact is further in the future than clocks may differ. Holds by how much, in milliseconds.
     #[error("a finding is from {0} ms in the future")]
     Future(Millis),
 }
 
-/// A worker within a bucket.
+/// The encoded observations of one worker of a bucket.
 #[derive(Serialize, Deserialize)]
 struct WorkerRow {
     fingerprint: u32,
-    /// How many milliseconds before the bucket's time each thing was, plus one; 0 for never: alive, resets, hangs, refuses,
-    /// warming up, reported.
+    /// The ages of the observations at the bucket's time, in milliseconds plus one; 0 for never. In this order: alive,
+    /// resets, hangs, refuses, warming up, reported.
     ages: [u32; 6],
     report: Report,
 }
 
-/// A bucket of workers.
+/// An encoded bucket of workers.
 #[derive(Serialize, Deserialize)]
 struct Bucket {
-    /// Unix milliseconds.
+    /// The time at which the bucket was encoded, in Unix milliseconds.
     at: Millis,
     rows: Vec<WorkerRow>,
 }
@@ -69,26 +69,26 @@
     }
 }
 
-/// The bytes of a fact.
+/// Encodes the body of a fact, with its version in front.
 pub(super) fn encode(body: &impl Serialize) -> Option<Vec<u8>> {
     postcard::to_extend(body, vec![VERSION]).ok()
 }
 
-/// The bytes of a bucket with as many of these workers, from the first on, as a fact has room for; `None` if there is none.
+/// Encodes a bucket with as many of these workers as fit into a fact, from the first on; `None` if there is no worker.
 pub(super) fn encode_bucket(now_ms: Millis, workers: &[(u32, &ObservedTimes)]) -> Option<Vec<u8>> {
     let mut bucket = Bucket { at: now_ms, rows: Vec::new() };
-    let mut longest = None;
+    let mut longest_that_fits = None;
     for (fingerprint, times) in workers {
         bucket.rows.push(WorkerRow::new(*fingerprint, times, now_ms));
         match encode(&bucket).filter(|bytes| bytes.len() <= MAX_FACT_BYTES) {
-            Some(bytes) => longest = Some(bytes),
+            Some(bytes) => longest_that_fits = Some(bytes),
             None => break,
         }
     }
-    longest
+    longest_that_fits
 }
 
-/// Checks the length and version of a fact and returns the rest.
+/// Checks the length and version of a fact, and returns its body.
 pub(super) fn check_envelope(bytes: &[u8]) -> Result<&[u8], AbsorbError> {
     if bytes.len() > MAX_FACT_BYTES {
         return Err(AbsorbError::TooLong(bytes.len()));
@@ -100,14 +100,14 @@
     }
 }
 
-/// Reads what a member says of the service.
+/// Decodes a member's status of the service, received at `now_ms`.
 pub(super) fn decode_service(body: &[u8], now_ms: Millis) -> Result<ServiceStatus, AbsorbError> {
     let status: ServiceStatus = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
     check_time(status.answered_at_ms.max(status.failed_at_ms).max(status.refused_at_ms), now_ms)?;
     Ok(status)
 }
 
-/// Reads a bucket: the workers' fingerprints and what was observed of them.
+/// Decodes a bucket, received at `now_ms`: the fingerprint and the observed times of each worker.
 pub(super) fn decode_bucket(body: &[u8], now_ms: Millis) -> Result<Vec<(u32, ObservedTimes)>, AbsorbError> {
     let bucket: Bucket = postcard::from_bytes(body).map_err(|_| AbsorbError::Malformed)?;
     check_time(bucket.at, now_ms)?;
--- a/crates/coldstart/src/simulation.rs
+++ b/crates/coldstart/src/simulation.rs
@@ -1,8 +1,9 @@
-//! Hundreds of dispatchers around one list service and a set of workers, with a virtual clock and one seed.
+//! A discrete-event simulation of hundreds of dispatchers around one list service and a set of workers.
 //!
-//! The service handles calls one after another, gives a call up with a refusal once it has waited for a second, and
-//! resets all when it is down. Facts travel by rounds of gossip with delay and loss. The dispatchers follow one of
-//! four strategies ([`PollingStrategy`]); the last two run this crate's machines as the program does.
+//! It has a virtual clock, and one seed determines the run. The service handles calls one after another, refuses a call
+//! that has waited for a second, and resets all connections when it goes down. Facts travel by rounds of gossip with delay
+//! and loss. The dispatchers follow one of four strategies ([`PollingStrategy`]); the last two run this crate's state
+//! machines as the program does.
 
 mod dispatcher;
 mod event_queue;
@@ -24,18 +25,18 @@
 
 const MS: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
-/// How long a datagram or a step of a connection is under way.
+/// The one-way latency of a datagram or of a step of a connection.
 const HOP: u64 = 300;
-/// A call or a watch is given up after so long without a byte.
+/// A call or a watch is given up after this long without a byte.
 const SILENCE_TIMEOUT: u64 = 3 * SECOND;
-/// What is missed of a silent watch counts as received after this.
+/// Changes that a silent watch did not deliver count as received after this.
 const NOTIFICATION_DEADLINE: u64 = 6 * SECOND;
-/// The views of who is there change this often.
+/// The interval at which the dispatchers' views of the membership change.
 const VIEW_INTERVAL: u64 = SECOND;
 /// The Unix time at the start of a run.
 const UNIX_AT_ZERO: u64 = 1_764_633_600 * SECOND;
 
-/// A place as the views of the others have it.
+/// The state of a place in the views of the others.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Presence {
     is_running: bool,
@@ -55,9 +56,9 @@
     /// Indices of the workers on the service's own list.
     current_list: Vec<usize>,
     service: ListService,
-    /// By when all watches that fall silent have to be called for anew.
+    /// By when all watches that fall silent must be replaced by new calls.
     silence_deadline: Option<u64>,
-    /// What the views said last.
+    /// The last published views, by place.
     presence: Vec<Presence>,
     measurements: Measurements,
 }
@@ -75,7 +76,7 @@
         let listed_before = (usize::from(scenario.dispatchers) / 4).max(12);
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
         let dead = (listed_before as f64 * scenario.dead_workers.min(1.0)).round() as usize;
-        // Dead workers are on the old list only; where those are all of it, the service has as many others.
+        // Dead workers are on the old list only. If all workers of that list are dead, the service lists as many others.
         let replacements = if scenario.dead_workers >= 1.0 { listed_before } else { 0 };
         let count = listed_before + replacements;
         let workers =
@@ -110,7 +111,7 @@
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Schedules what the scenario says, from the first starts on.
+    /// Schedules the events of the scenario, from the first starts on.
     fn schedule_scenario(&mut self) {
         let scenario = self.scenario;
         for place in 0..scenario.dispatchers {
@@ -159,7 +160,7 @@
             if dispatcher.incarnation != process.incarnation || !dispatcher.is_running {
                 return;
             }
-            // What is for a paused process waits until it goes on.
+            // Events of a paused process wait until it resumes.
             if dispatcher.paused_until > self.now {
                 let at = dispatcher.paused_until;
                 return self.schedule(at, event);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Whether facts and views cross between two places.
+    /// Whether facts and views travel between two places, which a network partition prevents.
     fn are_connected(&self, one: u16, other: u16) -> bool {
         self.scenario.partitioned_until.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
     }
@@ -234,8 +235,8 @@
         }
     }
 
-    /// A new process is known by its first datagram, one that ended some while later; the views of this simulation change
-    /// for all at once, by their own interval.
+    /// Updates the views of all dispatchers at once. In reality a new process is known by its first datagram, and the end of
+    /// a process some time later; the simulation simplifies that to a fixed interval.
     fn on_views_change(&mut self) {
         let presence: Vec<Presence> = self.dispatchers.iter().map(Dispatcher::presence).collect();
         let before = std::mem::replace(&mut self.presence, presence);
--- a/crates/coldstart/src/simulation/dispatcher.rs
+++ b/crates/coldstart/src/simulation/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One dispatcher: its process, its call or watch, and what it knows of workers.
+//! One simulated dispatcher: its process, its call or watch, and its knowledge of workers.
 
 use super::gossip::{Fact, QueuedFact};
 use super::workers::{self, Connections};
@@ -8,37 +8,38 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A dispatcher that is not running, or its running process.
+/// A place with its dispatcher, whether or not its process is running.
 #[derive(Default)]
 pub(super) struct Dispatcher {
-    /// How many processes there were before at this place.
+    /// The number of earlier processes at this place.
     pub incarnation: u32,
     pub is_running: bool,
     pub started_at: u64,
     pub paused_until: u64,
-    /// It is paused when its first call is due.
+    /// Whether the process will be paused when its first call is due.
     pub will_pause: bool,
     pub open_calls: u64,
-    /// How many calls it made; the number of the last.
+    /// The number of calls made so far, which is also the number of the last call.
     pub calls: u64,
-    /// When it made the last call.
+    /// The time of the last call.
     pub called_at: u64,
     pub has_watch: bool,
     pub is_watch_silent: bool,
-    /// When it first got a list from the service.
+    /// When the process first got a list from the service.
     pub first_list_at: Option<u64>,
+    /// Consecutive calls and watches that failed.
     pub failures: u32,
     /// By the worker's index.
     pub connections: HashMap<usize, Connections>,
-    /// This crate's machines, where the strategy uses them.
+    /// This crate's state machines, if the strategy uses them.
     pub machines: Option<Machines>,
-    /// Facts that it holds, by place and slot.
+    /// The facts held, by place and slot.
     pub facts: BTreeMap<(u16, u32), Rc<Fact>>,
-    /// Facts that it passes on.
+    /// The facts to pass on.
     pub gossip_queue: VecDeque<QueuedFact>,
-    /// It has got what another one knows at its start.
+    /// Whether the process has requested the facts of another one after its start.
     pub has_joined: bool,
-    /// What it said of the service last.
+    /// The last status of the service that was given to `SharedObservations`.
     pub last_status: Option<ServiceStatus>,
     pub fact_number: u64,
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// This crate's machines of one dispatcher.
+/// This crate's state machines of one dispatcher.
 pub(super) struct Machines {
     pub scheduler: PollScheduler,
     pub observations: SharedObservations,
@@ -58,7 +59,7 @@
 }
 
 impl Machines {
-    /// The machines of a process that starts now, with a list of workers of these tags.
+    /// The machines of a process that starts at `now` and holds a list with the workers of these tags.
     pub fn new(
         scenario: &SimulationScenario,
         place: u16,
--- a/crates/coldstart/src/simulation/event_queue.rs
+++ b/crates/coldstart/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is still to happen, by time and then by the order in which it was scheduled.
+//! The queue of future events, ordered by time and then by the order in which they were scheduled.
 
 use super::gossip::Fact;
 use super::list_service::{Call, Reply};
@@ -7,20 +7,20 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// A process of a dispatcher: a killed one is followed by another at its place.
+/// One process of a dispatcher. After a kill, another process with the next incarnation starts at the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessId {
     pub place: u16,
     pub incarnation: u32,
 }
 
-/// What happens at a time.
+/// An event of the simulation.
 pub(super) enum Event {
     /// A process starts at this place.
     Start(u16),
     /// The processes at these places are killed.
     Kill(Vec<u16>),
-    /// A dispatcher looks whether a call is due.
+    /// A dispatcher checks whether a call is due.
     Wake(ProcessId),
     /// A call reaches the service.
     CallArrives(Call),
@@ -35,13 +35,13 @@
     FactsArrive(u16, Vec<Rc<Fact>>),
     ViewsChange,
     JobArrives(ProcessId),
-    /// A job that found no worker looks for one again.
+    /// A dispatcher looks again for a worker for a job.
     RetryJob(ProcessId, Job),
     JobEnds(Attempt),
 }
 
 impl Event {
-    /// The process without which the event means nothing.
+    /// The process that the event is for, if it is dropped when that process has ended.
     pub fn process(&self) -> Option<ProcessId> {
         match self {
             Event::Wake(process)
@@ -90,13 +90,13 @@
 }
 
 impl Ord for Scheduled {
-    /// The earliest is the greatest, since a heap gives its greatest first.
+    /// Reversed, since the heap returns its greatest element first.
     fn cmp(&self, other: &Scheduled) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// The events to come.
+/// A queue of future events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
@@ -110,7 +110,7 @@
         self.heap.push(Scheduled { at, sequence: self.sequence, event });
     }
 
-    /// Takes out the next event, with its time.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(u64, Event)> {
         self.heap.pop().map(|scheduled| (scheduled.at, scheduled.event))
     }
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -1,24 +1,24 @@
-//! The carrier of facts: rounds of gossip between random dispatchers, with delay and loss.
+//! The transport of facts: rounds of gossip between random dispatchers, with delay and loss.
 
 use super::event_queue::{Event, ProcessId};
 use super::{HOP, MS, PollingStrategy, Simulation, UNIX_AT_ZERO};
 use crate::{Origin, poll_scheduler};
 use std::rc::Rc;
 
-/// Each dispatcher sends gossip this often.
+/// The interval between two rounds of gossip of a dispatcher.
 pub(super) const GOSSIP_INTERVAL: u64 = 200 * MS;
-/// To so many others.
+/// The number of receivers in a round.
 const FANOUT: usize = 3;
-/// So many facts go into one datagram.
+/// The maximum number of facts in a datagram.
 const FACTS_PER_DATAGRAM: usize = 8;
-/// This fraction of datagrams is lost.
+/// The fraction of datagrams that is lost.
 const LOSS: f64 = 0.01;
-/// So many facts are sent to a process that has just started.
+/// The maximum number of facts that are sent to a process that has just started.
 const FACTS_FOR_NEWCOMER: usize = 64;
-/// The slot of what a member says of the service.
+/// The slot of a member's status of the service.
 const SERVICE_SLOT: u32 = 0;
 
-/// A fact under way.
+/// A fact in transit or held by a dispatcher.
 pub(super) struct Fact {
     place: u16,
     epoch: u64,
@@ -27,7 +27,7 @@
     bytes: Vec<u8>,
 }
 
-/// A fact that is to be passed on so many times more.
+/// A fact that is to be passed on a number of times.
 pub(super) struct QueuedFact {
     sends_left: usize,
     fact: Rc<Fact>,
@@ -42,9 +42,10 @@
         }
     }
 
-    /// The next facts to send.
+    /// Takes the next facts to send from the queue. Those that are to be sent again are queued again.
     fn take_facts_to_send(&mut self) -> Vec<Rc<Fact>> {
-        let (mut facts, mut again) = (Vec::new(), Vec::new());
+        let mut facts = Vec::new();
+        let mut again = Vec::new();
         while facts.len() < FACTS_PER_DATAGRAM {
             let Some(QueuedFact { sends_left, fact }) = self.gossip_queue.pop_front() else { break };
             // A fact that a later one has replaced is dropped.
@@ -67,7 +68,7 @@
         usize::from(self.scenario.dispatchers).ilog2() as usize + 3
     }
 
-    /// Gives the scheduler's status to the observations, and what they have to publish to the carrier.
+    /// Passes the scheduler's status to the observations, and queues the facts that they publish.
     pub(super) fn publish(&mut self, place: u16) {
         if self.strategy != PollingStrategy::SchedulerWithGossip {
             return;
@@ -102,7 +103,7 @@
             let dispatcher = &mut self.dispatchers[usize::from(place)];
             let mut facts = dispatcher.take_facts_to_send();
             if facts.len() < FACTS_PER_DATAGRAM / 2 {
-                // Room is left for old facts, so that those who were cut off learn them.
+                // Fill the rest with old facts, so that dispatchers that were partitioned receive them.
                 let skip = self.rng.usize(0..dispatcher.facts.len().max(1));
                 facts.extend(dispatcher.facts.values().skip(skip).take(2).cloned());
             }
@@ -114,8 +115,8 @@
         }
     }
 
-    /// A process that has just started is sent what another one knows: statuses of the service first, as much as a few
-    /// datagrams hold.
+    /// Sends facts of another dispatcher to a process that has just started: statuses of the service first, as many as a
+    /// few datagrams hold.
     fn join(&mut self, place: u16) {
         let drawn: Vec<u16> = (0..8).map(|_| self.rng.u16(0..self.scenario.dispatchers)).collect();
         let knows_facts = |other: &u16| {
--- a/crates/coldstart/src/simulation/list_service.rs
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -4,7 +4,7 @@
 use super::{HOP, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
 use crate::poll_scheduler;
 
-/// A call that has waited for so long is refused.
+/// A call that has waited for this long is refused.
 const MAX_WAIT: u64 = SECOND;
 /// The generation of the service's list; that of the old list is 1.
 const GENERATION: u64 = 2;
@@ -12,9 +12,9 @@
 /// The service's side of all calls.
 pub(super) struct ListService {
     pub is_up: bool,
-    /// When it has handled all calls that wait.
+    /// When the service will have handled all waiting calls.
     free_at: u64,
-    /// Grows with each time that it goes down.
+    /// The number of times that the service went down; tells its runs apart.
     run: u64,
     waiting: u64,
 }
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy)]
 pub(super) struct Call {
     pub process: ProcessId,
-    /// Its number at this process, from 1.
+    /// The number of the call at this process, from 1.
     number: u64,
-    /// The run of the service that took it.
+    /// The run of the service that accepted the call.
     service_run: u64,
 }
 
@@ -41,13 +41,13 @@
     List,
     Refused,
     Reset,
-    /// The call was taken, and nothing comes.
+    /// The service accepted the call and never answers.
     Silence,
     TimedOut,
 }
 
 impl Reply {
-    /// Whether the service wrote it, or left it out: one that went down meanwhile does not any more.
+    /// Whether the reply depends on the service: it does not come if the service went down in the meantime.
     fn is_of_service(self) -> bool {
         matches!(self, Reply::List | Reply::Refused | Reply::Silence)
     }
@@ -91,7 +91,7 @@
         self.schedule(now + HOP, Event::CallArrives(Call { process, number, service_run: 0 }));
     }
 
-    /// Schedules a wake when the scheduler wants one.
+    /// Schedules the next wake of the scheduler, if it has one.
     pub(super) fn schedule_wake(&mut self, place: u16) {
         let dispatcher = self.dispatcher(place);
         let wake = dispatcher.machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
@@ -147,7 +147,7 @@
         self.on_call_or_watch_failed(place, failure);
     }
 
-    /// A call was answered by a list, and its watch is open.
+    /// Handles a call that was answered with a list; its watch is open.
     fn on_list(&mut self, place: u16, waited: u64) {
         let now = self.now;
         let back_at = self.scenario.outage_end();
@@ -171,7 +171,7 @@
         self.publish(place);
     }
 
-    /// A call came to nothing, or the watch ended: when to call again.
+    /// Handles a failed call or the end of a watch, and schedules the next call.
     fn on_call_or_watch_failed(&mut self, place: u16, event: poll_scheduler::Event) {
         let (now, poll_within) = (self.now, self.scenario.poll_within);
         let dispatcher = self.dispatcher_mut(place);
@@ -191,7 +191,7 @@
         self.schedule(at, Event::Wake(process));
     }
 
-    /// All calls are reset and all watches end.
+    /// Resets all calls and ends all watches.
     pub(super) fn on_service_down(&mut self) {
         self.service = ListService { is_up: false, run: self.service.run + 1, ..ListService::default() };
         for place in 0..self.scenario.dispatchers {
--- a/crates/coldstart/src/simulation/scenario.rs
+++ b/crates/coldstart/src/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulated run.
+//! The parameters of a simulated run.
 
 use super::{MS, SECOND};
 use crate::poll_scheduler;
@@ -6,10 +6,12 @@
 /// How dispatchers decide when to call the list service, and which workers to try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollingStrategy {
-    /// As the program without this crate: a random wait up to an eighth of `poll_within`, doubled with each failure three
-    /// times at most; backoff from workers, and turns on those that warm up, found by each alone.
+    /// The behaviour of the program without this crate: a random wait of up to an eighth of `poll_within`, doubled with
+    /// each failure at most three times. Each dispatcher computes its backoff from workers, and its turns at workers that
+    /// warm up, on its own.
     RandomWait,
-    /// At once, and after failures plain full jitter: up to 100 ms doubled with each, 10 s at most. Else as `RandomWait`.
+    /// The first call at once; after failures full jitter, up to 100 ms doubled with each failure, at most 10 s. Otherwise
+    /// like `RandomWait`.
     FullJitter,
     /// This crate, without facts from the others.
     SchedulerAlone,
@@ -18,7 +20,7 @@
 }
 
 impl PollingStrategy {
-    /// Its name in the figures of the proof.
+    /// The name of the strategy in the figures of the proof.
     pub fn name(self) -> &'static str {
         match self {
             PollingStrategy::RandomWait => "landed",
@@ -29,16 +31,16 @@
     }
 }
 
-/// The service is down for a while: it resets calls, and all watches end as it goes down.
+/// An outage of the service: it resets calls, and all watches end when it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// When it goes down.
+    /// The start of the outage.
     pub from: u64,
-    /// When it is up again.
+    /// The end of the outage.
     pub until: u64,
 }
 
-/// Many dispatchers are killed at once, and each started again within half a second.
+/// A restart of many dispatchers: they are killed at once, and each starts again within half a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MassRestart {
     /// When they are killed.
@@ -47,56 +49,56 @@
     pub fraction: f64,
 }
 
-/// Some dispatchers stop for a while, each when it is about to call for the first time.
+/// A pause of some dispatchers, each when it is about to call for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
-    /// How many dispatchers stop.
+    /// The number of dispatchers that are paused.
     pub dispatchers: u16,
-    /// For how long.
+    /// The length of the pause.
     pub duration: u64,
 }
 
-/// One run. Times and spans are microseconds since its start.
+/// The parameters of one run. Times are microseconds since its start; spans are microseconds.
 #[derive(Clone, Debug)]
 pub struct SimulationScenario {
-    /// How many dispatchers there are.
+    /// The number of dispatchers.
     pub dispatchers: u16,
-    /// They start within this.
+    /// All dispatchers start within this span.
     pub start_within: u64,
-    /// What a call costs the service.
+    /// The time that the service needs for a call.
     pub service_time: u64,
-    /// What dispatchers take a call to cost the service.
+    /// The time that dispatchers assume the service needs for a call.
     pub assumed_service_time: u64,
     /// When the service is down.
     pub outage: Option<Outage>,
-    /// Dispatchers that are killed and started again.
+    /// When dispatchers are killed and started again.
     pub restart: Option<MassRestart>,
-    /// All watches fall silent then.
+    /// When all watches fall silent.
     pub watches_silent_at: Option<u64>,
-    /// This fraction of the first watches stays silent from the start.
+    /// The fraction of first watches that are silent from the start.
     pub silent_first_watches: f64,
-    /// Dispatchers that stop for a while.
+    /// Dispatchers that are paused.
     pub pause: Option<Pause>,
-    /// Facts do not cross between two sides until then; the second side starts a second later.
+    /// The end of a network partition of the dispatchers into two sides; the second side starts a second later.
     pub partitioned_until: Option<u64>,
-    /// Workers have just started, as the dispatchers have, and warm up.
+    /// Whether the workers have just started, like the dispatchers, and warm up.
     pub workers_warm_up: bool,
-    /// This fraction of the workers on the old list is dead, 1 for all.
+    /// The fraction of dead workers on the old list; 1 for all.
     pub dead_workers: f64,
-    /// The time that the settings give for calling.
+    /// The setting `poll_within` of the dispatchers.
     pub poll_within: u64,
-    /// Jobs a second, as a fraction of what the workers do when warm; 0 for none.
+    /// The rate of jobs, as a fraction of the capacity of the warm workers; 0 for none.
     pub load: f64,
-    /// How long the run is.
+    /// The length of the run.
     pub duration: u64,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The deliberate fault: calls are not spread over slots.
+    /// A deliberate fault for tests of the tests: calls are not spread over slots.
     pub skip_scheduling: bool,
 }
 
 impl SimulationScenario {
-    /// All start within a second, nothing else happens; a fifth of the known workers is dead.
+    /// A plain start: all dispatchers start within a second, and a fifth of the known workers is dead.
     pub fn start(dispatchers: u16, seed: u64) -> SimulationScenario {
         SimulationScenario {
             dispatchers,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// When the service is up again after its outage, 0 where there is none.
+    /// The end of the outage; 0 if there is none.
     pub(super) fn outage_end(&self) -> u64 {
         self.outage.map_or(0, |outage| outage.until)
     }
--- a/crates/coldstart/src/simulation/summary.rs
+++ b/crates/coldstart/src/simulation/summary.rs
@@ -1,56 +1,56 @@
-//! What is measured during a run, and its figures.
+//! The measurements of a run, and the figures computed from them.
 
 use super::{MS, Simulation};
 
-/// Calls are counted over stretches of this length.
+/// The window over which peaks of calls are counted.
 const PEAK_WINDOW: u64 = 100 * MS;
 
 /// The figures of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationSummary {
-    /// Calls to the service in all.
+    /// All calls to the service.
     pub calls: u64,
-    /// Calls to the service for each process that ran.
+    /// The mean number of calls per process.
     pub calls_per_process: f64,
-    /// Calls refused, reset or timed out.
+    /// Calls that were refused, reset or timed out.
     pub refused: u64,
-    /// The longest queue at the service.
+    /// The maximum length of the service's queue.
     pub longest_queue: u64,
-    /// The most calls within 100 ms.
+    /// The maximum number of calls within 100 ms.
     pub peak_calls: u64,
-    /// The most calls within 100 ms, from the end of an outage on.
+    /// The maximum number of calls within 100 ms after the end of an outage.
     pub peak_calls_after_outage: u64,
-    /// Time until half hold a list, from a process' start or the end of the outage, in microseconds.
+    /// The median time until a process holds a list, from its start or from the end of the outage, in microseconds.
     pub list_time_p50: u64,
-    /// Time until 99 in 100 hold a list, likewise.
+    /// The 99th percentile of the same time.
     pub list_time_p99: u64,
     /// Processes without a watch at the end.
     pub processes_without_watch: u64,
-    /// Watches that were broken by silence and not called for again and answered within the 6 s.
+    /// Silent watches that were not replaced by an answered call within 6 s.
     pub late_watches: u64,
-    /// Handshakes at a worker that is alive in the first 10 s, the mean.
+    /// The mean number of handshakes at a live worker in the first 10 s.
     pub mean_handshakes: f64,
-    /// The most handshakes at one such worker.
+    /// The maximum number of handshakes at one such worker.
     pub max_handshakes: u64,
-    /// Jobs tried at a dead worker in the first 10 s, the mean.
+    /// The mean number of jobs tried at a dead worker in the first 10 s.
     pub mean_tries_at_dead_workers: f64,
     /// Collapses of workers that warm up.
     pub collapses: u64,
-    /// The greatest fraction of what it bears that a worker was sent while it warmed up.
+    /// The maximum load of a worker that warms up, as a fraction of its limit.
     pub max_budget_fraction: f64,
-    /// Jobs in all.
+    /// All jobs.
     pub jobs: u64,
-    /// Jobs that found no worker within their time.
+    /// Jobs that found no worker in time.
     pub lost_jobs: u64,
-    /// Facts published by all.
+    /// Facts published by all dispatchers.
     pub facts: u64,
-    /// The bytes of these facts.
+    /// The total length of these facts, in bytes.
     pub fact_bytes: u64,
-    /// The most calls that one dispatcher had open at once.
+    /// The maximum number of calls that one dispatcher had open at once.
     pub max_open_calls: u64,
 }
 
-/// What is measured during a run.
+/// The measurements during a run.
 #[derive(Default)]
 pub(super) struct Measurements {
     pub processes: u64,
@@ -58,7 +58,7 @@
     call_times: Vec<u64>,
     /// How long each process was without a list.
     list_times: Vec<u64>,
-    /// What is counted as it happens.
+    /// The figures that are counted directly.
     counts: SimulationSummary,
 }
 
@@ -76,9 +76,9 @@
         self.counts.longest_queue = self.counts.longest_queue.max(length);
     }
 
-    /// A process holds a list for the first time, after so long.
-    pub fn record_first_list(&mut self, after: u64) {
-        self.list_times.push(after);
+    /// Records how long a process took until it first held a list.
+    pub fn record_first_list(&mut self, elapsed: u64) {
+        self.list_times.push(elapsed);
     }
 
     pub fn record_late_watch(&mut self) {
@@ -98,7 +98,7 @@
         self.counts.fact_bytes += bytes as u64;
     }
 
-    /// A worker that warms up was sent this fraction of what it bears.
+    /// Records the load of a worker that warms up, as a fraction of its limit.
     pub fn record_warm_up_load(&mut self, fraction: f64, has_collapsed: bool) {
         self.counts.max_budget_fraction = self.counts.max_budget_fraction.max(fraction);
         self.counts.collapses += u64::from(has_collapsed);
@@ -141,7 +141,7 @@
     }
 }
 
-/// The most of these sorted times within a window.
+/// The maximum number of these sorted times within one window.
 fn peak(times: &[u64]) -> u64 {
     let mut first = 0;
     let counts = times.iter().enumerate().map(|(last, at)| {
--- a/crates/coldstart/src/simulation/workers.rs
+++ b/crates/coldstart/src/simulation/workers.rs
@@ -1,33 +1,33 @@
-//! Workers, and the jobs that dispatchers send them.
+//! The simulated workers, and the jobs that dispatchers send them.
 
 use super::event_queue::{Event, ProcessId};
 use super::{HOP, MS, SECOND, Simulation, UNIX_AT_ZERO};
 use crate::{Admission, Decision, Fault, Observation, Request};
 use std::collections::VecDeque;
 
-/// A job that found no worker within this is lost.
+/// A job is lost if it finds no worker within this time.
 const JOB_TIMEOUT: u64 = 7_500 * MS;
-/// A connection that does not come up is given up after this.
+/// A connection attempt without an answer is given up after this.
 const CONNECT_TIMEOUT: u64 = 250 * MS;
-/// A job that found no worker looks again after this.
+/// The wait before a job without a worker is tried again.
 const RETRY_INTERVAL: u64 = 20 * MS;
-/// Jobs of mean work that a warm worker does in a second.
+/// The capacity of a warm worker, in jobs of mean work per second.
 const REQUESTS_PER_SECOND: f64 = 40.0;
-/// Jobs that a worker does at a time.
+/// The number of jobs that a worker runs at a time.
 const SLOTS: f64 = 4.0;
-/// A worker collapses that is sent more than a multiple of its capacity over this window.
+/// A worker collapses if it is sent more than [`OVERLOAD_MULTIPLE`] times its capacity over this window.
 pub(super) const OVERLOAD_WINDOW: u64 = 1_500 * MS;
-/// That multiple.
+/// See [`OVERLOAD_WINDOW`].
 pub(super) const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// A worker starts at this fraction of its capacity.
+/// The fraction of its capacity with which a worker starts.
 pub(super) const INITIAL_CAPACITY: f64 = 0.38;
-/// A worker is warm after this.
+/// The time from a worker's start until it is warm.
 pub(super) const WARM_UP_TIME: u64 = 8_400 * MS;
 /// The work of a handshake, in jobs of mean work.
 pub(super) const HANDSHAKE_WORK: f64 = 0.015;
 /// An idle connection is closed after this.
 const IDLE_TIMEOUT: u64 = 5 * SECOND;
-/// A dispatcher looks at so many random workers for each job.
+/// The number of random workers that a dispatcher considers for each job.
 const SAMPLED_WORKERS: usize = 8;
 /// Handshakes and trials are counted for this long from the start.
 const COUNTED_TIME: u64 = 10 * SECOND;
@@ -35,11 +35,11 @@
 /// A worker.
 pub(super) struct Worker {
     pub is_dead: bool,
-    /// Connections to it hang, where it is dead, rather than being refused.
+    /// Whether connections to the dead worker hang instead of being refused.
     hangs: bool,
-    /// Unix time of its start where it has to warm up.
+    /// The Unix time of its start, if it has to warm up.
     started_at: Option<u64>,
-    /// When it was sent how much work, within the window.
+    /// The time and the work of each job sent to it within the window.
     sent: VecDeque<(u64, f64)>,
     pub handshakes: u64,
     pub trials: u64,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Its age while it warms up.
+    /// The time since its start, while it warms up.
     fn warm_up_age(&self, now: u64) -> Option<u64> {
         let age = self.started_at.map(|at| (UNIX_AT_ZERO + now).saturating_sub(at));
         age.filter(|age| *age < WARM_UP_TIME)
     }
 
-    /// It as the budget knows it.
+    /// The worker in the form that the budget takes.
     fn for_budget(&self, index: usize) -> crate::Worker {
         crate::Worker {
             tag: index as u64,
@@ -75,14 +75,15 @@
     }
 }
 
-/// What a dispatcher has with a worker.
+/// The connections of a dispatcher to one worker, and its knowledge of that worker.
 #[derive(Default)]
 pub(super) struct Connections {
-    /// Since when each idle connection is idle.
+    /// The time since which each idle connection is idle.
     idle_since: Vec<u64>,
     failures: u32,
     ejected_until: u64,
-    /// Without this crate: the turn in which it sent to the worker last while that warmed up, and how much.
+    /// For strategies without this crate: the last turn in which the dispatcher sent work while the worker warmed up, and
+    /// how much work it sent in that turn.
     warm_up_turn: u64,
     warm_up_turn_work: f64,
 }
@@ -92,7 +93,7 @@
         self.idle_since.iter().any(|since| since + IDLE_TIMEOUT > now)
     }
 
-    /// What was sent in a turn, without this crate.
+    /// The work sent in a turn, for strategies without this crate.
     fn sent_in_turn(&self, turn: u64) -> f64 {
         if self.warm_up_turn == turn { self.warm_up_turn_work } else { 0.0 }
     }
@@ -106,7 +107,7 @@
     work: f64,
 }
 
-/// A job at a worker.
+/// A job that was sent to a worker.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub process: ProcessId,
@@ -115,12 +116,12 @@
     is_alive: bool,
 }
 
-/// A worker that may get a job.
+/// A worker that may get a job now.
 #[derive(Clone, Copy)]
 struct Candidate {
     worker: usize,
     needs_connection: bool,
-    /// It is unconfirmed: the job is a trial.
+    /// Whether the worker is unconfirmed, so that the job is a trial.
     is_trial: bool,
 }
 
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Looks for a worker for a job, among some at random of the list at hand.
+    /// Looks for a worker for a job, among a random sample of the list that the dispatcher holds.
     pub(super) fn try_job(&mut self, process: ProcessId, job: Job) {
         if self.now > job.arrived_at + JOB_TIMEOUT {
             return self.measurements.record_lost_job();
@@ -189,7 +190,7 @@
         is_usable.then_some(Candidate { worker: index, needs_connection, is_trial })
     }
 
-    /// Whether the program before this crate would send this work to a worker: one that warms up has turns of its own.
+    /// Whether the program without this crate would send this work to a worker. It has its own turns at workers that warm up.
     fn has_turn_without_scheduler(
         &self,
         place: u16,
@@ -210,7 +211,7 @@
         rank < owners && (sent == 0.0 || sent + work.max(1.0) <= budget / owners as f64)
     }
 
-    /// Spends what the job takes of the budgets; false where they do not allow it.
+    /// Spends the cost of the job from the budgets. Returns false if they do not allow it.
     fn spend(&mut self, place: u16, candidate: Candidate, work: f64) -> bool {
         let (now, index) = (self.now, candidate.worker);
         let worker = &self.workers[index];
@@ -263,7 +264,7 @@
         self.schedule(now + duration, Event::JobEnds(attempt));
     }
 
-    /// Adds what a worker that warms up is sent; it collapses beyond what it bears.
+    /// Adds work to a worker that warms up. The worker collapses if its load exceeds its limit.
     fn add_load(&mut self, index: usize, work: f64) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -274,13 +275,13 @@
         }
         let fraction = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / WARM_UP_TIME as f64;
         let mean = OVERLOAD_MULTIPLE * fraction * REQUESTS_PER_SECOND * OVERLOAD_WINDOW as f64 / 1e6;
-        let bears = mean + 3.0 * mean.sqrt() + 3.0;
+        let limit = mean + 3.0 * mean.sqrt() + 3.0;
         let sent: f64 = worker.sent.iter().map(|(_, work)| work).sum();
-        let has_collapsed = sent > bears;
+        let has_collapsed = sent > limit;
         if has_collapsed {
             worker.sent.clear();
         }
-        self.measurements.record_warm_up_load(sent / bears, has_collapsed);
+        self.measurements.record_warm_up_load(sent / limit, has_collapsed);
     }
 
     pub(super) fn on_job_ends(&mut self, attempt: Attempt) {
@@ -312,7 +313,7 @@
     -(1.0 - rng.f64()).ln()
 }
 
-/// The request to the budget for a job.
+/// The request to the budget for a job of this work.
 fn job_request(is_trial: bool, work: f64) -> Request {
     if is_trial { Request::FirstJob } else { Request::Job(work) }
 }
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -1,15 +1,15 @@
-//! Handshakes, probes and first jobs of each worker, budgeted over all dispatchers that may exist, with no message.
+//! A budget of handshakes, probes and first jobs for each worker, shared by all configured dispatchers without any message.
 //!
-//! **The bound.** In any stretch of the overload window `W`, a worker gets no more units from all places together than the
-//! budget `B` that the settings allow at the stretch's beginning, whichever processes live, whenever they started, while
-//! their clocks differ from true time by at most `skew`.
+//! **The bound.** Within any interval as long as the overload window `W`, a worker gets at most `B` units from all places
+//! together. `B` is the budget that the settings allow at the start of the interval. The bound holds whichever processes
+//! run and whenever they started, as long as their clocks differ from true time by at most `skew`.
 //!
-//! **Why.** By Unix time (for a worker that warms up: by its age, so that its phases are the same to all) time is cut into turns
-//! of length `(W + 2 skew) / k`. A unit spent within the window has a stamp within `W + 2 skew`, which touches `k + 1` turns at
-//! most, and one more where it crosses into the next phase of a worker that warms up, whose budget is the larger one. A turn is
-//! owned by as many places as `B / (k + 2)` units allow, in rotation by place and worker; each owner spends its part of them at most,
-//! and a process leaves alone the turn in which it started, since one before it at the same place may have spent it. So a
-//! window holds `(k + 2) floor(B / (k + 2)) <= B` units.
+//! **Why it holds.** Time is divided into turns of length `(W + 2 skew) / k`, by Unix time; for a worker that warms up, by
+//! its age, so that all dispatchers see the same phases. The units spent within one window have local times within
+//! `W + 2 skew`. That span touches at most `k + 1` turns, and one more if it crosses into the next phase of a worker that
+//! warms up, which has the larger budget. A turn is owned by as many places as `B / (k + 2)` units allow, in rotation by
+//! place and worker. Each owner spends at most its part of them. A process does not use the turn in which it started, since
+//! an earlier process at the same place may have spent it. So a window holds `(k + 2) floor(B / (k + 2)) <= B` units.
 
 mod config;
 mod turn;
@@ -21,60 +21,63 @@
 use std::collections::HashMap;
 use turn::{Phase, Turn};
 
-/// The budget of a worker that warms up is computed anew this often until it is warm.
+/// The number of phases of a warm-up; the budget is computed anew for each.
 const PHASES: u64 = 8;
-/// Handshakes and probes each take at most this fraction of a warm worker; first jobs at unconfirmed ones no more than it does.
+/// Handshakes and probes each use at most this fraction of a warm worker's capacity. First jobs at an unconfirmed worker
+/// use at most its whole capacity.
 const WARM_FRACTION: f64 = 0.02;
-/// The most spent turns kept.
+/// The maximum number of spent turns in memory.
 const MAX_SPENT_TURNS: usize = 65_536;
-/// What is spent is counted in thousandths of units.
+/// Spending is counted in thousandths of a unit.
 const MILLI_UNITS: u64 = 1_000;
 
-/// A worker, by what the list and the settings say of it: the same at every dispatcher.
+/// A worker as the endpoint list and the settings describe it: the same at every dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Worker {
-    /// The same at every dispatcher.
+    /// The tag of the worker.
     pub tag: WorkerTag,
-    /// Its last start, in microseconds of Unix time; `None` where it is warm.
+    /// The last start of the worker, in microseconds of Unix time; `None` if it is warm.
     pub started_at: Option<Micros>,
-    /// Requests of mean work that it does in a second when it is warm, by the settings.
+    /// The capacity of the warm worker, in requests of mean work per second, by the settings.
     pub requests_per_second: f64,
 }
 
-/// What a dispatcher wants to send to a worker.
+/// A request to a worker, as the budget counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Request {
     /// A new connection.
     Handshake,
-    /// A probe on a connection that is there.
+    /// A load probe on an open connection.
     Probe,
-    /// The first job at a worker that is not confirmed since the start, with the new connection for it.
+    /// The first job at a worker that is unconfirmed since the start, together with the new connection for it.
     FirstJob,
-    /// A job of so much work, in requests of mean work, each for one at least. Budgeted only while the worker warms up.
+    /// A job of this much work, in units of the mean work of a request; it counts as at least 1. Budgeted only while the
+    /// worker warms up.
     Job(f64),
 }
 
-/// Whether a request may go.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Yes, and it is spent.
+    /// The request may be sent; its cost is spent.
     Granted,
-    /// Not before this time, in the caller's microseconds.
+    /// The request must wait until this time, in the caller's microseconds.
     WaitUntil(Micros),
-    /// It is larger than any turn of this worker in its present phase.
+    /// The request exceeds any turn of this worker in its current phase.
     TooLarge,
 }
 
-/// Connections that a place may hold to a worker.
+/// The connections that a place may hold to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionQuota {
-    /// How many.
+    /// The maximum number of connections.
     pub connections: u32,
-    /// Until when, in the caller's microseconds; after that the place calls again, and closes what it may no longer hold.
+    /// The end of the quota, in the caller's microseconds. The caller then asks for the next one, and closes connections
+    /// beyond it.
     pub valid_until: Micros,
 }
 
-/// What a budget is for: a worker that warms up has one for all requests.
+/// The purpose of a budget. A worker that warms up has a single budget for all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum BudgetKind {
     WarmingUp,
@@ -90,21 +93,24 @@
     kind: BudgetKind,
 }
 
-/// What was spent of a turn, in thousandths of units.
+/// The amount spent in a turn.
 #[derive(Clone, Copy, Debug)]
 struct SpentTurn {
+    /// The start of the turn, in microseconds of Unix time.
     start: Micros,
+    /// In thousandths of units.
     spent: u64,
 }
 
-/// A request, beside what was spent of its turn.
+/// A request with its cost, and the state of the turn that would pay for it.
 struct Claim {
     key: BudgetKey,
     turn: Turn,
     /// In thousandths of units.
     cost: u64,
-    /// What was spent of the turn before, in thousandths of units.
+    /// The amount already spent in the turn, in thousandths of units.
     spent: u64,
+    /// Whether this place owns the turn and can still afford the cost.
     is_open: bool,
 }
 
@@ -112,46 +118,47 @@
 #[derive(Debug)]
 pub struct WarmUpBudget {
     config: Config,
-    /// Unix time at its making.
+    /// The time of creation, in microseconds of Unix time.
     created_at: Micros,
-    /// The latest turn of each budget.
+    /// The latest turn in which each budget was spent.
     spent: HashMap<BudgetKey, SpentTurn>,
 }
 
-/// The budget of a worker that may get `n` requests of mean work: the settings' number with room for chance.
-pub fn budget(n: f64) -> u64 {
-    (n + 3.0 * n.max(0.0).sqrt() + 3.0) as u64
+/// The budget of a worker that may get a mean of `requests` requests of mean work: three standard deviations of a Poisson
+/// distribution above it, and three more.
+pub fn budget(requests: f64) -> u64 {
+    (requests + 3.0 * requests.max(0.0).sqrt() + 3.0) as u64
 }
 
 impl WarmUpBudget {
-    /// The budgets of a process that starts now.
+    /// Creates the budgets of a process that starts at `now`.
     ///
     /// # Errors
     ///
-    /// The place is not one of the places, or a number is out of its range.
+    /// Returns an error if the place is not one of the places, or if a number is out of its range.
     pub fn new(config: Config, now: Micros) -> Result<WarmUpBudget, ConfigError> {
         config.validate()?;
         Ok(WarmUpBudget { created_at: config.unix_at_zero + now, config, spent: HashMap::new() })
     }
 
-    /// A worker's budget in requests of mean work for a window that begins at this age, by the settings.
+    /// The budget of a worker that warms up, in requests of mean work, for a window that begins at this age in microseconds.
     pub fn warming_budget(&self, worker: &Worker, age: Micros) -> u64 {
         let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
         let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
         budget(self.config.overload_multiple * fraction * self.warm_capacity(worker))
     }
 
-    /// What a warm worker gets of requests of this work, in a window.
+    /// The number of requests of this work that a warm worker may get in a window.
     pub fn warm_budget(&self, worker: &Worker, work: f64) -> u64 {
         budget(WARM_FRACTION * self.warm_capacity(worker) / work.max(1e-6))
     }
 
-    /// Requests of mean work that a warm worker does in a window.
+    /// The number of requests of mean work that a warm worker completes in a window.
     fn warm_capacity(&self, worker: &Worker) -> f64 {
         worker.requests_per_second * self.config.overload_window as f64 / 1e6
     }
 
-    /// Decides on one request to a worker, and spends it where it is granted.
+    /// Decides on a request to a worker, and spends its cost if it is granted.
     pub fn try_spend(&mut self, now: Micros, worker: &Worker, request: Request) -> Decision {
         let Some(claim) = self.claim(now, worker, request) else { return Decision::Granted };
         if claim.cost > claim.turn.units * MILLI_UNITS {
@@ -169,7 +176,7 @@
         self.claim(now, worker, request).is_none_or(|claim| claim.is_open)
     }
 
-    /// Spends a claim; false where there is no memory left for it.
+    /// Spends the cost of a claim. Returns false if too many turns are in memory to record it.
     fn spend(&mut self, now: Micros, claim: &Claim) -> bool {
         if self.spent.len() >= MAX_SPENT_TURNS {
             let oldest = (self.config.unix_at_zero + now).saturating_sub(2 * self.config.skewed_window());
@@ -183,7 +190,7 @@
         has_room
     }
 
-    /// What stands for and against a request; `None` where it is not budgeted.
+    /// The cost of a request and the turn that would pay for it; `None` if the request is not budgeted.
     fn claim(&self, now: Micros, worker: &Worker, request: Request) -> Option<Claim> {
         let unix = self.config.unix_at_zero + now;
         let age = worker.started_at.map(|at| unix.saturating_sub(at));
@@ -210,7 +217,7 @@
         Some(Claim { key, turn, cost, spent, is_open })
     }
 
-    /// The phase of a budget at a Unix time: a warm worker has one that never ends.
+    /// The phase of a budget at a Unix time. A warm worker has a single phase that never ends.
     fn phase(&self, worker: &Worker, kind: BudgetKind, warm_up_age: Option<Micros>, unix: Micros) -> Phase {
         if let (BudgetKind::WarmingUp, Some(age)) = (kind, warm_up_age) {
             let window = self.config.skewed_window();
@@ -235,9 +242,8 @@
         turn.is_owned_by(self.config.place, self.config.places, tag)
     }
 
-    /// Connections that this place may hold to a worker now. The places' numbers never add up to more than the worker
-    /// holds, also while some places are already in the next lease and some not yet. `None` where nobody knows how many it
-    /// holds.
+    /// The number of connections that this place may hold to a worker now; `None` if the worker's limit is unknown. The sum
+    /// over all places never exceeds that limit, even while some places are already in the next lease and others are not.
     pub fn connection_quota(&self, now: Micros, tag: WorkerTag) -> Option<ConnectionQuota> {
         let all = u64::from(self.config.connections);
         let each = all / u64::from(self.config.places);
@@ -250,7 +256,7 @@
         }
         let (unix, length) = (self.config.unix_at_zero + now, self.config.connection_lease);
         let index = unix / length;
-        // Half for each of two leases that touch.
+        // Two adjacent leases may overlap, since clocks differ: each uses half of the connections.
         let lease = Turn { start: 0, length, index, owners: all / 2, units: 1, kinds: 1 };
         let is_owner = all >= 2 && self.owns(&lease, tag);
         let valid_until = ((index + 1) * length).saturating_sub(self.config.unix_at_zero);
--- a/crates/coldstart/src/warm_up_budget/config.rs
+++ b/crates/coldstart/src/warm_up_budget/config.rs
@@ -2,33 +2,33 @@
 
 use crate::{ConfigError, Micros, check_place};
 
-/// What the settings say.
+/// Settings of a [`WarmUpBudget`](super::WarmUpBudget).
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This dispatcher's place, from 0.
     pub place: u16,
-    /// How many places there are, whether or not anybody is there.
+    /// The number of places, whether or not a dispatcher runs at each of them.
     pub places: u16,
     /// The Unix time of the caller's zero, in microseconds.
     pub unix_at_zero: Micros,
-    /// Clocks differ from true time by this at most, in microseconds.
+    /// The maximum difference of a clock from true time, in microseconds.
     pub max_clock_skew: Micros,
     /// The overload window, in microseconds.
     pub overload_window: Micros,
-    /// A worker that is sent more than this multiple of its present capacity over the window collapses.
+    /// A worker collapses if it is sent more than this multiple of its current capacity over the window.
     pub overload_multiple: f64,
-    /// A worker starts at this fraction of its capacity ...
+    /// The fraction of its capacity with which a worker starts.
     pub initial_capacity: f64,
-    /// ... and is warm after this, in microseconds.
+    /// The time from the start of a worker until it is warm, in microseconds.
     pub warm_up_time: Micros,
     /// The work of a handshake, in requests of mean work.
     pub handshake_work: f64,
     /// The work of a probe, in requests of mean work.
     pub probe_work: f64,
-    /// Connections that a worker holds; 0 where nobody knows.
+    /// The maximum number of connections of a worker; 0 if unknown.
     pub connections: u32,
-    /// Where a worker holds fewer connections than there are places, connections change hands among the places this seldom,
-    /// in microseconds.
+    /// How long a place may keep a connection before it passes to another place, in microseconds. Used if a worker's limit
+    /// of connections is below the number of places.
     pub connection_lease: Micros,
     /// A deliberate fault for tests of the tests: every turn counts as this place's.
     #[doc(hidden)]
@@ -50,7 +50,8 @@
             (self.handshake_work, "handshake_work"),
             (self.probe_work, "probe_work"),
         ];
-        if let Some((_, name)) = numbers.into_iter().find(|(n, _)| !(n.is_finite() && *n > 0.0)) {
+        let is_positive = |number: f64| number.is_finite() && number > 0.0;
+        if let Some((_, name)) = numbers.into_iter().find(|(number, _)| !is_positive(*number)) {
             return Err(ConfigError::NotPositive(name));
         }
         if !(0.0..=1.0).contains(&self.initial_capacity) {
@@ -59,7 +60,7 @@
         Ok(())
     }
 
-    /// How long a window is to a member whose clock is as wrong as may be, in microseconds.
+    /// The length of the overload window as it may appear by clocks with the maximum difference, in microseconds.
     pub(super) fn skewed_window(&self) -> Micros {
         self.overload_window + 2 * self.max_clock_skew
     }
--- a/crates/coldstart/src/warm_up_budget/turn.rs
+++ b/crates/coldstart/src/warm_up_budget/turn.rs
@@ -1,42 +1,44 @@
-//! Turns: which places own which stretch of time of a worker's budget, and how many units of it.
+//! Turns: intervals of time in which certain places may spend a worker's budget, each a certain number of units.
 
 use super::BudgetKind;
 use crate::{Micros, WorkerTag, mix};
 use mothproxy_invariant::invariant;
 
-/// The most turns in a window; there are fewer where the budget is too small for as many.
+/// The maximum number of turns in a window; there are fewer if the budget is too small.
 const MAX_TURNS: u64 = 4;
-/// A turn of a worker that warms up is shared by so many owners, where its budget has room for it; by few in some turns, so
-/// that large jobs have their turns too.
+/// The number of owners that share a turn of a worker that warms up, if its budget suffices. The kinds of turns alternate:
+/// some have few owners, so that large jobs fit too.
 const OWNERS_BY_TURN_KIND: [u64; 4] = [8, 2, 4, 1];
 
-/// Where the turns of a budget count from, and what a window of them holds.
+/// A span of time with a constant budget; its turns count from its start.
 pub(super) struct Phase {
-    /// Unix time.
+    /// The start of the phase, in microseconds of Unix time.
     pub start: Micros,
-    /// Since its start.
+    /// The time since the start of the phase, in microseconds.
     pub elapsed: Micros,
+    /// The units in a window of this phase.
     pub budget: u64,
 }
 
-/// The turn that the present time is in.
+/// One turn of a budget.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Turn {
-    /// By Unix time.
+    /// The start of the phase that the turn belongs to plus the lengths of the turns before it, in microseconds of Unix time.
     pub start: Micros,
+    /// In microseconds.
     pub length: Micros,
+    /// The number of turns of the phase before this one.
     pub index: u64,
-    /// How many places own it.
+    /// The number of places that own the turn.
     pub owners: u64,
-    /// Units for each owner.
+    /// The units that each owner may spend.
     pub units: u64,
-    /// How many kinds of turns alternate, each with a rotation of its own.
+    /// The number of kinds of turns that alternate, each with its own rotation of owners.
     pub kinds: u64,
 }
 
 impl Turn {
-    /// The present turn of a budget, where a window to a member with a wrong clock is as long as `window` and there are so many
-    /// places.
+    /// The current turn of a budget. `window` is the overload window with the differences of clocks, in microseconds.
     pub fn new(kind: BudgetKind, phase: &Phase, window: Micros, places: u16) -> Turn {
         let budget = phase.budget;
         let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
@@ -51,25 +53,27 @@
         } else {
             (1, 1)
         };
-        // With fewer places than units each place has its part of every turn; otherwise turns go round.
+        // With fewer places than units each place has its part of every turn; otherwise the places take turns.
         let units = (turn_budget / places).max(min_units).max(1);
         let owners = (turn_budget / units).clamp(1, places);
         Turn { start: phase.start + index * length, length, index, owners, units, kinds }
     }
 
-    /// Whether the turn is this place's: the owners of one turn are consecutive places, those of the next the ones after
-    /// them. The worker's tag decides where they begin.
+    /// Whether this place owns the turn. The owners of a turn are consecutive places, and those of the next turn follow them.
+    /// The worker's tag determines the first place.
     pub fn is_owned_by(&self, place: u16, places: u16, tag: WorkerTag) -> bool {
         let places = u64::from(places);
-        let (kind, nth) = (self.index % self.kinds, self.index / self.kinds);
-        let first = (mix(tag ^ kind << 56) % places + nth % places * (self.owners % places)) % places;
+        let kind = self.index % self.kinds;
+        let index_of_kind = self.index / self.kinds;
+        let rotation = index_of_kind % places * (self.owners % places);
+        let first = (mix(tag ^ kind << 56) % places + rotation) % places;
         (u64::from(place) + places - first) % places < self.owners
     }
 
-    /// The Unix time of the next turn that this place owns, as if this phase went on.
+    /// The Unix time of the next turn that this place owns, assuming that the phase does not end before.
     pub fn next_owned_by(&self, place: u16, places: u16, tag: WorkerTag) -> Micros {
         let round = u64::from(places).div_ceil(self.owners).max(1) * self.kinds;
-        // Those of the same kind: the other kinds have other owners.
+        // Only turns of the same kind: the other kinds have other owners.
         let is_owned = |ahead: &u64| {
             let next = Turn { index: self.index + ahead, ..*self };
             ahead % self.kinds == 0 && next.is_owned_by(place, places, tag)
