--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,51 +2,51 @@
 
 use crate::Micros;
 
-/// Settings of a member; all members of a group should have the same spans, factors and budgets.
+/// Settings of a member. All members of a group should have the same spans, factors and budgets. Spans are in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// This member's place.
     pub place: u16,
-    /// How many places there are; the caller knows their addresses.
+    /// The number of places. The caller keeps their addresses.
     pub peers: u16,
-    /// Milliseconds of Unix time at the start of this process.
+    /// The start of this process, in milliseconds of Unix time.
     pub epoch: u64,
     /// Seed of all random choices.
     pub seed: u64,
-    /// How long after one probe the next begins, each of another member (SWIM's protocol period).
+    /// The interval between two probes, each of another member (SWIM's protocol period).
     pub probe_period: Micros,
-    /// A probe that is not acknowledged within this is repeated through other members.
+    /// The time after which an unacknowledged probe is repeated through other members.
     pub probe_timeout: Micros,
-    /// Through how many others an unacknowledged probe is repeated (SWIM's `ping-req` targets).
+    /// The number of members through which an unacknowledged probe is repeated (SWIM's `ping-req` targets).
     pub indirect_probes: u32,
-    /// A suspicion that enough others have confirmed lasts `suspicion_factor * (2 + ln(members + 1)) * probe_period`.
+    /// A suspicion with enough confirmations lasts `suspicion_factor * (2 + ln(members + 1)) * probe_period`.
     pub suspicion_factor: f64,
-    /// A suspicion that nobody has confirmed lasts this many times as long.
+    /// A suspicion without confirmations lasts this many times as long.
     pub suspicion_spread: f64,
-    /// So many independent confirmations shorten a suspicion to the least (Lifeguard).
+    /// The number of independent confirmations that shorten a suspicion to its minimum (Lifeguard).
     pub confirmations: u32,
     /// A change of the view is passed on `gossip_factor * ln(members + 1)` times, rounded up.
     pub gossip_factor: f64,
-    /// The same for a fact; what is missed then comes by anti-entropy.
+    /// The same factor for a fact. Anti-entropy delivers facts that dissemination misses.
     pub fact_factor: f64,
-    /// How long after one round of gossip the next goes out while there are updates, beside those that go with probes.
+    /// The interval between two rounds of gossip while there are updates. Updates also travel with probes.
     pub gossip_period: Micros,
-    /// To how many members a round of gossip goes.
+    /// The number of members that receive a round of gossip.
     pub gossip_fanout: u32,
-    /// How long after one anti-entropy exchange the next begins.
+    /// The interval between two anti-entropy exchanges.
     pub sync_period: Micros,
-    /// How long after one place that is unknown, dead or has left is probed the next one is: by these probes the sides of a
-    /// healed network partition find each other.
+    /// The interval between two probes of places that are unknown, dead or have left. By these probes the sides of a healed
+    /// network partition find each other.
     pub meet_period: Micros,
-    /// The greatest local health score (Lifeguard); timeouts of probes are at most this plus one times as long.
+    /// The maximum local health score (Lifeguard). Timeouts of probes grow by at most a factor of this plus one.
     pub max_health: u32,
-    /// A wake that comes later than wanted by more than this means that the process was starved of CPU time.
+    /// A wake that is late by more than this means that the process was starved of CPU time.
     pub starvation_threshold: Micros,
-    /// Bytes a second that may be sent, as payload of datagrams.
+    /// The maximum rate of sending, in bytes of datagram payload per second.
     pub budget: u32,
-    /// For how long the facts of a member that is dead or has left are kept.
+    /// How long the facts of a member that is dead or has left are kept.
     pub forget_after: Micros,
-    /// A deliberate fault for tests of the tests: a probe that fails is a death, with no suspicion.
+    /// A deliberate fault for tests of the tests: a failed probe is a death, without a suspicion.
     #[doc(hidden)]
     pub skip_suspicion: bool,
 }
@@ -54,15 +54,15 @@
 /// Why a configuration can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The own place is not among the peers.
+    /// This member's place is not among the peers.
     #[error("place {place} is not among {peers} peers; set `me` below their number")]
     Place {
-        /// The own place.
+        /// This member's place.
         place: u16,
         /// The number of peers.
         peers: u16,
     },
-    /// A span, factor or budget is out of its range.
+    /// A span, factor or budget is out of its range. Holds the name of the setting.
     #[error("`{0}` is out of its range")]
     Range(&'static str),
     /// An epoch that can't be milliseconds of Unix time.
@@ -70,11 +70,12 @@
     Epoch(u64),
 }
 
-/// The shortest and longest spans that make sense: a millisecond and a day.
+/// The minimum span: a millisecond.
 const MIN_SPAN: Micros = 1_000;
+/// The maximum span: a day.
 const MAX_SPAN: Micros = 86_400_000_000;
 
-/// Epochs are below this (the year 10889), so that a forged one can't shut a member out for good.
+/// All valid epochs are below this (the year 10889), so that a forged epoch cannot exclude a member for good.
 pub(crate) const EPOCH_BOUND: u64 = 1 << 48;
 
 impl Config {
@@ -105,14 +106,14 @@
         }
     }
 
-    /// How long a suspicion lasts that enough others have confirmed, among so many members: the least time from the first
-    /// suspicion of a silent member to its death.
+    /// The duration of a suspicion with enough confirmations in a group of this size, in microseconds. It is the minimum
+    /// time from the first suspicion of a silent member to its death.
     pub fn suspicion_span(&self, members: usize) -> Micros {
         let periods = self.suspicion_factor * (2.0 + (members as f64 + 1.0).ln());
         (periods * self.probe_period as f64) as Micros
     }
 
-    /// Whether every setting is within its range.
+    /// Checks that every setting is within its range.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         if self.place >= self.peers {
             return Err(ConfigError::Place { place: self.place, peers: self.peers });
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,8 +1,9 @@
-//! Facts as registers: for each place, kind and slot the latest that was received.
+//! The facts that a member holds: the latest one for each place, kind and slot.
 //!
-//! A place's facts merge as a map of registers, each keeping the greatest stamp, cut to the [`MAX_FACTS_PER_MEMBER`] greatest
-//! stamps. Both are idempotent, commutative and associative, the cut too: a fact is cut only where as many others have
-//! greater stamps, and no later merge makes these fewer.
+//! The facts of a place merge as a map of last-writer-wins registers: each register keeps the fact with the greatest stamp,
+//! and the map keeps the [`MAX_FACTS_PER_MEMBER`] greatest stamps. Both operations are idempotent, commutative and
+//! associative. That holds for the cut too: a fact is cut only if that many others have greater stamps, and no later merge
+//! reduces their number.
 
 #[cfg(test)]
 mod tests;
@@ -36,12 +37,12 @@
     bytes: Box<[u8]>,
 }
 
-/// What became of a fact that was merged.
+/// The result of merging a fact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Merged {
-    /// It is held now.
+    /// The fact was new and is held now.
     New,
-    /// This or a later one of its key is held already.
+    /// The same fact, or a later one with its key, was already held.
     Known,
     /// The place has [`MAX_FACTS_PER_MEMBER`] facts with greater stamps.
     Cut,
@@ -71,7 +72,7 @@
 }
 
 impl Facts {
-    /// Takes in a fact, unless this or a later one of its key is held.
+    /// Merges a fact, unless the same one or a later one with its key is held.
     pub fn merge(&mut self, place: u16, key: FactKey, stamp: Stamp, bytes: &[u8]) -> Merged {
         let facts = self.places.entry(place).or_default();
         if facts.by_key.get(&key).is_some_and(|held| held.stamp >= stamp) {
@@ -101,12 +102,12 @@
         Some(FactRecord { place, key, stamp, bytes: bytes.to_vec() })
     }
 
-    /// How many facts are held in all.
+    /// The number of facts held in total.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// How many facts are held of a place.
+    /// The number of facts held of a place.
     pub fn count_of(&self, place: u16) -> usize {
         self.places.get(&place).map_or(0, |facts| facts.by_key.len())
     }
@@ -116,7 +117,7 @@
         self.places.get(&place)?.by_stamp.first().map(|fact| fact.stamp)
     }
 
-    /// The hash of all that is held of a place, 0 where that is nothing.
+    /// The hash of all facts of a place; 0 if there are none.
     pub fn hash(&self, place: u16) -> u64 {
         self.places.get(&place).map_or(0, |facts| facts.hash)
     }
@@ -126,7 +127,7 @@
         self.count -= self.places.remove(&place).map_or(0, |facts| facts.by_key.len());
     }
 
-    /// Gives the facts of a place that have one epoch another, with the same numbers; returns their keys.
+    /// Changes the epoch of the facts of a place from `from` to `to`, with the same numbers. Returns their keys.
     pub fn move_epoch(&mut self, place: u16, from: u64, to: u64) -> Vec<FactKey> {
         let Some(facts) = self.places.get(&place) else { return Vec::new() };
         let of_epoch = facts.by_key.iter().filter(|(_, held)| held.stamp.epoch == from);
@@ -138,7 +139,7 @@
         moved.into_iter().map(|(key, _)| key).collect()
     }
 
-    /// What is held of a place below a stamp, the newest first.
+    /// The facts of a place below a stamp, the newest first; all of them if `below` is `None`.
     pub fn below(&self, place: u16, below: Option<Stamp>) -> impl Iterator<Item = StampedKey> {
         let first_of = |stamp| StampedKey { stamp, key: FactKey::default() };
         let upper = below.map_or(Bound::Unbounded, |stamp| Bound::Excluded(first_of(stamp)));
@@ -146,7 +147,7 @@
         facts.flat_map(move |facts| facts.by_stamp.range((Bound::Unbounded, upper)).rev().copied())
     }
 
-    /// The hash of what is held of a place below a stamp.
+    /// The hash of the facts of a place below a stamp.
     pub fn hash_below(&self, place: u16, below: Option<Stamp>) -> u64 {
         self.below(place, below).fold(0, |digest, fact| digest ^ fact.hash())
     }
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -1,16 +1,16 @@
-//! The hash that all members compute alike: for digests, checksums of datagrams and ranks of rendezvous hashing.
+//! The hash that all members share: for digests, checksums of datagrams and rendezvous hashing.
 //!
-//! It is SplitMix64 (Steele, Lea, Flood 2014) run over words. It is part of the wire format: another hash would be another
-//! [`crate::VERSION`].
+//! It is SplitMix64 (Steele, Lea, Flood 2014) over a sequence of words. It is part of the wire format: a change of the hash
+//! needs a new [`crate::VERSION`].
 
 /// The increment of SplitMix64: 2^64 divided by the golden ratio.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The finalizer of SplitMix64, which spreads each bit over all 64.
-fn mix(x: u64) -> u64 {
-    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+fn mix(word: u64) -> u64 {
+    let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    word ^ (word >> 31)
 }
 
 /// Adds a word to a hash.
@@ -23,8 +23,8 @@
     words.iter().fold(GOLDEN_GAMMA, |hash, word| extend(hash, *word))
 }
 
-/// Thirty-two bits of a hash, different ones for each salt: two states whose salted hashes collide once differ under the
-/// salt of the next exchange.
+/// Derives a 32-bit hash from a digest and a salt. If the hashes of two different states collide, they most likely differ
+/// under the salt of the next exchange.
 pub(crate) fn salted(digest: u64, salt: u16) -> u32 {
     (hash(&[digest, salt.into()]) >> 32) as u32
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,8 +1,8 @@
-//! The state machine of one member: from its start to its leave, its inputs and its outputs.
+//! The state machine of one member: its life cycle, its inputs and its outputs.
 //!
-//! The parts of the protocol are the modules below this one: `probing` detects failures, `suspicion` decides when a failed
-//! probe becomes a death, `records` takes in what others say, `dissemination` passes on what is new, `anti_entropy` finds what
-//! dissemination has missed. `local_health` and `send_budget` hold this member itself back.
+//! The submodules are the parts of the protocol: `probing` detects failures, `suspicion` decides when a failed probe becomes
+//! a death, `records` processes the records of other members, `dissemination` passes on updates, and `anti_entropy` finds
+//! what dissemination missed. `local_health` and `send_budget` limit this member itself.
 
 mod anti_entropy;
 mod dissemination;
@@ -29,7 +29,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use suspicion::Suspicions;
 
-/// A member that has left goes on announcing it for this long, then it sends nothing more.
+/// A member that has left announces that for this long, in microseconds; then it sends nothing more.
 const LEAVE_GOSSIP_TIME: Micros = 2_000_000;
 
 /// A member of the group.
@@ -39,16 +39,16 @@
     now: Micros,
     rng: fastrand::Rng,
     view: View,
-    /// How many are alive or suspect, this member included.
+    /// The number of members that are alive or suspect, including this one.
     present: usize,
     facts: Facts,
-    /// When the facts of a member that is gone are forgotten.
+    /// When the facts of each member that is gone are dropped.
     fact_expiries: BTreeSet<(Micros, u16)>,
     /// The number of the last fact published.
     fact_number: u64,
-    /// When a datagram last came from each place.
+    /// When the last datagram from each place was received.
     last_received: Vec<Micros>,
-    /// When a datagram last came from any place.
+    /// When the last datagram from any place was received.
     last_received_any: Micros,
     probing: Probing,
     suspicions: Suspicions,
@@ -59,23 +59,23 @@
     metrics: Metrics,
     outputs: VecDeque<Output>,
     left_at: Option<Micros>,
-    /// The last wake that was wanted.
+    /// The time for [`Membership::tick`] that this member last asked for.
     wake: Micros,
 }
 
 impl Membership {
-    /// A member that knows nobody yet.
+    /// Creates a member that knows no other member yet.
     ///
     /// # Errors
     ///
-    /// The configuration cannot be used.
+    /// Returns a [`ConfigError`] if a setting is out of its range.
     pub fn new(config: Config, now: Micros) -> Result<Membership, ConfigError> {
         config.check()?;
         let mut rng = fastrand::Rng::with_seed(config.seed ^ u64::from(config.place) << 48);
         let mut view = View::new(config.peers, now);
         view.members[usize::from(config.place)] =
             Member { state: State::Alive, epoch: config.epoch, incarnation: 0, since: now };
-        // Members that start together begin their probes and exchanges apart.
+        // Random offsets, so that members that start together do not send their probes and exchanges at the same time.
         let [next_probe, next_sync, next_lookup] =
             [config.probe_period, config.sync_period, config.probe_period].map(|span| now + rng.u64(0..span));
         let mut member = Membership {
@@ -105,7 +105,8 @@
         Ok(member)
     }
 
-    /// Takes all places for alive at these epochs, as if they had been known for long. For simulations that start at rest.
+    /// Marks all places as alive at these epochs, as if they had been known for long. For simulations that start in a steady
+    /// state.
     #[doc(hidden)]
     pub fn assume(&mut self, epochs: &[u64]) {
         for (member, epoch) in self.view.members.iter_mut().zip(epochs) {
@@ -119,7 +120,7 @@
         self.wake = self.next_wake();
     }
 
-    /// A datagram came from the address of this place. A longer one may be cut to
+    /// Processes a datagram from the address of the place `from`. The caller may cut a datagram that is too long to
     /// [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) plus one byte.
     pub fn receive(&mut self, now: Micros, from: u16, datagram: &[u8]) {
         self.advance(now);
@@ -140,7 +141,7 @@
         self.wake = self.next_wake();
     }
 
-    /// The time of [`Membership::next_wake`] has come.
+    /// Runs all timers that are due. Call this at the time of [`Membership::next_wake`].
     pub fn tick(&mut self, now: Micros) {
         self.advance(now);
         self.forget_expired_facts();
@@ -151,7 +152,8 @@
         self.wake = self.next_wake();
     }
 
-    /// When to call [`Membership::tick`], at the latest; `u64::MAX` if there is nothing more to do. Each call may change it.
+    /// The latest time for the next call of [`Membership::tick`]; `u64::MAX` if there is nothing more to do. Every call of
+    /// another method may change it.
     pub fn next_wake(&self) -> Micros {
         let gossip = self.next_gossip();
         let fact_expiry = self.fact_expiries.first().map(|(at, _)| *at);
@@ -164,7 +166,8 @@
         others.into_iter().flatten().fold(probe_or_sync, Micros::min)
     }
 
-    /// This member leaves: it announces that, answers nothing from now on, and is never held dead for it.
+    /// Leaves the group. This member announces that it leaves, so the others do not declare it dead, and ignores all
+    /// further datagrams.
     pub fn leave(&mut self, now: Micros) {
         self.advance(now);
         if self.left_at.is_some() {
@@ -183,7 +186,7 @@
         self.wake = self.next_wake();
     }
 
-    /// What there is to do, until `None`; to be called after each call of the others.
+    /// Takes the next output. Call this after every call of another method, until it returns `None`.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
@@ -193,16 +196,17 @@
         self.config.place
     }
 
-    /// What this member believes of all places.
+    /// This member's view of all places.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Publishes a fact to all members. It replaces the one published before of the same kind and slot.
+    /// Publishes a fact to all members. It replaces this member's earlier fact of the same kind and slot.
     ///
     /// # Errors
     ///
-    /// The fact is too long, this member has [`MAX_FACTS_PER_MEMBER`] others already, or it has left.
+    /// Returns a [`FactError`] if the fact is too long, if this member already has facts in [`MAX_FACTS_PER_MEMBER`] other
+    /// slots, or if it has left.
     pub fn publish(&mut self, now: Micros, kind: u8, slot: u32, bytes: &[u8]) -> Result<(), FactError> {
         self.advance(now);
         if bytes.len() > MAX_FACT_BYTES {
@@ -227,22 +231,22 @@
         Ok(())
     }
 
-    /// All facts held, own ones too, by place, kind and slot.
+    /// All facts that this member holds, including its own, ordered by place, kind and slot.
     pub fn facts(&self) -> impl Iterator<Item = Fact<'_>> {
         self.facts.iter()
     }
 
-    /// What was counted, and what is now.
+    /// The counters since the start, and the current gauges.
     pub fn metrics(&self) -> Metrics {
         Metrics { health: self.health.score(), facts_held: self.facts.count() as u64, ..self.metrics }
     }
 
-    /// The version that this member has itself.
+    /// This member's own version.
     fn own_version(&self) -> MemberVersion {
         self.view.at(self.config.place).version()
     }
 
-    /// Time goes on, never back.
+    /// Advances the time to `now`; an earlier time is ignored.
     fn advance(&mut self, now: Micros) {
         let now = now.max(self.now);
         self.budget.refill(now - self.now);
@@ -253,8 +257,8 @@
         }
     }
 
-    /// A wake came much too late, so this process did not run: what it did not receive meanwhile proves nothing, and
-    /// everybody gets the time that was lost here.
+    /// Handles a wake that came much too late, because the process did not run. Missing datagrams prove nothing then, so all
+    /// deadlines of other members are extended by the lost time.
     fn on_starved(&mut self, lost: Micros) {
         self.metrics.starved += 1;
         self.health.degrade();
@@ -292,8 +296,9 @@
         }
         self.last_received[usize::from(from)] = self.now;
         self.last_received_any = self.now;
-        let own = StateRecord { place: from, state: State::Alive, version: sender, accusers: Vec::new() };
-        self.on_state_record(from, &own);
+        let proof_of_life =
+            StateRecord { place: from, state: State::Alive, version: sender, accusers: Vec::new() };
+        self.on_state_record(from, &proof_of_life);
         let has_appeared = !known.state.is_present() && self.view.state(from) == State::Alive;
         if has_appeared {
             self.sync_soon_with(from);
@@ -305,7 +310,7 @@
                 Record::Fact(record) => self.on_fact_record(&record),
             }
         }
-        // The sender believed something wrong of this member. A ping is answered anyway.
+        // The sender had a wrong state of this member. If the datagram is a ping, the answer carries the refutation.
         let has_refuted = self.view.at(self.config.place) != before;
         if has_refuted && !matches!(body, Body::Ping { .. }) {
             self.send(from, &Body::Gossip, Priority::Urgent);
@@ -313,8 +318,8 @@
         self.on_body(from, body);
     }
 
-    /// The sender's clock went back, or the datagram was long under way. A sender that is there is shown that its epoch is
-    /// not the latest.
+    /// Handles a datagram from an earlier epoch of its sender: the sender's clock went back, or the datagram was delayed. A
+    /// sender that probes is alive, and is sent the later epoch so that it can raise its own.
     fn on_stale_sender(&mut self, from: u16, body: &Body) {
         self.metrics.refused_stale += 1;
         if matches!(body, Body::Ping { .. } | Body::PingRequest { .. }) {
@@ -337,7 +342,7 @@
         }
     }
 
-    /// A place is believed to be something else from now on.
+    /// Sets the state and the version of a place, reports a change, and queues the update for dissemination.
     fn set_state(&mut self, place: u16, to: State, version: MemberVersion) {
         let was = self.view.at(place);
         let MemberVersion { epoch, incarnation } = version;
@@ -370,9 +375,9 @@
         self.dissemination.push_state(place);
     }
 
-    /// Another member that is present, at random, none of these.
+    /// A random other member that is present and not in `except`.
     fn random_present(&mut self, except: &[u16]) -> Option<u16> {
-        /// So often a place is drawn from all before the first that fits is searched for.
+        /// The number of random draws from all places before a linear search from a random place.
         const DRAWS: usize = 8;
         let (own_place, peers) = (self.config.place, self.config.peers);
         let fits = |view: &View, place: u16| {
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -1,10 +1,14 @@
-//! Anti-entropy: what dissemination has missed is found by comparing hashes, from the whole down to single facts.
+//! Anti-entropy: members find what dissemination missed by comparing hashes, from the whole state down to single facts.
 //!
-//! A `Digest` (hashes of equal parts of all places) is answered with a `MemberPage` of each part that differs (what is
-//! believed of consecutive places, and the hash of the facts of each), a page with what is newer and with a `FactList` for
-//! places whose facts differ (the newest facts held, and the hash of the rest), a `FactList` with the facts that the other
-//! lacks, a `FactRequest` for those that are missing here, and, where the rest differs, a `FactList` of the next. Nobody keeps any
-//! state of an exchange, so a lost datagram ends it and the next one goes on from there.
+//! An exchange has these steps:
+//!
+//! - A `Digest` has the hashes of equal parts of all places. The answer is a `MemberPage` for parts that differ.
+//! - A `MemberPage` has the states of consecutive places, and the hash of the facts of each. The answer is the records that
+//!   are newer, and a `FactList` for places whose facts differ.
+//! - A `FactList` has the newest facts held, and the hash of the rest. The answer is the facts that the sender lacks, a
+//!   `FactRequest` for those that the receiver lacks, and, if the rest differs, a `FactList` of the next facts.
+//!
+//! Neither side keeps any state of an exchange. A lost datagram ends it, and the next exchange continues from there.
 
 use super::{Membership, Priority};
 use crate::hash::{hash, salted};
@@ -13,19 +17,19 @@
 };
 use crate::{MAX_DATAGRAM_BYTES, Micros};
 
-/// At most so many pages answer one digest.
+/// The maximum number of pages that answer one digest.
 const MAX_PAGES: usize = 4;
-/// So many places fit a page in any case; a group of so many needs no digest.
+/// The number of places that always fit into a page. A group of at most this size needs no digest.
 const PAGE_PLACES: u16 = 24;
-/// Facts of at most so many places are compared after one page.
+/// The maximum number of places whose facts are compared after one page.
 const MAX_PLACES_COMPARED: usize = 8;
-/// So many facts are listed first.
+/// The maximum number of facts in the first list.
 const FIRST_FACT_LIST: usize = 8;
-/// So many facts are listed in each list after the first.
+/// The maximum number of facts in each further list.
 const NEXT_FACT_LIST: usize = 32;
-/// At most so many facts answer one list or request.
+/// The maximum number of facts that answer one list or request.
 const MAX_FACTS_SENT: usize = 48;
-/// Exchanges that are brought forward are spread over this.
+/// The random delay of an exchange that is brought forward is below this, in microseconds.
 const SOON_JITTER: Micros = 100_000;
 
 /// When the next exchange begins, and with whom.
@@ -33,12 +37,12 @@
 pub(super) struct AntiEntropy {
     next_sync: Micros,
     last_sync: Micros,
-    /// With whom, if not with a random member.
+    /// The member for the next exchange; `None` for a random one.
     partner: Option<u16>,
 }
 
 impl AntiEntropy {
-    /// The first exchange begins then.
+    /// The state before the first exchange, which begins at `next_sync`.
     pub fn new(next_sync: Micros) -> AntiEntropy {
         AntiEntropy { next_sync, last_sync: 0, partner: None }
     }
@@ -49,7 +53,7 @@
     }
 }
 
-/// A salted hash that is 0 only where there is nothing.
+/// A salted hash that is 0 only for the digest 0, which stands for no facts.
 fn salted_nonzero(digest: u64, salt: u16) -> u32 {
     match digest {
         0 => 0,
@@ -58,20 +62,21 @@
 }
 
 impl Membership {
-    /// The next exchange comes soon, since the last has shown that something was missed.
+    /// Brings the next exchange forward, since the last one showed that something was missed.
     fn sync_soon(&mut self) {
-        let (jitter, gap) = (self.rng.u64(0..SOON_JITTER), self.config.sync_period / 8);
-        let at = (self.anti_entropy.last_sync + gap).max(self.now) + jitter;
+        let jitter = self.rng.u64(0..SOON_JITTER);
+        let min_gap = self.config.sync_period / 8;
+        let at = (self.anti_entropy.last_sync + min_gap).max(self.now) + jitter;
         self.anti_entropy.next_sync = self.anti_entropy.next_sync.min(at);
     }
 
-    /// The next exchange comes soon, and with a member that has just become present.
+    /// Brings the next exchange forward, with a member that has just become present.
     pub(super) fn sync_soon_with(&mut self, partner: u16) {
         self.anti_entropy.partner = Some(partner);
         self.sync_soon();
     }
 
-    /// Begins an exchange if its time has come.
+    /// Begins an exchange if one is due.
     pub(super) fn sync_if_due(&mut self) {
         if self.now < self.anti_entropy.next_sync {
             return;
@@ -114,14 +119,14 @@
         (0..DIGEST_PARTS).map(hash_of_part).collect()
     }
 
-    /// The hash of all that is held of a place.
+    /// The hash of the state and the facts of a place.
     fn place_hash(&self, place: u16) -> u64 {
         let member = self.view.at(place);
         let facts = self.facts.hash(place);
         hash(&[place.into(), member.state as u64, member.epoch, member.incarnation.into(), facts])
     }
 
-    /// A digest has come: answered with pages of some of the parts that differ.
+    /// Handles a digest: answers with pages for some of the parts that differ.
     pub(super) fn on_digest(&mut self, from: u16, salt: u16, hashes: &[u32]) {
         let own = self.digest(salt);
         let mut differing: Vec<usize> =
@@ -129,14 +134,15 @@
         if differing.is_empty() {
             return;
         }
-        // From any of them on; a page goes on over the next parts as long as it has room.
+        // Start with a random part. A page continues over the next parts as long as they fit.
         let first = self.rng.usize(0..differing.len());
         differing.rotate_left(first);
-        let (mut pages, mut covered) = (0, 0..0);
+        let mut pages = 0;
+        let mut covered = 0..0;
         for part in differing {
             let (start, end) = (self.part_start(part), self.part_start(part + 1));
             if pages < MAX_PAGES && !(covered.contains(&start) && end <= covered.end) {
-                // A part that is longer than a page: any stretch of it.
+                // A part that does not fit into a page: begin at a random place of it.
                 let start = if end - start > PAGE_PLACES { self.rng.u16(start..end) } else { start };
                 covered = start..self.send_member_page(from, salt, start, self.config.peers);
                 pages += 1;
@@ -144,7 +150,8 @@
         }
     }
 
-    /// Sends what is held of the places from `first` to below `end`, as many as a datagram has room for; returns where it ends.
+    /// Sends a page of the places from `first` to below `end`, as many as fit into a datagram. Returns the place after the
+    /// last one sent.
     fn send_member_page(&mut self, to: u16, salt: u16, first: u16, end: u16) -> u16 {
         let sender = self.own_version();
         let mut page = MemberPage { salt, first, rows: Vec::new() };
@@ -162,7 +169,7 @@
         end
     }
 
-    /// A page has come: what is newer in it is taken in, what is newer here is sent back, and facts that differ are compared.
+    /// Handles a page: merges what is newer in it, sends back what is newer here, and compares the facts that differ.
     pub(super) fn on_member_page(&mut self, from: u16, page: &MemberPage) {
         let salt = page.salt;
         let mut newer_here = Vec::new();
@@ -192,7 +199,7 @@
         }
     }
 
-    /// Sends records alone, in as many datagrams as it takes, while the budget lasts.
+    /// Sends records in as many datagrams as needed, while the budget lasts.
     fn send_records(&mut self, to: u16, records: &[Record]) {
         let mut rest = records;
         while !rest.is_empty() {
@@ -221,7 +228,7 @@
         salted_nonzero(self.facts.hash_below(place, below), salt)
     }
 
-    /// A list of facts has come: what is missing here is requested, what is missing there is sent, and the next is compared.
+    /// Handles a list of facts: requests those that are missing here, sends those that the other lacks, and compares the rest.
     pub(super) fn on_fact_list(&mut self, from: u16, list: &FactList) {
         let FactList { salt, place, below, rest_hash, held } = list;
         let (salt, place) = (*salt, *place);
@@ -232,14 +239,15 @@
         let is_missing = |fact: &&StampedKey| {
             self.facts.get(place, fact.key).is_none_or(|(own_stamp, _)| own_stamp < fact.stamp)
         };
-        let keys: Vec<FactKey> = held.iter().filter(is_missing).map(|fact| fact.key).collect();
+        let missing_here: Vec<FactKey> = held.iter().filter(is_missing).map(|fact| fact.key).collect();
         let compared =
             self.facts.below(place, *below).take_while(|fact| last.is_none_or(|last| fact.stamp >= last));
         let missing_there = compared.filter(|fact| !held.contains(fact)).take(MAX_FACTS_SENT);
         let missing_there: Vec<FactKey> = missing_there.map(|fact| fact.key).collect();
         let records = self.fact_records(place, &missing_there);
-        if !keys.is_empty() {
-            self.send(from, &Body::FactRequest { place, keys }, Priority::Background);
+        if !missing_here.is_empty() {
+            let request = Body::FactRequest { place, keys: missing_here };
+            self.send(from, &request, Priority::Background);
         }
         self.send_records(from, &records);
         if last.is_some() && self.rest_hash(place, last, salt) != *rest_hash {
@@ -247,7 +255,7 @@
         }
     }
 
-    /// A request for facts of a place has come.
+    /// Handles a request for facts of a place.
     pub(super) fn on_fact_request(&mut self, from: u16, place: u16, keys: &[FactKey]) {
         let records = self.fact_records(place, &keys[..keys.len().min(MAX_FACTS_SENT)]);
         self.send_records(from, &records);
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: what is new is piggybacked on every datagram (SWIM), and goes out by gossip of its own while there is any.
+//! Dissemination: updates are piggybacked on every datagram (SWIM), and sent in separate gossip while any are queued.
 
 use super::Membership;
 use crate::update_queue::UpdateQueue;
@@ -6,28 +6,28 @@
 use crate::{MAX_DATAGRAM_BYTES, Micros, Output, State};
 use mothproxy_invariant::invariant;
 
-/// The most updates of each sort that wait to be passed on.
+/// The maximum number of queued updates of states, and of facts.
 const MAX_QUEUED_UPDATES: usize = 8_192;
-/// So many updates from the front of a queue are tried for the rest of a datagram.
+/// The number of updates from the front of a queue that are tried for the rest of a datagram.
 const MAX_UPDATES_TRIED: usize = 40;
 
 /// Whether a datagram may use the part of the budget that is kept for probes and refutations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Priority {
-    /// It may: a probe, its answer or a refutation.
+    /// Yes: a probe, its answer or a refutation.
     Urgent,
-    /// It may not: gossip or anti-entropy, which can wait.
+    /// No: gossip or anti-entropy, which can wait.
     Background,
 }
 
-/// Which fact of which place.
+/// Identifies a fact: its place and its key there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FactId {
     pub place: u16,
     pub key: FactKey,
 }
 
-/// The updates that wait to be passed on.
+/// The queued updates, and the time of the next gossip.
 #[derive(Debug)]
 pub(super) struct Dissemination {
     states: UpdateQueue<u16>,
@@ -36,7 +36,7 @@
 }
 
 impl Dissemination {
-    /// Nothing waits.
+    /// The state without any update.
     pub fn new(now: Micros) -> Dissemination {
         Dissemination {
             states: UpdateQueue::new(MAX_QUEUED_UPDATES),
@@ -45,22 +45,22 @@
         }
     }
 
-    /// What is believed of a place is to be passed on.
+    /// Queues the state of a place.
     pub fn push_state(&mut self, place: u16) {
         self.states.push(place);
     }
 
-    /// What is believed of a place need not be passed on.
+    /// Removes the state of a place from the queue.
     pub fn remove_state(&mut self, place: u16) {
         self.states.remove(place);
     }
 
-    /// A fact is to be passed on.
+    /// Queues a fact.
     pub fn push_fact(&mut self, fact: FactId) {
         self.facts.push(fact);
     }
 
-    /// Whether what is believed of some place waits.
+    /// Whether the state of any place is queued.
     pub fn has_states(&self) -> bool {
         !self.states.is_empty()
     }
@@ -71,7 +71,7 @@
 }
 
 impl Membership {
-    /// When gossip goes out next, if there is any and anybody to send it to.
+    /// The time of the next gossip; `None` if no update is queued or no other member is present.
     pub(super) fn next_gossip(&self) -> Option<Micros> {
         let has_gossip = !self.dissemination.is_empty() && self.present > 1;
         has_gossip.then_some(self.dissemination.next_gossip)
@@ -81,22 +81,22 @@
         self.dissemination.next_gossip = self.now + self.config.gossip_period;
     }
 
-    /// How often an update is passed on, by the number of members present.
+    /// How often an update is passed on; grows with the number of members present.
     pub(super) fn retransmissions(&self, factor: f64) -> u32 {
         (factor * (self.present as f64 + 1.0).ln()).ceil().max(1.0) as u32
     }
 
-    /// While there are updates, they go to a few random members each gossip period.
+    /// Sends queued updates to a few random members, once each gossip period.
     pub(super) fn gossip(&mut self) {
         if self.now < self.dissemination.next_gossip || self.present < 2 {
             return;
         }
-        // Where many die at once, there is more to send than fits into a few datagrams.
-        let many = self.dissemination.states.len() > MAX_UPDATES_TRIED;
-        let fanout = self.config.gossip_fanout * if many { 2 } else { 1 };
+        // If many members die at once, the updates do not fit into a few datagrams.
+        let has_many_updates = self.dissemination.states.len() > MAX_UPDATES_TRIED;
+        let fanout = self.config.gossip_fanout * if has_many_updates { 2 } else { 1 };
         for _ in 0..fanout {
             if !self.dissemination.is_empty() && self.budget.has_room_for_background() {
-                // A suspect is most likely gone; its accusers send it that directly.
+                // A suspect is most likely gone, and its accusers notify it directly: prefer a member that is alive.
                 let alive = self.random_present(&[]).filter(|to| self.view.state(*to) == State::Alive);
                 if let Some(to) = alive.or_else(|| self.random_present(&[])) {
                     self.send(to, &Body::Gossip, Priority::Background);
@@ -106,19 +106,19 @@
         self.schedule_next_gossip();
     }
 
-    /// What is believed of a place, as a record to send.
+    /// The state of a place as a record to send.
     pub(super) fn state_record(&self, place: u16) -> Record {
         let member = self.view.at(place);
         let accusers = self.suspicions.accusers(place).to_vec();
         Record::State(StateRecord { place, state: member.state, version: member.version(), accusers })
     }
 
-    /// Sends a datagram with as many updates as there is room for.
+    /// Sends a datagram with as many updates as fit.
     pub(super) fn send(&mut self, to: u16, body: &Body, priority: Priority) {
         self.send_with_records(to, body, priority, &[]);
     }
 
-    /// Sends these records and as many updates as there is room for. Returns how many of the records went along.
+    /// Sends a datagram with these records and as many updates as fit. Returns how many of the records were sent.
     pub(super) fn send_with_records(
         &mut self,
         to: u16,
@@ -132,7 +132,8 @@
             return 0;
         }
         let mut writer = Writer::new(self.own_version(), body);
-        // A member that is suspected or held dead is sent that with every datagram, so that it can refute.
+        // A receiver that is suspect, dead or has left in this view gets its own state with every datagram, so that it can
+        // refute it.
         if matches!(self.view.state(to), State::Suspect | State::Dead | State::Left) {
             writer.add(&self.state_record(to));
         }
@@ -152,7 +153,7 @@
         added
     }
 
-    /// Fills the rest of a datagram with the first updates in line that are not about its receiver.
+    /// Fills the rest of a datagram with the first queued updates that are not about its receiver.
     fn add_updates(&mut self, writer: &mut Writer, to: u16) {
         let limit = self.retransmissions(self.config.gossip_factor);
         for place in self.dissemination.states.first(MAX_UPDATES_TRIED) {
--- a/crates/membership/src/member/local_health.rs
+++ b/crates/membership/src/member/local_health.rs
@@ -1,9 +1,9 @@
-//! Local health: a member that seems slow itself gives the others more time (Lifeguard's local health multiplier).
+//! Local health: a member that is probably slow itself gives the others more time (Lifeguard's local health multiplier).
 
 use crate::Micros;
 
-/// A score that rises with signs of trouble here and falls with acknowledged probes; timeouts and periods are multiplied by the
-/// score plus one.
+/// A score that rises with signs of a local problem and falls with acknowledged probes. Timeouts and periods are multiplied
+/// by the score plus one.
 #[derive(Debug)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -11,27 +11,27 @@
 }
 
 impl LocalHealth {
-    /// Healthy; the score never exceeds `max`.
+    /// A healthy member, whose score will never exceed `max`.
     pub fn new(max: u32) -> LocalHealth {
         LocalHealth { score: 0, max }
     }
 
-    /// 0 for healthy.
+    /// The score; 0 is healthy.
     pub fn score(&self) -> u32 {
         self.score
     }
 
-    /// Something went wrong that is more likely this member's fault.
+    /// Raises the score after a failure that is more likely this member's own fault.
     pub fn degrade(&mut self) {
         self.score = (self.score + 1).min(self.max);
     }
 
-    /// A probe was answered.
+    /// Lowers the score after an answered probe.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A span, lengthened by the present score.
+    /// Multiplies a span by the score plus one.
     pub fn scale(&self, span: Micros) -> Micros {
         span * (u64::from(self.score) + 1)
     }
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -1,9 +1,10 @@
-//! Probing: whether the others are there (SWIM's failure detector).
+//! Probing: SWIM's failure detector.
 //!
-//! Each probe period (SWIM's protocol period) one present member gets a ping, in a round over all of them in random order.
-//! One that does not acknowledge in time is pinged through a few relays (SWIM's `ping-req`), which answer with a nack where
-//! they get no acknowledgement either (Lifeguard); one that acknowledges to nobody is suspected. There are two more reasons to
-//! probe: others hold a place dead that is alive here, and a place that is not present may have come back.
+//! Each probe period (SWIM's protocol period) this member pings one present member, in rounds over all of them in random
+//! order. If the target does not acknowledge in time, a few relays ping it too (SWIM's `ping-req`). A relay that gets no
+//! acknowledgement either answers with a nack (Lifeguard). A target that acknowledges to no one is suspected. There are two
+//! more reasons for a probe: others claim that a member is dead which is alive in this view, and a place that is not
+//! present may have come back.
 
 mod state;
 
@@ -14,13 +15,13 @@
 use crate::{Micros, State};
 use state::{Probe, ProbeReason, RelayedProbe};
 
-/// The most probes under way for others.
+/// The maximum number of concurrent probes for other members.
 const MAX_RELAYED_PROBES: usize = 256;
-/// Places that others hold dead are checked one at a time, this long one after another.
+/// The interval between two checks of members that others claim to be dead, in microseconds.
 const CHECK_INTERVAL: Micros = 50_000;
 
 impl Membership {
-    /// Begins the probes whose time has come.
+    /// Begins the probes that are due.
     pub(super) fn begin_due_probes(&mut self) {
         if self.now >= self.probing.next_probe {
             self.probe_next();
@@ -49,8 +50,8 @@
         }
     }
 
-    /// The next member of the round to probe. A suspect with all its accusers is skipped: it has its time to refute, and its
-    /// refutation will be received without a probe.
+    /// The next member of the round to probe. A suspect with all required accusers is skipped: it has time to refute, and
+    /// the refutation arrives without a probe.
     fn next_target(&mut self) -> Option<u16> {
         while let Some(target) = self.probing.round.get(self.probing.position).copied() {
             self.probing.position += 1;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Probes one place that is not present: that is how the two sides of a network partition find each other again.
+    /// Probes a place that is not present. This is how the two sides of a network partition find each other again.
     fn look_up_absent(&mut self) {
         let is_alone = self.present == 1;
         let period = if is_alone { self.config.probe_period } else { self.config.meet_period };
@@ -97,7 +98,7 @@
             relays: Vec::new(),
             nacks: 0,
         });
-        // An accused member can refute only what it knows of.
+        // An accused member can refute an accusation only if it receives it.
         let accusation = self.probing.accusations.get(&target).map(|version| {
             Record::State(StateRecord {
                 place: target,
@@ -109,7 +110,7 @@
         self.send_with_records(target, &Body::Ping { seq }, Priority::Urgent, accusation.as_slice());
     }
 
-    /// Goes on with the probes under way: own ones through others, or to their end; others' ones to a negative answer.
+    /// Continues the pending probes: repeats own probes through relays or ends them, and sends nacks for relayed probes.
     pub(super) fn follow_up_probes(&mut self) {
         let now = self.now;
         for relayed in self.probing.take_unanswered_relayed(now) {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Members to request an indirect probe from: of twice as many random members those that sent a datagram last.
+    /// The relays for an indirect probe: of twice as many random members, those that sent a datagram most recently.
     fn choose_relays(&mut self, target: u16) -> Vec<u16> {
         let wanted = self.config.indirect_probes as usize;
         let mut chosen = vec![target];
@@ -156,7 +157,7 @@
             return;
         }
         self.metrics.probes_failed += 1;
-        // No datagram came from anybody meanwhile: that is rather this member's fault.
+        // No datagram arrived from any member in the meantime: this member itself is more likely at fault.
         if probe.nacks == 0 && self.last_received_any <= probe.started_at && self.present > 2 {
             self.health.degrade();
         }
@@ -177,7 +178,7 @@
         self.send(target, &Body::Gossip, Priority::Urgent);
     }
 
-    /// A probe was answered, an own one or one for another.
+    /// Handles the answer to an own probe or to a relayed one.
     pub(super) fn on_ack(&mut self, from: u16, seq: u32) {
         let is_answered =
             |probe: &Probe| probe.seq == seq && (probe.target == from || probe.relays.contains(&from));
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Another member asks for a probe of a place, perhaps of this member itself.
+    /// Handles a request of another member to probe a place, possibly this member itself.
     pub(super) fn on_ping_request(&mut self, from: u16, seq: u32, target: u16) {
         if target == self.config.place {
             return self.send(from, &Body::Ack { seq }, Priority::Urgent);
--- a/crates/membership/src/member/probing/state.rs
+++ b/crates/membership/src/member/probing/state.rs
@@ -1,4 +1,4 @@
-//! The probes under way, and whom to probe next.
+//! The pending probes, and the order of the next ones.
 
 use crate::Micros;
 use crate::view::MemberVersion;
@@ -10,31 +10,31 @@
 /// Why a place is probed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeReason {
-    /// Its turn in the round has come.
+    /// It is next in the round.
     Round,
-    /// Others hold it dead.
+    /// Others claim that it is dead.
     Accused,
-    /// It is not present here and may have come back.
+    /// It is not present in this view and may have come back.
     Absent,
 }
 
-/// A probe under way.
+/// A pending probe.
 #[derive(Debug)]
 pub(super) struct Probe {
     pub seq: u32,
     pub target: u16,
     pub reason: ProbeReason,
     pub started_at: Micros,
-    /// When others are asked to probe, if that is still to come.
+    /// When relays are asked to probe; `None` once that is done, or if it is not planned.
     pub indirect_at: Option<Micros>,
     pub ends_at: Micros,
-    /// Who was asked to probe.
+    /// The members that were asked to probe the target.
     pub relays: Vec<u16>,
-    /// How many of them got no answer either.
+    /// The number of relays that got no answer either.
     pub nacks: u32,
 }
 
-/// A probe under way for another member.
+/// A pending probe for another member.
 #[derive(Debug)]
 pub(super) struct RelayedProbe {
     pub origin: u16,
@@ -44,20 +44,20 @@
     pub nack_at: Micros,
 }
 
-/// The probes under way, and which come next.
+/// The pending probes, and the order of the next ones.
 #[derive(Debug)]
 pub(in crate::member) struct Probing {
     seq: u32,
     pub(super) pending: Vec<Probe>,
-    /// By this member's own sequence number.
+    /// Probes for other members, by this member's own sequence number.
     pub(super) relayed: BTreeMap<u32, RelayedProbe>,
     /// The members to probe in this round, in a random order.
     pub(super) round: Vec<u16>,
-    /// Where the round stands.
+    /// The index in `round` of the next member.
     pub(super) position: usize,
-    /// Alive here, but held dead elsewhere, at this version.
+    /// Places that are alive in this view and that others claim to be dead, with the version in question.
     pub(super) accusations: BTreeMap<u16, MemberVersion>,
-    /// Accused places that wait to be checked.
+    /// Accused places that are still to be checked.
     checks: VecDeque<u16>,
     pub(super) next_probe: Micros,
     pub(super) next_check: Micros,
@@ -65,7 +65,7 @@
 }
 
 impl Probing {
-    /// No probe is under way; the first sequence number comes after `seq`.
+    /// The state without any pending probe; the first sequence number follows `seq`.
     pub fn new(seq: u32, now: Micros, next_probe: Micros, next_lookup: Micros) -> Probing {
         Probing {
             seq,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The earliest time at which a probe begins, goes on or ends.
+    /// The earliest time at which a probe begins, continues through relays, or ends.
     pub fn next_wake(&self) -> Micros {
         let probes =
             self.pending.iter().map(|probe| probe.indirect_at.unwrap_or(u64::MAX).min(probe.ends_at));
@@ -91,49 +91,49 @@
         timers.fold(self.next_probe.min(self.next_lookup), Micros::min)
     }
 
-    /// Begins a round over these, in a random order.
+    /// Begins a round over these places, in a random order.
     pub fn start_round(&mut self, targets: Vec<u16>, rng: &mut fastrand::Rng) {
         self.round = targets;
         rng.shuffle(&mut self.round);
         self.position = 0;
     }
 
-    /// Puts a member that has just become present at a random place in the rest of the round.
+    /// Inserts a member that has just become present at a random position in the rest of the round.
     pub fn insert_target(&mut self, place: u16, rng: &mut fastrand::Rng) {
         let at = rng.usize(self.position.min(self.round.len())..=self.round.len());
         self.round.insert(at, place);
     }
 
-    /// Nothing is probed any more.
+    /// Drops all pending probes.
     pub fn stop(&mut self) {
         self.pending.clear();
         self.relayed.clear();
     }
 
-    /// Moves all probes on by the time that was lost; the next does not begin before `earliest`.
+    /// Postpones all pending probes by the lost time. The next probe does not begin before `earliest`.
     pub fn postpone(&mut self, lost: Micros, earliest: Micros) {
         for probe in &mut self.pending {
             probe.indirect_at = probe.indirect_at.map(|at| at + lost);
             probe.ends_at += lost;
         }
-        // The origins have given up by now.
+        // The members that asked for these have given up by now.
         self.relayed.clear();
         self.next_probe = self.next_probe.max(earliest);
     }
 
-    /// Others hold a place dead that is present here: it is to be checked.
+    /// Schedules a check of a place that is present in this view and that others claim to be dead.
     pub fn accuse(&mut self, place: u16, version: MemberVersion) {
         if self.accusations.insert(place, version).is_none() {
             self.checks.push_back(place);
         }
     }
 
-    /// A newer record about a place has come.
+    /// Drops the accusation of a place after a newer record about it.
     pub fn clear_accusation(&mut self, place: u16) {
         self.accusations.remove(&place);
     }
 
-    /// A relay got no answer either, but is there itself.
+    /// Counts a relay that got no answer either, but is alive itself.
     pub fn on_nack(&mut self, from: u16, seq: u32) {
         let is_asked = |probe: &&mut Probe| probe.seq == seq && probe.relays.contains(&from);
         if let Some(probe) = self.pending.iter_mut().find(is_asked) {
@@ -160,15 +160,15 @@
         self.pending.iter().any(|probe| probe.target == place)
     }
 
-    /// Takes out the relayed probes that got no answer in time.
+    /// Removes and returns the relayed probes that got no answer in time.
     pub(super) fn take_unanswered_relayed(&mut self, now: Micros) -> Vec<RelayedProbe> {
-        let late = |relayed: &RelayedProbe| relayed.nack_at <= now;
-        let late: Vec<u32> =
-            self.relayed.iter().filter(|(_, relayed)| late(relayed)).map(|(seq, _)| *seq).collect();
-        late.iter().filter_map(|seq| self.relayed.remove(seq)).collect()
+        let is_late = |relayed: &RelayedProbe| relayed.nack_at <= now;
+        let late_seqs: Vec<u32> =
+            self.relayed.iter().filter(|(_, relayed)| is_late(relayed)).map(|(seq, _)| *seq).collect();
+        late_seqs.iter().filter_map(|seq| self.relayed.remove(seq)).collect()
     }
 
-    /// Takes out the probes whose time is over.
+    /// Removes and returns the probes that have ended without an answer.
     pub(super) fn take_ended(&mut self, now: Micros) -> Vec<Probe> {
         let pending = std::mem::take(&mut self.pending);
         let (ended, pending) = pending.into_iter().partition(|probe| probe.ends_at <= now);
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -1,5 +1,4 @@
-//! Taking in the records that others send about a place, and refuting what is wrong about this member by a higher
-//! incarnation (SWIM).
+//! Processing of received records about a place. A wrong record about this member is refuted by a higher incarnation (SWIM).
 
 use super::{FactId, Membership};
 use crate::config::EPOCH_BOUND;
@@ -10,7 +9,7 @@
 use mothproxy_invariant::invariant;
 
 impl Membership {
-    /// A record about a place has come from a member, or the member's own datagram proves it alive.
+    /// Handles a record about a place, received from the member `from` or derived from its datagram, which proves it alive.
     pub(super) fn on_state_record(&mut self, from: u16, record: &StateRecord) {
         let StateRecord { place, state, version, ref accusers } = *record;
         if place == self.config.place {
@@ -45,8 +44,8 @@
         }
     }
 
-    /// Others hold a place dead. That alone is not enough for a death here: it shortens a suspicion, or makes this member
-    /// check for itself.
+    /// Handles the claim of others that a place is dead. That alone does not make it dead in this view: it shortens a
+    /// suspicion, or makes this member check for itself.
     fn on_death_record(&mut self, place: u16, version: MemberVersion, known: State, is_newer: bool) {
         match known {
             State::Suspect if !is_newer => self.confirm_suspicion(place),
@@ -61,7 +60,7 @@
         }
     }
 
-    /// A record about this member: refuted where it is wrong.
+    /// Handles a record about this member, and refutes it if it is wrong.
     fn on_record_about_self(&mut self, state: State, version: MemberVersion) {
         let own = self.own_version();
         let MemberVersion { epoch, incarnation } = version;
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Goes on under a greater epoch; the facts published so far move with it.
+    /// Continues under a greater epoch, to which the facts published so far move.
     fn raise_epoch(&mut self, epoch: u64) {
         let (place, before) = (self.config.place, self.own_version().epoch);
         self.set_state(place, State::Alive, MemberVersion { epoch, incarnation: 0 });
@@ -89,7 +88,7 @@
         }
     }
 
-    /// A fact has come.
+    /// Handles a received fact.
     pub(super) fn on_fact_record(&mut self, record: &FactRecord) {
         let FactRecord { place, key, stamp, bytes } = record;
         let (place, key, stamp) = (*place, *key, *stamp);
@@ -120,7 +119,7 @@
         invariant!(count <= MAX_FACTS_PER_MEMBER, "place {place} has more facts than slots");
     }
 
-    /// Whether a place has been gone for so long that its facts are forgotten.
+    /// Whether a place has been gone for so long that its facts are dropped.
     pub(super) fn is_forgotten(&self, place: u16) -> bool {
         let member = self.view.at(place);
         member.state.is_gone() && self.now >= member.since + self.config.forget_after
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -1,8 +1,8 @@
 //! Suspicion: a member that does not answer has some time to refute before it is declared dead (SWIM's suspicion
 //! subprotocol).
 //!
-//! The timeout is Lifeguard's dynamic one: it shrinks as independent members confirm the suspicion, from `suspicion_spread`
-//! times the least down to the least, [`Config::suspicion_span`](crate::Config::suspicion_span).
+//! The timeout is dynamic, as in Lifeguard: it shrinks as independent members confirm the suspicion. Its minimum is
+//! [`Config::suspicion_span`](crate::Config::suspicion_span), its maximum `suspicion_spread` times that.
 
 use super::Membership;
 use crate::view::MemberVersion;
@@ -15,22 +15,22 @@
 struct Suspicion {
     since: Micros,
     expires_at: Micros,
-    /// Who found it not answering, the first few of them.
+    /// The members that got no answer from it; the first few of them.
     accusers: Vec<u16>,
 }
 
 /// What an accusation changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Accusation {
-    /// It began a suspicion.
+    /// It started a suspicion.
     Started,
-    /// It added accusers to one.
+    /// It added accusers to a suspicion.
     Confirmed,
-    /// All accusers are known already, or there are enough.
+    /// All its accusers are known already, or there are enough.
     Redundant,
 }
 
-/// All suspicions under way, by place.
+/// All current suspicions, by place.
 #[derive(Debug, Default)]
 pub(super) struct Suspicions {
     by_place: BTreeMap<u16, Suspicion>,
@@ -38,7 +38,7 @@
 }
 
 impl Suspicions {
-    /// Moves all timeouts on by the time that was lost.
+    /// Postpones all timeouts by the lost time.
     pub fn postpone(&mut self, lost: Micros) {
         self.expiries.clear();
         for (place, suspicion) in &mut self.by_place {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Who accuses a place.
+    /// The members that accuse a place.
     pub fn accusers(&self, place: u16) -> &[u16] {
         self.by_place.get(&place).map_or(&[], |suspicion| &suspicion.accusers)
     }
 
-    /// When the next suspicion times out.
+    /// The time of the next timeout.
     pub fn next_expiry(&self) -> Option<Micros> {
         self.expiries.first().map(|(at, _)| *at)
     }
 
-    /// The suspicion of a place is over.
+    /// Ends the suspicion of a place, if there is one.
     pub fn end(&mut self, place: u16) {
         if let Some(suspicion) = self.by_place.remove(&place) {
             self.expiries.remove(&(suspicion.expires_at, place));
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Lets a suspicion time out `span` after its begin, though not before `earliest` and never later than before.
+    /// Sets the timeout of a suspicion to `span` after its start, but not before `earliest`. It is never moved to a later
+    /// time.
     fn shorten(&mut self, place: u16, span: Micros, earliest: Micros) {
         let Some(suspicion) = self.by_place.get_mut(&place) else { return };
         let expires_at = (suspicion.since + span).max(earliest).min(suspicion.expires_at);
@@ -99,7 +100,7 @@
 }
 
 impl Membership {
-    /// A place is suspected by these.
+    /// Starts or confirms the suspicion of a place by these accusers.
     pub(super) fn suspect(&mut self, place: u16, version: MemberVersion, accusers: &[u16]) {
         let known = self.view.at(place);
         if known.state != State::Suspect || known.incarnation != version.incarnation {
@@ -117,28 +118,28 @@
         }
     }
 
-    /// Another member has declared a suspect dead already: that counts as all the confirmations there could be.
+    /// Handles a suspect that another member has declared dead: that counts as all required confirmations.
     pub(super) fn confirm_suspicion(&mut self, place: u16) {
         self.shorten_suspicion(place, self.required_confirmations());
     }
 
-    /// Whether a suspicion has all accusers that count, so that one more probe would change nothing.
+    /// Whether a suspicion has all required accusers, so that one more probe would change nothing.
     pub(super) fn is_fully_accused(&self, place: u16) -> bool {
         self.suspicions.accusers(place).len() > self.required_confirmations()
     }
 
-    /// Confirmations shorten a suspicion, but leave the suspect one probe period to refute.
+    /// Shortens a suspicion by its confirmations, but leaves the suspect one probe period to refute.
     fn shorten_suspicion(&mut self, place: u16, confirmations: usize) {
         let span = self.suspicion_timeout(confirmations);
         self.suspicions.shorten(place, span, self.now + self.config.probe_period);
     }
 
-    /// After so many confirmations a suspicion lasts no longer than the least.
+    /// The number of confirmations after which a suspicion lasts the minimum time.
     fn required_confirmations(&self) -> usize {
         (self.config.confirmations as usize).min(self.present.saturating_sub(2))
     }
 
-    /// How long a suspicion with so many confirmations lasts (Lifeguard's rule: each one counts less).
+    /// The duration of a suspicion with this number of confirmations (Lifeguard's rule: each further one counts less).
     fn suspicion_timeout(&self, confirmations: usize) -> Micros {
         let least = self.config.suspicion_span(self.present) as f64;
         let most = least * self.config.suspicion_spread;
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -1,13 +1,13 @@
 //! Counters and gauges of a member.
 
-/// What was counted since the start, and what is now.
+/// Counters since the start, and current gauges.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Metrics {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of all datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received and understood.
+    /// Datagrams received and decoded.
     pub received: u64,
     /// Bytes of all datagrams received.
     pub received_bytes: u64,
@@ -17,34 +17,34 @@
     pub refused_version: u64,
     /// Refused: from a place that is not among the peers, or about one.
     pub refused_foreign: u64,
-    /// Refused: cut short, or not to be understood.
+    /// Refused: cut short, or not decodable.
     pub refused_malformed: u64,
     /// Refused: from an earlier epoch of its sender, or a record about an earlier epoch of a place.
     pub refused_stale: u64,
-    /// Datagrams that the budget did not allow.
+    /// Datagrams not sent because of the budget.
     pub over_budget: u64,
     /// Probes begun.
     pub probes: u64,
-    /// Probes that were not answered, neither directly nor through others.
+    /// Probes that were answered neither directly nor through others.
     pub probes_failed: u64,
-    /// Suspicions begun here, by own probes or by records received.
+    /// Suspicions begun by this member, after its own probes or after records received.
     pub suspected: u64,
-    /// Deaths declared here.
+    /// Deaths declared by this member.
     pub declared_dead: u64,
-    /// Times this member raised its epoch or incarnation to refute.
+    /// How often this member raised its epoch or incarnation to refute a record.
     pub refuted: u64,
-    /// Times a tick or datagram came much later than the wake that was wanted.
+    /// How often a tick or datagram came much later than the requested wake.
     pub starved: u64,
-    /// Local health score after Lifeguard: 0 is healthy; timeouts of probes are this plus one times as long.
+    /// The local health score (Lifeguard): 0 is healthy. Timeouts of probes are multiplied by this plus one.
     pub health: u32,
     /// Facts published by this member.
     pub facts_published: u64,
-    /// Facts of others that were new here.
+    /// New facts of other members.
     pub facts_received: u64,
-    /// Facts refused since their place has too many.
+    /// Facts refused because their place has too many.
     pub facts_refused: u64,
-    /// Facts held now, own ones too.
+    /// Facts held at present, including this member's own.
     pub facts_held: u64,
-    /// Exchanges of digests begun.
+    /// Anti-entropy exchanges begun.
     pub syncs: u64,
 }
--- a/crates/membership/src/partition/search.rs
+++ b/crates/membership/src/partition/search.rs
@@ -7,13 +7,14 @@
 struct Job {
     place: usize,
     decided_at: Micros,
-    /// When it is at the worker, from and until.
+    /// The worker holds the job from `starts_at` until `ends_at`.
     starts_at: Micros,
     ends_at: Micros,
 }
 
-/// Simulates a worker and the places that claim its slots, each by a report of its own choice, and returns the most that it ever had
-/// over its limit. With a `window` of 1 nothing may ever be over; with less, a place forgets too early what it claimed.
+/// Simulates a worker and the places that claim its slots, each by a random recent report. Returns by how many jobs the
+/// worker exceeded its limit at worst. With a `window` of 1 the result must be 0. With less, a place forgets its claims too
+/// early, which is a deliberate fault.
 #[doc(hidden)]
 pub fn worst_overcommit(seed: u64, window: f64) -> u32 {
     const STEPS: usize = 80;
@@ -25,7 +26,7 @@
     let bound = StalenessBound { peers, max_report_age: lag - flight, max_flight_time: flight, reserve };
     let jobs_end = rng.bool();
     let ranks: Vec<u16> = (0..peers).map(|place| rank(seed, place, peers)).collect();
-    // Those that are there at all, in whosever view.
+    // The places with a running process, whatever the views are.
     let live: Vec<u16> = (0..peers).filter(|_| rng.u8(0..10) < 6).collect();
     let mut claims: Vec<SlotClaims> = vec![SlotClaims::default(); peers.into()];
     let mut jobs: Vec<Job> = Vec::new();
--- a/crates/membership/src/partition/slot_claims.rs
+++ b/crates/membership/src/partition/slot_claims.rs
@@ -1,59 +1,61 @@
-//! How many slots of a worker one place may claim by late reports, so that all places together stay within its limit.
+//! The number of a worker's slots that one place may claim. It follows from late reports, and is such that all places
+//! together stay within the worker's limit.
 
 use super::allotment;
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// How late reports may be, and what is kept back for it. All places must use the same.
+/// The maximum lateness of reports, and the reserve that covers it. All places must use the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessBound {
-    /// How many places are configured, whether they are there or not.
+    /// The number of configured places, whether or not they are present.
     pub peers: u16,
-    /// The age of the oldest report that anybody decides by, counted from its measuring.
+    /// The maximum age of a report that a place may use, from its measurement, in microseconds.
     pub max_report_age: Micros,
-    /// The longest time from a decision until the worker's reports show it.
+    /// The maximum time from a decision until the worker's reports show it, in microseconds.
     pub max_flight_time: Micros,
-    /// What all places together may claim within both of these; so much of the limit stays free in return.
+    /// The slots that all places together may claim within the sum of both times. In return, as many slots of the limit stay
+    /// free.
     pub reserve: u32,
 }
 
 /// The free slots that a worker's report shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedCapacity {
-    /// Its limit less what it has.
+    /// The worker's limit minus its jobs.
     pub free: u32,
-    /// When it was measured, at the earliest, by this place's clock: when it came, less its time under way.
+    /// The earliest possible time of the measurement, by this place's clock: the time of arrival minus the time in transit.
     pub measured_at: Micros,
 }
 
-/// Slots of a worker that this place claimed at one time and that have not ended since.
+/// Slots of a worker that this place claimed at the same time and whose jobs have not ended.
 #[derive(Debug, Clone, Copy)]
 struct Claim {
     claimed_at: Micros,
     slots: u32,
 }
 
-/// The slots that one place has claimed of one worker lately, and how many it may still claim by the worker's own reports.
+/// The recent claims of one place on the slots of one worker, which determine how many more slots the place may claim.
 ///
-/// What it claimed within `max_report_age + max_flight_time` and has not ended may be at most its [`allotment`] of the reserve,
-/// and at most its allotment of the reported free slots less the reserve. Then no worker ever has more than its limit,
-/// whatever each place believes of the others: docs/design/membership.md has the proof. As reports come to show what was
-/// claimed and what has ended, each frees new slots, so that survivors come to use all of a worker but the reserve, though
-/// nobody takes over another's part.
+/// Two limits apply to the claims of the last `max_report_age + max_flight_time` whose jobs have not ended: the place's
+/// [`allotment`] of the reserve, and its allotment of the reported free slots minus the reserve. No worker then ever exceeds
+/// its limit, whatever each place's view of the others is: docs/design/membership.md has the proof. Each report that shows
+/// earlier claims and ended jobs allows new claims. So the survivors of a failure come to use all slots of a worker but the
+/// reserve, although no place takes over the part of another.
 #[derive(Debug, Clone, Default)]
 pub struct SlotClaims {
     claims: VecDeque<Claim>,
 }
 
 impl SlotClaims {
-    /// Forgets the claims that are older than the window.
+    /// Drops the claims that are as old as the window or older.
     pub(super) fn expire(&mut self, now: Micros, window: Micros) {
         while self.claims.front().is_some_and(|claim| now.saturating_sub(claim.claimed_at) >= window) {
             self.claims.pop_front();
         }
     }
 
-    /// How many more slots the place of this rank may claim now.
+    /// The number of slots that the place of this rank may still claim at `now`; 0 if the report is too old.
     pub fn available(
         &mut self,
         now: Micros,
@@ -70,7 +72,7 @@
         allotment(slots, bound.peers, rank).saturating_sub(claimed)
     }
 
-    /// So many slots are claimed now.
+    /// Records a claim of `slots` at `now`.
     pub fn record_claimed(&mut self, now: Micros, slots: u32) {
         match self.claims.back_mut().filter(|claim| claim.claimed_at == now) {
             Some(claim) => claim.slots += slots,
@@ -79,8 +81,8 @@
         }
     }
 
-    /// A job for which a slot was claimed then has ended, as the worker's reports show from now on (or it never arrived and
-    /// never will).
+    /// Records the end of a job whose slot was claimed at `claimed_at`. Call it once the worker's reports show the end, or if
+    /// the job never arrived and never will.
     pub fn record_ended(&mut self, claimed_at: Micros) {
         if let Some(claim) = self.claims.iter_mut().find(|claim| claim.claimed_at == claimed_at) {
             claim.slots = claim.slots.saturating_sub(1);
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,8 +1,8 @@
-//! Many members and the network between them, in one process and on a clock of its own: an event queue over the same state
-//! machines that run on sockets. Everything follows from a seed.
+//! A discrete-event simulation of many members and the network between them.
 //!
-//! [`Network`] is the simulation, [`scenarios`] what is done with it; [`proof`] runs all scenarios and gives their verdict,
-//! which `examples/membership_model.rs` prints.
+//! It runs the same state machines as the program does on sockets, in one process and with a virtual clock. A seed
+//! determines the run. [`Network`] is the simulation, and [`scenarios`] has the experiments. [`proof`] runs all scenarios and
+//! checks their results; `examples/membership_model.rs` prints them.
 
 mod faults;
 pub mod scenarios;
@@ -16,58 +16,58 @@
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
-/// How many datagrams a socket keeps for a process that does not read.
+/// The number of datagrams that a socket buffers for a paused process.
 const PAUSED_INBOX_CAPACITY: usize = 256;
-/// [`Network::run_while`] evaluates its condition at most this often.
+/// The minimum interval between two evaluations of the condition of [`Network::run_while`].
 const CONDITION_INTERVAL: Micros = 5_000;
-/// Members that start cold do so within this many milliseconds.
+/// The epochs of members that start cold get a random offset below this, in milliseconds.
 const COLD_START_MS: u64 = 5_000;
-/// The epoch of a restarted process is this much after that of the one before, in milliseconds.
+/// The difference between the epoch of a restarted process and that of its predecessor, in milliseconds.
 const RESTART_MS: u64 = 10_000;
 /// The epoch of the member at place 0, in milliseconds of Unix time.
 const FIRST_EPOCH: u64 = 1_700_000_000_000;
 
-/// A change that a member saw.
+/// A change of a member's view.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservedChange {
-    /// When.
+    /// The time of the change.
     pub at: Micros,
-    /// By whom.
+    /// The place of the member whose view changed.
     pub by: u16,
-    /// What.
+    /// The change.
     pub change: Change,
 }
 
 /// How the members of a network start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// They all know each other already.
+    /// All members know each other already.
     Warm,
-    /// They start within a short time and know nobody.
+    /// The members start at once and know no other member.
     Cold,
 }
 
-/// A place and the process there, if one runs.
+/// A place, with its process if one runs.
 struct Node {
     member: Option<Membership>,
     epoch: u64,
     starts: u64,
     is_paused: bool,
-    /// Sender and datagram, received while paused.
+    /// The sender and the bytes of each datagram that arrived while the process was paused.
     inbox: VecDeque<(u16, Vec<u8>)>,
-    /// The earliest wake in the queue.
+    /// The time of the earliest wake in the queue.
     wake: Micros,
     facts: Vec<OwnedFact>,
 }
 
-/// What happens at a time of the queue.
+/// An event of the simulation.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     DatagramArrives { to: u16, from: u16, bytes: Vec<u8> },
     Wake { place: u16 },
 }
 
-/// An event of the queue: the order is by time, and of one time by the order in which events were scheduled.
+/// An event in the queue, ordered by time and then by the order in which events were scheduled.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: Micros,
@@ -75,13 +75,13 @@
     event: Event,
 }
 
-/// The members and the network.
+/// The members and the network between them.
 pub struct Network {
-    /// The time.
+    /// The current time.
     pub now: Micros,
-    /// What the network does from now on.
+    /// The faults of the network from now on.
     pub faults: Faults,
-    /// Every change that any member saw, in order.
+    /// All changes of all members' views, in order.
     pub changes: Vec<ObservedChange>,
     rng: fastrand::Rng,
     nodes: Vec<Node>,
@@ -92,7 +92,7 @@
 }
 
 impl Network {
-    /// So many members; `adjust_config` changes the configuration of each before it starts.
+    /// Creates a network and starts its members. `adjust_config` changes the configuration of each member before it starts.
     pub fn new(
         members: u16,
         seed: u64,
@@ -148,7 +148,7 @@
         &mut self.nodes[usize::from(place)]
     }
 
-    /// Starts a process at this place, with an epoch after that of the one before.
+    /// Starts a process at this place, with a greater epoch than its predecessor.
     pub fn start(&mut self, place: u16) {
         let peers = self.nodes.len() as u16;
         let (now, seed) = (self.now, self.seed);
@@ -166,7 +166,7 @@
         self.carry_out_outputs(place);
     }
 
-    /// Ends the process at this place; it announces nothing.
+    /// Ends the process at this place without an announcement.
     pub fn kill(&mut self, place: u16) {
         let node = self.node_mut(place);
         node.member = None;
@@ -174,12 +174,12 @@
         node.is_paused = false;
     }
 
-    /// Stops a process, as by SIGSTOP. The first few datagrams that come meanwhile wait for it.
+    /// Pauses a process, as SIGSTOP does. The first datagrams that arrive in the meantime are buffered.
     pub fn pause(&mut self, place: u16) {
         self.node_mut(place).is_paused = true;
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&mut self, place: u16) {
         let node = self.node_mut(place);
         node.is_paused = false;
@@ -188,7 +188,7 @@
         self.on_wake(place);
     }
 
-    /// Does something to a member, and carries out what follows from it.
+    /// Calls `action` with a member and the time, and carries out the member's outputs. Returns `None` if no process runs.
     pub fn with<T>(&mut self, place: u16, action: impl FnOnce(&mut Membership, Micros) -> T) -> Option<T> {
         let now = self.now;
         let result = self.node_mut(place).member.as_mut().map(|member| action(member, now));
@@ -196,22 +196,22 @@
         result
     }
 
-    /// The member at this place, if its process runs (or is paused).
+    /// The member at this place, if its process runs or is paused.
     pub fn member(&self, place: u16) -> Option<&Membership> {
         self.node(place).member.as_ref()
     }
 
-    /// All members whose processes run, paused ones too.
+    /// All members whose processes run or are paused.
     pub fn members(&self) -> impl Iterator<Item = (u16, &Membership)> {
         (0..).zip(&self.nodes).filter_map(|(place, node)| node.member.as_ref().map(|member| (place, member)))
     }
 
-    /// The facts that this member received, in order.
+    /// The facts that the member at this place received, in order.
     pub fn facts(&self, place: u16) -> &[OwnedFact] {
         &self.node(place).facts
     }
 
-    /// Delivers a datagram that no member has sent.
+    /// Delivers a datagram that no member sent.
     pub fn forge(&mut self, to: u16, from: u16, bytes: &[u8]) {
         self.on_datagram(to, from, bytes);
     }
@@ -226,14 +226,16 @@
         self.run_to(self.now + span);
     }
 
-    /// Runs to this time, or until `holds` returns false, which is called within 5 ms after a change. Returns whether it
-    /// ended early.
+    /// Runs to this time, or until `holds` returns false. `holds` is evaluated after changes of views, at most every 5 ms.
+    /// Returns whether the run ended early.
     pub fn run_while(&mut self, until: Micros, mut holds: impl FnMut(&Network) -> bool) -> bool {
-        let (mut changes_checked, mut checked_at) = (usize::MAX, 0);
+        let mut changes_checked = usize::MAX;
+        let mut checked_at = 0;
         loop {
             let has_changed = changes_checked != self.changes.len();
             if has_changed && self.now >= checked_at + CONDITION_INTERVAL {
-                (changes_checked, checked_at) = (self.changes.len(), self.now);
+                changes_checked = self.changes.len();
+                checked_at = self.now;
                 if !holds(self) {
                     return true;
                 }
@@ -246,7 +248,7 @@
             self.now = at;
             match event {
                 Event::DatagramArrives { to, from, bytes } => self.on_datagram(to, from, &bytes),
-                // A wake that an earlier one has replaced does not count.
+                // Ignore a wake that an earlier one has replaced.
                 Event::Wake { place } if self.node(place).wake == at => {
                     self.node_mut(place).wake = u64::MAX;
                     self.on_wake(place);
@@ -285,7 +287,7 @@
         self.queue.push(Reverse(Scheduled { at, sequence: self.scheduled, event }));
     }
 
-    /// Sends what a member wants sent, keeps what it saw, and schedules its next wake.
+    /// Carries out the outputs of a member: sends its datagrams, records its changes and facts, and schedules its next wake.
     fn carry_out_outputs(&mut self, place: u16) {
         let now = self.now;
         while let Some(output) = self.node_mut(place).member.as_mut().and_then(Membership::poll) {
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Whether all processes that run hold all others that run alive, at their present epochs, and all the rest gone.
+    /// Whether all views agree with reality: each running process is alive at its current epoch, and no other is present.
     pub fn has_agreement(&self) -> bool {
         self.members().all(|(_, observer)| {
             observer.view().iter().zip(&self.nodes).all(|((_, believed), node)| match &node.member {
@@ -327,14 +329,14 @@
         })
     }
 
-    /// Whether all other members that run hold a place in this state.
+    /// Whether a place is in this state in the views of all other members.
     pub fn others_hold(&self, place: u16, state: State) -> bool {
         let mut others = self.members().filter(|(other, _)| *other != place);
         others.all(|(_, member)| member.view().state(place) == state)
     }
 
-    /// Deaths seen since a time, by and of members for which `is_live` holds: those that ran all the while and were never
-    /// cut off.
+    /// The number of false deaths since a time: a live member declared another live member dead. `is_live` tells which
+    /// members ran all the time and were never partitioned.
     pub fn false_deaths(&self, since: Micros, is_live: impl Fn(u16) -> bool) -> usize {
         let deaths = self.changes.iter().filter(|seen| seen.at >= since && seen.change.to == State::Dead);
         deaths.filter(|seen| is_live(seen.change.place) && is_live(seen.by)).count()
@@ -345,7 +347,7 @@
         self.members().map(|(_, member)| member.metrics().sent_bytes).sum()
     }
 
-    /// Random bytes, half of them with the version of a datagram in front.
+    /// A datagram of random bytes. Half of these datagrams begin with the valid version.
     pub fn random_datagram(&mut self) -> Vec<u8> {
         let length = self.rng.usize(0..400);
         let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.u8(..)).collect();
@@ -355,7 +357,7 @@
         bytes
     }
 
-    /// A random number below this.
+    /// A random number below `bound`.
     pub fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.u64(0..bound)
     }
--- a/crates/membership/src/simulation/faults.rs
+++ b/crates/membership/src/simulation/faults.rs
@@ -1,22 +1,22 @@
-//! What the simulated network does to datagrams.
+//! The faults of the simulated network.
 
 use crate::Micros;
 use std::ops::RangeInclusive;
 
-/// What the network does to datagrams.
+/// The faults of the network, and its latency.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// This fraction is lost.
+    /// The fraction of datagrams that is lost.
     pub loss: f64,
-    /// This fraction arrives twice.
+    /// The fraction of datagrams that arrives twice.
     pub repeat: f64,
-    /// The least and the most time that a datagram is under way.
+    /// The range of latencies, in microseconds.
     pub latency: RangeInclusive<Micros>,
-    /// The side of each place; what would cross from one side to another is lost.
+    /// The side of each place. Datagrams from one side to another are lost.
     pub sides: Vec<u8>,
-    /// Places that no datagram reaches, though what they send arrives.
+    /// Whether no datagram reaches a place, by place. The datagrams that it sends arrive.
     pub inbound_blocked: Vec<bool>,
-    /// Directions in which nothing comes through; the other way it does.
+    /// Directions in which all datagrams are lost.
     pub one_way: Vec<Direction>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Faults {
-    /// A network of so many members that loses nothing, with a latency of 0.2 to 2 ms.
+    /// A network without faults, with a latency of 0.2 to 2 ms.
     pub(super) fn none(members: u16) -> Faults {
         Faults {
             loss: 0.0,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether nothing comes through in this direction.
+    /// Whether all datagrams in this direction are lost.
     pub(super) fn blocks(&self, direction: Direction) -> bool {
         let Direction { from, to } = direction;
         self.sides[usize::from(from)] != self.sides[usize::from(to)]
--- a/crates/membership/src/simulation/scenarios.rs
+++ b/crates/membership/src/simulation/scenarios.rs
@@ -1,7 +1,7 @@
-//! The scenarios of the simulation, and whether what must hold did.
+//! The scenarios of the simulation, with their measurements and checks.
 //!
-//! Each scenario is a function that plays a [`Network`] for several seeds, measures, and checks. What it measures carries the
-//! number of members in its name.
+//! Each scenario is a function that runs a [`Network`] for several seeds, measures it, and checks what must hold. The name of
+//! a measurement ends with the number of members.
 
 mod failures;
 mod network_faults;
@@ -17,16 +17,16 @@
 use super::{Network, SECOND, Start};
 use crate::Micros;
 
-/// How much to run.
+/// The extent of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Extent {
-    /// Seeds of each scenario with up to 300 members.
+    /// The number of seeds of each scenario with up to 300 members.
     pub seeds: u64,
-    /// Seeds with 3,000 members; none if 0.
+    /// The number of seeds with 3,000 members; 0 for none.
     pub large_seeds: u64,
     /// The first seed.
     pub first_seed: u64,
-    /// A deliberate fault: no suspicion before death.
+    /// A deliberate fault: a failed probe is a death, without a suspicion.
     pub skip_suspicion: bool,
 }
 
@@ -42,7 +42,7 @@
         network
     }
 
-    /// Runs one thing for many seeds, on a few threads, and gives the results in the order of the seeds.
+    /// Calls `run_one` with each seed, on a few threads. Returns the results in the order of the seeds.
     fn for_each_seed<T: Send>(self, seeds: u64, run_one: impl Fn(u64) -> T + Sync) -> Vec<T> {
         const MAX_THREADS: usize = 8;
         let seeds: Vec<u64> = (self.first_seed..self.first_seed + seeds).collect();
@@ -95,7 +95,7 @@
     report
 }
 
-/// Runs all scenarios, and checks that the deliberate fault is caught by the same checks.
+/// Runs all scenarios, and verifies that the checks catch the deliberate fault.
 pub fn proof(extent: Extent) -> Report {
     let mut report = run(extent);
     let faulty = network_faults::loss(Extent { skip_suspicion: true, ..extent }, 10, 2);
--- a/crates/membership/src/simulation/scenarios/failures.rs
+++ b/crates/membership/src/simulation/scenarios/failures.rs
@@ -1,20 +1,21 @@
-//! Processes that are killed or paused.
+//! Scenarios with processes that are killed or paused.
 
 use super::{Extent, Report, seconds};
 use crate::State;
 use crate::simulation::{Network, SECOND, Start};
 
 struct KillRun {
-    /// Bytes a second a member before the kill.
+    /// The sending rate of a member before the kill, in bytes per second.
     bytes_a_second: f64,
-    /// When each of the others saw the death, in seconds after the kill.
+    /// When each of the others declared the death, in seconds after the kill.
     detected_after: Vec<f64>,
-    /// Others that did not see it.
+    /// The number of others that did not.
     missed: usize,
     false_deaths: usize,
 }
 
-/// Bytes a second a member at rest; then one is killed: when each of the others holds it dead, and how many others die.
+/// Measures the sending rate of a member at rest. Then one member is killed: measures when each of the others declares it
+/// dead, and checks that no other member is declared dead.
 pub(super) fn kill(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.network(members, seed, Start::Warm);
@@ -65,7 +66,7 @@
     restart_seen_after: f64,
 }
 
-/// Seven in ten killed at once: the time until the others hold them all dead, and after all start again.
+/// Seven in ten members are killed at once and later start again. Measures the time until all views agree, both times.
 pub(super) fn mass_kill(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.settled_network(members, seed);
@@ -112,7 +113,8 @@
     false_deaths: usize,
 }
 
-/// One is paused for longer than any suspicion lasts, and goes on: it holds nobody dead for it, and comes back.
+/// A member is paused for longer than any suspicion lasts, and resumes. It must declare no other member dead, and must be
+/// alive again in all views.
 pub(super) fn pause(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.settled_network(members, seed);
--- a/crates/membership/src/simulation/scenarios/network_faults.rs
+++ b/crates/membership/src/simulation/scenarios/network_faults.rs
@@ -1,4 +1,4 @@
-//! A network that loses datagrams or is cut.
+//! Scenarios with lost datagrams and network partitions.
 
 use super::{Extent, Report, seconds};
 use crate::State;
@@ -10,7 +10,7 @@
     has_agreement: bool,
 }
 
-/// One in ten datagrams is lost for a minute, and some come twice; and one member is paused shortly now and then.
+/// One in ten datagrams is lost for a minute, some arrive twice, and now and then a member is paused for a second.
 pub(super) fn loss(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.settled_network(members, seed);
@@ -48,14 +48,14 @@
 }
 
 struct HealRun {
-    /// Each side holds exactly the others dead.
+    /// Whether, in every view, exactly the members of the other sides are dead.
     is_cut_seen: bool,
     /// Deaths that a side declared of its own members.
     deaths_within_sides: usize,
     has_agreed: bool,
     agreed_after: f64,
     deaths_after_heal: usize,
-    /// Returns for each pair of members across the cut: 1 if nothing flaps.
+    /// The number of returns per pair of members on different sides: 1 if no state flaps.
     returns_a_pair: f64,
     stays_agreed: bool,
 }
@@ -92,7 +92,8 @@
     }
 }
 
-/// Cut into sides for 30 s: what each side holds; then healed: the time until all agree, and whether it stays so.
+/// The network is partitioned into sides for 30 s, and then heals. Measures the time until all views agree, and checks that
+/// they stay so.
 pub(super) fn heal(extent: Extent, members: u16, sides: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| heal_run(extent, members, sides, seed));
     let mut report = Report::default();
--- a/crates/membership/src/simulation/scenarios/publishing.rs
+++ b/crates/membership/src/simulation/scenarios/publishing.rs
@@ -1,28 +1,28 @@
-//! Facts that all members publish.
+//! Scenarios in which all members publish facts.
 
 use super::{Extent, Report, seconds};
 use crate::simulation::{Network, SECOND};
 use crate::{Micros, OwnedFact};
 
-/// Each member publishes to so many slots, in turn.
+/// The number of slots to which each member publishes, in turn.
 const SLOTS: u64 = 16;
 /// The kind of the facts.
 const KIND: u8 = 1;
 
 struct FactsRun {
     bytes_a_second: f64,
-    /// Seconds from the last fact until all hold the same; infinite where they never did.
+    /// Seconds from the last publication until all members hold the same facts; infinite if they never did.
     same_after: f64,
 }
 
-/// Bytes a second a member since a time.
+/// The mean sending rate of a member since a time, in bytes per second.
 fn bytes_a_second(network: &Network, members: u16, since: Micros, sent_before: u64) -> f64 {
     let sent = (network.sent_bytes() - sent_before) as f64;
     sent / f64::from(members) / seconds(network.now - since)
 }
 
-/// Each publishes a fact a second, one in ten datagrams is lost, two sides are cut for a while and one is restarted: in the
-/// end all hold the same, and what was published for each slot last.
+/// Each member publishes a fact per second. One in ten datagrams is lost, the network is partitioned for a while, and one
+/// member restarts. In the end all members must hold the same facts, the last of each slot.
 pub(super) fn facts(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| facts_run(extent, members, seed));
     let mut report = Report::default();
@@ -85,14 +85,14 @@
 
 struct FloodRun {
     bytes_a_second: f64,
-    /// Seconds from the last fact until all hold the last of each slot, or until this was given up.
+    /// Seconds from the last publication until all members hold the last fact of each slot, or until the scenario gave up.
     ended_after: f64,
     are_same: bool,
     false_deaths: usize,
 }
 
-/// Each publishes ten long facts a second, many times what the budget carries: probes do not suffer, nobody sends more than
-/// the budget, and once the publishing ends all come to hold the same.
+/// Each member publishes ten long facts per second, many times more than the budget allows. Probes must not suffer, no
+/// member may exceed the budget, and all members must hold the same facts some time after the last publication.
 pub(super) fn flood(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| flood_run(extent, members, seed));
     let mut report = Report::default();
--- a/crates/membership/src/simulation/scenarios/report.rs
+++ b/crates/membership/src/simulation/scenarios/report.rs
@@ -1,13 +1,13 @@
-//! What scenarios measured, and what did not hold.
+//! The measurements of scenarios, and the violations that they found.
 
 use std::collections::BTreeMap;
 
-/// What was measured, by name, and what did not hold.
+/// The measurements by name, and the violations.
 #[derive(Debug, Default, Clone)]
 pub struct Report {
-    /// What was measured, rounded to thousandths.
+    /// The measurements, rounded to thousandths.
     pub metrics: BTreeMap<String, f64>,
-    /// What did not hold.
+    /// Descriptions of what did not hold.
     pub violations: Vec<String>,
 }
 
@@ -31,7 +31,7 @@
         self.record(name, values.sum::<f64>() / count);
     }
 
-    /// Notes a violation where something does not hold.
+    /// Records a violation unless `holds`.
     pub(super) fn check(&mut self, holds: bool, violation: impl Into<String>) {
         if !holds {
             self.violations.push(violation.into());
@@ -43,7 +43,7 @@
         self.violations.extend(other.violations);
     }
 
-    /// As one line of JSON.
+    /// The report as one line of JSON.
     pub fn json(&self) -> String {
         let metrics: Vec<String> =
             self.metrics.iter().map(|(name, value)| format!("{name:?}:{value}")).collect();
@@ -53,7 +53,7 @@
     }
 }
 
-/// The least value that this fraction of the values does not exceed; NaN where there are none.
+/// The smallest value that at least this fraction of the values does not exceed; NaN if there are no values.
 fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = ((values.len() as f64 * fraction).ceil() as usize).clamp(1, values.len().max(1));
--- a/crates/membership/src/simulation/scenarios/startup.rs
+++ b/crates/membership/src/simulation/scenarios/startup.rs
@@ -1,4 +1,4 @@
-//! Members that start, restart and leave.
+//! Scenarios with members that start, restart and leave.
 
 use super::{Extent, Report, seconds};
 use crate::State;
@@ -7,12 +7,13 @@
 struct ColdStartRun {
     has_agreed: bool,
     agreed_after: f64,
-    /// The most that one member sent in a second.
+    /// The maximum that one member sent in a second, in bytes.
     peak_bytes: u64,
     false_deaths: usize,
 }
 
-/// All start within a second and know nobody: the time until all hold all alive, and the most that one sent in a second.
+/// All members start at once and know no other member. Measures the time until all views agree, and the maximum that one
+/// member sent in a second.
 pub(super) fn cold_start(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| cold_start_run(extent, members, seed));
     let mut report = Report::default();
@@ -55,16 +56,16 @@
     is_restart_known: bool,
     restart_known_after: f64,
     garbage_refused: u64,
-    /// Changes that anybody saw because of garbage.
+    /// The number of changes of any view while the garbage arrived.
     changes_by_garbage: usize,
     is_leave_known: bool,
     false_deaths: usize,
 }
 
-/// Datagrams of garbage that one member receives.
+/// The number of garbage datagrams that one member receives.
 const GARBAGE: u64 = 20_000;
 
-/// A restart that nobody noticed, a flood of garbage, and a leave.
+/// A restart without a detected death, a flood of garbage, and a leave.
 pub(super) fn restart_leave_and_garbage(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| lifecycle_run(extent, members, seed));
     let mut report = Report::default();
@@ -117,7 +118,7 @@
     }
 }
 
-/// Sends garbage, also from places that there are not.
+/// Sends garbage datagrams, some of them from places that are not among the peers.
 fn send_garbage(network: &mut Network, to: u16, members: u16) {
     for _ in 0..GARBAGE {
         let from = network.random_below(u64::from(members) + 3) as u16;
--- a/crates/membership/src/update_queue.rs
+++ b/crates/membership/src/update_queue.rs
@@ -1,12 +1,12 @@
-//! Updates that wait to be disseminated, the least often sent and then the newest first.
+//! The queue of updates to disseminate, ordered by how often each was sent, then with the newest first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an update stands in the queue; the lowest is sent next.
+/// The position of an update in the queue; the update with the lowest rank is sent next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     times_sent: u32,
-    /// Falls with each push, so that newer updates come first.
+    /// Decreases with each push, so that newer updates come first.
     age: u64,
 }
 
@@ -20,12 +20,12 @@
 }
 
 impl<K: Ord + Copy> UpdateQueue<K> {
-    /// A queue of at most so many updates; beyond that the one that was sent most often is dropped.
+    /// A queue of at most `capacity` updates. Beyond that, the update that was sent most often is dropped.
     pub fn new(capacity: usize) -> UpdateQueue<K> {
         UpdateQueue { ranks: BTreeMap::new(), order: BTreeSet::new(), pushed: 0, capacity }
     }
 
-    /// Adds an update; one that is queued already starts over as if it had never been sent.
+    /// Adds an update. If it is already queued, it starts over as if it had never been sent.
     pub fn push(&mut self, key: K) {
         self.remove(key);
         self.pushed += 1;
@@ -64,12 +64,12 @@
         self.ranks.is_empty()
     }
 
-    /// How many updates are queued.
+    /// The number of queued updates.
     pub fn len(&self) -> usize {
         self.ranks.len()
     }
 
-    /// The first `count` updates in line.
+    /// The first `count` updates of the queue.
     pub fn first(&self, count: usize) -> Vec<K> {
         self.order.iter().take(count).map(|(_, key)| *key).collect()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,19 +1,19 @@
-//! What a member believes of all places.
+//! A member's view: the state of each place, as far as the member knows.
 
 use crate::Micros;
 
-/// What is believed of a place. The order is the one in which a record replaces another of the same epoch and incarnation.
+/// The state of a place in a view. A record with a greater state replaces one of the same epoch and incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// No datagram or record of it was ever received.
+    /// No datagram from the place and no record about it was ever received.
     Unknown,
-    /// Known, and not suspected.
+    /// The member is known and not suspected.
     Alive,
-    /// It did not answer a probe; it keeps its part of the work until the suspicion times out.
+    /// The member did not answer a probe. It keeps its part of the work until the suspicion times out.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It has announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -23,31 +23,32 @@
         matches!(self, State::Alive | State::Suspect)
     }
 
-    /// Whether a member in this state was there and is no more.
+    /// Whether a member in this state was present and is no longer.
     pub(crate) fn is_gone(self) -> bool {
         matches!(self, State::Dead | State::Left)
     }
 }
 
-/// Which of two records about a place is newer: the one of the later start, and of one start the later incarnation.
+/// The version of a record about a place. The record with the later epoch is newer; within an epoch, the one with the
+/// greater incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct MemberVersion {
     /// The start of the process, in milliseconds of Unix time.
     pub epoch: u64,
-    /// Raised by the member itself, to refute.
+    /// Raised only by the member itself, to refute a suspicion.
     pub incarnation: u32,
 }
 
-/// A place as it is believed to be.
+/// The entry of one place in a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
-    /// What is believed.
+    /// The state of the place.
     pub state: State,
-    /// The start of the process there in milliseconds of Unix time, 0 while unknown.
+    /// The start of the process at the place, in milliseconds of Unix time; 0 while unknown.
     pub epoch: u64,
-    /// Raised by the member itself, to refute.
+    /// Raised only by the member itself, to refute a suspicion.
     pub incarnation: u32,
-    /// When it came to this state, by the caller's clock.
+    /// Since when the place is in this state, by the caller's clock.
     pub since: Micros,
 }
 
@@ -57,22 +58,22 @@
     }
 }
 
-/// A change of the view. A restart that was not noticed before goes from `Alive` to `Alive`, with a greater epoch.
+/// A change of the view. A restart that was not noticed otherwise is a change from `Alive` to `Alive` with a greater epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
-    /// Which place.
+    /// The place that changed.
     pub place: u16,
-    /// The start of the process there, as of now.
+    /// The epoch of the process at the place after the change, in milliseconds of Unix time.
     pub epoch: u64,
-    /// What was believed.
+    /// The state before the change.
     pub from: State,
-    /// What is believed now.
+    /// The state after the change.
     pub to: State,
-    /// The version of the view with this change.
+    /// The version of the view after the change.
     pub version: u64,
 }
 
-/// What a member believes of all places, itself included.
+/// The state of all places, including this member's own, as far as this member knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
     pub(crate) version: u64,
@@ -85,37 +86,37 @@
         View { version: 0, members: vec![unknown; peers.into()] }
     }
 
-    /// Grows by one with every [`Change`].
+    /// The number of [`Change`]s so far.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// A place, if it is one.
+    /// The entry of a place; `None` if it is not among the peers.
     pub fn member(&self, place: u16) -> Option<&Member> {
         self.members.get(usize::from(place))
     }
 
-    /// A place that is known to be one: panics where it is not.
+    /// The entry of a place among the peers. Panics if it is not among them.
     pub(crate) fn at(&self, place: u16) -> Member {
         self.members[usize::from(place)]
     }
 
-    /// What is believed of a place; one that is not among the peers is unknown.
+    /// The state of a place; [`State::Unknown`] if it is not among the peers.
     pub fn state(&self, place: u16) -> State {
         self.member(place).map_or(State::Unknown, |member| member.state)
     }
 
-    /// All places in order.
+    /// All places with their entries, in order of place.
     pub fn iter(&self) -> impl Iterator<Item = (u16, &Member)> {
         (0..).zip(&self.members)
     }
 
-    /// Which places may hold work: alive or suspect.
+    /// Whether each place may hold work, that is, is alive or suspect; by place.
     pub fn holders(&self) -> Vec<bool> {
         self.members.iter().map(|member| member.state.is_present()).collect()
     }
 
-    /// How many places are in this state.
+    /// The number of places in this state.
     pub fn count(&self, state: State) -> usize {
         self.members.iter().filter(|member| member.state == state).count()
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,11 +1,13 @@
 //! The wire format of datagrams.
 //!
-//! `version, checksum (4 bytes), kind, the sender's epoch, its incarnation`, what the kind needs, then records until the end.
-//! Numbers are varints (seven bits a byte, the least significant first); an epoch after the first is a signed difference from
-//! the sender's, since members of one group mostly start within hours. The checksum covers the datagram, both places and the
-//! number of peers, so that neither a torn datagram nor one of a group with other peers is taken for one of this group.
+//! A datagram consists of `version, checksum (4 bytes), kind, the sender's epoch, its incarnation`, the fields of the kind,
+//! and then records until the end. Numbers are varints: seven bits per byte, the least significant first. An epoch after the
+//! first is encoded as its signed difference from the sender's, since members of one group mostly start within hours. The
+//! checksum covers the datagram, both places and the number of peers. So a torn datagram is refused, and so is one of a
+//! group with other peers.
 //!
-//! [`Writer`] writes a datagram within [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES), [`read`] reads one whole or not at all.
+//! [`Writer`] keeps a datagram within [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES). [`read`] decodes a whole datagram or
+//! refuses it.
 
 mod reader;
 mod writer;
@@ -20,16 +22,16 @@
 use crate::hash::{extend, hash};
 use crate::view::MemberVersion;
 
-/// So many hashes of equal parts of all places fill a [`Body::Digest`].
+/// The number of hashes in a [`Body::Digest`], each of an equal part of all places.
 pub(crate) const DIGEST_PARTS: usize = 32;
-/// Where the checksum stands.
+/// The position of the checksum.
 const CHECKSUM_BYTES: std::ops::Range<usize> = 1..5;
-/// Where the kind stands; the checksum covers all from here on.
+/// The position of the kind. The checksum covers all bytes from here on.
 const KIND_OFFSET: usize = 5;
 /// The tag of a record that holds a fact; the tag of any other record is the state's rank.
 const FACT_TAG: u8 = 5;
 
-/// The byte that says what a datagram is.
+/// The values of the kind byte, one for each [`Body`].
 mod kind {
     pub const PING: u8 = 0;
     pub const ACK: u8 = 1;
@@ -42,26 +44,26 @@
     pub const FACT_REQUEST: u8 = 8;
 }
 
-/// What a datagram is for.
+/// The body of a datagram, by its purpose.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Body {
     /// A probe.
     Ping { seq: u32 },
-    /// The answer to a probe, or to a request for one that was answered.
+    /// The answer to a probe, or to a `PingRequest` whose target answered.
     Ack { seq: u32 },
-    /// Asks for a probe of this place, whose answer is passed on (SWIM's `ping-req`).
+    /// Asks the receiver to probe this place and to pass on the answer (SWIM's `ping-req`).
     PingRequest { seq: u32, target: u16 },
-    /// The requested probe was not answered either, but the sender of this is there.
+    /// The requested probe was not answered either, but the sender of this datagram is alive.
     Nack { seq: u32 },
-    /// Records alone.
+    /// No body; the datagram carries records only.
     Gossip,
-    /// Hashes of what the sender holds of [`DIGEST_PARTS`] equal parts of all places.
+    /// Hashes of the sender's state of [`DIGEST_PARTS`] equal parts of all places.
     Digest { salt: u16, hashes: Vec<u32> },
-    /// What the sender holds of consecutive places.
+    /// The sender's state of consecutive places.
     MemberPage(MemberPage),
-    /// Which facts of a place the sender holds.
+    /// The facts of a place that the sender holds, without their bytes.
     FactList(FactList),
-    /// Facts of a place that the sender lacks.
+    /// Asks for facts of a place that the sender lacks.
     FactRequest { place: u16, keys: Vec<FactKey> },
 }
 
@@ -81,7 +83,7 @@
     }
 }
 
-/// What the sender holds of the places from `first` on.
+/// The sender's state of consecutive places, from `first` on.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct MemberPage {
     pub salt: u16,
@@ -89,41 +91,42 @@
     pub rows: Vec<MemberRow>,
 }
 
-/// What is believed of a place, and the salted hash of the facts held of it (0 for none).
+/// The state of one place in a [`MemberPage`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct MemberRow {
     pub state: State,
     pub version: MemberVersion,
+    /// The salted hash of the facts of the place; 0 if there are none.
     pub facts_hash: u32,
 }
 
-/// The facts held of a place from the newest (or from below `below`) down to the last one listed.
+/// The facts held of a place in descending order of stamps, from the newest, or the first below `below`, to the last listed.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct FactList {
     pub salt: u16,
     pub place: u16,
-    /// The list begins below this stamp; at the newest fact if absent.
+    /// The list begins below this stamp; with the newest fact if `None`.
     pub below: Option<Stamp>,
-    /// The salted hash of all that is held below the last one listed.
+    /// The salted hash of all facts below the last one listed.
     pub rest_hash: u32,
     pub held: Vec<StampedKey>,
 }
 
-/// What a fact of a place is about: a later fact of the same key replaces it.
+/// The key of a fact of a place. A later fact with the same key replaces it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct FactKey {
     pub kind: u8,
     pub slot: u32,
 }
 
-/// Which of two facts of one key is later.
+/// The version of a fact; of two facts with one key the one with the greater stamp is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct Stamp {
     pub epoch: u64,
     pub number: u64,
 }
 
-/// A fact without its bytes. The order is that of stamps.
+/// A fact without its bytes, ordered by stamp.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StampedKey {
     pub stamp: Stamp,
@@ -137,13 +140,13 @@
     Fact(FactRecord),
 }
 
-/// What the sender believes of a place.
+/// The state of a place in the sender's view.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct StateRecord {
     pub place: u16,
     pub state: State,
     pub version: MemberVersion,
-    /// Who found a suspect not answering.
+    /// The members that got no answer from a suspect; empty for other states.
     pub accusers: Vec<u16>,
 }
 
@@ -156,7 +159,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A datagram as it was read.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Datagram {
     /// The sender's own version.
@@ -165,7 +168,7 @@
     pub records: Vec<Record>,
 }
 
-/// From whom and to whom a datagram is, and among how many peers.
+/// The sender and the receiver of a datagram, and the number of peers of the group.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Route {
     pub from: u16,
@@ -174,7 +177,7 @@
 }
 
 impl Route {
-    /// The checksum of a datagram on this route, of its bytes from the kind on.
+    /// The checksum of a datagram on this route. `bytes` are those from the kind on.
     fn checksum(self, bytes: &[u8]) -> [u8; 4] {
         let route = u64::from(self.from) << 32 | u64::from(self.to) << 16 | u64::from(self.peers);
         let mut digest = hash(&[route, bytes.len() as u64]);
--- a/crates/membership/src/wire/reader.rs
+++ b/crates/membership/src/wire/reader.rs
@@ -1,4 +1,4 @@
-//! Reading datagrams: whole, or not at all.
+//! Decoding of datagrams. A datagram is decoded as a whole or refused.
 
 use super::{
     Body, CHECKSUM_BYTES, DIGEST_PARTS, Datagram, FACT_TAG, FactKey, FactList, FactRecord, KIND_OFFSET,
@@ -8,9 +8,9 @@
 use crate::view::MemberVersion;
 use crate::{MAX_DATAGRAM_BYTES, MAX_FACT_BYTES, State, VERSION};
 
-/// Incarnations are below this, so that a forged one leaves room to refute it.
+/// All valid incarnations are below this, so that a forged one can still be refuted by a greater one.
 const INCARNATION_BOUND: u32 = u32::MAX / 2;
-/// Numbers of facts are below this, so that a forged one leaves room for later facts.
+/// All valid numbers of facts are below this, so that later facts can still replace a forged one.
 const FACT_NUMBER_BOUND: u64 = u64::MAX / 2;
 /// In the first byte of a [`MemberRow`]: the bits of the state.
 const ROW_STATE_MASK: u8 = 7;
@@ -20,21 +20,21 @@
 /// Why a datagram is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum DatagramError {
-    /// It is longer than a datagram may be.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("the datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// Its first byte is not [`VERSION`].
+    /// The first byte is not [`VERSION`].
     #[error("the datagram is of another version")]
     UnknownVersion,
-    /// It is from a place that is not among the peers, or about one.
+    /// The datagram is from a place that is not among the peers, or names one.
     #[error("the datagram is from or about a place that is not among the peers")]
     ForeignPlace,
-    /// It is cut short, its checksum is wrong, or a value in it is out of its range.
+    /// The datagram is cut short, its checksum is wrong, or a value in it is out of its range.
     #[error("the datagram cannot be read")]
     Malformed,
 }
 
-/// Reads a datagram, whole or not at all.
+/// Decodes a datagram.
 pub(crate) fn read(bytes: &[u8], route: Route) -> Result<Datagram, DatagramError> {
     if route.from >= route.peers || route.from == route.to {
         return Err(DatagramError::ForeignPlace);
@@ -54,13 +54,13 @@
     if reader.names_foreign_place { Err(DatagramError::ForeignPlace) } else { Ok(datagram) }
 }
 
-/// What is left of a datagram. Each method takes its value off the front; `None` where there is no such value.
+/// The rest of a datagram. Each method takes one value off the front and returns `None` if there is no valid one.
 struct Reader<'a> {
     bytes: &'a [u8],
-    /// The sender's epoch, which other epochs are relative to.
+    /// The sender's epoch, to which other epochs are relative.
     base_epoch: u64,
     peers: u16,
-    /// A place was read that is not among the peers.
+    /// Whether a place that is not among the peers was read.
     names_foreign_place: bool,
 }
 
@@ -145,7 +145,7 @@
         Some(FactRecord { place, key, stamp, bytes: bytes.to_vec() })
     }
 
-    /// A place, which is remembered if it is none of the peers.
+    /// A place. Sets `names_foreign_place` if it is not among the peers.
     fn place(&mut self) -> Option<u16> {
         let place = self.small::<u16>()?;
         self.names_foreign_place |= place >= self.peers;
@@ -156,7 +156,7 @@
         Some(MemberVersion { epoch: self.epoch()?, incarnation: self.incarnation()? })
     }
 
-    /// An epoch, from its zigzag difference to the sender's.
+    /// An epoch, decoded from its difference from the sender's in zigzag form.
     fn epoch(&mut self) -> Option<u64> {
         let number = self.number()?;
         let difference = (number >> 1) as i64 ^ -((number & 1) as i64);
@@ -189,17 +189,17 @@
         self.array().map(u32::from_le_bytes)
     }
 
-    /// A list with its length in front.
-    fn list<T>(&mut self, mut item: impl FnMut(&mut Self) -> Option<T>) -> Option<Vec<T>> {
-        (0..self.byte()?).map(|_| item(self)).collect()
+    /// A list that begins with its length.
+    fn list<T>(&mut self, mut read_item: impl FnMut(&mut Self) -> Option<T>) -> Option<Vec<T>> {
+        (0..self.byte()?).map(|_| read_item(self)).collect()
     }
 
-    /// A varint that fits a smaller type.
+    /// A varint, as a smaller type; `None` if it does not fit.
     fn small<T: TryFrom<u64>>(&mut self) -> Option<T> {
         T::try_from(self.number()?).ok()
     }
 
-    /// A varint; one that does not fit 64 bits is none.
+    /// A varint; `None` if it does not fit into 64 bits.
     fn number(&mut self) -> Option<u64> {
         let mut number = 0_u64;
         for shift in (0..64).step_by(7) {
@@ -229,7 +229,7 @@
     }
 }
 
-/// The state with this rank, as [`State`]'s discriminants say it.
+/// The state with this rank, which is the discriminant of [`State`].
 fn state(rank: u8) -> Option<State> {
     [State::Unknown, State::Alive, State::Suspect, State::Dead, State::Left].get(usize::from(rank)).copied()
 }
--- a/crates/membership/src/wire/writer.rs
+++ b/crates/membership/src/wire/writer.rs
@@ -1,4 +1,4 @@
-//! Writing datagrams.
+//! Encoding of datagrams.
 
 use super::{
     Body, CHECKSUM_BYTES, FACT_TAG, FactKey, FactList, FactRecord, KIND_OFFSET, MemberPage, MemberRow,
@@ -7,16 +7,16 @@
 use crate::view::MemberVersion;
 use crate::{MAX_DATAGRAM_BYTES, State, VERSION};
 
-/// A datagram that is being written.
+/// A datagram under construction.
 #[derive(Debug, Clone)]
 pub(crate) struct Writer {
     bytes: Vec<u8>,
-    /// The sender's epoch, which other epochs are written relative to.
+    /// The sender's epoch, to which other epochs are relative.
     base_epoch: u64,
 }
 
 impl Writer {
-    /// Begins a datagram. The body may be longer than a datagram may be: the caller compares [`Writer::len`].
+    /// Begins a datagram. The body may exceed the maximum length of a datagram: the caller has to check [`Writer::len`].
     pub fn new(sender: MemberVersion, body: &Body) -> Writer {
         let mut writer = Writer::begin(sender, body.kind());
         writer.body(body);
@@ -36,7 +36,7 @@
         self.bytes.len()
     }
 
-    /// Appends a record if the datagram has room for it; returns whether it had.
+    /// Appends a record if it fits into the datagram. Returns whether it did.
     pub fn add(&mut self, record: &Record) -> bool {
         let before = self.bytes.len();
         match record {
@@ -161,7 +161,7 @@
 }
 
 impl MemberPage {
-    /// How long the datagram is that holds this page and nothing else, in bytes.
+    /// The length of a datagram with this page and no records, in bytes.
     pub fn datagram_len(&self, sender: MemberVersion) -> usize {
         let mut writer = Writer::begin(sender, kind::MEMBER_PAGE);
         writer.member_page(self);
@@ -170,7 +170,7 @@
 }
 
 impl FactList {
-    /// How long the datagram is that holds this list and nothing else, in bytes.
+    /// The length of a datagram with this list and no records, in bytes.
     pub fn datagram_len(&self, sender: MemberVersion) -> usize {
         let mut writer = Writer::begin(sender, kind::FACT_LIST);
         writer.fact_list(self);
