--- a/crates/store/src/active_segment.rs
+++ b/crates/store/src/active_segment.rs
@@ -1,4 +1,4 @@
-//! The active segment: the one that is written to.
+//! The active segment, to which batches are written.
 
 use crate::UnixMillis;
 use crate::batch_group::BatchGroup;
@@ -10,43 +10,43 @@
 use std::io;
 use std::sync::Arc;
 
-/// Most zeros that are written ahead at a time, in bytes.
+/// The maximum number of zeros that are written ahead at a time, in bytes.
 const MAX_ZEROS_AHEAD: u64 = 512 << 10;
-/// Zeros are written ahead by this part of a segment.
+/// The zeros written ahead are at most one in this many bytes of the size of a segment.
 const ZEROS_PART: u32 = 8;
 
-/// Frames that are encoded for their place in the segment.
+/// Frames that are encoded for a certain offset of the segment.
 pub(crate) struct EncodedFrames {
     pub bytes: Vec<u8>,
     pub keys: WrittenKeys,
-    /// The number after that of the last operation.
+    /// The sequence number that follows that of the last operation.
     pub next_seq: u64,
-    /// Fingerprints of the keys of the last frame.
+    /// The fingerprints of the keys of the last frame.
     fingerprints: Vec<u64>,
 }
 
 /// Why frames could not be written.
 pub(crate) struct WriteFailure {
     pub error: StoreError,
-    /// A part of them may be in the file and cannot be cut off.
+    /// Whether a part of the frames may be in the file and could not be truncated.
     pub is_torn: bool,
 }
 
-/// The segment that is written to.
+/// The segment to which batches are written.
 pub(crate) struct ActiveSegment {
     segment: Arc<Segment>,
     len: u64,
-    /// Up to where it is known to be durable, in bytes.
+    /// The length that is known to be durable, in bytes.
     durable_len: u64,
-    /// Up to where zeros were written ahead: a sync that changes no length and no extent is done sooner. `u64::MAX` where
-    /// there is no room for them.
+    /// The length up to which zeros were written ahead, in bytes. A sync is faster if it changes neither the length nor the
+    /// extents of the file. `u64::MAX` if there is no space for zeros.
     zeroed_len: u64,
-    /// Fingerprints of the keys of its last frame.
+    /// The fingerprints of the keys of the last frame.
     fingerprints: Vec<u64>,
 }
 
 impl ActiveSegment {
-    /// A segment of which the header alone is written.
+    /// A segment of which only the header is written.
     pub fn new(segment: Arc<Segment>) -> ActiveSegment {
         let len = HEADER_LEN as u64;
         ActiveSegment { segment, len, durable_len: len, zeroed_len: 0, fingerprints: Vec::new() }
@@ -64,7 +64,7 @@
         self.durable_len
     }
 
-    /// Whether so many bytes fit into a segment of `max_len`. They always fit into an empty one.
+    /// Whether this many bytes fit into a segment of `max_len`. Any number fits into an empty segment.
     pub fn has_room_for(&self, bytes: usize, max_len: u32) -> bool {
         let is_empty = self.len <= HEADER_LEN as u64;
         is_empty || self.len + bytes as u64 <= u64::from(max_len)
@@ -95,7 +95,7 @@
         encoded
     }
 
-    /// Writes frames behind the end. On failure what was written of them is cut off again.
+    /// Writes frames at the end. After a failure the file is truncated to its previous length.
     pub fn write(&mut self, frames: &EncodedFrames) -> Result<(), WriteFailure> {
         let file = &*self.segment.file;
         write_all(file, self.len, &frames.bytes).map_err(|error| WriteFailure {
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Writes zeros behind frames of so many bytes that were just written, where they end beyond the zeros before.
+    /// Writes zeros ahead if the frames that were just written, of `frames_len` bytes, end beyond the earlier zeros.
     pub fn write_zeros_ahead(&mut self, frames_len: usize, segment_bytes: u32) {
         let end = self.len + frames_len as u64;
         if end <= self.zeroed_len {
@@ -113,28 +113,28 @@
         let step = u64::from(segment_bytes / ZEROS_PART).min(MAX_ZEROS_AHEAD);
         let ahead = (end + step).min(u64::from(segment_bytes)).max(end);
         let zeros = vec![0; (ahead - end) as usize];
-        // Where there is no room for them, the segment goes on without.
+        // If there is no space for them, the segment continues without zeros.
         let is_written = write_all(&*self.segment.file, end, &zeros).is_ok();
         self.zeroed_len = if is_written { ahead } else { u64::MAX };
     }
 
-    /// Waits until what was written is durable.
+    /// Returns once all written bytes are durable.
     pub fn sync(&self) -> io::Result<()> {
         self.segment.file.sync()
     }
 
-    /// The frames count from now on.
+    /// Makes written frames part of the segment.
     pub fn on_written(&mut self, frames: &EncodedFrames) {
         self.len += frames.bytes.len() as u64;
         self.fingerprints.clone_from(&frames.fingerprints);
     }
 
-    /// All frames are durable.
+    /// Records that all frames are durable.
     pub fn on_synced(&mut self) {
         self.durable_len = self.len;
     }
 
-    /// Tries to cut off what is not durable.
+    /// Tries to truncate the file to its durable length.
     pub fn truncate_to_durable(&self) {
         let _ = self.segment.file.truncate(self.durable_len);
     }
@@ -145,8 +145,8 @@
         let frame = format::encode_frame(batches, &self.fingerprints, start);
         let mut batch_start = start.offset as u32 + frame.first_record;
         for batch in batches {
-            let located = batch.records.iter().map(|r| (r.key.clone(), r.location_from(batch_start)));
-            self.keys.extend(located);
+            let records = batch.records.iter();
+            self.keys.extend(records.map(|record| (record.key.clone(), record.location_from(batch_start))));
             batch_start += batch.bytes.len() as u32;
             self.next_seq += batch.records.len() as u64;
         }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,11 +1,11 @@
-//! A batch: writes that take effect together or not at all.
+//! A batch of writes that take effect together or not at all.
 
 use crate::BatchError;
 use crate::UnixMillis;
 use crate::format::{self, Operation};
 use std::time::Duration;
 
-/// Writes that take effect together or not at all.
+/// A batch of writes that take effect together or not at all.
 ///
 /// ```
 /// use mothproxy_store::Batch;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     operations: Vec<Operation>,
-    /// Times to live by operation, counted from when the store takes the batch.
+    /// The time to live of each operation, from the time at which the store accepts the batch.
     ttls: Vec<Option<Duration>>,
 }
 
@@ -33,7 +33,7 @@
         self
     }
 
-    /// Sets a value that expires after `ttl`, which counts in whole milliseconds.
+    /// Sets a value that expires after `ttl`, which is truncated to milliseconds.
     pub fn put_with_ttl(
         mut self,
         key: impl Into<Vec<u8>>,
@@ -56,17 +56,17 @@
         self.ttls.push(ttl);
     }
 
-    /// How many operations it has.
+    /// The number of operations.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
-    /// Whether it has none.
+    /// Whether the batch has no operations.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
 
-    /// The operations with times to live from `now` on, if they are within bounds.
+    /// Checks the bounds and returns the operations, with times to live that count from `now`.
     pub(crate) fn into_operations(self, now: UnixMillis) -> Result<Vec<Operation>, BatchError> {
         let mut operations = self.operations;
         for (operation, ttl) in operations.iter_mut().zip(self.ttls) {
--- a/crates/store/src/batch_group.rs
+++ b/crates/store/src/batch_group.rs
@@ -1,12 +1,13 @@
-//! Batches that are written together, by the frames that they are written in.
+//! A group of batches that are written together, divided into frames.
 
 use crate::format::{EncodedBatch, FRAME_HEAD_LEN, MAX_FINGERPRINTS};
 use std::sync::Arc;
 
-/// Most bytes of a frame's body: a new frame is begun with the batch that would exceed them.
+/// The maximum size of a frame's body, in bytes. The batch that would exceed it begins a new frame. A single larger batch has
+/// a frame of its own.
 const MAX_FRAME_BODY: usize = 1 << 20;
 
-/// Batches that are written together.
+/// A group of batches, divided into frames.
 pub(crate) struct BatchGroup<'a> {
     pub frames: Vec<Vec<&'a EncodedBatch>>,
     bytes: usize,
@@ -31,7 +32,7 @@
         group
     }
 
-    /// An estimate of the encoded length: heads and fingerprints are taken for no more than the records.
+    /// An estimate of the encoded length in bytes. It assumes that heads and fingerprints take no more than the records.
     pub fn encoded_len(&self) -> usize {
         let overhead = FRAME_HEAD_LEN + 8 * MAX_FINGERPRINTS + 10;
         self.bytes + (self.frames.len() * overhead).min(self.bytes)
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: segments that change no more are merged into one that has only what still counts.
+//! Compaction: sealed segments are merged into one that holds only live records and the tombstones that are still needed.
 
 use crate::UnixMillis;
 use crate::disk::{Disk, DiskFile};
@@ -12,35 +12,35 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Whether a compaction leaves segments out.
+/// Whether a compaction merges all segments or some of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentSet {
     All,
     Some,
 }
 
-/// What a compaction does with records that cannot be read.
+/// How a compaction treats damaged records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DamagedRecords {
-    /// It fails, and changes nothing.
+    /// The compaction fails and changes nothing.
     Refuse,
-    /// It leaves them out: they are lost for good.
+    /// The compaction drops damaged records, which are lost for good.
     Drop,
 }
 
-/// A compaction to be done: it reads segments that change no more, and needs no lock.
+/// A planned compaction. It reads sealed segments only, and needs no lock.
 pub struct Compaction {
     pub(crate) disk: Arc<dyn Disk>,
     pub(crate) selection: SegmentSelection,
-    /// What has expired by then is left out.
+    /// Records that expired by this time are dropped.
     pub(crate) now: UnixMillis,
     /// The salt of the merged segment.
     pub(crate) salt: u64,
-    /// The number of the next operation.
+    /// The sequence number of the next operation.
     pub(crate) next_seq: u64,
 }
 
-/// A merged segment, whole and durable under a name that does not count yet.
+/// A merged segment that is complete and durable, under the name of an unfinished file.
 pub struct MergedSegment {
     pub(crate) run: Arc<Run>,
     pub(crate) unfinished_name: String,
@@ -49,19 +49,20 @@
     pub(crate) bytes: u64,
 }
 
-/// The segments that a compaction merges, and those it must not contradict.
+/// The segments that a compaction merges, and the layers that it must take into account.
 pub(crate) struct SegmentSelection {
-    /// The numbers that the merged segment will stand for.
+    /// The numbers that the merged segment will cover.
     pub(crate) numbers: SegmentNumbers,
     merged: Vec<Arc<Run>>,
+    /// The runs below the merged ones, whose records the tombstones may still have to hide.
     older: Vec<Arc<Run>>,
-    /// The layers in which damage is looked up; empty where some segments only are merged.
+    /// The layers in which damage is looked up; empty if only some segments are merged.
     damage_view: View,
 }
 
 impl SegmentSelection {
-    /// The segments at these positions; `last_number` is the number of the last segment there was, if none is active. `None`
-    /// where there are none.
+    /// Selects the segments at these positions; `None` if there are none. `last_number` is the last segment number used so
+    /// far, or `None` while a segment is active.
     pub(crate) fn new(
         view: &View,
         range: Range<usize>,
@@ -83,12 +84,12 @@
         Some(SegmentSelection { numbers, merged, older, damage_view })
     }
 
-    /// Whether damage may hide a newer record of a key than those that are merged.
+    /// Whether damage may hide a newer record of a key than the merged ones.
     fn may_hide_newer(&self, key: &[u8]) -> bool {
         !self.damage_view.layers.is_empty() && self.damage_view.find(key).is_err()
     }
 
-    /// Whether there is a record of a key below the segments that are merged.
+    /// Whether there is a record of a key below the merged segments.
     fn has_older(&self, key: &[u8]) -> bool {
         self.older.iter().any(|run| run.find(key).is_some())
     }
@@ -99,12 +100,12 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Io`]; [`StoreError::NeedsRepair`] and [`StoreError::Damaged`] where damage is refused. Nothing has
-    /// changed then.
+    /// [`StoreError::Io`]; [`StoreError::NeedsRepair`] and [`StoreError::Damaged`] if `damaged` is
+    /// [`DamagedRecords::Refuse`]. The store is unchanged then.
     pub fn run(&self, damaged: DamagedRecords) -> Result<MergedSegment, StoreError> {
         let (numbers, salt) = (self.selection.numbers, self.salt);
         let unfinished_name = plan::unfinished_name(numbers);
-        let _ = self.disk.remove(&unfinished_name); // of an attempt that failed
+        let _ = self.disk.remove(&unfinished_name); // left over from a failed attempt
         let file = self.disk.create(&unfinished_name).map_err(io_error("cannot create", &unfinished_name))?;
         let written = self.write(&*file, &unfinished_name, damaged);
         let (builder, bytes) = written.inspect_err(|_| {
@@ -115,7 +116,7 @@
         Ok(MergedSegment { run, unfinished_name, replaced: segment_names(&self.selection.merged), bytes })
     }
 
-    /// Writes all that still counts. Returns the index and the length of the file.
+    /// Writes all operations that are kept. Returns the index and the length of the file in bytes.
     fn write(
         &self,
         file: &dyn DiskFile,
@@ -140,7 +141,7 @@
         output.finish(self.next_seq)
     }
 
-    /// The operation that is kept of a key, if any.
+    /// The operation to keep for a key, if any.
     fn operation(&self, step: Step, damaged: DamagedRecords) -> Result<Option<Operation>, StoreError> {
         if self.selection.may_hide_newer(&step.key) {
             return match damaged {
@@ -155,7 +156,7 @@
             Err(StoreError::Damaged { .. }) if damaged == DamagedRecords::Drop => None,
             Err(error) => return Err(error),
         };
-        // A tombstone is needed only as long as something older is there to be deleted.
+        // A tombstone is needed only as long as there is an older record of the key.
         if value.is_none() && !self.selection.has_older(&step.key) {
             return Ok(None);
         }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk as the store uses it: the operations that real files and a simulated disk have in common.
+//! The interface of the store to the disk, which real files and a simulated disk implement.
 
 use std::any::Any;
 use std::fs::{File, OpenOptions};
@@ -9,57 +9,57 @@
 
 /// One open file.
 pub trait DiskFile: Send + Sync {
-    /// Writes at an offset; may write less than asked.
+    /// Writes at an offset. Returns the number of bytes written, which may be less than the length of `bytes`.
     ///
     /// # Errors
     ///
-    /// That of the system call, such as a full disk. Some of the bytes may be in the file then.
+    /// The error of the system call, such as a full disk. Some of the bytes may be in the file then.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Reads at an offset; may read less than asked, 0 at the end.
+    /// Reads at an offset. Returns the number of bytes read, which may be less than the length of `into`; 0 at the end.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
 
-    /// Its length in bytes.
+    /// The length of the file, in bytes.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn len(&self) -> io::Result<u64>;
 
-    /// Sets its length.
+    /// Sets the length of the file, in bytes.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn truncate(&self, len: u64) -> io::Result<()>;
 
-    /// Returns once what was written is durable (`fdatasync`).
+    /// Returns once all written bytes are durable (`fdatasync`).
     ///
     /// # Errors
     ///
-    /// That of the system call: whether anything unsynced is durable is not known then, also after a later sync that succeeds.
+    /// The error of the system call. It is then unknown which unsynced bytes are durable, even after a later sync succeeds.
     fn sync(&self) -> io::Result<()>;
 
-    /// Whether it has no byte.
+    /// Whether the file is empty.
     ///
     /// # Errors
     ///
-    /// That of [`DiskFile::len`].
+    /// The same as for [`DiskFile::len`].
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
 }
 
-/// Who may use a directory beside the holder of its lock.
+/// The mode of the lock of a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LockMode {
-    /// Nobody: for writing.
+    /// For writing: no other process may open the directory.
     Exclusive,
-    /// Other readers: for reading.
+    /// For reading: other processes may open the directory for reading.
     Shared,
 }
 
@@ -68,56 +68,56 @@
 
 /// One directory of files.
 pub trait Disk: Send + Sync {
-    /// Its name in messages.
+    /// The name of the directory for messages.
     fn name(&self) -> String;
 
-    /// The names of its files.
+    /// The names of the files in the directory.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn list(&self) -> io::Result<Vec<String>>;
 
     /// Creates a file.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::AlreadyExists`] where there is one of that name; else that of the system call.
+    /// [`io::ErrorKind::AlreadyExists`] if a file has that name; otherwise the error of the system call.
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
 
-    /// Opens an existing file to read it.
+    /// Opens an existing file for reading.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] where there is none of that name; else that of the system call.
+    /// [`io::ErrorKind::NotFound`] if no file has that name; otherwise the error of the system call.
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
 
-    /// Renames a file, replacing one that has the new name.
+    /// Renames a file, and replaces an existing file with the new name.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] where there is none of that name; else that of the system call.
+    /// [`io::ErrorKind::NotFound`] if no file has that name; otherwise the error of the system call.
     fn remove(&self, name: &str) -> io::Result<()>;
 
     /// Returns once creations, renames and removals are durable.
     ///
     /// # Errors
     ///
-    /// That of the system call: which of them are durable is not known then.
+    /// The error of the system call. It is then unknown which changes are durable.
     fn sync_dir(&self) -> io::Result<()>;
 
-    /// Locks the directory for as long as what is returned lives. `None` where the lock of another process forbids it.
+    /// Locks the directory until the returned lock is dropped. Returns `None` if another process holds a conflicting lock.
     ///
     /// # Errors
     ///
-    /// That of the system call.
+    /// The error of the system call.
     fn lock(&self, mode: LockMode) -> io::Result<Option<DirectoryLock>>;
 }
 
@@ -127,15 +127,15 @@
     dir: PathBuf,
 }
 
-/// The file that is locked against a second process.
+/// The name of the file whose lock stands for the directory.
 const LOCK_FILE: &str = "LOCK";
 
 impl RealDisk {
-    /// An existing directory.
+    /// Opens an existing directory.
     ///
     /// # Errors
     ///
-    /// The system's error; also where the path is not a directory.
+    /// The error of the system call, or [`io::ErrorKind::NotADirectory`].
     pub fn open(dir: &Path) -> io::Result<RealDisk> {
         if !std::fs::metadata(dir)?.is_dir() {
             return Err(io::Error::new(io::ErrorKind::NotADirectory, "not a directory"));
@@ -143,16 +143,16 @@
         Ok(RealDisk { dir: dir.to_owned() })
     }
 
-    /// A directory, created if it is not there.
+    /// Opens a directory, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Those of [`RealDisk::open`].
+    /// The same as for [`RealDisk::open`].
     pub fn open_or_create(dir: &Path) -> io::Result<RealDisk> {
         if !dir.exists() {
             std::fs::create_dir_all(dir)?;
             if let Some(parent) = dir.parent().filter(|parent| !parent.as_os_str().is_empty()) {
-                File::open(parent)?.sync_all()?; // or the directory itself could be gone after a power cut
+                File::open(parent)?.sync_all()?; // otherwise a power cut could remove the directory itself
             }
         }
         RealDisk::open(dir)
@@ -187,8 +187,8 @@
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
-        let names = std::fs::read_dir(&self.dir)?.map(|e| Ok(e?.file_name().to_string_lossy().into_owned()));
-        names.collect()
+        let entries = std::fs::read_dir(&self.dir)?;
+        entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
     }
 
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
@@ -219,7 +219,7 @@
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(is_exclusive).truncate(false);
         let file = match options.open(&path) {
-            // A reader of a directory that was never opened for writing has nobody to fear.
+            // A directory that was never opened for writing has no lock file, and needs none.
             Err(error) if error.kind() == io::ErrorKind::NotFound && !is_exclusive => {
                 return Ok(Some(Box::new(())));
             }
@@ -240,32 +240,32 @@
     }
 }
 
-/// Writes all bytes, through short writes.
+/// Writes all bytes, repeating short and interrupted writes.
 pub(crate) fn write_all(file: &dyn DiskFile, mut offset: u64, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write_at(offset, bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(n) => {
-                offset += n as u64;
-                bytes = &bytes[n..];
+            Ok(written) => {
+                offset += written as u64;
+                bytes = &bytes[written..];
             }
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Reads what there is of a range, through short reads.
+/// Reads a range, repeating short and interrupted reads. The result is shorter than `len` if the file ends before.
 pub(crate) fn read_range(file: &dyn DiskFile, offset: u64, len: usize) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; len];
     let mut at = 0;
     while at < len {
         match file.read_at(offset + at as u64, &mut bytes[at..]) {
             Ok(0) => break,
-            Ok(n) => at += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Ok(read) => at += read,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
     bytes.truncate(at);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// An error of the store. Each names the file and, where there is one, the offset in bytes.
+/// An error of the store. Errors of files name the file and, if it applies, the offset in bytes.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A system call failed.
@@ -24,7 +24,7 @@
     Version {
         /// The file.
         file: String,
-        /// The version it names.
+        /// The version of the file.
         found: u16,
         /// The version that this program reads.
         known: u16,
@@ -34,30 +34,30 @@
     Damaged {
         /// The file.
         file: String,
-        /// Where the record begins, in bytes.
+        /// The offset of the record, in bytes.
         offset: u64,
     },
-    /// A newer value of this key may have been lost to damage: older values are not returned.
+    /// Damage may hide a newer value of this key, so older values are not returned.
     #[error("{file}: damage at offset {offset} may hide a newer value of this key")]
     InDoubt {
         /// The file.
         file: String,
-        /// Where the damage begins, in bytes.
+        /// The offset of the damage, in bytes.
         offset: u64,
     },
     /// A key, value or batch is out of bounds.
     #[error("{0}")]
     Invalid(#[from] BatchError),
-    /// The disk failed; it is tried again with each write. The batches of a group share its error.
+    /// The disk failed. Each further write tries it again. All batches of a group share the error.
     #[error("the disk failed: {0}")]
     Failing(#[source] Arc<StoreError>),
-    /// More than [`crate::Options::max_queued_bytes`] would wait for the disk.
+    /// The queue of batches would exceed [`crate::Options::max_queued_bytes`].
     #[error("the disk failed: too many writes wait for the disk")]
     QueueFull,
     /// The store was closed.
     #[error("the store is closed")]
     Closed,
-    /// The directory is damaged and the call would hide that.
+    /// The store is damaged, and the call would hide that. Holds the number of damaged places.
     #[error("the store is damaged ({0} places); see `verify`")]
     NeedsRepair(usize),
 }
@@ -79,7 +79,7 @@
     BatchTooLarge(usize),
 }
 
-/// Names the operation and the file of an I/O error.
+/// Returns a function that adds the operation and the file to an I/O error.
 pub(crate) fn io_error<'a>(what: &'static str, file: &'a str) -> impl FnOnce(io::Error) -> StoreError + 'a {
     move |source| StoreError::Io { what, file: file.to_owned(), source }
 }
--- a/crates/store/src/format/footer.rs
+++ b/crates/store/src/format/footer.rs
@@ -1,4 +1,4 @@
-//! The footer of a sealed segment: the keys of its records in order, and a trailer with a fixed place at its end.
+//! The footer of a sealed segment: an index of its keys in order, and a trailer of fixed length at the end.
 
 use super::integer::{put_varint, u32_at, u64_at, varint};
 use super::record::RecordLocation;
@@ -7,45 +7,45 @@
 
 pub(super) const FOOTER_MAGIC: u32 = 0x4d46_4f4f;
 const TRAILER_MAGIC: u32 = 0x4d54_5241;
-/// Length of what stands before the entries of a footer.
+/// The length of the head before the entries of a footer, in bytes.
 pub const FOOTER_HEAD_LEN: usize = 16;
-/// Length of what stands behind the entries of a footer.
+/// The length of the trailer after the entries of a footer, in bytes.
 pub const TRAILER_LEN: usize = 44;
-/// Where the checksum of a trailer is.
+/// The offset of the checksum in a trailer.
 const TRAILER_CRC_AT: usize = 36;
-/// A sealed segment ends in this, which is no zero: a footer that was cut off may have been filled up with zeros.
+/// The last bytes of a sealed segment. They are not zeros, since an interrupted footer may be followed by zeros.
 const END: [u8; 4] = [0xa5; 4];
 
 const FLAG_TOMBSTONE: u64 = 1;
 const FLAG_EXPIRES: u64 = 2;
-/// The record begins where the one of the entry before ends.
+/// The record begins at the end of the preceding entry's record.
 const FLAG_FOLLOWS: u64 = 4;
 const FLAG_BITS: u32 = 3;
 
-/// A key of a segment and where its newest record in this segment is.
+/// A key of a segment, and the location of its newest record there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexEntry<'a> {
     pub key: &'a [u8],
     pub location: RecordLocation,
 }
 
-/// What the end of a sealed segment says of it.
+/// The fields of a trailer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trailer {
-    /// Where the footer begins, in bytes.
+    /// The offset of the footer, in bytes.
     pub data_end: u64,
-    /// Keys in it.
+    /// The number of keys.
     pub count: u32,
-    /// The number after that of its last operation.
+    /// The sequence number that follows that of the last operation.
     pub next_seq: u64,
-    /// When it was sealed.
+    /// When the segment was sealed.
     pub sealed_at: UnixMillis,
 }
 
-/// The entries of a footer as its head or its trailer describes them.
+/// The length and checksum of a footer's entries, from its head or its trailer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntriesInfo {
-    /// Their length in bytes.
+    /// The length of the entries, in bytes.
     pub len: u32,
     pub crc: u32,
 }
@@ -77,14 +77,14 @@
     out
 }
 
-/// Each key without what it shares with the key before.
+/// Encodes entries, each key without the prefix that it shares with the preceding key.
 fn encode_entries<'a>(entries: impl Iterator<Item = IndexEntry<'a>>) -> Vec<u8> {
     let mut out = Vec::new();
     let mut previous_key = Vec::<u8>::new();
     let mut previous_end = 0u32;
     for IndexEntry { key, location } in entries {
         let shared = previous_key.iter().zip(key).take_while(|(a, b)| a == b).count();
-        // Where records lie one behind the other, as after a compaction, offsets need not be written out.
+        // Offsets are omitted for consecutive records, as after a compaction.
         let follows = location.offset == previous_end;
         let flags = if location.is_tombstone { FLAG_TOMBSTONE } else { 0 }
             | if location.expires_at.is_some() { FLAG_EXPIRES } else { 0 }
@@ -106,7 +106,7 @@
     out
 }
 
-/// The entries of a footer that begins at an offset, as its head describes them.
+/// The description of the entries in the head of a footer that begins at an offset; `None` if there is no intact head.
 pub(super) fn footer_head(bytes: &[u8], salt: u64, offset: usize) -> Option<EntriesInfo> {
     let head = bytes.get(offset..offset + FOOTER_HEAD_LEN)?;
     let is_sound =
@@ -115,12 +115,12 @@
     is_sound.then_some(info)
 }
 
-/// The length of the whole footer that begins at an offset.
+/// The length of the footer that begins at an offset, in bytes; `None` if there is no intact head.
 pub fn footer_len(bytes: &[u8], salt: u64, offset: usize) -> Option<usize> {
     footer_head(bytes, salt, offset).map(|entries| FOOTER_HEAD_LEN + entries.len as usize + TRAILER_LEN)
 }
 
-/// The trailer in the last bytes of a segment, and the entries as it describes them.
+/// Decodes the trailer at the end of a segment: its fields, and the description of the entries.
 pub fn decode_trailer(tail: &[u8], salt: u64) -> Option<(Trailer, EntriesInfo)> {
     let tail = &tail[tail.len().checked_sub(TRAILER_LEN)?..];
     let is_sound = u32_at(tail, 0)? == TRAILER_MAGIC
@@ -136,7 +136,8 @@
     is_sound.then_some((trailer, entries))
 }
 
-/// Reads the entries of a footer, by key. `None` where they are not sound, or not `count`.
+/// Decodes the entries of a footer and calls `each` with them, in order of keys. Returns `None` if they do not match the
+/// checksum `sum` or the number `count`, or are malformed.
 pub fn decode_entries(
     bytes: &[u8],
     salt: u64,
@@ -147,7 +148,10 @@
     if crc(&[&salt.to_le_bytes(), bytes]) != sum {
         return None;
     }
-    let (mut at, mut key, mut previous_end, mut seen) = (0, Vec::new(), 0u32, 0);
+    let mut at = 0;
+    let mut key = Vec::new();
+    let mut previous_end = 0u32;
+    let mut decoded = 0;
     while at < bytes.len() {
         let start = varint(bytes, &mut at)?;
         let shared = (start >> FLAG_BITS) as usize;
@@ -166,9 +170,9 @@
         key.extend(bytes.get(at..at + rest)?);
         at += rest;
         previous_end = offset.checked_add(len)?;
-        seen += 1;
+        decoded += 1;
         let is_tombstone = start & FLAG_TOMBSTONE != 0;
         each(IndexEntry { key: &key, location: RecordLocation { offset, len, is_tombstone, expires_at } });
     }
-    (seen == count).then_some(())
+    (decoded == count).then_some(())
 }
--- a/crates/store/src/format/frame.rs
+++ b/crates/store/src/format/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: the records of one or more batches under one head, with a checksum that is valid at their place only.
+//! Frames: the records of one or more batches under one head, with a checksum that is valid only at the frame's offset.
 
 use super::footer::footer_head;
 use super::integer::{put_varint, u32_at, u64_at, varint};
@@ -7,32 +7,32 @@
 use crate::UnixMillis;
 
 pub(super) const FRAME_MAGIC: u32 = 0x4d46_5241;
-/// Length of the head of a frame.
+/// The length of the head of a frame, in bytes.
 pub const FRAME_HEAD_LEN: usize = 40;
-/// A frame carries the fingerprints of the frame before for at most so many keys.
+/// A frame repeats the fingerprints of the preceding frame if that has at most this many keys.
 pub const MAX_FINGERPRINTS: usize = 1024;
-/// Longest varint.
+/// The maximum length of a varint, in bytes.
 const MAX_VARINT_LEN: usize = 10;
 
 /// The fields of a frame's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHead {
-    /// The length of its body in bytes.
+    /// The length of the body, in bytes.
     pub body_len: u32,
-    /// The checksum of its body.
+    /// The checksum of the body.
     pub body_crc: u32,
-    /// The number of its first operation.
+    /// The sequence number of the first operation.
     pub first_seq: u64,
-    /// Up to where this segment was durable when the frame was written, in bytes.
+    /// The durable length of the segment when the frame was written, in bytes.
     pub durable_len: u32,
-    /// When it was written.
+    /// When the frame was written.
     pub written_at: UnixMillis,
-    /// How many operations it has.
+    /// The number of operations.
     pub count: u32,
 }
 
 impl FrameHead {
-    /// The number behind that of its last operation.
+    /// The sequence number that follows that of the last operation.
     pub fn next_seq(&self) -> u64 {
         self.first_seq + u64::from(self.count)
     }
@@ -43,24 +43,24 @@
 pub struct FrameStart {
     /// The salt of the segment.
     pub salt: u64,
-    /// Where the frame begins in the segment, in bytes.
+    /// The offset of the frame in the segment, in bytes.
     pub offset: u64,
-    /// The number of its first operation.
+    /// The sequence number of the first operation.
     pub first_seq: u64,
-    /// Up to where the segment is durable, in bytes.
+    /// The durable length of the segment, in bytes.
     pub durable_len: u32,
-    /// When it is written.
+    /// When the frame is written.
     pub written_at: UnixMillis,
 }
 
 /// An encoded frame.
 pub struct Frame {
     pub bytes: Vec<u8>,
-    /// Where the first record begins in the frame; the others follow.
+    /// The offset of the first record in the frame, in bytes; the others follow it.
     pub first_record: u32,
 }
 
-/// Encodes a frame of these batches; `fingerprints` are those of the frame before.
+/// Encodes a frame of these batches; `fingerprints` are those of the preceding frame.
 pub fn encode_frame(batches: &[&EncodedBatch], fingerprints: &[u64], start: FrameStart) -> Frame {
     let records: usize = batches.iter().map(|batch| batch.bytes.len()).sum();
     let prefix = FRAME_HEAD_LEN + MAX_VARINT_LEN + 8 * fingerprints.len();
@@ -90,7 +90,7 @@
     head
 }
 
-/// The head of a frame that begins at an offset, if it is whole.
+/// The head of a frame that begins at an offset; `None` if it is not intact.
 fn decode_head(bytes: &[u8], salt: u64, offset: usize) -> Option<FrameHead> {
     let head = bytes.get(offset..offset + FRAME_HEAD_LEN)?;
     let is_sound =
@@ -106,20 +106,20 @@
     is_sound.then_some(fields)
 }
 
-/// What is at an offset of a segment.
+/// What begins at an offset of a segment.
 #[derive(Debug, PartialEq)]
 pub enum Probe {
-    /// A whole frame.
+    /// An intact frame.
     Frame(FrameHead),
-    /// A frame whose head is whole, and whose body is cut off or damaged.
+    /// A frame with an intact head, whose body is truncated or damaged.
     DamagedBody(FrameHead),
-    /// The start of a footer: no frame comes after it.
+    /// The footer; no frame follows it.
     Footer,
-    /// Nothing that can be read.
+    /// Nothing readable.
     Unreadable,
 }
 
-/// Says what is at an offset of a segment's bytes.
+/// Determines what begins at an offset of a segment's bytes.
 pub fn probe(bytes: &[u8], salt: u64, offset: usize) -> Probe {
     let Some(head) = decode_head(bytes, salt, offset) else {
         let is_footer = footer_head(bytes, salt, offset).is_some();
@@ -132,9 +132,9 @@
     }
 }
 
-/// Where the next whole head of a frame, or a footer, begins after damage.
+/// The offset of the next intact head of a frame, or of a footer, at or after `from`.
 pub fn resync(bytes: &[u8], salt: u64, from: usize) -> Option<usize> {
-    // Zeros that were written ahead are passed over in one go; a magic may begin in the last of them.
+    // Skip the zeros that were written ahead at once. A magic number may begin in the last three of them.
     let zeros = bytes.get(from..)?.iter().position(|byte| *byte != 0)?;
     let from = from + zeros.saturating_sub(3);
     let magics = [FRAME_MAGIC.to_le_bytes(), super::footer::FOOTER_MAGIC.to_le_bytes()];
@@ -144,10 +144,10 @@
     candidates.find(|at| probe(bytes, salt, *at) != Probe::Unreadable)
 }
 
-/// The fingerprints that a frame's body begins with, and where its records begin.
+/// Decodes the fingerprints at the start of a frame's body. Returns them with the offset of the first record.
 pub fn decode_fingerprints(body: &[u8]) -> Option<(Vec<u64>, usize)> {
     let mut at = 0;
-    let count = varint(body, &mut at).filter(|n| *n <= MAX_FINGERPRINTS as u64)? as usize;
-    let fingerprints = (0..count).map(|n| u64_at(body, at + 8 * n)).collect::<Option<_>>()?;
+    let count = varint(body, &mut at).filter(|count| *count <= MAX_FINGERPRINTS as u64)? as usize;
+    let fingerprints = (0..count).map(|index| u64_at(body, at + 8 * index)).collect::<Option<_>>()?;
     Some((fingerprints, at + 8 * count))
 }
--- a/crates/store/src/format/header.rs
+++ b/crates/store/src/format/header.rs
@@ -4,14 +4,14 @@
 use super::{VERSION, crc};
 
 const MAGIC: [u8; 8] = *b"MOTHLOG\0";
-/// Length of one copy of the header.
+/// The length of one copy of the header, in bytes.
 const HEADER_COPY_LEN: usize = 64;
-/// Length of the header; the frames of a segment begin behind it.
+/// The length of the header, in bytes; the frames of a segment follow it.
 pub const HEADER_LEN: usize = 2 * HEADER_COPY_LEN;
-/// Where the checksum of a copy is.
+/// The offset of the checksum in a copy.
 const CRC_AT: usize = 56;
 
-/// The numbers that a segment stands for: a merged one stands for all those that it replaces.
+/// The range of numbers that a segment covers. A merged segment covers the numbers of all segments that it replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentNumbers {
     pub first: u64,
@@ -19,7 +19,7 @@
 }
 
 impl SegmentNumbers {
-    /// Whether this stands for all the numbers of another.
+    /// Whether this range contains all numbers of another.
     pub fn covers(&self, other: SegmentNumbers) -> bool {
         other.first >= self.first && other.last <= self.last
     }
@@ -29,35 +29,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub numbers: SegmentNumbers,
-    /// Mixed into the checksums of the segment, so that no bytes of a value can pass for a frame.
+    /// Part of all checksums of the segment, so that the bytes of a value cannot be mistaken for a frame.
     pub salt: u64,
-    /// Up to where the segment before it is valid, in bytes; what lies behind was never acknowledged.
+    /// The valid length of the preceding segment, in bytes. Bytes after it were never acknowledged.
     pub previous_len: u64,
-    /// The number of its first operation.
+    /// The sequence number of the first operation.
     pub first_seq: u64,
-    /// It was made by a compaction: it got its name only once it was whole.
+    /// Whether a compaction wrote the segment. Such a segment gets its name only once it is complete.
     pub is_merged: bool,
 }
 
-/// A header that was read.
+/// A decoded header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecodedHeader {
     pub header: Header,
-    /// Both copies are whole and equal.
+    /// Whether both copies are intact and equal.
     pub has_both_copies: bool,
 }
 
 /// Why a header cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderFault {
-    /// Neither copy is whole.
+    /// Neither copy is intact.
     Unreadable,
-    /// It is of another version.
+    /// The header is of another version.
     Version(u16),
 }
 
 impl Header {
-    /// Both copies.
+    /// Encodes both copies.
     pub fn encode(&self) -> Vec<u8> {
         let mut copy = MAGIC.to_vec();
         copy.extend(VERSION.to_le_bytes());
@@ -71,7 +71,7 @@
         [copy.clone(), copy].concat()
     }
 
-    /// Reads the first copy that is whole.
+    /// Decodes the first intact copy.
     pub fn decode(bytes: &[u8]) -> Result<DecodedHeader, HeaderFault> {
         let copies = [bytes.get(..HEADER_COPY_LEN), bytes.get(HEADER_COPY_LEN..HEADER_LEN)];
         let [first, second] = copies.map(|copy| copy.and_then(Header::decode_copy));
@@ -86,12 +86,12 @@
         }
     }
 
-    /// The header and its version, if the copy is whole.
+    /// Decodes one copy: the header and its version; `None` if the copy is not intact.
     fn decode_copy(copy: &[u8]) -> Option<(Header, u16)> {
         let is_whole = copy[..MAGIC.len()] == MAGIC
             && u32_at(copy, CRC_AT)? == crc(&[&copy[..CRC_AT]])
             && copy[CRC_AT + 4..] == [0; 4];
-        let field = |n: usize| u64_at(copy, 16 + 8 * n);
+        let field = |index: usize| u64_at(copy, 16 + 8 * index);
         let header = Header {
             numbers: SegmentNumbers { first: field(0)?, last: field(1)? },
             salt: field(2)?,
--- a/crates/store/src/format/integer.rs
+++ b/crates/store/src/format/integer.rs
@@ -1,4 +1,4 @@
-//! Integers in place: fixed width, little-endian, and variable-length.
+//! Encoding of integers: little-endian with a fixed width, and varints.
 
 pub(super) fn u16_at(bytes: &[u8], at: usize) -> Option<u16> {
     Some(u16::from_le_bytes(bytes.get(at..at + 2)?.try_into().ok()?))
@@ -12,24 +12,24 @@
     Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?))
 }
 
-/// Appends a number, seven bits a byte, the lowest first.
-pub(super) fn put_varint(out: &mut Vec<u8>, mut n: u64) {
-    while n >= 0x80 {
-        out.push(n as u8 | 0x80);
-        n >>= 7;
+/// Appends a varint: seven bits per byte, the lowest first.
+pub(super) fn put_varint(out: &mut Vec<u8>, mut number: u64) {
+    while number >= 0x80 {
+        out.push(number as u8 | 0x80);
+        number >>= 7;
     }
-    out.push(n as u8);
+    out.push(number as u8);
 }
 
-/// Reads a number written by [`put_varint`] and moves `at` past it.
+/// Reads a varint written by [`put_varint`] and moves `at` past it; `None` if there is none.
 pub(super) fn varint(bytes: &[u8], at: &mut usize) -> Option<u64> {
-    let mut n = 0u64;
+    let mut number = 0u64;
     for shift in (0..64).step_by(7) {
         let byte = *bytes.get(*at)?;
         *at += 1;
-        n |= u64::from(byte & 0x7f) << shift;
+        number |= u64::from(byte & 0x7f) << shift;
         if byte < 0x80 {
-            return Some(n);
+            return Some(number);
         }
     }
     None
--- a/crates/store/src/format/mod.rs
+++ b/crates/store/src/format/mod.rs
@@ -1,6 +1,7 @@
-//! The bytes of a segment: pure functions; docs/design/store.md has the layout.
+//! The format of a segment, as pure functions; docs/design/store.md describes the layout.
 //!
-//! A segment is a header, then frames of records, then a footer once it is sealed. The order of fields is the format.
+//! A segment consists of a header, frames of records, and a footer once it is sealed. Fields are encoded in the order of the
+//! code, so that order must not change.
 
 mod footer;
 mod frame;
@@ -17,18 +18,18 @@
 
 use std::hash::Hasher as _;
 
-/// The version of the format that is written and read.
+/// The version of the format that this crate writes and reads.
 pub const VERSION: u16 = 1;
 
-/// The fingerprint of a key, by which damage to a record is attributed to the keys that it may have had.
+/// The fingerprint of a key. Fingerprints tell which keys a damaged record may have had.
 pub fn fingerprint(key: &[u8]) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     hasher.write(key);
     hasher.write_u64(key.len() as u64);
-    // Fx leaves its entropy in the high bits; one round of a finaliser spreads it.
-    let mut x = hasher.finish();
-    x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    x ^ (x >> 32)
+    // FxHasher leaves its entropy in the high bits; one round of a finaliser spreads it.
+    let hash = hasher.finish();
+    let hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    hash ^ (hash >> 32)
 }
 
 fn crc(parts: &[&[u8]]) -> u32 {
@@ -37,7 +38,7 @@
     hasher.finalize()
 }
 
-/// The checksum of something that is only valid at its place: the salt of the segment and the offset are mixed in.
+/// A checksum that is valid only at its offset in its segment: it covers the segment's salt and the offset too.
 fn crc_at(fields: &[u8], salt: u64, offset: u64) -> u32 {
     crc(&[&salt.to_le_bytes(), &offset.to_le_bytes(), fields])
 }
--- a/crates/store/src/format/record.rs
+++ b/crates/store/src/format/record.rs
@@ -1,13 +1,13 @@
-//! Operations, and the records that they are written as.
+//! Operations, and the records in which they are encoded.
 
 use super::integer::{put_varint, u32_at, varint};
 use super::{crc, fingerprint};
 use crate::UnixMillis;
 use crate::{BatchError, MAX_BATCH, MAX_KEY, MAX_VALUE};
 
-/// Most bytes of a record beside its key and its value.
+/// The maximum size of a record without its key and value, in bytes.
 const MAX_RECORD_OVERHEAD: usize = 25;
-/// Length of a record's checksum.
+/// The length of a record's checksum, in bytes.
 const CRC_LEN: usize = 4;
 const FLAG_TOMBSTONE: u8 = 1;
 const FLAG_EXPIRES: u8 = 2;
@@ -17,18 +17,18 @@
 pub struct Operation {
     /// The key.
     pub key: Vec<u8>,
-    /// Its value; `None` deletes.
+    /// The new value; `None` deletes the key.
     pub value: Option<Vec<u8>>,
-    /// When it expires.
+    /// When the value expires, if ever.
     pub expires_at: Option<UnixMillis>,
 }
 
 impl Operation {
-    /// Whether it is within bounds.
+    /// Checks the lengths of the key and the value.
     ///
     /// # Errors
     ///
-    /// The [`BatchError`] that names the bound.
+    /// A [`BatchError`] that names the exceeded bound.
     pub fn check(&self) -> Result<(), BatchError> {
         match (self.key.len(), self.value.as_ref().map_or(0, Vec::len)) {
             (0, _) => Err(BatchError::EmptyKey),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// An upper bound of its length in a frame.
+    /// An upper bound of the encoded length, in bytes.
     pub fn size(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len) + MAX_RECORD_OVERHEAD
     }
@@ -60,23 +60,23 @@
     }
 }
 
-/// Checks that a batch is within bounds.
+/// Checks the bounds of a batch and of its operations.
 pub fn check_batch(operations: &[Operation]) -> Result<(), BatchError> {
     operations.iter().try_for_each(Operation::check)?;
     let size = operations.iter().map(Operation::size).sum();
     if size > MAX_BATCH { Err(BatchError::BatchTooLarge(size)) } else { Ok(()) }
 }
 
-/// Where a record is in its segment, and what is known of it without reading it.
+/// The location of a record in its segment, and its properties without its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// Where the record begins, in bytes.
+    /// The offset of the record, in bytes.
     pub offset: u32,
-    /// Its length.
+    /// The length of the record, in bytes.
     pub len: u32,
-    /// It deletes its key.
+    /// Whether the record deletes its key.
     pub is_tombstone: bool,
-    /// When it expires.
+    /// When the record expires, if ever.
     pub expires_at: Option<UnixMillis>,
 }
 
@@ -101,11 +101,11 @@
     }
 }
 
-/// Operations as they are written in a frame. Encoded by each thread that writes, so that the one thread that writes for all
-/// only copies bytes.
+/// A batch as it is written in a frame. The calling threads encode their batches, so that the writing thread only copies
+/// bytes.
 #[derive(Clone, Debug)]
 pub struct EncodedBatch {
-    /// For the index.
+    /// The entries for the index.
     pub records: Vec<EncodedRecord>,
     pub bytes: Vec<u8>,
     pub fingerprints: Vec<u64>,
@@ -132,17 +132,17 @@
     }
 }
 
-/// A record in place: its fields as ranges of the bytes it was read from.
+/// A decoded record that borrows from the bytes it was decoded from.
 #[derive(Clone, Copy, Debug)]
 pub struct Record<'a> {
     pub key: &'a [u8],
-    /// `None` deletes.
+    /// The value; `None` for a tombstone.
     pub value: Option<&'a [u8]>,
-    /// When it expires.
+    /// When the record expires, if ever.
     pub expires_at: Option<UnixMillis>,
-    /// Its length with everything.
+    /// The total length of the record, in bytes.
     pub len: usize,
-    /// The bytes that its checksum covers, and the checksum that is written behind them.
+    /// The bytes that the checksum covers, and the checksum that follows them.
     checked: (&'a [u8], u32),
 }
 
@@ -154,7 +154,8 @@
     }
 }
 
-/// The record at the start of these bytes, if it is well-formed. Its checksum is not checked: see [`Record::is_sound`].
+/// Decodes the record at the start of these bytes; `None` if it is malformed. The checksum is not checked: see
+/// [`Record::is_sound`].
 pub fn decode_record(bytes: &[u8]) -> Option<Record<'_>> {
     let (flags, mut at) = (*bytes.first()?, 1);
     if flags & !(FLAG_TOMBSTONE | FLAG_EXPIRES) != 0 {
--- a/crates/store/src/index/mod.rs
+++ b/crates/store/src/index/mod.rs
@@ -1,7 +1,7 @@
-//! The index: sorted runs of keys, one a segment, oldest first, and on top what has been written since.
+//! The index: sorted runs of keys, one per segment, the oldest first, and above them the keys of the active segment.
 //!
-//! A run holds keys and locations, never values. A damaged region stands between runs where newer values than those below it
-//! may be lost: a look-up that comes past it fails, and never returns the older value.
+//! A run holds keys and locations, never values. A damaged region between runs means that newer values than those below it
+//! may be lost. A lookup that would pass such a region fails, and never returns the older value.
 
 mod run;
 mod view;
--- a/crates/store/src/index/run.rs
+++ b/crates/store/src/index/run.rs
@@ -9,11 +9,11 @@
 
 /// A segment's open file.
 pub struct Segment {
-    /// Its file's name.
+    /// The name of the file.
     pub name: String,
-    /// The numbers that it stands for.
+    /// The numbers that the segment covers.
     pub numbers: SegmentNumbers,
-    /// The salt of its checksums.
+    /// The salt of the segment's checksums.
     pub salt: u64,
     pub file: Arc<dyn DiskFile>,
 }
@@ -41,7 +41,7 @@
     is_tombstone: bool,
     offset: u32,
     len: u32,
-    /// 0 where it does not expire.
+    /// When the record expires; 0 for never.
     expires_at: UnixMillis,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Collects the entries of a run, in any order; of two with one key the later one counts.
+/// Collects the entries of a run, in any order. Of two entries with the same key, the one added later wins.
 #[derive(Default)]
 pub struct RunBuilder {
     keys: Vec<u8>,
@@ -91,7 +91,7 @@
 }
 
 impl RunBuilder {
-    /// A builder with room for so many entries, and bytes of keys.
+    /// A builder with capacity for this many entries, and bytes of keys.
     pub fn with_capacity(entries: usize, key_bytes: usize) -> RunBuilder {
         RunBuilder { keys: Vec::with_capacity(key_bytes), slots: Vec::with_capacity(entries) }
     }
@@ -117,17 +117,17 @@
         self.slots.is_empty()
     }
 
-    /// How many entries were added.
+    /// The number of entries added.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The entries as they were added.
+    /// The entries, in the order in which they were added.
     pub fn entries(&self) -> impl Iterator<Item = IndexEntry<'_>> {
         self.slots.iter().map(|slot| slot.entry(&self.keys))
     }
 
-    /// The run of entries that were added by key, each key once.
+    /// Builds the run from entries that were added in order of keys, each key once.
     pub fn finish_sorted(self, segment: Arc<Segment>, file_len: u64) -> Run {
         let RunBuilder { mut keys, mut slots } = self;
         keys.shrink_to_fit();
@@ -135,10 +135,10 @@
         Run { segment, keys, slots, file_len }
     }
 
-    /// The run of entries that were added in any order.
+    /// Builds the run from entries that were added in any order.
     pub fn finish(mut self, segment: Arc<Segment>, file_len: u64) -> Run {
         let keys = &self.keys;
-        // `key_offset` grows with each entry added: of equal keys the latest comes first.
+        // `key_offset` grows with each added entry, so of equal keys the one added last comes first.
         self.slots.sort_unstable_by(|a, b| {
             let by_key = a.prefix.cmp(&b.prefix).then_with(|| a.key(keys).cmp(b.key(keys)));
             by_key.then(b.key_offset.cmp(&a.key_offset))
@@ -150,12 +150,12 @@
 }
 
 impl Run {
-    /// How many keys it has.
+    /// The number of keys.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Bytes of memory that it takes.
+    /// The memory of the run, in bytes.
     pub fn memory(&self) -> usize {
         self.keys.capacity() + self.slots.capacity() * size_of::<Slot>()
     }
@@ -170,7 +170,7 @@
         self.slots.get(position).map(|slot| slot.entry(&self.keys))
     }
 
-    /// The first position whose key is not below this one.
+    /// The first position whose key is equal to or greater than this one.
     pub fn lower_bound(&self, key: &[u8]) -> usize {
         let first = prefix(key);
         self.slots.partition_point(|slot| {
@@ -178,7 +178,7 @@
         })
     }
 
-    /// The entry of a key.
+    /// The entry of a key, if there is one.
     pub fn find(&self, key: &[u8]) -> Option<IndexEntry<'_>> {
         self.entry_at(self.lower_bound(key)).filter(|entry| entry.key == key)
     }
--- a/crates/store/src/index/view.rs
+++ b/crates/store/src/index/view.rs
@@ -1,4 +1,4 @@
-//! A view: all layers of the index at one moment.
+//! A view: all layers of the index at one point in time.
 
 use super::run::{Run, Segment};
 use super::walk::{Source, Walk};
@@ -16,9 +16,9 @@
 pub struct DamagedRegion {
     /// The file.
     pub file: String,
-    /// Where the damage begins, in bytes.
+    /// The offset of the damage, in bytes.
     pub offset: u64,
-    /// The fingerprints of the keys that were there, where the frame behind the damage names them.
+    /// The fingerprints of the lost keys, if the frame after the damage records them; `None` if they are unknown.
     pub fingerprints: Option<FxHashSet<u64>>,
 }
 
@@ -28,7 +28,7 @@
         self.fingerprints.as_ref().is_none_or(|known| known.contains(&format::fingerprint(key)))
     }
 
-    /// The error for such a key.
+    /// The error for a key whose newer value may be lost.
     pub fn error(&self) -> StoreError {
         StoreError::InDoubt { file: self.file.clone(), offset: self.offset }
     }
@@ -39,12 +39,12 @@
 pub enum Layer {
     /// The keys of a segment, or of a part of one.
     Run(Arc<Run>),
-    /// What lies below may have been overwritten here.
+    /// A damaged region; its lost records may have overwritten those of the layers below.
     Damaged(Arc<DamagedRegion>),
 }
 
 impl Layer {
-    /// The run, if it is one.
+    /// The run, unless this is a damaged region.
     pub fn run(&self) -> Option<&Arc<Run>> {
         match self {
             Layer::Run(run) => Some(run),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether it is a damaged region.
+    /// Whether this is a damaged region.
     pub fn is_damaged(&self) -> bool {
         matches!(self, Layer::Damaged(_))
     }
@@ -71,11 +71,11 @@
 }
 
 impl Hit {
-    /// Reads the value. `None` where the record deletes.
+    /// Reads the value; `None` if the record is a tombstone.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] where the record is, and [`StoreError::Io`] where the file cannot be read.
+    /// [`StoreError::Damaged`] if the record is damaged, and [`StoreError::Io`] if the file cannot be read.
     pub fn read(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         if self.location.is_tombstone {
             return Ok(None);
@@ -95,23 +95,23 @@
 /// The keys that were written to the active segment.
 pub type ActiveKeys = BTreeMap<Box<[u8]>, RecordLocation>;
 
-/// The index at one moment; a copy costs next to nothing.
+/// The index at one point in time. A copy is cheap.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Oldest first.
+    /// The layers, the oldest first.
     pub layers: Vec<Layer>,
-    /// What was written to the active segment. The first write after a copy was taken copies it.
+    /// The keys written to the active segment. The first write after a copy of the view has to copy this map.
     pub active_keys: Arc<ActiveKeys>,
     /// The active segment.
     pub active: Option<Arc<Segment>>,
 }
 
 impl View {
-    /// The newest record of a key, whatever it says.
+    /// The newest record of a key, even if it is a tombstone or has expired.
     ///
     /// # Errors
     ///
-    /// [`StoreError::InDoubt`] where damage may hide a newer one.
+    /// [`StoreError::InDoubt`] if damage may hide a newer record.
     pub fn find(&self, key: &[u8]) -> Result<Option<Hit>, StoreError> {
         if let Some((location, segment)) = self.active_keys.get(key).zip(self.active.as_ref()) {
             return Ok(Some(Hit { segment: segment.clone(), location: *location }));
@@ -130,11 +130,11 @@
         Ok(None)
     }
 
-    /// The value of a key at this time.
+    /// The value of a key at time `now`.
     ///
     /// # Errors
     ///
-    /// Those of [`View::find`], [`StoreError::Damaged`] and [`StoreError::Io`].
+    /// The errors of [`View::find`], [`StoreError::Damaged`] and [`StoreError::Io`].
     pub fn get(&self, key: &[u8], now: UnixMillis) -> Result<Option<Vec<u8>>, StoreError> {
         match self.find(key)? {
             Some(hit) if !hit.location.is_expired(now) => hit.read(key),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A walk through all keys from one on, in order.
+    /// A walk through all keys from `from` on, in order.
     pub fn walk(&self, from: &[u8]) -> Walk {
         let mut sources = Vec::new();
         let mut damaged = Vec::new();
--- a/crates/store/src/index/walk.rs
+++ b/crates/store/src/index/walk.rs
@@ -1,4 +1,4 @@
-//! A walk through all keys of some layers, in order.
+//! A walk: a merge of several layers that visits all their keys in order.
 
 use super::run::{Run, Segment};
 use super::view::{DamagedRegion, Hit};
@@ -14,7 +14,7 @@
     Active(Arc<Segment>, Vec<(Box<[u8]>, RecordLocation)>),
 }
 
-/// A layer, and how far the walk has come in it.
+/// A layer, and the position of the walk in it.
 pub(super) struct Source {
     rank: usize,
     position: usize,
@@ -54,13 +54,13 @@
 #[derive(Debug)]
 pub struct Step {
     pub key: Vec<u8>,
-    /// Its newest record.
+    /// The newest record of the key.
     pub hit: Hit,
-    /// Which layer that is in; `usize::MAX` for the active segment.
+    /// The index of the layer of that record; `usize::MAX` for the active segment.
     pub rank: usize,
     /// Whether there are older records of the key.
     pub has_older: bool,
-    /// Damage that may hide a newer one.
+    /// The damage that may hide a newer record, if any.
     pub hidden_by: Option<Arc<DamagedRegion>>,
 }
 
@@ -69,13 +69,13 @@
     sources: Vec<Source>,
     /// Damaged regions with their ranks.
     damaged: Vec<(usize, Arc<DamagedRegion>)>,
-    /// A heap of sources by their present key, and the newest first among equals.
+    /// A binary heap of indices of sources, by their current key; of equal keys, the newest source comes first.
     heap: Vec<usize>,
 }
 
 impl Walk {
     pub(super) fn new(sources: Vec<Source>, damaged: Vec<(usize, Arc<DamagedRegion>)>) -> Walk {
-        let heap = (0..sources.len()).filter(|n| sources[*n].key().is_some()).collect();
+        let heap = (0..sources.len()).filter(|source| sources[*source].key().is_some()).collect();
         let mut walk = Walk { sources, damaged, heap };
         for at in (0..walk.heap.len() / 2).rev() {
             walk.sift_down(at);
@@ -83,7 +83,7 @@
         walk
     }
 
-    /// Merges these runs alone, oldest first; ranks count from 0.
+    /// Merges these runs, which are in order, the oldest first; ranks are their indices.
     pub fn of_runs(runs: &[Arc<Run>]) -> Walk {
         let sources = runs.iter().enumerate().map(|(rank, run)| Source::of_run(rank, 0, run.clone()));
         Walk::new(sources.collect(), Vec::new())
@@ -117,7 +117,7 @@
         self.sift_down(0);
     }
 
-    /// Passes the key if it is the next one; whether it was.
+    /// Skips the next key if it equals `key`. Returns whether it did.
     fn skip(&mut self, key: &[u8]) -> bool {
         let is_next = self.heap.first().is_some_and(|top| self.sources[*top].key() == Some(key));
         if is_next {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,25 @@
-//! An embedded, ordered key-value store in one directory: a segmented log, sorted runs of keys in memory, atomic batches,
+//! An embedded, ordered key-value store in one directory.
+//!
+//! The store is log-structured: a segmented log on disk, and sorted runs of keys in memory. It has atomic batches,
 //! tombstones, time to live, snapshots, compaction and recovery. It knows nothing of jobs.
 //!
-//! The guarantee depends on the mode: see [`SyncMode`]. What [`Store::write`] returned `Ok` for is there after a crash, in
-//! full; what it returned an error for never shows again once a later write has succeeded. docs/design/store.md has the format
-//! and the alternatives weighed.
+//! Durability depends on the [`SyncMode`]. A batch for which [`Store::write`] returned `Ok` is complete after a crash. A
+//! batch for which it returned an error never takes effect once a later write has succeeded. docs/design/store.md describes
+//! the format and the alternatives considered.
+//!
+//! ```
+//! use mothproxy_store::sim::SimDisk;
+//! use mothproxy_store::{Batch, Options, Store};
+//! use std::sync::Arc;
+//!
+//! let disk = SimDisk::new(1);
+//! let (store, _) = Store::open_on(Arc::new(disk.clone()), Options::default())?;
+//! store.write(Batch::new().put("key", "value"))?;
+//! // An acknowledged write survives a power cut.
+//! let (recovered, _) = Store::open_on(Arc::new(disk.reboot(2)), Options::default())?;
+//! assert_eq!(recovered.get(b"key")?, Some(b"value".to_vec()));
+//! # Ok::<(), mothproxy_store::StoreError>(())
+//! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -50,9 +66,9 @@
 pub use write_queue::{Callback, WriteResult};
 pub use writer::{OpenedWriter, Writer, open as open_writer};
 
-/// Longest key, in bytes.
+/// The maximum length of a key, in bytes.
 pub const MAX_KEY: usize = 4096;
-/// Longest value, in bytes.
+/// The maximum length of a value, in bytes.
 pub const MAX_VALUE: usize = 8 << 20;
-/// Largest batch, in bytes of keys and values, with 25 for each operation.
+/// The maximum size of a batch: the bytes of its keys and values, plus 25 for each operation.
 pub const MAX_BATCH: usize = 16 << 20;
--- a/crates/store/src/merged_file.rs
+++ b/crates/store/src/merged_file.rs
@@ -6,16 +6,16 @@
 use crate::format::{self, EncodedBatch, FrameStart, Header, IndexEntry, Operation, Trailer};
 use crate::index::RunBuilder;
 
-/// Merged segments are written in frames of about this many bytes.
+/// The approximate size of a frame of a merged segment, in bytes.
 const MERGED_FRAME_BYTES: usize = 64 << 10;
 
-/// The file of a merged segment while it is written.
+/// The file of a merged segment while a compaction writes it.
 pub(crate) struct MergedFile<'a> {
     file: &'a dyn DiskFile,
     name: &'a str,
     salt: u64,
     now: UnixMillis,
-    /// Encoded, and not written yet.
+    /// Encoded bytes that are not written yet.
     buffer: Vec<u8>,
     written: u64,
     /// The operations of the next frame.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Adds the next operation in the order of keys.
+    /// Adds an operation; its key must be greater than that of the one before.
     pub fn add(&mut self, operation: Operation) -> Result<(), StoreError> {
         self.pending_size += operation.size();
         self.pending.push(operation);
@@ -85,7 +85,8 @@
         Ok(())
     }
 
-    /// Writes the rest and the footer, and waits until all is durable. Returns the index and the length of the file.
+    /// Writes the rest and the footer, and waits until the file is durable. Returns the index and the length of the file in
+    /// bytes.
     pub fn finish(mut self, next_seq: u64) -> Result<(RunBuilder, u64), StoreError> {
         self.write_frame()?;
         let data_end = self.written + self.buffer.len() as u64;
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -7,13 +7,14 @@
 /// When writes become durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SyncMode {
-    /// Before they are acknowledged. A power cut costs nothing that was acknowledged.
+    /// Before they are acknowledged. A power cut loses no acknowledged write.
     #[default]
     Always,
-    /// At most so long after they are acknowledged. A power cut may cost the newest writes of that span; the end of a process
-    /// costs nothing.
+    /// At most this long after they are acknowledged. A power cut may lose the newest writes of that time. The end of the
+    /// process loses none.
     Interval(Duration),
-    /// When a segment is closed. A power cut may cost a whole segment of the newest writes; the end of a process nothing.
+    /// When a segment is sealed. A power cut may lose the newest writes, up to a whole segment. The end of the process loses
+    /// none.
     Never,
 }
 
@@ -28,15 +29,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// A segment is closed at about this size, in bytes.
+    /// The approximate size at which a segment is sealed, in bytes.
     pub segment_bytes: u32,
     /// When writes become durable.
     pub sync: SyncMode,
     /// Whether segments are compacted in the background.
     pub compacts: bool,
-    /// Most bytes of batches that wait to be written; more are refused.
+    /// The maximum size of the queue of batches, in bytes. Batches beyond it are refused.
     pub max_queued_bytes: usize,
-    /// Seed of the salts; random unless a test needs the same files every time.
+    /// The seed of the salts. It is random by default; tests set it to get the same files every time.
     pub seed: u64,
 }
 
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,16 +1,16 @@
-//! Decisions of the store as pure functions: which files count when it is opened, and what to compact.
+//! Decisions of the store as pure functions: which files are valid when it is opened, and what to compact.
 
 use crate::format::SegmentNumbers;
 use std::cmp::Reverse;
 use std::ops::Range;
 
-/// The file name of the segment that stands for these numbers.
+/// The file name of the segment that covers these numbers.
 pub fn segment_name(numbers: SegmentNumbers) -> String {
     let SegmentNumbers { first, last } = numbers;
     format!("{first:012x}-{last:012x}.seg")
 }
 
-/// The numbers in the file name of a segment.
+/// The numbers in the file name of a segment; `None` if it is not such a name.
 pub fn segment_numbers(name: &str) -> Option<SegmentNumbers> {
     let (first, last) = name.strip_suffix(".seg")?.split_once('-')?;
     let number = |text: &str| (text.len() == 12).then(|| u64::from_str_radix(text, 16).ok()).flatten();
@@ -19,31 +19,31 @@
     is_valid.then_some(numbers)
 }
 
-/// The file name under which a merged segment is written before it counts.
+/// The file name of a merged segment until it is complete.
 pub fn unfinished_name(numbers: SegmentNumbers) -> String {
     format!("{}.tmp", segment_name(numbers))
 }
 
-/// Whether a file name is one of those.
+/// Whether a file name is one of [`unfinished_name`].
 pub fn is_unfinished_name(name: &str) -> bool {
     name.strip_suffix(".tmp").is_some_and(|name| segment_numbers(name).is_some())
 }
 
-/// Which segments count.
+/// The segments of a directory, by whether they are valid.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Tiling {
-    /// Those that count, oldest first.
+    /// The valid segments, oldest first.
     pub kept: Vec<SegmentNumbers>,
-    /// Those that a merged one replaces.
+    /// The segments that a merged one replaces.
     pub replaced: Vec<SegmentNumbers>,
-    /// Numbers that no segment stands for: something is lost there.
+    /// Numbers that no segment covers: these segments are lost.
     pub gaps: Vec<SegmentNumbers>,
 }
 
-/// Lays the segments side by side. A merged segment got its name only once it was whole and durable, so it counts
-/// in place of those whose numbers it covers.
+/// Determines which segments are valid. A merged segment gets its name only once it is complete and durable, so it replaces
+/// the segments whose numbers it covers.
 pub fn tile(mut segments: Vec<SegmentNumbers>) -> Tiling {
-    // The widest of those that begin at one number comes first.
+    // Of the segments that begin at the same number, the one that covers most comes first.
     segments.sort_by_key(|numbers| (numbers.first, Reverse(numbers.last)));
     let mut tiling = Tiling::default();
     let mut next = 1;
@@ -52,7 +52,7 @@
             tiling.replaced.push(numbers);
             continue;
         }
-        // Two that overlap in part cannot come from this program; the later one fills in what is missing.
+        // This program never writes two segments that overlap in part. If there are any, both are kept.
         if numbers.first > next {
             tiling.gaps.push(SegmentNumbers { first: next, last: numbers.first - 1 });
         }
@@ -62,35 +62,35 @@
     tiling
 }
 
-/// What is known of a segment that takes no more writes.
+/// The space that a sealed segment uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SegmentUsage {
-    /// The bytes of its file.
+    /// The length of its file.
     pub bytes: u64,
-    /// The bytes of records that no longer count.
+    /// The bytes of obsolete records.
     pub dead_bytes: u64,
-    /// It is damaged, and left as it is.
+    /// Whether it is damaged, and therefore not compacted.
     pub is_damaged: bool,
 }
 
 impl SegmentUsage {
-    /// What is gained by copying the segment, in bytes.
+    /// The gain of copying the segment: the freed bytes minus the cost of the copied ones.
     fn gain(&self) -> f64 {
         self.dead_bytes as f64 - (self.bytes.saturating_sub(self.dead_bytes)) as f64 * MIN_DEAD_PER_COPIED
     }
 }
 
-/// Dead bytes must be at least this fraction of the live ones that are copied to be rid of them.
+/// The minimum ratio of freed dead bytes to copied live bytes for which a compaction pays off.
 const MIN_DEAD_PER_COPIED: f64 = 1.0 / 3.0;
-/// So many neighbours of about one size are merged, so that there are never many.
+/// The number of neighbours of similar size that are merged, to limit the number of segments.
 const MERGED_NEIGHBOURS: usize = 8;
-/// About one size: the largest has at most so many times the bytes of the smallest.
+/// Sizes are similar if the largest is at most this many times the smallest.
 const MAX_SIZE_RATIO: u64 = 4;
-/// No merge reads more than this at once, in bytes: offsets have 32 bits.
+/// The maximum input of a merge, in bytes, since offsets have 32 bits.
 const MAX_MERGED_BYTES: u64 = 1 << 30;
 
-/// What to compact next, as a range of these segments, oldest first; `min_dead` is from how many dead bytes on it pays off.
-/// First where the most is freed for the bytes copied, then many small neighbours.
+/// The range of segments to compact next, if any; `segments` are in order, oldest first. It is the range with the greatest
+/// gain, if it has at least `min_dead` dead bytes, or else a range of small neighbours.
 pub fn range_to_compact(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
     best_gain(segments, min_dead).or_else(|| small_neighbours(segments))
 }
@@ -98,6 +98,7 @@
 /// The range with the greatest gain.
 fn best_gain(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
     let mut best = None::<(f64, Range<usize>)>;
+    // The current candidate range begins at `start`; `gain` and `bytes` are its sums.
     let (mut start, mut gain, mut bytes) = (0, 0.0, 0);
     for (index, segment) in segments.iter().enumerate() {
         if segment.is_damaged || bytes + segment.bytes > MAX_MERGED_BYTES {
@@ -117,7 +118,7 @@
     best.map(|(_, range)| range)
 }
 
-/// The first range of neighbours of about one size.
+/// The first range of neighbours of similar size.
 fn small_neighbours(segments: &[SegmentUsage]) -> Option<Range<usize>> {
     let is_alike = |window: &[SegmentUsage]| {
         let sizes = || window.iter().map(|segment| segment.bytes);
--- a/crates/store/src/random.rs
+++ b/crates/store/src/random.rs
@@ -1,17 +1,17 @@
-//! Random numbers from a seed.
+//! Pseudo-random numbers from a seed.
 
 /// The increment of splitmix64.
 const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// One round of splitmix64.
-pub(crate) fn splitmix64(x: u64) -> u64 {
-    let mut z = x.wrapping_add(INCREMENT);
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
+pub(crate) fn splitmix64(state: u64) -> u64 {
+    let mixed = state.wrapping_add(INCREMENT);
+    let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
 }
 
-/// A small generator, so that a seed gives the same history everywhere.
+/// A small generator. A seed gives the same sequence on every platform.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
@@ -28,13 +28,13 @@
         number
     }
 
-    /// A number below `n`; 0 for 0.
-    pub fn below(&mut self, n: u64) -> u64 {
-        if n == 0 { 0 } else { self.next_u64() % n }
+    /// A number below `bound`; 0 if `bound` is 0.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
-    /// True once in `n`.
-    pub fn once_in(&mut self, n: u64) -> bool {
-        self.below(n) == 0
+    /// True with a probability of one in `calls`.
+    pub fn once_in(&mut self, calls: u64) -> bool {
+        self.below(calls) == 0
     }
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: which files of a directory count, and the index that follows from them. Nothing is changed.
+//! Recovery: determines which files of a directory are valid, and builds the index from them. It changes nothing on disk.
 
 use crate::UnixMillis;
 use crate::disk::{Disk, DiskFile};
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Most threads that read segments.
+/// The maximum number of threads that read segments.
 const MAX_READERS: usize = 4;
 
-/// One place that cannot be read.
+/// One damaged place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     /// The file.
     pub file: String,
-    /// Where it begins, in bytes.
+    /// The offset of the damage, in bytes.
     pub offset: u64,
-    /// What is damaged.
+    /// A description of the damage.
     pub what: String,
 }
 
@@ -30,35 +30,36 @@
     }
 }
 
-/// What was found when a store was opened.
+/// What recovery found when a store was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Segments that count.
+    /// The number of valid segments.
     pub segments: usize,
-    /// Keys in them; one that is in two segments counts twice.
+    /// The number of keys in these segments; a key in two segments counts twice.
     pub keys: usize,
-    /// Bytes of writes at the end that were never acknowledged, and are left out.
+    /// Bytes of unacknowledged writes at the end of the log, which are ignored.
     pub torn_bytes: u64,
-    /// Damage to what was acknowledged.
+    /// Damage to acknowledged writes.
     pub damage: Vec<Damage>,
-    /// Damage that costs nothing: an index that could be read from the records instead.
+    /// Damage without loss of data, such as an index that was rebuilt from the records.
     pub warnings: Vec<Damage>,
-    /// Files that were left behind by a compaction that was cut off.
+    /// The number of files that an interrupted compaction left behind.
     pub leftovers: usize,
 }
 
-/// A directory that was opened.
+/// The contents of an opened directory.
 pub struct OpenedDirectory {
     pub layers: Vec<Layer>,
     pub recovery: Recovery,
     /// The number of the next segment.
     pub next_segment: u64,
+    /// The sequence number of the next operation.
     pub next_seq: u64,
-    /// The latest time that a segment names.
+    /// The latest time recorded in a segment.
     pub written_at: UnixMillis,
-    /// Up to where the last segment is valid, in bytes.
+    /// The valid length of the last segment, in bytes.
     pub last_end: u64,
-    /// Files that may be removed: replaced by a merged segment, or left unfinished.
+    /// Files that may be removed: those replaced by a merged segment, and unfinished ones.
     pub leftovers: Vec<String>,
 }
 
@@ -80,7 +81,7 @@
         Ok(OpenedSegment { name, file, header })
     }
 
-    /// Whether it was cut off before anything in it could have been acknowledged.
+    /// Whether the file ends before its first frame, so that it holds no acknowledged write.
     fn is_stillborn(&self) -> bool {
         self.header.is_err() && self.file.len().is_ok_and(|len| len <= HEADER_LEN as u64)
     }
@@ -100,8 +101,8 @@
             .iter()
             .map(|numbers| OpenedSegment::open(disk, *numbers))
             .collect::<Result<_, _>>()?;
-        // The last one may have been cut off when it was begun: then the one before it is the last that counts, and its end
-        // may be torn.
+        // The last segment may have been interrupted while it was created. The segment before it is then the last valid
+        // one, whose end may be torn.
         if let Some(stillborn) = segments.last().filter(|last| last.is_stillborn()) {
             leftovers.push(stillborn.name.clone());
             candidates.retain(|numbers| plan::segment_name(*numbers) != stillborn.name);
@@ -117,7 +118,7 @@
     }
 }
 
-/// A damaged merged segment all of whose predecessors are still there: they count in its place.
+/// A damaged merged segment whose source segments are all still present: they are used in its place.
 fn replaceable_damaged(tiling: &Tiling, loaded: &[Option<LoadedSegment>]) -> Option<SegmentNumbers> {
     let is_damaged =
         |loaded: &Option<LoadedSegment>| loaded.as_ref().is_none_or(|loaded| !loaded.damage.is_empty());
@@ -125,7 +126,7 @@
     damaged.map(|(numbers, _)| *numbers).find(|numbers| is_covered(*numbers, &tiling.replaced))
 }
 
-/// Whether these segments stand for all the numbers without a gap.
+/// Whether the replaced segments cover all these numbers without a gap.
 fn is_covered(numbers: SegmentNumbers, replaced: &[SegmentNumbers]) -> bool {
     let tiling = plan::tile(replaced.iter().copied().filter(|part| numbers.covers(*part)).collect());
     tiling.kept.first().is_some_and(|first| first.first == numbers.first)
@@ -133,7 +134,7 @@
         && tiling.gaps.iter().all(|gap| gap.last < numbers.first)
 }
 
-/// Loads the segments, `None` for those whose header cannot be read. Several threads share the work.
+/// Loads the segments with several threads. The result is `None` for segments whose header cannot be read.
 fn load_all(segments: &[OpenedSegment]) -> Result<Vec<Option<LoadedSegment>>, StoreError> {
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get().min(MAX_READERS));
     let threads = cores.min(segments.len());
@@ -203,7 +204,7 @@
 }
 
 impl OpenedDirectory {
-    /// Adds a whole file that cannot be read.
+    /// Adds a file of which nothing can be read.
     fn add_lost(&mut self, file: String, what: String) {
         self.recovery.damage.push(Damage { file: file.clone(), offset: 0, what });
         let region = DamagedRegion { file, offset: 0, fingerprints: None };
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -1,19 +1,19 @@
-//! A scan: the frames of a segment in order, and the holes between them where nothing can be read.
+//! The scan of a segment: its frames in order, and the unreadable holes between them.
 
 use crate::UnixMillis;
 use crate::format::{self, FRAME_HEAD_LEN, FrameHead, HEADER_LEN, Probe, Record};
 
-/// A place where something cannot be read.
+/// An unreadable range of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hole {
     pub from: usize,
     pub to: usize,
-    /// The fingerprints of the keys that were there, if it is one frame whose successor is whole.
+    /// The fingerprints of the lost keys, if the hole is a single frame and the frame after it is intact.
     pub fingerprints: Option<Vec<u64>>,
 }
 
 impl Hole {
-    /// Its length in bytes.
+    /// The length of the hole, in bytes.
     pub fn len(&self) -> usize {
         self.to - self.from
     }
@@ -39,17 +39,18 @@
 #[derive(Debug, Default)]
 pub struct Scan {
     pub items: Vec<ScanItem>,
-    /// Where what counts ends, in bytes.
+    /// The end of the valid part, in bytes.
     pub end: usize,
-    /// Bytes behind it that do not count.
+    /// The number of bytes after `end` that were written and are not valid.
     pub torn_bytes: usize,
+    /// The sequence number of the next operation.
     pub next_seq: u64,
-    /// The latest time that a frame names.
+    /// The latest time recorded in a frame.
     pub written_at: UnixMillis,
 }
 
-/// Scans the frames of a segment. `limit`: up to where the segment is valid, where its successor says so; without one the
-/// end may be torn, and the first hole that no later frame calls durable is where the segment ends.
+/// Scans the frames of a segment. `limit` is its valid length, if its successor states it. Otherwise the end may be torn: the
+/// segment ends at the first hole that no later frame records as durable.
 pub fn scan(bytes: &[u8], salt: u64, limit: Option<u64>, first_seq: u64) -> Scan {
     let end = limit.map_or(bytes.len(), |limit| (limit as usize).min(bytes.len()));
     let bytes = &bytes[..end];
@@ -77,7 +78,7 @@
 }
 
 impl Scan {
-    /// Adds a frame; `body` begins with its body. Returns where it ends.
+    /// Adds a frame; `body` begins with its body. Returns the offset after it.
     fn add_frame(&mut self, offset: usize, head: FrameHead, body: &[u8]) -> usize {
         if let Some(ScanItem::Hole(hole)) = self.items.last_mut() {
             let missing = head.first_seq.saturating_sub(self.next_seq);
@@ -90,8 +91,8 @@
         offset + FRAME_HEAD_LEN + head.body_len as usize
     }
 
-    /// Adds a hole that begins at `from`. Returns where it ends: at `after` if something can be read there, else at the next
-    /// place where something can.
+    /// Adds a hole that begins at `from`. Returns the offset after it: `after` if that is readable, or else the next offset
+    /// that is.
     fn add_hole(&mut self, bytes: &[u8], salt: u64, from: usize, after: Option<usize>) -> usize {
         let is_readable = |at: &usize| format::probe(bytes, salt, *at) != Probe::Unreadable;
         let next = after.filter(is_readable).or_else(|| format::resync(bytes, salt, from + 1));
@@ -100,14 +101,14 @@
         to
     }
 
-    /// Ends the segment at the first hole that is not known to have been durable.
+    /// Ends the segment at the first hole that was not recorded as durable.
     fn drop_torn_end(&mut self, bytes: &[u8], durable: usize, first_seq: u64) {
         let torn = self.items.iter().enumerate().find_map(|(index, item)| match item {
             ScanItem::Hole(hole) if hole.from >= durable => Some((index, hole.from)),
             _ => None,
         });
         let Some((index, from)) = torn else { return };
-        // Zeros are what was written ahead, or what a file system left behind a cut write.
+        // Zeros were written ahead, or left by the file system after an interrupted write.
         let zeros = bytes[from..self.end].iter().rev().take_while(|byte| **byte == 0).count();
         self.torn_bytes = self.end - from - zeros;
         self.end = from;
@@ -116,8 +117,8 @@
     }
 }
 
-/// Calls `each` with the records of a frame's body and their offsets in it. Returns how many there were, if it is
-/// well-formed. The checksum of the frame covers the records: their own are not checked.
+/// Calls `each` with each record of a frame's body and its offset there. Returns the number of records, or `None` if the body
+/// is malformed. The checksums of the records are not checked, since that of the frame covers them.
 pub fn each_record(body: &[u8], mut each: impl FnMut(Record<'_>, usize)) -> Option<u32> {
     let (_, mut at) = format::decode_fingerprints(body)?;
     let mut count = 0;
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -1,4 +1,4 @@
-//! Loading one segment: its index from the footer, or by a scan where there is no footer that is whole.
+//! Loading of one segment: its index is read from the footer, or rebuilt by a scan if there is no intact footer.
 
 use crate::UnixMillis;
 use crate::disk::{DiskFile, read_range};
@@ -16,32 +16,33 @@
 /// A segment that was loaded.
 pub struct LoadedSegment {
     pub layers: Vec<Layer>,
-    /// Damage to what was acknowledged.
+    /// Damage to acknowledged writes.
     pub damage: Vec<Damage>,
-    /// Damage that costs nothing.
+    /// Damage without loss of data.
     pub warnings: Vec<Damage>,
     /// Bytes at the end that were never acknowledged.
     pub torn_bytes: u64,
+    /// The sequence number of the next operation.
     pub next_seq: u64,
-    /// The latest time that it names.
+    /// The latest time recorded in the segment.
     pub written_at: UnixMillis,
-    /// Up to where it is valid, in bytes.
+    /// The valid length of the segment, in bytes.
     pub end: u64,
 }
 
-/// What is known of a segment by the one that follows it.
+/// The segment that follows a segment, whose header tells the valid length of the one before.
 #[derive(Clone, Copy, Debug)]
 pub enum Successor {
-    /// Its header says up to where the segment is valid, in bytes.
+    /// Its header is intact and states the valid length of the segment, in bytes.
     Sound { previous_len: u64 },
-    /// Its header is lost, and what it said too.
+    /// Its header is damaged, so that the valid length is unknown.
     HeaderLost,
-    /// None follows: the end of the segment may be torn.
+    /// There is no successor: the end of the segment may be torn.
     Missing,
 }
 
 impl Successor {
-    /// Up to where the segment is valid, in bytes, as far as the header of its successor says so.
+    /// The valid length of the segment in bytes, if the header of its successor states it.
     fn previous_len(self) -> Option<u64> {
         match self {
             Successor::Sound { previous_len } => Some(previous_len),
@@ -54,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Io`]; a header that cannot be used is the inner error.
+/// [`StoreError::Io`]. The inner error is that of a header that cannot be used.
 pub fn read_header(
     file: &dyn DiskFile,
     name: &str,
@@ -97,13 +98,13 @@
         Damage { file: self.segment.name.clone(), offset, what: what.to_owned() }
     }
 
-    /// The index from the footer, if that is whole. A damaged one is noted in the warnings.
+    /// Loads the index from the footer, if it is intact. A damaged footer adds a warning.
     fn load_from_footer(&mut self, successor: Successor) -> Result<Option<LoadedSegment>, StoreError> {
         let salt = self.header.salt;
         let trailer_at = self.len.saturating_sub(TRAILER_LEN as u64);
         let tail = self.read(trailer_at, TRAILER_LEN)?;
         let Some((trailer, info)) = format::decode_trailer(&tail, salt) else { return Ok(None) };
-        // A footer that its successor does not go by was written in an attempt that failed.
+        // A footer that contradicts the successor's header was written in an attempt that failed.
         let is_valid = self.header.is_merged
             || successor.previous_len().is_none_or(|previous_len| previous_len == trailer.data_end);
         if !is_valid {
@@ -130,9 +131,9 @@
         }))
     }
 
-    /// Up to where the segment is known to be valid; `None` where its end may be torn.
+    /// The length up to which the segment is known to be valid; `None` if its end may be torn.
     fn valid_len(&self, successor: Successor) -> Option<u64> {
-        // What its successor says does not hold for a segment that was merged meanwhile.
+        // The successor's header refers to the file before the merge, not to the merged segment.
         if self.header.is_merged {
             return Some(self.len);
         }
@@ -165,7 +166,7 @@
         }
         layers.close_run();
         let is_cut = valid_len.is_some_and(|valid_len| self.len < valid_len);
-        // A merged segment got its name with its footer: without one it was cut.
+        // A merged segment gets its name only after its footer is written. Without a footer it was truncated.
         let is_merge_cut = self.header.is_merged && layers.damage.is_empty() && self.warnings.is_empty();
         if is_cut || is_merge_cut {
             layers.add_cut_end();
@@ -174,8 +175,8 @@
         Ok(self.into_loaded(layers, damage, &scanned))
     }
 
-    /// Whether a footer that closes the segment begins at `end`, damaged as it may be. One that was cut while it was written
-    /// closed nothing yet: that is no damage.
+    /// Whether a complete footer begins at `end`, even if it is damaged. A footer that was interrupted while it was written
+    /// is not damage, since the segment was not sealed yet.
     fn has_whole_footer(&self, bytes: &[u8], end: usize) -> bool {
         let footer_len = format::footer_len(bytes, self.header.salt, end);
         footer_len.is_some_and(|len| end + len == bytes.len()) && bytes.last() != Some(&0)
@@ -207,7 +208,7 @@
         LayerBuilder { loader, run: RunBuilder::default(), layers: Vec::new(), damage: Vec::new() }
     }
 
-    /// Adds the records of a frame's body that begins at `start`; how many there were, if it is well-formed.
+    /// Adds the records of a frame's body that begins at `start`. Returns their number, or `None` if the body is malformed.
     fn add_records(&mut self, body: &[u8], start: usize) -> Option<u32> {
         each_record(body, |record, at| {
             let location = RecordLocation {
@@ -245,7 +246,7 @@
         self.add_region(hole.from as u64, keys);
     }
 
-    /// The file is shorter than it was.
+    /// Adds the damage of a file that is shorter than it was.
     fn add_cut_end(&mut self) {
         let len = self.loader.len;
         self.damage.push(self.loader.damage(len, "it is cut off: what was acknowledged is missing"));
@@ -262,7 +263,7 @@
 
     fn finish(mut self) -> (Vec<Layer>, Vec<Damage>) {
         if self.layers.iter().all(Layer::is_damaged) {
-            // An empty run keeps the segment's place.
+            // An empty run keeps the position of the segment among the layers.
             let run = RunBuilder::default().finish_sorted(self.loader.segment.clone(), self.loader.len);
             self.layers.push(Layer::Run(Arc::new(run)));
         }
--- a/crates/store/src/segment_usage.rs
+++ b/crates/store/src/segment_usage.rs
@@ -1,4 +1,4 @@
-//! How much of each segment still counts: what a compaction would free.
+//! The live and dead bytes of each segment, which determine the gain of a compaction.
 
 use crate::UnixMillis;
 use crate::format::HEADER_LEN;
@@ -6,7 +6,7 @@
 use crate::plan::SegmentUsage;
 use std::sync::Arc;
 
-/// Bytes that an entry of a footer takes beside its key, about.
+/// The approximate size of a footer's entry without its key, in bytes.
 const FOOTER_ENTRY_BYTES: u64 = 6;
 
 /// The names of the segments of these runs, each once, in order.
@@ -16,7 +16,7 @@
     names
 }
 
-/// What is known of the segments that take no more writes. It walks through all keys.
+/// The usage of each sealed segment. This visits all keys.
 pub(crate) fn segment_usage(view: &View, now: UnixMillis) -> Vec<SegmentUsage> {
     let runs: Vec<Arc<Run>> = runs(&view.layers).cloned().collect();
     let names = segment_names(&runs);
@@ -25,7 +25,7 @@
     let mut usage = vec![SegmentUsage { bytes: 0, dead_bytes: 0, is_damaged: false }; names.len()];
     for (run, segment) in runs.iter().zip(&segment_of) {
         usage[*segment].bytes = run.file_len;
-        // What no index names is dead: records that were overwritten within the segment.
+        // Bytes without an entry in the index are dead: records that were overwritten within the segment.
         usage[*segment].dead_bytes = run.file_len.saturating_sub(HEADER_LEN as u64);
     }
     for name in damaged_segments(&view.layers) {
@@ -39,7 +39,7 @@
         if is_gone && !step.has_older {
             continue;
         }
-        // The entries of the footers count as live, about as much as they take.
+        // The entries of the footers count as live, with their approximate size.
         let live = u64::from(location.len) + step.key.len() as u64 / 2 + FOOTER_ENTRY_BYTES;
         let segment = &mut usage[segment_of[step.rank]];
         segment.dead_bytes = segment.dead_bytes.saturating_sub(live);
@@ -47,7 +47,7 @@
     usage
 }
 
-/// The names of segments with damage, and of those behind damage: a merge across what is lost would hide it.
+/// The names of segments with damage, and of those that follow damage: a merge across a loss would hide it.
 fn damaged_segments(layers: &[Layer]) -> Vec<&str> {
     let mut names = Vec::new();
     let mut is_behind_damage = false;
--- a/crates/store/src/shared_view.rs
+++ b/crates/store/src/shared_view.rs
@@ -1,11 +1,11 @@
-//! The view that readers take copies of, and how what was written becomes visible in it.
+//! The view that readers copy, and how writes become visible in it.
 
 use crate::format::RecordLocation;
 use crate::index::{Layer, RunBuilder, View};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The view that readers take copies of.
+/// The view that readers copy.
 pub type SharedView = Arc<Mutex<View>>;
 
 /// A copy of the view.
@@ -13,18 +13,18 @@
     lock(shared).clone()
 }
 
-/// Locks a mutex. Nothing here leaves half a change behind where it panics, so that a poisoned one is as good.
+/// Locks a mutex, even if it is poisoned. No code of this crate leaves an incomplete change behind when it panics.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The keys of a group that was written, with the locations of their records.
+/// The keys of a written group, with the locations of their records.
 pub(crate) type WrittenKeys = Vec<(Box<[u8]>, RecordLocation)>;
 
-/// Groups that were written and are not visible to readers yet, in the order written.
+/// Groups that were written and are not visible to readers yet, in the order in which they were written.
 pub(crate) type Unpublished = Arc<Mutex<VecDeque<WrittenKeys>>>;
 
-/// Makes what was written visible to readers, in the order written.
+/// Makes all written groups visible to readers, in the order in which they were written.
 pub(crate) fn publish(shared: &SharedView, unpublished: &Unpublished) {
     let mut view = lock(shared);
     let groups = std::mem::take(&mut *lock(unpublished));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Moves what was written to the active segment into a layer of its own; `file_len` is the length of its file.
+/// Moves the keys of the active segment into a new layer. `file_len` is the length of the segment's file, in bytes.
 pub(crate) fn retire_active(shared: &SharedView, file_len: u64) {
     let mut view = lock(shared);
     let Some(segment) = view.active.take() else { return };
--- a/crates/store/src/sim/directory.rs
+++ b/crates/store/src/sim/directory.rs
@@ -1,4 +1,4 @@
-//! The names of files on the simulated disk: as a reader sees them, and as a power cut leaves them.
+//! The names of files on the simulated disk: as readers see them, and as they are after a power cut.
 
 use crate::random::Rng;
 use std::collections::BTreeMap;
@@ -31,9 +31,9 @@
 #[derive(Debug)]
 pub(super) struct Directory {
     names: Names,
-    /// What a power cut does not lose.
+    /// The names that survive a power cut.
     durable: Names,
-    /// The changes since then.
+    /// The changes since the last sync.
     unsynced: Vec<NameChange>,
 }
 
@@ -53,7 +53,7 @@
         self.names.get(name).copied()
     }
 
-    /// Makes a change that a reader sees at once.
+    /// Applies a change, which readers see at once.
     pub fn change(&mut self, change: NameChange) {
         change.apply_to(&mut self.names);
         self.unsynced.push(change);
@@ -65,7 +65,7 @@
         self.unsynced.clear();
     }
 
-    /// The names after a power cut. They change in order, as a journal replays them: some first part of the changes is there.
+    /// The names after a power cut. A random number of the unsynced changes survives, in order, as when a journal is replayed.
     pub fn after_power_cut(&self, rng: &mut Rng) -> Names {
         let mut names = self.durable.clone();
         let kept = rng.below(self.unsynced.len() as u64 + 1) as usize;
--- a/crates/store/src/sim/inode.rs
+++ b/crates/store/src/sim/inode.rs
@@ -1,4 +1,4 @@
-//! A file of the simulated disk: what a reader sees, and what a power cut does not lose.
+//! A file of the simulated disk: the bytes that readers see, and those that survive a power cut.
 
 use crate::random::Rng;
 
@@ -29,11 +29,11 @@
 /// A file.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inode {
-    /// What a reader sees, as in a page cache.
+    /// The bytes that readers see, as in a page cache.
     cached: Vec<u8>,
-    /// What a power cut does not lose.
+    /// The bytes that survive a power cut.
     durable: Vec<u8>,
-    /// The changes since then.
+    /// The changes since the last sync.
     unsynced: Vec<Change>,
 }
 
@@ -52,7 +52,7 @@
         self.cached.len() as u64
     }
 
-    /// Makes a change that a reader sees at once.
+    /// Applies a change, which readers see at once.
     pub fn change(&mut self, change: Change) {
         change.apply_to(&mut self.cached);
         self.unsynced.push(change);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A sync that fails: some of the changes are durable, the others never will be.
+    /// A failed sync: some of the changes become durable, and the others never will.
     pub fn sync_in_part(&mut self, rng: &mut Rng) {
         for change in std::mem::take(&mut self.unsynced) {
             if rng.once_in(2) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The file after a power cut: unsynced bytes may have reached the disk in any selection, and each write in part.
+    /// The file after a power cut. A random selection of the unsynced changes survives, and others survive in part.
     pub fn after_power_cut(&self, rng: &mut Rng) -> Inode {
         let mut bytes = self.durable.clone();
         let selection = Selection::random(rng);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Applies a first part of a write. The length of the file may be there before the bytes are.
+/// Applies the first part of a write. The file may get its full length although bytes are missing.
 fn tear_write(file: &mut Vec<u8>, offset: u64, written: &[u8], rng: &mut Rng) {
     let part = rng.below(written.len() as u64 + 1) as usize;
     Change::Write { offset, bytes: written[..part].to_vec() }.apply_to(file);
--- a/crates/store/src/sim/mod.rs
+++ b/crates/store/src/sim/mod.rs
@@ -1,8 +1,8 @@
-//! A disk in memory that fails as real ones do, from a seed.
+//! A simulated disk in memory that fails like a real one. A seed determines its faults.
 //!
-//! What was not synced may be lost, torn at any byte, or kept while something older is lost; names change durably only when
-//! the directory is synced. Any call may be made to fail. After a failed `sync` the lost bytes still read back, as they
-//! do from a page cache, and never reach the disk.
+//! After a power cut, unsynced writes may be lost, torn at any byte, or kept while older ones are lost. Changes of names are
+//! durable only after a sync of the directory. Any call can be made to fail. After a failed `sync`, lost bytes can still be
+//! read, as from a page cache, but never reach the disk.
 
 mod directory;
 mod inode;
@@ -14,12 +14,12 @@
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The error number for an I/O error.
+/// The error number of an I/O error.
 const EIO: i32 = 5;
-/// The error number for a full disk.
+/// The error number of a full disk.
 const ENOSPC: i32 = 28;
 
-/// Faults that happen at random, each once in so many calls; 0 for never.
+/// Random faults: each occurs once in this many calls on average; 0 for never.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// A write is short.
@@ -39,13 +39,13 @@
     faults: Faults,
     rng: Rng,
     calls: u64,
-    /// From this call on every call fails: the power was cut.
+    /// The power is cut at this call: all later calls fail.
     cut_at: Option<u64>,
-    /// Most bytes of all files together.
+    /// The maximum size of all files together, in bytes.
     room: u64,
 }
 
-/// A simulated disk. Clones are the same disk.
+/// A simulated disk. Clones share the same disk.
 #[derive(Clone, Debug)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
@@ -60,7 +60,7 @@
         SimDisk::with_files(Vec::new(), Names::new(), Rng::new(seed), u64::MAX)
     }
 
-    /// A disk with files that are durable.
+    /// A disk with durable files.
     fn with_files(inodes: Vec<Inode>, names: Names, rng: Rng, room: u64) -> SimDisk {
         SimDisk(Arc::new(Mutex::new(State {
             inodes,
@@ -82,7 +82,7 @@
         self.state().faults = faults;
     }
 
-    /// Sets the most bytes of all files together.
+    /// Sets the maximum size of all files together, in bytes.
     pub fn set_room(&self, room: u64) {
         self.state().room = room;
     }
@@ -93,12 +93,12 @@
         state.cut_at = Some(state.calls + calls);
     }
 
-    /// Calls so far.
+    /// The number of calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// The disk as it comes back after a power cut now.
+    /// A disk as this one would be after a power cut now; `seed` determines what survives.
     pub fn reboot(&self, seed: u64) -> SimDisk {
         let (mut rng, state) = (Rng::new(seed), self.state());
         let names = state.directory.after_power_cut(&mut rng);
@@ -129,7 +129,7 @@
 }
 
 impl State {
-    /// Counts a call, which may fail.
+    /// Counts a call, and decides whether it fails.
     fn call(&mut self) -> io::Result<()> {
         self.calls += 1;
         if self.cut_at.is_some_and(|at| self.calls > at) {
@@ -175,9 +175,9 @@
         let state = self.disk.state();
         let bytes = state.inodes[self.inode].bytes();
         let from = (offset as usize).min(bytes.len());
-        let n = into.len().min(bytes.len() - from);
-        into[..n].copy_from_slice(&bytes[from..from + n]);
-        Ok(n)
+        let len = into.len().min(bytes.len() - from);
+        into[..len].copy_from_slice(&bytes[from..from + len]);
+        Ok(len)
     }
 
     fn len(&self) -> io::Result<u64> {
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -11,33 +11,33 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Memory that a key of the active segment takes, about.
+/// The approximate memory of a key of the active segment, in bytes.
 const ACTIVE_KEY_BYTES: usize = 160;
-/// Bytes of a record beside its key and its value, about: lengths, flags and checksum.
+/// The approximate size of a record without its key and value, in bytes: lengths, flags and checksum.
 const RECORD_OVERHEAD: u64 = 8;
 
 /// Statistics of a store.
 #[derive(Clone, Debug, Default)]
 pub struct Stat {
-    /// Segments, the active one included.
+    /// The number of segments, including the active one.
     pub segments: usize,
-    /// Bytes of their files.
+    /// The size of all segment files, in bytes.
     pub bytes: u64,
-    /// Bytes that a compaction would free, about.
+    /// The approximate number of bytes that a compaction would free.
     pub dead_bytes: u64,
-    /// Keys with a value.
+    /// The number of keys with a value.
     pub records: u64,
-    /// Bytes of those keys and values.
+    /// The size of these keys and values, in bytes.
     pub live_bytes: u64,
-    /// Bytes of memory that the index takes, about.
+    /// The approximate memory of the index, in bytes.
     pub index_bytes: usize,
     /// Counters since the store was opened.
     pub metrics: Metrics,
-    /// Why the last write failed, until one succeeds.
+    /// The error of the last write; `None` if it succeeded.
     pub last_failure: Option<Arc<StoreError>>,
 }
 
-/// The contents of a store at one moment; later writes do not change it.
+/// The contents of a store at one point in time, which later writes do not change.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     view: View,
@@ -49,21 +49,21 @@
         Snapshot { view, now }
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if it has none or had expired when the snapshot was taken.
     ///
     /// # Errors
     ///
-    /// [`StoreError::InDoubt`] and [`StoreError::Damaged`] where damage concerns the key, [`StoreError::Io`].
+    /// [`StoreError::InDoubt`] and [`StoreError::Damaged`] if damage concerns the key, [`StoreError::Io`].
     pub fn get(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.view.get(key, self.now)
     }
 
-    /// All records from a key on, in order. A record that cannot be read is returned as an error, and the iteration goes on.
+    /// All records from a key on, in order of keys. A record that cannot be read is an error; the iteration then continues.
     pub fn iter_from(&self, from: &[u8]) -> Iter {
         Iter { walk: self.view.walk(from), now: self.now }
     }
 
-    /// Its statistics. It walks through all keys.
+    /// Statistics of the contents. This visits all keys.
     pub fn stat(&self) -> Stat {
         let segments = segment_usage(&self.view, self.now);
         let active = self.view.active.as_ref();
@@ -87,7 +87,7 @@
     }
 }
 
-/// Records in order of their keys.
+/// An iterator over records, in order of keys.
 pub struct Iter {
     walk: Walk,
     now: UnixMillis,
@@ -116,15 +116,15 @@
 
 /// A directory that was opened for reading.
 pub struct OpenedReader {
-    /// Its contents.
+    /// The contents of the store.
     pub snapshot: Snapshot,
-    /// What was found.
+    /// What recovery found.
     pub recovery: Recovery,
-    /// Keeps writers out for as long as it lives.
+    /// Excludes writers until it is dropped.
     pub lock: DirectoryLock,
 }
 
-/// Opens a directory to read it only: nothing in it is changed.
+/// Opens a directory for reading only. Nothing in it is changed.
 ///
 /// ```no_run
 /// use mothproxy_store::open_reader;
@@ -140,7 +140,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Locked`] where another process has it open for writing, [`StoreError::Version`] and [`StoreError::Io`].
+/// [`StoreError::Locked`] if another process has it open for writing, [`StoreError::Version`] and [`StoreError::Io`].
 pub fn open_reader(dir: &Path) -> Result<OpenedReader, StoreError> {
     let name = dir.display().to_string();
     let disk = RealDisk::open(dir).map_err(io_error("cannot open", &name))?;
--- a/crates/store/src/store/compactor.rs
+++ b/crates/store/src/store/compactor.rs
@@ -1,4 +1,4 @@
-//! Compaction of an open store: the thread that compacts what pays off, and compactions on request.
+//! Compaction of an open store: in the background where it pays off, and on request.
 
 use super::context::StoreContext;
 use crate::compaction::{Compaction, DamagedRecords, SegmentSet};
@@ -9,7 +9,7 @@
 use crate::shared_view::{lock, view_of};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
-/// What the compacting thread has to do.
+/// The signal to the compacting thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Signal {
     Idle,
@@ -19,7 +19,7 @@
     Closing,
 }
 
-/// Whether there was anything to compact.
+/// The result of one attempt to compact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Round {
     Compacted,
@@ -31,7 +31,7 @@
     context: Arc<StoreContext>,
     signal: Mutex<Signal>,
     signal_changed: Condvar,
-    /// Held during a compaction: there is one at a time.
+    /// Held during a compaction, so that only one runs at a time.
     in_progress: Mutex<()>,
 }
 
@@ -43,7 +43,7 @@
             signal_changed: Condvar::new(),
             in_progress: Mutex::new(()),
         };
-        compactor.request(); // what an earlier process left may be worth a compaction
+        compactor.request(); // the segments of an earlier process may be worth a compaction
         compactor
     }
 
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Ends the compacting thread after the compaction that is under way.
+    /// Ends the compacting thread after the current compaction.
     pub fn close(&self) {
         *lock(&self.signal) = Signal::Closing;
         self.signal_changed.notify_all();
     }
 
-    /// The compacting thread: compacts what pays off, each time a segment was closed.
+    /// The body of the compacting thread: compacts where it pays off, each time a segment was sealed.
     pub fn run(&self) {
         while self.wait_for_request() {
-            // A compaction that fails leaves all as it was; it is tried again once the next segment is closed.
+            // A failed compaction changes nothing. It is tried again once the next segment is sealed.
             while matches!(self.compact_best(), Ok(Round::Compacted)) && !self.is_closing() {}
         }
     }
@@ -87,7 +87,7 @@
         true
     }
 
-    /// Compacts the segments for which it pays off most.
+    /// Compacts the segments with the greatest gain, if there are any.
     fn compact_best(&self) -> Result<Round, StoreError> {
         let _one_at_a_time = lock(&self.in_progress);
         let view = view_of(&self.context.view);
@@ -96,7 +96,7 @@
         Ok(Round::Compacted)
     }
 
-    /// A compaction that pays off. The walk through all keys is made without the writer's lock.
+    /// Plans a compaction that pays off. It visits all keys without holding the writer's lock.
     fn plan_best(&self, view: &View) -> Result<Option<Compaction>, StoreError> {
         let now = self.context.clock.now();
         let min_dead_bytes = self.context.with_writer(|writer| Ok(writer.min_dead_bytes()))?;
@@ -106,12 +106,12 @@
         self.context.with_writer(|writer| Ok(writer.compaction_of(view, range, SegmentSet::Some, now)))
     }
 
-    /// Compacts all there is, the active segment included.
+    /// Compacts all segments, including the active one.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NeedsRepair`] where the store is damaged and `damaged` refuses that, [`StoreError::Io`] and
-    /// [`StoreError::Closed`].
+    /// [`StoreError::NeedsRepair`] if the store is damaged and `damaged` is [`DamagedRecords::Refuse`], [`StoreError::Io`]
+    /// and [`StoreError::Closed`].
     pub fn compact_all(&self, damaged: DamagedRecords) -> Result<(), StoreError> {
         let _one_at_a_time = lock(&self.in_progress);
         let places = view_of(&self.context.view).layers.iter().filter(|layer| layer.is_damaged()).count();
--- a/crates/store/src/store/context.rs
+++ b/crates/store/src/store/context.rs
@@ -1,4 +1,4 @@
-//! What the threads of a store share: the view, the clock, the writer, and why the last write failed.
+//! The state that the threads of a store share.
 
 use crate::Options;
 use crate::clock::Clock;
@@ -8,11 +8,11 @@
 use crate::writer::Writer;
 use std::sync::{Arc, Mutex};
 
-/// What the threads of a store share.
+/// The state that the threads of a store share.
 pub(super) struct StoreContext {
     pub options: Options,
     pub clock: Clock,
-    /// What readers see.
+    /// The view that readers copy.
     pub view: SharedView,
     /// `None` once the store is closed.
     writer: Mutex<Option<Writer>>,
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Calls `operation` with the writer, which is locked meanwhile.
+    /// Calls `operation` with the writer, which stays locked until it returns.
     ///
     /// # Errors
     ///
-    /// Those of `operation`, and [`StoreError::Closed`].
+    /// The errors of `operation`, and [`StoreError::Closed`].
     pub fn with_writer<T>(
         &self,
         operation: impl FnOnce(&mut Writer) -> Result<T, StoreError>,
@@ -43,17 +43,17 @@
         operation(writer.as_mut().ok_or(StoreError::Closed)?)
     }
 
-    /// Counters since the store was opened; `None` once it is closed.
+    /// Counters since the store was opened; `None` after it was closed.
     pub fn metrics(&self) -> Option<Metrics> {
         lock(&self.writer).as_ref().map(|writer| writer.metrics)
     }
 
-    /// Takes the writer out: every later call of [`StoreContext::with_writer`] fails.
+    /// Removes the writer. Every later call of [`StoreContext::with_writer`] fails.
     pub fn take_writer(&self) -> Option<Writer> {
         lock(&self.writer).take()
     }
 
-    /// Why the last write failed, until one succeeds.
+    /// The error of the last write; `None` if it succeeded.
     pub fn last_failure(&self) -> Option<Arc<StoreError>> {
         lock(&self.last_failure).clone()
     }
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store with its threads: one writes, one notifies those whose batches were written, one compacts.
+//! The store with its threads: one writes batches, one notifies their writers, one compacts.
 
 mod compactor;
 mod context;
@@ -51,14 +51,14 @@
     }
 }
 
-/// Starts a thread of the store.
+/// Starts a named thread of the store.
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StoreError> {
     let spawned = std::thread::Builder::new().name(name.to_owned()).spawn(work);
     spawned.map_err(io_error("cannot start a thread for", "the store"))
 }
 
 impl Store {
-    /// Opens a directory, created if it is not there.
+    /// Opens the store in a directory, which is created if it does not exist.
     ///
     /// ```no_run
     /// use mothproxy_store::{Options, Store};
@@ -73,22 +73,23 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Locked`] where another process has it open, [`StoreError::Version`] and [`StoreError::Io`]. Damage is no
-    /// error: it is in the [`Recovery`].
+    /// [`StoreError::Locked`] if another process has it open, [`StoreError::Version`] and [`StoreError::Io`]. Damage is not an
+    /// error; the [`Recovery`] lists it.
     pub fn open(dir: &Path, options: Options) -> Result<(Store, Recovery), StoreError> {
         let disk =
             RealDisk::open_or_create(dir).map_err(io_error("cannot open", &dir.display().to_string()))?;
         Store::open_on(Arc::new(disk), options)
     }
 
-    /// Opens a disk.
+    /// Opens the store on a disk, real or simulated.
     ///
     /// # Errors
     ///
-    /// Those of [`Store::open`].
+    /// The same as for [`Store::open`].
     pub fn open_on(disk: Arc<dyn Disk>, options: Options) -> Result<(Store, Recovery), StoreError> {
         let OpenedWriter { writer, shared, recovery, written_at } = writer::open(disk, options)?;
-        let (salt, unpublished) = (writer.salt(), writer.unpublished());
+        let salt = writer.salt();
+        let unpublished = writer.unpublished();
         let context = Arc::new(StoreContext::new(options, Clock::new(written_at), shared, writer));
         let compactor = Arc::new(Compactor::new(context.clone()));
         let (writes, groups) = WritePipeline::new(context.clone(), compactor.clone(), salt, unpublished);
@@ -103,17 +104,18 @@
         Ok((Store { context, writes, compactor, threads }, recovery))
     }
 
-    /// Writes a batch and waits until it is as durable as the mode promises. All of the batch takes effect, or nothing.
+    /// Writes a batch and waits until it is as durable as the [`SyncMode`](crate::SyncMode) promises. The batch takes effect
+    /// as a whole or not at all.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Invalid`] where the batch is out of bounds, [`StoreError::QueueFull`], [`StoreError::Failing`] where the
-    /// disk fails, and [`StoreError::Closed`]. Nothing of the batch takes effect then.
+    /// [`StoreError::Invalid`] if the batch is out of bounds, [`StoreError::QueueFull`], [`StoreError::Failing`] if the disk
+    /// fails, and [`StoreError::Closed`]. The batch does not take effect then.
     pub fn write(&self, batch: Batch) -> Result<(), StoreError> {
         self.writes.write(batch)
     }
 
-    /// Takes a batch and returns at once; `callback` is called from another thread.
+    /// Queues a batch and returns at once. `callback` is called from another thread once the batch is written or has failed.
     ///
     /// ```
     /// # use mothproxy_store::{Batch, Options, Store, StoreError, sim::SimDisk};
@@ -129,19 +131,19 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Store::write`] but [`StoreError::Failing`], which goes to `callback`: the batch was not taken, and `callback`
-    /// is never called.
+    /// The same as for [`Store::write`], except for [`StoreError::Failing`], which `callback` receives. After an error the
+    /// batch is not queued, and `callback` is never called.
     pub fn submit(&self, batch: Batch, callback: Callback) -> Result<(), StoreError> {
         self.writes.submit(batch, callback)
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if it has none or has expired.
     ///
     /// # Errors
     ///
-    /// [`StoreError::InDoubt`] and [`StoreError::Damaged`] where damage concerns the key, [`StoreError::Io`].
+    /// [`StoreError::InDoubt`] and [`StoreError::Damaged`] if damage concerns the key, [`StoreError::Io`].
     pub fn get(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
-        // Found under the lock, read without it: a copy of the view would make the next write copy too.
+        // Look up under the lock and read without it. A copy of the view would make the next write copy it too.
         let hit = lock(&self.context.view).find(key)?;
         let now = self.context.clock.now();
         match hit.filter(|hit| !hit.location.is_expired(now)) {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The present contents; later writes do not change them.
+    /// A snapshot of the current contents, which later writes do not change.
     ///
     /// ```
     /// # use mothproxy_store::{Batch, Options, Store, StoreError, sim::SimDisk};
@@ -167,12 +169,12 @@
         Snapshot::new(view_of(&self.context.view), self.context.clock.now())
     }
 
-    /// The store's time, never less than it has seen.
+    /// The store's time, which never goes back, not even across restarts.
     pub fn now(&self) -> UnixMillis {
         self.context.clock.now()
     }
 
-    /// Compacts all there is into one segment, and returns the statistics after it.
+    /// Compacts all segments into one, and returns the statistics after it.
     ///
     /// ```
     /// # use mothproxy_store::{Batch, DamagedRecords, Options, Store, StoreError, sim::SimDisk};
@@ -186,14 +188,14 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::NeedsRepair`] where it is damaged and `damaged` refuses that, [`StoreError::Io`] and
-    /// [`StoreError::Closed`].
+    /// [`StoreError::NeedsRepair`] if the store is damaged and `damaged` is [`DamagedRecords::Refuse`], [`StoreError::Io`]
+    /// and [`StoreError::Closed`].
     pub fn compact(&self, damaged: DamagedRecords) -> Result<Stat, StoreError> {
         self.compactor.compact_all(damaged)?;
         self.stat()
     }
 
-    /// Its statistics. It walks through all keys.
+    /// Statistics of the store. This visits all keys.
     ///
     /// # Errors
     ///
@@ -208,16 +210,16 @@
         self.context.metrics().unwrap_or_default()
     }
 
-    /// Why the last write failed; `None` once one has succeeded since.
+    /// The error of the last write; `None` if the last write succeeded.
     pub fn last_failure(&self) -> Option<Arc<StoreError>> {
         self.context.last_failure()
     }
 
-    /// Writes what waits, seals the active segment and lets others open the directory.
+    /// Writes all queued batches, seals the active segment and unlocks the directory.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`] where the seal cannot be written; what was acknowledged counts without it.
+    /// A [`StoreError`] if the footer of the active segment cannot be written. Acknowledged writes are safe without it.
     pub fn close(mut self) -> Result<(), StoreError> {
         self.shut_down()
     }
@@ -226,7 +228,7 @@
         self.writes.close();
         self.compactor.close();
         for thread in self.threads.drain(..) {
-            let _ = thread.join(); // a panic there was reported there
+            let _ = thread.join(); // the thread reported its own panic
         }
         match self.context.take_writer() {
             Some(mut writer) => writer.seal(&self.context.view, self.context.clock.now()),
@@ -237,6 +239,6 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        let _ = self.shut_down(); // what was acknowledged is there without the seal too
+        let _ = self.shut_down(); // acknowledged writes are safe without the footer
     }
 }
--- a/crates/store/src/store/write_pipeline.rs
+++ b/crates/store/src/store/write_pipeline.rs
@@ -1,8 +1,7 @@
-//! The way of a batch from a caller to the disk and back: a queue, groups that share one sync, and the notification of those
-//! who wait.
+//! The path of a batch from its caller to the disk and back: a queue, groups that share one sync, and notifications.
 //!
-//! A caller that finds nobody writing writes its batch itself. Else the writing thread writes all that waits as one group, and
-//! the notifying thread notifies the writers of a group while the next one is written.
+//! If no thread is writing, a caller writes its batch itself. Otherwise the writing thread writes all queued batches as one
+//! group, and the notifying thread notifies their callers while the next group is written.
 
 use super::compactor::Compactor;
 use super::context::StoreContext;
@@ -17,7 +16,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Takes batches, writes them in groups and notifies those who wait for them.
+/// Queues batches, writes them in groups and notifies their callers.
 pub(super) struct WritePipeline {
     context: Arc<StoreContext>,
     compactor: Arc<Compactor>,
@@ -25,14 +24,14 @@
     salt: u64,
     unpublished: Unpublished,
     queue: Mutex<WriteQueue>,
-    /// The writing thread has something to do.
+    /// Signals the writing thread that it has something to do.
     write_needed: Condvar,
-    /// Where the writing thread passes on groups that it has written; `None` once it has ended.
+    /// The channel for groups from the writing thread to the notifying thread; `None` once the writing thread has ended.
     written: Mutex<Option<Sender<WrittenGroup>>>,
 }
 
 impl WritePipeline {
-    /// A pipeline whose batches are encoded with `salt`, and the groups that [`WritePipeline::run_notifier`] takes.
+    /// Creates a pipeline that encodes batches with `salt`, and the receiver for [`WritePipeline::run_notifier`].
     pub fn new(
         context: Arc<StoreContext>,
         compactor: Arc<Compactor>,
@@ -74,7 +73,7 @@
         thread.wait().map_err(StoreError::Failing)
     }
 
-    /// Takes a batch and returns at once; `callback` is called from another thread.
+    /// Queues a batch and returns at once; `callback` is called from another thread.
     pub fn submit(&self, batch: Batch, callback: Callback) -> Result<(), StoreError> {
         let operations = batch.into_operations(self.context.clock.now())?;
         let batch = Arc::new(EncodedBatch::new(&operations, self.salt));
@@ -85,13 +84,13 @@
         Ok(())
     }
 
-    /// Takes no more batches. The threads end once what waits is written.
+    /// Refuses further batches. The threads end once the queued ones are written.
     pub fn close(&self) {
         self.queue().is_closed = true;
         self.write_needed.notify_all();
     }
 
-    /// Writes the batch of the caller, which nothing else waits beside.
+    /// Writes the caller's own batch, which is the only one in the queue.
     fn write_own_batch<'a>(&'a self, queue: MutexGuard<'a, WriteQueue>) {
         let (queue, written) = self.write_next_group(queue);
         let has_more = !queue.is_empty() || queue.is_closed || queue.exposed_since.is_some();
@@ -102,7 +101,8 @@
         self.acknowledge(written);
     }
 
-    /// Wakes the writing thread if nobody is writing: who is looks at the queue again when done, and each call to wake costs.
+    /// Wakes the writing thread if no thread is writing. A thread that is writing checks the queue again when it is done, and
+    /// each wake is expensive.
     fn wake_writing_thread(&self, queue: MutexGuard<'_, WriteQueue>) {
         let is_writing = queue.is_writing;
         drop(queue);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Writes a group of what waits. Its writers are still to be notified: see [`WritePipeline::acknowledge`].
+    /// Writes the next group of queued batches. The caller has to pass it to [`WritePipeline::acknowledge`].
     fn write_next_group<'a>(
         &'a self,
         mut queue: MutexGuard<'a, WriteQueue>,
@@ -151,18 +151,18 @@
         }
     }
 
-    /// Makes a group visible to readers and notifies its writers.
+    /// Makes a group visible to readers and notifies its callers.
     fn acknowledge(&self, group: WrittenGroup) {
         publish(&self.context.view, &self.unpublished);
         group.notify();
     }
 
-    /// The notifying thread: notifies the writers of groups that the writing thread has written.
+    /// The body of the notifying thread: notifies the callers of the groups that the writing thread has written.
     pub fn run_notifier(&self, groups: Receiver<WrittenGroup>) {
         groups.into_iter().for_each(|group| self.acknowledge(group));
     }
 
-    /// The writing thread: writes for those that do not wait, and syncs in mode `interval`.
+    /// The body of the writing thread: writes queued batches, and syncs in mode [`SyncMode::Interval`].
     pub fn run_writer(&self) {
         let interval = match self.context.options.sync {
             SyncMode::Interval(interval) => Some(interval),
@@ -180,7 +180,7 @@
             } else if is_sync_due(&queue) {
                 self.sync_exposed(queue)
             } else if queue.is_closed {
-                lock(&self.written).take(); // the notifying thread ends with it
+                lock(&self.written).take(); // ends the notifying thread
                 return;
             } else {
                 self.wait(queue, sync_due)
@@ -203,14 +203,14 @@
 
     fn write_for_others<'a>(&'a self, queue: MutexGuard<'a, WriteQueue>) -> MutexGuard<'a, WriteQueue> {
         let (queue, written) = self.write_next_group(queue);
-        // Notifying writers takes about as long as a sync: another thread does it meanwhile.
+        // Notifying the callers takes about as long as a sync, so another thread does it in the meantime.
         if let Some(notifier) = &*lock(&self.written) {
-            let _ = notifier.send(written); // it ends only after this thread
+            let _ = notifier.send(written); // the notifying thread ends only after this one
         }
         queue
     }
 
-    /// Syncs what was acknowledged without a sync.
+    /// Syncs the writes that were acknowledged without a sync.
     fn sync_exposed<'a>(&'a self, mut queue: MutexGuard<'a, WriteQueue>) -> MutexGuard<'a, WriteQueue> {
         queue.exposed_since = None;
         drop(queue);
@@ -222,7 +222,7 @@
         }
         let mut queue = self.queue();
         if has_failed && !queue.is_closed {
-            queue.exposed_since = Some(Instant::now()); // what may be lost is written again with the next group
+            queue.exposed_since = Some(Instant::now()); // the next group writes again what may be lost
         }
         queue
     }
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -1,4 +1,4 @@
-//! Verification: every byte of every segment that counts is read and checked.
+//! Verification: reads and checks every byte of every valid segment.
 
 use crate::disk::{Disk, read_range};
 use crate::error::{StoreError, io_error};
@@ -9,16 +9,16 @@
 use crate::segment_loader::read_header;
 use rustc_hash::FxHashSet;
 
-/// What a verification found.
+/// The result of a verification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verification {
-    /// What was found on opening, and all damage.
+    /// What recovery found, and all further damage.
     pub recovery: Recovery,
-    /// Records that were read.
+    /// The number of records read.
     pub records: u64,
 }
 
-/// Reads every byte of every segment that counts. Nothing is changed.
+/// Reads and checks every byte of every valid segment. Nothing is changed.
 ///
 /// ```
 /// # use mothproxy_store::{Batch, Options, Store, StoreError, sim::SimDisk};
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// A [`StoreError`] where a file cannot be read or is of another version. Damage is no error.
+/// A [`StoreError`] if a file cannot be read or is of another version. Damage is not an error.
 pub fn verify(disk: &dyn Disk) -> Result<Verification, StoreError> {
     let opened = recovery::open(disk)?;
     let mut verification = Verification { recovery: opened.recovery, records: 0 };
@@ -54,8 +54,8 @@
         self.recovery.damage.push(damage);
     }
 
-    fn has_damage(&self, segment: &Segment, is_meant: impl Fn(u64) -> bool) -> bool {
-        self.recovery.damage.iter().any(|damage| damage.file == segment.name && is_meant(damage.offset))
+    fn has_damage(&self, segment: &Segment, matches_offset: impl Fn(u64) -> bool) -> bool {
+        self.recovery.damage.iter().any(|damage| damage.file == segment.name && matches_offset(damage.offset))
     }
 
     fn verify_segment(&mut self, segment: &Segment) -> Result<(), StoreError> {
--- a/crates/store/src/waiting_thread.rs
+++ b/crates/store/src/waiting_thread.rs
@@ -1,7 +1,7 @@
 //! A thread that waits for its batch.
 //!
-//! The threads of a group wake one another, a few each, so that the writer of the group can go on to the next: waking dozens
-//! one by one takes longer than a sync.
+//! The threads of a group wake one another, a few each, so that the writing thread can continue with the next group: waking
+//! dozens of threads one by one takes longer than a sync.
 
 use crate::shared_view::lock;
 use crate::write_queue::WriteResult;
@@ -9,13 +9,13 @@
 use std::sync::{Arc, Mutex};
 use std::thread::Thread;
 
-/// A thread wakes so many others of its group.
+/// The number of other threads of its group that a thread wakes.
 const WAKES: usize = 2;
 
-/// What became of a thread's batch.
+/// The result of a thread's batch, and the threads to wake.
 struct Completion {
     result: WriteResult,
-    /// The threads that it wakes.
+    /// The threads that this thread wakes.
     wakes: [Option<Arc<WaitingThread>>; WAKES],
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl WaitingThread {
-    /// The thread that calls this.
+    /// Represents the calling thread.
     pub fn current() -> Arc<WaitingThread> {
         Arc::new(WaitingThread {
             thread: std::thread::current(),
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Completes a group and wakes its first thread.
+    /// Sets the result of all threads of a group, and wakes the first of them.
     pub fn complete(group: &[Arc<WaitingThread>], result: &WriteResult) {
         for (index, waiting) in group.iter().enumerate() {
             let wakes = std::array::from_fn(|nth| group.get(WAKES * index + 1 + nth).cloned());
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Waits until the batch is complete, and wakes the threads that this one is to wake. Called by the thread itself.
+    /// Waits until the batch is complete, then wakes the threads that this one has to wake. Must be called by the thread
+    /// itself.
     pub fn wait(&self) -> WriteResult {
         while !self.is_done.load(Ordering::Acquire) {
             std::thread::park();
--- a/crates/store/src/write_queue.rs
+++ b/crates/store/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! Batches that wait to be written, and the groups that they are written in.
+//! The queue of batches to be written, and the groups in which they are written.
 
 use crate::error::StoreError;
 use crate::format::EncodedBatch;
@@ -7,22 +7,22 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Most bytes of a group.
+/// The maximum size of a group, in bytes.
 const MAX_GROUP_BYTES: usize = 4 << 20;
 
-/// What became of a group of batches; all that wait for one of them get the same error.
+/// The result of writing a group of batches. All callers of the group share the same error.
 pub type WriteResult = Result<(), Arc<StoreError>>;
 
-/// Called once a batch is written, or is known not to be.
+/// Called once a batch is written or has failed.
 pub type Callback = Box<dyn FnOnce(WriteResult) + Send>;
 
-/// Who waits for a batch.
+/// The caller to notify about a batch.
 pub(crate) enum Waiter {
     Thread(Arc<WaitingThread>),
     Callback(Callback),
 }
 
-/// A batch that waits, with whoever waits for it.
+/// A batch in the queue, with the caller to notify.
 pub(crate) struct QueuedBatch {
     pub batch: Arc<EncodedBatch>,
     waiter: Waiter,
@@ -34,14 +34,14 @@
     }
 }
 
-/// A group that was written, or could not be.
+/// A group that was written or has failed.
 pub(crate) struct WrittenGroup {
     pub batches: Vec<QueuedBatch>,
     pub result: WriteResult,
 }
 
 impl WrittenGroup {
-    /// Notifies everyone who waits for a batch of the group.
+    /// Notifies the callers of all batches of the group.
     pub fn notify(self) {
         let WrittenGroup { batches, result } = self;
         let mut threads = Vec::with_capacity(batches.len());
@@ -57,20 +57,20 @@
     }
 }
 
-/// Batches that wait to be written.
+/// The queue of batches to be written.
 #[derive(Default)]
 pub(crate) struct WriteQueue {
     waiting: VecDeque<QueuedBatch>,
     bytes: usize,
-    /// A thread writes a group.
+    /// Whether a thread is writing a group.
     pub is_writing: bool,
     pub is_closed: bool,
-    /// When the oldest write that is not durable was acknowledged.
+    /// When the writing of the oldest batch that is acknowledged and not durable began; `None` if there is none.
     pub exposed_since: Option<Instant>,
 }
 
 impl WriteQueue {
-    /// Appends a batch, unless more than `max_bytes` would wait then.
+    /// Appends a batch, unless the queue would then exceed `max_bytes`. An empty queue accepts any batch.
     pub fn push(
         &mut self,
         batch: Arc<EncodedBatch>,
@@ -89,9 +89,10 @@
         Ok(())
     }
 
-    /// Takes the batches of the next group.
+    /// Removes and returns the batches of the next group.
     pub fn pop_group(&mut self) -> Vec<QueuedBatch> {
-        let (mut group, mut bytes) = (Vec::new(), 0);
+        let mut group = Vec::new();
+        let mut bytes = 0;
         while let Some(next) = self.waiting.front() {
             if bytes > 0 && bytes + next.len() > MAX_GROUP_BYTES {
                 break;
@@ -103,7 +104,7 @@
         group
     }
 
-    /// How many batches wait.
+    /// The number of batches in the queue.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,5 +1,5 @@
-//! The writer: the store without threads, over any disk. Everything happens in the call that asks for it, so that a simulated
-//! disk can be made to fail at any step.
+//! The writer: the store without threads, over any disk. All work happens within the call that requests it, so that tests
+//! can make a simulated disk fail at any step.
 
 use crate::UnixMillis;
 use crate::active_segment::ActiveSegment;
@@ -27,14 +27,15 @@
     next_seq: u64,
     /// Up to where the segment before the next one is valid, in bytes.
     previous_len: u64,
-    /// Acknowledged, and not synced yet; written again where the sync fails. Empty in mode `always`.
+    /// Batches that are acknowledged and not synced yet. If their sync fails, they are written again. Empty in mode
+    /// [`SyncMode::Always`].
     unsynced: Vec<Arc<EncodedBatch>>,
-    /// The sync that they waited for failed: they are written again before anything else.
+    /// Whether the sync of `unsynced` failed, so that these batches are written again before anything else.
     must_rewrite: bool,
-    /// The salt of all segments that are written since the directory was opened.
+    /// The salt of all segments written since the directory was opened.
     salt: u64,
     unpublished: Unpublished,
-    /// Files that no longer count and could not be removed yet.
+    /// Obsolete files that could not be removed yet.
     garbage: Vec<String>,
     /// Counters since the directory was opened.
     pub metrics: Metrics,
@@ -47,23 +48,24 @@
     pub writer: Writer,
     /// The view that it publishes to.
     pub shared: SharedView,
-    /// What was found.
+    /// What recovery found.
     pub recovery: Recovery,
-    /// The latest time that was written.
+    /// The latest time recorded in the segments.
     pub written_at: UnixMillis,
 }
 
-/// Opens a directory for writing: what is left over from a cut compaction is removed, everything else stays as it is.
+/// Opens a directory for writing. Files left over from an interrupted compaction are removed; nothing else changes.
 ///
 /// # Errors
 ///
-/// [`StoreError::Locked`] where another process has it open, [`StoreError::Version`] and [`StoreError::Io`].
+/// [`StoreError::Locked`] if another process has it open, [`StoreError::Version`] and [`StoreError::Io`].
 pub fn open(disk: Arc<dyn Disk>, options: Options) -> Result<OpenedWriter, StoreError> {
     let name = disk.name();
     let lock = disk.lock(LockMode::Exclusive).map_err(io_error("cannot lock", &name))?;
     let lock = lock.ok_or_else(|| StoreError::Locked(name.clone()))?;
     let opened = recovery::open(&*disk)?;
-    // What the last process wrote without a sync may be in memory only: the next segment will say that it counts.
+    // Unsynced writes of the last process may still be in the page cache only, but the header of the next segment will
+    // declare them valid. So they must be durable first.
     if let Some(run) = runs(&opened.layers).last() {
         run.segment.file.sync().map_err(io_error("cannot sync", &run.segment.name))?;
     }
@@ -89,7 +91,7 @@
 }
 
 impl Writer {
-    /// Removes files that no longer count. Those that cannot be removed are tried again later.
+    /// Removes obsolete files. Those that cannot be removed are tried again later.
     fn remove_garbage(&mut self) {
         let disk = &self.disk;
         self.garbage.retain(|name| match disk.remove(name) {
@@ -103,21 +105,22 @@
         self.salt
     }
 
-    /// What is not visible to readers yet.
+    /// The writes that are not visible to readers yet.
     pub(crate) fn unpublished(&self) -> Unpublished {
         self.unpublished.clone()
     }
 
-    /// The fewest dead bytes for which a compaction pays off.
+    /// The minimum of dead bytes for which a compaction pays off.
     pub(crate) fn min_dead_bytes(&self) -> u64 {
         u64::from(self.options.segment_bytes) / 2
     }
 
-    /// Writes batches as one group; each is whole or not there at all. Durable when this returns, in mode `always`.
+    /// Writes batches as one group; each takes effect as a whole or not at all. In mode [`SyncMode::Always`] they are durable
+    /// when this returns.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; none of the batches counts then.
+    /// A [`StoreError`]; none of the batches takes effect then.
     pub fn commit(
         &mut self,
         shared: &SharedView,
@@ -131,7 +134,7 @@
         result
     }
 
-    /// Writes batches as one group that becomes visible to readers only by [`publish`].
+    /// Writes batches as one group, which becomes visible to readers only by [`publish`].
     pub(crate) fn write_group(
         &mut self,
         shared: &SharedView,
@@ -150,8 +153,8 @@
         result
     }
 
-    /// Writes batches, and syncs them in mode `always`. After a failed sync, what was acknowledged before it and may be lost is
-    /// written first.
+    /// Writes batches, and syncs them in mode [`SyncMode::Always`]. After a failed sync, the acknowledged batches that may be
+    /// lost are written first.
     fn append(
         &mut self,
         shared: &SharedView,
@@ -186,14 +189,14 @@
             self.unsynced.clear();
         } else {
             if std::mem::take(&mut self.must_rewrite) {
-                self.unsynced.clear(); // they are among what was just written
+                self.unsynced.clear(); // they were just written again
             }
             self.unsynced.extend(rewritten.iter().chain(batches).cloned());
         }
         Ok(())
     }
 
-    /// Makes sure that there is an active segment with room for so many bytes.
+    /// Ensures that there is an active segment with room for `len` bytes.
     fn prepare_segment(
         &mut self,
         shared: &SharedView,
@@ -211,11 +214,11 @@
         Ok(())
     }
 
-    /// Makes what was written durable, in the modes that do not do so at once.
+    /// Makes all acknowledged writes durable, in the modes that do not sync each write.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; what was acknowledged is written again with the next group then.
+    /// A [`StoreError`]; the next group then writes the acknowledged batches again.
     pub fn sync(&mut self, shared: &SharedView, now: UnixMillis) -> Result<(), StoreError> {
         if self.must_rewrite {
             self.append(shared, &[], now)?;
@@ -232,7 +235,7 @@
         Ok(())
     }
 
-    /// Waits until the file of the active segment is durable. Where that fails, the segment is abandoned.
+    /// Syncs the file of the active segment. If that fails, the segment is abandoned.
     fn sync_active(&mut self, shared: &SharedView) -> Result<(), StoreError> {
         let Some(active) = &self.active else { return Ok(()) };
         self.metrics.syncs += 1;
@@ -244,7 +247,7 @@
         Ok(())
     }
 
-    /// Ends the active segment without a footer: what of it is not durable does not count, as the next one's header says.
+    /// Ends the active segment without a footer. Only its durable part is valid, as the next segment's header will say.
     fn abandon_active(&mut self, shared: &SharedView) {
         let Some(active) = self.active.take() else { return };
         if self.unsynced.is_empty() {
@@ -258,13 +261,13 @@
         retire_active(shared, active.len());
     }
 
-    /// Writes the footer of the active segment; the next write begins another.
+    /// Writes the footer of the active segment. The next write begins a new segment.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; what was acknowledged still counts.
+    /// A [`StoreError`]; no acknowledged write is lost then.
     pub fn seal(&mut self, shared: &SharedView, now: UnixMillis) -> Result<(), StoreError> {
-        // What a footer names must be durable before the footer could be.
+        // The records must be durable before a footer that refers to them can be.
         self.sync(shared, now)?;
         let Some(active) = &self.active else { return Ok(()) };
         let (segment, data_end) = (active.segment().clone(), active.len());
@@ -303,7 +306,7 @@
             is_merged: false,
         };
         let file = self.create_file(&name)?;
-        self.garbage.retain(|old| *old != name); // it counts again
+        self.garbage.retain(|old| *old != name); // the name is in use again
         let written = write_all(&*file, 0, &header.encode()).and_then(|()| file.sync());
         written.and_then(|()| self.disk.sync_dir()).map_err(io_error("cannot begin", &name))?;
         let segment = Arc::new(Segment { name, numbers, salt: self.salt, file });
@@ -315,7 +318,7 @@
 
     fn create_file(&self, name: &str) -> Result<Arc<dyn DiskFile>, StoreError> {
         match self.disk.create(name) {
-            // Left behind by a failed attempt just before: it holds nothing that counts.
+            // A failed attempt left this file behind; it holds nothing valid.
             Err(error) if error.kind() == std::io::ErrorKind::AlreadyExists => {
                 self.disk.remove(name).map_err(io_error("cannot remove", name))?;
                 self.disk.create(name).map_err(io_error("cannot create", name))
@@ -324,19 +327,19 @@
         }
     }
 
-    /// A compaction of all segments; `None` where there are none.
+    /// Plans a compaction of all segments; `None` if there are none.
     pub fn plan_full_compaction(&self, view: &View, now: UnixMillis) -> Option<Compaction> {
         let segments = segment_usage(view, now).len();
         if segments == 0 { None } else { self.compaction_of(view, 0..segments, SegmentSet::All, now) }
     }
 
-    /// A compaction of those segments for which it pays off, if there are any.
+    /// Plans a compaction of the segments for which it pays off; `None` if there are none.
     pub fn plan_compaction(&self, view: &View, now: UnixMillis) -> Option<Compaction> {
         let range = plan::range_to_compact(&segment_usage(view, now), self.min_dead_bytes())?;
         self.compaction_of(view, range, SegmentSet::Some, now)
     }
 
-    /// A compaction of these segments, by their positions.
+    /// A compaction of the segments at these positions.
     pub(crate) fn compaction_of(
         &self,
         view: &View,
@@ -344,7 +347,7 @@
         set: SegmentSet,
         now: UnixMillis,
     ) -> Option<Compaction> {
-        // All together stand for every number there was, also for those that are lost.
+        // A merge of all segments covers every number used so far, including those of lost segments.
         let last = self.active.is_none().then(|| self.next_segment - 1);
         let selection = SegmentSelection::new(view, range, set, last)?;
         let SegmentNumbers { first, last } = selection.numbers;
@@ -352,11 +355,11 @@
         Some(Compaction { disk: self.disk.clone(), selection, now, salt, next_seq: self.next_seq })
     }
 
-    /// Puts a merged segment in the place of those it was made of.
+    /// Replaces the source segments of a compaction by the merged segment.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Io`]; nothing that was acknowledged is lost then.
+    /// [`StoreError::Io`]; no acknowledged write is lost then.
     pub fn install(&mut self, shared: &SharedView, merged: MergedSegment) -> Result<(), StoreError> {
         let MergedSegment { run, unfinished_name, replaced, bytes } = merged;
         let name = run.segment.name.clone();
@@ -366,7 +369,7 @@
         self.metrics.bytes_written += bytes;
         self.metrics.compactions += 1;
         replace_layers(&mut lock(shared).layers, Layer::Run(run));
-        // Until the new name is durable the old files must stay.
+        // The old files must stay until the new name is durable.
         durable.map_err(io_error("cannot sync", &name))?;
         self.garbage.extend(replaced.into_iter().filter(|old| *old != name));
         self.remove_garbage();
@@ -374,7 +377,7 @@
     }
 }
 
-/// Puts the layer of a merged segment in the place of those that it covers.
+/// Replaces the layers that a merged segment covers by its layer.
 fn replace_layers(layers: &mut Vec<Layer>, merged: Layer) {
     let Some(numbers) = merged.run().map(|run| run.segment.numbers) else { return };
     let is_covered = |layer: &Layer| layer.run().is_some_and(|run| numbers.covers(run.segment.numbers));
