--- a/crates/streams/src/broker.rs
+++ b/crates/streams/src/broker.rs
@@ -1,4 +1,4 @@
-//! The broker: jobs, their watchers, and the timers that forget them.
+//! The broker: jobs, their watchers, and the timers after which jobs are dropped.
 
 use crate::event_log::{Delivery, JobEvent};
 use crate::job::{Job, JobPhase};
@@ -9,30 +9,30 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// What a watcher receives next.
+/// The next item of a watcher's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next<'a> {
-    /// This event.
+    /// An event.
     Event {
         /// The job.
         job: JobId,
         /// The event.
         event: &'a JobEvent,
-        /// Nothing comes after it.
+        /// Whether this is the last event of the job.
         is_final: bool,
     },
-    /// So many events that it should have received were evicted.
+    /// This number of events that the watcher should have received were evicted.
     Missed(u64),
-    /// Nothing for now.
+    /// There is nothing to receive at present.
     Nothing,
 }
 
-/// What the broker's owner has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// This watcher has something to pull.
+    /// Call [`EventBroker::pull`] for this watcher.
     Wake(WatcherId),
-    /// End this job: nobody watches it, and it was added as one that ends unwatched.
+    /// End this job: it has had no watcher for too long, and [`NewJob::ends_unwatched`] is set.
     End(JobId),
 }
 
@@ -44,21 +44,21 @@
     watchers: FxHashMap<WatcherId, Watcher>,
     streams: StreamCounts,
     timers: BTreeSet<(Micros, JobId)>,
-    /// Number of jobs so far.
+    /// The number of jobs so far, which is the id of the next one.
     next_job: u64,
     next_watcher: u64,
-    /// Bytes that all events take.
+    /// The size of all events, in bytes.
     bytes: usize,
-    /// Jobs forgotten before their time to make room.
+    /// Finished jobs that were dropped early to make room.
     evicted: u64,
-    /// Events that watchers were notified to have missed.
+    /// Events reported to watchers as missed.
     missed: u64,
     /// Progress events that were skipped for slow watchers.
     coalesced: u64,
 }
 
 impl EventBroker {
-    /// A broker without jobs.
+    /// Creates a broker without jobs.
     pub fn new(limits: Limits) -> EventBroker {
         EventBroker {
             limits,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Present sizes, and counters since the start.
+    /// The current sizes, and the counters since the start.
     pub fn metrics(&self) -> Metrics {
         Metrics {
             jobs: self.jobs.len(),
@@ -88,13 +88,13 @@
         }
     }
 
-    /// When [`EventBroker::on_timer`] has something to do next.
+    /// When to call [`EventBroker::on_timer`] next; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Forgets finished jobs that nobody watches, the one that would expire first at first, until there is room for another
-    /// job. Returns whether there is.
+    /// Drops finished jobs without watchers until there is room for another job, in the order in which they would expire.
+    /// Returns whether there is room.
     fn make_room(&mut self) -> bool {
         while self.jobs.len() >= self.limits.jobs || self.bytes >= self.limits.bytes {
             let is_evictable = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_evictable);
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// [`BrokerError::Full`] where there is no room, or where the public id is in use.
+    /// [`BrokerError::Full`] if there is no room, or if the public id is in use.
     pub fn add_job(&mut self, now: Micros, new: NewJob) -> Result<JobId, BrokerError> {
         if self.by_public_id.contains_key(&new.public_id) || !self.make_room() {
             return Err(BrokerError::Full);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Changes a running job and wakes its watchers. Returns whether there is such a job.
+    /// Changes a running job and wakes its watchers. Returns false if there is no running job with this id.
     fn update(&mut self, id: JobId, effects: &mut Vec<Effect>, change: impl FnOnce(&mut Job)) -> bool {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.phase() == JobPhase::Running) else {
             return false;
@@ -166,33 +166,33 @@
         true
     }
 
-    /// Appends an event that every watcher receives. Nothing happens after the final one.
+    /// Appends an event that every watcher receives. Does nothing after the final event.
     pub fn publish(&mut self, id: JobId, name: &str, data: String, effects: &mut Vec<Effect>) {
         let limits = self.limits;
         self.update(id, effects, |job| job.log.push(name, data, Delivery::Every, &limits));
     }
 
-    /// Appends an event that a later one replaces: a slow watcher receives the latest only. Nothing happens after the final
+    /// Appends an event that a later one replaces: a slow watcher receives only the latest. Does nothing after the final
     /// event.
     pub fn publish_progress(&mut self, id: JobId, name: &str, data: String, effects: &mut Vec<Effect>) {
         let limits = self.limits;
         self.update(id, effects, |job| job.log.push(name, data, Delivery::Latest, &limits));
     }
 
-    /// Appends the final event of a job. Only the first counts.
+    /// Appends the final event of a job. Does nothing if the job already has one.
     pub fn finish(&mut self, now: Micros, id: JobId, name: &str, data: String, effects: &mut Vec<Effect>) {
         if self.update(id, effects, |job| job.log.finish(name, data)) {
             self.set_timer(id, Some(now + self.limits.final_event_ttl));
         }
     }
 
-    /// Adds a watcher of the job that clients name `public_id`. `last_received` is the last event that the client received; a
-    /// number that the job has not reached counts as none.
+    /// Adds a watcher of the job with this public id. `last_received` is the number of the last event that the client
+    /// received; a number that the job has not reached is ignored.
     ///
     /// # Errors
     ///
-    /// [`BrokerError::Unknown`] for a wrong id or token, [`BrokerError::Over`] where nothing is left to receive, and
-    /// [`BrokerError::TooManyStreams`] where the tenant may have no other stream.
+    /// [`BrokerError::Unknown`] for a wrong id or token, [`BrokerError::Over`] if nothing is left to receive, and
+    /// [`BrokerError::TooManyStreams`] if the tenant has reached its limit of streams.
     pub fn watch(
         &mut self,
         public_id: PublicJobId,
@@ -215,22 +215,22 @@
         self.streams.increment(job.tenant);
         job.watchers.push(watcher);
         if job.phase() == JobPhase::Running {
-            self.set_timer(id, None); // it ends unwatched no more
+            self.set_timer(id, None); // the job is watched again
         }
         Ok(watcher)
     }
 
-    /// The job of this public id, if the token is its own.
+    /// The job with this public id, if the token is correct.
     fn authorize(&self, public_id: PublicJobId, token: WatchToken) -> Result<JobId, BrokerError> {
         let id = self.by_public_id.get(&public_id).copied();
         let expected = id.and_then(|id| self.jobs.get(&id)).map(|job| job.token);
-        // Where there is no such job, the token is compared with another one, so that the answer takes as long.
-        let other = WatchToken(!token.0);
-        let is_equal = expected.unwrap_or(other).equals_in_constant_time(token);
+        // Without such a job, the token is compared with a wrong one, so that the answer takes the same time.
+        let wrong_token = WatchToken(!token.0);
+        let is_equal = expected.unwrap_or(wrong_token).equals_in_constant_time(token);
         id.filter(|_| is_equal).ok_or(BrokerError::Unknown)
     }
 
-    /// What a watcher receives next; it counts as received.
+    /// Takes the next item of a watcher's stream, which then counts as received.
     pub fn pull(&mut self, id: WatcherId) -> Next<'_> {
         let Some(watcher) = self.watchers.get_mut(&id) else { return Next::Nothing };
         let Some(job) = self.jobs.get(&watcher.job) else { return Next::Nothing };
@@ -250,13 +250,13 @@
         }
     }
 
-    /// Whether a watcher has something to pull.
+    /// Whether a watcher has something left to pull.
     pub fn has_more(&self, id: WatcherId) -> bool {
         let found = self.watchers.get(&id).and_then(|watcher| Some((watcher, self.jobs.get(&watcher.job)?)));
         found.is_some_and(|(watcher, job)| watcher.has_more(&job.log))
     }
 
-    /// Removes a watcher. Its job goes on, unless it was added as one that ends unwatched.
+    /// Removes a watcher. Its job continues; if it is one that ends unwatched and has no watcher left, its timer starts.
     pub fn remove_watcher(&mut self, now: Micros, id: WatcherId) {
         let Some(watcher) = self.watchers.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&watcher.job) else { return };
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Fires the timers that are due: unwatched jobs end, final events and tokens are forgotten.
+    /// Runs the timers that are due: ends unwatched jobs, and drops final events and tokens.
     pub fn on_timer(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         while let Some((_, id)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.set_timer(id, None);
@@ -276,14 +276,14 @@
                 JobPhase::Running if job.should_end_unwatched() => effects.push(Effect::End(id)),
                 JobPhase::Running => {}
                 JobPhase::Finished if job.watchers.is_empty() => self.expire(now, id),
-                // Somebody is still reading it.
+                // A watcher may still be reading the final event.
                 JobPhase::Finished => self.set_timer(id, Some(now + self.limits.final_event_ttl)),
                 JobPhase::Expired => self.forget(id),
             }
         }
     }
 
-    /// Drops the events of a finished job; its token stays known for a while.
+    /// Drops the events of a finished job. Its token stays known for a while.
     fn expire(&mut self, now: Micros, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.bytes -= job.log.bytes();
@@ -296,14 +296,14 @@
         self.jobs.get(&id).map_or(Vec::new(), |job| job.watchers.clone())
     }
 
-    /// Takes a job out, to transfer it to another process; its watchers are removed. `None` where there is no such job.
+    /// Removes a job with its watchers, to transfer it to another process. `None` if there is no such job.
     pub fn transfer(&mut self, id: JobId) -> Option<TransferredJob> {
         let transferred = self.jobs.get(&id)?.to_transferred();
         self.forget(id);
         Some(transferred)
     }
 
-    /// The jobs, in the order in which they were added; without those whose final event was dropped.
+    /// All jobs except those whose final event was dropped, in the order in which they were added.
     pub fn jobs(&self) -> Vec<JobId> {
         let kept = self.jobs.iter().filter(|(_, job)| job.phase() != JobPhase::Expired);
         let mut ids: Vec<JobId> = kept.map(|(id, _)| *id).collect();
@@ -311,7 +311,7 @@
         ids
     }
 
-    /// Adds a job that another process transferred. `None` where its public id is in use.
+    /// Adds a job that another process transferred. `None` if its public id is in use.
     pub fn restore(&mut self, now: Micros, transferred: TransferredJob) -> Option<JobId> {
         (!self.by_public_id.contains_key(&transferred.public_id)).then(|| self.insert(now, transferred))
     }
--- a/crates/streams/src/error.rs
+++ b/crates/streams/src/error.rs
@@ -3,16 +3,16 @@
 /// Why a job cannot be added or watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BrokerError {
-    /// There is no such job, or the token is another's: the caller does not learn which.
+    /// There is no such job, or the token is wrong. The caller does not learn which.
     #[error("no such job, or a wrong token")]
     Unknown,
-    /// Its final event has been received, or was dropped: there is nothing to come back for.
+    /// The client has received the final event, or the event was dropped: there is nothing left to receive.
     #[error("the job's stream is over")]
     Over,
-    /// The tenant has as many streams as it may.
+    /// The tenant has reached its limit of streams.
     #[error("the tenant has too many streams")]
     TooManyStreams,
-    /// There is no room for another job.
+    /// There is no room for another job, or its public id is in use.
     #[error("no room for another job")]
     Full,
 }
--- a/crates/streams/src/event_log.rs
+++ b/crates/streams/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The bounded log of one job's events: the first and the final event, and a ring of those between.
+//! The bounded log of one job's events: the first event, the final event, and a ring buffer of those between.
 
 use crate::Limits;
 use serde::{Deserialize, Serialize};
@@ -7,13 +7,13 @@
 /// One event of a job.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct JobEvent {
-    /// Its number within the job, from 1.
+    /// The number of the event within the job, from 1.
     pub id: u64,
-    /// Its name.
+    /// The name of the event.
     pub name: String,
-    /// Its data.
+    /// The data of the event.
     pub data: String,
-    /// A later event makes it obsolete, as with progress.
+    /// Whether a later event makes this one obsolete, as with progress.
     #[serde(rename = "stale_soon")]
     pub is_replaceable: bool,
 }
@@ -24,18 +24,18 @@
     }
 }
 
-/// Which of a job's events a slow watcher receives.
+/// Whether a slow watcher receives an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// This event, as all others of its kind.
+    /// It receives every event of this kind.
     Every,
-    /// Only the latest of its kind.
+    /// It receives only the latest event of this kind.
     Latest,
 }
 
-/// The events of one job that are kept.
+/// The kept events of one job.
 pub(crate) struct EventLog {
-    /// The event with the number 1: it is never evicted.
+    /// The event with the number 1, which is never evicted.
     first: Option<JobEvent>,
     ring: VecDeque<JobEvent>,
     ring_bytes: usize,
@@ -45,7 +45,7 @@
 }
 
 impl EventLog {
-    /// A log of these events, in order; the last of them is the final one if `is_finished`.
+    /// A log with these events, in order. If `is_finished`, the last of them is the final event.
     pub fn new(events: Vec<JobEvent>, next_id: u64, is_finished: bool) -> EventLog {
         let mut ring = VecDeque::from(events);
         let final_event = if is_finished { ring.pop_back() } else { None };
@@ -55,7 +55,7 @@
         EventLog { first, ring, ring_bytes, next_id, final_event }
     }
 
-    /// Bytes that the events take.
+    /// The size of all kept events, in bytes.
     pub fn bytes(&self) -> usize {
         self.ring_bytes + self.first.iter().chain(&self.final_event).map(JobEvent::bytes).sum::<usize>()
     }
@@ -82,9 +82,9 @@
 
     /// The event with this number, if it is kept.
     pub fn get(&self, id: u64) -> Option<&JobEvent> {
-        let is_meant = |event: &&JobEvent| event.id == id;
-        let at_edge = self.first.as_ref().filter(is_meant).or(self.final_event.as_ref().filter(is_meant));
-        at_edge.or_else(|| self.get_in_ring(id))
+        let has_id = |event: &&JobEvent| event.id == id;
+        let first_or_final = self.first.as_ref().filter(has_id).or(self.final_event.as_ref().filter(has_id));
+        first_or_final.or_else(|| self.get_in_ring(id))
     }
 
     fn get_in_ring(&self, id: u64) -> Option<&JobEvent> {
@@ -92,7 +92,7 @@
         self.ring.get(usize::try_from(id.checked_sub(start)?).ok()?)
     }
 
-    /// The number of the first event that is kept after an evicted one; the next number if there is none.
+    /// The number of the first kept event after an evicted one; that of the next event if there is none.
     pub fn first_kept_after(&self, evicted: u64) -> u64 {
         let in_ring = self.ring.front().map(|event| event.id).filter(|id| *id > evicted);
         in_ring.or(self.final_id()).unwrap_or(self.next_id)
@@ -105,7 +105,7 @@
         event
     }
 
-    /// Appends an event, and evicts the oldest of the ring beyond the limits.
+    /// Appends an event, and evicts the oldest events of the ring while it exceeds the limits.
     pub fn push(&mut self, name: &str, data: String, delivery: Delivery, limits: &Limits) {
         let event = self.next_event(name, data, delivery);
         if self.first.is_none() && event.id == 1 {
@@ -127,7 +127,7 @@
         self.final_event = Some(event);
     }
 
-    /// Drops all events; the numbers go on.
+    /// Drops all events. The numbering continues.
     pub fn clear(&mut self) {
         self.first = None;
         self.final_event = None;
--- a/crates/streams/src/ids.rs
+++ b/crates/streams/src/ids.rs
@@ -1,22 +1,22 @@
-//! How a job is named: by its broker, by clients, and by the secret that lets a client watch it.
+//! The identifiers of a job: its broker's, the clients', and the secret that lets a client watch it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A job, numbered by its broker from 0. The number means nothing to another process.
+/// The number of a job at its broker, from 0. It has no meaning in another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// The id by which clients name a job; random.
+/// The random id by which clients name a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PublicJobId(pub u64);
 
-/// The secret that lets a client watch a job; random. It is not printed.
+/// The random secret that lets a client watch a job. Its `Debug` form does not show it.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchToken(pub u128);
 
 impl WatchToken {
-    /// Compares in a time that does not depend on how much is equal.
+    /// Compares two tokens in a time that does not depend on their values.
     pub(crate) fn equals_in_constant_time(self, other: WatchToken) -> bool {
         std::hint::black_box(self.0 ^ other.0) == 0
     }
--- a/crates/streams/src/job.rs
+++ b/crates/streams/src/job.rs
@@ -1,40 +1,40 @@
-//! One job of a broker, how it is added, and the form in which it is transferred to another process.
+//! One job of a broker: its parameters, its state, and the form in which it is transferred to another process.
 
 use crate::event_log::{EventLog, JobEvent};
 use crate::{Micros, PublicJobId, WatchToken, WatcherId};
 use serde::{Deserialize, Serialize};
 
-/// A job to be added.
+/// The parameters of a new job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewJob {
-    /// The id by which clients name it.
+    /// The id by which clients name the job.
     pub public_id: PublicJobId,
-    /// The secret that lets a client watch it.
+    /// The secret that lets a client watch the job.
     pub token: WatchToken,
-    /// Its tenant.
+    /// The job's tenant.
     pub tenant: u32,
-    /// It ends when nobody watches it.
+    /// Whether the job ends once it has had no watcher for [`Limits::unwatched_timeout`](crate::Limits::unwatched_timeout).
     pub ends_unwatched: bool,
 }
 
-/// A job as it is transferred to another process. Everything else begins anew there.
+/// A job in the form in which it is transferred to another process. Watchers and timers are not transferred.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct TransferredJob {
-    /// The id by which clients name it.
+    /// The id by which clients name the job.
     #[serde(rename = "public")]
     pub public_id: PublicJobId,
-    /// The secret that lets a client watch it.
+    /// The secret that lets a client watch the job.
     pub token: WatchToken,
-    /// Its tenant.
+    /// The job's tenant.
     pub tenant: u32,
-    /// It ends when nobody watches it.
+    /// See [`NewJob::ends_unwatched`].
     pub ends_unwatched: bool,
-    /// What is kept of its events, in order; the final one last if it is there.
+    /// The kept events, in order.
     pub events: Vec<JobEvent>,
-    /// The number of its next event.
+    /// The number of the next event.
     #[serde(rename = "next")]
     pub next_id: u64,
-    /// The last of the events is its final one.
+    /// Whether the last of `events` is the final one.
     #[serde(rename = "finished")]
     pub is_finished: bool,
 }
@@ -54,14 +54,14 @@
     }
 }
 
-/// How far a job is.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobPhase {
-    /// Its final event is still to come.
+    /// The final event is still to come.
     Running,
-    /// Its final event is in its log.
+    /// The final event is in the log.
     Finished,
-    /// Its final event was dropped; only the token is known.
+    /// The final event was dropped; only the token is still known.
     Expired,
 }
 
@@ -73,9 +73,9 @@
     pub ends_unwatched: bool,
     pub log: EventLog,
     pub watchers: Vec<WatcherId>,
-    /// When its timer fires: it is unwatched, or its final event or its token expires.
+    /// When the timer of the job fires: for an unwatched job, or for the expiry of the final event or the token.
     pub due: Option<Micros>,
-    /// The final event was dropped.
+    /// Whether the final event was dropped.
     is_expired: bool,
 }
 
@@ -115,18 +115,18 @@
         }
     }
 
-    /// Drops its events; its token stays known.
+    /// Drops all events. The token stays known.
     pub fn expire(&mut self) {
         self.log.clear();
         self.is_expired = true;
     }
 
-    /// Whether it may be forgotten to make room.
+    /// Whether the job may be dropped to make room.
     pub fn is_evictable(&self) -> bool {
         self.phase() != JobPhase::Running && self.watchers.is_empty()
     }
 
-    /// Whether nobody watches it, it runs, and it was added as one that ends then.
+    /// Whether the job is running, has no watcher, and ends unwatched.
     pub fn should_end_unwatched(&self) -> bool {
         self.phase() == JobPhase::Running && self.ends_unwatched && self.watchers.is_empty()
     }
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -1,8 +1,8 @@
 //! Event streams of jobs, independent of the connections that watch them.
 //!
-//! An [`EventBroker`] keeps a bounded log of events for each job. A watcher is a position in such a log: it can leave and
-//! come back after the last event that it received. The broker has no socket and no clock: time is an argument, in
-//! microseconds, and its owner pulls a watcher's next event when that watcher's connection can be written.
+//! An [`EventBroker`] keeps a bounded log of events for each job. A watcher is a position in such a log. A client that
+//! reconnects continues after the last event that it received. The broker has no sockets and reads no clock: time is an
+//! argument, in microseconds. The caller pulls a watcher's next event when that watcher's connection is writable.
 //!
 //! Source: HTML standard, "Server-sent events" (event ids, `Last-Event-ID`, 204 ends reconnecting); docs/design/streams.md.
 //!
@@ -39,5 +39,5 @@
 pub use metrics::Metrics;
 pub use watcher::WatcherId;
 
-/// A point in time or a span, in microseconds.
+/// A point in time of the caller's monotonic clock, or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/streams/src/limits.rs
+++ b/crates/streams/src/limits.rs
@@ -1,25 +1,25 @@
-//! How much a broker keeps, and for how long.
+//! The limits of a broker in size and time.
 
 use crate::Micros;
 
-/// Bounds of a broker.
+/// The limits of a broker in size and time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most events in a job's ring.
+    /// The maximum number of events in a job's ring.
     pub ring_events: usize,
-    /// Most bytes in a job's ring.
+    /// The maximum size of a job's ring, in bytes.
     pub ring_bytes: usize,
-    /// Most jobs.
+    /// The maximum number of jobs.
     pub jobs: usize,
-    /// Most bytes of all rings and final events.
+    /// The size of all kept events, in bytes, from which on a new job needs others to be dropped.
     pub bytes: usize,
-    /// Most streams of one tenant.
+    /// The maximum number of streams of one tenant.
     pub streams_per_tenant: usize,
-    /// For how long a final event is kept.
+    /// How long a final event is kept, in microseconds.
     pub final_event_ttl: Micros,
-    /// For how long a job's token is known after its final event was dropped.
+    /// How long a job's token stays known after its final event was dropped, in microseconds.
     pub token_ttl: Micros,
-    /// A job that ends unwatched is ended after this long without a watcher.
+    /// How long a job that ends unwatched may be without a watcher, in microseconds.
     pub unwatched_timeout: Micros,
 }
 
--- a/crates/streams/src/metrics.rs
+++ b/crates/streams/src/metrics.rs
@@ -1,17 +1,17 @@
 //! Counters and sizes of a broker.
 
-/// Present sizes, and counters since the start.
+/// Current sizes, and counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Jobs that are known.
+    /// Jobs, including those of which only the token is known.
     pub jobs: usize,
     /// Watchers of all jobs.
     pub watchers: usize,
-    /// Bytes that all events take.
+    /// The size of all kept events, in bytes.
     pub bytes: usize,
-    /// Jobs forgotten before their time to make room.
+    /// Finished jobs that were dropped early to make room.
     pub evicted: u64,
-    /// Events that watchers were notified to have missed.
+    /// Events reported to watchers as missed.
     pub missed: u64,
     /// Progress events that were skipped for slow watchers.
     pub coalesced: u64,
--- a/crates/streams/src/watcher.rs
+++ b/crates/streams/src/watcher.rs
@@ -3,16 +3,16 @@
 use crate::JobId;
 use crate::event_log::{EventLog, JobEvent};
 
-/// A watcher, numbered by its broker.
+/// The id of a watcher at its broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatcherId(pub(crate) u64);
 
-/// The next thing in a job's log for a watcher.
+/// The result of reading a job's log.
 pub(crate) enum Read<'a> {
     Event(&'a JobEvent),
-    /// So many events that it should have received were evicted.
+    /// This number of events that the watcher should have received were evicted.
     Missed(u64),
-    /// So many events of live progress were skipped; there may be more to read.
+    /// This number of obsolete progress events were skipped; there may be more to read.
     Skipped(u64),
     End,
 }
@@ -20,14 +20,14 @@
 /// A position in a job's log.
 pub(crate) struct Watcher {
     pub job: JobId,
-    /// The number of the next event that it has not received.
+    /// The number of the first event that the watcher has not received.
     next_id: u64,
-    /// It receives every event before this number: it asked for them.
+    /// The watcher receives every event before this number: they existed before it came, so it asked to replay them.
     replay_until: u64,
 }
 
 impl Watcher {
-    /// A watcher of a job that has received the events up to `last_received`.
+    /// A watcher that has received the events up to `last_received`, and replays all others before `replay_until`.
     pub fn new(job: JobId, last_received: u64, replay_until: u64) -> Watcher {
         Watcher { job, next_id: last_received + 1, replay_until }
     }
@@ -37,7 +37,7 @@
         self.next_id < log.next_id()
     }
 
-    /// Reads the next event and moves on behind it.
+    /// Reads the next event, and advances past it.
     pub fn read<'a>(&mut self, log: &'a EventLog) -> Read<'a> {
         if !self.has_more(log) {
             return Read::End;
