--- a/crates/fairshare/src/accounts.rs
+++ b/crates/fairshare/src/accounts.rs
@@ -21,7 +21,7 @@
     pub class: u8,
 }
 
-/// An account and usage that belongs to it.
+/// An account, with an amount of usage that belongs to it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     pub account: AccountId,
@@ -37,22 +37,22 @@
     Reported,
 }
 
-/// A member's usage in the buckets from which its rate is taken.
+/// A member's usage in the buckets that determine its recent rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecentUsage {
     pub member: MemberIndex,
     pub amount: u64,
 }
 
-/// Sums of one account, each amount times the weight of its bucket.
+/// The sums of one account: each amount times the weight of its bucket.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassAccount {
     pub class: u8,
     value: i128,
     work: i128,
-    /// The own usage in the measure.
+    /// This member's own usage, in units of the measure.
     own: i128,
-    /// Members with recent usage, in the measure.
+    /// The recent usage of each member that has any, in units of the measure.
     pub recent: Vec<RecentUsage>,
 }
 
@@ -62,7 +62,7 @@
         self.work += weight * i128::from(usage.work);
     }
 
-    /// Shifts the sums right; whether a bit was lost.
+    /// Shifts the sums right. Returns whether a bit was lost.
     fn shift(&mut self, bits: u32) -> bool {
         let is_lossy = [self.value, self.work, self.own].iter().any(|sum| sum & ((1 << bits) - 1) != 0);
         self.value >>= bits;
@@ -78,9 +78,9 @@
     key: TenantKey,
     has_share: bool,
     classes: Vec<ClassAccount>,
-    /// What this member may still give at full value. Local, in no report.
+    /// The amount that this member may still serve at full value. It is not part of any report.
     credit: PaceCredit,
-    /// Lines of members, and own accounts by bucket, that are summed here.
+    /// The number of reported lines, and of own accounts in a bucket, that the sums include.
     lines: u32,
 }
 
@@ -91,12 +91,12 @@
     own: i128,
 }
 
-/// A total as it stands in the account at some sub-step.
+/// A total in the account, decayed to a certain sub-step.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayedTotal {
     /// The usage of all members, in the measure.
     pub measured: u64,
-    /// The own part of it.
+    /// This member's part of it.
     pub own: u64,
 }
 
@@ -147,7 +147,7 @@
         self.tenants[tenant as usize].key
     }
 
-    /// The tenant of a key, opened if it is not.
+    /// The tenant of a key, whose accounts are opened if they are not open yet.
     pub fn open(&mut self, key: TenantKey) -> TenantIndex {
         if let Some(tenant) = self.find(key) {
             return tenant;
@@ -164,7 +164,7 @@
         tenant
     }
 
-    /// Says whether a tenant has a share. One that lost it is closed by [`Accounts::release`] once it has no line.
+    /// Sets whether a tenant has a share. A tenant that lost its share is closed by [`Accounts::release`] once it has no line.
     pub fn set_share(&mut self, tenant: TenantIndex, has_share: bool) {
         self.tenants[tenant as usize].has_share = has_share;
     }
@@ -174,7 +174,7 @@
         self.tenants[tenant as usize].lines += 1;
     }
 
-    /// Lets go of so many lines, and closes the tenant once nothing is left of it.
+    /// Releases this number of lines, and closes the tenant once it has neither lines nor a share.
     pub fn release(&mut self, tenant: TenantIndex, lines: u32) {
         let accounts = &mut self.tenants[tenant as usize];
         let is_held = accounts.lines >= lines;
@@ -192,7 +192,7 @@
         self.apply(entry, self.decay.weight(bucket), source);
     }
 
-    /// Takes usage of a bucket away that was added before.
+    /// Subtracts usage of a bucket that was added before.
     pub fn subtract(&mut self, entry: Entry, bucket: Bucket, source: Source) {
         self.apply(entry, -self.decay.weight(bucket), source);
     }
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Takes entries away from a member's recent usage.
+    /// Subtracts entries from a member's recent usage.
     pub fn subtract_recent(&mut self, member: MemberIndex, entries: &[Entry]) {
         for entry in entries {
             let amount = entry.usage.measured(self.measure);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Moves the landmark of the decay up where nothing before the bucket `oldest` counts.
+    /// Advances the landmark of the decay, where no bucket before `oldest` counts any longer.
     pub fn advance(&mut self, oldest: Bucket) {
         let shift = self.decay.advance(oldest);
         if shift == 0 {
@@ -278,7 +278,7 @@
         total.own += account.own;
     }
 
-    /// A total as it stands at a sub-step.
+    /// Decays a total to a sub-step.
     pub fn decayed_total(&self, total: AccountTotal, step: Step) -> DecayedTotal {
         DecayedTotal {
             measured: self.decay.decayed(total.measured, step),
@@ -286,7 +286,7 @@
         }
     }
 
-    /// All known usage of a tenant as it stands at a sub-step.
+    /// The known usage of a tenant, decayed to a sub-step.
     pub fn known_usage(&self, tenant: TenantIndex, step: Step) -> Usage {
         let classes = &self.tenants[tenant as usize].classes;
         Usage {
@@ -295,12 +295,12 @@
         }
     }
 
-    /// What a tenant may still get at full value.
+    /// The amount that a tenant may still get at full value from this member.
     pub fn credit_mut(&mut self, tenant: TenantIndex) -> &mut PaceCredit {
         &mut self.tenants[tenant as usize].credit
     }
 
-    /// Asserts an invariant: a debug build panics where it does not hold, a release build counts it.
+    /// Checks an invariant. If it is violated, a debug build panics and a release build counts it.
     fn check(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         self.broken += u64::from(!holds);
--- a/crates/fairshare/src/clock.rs
+++ b/crates/fairshare/src/clock.rs
@@ -1,9 +1,9 @@
-//! Time as the ledger counts it: buckets and sub-steps of Unix time. It moves only when the caller says so.
+//! The ledger's time: buckets and sub-steps of Unix time. The caller advances it.
 
 use crate::{Config, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Sub-steps of a bucket: the resolution of the present.
+/// The number of sub-steps of a bucket; a sub-step is the resolution of the current time.
 pub(crate) const SUB_STEPS: u64 = 16;
 
 /// A bucket of time, counted from the Unix epoch.
@@ -16,23 +16,23 @@
         Step(self.0 * SUB_STEPS)
     }
 
-    /// So many buckets later.
+    /// The bucket that is this many buckets later.
     pub fn plus(self, buckets: u64) -> Bucket {
         Bucket(self.0 + buckets)
     }
 
-    /// So many buckets earlier, the epoch's first one at the earliest.
+    /// The bucket that is this many buckets earlier, but not before the Unix epoch.
     pub fn minus(self, buckets: u64) -> Bucket {
         Bucket(self.0.saturating_sub(buckets))
     }
 
-    /// Buckets since an earlier one, 0 where that is later.
+    /// The number of buckets since `earlier`; 0 if that is later.
     pub fn since(self, earlier: Bucket) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// A moment: a sub-step of a bucket, counted from the Unix epoch.
+/// A point in time: a sub-step of a bucket, counted from the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Step(pub u64);
 
@@ -42,18 +42,18 @@
         Bucket(self.0 / SUB_STEPS)
     }
 
-    /// So many sub-steps later.
+    /// The point in time that is this many sub-steps later.
     pub fn plus(self, sub_steps: u64) -> Step {
         Step(self.0 + sub_steps)
     }
 
-    /// Sub-steps since an earlier moment, 0 where that is later.
+    /// The number of sub-steps since `earlier`; 0 if that is later.
     pub fn since(self, earlier: Step) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// The ledger's present and the horizon behind it.
+/// The ledger's current time, and its horizon.
 #[derive(Clone, Debug)]
 pub(crate) struct Clock {
     bucket_width: Micros,
@@ -76,7 +76,7 @@
         clock
     }
 
-    /// Moves on to `now`, never back. Returns whether another bucket has begun.
+    /// Advances to `now`; an earlier time is ignored. Returns whether a new bucket has begun.
     pub fn advance(&mut self, now: Micros) -> bool {
         let before = self.bucket();
         self.now = self.now.max(now);
@@ -89,12 +89,12 @@
         self.now
     }
 
-    /// The present sub-step since the Unix epoch.
+    /// The current sub-step.
     pub fn step(&self) -> Step {
         self.step
     }
 
-    /// The present bucket.
+    /// The current bucket.
     pub fn bucket(&self) -> Bucket {
         self.step.bucket()
     }
@@ -104,7 +104,7 @@
         self.bucket().plus(1).minus(self.horizon)
     }
 
-    /// The sub-step of a moment of the caller's time.
+    /// The sub-step of a point in the caller's time.
     pub fn step_at(&self, at: Micros) -> Step {
         self.step_of_unix(u128::from(self.unix_at_zero) + u128::from(at))
     }
@@ -114,12 +114,12 @@
         Step(self.sub_steps(micros))
     }
 
-    /// A span of so many microseconds in sub-steps.
+    /// Converts a span from microseconds to sub-steps.
     pub fn sub_steps(&self, micros: u128) -> u64 {
         (micros * u128::from(SUB_STEPS) / u128::from(self.bucket_width)) as u64
     }
 
-    /// A span of sub-steps in microseconds.
+    /// Converts a span from sub-steps to microseconds.
     pub fn micros(&self, sub_steps: u64) -> Micros {
         sub_steps * self.bucket_width / SUB_STEPS
     }
--- a/crates/fairshare/src/config.rs
+++ b/crates/fairshare/src/config.rs
@@ -1,18 +1,18 @@
-//! Settings of a ledger and the check they pass before it is built.
+//! Settings of a ledger, and their validation.
 
 use crate::Micros;
 use crate::shares::SharesError;
 use crate::wire;
 use thiserror::Error;
 
-/// Most pages on which the usage of one bucket may be published.
+/// The maximum number of pages for the usage of one bucket.
 pub const MAX_PAGES: u8 = 32;
-/// Longest half-life, in buckets.
+/// The maximum half-life, in buckets.
 const MAX_HALF_LIFE: u32 = 32;
-/// Longest horizon, in half-lives: weights must stay within 127 bits.
+/// The maximum horizon, in half-lives, so that weights stay within 127 bits.
 const MAX_HORIZON_HALF_LIVES: u32 = 30;
 
-/// What shares are counted in.
+/// The quantity that shares are measured in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Measure {
     /// Value served.
@@ -22,50 +22,51 @@
     Work,
 }
 
-/// Settings of a ledger. All members of a fleet have the same, except for the first group, which names the member.
+/// Settings of a ledger. All members of a fleet must have the same ones, except for the first group, which identifies the
+/// member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// This member's index among the peers.
     pub place: u16,
     /// This member's epoch: milliseconds of Unix time at its start.
     pub epoch: u64,
-    /// The Unix time, in microseconds, at the caller's time 0. Buckets are counted by it, the same at every member.
+    /// The Unix time of the caller's zero, in microseconds. Buckets are aligned to Unix time, the same at every member.
     pub unix_at_zero: Micros,
 
-    /// Number of peers, this one included.
+    /// The number of peers, including this one.
     pub peers: u16,
-    /// Width of a bucket of time, in microseconds.
+    /// The width of a bucket of time, in microseconds.
     pub bucket_width: Micros,
-    /// Usage counts for this many buckets; a report of an older bucket is refused. 64 at most.
+    /// The number of buckets for which usage counts, at most 64. Reports on older buckets are refused.
     pub horizon: u32,
-    /// Usage weighs half after this many buckets: 1, 2, 4 .. 32.
+    /// The half-life of usage, in buckets: 1, 2, 4, 8, 16 or 32.
     pub half_life: u32,
-    /// A report of a bucket that is more buckets ahead than this is refused: clocks differ by less.
+    /// The maximum difference of clocks, in buckets. Reports on buckets further ahead are refused.
     pub max_buckets_ahead: u32,
-    /// Capacity of the whole federation, in units of the measure per second.
+    /// The capacity of the whole federation, in units of the measure per second.
     pub rate: u64,
-    /// What shares are counted in.
+    /// The quantity that shares are measured in.
     pub measure: Measure,
-    /// Value of a job beyond all that its tenant may have, as a fraction of its class's value.
+    /// The value of a job beyond its tenant's allowance, as a fraction of its class's value.
     pub over_quota_value: f64,
-    /// Largest discount, as a fraction of its class's value, on a job whose tenant may or may not be within its share.
+    /// The maximum discount on a job whose tenant may be within its share, as a fraction of its class's value.
     pub uncertainty_discount: f64,
-    /// A tenant that pays back gets at least this fraction of its share.
+    /// The fraction of its share that a tenant gets at least while it pays back.
     pub floor: f64,
-    /// The upper estimate for a silent member is twice its likely usage after this long, in microseconds.
+    /// The time after which the high estimate for a silent member is twice its likely usage, in microseconds.
     pub widening_time: Micros,
-    /// The usage of a silent member is extrapolated over at most this many buckets.
+    /// The maximum number of buckets over which the usage of a silent member is extrapolated.
     pub max_extrapolation: u32,
-    /// Interval between two rounds of published facts, in microseconds.
+    /// The interval between two rounds of published facts, in microseconds.
     pub publish_interval: Micros,
-    /// Most page facts of one round.
+    /// The maximum number of page facts in a round.
     pub facts_per_round: u32,
-    /// Pages on which the usage of a bucket is published, [`MAX_PAGES`] at most; what does not fit goes into the next
-    /// bucket.
+    /// The maximum number of pages for the usage of a bucket, at most [`MAX_PAGES`]. Usage that does not fit is carried over
+    /// to the next bucket.
     pub max_pages: u8,
-    /// Most tenants, with usage or a share, that are kept.
+    /// The maximum number of tenants with usage or a share.
     pub max_tenants: usize,
-    /// Seeded fault for the proof: a later report is added to the earlier one.
+    /// A deliberate fault for tests of the tests: a later report is added to the earlier one.
     #[doc(hidden)]
     pub count_twice: bool,
 }
@@ -98,7 +99,7 @@
 }
 
 impl Config {
-    /// Checks every setting but `rate`, whose bound depends on the decay.
+    /// Checks all settings except `rate`, whose bound depends on the decay.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         let spans = [self.bucket_width, self.publish_interval, self.widening_time];
         let fractions = [self.over_quota_value, self.uncertainty_discount, self.floor];
@@ -137,7 +138,7 @@
     /// A span of time is 0.
     #[error("a span of time is 0")]
     ZeroSpan,
-    /// The half-life is no power of two from 1 to 32.
+    /// The half-life is not a power of two from 1 to 32.
     #[error("a half-life is not 1, 2, 4, 8, 16 or 32 buckets")]
     HalfLife,
     /// The horizon is 0, above 64, or more than 30 half-lives; or `max_buckets_ahead` or `max_extrapolation` is above 64.
--- a/crates/fairshare/src/decay.rs
+++ b/crates/fairshare/src/decay.rs
@@ -1,31 +1,32 @@
 //! Forward decay in whole numbers.
 //!
 //! Forward decay (Cormode, Shkapenyuk, Srivastava, Xu: "Forward decay: a practical time decay model for streaming systems",
-//! ICDE 2009) weighs an item once, by how long after a fixed landmark it happened, and divides by the weight of the present
-//! when the sum is asked for. Nothing is aged, so an item that comes late changes the sum as if it had come on time. Here
-//! the weights are integers, so sums are exact: they do not depend on the order of what was added.
+//! ICDE 2009) weighs an item once, by the time from a fixed landmark to the item. A query divides the sum by the weight of
+//! the current time. Items are never aged, so a late item changes the sum as if it had arrived on time. The weights are
+//! integers, so sums are exact: they do not depend on the order of the additions.
 
 use crate::clock::{Bucket, SUB_STEPS, Step};
 
-/// Fractional bits of a weight.
+/// The number of fractional bits of a weight.
 const FRACTION_BITS: u32 = 30;
-/// Fractional bits of a span of decayed time.
+/// The number of fractional bits of a span of decayed time.
 pub(crate) const SPAN_BITS: u32 = 16;
-/// The landmark is moved once sums can be halved this often without a loss.
+/// The landmark is moved once sums can be halved this often without a loss of bits.
 const MIN_HALVINGS: u64 = 16;
 
 /// Weights that double every `half_life` buckets, from a landmark.
 #[derive(Clone, Debug)]
 pub(crate) struct Decay {
-    /// Two to the power of 0 up to 1, by sub-steps of a half-life.
+    /// Two to the powers from 0 up to 1, for each sub-step of a half-life.
     powers: Vec<u64>,
     half_life: u64,
     landmark: Bucket,
-    /// Decayed time up to each age in sub-steps, as far as the horizon.
+    /// The decayed time up to each age in sub-steps, up to the horizon.
     spans: Vec<u64>,
 }
 
-/// Two to the powers 0/n, 1/n .. (n-1)/n for n a power of two, by square roots of integers: the same on every machine.
+/// Two to the powers 0/n, 1/n .. (n-1)/n, where n is a power of two. Computed by integer square roots, so that the result is
+/// the same on every machine.
 fn powers(n: u64) -> Vec<u64> {
     const BITS: u32 = 60;
     let mut roots = Vec::new();
@@ -42,7 +43,7 @@
 }
 
 impl Decay {
-    /// `half_life` is a power of two; `horizon` is how many buckets back anything counts.
+    /// Creates the weights. `half_life`, in buckets, must be a power of two; `horizon` is the number of buckets that count.
     pub fn new(half_life: u32, horizon: u32, landmark: Bucket) -> Decay {
         let half_life = u64::from(half_life);
         let mut decay =
@@ -63,34 +64,36 @@
         ((1u128 << (FRACTION_BITS + SPAN_BITS)) / weight) as u64
     }
 
-    /// The weight of a bucket; the landmark is not after it.
+    /// The weight of a bucket, which must not be before the landmark.
     pub fn weight(&self, bucket: Bucket) -> i128 {
         let since = bucket.since(self.landmark);
         i128::from(self.powers[(since % self.half_life * SUB_STEPS) as usize])
             << (since / self.half_life).min(64)
     }
 
-    /// A weighted sum divided by the weight of the present.
+    /// A weighted sum divided by the weight of the current time.
     pub fn decayed(&self, sum: i128, present: Step) -> u64 {
-        let (since, period) = (present.since(self.landmark.start()), self.powers.len() as u64);
+        let since = present.since(self.landmark.start());
+        let period = self.powers.len() as u64;
         let weight = i128::from(self.powers[(since % period) as usize]) << (since / period).min(64);
         u64::try_from(sum / weight).unwrap_or(0)
     }
 
-    /// Decayed time from one age in sub-steps to a greater one, in buckets with [`SPAN_BITS`] fractional bits.
+    /// The decayed time between two ages in sub-steps, in buckets with [`SPAN_BITS`] fractional bits.
     pub fn span(&self, from: u64, to: u64) -> u64 {
         let at = |age: u64| self.spans[(age as usize).min(self.spans.len() - 1)];
         at(to).saturating_sub(at(from))
     }
 
-    /// What a flow of one unit per bucket sums to in the long run, in buckets with [`SPAN_BITS`] fractional bits.
+    /// The balance of a steady flow of one unit per bucket, in buckets with [`SPAN_BITS`] fractional bits.
     pub fn memory(&self) -> u64 {
         let buckets = (self.spans.len() as u64 - 1) / SUB_STEPS;
         (1..=buckets).map(|age| self.fraction_left(age * SUB_STEPS)).sum()
     }
 
-    /// Moves the landmark up where nothing that counts is before the bucket `oldest`. Returns by how many bits every sum must
-    /// then be shifted right, which loses nothing: all that they hold was shifted left by as much.
+    /// Advances the landmark, where no bucket before `oldest` counts any longer. Returns the number of bits by which every
+    /// sum must then be shifted right. The shift loses nothing, since all remaining weights are multiples of that power of
+    /// two.
     pub fn advance(&mut self, oldest: Bucket) -> u32 {
         let halvings = oldest.since(self.landmark) / self.half_life;
         if halvings < MIN_HALVINGS {
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -1,8 +1,8 @@
-//! The ledger of one member: usage and facts in, facts out, and what follows for a tenant.
+//! The ledger of one member: it records usage, exchanges facts, and values the jobs of tenants.
 //!
-//! It owns the state and moves it on in time. What a received fact changes is in [`crate::receiver`], how usage becomes an
-//! interval in [`crate::usage_estimate`], how unused shares are lent in [`crate::share_pool`], and what a position makes of a
-//! job's value in [`crate::valuation`].
+//! It owns the state and advances it in time. [`crate::receiver`] applies received facts, [`crate::usage_estimate`] estimates
+//! usage as an interval, [`crate::share_pool`] lends unused shares, and [`crate::valuation`] derives the value of a job from
+//! a tenant's position.
 
 use crate::accounts::{AccountId, Accounts, Entry, Source, TenantIndex};
 use crate::clock::{Bucket, Clock, SUB_STEPS};
@@ -17,9 +17,9 @@
 use crate::wire::MAX_AMOUNT;
 use crate::{AbsorbError, Config, ConfigError, Metrics, Micros, Origin, RecordError, TenantKey, Usage};
 
-/// Largest `rate`: sums stay within 127 bits.
+/// The maximum `rate`, so that sums stay within 127 bits.
 const MAX_RATE: u64 = 1 << 36;
-/// Largest capacity over the decayed horizon, in units of the measure.
+/// The maximum capacity over the decayed horizon, in units of the measure.
 const MAX_CAPACITY: u128 = 1 << 56;
 
 /// The ledger of one member.
@@ -31,17 +31,17 @@
     accounts: Accounts,
     members: Members,
     own: OwnUsage,
-    /// Places that reported within the horizon, and this one.
+    /// The number of places that reported within the horizon, including this one.
     active_places: u64,
     metrics: Metrics,
 }
 
 impl Ledger {
-    /// An empty ledger at time `now`. What was published before, by this place too, comes back as facts.
+    /// Creates an empty ledger at time `now`. Earlier usage, including that of this place before a restart, arrives as facts.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] where a setting is out of range or the shares are not valid.
+    /// A [`ConfigError`] if a setting is out of range or the shares are not valid.
     pub fn new(config: Config, shares: &Shares, now: Micros) -> Result<Ledger, ConfigError> {
         config.validate()?;
         let clock = Clock::new(&config, now);
@@ -66,17 +66,17 @@
         Ok(ledger)
     }
 
-    /// Replaces the shares. Reported usage stays, also of tenants that are listed only now; tenants that are no longer
+    /// Replaces the shares. Reported usage is kept, even of tenants that were not listed before. Tenants that are no longer
     /// listed have no share from now on.
     ///
     /// # Errors
     ///
-    /// A [`SharesError`] where the shares are not valid; the ledger then keeps those that it had.
+    /// A [`SharesError`] if the shares are not valid; the ledger then keeps its previous shares.
     pub fn set_shares(&mut self, shares: &Shares) -> Result<(), SharesError> {
         self.pool.set_shares(shares, &mut self.accounts)
     }
 
-    /// Moves on to `now`: drops what is beyond the horizon, and carries what had no room into the present bucket.
+    /// Advances to `now`: drops usage beyond the horizon, and carries usage without room on its pages into the present bucket.
     fn advance(&mut self, now: Micros) {
         if !self.clock.advance(now) {
             return;
@@ -101,7 +101,7 @@
         self.active_places = self.members.active_places();
     }
 
-    /// Adds own usage to the accounts; `is_new_line` where its account had none in this bucket.
+    /// Adds own usage to the accounts. `is_new_line` tells whether it is the account's first in this bucket.
     fn add_own(&mut self, bucket: Bucket, entry: Entry, is_new_line: bool) {
         if is_new_line {
             self.accounts.retain(entry.account.tenant);
@@ -109,7 +109,7 @@
         self.accounts.add(entry, bucket, Source::Own);
     }
 
-    /// The bucket of something that happened here at `at`, if it still counts.
+    /// The bucket of own usage at `at`, or the reason for which that usage is refused.
     fn own_bucket(&mut self, at: Micros) -> Result<Bucket, RecordError> {
         let bucket = self.clock.step_at(at).bucket();
         let refusal = if bucket < self.clock.oldest_bucket() {
@@ -123,17 +123,17 @@
         Err(refusal)
     }
 
-    /// The class under which a tenant's usage is kept: those without a share of their own have one account together.
+    /// The class under which a tenant's usage is kept. All classes without a share of their own have one account, class 0.
     fn account_class(&self, tenant: TenantKey, class: u8) -> u8 {
         let has_share = |leaf: &Leaf| usize::from(class) < leaf.classes.len();
         if self.pool.leaf(tenant).is_some_and(has_share) { class } else { 0 }
     }
 
-    /// Records what this member served of a tenant at time `at`.
+    /// Records usage of a tenant at this member at time `at`.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] where that is too old, in the future, or of one tenant too many.
+    /// A [`RecordError`] if `at` is too old or in the future, or if there are too many tenants.
     pub fn record(
         &mut self,
         now: Micros,
@@ -156,11 +156,11 @@
         Ok(())
     }
 
-    /// Takes back so much of what was recorded of time `at`, as far as there is any. Returns what was taken.
+    /// Subtracts `less` from the usage recorded at time `at`, at most down to 0. Returns the amount subtracted.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] where `at` is too old or in the future.
+    /// A [`RecordError`] if `at` is too old or in the future.
     pub fn correct(
         &mut self,
         now: Micros,
@@ -178,7 +178,8 @@
         Ok(taken)
     }
 
-    /// The next fact to publish: slot and bytes. Called until `None`; there is nothing before [`Ledger::next_wake`].
+    /// The slot and bytes of the next fact to publish. Call this until it returns `None`; there is nothing to publish before
+    /// [`Ledger::next_wake`].
     pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         self.advance(now);
         let fact = self.own.publish(self.clock.now(), self.clock.step())?;
@@ -187,16 +188,17 @@
         Some(fact)
     }
 
-    /// When [`Ledger::publish`] has something next.
+    /// When to call [`Ledger::publish`] next.
     pub fn next_wake(&self) -> Micros {
         self.own.next_round()
     }
 
-    /// Absorbs a fact of another member, whatever came before it. One that is no later than what is known changes nothing.
+    /// Absorbs a fact of another member. Facts may arrive in any order; one that is not later than what is known changes
+    /// nothing.
     ///
     /// # Errors
     ///
-    /// An [`AbsorbError`] that says why the fact was refused; nothing of it is used.
+    /// An [`AbsorbError`] with the reason for which the fact was refused; it changes no account then.
     pub fn absorb(
         &mut self,
         now: Micros,
@@ -213,13 +215,13 @@
         result.map(|_| ())
     }
 
-    /// A member left in order, or is known to have ended: nothing is extrapolated for it after this.
+    /// Handles a member that left, or whose process is known to have ended: its usage is not extrapolated beyond this time.
     pub fn on_member_left(&mut self, now: Micros, origin: Origin) {
         self.advance(now);
         self.members.left(origin, self.clock.step());
     }
 
-    /// Where a tenant stands. A tenant without a share has what it used, and 0.
+    /// The position of a tenant. Without a share, its `share` and `allowance` are 0.
     pub fn position(&mut self, tenant: TenantKey, now: Micros) -> Position {
         self.advance(now);
         self.lend();
@@ -233,19 +235,23 @@
         }
     }
 
-    /// What is known of a tenant's usage, in the account.
+    /// The known usage of a tenant, in the account.
     pub fn known_usage(&mut self, tenant: TenantKey, now: Micros) -> Usage {
         self.advance(now);
         let index = self.accounts.find(tenant);
         index.map_or(Usage::default(), |index| self.accounts.known_usage(index, self.clock.step()))
     }
 
-    /// The value of one more job of this tenant and class, as a fraction of its class's value; `amount` is what it would use,
-    /// in units of the measure. Called once for each job that arrives: a job at full value takes from the tenant's credit.
+    /// The value of one more job of this tenant and class, as a fraction of its class's value. `amount` is the job's expected
+    /// usage, in units of the measure. Call this once for each job that arrives, since a job at full value takes from the
+    /// tenant's credit.
     ///
-    /// At this member's part of the share per second: 1, and for a tenant that pays back at the part that is left to it,
-    /// never below the floor. Faster than that, within the share by the low end: never below `1 - uncertainty_discount`.
-    /// Beyond the share: from below that down to `over_quota_value`, where all that is lent is used up.
+    /// The value is
+    ///
+    /// - 1 as long as the tenant's jobs arrive at the pace of this member's part of its share. For a tenant beyond its share,
+    ///   which pays back, the pace is reduced, at most down to the configured floor;
+    /// - at least `1 - uncertainty_discount` at a higher pace, if the low end of the usage is within the share;
+    /// - below that for a tenant beyond its share, down to `over_quota_value` once the lent capacity is used up.
     pub fn job_value(&mut self, tenant: TenantKey, class: u8, amount: u64, now: Micros) -> JobValue {
         self.advance(now);
         self.lend();
@@ -269,7 +275,7 @@
         standing.beyond_share(&limits)
     }
 
-    /// Whether one more job of this amount is within the pace of a tenant with a share; takes it from the credit if so.
+    /// Whether one more job of this amount is within the pace of a tenant with a share. If so, takes it from the credit.
     fn take_credit(
         &mut self,
         tenant: TenantIndex,
@@ -287,13 +293,13 @@
         UsageEstimator { clock: &self.clock, accounts: &self.accounts, members: &mut self.members }
     }
 
-    /// Lends what is not used anew, once a bucket.
+    /// Lends unused shares anew, once per bucket.
     fn lend(&mut self) {
         let Ledger { clock, accounts, members, .. } = self;
         self.pool.lend(&mut UsageEstimator { clock, accounts, members });
     }
 
-    /// Where a tenant with a share stands; `None` where it has none, or no account.
+    /// The standing of a tenant; `None` if it has no share or no account.
     fn standing(&mut self, tenant: TenantKey, class: u8) -> Option<(TenantIndex, Standing)> {
         let index = self.accounts.find(tenant)?;
         let leaf = self.pool.leaf(tenant)?;
@@ -302,13 +308,13 @@
         Some((index, Standing { position: Position { used, share, allowance }, own, class_share }))
     }
 
-    /// The account's length in microseconds: a steady flow stands in the account as its rate times this.
+    /// The effective length of the account in microseconds: a steady flow has a balance of its rate times this.
     pub fn memory(&self) -> Micros {
         let memory = u128::from(self.accounts.decay().memory());
         ((memory * u128::from(self.config.bucket_width)) >> SPAN_BITS) as u64
     }
 
-    /// Counters since the start, and present sizes.
+    /// Counters since the start, and current sizes.
     pub fn metrics(&self) -> Metrics {
         let interval = self.clock.sub_steps(self.config.publish_interval.into());
         let silence_timeout = 2 * interval + SUB_STEPS;
--- a/crates/fairshare/src/lib.rs
+++ b/crates/fairshare/src/lib.rs
@@ -1,14 +1,14 @@
-//! Fair shares of federated tenants from late reports; exact, in whatever order the reports arrive.
+//! Fair shares of federated tenants, computed from late reports. The result is exact, whatever the order of the reports.
 //!
-//! A [`Ledger`] holds what each member of a fleet has reported of each tenant's usage, by the time at which it happened, and
-//! this member's own. From that it derives a tenant's [`Position`] (usage as an interval, [`Ledger::position`]) and the value
-//! of one more of its jobs ([`Ledger::job_value`]). It decides nothing about jobs, reads no clock, and knows no datagram:
-//! facts go out by [`Ledger::publish`] and come in by [`Ledger::absorb`] (docs/design/parts.md). docs/design/fairshare.md has
-//! the bounds.
+//! A [`Ledger`] holds the usage of each tenant, as this member recorded it and as the other members of the fleet reported
+//! it, by the time at which it happened. From that it derives a tenant's [`Position`], with its usage as an interval
+//! ([`Ledger::position`]), and the value of one more of its jobs ([`Ledger::job_value`]). The ledger makes no decisions about
+//! jobs, reads no clock and has no sockets: the caller publishes its facts ([`Ledger::publish`]) and passes on those of
+//! others ([`Ledger::absorb`], see docs/design/parts.md). docs/design/fairshare.md states the error bounds.
 //!
-//! Units: time in microseconds; value and work in whole units of the caller's choice, the same at every member (such as
-//! thousandths of a point, and milliseconds). An amount *in the account* is decayed: a steady flow stands there as its rate
-//! times [`Ledger::memory`].
+//! Units: time is in microseconds. Value and work are in whole units of the caller's choice, the same at every member, for
+//! example thousandths of a point, and milliseconds. An amount *in the account* is decayed: a steady flow has a balance of
+//! its rate times [`Ledger::memory`].
 //!
 //! ```
 //! use mothproxy_fairshare::{Config, Installation, Ledger, Shares, Tenant, TenantKey, Tier, Usage};
@@ -54,10 +54,10 @@
 /// The kind of this crate's facts (docs/design/parts.md).
 pub const KIND: u8 = 3;
 
-/// Microseconds of the caller's monotonic clock or, where that is said, of Unix time; or a span of them.
+/// Microseconds: a point in time of the caller's monotonic clock (or of Unix time, where stated), or a span.
 pub type Micros = u64;
 
-/// What a tenant used.
+/// The usage of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Usage {
     /// Value served, in the caller's units.
@@ -95,11 +95,11 @@
     }
 }
 
-/// A member and its start.
+/// The process that published a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
-    /// Its index among the peers.
+    /// The member's index among the peers.
     pub place: u16,
-    /// Its start, milliseconds of Unix time.
+    /// The start of the process, in milliseconds of Unix time.
     pub epoch: u64,
 }
--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -1,6 +1,6 @@
-//! What the other members reported, and this one before a restart: pages by bucket, and how much may still be missing.
+//! The reports of the other members, and of this one before a restart: pages by bucket, and the time not yet reported.
 //!
-//! A page is a register: one with a higher number replaces it, so the order of reports does not matter.
+//! A page is a register: a page from a later fact replaces it, so the order of reports does not matter.
 
 mod member;
 
@@ -14,12 +14,12 @@
 
 /// A member's recent rate is taken over this many whole buckets.
 pub(crate) const RATE_WINDOW: u64 = 4;
-/// Most epochs of a place that are kept: the latest ones.
+/// The maximum number of epochs of a place that are kept: the latest ones.
 const MAX_EPOCHS: usize = 8;
-/// The upper estimate for a silent member grows to at most its likely usage plus this many times as much.
+/// The high estimate for a silent member exceeds its likely usage by at most this many times that usage.
 const MAX_WIDENING: u64 = 3;
 
-/// Which page of which bucket.
+/// Identifies a page of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PageId {
     pub bucket: Bucket,
@@ -27,16 +27,16 @@
     pub number: u8,
 }
 
-/// A page as it was reported.
+/// A page that a member reported.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedPage {
-    /// The number of the fact that it came in.
+    /// The number of the fact that held the page.
     pub fact_number: u64,
     pub revision: u32,
     pub entries: Vec<Entry>,
 }
 
-/// Decayed time that a member has not reported, in buckets with [`crate::decay::SPAN_BITS`] fractional bits.
+/// The decayed time that a member has not reported, in buckets with [`crate::decay::SPAN_BITS`] fractional bits.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Unreported {
     pub likely: u64,
@@ -69,17 +69,17 @@
         self.slots.iter().flatten().count() as u64
     }
 
-    /// Members that have reported nothing for so many sub-steps.
+    /// The number of members that have reported nothing for more than `timeout` sub-steps.
     pub fn silent(&self, step: Step, timeout: u64) -> u64 {
         self.slots.iter().flatten().filter(|member| member.reported_until.plus(timeout) < step).count() as u64
     }
 
-    /// Buckets of which something published has not arrived.
+    /// The number of buckets of which a published revision has not arrived.
     pub fn gaps(&self, oldest: Bucket) -> u64 {
         self.slots.iter().flatten().map(|member| member.gaps(oldest).count() as u64).sum()
     }
 
-    /// Number of places, this one included, that reported within the horizon.
+    /// The number of places that reported within the horizon, including this one.
     pub fn active_places(&self) -> u64 {
         let origins = self.by_origin.keys();
         let mut places: Vec<u16> =
@@ -101,7 +101,7 @@
         let first = Origin { epoch: 0, ..origin };
         let epochs = self.by_origin.range(first..).take_while(|(known, _)| known.place == origin.place);
         let known: Vec<(Origin, MemberIndex)> = epochs.map(|(origin, index)| (*origin, *index)).collect();
-        // The latest epochs are kept, whichever came first.
+        // Keep the latest epochs, whatever the order of arrival.
         if known.len() >= MAX_EPOCHS {
             let (oldest, index) = known[0];
             if origin < oldest {
@@ -111,7 +111,7 @@
         }
         for index in self.by_origin.range(first..origin).map(|(_, index)| *index as usize) {
             if let Some(before) = &mut self.slots[index] {
-                before.unreported = None; // it ended when this one began
+                before.unreported = None; // that process ended when this one began
             }
         }
         let free = self.slots.iter().position(Option::is_none).unwrap_or(self.slots.len());
@@ -123,7 +123,7 @@
         Ok(free as MemberIndex)
     }
 
-    /// Takes a head; `false` where it is no later than the one known.
+    /// Applies a head. Returns false, and changes nothing, if it is not later than the known one.
     pub fn take_head(
         &mut self,
         index: MemberIndex,
@@ -144,15 +144,15 @@
         true
     }
 
-    /// Whether this page is known from the fact of this number, or from a later one.
+    /// Whether this page is known from the fact with this number, or from a later one.
     pub fn has_page(&self, index: MemberIndex, id: PageId, fact_number: u64) -> bool {
         let bucket = self.get(index).and_then(|member| member.buckets.get(&id.bucket));
         let reported = bucket.and_then(|bucket| bucket.pages.get(&id.number));
         reported.is_some_and(|reported| reported.fact_number >= fact_number)
     }
 
-    /// Replaces a page whose entries have been added to the accounts. Returns the entries that it replaces, which the caller
-    /// takes off the accounts.
+    /// Replaces a page. The caller must have added the entries of the new page to the accounts, and must subtract the returned
+    /// entries, which are those of the replaced page.
     pub fn replace_page(
         &mut self,
         index: MemberIndex,
@@ -176,7 +176,7 @@
         old.entries
     }
 
-    /// A member has reported everything up to this sub-step.
+    /// Records that a member has reported everything up to this sub-step.
     pub fn reported_until(&mut self, index: MemberIndex, until: Step) {
         if let Some(member) = self.get_mut(index) {
             member.reported_until = member.reported_until.max(until);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes a member's recent rate from its latest whole buckets of which nothing published is missing.
+    /// Updates the recent rate of a member: it is that of the latest whole buckets without missing revisions.
     pub fn update_rate(&mut self, index: MemberIndex, clock: &Clock, accounts: &mut Accounts) {
         let Some(member) = self.get_mut(index) else { return };
         let after = member.complete_until(clock.oldest_bucket());
@@ -208,14 +208,14 @@
         }
     }
 
-    /// Drops from all members what is before the bucket `oldest`.
+    /// Drops the reports of all members on buckets before `oldest`.
     pub fn expire_all(&mut self, oldest: Bucket, clock: &Clock, accounts: &mut Accounts) {
         for index in 0..self.slots.len() as MemberIndex {
             self.expire(index, oldest, clock, accounts);
         }
     }
 
-    /// Drops what a member reported of buckets before `oldest`, and the member once nothing of it counts.
+    /// Drops a member's reports on buckets before `oldest`, and the member itself once it has no relevant report left.
     fn expire(&mut self, index: MemberIndex, oldest: Bucket, clock: &Clock, accounts: &mut Accounts) {
         let extrapolation = u64::from(self.config.max_extrapolation);
         let Some(member) = self.get_mut(index) else { return };
@@ -242,7 +242,7 @@
         self.update_rate(index, clock, accounts);
     }
 
-    /// A member left at this sub-step: nothing is extrapolated beyond it.
+    /// Records that a member left at this sub-step: its usage is not extrapolated beyond it.
     pub fn left(&mut self, origin: Origin, step: Step) {
         let Some(index) = self.by_origin.get(&origin).copied() else { return };
         if let Some(member) = self.get_mut(index) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /// The sub-step at which a member ended: its place restarted, or it left.
+    /// The sub-step at which a member ended, because its place restarted or it left; `None` if it has not ended.
     fn ended_at(&self, member: &Member, clock: &Clock) -> Option<Step> {
         let Origin { place, epoch } = member.origin;
         let after = Origin { epoch: epoch.saturating_add(1), place };
@@ -264,7 +264,7 @@
         restarted.into_iter().chain(member.left_at).min()
     }
 
-    /// Decayed time that a member has not reported.
+    /// The decayed time that a member has not reported; cached for the current sub-step.
     pub fn unreported(&mut self, index: MemberIndex, clock: &Clock, decay: &Decay) -> Unreported {
         let Some(member) = self.get(index) else { return Unreported::default() };
         if let Some((_, unreported)) = member.unreported.filter(|(step, _)| *step == clock.step()) {
--- a/crates/fairshare/src/members/member.rs
+++ b/crates/fairshare/src/members/member.rs
@@ -1,16 +1,16 @@
-//! What one start of a member reported, and what of it is missing.
+//! The reports of one process of a member, and their gaps.
 
 use super::{RATE_WINDOW, ReportedPage, Unreported};
 use crate::Origin;
 use crate::clock::{Bucket, Step};
 use std::collections::BTreeMap;
 
-/// What a member reported of a bucket.
+/// The reports of a member on one bucket.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportedBucket {
-    /// By number.
+    /// The pages, by number.
     pub pages: BTreeMap<u8, ReportedPage>,
-    /// Revisions of all pages added up.
+    /// The sum of the revisions of all pages.
     pub revisions: u32,
 }
 
@@ -22,23 +22,23 @@
     pub published: u32,
 }
 
-/// What one start of a member reported.
+/// The reports of one process of a member.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub origin: Origin,
     /// The sub-step up to which it reported.
     pub reported_until: Step,
-    /// Its recent rate is taken from the buckets before this one.
+    /// The recent rate of the member is that of the buckets before this one.
     pub rated_before: Bucket,
-    /// The number of the fact that the latest head came in.
+    /// The number of the fact that held the latest head.
     pub head_number: Option<u64>,
     pub head_bucket: Bucket,
-    /// Published revisions of `head_bucket` and the buckets before it.
+    /// The published revisions of `head_bucket` and the buckets before it, the latest bucket first.
     pub head_revisions: Vec<u32>,
     pub buckets: BTreeMap<Bucket, ReportedBucket>,
-    /// The sub-step at which it left.
+    /// The sub-step at which the member left.
     pub left_at: Option<Step>,
-    /// Its unreported time as of a sub-step; `None` where something has changed since.
+    /// The cached unreported time with its sub-step; `None` if something has changed since.
     pub unreported: Option<(Step, Unreported)>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Buckets of which something is missing, the latest first.
+    /// The buckets with missing revisions, the latest first.
     pub fn gaps(&self, oldest: Bucket) -> impl Iterator<Item = Gap> + '_ {
         self.head_revisions.iter().enumerate().filter_map(move |(back, published)| {
             let bucket = self.head_bucket.0.checked_sub(back as u64).map(Bucket)?;
@@ -73,12 +73,12 @@
         })
     }
 
-    /// Whether its recent rate covers this bucket.
+    /// Whether the member's recent rate covers this bucket.
     pub fn is_recent(&self, bucket: Bucket) -> bool {
         is_recent(self.rated_before, bucket)
     }
 
-    /// The end of the latest whole buckets of which nothing published is missing.
+    /// The end of the latest run of whole buckets without missing revisions that is long enough for a rate.
     pub fn complete_until(&self, oldest: Bucket) -> Bucket {
         let last = self.reported_until.bucket();
         let mut rated_before = last;
@@ -89,14 +89,14 @@
             rated_before = rated_before.min(gap.bucket);
         }
         if rated_before < oldest.plus(RATE_WINDOW) {
-            last // there is nothing better
+            last // no such run is within the horizon
         } else {
             rated_before
         }
     }
 }
 
-/// Whether a rate taken from the buckets before `rated_before` covers this one.
+/// Whether the rate of the buckets before `rated_before` covers this bucket.
 pub(super) fn is_recent(rated_before: Bucket, bucket: Bucket) -> bool {
     bucket < rated_before && bucket.plus(RATE_WINDOW) >= rated_before
 }
--- a/crates/fairshare/src/metrics.rs
+++ b/crates/fairshare/src/metrics.rs
@@ -3,12 +3,12 @@
 use crate::AbsorbError;
 use crate::receiver::Absorbed;
 
-/// Counters since the start, and present sizes.
+/// Counters since the start, and current sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Facts absorbed, stale ones included.
+    /// Facts absorbed, including stale ones.
     pub absorbed: u64,
-    /// Absorbed facts that were no later than what was known.
+    /// Absorbed facts that were not later than what was known.
     pub stale: u64,
     /// Refused: older than the horizon.
     pub late: u64,
@@ -36,9 +36,9 @@
     pub silent: u64,
     /// Buckets of which a published page has not arrived.
     pub gaps: u64,
-    /// Tenants that are kept, with a share or without.
+    /// Tenants with open accounts, with or without a share.
     pub tenants: u64,
-    /// Invariants that did not hold (counted in release builds; a debug build panics).
+    /// Violated invariants. Release builds count them; debug builds panic instead.
     pub broken: u64,
 }
 
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -1,7 +1,7 @@
-//! This member's own usage, laid out on the pages that it publishes.
+//! This member's own usage, on the pages that it publishes.
 //!
-//! A page is a register: a later revision replaces the earlier one. An account that outgrows its page goes on with a line on
-//! another one, and the lines of a bucket add up, so an old page never has to lose a line.
+//! A page is a register: a later revision replaces an earlier one. An account that outgrows its page continues with a line on
+//! another page. The lines of a bucket add up, so a page never has to lose a line.
 
 mod bucket;
 
@@ -13,7 +13,7 @@
 use bucket::{OwnBucket, OwnPage, Placement};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Quarters of the pages that amounts carried over from earlier buckets may take.
+/// The number of quarters of a bucket's pages that amounts carried over from earlier buckets may use.
 const CARRIED_QUARTERS: u8 = 3;
 
 /// An amount that did not fit on the pages of its bucket.
@@ -23,7 +23,7 @@
     pub entry: Entry,
 }
 
-/// How often and how much is published.
+/// The limits of publishing.
 #[derive(Clone, Copy, Debug)]
 struct PublishPolicy {
     interval: Micros,
@@ -37,12 +37,12 @@
 pub(crate) struct OwnUsage {
     policy: PublishPolicy,
     buckets: BTreeMap<Bucket, OwnBucket>,
-    /// Buckets with amounts that have no line.
+    /// The buckets with amounts that have no line.
     overflowing: BTreeSet<Bucket>,
-    /// Pages that have changed since they were last published.
+    /// The pages that have changed since they were last published.
     queue: VecDeque<PageId>,
     next_round: Micros,
-    /// Pages that may still be published in this round.
+    /// The number of pages that may still be published in this round.
     facts_left: u32,
     is_head_due: bool,
     /// The revisions in the last head.
@@ -85,7 +85,7 @@
         self.add(bucket, entry, key, self.policy.max_pages)
     }
 
-    /// Adds usage that was carried over from an earlier bucket, which may not take all of the pages.
+    /// Adds usage that was carried over from an earlier bucket. Such usage may use only some of the pages.
     pub fn carry_over(&mut self, bucket: Bucket, entry: Entry, key: TenantKey) -> bool {
         let max_pages = (self.policy.max_pages / 4 * CARRIED_QUARTERS).max(1);
         self.add(bucket, entry, key, max_pages)
@@ -103,7 +103,7 @@
         is_new
     }
 
-    /// Takes from an account as far as it goes; returns what was taken.
+    /// Subtracts usage from an account, at most down to 0. Returns the amount subtracted.
     pub fn take(&mut self, bucket: Bucket, account: AccountId, key: TenantKey, usage: Usage) -> Usage {
         let Some(own) = self.buckets.get_mut(&bucket) else { return Usage::default() };
         let taken = own.take(account, key, usage);
@@ -113,7 +113,7 @@
         taken.usage
     }
 
-    /// Takes off what had no room on the pages of buckets before this one, the largest amounts first.
+    /// Removes and returns the amounts without a line in buckets before this one, the largest first.
     pub fn take_overflow_before(&mut self, bucket: Bucket) -> Vec<CarriedUsage> {
         let mut carried = Vec::new();
         let kept = self.overflowing.split_off(&bucket);
@@ -127,18 +127,18 @@
         carried
     }
 
-    /// Takes out the buckets before this one.
+    /// Removes and returns the buckets before this one.
     pub fn expire(&mut self, before: Bucket) -> BTreeMap<Bucket, OwnBucket> {
         let kept = self.buckets.split_off(&before);
         std::mem::replace(&mut self.buckets, kept)
     }
 
-    /// When there is something to publish next, in the caller's microseconds.
+    /// The time of the next round of publishing, in the caller's microseconds.
     pub fn next_round(&self) -> Micros {
         self.next_round
     }
 
-    /// The next fact of this round: slot and bytes.
+    /// The slot and bytes of the next fact of this round: first the queued pages, then the head.
     pub fn publish(&mut self, now: Micros, step: Step) -> Option<(u32, Vec<u8>)> {
         if now >= self.next_round {
             self.next_round = now + self.policy.interval;
@@ -159,7 +159,7 @@
         self.publish_head(step)
     }
 
-    /// The head, unless there is nothing new in it.
+    /// The slot and bytes of the head, unless it holds nothing new.
     fn publish_head(&mut self, step: Step) -> Option<(u32, Vec<u8>)> {
         let Bucket(bucket) = step.bucket();
         let mut revisions: Vec<u32> = (0..self.policy.horizon.min(MAX_HEAD_BUCKETS as u64))
@@ -169,7 +169,7 @@
             })
             .collect();
         revisions.truncate(revisions.iter().rposition(|n| *n > 0).map_or(0, |last| last + 1));
-        // A member without recent usage has no rate: its silence says enough.
+        // A member without recent usage has a rate of 0, so others need no head from it.
         let is_idle = revisions.iter().take(RATE_WINDOW as usize + 2).all(|n| *n == 0);
         let is_known =
             revisions.is_empty() || revisions.iter().sum::<u32>() == self.last_head.iter().sum::<u32>();
--- a/crates/fairshare/src/own_usage/bucket.rs
+++ b/crates/fairshare/src/own_usage/bucket.rs
@@ -1,4 +1,4 @@
-//! The own usage of one bucket: its accounts, and the lines that they have on the bucket's pages.
+//! This member's usage in one bucket: the accounts, and their lines on the bucket's pages.
 
 use crate::accounts::{AccountId, Entry};
 use crate::clock::Bucket;
@@ -6,7 +6,7 @@
 use crate::{MAX_PAGES, TenantKey, Usage};
 use rustc_hash::FxHashMap;
 
-/// Where a line is.
+/// The position of a line.
 #[derive(Clone, Copy, Debug)]
 struct LineRef {
     page: u8,
@@ -16,7 +16,7 @@
 /// An account's usage in a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnAccount {
-    /// The line to which more usage is added, as long as there is room.
+    /// The line to which further usage is added as long as it fits.
     newest_line: Option<LineRef>,
     /// The part of `total` that has no line.
     overflow: Usage,
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnPage {
     lines: Vec<OwnLine>,
-    /// Encoded bytes of the lines.
+    /// The encoded size of the lines, in bytes.
     size: usize,
-    /// How often it has been published.
+    /// How often the page has been published.
     revision: u32,
     is_queued: bool,
 }
@@ -47,7 +47,7 @@
         self.size + size <= PAGE_LINE_BYTES
     }
 
-    /// Adds usage to a line; `false`, and nothing is changed, where the page or the line has no room for it.
+    /// Adds usage to a line. Returns false, and changes nothing, if the page or the line has no room for it.
     fn grow(&mut self, line: u8, usage: Usage) -> bool {
         let line = &mut self.lines[usize::from(line)];
         let Some(grown) = checked_sum(line.usage, usage) else { return false };
@@ -66,12 +66,12 @@
         self.lines.len() as u8 - 1
     }
 
-    /// Has the page published; `false` where it waits for that already.
+    /// Marks the page as queued. Returns false if it already was.
     pub fn mark_queued(&mut self) -> bool {
         !std::mem::replace(&mut self.is_queued, true)
     }
 
-    /// The next revision, as it is published.
+    /// The next revision of the page, to be published.
     pub fn next_revision(&mut self, bucket: Bucket, through: u64) -> Page {
         self.is_queued = false;
         self.revision += 1;
@@ -88,7 +88,7 @@
     }
 }
 
-/// The sum, where a line can hold it.
+/// The sum of two amounts, if a line can hold it.
 fn checked_sum(usage: Usage, more: Usage) -> Option<Usage> {
     let value = usage.value.checked_add(more.value)?;
     let work = usage.work.checked_add(more.work)?;
@@ -100,17 +100,17 @@
     usage.value <= MAX_AMOUNT && usage.work <= MAX_AMOUNT
 }
 
-/// Where an amount went.
+/// Where an amount was added.
 pub(crate) enum Placement {
     OnPage(u8),
     Overflow,
 }
 
-/// What was taken from an account.
+/// The amount subtracted from an account.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Taken {
     pub usage: Usage,
-    /// Numbers of the pages whose lines have changed.
+    /// The numbers of the pages whose lines have changed.
     pub changed_pages: Vec<u8>,
 }
 
@@ -137,12 +137,13 @@
         self.pages.get_mut(usize::from(number))
     }
 
-    /// Revisions of all pages added up, those in the queue included.
+    /// The sum of the revisions of all pages, including the pending revisions of queued pages.
     pub fn revisions(&self) -> u32 {
         self.pages.iter().map(|page| page.revision + u32::from(page.is_queued)).sum()
     }
 
-    /// Adds usage to an account of the tenant `key`: to its newest line, or to a new one, on `max_pages` pages at most.
+    /// Adds usage to an account of the tenant `key`: to its newest line or to a new one. The bucket may have at most
+    /// `max_pages` pages then.
     pub fn add(&mut self, entry: Entry, key: TenantKey, max_pages: u8) -> Placement {
         let Entry { account, usage } = entry;
         let own = self.accounts.entry(account).or_default();
@@ -161,7 +162,7 @@
         Placement::OnPage(page)
     }
 
-    /// Takes from an account as far as it goes.
+    /// Subtracts usage from an account, at most down to 0.
     pub fn take(&mut self, account: AccountId, key: TenantKey, usage: Usage) -> Taken {
         let Some(own) = self.accounts.get_mut(&account) else { return Taken::default() };
         let mut left = usage;
@@ -184,7 +185,7 @@
         Taken { usage: taken, changed_pages }
     }
 
-    /// Takes off what has no line.
+    /// Removes and returns the amounts without a line.
     pub fn take_overflow(&mut self) -> impl Iterator<Item = Entry> {
         let overflowing = self.accounts.iter_mut().filter(|(_, own)| !own.overflow.is_zero());
         overflowing.map(|(account, own)| {
@@ -195,7 +196,8 @@
     }
 }
 
-/// The page for a new line: the last one if it has room and no line of this account, or else another one.
+/// The page for a new line: the last page if it has room and the account's newest line is not on it, or else a new page.
+/// `None` if there are too many pages, or if a line cannot hold the amount.
 fn page_for(
     pages: &mut Vec<OwnPage>,
     newest_line: Option<LineRef>,
@@ -215,7 +217,8 @@
     Some(pages.len() as u8 - 1)
 }
 
-/// Moves as much as there is from `usage` off `wanted`; whether there was any.
+/// Subtracts as much of `wanted` from `usage` as possible, and the same amount from `wanted`. Returns whether that was
+/// anything.
 fn take_up_to(usage: &mut Usage, wanted: &mut Usage) -> bool {
     let taken = Usage { value: usage.value.min(wanted.value), work: usage.work.min(wanted.work) };
     *usage = *usage - taken;
--- a/crates/fairshare/src/receiver.rs
+++ b/crates/fairshare/src/receiver.rs
@@ -1,4 +1,4 @@
-//! Receiving facts: what another member reported, checked and entered into its registers and the accounts.
+//! Reception of facts: a report of another member is checked, and entered into its registers and the accounts.
 
 use crate::accounts::{AccountId, Accounts, Entry, Source};
 use crate::clock::{Bucket, Clock, SUB_STEPS};
@@ -6,10 +6,10 @@
 use crate::wire::{self, Line, Page};
 use crate::{AbsorbError, Config, Origin};
 
-/// A page covers at most this many buckets: keeps the arithmetic on a foreign number in range.
+/// The maximum number of buckets that a page may cover. It keeps the arithmetic on a received number in range.
 const MAX_PAGE_BUCKETS: u64 = 1 << 20;
 
-/// A fact as the carrier delivered it.
+/// A received fact.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedFact<'a> {
     pub origin: Origin,
@@ -18,16 +18,16 @@
     pub bytes: &'a [u8],
 }
 
-/// What became of a fact that was not refused.
+/// The result of absorbing a valid fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Absorbed {
-    /// It is later than what was known.
+    /// The fact was later than what was known.
     New,
-    /// It is no later than what was known, and changes nothing.
+    /// The fact was not later than what was known, and changed nothing.
     Stale,
 }
 
-/// The parts of a ledger that a received fact changes, with the settings and the time by which it is judged.
+/// The parts of a ledger that a received fact changes, with the settings and the clock for its checks.
 pub(crate) struct Receiver<'a> {
     pub config: &'a Config,
     pub clock: &'a Clock,
@@ -36,13 +36,13 @@
 }
 
 impl Receiver<'_> {
-    /// Absorbs a fact, whatever came before it; a refused one changes nothing in the accounts.
+    /// Absorbs a fact. Facts may arrive in any order. A refused fact changes no account.
     pub fn absorb(&mut self, fact: ReceivedFact) -> Result<Absorbed, AbsorbError> {
         let own = Origin { place: self.config.place, epoch: self.config.epoch };
         if fact.origin.place >= self.config.peers {
             Err(AbsorbError::Place)
         } else if fact.origin == own {
-            Ok(Absorbed::New) // the own accounts know better
+            Ok(Absorbed::New) // the own accounts have it already
         } else if fact.slot == wire::HEAD_SLOT {
             self.absorb_head(fact)
         } else {
@@ -96,7 +96,7 @@
         entries
     }
 
-    /// Takes the entries of a replaced page off the accounts.
+    /// Subtracts the entries of a replaced page from the accounts.
     fn subtract_replaced(&mut self, entries: Vec<Entry>, bucket: Bucket) {
         for entry in entries {
             if !self.config.count_twice {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Refuses a page whose new tenants would be too many.
+    /// Refuses a page whose new tenants would exceed the limit.
     fn check_room(&self, page: &Page) -> Result<(), AbsorbError> {
         let is_unknown = |line: &&Line| self.accounts.find(line.key().tenant).is_none();
         let added = page.lines.iter().filter(is_unknown).count();
--- a/crates/fairshare/src/report_error.rs
+++ b/crates/fairshare/src/report_error.rs
@@ -1,29 +1,29 @@
-//! Why a report, of another member or of this one, was refused.
+//! Reasons for which a report of another member, or usage of this one, is refused.
 
 use thiserror::Error;
 
 /// Why a fact of another member was refused. Each is counted in [`crate::Metrics`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AbsorbError {
-    /// It is longer than a fact may be.
+    /// The fact exceeds the maximum length.
     #[error("the fact is too long")]
     TooLong,
-    /// It begins with another version.
+    /// The fact has an unknown version.
     #[error("the fact is of another version")]
     Version,
-    /// It cannot be read, or its slot contradicts its content.
+    /// The fact cannot be decoded, or its slot contradicts its contents.
     #[error("the fact cannot be read")]
     Malformed,
-    /// Its place is not among the peers.
+    /// The fact is from a place that is not among the peers.
     #[error("the fact is of a place that is not listed")]
     Place,
-    /// It reports a bucket before the horizon.
+    /// The fact reports a bucket before the horizon.
     #[error("the fact is older than the horizon")]
     Late,
-    /// It is further in the future than clocks may differ.
+    /// The fact is further in the future than clocks may differ.
     #[error("the fact is from the future")]
     Future,
-    /// Its place has restarted too often since.
+    /// The fact is from an old epoch: its place has restarted too often since.
     #[error("the fact is of an epoch that is too far back")]
     Epoch,
     /// There is no room for more tenants.
@@ -34,10 +34,10 @@
 /// Why usage of this member was not recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// It happened before the horizon.
+    /// The usage happened before the horizon.
     #[error("the use is older than the horizon")]
     Late,
-    /// It is more than a bucket in the future.
+    /// The usage is in a later bucket than the current one.
     #[error("the use is from the future")]
     Future,
     /// There is no room for more tenants.
--- a/crates/fairshare/src/share_pool.rs
+++ b/crates/fairshare/src/share_pool.rs
@@ -1,4 +1,4 @@
-//! The shares of a capacity, and when what is not used of them was last lent.
+//! The shares of a capacity, and the lending of unused shares.
 
 use crate::clock::Bucket;
 use crate::shares::{Leaf, ShareTree, Shares, SharesError};
@@ -10,19 +10,19 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SharePool {
     tree: ShareTree,
-    /// What the federation's rate comes to in the account.
+    /// The balance of the federation's rate in the account.
     capacity: u64,
     /// The bucket in which unused shares were last lent.
     lent_in: Option<Bucket>,
 }
 
 impl SharePool {
-    /// A pool of this capacity of which nobody has a share yet.
+    /// A pool of this capacity without shares.
     pub fn new(capacity: u64) -> SharePool {
         SharePool { tree: ShareTree::default(), capacity, lent_in: None }
     }
 
-    /// Replaces the shares, and opens and closes the accounts that depend on them. Shares that are not valid change nothing.
+    /// Replaces the shares, and opens and closes the accounts that depend on them. Invalid shares change nothing.
     pub fn set_shares(&mut self, shares: &Shares, accounts: &mut Accounts) -> Result<(), SharesError> {
         let tree = ShareTree::new(shares, self.capacity)?;
         let old = std::mem::replace(&mut self.tree, tree);
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Lends what is not used anew, unless that was done in this bucket.
+    /// Lends unused shares anew, unless that was already done in this bucket.
     pub fn lend(&mut self, estimator: &mut UsageEstimator) {
         let bucket = estimator.clock.bucket();
         if self.lent_in == Some(bucket) {
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -3,49 +3,54 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-/// Most tenants of a tree.
+/// The maximum number of tenants of a tree.
 pub const MAX_TENANTS: usize = 100_000;
-/// Most classes of a tenant.
+/// The maximum number of classes of a tenant.
 pub const MAX_CLASSES: usize = 64;
 
-/// Who has a share of the federation, and how much of it. A weight is relative to the other weights of its level; a weight of
-/// 0 is promised nothing and gets what is left over.
+/// The shares of the federation. A weight is relative to the other weights of its level. A participant with a weight of 0 is
+/// guaranteed nothing, and gets only capacity that others leave unused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shares {
     /// The installations.
     pub installations: Vec<Installation>,
 }
 
-/// One installation and the tenants whose home it is. Their use counts wherever it happens.
+/// One installation with its tenants. The usage of a tenant counts wherever it happens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Installation {
-    /// Its name, for messages.
+    /// The name of the installation, for messages.
     pub name: String,
-    /// Its weight within the federation.
+    /// The weight of the installation within the federation.
     pub weight: u32,
-    /// Its tenants.
+    /// The tenants of the installation.
     pub tenants: Vec<Tenant>,
 }
 
 /// One tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, the same in the whole federation.
+    /// The name of the tenant, the same in the whole federation.
     pub name: String,
-    /// Its weight within its installation.
+    /// The weight of the tenant within its installation.
     pub weight: u32,
-    /// Weights of its classes within its share, by the number of the class. Empty: all its classes have one account.
+    /// The weights of the classes within the tenant's share, by the number of the class. If empty, all classes have one
+    /// account.
     pub classes: Vec<u32>,
 }
 
-/// A tenant's identifier in reports: FNV-1a over its name, the same at every member whatever its settings list.
+/// The identifier of a tenant in reports: the 32-bit FNV-1a hash of its name, which does not depend on a member's settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u32);
 
 impl TenantKey {
     /// The key of a name.
     pub fn from_name(name: &str) -> TenantKey {
-        TenantKey(name.bytes().fold(0x811c_9dc5, |hash, b| (hash ^ u32::from(b)).wrapping_mul(0x0100_0193)))
+        /// The parameters of FNV-1a with 32 bits.
+        const OFFSET_BASIS: u32 = 0x811c_9dc5;
+        const PRIME: u32 = 0x0100_0193;
+        let extend = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(PRIME);
+        TenantKey(name.bytes().fold(OFFSET_BASIS, extend))
     }
 }
 
@@ -66,33 +71,33 @@
     TooManyClasses(String, usize),
 }
 
-/// A tenant of the tree with its share and its allowance, in units as they stand in the account.
+/// A tenant of the tree, with its share and its allowance as amounts in the account.
 #[derive(Clone, Debug)]
 pub(crate) struct Leaf {
     pub key: TenantKey,
     pub installation: usize,
     pub weight: u64,
     pub classes: Vec<u32>,
-    /// What the weights alone give it.
+    /// The tenant's part of the capacity by the weights alone.
     pub share: u64,
-    /// The share, and what is lent to it on top.
+    /// The share, plus what is lent to the tenant on top.
     pub allowance: u64,
 }
 
 impl Leaf {
     /// The share of one class.
     pub fn class_share(&self, class: u8) -> u64 {
-        let all: u64 = self.classes.iter().map(|w| u64::from(*w)).sum();
+        let total_weight: u64 = self.classes.iter().map(|weight| u64::from(*weight)).sum();
         let weight = self.classes.get(usize::from(class)).copied().unwrap_or(0);
-        proportion(self.share, u64::from(weight), all)
+        proportion(self.share, u64::from(weight), total_weight)
     }
 }
 
-/// The tree of shares with everything that was derived from the weights.
+/// The tree of shares, with the amounts derived from the weights.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShareTree {
     pub leaves: Vec<Leaf>,
-    /// Index in `leaves`.
+    /// The index in `leaves` of each tenant.
     by_key: FxHashMap<TenantKey, u32>,
     installations: Vec<InstallationShare>,
 }
@@ -103,12 +108,12 @@
     share: u64,
 }
 
-/// The part of `whole` that goes to a weight out of `total_weight`; 0 where nobody has a weight.
+/// The part of `whole` for a weight out of `total_weight`; 0 if the total is 0.
 fn proportion(whole: u64, weight: u64, total_weight: u64) -> u64 {
     (u128::from(whole) * u128::from(weight)).checked_div(u128::from(total_weight)).unwrap_or(0) as u64
 }
 
-/// One participant of a level of the tree: its weight, its share and how much it needs.
+/// A participant of one level of the tree: its weight, its share and its need.
 #[derive(Clone, Copy, Debug)]
 struct Participant {
     weight: u64,
@@ -117,7 +122,7 @@
 }
 
 impl Participant {
-    /// Whether it could use all of its share or more.
+    /// Whether the participant needs its whole share or more.
     fn is_unsatisfied(self) -> bool {
         self.need >= self.share.max(1)
     }
@@ -126,11 +131,11 @@
 /// The demand of one level of the tree.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    /// Needs of the participants that use less than their share.
+    /// The sum of the needs of the participants that need less than their share.
     satisfied_need: u64,
-    /// Weights of all others.
+    /// The sum of the weights of the participants that need their share or more.
     unsatisfied_weight: u64,
-    /// Participants of weight 0 that use something.
+    /// The number of participants with a weight of 0 and a need.
     weightless: u64,
 }
 
@@ -145,9 +150,8 @@
         }
     }
 
-    /// What one participant may have of `whole`, were it to want all it can get. Max-min fairness by water-filling: who needs
-    /// less than its share is satisfied at once, since the level of the water only rises, and the rest divide what is left by
-    /// their weights.
+    /// The part of `whole` that a participant could get at most, by max-min fairness (water-filling). A participant that needs
+    /// less than its share is satisfied at once, since the level only rises. The others divide the rest by their weights.
     fn allowance(&self, whole: u64, participant: Participant) -> u64 {
         let Participant { weight, share, need } = participant;
         let left = whole.saturating_sub(self.satisfied_need);
@@ -162,19 +166,20 @@
 }
 
 impl ShareTree {
-    /// The tree of these shares of `whole`.
+    /// Validates the shares, and divides `whole` by them.
     pub fn new(shares: &Shares, whole: u64) -> Result<ShareTree, SharesError> {
-        let tenants = shares.installations.iter().map(|i| i.tenants.len()).sum();
+        let tenants = shares.installations.iter().map(|installation| installation.tenants.len()).sum();
         if tenants > MAX_TENANTS {
             return Err(SharesError::TooMany(tenants));
         }
         let mut tree = ShareTree::default();
         let mut names: FxHashMap<TenantKey, &str> = FxHashMap::default();
-        let total_weight: u64 = shares.installations.iter().map(|i| u64::from(i.weight)).sum();
+        let weights = shares.installations.iter().map(|installation| u64::from(installation.weight));
+        let total_weight: u64 = weights.sum();
         for installation in &shares.installations {
             let weight = u64::from(installation.weight);
             let share = proportion(whole, weight, total_weight);
-            let tenant_weight: u64 = installation.tenants.iter().map(|t| u64::from(t.weight)).sum();
+            let tenant_weight: u64 = installation.tenants.iter().map(|tenant| u64::from(tenant.weight)).sum();
             for tenant in &installation.tenants {
                 let key = checked_key(tenant, &mut names)?;
                 let share = proportion(share, u64::from(tenant.weight), tenant_weight);
@@ -203,8 +208,8 @@
         self.by_key.get(&key).map(|leaf| &self.leaves[*leaf as usize])
     }
 
-    /// Lends what is not used: first within each installation, then between them. `needs` are the high ends of what the
-    /// leaves use, in their order: what may be in use is not lent.
+    /// Lends unused capacity: first within each installation, then between installations. `needs` are the high ends of the
+    /// usage of the leaves, in their order, so capacity that may be in use is not lent.
     pub fn lend(&mut self, whole: u64, needs: &[u64]) {
         let mut within = vec![Demand::default(); self.installations.len()];
         for (leaf, need) in self.leaves.iter().zip(needs) {
@@ -242,7 +247,7 @@
     }
 }
 
-/// The key of a tenant that is listed once, with a key of its own and not too many classes.
+/// The key of a tenant, after checking that the tenant and its key are listed only once and that it has not too many classes.
 fn checked_key<'a>(
     tenant: &'a Tenant,
     names: &mut FxHashMap<TenantKey, &'a str>,
--- a/crates/fairshare/src/usage_estimate.rs
+++ b/crates/fairshare/src/usage_estimate.rs
@@ -1,4 +1,4 @@
-//! A tenant's usage as an interval: what is known, and what members that have not reported may have served since.
+//! Estimates of a tenant's usage as an interval: the known usage, and the possible usage at members since their last report.
 
 use crate::accounts::{AccountTotal, Accounts, TenantIndex};
 use crate::clock::Clock;
@@ -6,15 +6,15 @@
 use crate::members::{Members, RATE_WINDOW};
 use crate::valuation::Interval;
 
-/// The usage of a tenant, and the part of it that this member served; amounts in the account.
+/// The usage of a tenant, and this member's part of it; amounts in the account.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UsageEstimate {
     pub used: Interval,
     pub own: u64,
 }
 
-/// Estimates usage at the clock's present. [`Members`] keeps each member's unreported time for the sub-step at hand, so it
-/// is borrowed mutably.
+/// Estimates usage at the current time of the clock. It borrows [`Members`] mutably, since that caches each member's
+/// unreported time for the current sub-step.
 pub(crate) struct UsageEstimator<'a> {
     pub clock: &'a Clock,
     pub accounts: &'a Accounts,
@@ -34,23 +34,25 @@
 
     fn estimate(&mut self, tenant: TenantIndex, class: Option<u8>) -> UsageEstimate {
         let mut total = AccountTotal::default();
-        let (mut likely, mut high) = (0, 0);
+        let mut likely_unreported = 0;
+        let mut high_unreported = 0;
         for account in self.accounts.classes(tenant, class) {
             self.accounts.add_to_total(&mut total, account);
             for recent in &account.recent {
                 let unreported = self.members.unreported(recent.member, self.clock, self.accounts.decay());
-                likely += extrapolated(recent.amount, unreported.likely);
-                high += extrapolated(recent.amount, unreported.high);
+                likely_unreported += extrapolated(recent.amount, unreported.likely);
+                high_unreported += extrapolated(recent.amount, unreported.high);
             }
         }
         let known = self.accounts.decayed_total(total, self.clock.step());
         let low = known.measured;
-        UsageEstimate { used: Interval { low, likely: low + likely, high: low + high }, own: known.own }
+        let used = Interval { low, likely: low + likely_unreported, high: low + high_unreported };
+        UsageEstimate { used, own: known.own }
     }
 }
 
-/// What a member that used `recent_amount` in the last [`RATE_WINDOW`] buckets uses at that rate in a span of decayed time
-/// (in buckets with [`SPAN_BITS`] fractional bits).
+/// Extrapolates the usage of a member over a span of decayed time, in buckets with [`SPAN_BITS`] fractional bits.
+/// `recent_amount` is its usage in the last [`RATE_WINDOW`] buckets.
 fn extrapolated(recent_amount: u64, span: u64) -> u64 {
     ((u128::from(recent_amount) * u128::from(span)) >> SPAN_BITS) as u64 / RATE_WINDOW
 }
--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -1,53 +1,53 @@
-//! Where a tenant stands, and the value of one more of its jobs that follows from it. [`PaceCredit`] alone has state.
+//! The position of a tenant, and the value of one more of its jobs that follows from it. Only [`PaceCredit`] has state.
 
 use crate::{Config, Micros};
 
-/// Seconds of its pace that a tenant may be ahead.
+/// The maximum credit of a tenant, in seconds of its pace.
 const MAX_CREDIT_SECONDS: f64 = 1.0;
 /// Jobs on lent capacity are valued at least this much below jobs that may be within the share.
 const LENT_DISCOUNT: f64 = 0.1;
 
-/// What a tenant used, as it stands in the account.
+/// An estimate of a tenant's usage, in the account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Interval {
-    /// What is known: the true figure is not below it.
+    /// The known usage, a lower bound of the true one.
     pub low: u64,
-    /// With the silent members at their recent rates.
+    /// The known usage, plus that of silent members at their recent rates.
     pub likely: u64,
-    /// With the silent members at the upper edge of their estimates.
+    /// The known usage, plus the high estimates for silent members.
     pub high: u64,
 }
 
-/// Where a tenant stands; all amounts in the account.
+/// The position of a tenant; all amounts are in the account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// What it used.
+    /// The tenant's usage.
     pub used: Interval,
-    /// What the weights promise it.
+    /// The tenant's part of the capacity by its weight.
     pub share: u64,
-    /// The share and what is lent to it on top, as of the beginning of this bucket.
+    /// The share, plus what is lent to the tenant on top, as of the beginning of the current bucket.
     pub allowance: u64,
 }
 
-/// Why one more job has the value that it has.
+/// The reason for the value of one more job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// Within the share, perhaps with doubt: never refused for what might be.
+    /// The known usage is within the share. Usage that is only possible never moves a tenant to another tier.
     Within,
-    /// Beyond the share: paying back, at the pace that is left to it.
+    /// The tenant is beyond its share and pays back, and the job is within its reduced pace.
     Floor,
-    /// Beyond the share, within what is lent.
+    /// The tenant is beyond its share, but within what is lent to it.
     Lent,
-    /// Beyond all of it.
+    /// The tenant is beyond its allowance.
     Over,
 }
 
 /// The value of one more job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobValue {
-    /// As a fraction of its class's value, 0 to 1.
+    /// The value as a fraction of the class's value, from 0 to 1.
     pub fraction: f64,
-    /// Why.
+    /// The reason for the value.
     pub tier: Tier,
 }
 
@@ -69,18 +69,18 @@
         }
     }
 
-    /// A job beyond everything that its tenant may have.
+    /// The value of a job beyond its tenant's allowance.
     pub fn over_quota(&self) -> JobValue {
         JobValue { fraction: self.over_quota_value, tier: Tier::Over }
     }
 
-    /// A job of a class that is within its part of the tenant's share.
+    /// The value of a job of a class that is within its part of the tenant's share.
     pub fn within_class_share(&self) -> JobValue {
         JobValue { fraction: 1.0 - self.uncertainty_discount, tier: Tier::Within }
     }
 }
 
-/// A tenant's position beside what this member served of it.
+/// A tenant's position, with this member's part of its usage.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Standing {
     pub position: Position,
@@ -95,8 +95,8 @@
         self.position.used.low <= self.position.share
     }
 
-    /// How much of the tenant this member may serve at full value, in the account: its part of the share, reduced as far as
-    /// the tenant pays back. Its part is as much as it served recently, and at least an equal one among `places`.
+    /// The amount that this member may serve at full value, in the account: its part of the share, reduced if the tenant pays
+    /// back. Its part is its fraction of the tenant's recent usage, and at least an equal part among `places`.
     pub fn own_pace(&self, places: u64, limits: &ValueLimits) -> f64 {
         let Position { used, share, .. } = self.position;
         let recent_part = self.own as f64 / used.low.max(1) as f64;
@@ -105,13 +105,14 @@
         share as f64 * own_part * pay_back
     }
 
-    /// A job within the pace.
+    /// The value of a job within the pace.
     pub fn within_pace(&self) -> JobValue {
         let tier = if self.is_within_share() { Tier::Within } else { Tier::Floor };
         JobValue { fraction: 1.0, tier }
     }
 
-    /// A job beyond the pace of a tenant that is within its share by the low end: the discount grows with the doubt.
+    /// The value of a job beyond the pace, of a tenant whose known usage is within its share. The discount grows with the part
+    /// of the estimated usage that is beyond the share.
     pub fn within_share(&self, limits: &ValueLimits) -> JobValue {
         let Interval { low, likely, .. } = self.position.used;
         let share = self.position.share;
@@ -119,21 +120,22 @@
         JobValue { fraction: 1.0 - limits.uncertainty_discount * (1.0 + doubt) / 2.0, tier: Tier::Within }
     }
 
-    /// A job beyond the share: from below all that is promised down to the value over quota, where all that is lent is used.
+    /// The value of a job beyond the share. It falls from below the values within the share to the value over quota, which it
+    /// reaches once the lent capacity is used up.
     pub fn beyond_share(&self, limits: &ValueLimits) -> JobValue {
         let Position { used, share, allowance } = self.position;
         if used.low >= allowance {
             return limits.over_quota();
         }
-        let over = limits.over_quota_value;
-        let left = (allowance - used.low) as f64 / (allowance - share) as f64;
-        let most = (1.0 - limits.uncertainty_discount - LENT_DISCOUNT).max(over);
-        JobValue { fraction: over + (most - over) * left, tier: Tier::Lent }
+        let min_value = limits.over_quota_value;
+        let fraction_left = (allowance - used.low) as f64 / (allowance - share) as f64;
+        let max_value = (1.0 - limits.uncertainty_discount - LENT_DISCOUNT).max(min_value);
+        JobValue { fraction: min_value + (max_value - min_value) * fraction_left, tier: Tier::Lent }
     }
 }
 
-/// What a tenant may still get at full value from this member: a token bucket that is filled at the tenant's pace, up to
-/// [`MAX_CREDIT_SECONDS`], and that a job may overdraw.
+/// The amount that a tenant may still get at full value from this member: a token bucket that fills at the tenant's pace, up
+/// to [`MAX_CREDIT_SECONDS`]. A job may overdraw it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PaceCredit {
     amount: f64,
@@ -141,11 +143,11 @@
 }
 
 impl PaceCredit {
-    /// Whether one more job of this amount is within the pace; takes it from the credit if so.
+    /// Whether one more job of this amount is within the pace. If so, takes it from the credit.
     pub fn take(&mut self, now: Micros, per_second: f64, amount: f64) -> bool {
         let seconds = (now - self.updated_at.min(now)) as f64 / 1e6;
-        let most = (per_second * MAX_CREDIT_SECONDS).max(amount);
-        self.amount = (self.amount + seconds * per_second).min(most);
+        let max_amount = (per_second * MAX_CREDIT_SECONDS).max(amount);
+        self.amount = (self.amount + seconds * per_second).min(max_amount);
         self.updated_at = now;
         let has_credit = self.amount > 0.0;
         if has_credit {
--- a/crates/fairshare/src/wire.rs
+++ b/crates/fairshare/src/wire.rs
@@ -1,29 +1,29 @@
-//! Encoding of the facts: a version byte, then a page or a head in postcard. The order of fields is the format.
+//! Encoding of facts: a version byte, then a page or a head in postcard, which encodes fields in the order of the code.
 
 use crate::clock::{Bucket, Step};
 use crate::{AbsorbError, MAX_PAGES, TenantKey, Usage};
 use serde::{Deserialize, Serialize};
 
-/// Format version: the first byte of each fact.
+/// The version of the format: the first byte of each fact.
 const VERSION: u8 = 1;
-/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
-/// it, since none of them depends on the carrier.
+/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
+/// since none of them depends on the crate that carries them.
 const MAX_FACT_BYTES: usize = 160;
-/// Room for the lines of a page: version, bucket, through, edit and count come to 20 bytes at most.
+/// The space for the lines of a page, in bytes. The version, bucket, `through`, revision and count take at most 20 bytes.
 pub(crate) const PAGE_LINE_BYTES: usize = MAX_FACT_BYTES - 20;
-/// Largest amount in one line: sums of many stay within 127 bits.
+/// The maximum amount in one line, so that sums of many stay within 127 bits.
 pub(crate) const MAX_AMOUNT: u64 = 1 << 40;
-/// Most buckets of a head: two bytes each, mostly.
+/// The maximum number of buckets of a head, each of which mostly takes two bytes.
 pub(crate) const MAX_HEAD_BUCKETS: usize = 64;
 
-/// The account of a line, by names that are the same at every member.
+/// The account of a line, by identifiers that are the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LineKey {
     pub tenant: TenantKey,
     pub class: u8,
 }
 
-/// One account's usage in one bucket, as far as it is on this page.
+/// The part of one account's usage in a bucket that is on one page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Line {
     pub tenant: [u8; 4],
@@ -33,7 +33,7 @@
 }
 
 impl Line {
-    /// The account that it belongs to; the lines of a page are sorted by it.
+    /// The account of the line. The lines of a page are sorted by it.
     pub fn key(&self) -> LineKey {
         LineKey { tenant: TenantKey(u32::from_le_bytes(self.tenant)), class: self.class }
     }
@@ -43,9 +43,9 @@
         Usage { value: self.value, work: self.work }
     }
 
-    /// Encoded bytes of a line with this usage.
+    /// The encoded size of a line with this usage, in bytes.
     pub fn size(usage: Usage) -> usize {
-        let varint_len = |n: u64| (70 - (n | 1).leading_zeros() as usize) / 7;
+        let varint_len = |number: u64| (70 - (number | 1).leading_zeros() as usize) / 7;
         5 + varint_len(usage.value) + varint_len(usage.work)
     }
 }
@@ -54,23 +54,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Page {
     pub bucket: Bucket,
-    /// Up to when it covers the bucket: sub-steps since the bucket began.
+    /// The end of the reported time, in sub-steps since the beginning of the bucket.
     pub through: u64,
-    /// How often this page has been published, this time included.
+    /// How often this page has been published, including this time.
     pub revision: u32,
     pub lines: Vec<Line>,
 }
 
-/// Up to when a member has published everything, and how many publications that took.
+/// The time up to which a member has published its usage, and the number of revisions by bucket, from which others see
+/// whether any is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
-    /// Sub-steps since the Unix epoch, by the member's own clock.
+    /// The time, by the member's own clock.
     pub at: Step,
-    /// For the bucket of `at` and those before it: the revisions of all its pages added up.
+    /// The sum of the revisions of all pages, for the bucket of `at` and for each bucket before it.
     pub revisions: Vec<u32>,
 }
 
-/// Encodes a head or a page; `None` where it does not fit into a fact.
+/// Encodes a head or a page; `None` if it does not fit into a fact.
 pub(crate) fn encode(fact: &impl Serialize) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(fact, vec![VERSION]).ok()?;
     debug_assert!(bytes.len() <= MAX_FACT_BYTES, "a fact of {} bytes", bytes.len());
@@ -94,18 +95,19 @@
     if head.revisions.len() > MAX_HEAD_BUCKETS { Err(AbsorbError::Malformed) } else { Ok(head) }
 }
 
-/// Decodes a page whose lines are sorted and within bounds.
+/// Decodes a page, and checks that its lines are sorted and within bounds.
 pub(crate) fn decode_page(bytes: &[u8]) -> Result<Page, AbsorbError> {
     let page: Page = decode(bytes)?;
-    let sorted = page.lines.windows(2).all(|pair| pair[0].key() < pair[1].key());
-    let small = |line: &Line| line.value <= MAX_AMOUNT && line.work <= MAX_AMOUNT;
-    if sorted && page.lines.iter().all(small) { Ok(page) } else { Err(AbsorbError::Malformed) }
+    let is_sorted = page.lines.windows(2).all(|pair| pair[0].key() < pair[1].key());
+    let is_within_bounds = |line: &Line| line.value <= MAX_AMOUNT && line.work <= MAX_AMOUNT;
+    let is_valid = is_sorted && page.lines.iter().all(is_within_bounds);
+    if is_valid { Ok(page) } else { Err(AbsorbError::Malformed) }
 }
 
 /// The slot of the head.
 pub(crate) const HEAD_SLOT: u32 = 0;
-/// Buckets whose pages have slots of their own, taken in turn: more than any horizon, so that what a slot held before has
-/// expired, and few enough for the slots that a member may have.
+/// The number of consecutive buckets whose pages have different slots. It exceeds any horizon, so that the previous page of a
+/// slot has expired, and is small enough for the number of slots that a member may have.
 const SLOT_BUCKETS: u64 = 72;
 
 /// The slot of a page.
@@ -113,7 +115,7 @@
     1 + (bucket.0 % SLOT_BUCKETS) as u32 * u32::from(MAX_PAGES) + u32::from(page)
 }
 
-/// The page of this bucket that a slot holds, if it is one of them.
+/// The number of the page of this bucket that a slot holds; `None` if the slot is not one of this bucket's.
 pub(crate) fn page_of_slot(bucket: Bucket, slot: u32) -> Option<u8> {
     u8::try_from(slot.checked_sub(slot_of_page(bucket, 0))?).ok().filter(|page| *page < MAX_PAGES)
 }
