--- a/crates/runtimes/src/backfill.rs
+++ b/crates/runtimes/src/backfill.rs
@@ -1,15 +1,16 @@
-//! Which waiting job may start first without delaying a larger one: the arithmetic of backfilling with a reservation (Lifka's
-//! EASY scheduler, 1995). The decision is the caller's; only [`IdleAllowance`] has state.
+//! Backfilling with a reservation (Lifka's EASY scheduler, 1995): which waiting job may start without delaying a larger one.
+//!
+//! This module has only the arithmetic; the caller decides. Only [`IdleAllowance`] has state.
 
 use crate::Micros;
 
 /// Slots that a running job occupies at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OccupiedSlots {
-    /// When the job is expected to end. Computed again while it runs ([`crate::RuntimeEstimator::remaining`]), it moves
-    /// later once the estimate has proved too low.
+    /// When the job is expected to end. If this is recomputed while the job runs ([`crate::RuntimeEstimator::remaining`]), it
+    /// moves to a later time once the first estimate has proved too low.
     pub ends_at: Micros,
-    /// Number of slots.
+    /// The number of slots.
     pub slots: f64,
 }
 
@@ -18,12 +19,13 @@
 pub struct Reservation {
     /// When the slots are expected to be free; never before `now`.
     pub at: Micros,
-    /// Slots that are free then beyond its own: a job that fits into these does not delay it, however long it runs.
+    /// The further slots that are free at that time. A job that fits into them does not delay the waiting job, however long
+    /// it runs.
     pub spare: f64,
 }
 
-/// The earliest time at which `need` slots are expected to be free at a worker with `free` slots now, and what is left over
-/// then. `None`: even all of its slots would not be enough. Sorts `occupied` by the end.
+/// The earliest time at which `need` slots are expected to be free at a worker with `free` slots now, and the further slots
+/// that are free then. `None` if all slots of the worker together are not enough. Sorts `occupied` by the end.
 ///
 /// ```
 /// use mothproxy_runtimes::backfill::{OccupiedSlots, Reservation, reserve};
@@ -42,7 +44,7 @@
         }
         available += next.slots;
         at = next.ends_at.max(now);
-        // What ends at the same time is free as well.
+        // Slots of jobs that end at the same time are free as well.
         let simultaneous = occupied[index + 1..].iter().take_while(|other| other.ends_at <= at);
         if available >= need {
             available += simultaneous.map(|other| other.slots).sum::<f64>();
@@ -52,26 +54,25 @@
     (available >= need).then_some(Reservation { at, spare: available - need })
 }
 
-/// Whether a job of `slots` slots that is expected to run for at most `long` µs (the conservative quantile) may start before
-/// the one that holds the reservation: it ends in time, or fits beside it.
+/// Whether a job of `slots` slots may start before the job that holds the reservation: it ends in time, or fits beside it.
+/// `long` is the conservative quantile of its run time, in microseconds.
 pub fn may_start_before(now: Micros, slots: f64, long: Micros, reserved: &Reservation) -> bool {
     now.saturating_add(long) <= reserved.at || slots <= reserved.spare
 }
 
-/// Whether a reservation is still useful: its job, expected to run for `typical` µs, ends by `deadline`. Where it does not,
-/// slots are reserved for a late answer, and only the caller knows the value of that.
+/// Whether a reservation is useful: its job, which is expected to run for `typical` microseconds, ends by `deadline`.
+/// Otherwise slots are reserved for a late answer, whose value only the caller knows.
 pub fn meets_deadline(reserved: &Reservation, typical: Micros, deadline: Micros) -> bool {
     reserved.at.saturating_add(typical) <= deadline
 }
 
-/// A budget for what all reservations together cost the jobs that could have run meanwhile: slots kept idle are paid from an
-/// income in proportion to the slots that there are. Over any span at most a fraction of all slots' time is kept idle, and a
-/// burst besides.
+/// A limit of the slot time that reservations keep idle, in which other jobs could have run: a token bucket whose income is
+/// proportional to the number of slots. Over any span, at most a fraction of the time of all slots is kept idle, plus a burst.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleAllowance {
-    /// Slots that may be idle on average: the income per µs.
+    /// The number of slots that may be idle on average, which is the income per microsecond.
     income: f64,
-    /// Most slot time that is saved up, in µs.
+    /// The maximum balance of slot time, in microseconds.
     burst: f64,
     balance: f64,
     updated_at: Micros,
@@ -79,15 +80,15 @@
 }
 
 impl IdleAllowance {
-    /// An allowance of at most the fraction `fraction` of the time of `slots` slots over any span, and `burst` µs of each at
-    /// once.
+    /// An allowance of at most `fraction` of the time of `slots` slots, plus a burst of the same fraction of `burst`
+    /// microseconds of each slot.
     pub fn new(now: Micros, slots: f64, fraction: f64, burst: Micros) -> Self {
         let burst = slots * fraction * burst as f64;
         IdleAllowance { income: slots * fraction, burst, balance: burst, updated_at: now, idle: 0.0 }
     }
 
-    /// Pays for the slots that were idle since the last call, and sets how many are idle from now on. Returns whether any may
-    /// be: if not, jobs that wait for reserved slots must be started.
+    /// Pays for the slots that were idle since the last call, and sets how many are idle from now on. Returns whether slots
+    /// may be kept idle. If not, the caller must start other jobs in the reserved slots.
     pub fn update(&mut self, now: Micros, idle: f64) -> bool {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.balance = (self.balance + (self.income - self.idle) * elapsed).min(self.burst);
--- a/crates/runtimes/src/cell_sum.rs
+++ b/crates/runtimes/src/cell_sum.rs
@@ -1,29 +1,29 @@
-//! A cell over all spans and members, weighted by age: what a fit is computed from.
+//! The sum of a cell's summaries over all spans and members, weighted by age: the input of a fit.
 
 use crate::WorkerKind;
 use crate::distribution::BinCounts;
 use crate::summary::{FIXED_POINT, KindTotal, Summary};
 
-/// Weighted jobs of one kind of worker.
+/// The weighted total of the jobs at one kind of worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KindSum {
     pub kind: WorkerKind,
     pub jobs: f64,
-    /// Sum of the logarithmic run times at this kind.
+    /// The weighted sum of the logarithmic run times at this kind.
     pub log_sum: f64,
 }
 
-/// Weighted totals of a cell.
+/// The weighted totals of a cell.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CellSum {
     /// The hash of the class cell, shortened; 0 for a worker's.
     pub class: u32,
     pub jobs: f64,
-    /// Sum of what wider cells of the chain added to the class's expectation.
+    /// The weighted sum of the effects of the cells between this one and the class.
     pub expected: f64,
     /// Sorted by kind.
     pub kinds: Vec<KindSum>,
-    /// By bin of the residual; `None` where nothing was counted.
+    /// The counts by bin of the residual; `None` if no residual was counted.
     pub counts: Option<Box<BinCounts>>,
 }
 
--- a/crates/runtimes/src/config.rs
+++ b/crates/runtimes/src/config.rs
@@ -1,8 +1,8 @@
-//! Settings of an estimator, and the check they pass before it is built.
+//! Settings of an estimator, and their validation.
 
 use crate::{Micros, WorkerKind};
 
-/// Latest epoch: a Unix time in milliseconds far ahead.
+/// The maximum epoch: a Unix time in milliseconds far in the future.
 const MAX_EPOCH: u64 = 1 << 44;
 
 /// The speed of a kind of worker.
@@ -10,7 +10,7 @@
 pub struct KindSpeed {
     /// The kind.
     pub kind: WorkerKind,
-    /// Work per time; the fleet's usual speed is 1.
+    /// The speed relative to the usual speed of the fleet, which is 1.
     pub speed: f64,
 }
 
@@ -19,37 +19,37 @@
 pub struct Config {
     /// This dispatcher's place among the peers.
     pub place: u16,
-    /// Unix time at its start, in milliseconds; it names this run in the facts, and dates its spans.
+    /// The start of the process, in milliseconds of Unix time. It identifies this run in the facts, and dates its spans.
     pub epoch: u64,
-    /// The quantile of [`crate::Estimate::long`]; 0.9 by default, from 0.5 to 0.99.
+    /// The quantile of [`crate::Estimate::long`], from 0.5 to 0.99; 0.9 by default.
     pub long_quantile: f64,
-    /// An estimate before anything was seen; 250 ms.
+    /// The typical run time before any observation; 250 ms by default.
     pub prior_runtime: Micros,
-    /// Standard deviation of the logarithm of run times before anything was seen; 1.
+    /// The standard deviation of the logarithm of run times before any observation; 1 by default.
     pub prior_deviation: f64,
-    /// Known speeds of kinds of workers: they fix what a speed of 1 is. Those of other kinds are learned.
+    /// The known speeds of kinds of workers, which define a speed of 1. Speeds of other kinds are learned.
     pub speeds: Vec<KindSpeed>,
-    /// Observations are summed up and published by spans of this length; 10 minutes.
+    /// The length of the spans by which observations are summed up and published; 10 minutes by default.
     pub span: Micros,
-    /// Observations weigh half after this long; 20 minutes. They are dropped after six times that.
+    /// The half-life of observations; 20 minutes by default. Observations are dropped after six half-lives.
     pub half_life: Micros,
-    /// Most summaries of its own that are kept; 2,048.
+    /// The maximum number of own summaries; 2,048 by default.
     pub max_own_summaries: usize,
-    /// Most slots of the carrier in which it publishes them; 1,024.
+    /// The number of fact slots in which own summaries are published; 1,024 by default.
     pub slots: u32,
-    /// Most summaries of others that are kept; 8,192.
+    /// The maximum number of summaries of other dispatchers; 8,192 by default.
     pub max_received_summaries: usize,
-    /// Most jobs that are tracked at a time; 16,384. Nothing is learned from others.
+    /// The maximum number of jobs tracked at a time; 16,384 by default. Further jobs are ignored.
     pub max_running_jobs: usize,
-    /// Most facts published per second; 4.
+    /// The maximum rate of published facts, per second; 4 by default.
     pub facts_per_s: f64,
-    /// A shared slowdown is tracked over this span; 2 s.
+    /// The span over which a shared slowdown is tracked; 2 s by default.
     pub slowdown_span: Micros,
-    /// Completions against which the evidence of a slowdown is weighed; 20.
+    /// The number of completions against which the evidence of a slowdown is weighed; 20 by default.
     pub slowdown_weight: f64,
-    /// A slowdown that lasts becomes the usual speed over this span; 5 minutes.
+    /// The span over which a lasting slowdown becomes the usual speed; 5 minutes by default.
     pub slowdown_memory: Micros,
-    /// A seeded fault, which the tests must catch: censored observations are taken for complete ones.
+    /// A deliberate fault for tests of the tests: censored observations count as complete ones.
     #[doc(hidden)]
     pub censored_as_short: bool,
 }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Checks every setting.
+    /// Checks all settings.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         let factors = [self.prior_deviation, self.facts_per_s, self.slowdown_weight];
         let speeds = self.speeds.iter().map(|known| known.speed);
@@ -103,7 +103,7 @@
 /// Why a configuration was refused.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// The conservative quantile is out of range.
+    /// The conservative quantile is out of range. Holds its value.
     #[error("the conservative quantile must be from 0.5 to 0.99, not {0}")]
     Quantile(f64),
     /// A factor, weight or rate is not above 0.
@@ -112,7 +112,7 @@
     /// A span or bound is 0.
     #[error("spans and bounds must be above 0")]
     Zero,
-    /// The epoch is no Unix time in milliseconds.
+    /// The epoch is not a Unix time in milliseconds.
     #[error("the epoch is in milliseconds of Unix time")]
     Epoch,
 }
--- a/crates/runtimes/src/distribution.rs
+++ b/crates/runtimes/src/distribution.rs
@@ -1,17 +1,21 @@
-//! The distribution of run times of similar jobs about their mean: a histogram with logarithmic bins, complete and censored
-//! observations apart, and the survival curve by the Kaplan-Meier (product-limit) estimator. All residuals are differences of
-//! natural logarithms.
+//! The distribution of run times of similar jobs around their mean.
+//!
+//! It is a histogram with logarithmic bins, which counts complete and censored observations separately, and the survival curve
+//! by the Kaplan-Meier (product-limit) estimator. A residual is the logarithm of a run time minus its expectation; all
+//! logarithms are natural.
 
-/// Bins over the residual: the logarithm of a run time minus its expectation.
+/// The number of bins of residuals.
 pub(crate) const BIN_COUNT: usize = 81;
-/// Width of a bin: a factor of 1.16 in time, so that a quantile is within 8 % before interpolation.
+/// The width of a bin: a factor of 1.16 in time, so that a quantile is within 8 % before interpolation.
 pub(crate) const BIN_WIDTH: f64 = 0.15;
-/// Below this survival the bins say little.
+/// The survival below which the bins are not reliable.
 const MIN_SURVIVAL: f64 = 0.005;
 /// The lower edge of the first bin.
 const LOWEST: f64 = -(BIN_COUNT as f64) / 2.0 * BIN_WIDTH;
+/// A number of observations, or a probability, that is not above this counts as 0.
+const MIN_MASS: f64 = 1e-9;
 
-/// The bin of a residual; beyond either end it is the outermost one.
+/// The bin of a residual. Residuals beyond either end are in the outermost bin.
 pub(crate) fn bin_of(residual: f64) -> u8 {
     ((residual - LOWEST) / BIN_WIDTH).clamp(0.0, (BIN_COUNT - 1) as f64) as u8
 }
@@ -21,7 +25,7 @@
     LOWEST + (bin as f64 + 0.5) * BIN_WIDTH
 }
 
-/// Weighted numbers by bin.
+/// Weighted numbers of complete and of censored observations, by bin.
 #[derive(Clone, Debug)]
 pub(crate) struct BinCounts {
     pub ended: [f32; BIN_COUNT],
@@ -42,19 +46,19 @@
     }
 }
 
-/// A survival curve over residuals, counted from its own mean.
+/// A survival curve over residuals, relative to its own mean.
 #[derive(Clone, Debug)]
 pub(crate) struct RuntimeDistribution {
-    /// Survival at the lower edge of each bin, and at the upper edge of the last one.
+    /// The survival at the lower edge of each bin, and at the upper edge of the last bin.
     survival: [f64; BIN_COUNT + 1],
-    /// Mean of the residuals as they were binned; the residuals that this type takes and returns are counted from it.
+    /// The mean of the binned residuals. The residuals that methods take and return are relative to it.
     pub mean: f64,
-    /// Variance of the residuals.
+    /// The variance of the residuals.
     pub variance: f64,
 }
 
 impl RuntimeDistribution {
-    /// A logistic distribution with this standard deviation, before anything was seen.
+    /// The distribution before any observation: a logistic distribution with this standard deviation.
     pub fn prior(deviation: f64) -> Self {
         let scale = deviation * 3f64.sqrt() / std::f64::consts::PI;
         let mut survival = [0.0; BIN_COUNT + 1];
@@ -71,7 +75,7 @@
         self.survival[bin] - self.survival[bin + 1]
     }
 
-    /// With mean and variance computed from the curve.
+    /// Computes the mean and the variance from the curve.
     fn with_moments(mut self) -> Self {
         let expected_value = |function: &dyn Fn(f64) -> f64| {
             (0..BIN_COUNT).map(|bin| self.mass(bin) * function(bin_middle(bin))).sum::<f64>()
@@ -83,11 +87,12 @@
         self
     }
 
-    /// The product-limit curve (Kaplan and Meier 1958) of the counts together with `weight` observations distributed as
-    /// `parent`, which act as a prior. A censored observation is redistributed to the right of its bound in proportion to what
-    /// lies there; since the parent has no censored ones, its tail receives those that outlived all others.
+    /// The product-limit curve (Kaplan and Meier 1958) of the counts and of `weight` further observations distributed as
+    /// `parent`, which act as a prior. The estimator redistributes a censored observation to the right of its bound, in
+    /// proportion to the observations there. Since the parent has no censored observations, its tail receives those that
+    /// outlived all others.
     pub fn fitted(counts: &BinCounts, parent: &RuntimeDistribution, weight: f64) -> Self {
-        let total: f64 = (0..BIN_COUNT).map(|b| f64::from(counts.ended[b] + counts.censored[b])).sum();
+        let total: f64 = (0..BIN_COUNT).map(|bin| f64::from(counts.ended[bin] + counts.censored[bin])).sum();
         if total <= 0.0 {
             return parent.clone();
         }
@@ -95,29 +100,29 @@
         survival[0] = 1.0;
         survival[BIN_COUNT] = 0.0;
         let mut at_risk = total + weight;
-        for b in 0..BIN_COUNT - 1 {
-            let ended = f64::from(counts.ended[b]) + weight * parent.mass(b);
-            let censored = f64::from(counts.censored[b]);
+        for bin in 0..BIN_COUNT - 1 {
+            let ended = f64::from(counts.ended[bin]) + weight * parent.mass(bin);
+            let censored = f64::from(counts.censored[bin]);
             let exposed = at_risk - censored / 2.0;
-            let hazard = if exposed > 1e-9 { (ended / exposed).min(1.0) } else { 0.0 };
-            survival[b + 1] = survival[b] * (1.0 - hazard);
+            let hazard = if exposed > MIN_MASS { (ended / exposed).min(1.0) } else { 0.0 };
+            survival[bin + 1] = survival[bin] * (1.0 - hazard);
             at_risk -= ended + censored;
         }
         RuntimeDistribution { survival, mean: 0.0, variance: 0.0 }.with_moments()
     }
 
-    /// Survival at the residual `x`, never quite 0.
-    pub fn survival_at(&self, x: f64) -> f64 {
-        let at = ((x + self.mean - LOWEST) / BIN_WIDTH).clamp(0.0, BIN_COUNT as f64);
-        let bin = (at as usize).min(BIN_COUNT - 1);
-        let inner = at - bin as f64;
+    /// The survival at a residual, always above 0.
+    pub fn survival_at(&self, residual: f64) -> f64 {
+        let position = ((residual + self.mean - LOWEST) / BIN_WIDTH).clamp(0.0, BIN_COUNT as f64);
+        let bin = (position as usize).min(BIN_COUNT - 1);
+        let inner = position - bin as f64;
         (self.survival[bin] + inner * (self.survival[bin + 1] - self.survival[bin])).max(1e-6)
     }
 
-    /// Cumulative hazard up to the residual `x`: exponentially distributed with mean 1 over whole lives, but bounded, so that
-    /// one job that outlives all others does not count for more than a few.
-    pub fn cumulative_hazard(&self, x: f64) -> f64 {
-        -self.survival_at(x).max(MIN_SURVIVAL).ln()
+    /// The cumulative hazard up to a residual. Over whole run times it is exponentially distributed with mean 1, but it is
+    /// bounded here, so that a single job that outlives all others does not count for more than a few.
+    pub fn cumulative_hazard(&self, residual: f64) -> f64 {
+        -self.survival_at(residual).max(MIN_SURVIVAL).ln()
     }
 
     /// The residual at which the survival is `survival`.
@@ -128,30 +133,30 @@
         LOWEST + (bin as f64 + inner) * BIN_WIDTH - self.mean
     }
 
-    /// The residual that a fraction `fraction` of what survives `x` survives as well. Beyond what the bins say it follows a
-    /// Pareto tail.
-    pub fn conditional_residual(&self, x: f64, fraction: f64) -> f64 {
-        let survival = self.survival_at(x);
+    /// The residual that the given fraction of the jobs surviving `residual` survives too. Beyond the reliable bins it follows
+    /// a Pareto tail.
+    pub fn conditional_residual(&self, residual: f64, fraction: f64) -> f64 {
+        let survival = self.survival_at(residual);
         if survival >= MIN_SURVIVAL {
-            self.residual_at(survival * fraction).max(x)
+            self.residual_at(survival * fraction).max(residual)
         } else {
             let scale = (self.residual_at(MIN_SURVIVAL) - self.residual_at(10.0 * MIN_SURVIVAL)) / 10f64.ln();
-            x - scale * fraction.ln()
+            residual - scale * fraction.ln()
         }
     }
 
-    /// Mean residual of what survives the residual `x`.
-    pub fn mean_beyond(&self, x: f64) -> f64 {
-        let z = x + self.mean;
-        let first = usize::from(bin_of(z));
-        let inner = (((z - LOWEST) / BIN_WIDTH) - first as f64).clamp(0.0, 1.0);
+    /// The mean residual of the jobs that survive `residual`.
+    pub fn mean_beyond(&self, residual: f64) -> f64 {
+        let binned = residual + self.mean;
+        let first = usize::from(bin_of(binned));
+        let inner = (((binned - LOWEST) / BIN_WIDTH) - first as f64).clamp(0.0, 1.0);
         let head = self.mass(first) * (1.0 - inner);
         let mut mass = head;
         let mut sum = head * (bin_middle(first) + inner * BIN_WIDTH / 2.0);
-        for b in first + 1..BIN_COUNT {
-            mass += self.mass(b);
-            sum += self.mass(b) * bin_middle(b);
+        for bin in first + 1..BIN_COUNT {
+            mass += self.mass(bin);
+            sum += self.mass(bin) * bin_middle(bin);
         }
-        if mass > 1e-9 { (sum / mass - self.mean).max(x) } else { x + BIN_WIDTH }
+        if mass > MIN_MASS { (sum / mass - self.mean).max(residual) } else { residual + BIN_WIDTH }
     }
 }
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Encoding of a summary as a fact: postcard, at most [`MAX_FACT_BYTES`] long. The order of fields is the format.
+//! Encoding of a summary as a fact of at most [`MAX_FACT_BYTES`], in postcard, which encodes fields in the order of the code.
 
 use crate::cell_sum::CellSum;
 use crate::distribution::BIN_COUNT;
@@ -6,41 +6,41 @@
 use crate::summary::{BinTotal, FIXED_POINT, KindTotal, MAX_KINDS, Summary};
 use serde::{Deserialize, Serialize};
 
-/// The longest fact that a carrier takes, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts states
-/// it, since none of them depends on the carrier.
+/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
+/// since none of them depends on the crate that carries them.
 pub(crate) const MAX_FACT_BYTES: usize = 160;
 const VERSION: u8 = 1;
-/// Most jobs of a received summary.
+/// The maximum number of jobs of a received summary.
 const MAX_JOBS: u32 = 1 << 24;
-/// Most times that bins are merged by twos.
+/// The maximum number of times that bins are merged in pairs.
 const MAX_COARSENESS: u8 = 3;
-/// Largest mean logarithm of a received summary.
+/// The maximum mean logarithm of a received summary.
 const MAX_MEAN_LOG: i64 = 32;
 
-/// Why a fact of another dispatcher was refused. The caller counts it; nothing of it is used.
+/// Why a fact of another dispatcher was refused. A refused fact changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AbsorbError {
-    /// The first byte names another version of the encoding.
+    /// The first byte is another version of the encoding.
     #[error("a summary of run times of version {0}; this program reads version 1: upgrade the older side")]
     Version(u8),
-    /// Too long, cut off, or no summary at all.
+    /// The fact is too long or cannot be decoded.
     #[error("a summary of run times that can't be read")]
     Malformed,
-    /// Its figures contradict each other or are out of bounds.
+    /// The figures of the summary contradict each other or are out of bounds.
     #[error("a summary of run times whose figures can't be true")]
     Figures,
-    /// Its span of time is further ahead than clocks may differ.
+    /// The span of the summary is further in the future than clocks may differ. Holds the number of the span.
     #[error("a summary of run times from the future (span {0}): compare the members' clocks")]
     Future(u32),
 }
 
-/// What a summary is about: its cell, its span, and the run of the dispatcher that observed it.
+/// The subject of a summary: its cell, its span, and the run of the dispatcher that observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SummaryKey {
     pub cell: CellId,
     pub span: u32,
     pub place: u16,
-    /// The start of the process that observed it, as it names itself in the encoding.
+    /// The start of the process that observed it, in milliseconds of Unix time, as stated in the encoding.
     pub run: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl BinRun {
-    /// The run from the first bin that counts, with bins merged in groups of two to the power of `coarseness`.
+    /// The counts from the first non-empty bin on. Bins are merged in groups of two to the power of `coarseness`.
     fn new(bins: &[BinTotal], coarseness: u8, count: impl Fn(&BinTotal) -> u32) -> BinRun {
         let mut run = BinRun::default();
         for total in bins.iter().filter(|total| count(total) > 0) {
@@ -72,12 +72,12 @@
         self.counts.iter().try_fold(0u32, |sum, &count| sum.checked_add(count))
     }
 
-    /// The bin behind its last one, before merging.
+    /// The number of the bin after the last one, as before merging.
     fn end(&self, coarseness: u8) -> usize {
         (usize::from(self.first) + self.counts.len()) << coarseness.min(MAX_COARSENESS)
     }
 
-    /// Adds the counts, times `weight`, to bins before merging.
+    /// Adds the counts, times `weight`, to each of the `group` bins that were merged.
     fn add_to(&self, bins: &mut [f32; BIN_COUNT], group: usize, weight: f32) {
         for (index, &count) in self.counts.iter().enumerate().filter(|(_, count)| **count > 0) {
             let first = (usize::from(self.first) + index) * group;
@@ -104,7 +104,7 @@
     censored: BinRun,
 }
 
-/// Encodes a summary. Bins are merged by twos (the collapse of Epicoco and others' UDDSketch, 2020) until it fits.
+/// Encodes a summary. Bins are merged in pairs (the uniform collapse of UDDSketch, Epicoco and others 2020) until it fits.
 pub(crate) fn encode(summary: &Summary, key: &SummaryKey) -> Vec<u8> {
     for coarseness in 0..=MAX_COARSENESS {
         let encoded = EncodedSummary {
@@ -120,17 +120,17 @@
             ended: BinRun::new(&summary.bins, coarseness, |total| total.ended),
             censored: BinRun::new(&summary.bins, coarseness, |total| total.censored),
         };
-        // Writing to memory fails for no value of these types; an empty fact would be refused by the reader.
+        // Encoding into memory cannot fail for these types. A reader would refuse the empty fact.
         let bytes = postcard::to_stdvec(&encoded).unwrap_or_default();
         if bytes.len() <= MAX_FACT_BYTES {
             return bytes;
         }
     }
-    // Beyond that the moments alone: a location without a distribution.
+    // If that is not enough, encode the sums only: a mean without a distribution.
     encode(&Summary { bins: Vec::new(), ..summary.clone() }, key)
 }
 
-/// A summary of another dispatcher, kept as it was encoded and decoded again at each fit.
+/// A summary of another dispatcher, in its encoded form, which is expanded at each fit.
 #[derive(Debug)]
 pub(crate) struct ReceivedSummary {
     pub key: SummaryKey,
@@ -139,7 +139,7 @@
 }
 
 impl ReceivedSummary {
-    /// Decodes and checks a fact of the member at `place`.
+    /// Decodes and validates a fact of the member at `place`.
     pub fn decode(place: u16, bytes: &[u8]) -> Result<ReceivedSummary, AbsorbError> {
         match bytes.first() {
             None => return Err(AbsorbError::Malformed),
@@ -159,13 +159,13 @@
         Ok(ReceivedSummary { key, jobs, encoded })
     }
 
-    /// Memory beside the struct itself.
+    /// The memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let counts = self.encoded.ended.counts.capacity() + self.encoded.censored.counts.capacity();
         self.encoded.kinds.capacity() * size_of::<KindTotal>() + counts * size_of::<u32>()
     }
 
-    /// Adds this to a sum with a weight.
+    /// Adds this summary to a sum with a weight.
     pub fn add_to(&self, sum: &mut CellSum, weight: f64) {
         let encoded = &self.encoded;
         sum.add_totals(encoded.class, &encoded.kinds, encoded.expected, weight);
@@ -180,7 +180,7 @@
 }
 
 impl EncodedSummary {
-    /// The number of jobs, if the figures do not contradict each other and are within bounds.
+    /// The number of jobs; `None` if the figures contradict each other or are out of bounds.
     fn checked_jobs(&self) -> Option<u32> {
         let jobs = self.kinds.iter().try_fold(0u32, |sum, kind| sum.checked_add(kind.jobs))?;
         let binned = self.ended.total()?.checked_add(self.censored.total()?)?;
--- a/crates/runtimes/src/estimator.rs
+++ b/crates/runtimes/src/estimator.rs
@@ -1,4 +1,4 @@
-//! The estimator: jobs and facts in, estimates and facts out.
+//! The estimator: it observes jobs, exchanges facts with other dispatchers, and returns estimates.
 
 use crate::distribution::bin_of;
 use crate::encoding::{AbsorbError, ReceivedSummary};
@@ -18,41 +18,41 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Interval at which running jobs add to the expected completions.
+/// The interval at which running jobs add to the expected completions.
 const COUNT_INTERVAL: Micros = 250_000;
-/// Interval between two fits where anything changed, beside [`FIT_INTERVAL_PER_SUMMARY`].
+/// The interval between two fits if anything changed, without the part for summaries.
 const FIT_INTERVAL: Micros = 1_000_000;
-/// What is added to [`FIT_INTERVAL`] for each summary, since the cost of a fit grows with their number.
+/// The addition to [`FIT_INTERVAL`] for each summary, since the cost of a fit grows with their number.
 const FIT_INTERVAL_PER_SUMMARY: Micros = 1_000;
-/// A fit is early where the new jobs are at least this fraction of those that the last one rests on.
+/// A fit is done early if the number of new jobs is at least this fraction of the jobs of the last fit.
 const EARLY_FIT_FRACTION: f64 = 1.0 / 8.0;
-/// An early fit comes after the interval divided by this.
+/// The interval before an early fit is the regular one divided by this.
 const EARLY_FIT_FACTOR: u64 = 5;
-/// A fit that rests on fewer jobs than this may be replaced at any time.
+/// An early fit may replace a fit of fewer jobs than this at any time.
 const FEW_JOBS: f64 = 64.0;
-/// The spans of others may be this many ahead, since clocks differ.
+/// The maximum number of spans by which a received summary may be ahead, since clocks differ.
 const MAX_SPANS_AHEAD: u32 = 2;
-/// A job is expected to run for at least this fraction of what it has run.
+/// The minimum remaining run time of a job, as a fraction of the time for which it has run.
 const MIN_REMAINING: f64 = 0.02;
 
-/// What became of a fact that was not refused.
+/// The result of absorbing a valid fact.
 enum Absorbed {
     New,
-    /// It is known already, or too old.
+    /// The fact is already known, or too old.
     Stale,
 }
 
-/// What the end of an attempt says about its job. All fields but `expected` are logarithms.
+/// The observation of a job from the end of an attempt. All fields except `expected` are logarithms.
 struct Observation {
     expected: Expectation,
-    /// The run time at its kind; for a censored one the mean that is expected beyond the time it has run.
+    /// The run time at the worker's kind. If it was censored, the expected run time, given the time that was observed.
     runtime: f64,
     residual: f64,
     slowness: f64,
     worker_effect: f64,
 }
 
-/// Learns how long jobs run. Time is an argument of each call, by the caller's own monotonic clock.
+/// Learns the run times of jobs. Time is an argument of each call, by the caller's monotonic clock.
 ///
 /// ```
 /// use mothproxy_runtimes::{Config, JobFeatures, RuntimeEstimator, WorkerKind};
@@ -75,20 +75,20 @@
     model: Model,
     fitted_at: Micros,
     fitted_span: u32,
-    /// Jobs that the model rests on.
+    /// The weighted number of jobs that the model was fitted to.
     fitted_jobs: f64,
-    /// Jobs that came since.
+    /// The number of new jobs since the last fit.
     new_jobs: f64,
     pacer: PublishPacer,
     metrics: Metrics,
 }
 
 impl RuntimeEstimator {
-    /// An estimator that has seen nothing; `now` is the moment that `config.epoch` names.
+    /// Creates an estimator without observations. `now` must be the caller's time at `config.epoch`.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] where a setting is out of range.
+    /// A [`ConfigError`] if a setting is out of range.
     pub fn new(config: Config, now: Micros) -> Result<Self, ConfigError> {
         config.validate()?;
         let spans = SpanClock::new(&config, now);
@@ -115,8 +115,8 @@
         self.spans.span_at(self.now)
     }
 
-    /// Moves on to `now`: the shared slowdown, the model, what expires. All calls that change something do it too; where none
-    /// comes, estimates stay as they were.
+    /// Advances to `now`: updates the shared slowdown, drops expired observations, and fits the model anew if that is due.
+    /// All methods that take `&mut self` and the time do this too. Without any such call, estimates do not change.
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.slowdown.advance(self.now);
@@ -140,7 +140,7 @@
         is_early || is_regular || self.fitted_span != self.span()
     }
 
-    /// An attempt at a job has begun to run.
+    /// Records that an attempt began to run.
     pub fn on_started(
         &mut self,
         now: Micros,
@@ -158,13 +158,13 @@
         self.running.insert(attempt, running);
     }
 
-    /// An attempt reported the fraction that it has done, from 0 to 1. What is not finite is ignored.
+    /// Records the progress of an attempt, as a fraction from 0 to 1. A value that is not finite is ignored.
     pub fn on_progress(&mut self, now: Micros, attempt: AttemptId, fraction: f64) {
         self.advance(now);
         self.running.on_progress(attempt, fraction, self.slowdown.clocks().work);
     }
 
-    /// An attempt ended. One that is not known to have started is ignored.
+    /// Records that an attempt ended. An attempt that is not known to have started is ignored.
     pub fn on_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         self.advance(now);
         let Some(job) = self.running.remove(attempt) else { return };
@@ -200,7 +200,7 @@
         Observation { expected, runtime, residual, slowness, worker_effect }
     }
 
-    /// Adds a job that is over to the summaries of its cells and of its worker.
+    /// Adds a finished job to the summaries of its cells and of its worker.
     fn learn(&mut self, job: &RunningJob, outcome: Outcome) {
         let observation = self.observe(job, outcome);
         let Observation { expected, runtime, residual, slowness, .. } = observation;
@@ -229,9 +229,10 @@
         summary.add(placement.kind, LoggedJob { runtime: offset, work, expected: 0.0 });
     }
 
-    /// Sums up all that has not expired and fits the model to it.
+    /// Sums up all observations that have not expired, and fits the model to them.
     fn fit(&mut self) {
-        let (span, oldest) = (self.span(), self.spans.oldest_at(self.now));
+        let span = self.span();
+        let oldest = self.spans.oldest_at(self.now);
         self.own.expire(oldest);
         self.received.expire(oldest);
         let mut sums = BTreeMap::new();
@@ -251,21 +252,21 @@
         self.new_jobs = 0.0;
     }
 
-    /// The quantiles of jobs around a logarithmic run time.
+    /// The median and the conservative quantile of run times around a logarithmic run time.
     fn quantiles(&self, expected: &Expectation, log_runtime: f64) -> Estimate {
         let distribution = self.model.distribution(expected);
         let at = |survival: f64| micros_of_log(log_runtime + distribution.residual_at(survival));
         Estimate { typical: at(0.5), long: at(1.0 - self.config.long_quantile) }
     }
 
-    /// The work of such a job: its time at a worker of speed 1 while nothing is slowed down. For the decision module, which
-    /// knows the workers' speeds itself.
+    /// The work of a job with these features: its run time at a worker of speed 1 without a shared slowdown. For the decision
+    /// module, which knows the speeds of the workers.
     pub fn estimate_work(&self, features: &JobFeatures) -> Estimate {
         let expected = self.model.expectation(&CellChain::new(features));
         self.quantiles(&expected, expected.work)
     }
 
-    /// How long such a job would occupy a slot at a worker of this kind (and at this very worker, if named) from now on.
+    /// How long a job with these features would occupy a slot from now on, at a worker of this kind, or at `worker` if given.
     pub fn estimate(&self, features: &JobFeatures, kind: WorkerKind, worker: Option<WorkerKey>) -> Estimate {
         let expected = self.model.expectation(&CellChain::new(features));
         let worker_effect = worker.map_or(0.0, |worker| self.model.worker_effect(worker));
@@ -273,8 +274,8 @@
         self.quantiles(&expected, log_runtime)
     }
 
-    /// How long a running attempt will still occupy its slot, given that it has run so long and what it reported. Grows where
-    /// the first estimate has proved too low. `None` where there is no such attempt.
+    /// How long a running attempt will still occupy its slot, given its run time so far and its reported progress. This grows
+    /// once the first estimate has proved too low. `None` if there is no such attempt.
     pub fn remaining(&self, now: Micros, attempt: AttemptId) -> Option<Estimate> {
         let job = self.running.get(attempt)?;
         let elapsed = (self.slowdown.work_at(now) - job.started.work).max(1.0);
@@ -287,8 +288,8 @@
         Some(Estimate { typical: left(whole.typical), long: left(whole.long.max(whole.typical)) })
     }
 
-    /// The next observation of this dispatcher that others should know: slot and bytes of a fact of kind [`crate::KIND`].
-    /// Called until `None`; paced by `facts_per_s`. First comes what has grown the most since it was published.
+    /// The slot and bytes of the next fact of kind [`crate::KIND`] to publish: the own summary that has grown most since it
+    /// was last published. Call this until it returns `None`; [`Config::facts_per_s`] limits the rate.
     pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         self.advance(now);
         if !self.pacer.is_ready(self.now) {
@@ -304,12 +305,12 @@
         Some((slot, bytes))
     }
 
-    /// Absorbs a fact of kind [`crate::KIND`], of whatever age, any number of times. `number` orders the facts of an origin.
-    /// It is kept by what it is about (member, run, cell, span) and not by its slot, which its publisher uses again.
+    /// Absorbs a fact of kind [`crate::KIND`]. Facts may arrive in any order, any number of times; `number` orders the facts
+    /// of an origin. A fact is kept by its subject (member, run, cell and span), not by its slot, which the publisher reuses.
     ///
     /// # Errors
     ///
-    /// An [`AbsorbError`] that says why the fact was refused; nothing of it is used.
+    /// An [`AbsorbError`] with the reason for which the fact was refused; it changes nothing then.
     pub fn absorb(
         &mut self,
         now: Micros,
@@ -347,7 +348,7 @@
         Ok(Absorbed::New)
     }
 
-    /// Counters since the start, and present sizes.
+    /// Counters since the start, and current sizes.
     pub fn metrics(&self) -> Metrics {
         let heap = self.own.heap_bytes()
             + self.received.heap_bytes()
@@ -364,7 +365,7 @@
         }
     }
 
-    /// A hash of all that was absorbed and of what follows from it at `now`: equal where two states are equal bit by bit.
+    /// A hash of the received summaries and of the model fitted at `now`, to compare two states bit by bit in tests.
     #[doc(hidden)]
     pub fn digest(&mut self, now: Micros) -> u64 {
         self.now = self.now.max(now);
--- a/crates/runtimes/src/features.rs
+++ b/crates/runtimes/src/features.rs
@@ -1,35 +1,35 @@
-//! The features by which jobs are grouped, and the chain of cells that a job belongs to: from its class down to all of its
+//! The features by which jobs are grouped into cells, and the chain of cells of a job: from its class down to all of its
 //! features together.
 
 use crate::WorkerKey;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Number of attributes of a request that count, beside class, tenant and subject.
+/// The number of further attributes of a job, in addition to class, tenant and subject.
 pub const ATTRIBUTES: usize = 2;
 
-/// Most cells of a job's chain.
+/// The maximum number of cells in a job's chain.
 pub(crate) const MAX_CHAIN: usize = 4 + ATTRIBUTES;
 
-/// A hash of a name that is the same in every process and version: for names of classes, tenants, subjects and kinds.
-/// (SipHash-1-3 with a fixed key.)
+/// A hash of a name that is the same in every process and version (SipHash-1-3 with a fixed key): for the names of classes,
+/// tenants, subjects and kinds.
 pub fn stable_hash(name: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x6d6f_7468, 0x7275_6e73);
     hasher.write(name);
     hasher.finish()
 }
 
-/// The features of a request from which its run time is estimated. All numbers must mean the same in each dispatcher, as
-/// those of [`stable_hash`] do; an index into one process's table does not.
+/// The features of a job from which its run time is estimated. All numbers must have the same meaning at every dispatcher,
+/// like those of [`stable_hash`] and unlike an index into a table of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobFeatures {
     /// The class.
     pub class: u64,
-    /// The tenant that it belongs to.
+    /// The tenant of the job.
     pub tenant: Option<u64>,
-    /// The program or data set that it is about.
+    /// The program or data set that the job concerns.
     pub subject: Option<u64>,
-    /// Other attributes, such as the power of two of its size; each index is a dimension of its own.
+    /// Other attributes, such as the power of two of the job's size. Each index is a separate dimension.
     pub attributes: [Option<u64>; ATTRIBUTES],
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// What the jobs of a cell have in common.
+/// The level of a cell: the feature that its jobs have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Level {
     Class,
@@ -57,7 +57,7 @@
             Level::Class => 0,
             Level::Tenant => 1,
             Level::Subject => 2,
-            Level::Attribute(place) => 3 + usize::from(place),
+            Level::Attribute(attribute) => 3 + usize::from(attribute),
             Level::All => 3 + ATTRIBUTES,
             Level::Worker => 4 + ATTRIBUTES,
         }
@@ -68,15 +68,15 @@
             0 => Level::Class,
             1 => Level::Tenant,
             2 => Level::Subject,
-            n if n < 3 + ATTRIBUTES => Level::Attribute(index - 3),
-            n if n == 3 + ATTRIBUTES => Level::All,
-            n if n == 4 + ATTRIBUTES => Level::Worker,
+            level if level < 3 + ATTRIBUTES => Level::Attribute(index - 3),
+            level if level == 3 + ATTRIBUTES => Level::All,
+            level if level == 4 + ATTRIBUTES => Level::Worker,
             _ => return None,
         })
     }
 }
 
-/// A cell: its level and a hash of what its jobs have in common.
+/// Identifies a cell: its level, and a hash of the features that its jobs have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CellId {
     pub level: Level,
@@ -89,8 +89,8 @@
     }
 }
 
-/// Returns a cell's hash as it is: it is a keyed hash already. (A member that publishes made-up cells could cause collisions
-/// in the others' tables; the number of cells is bounded.)
+/// Uses the hash of a cell as it is, since that is a keyed hash already. A member that publishes forged cells could cause
+/// collisions in the tables of others, but the number of cells is bounded.
 #[derive(Default)]
 pub(crate) struct IdentityHasher(u64);
 
@@ -120,7 +120,7 @@
     cell(Level::Worker, &[worker.0])
 }
 
-/// The cells that a job belongs to, the widest first.
+/// The cells of a job, the widest first.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CellChain {
     cells: [CellId; MAX_CHAIN],
--- a/crates/runtimes/src/ids.rs
+++ b/crates/runtimes/src/ids.rs
@@ -1,13 +1,13 @@
-//! How callers name attempts, workers and kinds of workers.
+//! Identifiers of attempts, workers and kinds of workers.
 
 use crate::stable_hash;
 use serde::{Deserialize, Serialize};
 
-/// An attempt that occupies a slot at a worker, as the caller numbers them. The numbers mean nothing to other dispatchers.
+/// The caller's number of an attempt that occupies a slot at a worker. It has no meaning at other dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A worker. Its number means the same in each dispatcher.
+/// The key of a worker, the same at every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub u64);
 
@@ -18,13 +18,13 @@
     }
 }
 
-/// A kind of worker, such as a type of machine: all workers of a kind are about equally fast. Its number means the same in
-/// each dispatcher.
+/// A kind of worker, such as a type of machine; all workers of a kind have about the same speed. The number is the same at
+/// every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerKind(pub u32);
 
 impl WorkerKind {
-    /// Stands for all kinds for which a summary has no room.
+    /// All kinds for which a summary has no room.
     pub(crate) const OTHER: WorkerKind = WorkerKind(u32::MAX);
 
     /// The kind of this name.
--- a/crates/runtimes/src/kind_slowness.rs
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -1,21 +1,21 @@
-//! How much slower jobs run at each kind of worker: the logarithm of the inverse of the kind's speed.
+//! The slowness of each kind of worker: the logarithm of the inverse of its speed.
 //!
 //! This is the two-way additive model `log run time = work(unit) + slowness(kind)`, with a unit for each group of similar
-//! jobs. It is fitted by alternating least squares, with a ridge penalty toward the configured speeds; since work and slowness
-//! are determined only up to a constant, the mean of the slowness stays that of the configured speeds.
+//! jobs. It is fitted by alternating least squares, with a ridge penalty toward the configured speeds. Work and slowness are
+//! determined only up to a constant, so the mean slowness is kept at that of the configured speeds.
 
 use crate::cell_sum::{CellSum, KindSum};
 use crate::features::{CellId, Level};
 use crate::{Config, WorkerKind};
 use std::collections::BTreeMap;
 
-/// Weight of the configured speed, in jobs.
+/// The weight of the configured speed, in jobs.
 const PRIOR_JOBS: f64 = 2.0;
-/// Most rounds of fitting work and slowness in turn.
+/// The maximum number of rounds of the fit.
 const MAX_ROUNDS: usize = 50;
-/// The fit has converged once no kind moves by more than this.
+/// The fit has converged once the slowness of no kind changes by this much.
 const TOLERANCE: f64 = 1e-4;
-/// Kinds with fewer weighted jobs than this in a unit are left out.
+/// Kinds with at most this weighted number of jobs in a unit are ignored there.
 const MIN_UNIT_JOBS: f64 = 0.05;
 
 /// The slowness of a kind.
@@ -25,19 +25,19 @@
     log: f64,
 }
 
-/// The slowness of all kinds that are known.
+/// The slowness of all known kinds.
 #[derive(Debug)]
 pub(crate) struct KindSlowness(Vec<Slowness>);
 
 impl KindSlowness {
-    /// As configured, before anything was seen.
+    /// The configured slowness, before any observation.
     pub fn prior(config: &Config) -> KindSlowness {
         KindSlowness(
             config.speeds.iter().map(|known| Slowness { kind: known.kind, log: -known.speed.ln() }).collect(),
         )
     }
 
-    /// Fitted to the sums of all cells.
+    /// Fits the slowness to the sums of all cells.
     pub fn fit(sums: &BTreeMap<CellId, CellSum>, config: &Config) -> KindSlowness {
         let units = fitted_units(sums);
         let mut kinds: Vec<WorkerKind> = units.iter().flatten().map(|sum| sum.kind).collect();
@@ -48,22 +48,23 @@
         let mut slowness = prior.clone();
         for _ in 0..MAX_ROUNDS {
             let next = least_squares_round(&units, &kinds, &prior, &slowness);
-            let moved = next.iter().zip(&slowness).fold(0f64, |moved, (a, b)| moved.max((a - b).abs()));
+            let changes = next.iter().zip(&slowness).map(|(new, old)| (new - old).abs());
+            let max_change = changes.fold(0f64, f64::max);
             slowness = next;
-            if moved < TOLERANCE {
+            if max_change < TOLERANCE {
                 break;
             }
         }
         KindSlowness(kinds.into_iter().zip(slowness).map(|(kind, log)| Slowness { kind, log }).collect())
     }
 
-    /// Logarithmic slowness of a kind; 0 for one never seen.
+    /// The logarithmic slowness of a kind; 0 for an unknown kind.
     pub fn get(&self, kind: WorkerKind) -> f64 {
         let index = self.0.binary_search_by_key(&kind, |slowness| slowness.kind);
         index.map_or(0.0, |index| self.0[index].log)
     }
 
-    /// All kinds, in their order.
+    /// All kinds with their slowness, in order of kind.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerKind, f64)> {
         self.0.iter().map(|slowness| (slowness.kind, slowness.log))
     }
@@ -74,8 +75,8 @@
     known.map_or(0.0, |known| -known.speed.ln())
 }
 
-/// One round of alternating least squares: the work of each unit from the present slowness, then the slowness of each kind
-/// from that work.
+/// One round of alternating least squares: the work of each unit from the given slowness, then the slowness of each kind from
+/// that work.
 fn least_squares_round(
     units: &[Vec<KindSum>],
     kinds: &[WorkerKind],
@@ -101,8 +102,8 @@
     means.iter().map(|mean| mean - offset).collect()
 }
 
-/// The units of the fit: the subjects, and each class without its subjects. What remains of a class are jobs without a
-/// subject, or with one that was dropped. A unit that was seen at one kind only carries no information about the kinds.
+/// The units of the fit: the subjects, and each class without its subjects, that is, its jobs without a subject or with one
+/// that was dropped. A unit that was observed at only one kind has no information about the kinds, and is left out.
 fn fitted_units(sums: &BTreeMap<CellId, CellSum>) -> Vec<Vec<KindSum>> {
     let mut classes: BTreeMap<u32, CellSum> = BTreeMap::new();
     for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == Level::Class) {
--- a/crates/runtimes/src/lib.rs
+++ b/crates/runtimes/src/lib.rs
@@ -1,10 +1,10 @@
-//! Estimates of how long a job will run, learned from similar past jobs and mergeable between dispatchers; without a clock.
+//! Estimates of the run times of jobs, learned from similar past jobs and mergeable between dispatchers.
 //!
-//! A [`RuntimeEstimator`] is notified when attempts start, how far they are and how they end. It estimates how long a job with
-//! some [`JobFeatures`] occupies a slot at a worker, and how long a running one still will. It publishes what it observed to
-//! the other dispatchers as facts ([`RuntimeEstimator::publish`]) and absorbs theirs ([`RuntimeEstimator::absorb`]) in any
-//! order, any number of times. [`backfill`] is the arithmetic of fitting jobs into gaps. `docs/design/runtimes.md` weighs the
-//! alternatives.
+//! A [`RuntimeEstimator`] is notified when attempts start, make progress and end. It estimates how long a job with certain
+//! [`JobFeatures`] will occupy a slot at a worker, and how long a running job still will. It publishes its observations to
+//! the other dispatchers as facts ([`RuntimeEstimator::publish`]), and absorbs theirs ([`RuntimeEstimator::absorb`]) in any
+//! order and any number of times. It reads no clock. [`backfill`] has the arithmetic of fitting jobs into gaps.
+//! `docs/design/runtimes.md` compares the alternatives.
 //!
 //! # Model and statistics
 //!
@@ -75,16 +75,16 @@
 /// A point in time of the caller's monotonic clock, or a span, in microseconds.
 pub type Micros = u64;
 
-/// Where a fact comes from.
+/// The process that published a fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
     /// The member's place among the peers.
     pub place: u16,
-    /// The start of the member that published the fact, as membership counts.
+    /// The epoch of the process, as membership numbers it.
     pub epoch: u64,
 }
 
-/// How long something takes.
+/// An estimate of a span of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// The median.
@@ -96,8 +96,8 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran to its end.
+    /// The attempt ran to its end.
     Done,
-    /// Timed out, cancelled or lost: it would have run longer than it was seen to.
+    /// The attempt timed out, was cancelled or was lost. It would have run for longer than was observed.
     Censored,
 }
--- a/crates/runtimes/src/log_time.rs
+++ b/crates/runtimes/src/log_time.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// Longest run time at speed 1 that is represented, in microseconds.
+/// The maximum representable run time at speed 1, in microseconds.
 pub(crate) const MAX_RUNTIME: f64 = 1e12;
 
 /// The logarithm of a run time in microseconds, within the representable range.
--- a/crates/runtimes/src/metrics.rs
+++ b/crates/runtimes/src/metrics.rs
@@ -1,32 +1,32 @@
 //! Counters and sizes of an estimator.
 
-/// Counters since the start, and present sizes.
+/// Counters since the start, and current sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// Jobs that ended, as seen here.
+    /// Attempts that ended at this dispatcher.
     pub seen: u64,
-    /// Of these, censored.
+    /// Those of them that were censored.
     pub censored: u64,
     /// Facts published.
     pub published: u64,
-    /// Bytes of these.
+    /// Bytes of the published facts.
     pub published_bytes: u64,
     /// Facts of others that changed the state.
     pub absorbed: u64,
-    /// Facts that changed nothing: repeats, older ones, one's own, expired spans.
+    /// Facts that changed nothing: repeated, older or own ones, and those of expired spans.
     pub stale: u64,
-    /// Facts refused as unreadable or impossible.
+    /// Facts refused with an [`AbsorbError`](crate::AbsorbError).
     pub refused: u64,
     /// Own and received summaries, and running jobs, for which there was no room.
     pub dropped: u64,
     /// Cells known after the last fit.
     pub cells: usize,
-    /// Summaries kept, own and received.
+    /// Summaries held, both own and received.
     pub summaries: usize,
-    /// Jobs tracked now.
+    /// Running jobs tracked at present.
     pub running: usize,
-    /// The factor by which all jobs are slower now.
+    /// The factor by which all jobs are slower at present.
     pub slowdown: f64,
-    /// Memory, approximately, in bytes.
+    /// The approximate memory of the estimator, in bytes.
     pub bytes: usize,
 }
--- a/crates/runtimes/src/model.rs
+++ b/crates/runtimes/src/model.rs
@@ -1,8 +1,8 @@
-//! From sums to estimates: slowness of the kinds, the effect of each cell, and distributions.
+//! The model: the slowness of each kind, the effect of each cell, and distributions, fitted to the sums of all cells.
 //!
-//! Each cell is partially pooled with the wider cells of its chain: its own mean and the wider expectation are weighted by the
-//! jobs they rest on (empirical Bayes shrinkage, as in a random-effects model). Cells are visited in their order, so that the
-//! same summaries give the same bits wherever the fit runs.
+//! Each cell is partially pooled with the wider cells of its chain: its own mean and the wider expectation are weighted by
+//! their numbers of jobs (empirical Bayes shrinkage, as in a random-effects model). Cells are visited in a fixed order, so
+//! that the same summaries give bit-identical results wherever the fit runs.
 
 use crate::cell_sum::CellSum;
 use crate::distribution::{BinCounts, RuntimeDistribution};
@@ -12,25 +12,28 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasherDefault;
 
-/// Weight of the mean over classes against a class's own mean, in jobs.
+/// The weight of the mean over classes against a class's own mean, in jobs.
 const CLASS_PRIOR_JOBS: f64 = 0.5;
-/// Weight of the wider distribution against a cell's own, in jobs: of all classes for a class, of its class for a finer cell.
+/// The weight of the wider distribution against a cell's own, in jobs. The wider one is that of all classes for a class, and
+/// that of its class for a finer cell.
 const DISTRIBUTION_PRIOR_JOBS: f64 = 20.0;
-/// A finer cell with fewer jobs than this has no distribution of its own.
+/// The minimum number of jobs for a finer cell to have its own distribution.
 const MIN_DISTRIBUTION_JOBS: f64 = 30.0;
-/// The variance between cells before anything was seen.
+/// The variance between cells before any observation.
 const BETWEEN_VARIANCE: f64 = 0.05;
 /// The weight of [`BETWEEN_VARIANCE`], in jobs.
 const BETWEEN_WEIGHT: f64 = 60.0;
-/// No cell counts for more jobs than this in the variance between cells, and in the mean over classes.
+/// The maximum weight of a cell in the variance between cells and in the mean over classes, in jobs.
 const MAX_CELL_WEIGHT: f64 = 30.0;
-/// A cell with fewer jobs says nothing about the variance between cells.
+/// A cell with fewer jobs is ignored in the variance between cells.
 const MIN_VARIANCE_JOBS: f64 = 1.5;
-/// Least variance between cells that is assumed.
+/// The minimum variance between cells that is assumed.
 const MIN_BETWEEN_VARIANCE: f64 = 1e-3;
+/// The minimum result of [`shrinkage_jobs`].
 const MIN_SHRINKAGE_JOBS: f64 = 0.2;
+/// The maximum result of [`shrinkage_jobs`].
 const MAX_SHRINKAGE_JOBS: f64 = 1e4;
-/// Least weight that a mean is divided by.
+/// The minimum weight by which a mean is divided.
 const MIN_WEIGHT: f64 = 1e-9;
 /// The levels below a class, in the order in which they are fitted.
 const FINE_LEVELS: [Level; 5] =
@@ -38,75 +41,77 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Cell {
-    /// What it adds to the expectation (a class: the whole of it), shrunk.
+    /// The shrunk effect of the cell, which is added to the expectation of its class; for a class, that expectation itself.
     effect: f64,
     jobs: f64,
-    /// Index of its distribution, if it has one of its own.
+    /// The index of the cell's own distribution, if it has one.
     distribution: Option<u32>,
 }
 
-/// What is known after a fit.
+/// The result of a fit.
 #[derive(Debug)]
 pub(crate) struct Model {
     slowness: KindSlowness,
     /// The mean over all classes.
     root: f64,
     cells: HashMap<CellId, Cell, BuildHasherDefault<IdentityHasher>>,
-    /// The first one is that of all classes together.
+    /// All distributions; the first is that of all classes together.
     distributions: Vec<RuntimeDistribution>,
 }
 
 /// The expectation for jobs of a chain.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expectation {
-    /// Logarithm of the work at speed 1.
+    /// The logarithm of the work at speed 1.
     pub work: f64,
     distribution: u32,
-    /// What the cells above each cell of the chain added to the class's expectation.
+    /// For each cell of the chain, the sum of the effects of the cells between it and the class.
     pub above: [f64; MAX_CHAIN],
-    /// Jobs that the class's expectation rests on.
+    /// The weighted number of jobs of the class.
     pub class_jobs: f64,
 }
 
-/// A cell's offset from what wider cells expect.
+/// The offset of a cell's mean from the expectation of the wider cells.
 #[derive(Clone, Copy, Debug)]
 struct CellOffset {
     jobs: f64,
     offset: f64,
-    /// Variance of the jobs within the cell.
+    /// The variance of the jobs within the cell.
     variance: f64,
 }
 
 /// The weight of the expectation against a cell's own offset, in jobs: the variance within cells divided by the variance
-/// between cells, which is estimated by the method of moments. Where cells differ little, those with few jobs follow the
-/// expectation; where they differ much, each follows its own mean.
+/// between cells, which is estimated by the method of moments. If cells differ little, those with few jobs follow the
+/// expectation. If they differ much, each follows its own mean.
 fn shrinkage_jobs(cells: impl Iterator<Item = CellOffset>) -> f64 {
-    let mut weight = BETWEEN_WEIGHT;
-    let mut between = BETWEEN_VARIANCE * BETWEEN_WEIGHT;
-    let (mut within, mut seen) = (0.0, 0.0);
+    let mut between_weight = BETWEEN_WEIGHT;
+    let mut between_sum = BETWEEN_VARIANCE * BETWEEN_WEIGHT;
+    let mut within_sum = 0.0;
+    let mut total_jobs = 0.0;
     for CellOffset { jobs, offset, variance } in cells {
-        within += variance * jobs;
-        seen += jobs;
+        within_sum += variance * jobs;
+        total_jobs += jobs;
         if jobs > MIN_VARIANCE_JOBS {
-            let counted = jobs.min(MAX_CELL_WEIGHT);
-            weight += counted;
-            between += counted * (offset * offset - variance / jobs);
+            let weight = jobs.min(MAX_CELL_WEIGHT);
+            between_weight += weight;
+            between_sum += weight * (offset * offset - variance / jobs);
         }
     }
-    let within = if seen > 0.0 { within / seen } else { 1.0 };
-    (within / (between / weight).max(MIN_BETWEEN_VARIANCE)).clamp(MIN_SHRINKAGE_JOBS, MAX_SHRINKAGE_JOBS)
+    let within = if total_jobs > 0.0 { within_sum / total_jobs } else { 1.0 };
+    let between = (between_sum / between_weight).max(MIN_BETWEEN_VARIANCE);
+    (within / between).clamp(MIN_SHRINKAGE_JOBS, MAX_SHRINKAGE_JOBS)
 }
 
-/// A cell below the classes with its offset.
+/// A cell below the classes, with its offset.
 struct FittedCell<'a> {
     id: CellId,
     sum: &'a CellSum,
     offset: CellOffset,
-    /// Index of its class's distribution.
+    /// The index of its class's distribution.
     class_distribution: u32,
 }
 
-/// A worker with its offset from the expectation of its jobs.
+/// A worker, with its offset from the expectation of its jobs.
 struct FittedWorker {
     id: CellId,
     kind: WorkerKind,
@@ -131,7 +136,7 @@
     }
 }
 
-/// A class with its mean work.
+/// A class, with its mean work.
 struct FittedClass<'a> {
     cell: CellId,
     sum: &'a CellSum,
@@ -139,7 +144,7 @@
 }
 
 impl Model {
-    /// Before anything was seen.
+    /// The model before any observation.
     pub fn prior(config: &Config) -> Model {
         Model {
             slowness: KindSlowness::prior(config),
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Fitted to the sums of all cells.
+    /// Fits a model to the sums of all cells.
     pub fn fit(sums: &BTreeMap<CellId, CellSum>, config: &Config) -> Model {
         let mut model = Model { slowness: KindSlowness::fit(sums, config), ..Model::prior(config) };
         model.fit_classes(sums);
@@ -174,19 +179,20 @@
         }
     }
 
-    /// The mean over all classes and their common distribution.
+    /// Fits the mean over all classes, and their common distribution.
     fn fit_root(&mut self, classes: &[FittedClass<'_>]) {
-        let (mut weight, mut root) = (1.0, self.root);
+        let mut total_weight = 1.0;
+        let mut weighted_sum = self.root;
         let mut pooled = BinCounts::default();
         for FittedClass { sum, mean, .. } in classes {
-            let counted = sum.jobs.min(MAX_CELL_WEIGHT);
-            weight += counted;
-            root += counted * mean;
+            let weight = sum.jobs.min(MAX_CELL_WEIGHT);
+            total_weight += weight;
+            weighted_sum += weight * mean;
             if let Some(counts) = sum.counts.as_deref() {
                 pooled.add(counts);
             }
         }
-        self.root = root / weight;
+        self.root = weighted_sum / total_weight;
         self.distributions[0] = self.fit_distribution(&pooled, 0);
     }
 
@@ -206,7 +212,7 @@
         }
     }
 
-    /// The cells of one level whose class is known here: nothing is learned yet from the others.
+    /// The cells of one level whose class is known. Other cells are ignored until their class arrives.
     fn cells_of_level<'a>(&self, level: Level, sums: &'a BTreeMap<CellId, CellSum>) -> Vec<FittedCell<'a>> {
         let class_of: HashMap<u32, CellId> = (sums.keys())
             .filter(|cell| cell.level == Level::Class)
@@ -227,8 +233,8 @@
         cells
     }
 
-    /// Fits how much slower each worker is than its kind. The mean over a kind's workers is 0, since that is the kind's own
-    /// slowness.
+    /// Fits how much slower each worker is than its kind. The mean over the workers of a kind is 0, since a common part
+    /// belongs to the slowness of the kind.
     fn fit_workers(&mut self, sums: &BTreeMap<CellId, CellSum>) {
         let mut workers = self.workers(sums);
         let mut kinds: BTreeMap<WorkerKind, WeightedMean> = BTreeMap::new();
@@ -263,12 +269,12 @@
         self.cells.insert(id, Cell { effect, jobs, distribution });
     }
 
-    /// Logarithmic slowness of a kind; 0 for one never seen.
+    /// The logarithmic slowness of a kind; 0 for an unknown kind.
     pub fn slowness(&self, kind: WorkerKind) -> f64 {
         self.slowness.get(kind)
     }
 
-    /// Logarithmic slowness of a worker beside its kind; 0 for one never seen.
+    /// The logarithmic slowness of a worker relative to its kind; 0 for an unknown worker.
     pub fn worker_effect(&self, worker: WorkerKey) -> f64 {
         self.cells.get(&worker_cell(worker)).map_or(0.0, |cell| cell.effect)
     }
@@ -293,29 +299,29 @@
         expected
     }
 
-    /// The distribution of the finest cell that an expectation rests on.
+    /// The distribution of the finest cell of an expectation that has one.
     pub fn distribution(&self, expected: &Expectation) -> &RuntimeDistribution {
         &self.distributions[expected.distribution as usize]
     }
 
-    /// The distribution of a class.
+    /// The distribution of a class, or that of all classes if it has none.
     pub fn class_distribution(&self, class: &CellId) -> &RuntimeDistribution {
         let own = self.cells.get(class).and_then(|cell| cell.distribution);
         &self.distributions[own.unwrap_or(0) as usize]
     }
 
-    /// Number of cells.
+    /// The number of cells.
     pub fn cell_count(&self) -> usize {
         self.cells.len()
     }
 
-    /// Memory beside the struct itself.
+    /// The memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.cells.capacity() * (size_of::<(CellId, Cell)>() + 1)
             + self.distributions.capacity() * size_of::<RuntimeDistribution>()
     }
 
-    /// Hashes all that estimates rest on, in the order of the cells, to compare two models bit by bit.
+    /// Hashes everything that determines estimates, in the order of the cells, to compare two models bit by bit.
     pub fn hash_into(&self, hasher: &mut impl std::hash::Hasher) {
         hasher.write_u64(self.root.to_bits());
         for (kind, slowness) in self.slowness.iter() {
--- a/crates/runtimes/src/own_summaries.rs
+++ b/crates/runtimes/src/own_summaries.rs
@@ -1,4 +1,4 @@
-//! The summaries of this dispatcher, and which of them is published next.
+//! The summaries of this dispatcher, and the choice of the next one to publish.
 
 use crate::cell_sum::CellSum;
 use crate::encoding::{SummaryKey, encode};
@@ -10,27 +10,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
 
-/// No summary counts more jobs than this.
+/// The maximum number of jobs in a summary.
 const MAX_JOBS: u32 = 1 << 22;
-/// A summary that has grown by less than [`MIN_GROWTH`] is published after this long.
+/// The delay after which a summary that has grown by less than [`MIN_GROWTH`] is published again.
 const MAX_PUBLISH_DELAY: Micros = 30_000_000;
 /// A summary that has grown by this factor is published at once.
 const MIN_GROWTH: f64 = 1.25;
-/// Fewest jobs of a worker's summary that is published.
+/// The minimum number of jobs of a published summary of a worker.
 const MIN_WORKER_JOBS: u32 = 8;
-/// Fewest jobs of a summary below the level of classes that is published.
+/// The minimum number of jobs of a published summary below the level of classes.
 const MIN_FINE_JOBS: u32 = 3;
-/// A cell of all features of a job gets a summary once it was seen so often recently; most of them are never seen again.
+/// The number of recent sightings after which a cell of all features of a job gets a summary. Most of these cells are never
+/// seen again.
 const MIN_SIGHTINGS: u8 = 4;
-/// Counters of [`AdmissionFilter`]; cells share them by hash.
+/// The number of counters of an [`AdmissionFilter`], which cells share by hash.
 const SIGHTING_COUNTERS: usize = 4_096;
 
 /// An admission filter as in TinyLFU (Einziger and others 2017): approximate counts of how often the finest cells were seen,
-/// aged by halving them with each span.
+/// which are halved at each new span.
 struct AdmissionFilter(Box<[u8; SIGHTING_COUNTERS]>);
 
 impl AdmissionFilter {
-    /// Counts a sighting; whether the cell has been seen often enough.
+    /// Counts a sighting. Returns whether the cell has been seen often enough.
     fn admits(&mut self, cell: CellId) -> bool {
         let sightings = &mut self.0[cell.hash as usize % SIGHTING_COUNTERS];
         *sightings = sightings.saturating_add(1);
@@ -50,15 +51,15 @@
 
 struct OwnSummary {
     summary: Summary,
-    /// The slot that it is published in.
+    /// The slot in which it is published, if it was published.
     slot: Option<u32>,
-    /// Jobs that it counted when it was published last.
+    /// The number of its jobs when it was last published.
     published_jobs: u32,
     published_at: Micros,
 }
 
 impl OwnSummary {
-    /// Whether it has grown enough since it was published.
+    /// Whether it has grown enough to be published again.
     fn is_due(&self, level: Level, now: Micros) -> bool {
         let jobs = self.summary.jobs();
         let min_jobs = match level {
@@ -71,20 +72,20 @@
         jobs > self.published_jobs && jobs >= min_jobs && (self.published_jobs == 0 || is_ripe)
     }
 
-    /// How much others would learn from it.
+    /// How much others would learn from it, by its relative growth.
     fn urgency(&self) -> f64 {
         let new_jobs = self.summary.jobs() - self.published_jobs;
         f64::from(new_jobs) / f64::from(self.published_jobs + 4)
     }
 }
 
-/// Where a summary that is published for the first time gets its slot from.
+/// The slot for a summary that is published for the first time.
 enum SlotSource {
-    /// A slot is free.
+    /// A free slot.
     Free,
-    /// From the published summary that is least used.
+    /// The slot of the least used published summary.
     LeastUsed { rank: i64, key: OwnKey },
-    /// No slot is free, and none is in use.
+    /// There is no slot.
     Exhausted,
 }
 
@@ -114,7 +115,7 @@
 impl OwnSummaries {
     pub fn new(config: &Config, spans: SpanClock) -> OwnSummaries {
         let slots = config.slots;
-        // A run begins at another slot than the one before, so that what that one published is overwritten late.
+        // Each run begins at another slot, so that it overwrites the facts of the previous run late.
         let mut hasher = SipHasher13::new();
         hasher.write_u64(config.epoch);
         let first = (hasher.finish() % u64::from(slots)) as u32;
@@ -130,12 +131,12 @@
         }
     }
 
-    /// Number of summaries.
+    /// The number of summaries.
     pub fn len(&self) -> usize {
         self.summaries.len()
     }
 
-    /// Summaries for which there was no room.
+    /// The number of summaries for which there was no room.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -144,8 +145,8 @@
         self.spans.rank(key.span, summary.jobs())
     }
 
-    /// The summary of a cell in the present span, if there is room. Room is made by dropping one of an older span: nothing is
-    /// added to those, so that what was published of a summary never shrinks.
+    /// The summary of a cell in the current span, if there is room. To make room, a summary of an older span is dropped:
+    /// nothing is added to those any more, so a published summary never shrinks.
     pub fn summary_mut(&mut self, span: u32, cell: CellId, class: u32) -> Option<&mut Summary> {
         if cell.level == Level::All && !self.admission.admits(cell) {
             return None;
@@ -183,7 +184,7 @@
         expired.iter().for_each(|key| self.remove(key));
     }
 
-    /// Another span has begun.
+    /// Handles the beginning of a new span.
     pub fn on_new_span(&mut self) {
         self.admission.halve();
     }
@@ -196,8 +197,8 @@
         }
     }
 
-    /// The fact that is published next, as slot and bytes: of the summary that has grown the most since it was published.
-    /// Where all slots are taken, that of the least used summary is used again: who received that one keeps it.
+    /// The slot and bytes of the next fact to publish: that of the summary that has grown most since it was published. If all
+    /// slots are in use, the slot of the least used summary is reused; members that received that summary keep it.
     pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         let source = self.slot_source();
         let key = self.most_urgent(now, &source)?;
@@ -223,7 +224,7 @@
         least_used.map_or(SlotSource::Exhausted, |(rank, key)| SlotSource::LeastUsed { rank, key })
     }
 
-    /// The summary that is due and from which others would learn the most, among those that have a slot or may take one.
+    /// The most urgent summary among those that are due and have a slot or may take one.
     fn most_urgent(&self, now: Micros, source: &SlotSource) -> Option<OwnKey> {
         let can_have_slot = |key: &OwnKey, own: &OwnSummary| {
             own.slot.is_some() || source.admits(self.rank(key, &own.summary))
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Memory beside the struct itself, approximately.
+    /// The approximate memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let summaries: usize =
             self.summaries.values().map(|own| size_of::<OwnSummary>() + own.summary.heap_bytes()).sum();
--- a/crates/runtimes/src/publish_pacer.rs
+++ b/crates/runtimes/src/publish_pacer.rs
@@ -1,13 +1,13 @@
-//! The pace of published facts: a token bucket, and a pause after nothing was due.
+//! The rate limit of published facts: a token bucket, and a pause after an attempt without a fact to publish.
 
 use crate::{Config, Micros};
 
-/// The bucket holds the tokens of so many seconds: facts may come in a burst after a time without any.
+/// The capacity of the bucket, as the time in which it fills. It allows a burst of facts after a time without any.
 const BURST_SECONDS: f64 = 10.0;
-/// After nothing was due, the next attempt is made after this long.
+/// The pause after an attempt without a fact to publish.
 const IDLE_INTERVAL: Micros = 500_000;
 
-/// Says when a fact may be published.
+/// Determines when a fact may be published.
 #[derive(Debug)]
 pub(crate) struct PublishPacer {
     facts_per_s: f64,
@@ -30,12 +30,12 @@
         self.tokens >= 1.0 && now >= self.idle_until
     }
 
-    /// A fact was published.
+    /// Records that a fact was published.
     pub fn on_published(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Nothing was due.
+    /// Records that there was no fact to publish.
     pub fn on_idle(&mut self, now: Micros) {
         self.idle_until = now + IDLE_INTERVAL;
     }
--- a/crates/runtimes/src/received_summaries.rs
+++ b/crates/runtimes/src/received_summaries.rs
@@ -1,5 +1,5 @@
-//! The summaries of other dispatchers, and of earlier runs of this one: a last-writer-wins map, which keeps the latest version
-//! for each key and is therefore the same in whatever order the versions come.
+//! The summaries of other dispatchers, and of earlier runs of this one. They form a last-writer-wins map, which keeps the
+//! latest version for each key and so does not depend on the order of arrival.
 
 use crate::cell_sum::CellSum;
 use crate::encoding::{ReceivedSummary, SummaryKey};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// The version of a summary: later ones are greater.
+/// The version of a summary; later versions are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Version {
     epoch: u64,
@@ -49,17 +49,18 @@
         }
     }
 
-    /// Number of summaries.
+    /// The number of summaries.
     pub fn len(&self) -> usize {
         self.summaries.len()
     }
 
-    /// Summaries for which there was no room.
+    /// The number of summaries for which there was no room.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Takes a version of a summary. Returns by how many jobs it exceeds the version before; `None` where that was as late.
+    /// Stores a version of a summary. Returns by how many jobs it exceeds the previous version; `None`, with no change, if the
+    /// known version is the same or later.
     pub fn insert(&mut self, version: Version, summary: ReceivedSummary) -> Option<f64> {
         let key = summary.key;
         let jobs = f64::from(summary.jobs);
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Memory beside the struct itself, approximately.
+    /// The approximate memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let summaries: usize = (self.summaries.values())
             .map(|received| size_of::<Received>() + received.summary.heap_bytes())
@@ -109,7 +110,7 @@
         summaries + self.summaries.len() * (2 * size_of::<SummaryKey>() + size_of::<i64>())
     }
 
-    /// Hashes which versions are kept.
+    /// Hashes the keys and versions of all summaries.
     pub fn hash_into(&self, hasher: &mut impl Hasher) {
         for (key, received) in &self.summaries {
             hasher.write_u64(key.cell.hash);
--- a/crates/runtimes/src/running_jobs.rs
+++ b/crates/runtimes/src/running_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that run: what they add to the expected completions, to a fit (as right-censored observations), and to an estimate of
-//! their own end.
+//! Running jobs, and their contributions: to the expected completions, to a fit (as right-censored observations), and to the
+//! estimates of their own ends.
 
 use crate::cell_sum::CellSum;
 use crate::distribution::bin_of;
@@ -10,21 +10,27 @@
 use crate::{AttemptId, Placement};
 use std::collections::BTreeMap;
 
-/// Most jobs whose hazard is counted at a time, and most that enter a fit; the others come next.
+/// The maximum number of jobs whose hazards are counted at a time, in turn, and of jobs that enter a fit, as a sample.
 const MAX_COUNTED: usize = 1_024;
-/// A class is tracked once so many jobs of it ended.
+/// The minimum weighted number of jobs of a class for its hazards to be counted.
 const MIN_TRACKED_CLASS_JOBS: f64 = 100.0;
-/// A residual is counted once its class's expectation rests on so many jobs.
+/// The minimum weighted number of jobs of a class for its residuals to be counted.
 pub(crate) const MIN_EXPECTATION_JOBS: f64 = 2.0;
-/// Progress below this fraction says nothing.
+/// Progress up to this fraction is ignored.
 const MIN_PROGRESS: f64 = 0.01;
+/// The error of a progress report before any progress, as a logarithm; it shrinks as the job progresses.
+const INITIAL_REPORT_ERROR: f64 = 0.5;
+/// The error of a progress report at the end of a job, as a logarithm.
+const FINAL_REPORT_ERROR: f64 = 0.02;
+/// The minimum error of an estimate from similar jobs, as a logarithm.
+const MIN_ESTIMATE_ERROR: f64 = 0.05;
 
 /// A job's progress report.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    /// Fraction done, 0 to 1.
+    /// The fraction done, from 0 to 1.
     fraction: f64,
-    /// The clock of work when it was reported.
+    /// The work clock at the time of the report.
     reported_at: f64,
 }
 
@@ -33,16 +39,16 @@
 pub(crate) struct RunningJob {
     pub chain: CellChain,
     pub placement: Placement,
-    /// The clocks when it started.
+    /// The clocks at the start of the job.
     pub started: WorkClocks,
-    /// Expected logarithmic run time at its start.
+    /// The logarithm of the run time that was expected at the start.
     expected: f64,
-    /// Residual up to which its hazard was counted; `None` where its class was not known well enough.
+    /// The residual up to which the hazard was counted; `None` if the class was not known well enough at the start.
     counted_until: Option<f64>,
     progress: Option<Progress>,
 }
 
-/// The logarithm of a run time, as median and conservative quantile.
+/// An estimate of the logarithm of a run time: the median and the conservative quantile.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogEstimate {
     pub typical: f64,
@@ -50,7 +56,7 @@
 }
 
 impl RunningJob {
-    /// A job that starts now.
+    /// A job that starts at the time of the clocks `started`.
     pub fn new(chain: CellChain, placement: Placement, started: WorkClocks, model: &Model) -> RunningJob {
         let expected = model.expectation(&chain);
         let Placement { kind, worker } = placement;
@@ -66,7 +72,7 @@
         }
     }
 
-    /// Whether it counts among the expected completions.
+    /// Whether the hazard of the job adds to the expected completions.
     pub fn is_tracked(&self) -> bool {
         self.counted_until.is_some()
     }
@@ -75,7 +81,7 @@
         log_of_micros(work_clock - self.started.work) - self.expected
     }
 
-    /// Growth of its cumulative hazard since it was counted last.
+    /// The growth of the job's cumulative hazard since it was last counted.
     pub fn hazard_growth(&self, model: &Model, work_clock: f64) -> f64 {
         let distribution = model.class_distribution(&self.chain.class());
         let counted = self.counted_until.filter(|residual| residual.is_finite());
@@ -83,7 +89,7 @@
         (distribution.cumulative_hazard(self.residual(work_clock)) - before).max(0.0)
     }
 
-    /// The whole run time, given that it has run for `elapsed` of work and what it reported.
+    /// The total run time, given that the job has run for `elapsed` microseconds of work, and given its reported progress.
     pub fn log_runtime(&self, model: &Model, elapsed: f64, long_quantile: f64) -> LogEstimate {
         let expected = model.expectation(&self.chain);
         let distribution = model.distribution(&expected);
@@ -98,14 +104,14 @@
         }
     }
 
-    /// Combines what it reported with what is known of similar jobs by inverse-variance weighting. The report counts for more
-    /// the further the job is.
+    /// Combines the job's progress report with the estimate from similar jobs, by inverse-variance weighting. The weight of the
+    /// report grows with the progress.
     fn weigh_progress(&self, estimate: LogEstimate, progress: Progress) -> LogEstimate {
         let LogEstimate { typical, long } = estimate;
         let elapsed = (progress.reported_at - self.started.work).max(1.0);
         let reported = log_of_micros(elapsed / progress.fraction);
-        let report_error = 0.5 * (1.0 - progress.fraction) + 0.02;
-        let estimate_error = (long - typical).max(0.05);
+        let report_error = INITIAL_REPORT_ERROR * (1.0 - progress.fraction) + FINAL_REPORT_ERROR;
+        let estimate_error = (long - typical).max(MIN_ESTIMATE_ERROR);
         let estimate_variance = estimate_error * estimate_error;
         let report_weight = estimate_variance / (estimate_variance + report_error * report_error);
         let spread = (long - typical) * (1.0 - report_weight).sqrt();
@@ -113,8 +119,8 @@
         LogEstimate { typical, long: typical + spread }
     }
 
-    /// Adds the job to the sums of its cells as a right-censored observation, which stands for `count` jobs: in the bins as
-    /// such, in the sums with the probability that it would have ended by now.
+    /// Adds the job to the sums of its cells as a right-censored observation, which represents `count` jobs. The bins count it
+    /// as censored; the sums count it with the probability that it would have ended by now.
     fn add_lower_bound(
         &self,
         sums: &mut BTreeMap<CellId, CellSum>,
@@ -143,10 +149,10 @@
     }
 }
 
-/// All jobs that run.
+/// All running jobs.
 pub(crate) struct RunningJobs {
     jobs: BTreeMap<AttemptId, RunningJob>,
-    /// The first attempt that is counted next time.
+    /// The first attempt to count next time.
     next_counted: AttemptId,
 }
 
@@ -157,49 +163,50 @@
 }
 
 impl RunningJobs {
-    /// Number of jobs.
+    /// The number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Adds a job, or replaces that of the same id.
+    /// Adds a job, or replaces the one with the same id.
     pub fn insert(&mut self, id: AttemptId, job: RunningJob) {
         self.jobs.insert(id, job);
     }
 
-    /// Takes a job out.
+    /// Removes a job.
     pub fn remove(&mut self, id: AttemptId) -> Option<RunningJob> {
         self.jobs.remove(&id)
     }
 
-    /// The job of this id.
+    /// The job with this id.
     pub fn get(&self, id: AttemptId) -> Option<&RunningJob> {
         self.jobs.get(&id)
     }
 
-    /// A job reported the fraction that it has done. What is no number is ignored.
+    /// Records the progress of a job. A fraction that is not finite is ignored.
     pub fn on_progress(&mut self, id: AttemptId, fraction: f64, work_clock: f64) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|_| fraction.is_finite()) {
             job.progress = Some(Progress { fraction: fraction.clamp(0.0, 1.0), reported_at: work_clock });
         }
     }
 
-    /// Counts the growth of the jobs' cumulative hazards: the completions that were expected meanwhile. At most
-    /// [`MAX_COUNTED`] jobs are visited at a time, in turn.
+    /// The growth of the jobs' cumulative hazards since they were last counted, which is the number of completions that were
+    /// expected in the meantime. At most [`MAX_COUNTED`] jobs are counted at a time, in turn.
     pub fn count_hazards(&mut self, model: &Model, work_clock: f64) -> f64 {
         let in_turn = self.jobs.range(self.next_counted..).chain(self.jobs.range(..self.next_counted));
         let ids: Vec<AttemptId> = in_turn.take(MAX_COUNTED.min(self.jobs.len())).map(|(id, _)| *id).collect();
-        let mut grown = 0.0;
+        let mut growth = 0.0;
         for id in &ids {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_tracked()) else { continue };
-            grown += job.hazard_growth(model, work_clock);
+            growth += job.hazard_growth(model, work_clock);
             job.counted_until = Some(job.residual(work_clock));
         }
         self.next_counted = ids.last().map_or(AttemptId(0), |id| AttemptId(id.0 + 1));
-        grown
+        growth
     }
 
-    /// Adds jobs to the sums of their cells as lower bounds: all of them, or an even sample of many.
+    /// Adds the jobs to the sums of their cells as right-censored observations: all of them, or an even sample if there are
+    /// many.
     pub fn add_lower_bounds(&self, sums: &mut BTreeMap<CellId, CellSum>, model: &Model, learning_clock: f64) {
         let step = self.jobs.len() / MAX_COUNTED + 1;
         for job in self.jobs.values().step_by(step) {
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Memory beside the struct itself, approximately.
+    /// The approximate memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.jobs.len() * size_of::<(AttemptId, RunningJob)>()
     }
--- a/crates/runtimes/src/shared_slowdown.rs
+++ b/crates/runtimes/src/shared_slowdown.rs
@@ -1,38 +1,39 @@
-//! A slowdown that all jobs share (a busy store, a hot day), tracked within seconds.
+//! A slowdown that all jobs share, for example because of an overloaded store or a hot machine room. It is tracked within
+//! seconds.
 //!
-//! Observed completions are compared with expected ones. Each running job adds to the expected ones the growth of its
-//! cumulative hazard, which over a whole life is 1 in the mean whether or not the end is observed (the martingale of a
-//! counting process, Aalen 1978): a job that has not ended yet is accounted for without bias. Where fewer jobs end than
+//! The number of observed completions is compared with the expected number. Each running job adds the growth of its
+//! cumulative hazard to the expected number. Over a whole run time that is 1 on average, whether or not the end is observed
+//! (the martingale of a counting process, Aalen 1978), so jobs that have not ended yet cause no bias. If fewer jobs end than
 //! expected, the factor rises. Work is measured by a clock that runs slower by that factor, so the work of a job that spans
 //! the start of a slowdown is measured correctly.
 //!
-//! The factor is applied with hysteresis: from three standard errors on, and until it falls below one and a half. Otherwise
-//! its noise would enter what is learned, and both could drift apart without bound while their sum stays right.
+//! The factor is applied with hysteresis: once it exceeds three standard errors, and until it falls below one and a half.
+//! Otherwise its noise would enter the learned model, and both could drift apart without bound while their sum stays right.
 
 use crate::{Config, Micros};
 
-/// Largest logarithm of the factor, either way: beyond that something else is wrong.
+/// The maximum absolute logarithm of the factor. A greater one must have another cause.
 const MAX_LOG_FACTOR: f64 = 3.0;
-/// Variance of the factor's logarithm, times the completions that it rests on.
+/// The variance of the factor's logarithm, times the number of completions that it is based on.
 const NOISE_VARIANCE: f64 = 0.7;
-/// The factor is applied once it exceeds so many standard errors.
+/// The number of standard errors above which the factor is applied.
 const APPLY_ABOVE: f64 = 3.0;
-/// It is no longer applied once it is below so many standard errors.
+/// The number of standard errors below which the factor is no longer applied.
 const RELEASE_BELOW: f64 = 1.5;
 
 /// The factor by which all jobs are slower at present.
 #[derive(Debug)]
 pub(crate) struct SharedSlowdown {
-    /// Logarithm of the factor by the evidence alone.
+    /// The logarithm of the factor by the evidence alone.
     raw: f64,
-    /// Whether it exceeds its noise and is applied.
+    /// Whether the factor exceeds its noise and is applied.
     is_applied: bool,
-    /// How much of it has lasted so long that it is learned as the usual speed.
+    /// The part of the factor's logarithm that has lasted long enough to be learned as the usual speed.
     usual: f64,
-    /// Work done since the start by a job at speed 1.
+    /// The work done by a job at speed 1 since the start.
     clocks: WorkClocks,
     advanced_to: Micros,
-    /// Recent completions, decayed.
+    /// The number of recent completions, decayed.
     recent: f64,
     span: f64,
     weight: f64,
@@ -42,9 +43,9 @@
 /// The two clocks of work, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkClocks {
-    /// Slowed by the whole factor.
+    /// Slowed down by the whole factor.
     pub work: f64,
-    /// Slowed by what has not become the usual speed: the clock for learning.
+    /// Slowed down by the part of the factor that has not become the usual speed; used for learning.
     pub learning: f64,
 }
 
@@ -63,23 +64,23 @@
         }
     }
 
-    /// Logarithm of the factor by which all jobs are slower now.
+    /// The logarithm of the factor by which all jobs are slower at present.
     pub fn log(&self) -> f64 {
         if self.is_applied { self.raw } else { 0.0 }
     }
 
-    /// Moves the clocks on.
+    /// Advances the clocks to `now`.
     pub fn advance(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.advanced_to) as f64;
-        if passed > 0.0 {
+        let elapsed = now.saturating_sub(self.advanced_to) as f64;
+        if elapsed > 0.0 {
             self.advanced_to = now;
-            self.clocks.work += passed * (-self.log()).exp();
-            self.clocks.learning += passed * (self.usual - self.log()).exp();
-            self.recent *= (-passed / self.span).exp();
+            self.clocks.work += elapsed * (-self.log()).exp();
+            self.clocks.learning += elapsed * (self.usual - self.log()).exp();
+            self.recent *= (-elapsed / self.span).exp();
             if self.is_applied {
-                self.usual += (self.raw - self.usual) * (1.0 - (-passed / self.memory).exp());
+                self.usual += (self.raw - self.usual) * (1.0 - (-elapsed / self.memory).exp());
             } else {
-                self.raw *= (-passed / self.span).exp();
+                self.raw *= (-elapsed / self.span).exp();
             }
         }
     }
@@ -89,20 +90,20 @@
         self.clocks
     }
 
-    /// The clock of work as it will stand at `now`, if nothing happens until then.
+    /// The work clock at `now`, if the factor does not change until then.
     pub fn work_at(&self, now: Micros) -> f64 {
         self.clocks.work + now.saturating_sub(self.advanced_to) as f64 * (-self.log()).exp()
     }
 
-    /// Updates the factor with the completions that were expected since the last call, and those that happened.
-    pub fn update(&mut self, expected: f64, ended: f64) {
-        self.recent += ended;
-        let rests_on = self.recent + self.weight;
-        self.raw = (self.raw + (expected - ended) / rests_on).clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
-        let noise = (NOISE_VARIANCE / rests_on).sqrt();
-        if self.raw.abs() > APPLY_ABOVE * noise {
+    /// Updates the factor by the numbers of expected and of observed completions since the last call.
+    pub fn update(&mut self, expected: f64, observed: f64) {
+        self.recent += observed;
+        let completions = self.recent + self.weight;
+        self.raw = (self.raw + (expected - observed) / completions).clamp(-MAX_LOG_FACTOR, MAX_LOG_FACTOR);
+        let standard_error = (NOISE_VARIANCE / completions).sqrt();
+        if self.raw.abs() > APPLY_ABOVE * standard_error {
             self.is_applied = true;
-        } else if self.is_applied && self.raw.abs() < RELEASE_BELOW * noise {
+        } else if self.is_applied && self.raw.abs() < RELEASE_BELOW * standard_error {
             self.is_applied = false;
             self.usual = 0.0;
         }
--- a/crates/runtimes/src/summary.rs
+++ b/crates/runtimes/src/summary.rs
@@ -1,41 +1,43 @@
-//! What one dispatcher observed of one cell in one span of time: the unit that is published. It holds sufficient statistics
-//! (counts, sums of logarithms, a histogram of residuals), only grows, and a later version replaces an earlier one as a
-//! whole, so that nothing is counted twice.
+//! A summary: the observations of one cell by one dispatcher in one span of time. It is the unit of publishing.
+//!
+//! A summary holds sufficient statistics: counts, sums of logarithms, and a histogram of residuals. It only grows, and a later
+//! version replaces an earlier one as a whole, so that nothing is counted twice.
 
 use crate::{Outcome, WorkerKind};
 use serde::{Deserialize, Serialize};
 
-/// Steps per unit of the natural logarithm in which sums are kept: integers, so that sums do not depend on their order.
+/// The number of fixed-point steps per unit of the natural logarithm. Sums are integers, so they do not depend on the order
+/// of the additions.
 pub(crate) const FIXED_POINT: f64 = 256.0;
-/// Most kinds with a total of their own in a summary; jobs of further kinds count under [`WorkerKind::OTHER`], without the
-/// slowness that their kind was known to have then.
+/// The maximum number of kinds with their own total in a summary. Jobs of further kinds count under [`WorkerKind::OTHER`],
+/// with the slowness of their kind, as known at the time, removed.
 pub(crate) const MAX_KINDS: usize = 5;
 
 fn fixed_point(log: f64) -> i64 {
     (log * FIXED_POINT).round() as i64
 }
 
-/// Jobs of one kind of worker.
+/// The total of the jobs at one kind of worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KindTotal {
     pub kind: WorkerKind,
     pub jobs: u32,
-    /// Sum of the logarithmic run times at this kind, in fixed point.
+    /// The sum of the logarithmic run times at this kind, in fixed point.
     pub log_sum: i64,
 }
 
 /// The logarithms that a job adds to a summary.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoggedJob {
-    /// Its run time, in the mean that is expected if it was censored.
+    /// The run time; if it was censored, the expected run time.
     pub runtime: f64,
-    /// The same without the slowness of its kind.
+    /// The same without the slowness of the worker's kind.
     pub work: f64,
-    /// What wider cells of the chain added to the class's expectation.
+    /// The sum of the effects of the cells between this one and the class.
     pub expected: f64,
 }
 
-/// Jobs whose residual is in one bin.
+/// The numbers of jobs whose residuals are in one bin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BinTotal {
     pub bin: u8,
@@ -43,21 +45,21 @@
     pub censored: u32,
 }
 
-/// Totals of a cell over a span.
+/// The totals of a cell over a span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Summary {
     /// The hash of the class cell, shortened; 0 for a worker's.
     pub class: u32,
     /// Sorted by kind.
     pub kinds: Vec<KindTotal>,
-    /// Sum of what wider cells of the chain added to the class's expectation, in fixed point.
+    /// The sum of [`LoggedJob::expected`] over all jobs, in fixed point.
     pub expected: i64,
     /// Sorted by bin.
     pub bins: Vec<BinTotal>,
 }
 
 impl Summary {
-    /// Number of jobs.
+    /// The number of jobs.
     pub fn jobs(&self) -> u32 {
         self.kinds.iter().fold(0, |sum, kind| sum.saturating_add(kind.jobs))
     }
@@ -108,7 +110,7 @@
         *counter = counter.saturating_add(1);
     }
 
-    /// Memory beside the struct itself.
+    /// The memory in addition to the struct itself, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.bins.capacity() * size_of::<BinTotal>() + self.kinds.capacity() * size_of::<KindTotal>()
     }
