--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -10,48 +10,49 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a call gets instead of its usual response.
+/// The response to a call in place of the usual one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScriptedResponse {
-    /// 503.
+    /// Answers 503.
     Refuse,
-    /// Nothing before [`FakeDiscovery::release_list_calls`] or [`FakeDiscovery::release_watches`]; the connection stays open.
+    /// Does not answer until [`FakeDiscovery::release_list_calls`] or [`FakeDiscovery::release_watches`]. The connection stays
+    /// open.
     Hold,
-    /// The connection ends in the middle of the list.
+    /// Ends the connection in the middle of the list.
     Truncate,
-    /// These bytes; the connection of a watch stays open.
+    /// Answers with these bytes. The connection of a watch stays open.
     Raw(Vec<u8>),
 }
 
-/// Bytes that a response lacks when it is truncated.
+/// The number of bytes that a truncated response lacks.
 const TRUNCATED_BYTES: usize = 30;
 
-/// Responses to come.
+/// The scripted responses to the next calls.
 #[derive(Default)]
 struct ScriptedResponses {
     list_calls: VecDeque<ScriptedResponse>,
     watches: VecDeque<ScriptedResponse>,
 }
 
-/// Discovery: each watch first gets the full list, then the lines that the test pushes. Its methods panic if the service's
-/// thread has panicked.
+/// A discovery service. Each watch first gets the full list, then the lines that the test pushes. The methods panic if the
+/// thread of the service has panicked.
 pub struct FakeDiscovery {
-    /// Where it listens.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// Calls and watches that have had their response.
+    /// The number of calls and watches that were answered.
     pub calls: AtomicU64,
     /// The request line of each call and watch.
     pub request_lines: Mutex<Vec<String>>,
     scripted: Mutex<ScriptedResponses>,
     held: Mutex<Vec<TcpStream>>,
     list: Mutex<Value>,
-    /// What calls without a watch get, where that is another list.
+    /// The list for calls without a watch, if that is a different one.
     full_list: Mutex<Option<Value>>,
     watches: Mutex<Vec<TcpStream>>,
 }
 
 impl FakeDiscovery {
-    /// Starts one with this list, on loopback.
+    /// Starts a service with this list, on loopback.
     ///
     /// # Panics
     ///
@@ -60,7 +61,7 @@
         FakeDiscovery::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), list)
     }
 
-    /// Starts one on a listener of the test's.
+    /// Starts a service on the given listener.
     ///
     /// # Panics
     ///
@@ -104,7 +105,10 @@
                 let _ = stream.write_all(&usual.as_bytes()[..usual.len() - TRUNCATED_BYTES]);
                 return;
             }
-            Some(ScriptedResponse::Hold) => return self.held.lock().expect("a lock").push(stream),
+            Some(ScriptedResponse::Hold) => {
+                self.held.lock().expect("a lock").push(stream);
+                return;
+            }
             Some(ScriptedResponse::Raw(bytes)) => bytes,
             None => usual.into_bytes(),
         };
@@ -127,24 +131,24 @@
         list_response(&self.full_list.lock().expect("a lock").clone().unwrap_or(list))
     }
 
-    /// Scripts the next watches; those after them get `list`.
+    /// Scripts the responses to the next watches. Later watches get `list`.
     pub fn script_watches(&self, responses: &[ScriptedResponse], list: Value) {
         self.scripted.lock().expect("a lock").watches.extend(responses.iter().cloned());
         *self.list.lock().expect("a lock") = list;
     }
 
-    /// Scripts the next calls for the full list; those after them get `list`.
+    /// Scripts the responses to the next calls for the full list. Later calls get `list`.
     pub fn script_list_calls(&self, responses: &[ScriptedResponse], list: Value) {
         self.scripted.lock().expect("a lock").list_calls.extend(responses.iter().cloned());
         *self.full_list.lock().expect("a lock") = Some(list);
     }
 
-    /// Calls for the full list so far.
+    /// The number of calls for the full list so far.
     pub fn list_call_count(&self) -> usize {
         self.request_lines.lock().expect("a lock").iter().filter(|line| !is_watch(line)).count()
     }
 
-    /// The versions after which watches were requested so far, once the last of them has had its response.
+    /// The generations from which watches were requested so far. Waits until the last of them was answered.
     pub fn watch_indices(&self) -> Vec<u64> {
         wait_until("an answer", || {
             self.calls.load(Ordering::SeqCst) == self.request_lines.lock().expect("a lock").len() as u64
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Sends a change to all watches as one line; later calls get `list`.
+    /// Sends a change to all watches, as one line. Later calls get `list`.
     pub fn push_change(&self, change: &str, list: Value) {
         *self.list.lock().expect("a lock") = list;
         self.write_to_watches(chunk(&format!("{change}\n")).as_bytes());
@@ -206,7 +210,7 @@
     request_line.contains("stream=1")
 }
 
-/// What the response to a watch begins with.
+/// The head of the response to a watch.
 pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn watch_response(list: &Value) -> String {
--- a/crates/testkit/src/fleet/auditor/executions.rs
+++ b/crates/testkit/src/fleet/auditor/executions.rs
@@ -4,7 +4,7 @@
 use crate::fleet::event_log::{Event, LoggedEvent};
 use std::collections::BTreeMap;
 
-/// Keys that were executed more than once, in their order.
+/// The keys that were executed more than once, in order of keys.
 pub(super) fn find(events: &[LoggedEvent]) -> Vec<Finding> {
     let mut runs_by_key: BTreeMap<&str, usize> = BTreeMap::new();
     for logged in events {
--- a/crates/testkit/src/fleet/auditor/late_sends.rs
+++ b/crates/testkit/src/fleet/auditor/late_sends.rs
@@ -29,11 +29,11 @@
     findings
 }
 
-/// What one process was notified of since its start.
+/// The notifications of one process since its start.
 #[derive(Default)]
 struct NotifiedState {
     started_at: u64,
-    /// Workers to which it must send no more, and since when it knows this.
+    /// The workers to which the process must send no more jobs, with the time since which it knows this.
     stopped: HashMap<usize, u64>,
     listed: BTreeSet<usize>,
 }
@@ -47,14 +47,14 @@
                 self.stopped.entry(endpoint.worker).or_insert(known_at);
             }
         }
-        let now: BTreeSet<usize> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
+        let received: BTreeSet<usize> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         if is_full {
-            for gone in self.listed.difference(&now) {
+            for gone in self.listed.difference(&received) {
                 self.stopped.entry(*gone).or_insert(known_at);
             }
-            self.listed = now;
+            self.listed = received;
         } else {
-            self.listed.extend(now);
+            self.listed.extend(received);
         }
     }
 }
@@ -82,13 +82,13 @@
         self.changes.insert(endpoint.worker, EndpointChange { at, lifecycle: endpoint.lifecycle });
     }
 
-    /// How long before this time a dispatcher has known that it must not send to a worker, if that is too long.
+    /// How long a dispatcher has known at `at` that it must not send to a worker, if that exceeds the deadline.
     fn lateness(&self, at: u64, dispatcher: usize, worker: usize) -> Option<u64> {
         let since = self.stopped_since(dispatcher, worker)?;
         (at > since + self.rules.stop_deadline).then(|| at - since)
     }
 
-    /// Since when a dispatcher knows that it must not send to a worker, or counts as knowing it.
+    /// Since when a dispatcher knows, or is assumed to know, that it must not send to a worker.
     fn stopped_since(&self, dispatcher: usize, worker: usize) -> Option<u64> {
         let state = self.notified.get(&dispatcher);
         let notified = state.and_then(|state| state.stopped.get(&worker).copied());
@@ -96,7 +96,7 @@
         notified.into_iter().chain(self.assumed_stopped_since(started_at, worker)).min()
     }
 
-    /// Since when a process that was started at a time counts as knowing that a worker stopped, arrived or not.
+    /// Since when a process that started at `started_at` is assumed to know that a worker stopped.
     fn assumed_stopped_since(&self, started_at: u64, worker: usize) -> Option<u64> {
         let after = self.rules.assume_notified_after?;
         let change = self.changes.get(&worker)?;
--- a/crates/testkit/src/fleet/auditor/mod.rs
+++ b/crates/testkit/src/fleet/auditor/mod.rs
@@ -1,5 +1,7 @@
-//! The auditor. It reads what crossed the wires and nothing else, and names what must not have happened. It knows no part
-//! of the program. Each rule is a module of its own: a function from the events to findings.
+//! The auditor: it checks the recorded traffic of a fleet against a set of rules.
+//!
+//! Its only input is the event log, and it uses no part of the program. Each rule is a separate module with a function from
+//! events to findings, which are violations of the rule.
 
 mod datagrams;
 mod executions;
@@ -12,24 +14,25 @@
 use super::event_log::LoggedEvent;
 use outages::OutageHistory;
 
-/// What must hold, all durations in microseconds. The default is the small deployment of [`crate::site`].
+/// The parameters of the rules; all durations are in microseconds. The default is the small deployment of [`crate::site`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AuditRules {
-    /// A dispatcher sends no job to a worker later than this after it was notified that the worker drains or is gone.
+    /// How long a dispatcher may send jobs to a worker after it was notified that the worker drains or is gone.
     pub stop_deadline: u64,
-    /// Every change counts as notified this long after it was made, arrived or not; `None`: only what was written counts.
+    /// How long after a change every dispatcher counts as notified, whether or not it was. `None`: a dispatcher is notified
+    /// only once the change was written to it.
     pub assume_notified_after: Option<u64>,
-    /// A reply comes at most this long after its client's timeout; `None`: only that it comes is checked.
+    /// How long after its client's timeout a reply may arrive. `None`: the time of replies is not checked.
     pub answer_slack: Option<u64>,
-    /// A worker that was just started has this fraction of its capacity ...
+    /// The fraction of its capacity with which a worker starts.
     pub initial_capacity: f64,
-    /// ... and all of it after this time.
+    /// The time from a worker's start until it has its full capacity.
     pub warm_up_time: u64,
-    /// More work than this multiple of its capacity ...
+    /// A worker that is warming up collapses if it gets more work than this multiple of its capacity in `overload_window`.
     pub overload_multiple: f64,
-    /// ... in a window of this length makes a worker that is warming up collapse.
+    /// See `overload_multiple`.
     pub overload_window: u64,
-    /// Microseconds of work that a warm worker does in a microsecond: its slots times its speed.
+    /// The capacity of a warm worker in microseconds of work per microsecond: its slots times its speed.
     pub capacity: f64,
     /// The mean work of a job.
     pub mean_work: u64,
@@ -51,35 +54,36 @@
     }
 }
 
-/// What must not have happened. `at` is a time in microseconds of the harness's clock, `dispatcher` and `worker` are numbers
-/// from 0, `id` is a job's, and durations are in microseconds.
+/// A violation of a rule. `at` is a time in microseconds of the harness's clock, `dispatcher` and `worker` are numbers from
+/// 0, `id` is that of a job, and durations are in microseconds.
 #[allow(missing_docs)] // the fields are the same in all variants: documented above
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// A job was sent to a worker this long after the dispatcher was notified that it drains or is gone.
+    /// A job was sent to a worker too long after the dispatcher was notified that the worker drains or is gone. `after` is
+    /// the time since then.
     LateSend { at: u64, dispatcher: usize, worker: usize, id: String, after: u64 },
-    /// A job that was taken got no whole reply, and its dispatcher had not been killed.
+    /// An accepted job got no complete reply, although its dispatcher was not killed.
     NeverAnswered { at: u64, dispatcher: usize, id: String },
-    /// A job was answered more than once, or bytes came that no request had asked for.
+    /// A job was answered more than once, or a client received bytes without a request.
     AnsweredTwice { at: u64, dispatcher: usize, id: String },
-    /// A job was answered this long after its client's timeout.
+    /// A job was answered too long after its client's timeout. `late` is the time since then.
     AnsweredLate { at: u64, dispatcher: usize, id: String, late: u64 },
-    /// A job was answered with a result that no worker made for it.
+    /// A job was answered with a result that no worker reported for it.
     UnknownResult { at: u64, dispatcher: usize, id: String },
     /// A datagram was too long.
     LongDatagram { at: u64, dispatcher: usize, length: usize },
-    /// A key was executed more than once; how often.
+    /// An idempotency key was executed more than once. `runs` is how often.
     ExecutedTwice { key: String, runs: usize },
-    /// A worker that was warming up got more than its budget in one window: jobs of mean work, and how many are allowed.
+    /// A worker that was warming up got more work than its budget in one window; both in jobs of mean work.
     WarmUpExceeded { at: u64, worker: usize, jobs: f64, allowed: f64 },
-    /// A process exited by itself, or not with code 0.
+    /// A process exited without a request, or not with code 0.
     Crashed { at: u64, dispatcher: usize },
-    /// This many events are missing from the log: nothing is certain.
+    /// Events are missing from the log, so the audit is not reliable. `missing` is their number.
     Incomplete { missing: u64 },
 }
 
-/// Reads events in the order of their times, and returns what must not have happened: findings by rule, those of one rule in
-/// the order of their times.
+/// Checks events, which must be in order of their times. Returns the violations by rule, those of each rule in order of their
+/// times.
 pub fn audit(events: &[LoggedEvent], rules: &AuditRules) -> Vec<Finding> {
     let outages = OutageHistory::from_events(events);
     let mut findings = late_sends::find(events, rules, &outages);
--- a/crates/testkit/src/fleet/auditor/outages.rs
+++ b/crates/testkit/src/fleet/auditor/outages.rs
@@ -1,9 +1,9 @@
-//! When processes were down or paused: what the rules excuse.
+//! The times at which processes were down or paused, which excuse violations of some rules.
 
 use crate::fleet::event_log::{Event, LoggedEvent};
 use std::collections::HashMap;
 
-/// A span of time in microseconds; an end that has not come is `u64::MAX`.
+/// A span of time in microseconds; the end is `u64::MAX` if it is not known yet.
 struct Span {
     begin: u64,
     end: u64,
@@ -18,7 +18,7 @@
 /// One dispatcher's kills and pauses.
 #[derive(Default)]
 struct Outages {
-    /// From each kill to the next start: what a client writes to a dying process is not taken.
+    /// From each kill to the next start. A job that a client writes to a dying process is not accepted.
     down: Vec<Span>,
     paused: Vec<Span>,
 }
@@ -43,7 +43,7 @@
 }
 
 impl OutageHistory {
-    /// Reads events in the order of their times.
+    /// Collects the outages from events, which must be in order of their times.
     pub(super) fn from_events(events: &[LoggedEvent]) -> OutageHistory {
         let mut history = OutageHistory { by_dispatcher: HashMap::new() };
         for LoggedEvent { at, event } in events {
@@ -77,7 +77,7 @@
         self.pauses(dispatcher).iter().any(|span| span.begin <= to && from <= span.end)
     }
 
-    /// When a process knows what is written to it at a time: once it continues, if it is paused.
+    /// When a process reads what is written to it at `at`: immediately, or at the end of the pause if it is paused.
     pub(super) fn known_at(&self, dispatcher: usize, at: u64) -> u64 {
         let pause = self.pauses(dispatcher).iter().find(|span| (span.begin..=span.end).contains(&at));
         pause.map_or(at, |span| span.end)
--- a/crates/testkit/src/fleet/auditor/replies.rs
+++ b/crates/testkit/src/fleet/auditor/replies.rs
@@ -1,11 +1,11 @@
-//! The rule that each job that was taken gets one reply, in time, with a result that a worker made for it.
+//! The rule that each accepted job gets exactly one reply, in time, with a result that a worker reported for it.
 
 use super::outages::OutageHistory;
 use super::{AuditRules, Finding};
 use crate::fleet::event_log::{Event, LoggedEvent};
 use std::collections::{HashMap, HashSet};
 
-/// Jobs without a reply, and replies that must not have come, or not then.
+/// Jobs without a reply, and replies that are unexpected or late.
 pub(super) fn find(events: &[LoggedEvent], rules: &AuditRules, outages: &OutageHistory) -> Vec<Finding> {
     let mut audit = ReplyAudit {
         rules,
@@ -29,14 +29,14 @@
     timeout: u64,
 }
 
-/// A result that a worker made for a job.
+/// A result that a worker reported for a job.
 #[derive(PartialEq, Eq, Hash)]
 struct JobResult<'a> {
     id: &'a str,
     result: &'a str,
 }
 
-/// A reply as a client got it.
+/// A reply that a client received.
 struct Reply<'a> {
     at: u64,
     dispatcher: usize,
@@ -48,7 +48,7 @@
 struct ReplyAudit<'a> {
     rules: &'a AuditRules,
     outages: &'a OutageHistory,
-    /// By the job's id, as in the following.
+    /// The jobs without a reply, by id.
     open: HashMap<&'a str, OpenJob>,
     answered: HashSet<&'a str>,
     results: HashSet<JobResult<'a>>,
@@ -71,7 +71,7 @@
                 self.findings.push(Finding::AnsweredTwice { at, dispatcher, id });
             }
             Event::Unanswered { dispatcher, id } => self.on_unanswered(at, *dispatcher, id),
-            // Its dispatcher closed before any byte of a reply, and nobody took the job when it was sent once more.
+            // The dispatcher closed the connection before any byte of a reply, and the job could not be sent again.
             Event::Unreachable { id, .. } => _ = self.open.remove(id.as_str()),
             _ => {}
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// How long after its client's timeout a reply came, if that is too long.
+    /// How long after its client's timeout a reply arrived, if that is too long.
     fn lateness(&self, reply: &Reply<'_>, job: OpenJob) -> Option<u64> {
         let slack = self.rules.answer_slack?;
         let late = reply.at.saturating_sub(job.sent_at + job.timeout);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Adds the jobs of which nothing more is known at the end of the log, by id.
+    /// Adds the jobs that are still open at the end of the log, in order of ids.
     fn finish(mut self, end: u64) -> Vec<Finding> {
         let mut open: Vec<(&str, OpenJob)> = self.open.into_iter().collect();
         open.sort_unstable_by_key(|(id, _)| *id);
--- a/crates/testkit/src/fleet/auditor/warm_up.rs
+++ b/crates/testkit/src/fleet/auditor/warm_up.rs
@@ -6,17 +6,17 @@
 use crate::fleet::worker::warm_up_capacity;
 use std::collections::{BTreeSet, HashMap};
 
-/// The widest excess after each start of a worker.
+/// The greatest excess after each start of a worker.
 pub(super) fn find(events: &[LoggedEvent], rules: &AuditRules, outages: &OutageHistory) -> Vec<Finding> {
-    let widest_excess = |start: WorkerStart| {
+    let greatest_excess = |start: WorkerStart| {
         let arrivals = start.arrivals(events, rules, outages);
         let windows = (0..arrivals.len()).filter_map(|first| start.check_window(rules, &arrivals[first..]));
         windows.max_by(|a, b| a.excess().total_cmp(&b.excess()))
     };
-    worker_starts(events).into_iter().filter_map(widest_excess).map(Excess::into_finding).collect()
+    worker_starts(events).into_iter().filter_map(greatest_excess).map(Excess::into_finding).collect()
 }
 
-/// A worker's start, as the endpoint list names it.
+/// The start of a worker, according to the endpoint list.
 struct WorkerStart {
     worker: usize,
     started_ms: u64,
@@ -28,7 +28,7 @@
     at: u64,
     /// In microseconds.
     work: f64,
-    /// Its dispatcher had been notified of the worker's start.
+    /// Whether its dispatcher had been notified of the worker's start.
     is_informed: bool,
 }
 
@@ -36,9 +36,9 @@
 struct Excess {
     at: u64,
     worker: usize,
-    /// The work that came, in jobs of mean work.
+    /// The work that arrived, in jobs of mean work.
     jobs: f64,
-    /// The most that may come, in jobs of mean work.
+    /// The maximum work that may arrive, in jobs of mean work.
     allowed: f64,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Each start of a worker that the endpoint list named, once.
+/// The starts of workers in the endpoint list, each once.
 fn worker_starts(events: &[LoggedEvent]) -> Vec<WorkerStart> {
     let mut seen = BTreeSet::new();
     let start = |logged: &LoggedEvent| match &logged.event {
@@ -99,8 +99,9 @@
         arrivals
     }
 
-    /// The window that begins with the first of these arrivals. It may exceed the mean by chance (two standard deviations and
-    /// two jobs), and by work of dispatchers that had not been notified, if that is more than a third.
+    /// Checks the window that begins with the first of these arrivals. It may exceed the mean by chance (two standard
+    /// deviations and two jobs). An excess is excused if dispatchers that had not been notified sent more than a third of the
+    /// work.
     fn check_window(&self, rules: &AuditRules, arrivals: &[Arrival]) -> Option<Excess> {
         let from = arrivals.first()?.at;
         let (mut work, mut informed_work) = (0.0, 0.0);
@@ -115,7 +116,7 @@
         is_exceeded.then_some(Excess { at: from, worker: self.worker, jobs, allowed })
     }
 
-    /// The work in microseconds that the worker bears in a window from a time on.
+    /// The work that the worker can take in the window that begins at `from`, in microseconds.
     fn budget(&self, rules: &AuditRules, from: u64) -> f64 {
         let progress = (from - self.at) as f64 / rules.warm_up_time.max(1) as f64;
         let warmth = warm_up_capacity(rules.initial_capacity, progress);
--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -1,4 +1,4 @@
-//! Makes everything around the processes of a fleet: relays, workers, discovery, clients, and each process's configuration.
+//! Builds the surroundings of a fleet's processes: relays, workers, discovery, clients, and the configuration of each process.
 
 use super::address_block::{AddressBlock, TakenBlock};
 use super::clients::Clients;
@@ -20,10 +20,10 @@
 use std::sync::{Arc, Mutex};
 use tokio::runtime::{Builder, Handle};
 
-/// Threads of the harness's own runtime.
+/// The number of threads of the harness's runtime.
 const RUNTIME_THREADS: usize = 3;
 
-/// Makes all of a fleet and starts everything but its processes. Prints its seed.
+/// Builds a fleet and starts everything except its processes. Prints the seed.
 pub(super) fn build(plan: Plan) -> Result<Fleet, FleetError> {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
     plan.check_size()?;
@@ -73,7 +73,7 @@
     })
 }
 
-/// The processes, none of them started, each with a folder of its own in this one.
+/// The processes, not started, each with its own directory in this one.
 fn prepare_processes(
     plan: &Plan,
     folder: &Path,
@@ -85,7 +85,7 @@
     (0..plan.size).map(prepare).collect()
 }
 
-/// What the parts around the processes are made from.
+/// The inputs from which the surroundings of the processes are built.
 struct Surroundings<'a> {
     handle: &'a Handle,
     block: &'a AddressBlock,
@@ -96,7 +96,7 @@
 }
 
 impl Surroundings<'_> {
-    /// Starts the workers; `dispatchers` are the addresses at which they call the dispatchers back.
+    /// Starts the workers; `dispatchers` are the addresses for status callbacks.
     fn start_workers(
         &self,
         scripts: &[WorkerScript],
@@ -210,7 +210,7 @@
     config
 }
 
-/// A fleet of 30 with its relays has some thousand descriptors.
+/// Raises the limit of open files: a fleet of 30 processes with its relays needs some thousand descriptors.
 fn raise_descriptor_limit() {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let limit = getrlimit(Resource::Nofile);
--- a/crates/testkit/src/fleet/clients.rs
+++ b/crates/testkit/src/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Scripted clients: they send jobs on connections that they keep, and expect one final reply each.
+//! Scripted clients, which send jobs on persistent connections and expect one final reply to each.
 
 use super::ConnectionFailed;
 use super::event_log::{Event, EventLog};
@@ -10,27 +10,27 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// A client waits this much longer than its timeout before its job counts as unanswered, so that a late reply is seen.
+/// How much longer than its timeout a client waits before its job counts as unanswered, so that late replies are recorded.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(3);
-/// A connection comes up by then.
+/// The timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections to a dispatcher that are kept.
+/// The maximum number of idle connections to a dispatcher.
 const MAX_IDLE_CONNECTIONS: usize = 256;
 
 /// A job as a client sends it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its class, which the settings name.
+    /// The class of the job, one of the settings.
     pub class: String,
-    /// Its tenant.
+    /// The tenant of the job.
     pub tenant: String,
-    /// Its key, where its class is keyed.
+    /// The idempotency key, if the class needs one.
     pub key: Option<String>,
-    /// The object that it concerns.
+    /// The object that the job concerns.
     pub subject: Option<String>,
-    /// How long its client says that it waits.
+    /// The time budget that the client sends.
     pub timeout: Duration,
-    /// The work that it is to a worker of speed 1; otherwise the worker's script says.
+    /// The job's time at a worker of speed 1; if not given, the worker's script determines it.
     pub work: Option<Duration>,
     /// `X-Facts`, such as `slots=2`.
     pub facts: Option<String>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A keyed job of it.
+    /// A keyed job of the small deployment of [`crate::site`].
     pub fn keyed(key: &str) -> Job {
         let timeout = Duration::from_secs(25);
         Job { class: "redeem".to_owned(), key: Some(key.to_owned()), timeout, ..Job::plain() }
@@ -90,9 +90,9 @@
         /// After how long it came.
         latency: Duration,
     },
-    /// Nobody took the job.
+    /// No process accepted the job.
     Unreachable,
-    /// It was sent, and no whole reply came.
+    /// The job was sent, and no complete reply came.
     NoAnswer,
 }
 
@@ -124,7 +124,7 @@
 
 /// How an exchange over a connection went.
 enum Exchange {
-    /// A whole reply came.
+    /// The client received a complete reply.
     Reply(HttpMessage),
     /// The job could not be written.
     NotWritten,
@@ -159,7 +159,7 @@
         format!("{:016x}", id ^ id >> 31)
     }
 
-    /// An idle connection that is still usable. Bytes that no request had asked for are logged.
+    /// An idle connection that is still usable. Bytes received without a request are logged.
     fn take_idle(&self, dispatcher: usize) -> Option<ClientConnection> {
         loop {
             let connection = self.idle[dispatcher].lock().expect("a lock").pop()?;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Whether an idle connection is open and nothing has come on it; logs bytes that no request had asked for.
+    /// Whether an idle connection is open and has received nothing. Bytes received without a request are logged.
     fn is_usable(&self, dispatcher: usize, connection: &ClientConnection) -> bool {
         let read = connection.stream.try_read(&mut [0; 16]);
         if connection.reader.has_unread_bytes() || matches!(read, Ok(1..)) {
@@ -180,7 +180,7 @@
         read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Checks all idle connections for bytes that no request had asked for.
+    /// Checks all idle connections for bytes received without a request.
     pub(super) fn check_idle_connections(&self) {
         for (dispatcher, idle) in self.idle.iter().enumerate() {
             idle.lock().expect("a lock").retain(|connection| self.is_usable(dispatcher, connection));
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -1,34 +1,34 @@
-//! Faults of datagrams between two dispatchers, and what they do to each datagram.
+//! Faults of datagrams between two dispatchers, and their effect on each datagram.
 
 use std::time::Duration;
 
-/// A throttled pair queues this much and drops the rest.
+/// The maximum queue of a throttled pair; further datagrams are dropped.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
-/// The second copy of a repeated datagram comes at most this long after the first.
+/// The maximum delay of the second copy of a repeated datagram after the first.
 const MAX_REPEAT_DELAY: Duration = Duration::from_millis(5);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What becomes of datagrams from one dispatcher to another.
+/// The faults of datagrams from one dispatcher to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatagramFaults {
-    /// The fraction that is dropped, 0 to 1; 1 is a cut.
+    /// The fraction that is dropped, from 0 to 1; 1 is a cut.
     pub drop: f64,
     /// The fraction that arrives twice, the second up to 5 ms after the first.
     pub repeat: f64,
-    /// The fraction that is held back for up to `reorder_delay` more, so that later ones overtake it.
+    /// The fraction that is delayed by up to `reorder_delay` more, so that later datagrams overtake it.
     pub reorder: f64,
-    /// How long these may be held back.
+    /// The maximum additional delay of reordered datagrams.
     pub reorder_delay: Duration,
-    /// Every datagram takes this long ...
+    /// The minimum delay of every datagram.
     pub delay: Duration,
-    /// ... and up to this much more.
+    /// The maximum random addition to `delay`.
     pub jitter: Duration,
-    /// Bytes a second that get through, if there is a limit.
+    /// The maximum rate in bytes per second, if there is a limit.
     pub rate: Option<u64>,
 }
 
 impl DatagramFaults {
-    /// Nothing is wrong.
+    /// No faults.
     pub const NONE: DatagramFaults = DatagramFaults {
         drop: 0.0,
         repeat: 0.0,
@@ -38,10 +38,10 @@
         jitter: Duration::ZERO,
         rate: None,
     };
-    /// Nothing gets through.
+    /// All datagrams are lost.
     pub const CUT: DatagramFaults = DatagramFaults { drop: 1.0, ..DatagramFaults::NONE };
 
-    /// This fraction is lost at random.
+    /// This fraction of the datagrams is lost at random.
     pub fn loss(fraction: f64) -> DatagramFaults {
         DatagramFaults { drop: fraction, ..DatagramFaults::NONE }
     }
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The scripted discovery service: full lists and watches, calls one after another, refusals beyond a queue, outages.
+//! The scripted discovery service. It serves full lists and watches, handles calls one after another, refuses calls beyond a
+//! queue, and can have outages.
 
 mod connection;
 mod endpoint_table;
@@ -22,17 +23,17 @@
 struct Inner {
     table: EndpointTable,
     metrics: DiscoveryMetrics,
-    /// Calls that wait, the one being handled included.
+    /// The number of waiting calls, including the one being handled.
     waiting: usize,
 }
 
-/// What became of a call that waited for its turn.
+/// The result of waiting for a call's turn.
 enum Turn {
     Handled,
     Refused,
 }
 
-/// The service. Its methods panic if a thread that held its lock has panicked.
+/// The discovery service. The methods panic if a thread that held its lock has panicked.
 pub struct ScriptedDiscovery {
     script: watch::Sender<DiscoveryScript>,
     generation: watch::Sender<u64>,
@@ -44,7 +45,7 @@
 }
 
 impl ScriptedDiscovery {
-    /// `addresses[dispatcher][worker]` is where a dispatcher finds a worker.
+    /// `addresses[dispatcher][worker]` is the address of a worker for a dispatcher.
     pub(super) fn new(
         endpoints: Vec<Endpoint>,
         addresses: Vec<Vec<SocketAddr>>,
@@ -68,17 +69,17 @@
         self.inner.lock().expect("a lock")
     }
 
-    /// How it behaves now.
+    /// The current script.
     pub fn script(&self) -> DiscoveryScript {
         *self.script.borrow()
     }
 
-    /// Changes how it behaves.
+    /// Changes the script.
     pub fn change_script(&self, change: impl FnOnce(&mut DiscoveryScript)) {
         self.script.send_modify(change);
     }
 
-    /// Changes whether it works.
+    /// Changes the mode, that is, whether the service works.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.change_script(|script| script.mode = mode);
     }
@@ -99,17 +100,17 @@
         self.change(worker, |endpoint| endpoint.lifecycle = lifecycle)
     }
 
-    /// The service forgets what changed when: every watch that begins from now on gets the full list.
+    /// Makes the service forget its changes: every watch that begins from now on gets the full list.
     pub fn forget_changes(&self) {
         self.inner().table.forget_changes();
     }
 
-    /// What was counted so far.
+    /// The counters so far.
     pub fn metrics(&self) -> DiscoveryMetrics {
         self.inner().metrics.clone()
     }
 
-    /// The full list as this dispatcher gets it: `known` of its configuration.
+    /// The full list for this dispatcher, which is `known` in its configuration.
     pub fn full_list(&self, dispatcher: usize) -> Value {
         self.list_for(dispatcher, None).list
     }
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Waits for a call's turn, in which it is handled, unless it is refused.
+    /// Waits until a call is handled or refused.
     async fn wait_for_turn(&self, script: &DiscoveryScript) -> Result<Turn, ConnectionFailed> {
         if !self.enqueue_call(script.queue) {
             return Ok(Turn::Refused);
@@ -146,7 +147,7 @@
         turn
     }
 
-    /// Counts a call as waiting; false if the queue is full, so that it is refused.
+    /// Adds a call to the queue. Returns false if the queue is full, so that the call is refused.
     fn enqueue_call(&self, queue: usize) -> bool {
         let mut inner = self.inner();
         if inner.waiting > queue {
@@ -171,7 +172,7 @@
         self.inner().table.list_for(dispatcher, after)
     }
 
-    /// The same as the answer to a call, which is counted.
+    /// Like `list_for`, as the answer to a call, which is counted.
     fn answer_call(&self, dispatcher: usize, after: Option<u64>) -> ListFor {
         let mut inner = self.inner();
         inner.metrics.answered[dispatcher] += 1;
--- a/crates/testkit/src/fleet/discovery/script.rs
+++ b/crates/testkit/src/fleet/discovery/script.rs
@@ -1,4 +1,4 @@
-//! How the scripted discovery service behaves, and what it counted.
+//! The script of the discovery service, and its counters.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,35 +9,36 @@
 /// Whether the service works.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It answers.
+    /// The service answers.
     #[default]
     Up,
-    /// Calls are reset, and watches have ended.
+    /// Calls are reset, and watches end.
     Down,
-    /// A watch is opened, and not even an empty line follows; calls for the full list are never answered.
+    /// Watches are opened, but nothing follows, not even a heartbeat. Calls for the full list are never answered.
     Silent,
-    /// Calls are accepted, and nothing is ever answered to them; open watches go silent.
+    /// Calls are accepted and never answered. Open watches become silent.
     Mute,
 }
 
-/// How the service behaves.
+/// The script of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiscoveryScript {
     /// Whether it works.
     pub mode: DiscoveryMode,
-    /// How long one call takes; calls are handled one after another.
+    /// The time to handle a call; calls are handled one after another.
     pub service_time: Duration,
-    /// Calls that may wait; beyond that they are refused (503) at once.
+    /// The maximum number of waiting calls. Further ones are refused (503) at once.
     pub queue: usize,
     /// A call that waited for this long is refused.
     pub max_wait: Duration,
     /// `Retry-After` of refusals, in seconds.
     pub retry_after: Option<f64>,
-    /// An agent of each dispatcher's machine: answers at once, without a queue, and is silent while it is down.
+    /// Whether the service acts as a local agent of each dispatcher's machine: it answers at once, without a queue, and is
+    /// silent while it is down.
     pub pushed: bool,
-    /// Objects come over several lines.
+    /// Whether JSON objects are written over several lines.
     pub indented: bool,
-    /// While nothing changes, an empty line comes at this interval.
+    /// The interval of heartbeats, which are empty lines, while nothing changes.
     pub heartbeat_interval: Duration,
 }
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// What becomes of a call as it comes.
+/// How a call is treated on arrival.
 pub(super) enum CallHandling {
     /// Its connection is reset.
     Reset,
@@ -67,12 +68,12 @@
 }
 
 impl DiscoveryScript {
-    /// Whether connections are reset and watches end. A machine's own agent goes silent instead.
+    /// Whether connections are reset and watches end. A local agent becomes silent instead.
     pub(super) fn resets_connections(&self) -> bool {
         self.mode == DiscoveryMode::Down && !self.pushed
     }
 
-    /// What becomes of a call that opens a watch, or of one that asks for the full list.
+    /// How a call is treated, by whether it opens a watch or asks for the full list.
     pub(super) fn handling_of(&self, opens_watch: bool) -> CallHandling {
         match self.mode {
             DiscoveryMode::Down if !self.pushed => CallHandling::Reset,
@@ -83,7 +84,7 @@
     }
 }
 
-/// What the service counted.
+/// The counters of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiscoveryMetrics {
     /// Calls by dispatcher.
@@ -92,11 +93,11 @@
     pub answered: Vec<u64>,
     /// Calls refused with 503.
     pub refused: u64,
-    /// Calls reset, for it was down.
+    /// Calls reset because the service was down.
     pub reset: u64,
-    /// The most calls that waited at once, the one being handled included.
+    /// The maximum number of calls that waited at once, including the one being handled.
     pub longest_queue: usize,
-    /// Calls by spans of 100 ms of the harness's clock.
+    /// Calls by span of 100 ms of the harness's clock.
     pub per_100ms: BTreeMap<u64, u64>,
 }
 
@@ -112,7 +113,7 @@
         *self.per_100ms.entry(at / METRICS_SPAN).or_default() += 1;
     }
 
-    /// The most calls within 100 ms, from a time on (microseconds of the harness's clock).
+    /// The maximum number of calls within 100 ms from a time on, in microseconds of the harness's clock.
     pub fn peak_since(&self, at: u64) -> u64 {
         self.per_100ms.range(at / METRICS_SPAN..).map(|(_, calls)| *calls).max().unwrap_or(0)
     }
--- a/crates/testkit/src/fleet/error.rs
+++ b/crates/testkit/src/fleet/error.rs
@@ -1,16 +1,16 @@
-//! Why a fleet could not be made or started, and why an exchange over a connection failed.
+//! Errors of building or starting a fleet, and of an exchange over a connection.
 
 use std::path::PathBuf;
 
-/// Why a fleet could not be made or started.
+/// Why a fleet could not be built or started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The plan asks for what cannot be.
+    /// The plan has too few or too many processes or workers.
     #[error("a fleet of {processes} processes and {workers} workers: 1 to 120 and 1 to 80 can be")]
     Size {
-        /// Processes of the plan.
+        /// The number of processes.
         processes: usize,
-        /// Workers of the plan.
+        /// The number of workers.
         workers: usize,
     },
     /// A socket of the harness could not be opened.
@@ -32,12 +32,12 @@
         /// What the system said.
         source: std::io::Error,
     },
-    /// A process runs already.
+    /// The process is already running.
     #[error("process {0} runs already")]
     AlreadyRunning(usize),
 }
 
-/// A connection broke, or what came on it is not HTTP.
+/// A connection broke, or the received bytes are not HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection broke, or what came on it is not HTTP")]
 pub struct ConnectionFailed;
--- a/crates/testkit/src/fleet/event_log.rs
+++ b/crates/testkit/src/fleet/event_log.rs
@@ -1,40 +1,41 @@
-//! What crossed the wires, as the relays, workers, clients and the discovery service saw it: the auditor's only source.
+//! The event log: the traffic of a fleet, as the relays, workers, clients and the discovery service observed it. It is the
+//! only input of the auditor.
 
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Events that are kept; later ones are only counted as missing, and the auditor says so.
+/// The maximum number of events. Later ones are only counted as missing, which the auditor reports.
 const MAX_EVENTS: usize = 1 << 20;
 
-/// The harness's own clock: microseconds since the fleet was made.
+/// The clock of the harness: microseconds since the fleet was created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// One that begins now.
+    /// A clock that starts at 0 now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// Microseconds since then.
+    /// The time since the start of the clock, in microseconds.
     pub fn now(&self) -> u64 {
         u64::try_from(self.0.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
 
-/// Whether a worker takes jobs, as the endpoint list says.
+/// The lifecycle of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lifecycle {
-    /// It does.
+    /// The worker accepts jobs.
     Up,
-    /// It ends what it has.
+    /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The worker is gone.
     Removed,
 }
 
 impl Lifecycle {
-    /// The wire's word for it.
+    /// The word of the wire for this lifecycle.
     pub fn as_str(self) -> &'static str {
         match self {
             Lifecycle::Up => "up",
@@ -44,7 +45,7 @@
     }
 }
 
-/// One endpoint as a dispatcher was notified of it.
+/// One endpoint of a list that a dispatcher received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotifiedEndpoint {
     /// The worker's number.
@@ -55,19 +56,19 @@
     pub started_ms: u64,
 }
 
-/// What happened. `dispatcher` and `worker` are numbers from 0, `id` is a job's, and `generation` an endpoint list's.
+/// An event. `dispatcher` and `worker` are numbers from 0, `id` is that of a job, `generation` that of an endpoint list.
 #[allow(missing_docs)] // the fields are the same in all variants: documented above
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A process was started; it knows nothing of the one before it.
+    /// A process was started. It has no state of its predecessor.
     Started { dispatcher: usize },
-    /// A process was about to be sent SIGKILL.
+    /// A process is about to get SIGKILL.
     Killed { dispatcher: usize },
-    /// A process was about to be sent SIGTERM.
+    /// A process is about to get SIGTERM.
     Terminated { dispatcher: usize },
-    /// A process was stopped (SIGSTOP) or continues (SIGCONT).
+    /// A process was stopped (SIGSTOP) or continued (SIGCONT).
     Paused { dispatcher: usize, is_paused: bool },
-    /// A process exited without having been killed; `is_clean` if with code 0.
+    /// A process exited without having been killed. `is_clean` means with code 0.
     Exited { dispatcher: usize, is_clean: bool },
     /// An endpoint changed at the discovery service.
     EndpointChanged { generation: u64, endpoint: NotifiedEndpoint },
@@ -77,32 +78,32 @@
     Connected { dispatcher: usize, worker: usize },
     /// A dispatcher sent a load probe or a health check to a worker.
     Probed { dispatcher: usize, worker: usize },
-    /// All of a job reached a worker; the event's time is that of its first byte at the relay. `work` in microseconds.
+    /// A complete job reached a worker. The event's time is that of its first byte at the relay; `work` is in microseconds.
     Reached { dispatcher: usize, worker: usize, id: String, work: u64 },
     /// A worker began a job's work.
     Executed { worker: usize, id: String, key: Option<String> },
     /// A worker completed a job with this result.
     Completed { worker: usize, id: String, result: String },
-    /// A client wrote the last byte of a job; `timeout` in microseconds.
+    /// A client wrote the last byte of a job; `timeout` is in microseconds.
     Sent { dispatcher: usize, id: String, timeout: u64 },
-    /// A client got the last byte of a reply.
+    /// A client received the last byte of a reply.
     Answered { dispatcher: usize, id: String, status: u16, body: String },
-    /// Bytes came on a client's connection that no request had asked for.
+    /// A client received bytes without a request.
     UnexpectedBytes { dispatcher: usize, id: String },
-    /// A client waited, and no whole reply came.
+    /// A client received no complete reply in time.
     Unanswered { dispatcher: usize, id: String },
-    /// A client could not send the job: no connection, or one closed before any byte of a reply on a reused one.
+    /// A client could not send a job: it could not connect, or a reused connection closed before any byte of a reply.
     Unreachable { dispatcher: usize, id: String },
     /// A datagram of a dispatcher was longer than 256 bytes.
     LongDatagram { dispatcher: usize, length: usize },
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoggedEvent {
-    /// Microseconds of the harness's clock.
+    /// The time of the event, in microseconds of the harness's clock.
     pub at: u64,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
@@ -112,7 +113,7 @@
     missing: u64,
 }
 
-/// All events of a fleet, bounded. Its methods panic if a thread that held the log has panicked.
+/// The events of a fleet, up to a maximum number. The methods panic if a thread that held the log has panicked.
 pub struct EventLog {
     /// The clock of all events.
     pub clock: Clock,
@@ -120,17 +121,17 @@
 }
 
 impl EventLog {
-    /// An empty one.
+    /// An empty log.
     pub fn new(clock: Clock) -> EventLog {
         EventLog { clock, inner: Mutex::default() }
     }
 
-    /// Adds what happens now.
+    /// Adds an event at the current time.
     pub fn add(&self, event: Event) {
         self.add_at(self.clock.now(), event);
     }
 
-    /// Adds what happened at another time, in microseconds of the clock.
+    /// Adds an event at another time, in microseconds of the clock.
     pub fn add_at(&self, at: u64, event: Event) {
         let mut inner = self.inner.lock().expect("a lock");
         if inner.events.len() < MAX_EVENTS {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// All events by time, and how many are missing.
+    /// All events in order of time, and the number of missing ones.
     pub fn events(&self) -> (Vec<LoggedEvent>, u64) {
         let inner = self.inner.lock().expect("a lock");
         let (mut events, missing) = (inner.events.clone(), inner.missing);
@@ -149,12 +150,12 @@
         (events, missing)
     }
 
-    /// How many events match.
+    /// The number of events that match.
     pub fn count(&self, mut matches: impl FnMut(&Event) -> bool) -> usize {
         self.inner.lock().expect("a lock").events.iter().filter(|logged| matches(&logged.event)).count()
     }
 
-    /// Visits every event in the order in which they were added, which is nearly that of their times.
+    /// Visits all events in the order in which they were added, which is nearly that of their times.
     pub fn for_each(&self, visit: impl FnMut(&LoggedEvent)) {
         self.inner.lock().expect("a lock").events.iter().for_each(visit);
     }
--- a/crates/testkit/src/fleet/faults.rs
+++ b/crates/testkit/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! A fleet's faults of connections and workers: cuts, partitions, deaths.
+//! Faults of connections and workers in a fleet: cuts, partitions and deaths.
 
 use super::Fleet;
 use super::event_log::Lifecycle;
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The links of the dispatchers, by their numbers.
+/// The links of all dispatchers, by number.
 pub(super) struct FleetLinks {
-    /// By dispatcher, then by worker.
+    /// The links to workers, by dispatcher and then by worker.
     pub(super) to_workers: Vec<Vec<Arc<Link>>>,
     pub(super) to_discovery: Vec<Arc<Link>>,
 }
@@ -25,7 +25,7 @@
         &self.links.to_discovery[dispatcher]
     }
 
-    /// Cuts between dispatchers and workers, or ends that.
+    /// Cuts the links between these dispatchers and workers, or ends the cuts.
     pub fn set_cut(&self, dispatchers: &[usize], workers: &[usize], is_cut: bool) {
         for dispatcher in dispatchers {
             for worker in workers {
@@ -34,18 +34,18 @@
         }
     }
 
-    /// Cuts a worker off from all dispatchers, or ends that.
+    /// Cuts the links of all dispatchers to a worker, or ends the cuts.
     pub fn set_worker_cut(&self, worker: usize, is_cut: bool) {
         self.set_cut(&self.all(), &[worker], is_cut);
     }
 
-    /// Cuts these dispatchers off from the discovery service, or ends that.
+    /// Cuts the links of these dispatchers to the discovery service, or ends the cuts.
     pub fn set_discovery_cut(&self, dispatchers: &[usize], is_cut: bool) {
         dispatchers.iter().for_each(|dispatcher| self.discovery_link(*dispatcher).set_cut(is_cut));
     }
 
-    /// Cuts between these sides: datagrams, connections to workers and to the discovery service. What is on no side can be
-    /// reached by all. Any earlier partition is healed first.
+    /// Partitions the network into these sides: datagrams, and connections to workers and to the discovery service. Members
+    /// on no side can be reached by all. Any earlier partition is healed first.
     pub fn partition(&self, sides: &[PartitionSide]) {
         self.heal();
         let dispatchers: Vec<&[usize]> = sides.iter().map(|side| side.dispatchers.as_slice()).collect();
@@ -65,7 +65,7 @@
         links.for_each(|link| link.set_cut(false));
     }
 
-    /// A worker's process dies: connections are reset and new ones refused. The endpoint list does not change.
+    /// Kills a worker: its connections are reset and new ones are refused. The endpoint list does not change.
     pub fn kill_worker(&self, worker: usize) {
         for dispatcher in 0..self.size() {
             let link = self.link(dispatcher, worker);
@@ -77,7 +77,7 @@
         self.workers[worker].die();
     }
 
-    /// Starts a worker anew: it warms up, and the endpoint list says so. Returns the list's new generation.
+    /// Restarts a worker, which warms up. The endpoint list gets its new start time. Returns the list's new generation.
     pub fn revive_worker(&self, worker: usize) -> u64 {
         self.workers[worker].die();
         (0..self.size()).for_each(|dispatcher| self.link(dispatcher, worker).set(LinkFaults::default()));
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 over tokio, as far as the fleet's clients, workers and discovery need it: messages with a length, heads by
-//! `httparse`. Reading counts bytes, so that what was read can be found again in what crossed a relay.
+//! A minimal HTTP/1.1 over tokio for the fleet's clients, workers and discovery: messages with a length, whose heads
+//! `httparse` parses. The reader counts bytes, so that a message can be located in the traffic of a relay.
 
 use super::ConnectionFailed;
 use crate::http::MAX_HEADERS;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The longest head, and the longest body, in bytes.
+/// The maximum length of a head, and of a body, in bytes.
 const MAX_LENGTH: usize = 256 * 1024;
 
-/// A request or a reply, as it was read.
+/// A received request or reply.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     /// The method of a request.
@@ -17,21 +17,21 @@
     pub target: String,
     /// The status code of a reply.
     pub status: u16,
-    /// Its header fields, names in lower case.
+    /// The header fields; names are in lower case.
     pub fields: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: String,
-    /// The offset of its first byte in all that was read from the connection.
+    /// The offset of the first byte in the bytes read from the connection.
     pub offset: u64,
 }
 
 impl HttpMessage {
-    /// A header field's value, by its name in lower case.
+    /// The value of a header field; the name must be in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Whether the connection closes after it.
+    /// Whether the connection closes after this message.
     pub fn closes_connection(&self) -> bool {
         self.field("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
@@ -56,7 +56,7 @@
     message: HttpMessage,
 }
 
-/// Reads messages off a connection: the bytes that were read and not used, and how many were used.
+/// Reads messages from a connection. It holds the bytes that were read and not used yet, and the number of used ones.
 #[derive(Default)]
 pub struct HttpReader {
     buffer: Vec<u8>,
@@ -64,16 +64,16 @@
 }
 
 impl HttpReader {
-    /// Whether bytes have come after the last message.
+    /// Whether bytes were received after the last message.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next request; `None` where the connection ends between two.
+    /// The next request; `None` if the connection ends between two requests.
     ///
     /// # Errors
     ///
-    /// If the connection breaks within a request, or what comes is not one.
+    /// If the connection breaks within a request, or if the received bytes are not one.
     pub async fn read_request(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
@@ -94,11 +94,11 @@
         .await
     }
 
-    /// The next reply; `None` where the connection ends before its first byte.
+    /// The next reply; `None` if the connection ends before its first byte.
     ///
     /// # Errors
     ///
-    /// If the connection breaks within a reply, or what comes is not one.
+    /// If the connection breaks within a reply, or if the received bytes are not one.
     pub async fn read_reply(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
@@ -146,7 +146,7 @@
     }
 }
 
-/// A reply with a body; `headers` are further header lines, each with its line end.
+/// Encodes a reply with a body; `headers` are further header lines, each with its line end.
 pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/testkit/src/fleet/link.rs
+++ b/crates/testkit/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! A link from a dispatcher to a worker or to discovery: its faults, and a connection across it as the far side sees it.
+//! A link from a dispatcher to a worker or to discovery: its faults, and its connections as the far side sees them.
 
 use super::event_log::{Clock, Event, EventLog};
 use std::collections::VecDeque;
@@ -7,53 +7,53 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Offsets of received bytes that are remembered.
+/// The maximum number of recorded offsets of received bytes.
 const MAX_RECEIVED_MARKS: usize = 4096;
 
-/// Where a link from a dispatcher leads.
+/// The far side of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkTarget {
-    /// To this worker.
+    /// The worker with this number.
     Worker(usize),
-    /// To the discovery service.
+    /// The discovery service.
     Discovery,
 }
 
-/// What becomes of a new connection.
+/// The behaviour of a link towards new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectBehavior {
-    /// It comes up.
+    /// New connections are established.
     #[default]
     Up,
-    /// It is refused: nothing listens.
+    /// New connections are refused, as if nothing listened.
     Refused,
-    /// It comes up and is reset at once.
+    /// New connections are established and reset at once.
     Reset,
-    /// It comes up, and nothing is read or written; reset once this is over.
+    /// New connections are established, but no bytes are passed on. They are reset once the behaviour changes.
     Silent,
-    /// It never comes up while this lasts, as to a machine that is cut off.
+    /// New connections are not established until the behaviour changes, as with an unreachable machine.
     Unreachable,
 }
 
 /// The faults of one link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
-    /// What becomes of new connections.
+    /// The behaviour towards new connections.
     pub connect: ConnectBehavior,
-    /// Bytes of a dispatcher stay where they are, on connections that are up.
+    /// Whether bytes from the dispatcher are held back on established connections.
     pub stall_out: bool,
-    /// Bytes to a dispatcher do.
+    /// Whether bytes to the dispatcher are held back on established connections.
     pub stall_in: bool,
-    /// Each piece takes this long, in each direction ...
+    /// The minimum delay of each piece, in each direction.
     pub delay: Duration,
-    /// ... and up to this much more. Pieces stay in order.
+    /// The maximum random addition to `delay`. Pieces stay in order.
     pub jitter: Duration,
-    /// Bytes a second that get through in each direction, if there is a limit.
+    /// The maximum rate in each direction, in bytes per second, if there is a limit.
     pub rate: Option<u64>,
 }
 
 impl LinkFaults {
-    /// As to a machine that is cut off: what is up goes silent, what is new never comes up.
+    /// An unreachable machine: established connections are silent, and new ones are not established.
     pub const CUT: LinkFaults = LinkFaults {
         connect: ConnectBehavior::Unreachable,
         stall_out: true,
@@ -64,21 +64,21 @@
     };
 }
 
-/// Which way bytes go, seen from the dispatcher.
+/// The direction of bytes, as seen from the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     Out,
     In,
 }
 
-/// What a link does to its connections now.
+/// The current state of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct LinkState {
     pub(super) faults: LinkFaults,
     is_cut: bool,
-    /// How often all connections were reset.
+    /// The number of times that all connections were reset.
     pub(super) resets: u64,
-    /// How often the far sides of all connections were dropped.
+    /// The number of times that the far sides of all connections were dropped.
     pub(super) far_side_drops: u64,
 }
 
@@ -95,7 +95,7 @@
         self.is_cut || stall
     }
 
-    /// Whether bytes get through in both directions.
+    /// Whether bytes are passed on in both directions.
     pub(super) fn flows(&self) -> bool {
         !self.is_stalled(Direction::Out) && !self.is_stalled(Direction::In)
     }
@@ -105,24 +105,24 @@
     }
 }
 
-/// From whom to whom a link leads, and by which addresses.
+/// The two ends of a link, with their addresses.
 #[derive(Clone, Copy)]
 pub(super) struct LinkRoute {
     pub(super) dispatcher: usize,
     pub(super) to: LinkTarget,
-    /// Where the relay listens.
+    /// The address of the relay.
     pub(super) address: SocketAddr,
-    /// Where the far side listens.
+    /// The address of the far side.
     pub(super) target: SocketAddr,
 }
 
 /// A link from a dispatcher.
 pub struct Link {
-    /// The dispatcher.
+    /// The number of the dispatcher.
     pub dispatcher: usize,
-    /// Where it leads.
+    /// The far side.
     pub to: LinkTarget,
-    /// Where the dispatcher finds it.
+    /// The address to which the dispatcher connects.
     pub address: SocketAddr,
     pub(super) target: SocketAddr,
     pub(super) state: watch::Sender<LinkState>,
@@ -142,57 +142,57 @@
         })
     }
 
-    /// From now on it has these faults.
+    /// Sets the faults of the link from now on.
     pub fn set(&self, faults: LinkFaults) {
         self.state.send_modify(|state| state.faults = faults);
     }
 
-    /// Cuts it, whatever its faults are, or ends the cut.
+    /// Cuts the link in addition to its faults, or ends the cut.
     pub fn set_cut(&self, is_cut: bool) {
         self.state.send_modify(|state| state.is_cut = is_cut);
     }
 
-    /// Resets all its connections, on both sides.
+    /// Resets all connections, on both sides.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Ends all its connections on the far side; on the dispatcher's side they stay open and silent.
+    /// Ends all connections on the far side. On the dispatcher's side they stay open and silent.
     pub fn drop_far_side(&self) {
         self.state.send_modify(|state| state.far_side_drops += 1);
     }
 
-    /// Whether nothing gets through in either direction, such as a worker's callback.
+    /// Whether the link is unreachable or bytes from the dispatcher are held back. A worker's callback fails then too.
     pub fn is_silent(&self) -> bool {
         self.state.borrow().is_silent()
     }
 
-    /// Waits until something gets through again.
+    /// Waits until the link is no longer silent.
     pub(super) async fn wait_until_not_silent(&self) {
         let _ = self.state.subscribe().wait_for(|state| !state.is_silent()).await;
     }
 }
 
-/// How many bytes of the dispatcher had been received at a time.
+/// The number of bytes that had been received from the dispatcher at a time.
 struct ReceivedMark {
     total: u64,
     at: u64,
 }
 
-/// What was written to the dispatcher, and the events that happen once more was.
+/// The number of bytes written to the dispatcher, and the events that wait for more.
 #[derive(Default)]
 struct Written {
     total: u64,
     pending: VecDeque<PendingEvent>,
 }
 
-/// An event that happens once this many bytes were written.
+/// An event to log once this many bytes are written.
 struct PendingEvent {
     total: u64,
     event: Event,
 }
 
-/// One connection across a link, as the far side may ask about it.
+/// One connection across a link, for queries of the far side.
 pub(super) struct RelayedConnection {
     pub(super) link: Arc<Link>,
     clock: Clock,
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! The harness of N processes: the built program 3 to 30 times on loopback, relays for every datagram and every connection
-//! between them and what surrounds them, a scripted discovery service, scripted workers and clients, faults that can be
-//! switched at any time, and an auditor that reads what crossed the wires. Everything random is drawn from one seed, which is
-//! printed.
+//! The fleet harness: it runs 3 to 30 processes of the built program on loopback, and audits their traffic.
 //!
-//! `docs/design/harness.md` says how it is used.
+//! Relays pass on every datagram and every connection between the processes and their surroundings: a scripted discovery
+//! service, scripted workers and clients. Faults can be switched at any time. An auditor checks the recorded traffic. All
+//! random choices come from one seed, which is printed. `docs/design/harness.md` describes the use.
 //!
-//! Calls block. They must not be made from within an asynchronous runtime. They panic if a thread of the harness has panicked.
+//! Calls block, so they must not be made from within an asynchronous runtime. They panic if a thread of the harness has
+//! panicked.
 
 mod address_block;
 mod admin;
@@ -54,9 +54,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Lines of each log that are printed after a panic.
+/// The number of lines of each log that are printed after a panic.
 const PRINTED_LOG_LINES: usize = 40;
-/// The harness's threads have ended by then when a fleet is dropped.
+/// How long dropping a fleet waits for the threads of the harness.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A fleet. Dropping it kills its processes and removes their files; after a panic their logs go to standard error first.
@@ -69,7 +69,7 @@
     configs: Mutex<Vec<Value>>,
     /// The operators' file of every process.
     settings: Option<String>,
-    /// How often a process was started.
+    /// The number of process starts so far.
     starts: AtomicU64,
     /// The datagram relay.
     pub datagrams: Arc<DatagramRelay>,
@@ -77,7 +77,7 @@
     pub discovery: Arc<ScriptedDiscovery>,
     /// The workers.
     pub workers: Vec<Arc<ScriptedWorker>>,
-    /// What crossed the wires.
+    /// The recorded traffic.
     pub event_log: Arc<EventLog>,
     links: FleetLinks,
     clients: Arc<Clients>,
@@ -88,11 +88,11 @@
 }
 
 impl Fleet {
-    /// Makes everything around the processes, starts all of them and waits until they are up.
+    /// Prepares the surroundings, starts all processes and waits until they are up.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::prepare`], and if a process cannot be started.
+    /// The errors of [`Fleet::prepare`], and if a process cannot be started.
     ///
     /// # Panics
     ///
@@ -104,11 +104,11 @@
         Ok(fleet)
     }
 
-    /// Makes everything around the processes and starts none.
+    /// Prepares the surroundings of the processes without starting any process.
     ///
     /// # Errors
     ///
-    /// If the plan asks for too many, or a socket, file or folder that is needed cannot be made.
+    /// If the plan has too many processes or workers, or if a socket, file or directory cannot be created.
     pub fn prepare(plan: Plan) -> Result<Fleet, FleetError> {
         builder::build(plan)
     }
@@ -117,7 +117,7 @@
         self.runtime.as_ref().expect("it is there until the fleet is dropped").handle()
     }
 
-    /// How many processes it was made for.
+    /// The number of processes of the plan.
     pub fn size(&self) -> usize {
         self.processes.len()
     }
@@ -127,7 +127,7 @@
         (0..self.size()).collect()
     }
 
-    /// Microseconds of the harness's clock, which all events use.
+    /// The current time of the harness's clock, in microseconds.
     pub fn now(&self) -> u64 {
         self.event_log.clock.now()
     }
@@ -137,12 +137,12 @@
         self.runtime().block_on(self.clients.send(dispatcher, job))
     }
 
-    /// Starts a load, which runs beside the test.
+    /// Starts a load, which runs in the background.
     pub fn start_load(&self, load: &LoadPlan) -> RunningLoad {
         RunningLoad::start(&self.clients, self.runtime(), load, derive_seed(self.seed, CLIENTS_SEED))
     }
 
-    /// Starts a load of unkeyed jobs at these dispatchers, `rate` jobs a second at each.
+    /// Starts a load of unkeyed jobs at these dispatchers, with `rate` jobs per second at each.
     pub fn start_plain_load(&self, dispatchers: &[usize], rate: f64, duration: Duration) -> RunningLoad {
         let job = Arc::new(|_: &mut fastrand::Rng, _| Job::plain());
         self.start_load(&LoadPlan { dispatchers: dispatchers.to_vec(), rate, duration, job })
--- a/crates/testkit/src/fleet/outcome.rs
+++ b/crates/testkit/src/fleet/outcome.rs
@@ -1,11 +1,11 @@
-//! What became of a fleet: who was notified when, the audit, and waiting for what a test expects.
+//! The outcome of a fleet's run: notifications of the dispatchers, the audit, and waiting for conditions.
 
 use super::Fleet;
 use super::auditor::{AuditRules, Finding, audit};
 use super::event_log::Event;
 use std::time::{Duration, Instant};
 
-/// How often [`Fleet::time_until`] looks at its condition.
+/// The interval at which [`Fleet::time_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Fleet {
@@ -38,7 +38,7 @@
         });
     }
 
-    /// What must not have happened, by these rules. Loads should have been finished.
+    /// The violations of these rules. Loads should be finished before.
     pub fn audit(&self, rules: &AuditRules) -> Vec<Finding> {
         self.clients.check_idle_connections();
         self.log_exits();
@@ -50,7 +50,7 @@
         findings
     }
 
-    /// As [`crate::wait_until`].
+    /// Like [`crate::wait_until`].
     ///
     /// # Panics
     ///
@@ -59,7 +59,7 @@
         crate::wait_until(what, holds);
     }
 
-    /// Waits for a condition, at most for `limit`. Returns after which time it held, if it did.
+    /// Waits for a condition, at most for `limit`. Returns the time until it held, or `None` if it did not.
     pub fn time_until(&self, limit: Duration, mut holds: impl FnMut() -> bool) -> Option<Duration> {
         let started = Instant::now();
         loop {
--- a/crates/testkit/src/fleet/process.rs
+++ b/crates/testkit/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program: its folder, its configuration, its log, its signals.
+//! One process of the program, with its directory, configuration, log and signals.
 
 use super::FleetError;
 use super::event_log::{Clock, Event, EventLog};
@@ -10,23 +10,23 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Lines of a log that are kept; the oldest are dropped first.
+/// The maximum number of lines of a log; the oldest are dropped first.
 const MAX_LOG_LINES: usize = 20_000;
-/// Its configuration, in its folder.
+/// The name of the configuration file in the process's directory.
 pub(super) const CONFIG_FILE: &str = "config.json";
-/// The operators' file, in its folder.
+/// The name of the operators' file in the process's directory.
 const SETTINGS_FILE: &str = "settings.txtpb";
 
 /// A line of a process's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// When it was read, in microseconds of the harness's clock.
+    /// The time at which the line was read, in microseconds of the harness's clock.
     pub at: u64,
-    /// The text without its line end.
+    /// The text without the line end.
     pub text: String,
 }
 
-/// A process that can be started again and again, at the same addresses and with the same folder.
+/// A process that can be started repeatedly, at the same addresses and with the same directory.
 pub(super) struct Process {
     number: usize,
     program: PathBuf,
@@ -52,19 +52,19 @@
         Ok(Process { number, program, folder, child, log, clock: event_log.clock, event_log })
     }
 
-    /// Its own file of this name.
+    /// The path of a file in the process's directory.
     pub(super) fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Replaces one of its files.
+    /// Replaces a file in the process's directory.
     pub(super) fn write(&self, name: &str, text: &str) -> Result<(), FleetError> {
         let (file, fresh) = (self.file(name), self.file(&format!("{name}.new")));
         let done = std::fs::write(&fresh, text).and_then(|()| std::fs::rename(&fresh, &file));
         done.map_err(|source| FleetError::File { path: file, source })
     }
 
-    /// Starts it with this configuration and, if there is one, this operators' file.
+    /// Starts the process with this configuration and, if given, this operators' file.
     pub(super) fn start(&self, config: &Value, settings: Option<&str>) -> Result<(), FleetError> {
         let mut running = self.child.lock().expect("a lock");
         if running.is_some() {
@@ -100,7 +100,7 @@
         command
     }
 
-    /// Keeps the lines of a start's log, on a thread of its own.
+    /// Collects the log lines of a started process, on a separate thread.
     fn follow_log(&self, stderr: ChildStderr) {
         let (log, clock) = (self.log.clone(), self.clock);
         std::thread::spawn(move || {
@@ -156,7 +156,7 @@
         self.send(Signal::CONT, Event::Paused { dispatcher: self.number, is_paused: false });
     }
 
-    /// Whether it runs; logs its end if it has exited by itself.
+    /// Whether the process is running. Logs an event if it has exited by itself.
     pub(super) fn is_running(&self) -> bool {
         let mut running = self.child.lock().expect("a lock");
         let Some(child) = running.as_mut() else { return false };
--- a/crates/testkit/src/fleet/process_control.rs
+++ b/crates/testkit/src/fleet/process_control.rs
@@ -1,4 +1,4 @@
-//! Control of a fleet's processes: starts, signals, configurations, logs.
+//! Control of a fleet's processes: starts, signals, configurations and logs.
 
 use super::plan::{FIRST_START_SEED, derive_seed};
 use super::process::{CONFIG_FILE, LogLine};
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 impl Fleet {
-    /// Starts a process, with a new seed of its own, at the addresses that are always its own.
+    /// Starts a process with a new seed, at its fixed addresses.
     ///
     /// # Errors
     ///
@@ -19,20 +19,20 @@
         self.processes[dispatcher].start(&self.config(dispatcher), self.settings.as_deref())
     }
 
-    /// Starts all, one right after another, and waits for none.
+    /// Starts all processes one after another, without waiting until they are up.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start_process`]; those after the first that fails are not started.
+    /// The errors of [`Fleet::start_process`]. Processes after the first that fails are not started.
     pub fn start_all(&self) -> Result<(), FleetError> {
         (0..self.size()).try_for_each(|dispatcher| self.start_process(dispatcher))
     }
 
-    /// Starts a process again that was killed or has ended, and waits until it is up.
+    /// Restarts a process that was killed or has ended, and waits until it is up.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start_process`].
+    /// The errors of [`Fleet::start_process`].
     ///
     /// # Panics
     ///
@@ -43,17 +43,17 @@
         Ok(())
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Kills a process (SIGKILL), and waits for its end.
     pub fn kill(&self, dispatcher: usize) {
         self.processes[dispatcher].kill();
     }
 
-    /// SIGTERM; [`Fleet::wait_until_exited`] waits for the end.
+    /// Begins the graceful shutdown of a process (SIGTERM); [`Fleet::wait_until_exited`] waits for its end.
     pub fn terminate(&self, dispatcher: usize) {
         self.processes[dispatcher].terminate();
     }
 
-    /// SIGHUP, after the configuration was changed.
+    /// Writes the configuration of a process and makes it reload that (SIGHUP).
     ///
     /// # Errors
     ///
@@ -65,22 +65,22 @@
         Ok(())
     }
 
-    /// SIGSTOP.
+    /// Pauses a process (SIGSTOP).
     pub fn pause(&self, dispatcher: usize) {
         self.processes[dispatcher].pause();
     }
 
-    /// SIGCONT.
+    /// Resumes a paused process (SIGCONT).
     pub fn resume(&self, dispatcher: usize) {
         self.processes[dispatcher].resume();
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running.
     pub fn is_running(&self, dispatcher: usize) -> bool {
         self.processes[dispatcher].is_running()
     }
 
-    /// Logs the processes that have exited by themselves since the last look at them.
+    /// Logs an event for each process that has exited by itself since the last check.
     pub(super) fn log_exits(&self) {
         for process in &self.processes {
             process.is_running();
@@ -124,7 +124,7 @@
         self.configs.lock().expect("a lock")[dispatcher].clone()
     }
 
-    /// Changes it; it counts from the next start or reload.
+    /// Changes the configuration of a process, from its next start or reload on.
     pub fn change_config(&self, dispatcher: usize, change: impl FnOnce(&mut Value)) {
         change(&mut self.configs.lock().expect("a lock")[dispatcher]);
     }
--- a/crates/testkit/src/fleet/tcp_relay.rs
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -1,5 +1,7 @@
-//! The TCP relay: one listener for each link from a dispatcher to a worker or to discovery. It accepts, connects to the far
-//! side and passes bytes on, with the faults that are set at that time. It knows when which byte crossed, and on which link.
+//! The TCP relay: one listener for each link from a dispatcher to a worker or to discovery.
+//!
+//! It accepts connections, connects to the far side and passes bytes on, with the faults that are set at the time. It records
+//! when each byte crossed which link.
 
 use super::ConnectionFailed;
 use super::event_log::EventLog;
@@ -14,17 +16,18 @@
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, watch};
 
-/// Connections that wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Pieces of one direction in flight.
+/// The maximum number of pieces in flight in one direction.
 const MAX_PIECES_IN_FLIGHT: usize = 64;
+/// The maximum length of a piece, in bytes.
 const PIECE_LENGTH: usize = 16 * 1024;
-/// A listener that could not be opened again is retried after this.
+/// The interval between attempts to open a listener again.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The relay's own connection to a full queue, and what waits in that queue, come up by then.
+/// The timeout for the relay's own connection to a full queue, and for accepting the connections of that queue.
 const LOOPBACK_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A piece of one direction, and when it is passed on.
+/// A piece of one direction, and the time at which it is passed on.
 struct Piece {
     due: u64,
     bytes: Vec<u8>,
@@ -37,19 +40,19 @@
     connection: Arc<RelayedConnection>,
 }
 
-/// All links of a fleet, and which connection on the far side belongs to which.
+/// The connections of all links of a fleet.
 pub(super) struct TcpRelay {
-    /// By the relay's own address on the far side.
+    /// The connections, by the relay's own address on the far side.
     connections: Mutex<HashMap<SocketAddr, Arc<RelayedConnection>>>,
     event_log: Arc<EventLog>,
 }
 
-/// Has the system reset a connection when it is dropped.
+/// Makes the system reset a connection when it is dropped.
 pub(super) fn reset_on_drop(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A listener at a fixed address, also soon after an earlier one.
+/// Opens a listener at a fixed address, even shortly after an earlier one was closed.
 pub(super) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -62,7 +65,7 @@
         Arc::new(TcpRelay { connections: Mutex::default(), event_log })
     }
 
-    /// The connection that the far side accepted from this address; `None` if it does not come by a link.
+    /// The connection that the far side accepted from this address; `None` if it did not come through a link.
     pub(super) fn connection_from(&self, peer: SocketAddr) -> Option<Arc<RelayedConnection>> {
         self.connections.lock().expect("a lock").get(&peer).cloned()
     }
@@ -81,14 +84,14 @@
         Ok(link)
     }
 
-    /// Accepts the connections of a link, as its faults have it, until the link is gone.
+    /// Accepts the connections of a link, subject to its faults, until the link is dropped.
     async fn serve(self: Arc<Self>, link: Arc<Link>, listener: TcpListener) {
         let mut state = link.state.subscribe();
         let mut listener = Some(listener);
         while self.serve_until_change(&link, &mut listener, &mut state).await.is_some() {}
     }
 
-    /// One step of [`TcpRelay::serve`]; `None` once the link is gone.
+    /// One step of [`TcpRelay::serve`]; `None` once the link is dropped.
     async fn serve_until_change(
         self: &Arc<Self>,
         link: &Arc<Link>,
@@ -125,8 +128,8 @@
         }
     }
 
-    /// While the machine is unreachable its queue of new connections is kept full by one of our own: the system then drops
-    /// what would open another, and a connect hangs as it does on a real network. `None` once the link is gone.
+    /// Simulates an unreachable machine: the relay fills the queue of new connections with a connection of its own. The system
+    /// then drops further SYN packets, and a connect hangs as it does on a real network. `None` once the link is dropped.
     async fn stay_unreachable(
         self: &Arc<Self>,
         link: &Arc<Link>,
@@ -143,7 +146,8 @@
             state.changed().await.ok()?;
         }
         let _ = socket.listen(BACKLOG as i32);
-        // Our own is the last that got in; those before it were waiting when the machine went away.
+        // The relay's own connection is the last in the queue. Those before it were waiting when the machine became
+        // unreachable.
         while let Some(own) = own_address {
             match tokio::time::timeout(LOOPBACK_TIMEOUT, listener.accept()).await {
                 Ok(Ok((_, peer))) if peer == own => break,
@@ -163,7 +167,8 @@
             match behavior {
                 ConnectBehavior::Reset | ConnectBehavior::Refused => reset_on_drop(&stream),
                 ConnectBehavior::Silent => {
-                    let _ = state.wait_for(|s| s.connect_behavior() != ConnectBehavior::Silent).await;
+                    let is_over = |state: &LinkState| state.connect_behavior() != ConnectBehavior::Silent;
+                    let _ = state.wait_for(is_over).await;
                     reset_on_drop(&stream);
                 }
                 ConnectBehavior::Up | ConnectBehavior::Unreachable => relay.relay(link, stream).await,
@@ -178,7 +183,7 @@
         self.connections.lock().expect("a lock").remove(&far.own_address);
     }
 
-    /// Connects to the far side. The connection is registered first: the far side asks as soon as it has accepted.
+    /// Connects to the far side. The connection is registered first, since the far side looks it up as soon as it accepts.
     async fn connect_far_side(&self, link: &Arc<Link>) -> std::io::Result<FarSide> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -193,7 +198,7 @@
         connected.map(|stream| FarSide { own_address, stream, connection })
     }
 
-    /// Passes bytes on both ways until both have ended, something breaks, or the link ends its connections.
+    /// Passes bytes on in both directions until both have ended, one breaks, or the link ends its connections.
     async fn pass_both_ways(
         &self,
         link: &Arc<Link>,
@@ -218,7 +223,7 @@
         };
         match end {
             RelayEnd::Done => return,
-            // What broke on one side is not noticed on the other while nothing gets through.
+            // While the link is stalled, the other side does not notice the broken connection.
             RelayEnd::Broken => _ = state.wait_for(LinkState::flows).await,
             RelayEnd::Reset | RelayEnd::FarSideDropped => {}
         }
@@ -233,7 +238,7 @@
         reset_on_drop(&near);
     }
 
-    /// Reads on one side and writes on the other, each piece in its time.
+    /// Reads on one side and writes on the other, each piece when it is due.
     async fn pass(
         &self,
         link: &Link,
@@ -292,7 +297,7 @@
             if early > 0 {
                 tokio::time::sleep(Duration::from_micros(early)).await;
             }
-            state.wait_for(|s| !s.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
+            state.wait_for(|state| !state.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
             let rate = state.borrow().faults.rate;
             if let Some(rate) = rate {
                 let seconds = bytes.len() as f64 / rate.max(1) as f64;
@@ -303,7 +308,7 @@
                 connection.on_written(bytes.len(), &self.event_log);
             }
         }
-        state.wait_for(|s| !s.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
+        state.wait_for(|state| !state.is_stalled(direction)).await.map_err(|_| ConnectionFailed)?;
         write.shutdown().await.map_err(|_| ConnectionFailed)
     }
 }
@@ -330,7 +335,7 @@
     }
 }
 
-/// Reads and drops what comes until nothing more does.
+/// Reads and discards all bytes until the connection ends.
 async fn discard(stream: &mut TcpStream) {
     let mut discarded = vec![0; PIECE_LENGTH];
     while matches!(stream.read(&mut discarded).await, Ok(1..)) {}
--- a/crates/testkit/src/fleet/worker/executed_keys.rs
+++ b/crates/testkit/src/fleet/worker/executed_keys.rs
@@ -1,22 +1,23 @@
-//! The idempotency keys that the workers of a cell know: whoever has a key first executes it, repeats wait for its result.
+//! The idempotency keys that the workers of a cell share: the first job with a key is executed, and repeats wait for its
+//! result.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
 
-/// Keys that the workers of a fleet remember; later ones run without memory.
+/// The maximum number of keys that the workers of a fleet remember. Jobs with further keys run without deduplication.
 const MAX_KEYS: usize = 1 << 18;
 
-/// What became of a key within a cell.
+/// The state of a key within a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum KeyState {
-    /// It waits or runs.
+    /// Its job waits or runs.
     Open,
-    /// It ended without having run.
+    /// Its job ended without having run.
     NeverRan,
-    /// It ran, and nobody knows how it ended.
+    /// Its job ran, and the outcome is unknown.
     Lost,
-    /// It ran and gave this.
+    /// Its job ran with this result.
     Result(String),
 }
 
@@ -33,18 +34,18 @@
     states: Mutex<HashMap<CellKey, Arc<watch::Sender<KeyState>>>>,
 }
 
-/// What a worker may do with a job that has a key.
+/// How a worker has to treat a job with a key.
 pub(super) enum KeyClaim<'a> {
-    /// It is the first and executes it.
+    /// It is the first job with the key, and is executed.
     Execute(KeyExecution<'a>),
-    /// Another one executes it or did.
+    /// Another job with the key is being executed or was.
     Repeat(Arc<watch::Sender<KeyState>>),
-    /// Too many keys are remembered: it executes it without memory.
+    /// Too many keys are remembered: the job is executed without deduplication.
     Unremembered,
 }
 
 impl ExecutedKeys {
-    /// Has a key executed by whoever claims it first.
+    /// Claims a key for a job; the first claim gets to execute it.
     pub(super) fn claim(&self, cell: u32, key: &str) -> KeyClaim<'_> {
         let cell_key = CellKey { cell, key: key.to_owned() };
         let mut states = self.states.lock().expect("a lock");
--- a/crates/testkit/src/fleet/worker/mod.rs
+++ b/crates/testkit/src/fleet/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted workers: they accept jobs, call back, report load, reject, hang, reset, and count what comes.
+//! Scripted workers, which accept jobs, call back, report load, reject, hang, reset connections, and count requests.
 
 mod connection;
 mod executed_keys;
@@ -24,11 +24,11 @@
 
 pub(super) use script::warm_up_capacity;
 
-/// What the workers of a fleet share.
+/// The state that the workers of a fleet share.
 pub(super) struct WorkerContext {
     relay: Arc<TcpRelay>,
     event_log: Arc<EventLog>,
-    /// Where each dispatcher is called back.
+    /// The addresses of the dispatchers for status callbacks.
     dispatchers: Vec<SocketAddr>,
     keys: ExecutedKeys,
 }
@@ -43,22 +43,22 @@
     }
 }
 
-/// A worker. Its methods panic if a thread that held one of its locks has panicked.
+/// A scripted worker. The methods panic if a thread that held one of its locks has panicked.
 pub struct ScriptedWorker {
-    /// Its number.
+    /// The number of the worker.
     pub number: usize,
-    /// Its name in the endpoint list.
+    /// The name of the worker in the endpoint list.
     pub name: String,
     script: Mutex<WorkerScript>,
     metrics: Mutex<WorkerMetrics>,
     slots: Mutex<Arc<Semaphore>>,
     pending: PendingJobs,
-    /// Jobs that run.
+    /// The number of running jobs.
     running: AtomicU64,
     started_at: AtomicU64,
-    /// It was started anew, so it warms up.
+    /// Whether the worker was restarted, so that it warms up.
     is_restarted: AtomicBool,
-    /// Counts its deaths.
+    /// The number of the worker's deaths.
     incarnation: watch::Sender<u64>,
     callbacks: CallbackClient,
     rng: Mutex<fastrand::Rng>,
@@ -92,12 +92,12 @@
         })
     }
 
-    /// How it is now.
+    /// The current script.
     pub fn script(&self) -> WorkerScript {
         self.script.lock().expect("a lock").clone()
     }
 
-    /// Changes how it is. A change of `slots` counts for jobs that come from now on.
+    /// Changes the script. A change of `slots` applies to jobs that arrive from now on.
     pub fn change(&self, change: impl FnOnce(&mut WorkerScript)) {
         let mut script = self.script.lock().expect("a lock");
         let slots = script.slots;
@@ -107,18 +107,18 @@
         }
     }
 
-    /// What it does with jobs from now on.
+    /// Changes what the worker does with jobs from now on.
     pub fn set_behavior(&self, behavior: WorkerBehavior) {
         self.change(|script| script.behavior = behavior);
     }
 
-    /// What it counted so far.
+    /// The counters so far.
     pub fn metrics(&self) -> WorkerMetrics {
         self.metrics.lock().expect("a lock").clone()
     }
 
-    /// Its process dies: its connections are reset, its jobs gone without a report. It warms up from now on, if it comes
-    /// back; that connections are refused meanwhile is up to its links.
+    /// Kills the worker: its connections are reset, and its jobs are lost without a report. If it comes back, it warms up from
+    /// now on. Its links determine whether connections are refused in the meantime.
     pub(super) fn die(&self) {
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
         self.pending.clear();
@@ -148,14 +148,14 @@
         change(&mut self.metrics.lock().expect("a lock"));
     }
 
-    /// Notifies of the worker's deaths from now on.
+    /// A receiver that is notified of the worker's deaths from now on.
     fn subscribe_to_deaths(&self) -> watch::Receiver<u64> {
         let mut incarnation = self.incarnation.subscribe();
         incarnation.mark_unchanged();
         incarnation
     }
 
-    /// The fraction of its speed that it has now.
+    /// The current fraction of its full speed.
     fn warmth(&self, script: &WorkerScript) -> f64 {
         if !self.is_restarted.load(Ordering::Relaxed) || script.warm_up_time.is_zero() {
             return 1.0;
@@ -165,7 +165,7 @@
         warm_up_capacity(script.initial_speed, progress)
     }
 
-    /// Its load report, in the wire's form.
+    /// The load report, in the form of the wire.
     fn load_report(&self) -> Value {
         let script = self.script();
         let pending = self.pending.count() as f64;
--- a/crates/testkit/src/fleet/worker/script.rs
+++ b/crates/testkit/src/fleet/worker/script.rs
@@ -1,4 +1,4 @@
-//! How a scripted worker behaves, and what it counted.
+//! The script of a worker, and its counters.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,49 +6,49 @@
 /// What a worker does with a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerBehavior {
-    /// It accepts it (202), and reports when it starts and ends.
+    /// Accepts the job (202), and reports its start and its end.
     #[default]
     Serve,
-    /// As `Serve`, but the 202 comes this late.
+    /// Like `Serve`, but delays the 202 by this time.
     AcceptLate(Duration),
-    /// It rejects it, never run: 503 with `X-Unprocessed`.
+    /// Rejects the job unprocessed: 503 with `X-Unprocessed`.
     Reject,
-    /// It answers 500.
+    /// Answers 500.
     Error,
-    /// It answers nothing at all, before the 202.
+    /// Never answers, not even with 202.
     Hang,
-    /// It accepts it, and reports nothing more.
+    /// Accepts the job, and reports nothing more.
     Forget,
-    /// It resets the connection once the job has come.
+    /// Resets the connection once the job has arrived.
     Reset,
 }
 
-/// How a worker is.
+/// The script of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerScript {
-    /// Its zone, which the settings name.
+    /// The zone, one of the settings.
     pub zone: String,
-    /// Its kind, which the settings name.
+    /// The kind, one of the settings.
     pub kind: String,
-    /// Its cell: within it keys that have been executed are known.
+    /// The cell: its workers share the keys that have been executed.
     pub cell: u32,
-    /// Jobs that run at once.
+    /// The maximum number of running jobs.
     pub slots: usize,
-    /// Jobs that may wait beside; beyond that it rejects jobs.
+    /// The maximum number of waiting jobs. The worker rejects further ones.
     pub queue: usize,
-    /// How fast it is; 1 takes a job's work as its time.
+    /// The speed. At speed 1, a job takes as long as its work.
     pub speed: f64,
     /// The work of a job that does not name its own.
     pub work: Duration,
-    /// Each job's work is drawn exponentially with that mean.
+    /// Whether the work of each job is drawn from the exponential distribution with that mean.
     pub random_work: bool,
-    /// It answers load probes and health checks.
+    /// Whether the worker answers load probes and health checks.
     pub answers_probes: bool,
-    /// What it does with jobs.
+    /// What the worker does with jobs.
     pub behavior: WorkerBehavior,
-    /// Just started, it has this fraction of its speed ...
+    /// The fraction of its speed with which the worker starts.
     pub initial_speed: f64,
-    /// ... and all of it after this time.
+    /// The time from a start until the worker has its full speed.
     pub warm_up_time: Duration,
 }
 
@@ -71,20 +71,20 @@
     }
 }
 
-/// What a worker counted.
+/// The counters of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerMetrics {
     /// Connections accepted, by dispatcher.
     pub connects: Vec<u64>,
-    /// Connections open now.
+    /// Connections open at present.
     pub open: u64,
-    /// The most connections open at once.
+    /// The maximum number of connections open at once.
     pub max_open: u64,
     /// Probes, by dispatcher.
     pub probes: Vec<u64>,
-    /// Jobs that came whole, by dispatcher.
+    /// Jobs that arrived completely, by dispatcher.
     pub jobs: Vec<u64>,
-    /// Jobs by seconds of the harness's clock.
+    /// Jobs by second of the harness's clock.
     pub per_second: BTreeMap<u64, u64>,
     /// Jobs whose work was done.
     pub done: u64,
@@ -94,9 +94,9 @@
     pub cancelled: u64,
     /// Repeats of keys that had been executed, answered from memory.
     pub repeats: u64,
-    /// The most jobs that ran or waited at once.
+    /// The maximum number of jobs that ran or waited at once.
     pub max_pending: usize,
-    /// Callbacks that nobody answered.
+    /// Status callbacks that were never answered.
     pub unanswered_callbacks: u64,
 }
 
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,35 +1,35 @@
-//! HTTP/1.1 over blocking sockets, as far as clients and workers in tests need it: requests, replies, body framing.
+//! A minimal HTTP/1.1 over blocking sockets, for clients and workers in tests: requests, replies and body framing.
 
 use crate::WAIT_TIMEOUT;
 use serde_json::Value;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Header fields that a message may have.
+/// The maximum number of header fields in a message.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// A reply as a client read it.
+/// A received reply.
 pub struct HttpReply {
     /// The status code.
     pub status: u16,
-    /// The status line and the header fields, as they came.
+    /// The status line and the header fields, as received.
     pub head: String,
     /// The body without its framing.
     pub body: String,
 }
 
 impl HttpReply {
-    /// A header field's value; names compare without regard to case.
+    /// The value of a header field; the name is case-insensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|line| line.split_once(':'));
         fields.filter(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim()).next()
     }
 }
 
-/// How the end of a body is marked.
+/// How the end of a body is determined.
 #[derive(Clone, Copy)]
 pub(crate) enum BodyFraming {
-    /// By its length in bytes.
+    /// By the length of the body, in bytes.
     Length(usize),
     /// By an empty chunk.
     Chunked,
@@ -38,9 +38,12 @@
 }
 
 impl BodyFraming {
-    /// What these header fields say; `default` if they name neither a length nor a transfer encoding.
+    /// The framing by these header fields; `default` if there is neither a length nor a transfer encoding.
     pub(crate) fn from_headers(headers: &[httparse::Header<'_>], default: BodyFraming) -> BodyFraming {
-        let value = |name: &str| headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+        let value = |name: &str| {
+            let field = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+            field.map(|header| header.value)
+        };
         match (value("transfer-encoding"), value("content-length")) {
             (Some(_), _) => BodyFraming::Chunked,
             (None, Some(length)) => {
@@ -60,7 +63,7 @@
     length > 0
 }
 
-/// Takes a body off a connection and its buffer; `None` if the connection ends before the body does.
+/// Reads a body from a buffer and its connection; `None` if the connection ends before the body is complete.
 pub(crate) fn read_body(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -95,7 +98,7 @@
     }
 }
 
-/// Takes the next chunk off the buffer, if all of it has come; the last chunk is empty.
+/// Takes the next chunk from the buffer, if it is complete. The last chunk is empty.
 fn take_chunk(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
     const LINE_END: usize = 2;
     let httparse::Status::Complete((head, size)) =
@@ -112,20 +115,20 @@
     Some(chunk)
 }
 
-/// Reads one reply off a connection; `None` if the connection ends before the reply does.
+/// Reads one reply from a connection; `None` if the connection ends before the reply is complete.
 ///
 /// # Panics
 ///
-/// If what comes is not an HTTP reply.
+/// If the received bytes are not an HTTP reply.
 pub fn read_reply(stream: &mut TcpStream) -> Option<HttpReply> {
     read_next_reply(stream, &mut Vec::new())
 }
 
-/// As [`read_reply`], for pipelined requests: `buffer` holds the bytes that came after the previous reply.
+/// Like [`read_reply`], for pipelined requests: `buffer` holds the bytes received after the previous reply.
 ///
 /// # Panics
 ///
-/// If what comes is not an HTTP reply.
+/// If the received bytes are not an HTTP reply.
 pub fn read_next_reply(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<HttpReply> {
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
     let (length, status, framing) = loop {
@@ -171,20 +174,20 @@
     peeked.map_or_else(|error| error.kind() != ErrorKind::WouldBlock, |length| length == 0)
 }
 
-/// Sends a request on a new connection and reads the reply; `None` if the connection ends before it.
+/// Sends a request on a new connection, and reads the reply; `None` if the connection ends before the reply is complete.
 ///
 /// # Panics
 ///
-/// If nothing listens there, or what comes back is not an HTTP reply.
+/// If nothing listens there, or if the received bytes are not an HTTP reply.
 pub fn send(address: SocketAddr, request: &str) -> Option<HttpReply> {
     let mut stream = connect(address);
-    // The dispatcher may reply and close before it has read everything: then the write fails and the reply counts.
+    // The dispatcher may reply and close before it has read the whole request. The write then fails, but the reply is valid.
     let _ = stream.write_all(request.as_bytes());
     read_reply(&mut stream)
 }
 
-/// A job as clients send it. Its body is the script that the [`crate::FakeWorker`] which gets it runs; `headers` are further
-/// header lines, each with its line end.
+/// The request of a client for a job. The body is the script for the [`crate::FakeWorker`] that runs the job. `headers` are
+/// further header lines, each with its line end.
 pub fn job_request(id: &str, class: &str, script: &str, headers: &str) -> String {
     format!(
         "POST /{class} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
@@ -193,19 +196,19 @@
     )
 }
 
-/// A job of class `balance` that the first worker which gets it serves with the result `x`.
+/// The request for a job of class `balance`, which the first worker completes with the result `x`.
 pub fn simple_job(id: &str) -> String {
     job_request(id, "balance", "take started done=x", "")
 }
 
-/// A worker's call that reports a status update, on a connection of its own.
+/// The status callback of a worker, on a separate connection.
 pub fn status_update_request(update: &Value) -> String {
     let text = update.to_string();
     let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n";
     format!("{head}Content-Length: {}\r\n\r\n{text}", text.len())
 }
 
-/// A chunk of a body in chunked encoding.
+/// Encodes text as one chunk of a body in chunked encoding.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/testkit/src/job_status.rs
+++ b/crates/testkit/src/job_status.rs
@@ -1,23 +1,23 @@
-//! What workers say of the jobs that they have accepted, in the wire's form.
+//! The status of a job as workers report it, in the form of the wire.
 
 use serde_json::{Value, json};
 
-/// What a worker says of a job.
+/// The status of a job that a worker has accepted.
 pub(crate) enum JobStatus {
     Started,
-    /// This fraction of it is done, from 0 to 1.
+    /// The job made progress, as a fraction from 0 to 1.
     Running {
         fraction: f64,
     },
-    /// It is done, with this result; the worker's load report comes beside.
+    /// The job is done, with its result and the worker's load report.
     Done {
         result: String,
         load: Value,
     },
     Failed,
-    /// It never ran.
+    /// The job was returned and never ran.
     Returned,
-    /// The worker died while it waited or ran.
+    /// The worker died while the job waited or ran.
     Lost,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The update as an event on the job's own connection has it.
+    /// The update in the form of an event on the job's own connection.
     pub(crate) fn to_update(&self) -> Value {
         let state = self.state();
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The update as a callback has it.
+    /// The update in the form of a status callback.
     pub(crate) fn to_callback(&self, job_id: &str, worker: &str) -> Value {
         let mut update = self.to_update();
         update["id"] = json!(job_id);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,10 +1,12 @@
-//! Test doubles for what surrounds the dispatcher: clients, workers and discovery, written from the protocol's and HTTP's
-//! public descriptions. All of them listen on loopback at ports that the system picks. They panic where a test cannot go on.
+//! Test doubles for the surroundings of the dispatcher: clients, workers and discovery.
 //!
-//! - [`DispatcherProcess`] runs the built program; [`FakeWorker`] and [`FakeDiscovery`] are what it calls;
-//! - [`send`], [`job_request`] and [`read_reply`] play its clients;
-//! - [`site`] is the configuration that they share;
-//! - [`fleet`] runs many dispatchers with relays between them and everything else, and audits what crossed the wires.
+//! They are written from the public descriptions of the protocol and of HTTP. All of them listen on loopback, at ports that
+//! the system picks. They panic if a test cannot continue.
+//!
+//! - [`DispatcherProcess`] runs the built program; it calls [`FakeWorker`] and [`FakeDiscovery`].
+//! - [`send`], [`job_request`] and [`read_reply`] act as its clients.
+//! - [`site`] is the configuration that all of them share.
+//! - [`fleet`] runs many dispatchers, with relays on all of their connections, and audits the traffic.
 
 mod discovery;
 pub mod fleet;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -13,14 +13,14 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// The built program: beside this one, or beside the folder of the tests.
+/// The path of the built program: in the directory of the running executable, or in the parent of that.
 ///
 /// # Panics
 ///
 /// If it has not been built.
 pub fn program_path() -> PathBuf {
-    let own = std::env::current_exe().expect("this program's own place");
-    let folders = own.ancestors().skip(1).take(2);
+    let own_path = std::env::current_exe().expect("the path of this executable");
+    let folders = own_path.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("mothproxy")).find(|path| path.is_file());
     found.expect("the program has been built: cargo build")
 }
@@ -34,7 +34,7 @@
 /// Changes a configuration before it is written.
 type ConfigChange<'a> = Box<dyn FnOnce(&mut Value) + 'a>;
 
-/// How a [`DispatcherProcess`] is started.
+/// The parameters of a [`DispatcherProcess`].
 pub struct DispatcherBuilder<'a> {
     workers: &'a [Arc<FakeWorker>],
     discovery: Option<SocketAddr>,
@@ -45,28 +45,28 @@
 }
 
 impl<'a> DispatcherBuilder<'a> {
-    /// Uses this discovery service; otherwise nothing listens at the address that it is given.
+    /// Uses this discovery service. By default, nothing listens at the configured address.
     #[must_use]
     pub fn discovery(mut self, address: SocketAddr) -> Self {
         self.discovery = Some(address);
         self
     }
 
-    /// Whether it listens for clients that follow jobs by event streams, with a heartbeat of 200 ms.
+    /// Sets whether the process has an SSE listener, with a heartbeat of 200 ms.
     #[must_use]
     pub fn event_streams(mut self, on: bool) -> Self {
         self.has_event_streams = on;
         self
     }
 
-    /// Sets `$TMPDIR`: there it finds its predecessor, and its successor finds it.
+    /// Sets `$TMPDIR`, by which predecessor and successor of a hot restart find each other.
     #[must_use]
     pub fn temp_dir(mut self, folder: impl Into<Option<&'a Path>>) -> Self {
         self.temp_dir = folder.into();
         self
     }
 
-    /// Passes further arguments. With `--sse FILE` among them the file of [`Self::event_streams`] is not used.
+    /// Passes further arguments. If `--sse FILE` is among them, the settings of [`Self::event_streams`] are not used.
     #[must_use]
     pub fn args(mut self, args: &'a [&'a OsStr]) -> Self {
         self.args = args;
@@ -80,11 +80,11 @@
         self
     }
 
-    /// Starts the process and waits until it serves; without discovery, until it has found that nobody listens there.
+    /// Starts the process and waits until it serves. Without discovery, waits until it has noticed that.
     ///
     /// # Panics
     ///
-    /// If it cannot be started or does not serve within [`WAIT_TIMEOUT`].
+    /// If the process cannot be started or does not serve within [`WAIT_TIMEOUT`].
     pub fn start(mut self) -> DispatcherProcess {
         let discovery = self.discovery.map_or(NO_DISCOVERY.to_owned(), |address| address.to_string());
         let config = self.config(&discovery);
@@ -128,15 +128,15 @@
     }
 }
 
-/// The files that a process is started with.
+/// The files with which a process is started.
 struct ProcessFiles {
     config: PathBuf,
-    /// The settings of its event-stream listener, which are read once.
+    /// The settings of the SSE listener, which are read once.
     streams: PathBuf,
 }
 
 impl ProcessFiles {
-    /// Writes them under names that no other process has.
+    /// Writes the files under unique names.
     fn write(config: &Value, has_event_streams: bool) -> ProcessFiles {
         static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -153,7 +153,7 @@
 /// The lines of a process's standard error.
 struct ProcessLog {
     lines: Receiver<String>,
-    /// Lines that were waited for and those before them.
+    /// The lines that were read so far.
     read: Vec<String>,
 }
 
@@ -176,7 +176,7 @@
     }
 }
 
-/// Where a process serves, as its log says.
+/// The addresses of a process, as logged.
 struct Listeners {
     platform: SocketAddr,
     sse: Option<SocketAddr>,
@@ -184,7 +184,7 @@
 }
 
 impl Listeners {
-    /// Waits until it serves. Clients come once it is ready: where nobody listens for it to call, once it has found that.
+    /// Waits until the process serves. Without discovery, it is ready for clients only once it has noticed that.
     fn wait(log: &mut ProcessLog, is_without_discovery: bool) -> Listeners {
         let first = loop {
             let line = log.next_startup_line();
@@ -207,18 +207,18 @@
     }
 }
 
-/// A running dispatcher. Dropping it kills it; after a panic its log goes to standard error.
+/// A running dispatcher. Dropping it kills the process; after a panic, its log is printed to standard error.
 pub struct DispatcherProcess {
     child: Child,
-    /// The configuration's file.
+    /// The path of the configuration file.
     pub config_file: PathBuf,
-    /// The configuration that it was started with.
+    /// The configuration with which the process was started.
     pub config: Value,
-    /// Where it takes jobs and callbacks.
+    /// The address for jobs and status callbacks.
     pub platform: SocketAddr,
-    /// Where it takes jobs and serves event streams.
+    /// The address of the SSE listener, if there is one.
     pub sse: Option<SocketAddr>,
-    /// Its second address: readiness, counters, drain.
+    /// The admin address for readiness, counters and drain, if there is one.
     pub admin: Option<SocketAddr>,
     log: ProcessLog,
 }
@@ -236,28 +236,28 @@
         }
     }
 
-    /// Sends a signal, named as `kill` takes it (`-TERM`).
+    /// Sends a signal, named as an argument of `kill`, such as `-TERM`.
     ///
     /// # Panics
     ///
-    /// If it cannot be sent.
+    /// If the signal cannot be sent.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
         assert!(sent.success());
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Begins its shutdown (SIGTERM).
+    /// Begins a graceful shutdown (SIGTERM).
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Stops its execution (SIGSTOP) and waits until it has stopped.
+    /// Stops the process (SIGSTOP), and waits until it has stopped.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
@@ -266,12 +266,12 @@
         });
     }
 
-    /// Continues its execution (SIGCONT).
+    /// Continues the process (SIGCONT).
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Suspends it for this long, with `meanwhile` done as soon as it has stopped.
+    /// Suspends the process for this long, and calls `meanwhile` as soon as it has stopped.
     pub fn suspend_for(&self, duration: Duration, meanwhile: impl FnOnce()) {
         self.suspend();
         let suspended = Instant::now();
@@ -280,7 +280,7 @@
         self.resume();
     }
 
-    /// Replaces its configuration file.
+    /// Replaces the configuration file.
     ///
     /// # Panics
     ///
@@ -291,30 +291,30 @@
         std::fs::rename(fresh, &self.config_file).expect("the same folder");
     }
 
-    /// The status of its `/up`.
+    /// The status code of `/up`.
     ///
     /// # Panics
     ///
-    /// If it does not answer.
+    /// If the process does not answer.
     pub fn up_status(&self) -> u16 {
         send(self.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
     }
 
-    /// Calls its second address.
+    /// Sends a request to the admin address.
     ///
     /// # Panics
     ///
-    /// If it has none or does not answer.
+    /// If the process has no such address or does not answer.
     pub fn call_admin(&self, method: &str, path: &str) -> HttpReply {
         let address = self.admin.expect("a second address");
         send(address, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("an answer")
     }
 
-    /// Waits for a line of the log that starts with this.
+    /// Waits for a line of the log with this prefix, and returns it.
     ///
     /// # Panics
     ///
-    /// If none comes within [`WAIT_TIMEOUT`].
+    /// If there is no such line within [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&mut self, prefix: &str) -> String {
         let deadline = Instant::now() + WAIT_TIMEOUT; // other lines may come without end
         loop {
@@ -328,32 +328,32 @@
         }
     }
 
-    /// Waits for its end. Returns whether it exited with code 0, and its log.
+    /// Waits for the end of the process. Returns whether it exited with code 0, and its log.
     ///
     /// # Panics
     ///
-    /// If the system cannot say how it ended.
+    /// If the system does not report the exit status.
     pub fn wait_for_exit(mut self) -> (bool, Vec<String>) {
         let mut log = std::mem::take(&mut self.log.read);
         log.extend(std::iter::from_fn(|| self.log.lines.recv_timeout(WAIT_TIMEOUT).ok()));
         (self.child.wait().expect("it ends").success(), log)
     }
 
-    /// Waits for its end: it exits with code 0 and logs that no request was open.
+    /// Waits for the end of the process, and checks that it exited with code 0 and logged that no request was open.
     ///
     /// # Panics
     ///
-    /// If it does not.
+    /// If one of these does not hold.
     pub fn wait_for_complete_shutdown(self) {
         let (is_clean, log) = self.wait_for_exit();
         assert!(is_clean && log.iter().any(|line| line == "shutdown complete open=0"), "{log:?}");
     }
 
-    /// Shuts it down and returns the metrics of its last `figures` line.
+    /// Shuts the process down, and returns the metrics of its last `figures` line.
     ///
     /// # Panics
     ///
-    /// If it does not exit with code 0, or logs no such line.
+    /// If the process does not exit with code 0, or logs no such line.
     pub fn shut_down_for_metrics(self) -> BTreeMap<String, u64> {
         self.terminate();
         let (is_clean, log) = self.wait_for_exit();
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -3,7 +3,7 @@
 use mothproxy::config::{Config, EndpointList};
 use serde_json::{Value, json};
 
-/// The configuration: two classes, one tenant, a tick of 2 ms, workers as given.
+/// The configuration, with two classes, one tenant, a tick of 2 ms, and the given workers.
 pub fn config(listen: &str, discovery: &str, instances: Value) -> Value {
     let mut config = json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -38,7 +38,7 @@
            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// The configuration as the program reads it.
+/// The configuration as the program parses it.
 ///
 /// # Panics
 ///
@@ -47,17 +47,17 @@
     Config::read(&config.to_string(), "config.json", |_| None).expect("a sound configuration")
 }
 
-/// A snapshot of the endpoint list, as discovery sends it: all endpoints of a generation.
+/// A snapshot of the endpoint list in the form of discovery: all endpoints of a generation.
 pub fn snapshot(generation: u64, instances: &[Value]) -> Value {
     json!({"generation": generation, "reset": true, "instances": instances})
 }
 
-/// A delta of the endpoint list, as discovery sends it: the endpoints that changed with a generation.
+/// A delta of the endpoint list in the form of discovery: the endpoints that changed with a generation.
 pub fn delta(generation: u64, instances: &[Value]) -> Value {
     json!({"generation": generation, "reset": false, "instances": instances})
 }
 
-/// An endpoint list of discovery, as the program reads it.
+/// An endpoint list of discovery as the program parses it.
 ///
 /// # Panics
 ///
--- a/crates/testkit/src/timestamp.rs
+++ b/crates/testkit/src/timestamp.rs
@@ -5,7 +5,7 @@
 /// The length of the period that a fraction covers: 1,000 s.
 const PERIOD_MICROS: u128 = 1_000_000_000;
 
-/// The present time as a fraction (0 to 1) of the present 1,000 s.
+/// The current time within the current period of 1,000 s, as a fraction from 0 to 1.
 ///
 /// # Panics
 ///
@@ -15,7 +15,7 @@
     (since_epoch.as_micros() % PERIOD_MICROS) as f64 / PERIOD_MICROS as f64
 }
 
-/// Microseconds since a fraction was written by [`timestamp_fraction`], at most 1,000 s ago.
+/// The time since [`timestamp_fraction`] returned this fraction, in microseconds; at most 1,000 s.
 pub fn micros_since(fraction: f64) -> u64 {
     let micros = (timestamp_fraction() - fraction).rem_euclid(1.0) * PERIOD_MICROS as f64;
     micros as u64
--- a/crates/testkit/src/wait.rs
+++ b/crates/testkit/src/wait.rs
@@ -1,9 +1,9 @@
-//! Waiting for what other threads and processes bring about, with one timeout for all tests.
+//! Waiting for conditions that other threads and processes bring about, with one timeout for all tests.
 
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Nothing in these tests takes this long; a hang fails instead of hanging.
+/// The timeout of all waits, which exceeds anything that tests wait for. It turns a hang into a failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polls a condition until it holds.
@@ -19,17 +19,23 @@
     }
 }
 
-/// Waits until a connection is on its way to a listener whose queue is full: its first packet was dropped.
+/// Waits until there is a connection attempt to a listener whose queue is full, so that its first packet was dropped.
 ///
 /// # Panics
 ///
-/// If none is within [`WAIT_TIMEOUT`].
+/// If there is none within [`WAIT_TIMEOUT`].
 pub fn wait_for_connection_attempt(listener: &TcpListener) {
+    /// The state of such a connection in `/proc/net/tcp`.
     const SYN_SENT: &str = "02";
+    /// The columns of the remote address and of the state.
+    const REMOTE: usize = 2;
+    const STATE: usize = 3;
     let port = format!(":{:04X}", listener.local_addr().expect("an address").port());
     wait_until("a connection on its way", || {
         let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the kernel lists connections");
         let fields = sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        fields.into_iter().any(|f| f.len() > 3 && f[2].ends_with(&port) && f[3] == SYN_SENT)
+        fields.into_iter().any(|fields| {
+            fields.len() > STATE && fields[REMOTE].ends_with(&port) && fields[STATE] == SYN_SENT
+        })
     });
 }
--- a/crates/testkit/src/worker/mod.rs
+++ b/crates/testkit/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A fake worker: an HTTP server on a thread of its own, whose behaviour each job's body scripts; [`script`] has the commands.
+//! A fake worker: an HTTP server on its own thread. The body of each job is a script for it; [`script`] has the commands.
 
 mod script;
 
@@ -13,22 +13,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A worker whose behaviour the jobs' bodies script (`worker/script.rs` has the commands). It serves until the
-/// test's process ends.
+/// A worker that runs the scripts in the bodies of its jobs (`worker/script.rs` has the commands). It serves until the test
+/// process ends.
 pub struct FakeWorker {
-    /// Its name in the endpoint list.
+    /// The name of the worker in the endpoint list.
     pub name: String,
-    /// Where it listens: loopback, at a port that the system picked.
+    /// The address of the worker, on loopback.
     pub address: SocketAddr,
-    /// A line for each request in order of arrival: method, target, id and idempotency key; `stale ID` and `flooded` too.
+    /// A line for each request, in order of arrival: method, target, id and idempotency key. Also `stale ID` and `flooded`.
     pub received: Mutex<Vec<String>>,
-    /// How many jobs arrived.
+    /// The number of jobs that arrived.
     pub job_count: AtomicU64,
     callback_address: Mutex<Option<SocketAddr>>,
     open_gates: Mutex<HashSet<String>>,
 }
 
-/// A request as it arrived.
+/// A received request.
 struct WorkerRequest {
     method: String,
     target: String,
@@ -38,7 +38,7 @@
 }
 
 impl WorkerRequest {
-    /// Reads the next one off a connection; `None` if the connection ends before it is whole.
+    /// Reads the next request from a connection; `None` if the connection ends before the request is complete.
     fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<WorkerRequest> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -48,8 +48,8 @@
                 continue;
             };
             let field = |name: &str| {
-                let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-                found.map_or(String::new(), |h| String::from_utf8_lossy(h.value).into_owned())
+                let found = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+                found.map_or(String::new(), |header| String::from_utf8_lossy(header.value).into_owned())
             };
             let mut request = WorkerRequest {
                 method: head.method.unwrap_or("").to_owned(),
@@ -68,7 +68,7 @@
 }
 
 impl FakeWorker {
-    /// Starts one that listens on loopback.
+    /// Starts a worker that listens on loopback.
     ///
     /// # Panics
     ///
@@ -103,7 +103,7 @@
         *self.callback_address.lock().expect("a lock") = Some(dispatcher);
     }
 
-    /// Its entry in an endpoint list.
+    /// The entry of this worker in an endpoint list.
     pub fn endpoint_entry(&self, lifecycle: &str) -> Value {
         site::endpoint_entry(&self.name, &self.address.to_string(), lifecycle)
     }
@@ -117,7 +117,7 @@
         self.received.lock().expect("a lock").iter().any(|line| line.contains(text))
     }
 
-    /// Lets the jobs continue that `wait` for this gate.
+    /// Opens a gate: jobs that `wait` for it continue.
     ///
     /// # Panics
     ///
@@ -134,7 +134,7 @@
         wait_until(gate, || self.open_gates.lock().expect("a lock").contains(gate));
     }
 
-    /// Answers the requests of a connection, each job as its script has it.
+    /// Answers the requests of a connection; each job by its script.
     fn serve(self: Arc<FakeWorker>, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         let mut is_reused = false;
@@ -148,7 +148,7 @@
             self.job_count.fetch_add(1, Ordering::SeqCst);
             if is_reused && body.contains(&format!("stale={}", self.name)) {
                 self.record(format!("stale {id}"));
-                return; // as if it had closed the idle connection just before
+                return; // as if the worker had closed the idle connection just before the request
             }
             is_reused = true;
             if !ScriptRun::new(&self, &mut stream, &id).run(&body) {
@@ -157,11 +157,11 @@
         }
     }
 
-    /// Reports a status to the dispatcher by a call; false if that was not answered with 204.
+    /// Reports a status to the dispatcher by a status callback. Returns false if that was not answered with 204.
     fn call_back(&self, job_id: &str, status: &JobStatus) -> bool {
         let dispatcher = self.callback_address.lock().expect("a lock").expect("the dispatcher's address");
         let call = status_update_request(&status.to_callback(job_id, &self.name));
-        // The dispatcher may have been killed: then nobody receives it.
+        // The dispatcher may have been killed.
         let Ok(mut stream) = TcpStream::connect(dispatcher) else { return false };
         let _ = stream.write_all(call.as_bytes());
         read_reply(&mut stream).is_some_and(|reply| reply.status == 204)
--- a/crates/testkit/src/worker/script.rs
+++ b/crates/testkit/src/worker/script.rs
@@ -9,11 +9,11 @@
 //! | `started`, `running=FRACTION`, `done=RESULT`, `failed`, `returned`, `lost` | reports this status |
 //! | `full`, `busy`, `error` | answers 503 with `X-Unprocessed`, 503, 500 |
 //! | `wait=GATE` | waits for [`FakeWorker::open_gate`] |
-//! | `pause=MS` | waits |
-//! | `tick=COUNT,MS` | so many progress updates, so far apart, each with its send time |
-//! | `flood=COUNT`, `big=BYTES` | so many events at once; one event of that size |
-//! | `cut`, `half` | shuts the connection down; the same in the middle of an event |
-//! | `hang` | is silent until the other side gives up; after `take`: reports nothing more |
+//! | `pause=MS` | waits for this time |
+//! | `tick=COUNT,MS` | sends COUNT progress updates at this interval, each with its send time |
+//! | `flood=COUNT`, `big=BYTES` | sends COUNT events at once; sends one event of this size |
+//! | `cut`, `half` | shuts the connection down; does the same in the middle of an event |
+//! | `hang` | is silent until the other side gives up; after `take`, reports nothing more |
 //! | `mute=NAME`, `stale=NAME` | on the worker of that name: is silent; closes a reused connection on arrival |
 
 use super::FakeWorker;
@@ -31,11 +31,11 @@
     Accept,
     BeginStream,
     Report(JobStatus),
-    /// 503, never run.
+    /// Answers 503 to a job that was not run.
     Reject,
-    /// 503, and the job may have run.
+    /// Answers 503 to a job that may have run.
     Fail,
-    /// 500.
+    /// Answers 500.
     Error,
     WaitForGate(&'a str),
     Pause(Duration),
@@ -52,18 +52,18 @@
     Cut,
     SendHalfAnEvent,
     Hang,
-    /// It is silent on the worker of this name.
+    /// The worker with this name is silent.
     Mute(&'a str),
-    /// It closes a reused connection on arrival, for which [`FakeWorker::serve`] looks.
+    /// Closes a reused connection on arrival; [`FakeWorker::serve`] handles this command.
     Stale,
 }
 
 impl<'a> Command<'a> {
-    /// Reads a command, a word or `word=value`; `None` if there is none of that name.
+    /// Parses a command, which is a word or `word=value`; `None` if there is no command with this name.
     ///
     /// # Panics
     ///
-    /// If its value is not what the command takes.
+    /// If the value is not valid for the command.
     fn parse(text: &'a str) -> Option<Command<'a>> {
         let (name, value) = text.split_once('=').unwrap_or((text, ""));
         let command = match name {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The job is done; the load report is that of a worker with room.
+/// The status of a finished job, with the load report of a worker that has free slots.
 fn done(result: &str) -> JobStatus {
     JobStatus::Done { result: result.to_owned(), load: json!({"cpu": 0.2, "x0": 3.0}) }
 }
@@ -110,7 +110,7 @@
     Duration::from_millis(text.parse().expect("a number"))
 }
 
-/// What becomes of the connection after a command.
+/// How the connection continues after a command.
 enum Next {
     RunNextCommand,
     KeepConnection,
@@ -118,7 +118,7 @@
 }
 
 impl Next {
-    /// The next command if the last one succeeded; otherwise the connection is of no use.
+    /// Continues with the next command if the last one succeeded, and closes the connection otherwise.
     fn after(succeeded: bool) -> Next {
         if succeeded { Next::RunNextCommand } else { Next::CloseConnection }
     }
@@ -144,7 +144,7 @@
         ScriptRun { worker, stream, job_id, is_streaming: false, is_accepted: false }
     }
 
-    /// Runs a script to its end; false if the connection closes with it.
+    /// Runs a script to its end. Returns whether the connection stays open.
     pub(super) fn run(&mut self, script: &str) -> bool {
         let mut remaining = Some(script);
         while let Some(commands) = remaining {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Accepts the job. The rest of the script runs by itself: the connection is free for the next job.
+    /// Accepts the job. The rest of the script runs on another thread, so the connection is free for the next job.
     fn accept(&mut self, rest: Option<&str>) -> Next {
         let is_written = self.stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").is_ok();
         if let (Some(rest), Ok(mut stream)) = (rest.map(str::to_owned), self.stream.try_clone()) {
@@ -244,8 +244,8 @@
 
     /// Sends many events at once: a client that reads nothing for 2.5 s is disconnected.
     fn flood(&mut self, count: u32) -> Next {
-        let progress = |n: u32| JobStatus::Running { fraction: f64::from(n % 100) / 100.0 };
-        let events: String = (0..count).map(|n| event(&progress(n).to_update())).collect();
+        let progress = |number: u32| JobStatus::Running { fraction: f64::from(number % 100) / 100.0 };
+        let events: String = (0..count).map(|number| event(&progress(number).to_update())).collect();
         let next = self.write(&events);
         if matches!(next, Next::RunNextCommand) {
             self.worker.record("flooded".to_owned());
