--- a/crates/testkit/src/fleet/address_block.rs
+++ b/crates/testkit/src/fleet/address_block.rs
@@ -1,20 +1,20 @@
-//! The addresses of a fleet: a block of 127/8 that no other fleet on this machine has. They are fixed, so that a process finds
-//! its own free again after a restart.
+//! The addresses of a fleet: a block of 127/8 that no other fleet on this machine uses. The addresses are fixed, so that they
+//! are free again for a process after its restart.
 
 use super::FleetError;
 use super::plan::derive_seed;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 
-/// Blocks that are tried before a fleet gives up.
+/// The number of blocks that are tried before a fleet gives up.
 const MAX_ATTEMPTS: u64 = 64;
-/// Every fleet binds this port at the block's broadcast address: whoever has it has the block.
+/// Every fleet binds this port at the broadcast address of its block, which reserves the block.
 const FACE_PORT: u16 = 7000;
 const LISTEN_PORT: u16 = 8000;
 const ADMIN_PORT: u16 = 8001;
 const PEER_PORT: u16 = 8002;
 const WORKER_PORT: u16 = 8080;
 const DISCOVERY_PORT: u16 = 8500;
-/// The port of a dispatcher's link to worker 0; those to the others follow.
+/// The port of a dispatcher's link to worker 0; the links to the other workers have the following ports.
 const FIRST_WORKER_LINK_PORT: u16 = 9000;
 /// The last byte of the addresses: dispatchers from 1, workers from 150, then the services that there is one of.
 const FIRST_DISPATCHER: usize = 1;
@@ -25,7 +25,7 @@
 /// The two middle bytes of the block.
 pub(super) struct AddressBlock([u8; 2]);
 
-/// A block, and the sockets of the datagram relay that hold it.
+/// A block, and the sockets of the datagram relay that reserve it.
 pub(super) struct TakenBlock {
     pub(super) block: AddressBlock,
     pub(super) faces: Vec<UdpSocket>,
@@ -59,37 +59,37 @@
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.0[0], self.0[1], last)), port)
     }
 
-    /// Where a dispatcher takes jobs and callbacks.
+    /// The address of a dispatcher for jobs and callbacks.
     pub(super) fn listen(&self, dispatcher: usize) -> SocketAddr {
         self.at(FIRST_DISPATCHER + dispatcher, LISTEN_PORT)
     }
 
-    /// Where a dispatcher serves its admin pages.
+    /// The admin address of a dispatcher.
     pub(super) fn admin(&self, dispatcher: usize) -> SocketAddr {
         self.at(FIRST_DISPATCHER + dispatcher, ADMIN_PORT)
     }
 
-    /// Where a dispatcher takes datagrams of its peers.
+    /// The address of a dispatcher for datagrams of its peers.
     pub(super) fn peer(&self, dispatcher: usize) -> SocketAddr {
         self.at(FIRST_DISPATCHER + dispatcher, PEER_PORT)
     }
 
-    /// Where a dispatcher finds discovery.
+    /// The address of a dispatcher's link to discovery.
     pub(super) fn discovery_link(&self, dispatcher: usize) -> SocketAddr {
         self.at(FIRST_DISPATCHER + dispatcher, DISCOVERY_PORT)
     }
 
-    /// Where a dispatcher finds a worker.
+    /// The address of a dispatcher's link to a worker.
     pub(super) fn worker_link(&self, dispatcher: usize, worker: usize) -> SocketAddr {
         self.at(FIRST_DISPATCHER + dispatcher, FIRST_WORKER_LINK_PORT + worker as u16)
     }
 
-    /// Where a worker listens.
+    /// The address of a worker.
     pub(super) fn worker(&self, worker: usize) -> SocketAddr {
         self.at(FIRST_WORKER + worker, WORKER_PORT)
     }
 
-    /// Where discovery listens.
+    /// The address of discovery.
     pub(super) fn discovery(&self) -> SocketAddr {
         self.at(DISCOVERY, DISCOVERY_PORT)
     }
--- a/crates/testkit/src/fleet/admin.rs
+++ b/crates/testkit/src/fleet/admin.rs
@@ -1,4 +1,4 @@
-//! Calls to a fleet's processes: readiness, admin pages, counters.
+//! Requests to a fleet's processes: readiness, admin pages and counters.
 
 use super::Fleet;
 use super::http::{HttpMessage, HttpReader};
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// A call to a dispatcher must be answered by then.
+/// The timeout of a request to a dispatcher.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Fleet {
@@ -17,12 +17,12 @@
         self.get(self.block.listen(dispatcher), "/up").is_some_and(|answer| answer.status == 200)
     }
 
-    /// GET at a process's admin address; `None` if it does not answer.
+    /// Sends a GET request to a process's admin address; `None` if it does not answer.
     pub fn admin(&self, dispatcher: usize, path: &str) -> Option<HttpMessage> {
         self.get(self.block.admin(dispatcher), path)
     }
 
-    /// The counters of `/control/counters` by their names without `dispatcher.`; empty if it does not answer.
+    /// The counters of `/control/counters`, by name without `dispatcher.`; empty if the process does not answer.
     pub fn counters(&self, dispatcher: usize) -> BTreeMap<String, f64> {
         let answer = self.admin(dispatcher, "/control/counters").filter(|answer| answer.status == 200);
         let body = answer.map_or(String::new(), |answer| answer.body);
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -52,11 +52,11 @@
     pub(super) faults: DatagramFaults,
     pub(super) is_cut: bool,
     rng: fastrand::Rng,
-    /// A throttled pair is busy until then, in microseconds of the harness's clock.
+    /// The end of the queue of a throttled pair, in microseconds of the harness's clock.
     busy_until: u64,
 }
 
-/// What chance says of one datagram: a number from 0 to 1 for each kind of fault.
+/// The random draws for one datagram: a number from 0 to 1 for each kind of fault.
 struct Draws {
     drop: f64,
     repeat: f64,
@@ -67,8 +67,8 @@
 }
 
 impl Draws {
-    /// Each datagram takes the same draws whatever the faults are, so that a fault switched on does not shift what comes
-    /// after it.
+    /// Each datagram takes the same number of draws whatever the faults are, so that a change of faults does not shift the
+    /// draws of later datagrams.
     fn next(rng: &mut fastrand::Rng) -> Draws {
         Draws {
             drop: rng.f64(),
@@ -82,13 +82,13 @@
 }
 
 impl Pair {
-    /// Without faults; its draws follow from the seed.
+    /// A pair without faults; `seed` determines its random draws.
     pub(super) fn new(seed: u64) -> Pair {
         let rng = fastrand::Rng::with_seed(seed);
         Pair { faults: DatagramFaults::NONE, is_cut: false, rng, busy_until: 0 }
     }
 
-    /// How long each copy of a datagram of this length in bytes is delayed, in microseconds; none if it is dropped.
+    /// The delay of each copy of a datagram of this length, in microseconds; empty if it is dropped.
     pub(super) fn delays(&mut self, now: u64, length: usize) -> Vec<u64> {
         let draws = Draws::next(&mut self.rng);
         let faults = self.faults;
@@ -110,7 +110,7 @@
         delays
     }
 
-    /// The time in microseconds until a throttled datagram has got through; `None` if the queue has no room for it.
+    /// The time until a throttled datagram is through, in microseconds; `None` if the queue has no room for it.
     fn enqueue(&mut self, now: u64, length: usize, rate: u64) -> Option<u64> {
         let begin = self.busy_until.max(now);
         let end = begin + length as u64 * MICROS_PER_SECOND / rate.max(1);
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -1,6 +1,8 @@
-//! The datagram relay. Each dispatcher has one **face**: the address that all others know it by. What is sent to a face is
-//! distinguished by its sender's address, goes through the faults of that ordered pair, and leaves for the dispatcher behind the
-//! face from the face of its sender. So the sender's address in `peers` is where datagrams come from, as the protocol says.
+//! The datagram relay.
+//!
+//! Each dispatcher has one **face**: the address by which all others know it. The relay identifies the sender of a datagram to
+//! a face by its address, applies the faults of that ordered pair, and passes the datagram on to the dispatcher behind the
+//! face. It sends from the face of the sender. So datagrams come from the address in `peers`, as the protocol requires.
 
 use super::datagram_faults::{DatagramFaults, Pair};
 use super::event_log::{Clock, Event, EventLog};
@@ -13,11 +15,11 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
 
-/// The longest datagram that dispatchers may send.
+/// The maximum length of a datagram of a dispatcher, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
-/// Datagrams in flight: beyond that they are dropped, as by a full queue.
+/// The maximum number of datagrams in flight. Further ones are dropped, as by a full queue.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 1 << 16;
-/// Bytes of a datagram that are read; what is longer is too long anyway.
+/// The number of bytes of a datagram that are read. It is enough to recognize datagrams that are too long.
 const RECEIVED_LENGTH: usize = 2048;
 /// The system's receive buffer of each face, in bytes.
 const RECEIVE_BUFFER_SIZE: usize = 1 << 20;
@@ -25,28 +27,28 @@
 /// Datagrams of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCount {
-    /// How many.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The bytes of these datagrams.
     pub bytes: u64,
 }
 
-/// What one dispatcher sent and was sent.
+/// The datagrams that one dispatcher sent, and those delivered to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DatagramTotals {
-    /// Datagrams that it sent; one to all counts once for each that it is for.
+    /// Datagrams sent; a broadcast counts once for each receiver.
     pub sent: u64,
-    /// Bytes of these.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams delivered to it.
+    /// Datagrams delivered to the dispatcher.
     pub delivered: u64,
-    /// Bytes of these.
+    /// Bytes of the datagrams delivered.
     pub delivered_bytes: u64,
-    /// Those that it sent and that were dropped.
+    /// Datagrams sent that were dropped.
     pub dropped: u64,
-    /// Those that it sent and that were too long.
+    /// Datagrams sent that were too long.
     pub too_long: u64,
-    /// What it sent, by first byte.
+    /// Datagrams sent, by their first byte.
     pub by_first_byte: BTreeMap<u8, DatagramCount>,
 }
 
@@ -77,19 +79,19 @@
     from_strangers: u64,
 }
 
-/// The seed of an ordered pair's draws, by its number.
+/// The seed of the random draws of an ordered pair, by the number of the pair.
 fn pair_seed(seed: u64, number: usize) -> u64 {
     seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The relay of a whole fleet. Its methods take dispatchers by their numbers from 0, and panic if there is none of that
-/// number or a thread of the relay has panicked.
+/// The datagram relay of a fleet. The methods take dispatchers by number from 0. They panic if there is no such dispatcher, or
+/// if a thread of the relay has panicked.
 pub struct DatagramRelay {
-    /// Sends go out past the runtime: a datagram that cannot be sent now is lost, as datagrams are.
+    /// The sockets of the faces. They do not use the runtime for sending: a datagram that cannot be sent at once is lost.
     faces: Vec<std::net::UdpSocket>,
     /// The addresses of the faces.
     addresses: Vec<SocketAddr>,
-    /// Where the dispatchers themselves listen.
+    /// The addresses at which the dispatchers themselves listen.
     own: Vec<SocketAddr>,
     broadcast: SocketAddr,
     inner: Mutex<Inner>,
@@ -99,7 +101,7 @@
 }
 
 impl DatagramRelay {
-    /// `own` is where the dispatchers listen; `faces` and `broadcast` are sockets of the relay.
+    /// `own` are the addresses of the dispatchers; `faces` and `broadcast` are sockets of the relay.
     pub(super) fn start(
         runtime: &Handle,
         own: Vec<SocketAddr>,
@@ -144,7 +146,7 @@
         Ok(relay)
     }
 
-    /// Passes on what comes to a face: to the dispatcher behind it, or to all but the sender if there is none.
+    /// Passes on the datagrams to a socket: to the dispatcher `to`, or to all but the sender if that is `None`.
     async fn listen(self: &Arc<Self>, socket: &UdpSocket, to: Option<usize>) {
         let mut buffer = [0; RECEIVED_LENGTH];
         loop {
@@ -197,7 +199,7 @@
         });
     }
 
-    /// Sends bytes to a dispatcher by the face of another.
+    /// Sends bytes to a dispatcher from the face of another.
     fn send_on(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.faces[from].send_to(bytes, self.own[to]);
     }
@@ -210,17 +212,17 @@
         from * self.own.len() + to
     }
 
-    /// The face of each dispatcher: `peers` of the configuration, the same for all.
+    /// The faces of all dispatchers: `peers` of the configuration, the same for all dispatchers.
     pub fn peers(&self) -> Value {
         json!(self.addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>())
     }
 
-    /// The address that reaches all others of whoever sends to it: `peers_all`.
+    /// The broadcast address, which reaches all dispatchers but the sender: `peers_all` of the configuration.
     pub fn broadcast_address(&self) -> SocketAddr {
         self.broadcast
     }
 
-    /// Sets the faults of datagrams from one to another. A cut stays.
+    /// Sets the faults of datagrams from one dispatcher to another. A cut stays.
     pub fn set(&self, from: usize, to: usize, faults: DatagramFaults) {
         self.inner().pairs[self.pair_number(from, to)].faults = faults;
     }
@@ -230,7 +232,7 @@
         self.inner().pairs.iter_mut().for_each(|pair| pair.faults = faults);
     }
 
-    /// Cuts one way: nothing of `from` reaches any of `to`.
+    /// Cuts one direction: no datagram of `from` reaches any of `to`.
     pub fn cut_one_way(&self, from: &[usize], to: &[usize]) {
         let mut inner = self.inner();
         for from in from {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Cuts between the sides. Who is on none of them can be reached by all. Any earlier cut is healed first.
+    /// Partitions the dispatchers into these sides. Those on no side can be reached by all. Any earlier cut is healed first.
     pub fn partition(&self, sides: &[&[usize]]) {
         self.heal();
         for CutSides { from, to } in cut_sides(sides) {
@@ -253,17 +255,17 @@
         self.inner().pairs.iter_mut().for_each(|pair| pair.is_cut = false);
     }
 
-    /// Sends bytes to a dispatcher as if they came from another, past all faults and counts.
+    /// Sends bytes to a dispatcher as if they came from another, without faults or counts.
     pub fn forge(&self, from: usize, to: usize, bytes: &[u8]) {
         self.send_on(from, to, bytes);
     }
 
-    /// What each dispatcher sent and was delivered so far, by number.
+    /// The totals of each dispatcher so far, by number.
     pub fn totals(&self) -> Vec<DatagramTotals> {
         self.inner().totals.clone()
     }
 
-    /// Datagrams that came from nobody of the fleet.
+    /// The number of datagrams from senders outside the fleet.
     pub fn from_strangers(&self) -> u64 {
         self.inner().from_strangers
     }
--- a/crates/testkit/src/fleet/discovery/connection.rs
+++ b/crates/testkit/src/fleet/discovery/connection.rs
@@ -16,13 +16,13 @@
 const WATCH_RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A call as its request says.
+/// A call, by its request.
 enum Call {
-    /// It opens a watch of what changes after a generation.
+    /// A watch of the changes after a generation.
     Watch { after: u64 },
-    /// It asks for the full list.
+    /// A call for the full list.
     FullList,
-    /// It asks for something that there is not.
+    /// A call for an unknown resource.
     Unknown,
 }
 
@@ -47,12 +47,12 @@
     Some(value("index").and_then(|index| index.parse().ok()).unwrap_or(0))
 }
 
-/// A connection that the service has accepted.
+/// A connection accepted by the service.
 pub(super) struct DiscoveryConnection {
     discovery: Arc<ScriptedDiscovery>,
     relayed: Arc<RelayedConnection>,
     stream: TcpStream,
-    /// Bytes written to the stream.
+    /// The number of bytes written to the stream.
     written: u64,
 }
 
@@ -76,7 +76,7 @@
         self.relayed.link.dispatcher
     }
 
-    /// An error resets the connection.
+    /// Answers calls until the connection ends. An error resets the connection.
     async fn answer_calls(&mut self) -> Result<(), ConnectionFailed> {
         let _ = self.stream.set_nodelay(true);
         let mut reader = HttpReader::default();
@@ -110,7 +110,7 @@
         self.discovery.inner().metrics.count_call(self.dispatcher(), now);
     }
 
-    /// Writes nothing until the mode changes or the other side gives up, and then has the connection reset.
+    /// Writes nothing until the mode changes or the other side gives up. The connection is then reset.
     async fn hang(&mut self) -> Result<(), ConnectionFailed> {
         let mut script = self.discovery.script.subscribe();
         let mode = script.borrow_and_update().mode;
@@ -134,7 +134,7 @@
         self.send_list(&text, answer).await
     }
 
-    /// Sends a list in this form, and logs that the dispatcher was notified once the relay has written its last byte to it.
+    /// Sends a list in this form. Once the relay has written its last byte to the dispatcher, the notification is logged.
     async fn send_list(&mut self, text: &str, list: ListFor) -> Result<(), ConnectionFailed> {
         let end = self.written + text.len() as u64;
         self.relayed.log_once_written(end, list.notified, &self.discovery.event_log);
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Sends what changes after a generation until the dispatcher closes the watch. An error resets the connection.
+    /// Sends the changes after a generation until the dispatcher closes the watch. An error resets the connection.
     async fn serve_watch(&mut self, after: u64) -> Result<(), ConnectionFailed> {
         let mut changes = WatchedChanges {
             generation: self.discovery.generation.subscribe(),
@@ -201,18 +201,18 @@
     }
 }
 
-/// What a watch waits for.
+/// The signals for which a watch waits.
 struct WatchedChanges {
     generation: watch::Receiver<u64>,
     script: watch::Receiver<DiscoveryScript>,
 }
 
-/// What happened on a watch while there was nothing to send.
+/// An event on a watch without pending changes.
 enum WatchEvent {
-    /// Something to send may have come; if not, the watch waits on.
+    /// There may be changes to send; if not, the watch continues to wait.
     Changed,
     /// Nothing has changed for the heartbeat interval, and the service is up.
     HeartbeatDue,
-    /// The dispatcher has closed it.
+    /// The dispatcher has closed the watch.
     Closed,
 }
--- a/crates/testkit/src/fleet/discovery/endpoint_table.rs
+++ b/crates/testkit/src/fleet/discovery/endpoint_table.rs
@@ -1,49 +1,49 @@
-//! The endpoint list of the scripted discovery service: its generations, and what changed in each.
+//! The endpoint list of the scripted discovery service: its generations, and their changes.
 
 use crate::fleet::event_log::{Event, Lifecycle, NotifiedEndpoint};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// An endpoint of the list, without its address, which each dispatcher has its own of.
+/// An endpoint of the list, without its address, which is different for each dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The worker's name.
     pub name: String,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Its kind.
+    /// The worker's kind.
     pub kind: String,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: u32,
-    /// Its lifecycle.
+    /// The worker's lifecycle.
     pub lifecycle: Lifecycle,
-    /// Its weight.
+    /// The worker's weight.
     pub weight: f64,
-    /// Its last start in Unix milliseconds, 0 for long ago.
+    /// The worker's last start, in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
 }
 
-/// A list as one dispatcher gets it, and the event that this dispatcher was notified.
+/// A list for one dispatcher, and the event of the dispatcher's notification.
 pub(super) struct ListFor {
     pub(super) generation: u64,
     pub(super) list: Value,
     pub(super) notified: Event,
 }
 
-/// The endpoints by worker, and when each changed.
+/// The endpoints by worker, with the generation of each one's last change.
 pub(super) struct EndpointTable {
     generation: u64,
-    /// The first generation after which changes are known; before it a watch gets the full list.
+    /// The first generation after which all changes are known. A watch from an earlier generation gets the full list.
     first_known: u64,
     endpoints: Vec<Endpoint>,
-    /// At which generation each endpoint changed last.
+    /// The generation at which each endpoint last changed.
     changed: Vec<u64>,
-    /// By dispatcher, then by worker.
+    /// The addresses, by dispatcher and then by worker.
     addresses: Vec<Vec<SocketAddr>>,
 }
 
 impl EndpointTable {
-    /// `addresses[dispatcher][worker]` is where a dispatcher finds a worker.
+    /// `addresses[dispatcher][worker]` is the address of a worker for a dispatcher.
     pub(super) fn new(endpoints: Vec<Endpoint>, addresses: Vec<Vec<SocketAddr>>) -> EndpointTable {
         let changed = vec![1; endpoints.len()];
         EndpointTable { generation: 1, first_known: 1, endpoints, changed, addresses }
@@ -53,7 +53,7 @@
         self.generation
     }
 
-    /// Changes an endpoint, which makes a new generation, and returns the event that says so.
+    /// Changes an endpoint, which begins a new generation. Returns the event of the change.
     pub(super) fn change(&mut self, worker: usize, change: impl FnOnce(&mut Endpoint)) -> Event {
         change(&mut self.endpoints[worker]);
         self.generation += 1;
@@ -61,12 +61,13 @@
         Event::EndpointChanged { generation: self.generation, endpoint: self.notified_endpoint(worker) }
     }
 
-    /// From now on the changes so far are not known.
+    /// Forgets all changes so far.
     pub(super) fn forget_changes(&mut self) {
         self.first_known = self.generation + 1;
     }
 
-    /// The list for a dispatcher: the changes after a generation, or the full list if there is none or it is not known.
+    /// The list for a dispatcher: the changes after a generation; the full list if no generation is given, or if the changes
+    /// after it are not known.
     pub(super) fn list_for(&self, dispatcher: usize, after: Option<u64>) -> ListFor {
         let after = after.filter(|after| (self.first_known..=self.generation).contains(after));
         let is_full = after.is_none();
--- a/crates/testkit/src/fleet/load.rs
+++ b/crates/testkit/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Random loads: jobs at random times, each load from its own seed.
+//! Random loads: jobs at random times, with one seed per load.
 
 use super::clients::{Clients, Job, JobOutcome};
 use hdrhistogram::Histogram;
@@ -11,39 +11,39 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Jobs of one load in flight at one dispatcher; beyond that its arrivals wait.
+/// The maximum number of jobs of a load in flight at one dispatcher. Further arrivals wait.
 const MAX_OPEN_JOBS: u32 = 4096;
-/// The lowest rate, in jobs a second, that times can be drawn for.
+/// The minimum rate for which times are drawn, in jobs per second.
 const MIN_RATE: f64 = 1e-9;
 
-/// Draws the next job; the number counts the jobs of one dispatcher.
+/// Generates the next job; the number counts the jobs at one dispatcher.
 pub type JobGenerator = Arc<dyn Fn(&mut fastrand::Rng, u64) -> Job + Send + Sync>;
 
 /// A load: jobs at random times (a Poisson process) at each of some dispatchers.
 #[derive(Clone)]
 pub struct LoadPlan {
-    /// The dispatchers that get it.
+    /// The dispatchers that get the load.
     pub dispatchers: Vec<usize>,
-    /// Jobs a second at each of them.
+    /// The mean rate at each of them, in jobs per second.
     pub rate: f64,
-    /// How long it lasts, unless it is stopped earlier.
+    /// The duration of the load, unless it is stopped earlier.
     pub duration: Duration,
-    /// Draws its jobs.
+    /// Generates the jobs.
     pub job: JobGenerator,
 }
 
-/// What became of a load's jobs.
+/// The outcomes of a load's jobs.
 #[derive(Clone, Debug)]
 pub struct LoadSummary {
-    /// Jobs that clients wanted to send.
+    /// All jobs of the load.
     pub jobs: u64,
     /// Replies by status.
     pub answers: BTreeMap<u16, u64>,
-    /// Jobs that nobody took.
+    /// Jobs that no process accepted.
     pub unreachable: u64,
-    /// Jobs that were taken and got no whole reply.
+    /// Jobs that were sent and got no complete reply.
     pub unanswered: u64,
-    /// Microseconds until a 200.
+    /// The times until replies with status 200, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// A load that runs. Its methods panic if a task of the load has panicked.
+/// A running load. The methods panic if a task of the load has panicked.
 pub struct RunningLoad {
     tasks: Vec<JoinHandle<()>>,
     is_stopped: Arc<AtomicBool>,
@@ -82,7 +82,7 @@
 }
 
 impl RunningLoad {
-    /// Starts a load, each dispatcher's part with a seed of its own.
+    /// Starts a load. The part of each dispatcher has its own seed.
     pub(super) fn start(clients: &Arc<Clients>, runtime: &Handle, plan: &LoadPlan, seed: u64) -> RunningLoad {
         let is_stopped = Arc::new(AtomicBool::new(false));
         let summary = Arc::new(Mutex::new(LoadSummary::new()));
@@ -102,7 +102,7 @@
         RunningLoad { tasks, is_stopped, summary, runtime: runtime.clone() }
     }
 
-    /// What became of its jobs so far.
+    /// The outcomes of the jobs so far.
     pub fn summary(&self) -> LoadSummary {
         self.summary.lock().expect("a lock").clone()
     }
@@ -112,7 +112,7 @@
         self.summary.lock().expect("a lock").served()
     }
 
-    /// Lets it run for its duration, waits until each job has ended, and returns what became of them.
+    /// Waits until the load and all its jobs have ended. Returns the outcomes.
     pub fn finish(self) -> LoadSummary {
         for task in self.tasks {
             let _ = self.runtime.block_on(task);
@@ -123,14 +123,14 @@
         )
     }
 
-    /// Sends no further jobs; then as [`RunningLoad::finish`].
+    /// Stops sending jobs, and then acts like [`RunningLoad::finish`].
     pub fn stop(self) -> LoadSummary {
         self.is_stopped.store(true, Ordering::Relaxed);
         self.finish()
     }
 }
 
-/// The part of a load that one dispatcher gets.
+/// The part of a load for one dispatcher.
 struct LoadPart {
     clients: Arc<Clients>,
     plan: LoadPlan,
@@ -141,7 +141,7 @@
 }
 
 impl LoadPart {
-    /// Sends jobs until its time is over or it is stopped, and waits until each has ended.
+    /// Sends jobs until the duration is over or the load is stopped. Waits until all jobs have ended.
     async fn run(mut self) {
         let permits = Arc::new(Semaphore::new(MAX_OPEN_JOBS as usize));
         let started = Instant::now();
--- a/crates/testkit/src/fleet/partition.rs
+++ b/crates/testkit/src/fleet/partition.rs
@@ -1,4 +1,4 @@
-//! Partitions: who is on which side, and the pairs that are cut off from each other.
+//! Network partitions: the members of each side, and the pairs of sides that are cut off from each other.
 
 /// The members on one side of a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     pub has_discovery: bool,
 }
 
-/// Two sides of a partition, of which nothing gets from the first to the second.
+/// Two sides of a partition; nothing gets from the first to the second.
 pub(super) struct CutSides<'a, T> {
     pub(super) from: &'a T,
     pub(super) to: &'a T,
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -1,26 +1,26 @@
-//! What a fleet is made of, and the seed that everything random in it is drawn from.
+//! The plan of a fleet, and the seed of all its random choices.
 
 use super::{DiscoveryScript, FleetError, WorkerScript};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// The most processes of a fleet: each has an address of its own in the fleet's block of 254.
+/// The maximum number of processes of a fleet: each has its own address in the fleet's block of 254.
 pub const MAX_PROCESSES: usize = 120;
-/// The most workers of a fleet.
+/// The maximum number of workers of a fleet.
 pub const MAX_WORKERS: usize = 80;
 
 /// Changes the configuration of a dispatcher, by number, before it is written.
 pub type ConfigChange = Arc<dyn Fn(usize, &mut Value) + Send + Sync>;
 
-/// What a fleet is made of.
+/// The plan of a fleet.
 #[derive(Clone)]
 pub struct Plan {
     /// The built program: `env!("CARGO_BIN_EXE_mothproxy")` in a test.
     pub program: PathBuf,
-    /// How many processes.
+    /// The number of processes.
     pub size: usize,
-    /// Everything random is drawn from it.
+    /// The seed of all random choices.
     pub seed: u64,
     /// The workers.
     pub workers: Vec<WorkerScript>,
@@ -28,14 +28,14 @@
     pub discovery: DiscoveryScript,
     /// The operators' file of every process (protobuf text format), if there is one.
     pub settings: Option<String>,
-    /// A last change of each configuration, such as to the settings or to `known`.
+    /// A final change of each configuration, for example of the settings or of `known`.
     pub change: Option<ConfigChange>,
-    /// `peers_all` is given to the dispatchers.
+    /// Whether the dispatchers get `peers_all`.
     pub has_peer_broadcast: bool,
 }
 
 impl Plan {
-    /// This many processes of a program, and workers of the default script.
+    /// A plan with `size` processes of a program, and with `workers` workers of the default script.
     pub fn new(program: impl Into<PathBuf>, size: usize, workers: usize, seed: u64) -> Plan {
         Plan {
             program: program.into(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// The seed that the environment variable `FLEET_SEED` names, to replay a run, or this one.
+/// The seed in the environment variable `FLEET_SEED`, to replay a run; `seed` if it is not set.
 pub fn seed_or(seed: u64) -> u64 {
     let text = std::env::var("FLEET_SEED").ok();
     let parse = |text: &str| match text.strip_prefix("0x") {
@@ -77,7 +77,7 @@
 pub(super) const SEEDS_PER_DISPATCHER: u64 = 1_000;
 pub(super) const FIRST_START_SEED: u64 = 1 << 32;
 
-/// A seed for one purpose, from the one that is printed.
+/// Derives the seed for one purpose from the printed seed.
 pub(super) fn derive_seed(seed: u64, purpose: u64) -> u64 {
     fastrand::Rng::with_seed(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15)).u64(..)
 }
--- a/crates/testkit/src/fleet/worker/connection.rs
+++ b/crates/testkit/src/fleet/worker/connection.rs
@@ -14,13 +14,13 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// How an exchange goes on.
+/// How a connection continues after a request.
 enum Reply {
     Send(String),
     CloseConnection,
 }
 
-/// A connection that a worker has accepted.
+/// A connection accepted by a worker.
 pub(super) struct WorkerConnection {
     worker: Arc<ScriptedWorker>,
     relayed: Arc<RelayedConnection>,
@@ -63,7 +63,7 @@
         });
     }
 
-    /// An error resets the connection.
+    /// Answers requests until the connection ends. An error resets the connection.
     async fn answer_requests(&self, stream: &mut TcpStream) -> Result<(), ConnectionFailed> {
         let _ = stream.set_nodelay(true);
         let mut reader = HttpReader::default();
@@ -110,7 +110,7 @@
         Reply::Send("HTTP/1.1 204 No Content\r\n\r\n".to_owned())
     }
 
-    /// Accepts a job, or not. An error resets the connection.
+    /// Treats a job as the script says. An error resets the connection.
     async fn on_job(
         &self,
         stream: &mut TcpStream,
@@ -144,7 +144,7 @@
         Some(ArrivedJob { id, key, work: self.draw_work(script, &request.body) })
     }
 
-    /// A job's work: what its body says, or what the script says.
+    /// The work of a job, by its body or else by the script.
     fn draw_work(&self, script: &WorkerScript, body: &str) -> Duration {
         let own = body.split_whitespace().find_map(|word| word.strip_prefix("work_us=")?.parse().ok());
         let mean = own.map_or(script.work, Duration::from_micros);
@@ -155,7 +155,7 @@
         mean.mul_f64(-draw.ln())
     }
 
-    /// `received_at` is when the relay had the job's first byte.
+    /// Logs and counts a job. `received_at` is the time of its first byte at the relay.
     fn on_job_arrived(&self, job: &ArrivedJob, received_at: u64) {
         let dispatcher = self.dispatcher();
         let work = job.work.as_micros() as u64;
--- a/crates/testkit/src/fleet/worker/job.rs
+++ b/crates/testkit/src/fleet/worker/job.rs
@@ -1,4 +1,4 @@
-//! The life of a job at a scripted worker: it waits for a slot, runs or is cancelled, and is reported.
+//! The life cycle of a job at a scripted worker: it waits for a slot, runs or is cancelled, and is reported.
 
 use super::executed_keys::{KeyClaim, KeyExecution, KeyState};
 use super::{ScriptedWorker, WorkerScript};
@@ -11,30 +11,30 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// The slowest that a worker can be.
+/// The minimum speed of a worker.
 const MIN_SPEED: f64 = 1e-6;
 
-/// A job as it arrived.
+/// A received job.
 pub(super) struct ArrivedJob {
     pub(super) id: String,
     pub(super) key: Option<String>,
     pub(super) work: Duration,
 }
 
-/// A job that waits or runs.
+/// A waiting or running job.
 #[derive(Default)]
 pub(super) struct PendingJob {
     is_cancelled: AtomicBool,
     cancelled: Notify,
 }
 
-/// A job that was made pending, and how many are now.
+/// A job that was made pending, and the number of pending jobs.
 pub(super) struct EnqueuedJob {
     pub(super) job: Arc<PendingJob>,
     pub(super) count: usize,
 }
 
-/// Jobs that wait or run, by id.
+/// The waiting and running jobs, by id.
 #[derive(Default)]
 pub(super) struct PendingJobs {
     jobs: Mutex<HashMap<String, Arc<PendingJob>>>,
@@ -45,7 +45,7 @@
         self.jobs.lock().expect("a lock").len()
     }
 
-    /// Makes a job pending; `None` if so many are already.
+    /// Makes a job pending; `None` if `max_pending` jobs already are.
     pub(super) fn enqueue(&self, id: &str, max_pending: usize) -> Option<EnqueuedJob> {
         let mut jobs = self.jobs.lock().expect("a lock");
         if jobs.len() >= max_pending {
@@ -56,7 +56,7 @@
         Some(EnqueuedJob { job, count: jobs.len() })
     }
 
-    /// Cancels a job; false if it is not pending.
+    /// Cancels a job. Returns false if it is not pending.
     pub(super) fn cancel(&self, id: &str) -> bool {
         let jobs = self.jobs.lock().expect("a lock");
         let Some(job) = jobs.get(id) else { return false };
@@ -77,7 +77,7 @@
 /// One job at one worker, from its acceptance to its last report.
 pub(super) struct JobRun {
     pub(super) worker: Arc<ScriptedWorker>,
-    /// By which the job came and its reports go.
+    /// The link by which the job came and by which its reports are sent.
     pub(super) link: Arc<Link>,
     pub(super) job: ArrivedJob,
     /// The worker's script when the job arrived.
@@ -117,7 +117,7 @@
         self.report_done(result).await;
     }
 
-    /// Waits for a slot and does the job's work; false if the job was cancelled first.
+    /// Waits for a slot and does the job's work. Returns false if the job was cancelled before it ran.
     async fn execute(&self, execution: Option<&mut KeyExecution<'_>>) -> bool {
         let slots = self.worker.slots.lock().expect("a lock").clone();
         let cancelled = self.pending.cancelled.notified();
@@ -149,13 +149,13 @@
         self.worker.context.event_log.add(Event::Executed { worker, id, key });
     }
 
-    /// How long the job's work takes at the worker's present speed.
+    /// The time of the job's work at the worker's current speed.
     fn run_time(&self) -> Duration {
         let speed = self.script.speed * self.worker.warmth(&self.script);
         self.job.work.div_f64(speed.max(MIN_SPEED))
     }
 
-    /// Reports once more how the execution of the job's key ends.
+    /// Reports the outcome of the earlier execution of the job's key.
     async fn repeat(&self, state: &watch::Sender<KeyState>) {
         self.worker.count(|metrics| metrics.repeats += 1);
         let mut state = state.subscribe();
--- a/crates/testkit/src/fleet/worker/status_callback.rs
+++ b/crates/testkit/src/fleet/worker/status_callback.rs
@@ -1,4 +1,4 @@
-//! Status callbacks: how a scripted worker reports the status of a job, on connections that it keeps.
+//! Status callbacks, by which a scripted worker reports the status of a job on persistent connections.
 
 use crate::fleet::ConnectionFailed;
 use crate::fleet::http::HttpReader;
@@ -13,12 +13,12 @@
 
 const MAX_ATTEMPTS: u32 = 10;
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// One attempt is answered by then.
+/// The timeout of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections to one dispatcher that are kept.
+/// The maximum number of idle connections to one dispatcher.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// A connection for callbacks, and what was read from it and not used.
+/// A connection for callbacks, with the bytes that were read and not used yet.
 struct CallbackConnection {
     stream: TcpStream,
     reader: HttpReader,
@@ -40,13 +40,13 @@
 }
 
 impl CallbackClient {
-    /// `dispatchers` are the addresses at which they are called back.
+    /// `dispatchers` are the addresses of the dispatchers for callbacks.
     pub(super) fn new(dispatchers: Vec<SocketAddr>) -> CallbackClient {
         CallbackClient { dispatchers, idle: Mutex::default() }
     }
 
-    /// Calls back until it is answered, [`MAX_ATTEMPTS`] times at most; false if it never was. While its link is cut an
-    /// attempt takes as long as a connect that does not come up.
+    /// Sends a callback until it is answered, at most [`MAX_ATTEMPTS`] times. Returns false if it was never answered. While
+    /// the link is cut, an attempt takes as long as a connect that times out.
     pub(super) async fn deliver(&self, link: &Link, update: &Value) -> bool {
         for _ in 0..MAX_ATTEMPTS {
             let is_through =
@@ -71,7 +71,7 @@
         tokio::time::timeout(ATTEMPT_TIMEOUT, exchange).await.map_err(|_| ConnectionFailed)?
     }
 
-    /// One call and its reply. The connection is kept if it stays open.
+    /// Sends one callback and reads the reply. The connection is kept if it stays open.
     async fn exchange(
         &self,
         dispatcher: usize,
