--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,4 +1,5 @@
-//! A buffered, non-blocking socket: what was read and not used yet, and what is to be written, in gathered writes.
+//! A buffered, non-blocking socket. It keeps the bytes read but not used yet, and the bytes still to be written; writes are
+//! gathered.
 
 use crate::core::Core;
 use crate::http::Piece;
@@ -11,36 +12,36 @@
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::OwnedFd;
 
-/// The most pieces of one gathered write.
+/// The maximum number of pieces in one gathered write.
 const MAX_GATHERED_PIECES: usize = 16;
-/// The most bytes read by one call.
+/// The maximum number of bytes read by one system call.
 const MAX_READ: usize = 16 * 1024;
 
 /// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// All that was there has been read.
+    /// All available bytes have been read.
     WouldBlock,
-    /// The inbox holds as much as the limit allows; there may be more to read.
+    /// The inbox is at its limit; there may be more to read.
     LimitReached,
-    /// The other side has ended its sending.
+    /// The other side has stopped sending.
     Eof,
     /// The connection broke.
     Broken,
 }
 
-/// Pieces of bytes to be written, in order.
+/// The pieces of bytes still to be written, in order.
 #[derive(Debug, Default)]
 pub struct Outbox {
     pieces: VecDeque<Piece>,
-    /// Bytes of the first piece that are written.
+    /// Bytes of the first piece that have already been written.
     written: usize,
-    /// Bytes still to be written, of all pieces.
+    /// Bytes still to be written, over all pieces.
     len: usize,
 }
 
 impl Outbox {
-    /// Adds pieces.
+    /// Appends pieces; empty ones are dropped.
     pub fn push(&mut self, pieces: Vec<Piece>) {
         for piece in pieces {
             let len = piece.bytes().len();
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Drops what is still to be written.
+    /// Drops all bytes still to be written.
     pub fn clear(&mut self) {
         *self = Outbox::default();
     }
@@ -61,12 +62,12 @@
         self.len
     }
 
-    /// Whether all is written.
+    /// Whether everything has been written.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// So many bytes more are written.
+    /// Removes the next `count` bytes, which have been written.
     fn advance(&mut self, mut count: usize) {
         self.len -= count;
         while let Some(first) = self.pieces.front() {
@@ -87,23 +88,24 @@
 pub struct Connection {
     /// Its socket.
     pub stream: TcpStream,
-    /// What was read and not used yet.
+    /// Bytes read but not used yet.
     pub inbox: Vec<u8>,
-    /// What is to be written.
+    /// Bytes still to be written.
     pub outbox: Outbox,
-    /// What epoll watches it for.
+    /// The events that epoll watches it for.
     pub interest: EventFlags,
     /// Its deadline, if one is set.
     pub timer: Option<Micros>,
-    /// Something was written on it since this was last reset.
+    /// Whether anything has been written since this flag was last reset.
     pub has_written: bool,
 }
 
 impl Connection {
-    /// A connection over a socket that does not block. Small writes are not held back (`TCP_NODELAY`): an accepted socket has
-    /// that from its listener on some systems only, and a close over unread bytes takes with it what is held back.
+    /// Creates a connection over a non-blocking socket, and sets `TCP_NODELAY` so that the kernel does not hold back small
+    /// writes. An accepted socket inherits that option from its listener on some systems only. A close while bytes are unread
+    /// would also discard any bytes held back.
     pub fn new(stream: TcpStream) -> Connection {
-        let _ = stream.set_nodelay(true); // a slower connection is no reason to lose it
+        let _ = stream.set_nodelay(true); // a slow connection is better than none
         let interest = EventFlags::empty();
         Connection {
             stream,
@@ -115,10 +117,10 @@
         }
     }
 
-    /// Begins to connect; the socket turns writable once that has succeeded or failed.
+    /// Starts to connect. The socket becomes writable once connecting has succeeded or failed.
     ///
     /// # Errors
-    /// Where the system refuses at once.
+    /// If the system refuses at once.
     pub fn connect(to: SocketAddr) -> Result<Connection, Errno> {
         use rustix::net::{SocketFlags, SocketType, connect, ipproto, socket_with};
         let family = match to {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Sets or drops its deadline: the core's timer of its token. [`Reactor::close`] drops it as well.
+    /// Sets its deadline, or cancels it if `at` is `None`. The deadline is the core's timer for `token`. [`Reactor::close`]
+    /// cancels it too.
     ///
     /// [`Reactor::close`]: crate::server::reactor::Reactor::close
     pub fn set_timer(&mut self, core: &mut Core, token: Token, at: Option<Micros>) {
@@ -146,7 +149,7 @@
         self.timer = at;
     }
 
-    /// Writes what the socket takes. False if the connection broke.
+    /// Writes as much as the socket accepts. Returns false if the connection broke.
     pub fn flush(&mut self) -> bool {
         while !self.outbox.is_empty() {
             let mut slices = [IoSlice::new(&[]); MAX_GATHERED_PIECES];
@@ -170,8 +173,8 @@
         true
     }
 
-    /// Whether the other side has ended its sending, or the connection is broken. To see that, what is there is read, as long
-    /// as the inbox holds less than `limit` bytes.
+    /// Returns whether the other side has stopped sending or the connection is broken. To find out, it reads the available
+    /// bytes, as long as the inbox holds less than `limit` bytes.
     pub fn has_ended(&mut self, limit: usize) -> bool {
         loop {
             let length = self.inbox.len();
@@ -179,12 +182,12 @@
                 ReadEnd::Eof | ReadEnd::Broken => return true,
                 ReadEnd::LimitReached => return false,
                 ReadEnd::WouldBlock if self.inbox.len() == length => return false,
-                ReadEnd::WouldBlock => {} // a short read leaves the end behind it unseen
+                ReadEnd::WouldBlock => {} // after a short read the end of the stream may still follow
             }
         }
     }
 
-    /// Reads until the inbox holds `limit` bytes or nothing more is there.
+    /// Reads until the inbox holds `limit` bytes or no more bytes are available.
     pub fn fill(&mut self, limit: usize) -> ReadEnd {
         while self.inbox.len() < limit {
             let length = self.inbox.len();
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -1,7 +1,7 @@
-//! All open connections by token, with what each is for. The table belongs to the [`Reactor`], which alone changes it.
+//! All open connections by token, each with its role. The table belongs to the [`Reactor`], and only the reactor changes it.
 //!
-//! A handler takes a connection out of its slot, and puts it back or closes it before it returns. While it is out, whatever
-//! else looks for it finds nothing.
+//! A handler takes a connection out of its slot, and puts it back or closes it before the handler returns. Meanwhile any other
+//! lookup of that connection finds nothing.
 //!
 //! [`Reactor`]: crate::server::reactor::Reactor
 
@@ -13,33 +13,33 @@
 use crate::server::upstream::UpstreamConnection;
 use mothproxy_invariant::invariant;
 
-/// The bits of a slot's generation. Tokens above them belong to what is no connection.
+/// Mask for the 31 bits of a slot's generation. Higher tokens belong to sources of events other than connections.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
-/// What a connection is for.
+/// The purpose of a connection.
 pub(super) enum Role {
-    /// A client's, or that of a worker with its callbacks.
+    /// From a client, or from a worker that sends its status callbacks.
     Client(ClientConnection),
-    /// One to a worker.
+    /// To a worker.
     Upstream(UpstreamConnection),
     /// A call to discovery.
     Discovery(DiscoveryCall),
-    /// A call of the admin address.
+    /// A call to the admin address.
     Admin(AdminConnection),
 }
 
 impl Role {
-    /// Whether the connection counts against the budget. Calls to discovery and of the admin address have descriptors of
-    /// their own.
+    /// Whether the connection counts against the budget. Calls to discovery and to the admin address use descriptors that are
+    /// reserved for them.
     fn is_budgeted(&self) -> bool {
         matches!(self, Role::Client(_) | Role::Upstream(_))
     }
 }
 
-/// A connection with what it is for.
+/// A connection with its role.
 pub(super) type Entry = (Connection, Role);
 
-/// Where one connection at a time lives.
+/// A place for one connection at a time.
 struct Slot {
     generation: u32,
     entry: Option<Entry>,
@@ -55,49 +55,50 @@
 }
 
 impl ConnectionTable {
-    /// Connections of clients and to workers.
+    /// The number of open connections of clients and to workers.
     pub fn open_connections(&self) -> usize {
         self.open_connections
     }
 
-    /// Connections of clients.
+    /// The number of open connections of clients.
     pub fn clients(&self) -> usize {
         self.clients
     }
 
-    /// Slots, with a connection or without.
+    /// The number of slots, occupied or not.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// The token that a slot's connection has now.
+    /// The token of a slot in its current generation. Panics if there is no such slot.
     pub fn token_at(&self, slot: usize) -> Token {
         Token::new(slot, self.slots[slot].generation)
     }
 
-    /// All connections that are in their slots.
+    /// All connections that are in their slots; those that a handler has taken out are skipped.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.slots.iter().filter_map(|slot| slot.entry.as_ref())
     }
 
-    /// A connection, if it is in its slot.
+    /// Returns a connection; `None` if it is closed or taken out of its slot.
     pub fn get(&self, token: Token) -> Option<&Entry> {
         let slot = self.slots.get(token.slot())?;
         if Token::new(token.slot(), slot.generation) == token { slot.entry.as_ref() } else { None }
     }
 
-    /// Takes a connection out of its slot, to be put back or closed.
+    /// Takes a connection out of its slot. The caller must put it back or close it.
     pub fn take(&mut self, token: Token) -> Option<Entry> {
         let slot = self.slots.get_mut(token.slot())?;
         if Token::new(token.slot(), slot.generation) == token { slot.entry.take() } else { None }
     }
 
-    /// Puts a connection back that was taken.
+    /// Puts back a connection that was taken out.
     pub fn put(&mut self, token: Token, connection: Connection, role: Role) {
         self.slots[token.slot()].entry = Some((connection, role));
     }
 
-    /// A free slot's token. It is to be filled by [`ConnectionTable::insert`] or freed by [`ConnectionTable::unreserve`].
+    /// Reserves a free slot and returns its token. The caller must fill it by [`ConnectionTable::insert`] or free it by
+    /// [`ConnectionTable::unreserve`].
     pub fn reserve(&mut self) -> Token {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, entry: None });
@@ -106,19 +107,19 @@
         self.token_at(slot)
     }
 
-    /// Frees a slot that was reserved and not filled.
+    /// Frees a reserved slot that was not filled.
     pub fn unreserve(&mut self, token: Token) {
         self.free.push(token.slot());
     }
 
-    /// Fills a slot that was reserved.
+    /// Fills a reserved slot and counts the connection.
     pub fn insert(&mut self, token: Token, connection: Connection, role: Role) {
         self.open_connections += usize::from(role.is_budgeted());
         self.clients += usize::from(matches!(role, Role::Client(_)));
         self.put(token, connection, role);
     }
 
-    /// Frees the slot of a connection that was taken out of it.
+    /// Frees the slot of a connection that was taken out. The slot's generation changes, so that the old token finds nothing.
     pub fn remove(&mut self, token: Token, role: &Role) {
         let slot = &mut self.slots[token.slot()];
         invariant!(slot.entry.is_none(), "a connection closed while in its slot");
--- a/src/server/context.rs
+++ b/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What the handlers of a part are given beside the part itself.
+//! What each handler receives in addition to its own part.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -9,32 +9,33 @@
 use crate::server::peers::PeerSocket;
 use crate::server::reactor::Reactor;
 
-/// What every part may use. A handler that writes the state of another part has that part in its signature as well; what is
-/// shared here is read only, but for the core, the reactor, the counters and the clock.
+/// What every part may use. The core, the reactor, the counters and the clock may be changed; the rest is read only. A handler
+/// that writes the state of another part names that part in its signature.
 pub(super) struct Context<'a> {
-    /// Where events go, and where the timers are.
+    /// The core, which takes the events and holds the timers.
     pub core: &'a mut Core,
-    /// Epoll, and all connections.
+    /// Epoll and all connections.
     pub reactor: &'a mut Reactor,
-    /// What is counted.
+    /// The counters.
     pub metrics: &'a mut Metrics,
-    /// The configuration that counts.
+    /// The current configuration.
     pub config: &'a Config,
     /// Whether this process drains, shuts down or has handed over.
     pub lifecycle: &'a Lifecycle,
     /// The socket to the other dispatchers.
     pub peer_socket: &'a PeerSocket,
-    /// The time of this turn.
+    /// The clock of the loop.
     pub clock: &'a mut Clock,
 }
 
 impl Context<'_> {
-    /// When the events of this turn were taken.
+    /// The time when the events of this turn were taken, or a later update of the clock in a long turn.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Sends a datagram to another dispatcher, which may get lost. During an upgrade the successor speaks for both processes.
+    /// Sends a datagram to another dispatcher; it may get lost. After a handover this sends nothing, since the successor then
+    /// speaks for both processes.
     pub fn send_to_peer(&self, to: u32, bytes: &[u8]) {
         if !self.lifecycle.has_handed_over() {
             self.peer_socket.send(self.config, to, bytes);
@@ -42,8 +43,8 @@
     }
 }
 
-/// The context of a handler, out of the server's fields. A method would borrow the whole server, and with it the part whose
-/// handler is called.
+/// Builds the context of a handler from the server's fields. This is a macro because a method would borrow the whole server,
+/// including the part whose handler is called.
 macro_rules! context {
     ($server:ident) => {
         $crate::server::context::Context {
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,7 +1,7 @@
-//! One turn of the loop: commands of the core, a wait for events, and each event to its handler.
+//! One turn of the loop: run the core's commands, wait for events, and pass each event to its handler.
 //!
-//! The order within a turn is part of the contract. The admin address and discovery come first, then clients that have
-//! disconnected, then everything else in the order in which epoll reports it.
+//! The order of events within a turn is part of the contract. The admin address and the watch of discovery come first, then
+//! clients that have disconnected, then all other events in the order in which epoll reports them.
 
 use crate::core::{Command, DownstreamId, FinalResponse, RequestId, TimerToken};
 use crate::server::Server;
@@ -23,10 +23,10 @@
 use std::time::Duration;
 
 impl Server {
-    /// Serves until a shutdown has been completed.
+    /// Serves until a shutdown is complete.
     ///
     /// # Errors
-    /// Where epoll fails.
+    /// If epoll fails.
     pub fn serve(&mut self) -> Result<(), ServerError> {
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
         self.clock.update();
@@ -47,17 +47,17 @@
         Ok(())
     }
 
-    /// Waits for events, until the next timer of the core is due.
+    /// Waits for events, at most until the next timer of the core is due.
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let wake = self.core.next_wake();
         let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
         self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
-    /// Hands the events of a turn to their handlers, in the order that is part of the contract.
+    /// Passes the events of a turn to their handlers, in the order that the contract requires.
     fn handle_events(&mut self, events: &[Event]) {
-        // A call to the admin address does not wait for the requests of this turn. And what discovery has sent counts
-        // before anything of this turn is forwarded.
+        // Calls to the admin address do not wait for the requests of this turn. Lists on the watch of discovery take effect
+        // before any request of this turn is forwarded.
         let watch = self.discovery.watch();
         for event in events {
             match (Token(event.data.u64()), event.flags) {
@@ -68,7 +68,7 @@
                 _ => {}
             }
         }
-        // Clients that leave come before those that bring work, which takes longer.
+        // Handle disconnected clients before clients with requests, because requests take longer.
         for event in events {
             let context = &mut client_context!(self);
             self.clients.on_hangup(context, Token(event.data.u64()), event.flags);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Carries out what the core wants done.
+    /// Runs all pending commands of the core, then the effects of event streams.
     pub(super) fn run_commands(&mut self) {
         while let Some(command) = self.core.next_command() {
             match command {
@@ -122,7 +122,7 @@
         self.run_stream_effects();
     }
 
-    /// Passes the final response to a request to whoever awaits it.
+    /// Passes the final response of a request to the client connection or the job that awaits it.
     fn respond(&mut self, request_id: RequestId, downstream: DownstreamId, response: FinalResponse) {
         self.pending.remove(request_id);
         match Downstream::from_id(downstream) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Passes the progress of a request to whoever awaits its response.
+    /// Passes the progress of a request to the client connection or the job that awaits its response.
     fn notify_progress(&mut self, downstream: DownstreamId, share: Option<f64>) {
         match Downstream::from_id(downstream) {
             Downstream::Connection(token) => {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Hands a timer of the core to its handler.
+    /// Passes a timer of the core to its handler.
     fn on_timer(&mut self, timer: TimerToken) {
         match timer {
             WATCH_TIMER => self.discovery.on_watch_timer(&mut context!(self), &mut self.membership),
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,13 +1,13 @@
-//! The network side: one epoll loop that turns what arrives into events of the core, and its commands into bytes.
+//! The network side: one epoll loop. It turns incoming bytes into events for the core, and the core's commands into bytes.
 //!
-//! Nothing is decided here. [`Server`] owns the parts, each with its own state; `open` starts them, and `event_loop` says in
-//! what order a turn serves them.
+//! This module makes no decisions. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
+//! defines the order in which a turn serves them.
 //!
-//! - The `reactor` alone has epoll and the table of connections; it begins and ends the life of each of them.
-//! - A part's handlers are methods of the part. They are given a `Context` (`context`): the core, the reactor, the counters and the clock
-//!   to use, the configuration, the lifecycle and the peers' socket to read. Another part that a handler changes is in its
-//!   signature.
-//! - What concerns several parts at once is a method of [`Server`], in the file of the part that it begins with: making room for
+//! - Only the `reactor` holds epoll and the table of connections. It begins and ends the lifecycle of each connection.
+//! - The handlers of a part are its methods. Each receives a `Context` (`context`): it may use the core, the reactor, the
+//!   counters and the clock, and read the configuration, the lifecycle and the peers' socket. If a handler changes another
+//!   part, its signature names that part.
+//! - An operation on several parts at once is a method of [`Server`], in the file of the part where it begins: making room for
 //!   a descriptor, the start of an attempt, a handover, the steps of a shutdown.
 
 mod admin;
@@ -59,7 +59,7 @@
 use std::path::PathBuf;
 use upstream::UpstreamPool;
 
-/// Connections accepted in one go, so that a rush of them does not keep responses waiting.
+/// The most connections accepted at a time, so that a burst of new connections does not delay responses.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// Where idempotency records are stored.
@@ -71,16 +71,16 @@
     pub sync: mothproxy_store::SyncMode,
 }
 
-/// The dispatcher's process: the core, and the sockets round it.
+/// The dispatcher's process: the core and its sockets.
 pub struct Server {
-    /// The configuration that counts; a reload replaces it.
+    /// The current configuration; a reload replaces it.
     config: Config,
-    /// Everything that is decided.
+    /// The core, which makes every decision.
     core: Core,
     clock: Clock,
     /// When all connections were last polled.
     polled_at: PollTime,
-    /// Epoll, and all connections, of clients and others.
+    /// Epoll and all connections: of clients, to workers, to discovery and of the admin address.
     reactor: Reactor,
     listeners: Listeners,
     admin: AdminServer,
@@ -88,40 +88,40 @@
     hot_restart: HotRestart,
     /// The datagram socket between dispatchers.
     peer_socket: PeerSocket,
-    /// What dispatchers announce to each other.
+    /// The lifecycle states that dispatchers announce to each other.
     peers: PeerLink,
     membership: MembershipLink,
-    /// Where idempotency records are persisted, if they are.
+    /// The store of idempotency records; `None` if records are not persisted.
     records: Option<RecordStore>,
-    /// Jobs apart from their clients' connections, where the SSE address is on.
+    /// Jobs that are kept apart from their clients' connections; `None` if the SSE address is off.
     event_streams: Option<EventStreams>,
     budget: Budget,
-    /// Connections of clients that may be closed to make room.
+    /// Client connections that may be closed to make room.
     clients: ClientConnections,
-    /// Requests that clients await responses to.
+    /// Requests whose clients await a response.
     pending: PendingRequests,
-    /// Idle connections to workers, and what is awaited on the others.
+    /// Idle connections to workers, and what is awaited on the busy ones.
     upstream: UpstreamPool,
     discovery: DiscoveryClient,
     lifecycle: Lifecycle,
     metrics: Metrics,
-    /// The counters that the log showed last.
+    /// The counters as last logged.
     logged_metrics: LoggedMetrics,
 }
 
-/// Where the program listens.
+/// The addresses on which the program listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
-    /// The platform's address.
+    /// The platform's address; `None` if the system does not report it.
     pub platform: Option<SocketAddr>,
-    /// The address of event streams, where it is on.
+    /// The address of event streams, if it is on.
     pub sse: Option<SocketAddr>,
-    /// The admin address, where it is on.
+    /// The admin address, if it is on.
     pub admin: Option<SocketAddr>,
 }
 
 impl Server {
-    /// Where the program listens.
+    /// Returns the addresses on which the program listens.
     pub fn addresses(&self) -> ListenAddresses {
         let address = |listener: &TcpListener| listener.local_addr().ok();
         ListenAddresses {
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -1,4 +1,4 @@
-//! The start: takes over from a predecessor where there is one, opens all sockets, and puts the parts together.
+//! The start of the server: takes over from a predecessor if there is one, opens all sockets, and assembles the parts.
 
 use crate::config::{Config, SseSettings};
 use crate::core::Core;
@@ -31,7 +31,7 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// All that has to succeed before the server can be put together.
+/// Everything that must be open before the server can be assembled.
 struct Foundation {
     signals: Signals,
     core: Core,
@@ -48,7 +48,10 @@
 }
 
 impl OpenSockets {
-    /// Takes the predecessor's sockets, or opens new ones. With `should_retry`, an address in use is waited for.
+    /// Takes the predecessor's sockets, or opens new ones. With `should_retry`, waits for an address that is in use.
+    ///
+    /// # Errors
+    /// If a socket cannot be opened.
     fn open(
         inheritance: Option<&mut Inheritance>,
         config: &Config,
@@ -64,22 +67,25 @@
     }
 }
 
-/// The core under a configuration, whose names it takes.
+/// Creates the core for a configuration, and moves the names out of the configuration into it.
+///
+/// # Errors
+/// If the core rejects the settings.
 fn open_core(config: &mut Config) -> Result<Core, ServerError> {
     let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros();
     let names = std::mem::take(&mut config.names);
     Core::new(config.settings.clone(), names, config.seed, unix_now).map_err(ServerError::Settings)
 }
 
-/// Loads the endpoint list that is known at the start, and what a predecessor has learned. Returns when the last worker of a
-/// list from a file started.
+/// Loads the endpoint list known at the start, and the state that a predecessor has learned. Without a predecessor the list
+/// comes from the configuration; the function then returns the latest start time of its workers.
 fn load_initial_state(
     core: &mut Core,
     config: &Config,
     inheritance: Option<&mut Inheritance>,
 ) -> Option<Micros> {
     let Some(from) = inheritance else { return core.load_known_list(&config.known_endpoints) };
-    // The list that the predecessor received last is newer than what the file holds.
+    // The predecessor's last list is newer than the list in the file.
     if from.is_list_stale {
         core.load_known_list(&from.list);
     } else {
@@ -92,12 +98,13 @@
 }
 
 impl Server {
-    /// Opens everything. `sse` is where event streams are served; `restart_folder` is where the processes of one dispatcher
-    /// meet at an upgrade, and without it there is no handover; `state` is where idempotency records are stored.
+    /// Opens the server with all its sockets. `sse` configures the address of event streams. `restart_folder` is where the
+    /// processes of one dispatcher meet at a hot restart; without it there is no handover. `state` is where idempotency records
+    /// are stored.
     ///
     /// # Errors
-    /// Where the settings are out of order, an address cannot be listened on, the store cannot be opened, or the system
-    /// refuses something else.
+    /// If the settings are invalid, an address cannot be listened on, the store cannot be opened, or the system refuses
+    /// something else.
     pub fn open(
         mut config: Config,
         sse: Option<SseSettings>,
@@ -105,7 +112,7 @@
         state: Option<StateDir>,
         fleet: FleetSettings,
     ) -> Result<Server, ServerError> {
-        // First of all: a SIGHUP that no handler awaits ends the program, with all it has taken.
+        // The signal handlers come first: a SIGHUP without a handler would end the program, with all it has taken over.
         let signals = Signals::register().map_err(io_failed("signals"))?;
         let restart_path = restart_folder.map(|folder| socket_path(folder, &config.name));
         let takeover = restart_path.as_deref().map_or(TakeoverResult::NoPredecessor, request_takeover);
@@ -130,7 +137,7 @@
         Ok(server)
     }
 
-    /// Puts the parts together.
+    /// Assembles the server from its parts.
     fn assemble(
         foundation: Foundation,
         config: Config,
@@ -169,7 +176,10 @@
         }
     }
 
-    /// Has epoll watch everything that is not a connection and is open from the start.
+    /// Registers with epoll the listening sockets, the signal pipe and the peers' socket.
+    ///
+    /// # Errors
+    /// If epoll refuses one of them.
     fn watch_listeners(&self) -> Result<(), ServerError> {
         self.watch_descriptor(self.listeners.platform.as_fd(), PLATFORM)?;
         self.watch_descriptor(self.signals.as_fd(), SIGNAL)?;
@@ -185,7 +195,10 @@
         Ok(())
     }
 
-    /// Has epoll watch one descriptor.
+    /// Registers one descriptor with epoll.
+    ///
+    /// # Errors
+    /// If epoll refuses it.
     fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
         self.reactor.watch(fd, token).map_err(system("epoll"))
     }
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -1,7 +1,7 @@
-//! Everything that the loop watches: epoll, and the connections with their epoll registration and timers.
+//! Everything that the loop watches: epoll, and the connections with their epoll registrations and timers.
 //!
-//! The lifecycle of a connection is here and nowhere else. [`Reactor::add`] registers it, a handler takes it out of its slot
-//! and puts it back or closes it, and [`Reactor::close`] ends its timer and its registration.
+//! Only this module manages the lifecycle of a connection. [`Reactor::add`] registers it. A handler takes it out of its slot,
+//! and puts it back or closes it. [`Reactor::close`] ends its timer and its registration.
 
 use crate::core::Core;
 use crate::server::connection::Connection;
@@ -14,12 +14,12 @@
 use std::os::fd::AsFd;
 use std::time::Duration;
 
-/// Whether what can be read on a connection is wanted now.
+/// Whether the loop should read from a connection now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reading {
-    /// It is to be read.
+    /// Read as bytes arrive.
     Wanted,
-    /// It stays in the socket until something else has happened.
+    /// Leave the bytes in the socket until another event resumes reading.
     Paused,
 }
 
@@ -30,40 +30,47 @@
 }
 
 impl Reactor {
-    /// One that watches nothing.
+    /// Creates a reactor that watches nothing.
     ///
     /// # Errors
-    /// Where the system gives no epoll instance.
+    /// If the system gives no epoll instance.
     pub fn new() -> Result<Reactor, Errno> {
         Ok(Reactor { epoll: Poller::new()?, connections: ConnectionTable::default() })
     }
 
-    /// The connections, to look at.
+    /// The connections, read only.
     pub fn connections(&self) -> &ConnectionTable {
         &self.connections
     }
 
-    /// Waits for events, at most for this long; a signal ends the wait too.
+    /// Waits for events for at most `timeout`, or without limit if it is `None`. A signal ends the wait too.
+    ///
+    /// # Errors
+    /// If epoll fails.
     pub fn wait(&self, events: &mut Vec<Event>, timeout: Option<Duration>) -> Result<(), Errno> {
         self.epoll.wait(events, timeout)
     }
 
-    /// Watches a descriptor that is no connection for what can be read.
+    /// Watches a descriptor that is not a connection for being readable.
+    ///
+    /// # Errors
+    /// If epoll refuses the descriptor.
     pub fn watch(&self, fd: impl AsFd, token: Token) -> Result<(), Errno> {
         self.epoll.add(fd, token, EventFlags::IN)
     }
 
-    /// Changes what a descriptor that is no connection is watched for. False where it is not watched.
+    /// Changes the events for which a descriptor that is not a connection is watched. Returns false if it is not watched.
     pub fn set_watched_events(&self, fd: impl AsFd, token: Token, flags: EventFlags) -> bool {
         self.epoll.modify(fd, token, flags)
     }
 
-    /// Watches a descriptor no more: one that goes on elsewhere would stay, although it is closed here.
+    /// Stops watching a descriptor. A descriptor that another process also holds would otherwise stay in epoll after it is
+    /// closed here.
     pub fn unwatch(&self, fd: impl AsFd) {
         self.epoll.remove(fd);
     }
 
-    /// Gives a connection a slot and watches it. `None` where epoll refuses it; it is closed then.
+    /// Gives a connection a slot and registers it with epoll. If epoll refuses it, closes it and returns `None`.
     pub fn add(&mut self, connection: Connection, role: Role) -> Option<Token> {
         let token = self.connections.reserve();
         if self.epoll.add(&connection.stream, token, EventFlags::empty()).is_err() {
@@ -74,23 +81,23 @@
         Some(token)
     }
 
-    /// Takes a connection out of its slot, to be put back or closed.
+    /// Takes a connection out of its slot. The caller must put it back or close it.
     pub fn take(&mut self, token: Token) -> Option<Entry> {
         self.connections.take(token)
     }
 
-    /// Puts a connection back that was taken.
+    /// Puts back a connection that was taken out.
     pub fn put(&mut self, token: Token, connection: Connection, role: Role) {
         self.connections.put(token, connection, role);
     }
 
-    /// Closes a connection that was taken out of its slot; its timer in the core goes with it.
+    /// Closes a connection that was taken out of its slot, and cancels its timer in the core.
     pub fn close(&mut self, core: &mut Core, token: Token, connection: Connection, role: Role) {
         if let Some(at) = connection.timer {
             core.cancel_timer(at, token.timer());
         }
         self.connections.remove(token, &role);
-        drop((connection, role)); // closing the socket takes it out of epoll as well
+        drop((connection, role)); // closing the socket also removes it from epoll
     }
 
     /// Closes a connection, if it is in its slot.
@@ -100,8 +107,7 @@
         }
     }
 
-    /// Watches a connection for what can be read, unless reading pauses, and for being writable where something is to be
-    /// written.
+    /// Watches a connection for being readable, unless reading is paused, and for being writable if its outbox is not empty.
     pub fn update_interest(&self, token: Token, connection: &mut Connection, reading: Reading) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, reading == Reading::Wanted);
@@ -109,12 +115,12 @@
         self.set_interest(token, connection, flags);
     }
 
-    /// Watches a connection that is being established: it is writable once it is up.
+    /// Watches a connection that is being established. It becomes writable once connecting has succeeded or failed.
     pub fn await_connected(&self, token: Token, connection: &mut Connection) {
         self.set_interest(token, connection, EventFlags::RDHUP | EventFlags::IN | EventFlags::OUT);
     }
 
-    /// Watches a connection for this, where that is not so already.
+    /// Sets the events for which a connection is watched; calls epoll only if they change.
     fn set_interest(&self, token: Token, connection: &mut Connection, flags: EventFlags) {
         if flags != connection.interest {
             let is_changed = self.epoll.modify(&connection.stream, token, flags);
