--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -1,9 +1,9 @@
-//! Drain: clients are sent elsewhere while the program goes on.
+//! Drain: clients are sent elsewhere while the program keeps running.
 //!
-//! 1. `out-of-service` is called at the admin address: readiness is refused from then on, and the peers are notified.
-//! 2. Once the load balancer in front can know, connections of clients that have been idle for long enough are closed, each
-//!    time that the timer fires.
-//! 3. `in-service` ends it. Whatever comes meanwhile is still served.
+//! 1. A call of `out-of-service` at the admin address starts it. From then on readiness is refused, and the peers are notified.
+//! 2. After a delay in which the load balancer in front notices, each firing of the timer closes the client connections that
+//!    have been idle for long enough.
+//! 3. A call of `in-service` ends it. Requests that arrive meanwhile are still served.
 
 use crate::policy::interface::Micros;
 use crate::server::Server;
@@ -13,33 +13,33 @@
 use crate::server::lifecycle::shutdown::STEP_INTERVAL;
 use crate::server::tokens::{DRAIN_TIMER, Token};
 
-/// Connections of clients are closed from so long after the start of the drain: the load balancer in front knows by
-/// then.
+/// Client connections are closed only after this delay from the start of the drain, in microseconds. By then the load balancer
+/// in front knows of the drain.
 const DRAIN_CLOSE_DELAY: Micros = 450_000;
-/// While draining, a connection is closed once it has been idle for this long.
+/// While draining, a connection is closed once it has been idle for this long, in microseconds.
 const DRAIN_IDLE_TIME: Micros = 250_000;
 
-/// Which idle connections of clients are closed.
+/// Which idle client connections to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdleClients {
     /// All.
     All,
-    /// Those that no worker sends its callbacks on.
+    /// Those on which no worker sends status callbacks.
     WithoutCallbacks,
 }
 
 impl Server {
-    /// Sends clients elsewhere while the program goes on. Whatever comes is still served.
+    /// Starts the drain, unless it has started. Requests that arrive are still served.
     pub(in crate::server) fn start_drain(&mut self) {
         if self.lifecycle.drained_since.is_some() {
-            return; // a repeated call starts nothing anew
+            return; // a repeated call changes nothing
         }
         self.lifecycle.drained_since = Some(self.clock.now());
         tracing::info!(open = self.core.ledger().open(), "drain started");
         self.on_drain_changed();
     }
 
-    /// Takes clients again.
+    /// Ends the drain, if there is one: this dispatcher takes clients again.
     pub(in crate::server) fn end_drain(&mut self) {
         if self.lifecycle.drained_since.take().is_none() {
             return;
@@ -48,7 +48,7 @@
         self.on_drain_changed();
     }
 
-    /// Sets the timer of the drain, unless it is set, and announces whether clients are to turn elsewhere.
+    /// Sets the drain timer, unless it is set, and announces to the peers whether this dispatcher drains.
     fn on_drain_changed(&mut self) {
         if !self.lifecycle.is_drain_timer_set {
             self.resume_drain();
@@ -56,13 +56,13 @@
         self.peers.announce_state(&mut context!(self));
     }
 
-    /// Sets the timer of the drain, also that of the process that this one takes over from.
+    /// Sets the drain timer. A successor calls this too, to continue the drain of its predecessor.
     pub(in crate::server) fn resume_drain(&mut self) {
         self.lifecycle.is_drain_timer_set = true;
         self.core.set_timer(self.clock.now() + STEP_INTERVAL, DRAIN_TIMER);
     }
 
-    /// While draining, closes connections of clients that have been idle since the load balancer could know.
+    /// The drain timer has fired. While draining, closes idle client connections once the load balancer knows of the drain.
     pub(in crate::server) fn on_drain_timer(&mut self) {
         self.lifecycle.is_drain_timer_set = false;
         let since = self.lifecycle.drained_since.filter(|_| !self.lifecycle.is_shutting_down());
@@ -73,7 +73,7 @@
         self.resume_drain();
     }
 
-    /// Closes connections of clients that have been idle for so long.
+    /// Closes the client connections that have been idle for at least `min_idle`.
     pub(super) fn close_idle_clients(&mut self, min_idle: Micros, which: IdleClients) {
         let idle: Vec<Token> = self.clients.idle_for(min_idle, self.clock.now()).collect();
         for token in idle {
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -1,13 +1,14 @@
-//! Hot restart: a new version takes over under load, and two processes are one dispatcher for a while.
+//! Hot restart: a new version takes over under load. For a while two processes act as one dispatcher.
 //!
-//! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and says hello ([`receiver`]).
-//! 2. The predecessor answers with its listening sockets, its endpoint list, and what the policy has learned; it accepts no
-//!    more from then on ([`sender`]).
-//! 3. It passes each connection and job, with all that is known of it, as soon as nothing of it is in flight, and reports
-//!    after each step what it still holds. Status callbacks and idempotency records go to whichever process they concern.
-//! 4. It ends once it has nothing left. Should the successor end first, it takes its listening sockets up again.
+//! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and sends `Hello` ([`receiver`]).
+//! 2. The predecessor answers with its listening sockets, its endpoint list and the state that the policy has learned. From
+//!    then on it accepts no new connections ([`sender`]).
+//! 3. The predecessor transfers each connection and job, with all its state, as soon as nothing of it is in flight. After each
+//!    step it reports what it still holds. Status callbacks and idempotency records go to the process that they concern.
+//! 4. The predecessor ends once it has nothing left. If the successor ends first, the predecessor uses its listening sockets
+//!    again.
 //!
-//! The messages are in [`protocol`]; see docs/designs.md.
+//! [`protocol`] defines the messages; see also docs/designs.md.
 
 mod protocol;
 mod receiver;
@@ -31,28 +32,28 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
-/// Packets read in one go.
+/// The most packets read from the other process at a time.
 const MAX_PACKETS_PER_TURN: usize = 64;
-/// Processes that may wait to be accepted on the restart socket.
+/// The number of processes that may wait to be accepted on the restart socket.
 const RESTART_BACKLOG: i32 = 4;
 
-/// This process's part in a hot restart.
+/// The state of this process in a hot restart.
 #[derive(Default)]
 pub(in crate::server) struct HotRestart {
-    /// The path of the restart socket, if there is a folder for it.
+    /// The path of the restart socket; `None` if no folder for it is configured.
     socket_path: Option<PathBuf>,
-    /// The restart socket, on which the next version asks for a takeover, while this process serves.
+    /// The restart socket, on which the next version requests a takeover; open while this process serves.
     socket: Option<OwnedFd>,
-    /// The other process of this dispatcher, during an upgrade.
+    /// The other process of this dispatcher, during a hot restart.
     peer_process: Option<PeerProcess>,
 }
 
-/// The other process.
+/// The link to the other process, and the open work on both sides.
 struct PeerProcess {
     link: OwnedFd,
-    /// What it holds, where it is the predecessor.
+    /// The work that the other process still holds, if it is the predecessor.
     open: OpenWork,
-    /// What this one, as the predecessor, last said that it holds.
+    /// The open work that this process last reported, if it is the predecessor.
     last_sent: OpenWork,
 }
 
@@ -61,7 +62,7 @@
         PeerProcess { link, open, last_sent: OpenWork::default() }
     }
 
-    /// A client's connection, and its request if it has one, is here now.
+    /// A client connection has been transferred to this process, with its request if it has one.
     fn on_client_transferred(&mut self, exchange: Option<&TransferredExchange>) {
         if let Some(exchange) = exchange {
             self.open.request_names.remove(&exchange.request.name);
@@ -71,7 +72,7 @@
 }
 
 impl HotRestart {
-    /// Listens for the next version, where there is a folder for it.
+    /// Listens for the next version, if a folder for the socket is configured. A failure is only logged.
     fn open_socket(&mut self, reactor: &Reactor) {
         let Some(path) = &self.socket_path else { return };
         match listen_for_successor(path) {
@@ -83,68 +84,74 @@
         }
     }
 
-    /// Another process has connected; it says what it wants in its first packet.
+    /// Another process has connected. Its first packet says what it wants.
     pub fn on_process_connected(&mut self, reactor: &Reactor) {
         let Some(socket) = &self.socket else { return };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
         if self.peer_process.is_none() && reactor.watch(&link, PEER_PROCESS).is_ok() {
             self.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
-        } // a third one finds its link closed
+        } // a third process finds its link closed
     }
 
-    /// Whether a request of this id is open with the other process.
+    /// Whether the other process holds an open request with this id.
     pub fn is_open_in_peer_process(&self, name: &str) -> bool {
         let process = self.peer_process.as_ref();
         process.is_some_and(|process| process.open.request_names.contains(name))
     }
 
-    /// A request of this id is no longer open with the other process.
+    /// Records that the other process no longer holds the request with this id.
     pub fn forget_in_peer_process(&mut self, name: &str) {
         if let Some(process) = &mut self.peer_process {
             process.open.request_names.remove(name);
         }
     }
 
-    /// Connections that the other process still holds, with its own few descriptors.
+    /// The number of connections that the other process still holds, plus the descriptors that it reserves for itself; 0 if
+    /// there is no other process.
     pub fn connections_in_peer_process(&self) -> usize {
         let process = self.peer_process.as_ref();
         process.map_or(0, |process| process.open.connections + RESERVED_DESCRIPTORS)
     }
 
-    /// Passes a status callback to the other process. False if it cannot be: the worker has to try again.
+    /// Passes a status callback to the other process. Returns false if it cannot be sent; the worker must then retry.
     pub fn forward_status_callback(&self, body: &[u8]) -> bool {
         self.send(&HandoverMessage::StatusCallback, &[body], &[])
     }
 
-    /// Has the other process write an idempotency record, or forget the key where there is none. False if it cannot be sent.
+    /// Asks the other process to write an idempotency record, or to delete the key if `record` is `None`. Returns false if the
+    /// message cannot be sent.
     pub fn forward_record(&self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) -> bool {
         let message = HandoverMessage::WriteRecord { ticket, key, is_kept: record.is_some() };
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
-    /// Reports to the other process what became of a record that it wanted. False if that cannot be sent.
+    /// Reports to the other process whether its record was written. Returns false if the message cannot be sent.
     pub fn report_record_persisted(&self, ticket: RecordTicket, outcome: PersistOutcome) -> bool {
         let is_written = outcome == PersistOutcome::Written;
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
 
-    /// Sends the other process a message. False if it cannot be sent.
+    /// Sends a message to the other process. Returns false if there is none or the message cannot be sent.
     fn send(&self, message: &HandoverMessage, bytes: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> bool {
         let process = self.peer_process.as_ref();
         process.is_some_and(|process| send(&process.link, message, bytes, descriptors).is_ok())
     }
 }
 
-/// Where the processes of a dispatcher of this name meet.
+/// Returns the path of the socket on which the processes of the dispatcher `name` meet. Characters other than ASCII letters,
+/// digits and `-` become `_`.
 pub(in crate::server) fn socket_path(folder: &Path, name: &str) -> PathBuf {
     let to_plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     folder.join(format!("mothproxy-{}.sock", name.chars().map(to_plain).collect::<String>()))
 }
 
-/// Listens on the socket on which the next version asks for a takeover.
+/// Listens on the socket on which the next version requests a takeover. Only the same user may connect.
+///
+/// # Errors
+/// If the system refuses one of the steps.
 fn listen_for_successor(path: &Path) -> Result<OwnedFd, Errno> {
-    let _ = std::fs::remove_file(path); // left behind, or the predecessor's, which needs no name any more
+    let _ = std::fs::remove_file(path); // a leftover, or the predecessor's, which no longer needs its name
     let listener = packet_socket()?;
     rustix::net::bind(&listener, &SocketAddrUnix::new(path)?)?;
     rustix::fs::chmod(path, Mode::RUSR | Mode::WUSR)?;
@@ -154,7 +161,8 @@
 }
 
 impl Server {
-    /// Listens for the next version, and takes up the link to the predecessor if there is one.
+    /// Listens for the next version, and watches the link to the predecessor if there is one. Continues a drain of the
+    /// predecessor.
     pub(in crate::server) fn join_hot_restart(
         &mut self,
         path: Option<PathBuf>,
@@ -174,7 +182,7 @@
         }
     }
 
-    /// The other process has sent something, or has closed the link.
+    /// The other process has sent packets, or has closed the link.
     pub(in crate::server) fn on_peer_process_readable(&mut self) {
         for _ in 0..MAX_PACKETS_PER_TURN {
             let Some(process) = &self.hot_restart.peer_process else { return };
@@ -188,14 +196,14 @@
         }
     }
 
-    /// The other process has ended, as it should or not.
+    /// The other process has ended, normally or not. If it was the successor, this process serves again.
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
         self.reactor.unwatch(&process.link);
         if !std::mem::take(&mut self.lifecycle.has_handed_over) {
             return tracing::info!("hot restart: the other process has ended");
         }
-        // The successor died with what it had. The listening sockets are still open here.
+        // The successor's work is lost with it. The listening sockets are still open in this process.
         tracing::info!("hot restart: the successor has ended, serving again");
         let are_listeners_watched = self.listeners.take_back(&self.reactor);
         let peers = self.peer_socket.socket();
@@ -211,7 +219,7 @@
         self.membership.restart(context, &mut self.discovery);
     }
 
-    /// What this process still holds.
+    /// The work that this process still holds.
     fn local_open_work(&self) -> OpenWork {
         OpenWork {
             request_names: self.core.open_request_names().into_iter().collect(),
--- a/src/server/lifecycle/hot_restart/protocol.rs
+++ b/src/server/lifecycle/hot_restart/protocol.rs
@@ -1,7 +1,7 @@
-//! Messages between the two processes, and the packets they go in.
+//! The messages between the two processes, and their packet format.
 //!
-//! A packet is the length of its message in four bytes, the least first, the message as JSON, and the bytes that the message
-//! speaks of; descriptors go beside it. The names in JSON are those of the versions that are running.
+//! A packet holds the length of its message (four bytes, least significant first), the message as JSON, and the bytes that the
+//! message refers to. Descriptors travel as ancillary data. The JSON names must stay those of the versions in operation.
 
 use crate::config::EndpointList;
 use crate::core::RecordTicket;
@@ -20,24 +20,25 @@
 use std::mem::MaybeUninit;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// The longest packet: a request with its body, what was read behind it, and what is known of it.
+/// The maximum length of a packet, in bytes: a request with its body, the bytes read after it, and its state.
 const MAX_PACKET_BYTES: usize = 256 * 1024;
-/// What is longer, or longer than the system lets a packet be, such as the list and what was learned of a thousand workers, goes
-/// in a file without a name. This stands for its length, and the file's descriptor comes last.
+/// Marks a packet whose content is in a memory file. That is used for content longer than [`MAX_PACKET_BYTES`] or than the
+/// system allows for a packet, such as the list and the learned state of a thousand workers. The marker replaces the length,
+/// and the file's descriptor is the last one of the packet.
 const FILE_MARKER: [u8; 4] = [u8::MAX; 4];
-/// The longest such file: of lists, the longest that discovery may send many times over.
+/// The maximum number of bytes read from such a file. It holds the longest list that discovery may send many times over.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// Bytes of the length before a message.
+/// The size of the length field before a message, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Descriptors in one packet at most.
+/// The maximum number of descriptors in one packet.
 const MAX_DESCRIPTORS: usize = 4;
 
-/// What one process sends the other; bytes of a connection follow in the same packet.
+/// A message from one process to the other. The bytes that it refers to follow in the same packet.
 #[derive(Deserialize, Serialize)]
 pub(super) enum HandoverMessage {
-    /// The successor is there and asks for everything.
+    /// The successor requests the takeover.
     Hello,
-    /// The predecessor accepts no more: its listening sockets come with this.
+    /// The predecessor has stopped accepting; its listening sockets come with this message.
     Listeners {
         #[serde(rename = "sse")]
         has_sse: bool,
@@ -47,33 +48,34 @@
         is_drained: bool,
         #[serde(rename = "table")]
         list: EndpointList,
-        /// That is still to be revalidated.
+        /// Whether the list is still to be revalidated.
         #[serde(rename = "stale", default)]
         is_list_stale: bool,
         open: OpenWork,
-        /// What the policy has learned; read apart, since another version may encode it otherwise.
+        /// The state that the policy has learned. It is parsed separately, because another version may encode it differently.
         #[serde(rename = "lesson")]
         learned: serde_json::Value,
     },
-    /// A connection of a client or of a worker that calls back.
+    /// A connection of a client, or of a worker that sends status callbacks.
     #[serde(rename = "Front")]
     Client(TransferredClient),
-    /// An idle connection to a worker, good for so long.
+    /// An idle connection to a worker, which may stay idle for `idle_time_left` more microseconds.
     #[serde(rename = "Back")]
     Upstream {
         worker: String,
         #[serde(rename = "left")]
         idle_time_left: Micros,
     },
-    /// A status callback for the other; its body follows.
+    /// A status callback for the other process; its body follows.
     #[serde(rename = "News")]
     StatusCallback,
-    /// What the predecessor still holds.
+    /// The work that the predecessor still holds.
     #[serde(rename = "Open")]
     OpenWork(OpenWork),
-    /// A job of the event streams; its request's bytes follow.
+    /// A job of the event streams; the bytes of its request follow.
     Job(TransferredJob),
-    /// The predecessor wants an idempotency record written: the bytes behind this where `kept`, else the key is forgotten.
+    /// The predecessor asks for an idempotency record to be written. If `is_kept`, the record follows; otherwise the key is
+    /// deleted.
     #[serde(rename = "Write")]
     WriteRecord {
         ticket: Option<RecordTicket>,
@@ -81,7 +83,7 @@
         #[serde(rename = "kept")]
         is_kept: bool,
     },
-    /// Whether it was.
+    /// Whether the record was written.
     #[serde(rename = "Written")]
     RecordWritten {
         ticket: RecordTicket,
@@ -90,7 +92,7 @@
     },
 }
 
-/// What a process still holds: the ids of its open requests, and how many connections.
+/// The work that a process still holds: the ids of its open requests, and the number of its connections.
 #[derive(Deserialize, Serialize, Clone, PartialEq, Default)]
 pub(super) struct OpenWork {
     #[serde(rename = "names")]
@@ -99,10 +101,10 @@
     pub connections: usize,
 }
 
-/// A packet that was read.
+/// A received packet.
 pub(super) struct Packet {
     pub message: HandoverMessage,
-    /// What followed the message.
+    /// The bytes after the message.
     pub bytes: Vec<u8>,
     pub descriptors: Vec<OwnedFd>,
 }
@@ -110,10 +112,10 @@
 /// Why no packet was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReceiveError {
-    /// A packet came that cannot be read.
+    /// The packet is malformed.
     #[error("a packet that cannot be read")]
     Malformed,
-    /// The system gave none.
+    /// The system returned an error.
     #[error("{0}")]
     System(#[source] Errno),
 }
@@ -124,12 +126,15 @@
     }
 }
 
-/// A socket for packets between processes.
+/// Creates a socket for packets between processes.
 pub(super) fn packet_socket() -> Result<OwnedFd, Errno> {
     rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None)
 }
 
-/// Sends a message with the bytes and descriptors that belong to it. One that is too long for a packet goes in a file.
+/// Sends a message with its bytes and descriptors. A message too long for a packet goes in a memory file.
+///
+/// # Errors
+/// If the message cannot be encoded, or the system refuses to send it, for example because the link is full or closed.
 pub(super) fn send(
     link: &OwnedFd,
     message: &HandoverMessage,
@@ -149,6 +154,7 @@
     send_in_file(link, &parts, descriptors)
 }
 
+/// Sends a message in a memory file, whose descriptor goes last.
 fn send_in_file(link: &OwnedFd, parts: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> Result<(), Errno> {
     let mut file = File::from(rustix::fs::memfd_create("mothproxy-handover", MemfdFlags::CLOEXEC)?);
     let written = parts.iter().try_for_each(|part| file.write_all(part)).and_then(|()| file.rewind());
@@ -157,6 +163,7 @@
     send_packet(link, &[&FILE_MARKER], &descriptors)
 }
 
+/// Sends one packet with its descriptors.
 fn send_packet(link: &OwnedFd, parts: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> Result<(), Errno> {
     let slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
@@ -167,7 +174,10 @@
     rustix::net::sendmsg(link, &slices, &mut ancillary, SendFlags::NOSIGNAL).map(|_| ())
 }
 
-/// Reads one packet. `Ok(None)` where the other process has closed the link.
+/// Reads one packet. Returns `Ok(None)` if the other process has closed the link.
+///
+/// # Errors
+/// If the packet is malformed, or the system returns an error (`EAGAIN` if no packet has come on a non-blocking link).
 pub(super) fn receive(link: &OwnedFd) -> Result<Option<Packet>, ReceiveError> {
     let mut bytes = vec![0; MAX_PACKET_BYTES];
     let mut descriptors = Vec::new();
@@ -190,7 +200,7 @@
     Ok(Some(Packet { message, bytes, descriptors }))
 }
 
-/// Reads a packet as it comes; returns its length.
+/// Reads a raw packet into `bytes` and appends its descriptors. Returns its length, 0 at the end of the link.
 fn receive_packet(link: &OwnedFd, bytes: &mut [u8], descriptors: &mut Vec<OwnedFd>) -> Result<usize, Errno> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -1,6 +1,7 @@
-//! The successor's side: it asks for everything at its start, and then takes one message after the other.
+//! The successor's side. It requests everything at its start, and then takes one message after the other.
 //!
-//! The predecessor's side sends status callbacks and answers about records too, so [`Server::on_handover_message`] serves both.
+//! [`Server::on_handover_message`] serves both sides, because the predecessor also receives messages, such as status callbacks
+//! and answers about records.
 
 use super::protocol::{HandoverMessage, OpenWork, Packet, packet_socket, receive, send};
 use crate::config::EndpointList;
@@ -22,45 +23,45 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The predecessor answers within this, or the successor goes on without it. The successor has 6 s in all.
+/// If the predecessor does not answer within this time, the successor starts without it. The successor has 6 s in all.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The sockets that the successor gets at its start.
+/// The sockets that the successor receives at its start.
 #[derive(Default)]
 pub(in crate::server) struct InheritedSockets {
     pub listeners: InheritedListeners,
     pub peers: Option<UdpSocket>,
 }
 
-/// What the successor gets at its start.
+/// Everything that the successor receives at its start.
 pub(in crate::server) struct Inheritance {
     pub sockets: InheritedSockets,
-    /// The endpoint list that the predecessor received last.
+    /// The last endpoint list that the predecessor received.
     pub list: EndpointList,
-    /// That is still to be revalidated.
+    /// Whether the list is still to be revalidated.
     pub is_list_stale: bool,
-    /// What the policy has learned, if this version can read it.
+    /// The state that the policy has learned; `None` if this version cannot read it.
     pub learned: Option<LearnedState>,
     /// The link to the predecessor.
     pub(super) link: OwnedFd,
-    /// The predecessor is draining.
+    /// Whether the predecessor is draining.
     pub(super) is_drained: bool,
-    /// What the predecessor still holds.
+    /// The work that the predecessor still holds.
     pub(super) open: OpenWork,
 }
 
-/// What became of asking for a takeover.
+/// The result of a takeover request.
 pub(in crate::server) enum TakeoverResult {
-    /// Nobody serves.
+    /// No process serves.
     NoPredecessor,
-    /// Somebody does or did, and hands nothing over: its address may be free in a moment.
+    /// A process serves or did so a moment ago, and hands nothing over. Its address may soon be free.
     Refused,
-    /// All that the predecessor had.
+    /// Everything that the predecessor handed over.
     Inherited(Box<Inheritance>),
 }
 
 impl TakeoverResult {
-    /// What was inherited, if anything was.
+    /// Returns the inheritance; `None` if there is none.
     pub fn into_inheritance(self) -> Option<Inheritance> {
         match self {
             TakeoverResult::Inherited(inheritance) => Some(*inheritance),
@@ -69,12 +70,13 @@
     }
 }
 
-/// Asks a process that serves already for all it has.
+/// Requests a takeover from the process that serves at `path`. Blocks for at most [`TAKEOVER_TIMEOUT`] while it waits for the
+/// answer.
 pub(in crate::server) fn request_takeover(path: &Path) -> TakeoverResult {
     let Some((link, address)) = packet_socket().ok().zip(SocketAddrUnix::new(path).ok()) else {
         return TakeoverResult::NoPredecessor;
     };
-    // No file, or one that a process left behind: there is nobody to ask.
+    // There is no socket file, or its process has ended: no process serves.
     if rustix::net::connect(&link, &address).is_err() {
         return TakeoverResult::NoPredecessor;
     }
@@ -88,14 +90,15 @@
     }
 }
 
-/// Sends the first message and waits for the answer.
+/// Sends `Hello` and waits for the answer, for at most [`TAKEOVER_TIMEOUT`].
 fn exchange_hello(link: &OwnedFd) -> Option<Packet> {
     set_socket_timeout(link, Timeout::Recv, Some(TAKEOVER_TIMEOUT)).ok()?;
     send(link, &HandoverMessage::Hello, &[], &[]).ok()?;
     receive(link).ok().flatten()
 }
 
-/// Reads the predecessor's answer. The descriptors come in the order of the message's fields, the platform's first.
+/// Reads the predecessor's answer. The descriptors come in a fixed order: the platform's listener, the SSE listener if there is
+/// one, the peers' socket if there is one. Returns `None` if the answer is another message.
 fn inherit(link: OwnedFd, packet: Packet) -> Option<Inheritance> {
     let HandoverMessage::Listeners { has_sse, has_peers, is_drained, list, is_list_stale, open, learned } =
         packet.message
@@ -112,7 +115,7 @@
 }
 
 impl Server {
-    /// A message of the other process has come.
+    /// Handles a message of the other process. Unreadable or unexpected messages are counted as rejects.
     pub(super) fn on_handover_message(&mut self, packet: Packet) {
         let Packet { message, bytes, descriptors } = packet;
         let descriptor = descriptors.into_iter().next();
@@ -152,10 +155,10 @@
         }
     }
 
-    /// A status callback that the other process has passed on.
+    /// Handles a status callback that the other process has forwarded.
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
-            // A job that went over in the meantime gets its callbacks there; the successor sends nothing back.
+            // The job was handed over in the meantime, so its callback goes to the successor, which sends nothing back.
             Some(callback) if self.lifecycle.has_handed_over && !self.core.knows(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Takes a client's connection over, with the request that it awaits a response to.
+    /// Takes over a client connection, with the request whose response it awaits.
     fn adopt_client(&mut self, transferred: TransferredClient, bytes: &[u8], stream: TcpStream) {
         let mut connection = Connection::new(stream);
         let Some(split) = split_request(transferred.request.as_ref(), bytes) else {
@@ -183,7 +186,7 @@
         let Some(token) = self.reactor.add(connection, Role::Client(client)) else { return };
         let Some((mut connection, Role::Client(mut client))) = self.reactor.take(token) else { return };
         if client.is_awaiting_request() {
-            self.clients.track_awaiting_request(token, &client); // last read now, as far as this process knows
+            self.clients.track_awaiting_request(token, &client); // as far as this process knows, it was last read now
         }
         if let Some((exchange, raw)) = transferred.request.zip(split.request) {
             match self.core.adopt(exchange.request, Downstream::Connection(token).to_id()) {
@@ -194,12 +197,12 @@
                     }
                     client.await_response(request_id, exchange.keep_alive, exchange.has_stream_begun, now);
                 }
-                // Nothing here could serve it: it fails at once.
+                // The core cannot take the request over: it fails at once.
                 None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
         let context = &mut client_context!(self);
         self.clients.advance(context, token, connection, client);
-        self.clients.close_if_disconnected(context, token); // its end may have come before it was watched here
+        self.clients.close_if_disconnected(context, token); // the client may have closed it before it was watched here
     }
 }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side: it hands its listening sockets over, and then, step by step, each connection and job as soon as
-//! nothing of it is in flight.
+//! The predecessor's side. It first hands over its listening sockets, and then, step by step, each connection and job as soon
+//! as nothing of it is in flight.
 
 use super::protocol::{HandoverMessage, send};
 use crate::config::EndpointList;
@@ -16,20 +16,21 @@
 use crate::server::upstream::UpstreamConnection;
 use std::os::fd::AsFd;
 
-/// What could not be handed over yet is tried again at this interval.
+/// The interval at which the predecessor retries what it could not hand over yet, in microseconds.
 const HANDOVER_INTERVAL: Micros = 4_000;
 
-/// A client's request that has left the core for the other process.
+/// A client's request that was taken out of the core for the other process.
 struct ReleasedRequest {
     exchange: TransferredExchange,
     raw: RawRequest,
 }
 
 impl Server {
-    /// The successor is there: it accepts from now on, and gets one connection after the other.
+    /// The successor has requested the takeover. Sends it the listening sockets; it accepts from now on, and then receives one
+    /// connection after the other.
     pub(super) fn start_handover(&mut self) {
         if let Some(notes) = &mut self.records {
-            notes.give_up(); // the successor waits until it is closed
+            notes.give_up(); // the successor waits until the store is closed
         }
         let open = self.local_open_work();
         let Some(process) = &mut self.hot_restart.peer_process else { return };
@@ -55,7 +56,7 @@
             return self.on_peer_process_closed();
         }
         process.last_sent = open;
-        // Descriptors that go on elsewhere stay in this epoll unless they are taken out.
+        // Descriptors that the successor also holds would stay in this epoll unless they are removed.
         self.listeners.hand_over(&self.reactor);
         if let Some(peers) = self.peer_socket.socket() {
             self.reactor.unwatch(peers);
@@ -67,12 +68,12 @@
         self.core.set_timer(self.clock.now() + 1, HANDOVER_TIMER);
     }
 
-    /// Hands over what can go now.
+    /// The handover timer has fired: hands over all connections and jobs that can go now.
     pub(in crate::server) fn on_handover_timer(&mut self) {
         if !self.lifecycle.has_handed_over {
             return;
         }
-        // What the policy still has to say of these requests comes first.
+        // Run the policy's pending decisions on these requests first.
         self.core.batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Sends the successor what is still held here, if that has changed.
+    /// Reports to the successor the work that this process still holds, if it has changed.
     fn send_open_work(&mut self) {
         let open = self.local_open_work();
         if let Some(process) =
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Hands a client's connection over, if it is between requests or awaits a response that has not begun.
+    /// Hands over a client connection if it is between requests, or awaits a response and no attempt of its request is in
+    /// flight here. Otherwise it stays.
     fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
         let awaited = client.awaited_request();
         let is_unsettled = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
@@ -134,7 +136,7 @@
             self.reactor.unwatch(&connection.stream);
             return self.clients.release(&mut context!(self), token, connection, client);
         }
-        // The link is full or gone: the request stays, under a new number.
+        // The link is full or closed: the request stays here, under a new number.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
             && let Some(exchange) = transferred.request
             && let Some(request_id) = self.core.adopt(exchange.request, Downstream::Connection(token).to_id())
@@ -145,7 +147,7 @@
         self.reactor.put(token, connection, Role::Client(client));
     }
 
-    /// Takes a request out of the core, to go over with its client's connection.
+    /// Takes a request out of the core, to be handed over with its client's connection.
     fn release_request(
         &mut self,
         request_id: RequestId,
@@ -162,7 +164,7 @@
         Some(ReleasedRequest { exchange, raw })
     }
 
-    /// Hands an idle connection to a worker over.
+    /// Hands over an idle connection to a worker; any other connection stays.
     fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
         let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
         let worker = upstream.idle_worker().filter(|_| is_unused);
@@ -182,7 +184,7 @@
         self.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Hands jobs of the event streams over; their watchers reconnect there.
+    /// Hands over jobs of the event streams; their watchers reconnect to the successor.
     fn transfer_jobs(&mut self) {
         for job in self.stream_jobs() {
             let Some(released) = self.release_job(job) else { continue };
@@ -193,7 +195,7 @@
                 self.pending.remove(request_id);
             }
             if !is_sent && let HandoverMessage::Job(job) = message {
-                return self.adopt_job(job, released.raw); // the link is full or gone: it stays here
+                return self.adopt_job(job, released.raw); // the link is full or closed: the job stays here
             }
         }
     }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,10 +1,9 @@
 //! Signals, and the reload of the configuration at SIGHUP.
 //!
-//! 1. The configuration is read again and checked, also by the membership and the core; one that is out of order changes
-//!    nothing.
-//! 2. The core takes the new settings, then the network side its budget and classes.
-//! 3. Where the peers have changed, this dispatcher's place among them is taken anew; where discovery has moved, the calls to
-//!    the service before are dropped and the new one is called.
+//! 1. The configuration is read again and checked, also by the membership and the core. An invalid one changes nothing.
+//! 2. The core takes the new settings, then the network side takes its budget and classes.
+//! 3. If the peers have changed, this dispatcher takes its place among them anew. If discovery has moved, the calls to the old
+//!    service are dropped and the new service is called.
 
 use crate::config::{Config, ConfigError};
 use crate::core::watch_liveness::DiscoverySettings;
@@ -15,13 +14,13 @@
 use crate::server::context::context;
 use crate::server::idempotency_store::reserved_files;
 
-/// Why a new configuration was not taken.
+/// Why a new configuration was rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// It cannot be read, or is out of order.
+    /// It cannot be read, or it is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The membership cannot begin under it.
+    /// The membership cannot start under it.
     #[error(transparent)]
     Fleet(#[from] FleetError),
     /// The policy did not accept the settings.
@@ -30,20 +29,20 @@
 }
 
 impl Server {
-    /// A signal has come.
+    /// Handles the signals that have arrived.
     pub(in crate::server) fn on_signal(&mut self) {
         self.signals.clear_wakeups();
         if self.signals.take_shutdown() {
             self.start_shutdown();
             self.membership.leave(&mut context!(self), &mut self.discovery);
         }
-        // Also while shutting down: what discovery sends until the end still counts.
+        // A reload is taken while shutting down too: endpoint lists still count until the end.
         if self.signals.take_reload() {
             self.reload();
         }
     }
 
-    /// Reads the configuration again. One that is out of order changes nothing.
+    /// Reads the configuration again. An invalid one is logged and counted, and changes nothing.
     fn reload(&mut self) {
         match self.load_new_config() {
             Ok(config) => self.apply_config(config),
@@ -54,7 +53,10 @@
         }
     }
 
-    /// The new configuration, once the core has taken its settings.
+    /// Reads and checks the new configuration, and lets the core take its settings.
+    ///
+    /// # Errors
+    /// If it cannot be read, or the membership or the core rejects it.
     fn load_new_config(&mut self) -> Result<Config, ReloadError> {
         let mut config = self.config.reload(self.core.names())?;
         let names = std::mem::take(&mut config.names);
@@ -63,7 +65,7 @@
         Ok(config)
     }
 
-    /// Switches to a configuration that the core has taken.
+    /// Switches the network side to a configuration whose settings the core has taken.
     fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -1,9 +1,9 @@
-//! Graceful shutdown. Connections keep arriving for a while after the signal, and what arrives is owed a response.
+//! Graceful shutdown. Connections keep arriving for a while after the signal, and every request that arrives is owed a response.
 //!
-//! 1. The signal comes: a plan is made from the deadlines of the classes, and the peers are notified.
-//! 2. From `close_idle` on, idle connections of clients are closed, unless no other dispatcher could take those clients.
-//! 3. At `last`, whatever is still open fails.
-//! 4. Once nothing has been left for a moment, from `quiet` on or after a handover, the loop ends.
+//! 1. At the signal a plan is made from the deadlines of the classes, and the peers are notified.
+//! 2. From `close_idle_at` on, idle client connections are closed, unless no other dispatcher could take those clients.
+//! 3. At `give_up_at`, every request that is still open fails.
+//! 4. From `arrivals_end_at` on, or after a handover, the loop ends once nothing has been left to do for a moment.
 
 use crate::core::shutdown_plan::ShutdownPlan;
 use crate::policy::interface::{ClassId, Micros};
@@ -16,13 +16,13 @@
 use crate::server::listeners::ListenerKind;
 use crate::server::tokens::SHUTDOWN_TIMER;
 
-/// The next step of a shutdown or drain is taken at this interval.
+/// The interval between two steps of a shutdown or drain, in microseconds.
 pub(super) const STEP_INTERVAL: Micros = 25_000;
-/// Connections that are not quiescent this long after the plan's end are dropped.
+/// Connections that are still busy this long after the plan's end, in microseconds, are dropped.
 const MAX_OVERTIME: Micros = STEP_INTERVAL * 8;
 
 impl Server {
-    /// Begins the shutdown, unless it has begun.
+    /// Starts the shutdown, unless it has started.
     pub(in crate::server) fn start_shutdown(&mut self) {
         if self.lifecycle.is_shutting_down() {
             return;
@@ -33,7 +33,7 @@
         self.peers.announce_state(&mut context!(self));
     }
 
-    /// The plan of a shutdown that begins now.
+    /// Returns the plan of a shutdown that starts now.
     fn plan_shutdown(&self) -> ShutdownPlan {
         let is_named = |number: usize| self.core.names().is_current_class(ClassId(number as u16));
         let deadlines = || self.config.settings.classes.iter().map(|class| class.deadline).enumerate();
@@ -43,7 +43,7 @@
         ShutdownPlan::new(self.clock.now(), longest_named.unwrap_or(0), longest.unwrap_or(0))
     }
 
-    /// Takes the next step of the plan that is due.
+    /// The shutdown timer has fired: takes the steps of the plan that are due, and sets the timer again unless all is done.
     pub(in crate::server) fn on_shutdown_timer(&mut self) {
         let Some(plan) = self.lifecycle.shutdown else { return };
         let keeps_clients = self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers);
@@ -62,7 +62,7 @@
         let may_end =
             self.lifecycle.has_handed_over || self.clock.now() >= plan.arrivals_end_at && !keeps_clients;
         if may_end && self.is_quiescent(plan) {
-            // A client whose last connection has just ended may be back with a new one.
+            // A client whose last connection has just ended may come back with a new one.
             let since = *self.lifecycle.quiescent_since.get_or_insert(self.clock.now());
             if self.clock.now() >= since + MIN_IDLE_BEFORE_CLOSE {
                 tracing::info!(open = self.core.ledger().open(), "shutdown complete");
@@ -75,7 +75,7 @@
         self.core.set_timer(self.clock.now() + STEP_INTERVAL, SHUTDOWN_TIMER);
     }
 
-    /// Whether nothing is left to answer or to be read: what the kernel has accepted by now is taken too.
+    /// Returns whether nothing is left to answer or to read. It first accepts the connections that wait in the kernel's queues.
     fn is_quiescent(&mut self, plan: ShutdownPlan) -> bool {
         if !self.lifecycle.has_handed_over {
             self.accept_clients(ListenerKind::Platform);
@@ -86,7 +86,7 @@
         !is_work_left || self.clock.now() >= plan.give_up_at + MAX_OVERTIME
     }
 
-    /// Whether a connection may still have something to answer, or to be read.
+    /// Whether a connection may still have a response to send or bytes to read.
     fn is_busy(&self, connection: &Connection, role: &Role) -> bool {
         let idle_before = self.clock.now().saturating_sub(MIN_IDLE_BEFORE_CLOSE);
         let has_output = !connection.outbox.is_empty();
--- a/src/server/lifecycle/signals.rs
+++ b/src/server/lifecycle/signals.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What signals have requested. Each raises its flag before it wakes the loop, so that two close together, in
-/// either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only TCP
-/// and UDP sockets over IPv4 may be made (STANDING, "In step with the bench").
+/// The requests that signals have made. Each signal raises its flag before it wakes the loop, so that two signals close
+/// together, in either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only
+/// TCP and UDP sockets over IPv4 may be created (STANDING, "In step with the bench").
 pub(in crate::server) struct Signals {
     woken: OwnedFd,
     is_reload_requested: Arc<AtomicBool>,
@@ -17,10 +17,10 @@
 }
 
 impl Signals {
-    /// Handles SIGHUP, SIGTERM, SIGINT and SIGXFSZ from now on.
+    /// Installs the handlers of SIGHUP (reload), SIGTERM and SIGINT (shutdown), and SIGXFSZ (ignored).
     ///
     /// # Errors
-    /// Where the system gives no pipe, or refuses a handler.
+    /// If the system gives no pipe or refuses a handler.
     pub fn register() -> std::io::Result<Signals> {
         let (woken, waker) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
         let is_reload_requested = Arc::<AtomicBool>::default();
@@ -34,7 +34,7 @@
             flag::register(signal, raised.clone())?;
             pipe::register(signal, waker.try_clone()?)?;
         }
-        // A file at its limit is an error of the write that meets it, not the end of the program.
+        // If a file reaches its size limit, the write fails and the program continues.
         flag::register(SIGXFSZ, Arc::default())?;
         Ok(Signals { woken, is_reload_requested, is_shutdown_requested })
     }
