--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -1,5 +1,5 @@
-//! The admin address. Its connections have descriptors of their own and are served before anything else of a turn, so that
-//! neither a crowd of clients nor callers that stop half way keep a call waiting.
+//! The admin address. Its connections use reserved descriptors and are served first in each turn, so that neither many clients
+//! nor callers that stop half way delay a call.
 
 use crate::http::{self, Framing, Piece};
 use crate::policy::interface::Micros;
@@ -17,50 +17,52 @@
 use std::collections::VecDeque;
 use std::net::{TcpListener, TcpStream};
 
-/// Connections held at most, out of the descriptors that no other connection may use. The oldest one gives way.
+/// The maximum number of connections; they use descriptors that no other connection may use. A further connection closes the
+/// oldest one.
 const MAX_CONNECTIONS: usize = 16;
-/// A call must be complete, and its response read, this long after its connection was accepted.
+/// The time from accepting a connection within which its call must be complete and its response read, in microseconds.
 const CALL_TIMEOUT: Micros = 5_000_000;
-/// The largest call: its head, and a body that nobody reads.
+/// The maximum size of a call in bytes: its head, and a body that is ignored.
 const MAX_CALL_BYTES: usize = 16 * 1024;
 
-/// The listening socket of the admin address, where it is on, and the connections to it.
+/// The listening socket of the admin address, if it is on, and the connections to it.
 pub(in crate::server) struct AdminServer {
     listener: Option<TcpListener>,
-    /// The oldest first.
+    /// The open connections, oldest first.
     connections: VecDeque<Token>,
 }
 
 /// A connection to the admin address; it carries one call.
 pub(in crate::server) struct AdminConnection {
-    /// Its response is being written.
+    /// Whether its response is being written.
     is_answered: bool,
 }
 
 impl AdminServer {
-    /// The admin address over this listening socket, if it is on.
+    /// Creates the admin address over a listening socket; `None` if it is off.
     pub(in crate::server) fn new(listener: Option<TcpListener>) -> AdminServer {
         AdminServer { listener, connections: VecDeque::new() }
     }
 
-    /// The listening socket.
+    /// The listening socket, if the admin address is on.
     pub(in crate::server) fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
 
-    /// Whether an event is for the listening socket or one of the connections.
+    /// Whether a token belongs to the listening socket or to one of the connections.
     pub(in crate::server) fn owns(&self, token: Token) -> bool {
         token == ADMIN || self.connections.contains(&token)
     }
 
-    /// The next connection that waits to be accepted.
+    /// Accepts the next waiting connection; `None` if none waits or the system refuses.
     fn accept(&self) -> Option<Connection> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd = rustix::net::accept_with(self.listener.as_ref()?, flags).ok()?;
         Some(Connection::new(TcpStream::from(fd)))
     }
 
-    /// Takes a new connection in; the oldest one gives way where no more may be held. `None` where epoll refuses it.
+    /// Adds a new connection and sets its deadline. Closes the oldest one if the maximum is reached. Returns `None` if epoll
+    /// refuses the new one.
     fn add(&mut self, context: &mut Context<'_>, connection: Connection) -> Option<Token> {
         if let Some(oldest) = self.take_excess() {
             context.reactor.close_token(context.core, oldest);
@@ -74,12 +76,12 @@
         Some(token)
     }
 
-    /// The connection that gives way to a new one, where no more may be held.
+    /// Removes and returns the oldest connection if the maximum is reached.
     fn take_excess(&mut self) -> Option<Token> {
         if self.connections.len() >= MAX_CONNECTIONS { self.connections.pop_front() } else { None }
     }
 
-    /// Writes the answer of a call, and closes its connection once that is written.
+    /// Writes the response of a call, and closes the connection once the response is written or the connection is broken.
     fn write_answer(
         &mut self,
         context: &mut Context<'_>,
@@ -97,7 +99,7 @@
         context.reactor.put(token, connection, Role::Admin(caller));
     }
 
-    /// Closes a connection: it has had its answer, or its time.
+    /// Closes a connection whose response is written, whose deadline has passed, or which has ended.
     pub(in crate::server) fn close(
         &mut self,
         context: &mut Context<'_>,
@@ -110,18 +112,18 @@
     }
 }
 
-/// What has come of a call.
+/// The result of reading a call.
 enum CallRead {
-    /// Nothing new: it is not whole yet, or answered already.
+    /// Nothing new: the call is not complete yet, or already answered.
     Pending,
-    /// It is whole, or known to be none.
+    /// The call is complete, or known to be invalid.
     Complete(Result<AdminCall, Reject>),
-    /// Its caller has gone.
+    /// The caller has disconnected.
     Ended,
 }
 
 impl AdminConnection {
-    /// Reads what has come, as the flags say.
+    /// Reads the available bytes, if the flags say that there may be any.
     fn read_call(&self, connection: &mut Connection, flags: EventFlags) -> CallRead {
         let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
         if self.is_answered || !is_readable {
@@ -136,7 +138,7 @@
     }
 }
 
-/// Reads a call. `None` until it is whole, or known to be none.
+/// Parses a call. Returns `None` until the call is complete or known to be invalid.
 fn parse_call(inbox: &[u8], end: ReadEnd) -> Option<Result<AdminCall, Reject>> {
     let head = match http::read_request(inbox) {
         Ok(Some(head)) => head,
@@ -147,7 +149,7 @@
     let length = match head.framing {
         Framing::Length(length) => head.len + length,
         Framing::Absent => head.len,
-        Framing::Chunked => return Some(Err(Reject::BadRequest)), // no call has a body to speak of
+        Framing::Chunked => return Some(Err(Reject::BadRequest)), // calls have no meaningful body
     };
     if length > MAX_CALL_BYTES {
         return Some(Err(Reject::BodyTooLarge));
@@ -158,9 +160,9 @@
     Some(admin::route(inbox, &head))
 }
 
-/// What needs all parts: the calls are answered out of them.
+/// Accepting and answering calls. These are methods of the server because the answers need all its parts.
 impl Server {
-    /// Connections wait to be accepted. Often the call is there already.
+    /// Accepts the waiting connections, and serves each at once, because its call has often arrived already.
     pub(in crate::server) fn accept_admin(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(connection) = self.admin.accept() else { return };
@@ -170,7 +172,7 @@
         }
     }
 
-    /// A connection is readable, writable or closed.
+    /// A connection to the admin address is readable, writable or closed.
     pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
@@ -189,10 +191,10 @@
         self.admin.write_answer(&mut context!(self), token, connection, caller, flags);
     }
 
-    /// The response to a call, which is carried out.
+    /// Carries out a call and returns its response.
     fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
-            // Whether it takes clients is up to its successor.
+            // After a handover the successor decides whether this dispatcher takes clients.
             Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
                 if self.lifecycle.has_handed_over() =>
             {
@@ -216,7 +218,7 @@
         }
     }
 
-    /// What all parts count, at this moment.
+    /// Collects the current counters of all parts.
     fn metrics_snapshot(&self) -> MetricsSnapshot {
         let tallies = self.core.tallies();
         let classes = tallies.into_iter().map(|(name, tally)| ClassMetrics {
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -1,4 +1,4 @@
-//! How many connections this process may hold, within the limits of descriptors and memory.
+//! The number of connections that this process may hold, within the limits of descriptors and memory.
 
 use crate::config::MachineLimits;
 use crate::policy::interface::Micros;
@@ -6,19 +6,19 @@
 use crate::server::{Server, downstream};
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
-/// the sockets of a hot restart (2), those of a packet between its processes (4), callers of the admin address (16), calls to
+/// the sockets of a hot restart (2), the descriptors of a handover packet (4), callers of the admin address (16), calls to
 /// discovery (a watch, the next one and a list), and files that are read (5).
 pub(super) const RESERVED_DESCRIPTORS: usize = 40;
-/// The least number of connections, whatever the limits are.
+/// The minimum number of connections, regardless of the limits.
 const MIN_CONNECTIONS: usize = 16;
-/// Memory of one connection: it may buffer a whole request and a whole response.
+/// The memory of one connection, in bytes. It may buffer a whole request and a whole response.
 const CONNECTION_BYTES: usize = 2 * 96 * 1024;
 
-/// How many connections there may be. Whatever clients hold, a sixth is left for workers and probes, and a sixth for
-/// callbacks and for telling clients that there is no capacity; discovery has descriptors of its own.
+/// The maximum numbers of connections. However many connections clients hold, a sixth is left for workers and probes, and a
+/// sixth for callbacks and for rejecting clients when there is no capacity. Discovery uses reserved descriptors.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Budget {
-    /// In all.
+    /// All connections of clients and to workers.
     pub connections: usize,
     /// Client connections beyond this are rejected.
     pub clients: usize,
@@ -27,11 +27,11 @@
 }
 
 impl Budget {
-    /// The budget under these limits, where `reserved` descriptors are used by other things beside
+    /// Computes the budget for these limits. `reserved` is the number of descriptors that are used in addition to
     /// [`RESERVED_DESCRIPTORS`].
     pub fn new(limits: MachineLimits, reserved: usize) -> Budget {
         let by_memory = (limits.memory_mb as usize * 1024 * 1024) / CONNECTION_BYTES;
-        // The system's own limit may be lower than what the configuration allows.
+        // The system's limit may be lower than the configured one.
         let open_files = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = open_files.map_or(limits.sockets, |open| open.min(limits.sockets)) as usize;
         let by_descriptors = sockets.saturating_sub(RESERVED_DESCRIPTORS + reserved).max(MIN_CONNECTIONS);
@@ -39,29 +39,29 @@
         Budget { connections, clients: connections * 2 / 3, max_accepted_clients: connections * 5 / 6 }
     }
 
-    /// How many connections may linger at a time: what may be accepted beyond the clients that are served.
+    /// The maximum number of lingering connections: those accepted beyond the clients that are served.
     pub fn max_lingering(&self) -> usize {
         self.max_accepted_clients - self.clients
     }
 }
 
-/// What closes connections of clients and to workers alike.
+/// Closing connections, of clients and to workers, to make room.
 impl Server {
-    /// Finds a descriptor for a new connection: where the budget is used up, by closing one that has been idle for
-    /// `min_idle`. False where there is none.
+    /// Makes room for a new connection. If the budget is used up, closes one that has been idle for `min_idle`. Returns false if
+    /// no descriptor could be freed.
     pub(super) fn ensure_descriptor(&mut self, min_idle: Micros) -> bool {
         if !self.is_budget_used_up() {
             return true;
         }
-        // A connection that only began to linger still holds its descriptor: it is closed now.
+        // A connection that only began to linger still holds its descriptor, so it is closed now.
         self.close_idle_connection(min_idle)
             && (!self.is_budget_used_up()
                 || self.clients.close_oldest_lingering(&mut client_context!(self))
                     && !self.is_budget_used_up())
     }
 
-    /// Closes one connection of a client or to a worker. Partial requests that grew lately come last: well-behaved clients may
-    /// be writing them. False where there is none to close.
+    /// Closes one connection of a client or to a worker. Connections with a partial request that grew recently come last,
+    /// because well-behaved clients may be writing them. Returns false if there is none to close.
     fn close_idle_connection(&mut self, min_idle: Micros) -> bool {
         let context = &mut client_context!(self);
         self.clients.close_oldest_lingering(context)
@@ -72,7 +72,7 @@
             || self.clients.close_silent(context, downstream::SILENT_GRACE)
     }
 
-    /// Whether no connection may be added: the other process of a hot restart has its own against the same limit.
+    /// Whether no connection may be added. The connections of the other process of a hot restart count against the same limit.
     fn is_budget_used_up(&self) -> bool {
         let open =
             self.reactor.connections().open_connections() + self.hot_restart.connections_in_peer_process();
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -1,28 +1,28 @@
-//! One call to discovery: the head of its response, the body split into JSON objects, and why a call fails. No socket and no
-//! clock: bytes go in, objects come out.
+//! One call to discovery: the head of its response, its body split into JSON objects, and the reasons why a call fails. This
+//! module uses no socket and no clock: bytes go in, objects come out.
 
 use crate::core::endpoint_table::{ListRejection, ListSource};
 use crate::core::watch_liveness::ObjectSplitter;
 use crate::http::{self, Body, ResponseHead};
 use crate::policy::interface::Micros;
 
-/// The longest object of a watch, or whole list, in bytes.
+/// The maximum length of an object of a watch, or of a whole list, in bytes.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// A longer `Retry-After` is ignored: what changes meanwhile counts as notified.
+/// A longer `Retry-After` is ignored, because changes that happen meanwhile count as notified.
 const MAX_RETRY_AFTER_SECONDS: f64 = 10.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// What a call asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum CallKind {
-    /// The list and its changes, for as long as the connection holds.
+    /// The list and its changes, for as long as the connection lasts.
     Watch,
     /// The whole list, once.
     FullList,
 }
 
 impl CallKind {
-    /// How the log names it.
+    /// Its name in the log.
     pub(super) fn log_name(self) -> &'static str {
         match self {
             CallKind::Watch => "watch",
@@ -53,10 +53,10 @@
     BrokenFraming,
     #[error("not a list")]
     NotAList,
-    /// The list is older than the one that is held.
+    /// The list is older than the current one.
     #[error("list out of date")]
     OutOfDate,
-    /// The list is empty, or holds changes where the whole was asked for.
+    /// The list is empty, or holds changes although the whole list was requested.
     #[error("no whole list")]
     NotWhole,
     #[error("list too long")]
@@ -75,12 +75,12 @@
     }
 }
 
-/// How a call for a watch, or the watch that it opened, came to its end.
+/// How a call for a watch, or the watch that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
     /// Refused; `retry_after` is the wait that the service asks for, unless it is ignored.
     Refused { retry_after: Option<Micros> },
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
     /// The connection ended.
     Failed,
@@ -93,23 +93,23 @@
 pub(super) enum CallProgress {
     /// It waits for more bytes.
     Pending,
-    /// It has got its list.
+    /// It has received its list.
     Complete,
 }
 
-/// The state of one call, beside its connection.
+/// The state of one call, apart from its connection.
 pub(in crate::server) struct DiscoveryCall {
     pub(super) kind: CallKind,
     pub(super) is_connecting: bool,
-    /// A list of it was taken in, so that it counts as answered.
+    /// Whether a list of it was accepted; it then counts as answered.
     pub(super) is_answered: bool,
-    /// The body, once the head has come.
+    /// The body, once the head has been read.
     body: Option<Body>,
     objects: ObjectSplitter,
 }
 
 impl DiscoveryCall {
-    /// A call whose connection is being established.
+    /// Creates a call whose connection is being established.
     pub(super) fn new(kind: CallKind) -> DiscoveryCall {
         DiscoveryCall {
             kind,
@@ -125,7 +125,7 @@
         self.kind == CallKind::Watch
     }
 
-    /// How its next list relates to the one that is held.
+    /// How its next list relates to the current one.
     pub(super) fn list_source(&self) -> ListSource {
         match (self.kind, self.is_answered) {
             (CallKind::FullList, _) => ListSource::FullList,
@@ -134,10 +134,10 @@
         }
     }
 
-    /// Takes the head out of the inbox, unless it was taken before. Returns whether it has come.
+    /// Takes the head out of the inbox, unless this was done before. Returns whether the head is complete.
     ///
     /// # Errors
-    /// If the bytes are no HTTP, or the call is refused.
+    /// If the bytes are not HTTP, or the status is not 200.
     pub(super) fn read_head(&mut self, inbox: &mut Vec<u8>) -> Result<bool, CallError> {
         if self.body.is_some() {
             return Ok(true);
@@ -153,10 +153,10 @@
         Ok(true)
     }
 
-    /// Takes what belongs to the body out of the inbox; its objects are then to be taken by [`DiscoveryCall::next_object`].
+    /// Takes the bytes of the body out of the inbox. [`DiscoveryCall::next_object`] then returns its objects.
     ///
     /// # Errors
-    /// If the framing is broken. What came before that counts and can still be taken.
+    /// If the framing is broken. Objects before the error count and can still be taken.
     pub(super) fn read_body(&mut self, inbox: &mut Vec<u8>) -> Result<(), CallError> {
         let Some(body) = &mut self.body else { return Ok(()) };
         let mut content = Vec::new();
@@ -165,22 +165,22 @@
         framing.map_err(|_| CallError::BrokenFraming)
     }
 
-    /// The next object of the body that is whole.
+    /// Returns the next complete object of the body.
     pub(super) fn next_object(&mut self) -> Option<Vec<u8>> {
         self.objects.next_object()
     }
 
-    /// Whether an empty line, a watch's heartbeat, has come since this was called last.
+    /// Returns whether an empty line, the heartbeat of a watch, has arrived since the last call of this function.
     pub(super) fn take_heartbeat(&mut self) -> bool {
         self.objects.take_empty_line()
     }
 
-    /// Whether an object has begun and not ended.
+    /// Whether an object has begun and is not complete yet.
     pub(super) fn has_partial_object(&self) -> bool {
         self.objects.is_partial()
     }
 
-    /// How the call ends by this error.
+    /// How the call ends if it fails with this error.
     pub(super) fn end(&self, error: CallError) -> CallEnd {
         match error {
             CallError::Refused { retry_after } => CallEnd::Refused { retry_after },
@@ -190,10 +190,10 @@
         }
     }
 
-    /// What follows once all whole objects were taken.
+    /// Returns what the call does next, once all complete objects were taken.
     ///
     /// # Errors
-    /// If nothing more may come, or the object under way is too long.
+    /// If the response has ended, or the partial object is too long.
     pub(super) fn progress(&self) -> Result<CallProgress, CallError> {
         if self.kind == CallKind::FullList && self.is_answered {
             return Ok(CallProgress::Complete);
@@ -210,7 +210,8 @@
     }
 }
 
-/// The wait in `Retry-After`, unless it is too long or not a number of seconds.
+/// Returns the wait in `Retry-After`, in microseconds. `None` if there is none, it is longer than
+/// [`MAX_RETRY_AFTER_SECONDS`], or it is not a number of seconds.
 fn retry_after(inbox: &[u8], head: &ResponseHead) -> Option<Micros> {
     let seconds: f64 = head.fields.text(inbox, "Retry-After")?.trim().parse().ok()?;
     let is_heeded = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
--- a/src/server/discovery/full_list.rs
+++ b/src/server/discovery/full_list.rs
@@ -1,30 +1,30 @@
-//! Whether the whole endpoint list of a new discovery service is still to be fetched.
+//! Tracks whether the whole endpoint list of a new discovery service must still be fetched.
 //!
-//! A new service may answer a watch with changes although it was asked for everything; endpoints that it does not know would
-//! then stay in the table. So its whole list is fetched once, beside the watch.
+//! A new service may answer a watch with changes although it was asked for everything. Endpoints that it does not know would
+//! then stay in the table. Therefore its whole list is fetched once, in addition to the watch.
 
 /// The progress of the fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FullListState {
-    /// The list of this service is whole.
+    /// The whole list of this service is known.
     Known,
-    /// It is to be fetched once the service's watch has sent something.
+    /// It must be fetched once the service's watch has sent something.
     Needed,
     /// A call for it is under way.
     Requested,
-    /// The call failed; the next one waits for a timer.
+    /// The call failed; a timer starts the next one.
     RetryScheduled,
 }
 
 impl FullListState {
-    /// A new call was answered by a service that counts its generations anew: its whole list is needed.
+    /// The service that answered a new call has restarted its generations: its whole list is needed.
     pub(super) fn on_generation_reset(&mut self) {
         if *self == FullListState::Known {
             *self = FullListState::Needed;
         }
     }
 
-    /// Whether a call for the list is to be started now; it then counts as started.
+    /// Returns whether the caller must start a call for the list now; the call then counts as started.
     pub(super) fn start_request(&mut self) -> bool {
         let is_needed = *self == FullListState::Needed;
         if is_needed {
@@ -33,7 +33,7 @@
         is_needed
     }
 
-    /// A call for a whole list failed. Whether it was this one, which is to be retried.
+    /// A call for a whole list failed. Returns whether it was the call tracked here, which must then be retried.
     pub(super) fn on_request_failed(&mut self) -> bool {
         let was_requested = *self == FullListState::Requested;
         if was_requested {
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -1,4 +1,4 @@
-//! What the body of a call contains: endpoint lists for the core, and heartbeats of the watch.
+//! Processes the content of a call's body: endpoint lists for the core, and heartbeats of the watch.
 
 use super::DiscoveryClient;
 use super::call::{CallError, DiscoveryCall};
@@ -12,7 +12,8 @@
 use crate::server::tokens::Token;
 
 impl DiscoveryClient {
-    /// Processes whole objects until none is left or one fails. Returns whether any was accepted, and the failure.
+    /// Processes complete objects until none is left or one fails. Returns whether any was accepted, and the failure if there
+    /// was one.
     pub(super) fn take_lists(
         &mut self,
         context: &mut Context<'_>,
@@ -29,7 +30,7 @@
         (has_lists, Ok(()))
     }
 
-    /// Sets the watch's deadline. Only lists and empty lines show that it is alive, and have come now.
+    /// Sets the watch's deadline after a list or an empty line has arrived. Only these show that the watch is alive.
     pub(super) fn on_watch_data(
         &mut self,
         context: &mut Context<'_>,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Sets the deadline of an object of the watch that has begun.
+    /// Sets the deadline by which an object of the watch must be complete, once it has begun.
     pub(super) fn on_partial_object(
         &mut self,
         context: &mut Context<'_>,
@@ -54,8 +55,11 @@
         connection.set_timer(context.core, token, Some(deadline));
     }
 
-    /// Processes an object of a call. One that is rejected, or cannot be read, may hold a change that no later one repeats:
-    /// the call then fails, and the next one asks for the changes after the list that is held.
+    /// Processes an object of a call.
+    ///
+    /// # Errors
+    /// If the object is rejected or cannot be read. It may hold a change that no later object repeats, so the call then fails,
+    /// and the next call asks for the changes after the current list.
     fn on_object(
         &mut self,
         context: &mut Context<'_>,
@@ -77,7 +81,8 @@
         }
     }
 
-    /// A watch survives an empty list: discovery is alive, and has lost its table.
+    /// Counts a rejected list, and returns the error that ends the call. An empty list does not end a watch: discovery is alive
+    /// and has lost its table.
     fn on_list_rejected(
         &mut self,
         context: &mut Context<'_>,
@@ -97,7 +102,7 @@
         Err(rejection.into())
     }
 
-    /// Hands a list to the core.
+    /// Passes an accepted list to the core, and records that the call is answered.
     fn on_list_accepted(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! The client of discovery: the watch of the endpoint list, and the call for the whole list once.
+//! The client of discovery: the watch of the endpoint list, and the single call for the whole list.
 //!
-//! [`DiscoveryClient`] owns what is known of both beside their connections: when the watch is opened (`watch`, `pacing`) and
-//! whether a whole list is still to be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
-//! methods here start and schedule calls, those in `transport` drive their connections, and those in `lists` hand what arrives
-//! to the core. Handlers that may pace a call are given the membership, over which the pacing publishes.
+//! [`DiscoveryClient`] owns the state of both apart from their connections: when the watch is opened (`watch`, `pacing`) and
+//! whether a whole list must still be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
+//! methods here start and schedule calls, those in `transport` drive their connections, and those in `lists` pass received lists
+//! to the core. Handlers that may pace a call receive the membership, because the pacing publishes facts over it.
 
 mod call;
 mod full_list;
@@ -30,7 +30,7 @@
 use full_list::FullListState;
 use pacing::{CallPacing, WatchEvent};
 
-/// Failed calls that were not answered by a list are logged this far apart.
+/// The minimum time between two log lines about failed calls that were not answered by a list, in microseconds.
 const FAILURE_LOG_INTERVAL: Micros = 1_000_000;
 
 /// This dispatcher's calls to discovery.
@@ -38,16 +38,16 @@
     /// The connection of the watch, or of the call for it.
     watch: Option<Token>,
     liveness: WatchLiveness,
-    /// When the watch is opened, while none is open.
+    /// The time at which the next watch is opened, while none is open.
     watch_timer: TimerSlot,
     full_list: FullListState,
     pacing: CallPacing,
-    /// No failure of a call without an answer is logged before this.
+    /// The earliest time at which the next failure of an unanswered call is logged.
     next_failure_log: Micros,
 }
 
 impl DiscoveryClient {
-    /// A client that has made no call yet; `generation` is that of the endpoint list that is held.
+    /// Creates a client that has made no call yet. `generation` is that of the current endpoint list.
     pub(in crate::server) fn open(
         settings: &FleetSettings,
         config: &Config,
@@ -74,13 +74,13 @@
         self.watch.take_if(|watch| *watch == token).is_some()
     }
 
-    /// A call for the whole list has failed. Returns when to retry it, if it was one that a new service made necessary.
+    /// A call for the whole list has failed. Returns when to retry it, if it was made because of a new service.
     fn record_full_list_failure(&mut self, now: Micros) -> Option<Micros> {
         self.full_list.on_request_failed().then(|| self.liveness.on_full_list_failed(now))
     }
 
-    /// Whether the failure of a call is logged: always if the call was answered, else at intervals, because an agent on the own
-    /// machine is called again at once.
+    /// Returns whether to log the failure of a call: always if the call was answered, otherwise at most once per
+    /// [`FAILURE_LOG_INTERVAL`], because an agent on the same machine is called again at once.
     fn admit_failure_log(&mut self, now: Micros, was_answered: bool) -> bool {
         let is_admitted = was_answered || now >= self.next_failure_log;
         if is_admitted {
@@ -89,8 +89,8 @@
         is_admitted
     }
 
-    /// The decision module wants a watch. Nothing is done if a time for it is set: the module's own waits grow beyond the time
-    /// within which a change must be notified.
+    /// The decision module wants a watch. If a time for it is already set, this does nothing: the module's own waits grow beyond
+    /// the time within which a change must be notified.
     pub(in crate::server) fn on_watch_wanted(
         &mut self,
         context: &mut Context<'_>,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The time to open the watch has come.
+    /// The watch timer has fired: opens the watch if it is due.
     pub(in crate::server) fn on_watch_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -112,12 +112,12 @@
         }
     }
 
-    /// The list that the program started with may have become stale, or may be used again.
+    /// The stale-list timer has fired: the list known at the start may have become stale, or may be used again.
     pub(in crate::server) fn on_stale_list_timer(&self, context: &mut Context<'_>) {
         self.check_stale_list(context.core, context.now());
     }
 
-    /// The time to retry the call for a new service's whole list has come.
+    /// The full-list timer has fired: retries the call for a new service's whole list.
     pub(in crate::server) fn on_full_list_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -127,14 +127,14 @@
         self.fetch_needed_list(context, membership);
     }
 
-    /// Calls a new service for its whole list, unless that is known or under way.
+    /// Calls a new service for its whole list, if that is needed and no call for it is under way.
     fn fetch_needed_list(&mut self, context: &mut Context<'_>, membership: &mut MembershipLink) {
         if self.full_list.start_request() {
             self.open_call(context, membership, CallKind::FullList);
         }
     }
 
-    /// Starts a call. One for a watch ends the watch that is open.
+    /// Starts a call. A call for a watch closes the watch that is open.
     pub(in crate::server) fn open_call(
         &mut self,
         context: &mut Context<'_>,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The watch, or the call for it, is over: schedules the next one.
+    /// The watch, or the call for it, has ended: schedules the next one.
     fn on_watch_ended(&mut self, context: &mut Context<'_>, membership: &mut MembershipLink, end: CallEnd) {
         let reopen_at = self.record_watch_end(context.now(), end);
         if self.pacing.is_enabled() {
@@ -192,7 +192,7 @@
         self.check_stale_list(context.core, context.now());
     }
 
-    /// The address of discovery has changed: drops all calls to the former service, with whatever they may still bring.
+    /// The address of discovery has changed: drops all calls to the old service, with any data they may still bring.
     pub(in crate::server) fn on_service_moved(
         &mut self,
         context: &mut Context<'_>,
@@ -212,10 +212,11 @@
     }
 }
 
-/// Begins to connect, with the request in the outbox. A watch asks for the changes after the list that is held.
+/// Starts to connect, with the request in the outbox. A watch asks for the changes after the current list. Returns `None` if
+/// the system refuses the connection.
 fn connect(context: &mut Context<'_>, kind: CallKind) -> Option<Token> {
     let after = (kind == CallKind::Watch).then_some(context.core.endpoints().generation());
-    let mut connection = Connection::connect(context.config.discovery).ok()?; // its descriptor is kept for it: see `RESERVED_DESCRIPTORS`
+    let mut connection = Connection::connect(context.config.discovery).ok()?; // reserved descriptor: see `RESERVED_DESCRIPTORS`
     connection.outbox.push(platform::discovery_call(after));
     context.reactor.add(connection, Role::Discovery(DiscoveryCall::new(kind)))
 }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -1,8 +1,8 @@
-//! When discovery is called, where the operators' file has `fleet.cold_start`: the dispatchers of a site then share what
-//! they observe of the service, and spread their calls over time.
+//! The schedule of calls to discovery if the operators' file has `fleet.cold_start`. The dispatchers of a site then share their
+//! observations of the service, and spread their calls over time.
 //!
-//! The scheduler alone then schedules the calls for a watch; the waits of the decision module and of [`WatchLiveness`] are not
-//! added to its own.
+//! In that case only the scheduler schedules the calls for a watch. The waits of the decision module and of [`WatchLiveness`]
+//! are not added to its own.
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
@@ -22,40 +22,40 @@
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A watch's silence is noticed this long before what it missed counts as notified; a new call and its response must fit
-/// into that.
+/// The time from the detection of a silent watch until the changes that it missed count as notified, in microseconds. A new call
+/// and its response must fit into it.
 const SILENCE_RECOVERY_TIME: Micros = 2_500_000;
-/// A service that has just taken over is called within this.
+/// A service that has just taken over is called within this time, in microseconds.
 const MOVE_RECOVERY_TIME: Micros = 2_000_000;
 
 /// An event of the watch, for the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEvent {
-    /// It has sent a list of this generation.
+    /// The watch has sent a list of this generation.
     List { generation: u64 },
-    /// It, or the call for it, is over.
+    /// The watch, or the call for it, has ended.
     Ended(CallEnd),
-    /// Another service counts from now on.
+    /// The configuration names another discovery service from now on.
     DiscoveryMoved,
 }
 
-/// The schedule of this dispatcher's calls for a watch, where pacing is on.
+/// The schedule of this dispatcher's calls for a watch, if pacing is on.
 pub(super) struct CallPacing {
-    /// `None` where pacing is off.
+    /// `None` if pacing is off.
     scheduler: Option<PollScheduler>,
-    /// What the members have published about the service, where membership is on as well.
+    /// The members' published observations of the service, if membership is on too.
     observations: Option<SharedObservations>,
     /// The last known epoch of the member at each place.
     epochs: HashMap<u16, u64>,
     timer: TimerSlot,
     call_started: Micros,
-    /// The present watch has sent a list.
+    /// Whether the current watch has sent a list.
     is_answered: bool,
 }
 
 impl CallPacing {
-    /// Pacing that begins now, if it is on; `generation` is that of the endpoint list that is held. Where lists are pushed to
-    /// this dispatcher there is nothing to pace.
+    /// Starts pacing, if it is on. `generation` is that of the current endpoint list. If lists are pushed to this dispatcher,
+    /// there is nothing to pace.
     pub(super) fn open(
         settings: &FleetSettings,
         config: &Config,
@@ -90,7 +90,7 @@
         self.scheduler.is_some()
     }
 
-    /// Publishes what was observed of the service, and sets the timer. To be called after each event.
+    /// Publishes the observations of the service, and sets the timer. Must be called after each event.
     fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
         let mut next_publish = None;
         if let (Some(scheduler), Some(observations)) = (&self.scheduler, &mut self.observations) {
@@ -104,7 +104,7 @@
         self.timer.set(core, next_call.into_iter().chain(next_publish).min());
     }
 
-    /// The timer has fired. Returns whether a call is to be started now; it then counts as started.
+    /// The timer has fired. Returns whether the caller must start a call now; the call then counts as started.
     fn on_timer(&mut self, now: Micros) -> bool {
         self.timer.on_fired();
         let is_due = self.scheduler.as_mut().is_some_and(|scheduler| scheduler.tick(now).is_some());
@@ -115,8 +115,8 @@
         is_due
     }
 
-    /// A member's state or epoch has changed. What it published is void if its process has ended or was replaced. Returns
-    /// whether pacing is on.
+    /// A member's state or epoch has changed. If its process has ended or was replaced, its published observations no longer
+    /// count. Returns whether pacing is on.
     fn on_member_changed(&mut self, now: Micros, change: Change, view: Option<&View>) -> bool {
         let Some(scheduler) = &mut self.scheduler else { return false };
         let previous = self.epochs.insert(change.place, change.epoch);
@@ -132,7 +132,7 @@
         true
     }
 
-    /// Another member has published a fact. Returns whether it was one for the pacing, and readable.
+    /// Another member has published a fact. Returns whether the fact concerns the pacing and could be read.
     fn on_fact(&mut self, now: Micros, fact: &OwnedFact) -> bool {
         let (Some(scheduler), Some(observations)) = (&mut self.scheduler, &mut self.observations) else {
             return false;
@@ -177,12 +177,13 @@
     }
 }
 
-/// Whether facts of other members arrive here.
+/// Whether facts of other members reach this dispatcher.
 fn hears_members(settings: &FleetSettings, config: &Config) -> bool {
     settings.membership.is_some() && config.peer_listen.is_some()
 }
 
-/// The scheduler's configuration; `None` where pacing is off, lists are pushed, or the place is none that the scheduler knows.
+/// Returns the scheduler's configuration. `None` if pacing is off, lists are pushed, or the place or the number of dispatchers
+/// exceeds 16 bits.
 fn scheduler_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<SchedulerConfig> {
     let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
     Some(SchedulerConfig {
@@ -198,7 +199,7 @@
 }
 
 impl DiscoveryClient {
-    /// Publishes what this dispatcher has observed of discovery, and sets the pacing's timer.
+    /// Publishes this dispatcher's observations of discovery, and sets the pacing timer.
     pub(in crate::server) fn update_pacing(
         &mut self,
         context: &mut Context<'_>,
@@ -219,7 +220,7 @@
         }
     }
 
-    /// A fact has arrived, of any kind and from any place, this one included.
+    /// A fact has arrived, of any kind and from any place, including this dispatcher's own.
     pub(in crate::server) fn on_fact(
         &mut self,
         context: &mut Context<'_>,
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The pacing's timer has fired.
+    /// The pacing timer has fired: starts a call for a watch if one is due.
     pub(in crate::server) fn on_pacing_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -245,7 +246,7 @@
         membership.apply_outputs(context, self);
     }
 
-    /// Passes an event of the watch to the scheduler, and does what follows from it.
+    /// Passes an event of the watch to the scheduler, and applies the results.
     pub(super) fn pace_on_watch_event(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -1,4 +1,4 @@
-//! The connection of a call: it comes up, is read, and ends.
+//! The connection of a call: how it is established, read and ended.
 
 use super::DiscoveryClient;
 use super::call::{CallError, CallKind, CallProgress, DiscoveryCall};
@@ -12,7 +12,7 @@
 use rustix::event::epoll::EventFlags;
 
 impl DiscoveryClient {
-    /// The connection of a call is up, readable, writable or closed.
+    /// The connection of a call is established, readable, writable or closed.
     pub(in crate::server) fn on_ready(
         &mut self,
         context: &mut Context<'_>,
@@ -52,7 +52,7 @@
         context.reactor.put(token, connection, Role::Discovery(call));
     }
 
-    /// The connection of a call is up; its answer is awaited.
+    /// The connection of a call is established: sets the deadline of its answer.
     fn on_connected(
         &mut self,
         context: &mut Context<'_>,
@@ -68,7 +68,7 @@
         connection.set_timer(context.core, token, Some(answered_by));
     }
 
-    /// A call has received nothing for too long.
+    /// The deadline of a call has passed. The call fails, unless unread bytes keep it alive.
     pub(in crate::server) fn on_call_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -77,7 +77,7 @@
         mut connection: Connection,
         mut call: DiscoveryCall,
     ) {
-        // After a long turn of the loop, data may have arrived that was not read yet.
+        // After a long turn of the loop, data may have arrived that has not been read yet.
         if !call.is_connecting && connection.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_call(context, membership, token, &mut connection, &mut call) {
                 Ok(CallProgress::Pending) if connection.timer.is_none() => {}
@@ -94,7 +94,10 @@
         self.fail_call(context, membership, token, connection, call, error);
     }
 
-    /// Processes what has been read of a call.
+    /// Processes the bytes that have been read of a call.
+    ///
+    /// # Errors
+    /// If the response is refused, broken, ended or holds an unusable list; the call has then failed.
     fn read_call(
         &mut self,
         context: &mut Context<'_>,
@@ -114,14 +117,14 @@
             if has_data {
                 self.on_watch_data(context, membership, token, connection);
             }
-            // It must be complete within the time that it was given when it began.
+            // A partial object must be complete by the deadline that was set when it began.
             if call.has_partial_object() && (has_data || !had_partial_object) {
                 self.on_partial_object(context, token, connection);
             }
         }
         lists.and(framing)?;
         let progress = call.progress();
-        // A list that has begun is counted at the call's end.
+        // A partial list is counted when the call ends.
         if let Err(CallError::TooLong | CallError::NoList) = progress
             && !call.has_partial_object()
         {
@@ -147,7 +150,7 @@
         context.reactor.close(context.core, token, connection, Role::Discovery(call));
     }
 
-    /// Logs a call that failed, and counts the list that broke off with it.
+    /// Logs a failed call, and counts its partial list as a bad one.
     fn report_failed_call(&mut self, context: &mut Context<'_>, call: &DiscoveryCall, error: CallError) {
         if call.has_partial_object() {
             context.metrics.bad_lists += 1;
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! When the watch is opened, and for how long the endpoint list that the program started with may be used. [`WatchLiveness`]
-//! decides both; the methods here set its timers and notify the core.
+//! When the watch is opened, and for how long the endpoint list known at the start may be used. [`WatchLiveness`] decides both.
+//! The methods here set its timers and notify the core.
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
@@ -11,7 +11,7 @@
 use crate::server::tokens::STALE_LIST_TIMER;
 
 impl DiscoveryClient {
-    /// Schedules the first watch, and the times at which the list that is known so far becomes stale or is used anyway.
+    /// Schedules the first watch, and the times at which the list known at the start becomes stale or is used anyway.
     /// `newest_start` is the latest start of an endpoint on that list.
     pub(in crate::server) fn start(&mut self, core: &mut Core, now: Micros, newest_start: Option<Micros>) {
         let opens_at = self.liveness.start(now);
@@ -27,9 +27,9 @@
         }
     }
 
-    /// Another dispatcher received a message of this one's predecessor at `seen_at`: until some time after that, the list that
-    /// this process started with lacks nothing that counts. Ignored once that list is used, as the message may then have been
-    /// this process's own.
+    /// Another dispatcher received a message of this one's predecessor at `seen_at`. Until some time after that, the list that
+    /// this process started with lacks no change that counts as notified. This is ignored once that list is used, because the
+    /// message may then have been this process's own.
     pub(in crate::server) fn on_predecessor_seen(&mut self, core: &mut Core, now: Micros, seen_at: Micros) {
         if !core.endpoints().is_stale() {
             return;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Suspends the list that the program started with, or uses it. It is suspended while it is to be revalidated and discovery
-    /// has sent none; once discovery cannot be reached, or has not answered in time, it is used as it is.
+    /// Suspends or uses the list known at the start. It is suspended while it must be revalidated and discovery has sent no list.
+    /// Once discovery cannot be reached, or has not answered in time, it is used unchanged.
     pub(in crate::server) fn check_stale_list(&self, core: &mut Core, now: Micros) {
         match (core.endpoints().is_stale(), self.liveness.is_stale(now)) {
             (true, false) => {
@@ -54,30 +54,31 @@
         }
     }
 
-    /// Applies changed settings.
+    /// Applies changed settings. If a local agent pushes lists and no watch is open, sets the watch timer to `now`.
     pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoverySettings) {
         if self.liveness.reconfigure(terms) {
             self.schedule_watch(core, now);
         }
     }
 
-    /// Whether a time is set at which the watch is opened.
+    /// Whether the watch timer is set.
     pub(super) fn is_watch_scheduled(&self) -> bool {
         self.watch_timer.is_set()
     }
 
-    /// The time to open the watch has come. Returns whether to open it: none is open, and the poll scheduler does not decide it.
+    /// The watch timer has fired. Returns whether to open the watch: if none is open, and the poll scheduler does not decide
+    /// when to call.
     pub(super) fn is_watch_due(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
     }
 
-    /// Sets the time at which the watch is opened.
+    /// Sets the watch timer.
     pub(super) fn schedule_watch(&mut self, core: &mut Core, at: Micros) {
         self.watch_timer.set(core, Some(at));
     }
 
-    /// The watch, or the call for it, is over. Returns when to open the next one where the poll scheduler does not decide that.
+    /// The watch, or the call for it, has ended. Returns when to open the next one, if the poll scheduler does not decide that.
     pub(super) fn record_watch_end(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -1,5 +1,5 @@
-//! Where the records of keyed jobs are persisted: in this process's store, or, after an upgrade, by the successor that has
-//! taken the store over.
+//! Persists the records of keyed jobs: in this process's store, or, after a handover, through the successor that has taken over
+//! the store.
 
 mod completion;
 mod record_store;
@@ -16,15 +16,16 @@
 use crate::server::{Server, ServerError, StateDir};
 use completion::Waiter;
 
-/// Files that the store may have open at a time.
+/// The maximum number of files that the store has open at a time.
 const MAX_OPEN_FILES: usize = 48;
 
-/// Descriptors that are kept for the store, if there is one.
+/// The number of descriptors reserved for the store; 0 if there is none.
 pub(in crate::server) fn reserved_files(has_store: bool) -> usize {
     if has_store { MAX_OPEN_FILES } else { 0 }
 }
 
-/// Opens the store, before anything else is promised to clients, and hands what is in it to the core.
+/// Opens the store and loads its records into the core. This happens before any client is served. If the system's clock has
+/// fallen behind the store, earlier jobs are not retried.
 ///
 /// # Errors
 /// If the store cannot be opened or watched.
@@ -47,7 +48,7 @@
 }
 
 impl RecordStore {
-    /// The store has written records, or could not: whoever waits is notified.
+    /// The store has written records or failed to. Notifies the core or the predecessor that waits for each of them.
     pub(in crate::server) fn on_readable(&mut self, core: &mut Core, hot_restart: &HotRestart) {
         for completion in self.drain_completions() {
             let outcome = match completion.result {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// What the admin address reports of the store.
+    /// Returns the counters of the store for the admin address; `None` if idempotency is off in the core.
     pub(in crate::server) fn metrics(&self, core: &Core) -> Option<IdempotencyMetrics> {
         let keys = core.idempotency()?;
         Some(IdempotencyMetrics {
@@ -77,9 +78,10 @@
     }
 }
 
-/// What needs both the store and the other process of a hot restart: which of them persists a record.
+/// Persisting records, either in the store or through the other process of a hot restart.
 impl Server {
-    /// Persists a record of a keyed job, or deletes it where there is none; `ticket` is what the core waits with, if it does.
+    /// Persists the record of a keyed job, or deletes it if `record` is `None`. The core waits for it with `ticket`, or does not
+    /// wait if that is `None`.
     pub(in crate::server) fn persist_record(
         &mut self,
         ticket: Option<RecordTicket>,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Has the successor persist a record; one that cannot be sent has failed.
+    /// Asks the successor to persist a record. If the message cannot be sent, the write counts as failed.
     fn persist_at_successor(&mut self, ticket: Option<RecordTicket>, key: String, record: Option<&[u8]>) {
         if !self.hot_restart.forward_record(ticket, key, record)
             && let Some(ticket) = ticket
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The predecessor wants a record persisted, or deleted where there is none.
+    /// Persists a record for the predecessor, or deletes it if `record` is `None`, and loads it into this core.
     pub(in crate::server) fn persist_for_predecessor(
         &mut self,
         ticket: Option<RecordTicket>,
@@ -118,7 +120,7 @@
                 let waiter = ticket.map_or(Waiter::Nobody, Waiter::Predecessor);
                 records.write(now, waiter, key, record);
             }
-            // This version was started without a store: the predecessor goes on as though nothing had to be persisted.
+            // This process was started without a store: the predecessor continues as if nothing had to be persisted.
             (None, Some(ticket)) => {
                 self.hot_restart.report_record_persisted(ticket, PersistOutcome::Written);
             }
--- a/src/server/idempotency_store/completion.rs
+++ b/src/server/idempotency_store/completion.rs
@@ -1,4 +1,4 @@
-//! What the store's threads report back to the loop: a queue of completions, and a socket that wakes the loop.
+//! How the store's threads report to the loop: a queue of completions, and a socket that wakes the loop.
 
 use crate::core::RecordTicket;
 use mothproxy_store::StoreError;
@@ -9,55 +9,55 @@
 /// Why a record could not be written.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(in crate::server) enum RecordWriteError {
-    /// The store is not open, and opening it has not been tried yet.
+    /// The store is not open, and no error of opening it is known.
     #[error("not open")]
     NotOpen,
     /// The store could not be opened.
     #[error(transparent)]
     Open(Arc<StoreError>),
-    /// The store did not take the write.
+    /// The store did not accept the write.
     #[error(transparent)]
     Submit(Arc<StoreError>),
-    /// The store took the write and reported that it failed.
+    /// The store accepted the write and reported that it failed.
     #[error(transparent)]
     Write(Arc<StoreError>),
 }
 
-/// Who waits for a record to be written.
+/// The party that waits for a record to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum Waiter {
     /// Nobody.
     Nobody,
-    /// The core of this process, by its ticket.
+    /// The core of this process, with its ticket.
     Core(RecordTicket),
-    /// The process before this one, by the ticket of its core.
+    /// The predecessor, with the ticket of its core.
     Predecessor(RecordTicket),
 }
 
-/// The end of a write.
+/// The result of a write.
 #[derive(Debug)]
 pub(in crate::server) struct WriteCompletion {
     pub(in crate::server) waiter: Waiter,
     pub(in crate::server) result: Result<(), RecordWriteError>,
 }
 
-/// The end of the queue that the store's threads use.
+/// The sending end of the queue, for the store's threads.
 #[derive(Clone)]
 pub(super) struct CompletionSender {
     queue: Arc<Mutex<Vec<WriteCompletion>>>,
     waker: Arc<UnixStream>,
 }
 
-/// The end of the queue that the loop uses.
+/// The receiving end of the queue, for the loop.
 pub(super) struct CompletionReceiver {
     queue: Arc<Mutex<Vec<WriteCompletion>>>,
     woken: UnixStream,
 }
 
-/// A new queue.
+/// Creates a queue.
 ///
 /// # Errors
-/// If the system gives no pair of sockets.
+/// If the system gives no pair of sockets, or they cannot be made non-blocking.
 pub(super) fn completion_queue() -> std::io::Result<(CompletionSender, CompletionReceiver)> {
     let (woken, waker) = UnixStream::pair()?;
     woken.set_nonblocking(true)?;
@@ -68,23 +68,23 @@
 }
 
 impl CompletionSender {
-    /// Queues a completion and wakes the loop, if that has nothing to take yet.
+    /// Queues a completion. Wakes the loop if the queue was empty before.
     pub(super) fn send(&self, completion: WriteCompletion) {
         let mut queue = lock(&self.queue);
         queue.push(completion);
         if queue.len() == 1 {
-            let _ = (&*self.waker).write(&[1]); // full: the loop is woken already
+            let _ = (&*self.waker).write(&[1]); // if the socket is full, the loop is already woken
         }
     }
 }
 
 impl CompletionReceiver {
-    /// What to watch: it is readable while there may be completions.
+    /// The socket to watch. It is readable while there may be completions.
     pub(super) fn socket(&self) -> &UnixStream {
         &self.woken
     }
 
-    /// Takes all completions.
+    /// Empties the socket and takes all completions.
     pub(super) fn drain(&mut self) -> Vec<WriteCompletion> {
         let mut buffer = [0; 64];
         while matches!((&self.woken).read(&mut buffer), Ok(length) if length > 0) {}
@@ -92,6 +92,7 @@
     }
 }
 
+/// Locks the queue, also after a thread has panicked while holding the lock.
 fn lock(queue: &Mutex<Vec<WriteCompletion>>) -> MutexGuard<'_, Vec<WriteCompletion>> {
     queue.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -1,5 +1,5 @@
-//! The idempotency records on disk. Writes go to the store's own threads, so that the loop never waits for the disk; their
-//! ends come back as [`WriteCompletion`]s over a socket that the loop watches.
+//! The idempotency records on disk. The store's own threads do the writes, so that the loop never waits for the disk. Each write
+//! ends with a [`WriteCompletion`] in a queue; a socket that the loop watches announces it.
 
 use super::completion::{
     CompletionReceiver, CompletionSender, RecordWriteError, Waiter, WriteCompletion, completion_queue,
@@ -12,40 +12,42 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The store's keys of records begin with this.
+/// The prefix of the records' keys in the store.
 const KEY_PREFIX: &str = "key/";
-/// The process that had the store before may need this long to close it.
+/// How long to wait at the start for the previous process to close the store.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval of attempts to open a store that is still locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// A store that cannot be opened is tried again after this.
+/// The minimum time between two attempts to reopen the store, in microseconds.
 const REOPEN_INTERVAL: Micros = 1_000_000;
-/// The clock may lie this far behind the newest time in the store.
+/// How far the system's clock may be behind the newest time in the store, in milliseconds.
 const CLOCK_TOLERANCE_MS: u64 = 1_000;
 
 /// The store of records, and whether writing to it works.
 pub(in crate::server) struct RecordStore {
     settings: StateDir,
-    /// `None` while it cannot be opened, or once it was given up.
+    /// `None` while the store cannot be opened, or after it was given up.
     store: Option<Store>,
     sender: CompletionSender,
     receiver: CompletionReceiver,
-    /// Why the last record could not be written, until one is.
+    /// The error of the last failed write or attempt to reopen; `None` after a successful write.
     last_error: Option<RecordWriteError>,
-    /// Records that could not be written.
+    /// The number of failed writes.
     failures: u64,
     last_open_attempt: Option<Micros>,
 }
 
-/// What is in the store at the start.
+/// The content of the store at the start.
 pub(in crate::server) struct LoadedRecords {
-    /// The records as they were written, by their keys.
+    /// The records as they were written, each with its key.
     pub(in crate::server) records: Vec<(String, Vec<u8>)>,
-    /// The clock has not fallen behind what the store has seen.
+    /// Whether the system's clock has not fallen behind the newest time in the store.
     pub(in crate::server) is_clock_sound: bool,
 }
 
 impl RecordStore {
-    /// Opens the store and reads what is in it. A process that is handing over may still be closing it, which is waited for.
+    /// Opens the store and reads its records. Blocks for up to [`LOCK_TIMEOUT`] while a process that is handing over still closes
+    /// it.
     ///
     /// # Errors
     /// If the store cannot be opened, or the system gives no sockets.
@@ -77,26 +79,26 @@
         Ok((record_store, LoadedRecords { records, is_clock_sound }))
     }
 
-    /// What to watch: it is readable while there may be completions.
+    /// The socket to watch. It is readable while there may be completions.
     pub(in crate::server) fn socket(&self) -> &UnixStream {
         self.receiver.socket()
     }
 
-    /// Records that could not be written.
+    /// The number of failed writes.
     pub(in crate::server) fn failures(&self) -> u64 {
         self.failures
     }
 
-    /// Gives the store up to another process, without waiting for the disk here. Writes under way still complete.
+    /// Gives up the store to another process, without waiting for the disk. Writes in progress still complete.
     pub(in crate::server) fn give_up(&mut self) {
         if let Some(store) = self.store.take() {
-            // Were there no thread for it, it would be closed here, with a wait.
+            // If the thread cannot be started, the store is closed here, and the loop waits for it.
             let closing = std::thread::Builder::new().name("store-close".to_owned());
             let _ = closing.spawn(move || drop(store));
         }
     }
 
-    /// Writes a record, or deletes it where there is none; a completion follows in any case.
+    /// Writes a record, or deletes it if `record` is `None`. A completion follows in any case.
     pub(in crate::server) fn write(
         &mut self,
         now: Micros,
@@ -112,6 +114,10 @@
         }
     }
 
+    /// Submits a write or a deletion to the store's threads.
+    ///
+    /// # Errors
+    /// If the store is not open or does not accept the write; no completion is queued then.
     fn submit(&self, waiter: Waiter, key: &str, record: Option<Vec<u8>>) -> Result<(), RecordWriteError> {
         let Some(store) = &self.store else {
             return Err(self.last_error.clone().unwrap_or(RecordWriteError::NotOpen));
@@ -128,6 +134,7 @@
         store.submit(batch, Box::new(on_written)).map_err(|error| RecordWriteError::Submit(Arc::new(error)))
     }
 
+    /// Tries to open the store again, at most once per [`REOPEN_INTERVAL`].
     fn reopen(&mut self, now: Micros) {
         if self.last_open_attempt.is_some_and(|at| now < at + REOPEN_INTERVAL) {
             return;
@@ -139,7 +146,7 @@
         }
     }
 
-    /// Takes the completions that have come, and counts those of writes that failed.
+    /// Takes the completions that have arrived, and counts the failed writes.
     pub(in crate::server) fn drain_completions(&mut self) -> Vec<WriteCompletion> {
         let completions = self.receiver.drain();
         for completion in &completions {
@@ -154,7 +161,7 @@
         completions
     }
 
-    /// One line of the log when writing begins to fail, one when it works again.
+    /// Records that writing fails; logs only the first failure in a row.
     fn set_failing(&mut self, error: RecordWriteError) {
         if self.last_error.is_none() {
             tracing::error!(%error, "idempotency store: writing fails, keyed jobs are rejected or failed");
@@ -162,6 +169,7 @@
         self.last_error = Some(error);
     }
 
+    /// Records that writing works; logs it if writing failed before.
     fn set_working(&mut self) {
         if self.last_error.take().is_some() {
             tracing::info!(failures = self.failures, "idempotency store: writing again");
@@ -169,10 +177,18 @@
     }
 }
 
+/// Opens the store.
+///
+/// # Errors
+/// If the store is locked by another process or cannot be opened.
 fn open_store(settings: &StateDir) -> Result<(Store, Recovery), StoreError> {
     Store::open(&settings.dir, Options { sync: settings.sync, ..Options::default() })
 }
 
+/// Opens the store. While another process holds its lock, blocks and retries until [`LOCK_TIMEOUT`] after `started`.
+///
+/// # Errors
+/// If the store stays locked or cannot be opened.
 fn open_when_unlocked(settings: &StateDir, started: Instant) -> Result<(Store, Recovery), StoreError> {
     loop {
         match open_store(settings) {
@@ -184,7 +200,7 @@
     }
 }
 
-/// All records, without the prefix of their keys; those that are damaged are logged.
+/// Returns all records, with their keys without the prefix. Damaged records are logged and left out.
 fn read_records(store: &Store) -> Vec<(String, Vec<u8>)> {
     let mut records = Vec::new();
     for entry in store.snapshot().iter_from(KEY_PREFIX.as_bytes()) {
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets for clients: opened or inherited at the start, and not watched while there is no capacity.
+//! The listening sockets for clients. They are opened or inherited at the start, and not watched while there is no capacity.
 
 use crate::config::SseSettings;
 use crate::policy::interface::Micros;
@@ -11,20 +11,20 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// An address that a predecessor still holds is tried so often ...
+/// How often to retry listening on an address that a predecessor still holds.
 const MAX_LISTEN_ATTEMPTS: u32 = 100;
-/// ... at this interval.
+/// The interval between these retries.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Accepting is tried again after this where there was no capacity.
+/// Accepting is tried again after this time if there was no capacity, in microseconds.
 const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
 
-/// Which of the clients' addresses a connection came to.
+/// The client address to which a connection came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
-    /// The platform's.
+    /// The platform's address.
     Platform,
-    /// The one with event streams.
+    /// The address of event streams.
     Sse,
 }
 
@@ -32,27 +32,27 @@
 pub(super) struct SseListener {
     /// The listening socket.
     pub socket: TcpListener,
-    /// A stream without an event for so long gets a heartbeat.
+    /// A stream without an event for this long gets a heartbeat, in microseconds.
     pub heartbeat: Micros,
 }
 
 /// The listening sockets for clients.
 pub(super) struct Listeners {
-    /// The platform's.
+    /// The platform's listener.
     pub platform: TcpListener,
-    /// The one for event streams, where it is on.
+    /// The listener for event streams, if it is on.
     pub sse: Option<SseListener>,
     /// Whether epoll watches them.
     is_accepting: bool,
 }
 
 impl Listeners {
-    /// The heartbeat of event streams; 0 where they are off.
+    /// The heartbeat interval of event streams, in microseconds; 0 if they are off.
     pub fn heartbeat(&self) -> Micros {
         self.sse.as_ref().map_or(0, |sse| sse.heartbeat)
     }
 
-    /// The socket of an address, where it is on.
+    /// The listening socket of an address, if the address is on.
     pub fn socket(&self, kind: ListenerKind) -> Option<&TcpListener> {
         match kind {
             ListenerKind::Platform => Some(&self.platform),
@@ -60,7 +60,8 @@
         }
     }
 
-    /// With a level-triggered listener and no capacity, every turn would end at once: it is not watched for a while.
+    /// Stops watching the listeners for a while, because there is no capacity. Since epoll is level-triggered, the loop would
+    /// otherwise be woken at once in every turn.
     pub fn pause(&mut self, context: &mut Context<'_>) {
         if std::mem::replace(&mut self.is_accepting, false) {
             context.metrics.accept_pauses += 1;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Accepts again, unless the listeners have been handed over.
+    /// Watches the listeners again, unless they have been handed over.
     pub fn resume(&mut self, context: &Context<'_>) {
         if context.lifecycle.has_handed_over() {
             return;
@@ -78,14 +79,14 @@
         self.set_interest(context.reactor, EventFlags::IN);
     }
 
-    /// Sets what epoll watches the listeners for.
+    /// Sets the events for which epoll watches the listeners.
     fn set_interest(&self, reactor: &Reactor, flags: EventFlags) {
         let platform = reactor.set_watched_events(&self.platform, PLATFORM, flags);
         let sse = self.sse.as_ref().is_none_or(|sse| reactor.set_watched_events(&sse.socket, SSE, flags));
         mothproxy_invariant::invariant!(platform && sse, "epoll does not know a listener");
     }
 
-    /// Has epoll forget the listeners: they go on in another process.
+    /// Removes the listeners from epoll, because another process continues with them.
     pub fn hand_over(&mut self, reactor: &Reactor) {
         reactor.unwatch(&self.platform);
         if let Some(sse) = &self.sse {
@@ -94,7 +95,7 @@
         self.is_accepting = false;
     }
 
-    /// Takes the listeners back from a successor that has ended. False where epoll refuses one of them.
+    /// Watches the listeners again after the successor has ended. Returns false if epoll refuses one of them.
     pub fn take_back(&mut self, reactor: &Reactor) -> bool {
         self.is_accepting = true;
         let is_platform_watched = reactor.watch(&self.platform, PLATFORM).is_ok();
@@ -111,11 +112,11 @@
 }
 
 impl InheritedListeners {
-    /// The clients' listeners under this configuration. With `should_retry`, an address in use is waited for, since a
+    /// Returns the client listeners for a configuration. With `should_retry`, waits for an address that is in use, because a
     /// predecessor that hands nothing over may be about to end.
     ///
     /// # Errors
-    /// Where an address cannot be listened on.
+    /// If an address cannot be listened on.
     pub fn into_listeners(
         self,
         platform: SocketAddr,
@@ -134,7 +135,10 @@
     }
 }
 
-/// Listens on an address, without blocking.
+/// Opens a non-blocking listening socket.
+///
+/// # Errors
+/// If the address cannot be listened on.
 pub(super) fn listen(at: SocketAddr) -> Result<TcpListener, ServerError> {
     let failed = |error| ServerError::Listen(at, error);
     let listener = TcpListener::bind(at).map_err(failed)?;
@@ -142,12 +146,13 @@
     Ok(listener)
 }
 
-/// Whether an inherited socket is where this configuration wants one.
+/// Whether an inherited socket has the address that this configuration wants. A wanted port of 0 matches any port.
 pub(super) fn is_at(socket: std::io::Result<SocketAddr>, wanted: SocketAddr) -> bool {
     socket.is_ok_and(|at| at.ip() == wanted.ip() && (at.port() == wanted.port() || wanted.port() == 0))
 }
 
-/// The predecessor's listening socket, with all that waits in its queue, or a new one.
+/// Returns the predecessor's listening socket, with the connections in its queue, if it has the wanted address; otherwise opens a
+/// new one. With `should_retry`, blocks while the address is in use, for at most [`MAX_LISTEN_ATTEMPTS`] retries.
 fn inherit_or_listen(
     inherited: Option<TcpListener>,
     at: SocketAddr,
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -1,6 +1,5 @@
-//! The driver of [`Fleet`]: its datagrams go over the peer socket, and its timer is one of the core's. Changes of the
-//! membership and facts go to the decision module, the learners and the pacing of discovery calls; the view goes to the log and
-//! the admin page.
+//! The driver of [`Fleet`]. Its datagrams use the peer socket, and its timer is one of the core's. Membership changes and facts
+//! go to the decision module, the learners and the pacing of discovery calls. The view goes to the log and the admin page.
 
 use crate::config::Config;
 use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
@@ -13,14 +12,15 @@
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The state machine of the fleet, its timer, and when the learners publish next.
+/// The state machine of the fleet, its timer, and the time when the learners publish next.
 pub(in crate::server) struct MembershipLink {
     fleet: Fleet,
     timer: TimerSlot,
     next_publish: Option<Micros>,
 }
 
-/// The identity of this process, or of its continuation, that starts now at its place of a configuration.
+/// Creates the identity of a process that starts, or restarts, now at its place in a configuration. Its epoch is the Unix time
+/// in milliseconds.
 fn new_identity(config: &Config) -> ProcessIdentity {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     // A dispatcher without an address for datagrams cannot hear any peer.
@@ -33,13 +33,13 @@
     }
 }
 
-/// The learners that the settings name, for a process that starts now.
+/// Creates the learners that the settings name, for a process that starts now.
 pub(in crate::server) fn new_learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
     Learners::new(settings, new_identity(config), now)
 }
 
 impl MembershipLink {
-    /// Starts the parts that are on. Where they lack what they need they stay off, and a line of the log says why.
+    /// Starts the parts that are on. If the configuration lacks what they need, they stay off, and a log line says why.
     pub(in crate::server) fn open(settings: FleetSettings, config: &Config, now: Micros) -> MembershipLink {
         let fleet = Fleet::new(settings, new_identity(config), now).unwrap_or_else(|error| {
             tracing::warn!(%error, "membership disabled: configuration does not fit");
@@ -48,7 +48,7 @@
         MembershipLink { fleet, timer: TimerSlot::new(FLEET_TIMER), next_publish: Some(now) }
     }
 
-    /// What is believed of all places, where membership is on.
+    /// The believed states of all places, if membership is on.
     pub(in crate::server) fn view(&self) -> Option<&View> {
         self.fleet.view()
     }
@@ -58,7 +58,7 @@
         self.fleet.publish(now, fact);
     }
 
-    /// Takes a datagram if it belongs to the fleet; returns whether it does.
+    /// Handles a datagram if it belongs to the fleet. Returns whether it does.
     pub(in crate::server) fn on_datagram(
         &mut self,
         context: &mut Context<'_>,
@@ -74,7 +74,7 @@
         is_accepted
     }
 
-    /// The fleet's timer has fired.
+    /// The fleet's timer has fired: runs the fleet, and publishes what the learners have learned if that is due.
     pub(in crate::server) fn on_timer(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         let now = context.now();
         self.timer.on_fired();
@@ -85,7 +85,7 @@
         self.apply_outputs(context, discovery);
     }
 
-    /// Publishes what was learned of jobs.
+    /// Publishes the learners' facts about jobs, and notes when they publish next.
     fn publish_learned(&mut self, now: Micros, learners: &mut Learners) {
         for fact in learners.publish(now) {
             self.fleet.publish(now, &fact);
@@ -93,7 +93,7 @@
         self.next_publish = learners.next_publish(now);
     }
 
-    /// Tells the other members that this dispatcher stops, unless another process has taken its place over.
+    /// Announces to the other members that this dispatcher leaves, unless another process has taken over its place.
     pub(in crate::server) fn leave(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         if !context.lifecycle.has_handed_over() {
             self.fleet.announce_leave(context.now());
@@ -101,21 +101,22 @@
         }
     }
 
-    /// Another process speaks for this place from now on.
+    /// Stops acting as a member, because another process acts for this place from now on.
     pub(in crate::server) fn suspend(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         self.fleet.suspend();
         self.apply_outputs(context, discovery);
     }
 
-    /// Whether the parts that are on could restart under this configuration.
+    /// Checks whether the parts that are on could restart under this configuration.
     ///
     /// # Errors
-    /// Where they lack what they need.
+    /// If the configuration lacks what they need.
     pub(in crate::server) fn check_restart(&self, config: &Config, now: Micros) -> Result<(), FleetError> {
         self.fleet.check_restart(new_identity(config), now)
     }
 
-    /// Restarts with a new epoch: among other peers, or since the process that spoke for this place has ended.
+    /// Restarts with a new epoch, because the peers have changed or the process that acted for this place has ended. Does nothing
+    /// after a handover.
     pub(in crate::server) fn restart(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         if context.lifecycle.has_handed_over() {
             return;
@@ -127,8 +128,8 @@
         self.apply_outputs(context, discovery);
     }
 
-    /// Does what the fleet wants done, and sets its timer. What other members publish may concern the pacing of `discovery`,
-    /// which publishes in return.
+    /// Applies the outputs of the fleet, and sets its timer. Facts of other members may concern the pacing of `discovery`, which
+    /// publishes facts in return.
     pub(in crate::server) fn apply_outputs(
         &mut self,
         context: &mut Context<'_>,
@@ -154,14 +155,14 @@
         self.update_timer(context);
     }
 
-    /// Sets the timer to when the fleet, or the next publication, is due.
+    /// Sets the timer to the time when the fleet or the next publication is due.
     fn update_timer(&mut self, context: &mut Context<'_>) {
         let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
         let wake = self.fleet.next_wake(context.now()).into_iter().chain(next_publish).min();
         self.timer.set(context.core, wake);
     }
 
-    /// The members as this process sees them, where membership is on.
+    /// The page of the members as this process sees them, if membership is on.
     pub(in crate::server) fn members_page(&self, config: &Config, now: Micros) -> Option<MembersPage> {
         let (view, figures) = self.fleet.view().zip(self.fleet.metrics())?;
         let row = |(place, member): (u16, &Member)| MemberRow {
@@ -181,7 +182,7 @@
     }
 }
 
-/// Logs a change of a member's state; `suppressed` were not shown before it.
+/// Logs a change of a member's state. `suppressed` is the number of changes before it that were not logged.
 fn log_member_change(config: &Config, change: Change, suppressed: u64) {
     let address = config.peers.get(usize::from(change.place));
     let address = address.map_or("?".to_owned(), ToString::to_string);
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -1,44 +1,44 @@
-//! Counters of the network side, and the line of the log that shows them with the core's.
+//! The counters of the network side, and the log line that shows them together with the core's.
 
 use crate::core::ledger::Ledger;
 use crate::policy::interface::Micros;
 use crate::server::context::Context;
 
-/// The log's line of counters comes this often, if any of them has changed.
+/// The interval of the log line of counters, in microseconds. The line is written only if a counter has changed.
 pub(super) const METRICS_INTERVAL: Micros = 10_000_000;
 
-/// What the network side counts, beside the core's ledger.
+/// The counters of the network side, in addition to the core's ledger.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Metrics {
     /// Attempts that the core started.
     pub attempts: u64,
-    /// Attempts whose last byte was written.
+    /// Attempts whose last byte has been written.
     pub attempts_written: u64,
     /// Attempts held back before their last byte.
     pub withheld: u64,
     /// Configurations reloaded.
     pub reloads: u64,
-    /// Configurations that were refused.
+    /// Reloads whose configuration was rejected.
     pub bad_reloads: u64,
-    /// Connections to workers begun.
+    /// Connections to workers that were started.
     pub connects: u64,
     /// Connections to workers that failed.
     pub connect_failures: u64,
-    /// Connections to workers that broke under an exchange.
+    /// Connections to workers that broke during an exchange.
     pub resets: u64,
     /// Attempts that no worker answered in time.
     pub untaken: u64,
-    /// Requests and messages that were refused.
+    /// Requests and messages that were rejected.
     pub rejects: u64,
-    /// Datagrams from unknown addresses, or too long ones.
+    /// Datagrams from unknown addresses, and datagrams that were too long.
     pub bad_datagrams: u64,
     /// Endpoint lists that could not be used.
     pub bad_lists: u64,
-    /// Times that accepting was paused.
+    /// How often accepting was paused.
     pub accept_pauses: u64,
 }
 
-/// The counters as the log showed them last.
+/// The counters as last logged.
 #[derive(Default, PartialEq)]
 pub(super) struct LoggedMetrics {
     network: Metrics,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,8 +1,8 @@
-//! The datagram socket between dispatchers. Each announces whether it serves or is about to stop; the messages of the decision
-//! module and of the membership travel over the same socket.
+//! The datagram socket between dispatchers. Each dispatcher announces whether it serves or is about to stop. The messages of the
+//! decision module and of the membership use the same socket.
 //!
-//! [`PeerSocket`] sends for all of them, [`PeerLink`] has what dispatchers have announced. What arrives is for several parts,
-//! so [`Server::on_peers_readable`] passes it on.
+//! [`PeerSocket`] sends for all of them. [`PeerLink`] holds the announced states. Datagrams that arrive are for several parts,
+//! so [`Server::on_peers_readable`] passes them on.
 
 mod datagram;
 
@@ -18,19 +18,19 @@
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams get lost, sometimes all of them for a while. The announcement that this dispatcher serves is repeated this often;
-/// the one that it stops is repeated until the end.
+/// How often the announcement that this dispatcher serves is repeated, because datagrams get lost, sometimes all of them for a
+/// while. During a shutdown the announcement that it stops is repeated until the end.
 const MAX_REPEATS: u32 = 4;
-/// The time from one announcement of the own state to its repetition.
+/// The time from one announcement of this dispatcher's state to the next, in microseconds.
 const REPEAT_INTERVAL: Micros = 150_000;
 
-/// The socket, and the addresses that count as dispatchers.
+/// The socket, and the addresses of the dispatchers.
 pub(in crate::server) struct PeerSocket {
     socket: Option<UdpSocket>,
     places: HashMap<SocketAddr, u32>,
 }
 
-/// A datagram that came from a dispatcher.
+/// A datagram from a dispatcher.
 struct ReceivedDatagram<'a> {
     from: u32,
     bytes: &'a [u8],
@@ -40,10 +40,11 @@
 struct BadDatagram;
 
 impl PeerSocket {
-    /// The dispatchers of a configuration, over the inherited socket if that is at the configured address, or a new one there.
+    /// Opens the socket to the dispatchers of a configuration. Uses the inherited socket if it has the configured address,
+    /// otherwise binds a new one.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound, or the socket cannot be made non-blocking.
     pub(in crate::server) fn open(
         inherited: Option<UdpSocket>,
         config: &Config,
@@ -60,12 +61,12 @@
         Ok(PeerSocket { socket, places: places_by_address(&config.peers) })
     }
 
-    /// The socket, where datagrams are on.
+    /// The socket, if datagrams are on.
     pub(in crate::server) fn socket(&self) -> Option<&UdpSocket> {
         self.socket.as_ref()
     }
 
-    /// Sends a datagram, which may get lost; one that is too long is not sent.
+    /// Sends a datagram, which may get lost. One that is longer than [`MAX_DATAGRAM`] is not sent.
     pub(in crate::server) fn send(&self, config: &Config, to: u32, bytes: &[u8]) {
         let address = config.peers.get(to as usize).filter(|_| bytes.len() <= MAX_DATAGRAM);
         if let Some((socket, address)) = self.socket.as_ref().zip(address) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The next datagram, if one has come.
+    /// Receives the next datagram; `None` if none has arrived.
     fn receive<'a>(
         &self,
         buffer: &'a mut [u8; MAX_DATAGRAM + 1],
@@ -84,17 +85,17 @@
     }
 }
 
-/// What the other dispatchers have announced, and the announcements of this one.
+/// The announced states of the other dispatchers, and the announcements of this one.
 pub(in crate::server) struct PeerLink {
     lifecycle: PeerLifecycle,
-    /// When each other dispatcher's last message of its decision module arrived.
+    /// When the last decision-module message of each other dispatcher arrived.
     last_message_at: HashMap<u32, Micros>,
-    /// How often the own state is still to be repeated.
+    /// How often this dispatcher's state is still to be repeated.
     repeats_left: u32,
 }
 
 impl PeerLink {
-    /// Nothing has been announced yet among the dispatchers of a configuration.
+    /// Creates the state for the dispatchers of a configuration, none of which has announced anything yet.
     pub(in crate::server) fn new(config: &Config) -> PeerLink {
         PeerLink {
             lifecycle: PeerLifecycle::new(config.settings.own_index, config.peers.len()),
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Switches to the dispatchers of another configuration, the socket too: what a dispatcher has announced counts for the
-    /// place that has its address there.
+    /// Switches to the dispatchers of another configuration, for the socket too. The announced state of a dispatcher moves to
+    /// the place that has its address in the new configuration.
     pub(in crate::server) fn renumber(
         &mut self,
         socket: &mut PeerSocket,
@@ -124,7 +125,7 @@
         self.lifecycle.are_all_stopping()
     }
 
-    /// Announces whether this dispatcher serves or stops, now and a few times more.
+    /// Announces whether this dispatcher serves or stops, now and [`MAX_REPEATS`] times more.
     pub(in crate::server) fn announce_state(&mut self, context: &mut Context<'_>) {
         if context.peer_socket.socket.is_some() && context.config.may_announce_lifecycle {
             self.repeats_left = MAX_REPEATS;
@@ -132,14 +133,14 @@
         }
     }
 
-    /// Announces the own state, and sets the timer of the next time.
+    /// Announces this dispatcher's state once, and sets the timer of the next announcement.
     fn announce_state_once(&self, context: &mut Context<'_>) {
         let is_draining = context.lifecycle.is_draining();
         let state = if is_draining { PeerDatagram::Stopping } else { PeerDatagram::Serving };
         if !context.lifecycle.has_handed_over() {
             self.announce(context, state);
         }
-        // A process that has just started, and may not use the list it knows yet, asks its peer group when the predecessor was
+        // A process that has just started, and may not use its known list yet, asks its peer group when the predecessor was
         // last heard: see `PeerDatagram::LastHeard`.
         if context.core.endpoints().is_stale() && !self.lifecycle.is_small() {
             let question = PeerDatagram::Serving.encode();
@@ -148,14 +149,14 @@
         context.core.set_timer(context.clock.now() + REPEAT_INTERVAL, PEER_TIMER);
     }
 
-    /// Sends a datagram to each dispatcher that this one reports to: in a small fleet by the address that
-    /// reaches all of them, if there is one.
+    /// Sends a datagram to each dispatcher that this one reports to. In a small fleet it uses the address that reaches all of
+    /// them, if there is one.
     fn announce(&self, context: &Context<'_>, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let (peer_socket, config) = (context.peer_socket, context.config);
         let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
         match peer_socket.socket.as_ref().zip(shared_address) {
-            // It may be lost in any case; one that cannot be sent now is.
+            // A datagram may get lost anyway, so a failure to send it is ignored.
             Some((socket, address)) => drop(socket.send_to(&bytes, address)),
             None => {
                 let neighbors = self.lifecycle.neighbors().into_iter();
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The time has come to repeat the state of this dispatcher.
+    /// The peer timer has fired: repeats the announcement if it is still to be repeated.
     pub(in crate::server) fn on_timer(&mut self, context: &mut Context<'_>) {
         if context.lifecycle.is_shutting_down() || self.repeats_left > 0 {
             self.repeats_left = self.repeats_left.saturating_sub(1);
@@ -175,7 +176,7 @@
     /// Another dispatcher has announced that it serves; it may have just started.
     fn on_serving(&mut self, context: &Context<'_>, from: u32) {
         self.lifecycle.on_serving(from);
-        // One that has just started cannot know who is about to stop.
+        // A dispatcher that has just started cannot know which others are about to stop.
         if context.lifecycle.is_draining() {
             context.send_to_peer(from, &PeerDatagram::Stopping.encode());
         }
@@ -192,7 +193,7 @@
     }
 }
 
-/// The first place of each address.
+/// Maps each address to the first place that has it.
 fn places_by_address(peers: &[SocketAddr]) -> HashMap<SocketAddr, u32> {
     let mut places = HashMap::with_capacity(peers.len());
     for (place, address) in (0..).zip(peers) {
@@ -202,7 +203,7 @@
 }
 
 impl Server {
-    /// Datagrams have come. They are for the peers' lifecycle, discovery, the membership or the decision module.
+    /// Receives datagrams. They are for the peers' lifecycle, discovery, the membership or the decision module.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
         for _ in 0..MAX_ACCEPTS_PER_TURN {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Hands a datagram to the part that it is for.
+    /// Passes a datagram to the part that it is for.
     fn on_peer_datagram(&mut self, from: u32, bytes: &[u8]) {
         let context = &mut context!(self);
         match PeerDatagram::decode(bytes) {
--- a/src/server/peers/datagram.rs
+++ b/src/server/peers/datagram.rs
@@ -1,22 +1,22 @@
-//! The datagrams in which dispatchers tell each other whether they serve. They share the peer socket with the messages of the
-//! decision module and of the membership, which are passed on as they are.
+//! The datagrams by which dispatchers announce whether they serve. They share the peer socket with the messages of the decision
+//! module and of the membership, which are passed on unchanged.
 
-/// The longest datagram that may be sent, in bytes.
+/// The maximum length of a datagram, in bytes.
 pub(in crate::server) const MAX_DATAGRAM: usize = 256;
 
 const SERVING: u8 = b'U';
 const STOPPING: u8 = b'S';
 const LAST_HEARD: u8 = b'H';
 
-/// A datagram of the peer socket. Each of the first three has one exact length; whatever else comes is a message.
+/// A datagram of the peer socket. Each of the first three variants has one exact length; any other datagram is a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum PeerDatagram<'a> {
     /// The sender serves from now on: the one byte `U`.
     Serving,
     /// The sender is about to stop: the one byte `S`.
     Stopping,
-    /// The answer to [`PeerDatagram::Serving`]: how long ago the sender last received a message of the decision module from
-    /// its receiver's place. The byte `H` and four bytes, the most significant first.
+    /// The answer to [`PeerDatagram::Serving`]: how long ago its sender last received a message of the decision module from the
+    /// receiver's place. The byte `H` and four bytes, most significant first.
     LastHeard {
         /// In milliseconds.
         age_ms: u32,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> PeerDatagram<'a> {
-    /// Reads a datagram.
+    /// Decodes a datagram. This cannot fail: an unknown datagram is a message.
     pub(in crate::server) fn decode(bytes: &'a [u8]) -> PeerDatagram<'a> {
         match *bytes {
             [SERVING] => PeerDatagram::Serving,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The bytes to send.
+    /// Encodes the datagram.
     pub(in crate::server) fn encode(self) -> Vec<u8> {
         match self {
             PeerDatagram::Serving => vec![SERVING],
--- a/src/server/poller.rs
+++ b/src/server/poller.rs
@@ -7,34 +7,45 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// Events taken at a time.
+/// The maximum number of events taken by one wait.
 pub(super) const MAX_EVENTS_PER_WAIT: usize = 256;
 
-/// An epoll instance, which watches descriptors by token. Level-triggered.
+/// A level-triggered epoll instance, which watches descriptors by token.
 pub(super) struct Poller(OwnedFd);
 
 impl Poller {
-    /// One that watches nothing.
+    /// Creates an instance that watches nothing.
+    ///
+    /// # Errors
+    /// If the system gives no epoll instance.
     pub fn new() -> Result<Poller, Errno> {
         epoll::create(epoll::CreateFlags::CLOEXEC).map(Poller)
     }
 
-    /// Watches a descriptor. It is not watched any more once it is closed everywhere.
+    /// Watches a descriptor, until every process that holds it has closed it.
+    ///
+    /// # Errors
+    /// If epoll refuses it.
     pub fn add(&self, fd: impl AsFd, token: Token, flags: EventFlags) -> Result<(), Errno> {
         epoll::add(&self.0, fd, EventData::new_u64(token.0), flags)
     }
 
-    /// Changes what a descriptor is watched for. False where it is not watched.
+    /// Changes the events for which a descriptor is watched. Returns false if it is not watched.
     pub fn modify(&self, fd: impl AsFd, token: Token, flags: EventFlags) -> bool {
         epoll::modify(&self.0, fd, EventData::new_u64(token.0), flags).is_ok()
     }
 
-    /// Watches a descriptor no more: one that goes on elsewhere would stay, although it is closed here.
+    /// Stops watching a descriptor. A descriptor that another process also holds would otherwise stay in epoll after it is
+    /// closed here.
     pub fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.0, fd); // it may not be watched
     }
 
-    /// Waits for events, at most for this long; a signal ends the wait too.
+    /// Waits for events for at most `timeout`, or without limit if it is `None`. A signal ends the wait too. Replaces the
+    /// content of `events`.
+    ///
+    /// # Errors
+    /// If epoll fails.
     pub fn wait(&self, events: &mut Vec<Event>, timeout: Option<Duration>) -> Result<(), Errno> {
         let timeout = timeout.map(|timeout| Timespec {
             tv_sec: timeout.as_secs() as i64,
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -1,21 +1,21 @@
-//! One timer of a part of the server, kept in the core's timer queue.
+//! A single timer of a part of the server, kept in the core's timer queue.
 
 use crate::core::{Core, TimerToken};
 use crate::policy::interface::Micros;
 
-/// A timer that is set to one time at most. Its owner calls [`TimerSlot::on_fired`] when the core reports it.
+/// A timer that is set to at most one time. Its owner must call [`TimerSlot::on_fired`] when the core reports it.
 pub(in crate::server) struct TimerSlot {
     token: TimerToken,
     at: Option<Micros>,
 }
 
 impl TimerSlot {
-    /// The timer of this token, not set.
+    /// Creates the timer of a token, not set.
     pub(in crate::server) fn new(token: TimerToken) -> TimerSlot {
         TimerSlot { token, at: None }
     }
 
-    /// Sets it to another time, or cancels it.
+    /// Sets the timer to another time, or cancels it if `at` is `None`.
     pub(in crate::server) fn set(&mut self, core: &mut Core, at: Option<Micros>) {
         if at == self.at {
             return;
@@ -29,12 +29,12 @@
         self.at = at;
     }
 
-    /// Whether it is set.
+    /// Whether the timer is set.
     pub(in crate::server) fn is_set(&self) -> bool {
         self.at.is_some()
     }
 
-    /// The core has reported it: it is no longer set.
+    /// The core has reported that the timer fired: it is no longer set.
     pub(in crate::server) fn on_fired(&mut self) {
         self.at = None;
     }
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -1,22 +1,22 @@
-//! The numbers by which epoll and the core's timer queue name what an event is for.
+//! The numbers by which epoll and the core's timer queue identify the source of an event.
 //!
-//! Connections use the numbers from 0 up: a slot of the connection table and its generation. Everything else has a fixed
-//! number at the top of the range, which no connection reaches since a generation has 31 bits.
+//! Connections use the numbers from 0 up, made of a slot of the connection table and its generation. Every other source has a
+//! fixed number at the top of the range, which no connection reaches because a generation has 31 bits.
 
 use crate::core::TimerToken;
 
-/// What an epoll event belongs to. For a connection: its slot in the table, and how often the slot was used before, so that an
-/// event of an earlier connection is not taken for one of its successor in the slot.
+/// The source of an epoll event. For a connection, the token holds its slot in the table and the slot's generation, which counts
+/// earlier uses. So an event of an earlier connection is not taken for one of the slot's next connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Token(pub(super) u64);
 
 impl Token {
-    /// The token of the connection in a slot, in the slot's present generation.
+    /// Creates the token of the connection in a slot, for a generation of the slot.
     pub(super) fn new(slot: usize, generation: u32) -> Token {
         Token(u64::from(generation) << 32 | slot as u64)
     }
 
-    /// The timer of a connection: its deadline.
+    /// The timer of a connection's deadline.
     pub(super) fn timer(self) -> TimerToken {
         TimerToken(self.0)
     }
@@ -32,7 +32,7 @@
     }
 }
 
-// Descriptors of the loop that are no connections.
+// Descriptors of the loop other than connections.
 pub(super) const PLATFORM: Token = Token(u64::MAX);
 pub(super) const SSE: Token = Token(u64::MAX - 1);
 pub(super) const SIGNAL: Token = Token(u64::MAX - 2);
--- a/src/server/transferred.rs
+++ b/src/server/transferred.rs
@@ -1,7 +1,7 @@
-//! What goes over from one process of a dispatcher to its successor, as it is written in a message of the handover.
+//! The connections and requests that a process hands over to its successor, as they are written in a handover message.
 //!
-//! The names of fields in JSON are those of the versions that are running: a process of an earlier version may be on the
-//! other side.
+//! The JSON names of the fields must stay those of the versions in operation, because the other process may run an earlier
+//! version.
 
 use crate::core::transfer::TransferredRequest;
 use crate::http::{self, Piece};
@@ -9,48 +9,49 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// What another process must know of a client's connection to go on with it.
+/// The state that another process needs to continue a client connection.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredClient {
-    /// It came to the address of event streams.
+    /// Whether it came to the address of event streams.
     #[serde(rename = "sse")]
     pub is_sse: bool,
-    /// No whole request has come on it yet.
+    /// Whether no complete request has arrived on it yet.
     #[serde(rename = "unasked")]
     pub is_awaiting_request: bool,
-    /// A worker sends its callbacks on it.
+    /// Whether a worker sends status callbacks on it.
     #[serde(rename = "calls_back")]
     pub has_callbacks: bool,
-    /// The request that it awaits a response to.
+    /// The request whose response it awaits.
     #[serde(rename = "session")]
     pub request: Option<TransferredExchange>,
 }
 
-/// A request that goes over with its client's connection, or with its job. In the packet follow the request's bytes, its
-/// body if that is not among them, and what was read behind it.
+/// A request that is handed over with its client's connection or with its job. In the packet follow the request's bytes, its
+/// body if those bytes do not include it, and the bytes read after the request.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredExchange {
-    /// What the core knows of it.
+    /// The core's state of the request.
     #[serde(rename = "moved")]
     pub request: TransferredRequest,
     /// Whether its client's connection is kept after the response.
     pub keep_alive: bool,
-    /// Where it is answered by a stream: whether that has begun.
+    /// Whether its response stream has begun; `None` if it is not answered by a stream.
     #[serde(rename = "stream")]
     pub has_stream_begun: Option<bool>,
-    /// It has lost an attempt with its connection.
+    /// Whether it has lost an attempt because the attempt's connection broke.
     #[serde(rename = "broken")]
     pub has_broken_attempt: bool,
-    /// How many bytes of the packet are the request's.
+    /// The length of the request's bytes in the packet.
     #[serde(rename = "bytes")]
     pub length: usize,
-    /// Where the body lies apart from those bytes, its length.
+    /// The length of the body, if the body is separate from those bytes.
     #[serde(rename = "body")]
     pub body_length: Option<usize>,
 }
 
 impl TransferredExchange {
-    /// A request of which nothing is known but what the core and its bytes say.
+    /// Creates the state of a request from the core's state and its bytes. The other fields describe a request whose connection
+    /// is not kept, without a stream and without a broken attempt.
     pub fn new(request: TransferredRequest, raw: &RawRequest) -> TransferredExchange {
         TransferredExchange {
             request,
@@ -63,36 +64,36 @@
     }
 }
 
-/// A job of the event streams, on its way to the successor; its request's bytes follow.
+/// A job of the event streams on its way to the successor; the bytes of its request follow.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredJob {
     /// The job with its events.
     pub job: mothproxy_streams::TransferredJob,
-    /// Its request, as long as that is open.
+    /// Its request, while that is open.
     #[serde(rename = "session")]
     pub request: Option<TransferredExchange>,
 }
 
-/// Whether a request's body is not among its bytes: a chunked one is put together apart.
+/// Whether a request's body is separate from its bytes. A chunked body is assembled in a separate buffer.
 fn has_separate_body(raw: &RawRequest) -> bool {
     !matches!(raw.body, Piece::Shared(..))
 }
 
-/// A request's bytes as they follow its [`TransferredExchange`]; [`split_request`] reads them.
+/// Returns a request's bytes in the order in which they follow its [`TransferredExchange`]. [`split_request`] reads them.
 pub(super) fn request_bytes(raw: &RawRequest) -> impl Iterator<Item = &[u8]> {
     let body = has_separate_body(raw).then(|| raw.body.bytes());
     std::iter::once(raw.bytes.as_slice()).chain(body)
 }
 
-/// The bytes of a packet, apart.
+/// The bytes of a packet, split into their parts.
 pub(super) struct SplitBytes<'a> {
     /// The request, if the message says that one follows.
     pub request: Option<RawRequest>,
-    /// What was read behind it.
+    /// The bytes read after it.
     pub rest: &'a [u8],
 }
 
-/// Reads a request and what was read behind it out of the bytes of a packet. `None` where they do not fit the message.
+/// Splits the bytes of a packet into the request and the bytes read after it. Returns `None` if they do not fit the message.
 pub(super) fn split_request<'a>(
     exchange: Option<&TransferredExchange>,
     bytes: &'a [u8],
