--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of clients, as far as there is capacity.
+//! Accepting connections of clients, within the capacity for connections.
 
 use crate::server::connection::Connection;
 use crate::server::connection_table::Role;
@@ -12,9 +12,11 @@
 use rustix::net::SocketFlags;
 use std::net::TcpStream;
 
-/// What needs a descriptor, for which idle connections of clients and to workers are closed.
+/// Methods of the server, since a new connection needs a descriptor: idle connections of clients and to workers may be closed
+/// to free one.
 impl Server {
-    /// Accepts what waits at a listener, as far as there is capacity.
+    /// Accepts the connections that wait at a listener, at most [`MAX_ACCEPTS_PER_TURN`] of them. Pauses the listener when
+    /// there is no capacity left.
     pub(in crate::server) fn accept_clients(&mut self, kind: ListenerKind) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.ensure_accept_capacity() {
@@ -26,7 +28,7 @@
                 Ok(fd) => self.on_accepted(kind, TcpStream::from(fd)),
                 Err(Errno::AGAIN) => return,
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
-                    // None left, here or on the machine, though the budget has some.
+                    // This process or the machine has no descriptors or memory left, although the budget allows more.
                     let _ = self.upstream.close_idle(&mut self.core, &mut self.reactor)
                         || self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
                     return self.listeners.pause(&mut context!(self));
@@ -36,8 +38,9 @@
         }
     }
 
-    /// Makes room for one more client. Idle connections are closed before accepting fails: a client without a request loses
-    /// nothing. Those that never sent a request go first, or they would use up what well-behaved clients need.
+    /// Makes room for one more client. Returns false if there is none. Idle connections are closed before a new one is
+    /// refused, since a client without a request loses nothing. Connections that never sent a request are closed first;
+    /// otherwise they would use up the descriptors that well-behaved clients need.
     fn ensure_accept_capacity(&mut self) -> bool {
         let is_full = self.clients.active(&self.reactor) >= self.budget.clients
             && !self.clients.close_any_idle(&mut client_context!(self), MIN_IDLE_BEFORE_CLOSE);
@@ -48,22 +51,22 @@
         self.ensure_descriptor(MIN_IDLE_BEFORE_CLOSE)
     }
 
-    /// A connection has been accepted: adds it and reads what is there.
+    /// Registers an accepted connection and reads the bytes that have already arrived.
     fn on_accepted(&mut self, kind: ListenerKind, stream: TcpStream) {
         let is_sse = kind == ListenerKind::Sse;
         if is_sse {
-            // Progress that waits in the kernel for a slow reader is stale when it is read, and it holds
-            // memory; without a bound it grows to megabytes. Where it cannot be set, only that is lost.
+            // Progress that waits in the kernel for a slow reader is stale by the time it is read, and it holds memory.
+            // Without a bound it grows to megabytes. If the bound cannot be set, only this saving is lost.
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
         let client = ClientConnection::new(is_sse, self.clock.now());
         let Some(token) = self.reactor.add(Connection::new(stream), Role::Client(client)) else { return };
-        // Often the request is there already.
+        // Often the request has already arrived.
         if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
             self.clients.track_awaiting_request(token, &client);
             let context = &mut client_context!(self);
             self.clients.on_ready(context, token, connection, client, EventFlags::IN);
-            self.clients.close_if_disconnected(context, token); // so may its end be
+            self.clients.close_if_disconnected(context, token); // the end of the connection may have too
         }
     }
 }
--- a/src/server/downstream/client.rs
+++ b/src/server/downstream/client.rs
@@ -8,38 +8,38 @@
 use mothproxy_streams::WatcherId;
 use std::rc::Rc;
 
-/// What goes on on a client's connection.
+/// The state of a client's connection.
 pub(in crate::server) enum ClientState {
-    /// It is idle, or a part of a request has come.
+    /// The connection is idle, or a part of a request has been read.
     Reading,
     /// A chunked body is being read.
     ReadingChunks(ChunkedRequest),
-    /// Its request is open in the core.
+    /// The request is open in the core.
     AwaitingResponse {
         request_id: RequestId,
         keep_alive: bool,
-        /// Where the response is a stream of events.
+        /// Set if the response is an event stream.
         stream: Option<ResponseStream>,
     },
-    /// It watches a job that was submitted before.
+    /// The client watches a job that was submitted before.
     Watching(StreamWatch),
     /// The last response is being written.
     Closing,
-    /// This side has ended, and the client's end is awaited.
+    /// This side has ended the connection and waits for the client to end it too.
     Lingering { since: Micros },
 }
 
 /// A request whose chunked body is not complete.
 pub(in crate::server) struct ChunkedRequest {
-    /// Its head as it came.
+    /// The bytes of the head, as received.
     pub bytes: Rc<Vec<u8>>,
     pub head: RequestHead,
     pub decoder: Chunked,
-    /// What has been decoded of the body.
+    /// The part of the body decoded so far.
     pub body: Vec<u8>,
 }
 
-/// A client's stream of a job's events.
+/// The stream on which a client watches a job's events.
 pub(in crate::server) struct StreamWatch {
     pub watcher: WatcherId,
     pub keep_alive: bool,
@@ -48,10 +48,10 @@
     pub last_write: Micros,
 }
 
-/// The stream that a request is answered by.
+/// The event stream that answers a request.
 #[derive(Clone, Copy)]
 pub(in crate::server) struct ResponseStream {
-    /// Its head is written.
+    /// Whether the head of the response has been written.
     pub has_begun: bool,
     /// When something was last written on it.
     pub last_write: Micros,
@@ -59,20 +59,21 @@
 
 /// A client's connection.
 pub(in crate::server) struct ClientConnection {
-    /// It came to the address of event streams.
+    /// Whether the connection was accepted at the SSE listener.
     pub(super) is_sse: bool,
     pub(super) state: ClientState,
     pub(super) idle_since: Option<Micros>,
-    /// When it was accepted, until its first whole request; and when a later one began, until that is whole.
+    /// When the connection was accepted, until its first request is whole. After that, when a later request began, until
+    /// that one is whole.
     pub(super) awaiting_request_since: Option<Micros>,
-    /// When that was, or its last bytes came.
+    /// When bytes were last read, or the time of `awaiting_request_since` if none were read since.
     pub(super) last_read: Micros,
-    /// A worker sends its callbacks on it.
+    /// Whether a worker has sent status callbacks on it.
     pub(in crate::server) has_callbacks: bool,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted just now.
+    /// A connection accepted at `now`, whose first request is awaited.
     pub(super) fn new(is_sse: bool, now: Micros) -> ClientConnection {
         ClientConnection {
             is_sse,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// What another process must know of it; its request is for the caller to fill in.
+    /// The state that the successor needs. The caller fills in the request.
     pub(in crate::server) fn to_transferred(&self) -> TransferredClient {
         TransferredClient {
             is_sse: self.is_sse,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Whether it has no open request: idle, or with a part of a request.
+    /// Whether it has no open request and reads no chunked body: it is idle, or has a part of a request.
     pub(in crate::server) fn is_reading(&self) -> bool {
         matches!(self.state, ClientState::Reading)
     }
@@ -113,22 +114,22 @@
         matches!(self.state, ClientState::Watching(_))
     }
 
-    /// Whether this side ends it, or has ended it.
+    /// Whether this side is ending it, or has ended it.
     pub(super) fn is_ending(&self) -> bool {
         matches!(self.state, ClientState::Closing | ClientState::Lingering { .. })
     }
 
-    /// Whether a response, or a job's events, are awaited on it.
+    /// Whether the client awaits a response or watches a job.
     pub(super) fn is_awaiting_response(&self) -> bool {
         matches!(self.state, ClientState::AwaitingResponse { .. } | ClientState::Watching(_))
     }
 
-    /// Whether a whole request is awaited on it.
+    /// Whether the client has yet to complete a request, with a deadline.
     pub(in crate::server) fn is_awaiting_request(&self) -> bool {
         self.awaiting_request_since.is_some()
     }
 
-    /// The request whose response it awaits.
+    /// The request whose response the client awaits.
     pub(in crate::server) fn awaited_request(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse { request_id, .. } => Some(request_id),
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Whether it is kept after the response that it awaits.
+    /// Whether the connection stays open after the awaited response; true if none is awaited.
     pub(in crate::server) fn keeps_alive(&self) -> bool {
         match self.state {
             ClientState::AwaitingResponse { keep_alive, .. } => keep_alive,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Where the response that it awaits is a stream: whether that has begun.
+    /// If the awaited response is an event stream, whether the stream has begun.
     pub(in crate::server) fn has_stream_begun(&self) -> Option<bool> {
         match self.state {
             ClientState::AwaitingResponse { stream, .. } => stream.map(|stream| stream.has_begun),
@@ -152,14 +153,14 @@
         }
     }
 
-    /// The request that it awaits a response to has another number now.
+    /// Replaces the id of the request whose response the client awaits.
     pub(in crate::server) fn replace_awaited_request(&mut self, new: RequestId) {
         if let ClientState::AwaitingResponse { request_id, .. } = &mut self.state {
             *request_id = new;
         }
     }
 
-    /// It awaits a response from now on; `has_stream_begun` is given where that is a stream.
+    /// Records that the client awaits a response. `has_stream_begun` is given if the response is an event stream.
     pub(in crate::server) fn await_response(
         &mut self,
         request_id: RequestId,
@@ -171,13 +172,13 @@
         self.state = ClientState::AwaitingResponse { request_id, keep_alive, stream };
     }
 
-    /// What follows a response: the next request, or the end.
+    /// Sets the state after a response: the next request is read, or the connection ends.
     pub(super) fn finish_response(&mut self, keep_alive: bool) {
         self.state = if keep_alive { ClientState::Reading } else { ClientState::Closing };
     }
 
-    /// Whether it has a request that is not answered, or a part of one, or its client has not ended yet, or became idle
-    /// only after this time.
+    /// Whether the connection is not idle, or became idle only after `idle_before`. It is not idle while a request is
+    /// unanswered or incomplete, or while the client has yet to end a connection that this side has ended.
     pub(in crate::server) fn is_busy(&self, idle_before: Micros) -> bool {
         self.idle_since.is_none_or(|since| since > idle_before)
     }
--- a/src/server/downstream/context.rs
+++ b/src/server/downstream/context.rs
@@ -1,4 +1,4 @@
-//! What the handlers of clients' connections are given beside [`ClientConnections`].
+//! The context that the handlers of clients' connections get in addition to [`ClientConnections`].
 //!
 //! [`ClientConnections`]: crate::server::downstream::ClientConnections
 
@@ -10,32 +10,32 @@
 use crate::server::peers::PeerLink;
 use crate::server::pending_requests::PendingRequests;
 
-/// What a handler of clients' connections may use: what every part may, the open requests, the jobs of the event streams, and
-/// the rest to read.
+/// What a handler of clients' connections may use. It may change what every part may change, the open requests and the jobs
+/// of the event streams. It may only read the rest.
 pub(in crate::server) struct ClientContext<'a> {
-    /// What every part may use.
+    /// The context of every part.
     pub shared: Context<'a>,
-    /// Requests that clients await responses to.
+    /// The open requests.
     pub pending: &'a mut PendingRequests,
-    /// Jobs apart from their clients' connections, where the SSE address is on.
+    /// Submitted jobs and their watchers, if the SSE listener is on.
     pub event_streams: &'a mut Option<EventStreams>,
-    /// The other process during an upgrade, which may have what a client asks for.
+    /// The other process during a hot restart. It may hold the request or job that a client or worker refers to.
     pub hot_restart: &'a HotRestart,
-    /// What the other dispatchers have announced.
+    /// What the peers have announced.
     pub peers: &'a PeerLink,
     /// How many connections there may be.
     pub budget: Budget,
-    /// The heartbeat of event streams; 0 where they are off.
+    /// The heartbeat interval of event streams, in microseconds; 0 if they are off.
     pub heartbeat: Micros,
 }
 
 impl ClientContext<'_> {
-    /// When the events of this turn were taken.
+    /// The time at which the events of this turn were polled.
     pub fn now(&self) -> Micros {
         self.shared.now()
     }
 
-    /// Whether clients keep their connections: see [`Lifecycle::keeps_client_connections`].
+    /// Whether clients may keep their connections: see [`Lifecycle::keeps_client_connections`].
     ///
     /// [`Lifecycle::keeps_client_connections`]: crate::server::lifecycle::Lifecycle::keeps_client_connections
     pub fn keeps_connections(&self) -> bool {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The context of a client's handler, out of the server's fields: see `context!`.
+/// Builds a [`ClientContext`] from the server's fields, as `context!` builds a [`Context`].
 macro_rules! client_context {
     ($server:ident) => {
         $crate::server::downstream::ClientContext {
--- a/src/server/downstream/deadline.rs
+++ b/src/server/downstream/deadline.rs
@@ -1,4 +1,4 @@
-//! The deadlines of clients' connections: by when each is handled again, and what happens then.
+//! The deadlines of clients' connections: when each connection is handled again, and what happens then.
 
 use crate::policy::interface::Micros;
 use crate::protocol::platform::Reject;
@@ -8,16 +8,19 @@
 use crate::server::downstream::{ClientConnection, ClientConnections, ClientContext, ClientState};
 use crate::server::tokens::Token;
 
-/// A client that sends what cannot be read, or nothing, is owed an error or a close within 3 s of connecting. Its
-/// first request must be complete this long after it connected, later ones this long after their first byte.
+/// How long a client may take to complete a request, in microseconds: the first one from the time it connected, later ones
+/// from their first byte. A client that sends nothing, or something that cannot be parsed, must get an error or a close
+/// within 3 s of connecting.
 const REQUEST_TIMEOUT: Micros = 2_500_000;
-/// An idle connection is closed after this.
+/// An idle connection is closed after this time, in microseconds.
 const IDLE_TIMEOUT: Micros = 120_000_000;
-/// A client that reads nothing of a finished response for this long is given up: it is owed a close within 3 s as well.
+/// A connection whose client reads nothing of a finished response for this long is closed, in microseconds. The client must
+/// get a close within 3 s in this case too.
 const WRITE_STALL_TIMEOUT: Micros = 2_500_000;
 
 impl ClientConnections {
-    /// The deadline of a connection has come.
+    /// Handles the deadline of a connection: closes the connection, rejects a request that is too slow, or writes a heartbeat,
+    /// as the state requires.
     pub(in crate::server) fn on_timer(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -49,7 +52,7 @@
             }
             ClientState::AwaitingResponse { .. } => {}
             ClientState::Reading | ClientState::ReadingChunks(_) if !connection.outbox.is_empty() => {
-                return self.on_closed(context, token, connection, client); // it does not read its response
+                return self.on_closed(context, token, connection, client); // the client does not read its response
             }
             ClientState::Reading | ClientState::ReadingChunks(_) => {
                 reject(context, &mut connection, &mut client, Reject::TooSlow);
@@ -59,7 +62,7 @@
     }
 }
 
-/// When a connection is to be handled again at the latest.
+/// The time by which a connection must be handled again, if any. Clears the connection's `has_written` flag.
 pub(super) fn deadline(
     context: &ClientContext<'_>,
     connection: &mut Connection,
@@ -80,7 +83,7 @@
         ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
             Some(stream.last_write + heartbeat)
         }
-        // Set anew only once it is due: an event more does not move it.
+        // Set anew only once it is due: another event does not move it.
         ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
         ClientState::AwaitingResponse { .. } => None,
     }
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -1,7 +1,7 @@
-//! Closing connections of clients that are idle or silent, where others need their descriptors.
+//! Closing connections of clients that are idle or silent, when others need their descriptors.
 //!
 //! A client whose request crosses the close sends it again, while a new client would count a refusal. So connections that have
-//! been served are closed before a new one is refused, and those that never sent a request are closed first of all.
+//! been served are closed before a new one is refused. Connections that never sent a request are closed before those.
 
 use crate::policy::interface::Micros;
 use crate::protocol::platform::Reject;
@@ -14,24 +14,25 @@
 use rustix::event::epoll::EventFlags;
 use std::io::ErrorKind;
 
-/// A connection that has been idle for less than this may have a request in flight.
+/// A connection that has been idle for less than this may have a request in flight, in microseconds.
 pub(in crate::server) const MIN_IDLE_BEFORE_CLOSE: Micros = 30_000;
-/// A connection that has sent no whole request, and has been silent for this long, may be closed for others ...
+/// A connection that awaits a whole request may be closed to make room once it has been silent for this long, in
+/// microseconds.
 pub(in crate::server) const SILENT_GRACE: Micros = 300_000;
-/// ... but if it has sent a part of a request, only after idle ones, until it has been silent for this long. Well-behaved
-/// clients that write slowly go on writing; those that stop half way do not.
+/// Until a connection with a partial request has been silent for this long, in microseconds, it is closed only after idle
+/// ones. Well-behaved clients that write slowly go on writing; those that stop half way do not.
 pub(in crate::server) const PARTIAL_REQUEST_GRACE: Micros = 1_000_000;
 
 impl ClientConnections {
-    /// Connections of clients whose end has not begun.
+    /// The number of clients' connections that are not lingering.
     pub(in crate::server) fn active(&self, reactor: &Reactor) -> usize {
         reactor.connections().clients() - self.lingering.len()
     }
 
-    /// Closes idle connections until those of clients keep within their budget. False where they do not.
+    /// Closes idle connections until the clients' connections are within their budget. Returns false if they still exceed it.
     pub(super) fn ensure_capacity(&mut self, context: &mut ClientContext<'_>) -> bool {
         while self.active(context.shared.reactor) > context.budget.clients {
-            // A whole request outranks a connection that may have one in flight.
+            // A whole request takes precedence over a connection that may have one in flight.
             if !self.close_any_idle(context, 0) {
                 return false;
             }
@@ -39,8 +40,9 @@
         true
     }
 
-    /// Closes a connection of a client to make room: one that is silent, one that has been idle for `min_idle`, or one with a
-    /// partial request. False where there is none.
+    /// Closes one connection of a client to make room. The order is: a silent one, one that has been idle for `min_idle`
+    /// (those that have been served first), one with a partial request that has been
+    /// silent for [`SILENT_GRACE`]. Returns false if there is none.
     pub(super) fn close_any_idle(&mut self, context: &mut ClientContext<'_>, min_idle: Micros) -> bool {
         self.close_silent(context, PARTIAL_REQUEST_GRACE)
             || self.close_oldest_served(context, min_idle)
@@ -48,8 +50,8 @@
             || self.close_silent(context, SILENT_GRACE)
     }
 
-    /// Ends an idle connection, unless a request has arrived on it that was not read yet: that one is served. True where it
-    /// was ended.
+    /// Ends an idle connection and returns true. If a request has arrived on it that was not read yet, serves that request
+    /// instead and returns false.
     pub(in crate::server) fn close_idle(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -62,12 +64,12 @@
                 self.on_ready(context, token, connection, client, EventFlags::IN);
                 return false;
             }
-            // A request that comes from now on crosses the close.
+            // A request that arrives from now on crosses the close.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.half_close(context, token, &mut connection, &mut client);
                 context.shared.reactor.put(token, connection, Role::Client(client));
             }
-            // Its client has ended it.
+            // The client has ended the connection.
             _ => {
                 self.untrack(token, &mut client);
                 self.on_closed(context, token, connection, client);
@@ -76,8 +78,9 @@
         true
     }
 
-    /// Closes the connection of a client that has been idle for longest, and for at least so long, of those that have
-    /// been served: a request that the close crosses is sent once more, while a new client would count it as refused.
+    /// Closes the connection that has been idle for longest of those that have been served, if that is at least `min_idle`.
+    /// Returns false if there is none. A request that crosses the close is sent once more, while a new client would count it
+    /// as refused.
     pub(in crate::server) fn close_oldest_served(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -97,7 +100,7 @@
         false
     }
 
-    /// The connection that has been idle for longest of those that have been served, if it has been for so long.
+    /// The connection that has been idle for longest of those that have been served, if that is at least `min_idle`.
     fn oldest_served(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).find(|token| {
             let entry = context.shared.reactor.connections().get(*token);
@@ -105,7 +108,7 @@
         })
     }
 
-    /// Closes the connection of a client that has been idle for longest, and for at least so long.
+    /// Closes the connection that has been idle for longest, if that is at least `min_idle`. Returns false if there is none.
     pub(in crate::server) fn close_oldest_idle(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -124,13 +127,14 @@
         false
     }
 
-    /// The connection that has been idle for longest, if it has been for so long.
+    /// The connection that has been idle for longest, if that is at least `min_idle`.
     fn oldest_idle(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).next()
     }
 
-    /// Closes the connection that has been silent for longest, and for at least [`SILENT_GRACE`], of those that a whole
-    /// request is awaited on; with a part of a request, for at least `partial_grace`. False where there is none.
+    /// Closes the connection that has been silent for longest of those that have yet to complete a request. It must have
+    /// been silent for at least [`SILENT_GRACE`], or for at least `partial_grace` if it has a partial request. Returns false
+    /// if there is none.
     pub(in crate::server) fn close_silent(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -138,7 +142,7 @@
     ) -> bool {
         let silent: Vec<TimedToken> = self.silent_for(SILENT_GRACE, context.now()).collect();
         for (last_read, token) in silent {
-            // Closed, or in use right now; in the first case it is not in the set any more.
+            // Already closed, and then no longer in the set, or in use right now.
             let Some((connection, role)) = context.shared.reactor.take(token) else { continue };
             let Role::Client(client) = role else {
                 mothproxy_invariant::invariant!(
@@ -157,7 +161,8 @@
         false
     }
 
-    /// Ends a silent connection; one with a part of a request only once its grace is over. True where it was ended.
+    /// Ends a silent connection. One with a partial request is ended only once its grace period is over. Returns true if the
+    /// connection was ended.
     fn close_if_silent(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -176,7 +181,7 @@
         if client.is_ending() {
             self.on_closed(context, token, connection, client);
         } else {
-            // The rest of its request is not read; the response says that the client may try again.
+            // The rest of the request is not read. The response says that the client may try again.
             reject(context, &mut connection, &mut client, Reject::Overloaded);
             self.finish_event(context, token, connection, client);
         }
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -1,6 +1,8 @@
-//! Connections of clients that this side has ended. What arrives on one is read and dropped until the client has ended too:
-//! closing over bytes that were not read would reset it, and take a response with it. Nothing read here is ever forwarded; a
-//! client whose request crossed the end sends it again elsewhere.
+//! Connections of clients that this side has ended.
+//!
+//! What arrives on such a connection is read and dropped until the client has ended it too. Closing a connection with unread
+//! bytes would reset it, and the client could lose its response. Nothing read here is ever forwarded. A client whose request
+//! crossed the end of the connection sends it again elsewhere.
 
 use crate::policy::interface::Micros;
 use crate::server::connection::{Connection, ReadEnd};
@@ -12,36 +14,38 @@
 use std::collections::BTreeSet;
 use std::net::Shutdown;
 
-/// A client's end is awaited for this long: many times the round trip to any, short beside all deadlines.
+/// How long to wait for the client to end its side, in microseconds. This is many times the round trip to any client, and
+/// short compared with all deadlines.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
-/// Those connections, the oldest first.
+/// The connections that this side has ended, the oldest first.
 #[derive(Default)]
 pub(super) struct LingeringConnections(BTreeSet<TimedToken>);
 
 impl LingeringConnections {
-    /// How many there are.
+    /// The number of lingering connections.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// A connection lingers from now on.
+    /// Adds a connection that lingers since `since`.
     fn insert(&mut self, since: Micros, token: Token) {
         self.0.insert((since, token));
     }
 
-    /// A connection is over.
+    /// Removes a connection that is over.
     pub fn remove(&mut self, since: Micros, token: Token) {
         self.0.remove(&(since, token));
     }
 
+    /// Removes the connection that has lingered for longest, and returns it.
     fn pop_oldest(&mut self) -> Option<Token> {
         self.0.pop_first().map(|(_, token)| token)
     }
 }
 
 impl ClientConnections {
-    /// Ends this side of a connection on which all is written.
+    /// Ends this side of a connection on which everything has been written, and lets it linger.
     pub(super) fn half_close(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -49,33 +53,35 @@
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) {
-        let _ = connection.stream.shutdown(Shutdown::Write); // it may be gone; the timer ends it
+        let _ = connection.stream.shutdown(Shutdown::Write); // the client may be gone; then the timer ends the connection
         self.untrack(token, client);
         connection.inbox = Vec::new();
         client.state = ClientState::Lingering { since: context.now() };
         self.lingering.insert(context.now(), token);
         connection.set_timer(context.shared.core, token, Some(context.now() + LINGER_TIMEOUT));
-        // They have a part of the budget of their own beside the clients that are served; under a flood the oldest are closed.
+        // Lingering connections have their own part of the budget, apart from the clients that are served. Under a flood the
+        // oldest are closed.
         if self.lingering.len() > context.budget.max_lingering() {
             self.close_oldest_lingering(context);
         }
     }
 
-    /// Closes the connection that has lingered for longest, for its descriptor. False where none lingers.
+    /// Closes the connection that has lingered for longest, to free its descriptor. Returns false if none lingers.
     pub(in crate::server) fn close_oldest_lingering(&mut self, context: &mut ClientContext<'_>) -> bool {
         let Some(token) = self.lingering.pop_oldest() else { return false };
         match context.shared.reactor.take(token) {
             Some((connection, Role::Client(client))) => {
                 self.on_linger_timeout(context, token, connection, client);
             }
-            // The one in use right now sees it when its turn is over.
+            // A connection that is in use right now notices this when its handler ends.
             Some((connection, role)) => context.shared.reactor.put(token, connection, role),
             None => {}
         }
         true
     }
 
-    /// Closes a connection whose client has had its time; what it has sent by now is read.
+    /// Closes a connection whose client did not end it in time. First reads what the client has sent so far, since unread bytes
+    /// would cause a reset.
     pub(super) fn on_linger_timeout(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -1,10 +1,15 @@
 //! Downstream: connections of clients, and of workers with their callbacks.
 //!
-//! `accept` takes them in, `read` puts requests together, `request` routes each of them, `respond` writes what the core
-//! answers, `idle` closes those that must make room, and `lingering` ends a connection without losing its last response.
-//! `event_streams` serves jobs whose clients come back for their events.
+//! - `accept` accepts connections.
+//! - `read` assembles requests from the bytes read.
+//! - `request` routes each request.
+//! - `respond` writes the core's responses.
+//! - `deadline` sets and handles the connections' deadlines.
+//! - `idle` closes connections to make room for others.
+//! - `lingering` ends a connection without losing its last response.
+//! - `event_streams` serves submitted jobs, whose clients reconnect to read the events.
 //!
-//! All but `accept` are methods of [`ClientConnections`], which are given a [`ClientContext`].
+//! Except in `accept`, the handlers are methods of [`ClientConnections`] and get a [`ClientContext`].
 
 mod accept;
 mod client;
@@ -29,18 +34,20 @@
 use mothproxy_streams::JobId;
 use std::collections::BTreeSet;
 
-/// The most bytes buffered of what a client sends: a whole request. Clients send one at a time; one that sends as much again
-/// before it has its response is closed, since what comes behind could not be seen, the end of the connection among it.
+/// Maximum number of bytes buffered from a client: one whole request. Clients send one request at a time. If a client sends
+/// this much more before it has its response, its connection is closed: this process could not see what follows those bytes,
+/// which may be the end of the connection.
 const MAX_INBOX: usize = MAX_HEAD + MAX_BODY;
-/// No attempt may begin for a client that disconnected longer ago than this.
+/// No attempt may begin for a client that disconnected longer ago than this, in microseconds.
 const MAX_DISCONNECT_AGE: Micros = 100_000;
-/// Progress is dropped for a client that has this much left to read; final events never are.
+/// Progress events are dropped while a client has this many bytes left to read. Final events are never dropped.
 const MAX_UNREAD_PROGRESS: usize = 16 * 1024;
 
-/// The core's number of a job's client: this and the job's number. Tokens of connections have no such bit.
+/// The bit that marks a [`DownstreamId`] as that of a job; the other bits are the job's number. A connection's token never
+/// has this bit set.
 const JOB_FLAG: u64 = 1 << 63;
 
-/// Who awaits the response to a request. The core knows it as a number.
+/// Where the final response to a request goes. The core knows it by its [`DownstreamId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum Downstream {
     /// A client's connection.
@@ -50,7 +57,7 @@
 }
 
 impl Downstream {
-    /// The one of this id.
+    /// Decodes an id made by [`Downstream::to_id`].
     pub fn from_id(DownstreamId(number): DownstreamId) -> Downstream {
         match number & JOB_FLAG {
             0 => Downstream::Connection(Token(number)),
@@ -58,7 +65,7 @@
         }
     }
 
-    /// Its id.
+    /// Encodes it as the id that the core keeps.
     pub fn to_id(self) -> DownstreamId {
         match self {
             Downstream::Connection(token) => DownstreamId(token.0),
@@ -67,22 +74,23 @@
     }
 }
 
-/// When all connections were last polled for what has come on them.
+/// When all connections were last polled for events.
 #[derive(Clone, Copy, Default)]
 pub(in crate::server) struct PollTime {
     at: Micros,
-    /// More may have come than was shown.
+    /// More events may have been waiting than the poll returned.
     is_partial: bool,
 }
 
 impl PollTime {
-    /// All connections were polled at this time; `is_partial` where more events may be waiting than were taken.
+    /// Records a poll of all connections at `at`. `is_partial` means that more events may be waiting than it returned.
     pub fn new(at: Micros, is_partial: bool) -> PollTime {
         PollTime { at, is_partial }
     }
 
-    /// Whether a client may have disconnected since, or unseen, for so long that its connection must be read before an
-    /// attempt begins. The attempt has the rest of [`MAX_DISCONNECT_AGE`] to get under way.
+    /// Whether the poll is too old, or was too incomplete, to show that a client is still connected. If so, the client's
+    /// connection must be read before an attempt begins. A poll is too old after a quarter of [`MAX_DISCONNECT_AGE`]; the
+    /// rest of that time is left for the attempt to begin.
     pub fn is_old(&self, now: Micros) -> bool {
         self.is_partial || now > self.at + MAX_DISCONNECT_AGE / 4
     }
@@ -91,14 +99,14 @@
 /// A connection and a time that it is ordered by.
 type TimedToken = (Micros, Token);
 
-/// Connections of clients that may be closed to make room, by why, the oldest first.
+/// Connections of clients that may be closed to make room, by the reason why they may, the oldest first.
 #[derive(Default)]
 pub(in crate::server) struct ClientConnections {
-    /// Those without a request, by the time since which they are idle.
+    /// Connections without a request, by the time at which they became idle.
     idle: BTreeSet<TimedToken>,
-    /// Those that have not sent a whole first request, or have begun a later one, by when bytes were last read.
+    /// Connections that have not sent a whole first request, or have begun a later one, by the time of the last read.
     awaiting_request: BTreeSet<TimedToken>,
-    /// Those that this side has ended.
+    /// Connections that this side has ended.
     lingering: LingeringConnections,
 }
 
@@ -109,19 +117,19 @@
         self.idle.iter().take_while(is_old).map(|(_, token)| *token)
     }
 
-    /// Connections that a whole request is awaited on, and that have been silent for so long, the oldest first.
+    /// Connections that have not completed a request and have been silent for at least `min_silence`, the oldest first.
     fn silent_for(&self, min_silence: Micros, now: Micros) -> impl Iterator<Item = TimedToken> {
         let is_silent = move |(last_read, _): &&TimedToken| last_read + min_silence <= now;
         self.awaiting_request.iter().take_while(is_silent).copied()
     }
 
-    /// A connection is idle from now on.
+    /// Records that a connection is idle from now on.
     fn track_idle(&mut self, token: Token, client: &mut ClientConnection, now: Micros) {
         client.idle_since = Some(now);
         self.idle.insert((now, token));
     }
 
-    /// A connection is not idle any more; false where it was not.
+    /// Records that a connection is no longer idle. Returns false if it was not idle.
     fn untrack_idle(&mut self, token: Token, client: &mut ClientConnection) -> bool {
         let since = client.idle_since.take();
         if let Some(since) = since {
@@ -130,12 +138,12 @@
         since.is_some()
     }
 
-    /// A whole request is awaited on a connection.
+    /// Records that a connection has yet to complete a request.
     pub fn track_awaiting_request(&mut self, token: Token, client: &ClientConnection) {
         self.awaiting_request.insert((client.last_read, token));
     }
 
-    /// A whole request has come; false where none was awaited.
+    /// Records that a connection has completed its request. Returns false if none was awaited.
     fn untrack_awaiting_request(&mut self, token: Token, client: &mut ClientConnection) -> bool {
         let was_awaiting = client.awaiting_request_since.take().is_some();
         if was_awaiting {
@@ -144,7 +152,7 @@
         was_awaiting
     }
 
-    /// Bytes have been read on a connection.
+    /// Records that bytes were read on a connection: its silence begins anew.
     fn on_bytes_read(&mut self, token: Token, client: &mut ClientConnection, now: Micros) {
         if client.is_awaiting_request() {
             self.awaiting_request.remove(&(client.last_read, token));
@@ -153,7 +161,7 @@
         }
     }
 
-    /// A connection is neither idle nor without a request any more.
+    /// Removes a connection from the idle connections and from those with a request to complete.
     fn untrack(&mut self, token: Token, client: &mut ClientConnection) {
         self.untrack_idle(token, client);
         self.untrack_awaiting_request(token, client);
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -1,4 +1,4 @@
-//! What comes on a client's connection, and what is awaited on it next.
+//! Reading clients' connections: events, requests put together from bytes, and what to wait for next.
 
 use crate::core::RequestId;
 use crate::http::{self, Chunked, Framing, MAX_BODY, Piece};
@@ -18,23 +18,23 @@
 use rustix::event::epoll::EventFlags;
 use std::rc::Rc;
 
-/// No more requests of a client are read while it has this many bytes of its responses left to read.
+/// No more requests of a client are read while this many bytes of its responses are unwritten.
 const MAX_UNREAD_RESPONSES: usize = 16 * 1024;
-/// What says that the other side of a connection has ended it.
+/// The flags that say that the other side of a connection has ended it.
 const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
 
-/// What a step of [`ClientConnections::advance`] has come to.
+/// The result of one step of [`ClientConnections::advance`].
 enum Progress {
     /// There may be more to do.
     Continue,
-    /// Nothing more can be done for now.
+    /// Nothing more can be done until the next event.
     Wait,
     /// The connection is broken.
     Broken,
 }
 
 impl ClientConnections {
-    /// A connection of a client can be read or written, or its client has ended it.
+    /// Handles a connection of a client that is readable or writable, or that its client has ended.
     pub(in crate::server) fn on_ready(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -44,7 +44,7 @@
         flags: EventFlags,
     ) {
         if self.untrack_idle(token, &mut client) {
-            connection.set_timer(context.shared.core, token, None); // what comes now has a time of its own
+            connection.set_timer(context.shared.core, token, None); // the next request has its own deadline
         }
         if flags.contains(EventFlags::OUT) && !connection.flush() {
             return self.on_closed(context, token, connection, client);
@@ -65,12 +65,13 @@
                     return self.on_closed(context, token, connection, client);
                 }
                 ReadEnd::LimitReached => {}
-                // Its client has disconnected, which cancels its request.
+                // The client has disconnected, which cancels its request.
                 ReadEnd::Eof | ReadEnd::Broken => return self.on_closed(context, token, connection, client),
             }
         }
         self.advance(context, token, connection, client);
-        // A short read does not show the end behind it. What came before the end is used; no attempt may begin for it.
+        // A short read does not show the end that follows the bytes. What arrived before the end has been used, but no attempt
+        // may begin for it.
         if has_ended && let Some((connection, role)) = context.shared.reactor.take(token) {
             match role {
                 Role::Client(client) => self.on_closed(context, token, connection, client),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Handles the event of a client that has disconnected, as these flags say, before those of other connections.
+    /// If `flags` say that a client has disconnected, handles its event ahead of those of other connections.
     pub(in crate::server) fn on_hangup(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Reads a connection to see whether the client that awaits a response on it has disconnected; if so, its request is
-    /// cancelled.
+    /// Reads a connection whose client awaits a response, to see whether the client has disconnected. If so, cancels its
+    /// request and closes the connection.
     pub(in crate::server) fn close_if_disconnected(&mut self, context: &mut ClientContext<'_>, token: Token) {
         let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         match role {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Reads the connection of a request's client, and cancels the request if that has disconnected.
+    /// Reads the connection of a request's client, and cancels the request if the client has disconnected.
     pub(in crate::server) fn cancel_if_disconnected(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Uses what is there for a connection that is in its slot; one in use right now does so before it is put back.
+    /// Calls [`ClientConnections::advance`] for a connection that is in the connection table. A connection that is in use
+    /// right now is skipped: its handler does the same before it puts the connection back.
     pub(super) fn advance_token(&mut self, context: &mut ClientContext<'_>, token: Token) {
         match context.shared.reactor.take(token) {
             Some((connection, Role::Client(client))) => self.advance(context, token, connection, client),
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Uses what was read, writes what is there to write, and sets what to wait for.
+    /// Processes the bytes that were read, writes what can be written, and sets what to wait for.
     pub(in crate::server) fn advance(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -160,7 +162,8 @@
         self.finish_event(context, token, connection, client);
     }
 
-    /// Reads a request's head, and its body where that has a length.
+    /// Reads a request's head, and its body if the head states its length. A chunked body is left to
+    /// [`ClientConnections::read_chunks`].
     fn read_request(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -187,7 +190,7 @@
                 return Progress::Continue;
             }
         };
-        // Once the body has begun, the client does not wait for this.
+        // Once the body has begun, the client does not wait for the interim response.
         let is_body_awaited = connection.inbox.len() == head.len;
         if is_body_awaited && head.fields.lists(&connection.inbox, "expect", "100-continue") {
             connection.outbox.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
@@ -211,7 +214,7 @@
         Progress::Continue
     }
 
-    /// Reads more of a chunked body.
+    /// Reads more of a chunked body, and handles the request once the body is complete.
     fn read_chunks(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -240,8 +243,8 @@
         Progress::Continue
     }
 
-    /// Ends the handling of an event: writes what is there to write, sets the deadline and what epoll watches for, and puts
-    /// the connection back.
+    /// Ends the handling of an event: writes what can be written, sets the deadline and the epoll interest, and puts the
+    /// connection back.
     pub(in crate::server) fn finish_event(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -262,7 +265,8 @@
             _ => false,
         };
         if has_partial_request && is_written && !client.is_awaiting_request() {
-            // A later request has begun: it has as long as a first one, and may be closed for others like it.
+            // A later request has begun. It has as much time as a first one, and its connection may be closed to make room in
+            // the same way.
             client.awaiting_request_since = Some(context.now());
             client.last_read = context.now();
             self.track_awaiting_request(token, &client);
@@ -280,7 +284,8 @@
         context.shared.reactor.put(token, connection, Role::Client(client));
     }
 
-    /// The connection is over; a request whose response was awaited on it has lost its client.
+    /// Closes a connection that is over. If the client awaited a response, its request is cancelled in the core. If it watched
+    /// a job, its watcher is removed.
     pub(in crate::server) fn on_closed(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -305,7 +310,7 @@
         context.shared.reactor.close(context.shared.core, token, connection, Role::Client(client));
     }
 
-    /// Drops a connection that has gone over to another process.
+    /// Drops a connection that was handed over to another process. Its request is not cancelled.
     pub(in crate::server) fn release(
         &mut self,
         context: &mut Context<'_>,
@@ -318,7 +323,7 @@
     }
 }
 
-/// Writes the events of the job that a client watches.
+/// Writes the events of the job that a client watches, as many as the connection takes.
 fn write_events(
     context: &mut ClientContext<'_>,
     token: Token,
@@ -326,12 +331,12 @@
     client: &mut ClientConnection,
 ) -> Progress {
     fill_stream(context, connection, client);
-    // What the socket takes at once makes room for more.
+    // Bytes that the socket takes at once make room for more events.
     if !connection.flush() {
         return Progress::Broken;
     }
     if !client.is_watching() {
-        connection.set_timer(context.shared.core, token, None); // it was the heartbeat's
+        connection.set_timer(context.shared.core, token, None); // the timer was the heartbeat's
         return Progress::Wait;
     }
     if connection.outbox.is_empty() && has_stream_events(context, client) {
@@ -341,7 +346,7 @@
     }
 }
 
-/// Takes the first bytes out of an inbox.
+/// Removes the first `length` bytes from an inbox and returns them. Panics if the inbox is shorter.
 fn split_front(inbox: &mut Vec<u8>, length: usize) -> Rc<Vec<u8>> {
     let rest = inbox.split_off(length);
     Rc::new(std::mem::replace(inbox, rest))
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -1,4 +1,4 @@
-//! A whole request: what it is for, and whether it is taken.
+//! Handling a whole request: routing it, and accepting or rejecting it.
 
 use crate::core::NewRequest;
 use crate::http::{self, Framing};
@@ -15,7 +15,7 @@
 use crate::server::tokens::Token;
 
 impl ClientConnections {
-    /// A whole request has come. It is answered at once, or its response is awaited from the core.
+    /// Handles a whole request. It is answered at once, or its response is awaited from the core.
     pub(super) fn on_request(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -25,7 +25,8 @@
         raw: RawRequest,
     ) {
         if context.shared.lifecycle.has_handed_over() {
-            // Its last chunk came after the handover began: it goes over as it came, to be taken there.
+            // The last chunk arrived after the handover began. The request is handed over as it was received, and the
+            // successor handles it.
             connection.inbox = chunked_again(&raw, &connection.inbox);
             client.state = ClientState::Reading;
             return;
@@ -35,7 +36,7 @@
         }
         let keep_alive = raw.head.keep_alive && context.keeps_connections();
         client.finish_response(keep_alive);
-        // A body longer than its stated length: what was cut off of it must not run as though it were whole.
+        // The body is longer than its stated length. The part that was cut off must not run as though it were whole.
         if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
             return reject(context, connection, client, Reject::BadRequest);
         }
@@ -52,10 +53,10 @@
         connection.outbox.push(platform::reject(why, keep_alive));
     }
 
-    /// Does what a request is for.
+    /// Routes a request and handles it.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// Returns the reason why the request is refused.
     fn route_request(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -85,8 +86,8 @@
                 if let Some(plan) = context.shared.lifecycle.shutdown() {
                     request.time_budget = plan.time_budget(context.now(), request.time_budget);
                 }
-                // All descriptors for clients are at work: this one is rejected before anything has run, since
-                // one left in the queue of connections would be lost at its deadline.
+                // All descriptors for clients are in use. This request is rejected before anything has run, since a connection
+                // left in the listener's queue would be lost at its deadline.
                 if !self.ensure_capacity(context) {
                     context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
@@ -101,7 +102,11 @@
     }
 }
 
-/// A worker says how a job gets on.
+/// Handles a worker's status callback. It is forwarded to the other process of a hot restart if the job is open there and not
+/// here.
+///
+/// # Errors
+/// `BadRequest` if the callback cannot be parsed; `Overloaded` if it cannot be forwarded now.
 fn on_status_callback(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
@@ -115,7 +120,7 @@
     client.has_callbacks = true;
     if context.hot_restart.is_open_in_peer_process(&callback.id) && !context.shared.core.knows(&callback.id) {
         if !context.hot_restart.forward_status_callback(body) {
-            return Err(Reject::Overloaded); // the worker tries again
+            return Err(Reject::Overloaded); // the worker retries
         }
         connection.outbox.push(platform::callback_accepted(keep_alive));
         return Ok(());
@@ -135,7 +140,7 @@
     Ok(())
 }
 
-/// Reads a request's idempotency key, where such keys are heeded.
+/// Sets a request's idempotency key from its headers, if idempotency keys are enabled.
 fn read_idempotency_key(context: &ClientContext<'_>, request: &mut NewRequest, raw: &RawRequest) {
     if context.shared.core.idempotency().is_some() {
         request.idempotency_key =
@@ -143,7 +148,11 @@
     }
 }
 
-/// A client submits a job whose events it will come back for.
+/// Accepts a job whose events the client will read on other connections.
+///
+/// # Errors
+/// `DuplicateId` if the other process of a hot restart has a request of this name; `KeyReused` if the idempotency key was used
+/// with another body or class; else the errors of [`submit_job`].
 fn on_job_submitted(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
@@ -163,7 +172,11 @@
     submit_job(context, connection, raw, request, keep_alive)
 }
 
-/// A client submits a request and awaits its response.
+/// Accepts a request whose response the client awaits on this connection.
+///
+/// # Errors
+/// `KeyReused` if the idempotency key was used with another body or class; `DuplicateId` if a request of this name is open, here
+/// or in the other process of a hot restart.
 fn on_request_submitted(
     context: &mut ClientContext<'_>,
     token: Token,
@@ -189,7 +202,7 @@
     Ok(())
 }
 
-/// A chunked request as it came, with what was read behind it.
+/// Encodes a chunked request again, as one chunk, followed by the bytes that were read after it.
 fn chunked_again(raw: &RawRequest, rest: &[u8]) -> Vec<u8> {
     let mut bytes = raw.bytes.to_vec();
     let body = raw.body.bytes();
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -1,4 +1,4 @@
-//! What is written to a client: the final response, progress, and the refusal of what cannot be taken.
+//! Writing to clients: final responses, progress, and rejections of requests that cannot be accepted.
 
 use crate::core::{FinalResponse, RequestId};
 use crate::protocol::platform::{self, Reject};
@@ -11,7 +11,7 @@
 use crate::server::tokens::Token;
 
 impl ClientConnections {
-    /// Writes the final response to a request.
+    /// Writes the final response to a request, and goes on with what the client has sent after it.
     pub(in crate::server) fn send_response(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -45,7 +45,8 @@
         self.advance(context, token, connection, client);
     }
 
-    /// Writes the progress of a request to a client that wants a stream: that the job has started, or the share done.
+    /// Writes the progress of a request to a client that wants an event stream. `share` is the part of the job that is done;
+    /// `None` means that the job has started. Progress is dropped if the client has [`MAX_UNREAD_PROGRESS`] left to read.
     pub(in crate::server) fn send_progress(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -71,7 +72,7 @@
     }
 }
 
-/// Refuses what has been read, and ends the connection once that is written.
+/// Rejects what has been read, and ends the connection once the rejection is written.
 pub(super) fn reject(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
