--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -1,9 +1,9 @@
-//! Event streams: jobs apart from their clients' connections. What `mothproxy_streams` decides is written here, and nothing is
-//! decided.
+//! Event streams: submitted jobs, which outlive the connections that submitted them. This module does the I/O;
+//! `mothproxy_streams` makes all decisions.
 //!
-//! A client submits a job and gets its id and a secret token; with those it watches the job's events, on as many connections
-//! as it likes. [`watchers`] serves these, [`transfer`] moves jobs to another process. [`EventStreams`] owns the jobs; a watcher's
-//! connection is one of [`ClientConnections`].
+//! A client submits a job and gets its id and a secret token. With these it watches the job's events, on as many connections
+//! as it likes. [`watchers`] serves these connections, and [`transfer`] moves jobs to another process. [`EventStreams`] owns
+//! the jobs. A watcher's connection is one of [`ClientConnections`].
 //!
 //! [`ClientConnections`]: crate::server::downstream::ClientConnections
 
@@ -25,10 +25,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Time passes for the broker this often.
+/// How often the broker's timer runs while it has something due, in microseconds.
 const SWEEP_INTERVAL: Micros = 500_000;
 
-/// An event as it was written to a watcher.
+/// An event as encoded for a watcher's connection.
 struct EncodedEvent {
     job: JobId,
     event_id: u64,
@@ -36,26 +36,26 @@
     bytes: Rc<Vec<u8>>,
 }
 
-/// Jobs and their watchers, where the SSE address is on.
+/// Submitted jobs and their watchers. It exists only if the SSE listener is on.
 pub(in crate::server) struct EventStreams {
     broker: EventBroker,
-    /// Pages of these origins may use the address.
+    /// The origins whose web pages may use the listener (CORS).
     origins: Vec<String>,
-    /// The requests of jobs that are open.
+    /// The requests of the jobs that have no final response yet.
     requests: HashMap<JobId, RequestId>,
-    /// Connections by watcher.
+    /// The watchers' connections.
     tokens: HashMap<WatcherId, Token>,
     is_sweep_scheduled: bool,
-    /// What the broker wants done at the end of the turn.
+    /// What the broker has asked for; it is done at the end of the turn.
     effects: Vec<Effect>,
-    /// The event that was encoded last: a job's watchers get the same bytes.
+    /// The event that was encoded last. Watchers of one job share its bytes.
     last_encoded: Option<EncodedEvent>,
-    /// Jobs submitted so far.
+    /// The number of jobs submitted so far.
     submitted: u64,
 }
 
 impl EventStreams {
-    /// Without a job.
+    /// Starts without jobs.
     pub fn new(settings: SseSettings) -> EventStreams {
         let limits = Limits { streams_per_tenant: settings.streams_per_tenant, ..Limits::default() };
         EventStreams {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A job has started, or this share of it is done.
+    /// Publishes the progress of a job: `share` is the part that is done; `None` means that the job has started.
     pub fn publish_progress(&mut self, job: JobId, share: Option<f64>) {
         match share {
             None => self.broker.publish(job, "started", "{}".to_owned(), &mut self.effects),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What the admin address shows of streams.
+    /// The metrics of event streams for the admin listener.
     pub fn metrics(&self) -> StreamMetrics {
         let broker = self.broker.metrics();
         StreamMetrics {
@@ -95,20 +95,21 @@
         }
     }
 
-    /// Whether time is to pass for the broker once more. True only once until [`EventStreams::sweep`].
+    /// Whether the sweep timer must be set. Returns true only once until [`EventStreams::sweep`].
     fn needs_sweep(&mut self) -> bool {
         let is_needed = !self.is_sweep_scheduled && self.broker.next_due().is_some();
         self.is_sweep_scheduled |= is_needed;
         is_needed
     }
 
-    /// Lets time pass for jobs and watchers.
+    /// Runs the broker's timer, for jobs and watchers.
     fn sweep(&mut self, now: Micros) {
         self.is_sweep_scheduled = false;
         self.broker.on_timer(now, &mut self.effects);
     }
 
-    /// What the broker wants done, each thing once: a watcher whose job got on several times meanwhile is woken once.
+    /// Takes what the broker has asked for, each effect once: a watcher whose job made progress several times in this turn is
+    /// woken once.
     fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
         effects.sort_unstable();
@@ -116,12 +117,12 @@
         effects
     }
 
-    /// The connection of a watcher.
+    /// The token of a watcher's connection.
     fn token(&self, watcher: WatcherId) -> Option<Token> {
         self.tokens.get(&watcher).copied()
     }
 
-    /// A job has its final response.
+    /// Publishes the final response of a job.
     pub fn finish_job(&mut self, context: &mut Context<'_>, job: JobId, response: FinalResponse) {
         self.requests.remove(&job);
         let (name, data) = event_streams::final_event(response);
@@ -129,7 +130,7 @@
         self.schedule_sweep(context);
     }
 
-    /// Sets the timer at which time passes for the broker, unless it is set or none is due.
+    /// Sets the sweep timer, unless it is already set or the broker has nothing due.
     fn schedule_sweep(&mut self, context: &mut Context<'_>) {
         if self.needs_sweep() {
             context.core.set_timer(context.clock.now() + SWEEP_INTERVAL, STREAM_SWEEP_TIMER);
@@ -137,17 +138,20 @@
     }
 }
 
-/// Random bytes that nobody can guess; `None` where the system gives none.
+/// Random bytes from the system that nobody can guess; `None` if the system provides none.
 fn random_bytes<const N: usize>() -> Option<[u8; N]> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).ok()?;
     Some(bytes)
 }
 
-/// Takes a job whose client will watch it later, and writes its id and token.
+/// Accepts a job that its client will watch later, and writes its id and token.
 ///
 /// # Errors
-/// Why it is refused.
+/// - `BadRequest`: the field that says whether the job ends when nobody watches it has an unknown value.
+/// - `NoSuchPath`: event streams are off.
+/// - `Overloaded`: the broker has no room, or the system provides no random bytes.
+/// - `DuplicateId`: a request of this name is open.
 pub(super) fn submit_job(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
@@ -179,9 +183,9 @@
     Ok(())
 }
 
-/// What concerns the watchers' connections as well.
+/// Methods of the server, since they involve the watchers' connections too.
 impl Server {
-    /// Lets time pass for jobs and watchers.
+    /// Handles the sweep timer: runs the broker's timer, and sets the next one.
     pub(in crate::server) fn on_stream_sweep_timer(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
         streams.sweep(self.clock.now());
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Does what the broker wants done, once a turn: a watcher that is woken pulls the newest progress.
+    /// Does what the broker has asked for. This runs once a turn, so that a watcher that is woken pulls the newest progress.
     pub(in crate::server) fn run_stream_effects(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
         for effect in streams.take_effects() {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Writes what a watcher has not got yet.
+    /// Writes the events that a watcher has not received yet.
     fn wake_watcher(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         if let Some(token) = token {
@@ -210,11 +214,11 @@
         }
     }
 
-    /// Cancels a job that nobody watches and that is not to go on without.
+    /// Cancels a job that nobody watches and that must not go on unwatched.
     fn cancel_job(&mut self, job: JobId) {
         let Some(streams) = &mut self.event_streams else { return };
         if let Some(request_id) = streams.requests.remove(&job) {
-            streams.broker.transfer(job); // nobody can watch it any more
+            streams.broker.transfer(job); // removes it: nobody can watch it any more
             self.pending.remove(request_id);
             self.core.on_client_disconnected(self.clock.now(), request_id);
         }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way from one process to its successor.
+//! Handing submitted jobs over from one process to its successor in a hot restart.
 
 use crate::core::{FinalResponse, RequestId};
 use crate::protocol::event_streams;
@@ -14,28 +14,29 @@
 
 /// A job that has left this process's core and broker.
 pub(in crate::server) struct ReleasedJob {
-    /// What goes to the successor.
+    /// The message to the successor.
     pub job: TransferredJob,
-    /// Its request, whose bytes go too, and the number that this had here.
+    /// The request, if it is open: its bytes are handed over too. `request_id` is its id in this process.
     pub raw: Option<RawRequest>,
     pub request_id: Option<RequestId>,
 }
 
-/// What concerns the watchers' connections, the open requests and the other process as well.
+/// Methods of the server, since they involve the watchers' connections, the open requests and the other process too.
 impl Server {
-    /// All jobs.
+    /// The ids of all submitted jobs.
     pub(in crate::server) fn stream_jobs(&self) -> Vec<JobId> {
         self.event_streams.as_ref().map_or(Vec::new(), |streams| streams.broker.jobs())
     }
 
-    /// Takes a job out of this process, and ends its watchers' streams: they reconnect at the successor. `None` where it cannot go yet.
+    /// Takes a job out of this process, and ends its watchers' streams; the watchers reconnect to the successor. Returns `None`
+    /// if the job cannot be handed over yet.
     pub(in crate::server) fn release_job(&mut self, job: JobId) -> Option<ReleasedJob> {
         let request_id = self.event_streams.as_ref()?.requests.get(&job).copied();
         let mut raw = None;
         let mut exchange = None;
         if let Some(request_id) = request_id {
             if self.upstream.has_attempt_of(request_id) {
-                return None; // its 202 is still to come
+                return None; // the worker's 202 is still awaited
             }
             let request = self.pending.get(request_id).cloned()?;
             let transferred = self.core.transfer(request_id)?;
@@ -53,7 +54,7 @@
         Some(ReleasedJob { job, raw, request_id })
     }
 
-    /// Ends the streams of a job's watchers, with the delay after which they are to reconnect.
+    /// Ends the streams of a job's watchers, and tells them to reconnect after [`RECONNECT_DELAY`].
     fn end_job_streams(&mut self, job: JobId) {
         let Some(streams) = &self.event_streams else { return };
         for watcher in streams.broker.watchers(job) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Ends a watcher's stream, with the delay after which it is to reconnect.
+    /// Ends a watcher's stream, and tells the watcher to reconnect after [`RECONNECT_DELAY`].
     fn end_stream(&mut self, watcher: WatcherId) {
         let token = self.event_streams.as_ref().and_then(|streams| streams.token(watcher));
         match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
@@ -79,14 +80,15 @@
         }
     }
 
-    /// A watcher's stream is over.
+    /// Removes a watcher whose stream is over.
     fn forget_watcher(&mut self, watcher: WatcherId) {
         if let Some(streams) = &mut self.event_streams {
             streams.on_watcher_disconnected(&mut context!(self), watcher);
         }
     }
 
-    /// Takes over a job that the predecessor hands over, or takes one back that could not go.
+    /// Takes over a job from the predecessor, or takes back a job that could not be handed over. Counts a reject if event
+    /// streams are off here.
     pub(in crate::server) fn adopt_job(&mut self, transferred: TransferredJob, raw: Option<RawRequest>) {
         let Some(streams) = &mut self.event_streams else {
             self.metrics.rejects += 1;
@@ -103,7 +105,7 @@
                         self.pending.record_broken_attempt(request_id);
                     }
                 }
-                // Nothing here could serve it: it fails at once.
+                // The core cannot serve it here: it fails at once.
                 None => streams.finish_job(&mut context!(self), job, FinalResponse::Failed),
             }
         }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -1,4 +1,4 @@
-//! Connections on which a job is watched: their requests, and the events that are written on them.
+//! Watchers' connections: the requests to watch a job, and the events written in response.
 
 use crate::http::Piece;
 use crate::policy::interface::Micros;
@@ -12,25 +12,26 @@
 use mothproxy_streams::{BrokerError, JobEvent, JobId, Next, WatcherId};
 use std::rc::Rc;
 
-/// A watcher's connection is given more once it has less than this left to write, in bytes.
+/// A watcher's connection gets more events once it has fewer than this many bytes left to write.
 const MAX_STREAM_BACKLOG: usize = 2 * 1024;
-/// When a client that loses its stream is to come back: usually, under load, and while this process drains.
+/// After which time a client that loses its stream should reconnect, in microseconds. The three values apply usually, under
+/// load, and while this process drains or has handed over.
 pub(super) const RECONNECT_DELAY: Micros = 500_000;
 const RECONNECT_DELAY_LOADED: Micros = 2_000_000;
 const RECONNECT_DELAY_DRAINING: Micros = 3_000_000;
 
-/// How a request of the streams is answered.
+/// How to answer a request for an event stream.
 struct ResponseOptions {
-    /// The fields for pages of other origins.
+    /// The header fields for web pages of other origins (CORS).
     cors: String,
-    /// `HEAD` wants no body.
+    /// Whether the response has a body: not for `HEAD`.
     has_body: bool,
     keep_alive: bool,
     frame: StreamFraming,
 }
 
 impl ResponseOptions {
-    /// The answer to a client that may not watch the job.
+    /// The response to a client that may not watch the job.
     fn refusal(&self, why: &BrokerError) -> Vec<Piece> {
         let (cors, keep_alive, body) = (&self.cors, self.keep_alive, self.has_body);
         match why {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The answer to a client that accepts no event stream.
+    /// The response to a client that accepts no event stream.
     fn not_acceptable(&self) -> Vec<Piece> {
         let text = "it comes as text/event-stream only";
         event_streams::plain("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
@@ -53,13 +54,16 @@
 }
 
 impl EventStreams {
-    /// Opens a watcher. An id or token that cannot be read is as wrong as any other.
+    /// Opens a watcher.
+    ///
+    /// # Errors
+    /// The broker's error. An id or token that cannot be parsed counts as an unknown one.
     fn open_watcher(&mut self, wanted: &StreamRequest) -> Result<WatcherId, BrokerError> {
         let (public_id, token) = wanted.public_id.zip(wanted.token).ok_or(BrokerError::Unknown)?;
         self.broker.watch(public_id, token, wanted.last_event_id)
     }
 
-    /// A watcher's connection is over.
+    /// Removes a watcher whose connection is over.
     pub(in crate::server::downstream) fn on_watcher_disconnected(
         &mut self,
         context: &mut Context<'_>,
@@ -70,7 +74,7 @@
         self.schedule_sweep(context);
     }
 
-    /// What comes next for a watcher, as it is written.
+    /// Pulls what comes next for a watcher, encoded.
     fn next_for(&mut self, watcher: WatcherId, frame: StreamFraming) -> NextPieces {
         match self.broker.pull(watcher) {
             Next::Nothing => NextPieces::Nothing,
@@ -84,7 +88,7 @@
     }
 }
 
-/// What comes next for a watcher.
+/// What comes next for a watcher, encoded.
 enum NextPieces {
     Nothing,
     More(Vec<Piece>),
@@ -92,7 +96,7 @@
     Last(Piece),
 }
 
-/// An event's bytes: those of `last` if it is the same event, else new ones that are kept there.
+/// Encodes an event. If `last` is the same event, returns its bytes; else encodes the event and keeps it in `last`.
 fn encode(
     last: &mut Option<EncodedEvent>,
     job: JobId,
@@ -108,7 +112,7 @@
     bytes
 }
 
-/// A request at a job's path, or a preflight. False where it is neither.
+/// Answers a request at a job's path, or a preflight. Returns false if the request is neither, or if event streams are off.
 pub(in crate::server::downstream) fn on_stream_request(
     context: &mut ClientContext<'_>,
     token: Token,
@@ -144,7 +148,8 @@
     true
 }
 
-/// Begins the stream of a watcher that the broker has opened.
+/// Writes the head of the response for a watcher that the broker has opened, and begins its stream. For `HEAD` there is no
+/// stream, and the watcher is removed.
 fn start_stream(
     context: &mut ClientContext<'_>,
     token: Token,
@@ -168,7 +173,8 @@
         ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: context.shared.now() });
 }
 
-/// How long a client that loses its stream now should stay away.
+/// After which time a client that loses its stream should reconnect, as things are now. Three quarters of the budget for
+/// clients' connections count as load.
 fn reconnect_delay(context: &ClientContext<'_>) -> Micros {
     if context.shared.lifecycle.is_draining() || context.shared.lifecycle.has_handed_over() {
         RECONNECT_DELAY_DRAINING
@@ -179,7 +185,8 @@
     }
 }
 
-/// Gives a watcher's connection what comes next, as much as it can write soon.
+/// Puts the next events into the outbox of a watcher's connection, until it has [`MAX_STREAM_BACKLOG`] bytes to write. After the
+/// final event, ends the stream and removes the watcher.
 pub(in crate::server::downstream) fn fill_stream(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
@@ -204,7 +211,7 @@
     }
 }
 
-/// Whether a watcher could be given more at once.
+/// Whether there are more events for a watcher now.
 pub(in crate::server::downstream) fn has_stream_events(
     context: &ClientContext<'_>,
     client: &ClientConnection,
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -41,8 +41,8 @@
     }
 
     /// Closes one connection of a client to make room. The order is: a silent one, one that has been idle for `min_idle`
-    /// (those that have been served first), one with a partial request that has been
-    /// silent for [`SILENT_GRACE`]. Returns false if there is none.
+    /// (those that have been served first), one with a partial request that has been silent for
+    /// [`SILENT_GRACE`]. Returns false if there is none.
     pub(super) fn close_any_idle(&mut self, context: &mut ClientContext<'_>, min_idle: Micros) -> bool {
         self.close_silent(context, PARTIAL_REQUEST_GRACE)
             || self.close_oldest_served(context, min_idle)
