--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -36,7 +36,7 @@
         let mut exchange = None;
         if let Some(request_id) = request_id {
             if self.upstream.has_attempt_of(request_id) {
-                return None; // the worker's 202 is still awaited
+                return None; // an attempt still awaits its 202, or streams
             }
             let request = self.pending.get(request_id).cloned()?;
             let transferred = self.core.transfer(request_id)?;
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Reads a connection whose client awaits a response, to see whether the client has disconnected. If so, cancels its
-    /// request and closes the connection.
+    /// Reads a connection whose client awaits a response or watches a job, to see whether the client has disconnected. If so,
+    /// closes the connection; the request of a client that awaits a response is cancelled.
     pub(in crate::server) fn close_if_disconnected(&mut self, context: &mut ClientContext<'_>, token: Token) {
         let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         match role {
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -6,10 +6,10 @@
 use rustix::event::epoll::EventFlags;
 use std::net::{SocketAddr, TcpStream};
 
-/// The last byte of an attempt on a new connection may arrive so many times later as the connection took: that is one
-/// round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
+/// How long the last byte of an attempt on a new connection may be in transit, as a multiple of the time that the connection
+/// took to come up. That time is one round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
 const HANDSHAKE_ROUND_TRIPS: Micros = 3;
-/// A cancel that is to be sent to a worker.
+/// A cancel to send to a worker.
 pub(super) struct CancelRequest {
     pub worker: WorkerId,
     /// The request's name, by which the worker knows the job.
@@ -18,12 +18,12 @@
     pub ending: Option<AttemptId>,
 }
 
-/// What a connection is used for, one at a time.
+/// What a connection is used for. It carries one exchange at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exchange {
-    /// A client's request is forwarded.
+    /// An attempt: a client's request is forwarded.
     Attempt(AttemptId),
-    /// A worker is to give a job up.
+    /// A cancel: the worker is told to give a job up.
     Cancel {
         /// The attempt that counts as ended only once the cancel is written.
         ending: Option<AttemptId>,
@@ -33,44 +33,44 @@
 }
 
 impl Exchange {
-    /// Whether a client's request is forwarded.
+    /// Whether it is an attempt.
     pub fn is_attempt(self) -> bool {
         matches!(self, Exchange::Attempt(_))
     }
 }
 
-/// How far the exchange is.
+/// The state of a connection and of the exchange on it.
 pub(super) enum UpstreamState {
     /// The connection is not up yet.
     Connecting(Exchange),
     /// The response's head is awaited.
     Awaiting(Exchange),
-    /// The rest of a response is read.
+    /// The body of a response is being read.
     ReadingBody(ResponseBody),
-    /// A worker says in an event stream how a job gets on.
+    /// The worker sends job statuses in an event stream.
     Streaming(StatusStream),
-    /// There is none.
+    /// There is no exchange.
     Idle,
 }
 
-/// The rest of a response; a load probe's is its report.
+/// The body of a response. That of a load probe is the load report.
 pub(super) struct ResponseBody {
     pub exchange: Exchange,
     pub status: u16,
     pub body: Body,
-    /// What has been read of it.
+    /// The decoded bytes of the body read so far.
     pub read: Vec<u8>,
     pub keep_alive: bool,
 }
 
-/// The event stream that an attempt is answered by.
+/// The event stream that answers an attempt.
 pub(super) struct StatusStream {
     pub attempt: AttemptId,
     pub body: Body,
     pub events: EventStream,
 }
 
-/// How far a connection is that is being established.
+/// How far the establishment of a connection has come.
 pub(super) enum ConnectProgress {
     /// It was up before.
     Established,
@@ -85,25 +85,25 @@
 /// A connection to a worker.
 pub(in crate::server) struct UpstreamConnection {
     pub(super) worker: WorkerId,
-    /// Where it leads: its worker may have come back elsewhere since.
+    /// The address it is connected to. The worker may have another address by now.
     pub(super) address: Option<SocketAddr>,
     pub(super) state: UpstreamState,
-    /// It has carried an exchange before.
+    /// Whether it has carried an exchange before, or was adopted from another process.
     pub(super) is_reused: bool,
-    /// The length of its attempt's request while the last byte is not written; 0 before it is encoded.
+    /// The length of its attempt's request in bytes until the last byte is written; 0 before the request is encoded.
     pub(super) unwritten_length: Option<usize>,
-    /// How long its exchange's first response may take; an attempt's deadline ends it in any case.
+    /// How long the first response of its exchange may take, in microseconds. An attempt's deadline ends it in any case.
     pub(super) response_timeout: Option<Micros>,
-    /// When it was begun.
+    /// When connecting began.
     pub(super) connect_started: Micros,
-    /// How long the last byte of an attempt may be in transit.
+    /// How long the last byte of an attempt may be in transit, in microseconds.
     pub(super) transit_allowance: Micros,
-    /// How long it rests before it is used again.
+    /// How long it must rest before it is used again, in microseconds; 0 if it need not.
     pub(super) cooldown: Micros,
 }
 
 impl UpstreamConnection {
-    /// A connection that is begun now, for an exchange.
+    /// A connection that begins connecting at `now`, for an exchange.
     pub(super) fn connecting(
         worker: WorkerId,
         address: Option<SocketAddr>,
@@ -148,7 +148,7 @@
         self.transit_allowance = 0;
     }
 
-    /// Whether the connection has come up by an event with these flags.
+    /// Tells from an event's flags, and the socket's error, whether the connection has come up.
     pub(super) fn connect_progress(&self, stream: &TcpStream, flags: EventFlags) -> ConnectProgress {
         let UpstreamState::Connecting(exchange) = self.state else { return ConnectProgress::Established };
         let has_failed = stream.take_error().map_or(true, |error| error.is_some());
@@ -161,7 +161,8 @@
         }
     }
 
-    /// The connection is up: the exchange that it was begun for goes on. Returns by when its first response must have come.
+    /// Records that the connection has come up and that the response to its exchange is awaited. Returns the time by which the
+    /// first response must have come, if there is a limit.
     pub(super) fn on_connected(&mut self, exchange: Exchange, now: Micros) -> Option<Micros> {
         self.state = UpstreamState::Awaiting(exchange);
         let connect_time = now.saturating_sub(self.connect_started);
@@ -169,7 +170,7 @@
         self.response_timeout.map(|timeout| now + timeout)
     }
 
-    /// Its worker, if it is idle and may be used.
+    /// The worker, if the connection is idle and need not rest.
     pub(in crate::server) fn idle_worker(&self) -> Option<WorkerId> {
         (matches!(self.state, UpstreamState::Idle) && self.cooldown == 0).then_some(self.worker)
     }
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -1,4 +1,4 @@
-//! The end of an exchange: its connection is over, or its time.
+//! The end of an exchange: its connection is over, or its time is up.
 
 use super::UpstreamPool;
 use super::connection::{CancelRequest, Exchange, ResponseBody, UpstreamConnection, UpstreamState};
@@ -12,7 +12,7 @@
 use crate::server::tokens::Token;
 
 impl UpstreamPool {
-    /// The other side has ended its sending.
+    /// Handles the end of what the other side sends. A load probe's response may end with its connection; it counts then.
     pub(super) fn on_eof(
         &mut self,
         context: &mut Context<'_>,
@@ -31,8 +31,8 @@
         self.on_closed(context, pending, token, connection, upstream);
     }
 
-    /// The other side does not keep to the protocol. Where that was its response to an attempt it may have taken it, and then
-    /// only a cancel stops it, which is returned.
+    /// Closes a connection whose other side violates the protocol. If the faulty bytes came in response to an attempt that was
+    /// written whole, the worker may have accepted it. Then only a cancel stops it, and that cancel is returned.
     pub(super) fn on_protocol_violation(
         &mut self,
         context: &mut Context<'_>,
@@ -52,7 +52,7 @@
         taken.map(|name| CancelRequest { worker, name, ending: None })
     }
 
-    /// The connection is over; so is what it was used for.
+    /// Closes a connection that is over, and ends its exchange with an outcome that depends on how far it had come.
     pub(super) fn on_closed(
         &mut self,
         context: &mut Context<'_>,
@@ -70,7 +70,7 @@
                 self.on_exchange_failed(context, Some(token), worker, *exchange, Outcome::ConnectFailed);
             }
             UpstreamState::Awaiting(exchange) => {
-                // Before its last byte is written a request has not begun anywhere.
+                // Until its last byte is written, a request has not begun on any worker.
                 if let Exchange::Attempt(attempt) = exchange
                     && upstream.is_reused
                 {
@@ -87,12 +87,12 @@
             UpstreamState::ReadingBody(ResponseBody { exchange: Exchange::Probe, .. }) => {
                 self.on_exchange_failed(context, Some(token), worker, Exchange::Probe, Outcome::Reset);
             }
-            UpstreamState::ReadingBody(_) => {} // what its head said has been used
+            UpstreamState::ReadingBody(_) => {} // the response's head has been processed
         }
         context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
     }
 
-    /// An exchange is over without a response. `token` is its connection, if it had one.
+    /// Ends an exchange that has got no response, or whose event stream broke off. `token` is its connection, if it had one.
     pub(super) fn on_exchange_failed(
         &mut self,
         context: &mut Context<'_>,
@@ -107,7 +107,7 @@
                 end_attempt(context, attempt, outcome);
             }
             Exchange::Probe => self.on_load_probe_failed(context, token, worker, outcome),
-            // Answered or not, its connection is closed and its time over.
+            // Whether the cancel was answered or not, the attempt's connection is closed and its time is over.
             Exchange::Cancel { ending: Some(attempt) } => {
                 self.attempts.remove(&attempt);
                 end_attempt(context, attempt, Outcome::Cancelled);
@@ -116,7 +116,8 @@
         }
     }
 
-    /// A load probe has failed: without a connection it never went out; with one it fails once.
+    /// Reports a failed load probe to the core. Without a connection, the probe was never sent, and its failure is reported with
+    /// no elapsed time. With one, the failure is reported once only.
     fn on_load_probe_failed(
         &mut self,
         context: &mut Context<'_>,
@@ -134,7 +135,7 @@
         context.core.on_probe_response(worker, outcome, context.now().saturating_sub(sent_at), None);
     }
 
-    /// The deadline of a connection has come. Returns the cancel that is to be sent.
+    /// Handles the deadline of a connection. Returns the cancel to send, if any.
     pub(super) fn on_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -145,7 +146,7 @@
     ) -> Option<CancelRequest> {
         let is_written = connection.outbox.is_empty();
         if is_written && matches!(upstream.state, UpstreamState::Awaiting(Exchange::Attempt(_))) {
-            // After a long turn its response may be here, unread.
+            // After a long turn, the response may have arrived and not been read yet.
             let end = connection.fill(MAX_HEAD);
             let is_sound = self.read(context, token, &mut connection, &mut upstream);
             let is_answered = !matches!(upstream.state, UpstreamState::Awaiting(_));
@@ -172,9 +173,9 @@
         None
     }
 
-    /// An attempt that is written has no response in time. The worker may have read it. Closing the connection gives it up, and
-    /// the request is retried elsewhere instead of waiting until its deadline. Where a response is lost or in flight, the
-    /// worker has taken the job: then only a cancel stops it, which is returned.
+    /// Ends an attempt that was written and got no response in time. The worker may have read it. Closing the connection gives
+    /// the attempt up, and the request is retried elsewhere instead of waiting until its deadline. If a response was lost or is
+    /// in flight, the worker has accepted the job. Then only a cancel stops it, so a cancel is returned.
     fn on_attempt_unanswered(
         &mut self,
         context: &mut Context<'_>,
@@ -184,13 +185,13 @@
         upstream: UpstreamConnection,
         attempt: AttemptId,
     ) -> Option<CancelRequest> {
-        // That is no fault of the worker, whose other connections serve: it is not held against it. If its
-        // machine is gone, new connections to it will not come up, which is.
+        // This is no fault of the worker, whose other connections serve, so it does not count against it. If its machine is
+        // gone, new connections to it will not come up, and that does count.
         context.metrics.untaken += 1;
         pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = context.core.request_name(attempt);
-        // Where no two attempts may be under way, the next one starts only after the cancel is written.
+        // If two attempts must not be under way at once, the next one starts only after the cancel is written.
         let ending = Some(attempt).filter(|_| !context.config.settings.may_hedge);
         self.attempts.remove(&attempt);
         context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
@@ -201,9 +202,9 @@
     }
 }
 
-/// What a connection that breaks before a response shows. A kept one that breaks under the next request was closed in the
-/// meantime, which shows nothing of the worker: not held against it. If its process died, new connections are refused, which
-/// is.
+/// The outcome of an exchange whose connection broke before a response. A reused connection that breaks under the next request
+/// was closed in the meantime. That says nothing about the worker, so it does not count against it. If the worker's process
+/// died, new connections are refused, and that does count.
 fn outcome_of_break(is_written: bool, is_reused: bool) -> Outcome {
     match (is_written, is_reused) {
         (true, true) => Outcome::Cancelled,
@@ -213,7 +214,7 @@
     }
 }
 
-/// An attempt has come to nothing.
+/// Reports to the core that an attempt has ended without a result.
 pub(super) fn end_attempt(context: &mut Context<'_>, attempt: AttemptId, outcome: Outcome) {
     context.core.on_attempt_ended(context.now(), attempt, AttemptOutcome::Unserved(outcome), None);
 }
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -1,8 +1,9 @@
 //! Upstream: connections to workers, for attempts, cancels and load probes, and the pool of idle ones.
 //!
-//! `start` gives an exchange a connection, `write` writes it, `read` reads its response, and `end` says what became of an
-//! exchange whose connection is over. All are methods of [`UpstreamPool`], which is given a [`Context`] and, where a request's
-//! bytes are needed, the requests that are open; what concerns clients as well is on the server.
+//! An exchange is one message to a worker with its response. `start` gives an exchange a connection, `write` writes the
+//! message, `read` reads the response, and `end` determines the outcome of an exchange whose connection is over. Most are
+//! methods of [`UpstreamPool`]. They get a [`Context`] and, if they need a request's bytes, the open requests. What involves
+//! clients too is a method of the [`Server`].
 //!
 //! [`Context`]: crate::server::context::Context
 
@@ -28,7 +29,7 @@
 use rustix::event::epoll::EventFlags;
 use std::collections::HashMap;
 
-/// A cancel or a load probe must be answered by then.
+/// How long the response to a cancel or a load probe may take, in microseconds.
 const SIDE_EXCHANGE_TIMEOUT: Micros = 500_000;
 
 /// A load probe whose response is awaited.
@@ -37,23 +38,24 @@
     sent_at: Micros,
 }
 
-/// Which connections to workers are idle, and which ones await what.
+/// The idle connections to workers, and the connections of the exchanges under way.
 #[derive(Default)]
 pub(in crate::server) struct UpstreamPool {
-    /// Idle connections by worker, the freshest last.
+    /// Idle connections by worker, the most recently added last.
     idle: HashMap<WorkerId, Vec<Token>>,
-    /// Connections on which an attempt awaits its first response, or streams.
+    /// Connections on which an attempt awaits its first response, or reads an event stream, and those on which the cancel of
+    /// an attempt that is ending is sent.
     attempts: HashMap<AttemptId, Token>,
     probes: HashMap<Token, PendingProbe>,
 }
 
 impl UpstreamPool {
-    /// Whether an attempt of a request awaits its first response, or streams.
+    /// Whether an attempt of a request awaits its first response, reads an event stream, or is ending by a cancel.
     pub fn has_attempt_of(&self, request_id: RequestId) -> bool {
         self.attempts.keys().any(|attempt| attempt.request_id == request_id)
     }
 
-    /// An idle connection to a worker is to be used again, if it is not there already.
+    /// Adds an idle connection to a worker, unless it is there already.
     fn add_idle(&mut self, worker: WorkerId, token: Token) {
         let idle = self.idle.entry(worker).or_default();
         if !idle.contains(&token) {
@@ -61,26 +63,26 @@
         }
     }
 
-    /// Takes the freshest idle connection to a worker.
+    /// Removes the most recently added idle connection to a worker, and returns it.
     fn pop_idle(&mut self, worker: WorkerId) -> Option<Token> {
         self.idle.get_mut(&worker)?.pop()
     }
 
-    /// An idle connection is over, or goes elsewhere.
+    /// Removes an idle connection that is over or is handed over.
     pub fn remove_idle(&mut self, worker: WorkerId, token: Token) {
         if let Some(idle) = self.idle.get_mut(&worker) {
             idle.retain(|other| *other != token);
         }
     }
 
-    /// Takes the connection that has been idle for longest, of the worker with the most.
+    /// Removes a connection and returns it: the one that has been idle for longest, of the worker with the most idle ones.
     fn pop_oldest_idle(&mut self) -> Option<Token> {
         let most = self.idle.values_mut().max_by_key(|idle| idle.len())?;
         if most.is_empty() { None } else { Some(most.remove(0)) }
     }
 
-    /// Closes the idle connection to a worker that has been idle for longest, of the worker with the most. False where none
-    /// is idle.
+    /// Closes one idle connection: the one that has been idle for longest, of the worker with the most idle ones. Returns false
+    /// if none is idle.
     pub fn close_idle(&mut self, core: &mut Core, reactor: &mut Reactor) -> bool {
         let Some(token) = self.pop_oldest_idle() else { return false };
         reactor.close_token(core, token);
@@ -88,15 +90,16 @@
     }
 }
 
-/// How long a connection may stay idle. Workers close connections that are idle for longer; a request written to one then ends
-/// as a reset.
+/// How long a connection may stay idle, in microseconds: half of the configured idle timeout. Workers close connections that
+/// are idle for too long, and a request written to such a connection ends as a reset.
 fn max_idle_time(config: &Config) -> Micros {
     config.idle_timeout / 2
 }
 
-/// What concerns clients as well: the client of an attempt may have disconnected, and a cancel needs a connection.
+/// Methods of the server, since they involve clients too: the client of an attempt may have disconnected, and a cancel needs a
+/// connection.
 impl Server {
-    /// A connection to a worker is up, or can be read or written, or its worker has ended it.
+    /// Handles a connection to a worker that has come up, is readable or writable, or was ended by its worker.
     pub(in crate::server) fn on_upstream_ready(
         &mut self,
         token: Token,
@@ -108,7 +111,7 @@
             ConnectProgress::Established => {}
             ConnectProgress::Connected(exchange) => {
                 if let Exchange::Attempt(attempt) = exchange {
-                    // Then nothing of it is written from here.
+                    // If its client has disconnected, nothing of the attempt is written below.
                     self.clients.cancel_if_disconnected(&mut client_context!(self), attempt.request_id);
                 }
                 let deadline = upstream.on_connected(exchange, self.clock.now());
@@ -129,7 +132,7 @@
         }
     }
 
-    /// The deadline of a connection to a worker has come.
+    /// Handles the deadline of a connection to a worker.
     pub(in crate::server) fn on_upstream_timer(
         &mut self,
         token: Token,
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -1,4 +1,4 @@
-//! Reading what workers answer: to attempts, cancels and load probes.
+//! Reading the responses of workers to attempts, cancels and load probes.
 
 use super::PendingProbe;
 use super::UpstreamPool;
@@ -15,24 +15,24 @@
 use crate::server::tokens::Token;
 use rustix::event::epoll::EventFlags;
 
-/// An event stream of a worker is read in pieces of this size, in bytes.
+/// Maximum number of bytes buffered at a time from a worker's event stream.
 const MAX_STREAM_READ: usize = 64 * 1024;
-/// What says that there is something to read, or that the other side has ended.
+/// The flags that say that there is something to read, or that the other side has ended the connection.
 const READABLE: EventFlags =
     EventFlags::IN.union(EventFlags::RDHUP).union(EventFlags::HUP).union(EventFlags::ERR);
 
-/// What reading a part of a response has come to.
+/// The result of reading a part of a response.
 enum Progress {
-    /// There may be more to use.
+    /// There may be more to process in the inbox.
     Continue,
     /// More must be read first.
     Wait,
-    /// The other side does not keep to the protocol, or the connection is of no more use.
+    /// The other side violates the protocol, or the connection cannot be used any more.
     Unusable,
 }
 
-/// Whether a response may be that of an exchange. An attempt gets no success but 202 and an event stream: another is what
-/// a probe or a cancel got before it, said twice.
+/// Whether a response may belong to an exchange. The only successes of an attempt are 202 and an event stream. Any other
+/// success is a duplicate of the response to an earlier load probe or cancel.
 fn is_response_to(exchange: Exchange, head: &http::ResponseHead, connection: &Connection) -> bool {
     match (exchange, head.status) {
         (Exchange::Attempt(_), 200) => {
@@ -45,7 +45,8 @@
 }
 
 impl UpstreamPool {
-    /// A connection that is up can be read or written, or its worker has ended it. Returns the cancel that is to be sent.
+    /// Handles a connection that is up and is readable or writable, or that its worker has ended. Returns the cancel to send,
+    /// if any.
     pub(super) fn on_ready(
         &mut self,
         context: &mut Context<'_>,
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Uses what was read. False if the other side does not keep to the protocol.
+    /// Processes the bytes that were read. Returns false if the other side violates the protocol, or the connection cannot be
+    /// used any more.
     pub(super) fn read(
         &mut self,
         context: &mut Context<'_>,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Uses the head of a response, once it is whole.
+    /// Processes the head of a response once it is whole. A 100 is skipped.
     fn read_response_head(
         &mut self,
         context: &mut Context<'_>,
@@ -136,7 +138,7 @@
         Progress::Continue
     }
 
-    /// Reads more of the rest of a response.
+    /// Reads more of a response's body. Once it is whole, the connection is idle, or of no more use without keep-alive.
     fn read_response_body(
         &mut self,
         context: &mut Context<'_>,
@@ -163,8 +165,10 @@
         Progress::Continue
     }
 
-    /// The head of a worker's response: what it says of an attempt counts at once. A response that turns a job away would turn
-    /// away the next one too, were it said twice, so the connection rests until the second has had time to come.
+    /// Handles the head of a worker's response. What it says about an attempt counts at once, before the body is read.
+    ///
+    /// A duplicate of a response that refuses a job would refuse the next job on this connection too. So the connection rests
+    /// after a refusal, until a duplicate has had time to arrive.
     fn on_response_head(
         &mut self,
         context: &mut Context<'_>,
@@ -200,7 +204,7 @@
         });
     }
 
-    /// A load probe is answered.
+    /// Reports the response to a load probe to the core. Does nothing if the probe was answered or has failed before.
     pub(super) fn on_load_probe_response(
         &mut self,
         context: &mut Context<'_>,
@@ -215,7 +219,8 @@
     }
 }
 
-/// Why a worker does not take an attempt, if it does not.
+/// The outcome if a worker refuses an attempt: `Full` if a 503 or 504 says that the request was not processed, else `Error`.
+/// `None` if the worker has accepted the attempt.
 fn refusal(connection: &Connection, head: &http::ResponseHead) -> Option<Outcome> {
     let is_unprocessed = head.fields.text(&connection.inbox, names::UNPROCESSED) == Some("1");
     match head.status {
@@ -225,13 +230,13 @@
     }
 }
 
-/// Reads more of an event stream.
+/// Reads more of an event stream, and reports each event to the core.
 fn read_status_stream(
     context: &mut Context<'_>,
     connection: &mut Connection,
     stream: &mut StatusStream,
 ) -> Progress {
-    // What came before the framing broke is as good as any: the final event may be in it.
+    // Events that arrived before the framing broke are valid: the final event may be among them.
     let mut read = Vec::new();
     let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
     let mut events: Vec<StreamEvent> = Vec::new();
@@ -239,11 +244,12 @@
     for event in events {
         report_stream_event(context, stream.attempt, &event);
     }
-    // The stream may end only after the final event: then this changes nothing any more.
+    // The stream may end only after the final event. In that case the result changes nothing any more.
     if is_framed && is_parsed && !stream.body.is_done() { Progress::Wait } else { Progress::Unusable }
 }
 
-/// An event of a worker's stream; its data has the form of a status callback.
+/// Reports an event of a worker's stream to the core. The event's data has the form of a status callback; an event that cannot
+/// be parsed counts as a reject.
 fn report_stream_event(context: &mut Context<'_>, attempt: AttemptId, event: &StreamEvent) {
     let name = Some(event.name.as_str()).filter(|name| !name.is_empty() && *name != "message");
     let callback = platform::parse_status_callback(context.core.names(), event.data.as_bytes(), name);
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -1,4 +1,4 @@
-//! Attempts, cancels and load probes: each gets an idle connection to its worker, or a new one.
+//! Starting exchanges: each attempt, cancel or load probe gets an idle connection to its worker, or a new one.
 
 use super::UpstreamPool;
 use super::connection::{CancelRequest, Exchange, UpstreamConnection, UpstreamState};
@@ -19,15 +19,15 @@
 use crate::server::tokens::Token;
 use std::net::SocketAddr;
 
-/// What is to be sent to a worker, and how.
+/// A message to send to a worker, and how to send it.
 struct OutgoingExchange {
     worker: WorkerId,
     exchange: Exchange,
-    /// How long the first response may take.
+    /// How long the first response may take, in microseconds.
     response_timeout: Option<Micros>,
-    /// The message; an attempt's is encoded at its first byte.
+    /// The message. It is empty for an attempt, whose request is encoded just before its first byte is written.
     pieces: Vec<Piece>,
-    /// An idle connection will not do.
+    /// Whether an idle connection must not be used.
     needs_new_connection: bool,
 }
 
@@ -38,28 +38,30 @@
     upstream: UpstreamConnection,
 }
 
-/// What concerns clients as well: the client of an attempt may have disconnected, and a new connection needs a descriptor, for
-/// which an idle one of a client may be closed.
+/// Methods of the server, since they involve clients too: the client of an attempt may have disconnected, and a new connection
+/// needs a descriptor, for which an idle connection of a client may be closed.
 impl Server {
-    /// Forwards a request to a worker, unless its client has disconnected.
+    /// Starts an attempt: forwards a request to a worker. If its client has disconnected, the attempt ends as
+    /// [`Outcome::NeverSent`].
     pub(in crate::server) fn start_attempt(&mut self, attempt: AttemptId, worker: WorkerId) {
         let request_id = attempt.request_id;
         if self.polled_at.is_old(self.clock.elapsed()) {
             self.clients.cancel_if_disconnected(&mut client_context!(self), request_id);
         }
         if !self.pending.contains(request_id) {
-            // Its client left in the meantime: nothing goes out any more, which shows nothing of the worker.
+            // The client has disconnected in the meantime. Nothing is sent, and that says nothing about the worker.
             return end_attempt(&mut context!(self), attempt, Outcome::NeverSent);
         }
         self.metrics.attempts += 1;
         let outgoing = OutgoingExchange {
             worker,
             exchange: Exchange::Attempt(attempt),
-            // A worker answers as soon as it has read: one that says nothing for as long as its machine may take to answer
-            // a connection has one that fell silent, and no reset comes. What could not be sent again is waited for.
+            // A worker answers as soon as it has read the request. If it says nothing for as long as its machine may take to
+            // answer a connect, the connection has gone silent, and no reset will come. A request that could not be sent again
+            // has no such limit: its response is waited for.
             response_timeout: self.core.accept_timeout(request_id, self.config.connect_timeout),
             pieces: Vec::new(),
-            // A request has few attempts: once a kept connection has cost it one, the others go out on new ones.
+            // A request has few attempts. Once a reused connection has cost it one, the others use new connections.
             needs_new_connection: self.pending.has_broken_attempt(request_id),
         };
         if let Some(token) = self.assign_connection(outgoing) {
@@ -68,16 +70,17 @@
         }
     }
 
-    /// Gives an attempt up: by closing its connection, or by a cancel where its response has come.
+    /// Gives an attempt up: by closing its connection, or by a cancel if its first response has come.
     pub(in crate::server) fn cancel_attempt(&mut self, attempt: AttemptId, worker: WorkerId, name: String) {
         match self.upstream.attempts.remove(&attempt) {
-            // Not answered yet, or streaming: closing the connection cancels it.
+            // The attempt is not answered yet, or its event stream is being read: closing the connection cancels it.
             Some(token) => self.reactor.close_token(&mut self.core, token),
             None => self.send_cancel(&CancelRequest { worker, name, ending: None }),
         }
     }
 
-    /// Sends a worker a cancel of a job, where that is allowed. The attempt that is ending counts as ended then.
+    /// Sends a worker the cancel of a job, if the settings allow cancels and the worker is listed. The attempt that is ending
+    /// counts as ended once the cancel is written, or at once if no cancel is sent.
     pub(super) fn send_cancel(&mut self, cancel: &CancelRequest) {
         let CancelRequest { worker, ref name, ending } = *cancel;
         let exchange = Exchange::Cancel { ending };
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Sends a worker a load probe.
+    /// Sends a load probe to a worker.
     pub(in crate::server) fn send_load_probe(&mut self, worker: WorkerId) {
         let outgoing = OutgoingExchange {
             worker,
@@ -117,7 +120,8 @@
         }
     }
 
-    /// Gives an exchange an idle connection, or a new one. `None` if there can be none: then it has failed already.
+    /// Gives an exchange an idle connection, or a new one. Returns `None` if it can have neither; the failure of the exchange
+    /// has been reported then.
     fn assign_connection(&mut self, outgoing: OutgoingExchange) -> Option<Token> {
         let address = self.core.endpoints().get(outgoing.worker).map(Endpoint::address);
         if !outgoing.needs_new_connection
@@ -145,7 +149,7 @@
 }
 
 impl UpstreamPool {
-    /// Takes an idle connection over from another process; it may stay idle for so long.
+    /// Adopts an idle connection from another process. It may stay idle for `idle_time_left`, but no longer than any other.
     pub(in crate::server) fn adopt(
         &mut self,
         context: &mut Context<'_>,
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Takes the freshest idle connection to a worker that can still be used, and closes those that cannot.
+    /// Takes the most recently added idle connection to a worker that is still usable, and closes the unusable ones it meets.
     fn take_idle(
         &mut self,
         context: &mut Context<'_>,
@@ -176,8 +180,8 @@
             let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else {
                 continue;
             };
-            // Its worker has another address now, or has ended it, or has sent something unsolicited: what arrives before a
-            // request cannot be the response to it.
+            // Unusable: the worker has another address now, has ended the connection, or has sent something unsolicited. What
+            // arrives before a request cannot be the response to it.
             if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
                 context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
                 continue;
@@ -187,7 +191,8 @@
         None
     }
 
-    /// Begins a new connection to a worker for an exchange.
+    /// Begins a new connection to a worker for an exchange. Returns `None` if that fails or there is no address; the exchange
+    /// has then ended as [`Outcome::ConnectFailed`].
     fn connect(
         &mut self,
         context: &mut Context<'_>,
@@ -210,14 +215,15 @@
         token
     }
 
-    /// An exchange has no connection since all descriptors are at work here, which shows nothing of the worker.
+    /// Ends an exchange that gets no connection because all descriptors of this process are in use. That says nothing about the
+    /// worker.
     fn on_no_descriptor(&mut self, context: &mut Context<'_>, outgoing: &OutgoingExchange) {
         context.metrics.connects += 1;
         context.metrics.connect_failures += 1;
         self.on_exchange_failed(context, None, outgoing.worker, outgoing.exchange, Outcome::NeverSent);
     }
 
-    /// Sets an exchange going on its connection.
+    /// Starts an exchange on its connection: sets the deadline, and writes the message unless the connection is not up yet.
     fn start_exchange(&mut self, context: &mut Context<'_>, pending: &mut PendingRequests, token: Token) {
         let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else { return };
         let timeout = match upstream.state {
@@ -228,7 +234,7 @@
         let deadline = timeout.map(|timeout| context.now() + timeout);
         connection.set_timer(context.core, token, deadline);
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
-            context.reactor.await_connected(token, &mut connection); // the message waits until then
+            context.reactor.await_connected(token, &mut connection); // the message waits until the connection is up
             return context.reactor.put(token, connection, Role::Upstream(upstream));
         }
         self.finish_event(context, pending, token, connection, upstream);
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -1,4 +1,4 @@
-//! Writing to workers, and what is awaited of them next.
+//! Writing to workers, and setting what to wait for next.
 
 use super::UpstreamPool;
 use super::connection::{Exchange, UpstreamConnection, UpstreamState};
@@ -14,8 +14,8 @@
 use crate::server::tokens::Token;
 
 impl UpstreamPool {
-    /// Writes what it can, and counts an attempt at its last byte. Only here do bytes of an attempt leave, so here it
-    /// is checked whether they still may. False if the connection is of no more use.
+    /// Writes as much as the socket takes, and counts an attempt as written at its last byte. This is the only place where bytes
+    /// of an attempt are sent, so it checks whether they still may be. Returns false if the connection cannot be used any more.
     pub(super) fn flush(
         &mut self,
         context: &mut Context<'_>,
@@ -28,7 +28,7 @@
             && let UpstreamState::Awaiting(Exchange::Attempt(attempt)) = upstream.state
         {
             let has_begun = connection.outbox.len() < length;
-            context.clock.update(); // a turn may be long, and the last bytes of it late
+            context.clock.update(); // a turn may be long, and its last bytes late
             let is_usable = is_endpoint_usable(context, upstream);
             let may_write = context.core.may_write(context.now(), attempt, upstream.transit_allowance);
             if !may_write || !(is_usable || has_begun) {
@@ -46,8 +46,8 @@
         is_sound
     }
 
-    /// Gives an attempt up whose last byte has not left: it never ran, and nobody is to blame. If nothing of it has left, the
-    /// connection can carry another one.
+    /// Gives up an attempt whose last byte was not sent. It never ran, and that is no fault of the worker. If no byte of it was
+    /// sent, the connection can carry another attempt.
     fn withhold_attempt(
         &mut self,
         context: &mut Context<'_>,
@@ -64,7 +64,8 @@
         self.on_exchange_failed(context, Some(token), upstream.worker, exchange, Outcome::NeverSent);
     }
 
-    /// All of an exchange's message has been written.
+    /// Handles an exchange whose message has been written whole: counts an attempt, and ends the attempt that a cancel is
+    /// ending.
     fn on_exchange_written(&mut self, context: &mut Context<'_>, upstream: &mut UpstreamConnection) {
         if upstream.unwritten_length.take().is_some() {
             context.metrics.attempts_written += 1;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Ends the handling of an event: writes what is there to write, sets the deadline and what epoll watches for, and puts
-    /// the connection back, also into the pool if it is idle.
+    /// Ends the handling of an event: writes what can be written, sets the deadline and the epoll interest, and puts the
+    /// connection back. An idle connection goes into the pool too.
     pub(super) fn finish_event(
         &mut self,
         context: &mut Context<'_>,
@@ -89,9 +90,9 @@
             return self.on_closed(context, pending, token, connection, upstream);
         }
         match upstream.state {
-            // Its request's deadline ends it.
+            // The deadline of the request ends the stream.
             UpstreamState::Streaming(_) => connection.set_timer(context.core, token, None),
-            // A response may never end.
+            // Without a deadline, a response might never end.
             UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
                 connection.set_timer(context.core, token, Some(context.now() + SIDE_EXCHANGE_TIMEOUT));
             }
@@ -102,7 +103,8 @@
         context.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Keeps an idle connection: in the pool, or out of it until it has rested.
+    /// Keeps an idle connection: in the pool, or outside it until it has rested. Its timer ends the rest, or closes it once it
+    /// has been idle for too long.
     fn rest(
         &mut self,
         context: &mut Context<'_>,
@@ -120,7 +122,8 @@
     }
 }
 
-/// Whether attempts may go to a connection's worker, and it is still where the connection leads.
+/// Whether attempts may be sent on a connection: the endpoint list is not stale, and the worker takes work and still has the
+/// connection's address.
 fn is_endpoint_usable(context: &Context<'_>, upstream: &UpstreamConnection) -> bool {
     let endpoint = context.core.endpoints().get(upstream.worker);
     let takes_attempts = endpoint
@@ -128,8 +131,8 @@
     !context.core.endpoints().is_stale() && takes_attempts
 }
 
-/// Puts an attempt's request into its connection's outbox. It says how much time the client has left, which must be right
-/// at the first byte: the connection may have taken long to come up.
+/// Puts an attempt's request into the outbox of its connection. The request states how much time the client has left. That
+/// must be right when the first byte is sent, and the connection may have taken long to come up.
 fn encode_attempt(
     context: &Context<'_>,
     pending: &PendingRequests,
