--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -1,17 +1,17 @@
-//! What every decision has at hand.
+//! The data that every decision can use.
 
 use crate::policy::gossip::GroupGossip;
 use crate::policy::interface::{Class, EndpointEntry, Micros, Settings, WorkerId};
 use crate::policy::state::{Estimates, Job, PolicyState};
 
-/// A constant that differs between a dispatcher by itself and one in a group.
+/// A constant with one value for a dispatcher on its own and another for a dispatcher in a group.
 pub(crate) struct ByGrouping<T> {
     pub alone: T,
     pub grouped: T,
 }
 
-/// The decisions of one dispatcher, with their settings, their random numbers and what they rest on. The decisions themselves
-/// are methods in `src/policy/rules`.
+/// The settings, the state and the random numbers that the decisions of one dispatcher use. The decisions themselves are
+/// methods of this type in `src/policy/rules`.
 pub(crate) struct Policy {
     pub settings: Settings,
     pub state: PolicyState,
@@ -19,7 +19,8 @@
 }
 
 impl Policy {
-    /// `report_interval` is the first guess at the time between load reports, in microseconds.
+    /// Creates the data of a new dispatcher. `report_interval` is the first estimate of the time between load reports, in
+    /// microseconds.
     pub fn new(settings: Settings, report_interval: f64, seed: u64) -> Self {
         let state = PolicyState::new(&settings, report_interval);
         Policy { settings, state, random: fastrand::Rng::with_seed(seed) }
@@ -35,17 +36,17 @@
         self.state.now()
     }
 
-    /// What is known of this dispatcher's group.
+    /// What is known about this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         self.state.gossip()
     }
 
-    /// What is learned from reports and run times.
+    /// The estimates learned from reports and run times.
     pub fn estimates(&self) -> &Estimates {
         self.state.estimates()
     }
 
-    /// A worker gets no work for this long from now on, whatever was known before; its failures stay.
+    /// Ejects a worker for `span` microseconds from now on, whatever ejection was recorded before. Its failures stay recorded.
     pub fn eject_for(&mut self, worker: WorkerId, span: Micros) {
         self.state.eject_until(worker, self.now() + span);
     }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The decision module of one dispatcher, as its host sees it: events in, actions out.
 //!
-//! A handler of an event keeps the books in `state` and calls the decisions in `rules`; it decides nothing itself.
+//! The handler of an event updates `state` and calls the decisions in `rules`; it decides nothing itself.
 
 use super::context::Policy;
 use super::gossip::PeerRequest;
@@ -18,21 +18,22 @@
 }
 
 impl Dispatcher {
-    /// An instance that knows nothing yet; `seed` determines all its random choices.
+    /// Creates an instance that has learned nothing yet. `seed` determines all its random choices.
     ///
     /// # Errors
     ///
-    /// If the settings are not consistent ([`Settings::check`]).
+    /// Returns an error if the settings are not consistent ([`Settings::check`]).
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Dispatcher { policy: Policy::new(settings, FIRST_REPORT_INTERVAL, seed) })
     }
 
-    /// Continues under other settings, with all that it has learned. Classes keep their places.
+    /// Replaces the settings and keeps everything that was learned. A class keeps its index in the settings.
     ///
     /// # Errors
     ///
-    /// If the settings are not consistent, or have fewer classes than the present ones; these then stay in force.
+    /// Returns an error if the new settings are not consistent or have fewer classes than the present ones. The present
+    /// settings then stay in force.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         if settings.classes.len() < self.policy.settings.classes.len() {
@@ -43,7 +44,8 @@
         Ok(())
     }
 
-    /// Takes one event and appends to `actions` what must be done about it. A `now` before an earlier one counts as that.
+    /// Handles one event and appends the resulting actions to `actions`. A `now` earlier than that of a previous event counts
+    /// as the previous time.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.advance_to(now);
@@ -72,7 +74,7 @@
         self.policy.state.schedule_advertisement(actions);
     }
 
-    /// Takes an endpoint list over. After one from an earlier run, a watch is opened for the present one.
+    /// Applies an endpoint list. A cached list comes from an earlier run, so a watch is scheduled to get the present list.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.update_list(kind, entries, &policy.settings);
@@ -81,13 +83,13 @@
         }
     }
 
-    /// Opens a watch again after a while.
+    /// Records that a call for the endpoint list failed, and schedules the next watch.
     fn on_list_failed(&mut self, actions: &mut Vec<Action>) {
         self.policy.state.record_list_failure();
         self.policy.schedule_watch(actions);
     }
 
-    /// Takes a job over from another process of this dispatcher.
+    /// Takes over a job and its attempts from another process of this dispatcher, and reviews the job.
     fn on_adopted(
         &mut self,
         request: NewJob,
@@ -101,7 +103,8 @@
         policy.review(request.job, actions);
     }
 
-    /// An attempt runs: its worker is available again, and the job's other attempts are cancelled.
+    /// Records that an attempt runs: its worker is available again. Cancels the job's unstarted attempts and reviews the
+    /// queued jobs.
     fn on_attempt_started(&mut self, id: JobId, attempt: u32, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(started) = policy.state.attempt_started(id, attempt) else { return };
@@ -111,7 +114,7 @@
         policy.review_queued(actions);
     }
 
-    /// Learns from an attempt's end, and decides what becomes of its job and of the queued ones, which may have capacity now.
+    /// Learns from an attempt's end. Then reviews its job, and the queued jobs because a slot may be free for them now.
     fn on_attempt_ended(&mut self, end: &AttemptEnded, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(ended) = policy.state.attempt_ended(end) else { return };
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Does what a timer was set for.
+    /// Handles a timer that has expired.
     fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::OpenWatch => actions.push(Action::OpenWatch),
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Learns from a probe, and reviews the jobs that waited for this one alone.
+    /// Learns from a probe. Reviews those waiting jobs that wait for no other probe.
     fn on_probe_response(&mut self, response: &ProbeResponse, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(probe) = policy.state.probe_ended(response) else { return };
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Takes another dispatcher's message, and does what it asks for.
+    /// Handles another dispatcher's message and what it requests.
     fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         match policy.state.receive_message(from, bytes) {
@@ -175,22 +178,23 @@
         self.policy.state.gossip().peers()
     }
 
-    /// How many listed workers get no work now: those that drain, are ejected, or are in a zone that looks cut off.
+    /// The number of listed workers that get no work now: those that drain, are ejected, or are in a zone that seems
+    /// unreachable.
     pub fn unavailable_count(&self, now: Micros) -> usize {
         self.policy.state.unavailable_count(self.policy.settings.zone, now)
     }
 
-    /// Copies what was learned of the class `source` to another one.
+    /// Copies what was learned about the class `source` to the class `class`. Both are indices in the settings.
     pub fn copy_class(&mut self, class: usize, source: usize) {
         self.policy.state.copy_class(class, source);
     }
 
-    /// What it has learned so far.
+    /// What this instance has learned so far.
     pub fn learned(&self) -> Learned {
         self.policy.state.learned()
     }
 
-    /// Starts from what another instance had learned, whose clock is behind by `shift`.
+    /// Starts from what another instance had learned. The clock of that instance is behind by `shift` microseconds.
     pub fn restore(&mut self, learned: Learned, ids: &IdMap, shift: i64) {
         self.policy.state.restore(learned, ids, shift);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,9 @@
-//! The decision module: events and time in, actions out. It has no clock, no I/O and no random source but its seed.
+//! The decision module. It takes events with their times and returns actions. It has no clock and does no I/O; its seed is its
+//! only source of randomness.
 //!
-//! [`Dispatcher`] is the module as its host sees it. `rules` holds every decision, `state` what they rest on, [`gossip`] what
-//! the dispatchers of a group advertise to each other. [`simulator`] hosts the same module behind the simulator's line protocol.
+//! [`Dispatcher`] is the module as its host sees it. `rules` holds every decision and `state` the data that the decisions are
+//! based on. [`gossip`] holds what the dispatchers of a group advertise to each other. [`simulator`] hosts the same module
+//! behind the simulator's line protocol.
 
 mod context;
 mod dispatcher;
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -1,10 +1,10 @@
-//! The types of the choice of a worker. What makes one better than another is decided in `src/policy/rules`.
+//! The types that the choice of a worker uses. `src/policy/rules` decides what makes one worker better than another.
 
 use crate::policy::interface::{EndpointEntry, JobId, KindId, Micros, NewJob, WorkerId, ZoneId};
 use crate::policy::state::{LoadSample, PolicyState, Worker};
 use std::cmp::Ordering;
 
-/// The load inputs where nothing is reported.
+/// The value of a load input that nothing reports.
 const HALF_LOADED: f64 = 0.5;
 
 /// How suitable a worker is for a job, best first.
@@ -16,24 +16,24 @@
     Unknown,
     /// Its load is known, and it has no free slot for the job.
     Full,
-    /// Full, with a queue longer than the job can wait.
+    /// It is full, and its queue is longer than the job can wait.
     Overloaded,
-    /// Its load is unknown where a probe would report it, and the job could not be moved away again.
+    /// Its load is unknown although a probe would report it, and the job could not be moved away again.
     Unprobed,
-    /// Ejected for now: the last resort, where there is no other.
+    /// It is ejected for now. It is used only if there is no other worker.
     Ejected,
 }
 
-/// What candidates are wanted for.
+/// What the candidates are selected for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// To send the job to one of them.
+    /// The job is sent to one of them.
     Placing,
-    /// To probe some of them.
+    /// Some of them are probed.
     Probing,
 }
 
-/// A worker's place in the choice: by rank, then the lowest cost, then the lowest tie-break.
+/// A worker that may be chosen. The best candidate has the best rank, then the lowest cost, then the lowest tie-break.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub rank: Rank,
@@ -43,7 +43,7 @@
 }
 
 impl Candidate {
-    /// The order of preference: the better one is less.
+    /// Compares by preference: the better candidate is less.
     pub fn compare(&self, other: &Candidate) -> Ordering {
         let by_cost = || self.cost.total_cmp(&other.cost);
         let by_tie_break = || self.tie_break.total_cmp(&other.tie_break);
@@ -51,14 +51,14 @@
     }
 }
 
-/// What a job needs of a worker, the same for all candidates.
+/// What a job needs from a worker; the same for all candidates.
 pub(crate) struct Needs {
     pub request: NewJob,
     /// Time left until its latest start, in microseconds.
     pub slack: f64,
     /// How long an attempt may go unstarted before its worker counts as full.
     pub start_timeout: Micros,
-    /// What the jobs that only one kind can run leave of it, for kinds that have such jobs.
+    /// For each kind with jobs that no other kind can run: the fraction of its capacity that those jobs leave.
     pub spare_by_kind: Vec<(KindId, f64)>,
 }
 
@@ -68,13 +68,13 @@
         self.request.memory.zip(sample.memory).is_some_and(|(needed, free)| free < needed)
     }
 
-    /// The fraction of a kind's capacity that this job may count on.
+    /// The fraction of a kind's capacity that this job may count on; 1 for a kind without an entry.
     pub fn spare(&self, kind: KindId) -> f64 {
         self.spare_by_kind.iter().find(|(bound, _)| *bound == kind).map_or(1.0, |(_, spare)| *spare)
     }
 }
 
-/// The place of a job among those queued here; the least goes first.
+/// The position of a job in this dispatcher's queue; the least goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     pub is_late: bool,
@@ -82,7 +82,7 @@
     pub job: JobId,
 }
 
-/// What the choice of a worker takes of its load.
+/// The parts of a worker's load that the choice of a worker uses.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadInputs {
     /// CPU utilisation, 0 to 1.
@@ -93,13 +93,13 @@
 }
 
 impl LoadInputs {
-    /// A worker of which nothing but this many free slots is known.
+    /// The inputs of a worker of which only the number of free slots is known.
     pub fn half_loaded(free_slots: f64) -> LoadInputs {
         LoadInputs { cpu: HALF_LOADED, load: HALF_LOADED, free_slots }
     }
 
-    /// A worker of the group, of so many slots, by what the dispatchers of the group have outstanding there; `None` for another
-    /// worker.
+    /// The inputs of a worker of the group with `capacity` slots, from what the group's dispatchers have outstanding there.
+    /// `None` if the worker is not assigned to the group.
     pub fn from_group(
         state: &PolicyState,
         worker: &Worker,
@@ -116,7 +116,8 @@
         self.free_slots >= 1.0
     }
 
-    /// A worker's load sample, charged with own attempts that it cannot show yet.
+    /// The inputs from a worker's load sample, increased by this dispatcher's attempts that the sample cannot show yet: those
+    /// sent at most `window` before the sample, or after it. `slots` is the worker's number of slots.
     pub fn from_sample(sample: &LoadSample, worker: &Worker, window: Micros, slots: f64) -> LoadInputs {
         let unseen = worker.slots_sent_since(sample.at.saturating_sub(window));
         let cpu = (sample.cpu + unseen / slots).min(1.0);
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The higher load of the two, input by input.
+    /// The worse of the two values of each input: the higher load, the fewer free slots.
     pub fn worst(self, other: LoadInputs) -> LoadInputs {
         LoadInputs {
             cpu: self.cpu.max(other.cpu),
@@ -149,27 +150,27 @@
     -(1.0 - random.f64()).ln()
 }
 
-/// A worker of the group at which a slot may be offered to another group.
+/// A worker of this dispatcher's group that has a slot to offer to another group.
 pub(crate) struct OfferableSlot {
     pub listed: EndpointEntry,
     /// Its CPU utilisation, 0 to 1.
     pub cpu: f64,
 }
 
-/// A worker that is considered for a job, with what its rank depends on.
+/// A worker that is considered for a job, with the data that its rank depends on.
 pub(crate) struct Considered<'a> {
     pub worker: &'a Worker,
     pub listed: &'a EndpointEntry,
     pub is_remote: bool,
     /// Response time for each unit of expected work.
     pub slowness: f64,
-    /// The slots that own attempts occupy or wait for there.
+    /// The slots that this dispatcher's attempts occupy or wait for there.
     pub occupied: f64,
     pub random: f64,
 }
 
 impl<'a> Considered<'a> {
-    /// A listed worker as a dispatcher of `own_zone` sees it; `random` is its tie-break among equals.
+    /// A listed worker as a dispatcher in `own_zone` sees it. `random` breaks ties between equal workers.
     pub fn new(
         state: &PolicyState,
         worker: &'a Worker,
@@ -187,12 +188,12 @@
         }
     }
 
-    /// This worker's place in the choice.
+    /// This worker as a candidate with the given rank, cost and tie-break.
     pub fn candidate(&self, rank: Rank, cost: f64, tie_break: f64) -> Candidate {
         Candidate { rank, cost, tie_break, worker: self.listed.worker }
     }
 
-    /// A candidate without capacity: the one that will respond soonest goes first.
+    /// This worker as a candidate without capacity. Among such candidates, the one that should respond soonest goes first.
     pub fn inferior(&self, rank: Rank) -> Candidate {
         self.candidate(rank, self.slowness * (1.0 + self.occupied), self.random)
     }
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, from their start to their end, at their job and at their worker.
+//! Records attempts, from their start to their end, in the state of their job and of their worker.
 
 use super::worker::OutstandingAttempt;
 use super::{Attempt, AttemptState, PolicyState};
@@ -6,22 +6,22 @@
     Action, AttemptEnded, JobId, Micros, Outcome, PriorAttempt, Settings, WorkerId,
 };
 
-/// An attempt that has just been found running.
+/// An attempt that this dispatcher has just learned to be running.
 pub(crate) struct StartedAttempt {
     pub worker: WorkerId,
-    /// How long ago it was sent.
+    /// The time since it was sent, in microseconds.
     pub waited: Micros,
 }
 
 /// An attempt that has just ended.
 pub(crate) struct EndedAttempt {
-    /// The class of its job, by its place in the settings.
+    /// The class of its job: an index in the settings.
     pub class: usize,
-    /// The expected work of its job.
+    /// The expected work of its job, in microseconds.
     pub work: f64,
-    /// How many attempts of its job never ran, this one included.
+    /// The number of attempts of its job that never ran, this one included.
     pub unrun_count: usize,
-    /// Since when it ran, if it was reported to run.
+    /// When it was reported to run; `None` if it was not.
     pub running_since: Option<Micros>,
 }
 
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Sends a job's next attempt to a worker, and records for a window the work that goes there. The job's expected work;
-    /// `None` if the job is unknown.
+    /// Sends a job's next attempt to a worker, and records the work that goes there for `window`. Returns the job's expected
+    /// work in microseconds, or `None` if the job is unknown.
     pub fn send(
         &mut self,
         id: JobId,
@@ -80,7 +80,7 @@
         Some(work)
     }
 
-    /// Cancels an open job's attempts that have not started, where that is allowed.
+    /// Cancels an open job's attempts that have not started, if the settings allow it.
     pub fn cancel_unstarted(&self, id: JobId, settings: &Settings, actions: &mut Vec<Action>) {
         if let Some(job) = self.open_job(id).filter(|_| settings.may_cancel) {
             let unstarted = job.attempts_where(Attempt::is_unstarted);
@@ -88,13 +88,14 @@
         }
     }
 
-    /// Whether the newest unstarted attempt of a job was expected to start by now; it is not asked for again.
+    /// Whether the newest unstarted attempt of a job was expected to start. The expectation is cleared, so the next call for
+    /// this attempt returns `false`.
     pub fn take_start_expectation(&mut self, id: JobId) -> bool {
         let unstarted = self.jobs.get_mut(&id).and_then(|job| job.newest_unstarted_mut());
         unstarted.is_some_and(|attempt| std::mem::take(&mut attempt.is_start_expected))
     }
 
-    /// Records that an attempt runs, if that was not known yet.
+    /// Records that an attempt runs. Returns `None` if that was known before, or if the job, attempt or worker is unknown.
     pub fn attempt_started(&mut self, id: JobId, index: u32) -> Option<StartedAttempt> {
         let attempt = self.jobs.get_mut(&id)?.attempt_mut(index)?;
         if !attempt.is_unstarted() {
@@ -107,7 +108,7 @@
         Some(started)
     }
 
-    /// Records the end of an attempt that this worker had.
+    /// Records the end of an attempt. Returns `None` if the job has no such attempt at this worker.
     pub fn attempt_ended(&mut self, end: &AttemptEnded) -> Option<EndedAttempt> {
         let job = self.jobs.get_mut(&end.job)?;
         let attempt = job.attempt_mut(end.attempt).filter(|attempt| attempt.worker == end.worker)?;
@@ -125,7 +126,7 @@
         Some(ended)
     }
 
-    /// Records that an attempt was never sent.
+    /// Records that an attempt was never sent. It no longer occupies its worker.
     pub fn attempt_not_sent(&mut self, id: JobId, index: u32) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(attempt) = job.attempt_mut(index) else { return };
@@ -134,7 +135,7 @@
         self.release(worker, id, index);
     }
 
-    /// An attempt no longer occupies its worker.
+    /// Frees the slots of an attempt at its worker.
     fn release(&mut self, worker: WorkerId, job: JobId, attempt: u32) {
         self.workers.touch(worker).release(job, attempt);
         self.gossip.mark_changed();
--- a/src/policy/state/capacity.rs
+++ b/src/policy/state/capacity.rs
@@ -1,4 +1,4 @@
-//! The load and the slots of workers: what they report, what is sent to them, and what that shows of their kinds.
+//! The load and the slots of workers: what they report, what is sent to them, and what both show about their kinds.
 
 use super::worker::SentWork;
 use super::{BoundFraction, LoadSample, PolicyState, Worker, ready_workers};
@@ -6,8 +6,8 @@
 
 /// Learning.
 impl PolicyState {
-    /// Records work that is sent or offered to a worker, for a window. A small attempt counts as a mean one: many small ones
-    /// make a worker that is warming up collapse as well.
+    /// Records work that is sent or offered to a worker, for `window`. An attempt below the mean work counts as the mean,
+    /// because many small attempts also make a worker that is warming up collapse.
     pub(super) fn record_work(&mut self, id: WorkerId, work: f64, window: Micros) {
         let work = work.max(self.estimates.mean_attempt_work());
         self.workers.touch(id).record_work(SentWork { at: self.now, work }, window);
@@ -29,19 +29,19 @@
         }
     }
 
-    /// Learns the response time for each unit of work at a worker.
+    /// Learns the response time for each unit of work at a worker, for the worker itself and for its kind.
     pub fn learn_slowness(&mut self, id: WorkerId, slowness: f64) {
         let worker = self.workers.touch(id);
         worker.slowness.add(slowness);
         self.estimates.learn_slowness(worker.listed().map(|listed| listed.kind), slowness);
     }
 
-    /// Learns how long an attempt waits until it is known to run.
+    /// Learns how long an attempt waits until it is known to run. The estimate stays at or above `min_delay`.
     pub fn learn_start_delay(&mut self, waited: Micros, min_delay: Micros) {
         self.estimates.learn_start_delay(waited as f64, min_delay as f64);
     }
 
-    /// Copies what was learned of the class `source` to another one.
+    /// Copies what was learned about the class `source` to the class `class`. Both are indices in the settings.
     pub fn copy_class(&mut self, class: usize, source: usize) {
         self.estimates.copy_class(class, source);
     }
@@ -54,16 +54,16 @@
         self.worker(id).last_load().filter(|load| self.now <= load.at + window)
     }
 
-    /// The slots of a worker of the group that this dispatcher may not use: those that peers occupy, and those reserved for
-    /// dispatchers that are unreachable; `None` for another worker.
+    /// The slots of a worker that this dispatcher may not use: those that peers occupy, and those reserved for unreachable
+    /// dispatchers. `None` if the worker is not assigned to the group.
     fn unavailable_slots(&self, listed: &EndpointEntry) -> Option<f64> {
         let occupied = self.gossip.peer_load(listed, self.now)?;
         let slots = self.estimates.slots(listed.kind).max(1.0) as u32;
         Some(occupied + f64::from(self.gossip.reserved_slots(listed.worker, slots, self.now)))
     }
 
-    /// The slots of a worker of the group that are not free for this dispatcher's next attempt: those that it may not use, and
-    /// those of its own attempts there; `None` for another worker.
+    /// The slots of a worker that are not free for this dispatcher's next attempt: those that it may not use, and those of its
+    /// own attempts there. `None` if the worker is not assigned to the group.
     pub fn group_occupied_slots(&self, worker: &Worker, listed: &EndpointEntry) -> Option<f64> {
         self.unavailable_slots(listed).map(|by_others| by_others + worker.occupied_slots())
     }
@@ -73,23 +73,24 @@
         ready_workers::is_warm(listed, self.now, warm_up_time)
     }
 
-    /// Whether a worker is listed in another zone than this.
+    /// Whether a worker is listed in a zone other than `zone`.
     pub fn is_outside(&self, id: WorkerId, zone: ZoneId) -> bool {
         self.worker(id).listed().is_some_and(|listed| listed.zone != zone)
     }
 
-    /// Whether no report has shown how much workers of its kind can run, nor that none shows it.
+    /// Whether the slots of the worker's kind are still unknown: no report has shown them, and none has shown that reports of
+    /// this kind do not contain them. `false` for a worker that is not listed.
     pub fn is_unsized(&self, worker: &Worker) -> bool {
         worker.listed().is_some_and(|listed| !self.estimates.is_sized(listed.kind))
     }
 
-    /// The slots of the ready workers, together.
+    /// The total number of slots of the ready workers.
     pub fn ready_slots(&self) -> f64 {
         let slots = |listed: &EndpointEntry| self.estimates.slots(listed.kind);
         self.ready.all().iter().map(|id| self.worker(*id).listed().map_or(0.0, slots)).sum()
     }
 
-    /// For each class that only one kind of worker can run, how much of that kind such classes take.
+    /// For each class that only one kind of worker can run: the fraction of that kind which the work of all such classes takes.
     pub fn bound_fractions<'a>(&'a self, classes: &'a [Class]) -> impl Iterator<Item = BoundFraction> + 'a {
         let kinds = classes.iter().filter_map(|class| class.kind);
         kinds.map(|kind| self.estimates.bound_fraction(classes, self.ready.weight_by_kind(), kind))
--- a/src/policy/state/class_stats.rs
+++ b/src/policy/state/class_stats.rs
@@ -1,4 +1,4 @@
-//! How much work the jobs of a class bring.
+//! Statistics of the work that the jobs of a class bring.
 
 use super::Mean;
 
@@ -9,14 +9,14 @@
     pub run_time: Mean,
     /// How much expected work has arrived, in microseconds.
     pub work_sum: f64,
-    /// In how many jobs.
+    /// The number of jobs in which that work has arrived.
     pub job_count: f64,
-    /// The longest that a job may take, where jobs come without a hint; else 0.
+    /// The longest time that a job may take, in microseconds, if the last job came without a hint; otherwise 0.
     pub longest: f64,
 }
 
 impl ClassStats {
-    /// A job has arrived with this expected work, which may take `longest` at most.
+    /// Records that a job has arrived with this expected work and may take `longest` at most, both in microseconds.
     pub fn record_arrival(&mut self, work: f64, longest: f64) {
         self.work_sum += work;
         self.job_count += 1.0;
@@ -24,17 +24,18 @@
     }
 }
 
-/// The expected work of a job of any class, 1 at least.
+/// The mean expected work of a job over all classes, in microseconds; at least 1.
 pub(crate) fn mean_work(classes: &[ClassStats]) -> f64 {
     let work: f64 = classes.iter().map(|class| class.work_sum).sum();
     let count: f64 = classes.iter().map(|class| class.job_count).sum();
     (work / count.max(1.0)).max(1.0)
 }
 
-/// The mean work of an attempt, for what a worker that warms up can bear. For each class it is no less than its jobs have
-/// taken; where none has ended yet and they come without a hint, it is as long as they may take. The guess at their work, the
-/// class's latency objective, may be a small fraction of that, and a process that has just started would send many times its
-/// part.
+/// The mean work of an attempt, in microseconds and at least 1, to compare with what a worker that is warming up can bear.
+///
+/// For each class, the mean is at least the run time of its jobs. If no job of the class has ended yet and its jobs come
+/// without a hint, the mean is the longest time that they may take. The first estimate of their work, the class's latency
+/// objective, may be a small fraction of that, and a process that has just started would send many times its part.
 pub(crate) fn mean_attempt_work(classes: &[ClassStats]) -> f64 {
     let mut work: f64 = 0.0;
     let mut count: f64 = 0.0;
--- a/src/policy/state/failures.rs
+++ b/src/policy/state/failures.rs
@@ -1,10 +1,10 @@
-//! What speaks for and against workers and zones: failures, ejections and signs of life.
+//! The failures, ejections and signs of life of workers and zones.
 
 use super::{EndedAttempt, PolicyState, Worker};
 use crate::policy::interface::{AttemptEnded, EndpointEntry, Micros, Settings, Status, WorkerId, ZoneId};
 
 impl PolicyState {
-    /// A worker has failed: its load sample is dropped, it is ejected, and the group is notified.
+    /// Records that a worker has failed: drops its load sample, ejects it and notifies the group.
     pub fn record_failure(&mut self, id: WorkerId, window: Micros, max_failures: u32) {
         self.gossip.mark_changed();
         let worker = self.workers.touch(id);
@@ -12,18 +12,19 @@
         worker.outlier.record_failure(self.now, window, max_failures);
     }
 
-    /// A connection to a worker has failed: its zone is ejected.
+    /// Records that a connection to a worker has failed: ejects its zone.
     pub fn record_zone_failure(&mut self, id: WorkerId, window: Micros, max_failures: u32) {
         if let Some(listed) = self.worker(id).listed {
             self.zones.record_failure(listed.zone, self.now, window, max_failures);
         }
     }
 
-    /// A worker has served an attempt: its failures are forgiven. The attempt's run time, in microseconds.
+    /// Records that a worker has served an attempt: halves its count of failures, ends its ejection and forgets the failures
+    /// of its zone. Returns the attempt's run time in microseconds, at least 1.
     pub fn record_success(&mut self, end: &AttemptEnded, ended: &EndedAttempt, settings: &Settings) -> f64 {
         let running_since = ended.running_since.filter(|_| settings.reports_start);
         let run_time = running_since.map_or(end.elapsed, |since| self.now.saturating_sub(since));
-        let run_time = run_time.max(1) as f64; // 0 would make all workers equal
+        let run_time = run_time.max(1) as f64; // A run time of 0 would make all workers equal.
         self.estimates.learn_run_time(ended.class, run_time);
         let worker = self.workers.touch(end.worker);
         worker.outlier.record_success();
@@ -33,34 +34,35 @@
         run_time
     }
 
-    /// A worker gets no work until this time, whatever was known before; its failures stay.
+    /// Ejects a worker until this time, whatever ejection was recorded before. Its failures stay recorded.
     pub fn eject_until(&mut self, id: WorkerId, until: Micros) {
         self.workers.touch(id).outlier.eject_until(until);
     }
 
-    /// A worker's failures are forgotten; an ejection stays.
+    /// Forgets a worker's failures; an ejection stays.
     pub fn forgive(&mut self, id: WorkerId) {
         self.workers.touch(id).outlier.forgive();
     }
 
-    /// Whether a worker gets no work for now because it failed, was full or made an attempt queue.
+    /// Whether a worker is ejected now because it failed, was full or let an attempt wait in its queue.
     pub fn is_ejected(&self, worker: &Worker) -> bool {
         worker.outlier.is_ejected(self.now)
     }
 
-    /// Whether a zone looks cut off for now.
+    /// Whether a zone is ejected now because it seems unreachable.
     pub fn is_zone_ejected(&self, zone: ZoneId) -> bool {
         self.zones.is_ejected(zone, self.now)
     }
 
-    /// Whether a worker has failed, here or at a peer, and has shown no sign of life here since.
+    /// Whether a worker has failed, for this dispatcher or for a peer, and has shown this dispatcher no sign of life since.
     pub fn is_suspect(&self, worker: &Worker) -> bool {
         let is_suspect_at_peer =
             |listed: &EndpointEntry| self.gossip.is_suspect(listed, worker.last_seen, self.now);
         worker.is_suspect() || worker.listed().is_some_and(is_suspect_at_peer)
     }
 
-    /// How many listed workers get no work now: those that drain, are ejected, or are in a zone that looks cut off.
+    /// The number of listed workers that get no work now: those that drain, those that are ejected after a failure, and those
+    /// in an ejected zone other than the dispatcher's own.
     pub fn unavailable_count(&self, own_zone: ZoneId, now: Micros) -> usize {
         let is_unavailable = |worker: &&Worker| {
             let Some(listed) = worker.listed() else { return false };
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -1,11 +1,11 @@
-//! What is known of one open job and of its attempts.
+//! The state of one job and of its attempts.
 
 use crate::policy::interface::{Micros, NewJob, Outcome, PriorAttempt, WorkerId};
 
-/// What is known of an attempt.
+/// What is known about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Sent, and not known to run.
+    /// It was sent and is not known to run.
     Sent,
     /// It is known to run.
     Running,
@@ -13,14 +13,15 @@
     NotSent,
     /// It never ran; its worker may be tried again.
     NotRun,
-    /// It never ran, but the callback that said so may be repeated, and names no attempt: its worker gets no other.
+    /// It never ran, but the callback that reported this may be repeated and names no attempt. Its worker therefore gets no
+    /// other attempt of the job.
     HandedBack,
     /// It has ended, and may have run.
     MayHaveRun,
 }
 
 impl AttemptState {
-    /// The state of an attempt that has ended so.
+    /// The state of an attempt that has ended with this outcome.
     pub fn after(outcome: Outcome) -> AttemptState {
         match outcome {
             Outcome::NeverSent => AttemptState::NotSent,
@@ -50,7 +51,7 @@
     pub sent_at: Micros,
     pub(super) state: AttemptState,
     pub(super) running_since: Option<Micros>,
-    /// Its worker's load showed room for it, and it is not yet overdue to start.
+    /// Whether its worker's load showed a free slot for it and it is not yet overdue to start.
     pub(super) is_start_expected: bool,
 }
 
@@ -65,12 +66,12 @@
         self.state == AttemptState::Sent
     }
 
-    /// Whether it is certain that it did not run.
+    /// Whether it certainly did not run.
     pub fn never_ran(&self) -> bool {
         matches!(self.state, AttemptState::NotSent | AttemptState::NotRun | AttemptState::HandedBack)
     }
 
-    /// Whether its worker may not have another attempt of its job.
+    /// Whether its worker may not get another attempt of its job.
     pub fn excludes_worker(&self) -> bool {
         !matches!(self.state, AttemptState::NotSent | AttemptState::NotRun)
     }
@@ -81,20 +82,20 @@
 pub(crate) struct Job {
     pub request: NewJob,
     pub arrived: Micros,
-    /// Expected work.
+    /// Expected work, in microseconds.
     pub work: f64,
     attempts: Vec<Attempt>,
-    /// Workers sampled for it by probes, and how many of them have not responded yet.
+    /// The workers sampled for it by probes, and below the number of probes that have not ended yet.
     sample: Vec<WorkerId>,
     pending_probes: usize,
-    /// It is not reviewed before this, unless a probe response or free capacity arrives.
+    /// It is not reviewed before this time, unless a probe response arrives or a slot becomes free.
     wait_until: Micros,
     is_closed: bool,
 }
 
 /// What the decisions ask of a job.
 impl Job {
-    /// A job without an attempt.
+    /// Creates an open job without attempts.
     pub fn new(request: NewJob, arrived: Micros, work: f64) -> Self {
         Job {
             request,
@@ -113,7 +114,7 @@
         !self.is_closed
     }
 
-    /// Whether it waits for something, and is not to be reviewed yet.
+    /// Whether it waits for something and must not be reviewed yet.
     pub fn is_waiting(&self, now: Micros) -> bool {
         now < self.wait_until
     }
@@ -128,17 +129,17 @@
         self.attempts.iter().filter(|attempt| !attempt.never_ran())
     }
 
-    /// Whether it is certain that no attempt ran.
+    /// Whether certainly no attempt ran.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(Attempt::never_ran)
     }
 
-    /// How many attempts were sent, or may have been.
+    /// The number of attempts that were sent, or may have been.
     pub fn sent_count(&self) -> u32 {
         self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NotSent).count() as u32
     }
 
-    /// How many attempts have not ended.
+    /// The number of attempts that have not ended.
     pub fn outstanding_count(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_outstanding()).count()
     }
@@ -148,7 +149,7 @@
         !self.attempts.iter().any(Attempt::is_outstanding)
     }
 
-    /// How many attempts never ran.
+    /// The number of attempts that never ran.
     pub fn unrun_count(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.never_ran()).count()
     }
@@ -158,7 +159,7 @@
         self.attempts.iter().rfind(|attempt| attempt.is_unstarted())
     }
 
-    /// Whether this worker may not have another attempt of it.
+    /// Whether this worker may not get another attempt of it.
     pub fn excludes(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker == worker && attempt.excludes_worker())
     }
@@ -176,33 +177,33 @@
 
 /// Changes.
 impl Job {
-    /// The final response has been given, or is not due any more.
+    /// Records that the final response has been given or is no longer due.
     pub(super) fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// Whether nothing is to come of it any more.
+    /// Whether it is closed and has no outstanding attempt.
     pub(super) fn is_over(&self) -> bool {
         self.is_closed && self.is_unassigned()
     }
 
-    /// It is not reviewed before this, unless there is a reason.
+    /// Lets it wait: it is not reviewed before `until`, unless a probe response arrives or a slot becomes free.
     pub(super) fn wait_until(&mut self, until: Micros) {
         self.wait_until = until;
     }
 
-    /// It may be reviewed at any time.
+    /// Ends its wait: it may be reviewed at any time.
     pub(super) fn end_wait(&mut self) {
         self.wait_until = 0;
     }
 
-    /// Adds its next attempt; its index.
+    /// Adds its next attempt and returns the attempt's index.
     pub(super) fn add_attempt(&mut self, attempt: Attempt) -> u32 {
         self.attempts.push(attempt);
         self.attempts.len() as u32 - 1
     }
 
-    /// The attempt of this index.
+    /// The attempt with this index, if there is one.
     pub(super) fn attempt_mut(&mut self, index: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(index as usize)
     }
@@ -212,19 +213,20 @@
         self.attempts.iter_mut().rfind(|attempt| attempt.is_unstarted())
     }
 
-    /// Notes the workers sampled for it and how many of them were probed: it waits for those until then at most.
+    /// Records the workers sampled for it, and how many of their probes it waits for, until `until` at most.
     pub(super) fn set_sample(&mut self, sample: Vec<WorkerId>, pending_probes: usize, until: Micros) {
         self.sample = sample;
         self.pending_probes = pending_probes;
         self.wait_until = if pending_probes == 0 { 0 } else { until };
     }
 
-    /// Forgets its sample, so that it is probed for anew.
+    /// Forgets its sample, so that a new one is probed.
     pub(super) fn clear_sample(&mut self) {
         self.sample = Vec::new();
     }
 
-    /// One of its probes has ended. Whether it was the last one, and the job has no attempt: then its wait is over.
+    /// Records that one of its probes has ended. If it was the last one and the job has no outstanding attempt, ends the job's
+    /// wait and returns `true`.
     pub(super) fn end_probe(&mut self) -> bool {
         self.pending_probes = self.pending_probes.saturating_sub(1);
         let is_last = self.pending_probes == 0 && self.is_unassigned();
--- a/src/policy/state/job_queue.rs
+++ b/src/policy/state/job_queue.rs
@@ -1,8 +1,8 @@
-//! The jobs that are queued here for a worker.
+//! The jobs that are queued at this dispatcher and wait for a worker.
 
 use crate::policy::interface::JobId;
 
-/// Queued jobs, the one that was queued first at the front; none is in it twice.
+/// The queued jobs, in the order in which they were queued. No job is in it twice.
 #[derive(Debug, Default)]
 pub(crate) struct JobQueue(Vec<JobId>);
 
@@ -24,12 +24,12 @@
         self.0.contains(&job)
     }
 
-    /// How many jobs are queued.
+    /// The number of queued jobs.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// The queued jobs, the one that was queued first at the front.
+    /// The queued jobs, in the order in which they were queued.
     pub fn iter(&self) -> impl Iterator<Item = JobId> {
         self.0.iter().copied()
     }
--- a/src/policy/state/jobs.rs
+++ b/src/policy/state/jobs.rs
@@ -1,11 +1,11 @@
-//! Jobs, from their arrival to their end.
+//! Records jobs, from their arrival to their end.
 
 use super::{Attempt, Job, PolicyState};
 use crate::policy::interface::{Action, JobId, Micros, NewJob, Settings};
 use crate::policy::timer::Timer;
 
 impl PolicyState {
-    /// Records a job of a known class, to be reviewed at its deadline at the latest.
+    /// Records a job and schedules its last review one tick before its deadline. A job of an unknown class is ignored.
     pub fn add_job(
         &mut self,
         request: NewJob,
@@ -20,7 +20,7 @@
         self.schedule_review(request.job, request.deadline.saturating_sub(settings.tick), actions);
     }
 
-    /// Closes a job: its outstanding attempts are cancelled, where that is allowed.
+    /// Closes a job and removes it from the queue. Its outstanding attempts are cancelled if the settings allow it.
     pub fn close_job(&mut self, id: JobId, settings: &Settings, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.close();
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Sets the timer of a job's next review.
+    /// Sets the timer of a job's next review. A time in the past counts as one microsecond from now.
     pub fn schedule_review(&self, id: JobId, at: Micros, actions: &mut Vec<Action>) {
         let after = at.saturating_sub(self.now).max(1);
         actions.push(Action::SetTimer(Timer::Review(id).into(), after));
     }
 
-    /// Queues a job here until then, unless capacity shows before.
+    /// Queues a job and lets it wait until `until`, unless a slot becomes free before.
     pub fn queue_job(&mut self, id: JobId, until: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.wait_until(until);
@@ -53,7 +53,7 @@
         self.queue.push(id);
     }
 
-    /// Lets a job be reviewed whenever there is a reason.
+    /// Ends a job's wait: it may be reviewed at any time.
     pub fn end_wait(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.end_wait();
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -1,6 +1,6 @@
-//! What an instance has learned, in the form in which one process of a dispatcher passes it to the next.
+//! What an instance has learned, in the serialized form that one process of a dispatcher passes to the next.
 //!
-//! The serialized names are those of the first version and must stay.
+//! The serialized names are those of the first version and must not change.
 
 use super::class_stats::ClassStats;
 use super::outlier_record::convert_unless_never;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What an instance has learned of a worker.
+/// What an instance has learned about a worker.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct LearnedWorker {
     #[serde(rename = "entry")]
@@ -23,23 +23,23 @@
     outlier: OutlierRecord,
     #[serde(rename = "heard")]
     last_seen: Micros,
-    /// Warm-up data of earlier versions, which must find it here.
+    /// Warm-up data of earlier versions. It is not used any more, but earlier versions require the field.
     cold: (u64, f64),
     #[serde(rename = "sent", default)]
     recent_work: VecDeque<SentWork>,
 }
 
-/// What an instance has learned of a class.
+/// What an instance has learned about a class.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(from = "LearnedClassForm", into = "LearnedClassForm")]
 struct LearnedClass {
     run_time: Mean,
-    /// How much expected work has arrived, and in how many jobs.
+    /// The expected work that has arrived, in microseconds, and below the number of jobs in which it arrived.
     work_sum: f64,
     job_count: f64,
 }
 
-/// The serialized form of a class: its mean run time, and then the work that has arrived and in how many jobs.
+/// The serialized form of a class: its mean run time, then the work that has arrived and its number of jobs.
 type LearnedClassForm = (Mean, (f64, f64));
 
 impl From<LearnedClassForm> for LearnedClass {
@@ -54,7 +54,7 @@
     }
 }
 
-/// What an instance has learned, for another one that continues in its place. Ids and times are those of the first.
+/// What an instance has learned, for another instance that replaces it. Ids and times are those of the replaced instance.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Learned {
     workers: Vec<LearnedWorker>,
@@ -74,7 +74,7 @@
     reports_queue_length: bool,
 }
 
-/// The ids of the continuing instance by those that [`Learned`] uses; `None` where it has none.
+/// Maps the ids that [`Learned`] uses, as indices, to those of the replacing instance. `None` if that instance has no such id.
 #[derive(Clone, Debug, Default)]
 pub struct IdMap {
     /// Workers.
@@ -86,7 +86,7 @@
 }
 
 impl LearnedWorker {
-    /// What is known of a worker.
+    /// Copies what is known about a worker.
     fn new(worker: &Worker) -> LearnedWorker {
         LearnedWorker {
             load: worker.load.clone(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gives a worker what was learned of it, with times shifted to this instance's clock.
+    /// Restores what was learned about a worker. `shift`, in microseconds, converts its times to this instance's clock.
     fn restore(self, worker: &mut Worker, shift: i64) {
         let shifted = |at: Micros| at.saturating_add_signed(shift);
         worker.load = self.load.map(|load| LoadSample { at: shifted(load.at), ..load });
@@ -117,7 +117,7 @@
         LearnedClass { run_time: stats.run_time, work_sum: stats.work_sum, job_count: stats.job_count }
     }
 
-    /// The statistics with what was learned; the rest is as in `stats`.
+    /// The statistics `stats` with the learned values in place of their own.
     fn restored(self, stats: &ClassStats) -> ClassStats {
         let LearnedClass { run_time, work_sum, job_count } = self;
         ClassStats { run_time, work_sum, job_count, ..*stats }
@@ -125,7 +125,7 @@
 }
 
 impl PolicyState {
-    /// What it has learned so far.
+    /// What this instance has learned so far.
     pub fn learned(&self) -> Learned {
         let estimates = &self.estimates;
         Learned {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Starts from what another instance had learned, whose clock is behind by `shift`.
+    /// Starts from what another instance had learned. The clock of that instance is behind by `shift` microseconds.
     pub fn restore(&mut self, mut learned: Learned, ids: &IdMap, shift: i64) {
         let workers = std::mem::take(&mut learned.workers);
         for (worker, id) in workers.into_iter().zip(&ids.workers) {
@@ -154,7 +154,8 @@
 }
 
 impl Estimates {
-    /// Takes the estimates of another instance over, but for those that are not valid.
+    /// Takes over the estimates of another instance. Kinds and classes without an id here are left out. A report interval or
+    /// start delay that is not finite and above 0 is ignored.
     fn restore(&mut self, learned: Learned, ids: &IdMap) {
         let kind = |number: u16| ids.kinds.get(usize::from(number)).copied().flatten();
         for (number, slowness) in learned.slowness_by_kind {
--- a/src/policy/state/list_backoff.rs
+++ b/src/policy/state/list_backoff.rs
@@ -1,26 +1,26 @@
-//! How often the endpoint list could not be had in a row.
+//! The back-off after failed requests for the endpoint list.
 
-/// How often the wait for an endpoint list may double.
+/// The most doublings of the wait for an endpoint list.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Failed requests for the endpoint list in a row, as far as the back-off counts them.
+/// The number of consecutive failed requests for the endpoint list, up to the most that the back-off counts.
 #[derive(Debug, Default)]
 pub(super) struct ListBackoff {
     failures: u32,
 }
 
 impl ListBackoff {
-    /// A request for the list has failed.
+    /// Records that a request for the list has failed.
     pub fn record_failure(&mut self) {
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
     }
 
-    /// A list has arrived.
+    /// Records that a list has arrived.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// How often the wait for the next list is doubled.
+    /// The number of times that the wait for the next list is doubled.
     pub fn doublings(&self) -> u32 {
         self.failures
     }
--- a/src/policy/state/mean.rs
+++ b/src/policy/state/mean.rs
@@ -2,16 +2,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A running mean; the newest observation weighs at least `1 / MAX_COUNT`.
+/// A running mean. The newest observation has a weight of at least `1 / MAX_COUNT`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct Mean {
     pub value: f64,
-    /// How many observations the mean rests on, [`Mean::MAX_COUNT`] at most.
+    /// The number of observations that the mean counts, at most [`Mean::MAX_COUNT`].
     pub count: f64,
 }
 
 impl Mean {
-    /// The most observations that the mean rests on.
+    /// The most observations that the mean counts.
     const MAX_COUNT: f64 = 40.0;
 
     /// Adds an observation.
@@ -20,12 +20,12 @@
         self.value += (observation - self.value) / self.count;
     }
 
-    /// The mean, or `default` where there is no observation yet.
+    /// The mean, or `default` if there is no observation yet.
     pub fn value_or(&self, default: f64) -> f64 {
         if self.count > 0.0 { self.value } else { default }
     }
 
-    /// The mean, blended with `weight` observations of `prior`.
+    /// The mean, blended with `weight` additional observations of the value `prior`.
     pub fn blend(&self, prior: f64, weight: f64) -> f64 {
         (self.value * self.count + prior * weight) / (self.count + weight)
     }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -1,8 +1,9 @@
-//! What the decision module remembers: bookkeeping only; every decision on it is in `src/policy/rules`.
+//! The state of the decision module. It only keeps records; every decision based on them is in `src/policy/rules`.
 //!
-//! [`PolicyState`] is split by job: `jobs` and `attempts` follow a job from its arrival to its end, `probes` its load probes,
-//! `failures` what speaks against workers and zones, `capacity` what is known of the load and the slots of workers. Its parts
-//! keep their own invariants. Decisions read it through shared references and change it only through its methods.
+//! The methods of [`PolicyState`] are split by task. `jobs` and `attempts` follow a job from its arrival to its end, `probes`
+//! its load probes. `failures` has the failures of workers and zones, `capacity` the load and the slots of workers. The parts
+//! of the state keep their own invariants. Decisions read the state through shared references and change it only through its
+//! methods.
 
 mod attempts;
 mod capacity;
@@ -47,7 +48,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PolicyState {
     now: Micros,
-    /// What the dispatchers of its group have advertised.
+    /// What the dispatchers of this dispatcher's group have advertised.
     gossip: GroupGossip,
     workers: WorkerTable,
     ready: ReadyWorkers,
@@ -56,7 +57,7 @@
     last_assigned: Option<WorkerId>,
     zones: ZoneOutliers,
     list_backoff: ListBackoff,
-    /// What is learned from reports and run times.
+    /// The estimates learned from reports and run times.
     estimates: Estimates,
 }
 
@@ -67,12 +68,12 @@
         self.now
     }
 
-    /// What is known of this dispatcher's group.
+    /// What is known about this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         &self.gossip
     }
 
-    /// What is learned from reports and run times.
+    /// The estimates learned from reports and run times.
     pub fn estimates(&self) -> &Estimates {
         &self.estimates
     }
@@ -82,12 +83,16 @@
         &self.ready
     }
 
-    /// A worker, which must be known.
+    /// The worker with this id.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the worker is not known.
     pub fn worker(&self, id: WorkerId) -> &Worker {
         self.workers.get(id)
     }
 
-    /// Whether the last attempt that was sent went to this worker.
+    /// Whether the most recent attempt was sent to this worker.
     pub fn is_last_assigned(&self, id: WorkerId) -> bool {
         self.last_assigned == Some(id)
     }
@@ -102,12 +107,12 @@
         self.job(id).filter(|job| job.is_open())
     }
 
-    /// The jobs that are queued here.
+    /// The jobs that are queued at this dispatcher.
     pub fn queue(&self) -> &JobQueue {
         &self.queue
     }
 
-    /// How often the wait for the next endpoint list is doubled.
+    /// The number of times that the wait for the next endpoint list is doubled.
     pub fn list_wait_doublings(&self) -> u32 {
         self.list_backoff.doublings()
     }
@@ -115,7 +120,7 @@
 
 /// Time, settings and the endpoint list.
 impl PolicyState {
-    /// A state that knows nothing yet, but for a guess at the time between reports.
+    /// Creates an empty state. `report_interval` is the first estimate of the time between reports, in microseconds.
     pub fn new(settings: &Settings, report_interval: f64) -> PolicyState {
         PolicyState {
             gossip: GroupGossip::new(settings),
@@ -124,19 +129,19 @@
         }
     }
 
-    /// Moves the time on; it never goes back.
+    /// Sets the time to `now`, unless that is earlier than the present time.
     pub fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Makes room for these settings' classes, and for their group of dispatchers if it is another.
+    /// Adapts to new settings: their classes, and their group of dispatchers if it has changed.
     pub fn reconfigure(&mut self, settings: &Settings) {
         self.estimates.reconfigure(settings);
         self.gossip.regroup(settings);
         self.index_ready(settings);
     }
 
-    /// Applies an endpoint list.
+    /// Applies an endpoint list. Any list but a cached one ends the back-off.
     pub fn update_list(&mut self, kind: ListKind, entries: &[EndpointEntry], settings: &Settings) {
         self.workers.update_list(kind, entries);
         self.index_ready(settings);
@@ -145,12 +150,12 @@
         }
     }
 
-    /// A request for the endpoint list has failed.
+    /// Records that a request for the endpoint list has failed.
     pub fn record_list_failure(&mut self) {
         self.list_backoff.record_failure();
     }
 
-    /// Sorts the ready workers anew and assigns them to the groups.
+    /// Indexes the ready workers again and assigns them to the groups.
     fn index_ready(&mut self, settings: &Settings) {
         let entries = self.workers.ready_entries();
         self.ready = ReadyWorkers::new(&entries, settings.zone, self.now, settings.warm_up_time);
@@ -160,14 +165,14 @@
 
 /// The group of dispatchers.
 impl PolicyState {
-    /// Takes the presence of each dispatcher, by which the workers are assigned.
+    /// Applies the presence of each dispatcher. If it has changed, the workers are assigned again.
     pub fn update_presence(&mut self, peers: &[PeerPresence], settings: &Settings) {
         if self.gossip.set_presence(self.now, peers) {
             self.index_ready(settings);
         }
     }
 
-    /// Takes another dispatcher's message. What it asks of this dispatcher, if anything.
+    /// Handles another dispatcher's message. Returns what the message requests, if anything.
     pub fn receive_message(&mut self, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         self.gossip.receive(self.now, from, bytes)
     }
@@ -189,7 +194,8 @@
         self.gossip.request_slot(zone, random, actions);
     }
 
-    /// Offers a slot at a listed worker of the group to another dispatcher. It counts as work that is sent there, for a window.
+    /// Offers a slot at a listed worker of the group to another dispatcher. The offer counts for `window` as work that is sent
+    /// to the worker.
     pub fn offer_slot(&mut self, to: u32, listed: &EndpointEntry, window: Micros, actions: &mut Vec<Action>) {
         self.record_work(listed.worker, 0.0, window);
         self.gossip.offer_slot(self.now, to, listed, actions);
--- a/src/policy/state/outlier_record.rs
+++ b/src/policy/state/outlier_record.rs
@@ -1,9 +1,9 @@
-//! Outlier detection: the failures of a worker or zone in a row.
+//! Outlier detection: the consecutive failures of a worker or zone.
 
 use crate::policy::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The failures of a worker or zone in a row, and until when it is ejected because of them.
+/// The consecutive failures of a worker or zone, and the time until which it is ejected because of them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct OutlierRecord {
     #[serde(rename = "strikes")]
@@ -15,7 +15,8 @@
 }
 
 impl OutlierRecord {
-    /// One more failure: it is ejected for a window, twice as long for each failure before it, up to `max_failures`.
+    /// Records a failure and ejects the worker or zone for `window`, doubled for each failure before. At most `max_failures`
+    /// failures are counted.
     pub fn record_failure(&mut self, now: Micros, window: Micros, max_failures: u32) {
         self.last_failure = now;
         self.ejected_until = now + (window << self.consecutive_failures);
@@ -28,12 +29,12 @@
         self.ejected_until = 0;
     }
 
-    /// It is ejected until this time, which may be earlier than before; its failures stay.
+    /// Sets the end of the ejection, which may be earlier than before. The failures stay recorded.
     pub fn eject_until(&mut self, until: Micros) {
         self.ejected_until = until;
     }
 
-    /// Forgets how many failures there were; an ejection stays.
+    /// Sets the count of failures to 0; an ejection stays.
     pub fn forgive(&mut self) {
         self.consecutive_failures = 0;
     }
@@ -43,17 +44,17 @@
         now < self.ejected_until
     }
 
-    /// Whether it has failed and not made up for it since.
+    /// Whether the count of failures is above 0. Successes since the last failure may have reduced it to 0.
     pub fn has_failed(&self) -> bool {
         self.consecutive_failures > 0
     }
 
-    /// Whether it has failed, and its last failure is not before `last_seen`.
+    /// Whether the count of failures is above 0 and the last failure is not before `last_seen`.
     pub fn has_failed_since(&self, last_seen: Micros) -> bool {
         self.has_failed() && last_seen <= self.last_failure
     }
 
-    /// The same record with its times converted, but for a time of 0, which stands for never.
+    /// The same record with its times converted, except for a time of 0, which means never.
     pub fn with_times(self, convert: impl Fn(Micros) -> Micros) -> OutlierRecord {
         OutlierRecord {
             ejected_until: convert_unless_never(self.ejected_until, &convert),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Converts a time, unless it is 0, which stands for never.
+/// Converts a time, unless it is 0, which means never.
 pub(super) fn convert_unless_never(at: Micros, convert: impl Fn(Micros) -> Micros) -> Micros {
     if at > 0 { convert(at) } else { 0 }
 }
--- a/src/policy/state/probes.rs
+++ b/src/policy/state/probes.rs
@@ -1,4 +1,4 @@
-//! Load probes: the workers sampled for a job, and the probes under way to them.
+//! Load probes: the workers sampled for a job, and the outstanding probes of these workers.
 
 use super::{Job, PolicyState};
 use crate::policy::interface::{Action, JobId, Micros, Outcome, ProbeResponse, WorkerId};
@@ -7,18 +7,19 @@
 pub(crate) struct EndedProbe {
     /// The jobs that waited for it.
     pub waiting_jobs: Vec<JobId>,
-    /// When the worker had shown that it is alive before.
+    /// When the worker last showed a sign of life before this probe response.
     pub last_seen: Micros,
 }
 
 impl PolicyState {
-    /// Whether the job has a sample, or is not there.
+    /// Whether the job has a sample; also `true` if the job is unknown.
     pub fn is_sampled(&self, id: JobId) -> bool {
         self.job(id).is_none_or(|job| !job.sample().is_empty())
     }
 
-    /// Notes the workers sampled for a job, and probes those without a load sample of this window, but for those that a probe
-    /// is under way to. The job waits for the responses until then at most, and is reviewed. Whether there is one to wait for.
+    /// Records the workers sampled for a job, and probes those whose load sample is older than `window` or missing, unless a
+    /// probe of the worker is already outstanding. The job waits for the responses until `until` at most; a review is scheduled
+    /// for that time. Returns whether there is a response to wait for.
     pub fn probe_sample(
         &mut self,
         id: JobId,
@@ -41,14 +42,14 @@
         !stale.is_empty()
     }
 
-    /// Forgets a job's sample, so that it is probed for anew.
+    /// Forgets a job's sample, so that a new one is probed.
     pub fn clear_sample(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.clear_sample();
         }
     }
 
-    /// A probe of a worker has ended; `None` if the worker is not known.
+    /// Records that a probe of a worker has ended. Returns `None` if the worker is not known.
     pub fn probe_ended(&mut self, response: &ProbeResponse) -> Option<EndedProbe> {
         let worker = self.workers.get_mut(response.worker)?;
         let ended = EndedProbe { waiting_jobs: worker.end_probe(), last_seen: worker.last_seen };
@@ -58,7 +59,8 @@
         Some(ended)
     }
 
-    /// A probe for a job has ended. Whether the job, without an attempt, was waiting for this one alone: its wait is over.
+    /// Records that a probe for a job has ended. Returns whether it was the last one and the job has no outstanding attempt;
+    /// the job's wait is then over.
     pub fn is_last_probe_of(&mut self, id: JobId) -> bool {
         self.jobs.get_mut(&id).is_some_and(Job::end_probe)
     }
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -1,4 +1,4 @@
-//! The ready workers of the endpoint list, sorted by what placement asks for.
+//! The ready workers of the endpoint list, indexed for placement.
 
 use crate::policy::interface::{EndpointEntry, KindId, Micros, WorkerId, ZoneId};
 use std::collections::BTreeMap;
@@ -7,19 +7,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
     all: Vec<WorkerId>,
-    /// Those of the dispatcher's own zone.
+    /// The workers in the dispatcher's own zone.
     home: Vec<WorkerId>,
-    /// Those that are not warm yet.
+    /// The workers that are not warm yet.
     warming_up: Vec<WorkerId>,
-    /// The sizes of the workers of each kind, together.
+    /// The total weight of the workers of each kind.
     weight_by_kind: BTreeMap<KindId, f64>,
 }
 
-/// The smallest size that a worker counts with.
+/// The least weight that a worker counts with.
 pub(crate) const MIN_WEIGHT: f64 = 0.01;
 
 impl ReadyWorkers {
-    /// The workers of these list entries, which are given by ascending id, as a dispatcher of this zone sees them now.
+    /// Indexes the workers of these list entries for a dispatcher in `zone`. The entries must be sorted by ascending id.
     pub fn new(entries: &[EndpointEntry], zone: ZoneId, now: Micros, warm_up_time: Micros) -> ReadyWorkers {
         let ids = |is_included: &dyn Fn(&&EndpointEntry) -> bool| {
             entries.iter().filter(is_included).map(|entry| entry.worker).collect()
@@ -36,27 +36,28 @@
         ready
     }
 
-    /// All of them.
+    /// All ready workers.
     pub fn all(&self) -> &[WorkerId] {
         &self.all
     }
 
-    /// Those that are not warm yet.
+    /// The workers that are not warm yet.
     pub fn warming_up(&self) -> &[WorkerId] {
         &self.warming_up
     }
 
-    /// Whether there is one in the dispatcher's own zone.
+    /// Whether there is a ready worker in the dispatcher's own zone.
     pub fn has_home(&self) -> bool {
         !self.home.is_empty()
     }
 
-    /// The sizes of the workers of each kind, together.
+    /// The total weight of the workers of each kind.
     pub fn weight_by_kind(&self) -> &BTreeMap<KindId, f64> {
         &self.weight_by_kind
     }
 
-    /// Adds the workers that warm up, those of the home zone and all of them to a pool; `max` at random of a longer list.
+    /// Adds to a pool the workers that are warming up, those of the own zone, and all workers. From each list longer than
+    /// `max`, it draws `max` workers at random; a worker may be drawn several times.
     pub fn draw(&self, pool: &mut Vec<WorkerId>, max: usize, random: &mut fastrand::Rng) {
         for list in [&self.warming_up, &self.home, &self.all] {
             if list.len() <= max {
--- a/src/policy/state/worker.rs
+++ b/src/policy/state/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker: its list entry, its load, its outstanding attempts and its failures.
+//! The state of one worker: its list entry, its load, its outstanding attempts and its failures.
 
 use super::{Mean, OutlierRecord};
 use crate::policy::gossip::OwnLoad;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A load report, stamped at its arrival.
+/// A load report with the time of its arrival.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LoadSample {
     pub at: Micros,
@@ -17,11 +17,12 @@
     pub memory: Option<f64>,
 }
 
-/// The utilisation of a worker that reports none.
+/// The CPU utilisation assumed for a worker that reports none.
 const DEFAULT_CPU: f64 = 0.5;
 
 impl LoadSample {
-    /// Noise aside, slots are whole: 0.96 free is one.
+    /// Creates the sample of a report that arrived at `at`. Free slots are rounded to whole ones, because fractions are noise:
+    /// 0.96 free slots are one.
     pub fn new(at: Micros, report: &LoadReport) -> LoadSample {
         LoadSample {
             at,
@@ -33,11 +34,11 @@
     }
 }
 
-/// An attempt of this dispatcher that has not ended at its worker.
+/// An attempt that this dispatcher has sent to a worker and that has not ended.
 #[derive(Debug)]
 pub(super) struct OutstandingAttempt {
     pub job: JobId,
-    /// Its index among the attempts of its job.
+    /// The attempt's index within its job.
     pub attempt: u32,
     pub sent_at: Micros,
     pub slots: f64,
@@ -45,13 +46,13 @@
 }
 
 impl OutstandingAttempt {
-    /// Whether it is this attempt of this job.
+    /// Whether it is the attempt `attempt` of the job `job`.
     pub fn is(&self, job: JobId, attempt: u32) -> bool {
         self.job == job && self.attempt == attempt
     }
 }
 
-/// Work that was sent or offered to a worker.
+/// Work that was sent or offered to a worker, in microseconds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(from = "(Micros, f64)", into = "(Micros, f64)")]
 pub(super) struct SentWork {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A worker's start time as its list entry last gave it; kept also while the worker is not listed.
+/// The start time in a worker's most recent list entry. It is kept while the worker is not listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ListedStart {
     #[default]
@@ -86,57 +87,57 @@
     }
 }
 
-/// A worker as this instance knows it.
+/// What this instance knows about a worker.
 #[derive(Debug, Default)]
 pub(crate) struct Worker {
-    /// Its entry of the endpoint list; `None` when it is not on it.
+    /// Its entry in the endpoint list; `None` if it is not listed.
     pub(super) listed: Option<EndpointEntry>,
     listed_start: ListedStart,
     pub(super) load: Option<LoadSample>,
-    /// The utilisation reported when it was last assigned a job.
+    /// The CPU utilisation in its load sample when it was last assigned a job.
     pub(super) cpu_at_last_assignment: Option<f64>,
     outstanding: Vec<OutstandingAttempt>,
     /// Response time for each unit of expected work.
     pub(super) slowness: Mean,
     pub(super) outlier: OutlierRecord,
     is_probing: bool,
-    /// When it last showed that it is alive.
+    /// When it last showed a sign of life; 0 for never.
     pub(super) last_seen: Micros,
-    /// Jobs that wait for its probe response.
+    /// The jobs that wait for its probe response.
     waiting_jobs: Vec<JobId>,
-    /// What it was sent or offered within the collapse window, and how much each counts for while it warms up; the oldest
-    /// first. Kept for warm workers too, because a restart may be reported late.
+    /// The work that it was sent or offered within the collapse window, as it counts while the worker is warming up; the
+    /// oldest first. It is kept for warm workers too, because a restart may be reported late.
     pub(super) recent_work: VecDeque<SentWork>,
 }
 
 /// What the decisions ask of a worker.
 impl Worker {
-    /// Its list entry, if it is on the endpoint list.
+    /// Its list entry, if it is listed.
     pub fn listed(&self) -> Option<&EndpointEntry> {
         self.listed.as_ref()
     }
 
-    /// Its list entry, if it takes work.
+    /// Its list entry, if its status is [`Status::Ready`].
     pub fn ready_entry(&self) -> Option<EndpointEntry> {
         self.listed.filter(|entry| entry.status == Status::Ready)
     }
 
-    /// Whether it has failed and has shown no sign of life since.
+    /// Whether it is suspect: it has failed and has shown no sign of life since.
     pub fn is_suspect(&self) -> bool {
         self.outlier.has_failed_since(self.last_seen)
     }
 
-    /// Whether it has failed and not made up for it since.
+    /// Whether its count of failures is above 0 ([`OutlierRecord::has_failed`]).
     pub fn has_failed(&self) -> bool {
         self.outlier.has_failed()
     }
 
-    /// Whether it has shown after this time that it is alive.
+    /// Whether it has shown a sign of life after this time.
     pub fn was_seen_after(&self, at: Micros) -> bool {
         self.last_seen > at
     }
 
-    /// Whether it has no attempt of this dispatcher.
+    /// Whether it has no outstanding attempt of this dispatcher.
     pub fn is_idle(&self) -> bool {
         self.outstanding.is_empty()
     }
@@ -146,23 +147,23 @@
         self.outstanding.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Whether it has an attempt of this dispatcher that it has not started.
+    /// Whether it has an outstanding attempt of this dispatcher that has not started.
     pub fn has_unstarted(&self) -> bool {
         self.outstanding.iter().any(|attempt| !attempt.is_started)
     }
 
-    /// Whether it has an attempt of this dispatcher that it has not started this long after it was sent.
+    /// Whether it has an outstanding attempt of this dispatcher that was sent more than `timeout` ago and has not started.
     pub fn has_unstarted_before(&self, now: Micros, timeout: Micros) -> bool {
         self.outstanding.iter().any(|attempt| !attempt.is_started && now > attempt.sent_at + timeout)
     }
 
-    /// The slots of the outstanding attempts that it was sent since then.
+    /// The slots of the outstanding attempts that were sent to it at or after `since`.
     pub fn slots_sent_since(&self, since: Micros) -> f64 {
         let recent = self.outstanding.iter().filter(|attempt| attempt.sent_at >= since);
         recent.map(|attempt| attempt.slots).sum()
     }
 
-    /// The work that it was sent or offered after `since`.
+    /// The work that was sent or offered to it after `since`, in microseconds.
     pub fn work_sent_since(&self, since: Micros) -> f64 {
         self.recent_work.iter().filter(|sent| sent.at > since).map(|sent| sent.work).sum()
     }
@@ -172,15 +173,15 @@
         self.load.as_ref()
     }
 
-    /// Whether it has reported another utilisation since it was last assigned a job, or none is known.
+    /// Whether it has reported another CPU utilisation since it was last assigned a job; also `true` if it has no load sample.
     pub fn has_changed_since_assignment(&self) -> bool {
         self.load.as_ref().is_none_or(|load| self.cpu_at_last_assignment != Some(load.cpu))
     }
 }
 
-/// What this dispatcher has to advertise of a worker.
+/// What this dispatcher advertises about a worker.
 impl Worker {
-    /// Whether there is an outstanding attempt or a suspicion, listed or not.
+    /// Whether it has an outstanding attempt or is suspect, whether it is listed or not.
     pub(super) fn has_something_to_advertise(&self) -> bool {
         !self.is_idle() || self.is_suspect()
     }
@@ -195,7 +196,7 @@
 
 /// Changes.
 impl Worker {
-    /// Takes a new list entry over. A worker that has restarted loses its load sample and its failures.
+    /// Applies a new list entry. A worker that has restarted loses its load sample and its failures.
     pub(super) fn update_entry(&mut self, entry: &EndpointEntry) {
         let is_listed = entry.status != Status::Gone;
         if is_listed {
@@ -206,13 +207,13 @@
                 self.outlier = OutlierRecord::default();
             }
         }
-        // What was sent before its start did not reach the process that is there now; what was sent after it counts, however
-        // late the start is reported.
+        // Work sent before the start did not reach the present process. Work sent after the start counts, however late the
+        // start is reported.
         self.recent_work.retain(|sent| entry.started_at.is_none_or(|start| sent.at > start));
         self.listed = is_listed.then_some(*entry);
     }
 
-    /// Records work that it is sent or offered, and drops what is older than the window.
+    /// Records work that is sent or offered to it, and drops records older than `window`.
     pub(super) fn record_work(&mut self, work: SentWork, window: Micros) {
         while self.recent_work.front().is_some_and(|oldest| oldest.at + window <= work.at) {
             self.recent_work.pop_front();
@@ -220,7 +221,7 @@
         self.recent_work.push_back(work);
     }
 
-    /// Records an attempt that is sent to it now.
+    /// Records an attempt that is sent to it now, and the CPU utilisation that it has reported.
     pub(super) fn assign(&mut self, attempt: OutstandingAttempt) {
         self.cpu_at_last_assignment = self.load.as_ref().map(|load| load.cpu);
         self.outstanding.push(attempt);
@@ -231,7 +232,7 @@
         self.outstanding.push(attempt);
     }
 
-    /// One of its attempts has started.
+    /// Records that one of its attempts has started, which is also a sign of life.
     pub(super) fn start(&mut self, job: JobId, attempt: u32, now: Micros) {
         self.last_seen = now;
         for outstanding in self.outstanding.iter_mut().filter(|outstanding| outstanding.is(job, attempt)) {
@@ -239,18 +240,18 @@
         }
     }
 
-    /// One of its attempts is over.
+    /// Removes one of its attempts, which has ended.
     pub(super) fn release(&mut self, job: JobId, attempt: u32) {
         self.outstanding.retain(|outstanding| !outstanding.is(job, attempt));
     }
 
-    /// Lets a job wait for its probe response. Whether a probe must be sent, because none is under way.
+    /// Lets a job wait for its probe response. Returns whether a probe must be sent because none is outstanding.
     pub(super) fn await_probe(&mut self, job: JobId) -> bool {
         self.waiting_jobs.push(job);
         !std::mem::replace(&mut self.is_probing, true)
     }
 
-    /// Its probe is over. The jobs that waited for it.
+    /// Records that its probe has ended, and returns the jobs that waited for it.
     pub(super) fn end_probe(&mut self) -> Vec<JobId> {
         self.is_probing = false;
         std::mem::take(&mut self.waiting_jobs)
--- a/src/policy/state/worker_table.rs
+++ b/src/policy/state/worker_table.rs
@@ -9,15 +9,15 @@
 #[derive(Debug, Default)]
 pub(super) struct WorkerTable {
     workers: Vec<Worker>,
-    /// Workers that may have an outstanding attempt or be suspect: every one handed out by [`WorkerTable::touch`], until
-    /// [`WorkerTable::own_loads`] finds it with neither. Attempts and failures are recorded only through `touch`, so this
-    /// holds all that is advertised, without a walk over every worker (58 % of a job's time at 10,000 workers,
-    /// `make bench-decision`).
+    /// The workers that may have an outstanding attempt or be suspect: every worker returned by [`WorkerTable::touch`], until
+    /// [`WorkerTable::own_loads`] finds that it has no outstanding attempt and is not suspect. Attempts and failures are
+    /// recorded only through `touch`, so this set holds every worker that is advertised. It avoids a walk over all workers,
+    /// which took 58 % of a job's time at 10,000 workers (`make bench-decision`).
     touched: BTreeSet<WorkerId>,
 }
 
 impl WorkerTable {
-    /// The worker, to be changed; one that is not known yet is added.
+    /// The worker, for any change. A worker that is not known yet is added.
     pub fn touch(&mut self, id: WorkerId) -> &mut Worker {
         let index = id.0 as usize;
         if self.workers.len() <= index {
@@ -27,7 +27,7 @@
         &mut self.workers[index]
     }
 
-    /// A known worker, for a change that is not advertised: neither a new attempt nor a failure.
+    /// The worker if it is known, for a change that is not advertised: neither a new attempt nor a failure.
     pub fn get_mut(&mut self, id: WorkerId) -> Option<&mut Worker> {
         self.workers.get_mut(id.0 as usize)
     }
@@ -36,17 +36,17 @@
     ///
     /// # Panics
     ///
-    /// If it is not known.
+    /// Panics if the worker is not known.
     pub fn get(&self, id: WorkerId) -> &Worker {
         &self.workers[id.0 as usize]
     }
 
-    /// All workers in the order of their ids.
+    /// All workers, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter()
     }
 
-    /// Applies an endpoint list.
+    /// Applies an endpoint list. Workers that are missing from a complete list are no longer listed.
     pub fn update_list(&mut self, kind: ListKind, entries: &[EndpointEntry]) {
         if kind != ListKind::Delta {
             self.workers.iter_mut().for_each(|worker| worker.listed = None);
@@ -61,7 +61,7 @@
         self.workers.iter().filter_map(Worker::ready_entry).collect()
     }
 
-    /// What this dispatcher has to advertise: its outstanding attempts and suspicions at listed workers.
+    /// What this dispatcher advertises: its outstanding attempts at listed workers, and which of these workers are suspect.
     pub fn own_loads(&mut self) -> Vec<OwnLoad> {
         let workers = &self.workers;
         self.touched.retain(|id| workers[id.0 as usize].has_something_to_advertise());
--- a/src/policy/state/zone_outliers.rs
+++ b/src/policy/state/zone_outliers.rs
@@ -1,20 +1,21 @@
-//! The zones that look cut off from this dispatcher.
+//! The zones that seem unreachable from this dispatcher.
 
 use super::OutlierRecord;
 use crate::policy::interface::{Micros, ZoneId};
 use std::collections::BTreeMap;
 
-/// The connect failures of each zone since the last success there.
+/// The connection failures of each zone since the last served attempt there.
 #[derive(Debug, Default)]
 pub(super) struct ZoneOutliers(BTreeMap<ZoneId, OutlierRecord>);
 
 impl ZoneOutliers {
-    /// A connection to a worker of the zone has failed: the zone is ejected, as by [`OutlierRecord::record_failure`].
+    /// Records that a connection to a worker of the zone has failed, and ejects the zone as in
+    /// [`OutlierRecord::record_failure`].
     pub fn record_failure(&mut self, zone: ZoneId, now: Micros, window: Micros, max_failures: u32) {
         self.0.entry(zone).or_default().record_failure(now, window, max_failures);
     }
 
-    /// A worker of the zone has served an attempt: the zone's failures are forgotten.
+    /// Records that a worker of the zone has served an attempt: forgets the zone's failures.
     pub fn record_success(&mut self, zone: ZoneId) {
         self.0.remove(&zone);
     }
