--- a/src/policy/gossip/advertisements.rs
+++ b/src/policy/gossip/advertisements.rs
@@ -5,13 +5,14 @@
 use crate::policy::interface::Micros;
 use std::collections::BTreeMap;
 
-/// A dispatcher that has outstanding work and has not advertised it again after this is silent: one and a half times the
-/// interval at which it should.
+/// A dispatcher with outstanding work counts as silent if it has not advertised the work again for this long: one and a half
+/// times the interval at which it should.
 const SILENT_AFTER: Micros = ADVERTISEMENT_TTL / 4 * 3;
-/// It no longer counts as silent after this: by then the work of a dead one has ended, and one that is back has advertised.
+/// It no longer counts as silent after this: by then the work of a dead dispatcher has ended, and one that has returned has
+/// advertised again.
 const SILENT_UNTIL: Micros = 5 * ADVERTISEMENT_TTL / 2;
 
-/// To whom an advertisement goes.
+/// The recipients of an advertisement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Recipient {
     /// The other dispatchers of the group.
@@ -20,16 +21,16 @@
     SlotOwner(u32),
 }
 
-/// The parts of an advertisement, sorted by whether they must be sent.
+/// The parts of an advertisement, and which of them must be sent.
 #[derive(Debug, Default)]
 pub(super) struct Parts {
-    /// All of them, with the times at which they were sent.
+    /// All parts, with the times at which they were sent.
     pub all: Vec<LoadAdvertisement>,
-    /// The indices in `all` of those that have changed or are due again.
+    /// The indices in `all` of the parts that have changed or are due again.
     pub due: Vec<usize>,
 }
 
-/// What each dispatcher has advertised, in parts that do not overlap, and what this dispatcher has sent last.
+/// What each dispatcher has advertised, in parts that do not overlap, and what this dispatcher last sent to each recipient.
 #[derive(Debug, Default)]
 pub(super) struct Advertisements {
     received: BTreeMap<u32, Vec<LoadAdvertisement>>,
@@ -37,7 +38,7 @@
 }
 
 impl Advertisements {
-    /// Takes an advertisement: it replaces what its sender has advertised of the workers of its range.
+    /// Stores an advertisement. It replaces what its sender has advertised for the workers in its range of short tags.
     pub fn receive(&mut self, from: u32, advertisement: LoadAdvertisement) {
         let parts = self.received.entry(from).or_default();
         parts.iter_mut().for_each(|part| part.remove(&advertisement.range));
@@ -52,15 +53,16 @@
         parts.filter(move |(_, part)| now < part.at + ADVERTISEMENT_TTL)
     }
 
-    /// Drops the expired advertisements of dispatchers other than these. Every dispatcher of a large fleet may have sent some,
-    /// and each job looks through those that are kept.
+    /// Drops the advertisements of dispatchers other than `peers` that have no valid one. In a large fleet every dispatcher may
+    /// have sent some, and each job searches all that are kept.
     pub fn drop_expired(&mut self, now: Micros, peers: &[u32]) {
         let is_valid =
             |parts: &[LoadAdvertisement]| parts.iter().any(|part| now < part.at + ADVERTISEMENT_TTL);
         self.received.retain(|sender, parts| peers.contains(sender) || is_valid(parts));
     }
 
-    /// Whether a peer that had outstanding work when it last advertised has missed advertising it again.
+    /// Whether one of the peers is silent: it had outstanding work when it last advertised, and has not advertised it again in
+    /// time.
     pub fn has_silent(&self, peers: &[u32], now: Micros) -> bool {
         let is_silent =
             |part: &LoadAdvertisement| now >= part.at + SILENT_AFTER && now < part.at + SILENT_UNTIL;
@@ -68,13 +70,13 @@
         parts.any(|part| !part.outstanding.is_empty() && is_silent(part))
     }
 
-    /// How many of the peers have advertised within this span.
+    /// The number of peers that have advertised within `span` before now.
     pub fn recent_count(&self, peers: &[u32], now: Micros, span: Micros) -> usize {
         let is_recent = |parts: &&Vec<LoadAdvertisement>| parts.iter().any(|part| now < part.at + span);
         peers.iter().filter_map(|peer| self.received.get(peer)).filter(is_recent).count()
     }
 
-    /// Splits an advertisement into parts, and finds those that the recipient does not have, or that are due again.
+    /// Splits an advertisement into parts, and finds those that the recipient does not have yet or that are due again.
     pub fn parts_for(&mut self, recipient: Recipient, advertisement: LoadAdvertisement) -> Parts {
         let now = advertisement.at;
         let previous = self.sent.remove(&recipient).unwrap_or_default();
@@ -93,14 +95,14 @@
         parts
     }
 
-    /// Notes the parts last sent to a recipient, with their times.
+    /// Records the parts last sent to a recipient, with their times.
     pub fn record_sent(&mut self, recipient: Recipient, parts: Vec<LoadAdvertisement>) {
         self.sent.insert(recipient, parts);
     }
 }
 
-/// When this part was last sent, if it is still the same. An empty part counts as sent to a recipient that has been sent
-/// nothing yet.
+/// When this part was last sent, if it has not changed since. For a recipient that has been sent nothing yet, an empty part
+/// counts as sent at time 0.
 fn unchanged_since(previous: &[LoadAdvertisement], part: &LoadAdvertisement) -> Option<Micros> {
     let Some(last) = previous.iter().find(|last| last.range == part.range) else {
         return (previous.is_empty() && part.is_empty()).then_some(0);
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -1,4 +1,4 @@
-//! Which workers are assigned to this dispatcher's group, and how much of them is reserved for dispatchers that are away.
+//! Which workers are assigned to this dispatcher's group, and which parts of them are reserved for unreachable dispatchers.
 
 use super::ADVERTISEMENT_TTL;
 use super::group::{PeerGroup, group_hash};
@@ -10,34 +10,36 @@
 /// The assignment of the ready workers to the groups.
 #[derive(Debug, Default)]
 pub(super) struct Assignment {
-    /// The group's workers by the short tags that messages name them by.
+    /// The group's workers by the short tags that messages use for them.
     workers: BTreeMap<u16, WorkerId>,
-    /// The same workers by id.
+    /// The same workers, by ascending id.
     assigned: Vec<WorkerId>,
-    /// The positions in `assigned` in the order of assignment, to draw by.
+    /// The positions in `assigned`, in the order of assignment. Random draws use this order.
     positions: Vec<usize>,
-    /// Whether a worker, by its id, is in `workers`.
+    /// Whether a worker is in `workers`, indexed by its id.
     is_member: Vec<bool>,
     /// The group of each ready worker.
     owners: BTreeMap<WorkerId, u32>,
-    /// Of the group's workers those that came from another group by a change of presence, and when.
+    /// The group's workers that came from another group because of a change of presence, and when they came.
     gained: BTreeMap<WorkerId, Micros>,
-    /// The ranks of parts that are reserved for unreachable dispatchers, where there are any.
+    /// For each of the group's workers, the ranks of the parts that are reserved for unreachable dispatchers. Empty if no
+    /// dispatcher is unreachable.
     reserved_ranks: BTreeMap<WorkerId, Vec<u16>>,
-    /// The presence of dispatchers has changed at this time, and the workers are not assigned by it yet.
+    /// When the presence of dispatchers changed, if the workers have not been assigned again since.
     pub presence_changed_at: Option<Micros>,
 }
 
-/// A worker in a set of bits that stand for positions in [`Assignment::assigned`].
+/// A worker's bit in a set of bits, one for each position in [`Assignment::assigned`].
 struct PositionBit {
     word: usize,
     mask: u64,
 }
 
 impl Assignment {
-    /// Assigns the ready workers to the groups, zone by zone, the oldest first. Each goes to the group that ranks highest for it
-    /// among those that do not have their part yet, so that one worker more or less moves few others. One that warms up goes
-    /// to the group that ranks highest of all: it has the same group whichever list and presence a dispatcher has.
+    /// Assigns the ready workers to the groups, zone by zone, the oldest first. Each worker goes to the group that ranks highest
+    /// for it among those that do not have their full part yet, so that one worker more or less moves few others. A worker that
+    /// is warming up goes to the group that ranks highest of all: it has the same group whichever list and presence a
+    /// dispatcher has.
     pub fn assign(
         &mut self,
         group: &PeerGroup,
@@ -68,7 +70,7 @@
         self.index(tags, &own);
     }
 
-    /// Indexes the workers that were assigned to this group.
+    /// Indexes the workers that were assigned to this dispatcher's group.
     fn index(&mut self, tags: &ShortTags, own: &[&EndpointEntry]) {
         self.workers =
             own.iter().map(|entry| (tags.short_tag(entry.worker, entry.tag), entry.worker)).collect();
@@ -80,9 +82,11 @@
         self.workers.values().for_each(|worker| self.is_member[worker.0 as usize] = true);
     }
 
-    /// `max` of the group's workers drawn at random, every set of that size as likely; all of them if there are no more, with
-    /// no number drawn; in the order of their ids. Floyd's algorithm (Bentley and Floyd, "A sample of brilliance", CACM 30(9),
-    /// 1987): `max` draws and no walk through the workers, so the cost does not grow with the fleet.
+    /// Draws `max` of the group's workers at random, in the order of their ids; every set of that size is equally likely. If
+    /// there are no more than `max`, it returns all of them without drawing a number.
+    ///
+    /// Uses Floyd's algorithm (Bentley and Floyd, "A sample of brilliance", CACM 30(9), 1987), which needs `max` draws and no
+    /// walk through the workers, so the cost does not grow with the fleet.
     pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
         let assigned = &self.assigned;
         if assigned.len() <= max {
@@ -105,38 +109,38 @@
         sample
     }
 
-    /// The bit that stands for a worker, by its place in the order of assignment.
+    /// The bit of the worker at this place in the order of assignment.
     fn position_bit(&self, place: usize) -> PositionBit {
         let position = self.positions[place];
         PositionBit { word: position / 64, mask: 1 << (position % 64) }
     }
 
-    /// The group's workers by id.
+    /// The group's workers, by ascending id.
     pub fn assigned(&self) -> &[WorkerId] {
         &self.assigned
     }
 
-    /// The group's workers by short tag.
+    /// The group's workers, in the order of their short tags.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
         self.workers.values().copied()
     }
 
-    /// Whether this worker, of this short tag, is one of the group's.
+    /// Whether this worker is assigned to the group under this short tag.
     pub fn has(&self, tag: u16, worker: WorkerId) -> bool {
         self.workers.get(&tag) == Some(&worker)
     }
 
-    /// The same in one step, for a worker that is listed.
+    /// Whether a listed worker is assigned to the group. Unlike [`Assignment::has`], this takes one step.
     pub fn is_member(&self, worker: WorkerId) -> bool {
         self.is_member.get(worker.0 as usize).is_some_and(|is_member| *is_member)
     }
 
-    /// The group of a ready worker.
+    /// The group that a ready worker is assigned to; `None` for another worker.
     pub fn owning_group(&self, worker: WorkerId) -> Option<u32> {
         self.owners.get(&worker).copied()
     }
 
-    /// Whether a worker came from another group so lately that others may not know it yet.
+    /// Whether a worker came from another group so recently that other dispatchers may not know it yet.
     pub fn is_newly_gained(&self, worker: WorkerId, now: Micros) -> bool {
         self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
     }
@@ -147,7 +151,7 @@
     }
 }
 
-/// The group of each worker, of a list sorted by zone.
+/// The group of each worker in a list sorted by zone, in the order of the list.
 fn assign_groups(group: &PeerGroup, sorted: &[EndpointEntry], warming_up: &[WorkerId]) -> Vec<u32> {
     let group_count = u64::from(group.count.max(1));
     let hashes: Vec<u64> = (0..group_count).map(group_hash).collect();
--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -1,15 +1,16 @@
-//! Borrowed slots: a dispatcher whose group's workers are full uses a slot of another group's worker, whose owner has offered
-//! it.
+//! Borrowed slots: a dispatcher whose group's workers are full uses a slot of another group's worker, which a dispatcher of
+//! that group has offered.
 
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slot that was offered is reserved for this long, unless the borrower advertises before whether it uses it.
+/// An offered slot is reserved for this long, unless the borrower advertises earlier which slots it uses.
 const OFFER_RESERVED_FOR: Micros = 60_000;
-/// An offer may be used for this long: less, so that the use is advertised while the slot is still reserved.
+/// An offer may be used for this long. This is shorter than the reservation, so that the borrower advertises the use while the
+/// slot is still reserved.
 const OFFER_VALID_FOR: Micros = OFFER_RESERVED_FOR / 2;
 
-/// A slot that this dispatcher has offered to another one and that is not known to be used.
+/// A slot that this dispatcher has offered to another dispatcher and that is not known to be used.
 #[derive(Debug)]
 struct SentOffer {
     to: u32,
@@ -24,80 +25,81 @@
     until: Micros,
 }
 
-/// The slots that are on offer or borrowed.
+/// The slots that are offered or borrowed.
 #[derive(Debug, Default)]
 pub(super) struct BorrowedSlots {
     sent: Vec<SentOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
-    /// The dispatcher that offered the slot at a worker of another group where this dispatcher has work.
+    /// The slot owner by worker: the dispatcher that offered the slot, for each worker of another group where this dispatcher
+    /// has work.
     slot_owners: BTreeMap<WorkerId, u32>,
 }
 
 impl BorrowedSlots {
-    /// Records that this dispatcher offers a slot at the worker of this short tag.
+    /// Records that this dispatcher offers to `to` a slot at the worker with this short tag.
     pub fn record_sent(&mut self, now: Micros, to: u32, tag: u16) {
         self.sent.push(SentOffer { to, tag, until: now + OFFER_RESERVED_FOR });
     }
 
-    /// Ends the offers to a borrower: it has advertised which of the slots it uses.
+    /// Ends the offers to a borrower, because it has advertised which of the slots it uses.
     pub fn end_offers_to(&mut self, borrower: u32) {
         self.sent.retain(|offer| offer.to != borrower);
     }
 
-    /// The short tags of the workers at which slots are reserved, once for each slot.
+    /// The short tags of the workers at which offered slots are reserved, one for each slot.
     pub fn reserved_tags(&self, now: Micros) -> impl Iterator<Item = u16> {
         self.sent.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
     }
 
-    /// Records that another dispatcher offers a slot.
+    /// Records that the dispatcher `from` offers a slot at a worker.
     pub fn record_received(&mut self, now: Micros, worker: WorkerId, from: u32) {
         self.received.insert(worker, ReceivedOffer { from, until: now + OFFER_VALID_FOR });
     }
 
-    /// The workers at which slots are on offer.
+    /// The workers at which other dispatchers offer a slot now.
     pub fn offered_workers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
         self.received.iter().filter(move |(_, offer)| now < offer.until).map(|(worker, _)| *worker)
     }
 
-    /// The dispatcher that offers a slot at this worker.
+    /// The dispatcher that offers a slot at this worker now, if there is one.
     pub fn offered_by(&self, worker: WorkerId, now: Micros) -> Option<u32> {
         self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.from)
     }
 
-    /// The offer for this worker, if there is one, is used.
+    /// Uses the offer for this worker, if there is one: the slot is then borrowed.
     pub fn use_offer(&mut self, worker: WorkerId) {
         if let Some(offer) = self.received.remove(&worker) {
             self.slot_owners.insert(worker, offer.from);
         }
     }
 
-    /// Drops the offers that are not valid any more.
+    /// Drops the offers that have expired.
     pub fn drop_expired(&mut self, now: Micros) {
         self.sent.retain(|offer| now < offer.until);
         self.received.retain(|_, offer| now < offer.until);
     }
 
-    /// The dispatcher that offered the slot that this dispatcher uses at a worker.
+    /// The slot owner at a worker, if this dispatcher borrows a slot there.
     pub fn slot_owner(&self, worker: WorkerId) -> Option<u32> {
         self.slot_owners.get(&worker).copied()
     }
 
-    /// This dispatcher uses a slot at a worker as if its owner had offered it.
+    /// Records that this dispatcher uses a slot at a worker as if `owner` had offered it.
     pub fn set_slot_owner(&mut self, worker: WorkerId, owner: u32) {
         self.slot_owners.insert(worker, owner);
     }
 
-    /// This dispatcher borrows no slot at a worker.
+    /// Records that this dispatcher borrows no slot at a worker.
     pub fn clear_slot_owner(&mut self, worker: WorkerId) {
         self.slot_owners.remove(&worker);
     }
 
-    /// All dispatchers whose slots this dispatcher uses.
+    /// All dispatchers whose slots this dispatcher borrows.
     pub fn slot_owners(&self) -> BTreeSet<u32> {
         self.slot_owners.values().copied().collect()
     }
 
-    /// The owner of borrowed slots has been notified that none is used any more.
+    /// Forgets the borrowed slots of an owner that has been notified that none of them is used any more.
     pub fn forget_slot_owner(&mut self, owner: u32) {
         self.slot_owners.retain(|_, by| *by != owner);
     }
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -1,26 +1,27 @@
-//! The groups of dispatchers, and which of them has a worker: rendezvous hashing over the worker's tag, which every dispatcher
-//! works out alike.
+//! The groups of dispatchers, and which group has a worker. Every dispatcher computes the same result, by rendezvous hashing of
+//! the worker's tag.
 
 use super::hash::mix;
 use crate::policy::interface::{PeerPresence, Settings};
 
-/// The most dispatchers of a group: each message goes to all but one of them.
+/// The most dispatchers in a group. Each advertisement goes to all members but its sender.
 const MAX_GROUP_SIZE: u32 = 10;
-/// What is mixed into the hashes that choose which dispatcher holds a worker.
+/// The salt of the hashes that choose which dispatcher holds a worker.
 const HOLDER_SALT: u64 = 0x6d6f_7468_0000_0000;
-/// What is mixed into the hashes by which dispatchers rank each other for a worker.
+/// The salt of the hashes by which dispatchers rank each other for a worker.
 const RANK_SALT: u64 = 0x7061_7274_0000_0000;
 
-/// A dispatcher's place among those that may send to a worker that is warming up.
+/// A dispatcher's rank among those that may send to a worker that is warming up.
 pub(crate) struct SlowStartRank {
-    /// From 0.
+    /// The rank, from 0.
     pub rank: u32,
-    /// How many dispatchers may send to it.
+    /// The number of dispatchers that may send to the worker.
     pub candidate_count: u32,
 }
 
 impl SlowStartRank {
-    /// The rank of the dispatcher of this index among so many, which differs from worker to worker.
+    /// The rank, for the worker with this tag, of the dispatcher with this index among `candidate_count` dispatchers. It
+    /// differs from worker to worker.
     fn new(tag: u64, index: u32, candidate_count: u32) -> SlowStartRank {
         let first = (mix(tag ^ RANK_SALT) % u64::from(candidate_count)) as u32;
         SlowStartRank { rank: (index + first) % candidate_count, candidate_count }
@@ -32,17 +33,18 @@
 pub(super) struct PeerGroup {
     pub dispatcher_count: u32,
     pub own_index: u32,
-    /// The index of the group, of so many.
+    /// The index of the group, and below the number of groups.
     pub index: u32,
     pub count: u32,
     /// The other dispatchers of the group.
     pub peers: Vec<u32>,
-    /// The presence of each dispatcher by index; all of them are present where it is empty.
+    /// The presence of each dispatcher by index. If it is empty, all dispatchers are present.
     presence: Vec<PeerPresence>,
 }
 
 impl PeerGroup {
-    /// The group of a dispatcher. A dispatcher by itself, or one that may send no messages or probe no worker, has no peers.
+    /// Creates the group of this dispatcher. A single dispatcher, or one that may not message peers or not probe workers, has
+    /// no peers.
     pub fn new(settings: &Settings) -> PeerGroup {
         let count = settings.dispatcher_count.div_ceil(MAX_GROUP_SIZE).max(1);
         let index = settings.own_index % count;
@@ -59,23 +61,23 @@
         }
     }
 
-    /// Whether the two have the same dispatchers.
+    /// Whether the other group has the same peers in a fleet of the same size.
     pub fn has_same_members(&self, other: &PeerGroup) -> bool {
         self.peers == other.peers && self.dispatcher_count == other.dispatcher_count
     }
 
-    /// Whether there is a group.
+    /// Whether this dispatcher has peers.
     pub fn is_grouped(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// Whether there are other groups to ask for a slot.
+    /// Whether there are other groups from which slots can be borrowed.
     pub fn can_borrow(&self) -> bool {
         self.is_grouped() && self.count > 1
     }
 
-    /// Takes the presence of each dispatcher. Whether that has changed anything. A list that is not of this many dispatchers,
-    /// or in which this one is not present, is ignored.
+    /// Applies the presence of each dispatcher, by index. Returns whether anything has changed. A list of the wrong length, or
+    /// one in which this dispatcher is not present, is ignored.
     pub fn set_presence(&mut self, presence: &[PeerPresence]) -> bool {
         let is_valid = presence.len() == self.dispatcher_count as usize
             && presence.get(self.own_index as usize) == Some(&PeerPresence::Present);
@@ -88,20 +90,21 @@
         is_changed
     }
 
-    /// Whether a dispatcher takes work.
+    /// Whether a dispatcher is present.
     pub fn is_present(&self, dispatcher: u32) -> bool {
         self.presence.get(dispatcher as usize).is_none_or(|presence| *presence == PeerPresence::Present)
     }
 
-    /// Whether a dispatcher is unreachable.
+    /// Whether any dispatcher is unreachable.
     pub fn has_unreachable(&self) -> bool {
         self.presence.contains(&PeerPresence::Unreachable)
     }
 
-    /// The group that has a worker, given the one that has it while all dispatchers are present. Each worker is held by one
-    /// dispatcher of that group. If this one is not present, the first that is present holds it, of a sequence of dispatchers
-    /// that the worker's tag determines. So the end of one of n dispatchers moves only the workers that it held, about one in n
-    /// of all, and its return moves them back.
+    /// The group that has a worker now; `group` is the one that has it while all dispatchers are present.
+    ///
+    /// Each worker is held by one dispatcher of `group`. If that dispatcher is not present, the worker's tag determines a
+    /// sequence of dispatchers, and the first one present holds the worker. So the end of one of n dispatchers moves only the
+    /// workers that it held, about one in n of all, and its return moves them back.
     pub fn owning_group(&self, tag: u64, group: u32) -> u32 {
         if self.presence.is_empty() {
             return group;
@@ -109,16 +112,21 @@
         let size = self.size_of(group);
         let first = group + (mix(tag ^ mix(HOLDER_SALT)) % u64::from(size)) as u32 * self.count;
         let next = |n: u64| (mix(tag ^ mix(HOLDER_SALT + n)) % u64::from(self.dispatcher_count)) as u32;
-        // Even where only three in ten dispatchers are left, as many tries as there are dispatchers nearly always find one.
-        // Else they are tried in order.
+        // Even if only three in ten dispatchers are present, as many tries as there are dispatchers nearly always find one.
+        // Otherwise all dispatchers are tried in order.
         let tries = (1..=u64::from(self.dispatcher_count)).map(next);
         let mut sequence = std::iter::once(first).chain(tries).chain(0..self.dispatcher_count);
         sequence.find(|holder| self.is_present(*holder)).map_or(group, |holder| self.group_of(holder))
     }
 
-    /// The ranks of those dispatchers whose part of a worker is reserved for unreachable dispatchers. All dispatchers rank each
-    /// other alike for a worker. The part of a dispatcher that is gone goes to the next in rank that is not, so that both sides
-    /// of a partition give it to the same one.
+    /// The ranks of the dispatchers whose part of a worker is reserved for unreachable dispatchers.
+    ///
+    /// All dispatchers compute the same ranks for a worker. The part of a dispatcher that is gone goes to the next in rank that
+    /// is not gone, so that both sides of a network partition give it to the same dispatcher.
+    ///
+    /// # Panics
+    ///
+    /// Panics if all dispatchers are present, because the list of presences is then empty.
     pub fn reserved_ranks(&self, tag: u64) -> Vec<u16> {
         let mut order: Vec<u32> = (0..self.dispatcher_count).collect();
         order.sort_unstable_by_key(|index| (mix(tag ^ mix(RANK_SALT + u64::from(*index))), *index));
@@ -131,14 +139,14 @@
         (0..order.len()).filter(is_reserved).filter_map(|rank| u16::try_from(rank).ok()).collect()
     }
 
-    /// The group of a worker that is warming up.
+    /// The group that may send to a worker that is warming up.
     pub fn slow_start_group(&self, tag: u64) -> u32 {
         (0..self.count).max_by_key(|group| mix(tag ^ group_hash(u64::from(*group)))).unwrap_or(0)
     }
 
-    /// This dispatcher's rank for a worker that is warming up, of so many that may send to it: those of its group, or where
-    /// there are no groups all of them; `None` for one of another group. It follows from the settings and the worker's tag
-    /// alone.
+    /// This dispatcher's rank for a worker that is warming up, among the dispatchers that may send to it: those of its group,
+    /// or all dispatchers if there are no groups. `None` if the worker belongs to another group. The result depends only on the
+    /// settings and the worker's tag.
     pub fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
         if !self.is_grouped() {
             return Some(SlowStartRank::new(tag, self.own_index, self.dispatcher_count.max(1)));
@@ -153,20 +161,20 @@
         dispatcher % self.count
     }
 
-    /// A dispatcher of this group, chosen by a random number; one that is present if there is any.
+    /// A dispatcher of `group`, chosen by a random number. It is present if any member of the group is.
     pub fn member_of(&self, group: u32, random: u32) -> u32 {
         let size = self.size_of(group);
         let member = |n: u32| group + (random % size + n) % size * self.count;
         (0..size).map(member).find(|member| self.is_present(*member)).unwrap_or_else(|| member(0))
     }
 
-    /// How many dispatchers a group has.
+    /// The number of dispatchers in a group.
     fn size_of(&self, group: u32) -> u32 {
         (self.dispatcher_count - group).div_ceil(self.count)
     }
 }
 
-/// The hash of a group, for its rank at a worker.
+/// The hash of a group, from which its rank for a worker is computed.
 pub(super) fn group_hash(group: u64) -> u64 {
     mix(group + 1)
 }
--- a/src/policy/gossip/hash.rs
+++ b/src/policy/gossip/hash.rs
@@ -1,9 +1,9 @@
-//! Hashes that are the same at every dispatcher.
+//! A hash function that gives the same result at every dispatcher.
 
-/// A number that looks random and is the same at every dispatcher: the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
+/// Hashes a number: the finalizer of SplitMix64 (Steele, Lea, Flood 2014). The result is the same at every dispatcher.
 ///
-/// `crates/membership` has the same function for its own hash. Both stay apart: each is part of a wire format with a version
-/// of its own, and a change of one must not change the other.
+/// `crates/membership` has the same function for its own hash. The two stay separate: each is part of a wire format with its
+/// own version, and a change of one must not change the other.
 pub(super) fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -1,10 +1,12 @@
 //! The datagrams that dispatchers send each other, as typed messages and as bytes.
 //!
-//! The first byte says what a message is. In a load advertisement the number of suspect workers follows, then their short tags,
-//! then those of the outstanding work, each in two bytes, the high one first; it is all that its sender has to advertise. If
-//! that is more than a message may name, it is sent in parts, with the bit [`PART`] in the first byte. In a part, the first
-//! byte is followed by the number of leading bits that the tags of the part have in common and the first such tag; the rest is
-//! as above.
+//! The first byte is the message type. In a load advertisement, the second byte is the number of suspect workers. Their short
+//! tags follow, then those of the outstanding work, one for each slot. Each tag has two bytes in big-endian order. The message
+//! holds everything that its sender advertises.
+//!
+//! If that is more than [`MAX_TAGS`], the advertisement is sent in parts, with the bit [`PART`] set in the first byte. In a part
+//! the first byte is followed by two values: the number of leading bits that the tags of the part have in common, in one byte,
+//! and the first tag of the part's range, in two bytes. The rest is as above.
 
 use crate::policy::interface::{Micros, ZoneId};
 use std::ops::RangeInclusive;
@@ -13,21 +15,21 @@
 const PART: u8 = 0x20;
 /// The first byte of a load advertisement to the sender's group.
 const GROUP_LOAD: u8 = b'W';
-/// The first byte of a load advertisement to the owner of borrowed slots.
+/// The first byte of a load advertisement to a slot owner.
 const BORROWER_LOAD: u8 = b'G';
 /// The first byte of a request for a slot.
 const SLOT_REQUEST: u8 = b'A';
 /// The first byte of an offer of a slot.
 const SLOT_OFFER: u8 = b'O';
-/// The most workers that a message names; it is no longer than a datagram may be.
+/// The most short tags in a message, so that it fits into the longest datagram allowed.
 const MAX_TAGS: usize = 120;
 
-/// Whose workers a load advertisement is about.
+/// Who receives a load advertisement, and whose workers it is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Audience {
-    /// Those of the sender's own group, to the other dispatchers of it.
+    /// The other dispatchers of the sender's group; it is about the workers of this group.
     Group,
-    /// Those of another group, to the dispatcher of it that offered a slot.
+    /// A dispatcher of another group that offered a slot; it is about the workers of that group.
     SlotOwner,
 }
 
@@ -35,14 +37,14 @@
 #[derive(Debug)]
 pub(super) enum Message {
     Load(Audience, LoadAdvertisement),
-    /// A request for a slot, in this zone if there is one.
+    /// A request for a slot, if possible in this zone.
     SlotRequest(ZoneId),
-    /// An offer of a slot at the worker of this short tag.
+    /// An offer of a slot at the worker with this short tag.
     SlotOffer(u16),
 }
 
 impl Message {
-    /// Reads the bytes of a message that arrives at this time; `None` if they are not understood.
+    /// Decodes a message that arrives at the time `at`. Returns `None` if the bytes are not a valid message.
     pub fn decode(at: Micros, bytes: &[u8]) -> Option<Message> {
         match bytes {
             [SLOT_REQUEST, zone] => Some(Message::SlotRequest(ZoneId(u16::from(*zone)))),
@@ -52,19 +54,20 @@
     }
 }
 
-/// The bytes of a request for a slot, in this zone if there is one.
+/// Encodes a request for a slot, if possible in this zone. Only the low byte of the zone's number is sent.
 pub(super) fn encode_slot_request(zone: ZoneId) -> Vec<u8> {
     vec![SLOT_REQUEST, zone.0 as u8]
 }
 
-/// The bytes of an offer of a slot at the worker of this short tag.
+/// Encodes an offer of a slot at the worker with this short tag.
 pub(super) fn encode_slot_offer(tag: u16) -> Vec<u8> {
     let [high, low] = tag.to_be_bytes();
     vec![SLOT_OFFER, high, low]
 }
 
-/// What a dispatcher says of the workers of a range of short tags, all of them or a part: when, where it has outstanding work,
-/// once for each slot, and which of them are suspect; in order.
+/// What a dispatcher advertises at the time `at` about the workers in a range of short tags, which may be all tags.
+/// `outstanding` has the short tags of workers with outstanding work, one for each slot; `suspects` has those of suspect
+/// workers. Both are sorted.
 #[derive(Debug)]
 pub(super) struct LoadAdvertisement {
     pub at: Micros,
@@ -74,7 +77,7 @@
 }
 
 impl LoadAdvertisement {
-    /// What a dispatcher advertises at this time of the workers of a range; the tags may be in any order.
+    /// Creates an advertisement about the workers in a range of short tags. The tags may be in any order.
     pub fn new(
         at: Micros,
         range: RangeInclusive<u16>,
@@ -91,20 +94,20 @@
         self.outstanding.is_empty() && self.suspects.is_empty()
     }
 
-    /// How many slots are occupied at the worker of this short tag.
+    /// The number of slots that are occupied at the worker with this short tag.
     pub fn slots_at(&self, tag: u16) -> usize {
         self.outstanding.partition_point(|t| *t <= tag) - self.outstanding.partition_point(|t| *t < tag)
     }
 
-    /// Forgets what is said of the workers of this range.
+    /// Removes what is advertised about the workers in this range.
     pub fn remove(&mut self, range: &RangeInclusive<u16>) {
         self.outstanding.retain(|tag| !range.contains(tag));
         self.suspects.retain(|tag| !range.contains(tag));
     }
 
-    /// Splits it into as few messages as may name so many workers, each of a half, a quarter and so on of the range of tags, so
-    /// that a change at one worker changes one message. If one dispatcher has more outstanding at a single worker than a
-    /// message can name, the rest is left out: the worker is full in any case.
+    /// Splits the advertisement into parts of at most [`MAX_TAGS`] tags. A range of tags with more is halved, and its halves
+    /// again, so that there are few parts and a change at one worker changes one of them. If the dispatcher has more outstanding
+    /// at a single worker than a message can hold, the rest is left out: the worker is full in any case.
     pub fn into_parts(self) -> Vec<LoadAdvertisement> {
         let (first, last) = self.range.clone().into_inner();
         if self.outstanding.len() + self.suspects.len() <= MAX_TAGS || first == last {
@@ -125,7 +128,7 @@
         halves.into_iter().flat_map(|range| half(range).into_parts()).collect()
     }
 
-    /// The bytes of this part.
+    /// Encodes this advertisement or part.
     pub fn encode(&self, audience: Audience) -> Vec<u8> {
         let kind = match audience {
             Audience::Group => GROUP_LOAD,
@@ -139,7 +142,7 @@
         head.into_iter().chain([self.suspects.len() as u8]).chain(tags).collect()
     }
 
-    /// Reads an advertisement that arrives at this time, and whom it is for.
+    /// Decodes an advertisement that arrives at the time `at`, and its audience. Returns `None` if the bytes are not valid.
     fn decode(at: Micros, bytes: &[u8]) -> Option<(Audience, LoadAdvertisement)> {
         let (kind, rest) = bytes.split_first()?;
         let (range, rest) = if kind & PART == 0 { (0..=u16::MAX, rest) } else { decode_range(rest)? };
@@ -158,7 +161,7 @@
     }
 }
 
-/// The range of tags of a part, and the bytes that follow it.
+/// Decodes the range of short tags of a part. Returns it with the bytes that follow, or `None` if the range is not valid.
 fn decode_range(bytes: &[u8]) -> Option<(RangeInclusive<u16>, &[u8])> {
     let [common_bits @ 1..=16, high, low, rest @ ..] = bytes else { return None };
     let first = u16::from_be_bytes([*high, *low]);
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -1,8 +1,9 @@
 //! What the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
 //!
-//! The dispatchers are grouped by index, and every group has its part of the workers, which all dispatchers compute alike from
-//! the endpoint list. What a group has outstanding at a worker of its own is then known within a datagram's time, while a load
-//! report shows it about a second later. This module only keeps that knowledge; `src/policy/rules` decides what follows.
+//! The dispatchers are grouped by index, and every group has its part of the workers. All dispatchers compute the same parts
+//! from the endpoint list. The members of a group thus know what they have outstanding at its workers within the time of a
+//! datagram, while a load report shows it about a second later. This module only keeps this knowledge; `src/policy/rules`
+//! makes the decisions based on it.
 
 mod advertisements;
 mod assignment;
@@ -22,36 +23,36 @@
 use mothproxy_membership::partition;
 use short_tags::ShortTags;
 
-/// What a peer has advertised is valid for this long.
+/// An advertisement is valid for this long.
 pub const ADVERTISEMENT_TTL: Micros = 4_000_000;
-/// A dispatcher that has outstanding work advertises it again after this.
+/// A dispatcher that has outstanding work advertises it again after this time.
 const REPEAT_INTERVAL: Micros = ADVERTISEMENT_TTL / 2;
 /// A change is advertised after this delay, so that changes in quick succession share a message.
 const ADVERTISEMENT_DELAY: Micros = 2_000;
-/// A peer's advertisement counts as recent for this part of the collapse window.
+/// An advertisement counts as recent for the collapse window divided by this.
 const RECENT_WINDOW_DIVISOR: Micros = 4;
-/// The most slots that one attempt is advertised with.
+/// The most slots that are advertised for one attempt.
 const MAX_SLOTS_PER_ATTEMPT: f64 = 16.0;
 
-/// What a message asks of this dispatcher.
+/// What another dispatcher's message requests from this dispatcher.
 #[derive(Debug, PartialEq)]
 pub(crate) enum PeerRequest {
-    /// A dispatcher of another group asks for a slot, in this zone if there is one.
+    /// A dispatcher of another group requests a slot, if possible in this zone.
     Slot(ZoneId),
     /// A dispatcher of another group offers a slot.
     Offer,
 }
 
-/// A worker as this dispatcher sees it.
+/// The load that this dispatcher has at a worker, as input of its advertisements.
 pub(crate) struct OwnLoad {
     pub worker: WorkerId,
     pub tag: u64,
-    /// The slots of each own attempt that is outstanding there.
+    /// The slots of each attempt that this dispatcher has outstanding there.
     pub outstanding: Vec<f64>,
     pub is_suspect: bool,
 }
 
-/// What one dispatcher knows of its group: who is in it, which workers are the group's, and what its peers have advertised.
+/// What a dispatcher knows about its group: its members, the workers assigned to it, and what its peers have advertised.
 #[derive(Debug, Default)]
 pub struct GroupGossip {
     group: PeerGroup,
@@ -59,18 +60,19 @@
     tags: ShortTags,
     advertisements: Advertisements,
     slots: BorrowedSlots,
-    /// Something has changed that may be worth a message.
+    /// Whether something has changed that may have to be advertised.
     is_changed: bool,
 }
 
 /// Dispatchers, groups and the workers assigned to them.
 impl GroupGossip {
-    /// The group of a dispatcher. A dispatcher by itself, or one that may send no messages or probe no worker, has none.
+    /// Creates the group of a dispatcher. A single dispatcher, or one that may not message peers or not probe workers, has no
+    /// group.
     pub fn new(settings: &Settings) -> GroupGossip {
         GroupGossip { group: PeerGroup::new(settings), ..GroupGossip::default() }
     }
 
-    /// The group under other settings; what was advertised is kept if it is the same.
+    /// Adapts the group to new settings. What was advertised is kept if the group has the same members.
     pub fn regroup(&mut self, settings: &Settings) {
         let new = GroupGossip::new(settings);
         if !new.group.has_same_members(&self.group) {
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Takes the presence of each dispatcher. Whether that has changed anything: the workers must then be assigned anew. A list
-    /// that is not of this many dispatchers, or in which this one is not present, is ignored.
+    /// Applies the presence of each dispatcher, by index. Returns whether anything has changed; the workers must then be
+    /// assigned again. A list of the wrong length, or one in which this dispatcher is not present, is ignored.
     pub fn set_presence(&mut self, now: Micros, presence: &[PeerPresence]) -> bool {
         let is_changed = self.group.set_presence(presence);
         if is_changed {
@@ -88,12 +90,12 @@
         is_changed
     }
 
-    /// Whether there is a group.
+    /// Whether this dispatcher has a group.
     pub fn is_grouped(&self) -> bool {
         self.group.is_grouped()
     }
 
-    /// Whether there are other groups to ask for a slot.
+    /// Whether there are other groups from which slots can be borrowed.
     pub(crate) fn can_borrow(&self) -> bool {
         self.group.can_borrow()
     }
@@ -108,7 +110,7 @@
         &self.group.peers
     }
 
-    /// Assigns the ready workers to the groups; `warming_up` lists some of them by ascending id.
+    /// Assigns the ready workers to the groups. `warming_up` has those that are warming up, by ascending id.
     pub fn assign(&mut self, ready: &[EndpointEntry], warming_up: &[WorkerId]) {
         if self.is_grouped() {
             self.is_changed |= self.can_borrow();
@@ -117,27 +119,28 @@
         }
     }
 
-    /// The group's part of the ready workers, by their ids.
+    /// The ready workers that are assigned to the group, by ascending id.
     pub fn assigned(&self) -> &[WorkerId] {
         self.assignment.assigned()
     }
 
-    /// The group's workers, by their short tags.
+    /// The group's workers, in the order of their short tags; empty if there is no group.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
         self.assignment.workers().filter(|_| self.is_grouped())
     }
 
-    /// `max` of the group's workers drawn at random; all of them if there are no more, with no number drawn; in the order of
-    /// their ids.
+    /// Draws `max` of the group's workers at random, in the order of their ids. If there are no more than `max`, it returns all
+    /// of them without drawing a number; empty if there is no group.
     pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
         if self.is_grouped() { self.assignment.sample(random, max) } else { Vec::new() }
     }
 
-    /// How many of a worker's slots nobody on this side of a partition may take: those of unreachable dispatchers. If the worker
-    /// came from another group by a change of presence, which others may not know yet, that is all of them for a while.
+    /// The number of a worker's slots that are reserved for unreachable dispatchers: nobody on this side of a network partition
+    /// may use them. If the worker came from another group because of a change of presence, which others may not know yet, all
+    /// its slots are reserved for [`ADVERTISEMENT_TTL`].
     ///
-    /// So the sum over the sides of a partition is never above `slots`: the parts of all dispatchers add up to it, and a
-    /// dispatcher is present on one side alone.
+    /// The slots that the sides of a partition use thus never add up to more than `slots`: the parts of all dispatchers add up
+    /// to `slots`, and a dispatcher is present on one side only.
     pub fn reserved_slots(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
         if self.assignment.is_newly_gained(worker, now) {
             return slots;
@@ -152,12 +155,12 @@
         reserved
     }
 
-    /// This dispatcher's rank for a worker that is warming up; `None` for a worker of another group.
+    /// This dispatcher's rank for the worker with this tag while it is warming up; `None` for a worker of another group.
     pub(crate) fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
         self.group.slow_start_rank(tag)
     }
 
-    /// The short tag that messages name a worker by.
+    /// The short tag that messages use for a worker.
     fn short_tag(&self, listed: &EndpointEntry) -> u16 {
         self.tags.short_tag(listed.worker, listed.tag)
     }
@@ -165,7 +168,8 @@
 
 /// What the other dispatchers have advertised.
 impl GroupGossip {
-    /// The slots that others occupy at a worker of the group, by what they have advertised; `None` for another worker.
+    /// The slots that other dispatchers occupy at a worker, as they have advertised, and those that this dispatcher reserves for
+    /// its offers. `None` if the worker is not assigned to the group.
     pub fn peer_load(&self, listed: &EndpointEntry, now: Micros) -> Option<f64> {
         if !self.is_grouped() || !self.assignment.is_member(listed.worker) {
             return None;
@@ -176,20 +180,20 @@
         Some((occupied + reserved) as f64)
     }
 
-    /// Whether another has advertised later than this that it suspects this worker.
+    /// Whether another dispatcher has advertised after `since` that this worker is suspect.
     pub(crate) fn is_suspect(&self, listed: &EndpointEntry, since: Micros, now: Micros) -> bool {
         let tag = self.short_tag(listed);
         self.advertisements.valid(now).any(|(_, load)| load.at > since && load.suspects.contains(&tag))
     }
 
-    /// Whether a peer that had outstanding work when it last advertised has not advertised it again in time. It may be cut off
-    /// or dead, and what it has outstanding at the group's workers is not known.
+    /// Whether a peer that had outstanding work when it last advertised has not advertised it again in time. The peer may be
+    /// unreachable or dead, and what it has outstanding at the group's workers is not known.
     pub(crate) fn has_silent_peer(&self, now: Micros) -> bool {
         self.advertisements.has_silent(self.peers(), now)
     }
 
-    /// Whether at least half of the peers have advertised recently: what they have sent since then is a small part of what a
-    /// worker that warms up can bear in its collapse window.
+    /// Whether at least half of the peers have advertised recently. The work that they have sent since then is a small part of
+    /// what a worker that is warming up can bear within its collapse window.
     pub(crate) fn has_recent_advertisements(&self, now: Micros, window: Micros) -> bool {
         let recent = self.advertisements.recent_count(self.peers(), now, window / RECENT_WINDOW_DIVISOR);
         self.is_grouped() && 2 * recent >= self.peers().len()
@@ -198,24 +202,24 @@
 
 /// Borrowed slots.
 impl GroupGossip {
-    /// The workers at which slots are on offer.
+    /// The workers at which other dispatchers offer a slot now.
     pub(crate) fn offered_workers(&self, now: Micros) -> impl Iterator<Item = WorkerId> {
         self.slots.offered_workers(now)
     }
 
-    /// Whether a slot at this worker is on offer.
+    /// Whether another dispatcher offers a slot at this worker now.
     pub(crate) fn has_offer(&self, worker: WorkerId, now: Micros) -> bool {
         self.slots.offered_by(worker, now).is_some()
     }
 
-    /// Whether a slot at a worker that is warming up is on offer by the group that may use it. Another group offers one if its
-    /// endpoint list does not show yet that the worker has started.
+    /// Whether a slot at a worker that is warming up is offered by the group that may use the worker. Another group may offer
+    /// one because its endpoint list does not show yet that the worker has started.
     pub(crate) fn is_offered_by_slow_start_group(&self, listed: &EndpointEntry, now: Micros) -> bool {
         let owner = self.slots.offered_by(listed.worker, now);
         owner.is_some_and(|owner| self.group.group_of(owner) == self.group.slow_start_group(listed.tag))
     }
 
-    /// The offer for this worker, if there is one, is used.
+    /// Uses the offer for this worker, if there is one.
     pub(crate) fn use_offer(&mut self, worker: WorkerId) {
         self.slots.use_offer(worker);
     }
@@ -244,7 +248,8 @@
         actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_offer(tag) });
     }
 
-    /// Work at a worker that was assigned to another group goes on as if that group had offered the slot.
+    /// Treats this dispatcher's work at workers of other groups as if their groups had offered the slots. A worker may have been
+    /// assigned to another group while this dispatcher had work there.
     fn follow_assignment(&mut self, own_loads: &[OwnLoad]) {
         if !self.can_borrow() {
             return;
@@ -263,7 +268,7 @@
 
 /// Messages sent and received.
 impl GroupGossip {
-    /// Something has changed that is worth an advertisement.
+    /// Records that something has changed that must be advertised.
     pub(crate) fn mark_changed(&mut self) {
         self.is_changed = true;
     }
@@ -275,7 +280,8 @@
         }
     }
 
-    /// Advertises this dispatcher's load to the peers, and to the owners of borrowed slots, if it has changed or is due again.
+    /// Advertises this dispatcher's load to the peers and to the owners of borrowed slots, if it has changed or is due again.
+    /// Also drops expired offers and advertisements.
     pub(crate) fn advertise(&mut self, now: Micros, own_loads: &[OwnLoad], actions: &mut Vec<Action>) {
         if !self.is_grouped() {
             return;
@@ -291,7 +297,8 @@
         }
     }
 
-    /// What this dispatcher, and those that borrow its slots, have outstanding at the group's workers.
+    /// The advertisement to the group: what this dispatcher and those that borrow its slots have outstanding at the group's
+    /// workers, and the slots that it has offered.
     fn group_advertisement(&self, now: Micros, own_loads: &[OwnLoad]) -> LoadAdvertisement {
         let is_own =
             |load: &OwnLoad| self.assignment.has(self.tags.short_tag(load.worker, load.tag), load.worker);
@@ -304,7 +311,7 @@
         advertisement
     }
 
-    /// What this dispatcher has outstanding in the borrowed slots of each owner.
+    /// The advertisement to each slot owner: what this dispatcher has outstanding in the slots borrowed from it.
     fn slot_owner_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
         let for_owner = |owner: u32| {
             let is_borrowed = |load: &OwnLoad| self.slots.slot_owner(load.worker) == Some(owner);
@@ -313,7 +320,8 @@
         self.slots.slot_owners().into_iter().map(for_owner).collect()
     }
 
-    /// This dispatcher's load at the workers that meet a condition.
+    /// An advertisement of this dispatcher's load at the workers that meet a condition. Each attempt counts for whole slots, at
+    /// least 1 and at most [`MAX_SLOTS_PER_ATTEMPT`].
     fn advertisement_of(
         &self,
         now: Micros,
@@ -331,7 +339,8 @@
         LoadAdvertisement::new(now, 0..=u16::MAX, outstanding, suspects)
     }
 
-    /// Sends those parts of an advertisement that have changed or are due again.
+    /// Sends the parts of an advertisement that have changed or are due again, and schedules the next advertisement if one of
+    /// them has outstanding work. A slot owner that has been told that no slot is used any more is forgotten.
     fn publish(&mut self, recipient: Recipient, advertisement: LoadAdvertisement, actions: &mut Vec<Action>) {
         let is_idle = advertisement.outstanding.is_empty();
         let parts = self.advertisements.parts_for(recipient, advertisement);
@@ -348,7 +357,7 @@
         }
     }
 
-    /// Sends a part of an advertisement.
+    /// Sends one part of an advertisement: to the slot owner, or to every peer that is present.
     fn send(&self, recipient: Recipient, part: &LoadAdvertisement, actions: &mut Vec<Action>) {
         match recipient {
             Recipient::SlotOwner(to) => {
@@ -362,7 +371,8 @@
         }
     }
 
-    /// Takes a message. One that is not understood, or not from a dispatcher that may send it, is ignored.
+    /// Handles a message and returns what it requests, if anything. A message that is not valid, or that its sender may not
+    /// send, is ignored.
     pub(crate) fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         let is_peer = self.peers().contains(&from);
         match Message::decode(now, bytes)? {
@@ -382,7 +392,7 @@
         }
     }
 
-    /// Takes a load advertisement of a peer, or of one that borrows slots.
+    /// Stores a load advertisement of a peer or of a borrower. A borrower's advertisement also ends the offers to it.
     fn receive_load(&mut self, from: u32, is_peer: bool, load: LoadAdvertisement) {
         self.advertisements.receive(from, load);
         if !is_peer {
--- a/src/policy/gossip/short_tags.rs
+++ b/src/policy/gossip/short_tags.rs
@@ -1,4 +1,4 @@
-//! The short tags by which messages name the ready workers.
+//! The short tags that messages use for the ready workers.
 
 use super::hash::mix;
 use crate::policy::interface::{EndpointEntry, WorkerId};
@@ -8,16 +8,16 @@
 #[derive(Debug, Default)]
 pub(super) struct ShortTags {
     workers: BTreeMap<u16, WorkerId>,
-    /// The workers that do not go by what their tag shortens to.
+    /// The workers whose short tag differs from their shortened tag, because another worker has it.
     aliases: BTreeMap<WorkerId, u16>,
 }
 
-/// What a worker's tag shortens to.
+/// Shortens a worker's tag to 16 bits.
 fn shorten(tag: u64) -> u16 {
     mix(tag) as u16
 }
 
-/// A worker and what its tag shortens to; in the order in which workers choose their short tags.
+/// A worker and its shortened tag. The order of this type is the order in which workers get their short tags.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Shortened {
     short: u16,
@@ -33,10 +33,10 @@
 }
 
 impl ShortTags {
-    /// Gives each ready worker a short tag of its own. Where several would have the same, the first by its whole tag has it,
-    /// and the others, in order, the next ones that are free. Dispatchers that hold the same list thus use the same short tags;
-    /// while lists differ, only workers whose tags shorten to the same can be mistaken for each other. Beyond 65,536 workers
-    /// some have none.
+    /// Gives each ready worker a short tag of its own. If several tags shorten to the same number, the worker with the lowest
+    /// whole tag gets it, and the others get, in order, the next free numbers. Dispatchers that hold the same list thus use the
+    /// same short tags. While their lists differ, only workers whose tags shorten to the same number can be mistaken for each
+    /// other. If there are more than 65,536 workers, some get no short tag.
     pub fn assign(&mut self, ready: &[EndpointEntry]) {
         let mut order: Vec<Shortened> = ready.iter().map(Shortened::new).collect();
         order.sort_unstable();
@@ -60,12 +60,12 @@
         }
     }
 
-    /// The short tag of a worker.
+    /// The short tag of a worker. A worker that got none is named by its shortened tag, which may belong to another worker.
     pub fn short_tag(&self, worker: WorkerId, tag: u64) -> u16 {
         self.aliases.get(&worker).copied().unwrap_or_else(|| shorten(tag))
     }
 
-    /// The ready worker of a short tag.
+    /// The ready worker with this short tag, if there is one.
     pub fn worker(&self, short: u16) -> Option<WorkerId> {
         self.workers.get(&short).copied()
     }
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -1,15 +1,15 @@
-//! What the host reports to the decision module: endpoint lists, jobs, attempts, probe responses and peer messages.
+//! The events that the host reports to the decision module: endpoint lists, jobs, attempts, probe responses, peer messages.
 
 use super::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
 
-/// What the endpoint list says of a worker.
+/// A worker's lifecycle as the endpoint list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes work.
+    /// It takes work.
     Ready,
-    /// Finishes what it has and takes no new work.
+    /// It finishes the work that it has and takes no new work.
     Draining,
-    /// Withdrawn.
+    /// It is no longer listed.
     Gone,
 }
 
@@ -18,7 +18,7 @@
 pub struct EndpointEntry {
     /// The worker.
     pub worker: WorkerId,
-    /// A number that is the same for this worker at every dispatcher, such as a hash of its name.
+    /// A number that every dispatcher has for this worker, such as a hash of its name.
     pub tag: u64,
     /// Its zone.
     pub zone: ZoneId,
@@ -28,46 +28,47 @@
     pub cell: CellId,
     /// Whether it takes work.
     pub status: Status,
-    /// Its relative size.
+    /// Its size, relative to the other workers.
     pub weight: f64,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Micros>,
 }
 
 /// How much an endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only entries that have changed.
+    /// Only the entries that have changed.
     Delta,
     /// The complete list: workers not in it are gone.
     Snapshot,
-    /// The complete list as this instance last held it, perhaps out of date.
+    /// The complete list as this dispatcher last held it before its start. It may be out of date.
     Cached,
 }
 
-/// A load report. Values that are not finite count as absent; those out of range are clamped.
+/// A worker's load report. Values that are not finite count as absent; values out of range are clamped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// CPU utilisation, 0 to 1.
     pub cpu: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory, in the job's units.
+    /// Free memory, in the unit of [`NewJob::memory`].
     pub free_memory: Option<f64>,
-    /// Running jobs.
+    /// The number of running jobs.
     pub active: Option<f64>,
-    /// Jobs waiting.
+    /// The number of waiting jobs.
     pub waiting: Option<f64>,
     /// Recent service time, in milliseconds.
     pub avg_ms: Option<f64>,
-    /// Jobs served a second.
+    /// Jobs served per second.
     pub rps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub err_rps: Option<f64>,
 }
 
 impl LoadReport {
-    /// The same report without values that are not finite, and with the others clamped to their range.
+    /// The same report without the values that are not finite, and with the others clamped to their range: `cpu` to 0 to 1,
+    /// the others to at least 0.
     pub fn clean(&self) -> LoadReport {
         let clean = |value: Option<f64>| value.filter(|v| v.is_finite()).map(|v| v.max(0.0));
         LoadReport {
@@ -83,12 +84,12 @@
     }
 }
 
-/// The expected time that a job occupies a slot, for a worker of speed 1, as [`NewJob::hint`].
+/// The expected time for which a job occupies a slot at a worker of speed 1, the same measure as [`NewJob::hint`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// The median.
     pub typical: Micros,
-    /// A high quantile, rarely exceeded.
+    /// A high quantile, which is rarely exceeded.
     pub long: Micros,
 }
 
@@ -101,35 +102,35 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Its subject, which jobs with the same program or data set share.
+    /// Its subject; jobs with the same program or data set have the same one.
     pub key: Option<KeyId>,
     /// When the client gives up on this request.
     pub deadline: Micros,
-    /// Expected work, as time on a standard core.
+    /// Its expected work, as time on a standard core.
     pub hint: Option<Micros>,
-    /// Slots it needs.
+    /// The slots that it needs.
     pub slots: f64,
-    /// Memory it needs, where memory counts.
+    /// The memory that it needs, if memory counts.
     pub memory: Option<f64>,
     /// Whether the client marked it as a retry.
     pub repeat: bool,
-    /// The estimate of its work from similar jobs, where that is learned.
+    /// The estimate of its work from similar jobs, if that is learned.
     pub estimate: Option<Estimate>,
-    /// The weight of one more job of its tenant now, as a fraction of its class's weight, 0 to 1, where quotas are kept.
+    /// The weight of one more job of its tenant now, as a fraction of its class's weight, 0 to 1; `None` if no quotas are kept.
     pub tenant_weight: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// It was served.
     Ok,
-    /// Answered with an error; it may have run.
+    /// The worker answered with an error; it may have run.
     Error,
-    /// Rejected by the worker before it ran.
+    /// The worker rejected it before it ran.
     Full,
-    /// Handed back unstarted by a callback that the worker may repeat, so the job must not be sent to this worker again:
-    /// the repeated callback could be taken for the end of that attempt.
+    /// The worker returned it unstarted by a callback that the worker may repeat. The job must not be sent to this worker
+    /// again, because the repeated callback could be taken for the end of the new attempt.
     HandedBack,
     /// No response in time; it may have run.
     Timeout,
@@ -137,9 +138,9 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled by this dispatcher; it may have run.
+    /// This dispatcher cancelled it; it may have run.
     Cancelled,
-    /// Never sent; it does not count as an attempt.
+    /// It was never sent and does not count as an attempt.
     NeverSent,
 }
 
@@ -149,7 +150,7 @@
         self.is_rejection() || matches!(self, Outcome::ConnectFailed | Outcome::NeverSent)
     }
 
-    /// Whether a retry may succeed a little later, with nothing held against the worker.
+    /// Whether a retry may succeed a little later and the outcome does not count as a failure of the worker.
     pub fn is_transient(self) -> bool {
         self.is_rejection() || self == Outcome::NeverSent
     }
@@ -169,9 +170,9 @@
     pub attempt: u32,
     /// The worker.
     pub worker: WorkerId,
-    /// Time since it was sent.
+    /// The time since it was sent.
     pub elapsed: Micros,
-    /// Whether the final response has been given, by this attempt or before it; if not, it is still due.
+    /// Whether the final response has been given, by this attempt or before it. If not, it is still due.
     pub is_job_closed: bool,
     /// Its outcome.
     pub outcome: Outcome,
@@ -184,11 +185,11 @@
 pub struct ProbeResponse {
     /// The worker.
     pub worker: WorkerId,
-    /// [`Outcome::Ok`] if there was one.
+    /// [`Outcome::Ok`] if there was a response.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// The time since the probe was sent.
     pub elapsed: Micros,
-    /// Its load report.
+    /// The load report in the response, if there was one.
     pub report: Option<LoadReport>,
 }
 
@@ -199,39 +200,40 @@
     pub worker: WorkerId,
     /// When it was sent.
     pub sent_at: Micros,
-    /// It has not ended yet.
+    /// Whether it has not ended yet.
     pub is_outstanding: bool,
     /// When it started to run, if it did.
     pub running_since: Option<Micros>,
-    /// It ended, and it is known that it never ran.
+    /// Whether it has ended and is known never to have run.
     pub never_ran: bool,
-    /// Its worker handed it back by a callback.
+    /// Whether its worker returned it by a callback.
     pub is_handed_back: bool,
 }
 
-/// What membership says of a dispatcher.
+/// The presence of a dispatcher, as membership sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPresence {
     /// It takes work.
     Present,
-    /// It does not answer, and may have work out that this dispatcher cannot see: its part of each worker is reserved.
+    /// It does not answer, and may have outstanding work that this dispatcher cannot see. Its part of each worker is reserved.
     Unreachable,
-    /// It has no work any more: its part goes to the others.
+    /// It has no outstanding work any more. Its part of each worker goes to the others.
     Gone,
 }
 
-/// Something that has happened. Events about unknown jobs, attempts, workers or timers are ignored.
+/// Something that has happened. The module ignores events about unknown jobs, attempts, workers or timers.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or a part of it.
+    /// The complete endpoint list has arrived, or its changes.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A request for the endpoint list failed, or the watch broke; the list stays in force.
+    /// A request for the endpoint list failed, or the watch broke. The present list stays in force.
     ListFailed,
-    /// Another discovery service is used from now on and must be called at once. The list stays in force.
+    /// Another discovery service is used from now on and must be called at once. The present list stays in force.
     DiscoveryMoved,
-    /// A job has arrived: exactly one final response is due before its deadline.
+    /// A job has arrived. Exactly one final response is due before its deadline.
     Arrived(NewJob),
-    /// A job that another process of this dispatcher had accepted: this one owes the final response from now on.
+    /// This process takes over a job that another process of this dispatcher had accepted. It owes the final response from now
+    /// on.
     Adopted {
         /// The job.
         request: NewJob,
@@ -263,25 +265,25 @@
         /// The fraction done, 0 to 1.
         done: f64,
     },
-    /// An attempt ended. Every [`super::Action::Send`] gets exactly one.
+    /// An attempt has ended. Exactly one such event follows every [`super::Action::Send`].
     AttemptEnded(AttemptEnded),
-    /// The record that must be persisted before an attempt could not be written: the attempt was not sent, and the job is
-    /// given up at once.
+    /// The record that must be persisted before an attempt is sent could not be written. The attempt was not sent, and the
+    /// module gives the job up at once.
     NotPersisted {
         /// The job.
         job: JobId,
         /// The attempt's index, from 0.
         attempt: u32,
     },
-    /// The client disconnected: the job is over and no response is due.
+    /// The client disconnected. The job is over and no final response is due.
     ClientDisconnected(JobId),
     /// A timer that the module set has expired.
     Timer(TimerId),
     /// A probe got its response or failed.
     ProbeResponse(ProbeResponse),
-    /// The presence of each dispatcher by index; where this is never sent, all of them are present.
+    /// The presence of each dispatcher, by index. Until the first such event, all dispatchers count as present.
     Peers(Vec<PeerPresence>),
-    /// Another dispatcher's message.
+    /// A message of another dispatcher has arrived.
     PeerMessage {
         /// The sender's index.
         from: u32,
--- a/src/policy/interface/ids.rs
+++ b/src/policy/interface/ids.rs
@@ -1,24 +1,24 @@
-//! Time and the ids of jobs, workers and what they belong to.
+//! Times, and the ids of jobs, workers, classes, tenants, kinds, zones, cells, keys and timers.
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 
-/// The microseconds of a millisecond, in which messages and settings give their times.
+/// The number of microseconds in a millisecond, the unit of times in messages and settings.
 pub const MICROS_PER_MS: Micros = 1_000;
 
-/// The microseconds of a second.
+/// The number of microseconds in a second.
 pub const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// A job (one client request). Never used twice within an instance.
+/// A job, which is one client request. An id is never used twice within an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 /// A worker, numbered densely from 0 in the order in which the instance first saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
-/// A class of jobs: its place in [`Settings::classes`](super::Settings::classes).
+/// A class of jobs: its index in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u16);
-/// A tenant: its place in [`Settings::tenants`](super::Settings::tenants).
+/// A tenant: its index in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 /// A kind of machine.
@@ -30,9 +30,9 @@
 /// A cell: workers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
-/// The subject of a job (a program or data set); jobs with the same key share it.
+/// The subject of a job, such as a program or data set. Jobs with the same key share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u32);
-/// Chosen by the module, returned by [`Event::Timer`](super::Event::Timer).
+/// A timer. The module chooses the id, and [`Event::Timer`](super::Event::Timer) returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The whole interface of the decision module: settings, events, actions, ids.
+//! The complete interface of the decision module: settings, events, actions and ids.
 //!
-//! Time is a whole number of microseconds on any clock that only goes forward. Ids are small numbers that the host hands
-//! out; the module compares them and never interprets them. Whatever a deployment may leave out is an `Option`.
+//! Times are whole microseconds on any monotonic clock. Ids are small numbers that the host assigns; the module compares them
+//! and does not interpret them. Whatever a deployment may omit is an `Option`.
 
 mod actions;
 mod events;
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -1,20 +1,21 @@
-//! What a deployment fixes for the decision module: job classes, tenants, abilities, limits and prices.
+//! The settings of the decision module in a deployment: job classes, tenants, allowed actions, limits and prices.
 
 use super::{EndpointEntry, KindId, Micros, ZoneId};
 
 /// Which workers recognise and drop the repeats of a job with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether the worker `to` drops the repeat of a job that the worker `first`, if it is listed, may have run.
+    /// Whether the worker `to` drops the repeat of a job that the worker `first` may have run. `first` is `None` if that worker
+    /// is not listed; only [`DeduplicationScope::All`] then covers `to`.
     pub fn covers(self, first: Option<&EndpointEntry>, to: &EndpointEntry) -> bool {
         match self {
             DeduplicationScope::All => true,
@@ -24,10 +25,10 @@
     }
 }
 
-/// Whether a job that may have run may be repeated or refused.
+/// Whether a job that may have run may be repeated or rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated and refused freely.
+    /// It may always be repeated or rejected.
     Idempotent,
     /// It may be repeated only within `scope`, and within `window` of the first attempt that may have run.
     IdempotentWithKey {
@@ -36,7 +37,7 @@
         /// How long they remember a key.
         window: Micros,
     },
-    /// It may be repeated or refused only if no attempt may have run.
+    /// It may be repeated or rejected only if no attempt may have run.
     NonIdempotent,
 }
 
@@ -59,32 +60,32 @@
 /// One class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A response is in time within this span of the arrival, plus `latency_factor` times the job's own work.
+    /// A response is in time within this span after the arrival, plus `latency_factor` times the job's own work.
     pub latency_objective: Micros,
     /// The multiple of the job's own work that is added to `latency_objective`.
     pub latency_factor: f64,
-    /// The client gives up after this, over all its retries.
+    /// The client gives up after this time, counted over all its retries.
     pub deadline: Micros,
     /// Whether the class's jobs may be repeated.
     pub idempotency: Idempotency,
     /// The priority weight of a job.
     pub weight: f64,
-    /// The fraction of `weight` that a response after the latency objective still has.
+    /// The fraction of `weight` that a response after the latency objective keeps.
     pub late_weight: f64,
-    /// The response is a stream, whose start [`super::Event::StreamStarted`] reports.
+    /// Whether the response is a stream, whose start [`super::Event::StreamStarted`] reports.
     pub is_stream: bool,
-    /// The only kind of worker that can run it; `None` for any.
+    /// The only kind of worker that can run its jobs; `None` if every kind can.
     pub kind: Option<KindId>,
-    /// Its priority in the workers' queues.
+    /// The priority of its jobs in the workers' queues.
     pub priority: i32,
 }
 
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its quota: jobs a second over all dispatchers.
+    /// Its quota, in jobs per second over all dispatchers.
     pub quota_per_s: f64,
-    /// Its fair-share weight.
+    /// Its weight in fair sharing.
     pub share_weight: f64,
 }
 
@@ -102,9 +103,9 @@
 /// The settings of one instance. [`Settings::default`] is a single dispatcher with one idempotent class.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This dispatcher's number among its peers and itself, from 0.
+    /// This dispatcher's index among all dispatchers, from 0.
     pub own_index: u32,
-    /// How many dispatchers there are, this one included.
+    /// The number of dispatchers, this one included.
     pub dispatcher_count: u32,
     /// This dispatcher's zone.
     pub zone: ZoneId,
@@ -114,49 +115,49 @@
     pub tenants: Vec<Tenant>,
     /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// Events come in batches at most this often.
+    /// The shortest time between two batches of events.
     pub tick: Micros,
-    /// Whether weight counts for each unit of work, not for each job.
+    /// Whether weight counts for each unit of work instead of for each job.
     pub weight_by_work: bool,
     /// How load reports reach the dispatcher.
     pub reports: Reports,
-    /// Workers report when a job starts ([`super::Event::Started`]).
+    /// Whether workers report when a job starts ([`super::Event::Started`]).
     pub reports_start: bool,
-    /// Running jobs report their progress this often, if they do.
+    /// The interval at which running jobs report their progress; `None` if they do not.
     pub progress: Option<Micros>,
     /// Whether changes of the endpoint list are sent only on request.
     pub list_on_request: bool,
-    /// [`super::Action::Cancel`] is allowed.
+    /// Whether [`super::Action::Cancel`] is allowed.
     pub may_cancel: bool,
-    /// [`super::Action::Probe`] is allowed.
+    /// Whether [`super::Action::Probe`] is allowed.
     pub may_probe: bool,
-    /// [`super::Action::SendToPeer`] is allowed.
+    /// Whether [`super::Action::SendToPeer`] is allowed.
     pub may_message_peers: bool,
-    /// A job may have a hedged attempt beside its first one.
+    /// Whether a job may have a hedged attempt beside its first one.
     pub may_hedge: bool,
     /// The most attempts for a job.
     pub max_attempts: u32,
-    /// The longest `retry_after` that clients respect; `None` where they are given none.
+    /// The longest `retry_after` that clients respect; `None` if clients are given none.
     pub max_retry_after: Option<Micros>,
-    /// Final responses still count this long after the client's deadline.
+    /// The time after the client's deadline within which a final response still counts.
     pub response_grace: Micros,
-    /// No attempt may be sent to a draining or gone worker after this.
+    /// The time after which no attempt may be sent to a worker that is draining or gone.
     pub drain_grace: Micros,
-    /// Where lists are sent only on request, the longest time from one poll to the next.
+    /// The longest time from one poll to the next, if lists are sent only on request.
     pub max_poll_interval: Option<Micros>,
-    /// The fraction of its capacity that a worker has at its start, at least.
+    /// The least fraction of its capacity that a worker has at its start.
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
     pub warm_up_time: Micros,
     /// The multiple of its present capacity at which a worker that is warming up collapses.
     pub collapse_multiple: f64,
-    /// How long that load must last for the collapse.
+    /// How long that load must last to cause the collapse.
     pub collapse_window: Micros,
     /// The price of sending each job to another zone once, out of 1.
     pub price_cross_zone: f64,
     /// The price of one probe for each job.
     pub price_probe: f64,
-    /// The price of as much wasted work as was requested.
+    /// The price of wasting as much work as was requested.
     pub price_waste: f64,
     /// The price if all weight ended unserved after its latency objective.
     pub price_late_fail: f64,
@@ -209,10 +210,11 @@
     }
 }
 
-/// The most dispatchers there may be: each assigns all workers to all groups at every endpoint list.
+/// The most dispatchers in a fleet. The limit exists because each dispatcher assigns all workers to all groups at every
+/// endpoint list.
 pub const MAX_DISPATCHERS: u32 = 10_000;
 
-/// Why [`crate::Dispatcher::new`] refused the settings.
+/// Why [`crate::Dispatcher::new`] or [`crate::Dispatcher::reconfigure`] refused the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// There is no class.
@@ -221,16 +223,16 @@
     /// `own_index` is not below `dispatcher_count`.
     #[error("this node's number is not below the count of nodes")]
     NotAmongDispatchers,
-    /// There are more than [`MAX_DISPATCHERS`].
+    /// There are more than [`MAX_DISPATCHERS`] dispatchers.
     #[error("there are more than 10,000 nodes")]
     TooManyDispatchers,
-    /// No attempt is allowed.
+    /// `max_attempts` is 0.
     #[error("settings allow no attempt")]
     NoAttempts,
-    /// A class leaves no time.
+    /// A class has a deadline or a latency objective of 0.
     #[error("a class has a deadline or an aim that is not above 0")]
     NoTime,
-    /// A running module was given settings that lack a class of its own.
+    /// The new settings of a running module have fewer classes than its present ones.
     #[error("settings lack a class of the running module")]
     ClassGone,
     /// A number is negative or not finite, or a fraction is above 1.
@@ -243,7 +245,7 @@
     ///
     /// # Errors
     ///
-    /// The first fault found, in the order of the variants of [`SettingsError`].
+    /// Returns the first fault found, in the order of the variants of [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -266,7 +268,7 @@
         Ok(())
     }
 
-    /// Whether all numbers are finite and in their range.
+    /// Whether the numbers are finite and in their range. `price_late_fail` and the numbers of tenants are not checked.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
         let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
--- a/src/policy/interner.rs
+++ b/src/policy/interner.rs
@@ -2,16 +2,16 @@
 
 use std::collections::HashMap;
 
-/// Hands out numbers in order of appearance. A number is never given to another name.
+/// Assigns numbers to names, in order of appearance. A number is never assigned to another name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Interner {
     current: HashMap<String, u32>,
-    /// The name of each number, those included that names have left behind.
+    /// The name of each number, including the numbers that no name has any more.
     names: Vec<String>,
 }
 
 impl Interner {
-    /// The number of a name; a new one if it has none.
+    /// The number of a name. A name without a number gets the next one.
     pub(crate) fn id(&mut self, name: &str) -> u32 {
         if let Some(id) = self.current.get(name) {
             return *id;
@@ -22,12 +22,12 @@
         id
     }
 
-    /// The number of a name that has one now.
+    /// The number of a name, if it has one now.
     pub(crate) fn find(&self, name: &str) -> Option<u32> {
         self.current.get(name).copied()
     }
 
-    /// The names by number.
+    /// The names by number, including those that have no number any more.
     pub(crate) fn names(&self) -> &[String] {
         &self.names
     }
@@ -37,9 +37,9 @@
         self.current.is_empty()
     }
 
-    /// The same names with the numbers that they have in `older`, so that these stay valid. A name keeps its number there if
-    /// `is_same`, given its number here and there, says that both stand for the same; else it gets a new one. Names that are
-    /// missing here have no number any more.
+    /// The names of this interner with the numbers that they have in `older`, so that the older numbers stay valid. `is_same`
+    /// gets a name's number here and its number in `older`, and says whether both mean the same thing. If so, the name keeps its
+    /// number in `older`; otherwise it gets a new one. Names that are missing here have no number any more.
     pub(crate) fn keep_numbers(
         &self,
         older: &Interner,
@@ -64,6 +64,6 @@
 /// The names of one interner with the numbers of an older one.
 pub(crate) struct RenumberedNames {
     pub(crate) interner: Interner,
-    /// The number that each name has now, by its number before.
+    /// The new number of each name, indexed by its number before.
     pub(crate) numbers: Vec<usize>,
 }
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -1,5 +1,5 @@
-//! The settings of a deployment, read by name: the form that a `hello` line of the simulator and the `settings` object of a
-//! configuration file share.
+//! Reads the settings of a deployment by name. A `hello` line of the simulator and the `settings` object of a configuration
+//! file use the same names.
 
 use crate::policy::interface::{
     Class, DeduplicationScope, Idempotency, KindId, LoadReport, Micros, Reports, Settings, Tenant, ZoneId,
@@ -7,7 +7,7 @@
 use crate::policy::interner::Interner;
 use std::collections::HashMap;
 
-/// A setting that should be a number is none.
+/// A setting that must be a number is not one.
 #[derive(Debug, thiserror::Error)]
 #[error("{path} is not a number: {text:?}")]
 pub struct NotANumber {
@@ -15,10 +15,10 @@
     text: String,
 }
 
-/// The values of settings by their paths.
+/// The texts of settings by their paths, such as `Grades.0.TargetMs`.
 pub(crate) struct Profile<'a>(pub(crate) HashMap<&'a str, &'a str>);
 
-/// What a value of a load report stands for.
+/// The meaning of a value in a load report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ReportValue {
     Cpu,
@@ -39,27 +39,27 @@
     pub(crate) tenants: Interner,
     pub(crate) kinds: Interner,
     pub(crate) zones: Interner,
-    /// The values of a load report, in the order in which the settings name them.
+    /// The names and meanings of the values in a load report, in the order of the settings.
     pub(crate) values: Vec<(String, ReportValue)>,
 }
 
-/// A span or time of fractional milliseconds.
+/// Converts milliseconds to microseconds, rounded; a negative or NaN number becomes 0.
 pub(crate) fn to_micros(ms: f64) -> Micros {
     (ms * 1000.0).round().clamp(0.0, 9e18) as Micros
 }
 
-/// The same in fractional milliseconds.
+/// Converts microseconds to fractional milliseconds.
 pub(crate) fn to_ms(span: Micros) -> f64 {
     span as f64 / 1000.0
 }
 
-/// A number that is the same at any dispatcher for this name (FNV-1a).
+/// The FNV-1a hash of a name. It is the same at every dispatcher.
 pub(crate) fn tag(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl ReportValue {
-    /// What the value of this name stands for in this deployment.
+    /// The meaning of the value with this name in this deployment.
     fn new(name: &str, profile: &Profile) -> ReportValue {
         match name {
             "cpu" => ReportValue::Cpu,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Stores a number in its field of a report; one that is not finite counts as absent.
+    /// Stores a number in its field of a report. A number that is not finite counts as absent.
     pub(crate) fn store(self, report: &mut LoadReport, number: f64) {
         let field = match self {
             ReportValue::Cpu => &mut report.cpu,
@@ -92,48 +92,48 @@
 }
 
 impl<'a> Profile<'a> {
-    /// The text of a setting.
+    /// The text of a setting, if it is set.
     fn text(&self, path: &str) -> Option<&'a str> {
         self.0.get(path).copied()
     }
 
-    /// A setting that is a number.
+    /// A setting that is a number, or `default` if it is not set.
     pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, NotANumber> {
         let Some(text) = self.text(path) else { return Ok(default) };
         text.parse().map_err(|_| NotANumber { path: path.to_owned(), text: text.to_owned() })
     }
 
-    /// A setting that is a span of milliseconds.
+    /// A setting in milliseconds, or `default_ms` if it is not set.
     fn micros(&self, path: &str, default_ms: f64) -> Result<Micros, NotANumber> {
         Ok(to_micros(self.number(path, default_ms)?))
     }
 
-    /// A span that counts only where a flag is set.
+    /// A setting in milliseconds that counts only if `flag` is set; otherwise `None`.
     fn micros_if(&self, flag: bool, path: &str, default_ms: f64) -> Result<Option<Micros>, NotANumber> {
         if flag { self.micros(path, default_ms).map(Some) } else { Ok(None) }
     }
 
-    /// How many elements a list has, as far as the settings can have them.
+    /// The number of elements of a list, at most the number of settings.
     fn count(&self, path: &str) -> Result<usize, NotANumber> {
         Ok((self.number(path, 0.0)? as usize).min(self.0.len()))
     }
 
-    /// A setting that is true or false.
+    /// A setting that is true (`true` or `1`) or false (any other text), or `default` if it is not set.
     fn flag(&self, path: &str, default: bool) -> bool {
         self.text(path).map_or(default, |text| text == "true" || text == "1")
     }
 
-    /// The elements of a list, which are separated by commas.
+    /// The elements of a list, separated by commas. Empty elements are left out.
     fn list(&self, path: &str) -> Vec<&'a str> {
         self.text(path).map_or(Vec::new(), |text| text.split(',').filter(|item| !item.is_empty()).collect())
     }
 
-    /// An element of a list that is a number.
+    /// An element of a list, parsed; `None` if it is missing or cannot be parsed.
     fn element<T: std::str::FromStr>(&self, path: &str, index: usize) -> Option<T> {
         self.list(path).get(index).and_then(|text| text.parse().ok())
     }
 
-    /// The class of this index.
+    /// The class with this index.
     fn class(&self, index: usize) -> Result<Class, NotANumber> {
         let path = |name: &str| format!("Grades.{index}.{name}");
         let deadline = self.micros(&path("DeadlineMs"), 1e12)?;
@@ -152,7 +152,7 @@
         })
     }
 
-    /// Whether the jobs of a class may be repeated; `path` gives the path of one of the class's settings.
+    /// Whether the jobs of a class may be repeated. `path` returns the path of the class's setting with a given name.
     fn idempotency(&self, path: &dyn Fn(&str) -> String) -> Result<Idempotency, NotANumber> {
         Ok(match self.text(&path("Semantics")) {
             Some("pure") => Idempotency::Idempotent,
@@ -168,7 +168,7 @@
         })
     }
 
-    /// The tenant of this index.
+    /// The tenant with this index.
     fn tenant(&self, index: usize) -> Result<Tenant, NotANumber> {
         Ok(Tenant {
             quota_per_s: self.number(&format!("Projects.{index}.QuotaPerS"), 0.0)?,
@@ -185,8 +185,8 @@
         }
     }
 
-    /// The names of so many classes and tenants, and of kinds, zones and report values. Zones and kinds that already have a
-    /// number in `known` keep it.
+    /// Numbers the names of `classes` classes and `tenants` tenants, and of the kinds, zones and report values. Zones and kinds
+    /// that have a number in `known` keep it.
     fn names(&self, known: &Names, classes: usize, tenants: usize) -> Names {
         let mut names = Names { zones: known.zones.clone(), kinds: known.kinds.clone(), ..Names::default() };
         for zone in self.list("Zones") {
@@ -207,8 +207,12 @@
     }
 }
 
-/// Maps settings names to [`Settings`]; the names met on the way come back beside them. Zones and kinds that already have a
-/// number in `known` keep it.
+/// Reads [`Settings`] from a profile, and returns them with the names in it. Zones and kinds that have a number in `known`
+/// keep it.
+///
+/// # Errors
+///
+/// Returns an error if a setting that must be a number is not one. Whether the settings are consistent is not checked here.
 pub(crate) fn settings(profile: &Profile, known: &Names) -> Result<(Settings, Names), NotANumber> {
     let classes = (0..profile.count("Grades.count")?).map(|index| profile.class(index));
     let classes = classes.collect::<Result<Vec<Class>, _>>()?;
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::interface::{JobId, TimerId};
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
     /// Open a watch of the endpoint list.
@@ -17,7 +17,7 @@
 const OPEN_WATCH_ID: u64 = 0;
 /// The id of [`Timer::Advertise`].
 const ADVERTISE_ID: u64 = u64::MAX;
-/// The timer of job n has the id `FIRST_REVIEW_ID + n`.
+/// The id of [`Timer::Review`] for job 0. The timer of job n has the id `FIRST_REVIEW_ID + n`.
 const FIRST_REVIEW_ID: u64 = 1;
 
 impl From<Timer> for TimerId {
