--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -74,7 +74,8 @@
         self.policy.state.schedule_advertisement(actions);
     }
 
-    /// Applies an endpoint list. A cached list comes from an earlier run, so a watch is scheduled to get the present list.
+    /// Applies an endpoint list. A cached list, for example one from an earlier run, may be out of date, so a watch is scheduled
+    /// to get the present list.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.update_list(kind, entries, &policy.settings);
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -41,7 +41,7 @@
     Delta,
     /// The complete list: workers not in it are gone.
     Snapshot,
-    /// The complete list as this dispatcher last held it before its start. It may be out of date.
+    /// The complete list as this dispatcher last held it, for example before its start. It may be out of date.
     Cached,
 }
 
--- a/src/policy/simulator/error.rs
+++ b/src/policy/simulator/error.rs
@@ -1,21 +1,21 @@
-//! What can be wrong with the simulator's lines.
+//! The errors of the simulator's line protocol.
 
 use crate::policy::interface::SettingsError;
 use crate::policy::settings_map::NotANumber;
 use std::io;
 
-/// Why the adapter stopped.
+/// Why [`Host::serve`](super::Host::serve) stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// Reading or writing failed.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
-    /// A line of the input, by its number, is malformed.
+    /// A line of the input is malformed.
     #[error("line {line}: {error}")]
     Malformed {
         /// The line's number, from 1.
         line: u64,
-        /// What is wrong there.
+        /// What is wrong with it.
         #[source]
         error: LineError,
     },
@@ -24,19 +24,19 @@
 /// What is wrong with a line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is no text.
+    /// It is not valid UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
     /// The input ends within a batch.
     #[error("the batch is cut short: no commit")]
     CutShort,
-    /// A batch begins within another one.
+    /// A batch begins within another batch.
     #[error("batch: the batch before it has no commit")]
     NestedBatch,
-    /// A message comes before the first batch or between two.
+    /// A message comes before the first batch or between two batches.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
-    /// A message comes where rows of a table must.
+    /// Another message comes before all rows of a table have come.
     #[error("{message}: the table lacks {missing} of its rows")]
     TableCutShort {
         /// The message.
@@ -76,7 +76,7 @@
         /// The field.
         field: String,
     },
-    /// A field has a number that stands for nothing.
+    /// A field has a number without a meaning.
     #[error("{message}: unknown {field} {code}")]
     UnknownCode {
         /// The message.
@@ -94,13 +94,13 @@
         /// The ending.
         ending: String,
     },
-    /// The bytes of a peer message are not in hexadecimal digits.
+    /// The bytes of a peer message are missing or not hexadecimal.
     #[error("mail: Blob is not hex")]
     NotHex,
-    /// A message comes before any `instance`.
+    /// A message comes before any `instance` line of its batch.
     #[error("{0}: no instance named")]
     NoInstance(String),
-    /// A message is for an instance that was never set up, or is gone.
+    /// A message is for an instance that was never created or has been removed.
     #[error("{message}: unknown instance {name:?}")]
     UnknownInstance {
         /// The message.
@@ -108,7 +108,7 @@
         /// The instance.
         name: String,
     },
-    /// The settings of a new instance cannot be read.
+    /// A setting of a new instance cannot be read.
     #[error("hello: {0}")]
     UnreadableSettings(#[source] SettingNotANumber),
     /// The settings of a new instance are not consistent.
@@ -116,7 +116,7 @@
     BadSettings(#[source] SettingsError),
 }
 
-/// A setting of a `hello` line that should be a number is none.
+/// A setting of a `hello` line that must be a number is not one.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SettingNotANumber(#[from] NotANumber);
--- a/src/policy/simulator/fields.rs
+++ b/src/policy/simulator/fields.rs
@@ -1,44 +1,44 @@
-//! One line of the simulator: a message and its name=value fields.
+//! Parses one line of the simulator: a message and its `name=value` fields.
 
 use super::error::LineError;
 use crate::policy::interface::Micros;
 use crate::policy::settings_map::to_micros;
 
-/// The parts of one line.
+/// A parsed line.
 pub(super) struct Fields<'a> {
     pub message: &'a str,
     pub pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line at its tabs. A part that is not a field is ignored.
+    /// Splits a line at its tabs. A part without `=` is ignored.
     pub fn parse(line: &'a str) -> Self {
         let mut parts = line.split('\t');
         let message = parts.next().unwrap_or("");
         Fields { message, pairs: parts.filter_map(|part| part.split_once('=')).collect() }
     }
 
-    /// The text of a field.
+    /// The text of a field, if there is one.
     pub fn find(&self, name: &str) -> Option<&'a str> {
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
 
-    /// The text of a field that must not be empty.
+    /// The text of a field. It is an error if the field is missing or empty.
     pub fn text(&self, name: &str) -> Result<&'a str, LineError> {
         self.find(name).filter(|value| !value.is_empty()).ok_or_else(|| self.missing(name))
     }
 
-    /// The number in a field, if there is one.
+    /// The number in a field, if there is one. It is an error if the text is not a number.
     pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, LineError> {
         self.find(name).map(|text| self.parse_number(name, text)).transpose()
     }
 
-    /// The number in a field that must be there.
+    /// The number in a field. It is an error if the field is missing.
     pub fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, LineError> {
         self.parsed(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// The finite number in a field, if there is one.
+    /// The number in a field, if there is one. It is an error if the number is not finite.
     pub fn finite(&self, name: &str) -> Result<Option<f64>, LineError> {
         match self.parsed::<f64>(name)? {
             Some(value) if !value.is_finite() => {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// The span or time in a field of milliseconds, if there is one.
+    /// The span or time in a field, if there is one. The field is in milliseconds, the result in microseconds.
     pub fn micros(&self, name: &str) -> Result<Option<Micros>, LineError> {
         Ok(self.finite(name)?.map(to_micros))
     }
 
-    /// The span or time in a field of milliseconds that must be there.
+    /// The span or time in a field, as [`Fields::micros`]. It is an error if the field is missing.
     pub fn required_micros(&self, name: &str) -> Result<Micros, LineError> {
         self.micros(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// A number that stands in this field.
+    /// Parses a number of the field `name`, which only the error uses.
     pub fn parse_number<T: std::str::FromStr>(&self, name: &str, text: &str) -> Result<T, LineError> {
         text.parse().map_err(|_| LineError::NotANumber {
             message: self.message.to_owned(),
@@ -67,13 +67,13 @@
         })
     }
 
-    /// The error where a field is not there.
+    /// The error for a missing field.
     fn missing(&self, name: &str) -> LineError {
         LineError::MissingField { message: self.message.to_owned(), field: name.to_owned() }
     }
 }
 
-/// The bytes that hexadecimal digits stand for; "-" stands for none.
+/// Decodes hexadecimal digits, in which "-" stands for no bytes. Returns `None` if the text is not hexadecimal.
 pub(super) fn from_hex(text: &str) -> Option<Vec<u8>> {
     if text == "-" {
         return Some(Vec::new());
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher of the simulator: it turns lines into events and actions into lines, and hands out ids.
+//! One dispatcher of the simulator. It converts lines to events and actions to lines, and assigns ids.
 
 use super::error::{LineError, SettingNotANumber};
 use super::fields::{Fields, from_hex};
@@ -12,12 +12,13 @@
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-/// The bit of a job's `Flags` that says that its hint counts.
+/// The bit of a job's `Flags` that is set if its hint counts.
 const HAS_HINT: u64 = 1;
-/// The bit of a job's `Flags` that says that it is a retry.
+/// The bit of a job's `Flags` that is set if it is a retry.
 const IS_REPEAT: u64 = 2;
 
-/// The name of a job that is not over, and what is still to come of it.
+/// A job that is open or has outstanding attempts: its name, its numbers of sent and ended attempts, and whether its final
+/// response has been given or is no longer due.
 struct OpenJob {
     name: String,
     sent: u32,
@@ -25,7 +26,7 @@
     is_closed: bool,
 }
 
-/// A dispatcher, and what its ids stand for.
+/// A dispatcher, and the names that its ids stand for.
 pub(super) struct Instance {
     pub dispatcher: Dispatcher,
     workers: Interner,
@@ -37,7 +38,8 @@
 }
 
 impl Instance {
-    /// The instance that a `hello` line sets up.
+    /// Creates the instance of a `hello` line. It is an error if the settings cannot be read or are not consistent, or if the
+    /// seed is missing.
     pub fn new(fields: &Fields) -> Result<Instance, LineError> {
         let profile = Profile(fields.pairs.iter().copied().collect());
         let (settings, names) = settings(&profile, &Names::default())
@@ -54,7 +56,7 @@
         })
     }
 
-    /// The event of a line; `None` where it says nothing, or is of a job that is not open.
+    /// The event of a line. `None` if the message has no event, or if its job is not known.
     pub fn event(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Option<Event>, LineError> {
         Ok(match fields.message {
             "announce" => Some(self.endpoint_list(fields, tables)?),
@@ -81,17 +83,17 @@
         })
     }
 
-    /// The id of a worker; a new one if it has none.
+    /// The id of a worker. A worker without an id gets the next one.
     fn worker(&mut self, name: &str) -> WorkerId {
         WorkerId(self.workers.id(name))
     }
 
-    /// The id of the job that a line is about, if it is open.
+    /// The id of the job that a line is about, if the job is known.
     fn job(&self, fields: &Fields) -> Result<Option<JobId>, LineError> {
         Ok(self.job_ids.get(fields.text("Job")?).copied())
     }
 
-    /// The event of an `announce` line.
+    /// The event of an `announce` line: an endpoint list, or a failure to get one.
     fn endpoint_list(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Event, LineError> {
         let kind = match fields.required::<i64>("Kind")? {
             0 => ListKind::Delta,
@@ -126,7 +128,7 @@
         })
     }
 
-    /// The event of an `accept` line, with a new id for its job.
+    /// The event of an `accept` line: a job has arrived. The job gets a new id.
     fn arrived(&mut self, fields: &Fields) -> Result<Event, LineError> {
         let name = fields.text("Job")?;
         let job = JobId(self.next_job);
@@ -152,7 +154,7 @@
         Ok(Event::Arrived(request))
     }
 
-    /// The event of a `change` line: an attempt has started, or reports its progress.
+    /// The event of a `change` line: an attempt has started, or reports its progress. `None` for other topics.
     fn attempt_changed(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         Ok(match (self.job(fields)?, fields.required::<i64>("Topic")?) {
             (Some(job), 1) => Some(Event::Started { job, attempt: attempt(fields)? }),
@@ -164,7 +166,7 @@
         })
     }
 
-    /// The event of an `ended` line.
+    /// The event of an `ended` line: an attempt has ended.
     fn attempt_ended(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let elapsed = fields.micros("TimeTakenMs")?.unwrap_or(0);
         let outcome = outcome(fields)?;
@@ -188,7 +190,7 @@
         })))
     }
 
-    /// The event of a `hangup` line.
+    /// The event of a `hangup` line: the client disconnected.
     fn disconnected(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let Some(job) = self.job(fields)? else { return Ok(None) };
         if let Some(open) = self.jobs.get_mut(&job) {
@@ -197,7 +199,8 @@
         Ok(Some(Event::ClientDisconnected(job)))
     }
 
-    /// The load report of a line, if it has one. Its values stand in the order of the settings.
+    /// The load report of a line, if it has one. Its values are in the order of the settings, separated by commas; an empty
+    /// value is absent.
     fn report(&self, fields: &Fields) -> Result<Option<LoadReport>, LineError> {
         let Some(row) = fields.find("Feedback").filter(|row| !row.is_empty() && *row != "-") else {
             return Ok(None);
@@ -210,7 +213,7 @@
         Ok(Some(report))
     }
 
-    /// Drops the name of a job that is over and has nothing outstanding.
+    /// Forgets a job that is closed and has no outstanding attempt.
     pub fn forget(&mut self, job: JobId) {
         if self.jobs.get(&job).is_some_and(|open| open.is_closed && open.sent == open.ended)
             && let Some(open) = self.jobs.remove(&job)
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Appends the line of an action, unless it is of a job that is not open.
+    /// Appends the line of an action to the reply. An action of an unknown job is ignored.
     pub fn print(&mut self, action: &Action, reply: &mut String) {
         let line = match action {
             Action::Send { job, worker, limit } => self.print_send(*job, *worker, *limit, reply),
@@ -250,7 +253,7 @@
         line.expect("a string takes any text");
     }
 
-    /// Appends the line of an attempt that is sent, unless its job is not open.
+    /// Appends the line of an attempt that is sent. An attempt of an unknown job is ignored.
     fn print_send(
         &mut self,
         job: JobId,
@@ -267,12 +270,16 @@
         writeln!(reply, "\tExecutor={}", self.worker_name(worker))
     }
 
-    /// The name of a worker that was seen before.
+    /// The name of a worker.
+    ///
+    /// # Panics
+    ///
+    /// Panics if this instance has not assigned the id.
     fn worker_name(&self, worker: WorkerId) -> &str {
         &self.workers.names()[worker.0 as usize]
     }
 
-    /// The name of an open job, which is answered.
+    /// Closes a job, which is given its final response, and returns its name. `None` if the job is not known.
     fn close(&mut self, job: JobId) -> Option<&str> {
         let open = self.jobs.get_mut(&job)?;
         open.is_closed = true;
@@ -280,12 +287,12 @@
     }
 }
 
-/// The index of the attempt that a line is about.
+/// The index of the attempt that a line is about; 0 if the line has none.
 fn attempt(fields: &Fields) -> Result<u32, LineError> {
     Ok(fields.parsed("RoundNo")?.unwrap_or(0))
 }
 
-/// How an attempt or a probe ended.
+/// The outcome of the attempt or probe that a line is about.
 fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
     Ok(match fields.text("Ending")? {
         "ok" => Outcome::Ok,
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's line protocol: it parses events, prints actions and hands out ids, and decides nothing.
+//! The simulator's line protocol. This module parses events, prints actions and assigns ids; it decides nothing.
 //!
-//! Each instance interns its own ids in order of appearance, so what one instance does never depends on which others share its
-//! process.
+//! Each instance interns its own ids in order of appearance. What one instance does therefore never depends on which other
+//! instances share its process.
 
 mod error;
 mod fields;
@@ -16,25 +16,25 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The highest number of a table.
+/// The highest number that a table may have.
 const MAX_TABLE: usize = 15;
 
-/// A table of which rows are still to come.
+/// A table that still lacks rows.
 #[derive(Clone, Copy)]
 struct OpenTable {
     number: usize,
     missing_rows: usize,
 }
 
-/// What a line leads to.
+/// What to do after a line.
 #[derive(PartialEq, Eq)]
 enum Step {
     Continue,
-    /// The batch is complete: the reply is due.
+    /// The batch is complete, and the reply must be sent.
     Reply,
 }
 
-/// Every instance of this process, by name.
+/// All instances of this process by name, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
@@ -45,18 +45,18 @@
     /// The time of the open batch.
     now: Option<Micros>,
     actions: Vec<Action>,
-    /// The instance to which lines go, and the one whose actions were printed last.
+    /// The instance that lines are for, and below the instance whose actions were printed last.
     current: Option<String>,
     printed: Option<String>,
     reply: String,
 }
 
 impl Host {
-    /// Answers batch after batch until the input ends.
+    /// Reads batches and writes a reply to each, until the input ends.
     ///
     /// # Errors
     ///
-    /// If reading or writing fails, or at the first line that is malformed.
+    /// Returns an error if reading or writing fails, or at the first line that is malformed.
     pub fn serve(&mut self, mut input: impl BufRead, output: &mut impl Write) -> Result<(), WireError> {
         let mut line = String::new();
         loop {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The error of the line that is being read.
+    /// Adds the number of the present line to an error.
     fn malformed(&self, error: LineError) -> WireError {
         WireError::Malformed { line: self.line, error }
     }
 
-    /// Takes one line.
+    /// Handles one line. Unknown messages within a batch are ignored.
     fn on_line(&mut self, fields: &Fields) -> Result<Step, LineError> {
         if fields.message == "batch" {
             if self.now.is_some() {
@@ -133,7 +133,7 @@
         Ok(Step::Continue)
     }
 
-    /// Begins a table, whose rows follow.
+    /// Begins a table, whose rows follow. It replaces an earlier table with the same number.
     fn on_table(&mut self, fields: &Fields) -> Result<(), LineError> {
         let number: usize = fields.required("Table")?;
         let rows: usize = fields.required("RowsIn")?;
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// Adds a row to a table.
+    /// Adds a row to the open table.
     fn on_table_row(&mut self, fields: &Fields, table: OpenTable) -> Result<(), LineError> {
         let OpenTable { number, missing_rows } = table;
         if fields.message != "executor" {
@@ -159,13 +159,13 @@
         Ok(())
     }
 
-    /// The instance to which lines go.
+    /// The name of the instance that lines are for.
     fn current_name(&self, fields: &Fields) -> Result<&str, LineError> {
         self.current.as_deref().ok_or_else(|| LineError::NoInstance(fields.message.to_owned()))
     }
 
-    /// Hands the event of a line to its instance, and appends what that leads to. A panic of the decision module stops that event
-    /// alone, and is reported.
+    /// Passes the event of a line to its instance, and appends the resulting actions to the reply. A panic of the decision module
+    /// ends only the handling of that event; the reply reports it.
     fn on_event(&mut self, now: Micros, fields: &Fields) -> Result<(), LineError> {
         let Some(name) = &self.current else { return Err(LineError::NoInstance(fields.message.to_owned())) };
         let instance = self.instances.get_mut(name).ok_or_else(|| unknown_instance(fields, name))?;
@@ -194,12 +194,12 @@
     }
 }
 
-/// The error where a line is for an instance that does not exist.
+/// The error for a line whose instance does not exist.
 fn unknown_instance(fields: &Fields, name: &str) -> LineError {
     LineError::UnknownInstance { message: fields.message.to_owned(), name: name.to_owned() }
 }
 
-/// The job of which an event may be the last.
+/// The job whose last event this may be.
 fn ended_job(event: &Event) -> Option<JobId> {
     match event {
         Event::AttemptEnded(AttemptEnded { job, .. }) | Event::ClientDisconnected(job) => Some(*job),
@@ -207,7 +207,7 @@
     }
 }
 
-/// The job that an action answers.
+/// The job to which an action gives the final response.
 fn answered_job(action: &Action) -> Option<JobId> {
     match action {
         Action::Reject { job, .. } | Action::Fail(job) => Some(*job),
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -113,6 +113,7 @@
 }
 
 impl LearnedClass {
+    /// Copies what was learned about a class.
     fn new(stats: &ClassStats) -> LearnedClass {
         LearnedClass { run_time: stats.run_time, work_sum: stats.work_sum, job_count: stats.job_count }
     }
