--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -83,14 +83,14 @@
     /// What a job needs of a worker.
     fn needs(&self, job: &Job) -> Needs {
         let max_start_timeout = if self.settings.reports_start { QUEUE_EVIDENT_AFTER } else { Micros::MAX };
-        let bound_fractions = self.state.bound_fractions(&self.settings.classes);
+        let rivals: &[Class] = if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
         let spare = |bound: BoundFraction| (bound.kind, (1.0 - bound.fraction).clamp(MIN_SPARE, 1.0));
-        let is_unbound = self.class(job).kind.is_none();
+        let bound_fractions = self.state.bound_fractions(rivals);
         Needs {
             request: job.request,
             slack: self.slack(job) as f64,
             start_timeout: self.start_timeout(job.work).min(max_start_timeout),
-            spare_by_kind: bound_fractions.filter(|_| is_unbound).map(spare).collect(),
+            spare_by_kind: bound_fractions.map(spare).collect(),
         }
     }
 
