--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -147,7 +147,7 @@
 }
 
 /// Whether an inherited socket has the address that this configuration wants. A wanted port of 0 matches any port.
-pub(super) fn is_at(socket: std::io::Result<SocketAddr>, wanted: SocketAddr) -> bool {
+pub(super) fn has_address(socket: std::io::Result<SocketAddr>, wanted: SocketAddr) -> bool {
     socket.is_ok_and(|at| at.ip() == wanted.ip() && (at.port() == wanted.port() || wanted.port() == 0))
 }
 
@@ -158,7 +158,7 @@
     at: SocketAddr,
     should_retry: bool,
 ) -> Result<TcpListener, ServerError> {
-    if let Some(inherited) = inherited.filter(|listener| is_at(listener.local_addr(), at)) {
+    if let Some(inherited) = inherited.filter(|listener| has_address(listener.local_addr(), at)) {
         return Ok(inherited);
     }
     let retries = if should_retry { MAX_LISTEN_ATTEMPTS } else { 0 };
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -11,7 +11,7 @@
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 use crate::server::context::{Context, context};
 use crate::server::error::io_failed;
-use crate::server::listeners::is_at;
+use crate::server::listeners::has_address;
 use crate::server::tokens::PEER_TIMER;
 use crate::server::{MAX_ACCEPTS_PER_TURN, Server, ServerError};
 use datagram::{MAX_DATAGRAM, PeerDatagram};
@@ -50,7 +50,7 @@
         config: &Config,
     ) -> Result<PeerSocket, ServerError> {
         let at = config.peer_listen;
-        let inherited = inherited.filter(|socket| at.is_some_and(|at| is_at(socket.local_addr(), at)));
+        let inherited = inherited.filter(|socket| at.is_some_and(|at| has_address(socket.local_addr(), at)));
         let socket = match (inherited, at) {
             (Some(socket), _) => Some(socket),
             (None, at) => at.map(UdpSocket::bind).transpose().map_err(io_failed("peer socket"))?,
