--- a/src/http/fields.rs
+++ b/src/http/fields.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether the comma-separated list in the fields of this name contains `item`. Items are case-insensitive.
-    pub fn lists(&self, buffer: &[u8], name: &str, item: &str) -> bool {
+    pub fn has_list_item(&self, buffer: &[u8], name: &str, item: &str) -> bool {
         self.find_all(buffer, name).any(|range| {
             let mut items = buffer[range].split(|byte| *byte == b',');
             items.any(|found| found.trim_ascii().eq_ignore_ascii_case(item.as_bytes()))
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -61,7 +61,7 @@
 /// Whether the connection stays open after a message of this version.
 pub(super) fn keeps_alive(buffer: &[u8], fields: &Fields, version: HttpVersion) -> bool {
     match version {
-        HttpVersion::Http10 => fields.lists(buffer, "connection", "keep-alive"),
-        HttpVersion::Http11 => !fields.lists(buffer, "connection", "close"),
+        HttpVersion::Http10 => fields.has_list_item(buffer, "connection", "keep-alive"),
+        HttpVersion::Http11 => !fields.has_list_item(buffer, "connection", "close"),
     }
 }
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -192,7 +192,7 @@
         };
         // Once the body has begun, the client does not wait for the interim response.
         let is_body_awaited = connection.inbox.len() == head.len;
-        if is_body_awaited && head.fields.lists(&connection.inbox, "expect", "100-continue") {
+        if is_body_awaited && head.fields.has_list_item(&connection.inbox, "expect", "100-continue") {
             connection.outbox.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
         }
         let length = match head.framing {
