--- a/src/protocol/event_streams/responses.rs
+++ b/src/protocol/event_streams/responses.rs
@@ -41,14 +41,14 @@
 
 /// A plain-text response at a stream's path. `extra` holds further header lines; `has_body` is false for `HEAD`, whose response
 /// states the length of the text without the text itself.
-pub fn plain(status: &str, extra: &str, text: &str, keep_alive: bool, has_body: bool) -> Vec<Piece> {
-    let head = plain_head(status, extra, text.len(), keep_alive);
+pub fn plain_text(status: &str, extra: &str, text: &str, keep_alive: bool, has_body: bool) -> Vec<Piece> {
+    let head = plain_text_head(status, extra, text.len(), keep_alive);
     let body: Piece = if has_body { text.to_owned().into() } else { "".into() };
     vec![head, body]
 }
 
 /// The head of a plain-text response. A 204 response has no content and so no header lines about it.
-fn plain_head(status: &str, extra: &str, content_length: usize, keep_alive: bool) -> Piece {
+fn plain_text_head(status: &str, extra: &str, content_length: usize, keep_alive: bool) -> Piece {
     let connection = connection_line(keep_alive);
     let content = if status.starts_with("204") {
         String::new()
@@ -62,7 +62,7 @@
 pub fn wrong_method(keep_alive: bool) -> Vec<Piece> {
     let allow = format!("Allow: {STREAM_METHODS}\r\n");
     let text = "Method Not Allowed";
-    vec![plain_head("405 Method Not Allowed", &allow, text.len(), keep_alive), text.into()]
+    vec![plain_text_head("405 Method Not Allowed", &allow, text.len(), keep_alive), text.into()]
 }
 
 /// The response to a submitted job: the path of its stream.
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -35,13 +35,23 @@
     fn refusal(&self, why: &BrokerError) -> Vec<Piece> {
         let (cors, keep_alive, body) = (&self.cors, self.keep_alive, self.has_body);
         match why {
-            BrokerError::Unknown => {
-                event_streams::plain("403 Forbidden", cors, "no such stream for this token", keep_alive, body)
-            }
-            BrokerError::Over => event_streams::plain("204 No Content", cors, "", keep_alive, false),
+            BrokerError::Unknown => event_streams::plain_text(
+                "403 Forbidden",
+                cors,
+                "no such stream for this token",
+                keep_alive,
+                body,
+            ),
+            BrokerError::Over => event_streams::plain_text("204 No Content", cors, "", keep_alive, false),
             BrokerError::TooManyStreams | BrokerError::Full => {
                 let extra = format!("Retry-After: 2\r\n{cors}");
-                event_streams::plain("429 Too Many Requests", &extra, "too many streams", keep_alive, body)
+                event_streams::plain_text(
+                    "429 Too Many Requests",
+                    &extra,
+                    "too many streams",
+                    keep_alive,
+                    body,
+                )
             }
         }
     }
@@ -49,7 +59,7 @@
     /// The response to a client that accepts no event stream.
     fn not_acceptable(&self) -> Vec<Piece> {
         let text = "it comes as text/event-stream only";
-        event_streams::plain("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
+        event_streams::plain_text("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
     }
 }
 
