--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -77,7 +77,7 @@
     /// All slots.
     pub members: Vec<MemberRow>,
     /// The metrics of the membership protocol.
-    pub figures: MemberMetrics,
+    pub membership_metrics: MemberMetrics,
 }
 
 /// The metrics of this process, counted from its start.
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -58,16 +58,16 @@
             let count = page.members.iter().filter(|member| member.state == state).count();
             self.gauge(&format!("members_{state}"), count as u64);
         }
-        let figures = &page.figures;
+        let membership_metrics = &page.membership_metrics;
         self.gauge("members_view", page.version);
-        self.counter("members_sent_bytes", figures.sent_bytes);
-        self.counter("members_received_bytes", figures.received_bytes);
-        self.counter("members_refused", refused(figures));
-        self.counter("members_over_budget", figures.over_budget);
-        self.counter("members_declared_dead", figures.declared_dead);
-        self.counter("members_refuted", figures.refuted);
-        self.gauge("members_health", u64::from(figures.health));
-        self.gauge("members_facts", figures.facts_held);
+        self.counter("members_sent_bytes", membership_metrics.sent_bytes);
+        self.counter("members_received_bytes", membership_metrics.received_bytes);
+        self.counter("members_refused", refused(membership_metrics));
+        self.counter("members_over_budget", membership_metrics.over_budget);
+        self.counter("members_declared_dead", membership_metrics.declared_dead);
+        self.counter("members_refuted", membership_metrics.refuted);
+        self.gauge("members_health", u64::from(membership_metrics.health));
+        self.gauge("members_facts", membership_metrics.facts_held);
     }
 
     fn learner(&mut self, name: &str, learner: &LearnerMetrics) {
@@ -109,12 +109,12 @@
 }
 
 /// The number of datagrams that were refused, for any reason.
-fn refused(figures: &MemberMetrics) -> u64 {
-    figures.refused_long
-        + figures.refused_version
-        + figures.refused_foreign
-        + figures.refused_malformed
-        + figures.refused_stale
+fn refused(membership_metrics: &MemberMetrics) -> u64 {
+    membership_metrics.refused_long
+        + membership_metrics.refused_version
+        + membership_metrics.refused_foreign
+        + membership_metrics.refused_malformed
+        + membership_metrics.refused_stale
 }
 
 /// The page of the peer group, as JSON.
@@ -123,7 +123,7 @@
         "me": members.me,
         "version": members.version,
         "members": members.members.iter().map(member_json).collect::<Vec<_>>(),
-        "figures": figures_json(&members.figures),
+        "figures": membership_metrics_json(&members.membership_metrics),
     });
     page("200 OK", "application/json", format!("{text}\n"))
 }
@@ -139,31 +139,31 @@
     })
 }
 
-fn figures_json(figures: &MemberMetrics) -> serde_json::Value {
+fn membership_metrics_json(membership_metrics: &MemberMetrics) -> serde_json::Value {
     json!({
-        "sent": figures.sent,
-        "sent_bytes": figures.sent_bytes,
-        "received": figures.received,
-        "received_bytes": figures.received_bytes,
-        "refused": refused(figures),
-        "refused_long": figures.refused_long,
-        "refused_version": figures.refused_version,
-        "refused_foreign": figures.refused_foreign,
-        "refused_malformed": figures.refused_malformed,
-        "refused_stale": figures.refused_stale,
-        "over_budget": figures.over_budget,
-        "probes": figures.probes,
-        "probes_failed": figures.probes_failed,
-        "suspected": figures.suspected,
-        "declared_dead": figures.declared_dead,
-        "refuted": figures.refuted,
-        "starved": figures.starved,
-        "health": figures.health,
-        "facts_told": figures.facts_published,
-        "facts_taken": figures.facts_received,
-        "facts_refused": figures.facts_refused,
-        "facts_held": figures.facts_held,
-        "syncs": figures.syncs,
+        "sent": membership_metrics.sent,
+        "sent_bytes": membership_metrics.sent_bytes,
+        "received": membership_metrics.received,
+        "received_bytes": membership_metrics.received_bytes,
+        "refused": refused(membership_metrics),
+        "refused_long": membership_metrics.refused_long,
+        "refused_version": membership_metrics.refused_version,
+        "refused_foreign": membership_metrics.refused_foreign,
+        "refused_malformed": membership_metrics.refused_malformed,
+        "refused_stale": membership_metrics.refused_stale,
+        "over_budget": membership_metrics.over_budget,
+        "probes": membership_metrics.probes,
+        "probes_failed": membership_metrics.probes_failed,
+        "suspected": membership_metrics.suspected,
+        "declared_dead": membership_metrics.declared_dead,
+        "refuted": membership_metrics.refuted,
+        "starved": membership_metrics.starved,
+        "health": membership_metrics.health,
+        "facts_told": membership_metrics.facts_published,
+        "facts_taken": membership_metrics.facts_received,
+        "facts_refused": membership_metrics.facts_refused,
+        "facts_held": membership_metrics.facts_held,
+        "syncs": membership_metrics.syncs,
     })
 }
 
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -164,7 +164,7 @@
 
     /// The page of the members as this process sees them, if membership is on.
     pub(in crate::server) fn members_page(&self, config: &Config, now: Micros) -> Option<MembersPage> {
-        let (view, figures) = self.fleet.view().zip(self.fleet.metrics())?;
+        let (view, membership_metrics) = self.fleet.view().zip(self.fleet.metrics())?;
         let row = |(place, member): (u16, &Member)| MemberRow {
             place,
             address: config.peers.get(usize::from(place)).map(ToString::to_string).unwrap_or_default(),
@@ -177,7 +177,7 @@
             me: config.settings.own_index,
             version: view.version(),
             members: view.iter().map(row).collect(),
-            figures,
+            membership_metrics,
         })
     }
 }
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -27,7 +27,7 @@
         me: 1,
         version: 77,
         members: (0..).zip(states).map(|(place, state)| row(place, state)).collect(),
-        figures: mothproxy_membership::Metrics {
+        membership_metrics: mothproxy_membership::Metrics {
             sent: 1,
             sent_bytes: 2,
             received: 3,
