--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -79,7 +79,7 @@
 
     fn wait_until_agreed(&mut self, what: &str) -> u64 {
         let all = self.fleet.all();
-        self.wait_for(&format!("all hold all alive {what}"), || all_believe(&self.fleet, &all, &all, "alive"))
+        self.wait_for(&format!("all hold all alive {what}"), || all_observe(&self.fleet, &all, &all, "alive"))
     }
 
     fn others(&self, of: &[usize]) -> Vec<usize> {
@@ -105,7 +105,7 @@
         let killed = self.expect_deaths(&[victim]);
         self.fleet.kill(victim);
         let others = self.others(&[victim]);
-        self.wait_for("a killed one is dead", || all_believe(&self.fleet, &others, &[victim], "dead"));
+        self.wait_for("a killed one is dead", || all_observe(&self.fleet, &others, &[victim], "dead"));
         let seen = state_changes(&self.fleet, &others, "Dead", killed);
         let times = seen.iter().filter(|change| change.member == victim).map(|change| change.at - killed);
         self.report.detect.lock().expect("a lock").extend(times);
@@ -128,7 +128,7 @@
         self.wait_for("each side is alone", || {
             sides.iter().all(|side| {
                 let rest = self.others(side);
-                all_believe(&self.fleet, side, &rest, "dead") && all_believe(&self.fleet, side, side, "alive")
+                all_observe(&self.fleet, side, &rest, "dead") && all_observe(&self.fleet, side, side, "alive")
             })
         });
         self.end_expected_deaths();
@@ -207,9 +207,9 @@
     run.expect_deaths(&killed);
     let killed_at = run.fleet.now();
     killed.iter().for_each(|member| run.fleet.kill(*member));
-    run.wait_for("seven in ten are dead", || all_believe(&run.fleet, &survivors, &killed, "dead"));
+    run.wait_for("seven in ten are dead", || all_observe(&run.fleet, &survivors, &killed, "dead"));
     run.report.record("mass_kill_all_known_ms", (run.fleet.now() - killed_at) / 1000);
-    let are_alive = all_believe(&run.fleet, &survivors, &survivors, "alive");
+    let are_alive = all_observe(&run.fleet, &survivors, &survivors, "alive");
     run.report.check(are_alive, "a survivor of the mass kill is held dead");
     let started_at = run.fleet.now();
     killed.iter().for_each(|member| run.fleet.start_process(*member).expect("it starts again"));
@@ -247,7 +247,7 @@
     let paused = run.expect_deaths(&[4]);
     run.fleet.pause(4);
     let others = run.others(&[4]);
-    run.wait_for("a paused one is dead", || all_believe(&run.fleet, &others, &[4], "dead"));
+    run.wait_for("a paused one is dead", || all_observe(&run.fleet, &others, &[4], "dead"));
     std::thread::sleep(Duration::from_millis(1_500));
     let resumed = run.fleet.now();
     run.fleet.resume(4);
--- a/tests/common/members.rs
+++ b/tests/common/members.rs
@@ -29,7 +29,7 @@
 }
 
 /// Whether each of these dispatchers believes these members to be in this state.
-pub fn all_believe(fleet: &Fleet, by: &[usize], members: &[usize], state: &str) -> bool {
+pub fn all_observe(fleet: &Fleet, by: &[usize], members: &[usize], state: &str) -> bool {
     by.iter().all(|i| {
         let seen = member_states(fleet, *i);
         members.iter().all(|member| seen.get(*member).is_some_and(|s| s == state))
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -32,7 +32,7 @@
 /// Waits until all hold all alive.
 fn agree(fleet: &Fleet, what: &str) {
     fleet.wait_until(&format!("all hold all alive {what}"), || {
-        all_believe(fleet, &fleet.all(), &fleet.all(), "alive")
+        all_observe(fleet, &fleet.all(), &fleet.all(), "alive")
     });
 }
 
@@ -53,8 +53,8 @@
     let others = others(fleet, victim);
     let epoch = member_epoch(fleet, 0, victim);
     fleet.kill(victim);
-    fleet.wait_until("the killed one is dead", || all_believe(fleet, &others, &[victim], "dead"));
-    assert!(all_believe(fleet, &others, &others, "alive"), "and no other");
+    fleet.wait_until("the killed one is dead", || all_observe(fleet, &others, &[victim], "dead"));
+    assert!(all_observe(fleet, &others, &others, "alive"), "and no other");
     fleet.restart(victim).expect("it starts again");
     agree(fleet, "after a restart");
     assert!(member_epoch(fleet, 0, victim) > epoch, "a new epoch");
@@ -64,9 +64,9 @@
 fn partition_and_heal(fleet: &Fleet, one: &[usize], other: &[usize]) {
     fleet.datagrams.partition(&[one, other]);
     fleet.wait_until("each side is alone", || {
-        all_believe(fleet, one, other, "dead") && all_believe(fleet, other, one, "dead")
+        all_observe(fleet, one, other, "dead") && all_observe(fleet, other, one, "dead")
     });
-    assert!(all_believe(fleet, one, one, "alive") && all_believe(fleet, other, other, "alive"));
+    assert!(all_observe(fleet, one, one, "alive") && all_observe(fleet, other, other, "alive"));
     fleet.datagrams.heal();
     agree(fleet, "after the heal");
 }
@@ -87,7 +87,7 @@
     let paused_at = fleet.now();
     fleet.pause(paused);
     fleet.wait_until("the paused one is dead", || {
-        all_believe(fleet, &others(fleet, paused), &[paused], "dead")
+        all_observe(fleet, &others(fleet, paused), &[paused], "dead")
     });
     fleet.resume(paused);
     agree(fleet, "after a pause");
@@ -99,7 +99,7 @@
 fn terminate(fleet: &Fleet, leaving: usize) {
     let stopped_at = fleet.now();
     fleet.terminate(leaving);
-    fleet.wait_until("it has left", || all_believe(fleet, &others(fleet, leaving), &[leaving], "left"));
+    fleet.wait_until("it has left", || all_observe(fleet, &others(fleet, leaving), &[leaving], "left"));
     fleet.wait_until_exited(&[leaving]);
     assert_eq!(state_changes(fleet, &fleet.all(), "Dead", stopped_at), [], "who has left is not dead");
 }
