--- a/examples/proof_lists.rs
+++ b/examples/proof_lists.rs
@@ -6,8 +6,8 @@
 #[path = "../tests/common/lists/mod.rs"]
 mod lists;
 
-use lists::scenario::{AbandonedCallCost, Day, MS, Outcome, Scenario};
-use lists::simulation::play;
+use lists::scenario::{AbandonedCallCost, MS, Outcome, RunConfig, Scenario};
+use lists::simulation::run;
 use serde_json::{Value, json};
 use std::process::ExitCode;
 use std::time::Instant;
@@ -32,7 +32,7 @@
         let mut outcomes = Vec::new();
         for call in CALLS_MS {
             for wait in WAITS_MS {
-                let outcome = play(Day {
+                let outcome = run(RunConfig {
                     scenario,
                     callers,
                     call_time: call * MS,
@@ -67,11 +67,11 @@
             self.callers,
             format!("{:?}", self.cost),
             self.per_caller(|outcome| outcome.late.into()),
-            self.per_caller(|outcome| outcome.beyond.into()),
+            self.per_caller(|outcome| outcome.beyond_capacity.into()),
             self.per_caller(|outcome| outcome.never.into()),
             self.per_caller(|outcome| outcome.calls.into()),
             self.per_caller(|outcome| outcome.refused.into()),
-            self.per_caller(|outcome| outcome.cut.into()),
+            self.per_caller(|outcome| outcome.timed_out.into()),
             self.mean(|outcome| outcome.wasted / MS),
             self.mean(|outcome| outcome.p50 / MS),
             self.mean(|outcome| outcome.p99 / MS),
--- a/tests/common/lists/scenario.rs
+++ b/tests/common/lists/scenario.rs
@@ -80,7 +80,7 @@
 
 /// A simulated day.
 #[derive(Clone, Copy, Debug)]
-pub struct Day {
+pub struct RunConfig {
     pub scenario: Scenario,
     pub callers: u32,
     /// The service's time for a call, a list of changes included.
@@ -91,7 +91,7 @@
     pub seed: u64,
 }
 
-impl Day {
+impl RunConfig {
     /// The service's time for a call: a whole list is as much again as a call, what changed meanwhile a twentieth of that.
     pub fn service_time(&self, is_full_list: bool) -> Micros {
         self.call_time + self.call_time / if is_full_list { 1 } else { 20 }
@@ -117,12 +117,12 @@
     pub late: u32,
     /// Callers that never get one.
     pub never: u32,
-    /// See [`Day::callers_beyond_capacity`].
-    pub beyond: u32,
+    /// See [`RunConfig::callers_beyond_capacity`].
+    pub beyond_capacity: u32,
     pub calls: u32,
     pub refused: u32,
     /// Given up by their callers.
-    pub cut: u32,
+    pub timed_out: u32,
     /// The service's time for calls that nobody reads.
     pub wasted: Micros,
 }
--- a/tests/common/lists/service.rs
+++ b/tests/common/lists/service.rs
@@ -1,6 +1,6 @@
 //! The queue of the discovery service, which handles one call at a time.
 
-use super::scenario::{AbandonedCallCost, Day};
+use super::scenario::{AbandonedCallCost, RunConfig};
 use mothproxy::Micros;
 use std::collections::VecDeque;
 
@@ -61,15 +61,15 @@
     /// The next call that costs the service time; those before it that cost none are dropped.
     pub fn take_next(
         &mut self,
-        day: &Day,
+        config: &RunConfig,
         now: Micros,
         caller: impl Fn(CallId) -> CallerView,
     ) -> Option<HandledCall> {
         loop {
             let QueuedCall { id, arrived_at } = self.queue.pop_front()?;
             let CallerView { is_gone, needs_full_list } = caller(id);
-            let is_late = now - arrived_at > day.max_wait;
-            let costs_nothing = match day.abandoned_call_cost {
+            let is_late = now - arrived_at > config.max_wait;
+            let costs_nothing = match config.abandoned_call_cost {
                 AbandonedCallCost::Nothing => is_gone,
                 AbandonedCallCost::Gone => is_gone && is_late,
                 AbandonedCallCost::Late => false,
@@ -77,7 +77,7 @@
             if costs_nothing {
                 continue;
             }
-            let service_time = if is_late { day.call_time } else { day.service_time(needs_full_list) };
+            let service_time = if is_late { config.call_time } else { config.service_time(needs_full_list) };
             let is_wasted = is_gone || is_late;
             return Some(HandledCall { id, service_time, is_answered: !is_late, is_wasted });
         }
--- a/tests/common/lists/simulation.rs
+++ b/tests/common/lists/simulation.rs
@@ -1,6 +1,6 @@
 //! Plays a day: the callers' watches and the service, driven by events in the order of time.
 
-use super::scenario::{AbandonedCallCost, Day, MS, OUTAGE_TIME, Outage, Outcome, S, Scenario};
+use super::scenario::{AbandonedCallCost, MS, OUTAGE_TIME, Outage, Outcome, RunConfig, S, Scenario};
 use super::service::{CallId, CallerView, Service};
 use mothproxy::Micros;
 use mothproxy::core::watch_liveness::{DiscoverySettings, WatchFailure, WatchLiveness};
@@ -91,7 +91,7 @@
 }
 
 struct Simulation {
-    day: Day,
+    config: RunConfig,
     now: Micros,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     /// Events scheduled so far.
@@ -105,8 +105,8 @@
 }
 
 /// Simulates a day.
-pub fn play(day: Day) -> Outcome {
-    let mut simulation = Simulation::new(day);
+pub fn run(config: RunConfig) -> Outcome {
+    let mut simulation = Simulation::new(config);
     simulation.start_scenario();
     while let Some(Reverse(ScheduledEvent { at, event, .. })) = simulation.events.pop() {
         if at > SCENARIO_END {
@@ -119,15 +119,15 @@
 }
 
 impl Simulation {
-    fn new(day: Day) -> Simulation {
+    fn new(config: RunConfig) -> Simulation {
         Simulation {
-            day,
+            config,
             now: SCENARIO_START,
             events: BinaryHeap::new(),
             scheduled: 0,
             callers: Vec::new(),
             service: Service::default(),
-            rng: fastrand::Rng::with_seed(day.seed),
+            rng: fastrand::Rng::with_seed(config.seed),
             latencies: Vec::new(),
             outcome: Outcome::default(),
         }
@@ -143,17 +143,17 @@
     }
 
     fn start_scenario(&mut self) {
-        for caller in 0..self.day.callers as usize {
+        for caller in 0..self.config.callers as usize {
             self.add_caller();
-            if self.day.scenario == Scenario::Start {
+            if self.config.scenario == Scenario::Start {
                 self.restart(caller);
                 continue;
             }
-            self.callers[caller].open_watch_long_ago(self.day.call_time);
+            self.callers[caller].open_watch_long_ago(self.config.call_time);
             let heartbeat_age = self.receive_heartbeat(caller);
             self.start_scenario_of(caller, heartbeat_age);
         }
-        if matches!(self.day.scenario, Scenario::Down(_)) {
+        if matches!(self.config.scenario, Scenario::Down(_)) {
             self.schedule(SCENARIO_START, Event::ServiceDown);
             self.schedule(SCENARIO_START + OUTAGE_TIME, Event::ServiceRestored);
         }
@@ -172,7 +172,7 @@
 
     /// What happens to a caller with an open watch.
     fn start_scenario_of(&mut self, caller: usize, heartbeat_age: Micros) {
-        match self.day.scenario {
+        match self.config.scenario {
             Scenario::Silent => self.silence_watch(caller, SCENARIO_START - heartbeat_age, heartbeat_age),
             Scenario::Reset => self.on_watch_failed(caller, WatchFailure::Ended),
             Scenario::Moved => {
@@ -182,7 +182,7 @@
                 self.wait_for_next_call(caller, due);
             }
             Scenario::Restarts => {
-                let second = caller as u64 * 10 / u64::from(self.day.callers);
+                let second = caller as u64 * 10 / u64::from(self.config.callers);
                 self.schedule(SCENARIO_START + second * S, Event::CallerRestarted { caller });
             }
             Scenario::Start | Scenario::Down(_) => {}
@@ -199,7 +199,7 @@
         let settings = DiscoverySettings {
             is_pushed: false,
             max_poll_interval: Some(10 * S),
-            dispatchers: self.day.callers,
+            dispatchers: self.config.callers,
         };
         WatchLiveness::new(settings, self.rng.u64(..))
     }
@@ -243,7 +243,7 @@
     }
 
     fn is_down(&self, outage: Outage) -> bool {
-        self.service.is_down && self.day.scenario == Scenario::Down(outage)
+        self.service.is_down && self.config.scenario == Scenario::Down(outage)
     }
 
     fn on_event(&mut self, event: Event) {
@@ -267,7 +267,7 @@
         match self.callers[caller].phase {
             CallPhase::Waiting => self.start_call(caller),
             CallPhase::Connecting | CallPhase::Requesting => {
-                self.outcome.cut += 1;
+                self.outcome.timed_out += 1;
                 self.on_watch_failed(caller, WatchFailure::Silent);
             }
             CallPhase::Watching => {}
@@ -292,8 +292,8 @@
         self.callers[caller].phase = CallPhase::Requesting;
         let call = self.set_timer(caller, due);
         self.service.enqueue(call, self.now);
-        if self.day.abandoned_call_cost != AbandonedCallCost::Late {
-            self.schedule(self.now + self.day.max_wait, Event::MaxWaitReached(call));
+        if self.config.abandoned_call_cost != AbandonedCallCost::Late {
+            self.schedule(self.now + self.config.max_wait, Event::MaxWaitReached(call));
         }
         self.serve_next();
     }
@@ -374,7 +374,7 @@
             is_gone: callers[call.caller].turn != call.turn,
             needs_full_list: callers[call.caller].needs_full_list,
         };
-        let Some(next) = self.service.take_next(&self.day, self.now, view) else { return };
+        let Some(next) = self.service.take_next(&self.config, self.now, view) else { return };
         if next.is_wasted {
             self.outcome.wasted += next.service_time;
         }
@@ -391,7 +391,7 @@
             let place = (all * percent).div_ceil(100).max(1) - 1;
             self.latencies.get(place).copied().unwrap_or(SCENARIO_END - SCENARIO_START)
         };
-        let deadline = self.day.scenario.deadline();
+        let deadline = self.config.scenario.deadline();
         let late = self.latencies.iter().filter(|latency| **latency > deadline).count() + never;
         Outcome {
             p50: percentile(50),
@@ -399,7 +399,7 @@
             max: percentile(100),
             late: late as u32,
             never: never as u32,
-            beyond: self.day.callers_beyond_capacity(),
+            beyond_capacity: self.config.callers_beyond_capacity(),
             ..self.outcome
         }
     }
--- a/tests/watch_liveness/slow_service.rs
+++ b/tests/watch_liveness/slow_service.rs
@@ -1,7 +1,7 @@
 //! Many watches before one service that is slow.
 
-use crate::lists::scenario::{AbandonedCallCost, Day, MS, Scenario};
-use crate::lists::simulation::play;
+use crate::lists::scenario::{AbandonedCallCost, MS, RunConfig, Scenario};
+use crate::lists::simulation::run;
 use mothproxy::Micros;
 
 /// Dispatchers, and the service's time for each call.
@@ -25,8 +25,8 @@
     abandoned_call_cost: AbandonedCallCost,
 }
 
-fn day(scenario: Scenario, load: Load, queue: Queue) -> Day {
-    Day {
+fn run_config(scenario: Scenario, load: Load, queue: Queue) -> RunConfig {
+    RunConfig {
         scenario,
         callers: load.callers,
         call_time: load.call_ms * MS,
@@ -37,13 +37,13 @@
 }
 
 /// Asserts that a day of many callers went as well as the service's own time allows.
-fn assert_served_as_the_service_allows(day: Day, load: Load, queue: Queue) {
-    let outcome = play(day);
+fn assert_served_as_the_service_allows(config: RunConfig, load: Load, queue: Queue) {
+    let outcome = run(config);
     // A whole list takes twice the time of a call.
     let service_time = load.service_time() * 2;
     // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
     let loses_places = queue.max_wait_ms > 4_500;
-    let is_hurried = matches!(day.scenario, Scenario::Silent | Scenario::Moved);
+    let is_hurried = matches!(config.scenario, Scenario::Silent | Scenario::Moved);
     let max_wasted = if loses_places { 2 } else { 1 };
     let late_divisor = match (loses_places, is_hurried) {
         (true, _) => 2,
@@ -51,12 +51,12 @@
         (false, false) => 4,
     };
     let is_served = outcome.never == 0 && outcome.max <= 4 * service_time;
-    assert!(is_served && outcome.wasted <= max_wasted * service_time, "{day:?}: {outcome:?}");
-    let max_late = match day.scenario {
-        Scenario::Restarts => day.callers,
-        _ => outcome.beyond + day.callers / late_divisor,
+    assert!(is_served && outcome.wasted <= max_wasted * service_time, "{config:?}: {outcome:?}");
+    let max_late = match config.scenario {
+        Scenario::Restarts => config.callers,
+        _ => outcome.beyond_capacity + config.callers / late_divisor,
     };
-    assert!(outcome.late <= max_late && outcome.calls <= 10 * day.callers, "{day:?}: {outcome:?}");
+    assert!(outcome.late <= max_late && outcome.calls <= 10 * config.callers, "{config:?}: {outcome:?}");
 }
 
 /// Hundreds of dispatchers before a service that cannot answer all within the 6 s: as many as it can answer are notified in time,
@@ -77,7 +77,7 @@
     for scenario in Scenario::ALL {
         for load in loads {
             for queue in queues {
-                assert_served_as_the_service_allows(day(scenario, load, queue), load, queue);
+                assert_served_as_the_service_allows(run_config(scenario, load, queue), load, queue);
             }
         }
     }
@@ -95,10 +95,10 @@
     let queue = Queue { max_wait_ms: 3_000, abandoned_call_cost: AbandonedCallCost::Gone };
     for scenario in Scenario::ALL {
         for load in loads {
-            let day = day(scenario, load, queue);
-            let outcome = play(day);
+            let config = run_config(scenario, load, queue);
+            let outcome = run(config);
             let is_served = outcome.never == 0 && outcome.max <= 6 * load.service_time();
-            assert!(is_served && outcome.calls <= 10 * load.callers, "{day:?}: {outcome:?}");
+            assert!(is_served && outcome.calls <= 10 * load.callers, "{config:?}: {outcome:?}");
         }
     }
 }
