--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -54,8 +54,8 @@
     /// The valid rows.
     pub rows: Vec<EndpointRow>,
     /// Names of the workers with invalid rows.
-    #[serde(default)]
-    pub unread: Vec<String>,
+    #[serde(default, rename = "unread")]
+    pub workers_with_invalid_rows: Vec<String>,
     /// How many rows were dropped: invalid ones, and those that a later row of the same worker replaced.
     pub bad_rows: u64,
 }
@@ -66,12 +66,19 @@
     pub fn from_json(value: &Value) -> Option<EndpointList> {
         let generation = value.get("generation")?.as_u64()?;
         let reset = value.get("reset")?.as_bool()?;
-        let mut list = EndpointList { generation, reset, rows: Vec::new(), unread: Vec::new(), bad_rows: 0 };
+        let mut list = EndpointList {
+            generation,
+            reset,
+            rows: Vec::new(),
+            workers_with_invalid_rows: Vec::new(),
+            bad_rows: 0,
+        };
         let mut index_by_worker = HashMap::new();
         for value in value.get("instances")?.as_array()? {
             let Some(row) = read_row(value) else {
                 list.bad_rows += 1;
-                list.unread.extend(value.get("instanceId").and_then(Value::as_str).map(str::to_owned));
+                list.workers_with_invalid_rows
+                    .extend(value.get("instanceId").and_then(Value::as_str).map(str::to_owned));
                 continue;
             };
             let index = *index_by_worker.entry(row.instance_id.clone()).or_insert(list.rows.len());
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -218,14 +218,14 @@
             workers.extend(worker.or_else(|| self.find(&row.instance_id)));
         }
         // An invalid row changes nothing: its worker stays as it is.
-        workers.extend(list.unread.iter().filter_map(|name| self.find(name)));
+        workers.extend(list.workers_with_invalid_rows.iter().filter_map(|name| self.find(name)));
         workers
     }
 
     /// Marks the workers that are not on a snapshot as removed.
     fn remove_unlisted(&mut self, list: &EndpointList) {
         let readable = list.rows.iter().map(|row| &row.instance_id);
-        let listed: HashSet<&String> = readable.chain(&list.unread).collect();
+        let listed: HashSet<&String> = readable.chain(&list.workers_with_invalid_rows).collect();
         for endpoint in &mut self.endpoints {
             if !listed.contains(&endpoint.row.instance_id) {
                 endpoint.row.lifecycle = Lifecycle::Removed;
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -42,7 +42,7 @@
                 generation: self.core.endpoints().generation(),
                 reset: true,
                 rows: self.core.endpoints().rows(),
-                unread: Vec::new(),
+                workers_with_invalid_rows: Vec::new(),
                 bad_rows: 0,
             },
             is_list_stale: self.core.endpoints().is_stale(),
