--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -52,7 +52,7 @@
     bytes: usize,
     evicted: u64,
     repeats_answered: u64,
-    repeats_bound: u64,
+    restricted_repeats: u64,
 }
 
 impl IdempotencyStore {
@@ -68,8 +68,8 @@
 
     /// The number of repeats of requests that may have run. They may be sent only within the deduplication scope of the first
     /// attempt.
-    pub fn repeats_bound(&self) -> u64 {
-        self.repeats_bound
+    pub fn restricted_repeats(&self) -> u64 {
+        self.restricted_repeats
     }
 
     /// The number of records.
@@ -112,7 +112,7 @@
         // The oldest attempt decides for how long a repeat is safe. By the rules, all attempts went to the same cell.
         match record.first_that_may_have_run().cloned() {
             Some(first) => {
-                self.repeats_bound += 1;
+                self.restricted_repeats += 1;
                 LookupResult::MayHaveRun(first)
             }
             None => LookupResult::Unknown,
