--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -42,7 +42,7 @@
 
 impl FilePresence {
     /// Whether this file is to be read: it exists, or it must exist.
-    pub(crate) fn is_to_be_read(self, file: &Path) -> bool {
+    pub(crate) fn should_read(self, file: &Path) -> bool {
         self == FilePresence::Required || file.exists()
     }
 }
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -55,7 +55,7 @@
     /// # Errors
     /// [`ConfigError`] if the file cannot be read or its content is invalid.
     pub fn load(file: &Path, presence: FilePresence) -> Result<Option<SseSettings>, ConfigError> {
-        if !presence.is_to_be_read(file) {
+        if !presence.should_read(file) {
             return Ok(None);
         }
         let malformed = |error| ConfigError::Malformed { file: file.display().to_string(), error };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -69,7 +69,7 @@
 /// # Errors
 /// [`SettingsFileError`] with all faults in the file, or if it cannot be read.
 pub fn load(file: &Path, presence: FilePresence) -> Result<Settings, SettingsFileError> {
-    if !presence.is_to_be_read(file) {
+    if !presence.should_read(file) {
         return Ok(Settings::default());
     }
     let file_name = file.display().to_string();
