--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -171,12 +171,12 @@
 
     /// Sets a timer for the server: [`Command::TimerFired`] is issued at that time.
     pub fn set_timer(&mut self, at: Micros, token: TimerToken) {
-        self.timers.schedule(at, Timer::Program(token));
+        self.timers.schedule(at, Timer::Server(token));
     }
 
     /// Cancels a timer that was set by [`Core::set_timer`].
     pub fn cancel_timer(&mut self, at: Micros, token: TimerToken) {
-        self.timers.cancel(at, Timer::Program(token));
+        self.timers.cancel(at, Timer::Server(token));
     }
 
     /// Handles the response to a load probe, or its failure.
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -28,7 +28,7 @@
     fn on_timer(&mut self, now: Micros, timer: Timer) {
         match timer {
             Timer::Policy(id) => self.events.push(Event::Timer(id)),
-            Timer::Program(token) => self.commands.push_back(Command::TimerFired(token)),
+            Timer::Server(token) => self.commands.push_back(Command::TimerFired(token)),
             Timer::AttemptTimeout(id) => self.cancel_attempt(now, id, Outcome::Timeout),
             Timer::RequestDeadline(id) => self.on_request_deadline(now, id),
             Timer::OverdueResponse(id) => {
@@ -116,8 +116,8 @@
             request.add_attempt(Attempt::ended(worker, now, AttemptEnd::NeverSent));
             return self.events.push(closed_attempt_ended(id, worker, Outcome::NeverSent));
         }
-        let is_doubled = request.is_in_flight_at(worker);
-        invariant!(!is_doubled, "worker {} has request {request_id} already", worker.0);
+        let is_duplicate = request.is_in_flight_at(worker);
+        invariant!(!is_duplicate, "worker {} has request {request_id} already", worker.0);
         let timeout_at = time_limit.map(|span| now + span).filter(|at| *at < request.job().deadline);
         request.add_attempt(Attempt::in_flight(worker, now, timeout_at));
         let has_key = request.idempotency_key().is_some();
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -21,7 +21,7 @@
     /// A timer of the decision module.
     Policy(TimerId),
     /// A timer of the server.
-    Program(TimerToken),
+    Server(TimerToken),
 }
 
 /// Timers in the order of their times.
