--- a/src/core/watch_liveness/call_schedule.rs
+++ b/src/core/watch_liveness/call_schedule.rs
@@ -48,7 +48,7 @@
     pub settings: &'a DiscoverySettings,
     pub load: &'a ServiceLoad,
     /// From when on the changes that this dispatcher may lack count as notified; `None` if it lacks none.
-    pub counts_from: Option<Micros>,
+    pub notified_from: Option<Micros>,
 }
 
 impl CallSchedule<'_> {
@@ -59,8 +59,8 @@
     /// long as missed changes can still be received in time, there must be time for another call.
     pub fn answer_timeout(&self, called_at: Micros) -> Micros {
         let longest = self.load.answer_timeout(called_at, self.settings);
-        let timeout = match self.counts_from {
-            Some(counts_from) if called_at < counts_from => counts_from
+        let timeout = match self.notified_from {
+            Some(notified_from) if called_at < notified_from => notified_from
                 .saturating_sub(called_at + MIN_RETRY_INTERVAL + LAST_CALL_RESERVE)
                 .clamp(POLL_INTERVAL, longest),
             _ => longest,
@@ -77,15 +77,15 @@
         } else {
             self.window_before(call_by, failed.failed_at)?
         };
-        Some(self.hurried_window(failed, window))
+        Some(self.earlier_window(failed, window))
     }
 
     /// The maximum time from the start of the failed call to the start of the next one, in microseconds.
     fn retry_interval(&self, failed: &FailedCall) -> Micros {
         // Before missed changes count as notified, and after a live watch, the dispatchers do not take turns.
-        let is_in_time = self.counts_from.is_some_and(|counts_from| failed.failed_at < counts_from);
+        let is_in_time = self.notified_from.is_some_and(|notified_from| failed.failed_at < notified_from);
         if is_in_time || failed.was_live() {
-            self.settings.hurried_call_interval()
+            self.settings.uncoordinated_call_interval()
         } else if self.load.is_overloaded_repeatedly() {
             self.load.backoff(failed.failed_at, self.settings)
         } else {
@@ -97,7 +97,7 @@
     /// their calls are spread.
     fn window_after_common_loss(&self, failed: &FailedCall) -> RangeInclusive<Micros> {
         let spread = match failed.failure {
-            WatchFailure::Silent => self.settings.hurried_spread(),
+            WatchFailure::Silent => self.settings.short_spread(),
             WatchFailure::Ended | WatchFailure::Unreachable => self.settings.spread(),
         };
         failed.failed_at..=failed.failed_at + spread
@@ -108,7 +108,7 @@
         if call_by <= now + MIN_RETRY_INTERVAL {
             return None;
         }
-        let is_spread = self.load.is_overloaded() && !self.settings.are_few();
+        let is_spread = self.load.is_overloaded() && !self.settings.may_call_uncoordinated();
         let divisor = if is_spread { OVERLOAD_SPREAD_DIVISOR } else { RETRY_SPREAD_DIVISOR };
         let earliest = call_by - (call_by - now) / divisor;
         Some(earliest..=call_by)
@@ -116,9 +116,9 @@
 
     /// The window, moved to an earlier time if missed changes can still be received in time, so that there is time for another
     /// call after this one.
-    fn hurried_window(&self, failed: &FailedCall, window: RangeInclusive<Micros>) -> RangeInclusive<Micros> {
+    fn earlier_window(&self, failed: &FailedCall, window: RangeInclusive<Micros>) -> RangeInclusive<Micros> {
         let now = failed.failed_at;
-        let Some(spare) = self.counts_from.and_then(|at| at.checked_sub(now + POLL_INTERVAL)) else {
+        let Some(spare) = self.notified_from.and_then(|at| at.checked_sub(now + POLL_INTERVAL)) else {
             return window;
         };
         let soonest = failed.called_at + MIN_CALL_SPACING;
--- a/src/core/watch_liveness/freshness.rs
+++ b/src/core/watch_liveness/freshness.rs
@@ -14,30 +14,30 @@
     #[default]
     UpToDate,
     /// A watch fell silent, and no watch has sent data since. The missed changes count as notified from this time on.
-    Behind { counts_from: Micros },
+    Behind { notified_from: Micros },
     /// Another service is used and has sent no list yet. Its changes count as notified from this time on.
-    Moved { counts_from: Micros },
+    Moved { notified_from: Micros },
 }
 
 impl Freshness {
     /// The state after a move to another service at `now`.
     pub fn moved(now: Micros) -> Freshness {
-        Freshness::Moved { counts_from: now + MOVED_NOTIFICATION_DEADLINE }
+        Freshness::Moved { notified_from: now + MOVED_NOTIFICATION_DEADLINE }
     }
 
     /// The state after a live watch fell silent that sent its last data at `last_data_at`.
     pub fn after_silence(self, last_data_at: Micros) -> Freshness {
         match self {
-            Freshness::UpToDate => Freshness::Behind { counts_from: last_data_at + NOTIFICATION_DEADLINE },
+            Freshness::UpToDate => Freshness::Behind { notified_from: last_data_at + NOTIFICATION_DEADLINE },
             Freshness::Behind { .. } | Freshness::Moved { .. } => self,
         }
     }
 
     /// From when on the changes that may be missing count as notified; `None` if none are missing.
-    pub fn counts_from(self) -> Option<Micros> {
+    pub fn notified_from(self) -> Option<Micros> {
         match self {
             Freshness::UpToDate => None,
-            Freshness::Behind { counts_from } | Freshness::Moved { counts_from } => Some(counts_from),
+            Freshness::Behind { notified_from } | Freshness::Moved { notified_from } => Some(notified_from),
         }
     }
 }
--- a/src/core/watch_liveness/known_list.rs
+++ b/src/core/watch_liveness/known_list.rs
@@ -18,11 +18,11 @@
 }
 
 impl KnownList {
-    /// Starts the revalidation at `now`. `newest` is the latest start of a worker on the list. The list is no older than that, so
+    /// Starts the revalidation at `now`. `newest_start` is the latest start of a worker on the list. The list is no older than that, so
     /// the changes that it lacks count as notified [`NOTIFICATION_DEADLINE`] after it at the earliest. With `None` the list may
     /// have any age. Returns the span in which nothing may be sent by the list.
-    pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
-        let from = newest.map_or(now, |start| start.min(now) + NOTIFICATION_DEADLINE);
+    pub fn revalidate(&mut self, now: Micros, newest_start: Option<Micros>) -> Range<Micros> {
+        let from = newest_start.map_or(now, |start| start.min(now) + NOTIFICATION_DEADLINE);
         self.stale_span.insert(from.max(now)..now + REVALIDATION_TIMEOUT).clone()
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Ends the revalidation, because discovery has sent a list or cannot be reached.
-    pub fn release(&mut self) {
+    pub fn end_revalidation(&mut self) {
         self.stale_span = None;
     }
 }
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -100,12 +100,12 @@
     }
 
     /// Starts the revalidation of the list that the process started with. The list may lack changes that count as notified,
-    /// because it is what the previous process knew. `newest` is the latest start of a worker on the list. The list is no older
+    /// because it is what the previous process knew. `newest_start` is the latest start of a worker on the list. The list is no older
     /// than that, so the changes that it lacks count as notified `NOTIFICATION_DEADLINE` after it at the earliest. Returns the
     /// span in which nothing may be sent by the list.
-    pub fn revalidate(&mut self, now: Micros, newest: Option<Micros>) -> Range<Micros> {
-        let newest = newest.filter(|_| !self.settings.is_pushed);
-        self.known_list.revalidate(now, newest)
+    pub fn revalidate(&mut self, now: Micros, newest_start: Option<Micros>) -> Range<Micros> {
+        let newest_start = newest_start.filter(|_| !self.settings.is_pushed);
+        self.known_list.revalidate(now, newest_start)
     }
 
     /// Another dispatcher last received a message of the previous process at `at`. That process detected a silent watch within
@@ -134,7 +134,7 @@
         self.phase = WatchPhase::Closed;
         self.freshness = Freshness::moved(now);
         self.load = ServiceLoad::default();
-        self.first_call_at(now, self.settings.hurried_spread())
+        self.first_call_at(now, self.settings.short_spread())
     }
 
     fn first_call_at(&mut self, now: Micros, spread: Micros) -> Micros {
@@ -201,9 +201,9 @@
     /// Handles a list. Returns from when on its changes count as notified: now, or earlier if a silence or a move set an earlier
     /// time.
     pub fn on_list(&mut self, now: Micros) -> Micros {
-        self.known_list.release();
+        self.known_list.end_revalidation();
         let freshness = std::mem::take(&mut self.freshness);
-        freshness.counts_from().map_or(now, |counts_from| now.min(counts_from))
+        freshness.notified_from().map_or(now, |notified_from| now.min(notified_from))
     }
 
     /// Handles the failure of the watch, or of the call for it. Returns when to open the next one.
@@ -211,7 +211,7 @@
         let is_silent = failure == WatchFailure::Silent;
         let phase = std::mem::replace(&mut self.phase, WatchPhase::Closed);
         if failure == WatchFailure::Unreachable || self.settings.is_pushed && is_silent {
-            self.known_list.release();
+            self.known_list.end_revalidation();
         }
         if let WatchPhase::Live { last_data_at } = phase
             && is_silent
@@ -245,7 +245,11 @@
 
     /// The schedule of calls in the current state.
     fn schedule(&self) -> CallSchedule<'_> {
-        CallSchedule { settings: &self.settings, load: &self.load, counts_from: self.freshness.counts_from() }
+        CallSchedule {
+            settings: &self.settings,
+            load: &self.load,
+            notified_from: self.freshness.notified_from(),
+        }
     }
 
     /// Handles the failure of a call for the whole list, which a new service must send. Returns when to repeat the call.
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -79,7 +79,7 @@
         let overloaded_for = self.overload.map_or(0, |overload| now.saturating_sub(overload.since));
         let while_list_is_valid =
             settings.max_poll_interval.map_or(Micros::MAX, |interval| MAX_BACKOFF_INTERVALS * interval);
-        let longest = settings.slow_turn().min(while_list_is_valid);
+        let longest = settings.slow_service_round().min(while_list_is_valid);
         overloaded_for.saturating_sub(2 * NOTIFICATION_DEADLINE).min(longest).max(settings.call_interval())
     }
 
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -42,34 +42,34 @@
     /// The maximum time between the starts of two calls, in microseconds. A failed call and the next one both fit into the
     /// maximum poll interval of the settings, because a dispatcher that has not called for that long counts as notified.
     pub(super) fn call_interval(&self) -> Micros {
-        let fair = self.slow_turn().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
+        let fair = self.slow_service_round().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
         self.max_poll_interval.map_or(fair, |within| fair.min(within / 2))
     }
 
     /// The maximum time between the starts of two calls if the dispatchers do not take turns, in microseconds.
-    pub(super) fn hurried_call_interval(&self) -> Micros {
+    pub(super) fn uncoordinated_call_interval(&self) -> Micros {
         self.call_interval().min(POLL_INTERVAL)
     }
 
     /// How long one call of each dispatcher takes at a very slow service, in turn, in microseconds.
-    pub(super) fn slow_turn(&self) -> Micros {
+    pub(super) fn slow_service_round(&self) -> Micros {
         POLL_INTERVAL * Micros::from(self.dispatchers) / MAX_UNCOORDINATED_CALLERS
     }
 
     /// The span over which the calls of all dispatchers are spread, in microseconds, because all watches may start or end
     /// together. It is at most one interval.
     pub(super) fn spread(&self) -> Micros {
-        (SERVICE_TIME * Micros::from(self.dispatchers)).min(self.hurried_call_interval())
+        (SERVICE_TIME * Micros::from(self.dispatchers)).min(self.uncoordinated_call_interval())
     }
 
     /// The span if missed changes count as notified from a fixed time on, in microseconds. It is at most half an interval, so
     /// that the other half is left for a second call.
-    pub(super) fn hurried_spread(&self) -> Micros {
-        self.spread().min(self.hurried_call_interval() / 2)
+    pub(super) fn short_spread(&self) -> Micros {
+        self.spread().min(self.uncoordinated_call_interval() / 2)
     }
 
     /// Whether the dispatchers are few enough that they need not take turns.
-    pub(super) fn are_few(&self) -> bool {
+    pub(super) fn may_call_uncoordinated(&self) -> bool {
         Micros::from(self.dispatchers) <= MAX_UNCOORDINATED_CALLERS
     }
 }
