--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -7,15 +7,15 @@
 /// Identifies an attempt among all requests of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request_id: RequestId,
     /// The attempt's number within the request, from 0.
     pub number: u32,
 }
 
 impl AttemptId {
-    /// The id as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. It is unique if a request has at
-    /// most 256 attempts; the settings allow far fewer.
+    /// The id as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. The number is unique as long as a
+    /// request has at most 256 attempts; the settings allow far fewer.
     pub(super) fn to_number(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
@@ -27,38 +27,38 @@
     }
 }
 
-/// An attempt and how far it has come.
+/// An attempt and its phase.
 #[derive(Debug)]
 pub(super) struct Attempt {
     worker: WorkerId,
     sent_at: Micros,
-    /// Kept after the end.
+    /// When the worker first reported that the attempt runs; kept after the end.
     started_at: Option<Micros>,
     phase: AttemptPhase,
 }
 
-/// The phase of an attempt. Only after its end can it be known that it never ran.
+/// The phase of an attempt. Whether an attempt never ran is known only after its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptPhase {
-    /// The decision module is still owed its end. It may still wait for its idempotency record to be persisted.
+    /// The attempt has not ended. It may still be waiting for its idempotency record to be persisted.
     InFlight {
-        /// When it times out; `None` if that is at the request's deadline.
+        /// When the attempt times out; `None` if that is at the request's deadline.
         timeout_at: Option<Micros>,
     },
-    /// It has ended.
+    /// The attempt has ended.
     Ended(AttemptEnd),
 }
 
-/// What the end of an attempt proves.
+/// What the end of an attempt shows about whether it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
-    /// It ran, or may have run.
+    /// The attempt ran or may have run.
     MayHaveRun,
-    /// It never ran: the worker rejected it or was not reached, or its idempotency record could not be persisted.
+    /// The attempt never ran: the worker rejected it or was not reached, or its idempotency record could not be persisted.
     NeverRan,
-    /// The worker returned it unstarted by a callback, which it may repeat.
+    /// The worker returned the job unstarted by a callback. The callback may be repeated.
     ReturnedByCallback,
-    /// It never left this process.
+    /// The attempt was never sent.
     NeverSent,
 }
 
@@ -74,12 +74,12 @@
 }
 
 impl Attempt {
-    /// An attempt that is in flight from `now` on.
+    /// Creates an attempt that is in flight from `now` on.
     pub fn in_flight(worker: WorkerId, now: Micros, timeout_at: Option<Micros>) -> Attempt {
         Attempt { worker, sent_at: now, started_at: None, phase: AttemptPhase::InFlight { timeout_at } }
     }
 
-    /// An attempt that has ended already.
+    /// Creates an attempt that has already ended.
     pub fn ended(worker: WorkerId, sent_at: Micros, end: AttemptEnd) -> Attempt {
         Attempt { worker, sent_at, started_at: None, phase: AttemptPhase::Ended(end) }
     }
@@ -89,37 +89,37 @@
         Attempt { started_at, ..self }
     }
 
-    /// The worker that it goes to.
+    /// The worker that the attempt is sent to.
     pub fn worker(&self) -> WorkerId {
         self.worker
     }
 
-    /// When the decision module decided to send it.
+    /// When the decision module decided to send the attempt.
     pub fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
-    /// When the worker first reported that it runs; kept after its end.
+    /// When the worker first reported that the attempt runs; kept after the end.
     pub fn started_at(&self) -> Option<Micros> {
         self.started_at
     }
 
-    /// How far it has come.
+    /// The phase of the attempt.
     pub fn phase(&self) -> AttemptPhase {
         self.phase
     }
 
-    /// Whether its end is still owed.
+    /// Whether the attempt has not ended.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.phase, AttemptPhase::InFlight { .. })
     }
 
-    /// Whether it has ended and never ran.
+    /// Whether the attempt has ended without having run.
     pub fn has_never_run(&self) -> bool {
         matches!(self.phase, AttemptPhase::Ended(end) if end != AttemptEnd::MayHaveRun)
     }
 
-    /// When it times out; `None` if it has ended or times out at the request's deadline.
+    /// When the attempt times out; `None` if it has ended or times out at the request's deadline.
     pub fn timeout_at(&self) -> Option<Micros> {
         match self.phase {
             AttemptPhase::InFlight { timeout_at } => timeout_at,
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Records that its worker reports that it runs. Returns whether this is the first such report.
+    /// Records the worker's report that the attempt runs. Returns whether this is the first such report.
     pub fn record_start(&mut self, now: Micros) -> bool {
         let is_first = self.started_at.is_none();
         self.started_at.get_or_insert(now);
         is_first
     }
 
-    /// Ends it and cancels its timeout. Returns whether it was in flight: only the first end counts.
+    /// Ends the attempt and cancels its timeout. Returns whether the attempt was in flight: only the first end counts.
     pub fn finish(&mut self, id: AttemptId, end: AttemptEnd, timers: &mut TimerQueue) -> bool {
         let AttemptPhase::InFlight { timeout_at } = self.phase else { return false };
         if let Some(at) = timeout_at {
@@ -157,7 +157,7 @@
     }
 }
 
-/// The event for the end of an attempt whose request is over. It says nothing about the worker's performance.
+/// The event for the end of an attempt whose request is closed. The event carries no information on the worker's performance.
 pub(super) fn closed_attempt_ended(id: AttemptId, worker: WorkerId, outcome: Outcome) -> Event {
     Event::AttemptEnded(AttemptEnded {
         job: id.request_id.job(),
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -6,8 +6,8 @@
 /// A moment in Unix time, in microseconds.
 pub type UnixMicros = i64;
 
-/// The first reading of the module's clock, in microseconds. The hour before it represents events before the start of the process,
-/// such as the start of a worker. Anything earlier counts as long ago.
+/// The first reading of the module's clock, in microseconds. The hour before it represents events before the start of the
+/// process, such as the start of a worker. Any earlier event counts as long ago.
 pub(super) const CLOCK_START: Micros = 3_600_000_000;
 
 /// Converts between the module's clock and Unix time.
@@ -18,7 +18,7 @@
 }
 
 impl UnixClock {
-    /// A clock that reads [`CLOCK_START`] at this Unix time, in microseconds.
+    /// Creates a clock that reads [`CLOCK_START`] at `unix_now`, in microseconds of Unix time.
     pub fn starting_at(unix_now: u128) -> UnixClock {
         UnixClock { offset: CLOCK_START as i128 - unix_now as i128 }
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamId(pub u64);
 
-/// Identifies an idempotency record that an attempt waits for. In the messages of a hot restart it is a plain number.
+/// Identifies an idempotency record that an attempt waits for. The messages of a hot restart encode the ticket as a plain number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct RecordTicket(pub(crate) u64);
@@ -37,51 +37,51 @@
 pub struct NewRequest {
     /// The client's id of the request, which workers repeat in callbacks.
     pub name: String,
-    /// Where its final response goes.
+    /// The receiver of the final response.
     pub downstream: DownstreamId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that sent the request; `None` if it has none.
     pub tenant: Option<TenantId>,
-    /// The subject. Requests that concern the same object have the same subject.
+    /// The subject of the request. Requests that concern the same object have the same subject.
     pub key: Option<KeyId>,
-    /// How long its client will wait from now on, in microseconds.
+    /// How long the client will wait from now on, in microseconds.
     pub time_budget: Micros,
-    /// The expected work, as time on a standard core; `None` if the client does not state it.
+    /// The expected work, in microseconds on a standard core; `None` if the client does not state it.
     pub hint: Option<Micros>,
-    /// Slots that it needs at a worker.
+    /// The number of slots that the job needs at a worker.
     pub slots: f64,
-    /// Memory that it needs, in the unit of the workers' reports; `None` if memory does not count.
+    /// The memory that the job needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
-    /// Whether its client marked it as a repeat.
+    /// Whether the client marked the request as a repeat.
     pub repeat: bool,
-    /// Its idempotency key; `None` if it has none or keys are not recorded.
+    /// The idempotency key; `None` if the request has none or keys are not recorded.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// A worker's report about a job that it has accepted.
+/// A worker's report on a job that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobStatus {
-    /// It has started.
+    /// The job has started.
     Started,
-    /// The fraction done, 0 to 1.
+    /// The job has made progress: the fraction done, 0 to 1.
     Progress(f64),
-    /// It is done, with this result.
+    /// The job is done, with this result.
     Done(Vec<u8>),
-    /// It failed; it may have run.
+    /// The job failed and may have run.
     Failed,
-    /// The worker returned it unstarted.
+    /// The worker returned the job unstarted.
     Returned,
-    /// It was lost; it may have run.
+    /// The worker lost the job, which may have run.
     Lost,
 }
 
 /// How an attempt ended, as the upstream connection saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// The worker gave a result.
+    /// The worker responded with a result.
     Done(Vec<u8>),
-    /// It ended without a result.
+    /// The attempt ended without a result.
     Unserved(Outcome),
 }
 
@@ -95,16 +95,16 @@
     }
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
     /// A worker's result.
     Served(Vec<u8>),
-    /// Rejected. The client should wait for this time before it retries, if one is given.
+    /// A rejection. If a time is given, in microseconds, the client should wait that long before it retries.
     Rejected(Option<Micros>),
-    /// Failed.
+    /// The request failed before its deadline.
     Failed,
-    /// Failed at its deadline.
+    /// The request failed because its deadline passed.
     TimedOut,
 }
 
@@ -115,13 +115,13 @@
     StartAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// The worker.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
     },
-    /// Write an idempotency record. If there is a ticket, an attempt waits for the write: report its outcome by
+    /// Write an idempotency record. If there is a ticket, an attempt waits for the write: report the outcome by
     /// [`Core::on_record_persisted`](super::Core::on_record_persisted), which sends or drops the attempt.
     PersistRecord {
-        /// The ticket for the report of the outcome; `None` if no attempt waits for it.
+        /// The ticket for the report of the outcome; `None` if no attempt waits for the write.
         ticket: Option<RecordTicket>,
         /// The key of the record.
         key: String,
@@ -132,12 +132,12 @@
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// The worker that has it.
+        /// The worker that the attempt was sent to.
         worker: WorkerId,
-        /// The request's name, by which the worker knows the job.
+        /// The request's name, which identifies the job at the worker.
         name: String,
     },
-    /// Send the final response.
+    /// Send the final response to a request.
     Respond {
         /// The request.
         request_id: RequestId,
@@ -146,7 +146,7 @@
         /// The response.
         response: FinalResponse,
     },
-    /// Notify a client that streams its job's progress.
+    /// Notify a client that follows the progress of its job as a stream.
     NotifyProgress {
         /// The receiver, from [`NewRequest::downstream`].
         downstream: DownstreamId,
@@ -155,7 +155,7 @@
     },
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send a datagram to another dispatcher, by its number among the peers. It may be lost.
+    /// Send a datagram, which may be lost, to another dispatcher, by its number among the peers.
     SendToPeer(u32, Vec<u8>),
     /// Open a watch of the endpoint list.
     OpenWatch,
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A worker in the table. Its id is never reused.
+/// A worker in the table. The id of a worker is never reused.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     row: EndpointRow,
@@ -16,36 +16,36 @@
 }
 
 impl Endpoint {
-    /// Its row as discovery last sent it, with the lifecycle `removed` if it is no longer on the list.
+    /// The worker's row as discovery last sent it, with the lifecycle `removed` if the worker is no longer on the list.
     pub fn row(&self) -> &EndpointRow {
         &self.row
     }
 
-    /// The name by which workers and dispatchers know it.
+    /// The name that identifies the worker at all dispatchers and workers.
     pub fn instance_id(&self) -> &str {
         &self.row.instance_id
     }
 
-    /// The address that it listens at.
+    /// The address that the worker listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it takes work according to discovery's list.
+    /// Whether the worker takes work according to discovery's list.
     pub fn takes_work(&self) -> bool {
         self.row.lifecycle == Lifecycle::Up
     }
 
-    /// Whether it is no longer on discovery's list.
+    /// Whether the worker is no longer on discovery's list.
     pub fn is_removed(&self) -> bool {
         self.row.lifecycle == Lifecycle::Removed
     }
 }
 
-/// The origin of a list.
+/// The call that a list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// The first list of a watch: a delta since the generation held here, or a snapshot.
+    /// The first list of a watch: a delta since the generation of this table, or a snapshot.
     WatchStart,
     /// A later list of a watch.
     WatchUpdate,
@@ -56,18 +56,18 @@
 /// Why a list is rejected. No part of a rejected list is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRejection {
-    /// It is an empty snapshot although workers are known: discovery has lost its table, and the workers are still there.
+    /// The list is an empty snapshot although workers are known: discovery has lost its table, but the workers still exist.
     Empty,
-    /// It is older than the list held here: it is delayed or a duplicate.
+    /// The list is older than this table: it is delayed or a duplicate.
     Stale,
     /// A new watch was answered with a delta of an older generation than the requested one: the service has restarted its
-    /// numbering. Its generations cannot be compared with the one held here.
+    /// numbering, so its generations cannot be compared with that of this table.
     GenerationReset,
-    /// It is a delta, although a snapshot was requested.
+    /// The list is a delta although a snapshot was requested.
     Partial,
 }
 
-/// All workers ever listed, the generation of the list, and counts of what could not be used.
+/// All workers ever listed, the generation of the last applied list, and counts of unusable rows and lists.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -79,33 +79,33 @@
 }
 
 impl EndpointTable {
-    /// The generation of the list held here; 0 if the next call must request a snapshot.
+    /// The generation of the last applied list; 0 if the next call must request a snapshot.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The number of rows that could not be used, since the start.
+    /// The number of rows since the start that could not be used.
     pub fn bad_rows(&self) -> u64 {
         self.bad_rows
     }
 
-    /// The number of lists that were rejected as older than the list held here, since the start.
+    /// The number of lists since the start that were rejected as older than the table.
     pub fn stale_lists(&self) -> u64 {
         self.stale_lists
     }
 
-    /// Whether the rows date from before the start and must be revalidated. Until then, no worker takes work for the decision
-    /// module.
+    /// Whether the rows date from before the start and must be revalidated. Until then, no worker is listed
+    /// as ready to the decision module.
     pub fn is_stale(&self) -> bool {
         self.is_stale
     }
 
-    /// Marks the rows as to be revalidated, see [`EndpointTable::is_stale`].
+    /// Marks the rows as stale, see [`EndpointTable::is_stale`].
     pub(super) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Marks the rows as valid. Returns whether they were to be revalidated.
+    /// Marks the rows as valid. Returns whether they were stale.
     pub(super) fn clear_stale(&mut self) -> bool {
         std::mem::take(&mut self.is_stale)
     }
@@ -115,7 +115,7 @@
         self.generation = 0;
     }
 
-    /// The worker of this instance id.
+    /// The worker with this instance id.
     pub fn find(&self, instance_id: &str) -> Option<WorkerId> {
         self.ids.get(instance_id).copied()
     }
@@ -152,7 +152,7 @@
         self.endpoints.get(worker.0 as usize)
     }
 
-    /// How many workers take work.
+    /// The number of workers that take work.
     pub fn ready(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.takes_work()).count()
     }
@@ -162,17 +162,17 @@
         self.endpoints.iter().map(|endpoint| endpoint.row.clone()).collect()
     }
 
-    /// How many workers are on discovery's list.
+    /// The number of workers on discovery's list.
     pub fn listed(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| !endpoint.is_removed()).count()
     }
 
-    /// Every worker ever listed, in the order of ids.
+    /// Every worker ever listed, in order of id.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Endpoint)> {
         (0..).map(WorkerId).zip(&self.endpoints)
     }
 
-    /// Checks whether a list from this source may be applied. Counts a list of an older generation.
+    /// Checks whether a list from this source may be applied. Lists of an older generation are counted.
     ///
     /// # Errors
     /// [`ListRejection`] if the list may not be applied.
@@ -187,9 +187,9 @@
         Err(rejection)
     }
 
-    /// Why a list from this source is to be rejected; `None` if it may be applied. This is the only place that decides which
-    /// generation may follow which. Only a snapshot in answer to a new watch may take the table back to an older generation,
-    /// because a service that was restarted begins its numbering again.
+    /// The reason to reject a list from this source; `None` if the list may be applied. No other function decides which
+    /// generation may follow which. Only a snapshot in answer to a new watch may set the table back to an older generation,
+    /// because a restarted service begins its numbering again.
     fn rejection(&self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
         let is_older = list.generation < self.generation;
         match source {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Applies a list. Returns the workers on it, in the list's order.
+    /// Applies a list. Returns its workers, in the list's order.
     pub(super) fn apply(&mut self, list: &EndpointList) -> Vec<WorkerId> {
         self.generation = list.generation;
         self.bad_rows += list.bad_rows;
@@ -217,12 +217,12 @@
             }
             workers.extend(worker.or_else(|| self.find(&row.instance_id)));
         }
-        // An invalid row changes nothing: its worker stays as it is.
+        // An invalid row leaves its worker unchanged.
         workers.extend(list.workers_with_invalid_rows.iter().filter_map(|name| self.find(name)));
         workers
     }
 
-    /// Marks the workers that are not on a snapshot as removed.
+    /// Marks the workers that a snapshot lacks as removed.
     fn remove_unlisted(&mut self, list: &EndpointList) {
         let readable = list.rows.iter().map(|row| &row.instance_id);
         let listed: HashSet<&String> = readable.chain(&list.workers_with_invalid_rows).collect();
@@ -233,7 +233,7 @@
         }
     }
 
-    /// A worker in the form of the decision module's endpoint list; `None` if the id is unknown.
+    /// Converts a worker to an entry of the decision module's endpoint list; `None` if the id is unknown.
     pub(super) fn to_entry(
         &self,
         worker: WorkerId,
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: reports about them from workers and upstream connections, and whether they may still be written.
+//! Attempts in flight: reports on them from workers and upstream connections, and the check whether they may still be written.
 
 use super::Core;
 use crate::core::attempt::{AttemptEnd, AttemptId};
@@ -9,8 +9,8 @@
 use crate::fleet::RunEnd;
 use crate::policy::interface::{AttemptEnded, Class, Event, Idempotency, LoadReport, Micros, Outcome};
 
-/// An attempt waits for its worker's first response for at most the class's deadline divided by this number. The rest of the time
-/// is left for another worker.
+/// The divisor of a class's deadline that gives the maximum wait for a worker's first response. The rest of the time is left for
+/// an attempt at another worker.
 const ACCEPT_TIMEOUT_DIVISOR: Micros = 2;
 
 impl Core {
@@ -18,7 +18,7 @@
         self.class_settings(self.requests.get(id)?.job().class)
     }
 
-    /// The name of an attempt's request, which its worker needs to cancel it. `None` if the attempt has ended.
+    /// The name of an attempt's request, which the worker needs to cancel the attempt. `None` if the attempt has ended.
     pub fn request_name(&self, id: AttemptId) -> Option<String> {
         let request = self.requests.get(id.request_id)?;
         request.in_flight(id.number).map(|_| request.name().to_owned())
@@ -38,8 +38,8 @@
         Some(connect_timeout.min(class.deadline / ACCEPT_TIMEOUT_DIVISOR))
     }
 
-    /// Whether bytes of an attempt may still be written now, because the state may have changed after the decision to send it. The
-    /// last byte may take `transit_time` to arrive. The caller must check by itself whether the worker has stopped.
+    /// Whether bytes of an attempt may still be written now. The state may have changed since the decision to send the attempt.
+    /// The last byte may take `transit_time` to arrive. The caller itself must check whether the worker has stopped.
     pub fn may_write(&self, now: Micros, id: AttemptId, transit_time: Micros) -> bool {
         let request = self.requests.get(id.request_id).filter(|request| request.is_open());
         let Some(request) = request else { return false };
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Handles a worker's status callback, by the request's name and the worker's instance id. Returns whether it changed
-    /// anything. A callback that changed nothing is counted, and its result is kept if the request has an idempotency record.
+    /// Handles a worker's status callback, by the request's name and the worker's instance id. Returns whether the callback
+    /// changed the state. One without effect is counted, and its result is kept if the request has an idempotency record.
     pub fn on_job_status(
         &mut self,
         now: Micros,
@@ -86,7 +86,8 @@
     }
 
     /// Handles a callback about an attempt. Unlike a rejection on the attempt's own connection, a callback may be repeated. So a
-    /// worker that returns the job by a callback gets no other attempt of this request: a repeat could be mistaken for its end.
+    /// worker that returns the job by a callback gets no other attempt of this request: a repeated callback could be mistaken for
+    /// the end of the second attempt.
     fn on_callback(
         &mut self,
         now: Micros,
@@ -101,7 +102,8 @@
         self.on_attempt_status(now, id, status, report)
     }
 
-    /// Handles a status of an attempt, from the connection that it was sent on. Returns whether it changed anything.
+    /// Handles a status of an attempt from the connection that the attempt was sent on. Returns whether the status changed the
+    /// state.
     pub fn on_attempt_status(
         &mut self,
         now: Micros,
@@ -120,7 +122,7 @@
         self.on_attempt_ended(now, id, outcome, report)
     }
 
-    /// An attempt has started. Returns whether that is new.
+    /// Handles the start of an attempt. Returns whether this is the first report of the start.
     fn on_started(&mut self, now: Micros, id: AttemptId) -> bool {
         let is_first = self.requests.in_flight_mut(id).is_some_and(|attempt| attempt.record_start(now));
         if is_first {
@@ -131,7 +133,7 @@
         is_first
     }
 
-    /// An attempt has reported its progress, which implies that it has started. Returns whether it is in flight.
+    /// Handles the progress of an attempt, which implies that the attempt has started. Returns whether the attempt is in flight.
     fn on_progress(&mut self, now: Micros, id: AttemptId, fraction: f64) -> bool {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return false };
         attempt.record_start(now);
@@ -141,7 +143,7 @@
         true
     }
 
-    /// Notifies the client of an open request: once of its start, and each time of its progress.
+    /// Notifies the client of an open request: once of the start, and of each progress report.
     fn notify_progress(&mut self, id: RequestId, fraction: Option<f64>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.is_open()) else { return };
         let downstream = request.downstream();
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Reports the start of an attempt to the learner of run times, which needs its worker and that worker's kind of machine.
+    /// Reports the start of an attempt to the learner of run times, with the worker and its kind of machine.
     fn learn_start(&mut self, now: Micros, id: AttemptId) {
         if !self.learners.is_enabled() {
             return;
@@ -168,9 +170,8 @@
         }
     }
 
-    /// Handles the end of an attempt. Only its first end counts. But a result becomes the final response of a request that has
-    /// none yet, also if it arrives after the attempt was given up: it is as good as any other. Returns whether it changed
-    /// anything.
+    /// Handles the end of an attempt. Only the first end counts. A result, however, becomes the final response of an open request
+    /// even if it arrives after the attempt was cancelled, because it is still valid. Returns whether the end changed the state.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -187,7 +188,7 @@
         let is_response = result.is_some_and(|result| self.on_result(now, request_id, result));
         if !was_in_flight {
             // The decision module has already handled this attempt's end and may have other attempts in flight. This event ends
-            // the request for it.
+            // the request in the module.
             if is_response {
                 self.events.push(Event::ClientDisconnected(request_id.job()));
             }
@@ -203,7 +204,7 @@
         true
     }
 
-    /// Handles a worker's result. Returns whether it became the request's final response.
+    /// Handles a worker's result. Returns whether the result became the request's final response.
     fn on_result(&mut self, now: Micros, id: RequestId, result: Vec<u8>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_open = request.is_open();
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Applies discovery's lists to the endpoint table, and passes the changes to the decision module.
+//! Applies discovery's lists to the endpoint table and passes the changes to the decision module.
 
 use super::Core;
 use crate::config::EndpointList;
@@ -6,8 +6,8 @@
 use crate::policy::interface::{Event, ListKind, Micros, WorkerId};
 
 impl Core {
-    /// Checks whether a list that discovery sent may be applied by [`Core::on_endpoint_list`]. Counts a list of an older
-    /// generation.
+    /// Checks whether a list that discovery sent may be applied by [`Core::on_endpoint_list`]. Lists of an older generation are
+    /// counted.
     ///
     /// # Errors
     /// [`ListRejection`] if the list may not be applied.
@@ -21,7 +21,7 @@
         self.apply_list(list, kind);
     }
 
-    /// Applies a list that another process with a watch handed over.
+    /// Applies a list that was received from another process that has a watch.
     pub fn on_cached_list(&mut self, list: &EndpointList) {
         self.apply_list(list, ListKind::Cached);
     }
@@ -29,16 +29,16 @@
     fn apply_list(&mut self, list: &EndpointList, kind: ListKind) {
         let named = self.endpoints.apply(list);
         if self.endpoints.clear_stale() {
-            // For the module, no worker has taken work until now, so it needs all of them.
+            // The decision module has seen no worker as ready until now, so all of them are passed on.
             self.push_all_endpoints(ListKind::Snapshot);
         } else {
             self.push_endpoints(kind, named);
         }
     }
 
-    /// Loads a list that dates from before the start, perhaps from long before. Its workers get their ids, and discovery is called
-    /// with its generation. But nothing is sent to them before discovery has sent a list or [`Core::use_stale_list`] is called.
-    /// Returns the latest start of a worker on the list.
+    /// Loads a list that dates from before the start of the process, perhaps from long before. The workers on the list get their
+    /// ids, and discovery is called with the list's generation. But no job is sent to the workers before discovery has sent a
+    /// list or [`Core::use_stale_list`] is called. Returns the latest start of a worker on the list.
     pub fn load_known_list(&mut self, list: &EndpointList) -> Option<Micros> {
         self.endpoints.apply(list);
         self.endpoints.mark_stale();
@@ -46,14 +46,14 @@
         list.rows.iter().filter_map(|row| clock.module_time_of_millis(row.started_at_ms)).max()
     }
 
-    /// Accepts the list from before the start as it is, if it is still to be revalidated.
+    /// Uses the list from before the start without revalidation, if it is still stale.
     pub fn use_stale_list(&mut self) {
         if self.endpoints.clear_stale() {
             self.push_all_endpoints(ListKind::Cached);
         }
     }
 
-    /// Sends nothing more by the list from before the start until discovery has sent a list or [`Core::use_stale_list`] is called.
+    /// Stops the use of the list from before the start, until discovery has sent a list or [`Core::use_stale_list`] is called.
     pub fn suspend_stale_list(&mut self) {
         self.endpoints.mark_stale();
         self.push_all_endpoints(ListKind::Delta);
@@ -71,12 +71,12 @@
         self.events.push(Event::EndpointList(kind, entries));
     }
 
-    /// A call to discovery or its watch failed.
+    /// Handles the failure of a call to discovery or of its watch.
     pub fn on_list_failed(&mut self) {
         self.events.push(Event::ListFailed);
     }
 
-    /// Another discovery service is used from now on. Its generations cannot be compared with those of the old one.
+    /// Handles the move to another discovery service, whose generations cannot be compared with those of the old one.
     pub fn on_discovery_moved(&mut self) {
         self.endpoints.forget_generation();
         self.events.push(Event::DiscoveryMoved);
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -14,8 +14,8 @@
 use mothproxy_invariant::invariant;
 
 impl Core {
-    /// Keeps records of keyed requests from now on, beginning with `records`. Returns the keys whose records cannot be decoded,
-    /// each with the reason.
+    /// Starts keeping records of keyed requests, beginning with `records`. Returns the keys whose records cannot be decoded, each
+    /// with the reason.
     pub fn enable_idempotency(
         &mut self,
         now: Micros,
@@ -32,8 +32,8 @@
         unreadable
     }
 
-    /// Treats the deduplication window of every recorded attempt as over, because time may have passed that the clock does not
-    /// show.
+    /// Treats the deduplication window of every recorded attempt as over, because the clock may not show all the time that has
+    /// passed.
     pub fn expire_idempotency_windows(&mut self) {
         if let Some(store) = &mut self.idempotency {
             store.expire_windows();
@@ -48,7 +48,10 @@
     /// Loads a record that another process of this dispatcher has written; `None` deletes the key's record.
     pub fn load_record(&mut self, now: Micros, key: &str, record: Option<&[u8]>) {
         let loaded = self.idempotency.as_mut().map(|store| store.load(now, key, record));
-        invariant!(!matches!(loaded, Some(Err(_))), "a record of the other process that cannot be read");
+        invariant!(
+            !matches!(loaded, Some(Err(_))),
+            "the record of another process cannot be decoded: {loaded:?}"
+        );
     }
 
     /// Looks up the record of a new request's key.
@@ -98,7 +101,7 @@
         self.commands.push_back(Command::PersistRecord { ticket: None, key, record });
     }
 
-    /// Fails every write that an attempt waits for, because records can no longer be written.
+    /// Fails all writes that attempts wait for, because records can no longer be written.
     pub fn fail_unpersisted(&mut self) {
         let tickets: Vec<RecordTicket> = self.unpersisted.keys().copied().collect();
         for ticket in tickets {
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Handles the outcome of the write of a ticket's record. The attempt that waits for it is sent if the record was written.
-    /// Otherwise it never runs, and the decision module gives its request up.
+    /// Handles the outcome of the write of a ticket's record. If the record was written, the attempt that waits for it is sent.
+    /// Otherwise the attempt never runs, and the decision module ends the request.
     pub fn on_record_persisted(&mut self, ticket: RecordTicket, outcome: PersistOutcome) {
         let Some(id) = self.unpersisted.remove(&ticket) else { return };
         let Some(request) = self.requests.get(id.request_id) else { return };
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Ends an attempt that waited for its record, without sending it.
+    /// Ends an attempt that waited for its record and was not sent.
     fn drop_unpersisted(&mut self, id: AttemptId) {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return };
         attempt.finish(id, AttemptEnd::NeverRan, &mut self.timers);
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -1,7 +1,7 @@
-//! The engine takes timed events, passes them to the decision module in batches, and turns the module's actions into commands.
+//! The engine takes timed events, passes them to the decision module in batches, and converts the module's actions to commands.
 //!
-//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module constructs and reconfigures it
-//! and gives access to its parts. The submodules handle the events:
+//! [`Core`] owns the parts (requests, endpoints, timers, idempotency records, ledger). This module constructs and reconfigures
+//! the core and gives access to its parts. The submodules handle the events:
 //! - `requests`: the arrival and the end of requests;
 //! - `turn`: timers, batches, and the module's actions;
 //! - `attempts`: reports on attempts, and their ends;
@@ -36,9 +36,9 @@
 
 /// The core of a dispatcher, as one state machine.
 ///
-/// Events come in through `on_*` methods and [`Core::accept`]; [`Core::turn`] runs what is due, at the time of
-/// [`Core::next_wake`]; [`Core::next_command`] hands out what follows. Each accepted request gets exactly one final response,
-/// unless its client disconnects or it is transferred.
+/// Events come in through `on_*` methods and [`Core::accept`]. [`Core::turn`] is called at the time of [`Core::next_wake`] and
+/// runs the timers and the batch that are due. [`Core::next_command`] returns the resulting commands. Each accepted request gets
+/// exactly one final response, unless its client disconnects or the request is transferred.
 pub struct Core {
     dispatcher: Dispatcher,
     names: SiteNames,
@@ -58,7 +58,7 @@
     idempotency: Option<IdempotencyStore>,
     /// Attempts that wait for their record to be persisted, by ticket.
     unpersisted: HashMap<RecordTicket, AttemptId>,
-    /// The learners that are on.
+    /// The enabled learners.
     learners: Learners,
     stale_status_updates: u64,
 }
@@ -95,8 +95,8 @@
         })
     }
 
-    /// Continues with other settings. Classes and tenants must have kept their ids. A class or tenant that was removed or
-    /// redefined keeps its id for the open requests.
+    /// Applies new settings. Classes and tenants must have kept their ids. A class or tenant that was removed or redefined keeps
+    /// its old id for the open requests.
     ///
     /// # Errors
     /// [`SettingsError`] if the settings contradict themselves or lack a class; nothing changes then.
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Copies what was learned about a class to its redefinition, whose id is `known_classes` or higher.
+    /// Copies the learned state of a class to its redefinition, whose id is `known_classes` or higher.
     fn copy_redefined_classes(&mut self, known_classes: usize, classes: &[String]) {
         for new in known_classes..classes.len() {
             if let Some(old) = (0..new).rev().find(|old| classes[*old] == classes[new]) {
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Uses these learners from now on.
+    /// Replaces the learners.
     pub fn enable_learners(&mut self, learners: Learners) {
         self.learners = learners;
     }
 
-    /// The learners that are on.
+    /// The enabled learners.
     pub fn learners(&self) -> &Learners {
         &self.learners
     }
 
-    /// The learners, to publish their facts and to absorb facts of other dispatchers.
+    /// Mutable access to the learners, to publish their facts and to absorb facts of other dispatchers.
     pub fn learners_mut(&mut self) -> &mut Learners {
         &mut self.learners
     }
@@ -144,7 +144,7 @@
         &self.ledger
     }
 
-    /// The number of status callbacks for unknown attempts or for attempts that had ended, since the start.
+    /// The number of status callbacks since the start that were for unknown attempts or for attempts that had ended.
     pub fn stale_status_updates(&self) -> u64 {
         self.stale_status_updates
     }
@@ -159,7 +159,7 @@
         &self.names
     }
 
-    /// The next command, in order.
+    /// Removes and returns the next command, in order of issue.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
@@ -169,7 +169,7 @@
         self.events.next_batch().into_iter().chain(self.timers.next_due()).min()
     }
 
-    /// Sets a timer for the server: [`Command::TimerFired`] is issued at that time.
+    /// Sets a timer for the server: [`Command::TimerFired`] is issued when the timer is due.
     pub fn set_timer(&mut self, at: Micros, token: TimerToken) {
         self.timers.schedule(at, Timer::Server(token));
     }
@@ -204,7 +204,7 @@
         self.dispatcher.settings().classes.get(usize::from(class.0))
     }
 
-    /// How the requests of each class ended, by the class's name. Classes without requests and removed classes are included.
+    /// The counts of how requests ended, by class name. Classes without requests and removed classes are included.
     pub fn tallies(&self) -> BTreeMap<&str, Tally> {
         self.tallies.by_name(self.names.class_names())
     }
@@ -214,7 +214,7 @@
         self.dispatcher.group_peers()
     }
 
-    /// The number of listed workers that the decision module sends nothing to.
+    /// The number of listed workers that the decision module sends no jobs to.
     pub fn ejected_endpoints(&self, now: Micros) -> usize {
         self.dispatcher.unavailable_count(now)
     }
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -12,8 +12,8 @@
 use mothproxy_invariant::invariant;
 
 impl Core {
-    /// Accepts a request that has arrived. Returns `None` if a request of the same name is still open, because the callbacks of
-    /// the two could not be distinguished.
+    /// Accepts a request that has arrived. Returns `None` if the name belongs to a request that is open or has attempts in
+    /// flight, because the callbacks of the two could not be distinguished.
     pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
         if self.knows(&request.name) {
             return None;
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Adopts the attempt of an earlier request with the same idempotency key that may have run. It counts as an attempt of this
-    /// request, and the decision module decides whether and where to send another.
+    /// Adopts the attempt of an earlier request with the same idempotency key that may have run. That attempt counts as one of
+    /// this request, and the decision module decides whether and where to send another.
     fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, first: &AttemptRecord) {
         let sent_at = self.clock.module_time(first.sent_at).min(now);
         let worker = self.endpoints.id_or_placeholder(first);
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Counts a request that was rejected before it was accepted, because no file descriptors were left. To its client this is a
-    /// rejection like any other.
+    /// Counts a request that was rejected before it was accepted, because no file descriptors were left. The client sees the same
+    /// rejection as for any other reason.
     pub fn count_rejected(&mut self, class: ClassId) {
         self.tallies.record(class, Completion::Rejected);
     }
 
-    /// Fails every open request, because the process ends and their deadlines have passed.
+    /// Fails all open requests, because the process ends and their deadlines have passed.
     pub fn fail_all(&mut self, now: Micros) {
         for id in self.open_requests() {
             self.respond(now, id, FinalResponse::Failed, Completion::Failed);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends the final response, unless the request is closed.
+    /// Sends the final response to a request, unless the request is closed.
     pub(super) fn respond(
         &mut self,
         now: Micros,
@@ -107,7 +107,7 @@
         self.close(now, id, completion);
     }
 
-    /// Closes an open request and counts its end.
+    /// Closes an open request and counts the completion.
     fn close(&mut self, now: Micros, id: RequestId, completion: Completion) {
         let Some(request) = self.requests.get_mut(id) else { return };
         invariant!(request.is_open(), "request {id} got a second final response");
@@ -146,17 +146,17 @@
         self.requests.get(id).map(PendingRequest::downstream)
     }
 
-    /// The open requests, in the order of their arrival.
+    /// The open requests, in order of arrival.
     pub fn open_requests(&self) -> Vec<RequestId> {
         self.requests.open_ids()
     }
 
-    /// The names of the requests that are open, or that still have attempts in flight.
+    /// The names of all requests that are open or have attempts in flight.
     pub fn open_request_names(&self) -> Vec<String> {
         self.requests.names().cloned().collect()
     }
 
-    /// Whether a request of this name is open, or has an attempt in flight.
+    /// Whether a request with this name is open or has an attempt in flight.
     pub fn knows(&self, name: &str) -> bool {
         self.requests.find(name).is_some()
     }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -10,7 +10,7 @@
 use crate::policy::interface::{ClassId, Event, KeyId, NewJob, Outcome};
 
 impl Core {
-    /// What the decision module has learned, for the successor.
+    /// The state that the decision module has learned, for the successor.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             clock_offset: self.clock.offset(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Restores what another process has learned. The endpoint list must be loaded before.
+    /// Restores the learned state of another process. The endpoint list must be loaded before.
     pub fn restore(&mut self, state: LearnedState) {
         let ids = crate::policy::IdMap {
             workers: state.workers.iter().map(|name| self.endpoints.find(name)).collect(),
@@ -34,7 +34,7 @@
 
     /// Removes an open request from this process, so that another process of this dispatcher can adopt it. Returns `None` if that
     /// is not possible now: an event of any request still waits for the decision module, an attempt of this request waits for its
-    /// record, or its class or a worker no longer exists, so that the other process could not know it.
+    /// record, or the request's class or a worker no longer exists and would be unknown to the other process.
     pub fn transfer(&mut self, id: RequestId) -> Option<TransferredRequest> {
         let request = self.requests.get(id).filter(|request| request.is_open())?;
         if !self.events.has_only_transfers()
@@ -58,14 +58,14 @@
 
     fn to_transferred(&self, request: &PendingRequest) -> Option<TransferredRequest> {
         let job = request.job();
-        // A redefined class keeps its old id here, while its name means the new definition in the other process.
+        // A redefined class keeps its old id in this process, but in the other process its name stands for the new definition.
         if !self.names.is_current_class(job.class) {
             return None;
         }
         let class = self.names.class_name(job.class)?;
         let mut attempts = Vec::with_capacity(request.attempts().len());
         for attempt in request.attempts() {
-            // An attempt that was never sent is not transferred. Both processes number the remaining attempts anew.
+            // An attempt that was never sent is not transferred. The other process numbers the remaining attempts anew.
             if let Some(phase) = transferred_phase(attempt) {
                 attempts.push(self.to_transferred_attempt(attempt, phase)?);
             }
@@ -100,8 +100,9 @@
         })
     }
 
-    /// Adopts a request that another process of this dispatcher has transferred. Its final response goes to `downstream`. Returns
-    /// `None` if its class or one of its workers is unknown here, or a request of its name is open here.
+    /// Adopts a request that another process of this dispatcher has transferred. The final response goes to `downstream`. Returns
+    /// `None` if the class or a worker is unknown in this process, or a request with the same name is open or has attempts in
+    /// flight.
     pub fn adopt(&mut self, transferred: TransferredRequest, downstream: DownstreamId) -> Option<RequestId> {
         let class = self.names.class_id(&transferred.class)?;
         if self.knows(&transferred.name) {
@@ -126,7 +127,7 @@
         Some(id)
     }
 
-    /// The job that the decision module of this process sees for a transferred request.
+    /// The job that the decision module of this process gets for a transferred request.
     fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
         let tenant = transferred.tenant.as_ref().and_then(|name| self.names.tenant_id(name));
         let key = transferred.key.map(KeyId);
@@ -157,7 +158,7 @@
     }
 }
 
-/// The phase in which an attempt is transferred; `None` if it was never sent.
+/// The phase in which an attempt is transferred; `None` if the attempt was never sent.
 fn transferred_phase(attempt: &Attempt) -> Option<TransferredPhase> {
     match attempt.phase() {
         AttemptPhase::InFlight { .. } => Some(TransferredPhase::InFlight),
@@ -168,7 +169,7 @@
     }
 }
 
-/// What the end of a transferred attempt proves; `None` if it is in flight.
+/// The end of a transferred attempt; `None` if the attempt is in flight.
 fn attempt_end(phase: TransferredPhase) -> Option<AttemptEnd> {
     match phase {
         TransferredPhase::InFlight => None,
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -1,4 +1,4 @@
-//! A turn of the core: timers fire, the decision module handles a batch of events, and its actions become commands.
+//! A turn of the core: timers fire, the decision module handles a batch of events, and its actions are converted to commands.
 
 use super::Core;
 use crate::core::attempt::{Attempt, AttemptEnd, AttemptId, closed_attempt_ended};
@@ -13,7 +13,8 @@
 const OVERDUE_GRACE: Micros = 15_000;
 
 impl Core {
-    /// Fires the timers that are due. If the next batch is due, passes the pending events to the decision module.
+    /// Fires the timers that are due. If the next batch is due or a request's deadline has passed, passes the pending events to
+    /// the decision module.
     pub fn turn(&mut self, now: Micros) {
         let mut is_batch_urgent = false;
         while let Some(timer) = self.timers.pop_due(now) {
@@ -32,8 +33,8 @@
             Timer::AttemptTimeout(id) => self.cancel_attempt(now, id, Outcome::Timeout),
             Timer::RequestDeadline(id) => self.on_request_deadline(now, id),
             Timer::OverdueResponse(id) => {
-                // The module ends each request in time by itself. This is a safeguard in case it does not.
-                invariant!(false, "request {id} is past its deadline and open");
+                // The decision module ends each request in time. This is a safeguard in case it does not.
+                invariant!(false, "request {id} is open {OVERDUE_GRACE} us after its deadline was handled");
                 self.respond(now, id, FinalResponse::TimedOut, Completion::Failed);
                 self.events.push(Event::ClientDisconnected(id.job()));
             }
@@ -46,14 +47,15 @@
             self.cancel_attempt(now, AttemptId { request_id, number }, Outcome::Timeout);
         }
         if let Some(request) = self.requests.get_mut(request_id) {
-            // The grace begins now and not at the deadline: also after a late turn, the module gets to end the request first.
+            // The grace period begins now and not at the deadline, so that the module can end the request first even after a
+            // late turn.
             let respond_at = now + OVERDUE_GRACE;
             request.mark_overdue(respond_at);
             self.timers.schedule(respond_at, Timer::OverdueResponse(request_id));
         }
     }
 
-    /// Passes the pending events to the decision module, and carries out its actions.
+    /// Passes the pending events to the decision module and executes the resulting actions.
     pub fn batch(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for event in self.events.take_batch(now, self.batch_interval) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The response to a request that fails now: it timed out if it is past its deadline, or within two batches of it.
+    /// The response to a request that fails now: a timeout if its deadline has passed or is at most two batch intervals away.
     fn failure_response(&self, now: Micros, id: RequestId) -> FinalResponse {
         let is_late = |deadline| now + 2 * self.batch_interval >= deadline;
         match self.requests.get(id) {
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Starts an attempt for the decision module. It times out after `time_limit`, or at the request's deadline if that is
-    /// earlier.
+    /// Starts an attempt for the decision module. The attempt times out after `time_limit`, or at the request's deadline if that
+    /// is earlier.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -107,7 +109,7 @@
         time_limit: Option<Micros>,
     ) {
         let Some(request) = self.requests.get_mut(request_id) else {
-            invariant!(false, "an attempt of request {request_id}, which is no more");
+            invariant!(false, "an attempt for the unknown request {request_id}");
             return;
         };
         let id = AttemptId { request_id, number: request.next_attempt_number() };
@@ -117,7 +119,11 @@
             return self.events.push(closed_attempt_ended(id, worker, Outcome::NeverSent));
         }
         let is_duplicate = request.is_in_flight_at(worker);
-        invariant!(!is_duplicate, "worker {} has request {request_id} already", worker.0);
+        invariant!(
+            !is_duplicate,
+            "request {request_id} already has an attempt in flight at worker {}",
+            worker.0
+        );
         let timeout_at = time_limit.map(|span| now + span).filter(|at| *at < request.job().deadline);
         request.add_attempt(Attempt::in_flight(worker, now, timeout_at));
         let has_key = request.idempotency_key().is_some();
@@ -133,8 +139,8 @@
         }
     }
 
-    /// Cancels an attempt that is in flight: its worker is sent a cancellation, and the attempt ends with this outcome. An attempt
-    /// that still waits for its record ends as never sent.
+    /// Cancels an attempt that is in flight: a cancellation is sent to the worker, and the attempt ends with this outcome. An
+    /// attempt that still waits for its record ends as never sent.
     fn cancel_attempt(&mut self, now: Micros, id: AttemptId, outcome: Outcome) {
         let Some(request) = self.requests.get(id.request_id) else { return };
         let Some(worker) = request.in_flight(id.number).map(Attempt::worker) else { return };
--- a/src/core/event_queue.rs
+++ b/src/core/event_queue.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::interface::{Event, Micros};
 
-/// The events since the last batch.
+/// The events since the last batch, and the earliest time of the next one.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     events: Vec<Event>,
@@ -23,12 +23,12 @@
     }
 
     /// Whether the queue contains nothing but the ends of transferred requests. Only then may another request be transferred,
-    /// because the module makes no further decision about it.
+    /// because no pending event can then lead to a decision about that request.
     pub fn has_only_transfers(&self) -> bool {
         self.events.len() == self.len_after_transfer
     }
 
-    /// Records that the events of a transfer were pushed. [`EventQueue::has_only_transfers`] must have held before them.
+    /// Records that the events of a transfer were pushed. [`EventQueue::has_only_transfers`] must have been true before.
     pub fn mark_transfer(&mut self) {
         self.len_after_transfer = self.events.len();
     }
--- a/src/core/idempotency/mod.rs
+++ b/src/core/idempotency/mod.rs
@@ -1,8 +1,9 @@
-//! Records of requests with an `Idempotency-Key`. With them a repeat is either answered from the record, or sent only where and as
-//! long as the rules allow, also after a crash.
+//! Records of requests with an `Idempotency-Key`. A repeat of such a request is answered with the recorded result if there is
+//! one. Otherwise it is sent only within the deduplication scope and window of the first attempt that may have run, also after a
+//! crash.
 //!
-//! The module does no input or output. The owner of the [`IdempotencyStore`] writes the bytes that it returns, and loads them at
-//! the next start.
+//! The module does no input or output. The owner of the [`IdempotencyStore`] writes the bytes that the store returns, and
+//! loads them at the next start.
 
 mod record;
 mod store;
--- a/src/core/idempotency/record.rs
+++ b/src/core/idempotency/record.rs
@@ -6,10 +6,10 @@
 /// The first byte of an encoded record.
 const VERSION: u8 = 1;
 
-/// The key that a client gave a request, under its tenant, and a fingerprint of the request's body.
+/// The key that a client gave a request, qualified by the tenant, and a fingerprint of the request's body.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct IdempotencyKey {
-    /// Tenant and key.
+    /// The tenant and the key as one text.
     pub key: String,
     /// The fingerprint of the body. A key is valid for one body only.
     #[serde(rename = "body")]
@@ -21,22 +21,22 @@
 pub struct AttemptRecord {
     /// The worker's instance id.
     pub worker: String,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: u32,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// When the decision module decided to send it.
+    /// When the decision module decided to send the attempt.
     pub sent_at: UnixMicros,
-    /// Whether it is known that it never ran.
+    /// Whether the attempt is known to have never run.
     pub never_ran: bool,
 }
 
 /// The record of one key.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct IdempotencyRecord {
-    /// The class's name.
+    /// The name of the request's class.
     pub class: String,
-    /// The body's fingerprint.
+    /// The fingerprint of the request's body.
     pub body_fingerprint: u64,
     /// The name of the newest request, which workers repeat in callbacks.
     pub request_name: String,
@@ -50,16 +50,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordDecodeError {
     /// There are no bytes.
-    #[error("an empty note")]
+    #[error("the idempotency record is empty")]
     Empty,
-    /// The record has another version.
-    #[error("a note of version {found}; this program reads version {VERSION}")]
+    /// The record has an unknown version.
+    #[error("idempotency record of version {found}; this program reads version {VERSION}")]
     UnknownVersion {
         /// The version that was found.
         found: u8,
     },
     /// The bytes are not a record.
-    #[error("not a note: {0}")]
+    #[error("malformed idempotency record: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
@@ -67,7 +67,7 @@
     /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_extend(self, vec![VERSION]);
-        mothproxy_invariant::invariant!(bytes.is_ok(), "a record that cannot be written");
+        mothproxy_invariant::invariant!(bytes.is_ok(), "cannot encode an idempotency record: {bytes:?}");
         bytes.unwrap_or_default()
     }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether any attempt may have run.
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.first_that_may_have_run().is_some()
     }
@@ -98,7 +98,7 @@
         self.body_fingerprint == key.body_fingerprint && self.class == class
     }
 
-    /// Updates the recorded attempts, and adds new ones.
+    /// Updates the attempts that are already recorded and adds new ones.
     pub(super) fn merge(&mut self, attempts: Vec<AttemptRecord>) {
         for attempt in attempts {
             let is_same = |known: &&mut AttemptRecord| {
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -1,11 +1,11 @@
-//! The store of records, bounded in number, bytes and time.
+//! The in-memory store of idempotency records, bounded in number, size and age.
 
 use super::record::{AttemptRecord, IdempotencyKey, IdempotencyRecord, RecordDecodeError};
 use crate::core::UnixMicros;
 use crate::policy::interface::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// How long a record is kept after it was last written, in microseconds: far longer than clients wait and workers deduplicate.
+/// How long a record is kept after its last write, in microseconds: far longer than clients wait and workers deduplicate.
 pub const RECORD_TTL: Micros = 3_600_000_000;
 /// The maximum number of records; beyond it the oldest are evicted.
 const MAX_RECORDS: usize = 50_000;
@@ -15,22 +15,22 @@
 /// The result of looking up the key of a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// Nothing is known of it: the request is handled like any other.
+    /// There is no record that matters: the request is handled like one without a key.
     Unknown,
-    /// An earlier request got this result.
+    /// An earlier request with this key got this result.
     Answered(Vec<u8>),
-    /// An earlier request may have run; this is the first attempt that may have.
+    /// An earlier request with this key may have run; this is the first attempt that may have run.
     MayHaveRun(AttemptRecord),
 }
 
 /// The current state of a keyed request.
 #[derive(Debug)]
 pub struct RecordUpdate<'a> {
-    /// The class's name.
+    /// The name of the request's class.
     pub class: &'a str,
     /// The request's name.
     pub request_name: &'a str,
-    /// Its attempts.
+    /// The attempts of the request.
     pub attempts: Vec<AttemptRecord>,
     /// A worker's result, if there is one.
     pub result: Option<Vec<u8>>,
@@ -61,13 +61,13 @@
         self.evicted
     }
 
-    /// The number of repeats that were answered with a recorded result.
+    /// The number of repeats since the start that were answered with a recorded result.
     pub fn repeats_answered(&self) -> u64 {
         self.repeats_answered
     }
 
-    /// The number of repeats of requests that may have run. They may be sent only within the deduplication scope of the first
-    /// attempt.
+    /// The number of repeats since the start of requests that may have run. Such a repeat may be sent only within the
+    /// deduplication scope of the first attempt.
     pub fn restricted_repeats(&self) -> u64 {
         self.restricted_repeats
     }
@@ -98,7 +98,8 @@
         self.get(&key.key).is_some_and(|record| !record.matches(key, class))
     }
 
-    /// Looks up the key of a new request of this class. Counts the repeat if there is a record of it.
+    /// Looks up the key of a new request of this class. Counts the repeat if the record has a result or an attempt that may have
+    /// run.
     pub fn look_up(&mut self, now: Micros, key: &IdempotencyKey, class: &str) -> LookupResult {
         self.remove_expired(now);
         // A request that reuses a key has been rejected before, see `is_reused`.
@@ -109,7 +110,8 @@
             self.repeats_answered += 1;
             return LookupResult::Answered(result);
         }
-        // The oldest attempt decides for how long a repeat is safe. By the rules, all attempts went to the same cell.
+        // The oldest attempt determines how long a repeat is safe. All attempts that may have run went to the same cell, because
+        // the decision module sends no others.
         match record.first_that_may_have_run().cloned() {
             Some(first) => {
                 self.restricted_repeats += 1;
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Records the current state of a keyed request. Returns the bytes to write; `None` if no record is needed any more and the
-    /// key's record is to be deleted.
+    /// Records the current state of a keyed request. Returns the bytes to write; `None` if the request no longer needs a record,
+    /// so that the stored one is to be deleted.
     pub fn record(&mut self, now: Micros, key: &IdempotencyKey, update: RecordUpdate<'_>) -> Option<Vec<u8>> {
         let mut record = self.remove(&key.key).unwrap_or_default();
         record.class = update.class.to_owned();
@@ -155,7 +157,7 @@
         Ok(())
     }
 
-    /// Treats the deduplication window of every recorded attempt as over, because the time since then is unknown.
+    /// Treats the deduplication window of every recorded attempt as over, because the time since the attempt is unknown.
     pub fn expire_windows(&mut self) {
         for stored in self.records.values_mut() {
             for attempt in &mut stored.record.attempts {
--- a/src/core/job_labels.rs
+++ b/src/core/job_labels.rs
@@ -4,7 +4,7 @@
 use crate::fleet::JobLabels;
 use crate::policy::interface::{ClassId, KeyId, TenantId};
 
-/// The labels of a job; `None` if the class is unknown. The number of a subject is a hash, the same at every dispatcher.
+/// The labels of a job; `None` if the class is unknown. The number of a subject is a hash, which is the same at every dispatcher.
 pub(super) fn job_labels(
     names: &SiteNames,
     class: ClassId,
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -7,13 +7,13 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// With a worker's result.
+    /// The client got a worker's result.
     Served,
-    /// Rejected.
+    /// The request was rejected.
     Rejected,
-    /// Failed.
+    /// The request failed or timed out.
     Failed,
-    /// Its client disconnected before any response.
+    /// The client disconnected before any response.
     ClientDisconnected,
 }
 
@@ -39,7 +39,7 @@
         self.transferred += 1;
     }
 
-    /// Counts the end of a request.
+    /// Counts the completion of a request.
     pub(super) fn record(&mut self, completion: Completion) {
         let count = match completion {
             Completion::Served => &mut self.served,
@@ -50,59 +50,59 @@
         *count += 1;
         invariant!(
             self.ended() + self.transferred <= self.accepted,
-            "more final responses than requests: {self:?}"
+            "more completed requests than accepted ones: {self:?}"
         );
     }
 
-    /// Requests accepted since the start.
+    /// The number of requests that were accepted since the start.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Requests that ended with a worker's result.
+    /// The number of requests that ended with a worker's result.
     pub fn served(&self) -> u64 {
         self.served
     }
 
-    /// Requests that were rejected.
+    /// The number of requests that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Requests that failed, also those that timed out.
+    /// The number of requests that failed, including those that timed out.
     pub fn failed(&self) -> u64 {
         self.failed
     }
 
-    /// Requests whose clients disconnected before a response.
+    /// The number of requests whose clients disconnected before a response.
     pub fn disconnected(&self) -> u64 {
         self.disconnected
     }
 
-    /// Requests transferred to another process of this dispatcher, which now owes the response.
+    /// The number of requests that were transferred to another process of this dispatcher, which then sends the response.
     pub fn transferred(&self) -> u64 {
         self.transferred
     }
 
-    /// Requests that have ended here.
+    /// The number of requests that have ended in this process.
     pub fn ended(&self) -> u64 {
         self.served + self.rejected + self.failed + self.disconnected
     }
 
-    /// Requests that are owed a response.
+    /// The number of requests that have not got a response yet.
     pub fn open(&self) -> u64 {
         self.accepted.saturating_sub(self.ended() + self.transferred)
     }
 }
 
-/// How the requests of one class ended. Requests whose clients disconnected are not counted.
+/// The counts of how the requests of one class ended. Requests whose clients disconnected are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Served.
+    /// The number of requests that ended with a worker's result.
     pub served: u64,
-    /// Rejected.
+    /// The number of requests that were rejected.
     pub rejected: u64,
-    /// Failed.
+    /// The number of requests that failed or timed out.
     pub failed: u64,
 }
 
@@ -123,12 +123,12 @@
     }
 }
 
-/// The tallies of all classes, by id.
+/// The tallies of all classes, by class id.
 #[derive(Debug, Default)]
 pub struct ClassTallies(Vec<Tally>);
 
 impl ClassTallies {
-    /// Counts the end of a request of this class.
+    /// Counts the completion of a request of this class.
     pub(super) fn record(&mut self, class: ClassId, completion: Completion) {
         let class = usize::from(class.0);
         if self.0.len() <= class {
@@ -137,7 +137,7 @@
         self.0[class].record(completion);
     }
 
-    /// The tallies by class name. `names` has the name of each id; the tallies of ids with the same name are added up.
+    /// The tallies by class name. `names` has the name of each class id; the tallies of ids with the same name are added up.
     pub fn by_name<'a>(&self, names: &'a [String]) -> BTreeMap<&'a str, Tally> {
         let mut by_name: BTreeMap<&str, Tally> = BTreeMap::new();
         for (number, name) in names.iter().enumerate() {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,12 +1,12 @@
 //! The request engine: a state machine between the server's sockets and the decision module.
 //!
-//! It knows no wire format and no file descriptor. Timed events go in through the methods of [`Core`]; [`Command`]s come out
-//! through [`Core::next_command`]. All times are [`Micros`](crate::Micros) on the module's clock, which starts at
+//! The engine knows no wire format and no file descriptor. Timed events go in through the methods of [`Core`]; [`Command`]s come
+//! out through [`Core::next_command`]. All times are [`Micros`](crate::Micros) on the module's clock, which starts at
 //! [`Core::clock_start`].
 //!
 //! The parts of the engine, each of which owns its state:
-//! - [`commands`](Command): the messages in and out;
-//! - `request`, `request_table` and `attempt`: a client's request and its phase, the table of all requests, and an attempt at a
+//! - [`commands`](Command): the messages between the engine and the server;
+//! - `request`, `request_table` and `attempt`: a client's request with its phase, the table of all requests, and an attempt at a
 //!   worker with its phase;
 //! - [`endpoint_table`]: the workers that discovery has listed, by id;
 //! - [`idempotency`]: records of requests with an idempotency key;
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// A request that is open, or that still has attempts in flight.
+/// A request that is open or has attempts in flight.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     name: String,
@@ -46,19 +46,19 @@
 /// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestPhase {
-    /// Its final response is owed.
+    /// The final response has not been sent.
     Open,
-    /// Its final response is owed and its deadline has passed. The core itself will respond.
+    /// The final response has not been sent although the deadline has passed. The core itself will respond.
     Overdue {
         /// When the core will respond.
         respond_at: Micros,
     },
-    /// Its final response was sent, or its client has disconnected.
+    /// The final response was sent, or the client has disconnected.
     Closed,
 }
 
 impl PendingRequest {
-    /// Creates an open request without attempts. Its final response goes to `downstream`.
+    /// Creates an open request without attempts. The final response goes to `downstream`.
     pub fn new(
         name: String,
         job: NewJob,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sets the attempts that another process has made for it.
+    /// Sets the attempts that another process has made for the request.
     pub fn with_attempts(self, attempts: Vec<Attempt>) -> PendingRequest {
         PendingRequest { attempts, ..self }
     }
@@ -93,7 +93,7 @@
         &self.job
     }
 
-    /// When it arrived.
+    /// When the request arrived.
     pub fn arrived_at(&self) -> Micros {
         self.arrived_at
     }
@@ -103,22 +103,22 @@
         self.downstream
     }
 
-    /// Its idempotency key; `None` if it has none or keys are not recorded.
+    /// The idempotency key; `None` if the request has none or keys are not recorded.
     pub fn idempotency_key(&self) -> Option<&IdempotencyKey> {
         self.idempotency_key.as_ref()
     }
 
-    /// Whether its client has been notified of its start.
+    /// Whether the client has been notified that the job has started.
     pub fn is_start_notified(&self) -> bool {
         self.is_start_notified
     }
 
-    /// Records that its client is notified of its start. Returns whether this is the first time, so that the notification is due.
+    /// Records that the client is notified of the job's start. Returns whether the client had not been notified before.
     pub fn mark_start_notified(&mut self) -> bool {
         !std::mem::replace(&mut self.is_start_notified, true)
     }
 
-    /// Whether its final response is still owed.
+    /// Whether the request is not closed.
     pub fn is_open(&self) -> bool {
         self.phase != RequestPhase::Closed
     }
@@ -131,32 +131,32 @@
         }
     }
 
-    /// Marks it as past its deadline. The core itself will respond at `respond_at`.
+    /// Marks the request as past its deadline. The core itself will respond at `respond_at`.
     pub fn mark_overdue(&mut self, respond_at: Micros) {
         self.phase = RequestPhase::Overdue { respond_at };
     }
 
-    /// Closes it: its final response was sent, or its client has disconnected.
+    /// Closes the request: the final response was sent, or the client has disconnected.
     pub fn close(&mut self) {
         self.phase = RequestPhase::Closed;
     }
 
-    /// Whether it is closed and has no attempt in flight.
+    /// Whether the request is closed and has no attempt in flight.
     pub fn is_over(&self) -> bool {
         !self.is_open() && !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Its attempts, by number.
+    /// The attempts, by number.
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// The number that its next attempt gets.
+    /// The number of the next attempt.
     pub fn next_attempt_number(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// Adds an attempt, under [`PendingRequest::next_attempt_number`].
+    /// Adds an attempt, which gets the number [`PendingRequest::next_attempt_number`].
     pub fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,29 +1,29 @@
-//! All requests that are open, or that still have attempts in flight, by id and by name.
+//! All requests that are open or have attempts in flight, by id and by name.
 
 use super::attempt::{Attempt, AttemptId};
 use super::request::{PendingRequest, RequestId};
 use crate::policy::interface::WorkerId;
 use std::collections::HashMap;
 
-/// All requests that are open, or that still have attempts in flight.
+/// All requests that are open or have attempts in flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
     by_name: HashMap<String, RequestId>,
-    /// Requests that may be over, to be checked by [`RequestTable::remove_finished`].
+    /// Requests to be checked by [`RequestTable::remove_finished`], because they may be over.
     finished: Vec<RequestId>,
     next_id: u64,
 }
 
 impl RequestTable {
-    /// Returns the id of the next request.
+    /// Allocates the id of a new request.
     pub fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    /// Adds a request, under an id of [`RequestTable::allocate_id`].
+    /// Adds a request under an id from [`RequestTable::allocate_id`].
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.by_name.insert(request.name().to_owned(), id);
         self.requests.insert(id, request);
@@ -52,12 +52,12 @@
         self.get_mut(id.request_id)?.attempt_mut(id.number)
     }
 
-    /// The request of this name.
+    /// The request with this name.
     pub fn find(&self, name: &str) -> Option<RequestId> {
         self.by_name.get(name).copied()
     }
 
-    /// The latest attempt of the request of this name at this worker.
+    /// The latest attempt at this worker of the request with this name.
     pub fn find_attempt(&self, name: &str, worker: WorkerId) -> Option<AttemptId> {
         let request_id = self.find(name)?;
         let attempts = self.get(request_id)?.attempts();
@@ -73,13 +73,13 @@
 
     /// Marks a request that may be over for the next [`RequestTable::remove_finished`].
     ///
-    /// It cannot be removed at once. Until the decision module has handled the request's end, it may still send an attempt, and
-    /// that attempt must get the same number here as in the module.
+    /// The request cannot be removed at once. Until the decision module has handled the end of the request, the module may still
+    /// send an attempt, and that attempt must get the same number here as in the module.
     pub fn mark_finished(&mut self, id: RequestId) {
         self.finished.push(id);
     }
 
-    /// Removes the requests that are over. To be called once the module has handled all events.
+    /// Removes the requests that are over. To be called once the decision module has handled all events.
     pub fn remove_finished(&mut self) {
         for id in std::mem::take(&mut self.finished) {
             if self.get(id).is_some_and(PendingRequest::is_over) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The open requests, in the order of their arrival.
+    /// The open requests, in order of arrival.
     pub fn open_ids(&self) -> Vec<RequestId> {
         let open = self.requests.iter().filter(|(_, request)| request.is_open());
         let mut ids: Vec<RequestId> = open.map(|(id, _)| *id).collect();
--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -1,43 +1,43 @@
-//! The schedule of a graceful shutdown, derived from the protocol's figures and the longest deadline in force.
+//! The schedule of a graceful shutdown, derived from the protocol's time limits and the longest deadline of the settings.
 
 use crate::policy::interface::Micros;
 
 /// How long after the signal new connections may still arrive, in microseconds.
 const ARRIVAL_WINDOW: Micros = 400_000;
-/// The time after the signal, in microseconds, from which on a request counts as lost if the process is killed before the
+/// A time after the signal, in microseconds. A request that arrives later counts as lost if the process is killed before the
 /// response. An earlier request is answered by its own deadline as usual, and does not count as lost if the process is killed
-/// before that.
+/// before that deadline.
 const LATE_ARRIVAL_LIMIT: Micros = 700_000;
 /// The cap on the longest deadline, in microseconds, in the calculation of the time from which the process may be killed.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// How long before the process may be killed a job ends that arrives with the last connections and uses all its time, in
-/// microseconds. The other late requests get the same margin, because on a busy core the signal is seen late and the last
-/// responses take time.
+/// The time from the end of a job that arrives with the last connections and uses its whole deadline to the time from which the
+/// process may be killed, in microseconds. The other late requests get the same margin, because on a busy core the signal is
+/// detected late and the last responses take time.
 const ANSWER_MARGIN: Micros = LATE_ARRIVAL_LIMIT - ARRIVAL_WINDOW;
-/// How long after the signal idle downstream connections are closed, in microseconds, so that their clients go elsewhere. No
-/// connection is new by then, and a request that was on its way on the last one has arrived.
+/// How long after the signal idle downstream connections are closed, in microseconds, so that their clients move to another
+/// dispatcher. No new connection arrives after that, and a request that was in transit on the last one has arrived.
 const IDLE_CLOSE_DELAY: Micros = ARRIVAL_WINDOW + 50_000;
 
-/// The moments of a graceful shutdown.
+/// The times of the steps of a graceful shutdown, on the decision module's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// When the signal was seen.
+    /// When the process received the signal.
     pub started_at: Micros,
-    /// From when on idle downstream connections are closed.
+    /// When idle downstream connections begin to be closed.
     pub close_idle_at: Micros,
-    /// Until when the connections of clients with nowhere else to go are kept. Half of the longest deadline is left for the last
-    /// of their requests.
+    /// Until when connections are kept if clients have no other dispatcher to move to. Half of the longest deadline is left for
+    /// the last requests on those connections.
     pub keep_clients_until: Micros,
-    /// After this nothing new arrives, and the process ends once no request is left.
+    /// When no new request is expected any more. From then on the process ends once no request is left.
     pub arrivals_end_at: Micros,
     /// By when late requests must be answered.
     pub answer_late_by: Micros,
-    /// When the process stops waiting, because the deadline of every job has passed.
+    /// When the process ends in any case, because the deadline of every job has passed.
     pub give_up_at: Micros,
 }
 
 impl ShutdownPlan {
-    /// The plan of a shutdown that begins `now`. `longest_deadline` is the longest of the current classes,
+    /// Creates the plan of a shutdown that begins `now`. `longest_deadline` is the longest deadline of the current classes, and
     /// `longest_open_deadline` that of all classes with open jobs, some of which a reload may have removed. Both are in
     /// microseconds.
     pub fn new(now: Micros, longest_deadline: Micros, longest_open_deadline: Micros) -> ShutdownPlan {
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,11 +1,12 @@
-//! The sorted queue of all timers of the program.
+//! The queue of all timers of the core and the server, sorted by time.
 
 use super::attempt::AttemptId;
 use super::request::RequestId;
 use crate::policy::interface::{Micros, TimerId};
 use std::collections::BTreeSet;
 
-/// Identifies a timer of the server, which chooses the number. Timers due at the same time fire in the order of these numbers.
+/// Identifies a timer of the server, which chooses the number. Timers of the server that are due at the same time fire in the
+/// order of these numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
@@ -14,7 +15,7 @@
 pub enum Timer {
     /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// A request's client gives up.
+    /// The deadline of a request, when its client stops waiting.
     RequestDeadline(RequestId),
     /// The core ends a request that the decision module should have ended by now.
     OverdueResponse(RequestId),
@@ -24,12 +25,12 @@
     Server(TimerToken),
 }
 
-/// Timers in the order of their times.
+/// Timers, sorted by the time at which they are due.
 #[derive(Debug, Default)]
 pub struct TimerQueue(BTreeSet<(Micros, Timer)>);
 
 impl TimerQueue {
-    /// Adds a timer. If the same timer is scheduled at the same time already, nothing changes.
+    /// Adds a timer, unless the same timer is already scheduled at the same time.
     pub fn schedule(&mut self, at: Micros, timer: Timer) {
         self.0.insert((at, timer));
     }
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -1,9 +1,9 @@
 //! The messages by which one process of a dispatcher transfers open requests and the decision module's learned state to its
 //! successor.
 //!
-//! They are encoded as JSON, whose keys must stay the same for other versions. Times are Unix times in microseconds, because the
-//! clocks of the two processes start at different moments. Classes, tenants and workers are identified by name, because their ids
-//! may differ.
+//! The messages are encoded as JSON, whose keys must stay the same for compatibility with other versions. Times are Unix times in
+//! microseconds, because the clocks of the two processes start at different times. Classes, tenants and workers are identified by
+//! name, because their ids may differ.
 
 use super::UnixMicros;
 use super::idempotency::IdempotencyKey;
@@ -11,37 +11,37 @@
 use crate::policy::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// An open request.
+/// An open request that is transferred to another process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TransferredRequest {
     /// The client's id of the request.
     pub name: String,
-    /// Its class.
+    /// The name of the request's class.
     pub class: String,
-    /// Its tenant.
+    /// The name of the request's tenant; `None` if it has none.
     pub tenant: Option<String>,
-    /// The number of its subject.
+    /// The number of the request's subject; `None` if it has none.
     pub key: Option<u32>,
-    /// When it arrived.
+    /// When the request arrived.
     #[serde(rename = "arrived")]
     pub arrived_at: UnixMicros,
-    /// Its deadline, when its client gives up.
+    /// The deadline, when the client stops waiting.
     pub deadline: UnixMicros,
-    /// The expected work, as time on a standard core.
+    /// The expected work, in microseconds on a standard core; `None` if the client does not state it.
     pub hint: Option<Micros>,
-    /// Slots that it needs.
+    /// The number of slots that the job needs at a worker.
     pub slots: f64,
-    /// Memory that it needs, in the unit of the workers' reports.
+    /// The memory that the job needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
-    /// Whether its client marked it as a repeat.
+    /// Whether the client marked the request as a repeat.
     pub repeat: bool,
-    /// Whether its client has been notified of its start.
+    /// Whether the client has been notified that the job has started.
     #[serde(rename = "told_started")]
     pub is_start_notified: bool,
-    /// Its idempotency key; `None` if it has none or keys are not recorded.
+    /// The idempotency key; `None` if the request has none or keys are not recorded.
     #[serde(default, rename = "token")]
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Its attempts so far, in the order sent.
+    /// The attempts so far, in the order sent.
     #[serde(rename = "dispatches")]
     pub attempts: Vec<TransferredAttempt>,
 }
@@ -52,28 +52,28 @@
 pub struct TransferredAttempt {
     /// The worker's instance id.
     pub worker: String,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: UnixMicros,
-    /// When it started to run; kept after its end.
+    /// When the attempt started to run, kept after its end; `None` if it has not reported a start.
     pub started_at: Option<UnixMicros>,
-    /// Its phase.
+    /// The phase of the attempt.
     pub phase: TransferredPhase,
 }
 
 /// The phase of a transferred attempt. An attempt that was never sent is not transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferredPhase {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It has ended, and ran or may have run.
+    /// The attempt has ended, and ran or may have run.
     MayHaveRun,
-    /// It has ended and never ran.
+    /// The attempt has ended and never ran.
     NeverRan,
-    /// Its worker returned it unstarted by a callback, which it may repeat.
+    /// The worker returned the job unstarted by a callback. The callback may be repeated.
     ReturnedByCallback,
 }
 
-/// The encoded form of an attempt, with one flag for each fact that may be known about it.
+/// The encoded form of an attempt, in which several flags together represent the phase.
 #[derive(Clone, Deserialize, Serialize)]
 struct AttemptMessage {
     worker: String,
@@ -89,7 +89,7 @@
 }
 
 impl From<AttemptMessage> for TransferredAttempt {
-    /// While an attempt is in flight, the other flags mean nothing.
+    /// Derives the phase from the flags. While an attempt is in flight, the other flags are ignored.
     fn from(message: AttemptMessage) -> TransferredAttempt {
         let phase = if message.is_in_flight {
             TransferredPhase::InFlight
@@ -120,17 +120,17 @@
     }
 }
 
-/// What the decision module has learned, with the names of the ids in it.
+/// The learned state of the decision module, with the names for the ids in that state.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LearnedState {
     /// The module's clock minus Unix time, in microseconds.
     #[serde(rename = "offset")]
     pub clock_offset: i64,
-    /// Names of workers, by id.
+    /// The names of the workers, by id.
     pub workers: Vec<String>,
-    /// Names of kinds of machines, by id.
+    /// The names of the kinds of machines, by id.
     pub kinds: Vec<String>,
-    /// Names of classes, by id. A redefined class has several ids, of which the last one counts.
+    /// The names of the classes, by id. A redefined class has several ids, of which the last one is the current definition.
     pub classes: Vec<String>,
     /// The learned state.
     pub learned: Learned,
--- a/src/core/watch_liveness/call_schedule.rs
+++ b/src/core/watch_liveness/call_schedule.rs
@@ -1,4 +1,4 @@
-//! The timeouts of calls for a watch, and the start of the next call.
+//! The timeouts of calls for a watch, and the time of the next call.
 
 use super::service_load::{MIN_CALL_SPACING, ServiceLoad};
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
@@ -6,20 +6,20 @@
 use crate::policy::interface::Micros;
 use std::ops::RangeInclusive;
 
-/// The part of [`NOTIFICATION_DEADLINE`] that is left for the last call, the one that is answered, in microseconds. Services
-/// are known that make no call wait for longer.
+/// The part of [`NOTIFICATION_DEADLINE`] that is left for the last call, which is answered, in microseconds. Known services make
+/// no call wait for longer.
 const LAST_CALL_RESERVE: Micros = 1_000_000;
-/// The maximum interval between calls after a refusal, in microseconds. With any number of dispatchers, [`NOTIFICATION_DEADLINE`]
-/// has room for the rest of a wait, one refused call and the last call.
+/// The maximum interval between calls after a refusal, in microseconds. With it, [`NOTIFICATION_DEADLINE`] leaves time for the
+/// rest of a wait, one refused call and the last call, with any number of dispatchers.
 const MAX_REFUSED_INTERVAL: Micros = (NOTIFICATION_DEADLINE - LAST_CALL_RESERVE) / 2;
-/// The minimum delay before the next call after an agent refused, or after a call that used all its time, in microseconds. It
-/// prevents a busy loop.
+/// The minimum delay before the next call after an agent refused or a call used all its time, in microseconds. The delay prevents
+/// a busy loop.
 pub(super) const MIN_RETRY_INTERVAL: Micros = 50_000;
-/// The next call begins at random within the last part of the time until it is due, so that dispatchers do not call at the same
-/// moment. The part is one divided by this number.
+/// The next call begins at a random time in the last part of the interval until it is due, so that dispatchers do not call at the
+/// same time. This number is the divisor that gives the length of that part.
 const RETRY_SPREAD_DIVISOR: Micros = 8;
-/// The same divisor if many dispatchers wait for a slow service without an answer: with a smaller part they would call at the
-/// same time again.
+/// The value of [`RETRY_SPREAD_DIVISOR`] for many dispatchers at a slow service that has not answered them: in a smaller part
+/// they would call at the same time again.
 const OVERLOAD_SPREAD_DIVISOR: Micros = 2;
 
 /// A watch that has failed, or a call for one.
@@ -42,21 +42,21 @@
     }
 }
 
-/// The inputs from which the times of calls are derived.
+/// The inputs from which timeouts and the times of calls are derived.
 #[derive(Debug)]
 pub(super) struct CallSchedule<'a> {
     pub settings: &'a DiscoverySettings,
     pub load: &'a ServiceLoad,
-    /// From when on the changes that this dispatcher may lack count as notified; `None` if it lacks none.
+    /// From when on the changes that this dispatcher may lack count as notified; `None` if no changes are missing.
     pub notified_from: Option<Micros>,
 }
 
 impl CallSchedule<'_> {
     /// How long a call that began at `called_at` may wait for its answer, in microseconds, once its connection is established.
     ///
-    /// A call that times out loses its place in the service's queue, and many services answer it although nobody reads the
-    /// answer. So it times out only when the next call is due, or later if the service has made a call wait for longer. But as
-    /// long as missed changes can still be received in time, there must be time for another call.
+    /// A call that times out loses its place in the service's queue, and many services spend time on answering it although nobody
+    /// reads the answer. So a call times out only when the next call is due, or later if the service has made a call wait for
+    /// longer. But as long as missed changes can still be received in time, there must be time for another call.
     pub fn answer_timeout(&self, called_at: Micros) -> Micros {
         let longest = self.load.answer_timeout(called_at, self.settings);
         let timeout = match self.notified_from {
@@ -68,8 +68,8 @@
         timeout.max(self.load.observed_timeout())
     }
 
-    /// The window in which the next call after a failed one begins. `None` if that window has passed or is about to: then the
-    /// call begins after [`MIN_RETRY_INTERVAL`].
+    /// The window in which the next call after a failed one begins. `None` if the window has passed or is about to pass: the call
+    /// then begins after [`MIN_RETRY_INTERVAL`].
     pub fn retry_window(&self, failed: &FailedCall) -> Option<RangeInclusive<Micros>> {
         let call_by = failed.called_at + self.retry_interval(failed);
         let window = if failed.was_live() && call_by <= failed.failed_at {
@@ -82,7 +82,7 @@
 
     /// The maximum time from the start of the failed call to the start of the next one, in microseconds.
     fn retry_interval(&self, failed: &FailedCall) -> Micros {
-        // Before missed changes count as notified, and after a live watch, the dispatchers do not take turns.
+        // Dispatchers do not take turns before missed changes count as notified, nor after a live watch.
         let is_in_time = self.notified_from.is_some_and(|notified_from| failed.failed_at < notified_from);
         if is_in_time || failed.was_live() {
             self.settings.uncoordinated_call_interval()
@@ -103,7 +103,7 @@
         failed.failed_at..=failed.failed_at + spread
     }
 
-    /// The window of a call that is due by `call_by`; `None` if that time has passed or is near.
+    /// The window of a call that is due by `call_by`; `None` if that time has passed or is less than [`MIN_RETRY_INTERVAL`] away.
     fn window_before(&self, call_by: Micros, now: Micros) -> Option<RangeInclusive<Micros>> {
         if call_by <= now + MIN_RETRY_INTERVAL {
             return None;
@@ -114,8 +114,8 @@
         Some(earliest..=call_by)
     }
 
-    /// The window, moved to an earlier time if missed changes can still be received in time, so that there is time for another
-    /// call after this one.
+    /// The window, moved to an earlier time if missed changes can still be received in time, so that another call fits in after
+    /// this one.
     fn earlier_window(&self, failed: &FailedCall, window: RangeInclusive<Micros>) -> RangeInclusive<Micros> {
         let now = failed.failed_at;
         let Some(spare) = self.notified_from.and_then(|at| at.checked_sub(now + POLL_INTERVAL)) else {
--- a/src/core/watch_liveness/freshness.rs
+++ b/src/core/watch_liveness/freshness.rs
@@ -3,19 +3,20 @@
 use super::settings::NOTIFICATION_DEADLINE;
 use crate::policy::interface::Micros;
 
-/// How long after a move to another service at SIGHUP its changes count as notified, in microseconds (STANDING, "The whole
-/// fleet").
+/// How long after a move to another service at SIGHUP the changes of that service count as notified, in microseconds (STANDING,
+/// "The whole fleet").
 const MOVED_NOTIFICATION_DEADLINE: Micros = 4_000_000;
 
 /// Whether this dispatcher may lack changes of discovery's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// It lacks no changes, as far as it knows.
+    /// No changes are known to be missing.
     #[default]
     UpToDate,
-    /// A watch fell silent, and no watch has sent data since. The missed changes count as notified from this time on.
+    /// A watch fell silent, and no watch has sent data since. The missed changes count as notified from `notified_from` on.
     Behind { notified_from: Micros },
-    /// Another service is used and has sent no list yet. Its changes count as notified from this time on.
+    /// The dispatcher has moved to another service, which has sent no list yet. The changes of that service count as notified
+    /// from `notified_from` on.
     Moved { notified_from: Micros },
 }
 
@@ -25,7 +26,7 @@
         Freshness::Moved { notified_from: now + MOVED_NOTIFICATION_DEADLINE }
     }
 
-    /// The state after a live watch fell silent that sent its last data at `last_data_at`.
+    /// The state after a live watch, which last sent data at `last_data_at`, fell silent.
     pub fn after_silence(self, last_data_at: Micros) -> Freshness {
         match self {
             Freshness::UpToDate => Freshness::Behind { notified_from: last_data_at + NOTIFICATION_DEADLINE },
@@ -33,7 +34,7 @@
         }
     }
 
-    /// From when on the changes that may be missing count as notified; `None` if none are missing.
+    /// From when on the changes that may be missing count as notified; `None` if no changes are missing.
     pub fn notified_from(self) -> Option<Micros> {
         match self {
             Freshness::UpToDate => None,
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -1,9 +1,9 @@
 //! The liveness of a watch of discovery's list, as a state machine without clock and socket.
 //!
-//! It decides when a watch counts as broken although its connection is open, when the first and each further watch is opened,
-//! from when on missed changes count as notified, and whether the list that the process started with must still be revalidated.
-//! Its methods take the time and return the next time at which something is due. There always is one: a dispatcher either has a
-//! watch or a time for its next call.
+//! The state machine decides when a watch counts as broken although its connection is open, when the first and each further
+//! watch is opened, from when on missed changes count as notified, and whether the list that the process started with must still
+//! be revalidated. Its methods take the current time and return the time at which the next step is due. There is always a next
+//! step: a dispatcher has either a watch or a time for its next call.
 
 mod call_schedule;
 mod freshness;
@@ -25,23 +25,23 @@
 /// The interval at which a watch sends an empty line while nothing changes, in microseconds (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 /// How long a watch may send nothing before it counts as broken, in microseconds: the heartbeat interval, and a quarter of it for
-/// the network and a busy core. More would leave too little of the notification deadline for a service with many callers to
-/// answer.
+/// the network and a busy core. A longer timeout would leave a service with many callers too little of the notification deadline
+/// to answer.
 const LIVENESS_TIMEOUT: Micros = HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4;
 /// How long a connection to discovery may take to be established, in microseconds.
 pub const CONNECT_TIMEOUT: Micros = 500_000;
 /// How long a call of the local agent may take, in microseconds. The agent answers at once, or stays silent while discovery is
-/// down. Its changes count as notified from the moment it is up again, so it is called well within the shortest grace period of a
-/// drain (400 ms).
+/// down. Its changes count as notified as soon as it is up again, so the interval between calls is well below the shortest grace
+/// period of a drain (400 ms).
 const AGENT_ANSWER_TIMEOUT: Micros = 200_000;
 /// How long an object of a list may take from its first byte to its last, in microseconds. Without this limit, the data after a
-/// truncated object would be taken for a part of it.
+/// truncated object would be read as a part of that object.
 const OBJECT_TIMEOUT: Micros = 1_000_000;
 
 /// Why a watch has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// The watch, or the call for it, was silent for too long.
+    /// The watch or the call for it was silent for too long.
     Silent,
     /// The call was refused, or the connection ended.
     Ended,
@@ -58,11 +58,11 @@
     Connecting,
     /// The call was sent, and the service has not answered yet.
     Requested,
-    /// The service has begun to answer, but has sent nothing complete yet.
+    /// The service has begun to answer, but has sent no complete list or empty line yet.
     Partial,
     /// The watch has sent data: lists or empty lines.
     Live {
-        /// When it last sent data.
+        /// When the watch last sent data.
         last_data_at: Micros,
     },
 }
@@ -94,30 +94,30 @@
         }
     }
 
-    /// Starts the state machine. Returns when to open the first watch: at once if a local agent pushes lists.
+    /// Starts the state machine. Returns when to open the first watch, which is at once if a local agent pushes lists.
     pub fn start(&mut self, now: Micros) -> Micros {
         self.first_call_at(now, self.settings.spread())
     }
 
     /// Starts the revalidation of the list that the process started with. The list may lack changes that count as notified,
-    /// because it is what the previous process knew. `newest_start` is the latest start of a worker on the list. The list is no older
-    /// than that, so the changes that it lacks count as notified `NOTIFICATION_DEADLINE` after it at the earliest. Returns the
-    /// span in which nothing may be sent by the list.
+    /// because it is the last list of the previous process. `newest_start` is the latest start of a worker on the list. The list
+    /// is no older than that, so the changes that it lacks count as notified `NOTIFICATION_DEADLINE` after it at the earliest.
+    /// Returns the span in which the list must not be used.
     pub fn revalidate(&mut self, now: Micros, newest_start: Option<Micros>) -> Range<Micros> {
         let newest_start = newest_start.filter(|_| !self.settings.is_pushed);
         self.known_list.revalidate(now, newest_start)
     }
 
-    /// Another dispatcher last received a message of the previous process at `at`. That process detected a silent watch within
-    /// `LIVENESS_TIMEOUT`, so it can have lacked only changes of that time before `at`, which count as notified
-    /// `NOTIFICATION_DEADLINE` after they were made. Returns from when on nothing may be sent by the list; `None` if it need not
-    /// be revalidated, or if a local agent pushes lists, whose changes count at once.
+    /// Handles the report that another dispatcher last received a message of the previous process at `at`. That process detected
+    /// a silent watch within `LIVENESS_TIMEOUT`, so it can have lacked only the changes of the `LIVENESS_TIMEOUT` before `at`,
+    /// which count as notified `NOTIFICATION_DEADLINE` after they were made. Returns from when on the list must not be used;
+    /// `None` if it need not be revalidated, or if a local agent pushes lists, whose changes count as notified at once.
     pub fn on_predecessor_seen(&mut self, at: Micros) -> Option<Micros> {
         if self.settings.is_pushed { None } else { self.known_list.on_predecessor_seen(at) }
     }
 
-    /// Whether nothing may be sent by the list that the process started with: discovery has sent no list yet, its changes may
-    /// count as notified, and nothing shows that it cannot be reached. (The silence of a local agent shows that.)
+    /// Whether the list that the process started with must not be used: discovery has sent no list yet, its changes may count as
+    /// notified, and it is not known to be unreachable. (A local agent that stays silent counts as unreachable.)
     pub fn is_stale(&self, now: Micros) -> bool {
         self.known_list.is_stale(now)
     }
@@ -128,8 +128,8 @@
         settings.is_pushed && self.phase == WatchPhase::Closed
     }
 
-    /// Moves to another service. Until that service sends a list, this dispatcher may lack changes. Returns when to open the
-    /// watch.
+    /// Handles the move to another service. Until that service sends a list, this dispatcher may lack changes. Returns when to
+    /// open the watch.
     pub fn on_discovery_moved(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Closed;
         self.freshness = Freshness::moved(now);
@@ -141,20 +141,20 @@
         now + if self.settings.is_pushed { 0 } else { self.rng.u64(0..=spread) }
     }
 
-    /// Handles the start of a call for a watch. Returns when its connection must be established.
+    /// Handles the start of a call for a watch. Returns by when the connection must be established.
     pub fn on_call_started(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Connecting;
         self.last_call = Some(now);
         now + if self.settings.is_pushed { AGENT_ANSWER_TIMEOUT } else { CONNECT_TIMEOUT }
     }
 
-    /// Handles the established connection of a call for a watch. Returns when the service must have sent something.
+    /// Handles the established connection of a call for a watch. Returns by when the service must have sent data.
     pub fn on_connected(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Requested;
         if self.settings.is_pushed { now + AGENT_ANSWER_TIMEOUT } else { self.answer_deadline(now) }
     }
 
-    /// Returns when a call for the whole list that begins now must be answered.
+    /// Returns by when a call for the whole list that begins now must be answered.
     pub fn full_list_deadline(&self, now: Micros) -> Micros {
         now + self.schedule().answer_timeout(now)
     }
@@ -164,12 +164,12 @@
         called_at + self.schedule().answer_timeout(called_at)
     }
 
-    /// Handles complete lists of the watch (after [`WatchLiveness::on_list`]) or empty lines. Returns when the watch must send
-    /// more; `None` keeps the current deadline.
+    /// Handles complete lists of the watch (after [`WatchLiveness::on_list`]) or empty lines. Returns by when the watch must send
+    /// more data; `None` keeps the current deadline.
     pub fn on_data(&mut self, now: Micros) -> Option<Micros> {
         self.observe_answer(now);
         if let Freshness::Moved { .. } = self.freshness {
-            // An empty line does not show that nothing was missed if the service has sent no list yet.
+            // As long as the new service has sent no list, an empty line does not show that no change was missed.
             self.phase = WatchPhase::Partial;
             return None;
         }
@@ -178,13 +178,14 @@
         Some(now + LIVENESS_TIMEOUT)
     }
 
-    /// Handles the start of an object. Returns when the object must be complete.
+    /// Handles the start of an object. Returns by when the object must be complete.
     pub fn on_partial_object(&mut self, now: Micros) -> Micros {
         self.observe_answer(now);
         if let WatchPhase::Live { .. } = self.phase {
             return now + OBJECT_TIMEOUT;
         }
-        // The first object of a call has the rest of the call's time, but at least half of the object timeout.
+        // The first object of a call has the rest of the call's time, but at least half of the object timeout and at most all of
+        // it.
         self.phase = WatchPhase::Partial;
         self.answer_deadline(now).max(now + OBJECT_TIMEOUT / 2).min(now + OBJECT_TIMEOUT)
     }
@@ -219,7 +220,7 @@
             self.freshness = self.freshness.after_silence(last_data_at);
         }
         if self.settings.is_pushed {
-            // Also after an end, because the agent may send the changes since then at once.
+            // The agent is called again soon even if the watch ended, because it may send the changes since then at once.
             return now + if is_silent { 0 } else { MIN_RETRY_INTERVAL };
         }
         let called_at = self.last_call.unwrap_or(now);
--- a/src/core/watch_liveness/object_splitter.rs
+++ b/src/core/watch_liveness/object_splitter.rs
@@ -1,11 +1,11 @@
-//! The framing of a watch: splits a stream of bytes into objects and empty lines.
+//! The framing of a watch: a stream of bytes is split into objects and empty lines.
 
-/// Splits the data of a watch into JSON objects, each of any number of lines. Each byte is scanned once.
+/// Splits the data of a watch into JSON objects, each of which may have any number of lines. Each byte is scanned once.
 #[derive(Debug, Default)]
 pub struct ObjectSplitter {
-    /// The bytes that were received and not yet returned.
+    /// The bytes that were received but not yet returned.
     buffer: Vec<u8>,
-    /// The number of bytes of `buffer` that were scanned.
+    /// The number of bytes of `buffer` that have been scanned.
     scanned: usize,
     /// The number of open brackets after the scanned bytes.
     depth: u32,
@@ -63,8 +63,8 @@
         std::mem::take(&mut self.has_empty_line)
     }
 
-    /// The next complete object, or a line outside of any object (which is not a list); `None` if neither is complete. Empty
-    /// lines are skipped.
+    /// Returns the next complete object, or the next line outside of any object (which is not a list); `None` if neither is
+    /// complete. Empty lines are skipped.
     pub fn next_object(&mut self) -> Option<Vec<u8>> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -82,7 +82,7 @@
         None
     }
 
-    /// Scans a byte. Returns whether it ends an object, or a line outside of one.
+    /// Scans a byte. Returns whether the byte ends an object or a line outside of any object.
     fn is_end(&mut self, byte: u8) -> bool {
         if self.string != StringState::Outside {
             self.string = self.string.after(byte);
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -1,30 +1,30 @@
-//! The load of the discovery service as a dispatcher's own calls show it, and the backoff from an overloaded service.
+//! The load of the discovery service, estimated from the dispatcher's own calls, and the backoff from an overloaded service.
 
 use super::settings::{DiscoverySettings, NOTIFICATION_DEADLINE, POLL_INTERVAL};
 use crate::policy::interface::Micros;
 
-/// The minimum time between the starts of two calls when calls are hurried, in microseconds. A call that failed faster was
-/// refused at once, which shows no overload.
+/// The minimum time between the starts of two calls when a call is moved to an earlier time, in microseconds. A call that failed
+/// faster was refused at once, which is no sign of overload.
 pub(super) const MIN_CALL_SPACING: Micros = 200_000;
-/// How often the answer timeout is doubled at most.
+/// The maximum number of times that the answer timeout is doubled.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
-/// The maximum backoff, in poll intervals. After a failed call the decision module uses the list for four poll intervals, and the
-/// last of them is left for the next call.
+/// The maximum backoff, in poll intervals. After a failed call the decision module uses the list for four poll intervals, the
+/// last of which is left for the next call.
 const MAX_BACKOFF_INTERVALS: Micros = 3;
 
-/// What calls have shown of the service's load.
+/// The load of the service, estimated from the outcomes of calls.
 #[derive(Debug, Default)]
 pub(super) struct ServiceLoad {
     /// The longest wait of a call that was answered or refused, in microseconds.
     longest_wait: Micros,
-    /// Set while consecutive calls wait and are not answered, so that the service may be overloaded.
+    /// The consecutive calls that waited and were not answered, so that the service may be overloaded; `None` if there is none.
     overload: Option<Overload>,
 }
 
 /// Consecutive calls that probably waited in the service's queue and were not answered.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
-    /// When the first of them failed.
+    /// When the first of these calls failed.
     since: Micros,
     /// The number of these calls.
     failed_calls: u32,
@@ -45,13 +45,13 @@
         self.overload.map_or(0, |overload| overload.failed_calls)
     }
 
-    /// Records that a call was answered after this wait.
+    /// Records that a call was answered after `wait`.
     pub fn on_answered(&mut self, wait: Micros) {
         self.longest_wait = self.longest_wait.max(wait);
         self.overload = None;
     }
 
-    /// Records that a call was refused after this wait.
+    /// Records that a call was refused after `wait`.
     pub fn on_refused(&mut self, now: Micros, wait: Micros) {
         if wait < MIN_CALL_SPACING {
             self.overload = None;
@@ -72,9 +72,9 @@
         self.overload = None;
     }
 
-    /// The maximum time between the starts of two calls while the service may be overloaded, in microseconds. It does not grow
-    /// for two notification deadlines, because all dispatchers may still be served within one. After that it grows with the time
-    /// since the first failure, up to what a very slow service needs.
+    /// The maximum time between the starts of two calls while the service may be overloaded, in microseconds. The backoff stays
+    /// constant for two notification deadlines, because all dispatchers may still be served within one. After that it grows with
+    /// the time since the first failure, up to one round of calls at a very slow service.
     pub fn backoff(&self, now: Micros, settings: &DiscoverySettings) -> Micros {
         let overloaded_for = self.overload.map_or(0, |overload| now.saturating_sub(overload.since));
         let while_list_is_valid =
@@ -83,15 +83,15 @@
         overloaded_for.saturating_sub(2 * NOTIFICATION_DEADLINE).min(longest).max(settings.call_interval())
     }
 
-    /// The timeout for the answer to a call, in microseconds. It doubles with each call that was not answered, as long as there
-    /// is time for another call after it, and it is at least the backoff.
+    /// The timeout for the answer to a call, in microseconds. The timeout doubles with each call that was not answered, as long
+    /// as that leaves time for another call, and is at least the backoff.
     pub fn answer_timeout(&self, called_at: Micros, settings: &DiscoverySettings) -> Micros {
         let doublings = self.failed_calls().min(MAX_TIMEOUT_DOUBLINGS);
         let doubled = (POLL_INTERVAL << doublings).min(NOTIFICATION_DEADLINE - POLL_INTERVAL);
         self.backoff(called_at, settings).clamp(doubled, 2 * NOTIFICATION_DEADLINE)
     }
 
-    /// The minimum timeout of a call, in microseconds: the longest wait that the service has caused so far, and a quarter more.
+    /// The minimum timeout of a call, in microseconds: the longest wait at the service so far, and a quarter more.
     pub fn observed_timeout(&self) -> Micros {
         self.longest_wait + self.longest_wait / 4
     }
