--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A configuration file and the environment.
+/// A parsed configuration file, and the environment that overrides it.
 pub(super) struct Document<'a, Env> {
     root: Value,
     file: &'a str,
@@ -16,7 +16,7 @@
 }
 
 impl<'a, Env: Fn(&str) -> Option<String>> Document<'a, Env> {
-    /// Parses the text of a file; error messages call it `file`.
+    /// Parses the text of the file named `file`. Error messages contain that name.
     pub(super) fn parse(text: &str, file: &'a str, env: Env) -> Result<Self, ConfigError> {
         match serde_json::from_str(text) {
             Ok(root) => Ok(Document { root, file, env }),
@@ -44,12 +44,12 @@
         self.root.get(key).ok_or(ConfigError::Missing(key))
     }
 
-    /// A text from the environment variable, or else from the file.
+    /// A text from the environment variable, or from the file if the variable is not set.
     pub(super) fn variable_or_text(&self, variable: &str, key: &str) -> Option<String> {
         (self.env)(variable).or_else(|| self.text(key).map(str::to_owned))
     }
 
-    /// A text that the environment variable or the file must have.
+    /// A text that must be in the environment variable or in the file.
     pub(super) fn required_text(&self, variable: &str, key: &'static str) -> Result<String, ConfigError> {
         self.variable_or_text(variable, key).ok_or(ConfigError::Missing(key))
     }
@@ -59,7 +59,7 @@
         self.text(key).map(|text| parse_address(key, text)).transpose()
     }
 
-    /// The seed, which the file gives as a number or as a text of hexadecimal digits.
+    /// The seed, which is a number or a string of hexadecimal digits in the file.
     pub(super) fn seed(&self) -> Result<u64, ConfigError> {
         let seed = match self.require("seed")? {
             Value::String(digits) => u64::from_str_radix(digits, 16).ok(),
@@ -84,7 +84,7 @@
         addresses.collect()
     }
 
-    /// The endpoint list that was last known.
+    /// The last known endpoint list.
     pub(super) fn known_endpoints(&self) -> Result<EndpointList, ConfigError> {
         let known = self.require("known")?;
         EndpointList::from_json(known).ok_or_else(|| self.malformed(FileContentError::BadKnownList))
@@ -116,7 +116,7 @@
     Ok(settings.check()?)
 }
 
-/// A duration above 0. The settings and `default_ms` are in milliseconds, the result is in microseconds.
+/// A duration above 0 from the settings. The setting and `default_ms` are in milliseconds, the result is in microseconds.
 pub(super) fn positive_duration(
     profile: &Profile<'_>,
     path: &'static str,
@@ -126,7 +126,7 @@
     if ms > 0.0 { Ok(to_micros(ms)) } else { Err(ModuleSettingsError::NotPositive(path).into()) }
 }
 
-/// Parses an address; error messages call it `name`.
+/// Parses the address with the key `name`. Error messages contain that key.
 pub(super) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|error| ConfigError::BadAddress { name, text: text.to_owned(), error })
 }
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointRow {
-    /// The worker's name, the same at every dispatcher.
+    /// The worker's name, which is the same at every dispatcher.
     pub instance_id: String,
-    /// The address at which this dispatcher reaches it.
+    /// The worker's address, with port, as reachable from this dispatcher.
     #[serde(default)]
     pub host_port: String,
     /// The worker's zone.
@@ -22,32 +22,32 @@
     /// The worker's cell.
     #[serde(default)]
     pub cell: u32,
-    /// `up`, `draining` or `removed`.
+    /// The worker's lifecycle state: `up`, `draining` or `removed`.
     pub lifecycle: Lifecycle,
     /// The worker's size relative to others.
     #[serde(default)]
     pub weight: Option<f64>,
-    /// When the worker last started, in milliseconds of Unix time; 0 for long ago.
+    /// When the worker last started, in milliseconds of Unix time; 0 if the time is unset, which counts as long ago.
     #[serde(default)]
     pub started_at_ms: f64,
 }
 
-/// Whether a worker takes work.
+/// The lifecycle state of a worker, according to discovery.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Lifecycle {
-    /// It takes work.
+    /// The worker takes work.
     Up,
-    /// It finishes the work that it has.
+    /// The worker takes no new work and finishes the work that it has.
     Draining,
-    /// It is removed.
+    /// The worker is removed from the list.
     Removed,
 }
 
 /// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// The version of the list.
+    /// The generation of the list: its version number.
     pub generation: u64,
     /// Whether the list is a snapshot; otherwise it is a delta.
     pub reset: bool,
@@ -56,7 +56,7 @@
     /// Names of the workers with invalid rows.
     #[serde(default, rename = "unread")]
     pub workers_with_invalid_rows: Vec<String>,
-    /// How many rows were dropped: invalid ones, and those that a later row of the same worker replaced.
+    /// The number of dropped rows: invalid ones, and those that a later row of the same worker replaced.
     pub bad_rows: u64,
 }
 
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is refused.
+//! Errors in a configuration.
 
 use crate::policy::interface::SettingsError;
 use crate::policy::settings_map::NotANumber;
@@ -6,7 +6,7 @@
 use std::net::AddrParseError;
 use thiserror::Error;
 
-/// Why a configuration is refused.
+/// An error in a configuration, which is therefore refused.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file could not be read.
@@ -14,7 +14,7 @@
     Unreadable {
         /// The file's name.
         file: String,
-        /// Why.
+        /// Why the file could not be read.
         #[source]
         error: io::Error,
     },
@@ -23,11 +23,11 @@
     Malformed {
         /// The file's name.
         file: String,
-        /// What is wrong with it.
+        /// What is wrong with the content.
         #[source]
         error: FileContentError,
     },
-    /// A required value is missing.
+    /// A required value is missing; its name.
     #[error("{0} is missing")]
     Missing(&'static str),
     /// A value is not an address.
@@ -35,9 +35,9 @@
     BadAddress {
         /// The value's name.
         name: &'static str,
-        /// Its text.
+        /// The text of the value.
         text: String,
-        /// What is wrong with it.
+        /// Why the text is not an address.
         #[source]
         error: AddrParseError,
     },
@@ -46,35 +46,35 @@
     BadSettings(#[from] ModuleSettingsError),
 }
 
-/// What is wrong with a file.
+/// What is wrong with the content of a file.
 #[derive(Debug, Error)]
 pub enum FileContentError {
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// The file is not TOML, or it has unknown keys.
+    /// The file is not TOML or has unknown keys.
     #[error("{0}")]
     NotToml(#[source] toml::de::Error),
     /// The limits of the machine are invalid.
     #[error("limits: {0}")]
     BadLimits(#[source] serde_json::Error),
-    /// A peer is not a JSON string.
-    #[error("peers: not an address")]
+    /// An item of `peers` is not a JSON string.
+    #[error("peers: an item is not a string")]
     BadPeer,
-    /// The endpoint list that was last known is invalid.
-    #[error("known is not a list")]
+    /// The last known endpoint list is invalid.
+    #[error("known is not an endpoint list")]
     BadKnownList,
     /// The seed is invalid.
-    #[error("seed is not a hexadecimal number")]
+    #[error("seed is neither an unsigned 64-bit number nor a string of hexadecimal digits for one")]
     BadSeed,
-    /// A key that the running configuration has is missing.
+    /// A key of the running configuration is missing; its path.
     #[error("{0} is missing")]
     MissingKey(String),
-    /// A number of the file must be above 0; its key.
+    /// A number in the file must be above 0; its key.
     #[error("{0} is not above 0")]
     NotPositive(&'static str),
-    /// A text is not an origin.
-    #[error("origins: {0:?} is no origin such as https://pay.example")]
+    /// An item of `origins` is not an origin; its text.
+    #[error("origins: {0:?} is not an origin such as https://pay.example")]
     BadOrigin(String),
 }
 
--- a/src/config/flatten.rs
+++ b/src/config/flatten.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// The prefix of the paths whose values are names, which the simulator's protocol writes without blanks.
+/// The prefix of the paths whose values are names, which have no spaces in the simulator's protocol.
 const VALUE_NAMES: &str = "Domain.";
 
 /// Flattens nested JSON to path=value pairs. A list of plain values becomes one pair, its values joined by commas. A list of
@@ -43,7 +43,7 @@
 fn plain_text(path: &str, value: &Value) -> Option<String> {
     match value {
         // The simulator's protocol writes "free slots" as "free_slots", and its adapter expects that name. Without the
-        // replacement it would skip the free slots of every load report. Names at other paths keep their blanks.
+        // replacement, the adapter would skip the free slots of every load report. Names at other paths keep their spaces.
         Value::String(text) if path.starts_with(VALUE_NAMES) => Some(text.replace([' ', ','], "_")),
         Value::String(text) => Some(text.clone()),
         Value::Number(number) => Some(number.to_string()),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration of a dispatcher: the JSON file that `GW_CONFIG` names, and the file of the SSE listener.
 //!
-//! The settings are nested JSON with the names of the simulator's first message. They are flattened to the same name=value form
-//! and mapped by the same code ([`crate::policy::simulator`]).
+//! The settings are nested JSON with the names of the simulator's first message. They are flattened to the path=value form of
+//! that message and mapped by the same code ([`crate::policy::simulator`]).
 
 mod document;
 mod endpoint_list;
@@ -31,17 +31,17 @@
 /// The default of [`Config::connect_timeout`], in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
-/// Whether a file must exist.
+/// Whether a settings file must exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FilePresence {
-    /// It must exist, because the user has named it.
+    /// The file must exist, because the user has named it.
     Required,
-    /// It may be missing, because it has a default name; nothing is set then.
+    /// The file may be missing, because its name is the default; nothing is set in that case.
     Optional,
 }
 
 impl FilePresence {
-    /// Whether this file is to be read: it exists, or it must exist.
+    /// Whether to read the file: it exists or must exist.
     pub(crate) fn should_read(self, file: &Path) -> bool {
         self == FilePresence::Required || file.exists()
     }
@@ -51,9 +51,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// Memory, in megabytes.
+    /// The memory, in megabytes.
     pub memory_mb: u64,
-    /// File descriptors of all processes of the program together.
+    /// The number of file descriptors of all processes of the program together.
     pub sockets: u64,
 }
 
@@ -68,7 +68,7 @@
 pub struct Config {
     /// The name of the configuration file.
     pub file: String,
-    /// The content of the file at the start. A reload must have the same keys.
+    /// The content of the file at the start. The file must still have these keys at a reload.
     initial_document: Value,
     /// The dispatcher's name.
     pub name: String,
@@ -76,7 +76,7 @@
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Discovery's address in the file, also if the environment overrides it.
+    /// Discovery's address in the file, even if the environment overrides it.
     discovery_in_file: Option<SocketAddr>,
     /// The seed of all random choices.
     pub seed: u64,
@@ -84,16 +84,16 @@
     pub limits: MachineLimits,
     /// The address for datagrams of other dispatchers.
     pub peer_listen: Option<SocketAddr>,
-    /// The admin address, for operators and the platform; `None` turns it off.
+    /// The address of the admin interface, for operators and the platform; `None` turns the interface off.
     pub admin: Option<SocketAddr>,
-    /// The addresses of all dispatchers of the tier, by number. This one is included.
+    /// The addresses of all dispatchers of the tier, by number, including this one.
     pub peers: Vec<SocketAddr>,
-    /// Whether this dispatcher may announce to the others that it serves or stops. The decision module sends them other messages
-    /// only if the address of each is known.
+    /// Whether this dispatcher may announce to the others that it serves or stops. Other messages are sent only if the address of
+    /// each peer is known; see [`Settings::may_message_peers`].
     pub may_announce_lifecycle: bool,
-    /// An address that reaches all dispatchers of the tier.
+    /// An address that reaches all dispatchers of the tier, if there is one.
     pub peers_all: Option<SocketAddr>,
-    /// The endpoint list that was last known.
+    /// The last known endpoint list.
     pub known_endpoints: EndpointList,
     /// The decision module's settings.
     pub settings: Settings,
@@ -115,7 +115,7 @@
         Config::read(&read_file(Path::new(&file))?, &file, env)
     }
 
-    /// Parses the text of a configuration file; error messages call it `file`.
+    /// Parses the text of the configuration file named `file`. Error messages contain that name.
     ///
     /// # Errors
     /// [`ConfigError`] if the text is invalid.
@@ -142,7 +142,7 @@
         let (mut settings, names) = parse_settings(&profile, known_names)?;
         let peer_listen = document.optional_address("peer_listen")?;
         let may_announce_lifecycle = settings.may_message_peers;
-        // Without the address of every peer, a group would mistake the silence of one for idle workers.
+        // If the address of a peer were unknown, its peer group would take the lack of messages from it for idle workers.
         settings.may_message_peers &=
             peer_listen.is_some() && peers.len() == settings.dispatcher_count as usize;
         let admin = document.variable_or_text("GW_ADMIN_ADDR", "admin_addr");
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration while the program runs.
+//! Reload of the configuration of a running program.
 
 use super::flatten::join;
 use super::{Config, ConfigError, FileContentError, SiteNames, read_file};
@@ -10,7 +10,7 @@
 impl Config {
     /// Reads the configuration file again, for a program that runs with this configuration. Names in `known_names` keep their
     /// ids. The dispatcher's name and its listeners stay the same. If the file has a new discovery address, that address applies
-    /// even though the environment overrode the old one at the start: this is how a running program gets another address.
+    /// even if the environment overrode the old one at the start, so that the address can change without a restart.
     ///
     /// # Errors
     /// [`ConfigError`] if the file cannot be read, the new configuration is invalid, or it lacks a key of this one.
@@ -39,8 +39,8 @@
     }
 }
 
-/// Gives classes the ids that open requests refer to. A class that was removed or redefined keeps its id and its old definition
-/// for the requests that were accepted with it.
+/// Keeps the class ids that open requests refer to. A class that was removed or redefined keeps its id and its old definition for
+/// the requests that were accepted with it.
 fn keep_class_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
     let is_same = |new: usize, old: usize| settings.classes[new] == old_settings.classes[old];
     let renumbered = names.classes.keep_numbers(&old_names.classes, is_same);
@@ -53,7 +53,7 @@
     names.classes = renumbered.interner;
 }
 
-/// Gives tenants the ids that open requests refer to. A tenant's new definition applies to those requests as well.
+/// Keeps the tenant ids that open requests refer to. A tenant's new definition applies to those requests as well.
 fn keep_tenant_ids(names: &mut Names, settings: &mut Settings, old_names: &Names, old_settings: &Settings) {
     let renumbered = names.tenants.keep_numbers(&old_names.tenants, |_, _| true);
     let defined = std::mem::replace(&mut settings.tenants, old_settings.tenants.clone());
--- a/src/config/site_names.rs
+++ b/src/config/site_names.rs
@@ -31,22 +31,22 @@
     }
 
     /// Whether the current settings have this class. A class that a reload removed or redefined keeps its id, but its name then
-    /// stands for another class or none.
+    /// stands for another class or for none.
     pub(crate) fn is_current_class(&self, class: ClassId) -> bool {
         self.class_name(class).and_then(|name| self.class_id(name)) == Some(class)
     }
 
-    /// The id of a kind of machines; `None` if it has none.
+    /// The id of a kind of machines; `None` if the name is unknown.
     pub(crate) fn kind_id(&self, name: &str) -> Option<KindId> {
         self.names.kinds.find(name).map(|id| KindId(id as u16))
     }
 
-    /// The id of a kind of machines; a new one if it has none.
+    /// The id of a kind of machines. An unknown name gets a new id.
     pub(crate) fn intern_kind(&mut self, name: &str) -> KindId {
         KindId(self.names.kinds.id(name) as u16)
     }
 
-    /// The id of a zone; a new one if it has none.
+    /// The id of a zone. An unknown name gets a new id.
     pub(crate) fn intern_zone(&mut self, name: &str) -> ZoneId {
         ZoneId(self.names.zones.id(name) as u16)
     }
--- a/src/config/sse.rs
+++ b/src/config/sse.rs
@@ -1,4 +1,4 @@
-//! The settings of the SSE listener, and the TOML file that holds nothing else.
+//! The settings of the SSE listener, and the TOML file for them.
 
 use super::{ConfigError, FileContentError, FilePresence, parse_address, read_file};
 use crate::policy::interface::{MICROS_PER_MS, Micros};
@@ -15,12 +15,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SseConfig {
-    /// The listener's address; without it there is no listener.
+    /// The listener's address; `None` turns the listener off.
     pub listen: Option<String>,
-    /// The heartbeat interval, in milliseconds: a stream that was quiet for this long gets a comment.
+    /// The heartbeat interval, in milliseconds: a comment is sent on a stream that has been idle for this long.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// The origins whose pages may use the listener, such as `https://pay.example`; none if it is empty.
+    /// The origins whose pages may use the listener, such as `https://pay.example`; empty for none.
     #[serde(default)]
     pub origins: Vec<String>,
     /// The maximum number of streams of one tenant's submitted jobs.
@@ -50,7 +50,7 @@
 }
 
 impl SseConfig {
-    /// Reads the file. Returns `None` if it is optional and missing, or if it has no address.
+    /// Reads the file. Returns `None` if the file is optional and missing, or if it sets no address.
     ///
     /// # Errors
     /// [`ConfigError`] if the file cannot be read or its content is invalid.
@@ -64,7 +64,7 @@
         config.check().map_err(malformed)?;
         let Some(listen) = config.listen else { return Ok(None) };
         Ok(Some(SseSettings {
-            listen: parse_address("listen of the SSE address", &listen)?,
+            listen: parse_address("listen in the file of the SSE listener", &listen)?,
             heartbeat: config.heartbeat_ms * MICROS_PER_MS,
             origins: config.origins,
             streams_per_tenant: config.streams_per_tenant,
