--- a/src/fleet/learners.rs
+++ b/src/fleet/learners.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher learns from its jobs and shares with the others: the run times of jobs and the usage of tenants. The
-//! learners supply inputs to the decision module and decide nothing themselves.
+//! Learning from jobs, shared among the dispatchers: the run times of jobs and the usage of tenants. The learners supply inputs
+//! to the decision module and decide nothing themselves.
 
 use super::{FairShareSettings, FleetSettings, OutgoingFact, ProcessIdentity, RuntimesSettings};
 use crate::policy::interface::{ClassId, Estimate, MICROS_PER_MS, Micros};
@@ -12,48 +12,48 @@
 const PUBLISH_INTERVAL: Micros = 250_000;
 /// The maximum number of facts that one learner publishes in one round.
 const MAX_FACTS_PER_ROUND: usize = 16;
-/// The ledger counts usage in thousandths of a job's weight.
+/// The ledger's units of usage per unit of a job's weight.
 const MILLIPOINTS_PER_WEIGHT: f64 = 1_000.0;
 
-/// The metrics of each learner; `None` for one that is off.
+/// The metrics of each learner; `None` for a learner that is off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnersMetrics {
-    /// Run times of jobs.
+    /// The learner of the run times of jobs.
     pub runtimes: Option<LearnerMetrics>,
-    /// Usage by tenants.
+    /// The learner of the usage of tenants.
     pub shares: Option<LearnerMetrics>,
 }
 
 /// The metrics of one learner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LearnerMetrics {
-    /// For run times, the attempts whose end was seen; for shares, the tenants that are held.
+    /// For run times, the number of attempts that have ended; for shares, the number of tenants in the ledger.
     pub seen: u64,
-    /// Facts published.
+    /// The number of published facts.
     pub published: u64,
-    /// Facts of others that changed the learner's state.
+    /// The number of facts of other members that changed the learner's state.
     pub absorbed: u64,
-    /// Facts of others that the learner refused.
+    /// The number of facts of other members that the learner refused.
     pub refused: u64,
 }
 
-/// Whether an attempt ran to its end.
+/// Whether an attempt ran to completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It ran to completion.
+    /// The attempt ran to completion.
     Completed,
-    /// It ended earlier or did not run. The observed time is a lower bound of its run time.
+    /// The attempt ended earlier or did not run. The observed time is a lower bound of the job's run time.
     CutShort,
 }
 
 /// The labels of a job that its run time is estimated from.
 #[derive(Clone, Copy, Debug)]
 pub struct JobLabels<'a> {
-    /// The name of its class.
+    /// The name of the job's class.
     pub class: &'a str,
-    /// The name of its tenant.
+    /// The name of the job's tenant; `None` if it has none.
     pub tenant: Option<&'a str>,
-    /// A number for its subject, the same at every dispatcher.
+    /// The number of the job's subject, which is the same at every dispatcher; `None` if it has none.
     pub subject: Option<u64>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The learners that are on.
+/// The enabled learners.
 #[derive(Default)]
 pub struct Learners {
     runtimes: Option<RuntimeEstimator>,
@@ -77,7 +77,7 @@
 }
 
 impl Learners {
-    /// Creates the learners that the settings turn on. They publish under the place and the epoch of `identity`.
+    /// Creates the learners that the settings enable. Facts are published under the place and the epoch of `identity`.
     pub fn new(settings: &FleetSettings, identity: ProcessIdentity, now: Micros) -> Learners {
         let mut learners = Learners {
             runtimes: settings.runtimes.as_ref().and_then(|runtimes| new_estimator(runtimes, identity, now)),
@@ -88,9 +88,9 @@
         learners
     }
 
-    /// Publishes under another epoch from now on. The ledger starts empty, because the epoch distinguishes reports of usage: the
-    /// others send back what was published before, and it must not count twice. Estimates of run times carry their own run and
-    /// stay.
+    /// Publishes under another epoch from now on. The ledger starts empty, because reports of usage are distinguished by epoch:
+    /// other members send back the facts of the earlier epoch, which must not count twice. Estimates of run times are kept,
+    /// because their facts identify the run that they come from.
     pub fn restart(&mut self, identity: ProcessIdentity, now: Micros) {
         self.shares = self.share_settings.as_ref().and_then(|settings| new_ledger(settings, identity, now));
     }
@@ -100,8 +100,8 @@
         self.runtimes.is_some() || self.shares.is_some()
     }
 
-    /// The weight of one more job of this tenant and class, as a fraction of `class_weight`, the weight of a job within the
-    /// tenant's quota. `None` if there is no tenant or shares are off.
+    /// The weight of one more job of this tenant and class, as a fraction of `class_weight`, which is the weight of a job within
+    /// the tenant's quota. `None` if there is no tenant or the learner of shares is off.
     pub fn tenant_weight(
         &mut self,
         now: Micros,
@@ -109,7 +109,7 @@
         class: ClassId,
         class_weight: f64,
     ) -> Option<f64> {
-        // In millipoints, since the ledger measures use by value and not by work: the default of its `Config::measure`.
+        // In millipoints, because the ledger measures usage by value and not by work: the default of its `Config::measure`.
         let value = self.shares.as_mut()?.job_value(
             TenantKey::from_name(tenant?),
             ledger_class(class),
@@ -119,7 +119,7 @@
         Some(value.fraction)
     }
 
-    /// A job of this weight was served, `latency` after it arrived.
+    /// Handles the completion of a job of this weight, `latency` after it arrived.
     pub fn on_served(
         &mut self,
         now: Micros,
@@ -130,12 +130,12 @@
     ) {
         if let Some((shares, tenant)) = self.shares.as_mut().zip(tenant) {
             let used = Usage { value: millipoints(class_weight), work: latency / MICROS_PER_MS };
-            // The ledger counts what it has no room for.
+            // A failure needs no handling: the ledger counts the usage that it has no room for.
             let _ = shares.record(now, now, TenantKey::from_name(tenant), ledger_class(class), used);
         }
     }
 
-    /// The state of a member has changed. A member that has left publishes no more.
+    /// Handles a change of a member's state. A member that has left publishes no more facts.
     pub fn on_member_changed(&mut self, now: Micros, change: Change) {
         if let Some(shares) = self.shares.as_mut().filter(|_| change.to == State::Left) {
             shares.on_member_left(
@@ -145,13 +145,13 @@
         }
     }
 
-    /// How long a job with these labels will run; `None` if run times are not learned.
+    /// An estimate of how long a job with these labels will run; `None` if the learner of run times is off.
     pub fn estimate(&self, job: &JobLabels<'_>) -> Option<Estimate> {
         let work = self.runtimes.as_ref()?.estimate_work(&job.features());
         Some(Estimate { typical: work.typical, long: work.long.max(work.typical) })
     }
 
-    /// An attempt has started at a worker of this name and kind.
+    /// Handles the start of an attempt at the worker with this name and kind.
     pub fn on_started(
         &mut self,
         now: Micros,
@@ -167,14 +167,14 @@
         }
     }
 
-    /// An attempt has reported its progress, as the fraction done.
+    /// Handles the progress of an attempt, as the fraction done.
     pub fn on_progress(&mut self, now: Micros, attempt: AttemptId, fraction: f64) {
         if let Some(runtimes) = &mut self.runtimes {
             runtimes.on_progress(now, attempt, fraction);
         }
     }
 
-    /// An attempt has ended. If it never started, nothing is learned from it.
+    /// Handles the end of an attempt. Nothing is learned from an attempt that never started.
     pub fn on_ended(&mut self, now: Micros, attempt: AttemptId, end: RunEnd) {
         if let Some(runtimes) = &mut self.runtimes {
             let outcome = match end {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The facts to publish now.
+    /// Returns the facts to publish now.
     pub fn publish(&mut self, now: Micros) -> Vec<OutgoingFact> {
         let mut facts = Vec::new();
         if let Some(runtimes) = &mut self.runtimes {
@@ -199,7 +199,7 @@
         facts
     }
 
-    /// Absorbs a fact that another member has published, or an earlier process at this place.
+    /// Absorbs a fact that another member or an earlier process at this place has published.
     pub fn absorb(&mut self, now: Micros, fact: &OwnedFact) {
         if fact.kind == mothproxy_runtimes::KIND
             && let Some(runtimes) = &mut self.runtimes
@@ -221,7 +221,7 @@
         self.is_enabled().then_some(now + PUBLISH_INTERVAL)
     }
 
-    /// The metrics of each learner that is on.
+    /// The metrics of each enabled learner.
     pub fn metrics(&self) -> LearnersMetrics {
         LearnersMetrics {
             runtimes: self.runtimes.as_ref().map(estimator_metrics),
@@ -237,7 +237,10 @@
 ) -> Option<RuntimeEstimator> {
     let default = Config::new(place_of(identity), identity.epoch);
     let estimator = RuntimeEstimator::new(Config { long_quantile: settings.long_quantile, ..default }, now);
-    mothproxy_invariant::invariant!(estimator.is_ok(), "settings that were checked");
+    mothproxy_invariant::invariant!(
+        estimator.is_ok(),
+        "the estimator of run times refused settings that were checked"
+    );
     estimator.ok()
 }
 
@@ -245,7 +248,7 @@
     let unix_at_zero = (identity.epoch * MICROS_PER_MS).saturating_sub(now);
     let config = settings.config(place_of(identity), identity.peers, identity.epoch, unix_at_zero);
     let ledger = Ledger::new(config, &settings.shares, now);
-    mothproxy_invariant::invariant!(ledger.is_ok(), "shares that were checked");
+    mothproxy_invariant::invariant!(ledger.is_ok(), "the ledger refused shares that were checked");
     ledger.ok()
 }
 
@@ -269,17 +272,17 @@
     }
 }
 
-/// The place of a process, in the type that facts use.
+/// The place of a process in the type that facts use.
 fn place_of(identity: ProcessIdentity) -> u16 {
     u16::try_from(identity.place).unwrap_or(u16::MAX)
 }
 
-/// A class, in the type that the ledger uses.
+/// The class in the type that the ledger uses.
 fn ledger_class(class: ClassId) -> u8 {
     u8::try_from(class.0).unwrap_or(u8::MAX)
 }
 
-/// A weight, in the ledger's unit.
+/// The weight in the ledger's unit.
 fn millipoints(weight: f64) -> u64 {
     (weight * MILLIPOINTS_PER_WEIGHT).max(0.0) as u64
 }
--- a/src/fleet/log_limiter.rs
+++ b/src/fleet/log_limiter.rs
@@ -1,4 +1,4 @@
-//! A rate limiter for log lines that counts the lines it suppresses.
+//! A rate limiter for log lines that counts the suppressed lines.
 
 use crate::policy::interface::Micros;
 
@@ -12,17 +12,18 @@
 pub(super) struct LogLimiter {
     tokens: u64,
     last_refill: Micros,
-    /// Lines suppressed since the last admitted line.
+    /// The number of lines suppressed since the last admitted line.
     suppressed: u64,
 }
 
 impl LogLimiter {
-    /// A limiter that admits a full burst.
+    /// Creates a limiter that admits a full burst.
     pub(super) fn new(now: Micros) -> LogLimiter {
         LogLimiter { tokens: MAX_BURST, last_refill: now, suppressed: 0 }
     }
 
-    /// Admits or suppresses one line. An admitted line gets the number of lines suppressed since the last admitted one.
+    /// Admits or suppresses one line. Returns the number of lines suppressed since the last admitted one; `None` if this line is
+    /// suppressed.
     pub(super) fn admit(&mut self, now: Micros) -> Option<u64> {
         self.refill(now);
         if self.tokens == 0 {
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The membership protocol of this dispatcher, and the presence of each peer that follows from its view.
+//! The membership protocol of this dispatcher, and the presence of each peer, which is derived from the membership view.
 
 use super::log_limiter::LogLimiter;
 use super::{FleetError, FleetOutput, MembershipSettings, OutgoingFact, ProcessIdentity};
@@ -6,8 +6,8 @@
 use mothproxy_membership::{Change, Member, Membership, Metrics, Output, State, View};
 use std::collections::VecDeque;
 
-/// The minimum interval between reports of presence to the decision module, in microseconds. After a partition heals, changes
-/// come by the dozen, and each report makes the module assign the workers anew.
+/// The minimum interval between reports of presence to the decision module, in microseconds. After a partition ends there are
+/// dozens of changes, and each report makes the module recompute the assignment of workers.
 const PRESENCE_INTERVAL: Micros = 200_000;
 /// How often the expiry of a dead member's assignment is checked, in microseconds, if it is kept for a limited time.
 const EXPIRY_CHECK_INTERVAL: Micros = 1_000_000;
@@ -19,9 +19,9 @@
 pub(super) struct Members {
     own_place: usize,
     membership: Membership,
-    /// Until when a place that has never sent anything counts as present; `None` once that time has passed.
+    /// Until when a place that has not sent anything yet counts as present; `None` once that time has passed.
     unknown_until: Option<Micros>,
-    /// For how long a dead place's assignment is kept; `None` for as long as the place is dead.
+    /// How long a dead place's assignment is kept, in microseconds; `None` keeps it for as long as the place is dead.
     dead_assignment_ttl: Option<Micros>,
     /// The last reported presence.
     reported: Option<Vec<PeerPresence>>,
@@ -31,7 +31,7 @@
 }
 
 impl Members {
-    /// Creates the member of a process that starts now.
+    /// Creates the membership state of a process that starts now.
     ///
     /// # Errors
     /// [`FleetError`] if there are too few or too many places, or the settings contradict each other.
@@ -59,12 +59,12 @@
         })
     }
 
-    /// A datagram came from the address of this place.
+    /// Handles a datagram from the address of the place `from`.
     pub(super) fn on_datagram(&mut self, now: Micros, from: u16, bytes: &[u8]) {
         self.membership.receive(now, from, bytes);
     }
 
-    /// The time of [`Members::next_wake`] has come.
+    /// Handles the timer of [`Members::next_wake`].
     pub(super) fn on_timer(&mut self, now: Micros) {
         if now >= self.membership.next_wake() {
             self.membership.tick(now);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// When [`Members::on_timer`] is due.
+    /// When [`Members::on_timer`] must be called next.
     pub(super) fn next_wake(&self, now: Micros) -> Micros {
         let unknown_expiry = self.unknown_until.filter(|until| now < *until);
         unknown_expiry.into_iter().chain(self.report_at).fold(self.membership.next_wake(), Micros::min)
@@ -87,11 +87,11 @@
 
     /// Publishes a fact to the other members.
     pub(super) fn publish(&mut self, now: Micros, fact: &OutgoingFact) {
-        // The fact is refused, and nobody receives it, if there is no room for more facts or this member has left.
+        // The fact is dropped if there is no room for more facts or this member has left.
         let _ = self.membership.publish(now, fact.kind, fact.slot, &fact.bytes);
     }
 
-    /// The view: what this member believes about all places.
+    /// The membership view: the state of all places as known to this member.
     pub(super) fn view(&self) -> &View {
         self.membership.view()
     }
@@ -135,9 +135,10 @@
         }
     }
 
-    /// The presence of each place. A place counts as present while it is alive or suspected, and for a while if it has never sent
-    /// anything; the own place always does. A dead place, or one that stays unknown, counts as unreachable until its
-    /// assignment expires, because it may be alive on the other side of a partition. A place that has left is gone.
+    /// The presence of each place. A place counts as present while it is alive or suspected. The own place always counts as
+    /// present, and a place that has not sent anything yet does so for a limited time. A dead place, or one that stays unknown,
+    /// counts as unreachable until its assignment expires, because it may be alive on the other side of a partition. A place that
+    /// has left is gone.
     fn presence(&self, now: Micros) -> Vec<PeerPresence> {
         let keeps_assignment =
             |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! Membership of the dispatchers of a site, and what they learn together.
+//! The membership of the dispatchers of a site, and the learning that they share.
 //!
 //! [`Fleet`] is a state machine without socket or clock: datagrams and time go in, and [`FleetOutput`]s come out
-//! ([`Fleet::poll`]). It owns the membership protocol. [`Learners`] owns what is learned about jobs and tenants, which travels as
-//! facts of the membership. A part that the settings turn off does not exist; if all are off, there is never any output.
-//! `docs/design/parts.md` describes the interfaces of the parts.
+//! ([`Fleet::poll`]). The fleet owns the membership protocol. [`Learners`] owns the state that is learned about jobs and tenants,
+//! which is published as facts of the membership. A part that the settings turn off is not created; if all parts are off, there
+//! is never any output. `docs/design/parts.md` describes the interfaces of the parts.
 
 mod learners;
 mod log_limiter;
@@ -23,18 +23,18 @@
 /// An output of [`Fleet`]. The driver handles outputs in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetOutput {
-    /// Send a datagram to a dispatcher; it may be lost.
+    /// Send a datagram, which may be lost, to a dispatcher.
     Send {
         /// The dispatcher's place.
         to: u32,
-        /// The datagram, 256 bytes at most.
+        /// The datagram, at most 256 bytes.
         bytes: Vec<u8>,
     },
     /// The presence of each place, after a change, for [`crate::Event::Peers`].
     PeerPresence(Vec<PeerPresence>),
     /// A change of a member's state or epoch, for the parts that [`Fleet`] does not own.
     MemberChanged(Change),
-    /// A fact of another member, or of an earlier process at this place, for the part that owns the fact's kind.
+    /// A fact of another member or of an earlier process at this place, for the part that owns the fact's kind.
     Fact(OwnedFact),
     /// A change of the view that is to be logged.
     LogChange {
@@ -45,14 +45,14 @@
     },
 }
 
-/// Identifies one process of a dispatcher: its place and its start.
+/// The identity of one process of a dispatcher, and the inputs of the membership that go with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
-    /// The place among the peers.
+    /// The place of the dispatcher among the peers.
     pub place: u32,
     /// The number of places.
     pub peers: usize,
-    /// The start of the process, in milliseconds of Unix time. It distinguishes the processes at one place.
+    /// The start of the process, in milliseconds of Unix time, which distinguishes the processes at one place.
     pub epoch: u64,
     /// The seed of all random choices.
     pub seed: u64,
@@ -61,19 +61,19 @@
 /// A fact to publish to the other members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingFact {
-    /// The kind: which part owns the fact and its encoding.
+    /// The kind, which identifies the part that owns the fact and its encoding.
     pub kind: u8,
-    /// The slot. The fact replaces an earlier one of the same kind, place and slot.
+    /// The slot. A fact replaces an earlier one of the same kind, place and slot.
     pub slot: u32,
-    /// The content, no longer than the membership protocol allows.
+    /// The content, at most as long as the membership protocol allows.
     pub bytes: Vec<u8>,
 }
 
 /// Why the membership cannot start.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FleetError {
-    /// There are too few or too many places.
-    #[error("membership needs 2 to 65535 peers, and there are {0}")]
+    /// There are too few or too many places; their number.
+    #[error("membership needs 2 to 65535 peers, but there are {0}")]
     Peers(usize),
     /// The settings of the membership contradict each other.
     #[error("membership: {0}")]
@@ -86,12 +86,12 @@
     settings: FleetSettings,
     members: Option<Members>,
     outputs: VecDeque<FleetOutput>,
-    /// Whether another process acts for this place, so that this one sends nothing.
+    /// Whether another process is active at this place, so that this one sends nothing.
     is_suspended: bool,
 }
 
 impl Fleet {
-    /// Creates the parts that the settings turn on, for a process that starts now.
+    /// Creates the parts that the settings enable, for a process that starts now.
     ///
     /// # Errors
     /// [`FleetError`] if the membership cannot start with these settings and this number of peers.
@@ -104,7 +104,7 @@
     /// Whether [`Fleet::restart`] would succeed.
     ///
     /// # Errors
-    /// Those of [`Fleet::restart`].
+    /// The errors of [`Fleet::restart`].
     pub fn check_restart(&self, identity: ProcessIdentity, now: Micros) -> Result<(), FleetError> {
         self.new_members(identity, now).map(drop)
     }
@@ -130,7 +130,7 @@
         self.members.is_some() && bytes.first() == Some(&VERSION)
     }
 
-    /// A datagram came from the address of this place.
+    /// Handles a datagram from the address of the place `from`.
     pub fn on_datagram(&mut self, now: Micros, from: u32, bytes: &[u8]) {
         let Ok(from) = u16::try_from(from) else { return };
         if let Some(members) = self.active_members() {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The time of [`Fleet::next_wake`] has come.
+    /// Handles the timer of [`Fleet::next_wake`].
     pub fn on_timer(&mut self, now: Micros) {
         if let Some(members) = self.active_members() {
             members.on_timer(now);
@@ -147,7 +147,8 @@
         }
     }
 
-    /// The latest time at which to call [`Fleet::on_timer`]. Every call of another method may change it.
+    /// When [`Fleet::on_timer`] must be called next; `None` if membership is off or suspended. Any call of another method may
+    /// change the time.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         self.members.as_ref().filter(|_| !self.is_suspended).map(|members| members.next_wake(now))
     }
@@ -173,18 +174,19 @@
         }
     }
 
-    /// Another process acts for this place from now on. This one sends nothing until [`Fleet::restart`].
+    /// Suspends this process, because another process is active at this place from now on. Nothing is sent until
+    /// [`Fleet::restart`].
     pub fn suspend(&mut self) {
         self.is_suspended = true;
         self.outputs.retain(|output| !matches!(output, FleetOutput::Send { .. }));
     }
 
-    /// The next output. To be called after each call of another method, until it returns `None`.
+    /// Removes and returns the next output. To be called after each call of another method, until the result is `None`.
     pub fn poll(&mut self) -> Option<FleetOutput> {
         self.outputs.pop_front()
     }
 
-    /// The view of all places; `None` if membership is off.
+    /// The membership view of all places; `None` if membership is off.
     pub fn view(&self) -> Option<&View> {
         self.members.as_ref().map(Members::view)
     }
@@ -194,7 +196,7 @@
         self.members.as_ref().map(Members::metrics)
     }
 
-    /// The membership, unless it is off or suspended.
+    /// The membership; `None` if it is off or suspended.
     fn active_members(&mut self) -> Option<&mut Members> {
         self.members.as_mut().filter(|_| !self.is_suspended)
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -10,13 +10,13 @@
 /// The settings of each part; `None` turns a part off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSettings {
-    /// Membership: which dispatchers there are, and which of them are alive.
+    /// Membership, which detects failed dispatchers.
     pub membership: Option<MembershipSettings>,
-    /// The schedule on which dispatchers call discovery.
+    /// The schedule of the dispatchers' calls to discovery.
     pub cold_start: Option<ColdStartSettings>,
-    /// Learning of run times.
+    /// The learning of run times.
     pub runtimes: Option<RuntimesSettings>,
-    /// Quotas of tenants.
+    /// The quotas of tenants.
     pub fair_share: Option<FairShareSettings>,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl FairShareSettings {
-    /// The ledger's configuration for the member at a place. `unix_at_zero` is the Unix time at which the caller's clock was 0, in
-    /// microseconds.
+    /// The ledger's configuration for the member at a place. `unix_at_zero` is the Unix time, in microseconds, at which the
+    /// caller's clock was 0.
     pub fn config(
         &self,
         place: u16,
@@ -87,13 +87,13 @@
     pub probe_interval: Micros,
     /// How long a probe waits for its answer before it is repeated through other members, in microseconds.
     pub probe_timeout: Micros,
-    /// A suspicion that others confirm lasts for this number times `2 + ln(members + 1)` probe intervals.
+    /// The duration of a suspicion that other members confirm, as a multiple of `2 + ln(members + 1)` probe intervals.
     pub suspicion_multiplier: f64,
-    /// The maximum number of bytes of datagrams that a member sends in a second.
+    /// The maximum number of bytes that a member sends in datagrams, per second.
     pub bytes_per_s: u32,
-    /// For how long a dead member's assignment is kept, in microseconds. `None` keeps it for as long as the member is dead.
+    /// How long a dead member's assignment is kept, in microseconds. `None` keeps it for as long as the member is dead.
     pub dead_assignment_ttl: Option<Micros>,
-    /// For how long the facts of a dead member are kept, in microseconds.
+    /// How long the facts of a dead member are kept, in microseconds.
     pub dead_facts_ttl: Micros,
 }
 
@@ -132,8 +132,8 @@
         }
     }
 
-    /// For how long after the own start a place that has never sent anything counts as present, in microseconds: the duration of
-    /// the longest suspicion.
+    /// How long after the start of this process a place that has not sent anything yet counts as present, in microseconds: the
+    /// duration of the longest suspicion.
     pub fn unknown_member_ttl(&self, config: &Config) -> Micros {
         let factor = config.suspicion_factor * (2.0 + f64::from(config.peers + 1).ln());
         (factor * config.suspicion_spread * config.probe_period as f64) as Micros + 2 * config.meet_period
