--- a/tests/config.rs
+++ b/tests/config.rs
@@ -7,7 +7,7 @@
 use mothproxy_testkit::site;
 use serde_json::json;
 
-/// The settings of the file reach the decision module, each in its unit.
+/// The settings of the file are mapped for the decision module, each converted to the module's unit.
 #[test]
 fn maps_settings_for_the_decision_module() {
     let config = site::read(&site::config(
@@ -32,8 +32,8 @@
     );
 }
 
-/// Regression: "free slots" has a blank here and "_" in the simulator's protocol, so that the free slots of every report were
-/// dropped and no worker ever counted as full.
+/// Regression: the name "free slots" has a space in the settings but "_" in the simulator's protocol. The free slots of every
+/// report were dropped, and no worker ever counted as full.
 #[test]
 fn reads_the_free_slots_of_a_load_report() {
     let config = site::read(&site::config("127.0.0.1:1", "127.0.0.1:2", json!([])));
@@ -45,12 +45,12 @@
     assert_eq!(report("unheard=9,x0=many"), None);
     let callback = json!({"id": "a", "from": "s", "state": "done", "result": "r", "load": {"x0": 3.0, "util": 0.5, "eps": 0.1}});
     let callback = platform::parse_status_callback(&config.names, callback.to_string().as_bytes(), None);
-    assert_eq!(callback.expect("a callback").report, Some(expected));
+    assert_eq!(callback.expect("the callback is valid").report, Some(expected));
 }
 
-/// Nested settings become pairs as the simulator's protocol has them.
+/// Nested settings are flattened to the pairs of the simulator's protocol.
 #[test]
-fn flattens_lists_and_objects_and_keeps_blanks_in_names() {
+fn flattens_lists_and_objects_and_keeps_spaces_in_names() {
     let flat =
         flatten(&json!({"A": [1, 2.5], "B": [{"C": true}, {"C": "x y"}], "Domain": {"D": "x y"}, "N": null}));
     let flat: Vec<(&str, &str)> = flat.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
@@ -60,9 +60,9 @@
     assert_eq!(flat.len(), 5);
 }
 
-/// A group that cannot reach one of its nodes would take its silence for idle workers.
+/// A peer group that cannot reach one of its dispatchers would take the lack of messages from it for idle workers.
 #[test]
-fn messages_peers_only_where_every_address_is_known() {
+fn messages_peers_only_if_every_address_is_known() {
     let mut text = site::config("127.0.0.1:1", "127.0.0.1:2", json!([]));
     text["settings"]["Siblings"] = json!(3);
     text["settings"]["Limits"]["Peers"] = json!(true);
@@ -88,26 +88,26 @@
     }
 }
 
-/// An address of the environment counts before that of the file.
+/// An address in the environment takes precedence over that in the file.
 #[test]
 fn prefers_the_environment_to_the_file() {
     let config = site::config("127.0.0.1:1", "127.0.0.1:2", json!([])).to_string();
     let env = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.1:9".to_owned());
-    let config = Config::read(&config, "config.json", env).expect("sound");
+    let config = Config::read(&config, "config.json", env).expect("the configuration is valid");
     assert_eq!((config.listen.port(), config.discovery.port(), config.name.as_str()), (9, 2, "n0"));
 }
 
-/// The file of the event-stream listener is read with its defaults, and refused with a reason.
+/// The file of the SSE listener is read with its defaults, or refused with a reason.
 #[test]
 fn reads_the_file_of_the_sse_listener() {
     let file = std::env::temp_dir().join(format!("mothproxy-sse-{}.toml", std::process::id()));
     let read = |text: &str| {
-        std::fs::write(&file, text).expect("a temporary file");
+        std::fs::write(&file, text).expect("write the temporary file");
         SseConfig::load(&file, FilePresence::Required).map_err(|e| e.to_string())
     };
     assert_eq!(read(""), Ok(None));
     let on = Some(SseSettings {
-        listen: "127.0.0.1:8444".parse().expect("an address"),
+        listen: "127.0.0.1:8444".parse().expect("a valid address"),
         heartbeat: 250_000,
         origins: Vec::new(),
         streams_per_tenant: 1024,
@@ -117,7 +117,10 @@
     assert!(read("origins = [\"pay.example/x\"]").is_err_and(|e| e.contains("pay.example/x")));
     assert!(read("streams_per_tenant = 0").is_err_and(|e| e.contains("streams_per_tenant")));
     assert!(read("lisen = \"127.0.0.1:8444\"").is_err_and(|e| e.contains("lisen")));
-    std::fs::remove_file(&file).expect("it was there");
-    assert_eq!(SseConfig::load(&file, FilePresence::Optional).expect("not there is off"), None);
+    std::fs::remove_file(&file).expect("remove the temporary file");
+    assert_eq!(
+        SseConfig::load(&file, FilePresence::Optional).expect("an optional file may be missing"),
+        None
+    );
     assert!(SseConfig::load(&file, FilePresence::Required).is_err());
 }
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Discovery's lists in the endpoint table.
+//! The application of discovery's lists to the endpoint table.
 
 use crate::harness::CoreHarness;
 use mothproxy::WorkerId;
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 #[test]
-fn removes_unlisted_workers_and_never_reuses_their_numbers() {
+fn removes_unlisted_workers_and_never_reuses_their_ids() {
     let mut harness = CoreHarness::new(2);
     let whole = site::read_list(&site::snapshot(2, &[site::endpoint_entry("s-1", "127.0.0.1:9101", "up")]));
     harness.core.on_endpoint_list(&whole);
@@ -28,7 +28,7 @@
     assert_eq!(harness.core.endpoints().bad_rows(), 4);
 }
 
-/// Wherever what a watch sends is cut, the table is that of the last whole list and never between two.
+/// Wherever the data of a watch is split, the table is that of the last complete list, and never a mixture of two lists.
 #[test]
 fn applies_no_part_of_a_list_before_all_of_it_has_arrived() {
     let row = |n: u64, state| site::endpoint_entry(&format!("s-{n}"), &format!("127.0.0.1:910{n}"), state);
@@ -43,8 +43,10 @@
     let feed = |harness: &mut CoreHarness, objects: &mut ObjectSplitter, bytes: &[u8]| {
         objects.feed(bytes);
         while let Some(object) = objects.next_object() {
-            let value = serde_json::from_slice(&object).expect("JSON");
-            harness.core.on_endpoint_list(&EndpointList::from_json(&value).expect("a list"));
+            let value = serde_json::from_slice(&object).expect("an object of the watch is JSON");
+            harness.core.on_endpoint_list(
+                &EndpointList::from_json(&value).expect("an object of the watch is an endpoint list"),
+            );
         }
         harness.core.endpoints().rows()
     };
@@ -53,11 +55,11 @@
         feed(&mut CoreHarness::new(2), &mut ObjectSplitter::default(), text.as_bytes())
     };
     let expected: Vec<_> = (0..=3).map(after_lists).collect();
-    for cut in 0..=text.len() {
+    for split_at in 0..=text.len() {
         let (mut harness, mut objects) = (CoreHarness::new(2), ObjectSplitter::default());
-        let (before, after) = text.as_bytes().split_at(cut);
-        let whole = ends.iter().filter(|end| **end <= cut).count();
-        assert_eq!(feed(&mut harness, &mut objects, before), expected[whole], "cut at {cut}");
-        assert_eq!(feed(&mut harness, &mut objects, after), expected[3], "cut at {cut}");
+        let (before, after) = text.as_bytes().split_at(split_at);
+        let whole = ends.iter().filter(|end| **end <= split_at).count();
+        assert_eq!(feed(&mut harness, &mut objects, before), expected[whole], "split at byte {split_at}");
+        assert_eq!(feed(&mut harness, &mut objects, after), expected[3], "split at byte {split_at}");
     }
 }
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -14,7 +14,7 @@
 pub struct CoreHarness {
     pub core: Core,
     pub now: Micros,
-    /// How many requests were offered by [`CoreHarness::accept`].
+    /// The number of calls of [`CoreHarness::accept`].
     pub offered: u64,
 }
 
@@ -23,7 +23,7 @@
         CoreHarness::starting_at(workers, 0)
     }
 
-    /// One whose clock starts at this Unix time, in microseconds; two workers a cell.
+    /// Creates a core whose clock starts at this Unix time, in microseconds. Each cell has two workers.
     pub fn starting_at(workers: usize, unix: u128) -> CoreHarness {
         let row = |number: usize| {
             let mut row =
@@ -33,13 +33,14 @@
         };
         let rows: Vec<_> = (0..workers).map(row).collect();
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
-        let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("sound settings");
+        let mut core =
+            Core::new(config.settings, config.names, config.seed, unix).expect("the settings are valid");
         let now = Core::clock_start();
         core.on_cached_list(&config.known_endpoints);
         CoreHarness { core, now, offered: 0 }
     }
 
-    /// One that keeps records of keyed requests.
+    /// Creates a core that keeps records of keyed requests.
     pub fn with_idempotency(workers: usize) -> CoreHarness {
         let mut harness = CoreHarness::new(workers);
         harness.core.enable_idempotency(harness.now, std::iter::empty());
@@ -56,7 +57,7 @@
         self.core.accept(self.now, new_request(name, class, time_budget))
     }
 
-    /// A redeem with an idempotency key. `None` where the key was given to another body.
+    /// Accepts a request of class 1 with an idempotency key. Returns `None` if the key was used for another body.
     pub fn accept_keyed(&mut self, name: &str, key: &str, body_fingerprint: u64) -> Option<RequestId> {
         let mut request = new_request(name, 1, 25_000 * MS);
         request.idempotency_key = Some(IdempotencyKey { key: key.to_owned(), body_fingerprint });
@@ -64,7 +65,8 @@
         if is_reused { None } else { self.core.accept(self.now, request) }
     }
 
-    /// Another core as after a crash, which begins with the records that this one had persisted by then.
+    /// Creates a core as after a crash, which begins with the records that this one had persisted before. If the clock is not
+    /// sound, the deduplication windows of all records are treated as over.
     pub fn restarted_after_crash(
         &self,
         records: &BTreeMap<String, Vec<u8>>,
@@ -82,7 +84,7 @@
         next
     }
 
-    /// Lets time pass and returns all commands.
+    /// Advances the clock and returns all commands that were issued.
     pub fn advance(&mut self, span: Micros) -> Vec<Command> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -98,9 +100,15 @@
         all
     }
 
-    /// A worker's callback.
+    /// Reports a worker's status callback. Returns whether it changed the state of the core.
     pub fn report_status(&mut self, name: &str, from: WorkerId, status: JobStatus) -> bool {
-        let from = self.core.endpoints().get(from).expect("known").instance_id().to_owned();
+        let from = self
+            .core
+            .endpoints()
+            .get(from)
+            .expect("the worker is in the endpoint table")
+            .instance_id()
+            .to_owned();
         self.core.on_job_status(self.now, name, &from, status, None)
     }
 }
@@ -121,7 +129,7 @@
     }
 }
 
-/// An attempt that the core has commanded.
+/// An attempt that the core has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
     pub id: AttemptId,
@@ -129,7 +137,7 @@
 }
 
 impl StartedAttempt {
-    /// The request's name, if it was accepted by [`CoreHarness::accept`].
+    /// The name of the attempt's request, which [`CoreHarness::accept`] must have accepted.
     pub fn request_name(&self) -> String {
         format!("job-{}", self.id.request_id.0 + 1)
     }
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -1,4 +1,4 @@
-//! Keyed requests and their records, also after a crash.
+//! Requests with an idempotency key and their records, also after a crash.
 
 use crate::harness::{CoreHarness, MS, responses, started};
 use mothproxy::WorkerId;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Carries out the commands to persist records, as the store would. Returns the tickets that wait for it.
+/// Executes the commands to persist records, as the store would. Returns the tickets of the attempts that wait for a write.
 fn persist(records: &mut BTreeMap<String, Vec<u8>>, commands: &[Command]) -> Vec<RecordTicket> {
     let mut tickets = Vec::new();
     for command in commands {
@@ -25,18 +25,18 @@
 /// A core with one keyed request in flight.
 struct KeyedRequest {
     harness: CoreHarness,
-    /// What was persisted.
+    /// The persisted records, by key.
     records: BTreeMap<String, Vec<u8>>,
-    /// The worker of its attempt.
+    /// The worker of the request's attempt.
     worker: WorkerId,
 }
 
 fn with_keyed_request(workers: usize) -> KeyedRequest {
     let mut harness = CoreHarness::with_idempotency(workers);
     let mut records = BTreeMap::new();
-    harness.accept_keyed("r-1", "k", 5).expect("new");
+    harness.accept_keyed("r-1", "k", 5).expect("the request is new");
     let commands = harness.advance(5 * MS);
-    assert_eq!(started(&commands), [], "it left before its record was persisted");
+    assert_eq!(started(&commands), [], "an attempt was sent before its record was persisted");
     let tickets = persist(&mut records, &commands);
     assert_eq!(tickets.len(), 1);
     harness.core.on_record_persisted(tickets[0], PersistOutcome::Written);
@@ -48,50 +48,57 @@
 #[test]
 fn sends_a_keyed_request_once_its_record_is_persisted_and_others_at_once() {
     let KeyedRequest { mut harness, .. } = with_keyed_request(4);
-    harness.accept(0, 5_000 * MS).expect("new");
+    harness.accept(0, 5_000 * MS).expect("the request is new");
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands).len(), 1);
     let is_persist = |command: &Command| matches!(command, Command::PersistRecord { .. });
-    assert!(!commands.iter().any(is_persist), "a request without a key was recorded");
+    assert!(!commands.iter().any(is_persist), "a request without a key got a record");
 }
 
 #[test]
 fn rejects_a_request_whose_record_cannot_be_persisted() {
     let mut harness = CoreHarness::with_idempotency(4);
-    let id = harness.accept_keyed("r-1", "k", 5).expect("new");
+    let id = harness.accept_keyed("r-1", "k", 5).expect("the request is new");
     let tickets = persist(&mut BTreeMap::new(), &harness.advance(5 * MS));
     harness.core.on_record_persisted(tickets[0], PersistOutcome::Failed);
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands), []);
-    // Nothing of it may have run: it may be rejected.
+    // No attempt was sent, so the request may be rejected.
     assert!(
         matches!(responses(&commands)[..], [(of, FinalResponse::Rejected(Some(_)))] if of == id),
         "{commands:?}"
     );
-    assert!(harness.core.idempotency().expect("on").is_empty(), "there is nothing to remember");
+    assert!(
+        harness.core.idempotency().expect("records are kept").is_empty(),
+        "a request that never ran needs no record"
+    );
 }
 
 #[test]
-fn sends_a_repeat_after_a_crash_to_the_same_cell_or_nowhere() {
-    for (elapsed, is_clock_sound, may_go) in
+fn sends_a_repeat_after_a_crash_to_the_same_cell_or_not_at_all() {
+    for (elapsed, is_clock_sound, may_be_sent) in
         [(5_000, true, true), (39_000, true, true), (41_000, true, false), (1_000, false, false)]
     {
         let KeyedRequest { harness, records, worker } = with_keyed_request(6);
         let mut next = harness.restarted_after_crash(&records, elapsed * MS, is_clock_sound);
-        let id = next.accept_keyed("r-2", "k", 5).expect("new");
+        let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
         let commands = next.advance(5 * MS);
         let tickets = persist(&mut records.clone(), &commands);
-        if may_go {
+        if may_be_sent {
             next.core.on_record_persisted(tickets[0], PersistOutcome::Written);
             let to = started(&next.advance(MS))[0].worker;
-            assert_eq!(to.0 / 2, worker.0 / 2, "it went to another cell, {elapsed} ms later");
+            assert_eq!(
+                to.0 / 2,
+                worker.0 / 2,
+                "the repeat was sent to another cell {elapsed} ms after the crash"
+            );
         } else {
-            // The cell may have forgotten it: it is failed, and not rejected, since it may have run.
+            // The deduplication window may be over. The request fails and is not rejected, because it may have run.
             assert!(tickets.is_empty());
-            let given_up = [commands, next.advance(26_000 * MS)].concat();
-            assert_eq!(started(&given_up), []);
+            let commands_until_deadline = [commands, next.advance(26_000 * MS)].concat();
+            assert_eq!(started(&commands_until_deadline), []);
             assert!(
-                matches!(responses(&given_up)[..], [(of, FinalResponse::Failed | FinalResponse::TimedOut)] if of == id)
+                matches!(responses(&commands_until_deadline)[..], [(of, FinalResponse::Failed | FinalResponse::TimedOut)] if of == id)
             );
         }
     }
@@ -103,8 +110,8 @@
     assert!(harness.report_status("r-1", worker, JobStatus::Done(b"paid".to_vec())));
     persist(&mut records, &harness.advance(5 * MS));
     let mut next = harness.restarted_after_crash(&records, 100_000 * MS, true);
-    assert_eq!(next.accept_keyed("r-3", "k", 6), None, "another body under the same key");
-    let id = next.accept_keyed("r-2", "k", 5).expect("new");
+    assert_eq!(next.accept_keyed("r-3", "k", 6), None, "the same key with another body was accepted");
+    let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
     let commands = next.advance(5 * MS);
     assert_eq!(responses(&commands), [(id, FinalResponse::Served(b"paid".to_vec()))]);
     assert_eq!((started(&commands), next.core.ledger().open()), (vec![], 0));
@@ -114,15 +121,18 @@
 fn records_a_result_that_arrives_after_a_crash() {
     let KeyedRequest { harness, mut records, worker } = with_keyed_request(4);
     let mut next = harness.restarted_after_crash(&records, 2_000 * MS, true);
-    assert!(!next.report_status("r-1", worker, JobStatus::Done(b"paid".to_vec())), "its request is gone");
+    assert!(
+        !next.report_status("r-1", worker, JobStatus::Done(b"paid".to_vec())),
+        "the request of the callback ended with the crash"
+    );
     persist(&mut records, &next.advance(5 * MS));
     let mut third = next.restarted_after_crash(&records, 2_000 * MS, true);
-    let id = third.accept_keyed("r-2", "k", 5).expect("new");
+    let id = third.accept_keyed("r-2", "k", 5).expect("the request is new");
     assert_eq!(responses(&third.advance(5 * MS)), [(id, FinalResponse::Served(b"paid".to_vec()))]);
 }
 
 #[test]
-fn sends_no_repeat_to_a_cell_that_was_replaced() {
+fn sends_no_repeat_if_the_cell_was_replaced() {
     let KeyedRequest { harness, records, worker } = with_keyed_request(4);
     let mut next = CoreHarness::new(0);
     next.core.enable_idempotency(next.now, records.into_iter());
@@ -131,9 +141,9 @@
         row["cell"] = json!(cell);
         row
     };
-    let old = harness.core.endpoints().get(worker).expect("known").row().cell;
+    let old = harness.core.endpoints().get(worker).expect("the worker is in the endpoint table").row().cell;
     next.core.on_endpoint_list(&site::read_list(&site::snapshot(2, &[row(0, old + 10), row(1, old + 11)])));
-    let id = next.accept_keyed("r-2", "k", 5).expect("new");
+    let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
     let commands = next.advance(26_000 * MS);
     assert_eq!(started(&commands), []);
     assert!(
@@ -142,7 +152,7 @@
 }
 
 #[test]
-fn reports_records_that_cannot_be_read() {
+fn reports_records_that_cannot_be_decoded() {
     let mut harness = CoreHarness::new(2);
     let records = [("a", vec![]), ("b", vec![9, 1, 2]), ("c", vec![1, 0xff, 0xff])];
     let records = records.into_iter().map(|(key, bytes)| (key.to_owned(), bytes));
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -1,4 +1,5 @@
-//! The core without sockets: one final response to each request, callbacks in any order, lists, deadlines, idempotency, transfer.
+//! The core without sockets: one final response to each request, callbacks in any order, endpoint lists, deadlines, idempotency
+//! and the transfer to a successor.
 
 mod endpoint_list;
 mod harness;
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: attempts, callbacks, deadlines, and exactly one final response.
+//! The lifecycle of a request: attempts, callbacks, deadlines, and exactly one final response.
 
 use crate::harness::{CoreHarness, MS, StartedAttempt, responses, started};
 use mothproxy::core::{AttemptId, AttemptOutcome, Command, FinalResponse, JobStatus, RequestId};
@@ -9,9 +9,9 @@
 #[test]
 fn responds_with_the_first_result_and_ignores_later_ones() {
     let mut harness = CoreHarness::new(2);
-    let id = harness.accept(0, 5_000 * MS).expect("new");
+    let id = harness.accept(0, 5_000 * MS).expect("the request is new");
     let worker = started(&harness.advance(5 * MS))[0].worker;
-    // The callback may come before the worker's 202; each of its ten tries is answered, one counts.
+    // The callback may arrive before the worker's 202 response. A worker tries a callback up to ten times; only the first counts.
     assert!(harness.report_status("job-1", worker, JobStatus::Done(b"ok".to_vec())));
     assert!(!harness.report_status("job-1", worker, JobStatus::Done(b"again".to_vec())));
     let served = FinalResponse::Served(b"ok".to_vec());
@@ -36,62 +36,68 @@
 }
 
 #[test]
-fn does_not_accept_a_name_that_is_still_open() {
+fn does_not_accept_the_name_of_an_open_request() {
     let mut harness = CoreHarness::new(1);
     assert!(harness.accept_named("x", 0, 5_000 * MS).is_some());
     assert!(harness.accept_named("x", 0, 5_000 * MS).is_none());
     assert_eq!(harness.core.ledger().accepted(), 1);
 }
 
-/// A client takes a rejection for the assurance that nothing ran.
+/// A rejection assures the client that nothing ran, so a request that may have run must fail instead.
 #[test]
 fn fails_and_does_not_reject_what_may_have_run() {
     let mut harness = CoreHarness::new(1);
-    harness.accept(1, 1_000 * MS).expect("new");
+    harness.accept(1, 1_000 * MS).expect("the request is new");
     let attempt = started(&harness.advance(5 * MS))[0].id;
     harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
     let all = responses(&harness.advance(1_050 * MS));
     assert!(matches!(all[..], [(_, FinalResponse::Failed | FinalResponse::TimedOut)]), "{all:?}");
 }
 
-/// What was decided may no longer hold when the bytes can leave.
+/// The decision to send an attempt may be out of date by the time that its bytes can be written.
 #[test]
 fn writes_only_before_the_deadline_and_within_the_idempotency_window() {
     let mut harness = CoreHarness::new(2);
-    let id = harness.accept(1, 5_000 * MS).expect("new");
+    let id = harness.accept(1, 5_000 * MS).expect("the request is new");
     let first = started(&harness.advance(5 * MS))[0].id;
     let at = harness.now;
     assert!(harness.core.may_write(at, first, 0));
-    assert!(!harness.core.may_write(at + 5_000 * MS, first, 0), "its time is over");
+    assert!(!harness.core.may_write(at + 5_000 * MS, first, 0), "the deadline has passed");
     harness.core.on_attempt_ended(harness.now, first, AttemptOutcome::Unserved(Outcome::Reset), None);
-    assert!(!harness.core.may_write(at, first, 0), "it has ended");
+    assert!(!harness.core.may_write(at, first, 0), "the attempt has ended");
     let second = (0..100).find_map(|_| started(&harness.advance(20 * MS)).pop());
-    let second = second.expect("in the same cell").id;
+    let second = second.expect("a second attempt in the same cell").id;
     assert!(harness.core.may_write(harness.now, second, 0));
-    assert!(!harness.core.may_write(harness.now, second, 40_000 * MS), "it would come after the window");
+    assert!(
+        !harness.core.may_write(harness.now, second, 40_000 * MS),
+        "the attempt would arrive after the window"
+    );
     harness.core.on_client_disconnected(harness.now, id);
-    assert!(!harness.core.may_write(harness.now, second, 0), "its client has disconnected");
+    assert!(!harness.core.may_write(harness.now, second, 0), "the client has disconnected");
 }
 
 #[test]
 fn times_out_at_the_deadline_when_the_worker_is_silent() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 800 * MS).expect("new");
+    let id = harness.accept(1, 800 * MS).expect("the request is new");
     let from = harness.now;
     assert_eq!(started(&harness.advance(5 * MS)).len(), 1);
     assert_eq!(responses(&harness.advance(780 * MS)), []);
     let all = harness.advance(30 * MS);
     assert_eq!(responses(&all), [(id, FinalResponse::TimedOut)]);
-    assert!(all.iter().any(|c| matches!(c, Command::CancelAttempt { .. })), "the worker is sent a cancel");
+    assert!(
+        all.iter().any(|c| matches!(c, Command::CancelAttempt { .. })),
+        "no cancellation was sent to the worker"
+    );
     assert!(harness.now <= from + 850 * MS);
 }
 
-/// On a starved machine a turn comes late. The core then responded by itself, before the decision module could, and debug
-/// builds stopped at an invariant.
+/// On an overloaded machine a turn may be late. In this case the core itself once responded before the decision module could, and
+/// debug builds failed at an invariant.
 #[test]
-fn a_late_turn_asks_the_decision_module_first() {
+fn the_decision_module_responds_first_after_a_late_turn() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 200 * MS).expect("a request");
+    let id = harness.accept(1, 200 * MS).expect("the request is new");
     let worker = started(&harness.advance(10 * MS))[0].worker;
     assert!(harness.report_status("job-1", worker, JobStatus::Started));
     harness.advance(0);
@@ -103,7 +109,7 @@
 #[test]
 fn serves_an_open_request_with_the_result_of_an_ended_attempt() {
     let mut harness = CoreHarness::new(3);
-    let id = harness.accept(0, 7_000 * MS).expect("new");
+    let id = harness.accept(0, 7_000 * MS).expect("the request is new");
     let first = started(&harness.advance(5 * MS))[0].worker;
     let attempt = AttemptId { request_id: id, number: 0 };
     harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Timeout), None);
@@ -115,7 +121,7 @@
 #[test]
 fn sends_nothing_after_the_client_disconnected() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(0, 5_000 * MS).expect("new");
+    let id = harness.accept(0, 5_000 * MS).expect("the request is new");
     harness.core.on_client_disconnected(harness.now, id);
     let all = harness.advance(6_000 * MS);
     assert_eq!((started(&all), responses(&all)), (vec![], vec![]));
@@ -130,10 +136,10 @@
     harness.accept(0, 5_000 * MS);
     harness.core.turn(harness.now);
     let first = std::iter::from_fn(|| harness.core.next_command()).count();
-    assert!(first > 0, "a quiet core takes the event at once");
+    assert!(first > 0, "an idle core handles the event at once");
     harness.accept(0, 5_000 * MS);
     harness.core.turn(harness.now + MS);
-    assert_eq!(harness.core.next_command(), None, "the next batch is 2 ms later");
+    assert_eq!(harness.core.next_command(), None, "the next batch is due 2 ms after the first");
     harness.core.turn(harness.now + 2 * MS);
     assert!(harness.core.next_command().is_some());
 }
@@ -149,8 +155,8 @@
     assert_eq!((harness.core.ledger().failed(), harness.core.ledger().open()), (5, 0));
 }
 
-/// Random lives of requests: each has exactly one entry in the ledger and at most one final response, and nothing is sent after it.
-/// Nor is anything sent to a worker that may have an attempt of it, whatever that reports again.
+/// Random events of requests. Each request has exactly one entry in the ledger and at most one final response, and no attempt is
+/// sent after that response. No second attempt is sent to a worker that may run the first, whatever callbacks it repeats.
 #[test]
 fn each_request_gets_exactly_one_final_response() {
     for seed in 0..150 {
@@ -207,13 +213,13 @@
     }
 }
 
-/// What the core has commanded so far.
+/// The commands of the core so far.
 #[derive(Default)]
 struct Audit {
     started: Vec<StartedAttempt>,
-    /// Workers that may have run, or may still run, a request.
+    /// Requests and the workers that may have run them, or may still run them.
     may_have_run: BTreeSet<(RequestId, WorkerId)>,
-    /// How many final responses each request got.
+    /// The number of final responses to each request.
     responses: BTreeMap<RequestId, u32>,
 }
 
@@ -227,9 +233,16 @@
             match *command {
                 Command::StartAttempt { attempt, worker } => {
                     let request_id = attempt.request_id;
-                    assert!(!self.responses.contains_key(&request_id), "sent after its final response");
+                    assert!(
+                        !self.responses.contains_key(&request_id),
+                        "an attempt of request {request_id} was sent after the final response"
+                    );
                     let is_first = self.may_have_run.insert((request_id, worker));
-                    assert!(is_first, "a second attempt where the first may be");
+                    assert!(
+                        is_first,
+                        "request {request_id} got a second attempt at worker {} although the first may run",
+                        worker.0
+                    );
                     self.started.push(StartedAttempt { id: attempt, worker });
                 }
                 Command::Respond { request_id, .. } => {
--- a/tests/core/transfer.rs
+++ b/tests/core/transfer.rs
@@ -1,4 +1,4 @@
-//! Requests and learned state on their way from one process to its successor.
+//! The transfer of requests and learned state from one process to its successor.
 
 use crate::harness::{CoreHarness, MS, responses, started};
 use mothproxy::core::transfer::{TransferredAttempt, TransferredPhase};
@@ -6,27 +6,30 @@
 use mothproxy::{LoadReport, WorkerId};
 use serde_json::json;
 
-/// The callback that hands a job back may be repeated: its worker gets no other attempt of it, also from the next process.
+/// The callback that returns a job may be repeated. So the worker gets no other attempt of the request, not even from the
+/// successor.
 #[test]
-fn does_not_retry_at_a_worker_that_handed_back_before_a_transfer() {
+fn does_not_retry_at_a_worker_that_returned_the_job_before_a_transfer() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 5_000 * MS).expect("new");
+    let id = harness.accept(1, 5_000 * MS).expect("the request is new");
     let worker = started(&harness.advance(5 * MS))[0].worker;
     assert!(harness.report_status("job-1", worker, JobStatus::Returned));
     harness.core.batch(harness.now);
-    let transferred = through_json(&harness.core.transfer(id).expect("it may go"));
-    harness.core.adopt(transferred, DownstreamId(70)).expect("its worker is known");
+    let transferred = through_json(&harness.core.transfer(id).expect("the request can be transferred"));
+    harness.core.adopt(transferred, DownstreamId(70)).expect("the worker is known");
     assert_eq!(started(&harness.advance(2_000 * MS)), []);
 }
 
-/// The value after its way, as bytes, from one process to another.
+/// Encodes a value as JSON and decodes it, as the transfer to another process does.
 fn through_json<T: serde::Serialize + serde::de::DeserializeOwned>(value: &T) -> T {
-    serde_json::from_str(&serde_json::to_string(value).expect("it can be written")).expect("and read")
+    serde_json::from_str(&serde_json::to_string(value).expect("the value can be encoded"))
+        .expect("the JSON can be decoded")
 }
 
-/// Other versions write a flag for each thing that may be known of an attempt: what is in flight has no end, whatever they say.
+/// Other versions may set any combination of the flags of an attempt. An attempt in flight has no end, whatever its other flags
+/// say.
 #[test]
-fn flags_of_a_transferred_attempt_read_as_its_one_phase() {
+fn flags_of_a_transferred_attempt_decode_to_one_phase() {
     let table = [
         (json!({"out": true, "never_ran": false}), TransferredPhase::InFlight),
         (json!({"out": true, "never_ran": true, "handed_back": true}), TransferredPhase::InFlight),
@@ -43,15 +46,15 @@
     }
 }
 
-/// A decision module that starts from nothing at each upgrade sends to workers that are known to be full.
+/// Without the learned state, the decision module of a successor would send jobs to workers that are known to be full.
 #[test]
 fn learned_state_guides_the_successor() {
     for full in [WorkerId(0), WorkerId(1)] {
         let (mut predecessor, mut successor) = (CoreHarness::new(2), CoreHarness::new(2));
-        // Some requests on each worker, so that both send a load report at the end.
+        // Each worker gets some requests, so that both send a load report at the end.
         let mut attempts = Vec::new();
         for _ in 0..8 {
-            predecessor.accept(0, 5_000 * MS).expect("a request");
+            predecessor.accept(0, 5_000 * MS).expect("the request is new");
             attempts.extend(started(&predecessor.advance(10 * MS)));
         }
         let has_attempt = |worker| attempts.iter().any(|attempt| attempt.worker == worker);
@@ -69,9 +72,9 @@
         successor.now = predecessor.now;
         successor.core.restore(through_json(&predecessor.core.learned_state()));
         for _ in 0..3 {
-            successor.accept(0, 5_000 * MS).expect("a request");
+            successor.accept(0, 5_000 * MS).expect("the request is new");
             for attempt in started(&successor.advance(10 * MS)) {
-                assert_ne!(attempt.worker, full, "it is full");
+                assert_ne!(attempt.worker, full, "the worker is known to be full");
                 let name = attempt.request_name();
                 assert!(successor.report_status(&name, attempt.worker, JobStatus::Started));
             }
@@ -79,24 +82,30 @@
     }
 }
 
-/// The predecessor must not cancel at the worker what the successor waits for, nor the successor send it there again.
+/// The predecessor must not cancel an attempt that the successor waits for, and the successor must not send it to the worker
+/// again.
 #[test]
 fn a_transferred_request_keeps_its_attempts() {
     let (mut predecessor, mut successor) = (CoreHarness::new(1), CoreHarness::new(1));
-    let id = predecessor.accept(1, 3_000 * MS).expect("a request");
-    assert_eq!(predecessor.core.transfer(id), None, "its event still waits for the module");
+    let id = predecessor.accept(1, 3_000 * MS).expect("the request is new");
+    assert_eq!(
+        predecessor.core.transfer(id),
+        None,
+        "the request was transferred while its event waited for the decision module"
+    );
     let worker = started(&predecessor.advance(10 * MS))[0].worker;
     assert!(predecessor.report_status("job-1", worker, JobStatus::Started));
     predecessor.advance(10 * MS);
-    let transferred = through_json(&predecessor.core.transfer(id).expect("it can go"));
+    let transferred = through_json(&predecessor.core.transfer(id).expect("the request can be transferred"));
     assert!(!predecessor.core.knows("job-1") && predecessor.core.ledger().open() == 0);
     let more = predecessor.advance(5_000 * MS);
-    let for_it = |c: &Command| {
+    let is_for_request = |c: &Command| {
         matches!(c, Command::CancelAttempt { .. } | Command::StartAttempt { .. } | Command::Respond { .. })
     };
-    assert!(!more.iter().any(for_it), "nothing more is done for it: {more:?}");
-    let id = successor.core.adopt(transferred.clone(), DownstreamId(7)).expect("taken over");
-    assert_eq!(successor.core.adopt(transferred, DownstreamId(7)), None, "once");
+    assert!(!more.iter().any(is_for_request), "the predecessor still acted on the request: {more:?}");
+    let id =
+        successor.core.adopt(transferred.clone(), DownstreamId(7)).expect("the successor adopts the request");
+    assert_eq!(successor.core.adopt(transferred, DownstreamId(7)), None, "the request was adopted twice");
     assert!(started(&successor.advance(1_000 * MS)).is_empty());
     assert!(successor.report_status("job-1", worker, JobStatus::Done(b"x".to_vec())));
     assert_eq!(responses(&successor.advance(10 * MS)), [(id, FinalResponse::Served(b"x".to_vec()))]);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what it sets, and its faults with file, line and field.
+//! The operators' file: the settings that it sets, and the report of its faults with file, line and field.
 
 use mothproxy::config::FilePresence;
 use mothproxy::settings::{load, read};
@@ -18,20 +18,20 @@
 fleet { membership { probe_interval_ms: 100 suspicion_mult: 2 bytes_per_s: 4096 } }
 "#;
 
-/// Each section that is set is read, and what is not set stays off.
+/// Each section in the file is read, and the parts without a section stay off.
 #[test]
 fn reads_what_is_set_and_leaves_the_rest_off() {
-    let settings = read(ALL_SECTIONS, "f").expect("sound");
-    let streams = settings.streams.expect("on");
+    let settings = read(ALL_SECTIONS, "f").expect("the file is valid");
+    let streams = settings.streams.expect("the section is set");
     assert_eq!((streams.listen.port(), streams.heartbeat, streams.streams_per_tenant), (8444, 250_000, 7));
     assert_eq!(streams.origins, ["https://pay.example", "http://localhost:3000"]);
-    let state = settings.state.expect("on");
+    let state = settings.state.expect("the section is set");
     assert_eq!(
         (state.dir.as_path(), state.sync),
         (Path::new("/var/lib/mothproxy"), SyncMode::Interval(Duration::from_millis(20)))
     );
     assert!(settings.json_log);
-    let members = settings.fleet.membership.expect("on");
+    let members = settings.fleet.membership.expect("the section is set");
     assert_eq!(
         (members.probe_interval, members.probe_timeout, members.bytes_per_s),
         (100_000, 30_000, 4_096)
@@ -40,25 +40,36 @@
     let same =
         config.suspicion_factor == 2.0 && config.probe_period == 100_000 && config.gossip_period < 100_000;
     assert!(same && (config.place, config.peers, config.epoch) == (2, 9, 7), "{config:?}");
-    let plain = read("fleet { membership {} }", "f").expect("sound").fleet;
-    assert_eq!(plain.membership, Some(Default::default()), "on as it is");
-    let none = read("", "f").expect("sound");
+    let plain = read("fleet { membership {} }", "f").expect("the file is valid").fleet;
     assert_eq!(
-        (&none.fleet, read("fleet {}", "f").expect("sound").fleet),
+        plain.membership,
+        Some(Default::default()),
+        "an empty section turns the part on with its defaults"
+    );
+    let none = read("", "f").expect("the file is valid");
+    assert_eq!(
+        (&none.fleet, read("fleet {}", "f").expect("the file is valid").fleet),
         (&Default::default(), Default::default())
     );
     assert_eq!((none.streams, none.state, none.json_log), (None, None, false));
-    let shipped = load(Path::new("deploy/mothproxy.txtpb"), FilePresence::Required).expect("sound");
-    assert_eq!((shipped.streams, shipped.state, shipped.json_log), (None, None, false), "off as shipped");
+    let shipped =
+        load(Path::new("deploy/mothproxy.txtpb"), FilePresence::Required).expect("the file is valid");
+    assert_eq!(
+        (shipped.streams, shipped.state, shipped.json_log),
+        (None, None, false),
+        "everything is off in the file of the release"
+    );
     let nowhere = Path::new("/nowhere.txtpb");
-    assert!(load(nowhere, FilePresence::Optional).expect("not there is off").streams.is_none());
+    assert!(
+        load(nowhere, FilePresence::Optional).expect("an optional file may be missing").streams.is_none()
+    );
     let missing = load(nowhere, FilePresence::Required);
     assert!(missing.is_err_and(|e| e.to_string().contains("cannot read it")));
 }
 
-/// Each fault of a file is named with its line and field, all in one go.
+/// All faults of a file are reported together, each with its line and field.
 #[test]
-fn names_each_fault_with_its_line_and_field() {
+fn reports_each_fault_with_its_line_and_field() {
     let cases: [(&str, &[&str]); 12] = [
         ("streams {\n  lisen: \"x\"\n}\n", &["f:2: ", "lisen"]),
         (
