--- a/tests/common/lists/mod.rs
+++ b/tests/common/lists/mod.rs
@@ -1,6 +1,6 @@
-//! A discovery service and its callers on a virtual clock: one queue that is slow, and as many of the program's own
-//! [`WatchLiveness`](mothproxy::core::watch_liveness::WatchLiveness) as there are dispatchers. See `docs/design/lists.md`.
-#![allow(dead_code)] // each of its users reads a part of an outcome
+//! A simulation of a slow discovery service and its callers on a virtual clock. The service has one queue, and each dispatcher is
+//! a [`WatchLiveness`](mothproxy::core::watch_liveness::WatchLiveness) of the program. See `docs/design/lists.md`.
+#![allow(dead_code)] // each user of the module reads only some fields of an outcome
 
 pub mod scenario;
 mod service;
--- a/tests/common/lists/scenario.rs
+++ b/tests/common/lists/scenario.rs
@@ -1,37 +1,37 @@
-//! What a simulated day is made of, and what it shows.
+//! The inputs and the outcome of one run of the simulation.
 
 use mothproxy::Micros;
 
-/// A second.
+/// One second, in microseconds.
 pub const S: Micros = 1_000_000;
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub const MS: Micros = 1_000;
-/// How long the service is down in [`Scenario::Down`].
+/// How long the service is down in [`Scenario::Down`], in microseconds.
 pub const OUTAGE_TIME: Micros = 8 * S;
 
-/// What calls that nobody reads cost the service.
+/// The time that the service spends on calls whose responses nobody reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonedCallCost {
-    /// Nothing: it sees that a caller has gone, and refuses without work.
+    /// None: the service detects that the caller has closed the call, and refuses a call that has waited too long at no cost.
     Nothing,
-    /// Its time, if the caller has gone.
+    /// The service time of a call that the caller has closed, unless the call has also waited too long.
     Gone,
-    /// Its time as well if it waited too long: it is only refused in its turn.
+    /// The service time of a closed call, and of one that has waited too long, which is refused only when its turn comes.
     Late,
 }
 
-/// How a service is down.
+/// What callers observe while the service is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
     /// Connections are refused.
     Refused,
-    /// Connections never come up, and those that are open stay silent for good.
+    /// Connections are never established, and open ones stay silent forever.
     Lost,
-    /// Calls come in and wait in the queue, which stands still.
+    /// Calls arrive and wait in the queue, which does not advance.
     Standing,
 }
 
-/// Why all callers need a list.
+/// The event after which all callers need a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// All processes start.
@@ -40,11 +40,11 @@
     Reset,
     /// All watches fall silent.
     Silent,
-    /// The service is down for a while and then back.
+    /// The service is down for [`OUTAGE_TIME`].
     Down(Outage),
-    /// SIGHUP names another service.
+    /// The callers move to another service after SIGHUP.
     Moved,
-    /// For ten seconds a tenth of the processes is restarted each.
+    /// A tenth of the processes is restarted in each of ten successive seconds.
     Restarts,
 }
 
@@ -60,44 +60,45 @@
         Scenario::Restarts,
     ];
 
-    /// A list must come within this time after the service could be reached.
+    /// The time within which each caller must get a list once the service is reachable, in microseconds.
     pub fn deadline(self) -> Micros {
         if self == Scenario::Moved { 4 * S } else { 6 * S }
     }
 
-    /// How much of the deadline is left when the first caller knows that it needs a list.
+    /// The part of the deadline that is left when the first caller detects that it needs a list, in microseconds.
     pub fn time_to_serve(self) -> Micros {
-        // 2.5 s pass before a silence is noticed, and the last heartbeats are up to 2 s apart.
-        let unnoticed = if self == Scenario::Silent { 1_500 * MS } else { 0 };
-        self.deadline() - unnoticed
+        // A silence is detected after 2.5 s, and the last heartbeats of the callers are up to 2 s apart.
+        let min_detection_delay = if self == Scenario::Silent { 1_500 * MS } else { 0 };
+        self.deadline() - min_detection_delay
     }
 
-    /// Whether the callers need whole lists, not only what has changed.
+    /// Whether the callers need whole lists and not only deltas.
     pub fn needs_full_lists(self) -> bool {
         matches!(self, Scenario::Start | Scenario::Moved)
     }
 }
 
-/// A simulated day.
+/// The inputs of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunConfig {
     pub scenario: Scenario,
     pub callers: u32,
-    /// The service's time for a call, a list of changes included.
+    /// The service's time for a call without the list, in microseconds.
     pub call_time: Micros,
-    /// It refuses a call that has waited for longer than this.
+    /// The longest wait of a call in the service's queue, in microseconds; a call that has waited longer is refused.
     pub max_wait: Micros,
     pub abandoned_call_cost: AbandonedCallCost,
     pub seed: u64,
 }
 
 impl RunConfig {
-    /// The service's time for a call: a whole list is as much again as a call, what changed meanwhile a twentieth of that.
+    /// The service's time for a call and its list, in microseconds. A whole list takes as long as the call itself, and a delta a
+    /// twentieth of that.
     pub fn service_time(&self, is_full_list: bool) -> Micros {
         self.call_time + self.call_time / if is_full_list { 1 } else { 20 }
     }
 
-    /// By the service's own time, were no caller in another's way, so many cannot be notified within the deadline.
+    /// The number of callers that cannot get a list within the deadline even if the service spends no time on wasted calls.
     pub fn callers_beyond_capacity(&self) -> u32 {
         if self.scenario == Scenario::Restarts {
             return 0;
@@ -107,22 +108,22 @@
     }
 }
 
-/// What a day shows. Times are from when a caller needed a list until it came.
+/// The outcome of a run. Latencies are from when a caller needed a list until it got one, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     pub p50: Micros,
     pub p99: Micros,
     pub max: Micros,
-    /// Callers that get a list later than the deadline.
+    /// The number of callers that get a list after the deadline or never.
     pub late: u32,
-    /// Callers that never get one.
+    /// The number of callers that never get a list.
     pub never: u32,
     /// See [`RunConfig::callers_beyond_capacity`].
     pub beyond_capacity: u32,
     pub calls: u32,
     pub refused: u32,
-    /// Given up by their callers.
+    /// The number of calls that timed out at the caller.
     pub timed_out: u32,
-    /// The service's time for calls that nobody reads.
+    /// The service's time for calls whose responses nobody reads, in microseconds.
     pub wasted: Micros,
 }
--- a/tests/common/lists/service.rs
+++ b/tests/common/lists/service.rs
@@ -1,10 +1,11 @@
-//! The queue of the discovery service, which handles one call at a time.
+//! The queue of the simulated discovery service, which handles one call at a time.
 
 use super::scenario::{AbandonedCallCost, RunConfig};
 use mothproxy::Micros;
 use std::collections::VecDeque;
 
-/// A call, or the wait before one: its caller, and the caller's number for it. What was meant for an earlier one is void.
+/// Identifies a call or the wait before one: the caller, and the caller's number of the turn. Events for an earlier turn are
+/// ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId {
     pub caller: usize,
@@ -18,27 +19,27 @@
     arrived_at: Micros,
 }
 
-/// What the service has to know of a caller.
+/// The state of a caller that the service needs.
 #[derive(Clone, Copy)]
 pub struct CallerView {
-    /// It has given the call up.
+    /// Whether the caller has closed the call.
     pub is_gone: bool,
-    /// It holds no list.
+    /// Whether the caller has no list.
     pub needs_full_list: bool,
 }
 
 /// A call that the service handles now.
 pub struct HandledCall {
     pub id: CallId,
-    /// The service's time for it.
+    /// The service's time for the call, in microseconds.
     pub service_time: Micros,
-    /// Whether it is answered with a list, not refused.
+    /// Whether the response is a list; otherwise the call is refused.
     pub is_answered: bool,
-    /// Whether nobody reads what the service answers.
+    /// Whether nobody reads the response.
     pub is_wasted: bool,
 }
 
-/// The service.
+/// The simulated service.
 #[derive(Default)]
 pub struct Service {
     queue: VecDeque<QueuedCall>,
@@ -51,14 +52,14 @@
         self.queue.push_back(QueuedCall { id, arrived_at: now });
     }
 
-    /// Takes a call out of the queue; whether it was there.
+    /// Removes a call from the queue. Returns whether the call was in the queue.
     pub fn remove(&mut self, id: CallId) -> bool {
         let before = self.queue.len();
         self.queue.retain(|queued| queued.id != id);
         self.queue.len() < before
     }
 
-    /// The next call that costs the service time; those before it that cost none are dropped.
+    /// Removes and returns the next call that the service spends time on. Calls before it that cost no time are dropped.
     pub fn take_next(
         &mut self,
         config: &RunConfig,
--- a/tests/common/lists/simulation.rs
+++ b/tests/common/lists/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a day: the callers' watches and the service, driven by events in the order of time.
+//! The simulation: the callers' watches and the service, driven by events in order of time.
 
 use super::scenario::{AbandonedCallCost, MS, OUTAGE_TIME, Outage, Outcome, RunConfig, S, Scenario};
 use super::service::{CallId, CallerView, Service};
@@ -7,35 +7,35 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// How long bytes travel from one side to the other.
+/// The time that data takes from one side to the other, in microseconds.
 const ONE_WAY_DELAY: Micros = MS / 2;
-/// A connection is up, or refused, after this time.
+/// The time after which a connection is established or refused, in microseconds.
 const ROUND_TRIP: Micros = 2 * ONE_WAY_DELAY;
-/// When the scenario happens; what came before is only there so that nothing is before time began.
+/// When the event of the scenario happens. Earlier times are left for what happened before, because times are unsigned.
 const SCENARIO_START: Micros = 1_000 * S;
-/// Nobody waits longer than this to be counted as served.
+/// When the run ends. Callers without a list at this time count as never served.
 const SCENARIO_END: Micros = SCENARIO_START + 600 * S;
-/// How long before the scenario the watches were opened, at a quiet time.
+/// How long before the scenario the watches were opened, without load on the service.
 const WATCHES_OPENED_BEFORE: Micros = 60 * S;
-/// A watch that has sent nothing for this long is silent.
+/// How long a watch may send nothing before it counts as silent.
 const LIVENESS_TIMEOUT: Micros = 2_500 * MS;
-/// The service sends an empty line this often (PROTOCOL, "Discovery").
+/// The interval at which the service sends an empty line on a watch (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2 * S;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller's next call, or a timeout of the present one.
+    /// A caller's next call is due, or the current one times out.
     TimerFired(CallId),
-    /// A connection is up, and the request of a call arrives.
+    /// The connection of a call is established, and the request arrives.
     RequestArrived(CallId),
-    /// A call has waited for as long as the service lets it.
+    /// A call has waited in the queue for the maximum time.
     MaxWaitReached(CallId),
     /// The service has handled a call.
     Handled {
         call: CallId,
         is_answered: bool,
     },
-    /// The response to a call reaches the caller: a list, or an end.
+    /// The response to a call reaches the caller: a list, or a refusal.
     ResponseArrived {
         call: CallId,
         has_list: bool,
@@ -50,11 +50,11 @@
     ServiceRestored,
 }
 
-/// An event to come. The order of the fields is the order in which events happen.
+/// A scheduled event. Events are ordered by these fields, in the order of declaration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Micros,
-    /// How many were scheduled before it, which tells those of one time apart.
+    /// The number of events scheduled up to this one, which orders events of the same time.
     number: u64,
     event: Event,
 }
@@ -70,16 +70,16 @@
 struct Caller {
     liveness: WatchLiveness,
     phase: CallPhase,
-    /// The number of its call, or of its wait for the next one.
+    /// The number of the current call, or of the wait for the next one.
     turn: u64,
-    /// It holds no list.
+    /// Whether the caller has no list.
     needs_full_list: bool,
-    /// Since when it is owed a list.
+    /// Since when the caller needs a list; `None` if it needs none.
     waiting_since: Option<Micros>,
 }
 
 impl Caller {
-    /// A watch was opened at a quiet time, and its list came.
+    /// Opens a watch before the scenario, without load on the service, and receives its list.
     fn open_watch_long_ago(&mut self, call_time: Micros) {
         let opened_at = SCENARIO_START - WATCHES_OPENED_BEFORE;
         self.liveness.on_call_started(opened_at);
@@ -94,17 +94,17 @@
     config: RunConfig,
     now: Micros,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Events scheduled so far.
+    /// The number of events scheduled so far.
     scheduled: u64,
     callers: Vec<Caller>,
     service: Service,
     rng: fastrand::Rng,
-    /// From when a caller waited for a list until it came.
+    /// The times that callers waited for a list.
     latencies: Vec<Micros>,
     outcome: Outcome,
 }
 
-/// Simulates a day.
+/// Runs the simulation.
 pub fn run(config: RunConfig) -> Outcome {
     let mut simulation = Simulation::new(config);
     simulation.start_scenario();
@@ -170,7 +170,7 @@
         });
     }
 
-    /// What happens to a caller with an open watch.
+    /// Applies the event of the scenario to a caller with an open watch.
     fn start_scenario_of(&mut self, caller: usize, heartbeat_age: Micros) {
         match self.config.scenario {
             Scenario::Silent => self.silence_watch(caller, SCENARIO_START - heartbeat_age, heartbeat_age),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The watch of a caller sends nothing more after its last heartbeat; the caller is owed a list since this time.
+    /// Makes the watch of a caller silent after its last heartbeat. The caller needs a list from `waiting_since` on.
     fn silence_watch(&mut self, caller: usize, waiting_since: Micros, heartbeat_age: Micros) {
         self.callers[caller].waiting_since = Some(waiting_since);
         self.schedule(self.now - heartbeat_age + LIVENESS_TIMEOUT, Event::WatchSilent { caller });
@@ -218,7 +218,7 @@
         self.set_timer(caller, due);
     }
 
-    /// Sets a caller's timer, which begins another turn: what was meant for an earlier one is void.
+    /// Sets a caller's timer, which begins another turn. Events for earlier turns are ignored.
     fn set_timer(&mut self, caller: usize, due: Micros) -> CallId {
         self.callers[caller].turn += 1;
         let call = CallId { caller, turn: self.callers[caller].turn };
@@ -226,7 +226,7 @@
         call
     }
 
-    /// Whether a caller is still at this call, or at this wait.
+    /// Whether this call or wait is the caller's current one.
     fn is_current(&self, call: CallId) -> bool {
         self.callers[call.caller].turn == call.turn
     }
@@ -238,7 +238,7 @@
             state.waiting_since = Some(now);
         }
         let due = state.liveness.on_watch_failed(now, failure);
-        assert!(due >= now, "in the past");
+        assert!(due >= now, "the next call is due at {due}, before {now}");
         self.wait_for_next_call(caller, due);
     }
 
@@ -287,7 +287,7 @@
     }
 
     fn on_request_arrived(&mut self, caller: usize) {
-        // The time for an answer is another than the one for the connection; the call is the same.
+        // The timeout of the response replaces that of the connection; the call is the same.
         let due = self.callers[caller].liveness.on_connected(self.now);
         self.callers[caller].phase = CallPhase::Requesting;
         let call = self.set_timer(caller, due);
@@ -331,7 +331,7 @@
         }
     }
 
-    /// A heartbeat has come within the interval before now: how long ago.
+    /// Receives a heartbeat that was sent at a random time within the last interval. Returns how long ago that was.
     fn receive_heartbeat(&mut self, caller: usize) -> Micros {
         let age = self.rng.u64(0..HEARTBEAT_INTERVAL);
         self.callers[caller].liveness.on_data(self.now - age);
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Whoever has no list is owed one from now on.
+    /// Restores the service. The waiting time of callers without a list is counted from now on.
     fn on_service_restored(&mut self) {
         self.service.is_down = false;
         for caller in &mut self.callers {
@@ -364,7 +364,7 @@
         self.serve_next();
     }
 
-    /// The service handles the next call, if it is free.
+    /// Lets the service handle the next call, unless it is busy.
     fn serve_next(&mut self) {
         if self.service.is_busy || self.is_down(Outage::Standing) {
             return;
@@ -388,8 +388,8 @@
         let never = self.callers.iter().filter(|caller| caller.waiting_since.is_some()).count();
         let all = self.latencies.len() + never;
         let percentile = |percent: usize| {
-            let place = (all * percent).div_ceil(100).max(1) - 1;
-            self.latencies.get(place).copied().unwrap_or(SCENARIO_END - SCENARIO_START)
+            let rank = (all * percent).div_ceil(100).max(1) - 1;
+            self.latencies.get(rank).copied().unwrap_or(SCENARIO_END - SCENARIO_START)
         };
         let deadline = self.config.scenario.deadline();
         let late = self.latencies.iter().filter(|latency| **latency > deadline).count() + never;
--- a/tests/lists/case.rs
+++ b/tests/lists/case.rs
@@ -1,18 +1,19 @@
-//! The cases of [`crate::table`], as lines of text.
+//! The test cases of [`crate::table`], as lines of text.
 //!
-//! A case is what a watch says, and what comes of it, where a list with s-1 draining and s-2 up is held. Its fields, apart by `; `:
+//! A case is the data that a watch sends and the expected result, for a program that holds a list with s-1 draining and s-2 up.
+//! Its fields are separated by `; `:
 //!
-//! 1. `later` if it comes on the open watch, `first` if it is what a new call is answered;
-//! 2. `goes on` if the watch does, else after which generation the next one is opened, beside that of the list held
-//!    (`all` for generation 0);
-//! 3. the workers that get jobs then;
-//! 4. how many bad lists, stale lists and bad rows are counted;
-//! 5. what is sent, its parts apart by `|` (see [`SentPart`]);
-//! 6. what the next watch is sent, if that is not that nothing has changed.
+//! 1. `later` if the data is sent on the open watch, `first` if it is the response to a new call;
+//! 2. `goes on` if the watch stays open; otherwise the generation that the next watch is opened after, relative to that of the
+//!    held list (`all` for generation 0);
+//! 3. the workers that get jobs afterwards;
+//! 4. the numbers of bad lists, stale lists and bad rows that are counted;
+//! 5. the data that is sent, in parts separated by `|` (see [`SentPart`]);
+//! 6. the list that is sent on the next watch, unless it is an empty delta.
 //!
-//! A list is its generation beside the one that is held, `whole` or `change`, and its entries. An entry is a worker and its state:
-//! `2u` is s-2 and up, `2m` the same at its other address; `d` drains, `?` is in a state that nobody knows, `x` up and without an
-//! address.
+//! A list is written as its generation relative to the held one, `whole` (a snapshot) or `change` (a delta), and its entries. An
+//! entry is a worker and its state: `2u` is s-2 and up, and `2m` is s-2 up at its other address. `d` stands for draining, `?` for
+//! an unknown state, and `x` for up without an address.
 
 use mothproxy_testkit::*;
 use serde_json::{Value, json};
@@ -63,27 +64,27 @@
     CASES.trim().lines().map(Case::parse)
 }
 
-/// When a watch sends something.
+/// When the data of a case is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum When {
-    /// As the answer to the call that opens it.
+    /// As the response to the call that opens the watch.
     First,
-    /// Once it is open.
+    /// After the watch has been opened.
     Later,
 }
 
-/// What becomes of a watch.
+/// The watch that is open after a case.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum NextWatch {
-    /// It goes on.
+    /// The same watch.
     SameWatch,
-    /// Another one is opened after the held generation and this many more.
+    /// A new watch, opened after the held generation plus this number.
     After(u64),
-    /// Another one is opened after generation 0.
+    /// A new watch, opened after generation 0.
     FromStart,
 }
 
-/// What the program counts.
+/// The counters of the program for unusable lists and rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCounts {
     pub bad_lists: u64,
@@ -99,12 +100,12 @@
     }
 }
 
-/// One line.
+/// One test case.
 pub struct Case {
     pub line: &'static str,
     pub when: When,
     pub next_watch: NextWatch,
-    /// Names of [`TableWorkers`], apart by spaces.
+    /// The names of [`TableWorkers`], separated by spaces.
     pub used_workers: &'static str,
     pub counts: ListCounts,
     pub sent: Vec<SentPart>,
@@ -140,7 +141,7 @@
 pub struct ListText(pub &'static str);
 
 impl ListText {
-    /// The list, where this generation is held.
+    /// The list as JSON, for a program that holds this generation.
     pub fn to_list(self, held_generation: u64, workers: &TableWorkers) -> Value {
         let mut words = self.0.split(' ').filter(|word| !word.is_empty());
         let offset: i64 = words.next().and_then(|word| word.parse().ok()).expect("a generation");
@@ -151,25 +152,25 @@
     }
 }
 
-/// A part of what a watch sends, by its first word.
+/// A part of the data that a watch sends. The first word of its text is the kind of part.
 pub enum SentPart {
-    /// `watch`: the head of a sound answer.
+    /// `watch`: the head of a valid response.
     ResponseHead,
-    /// `indented`: a list over many lines.
+    /// `indented`: a list that is spread over many lines.
     Indented(ListText),
     /// `half`: the first half of a list.
     Half(ListText),
-    /// `bytes`: a list by the byte.
+    /// `bytes`: a list, one byte in each chunk.
     ByteByByte(ListText),
     /// `long`: the beginning of a list that is too long.
     TooLong,
     /// `deep`: arrays within arrays.
     TooDeep,
-    /// `raw`: these characters outside a chunk; `\n` ends a line.
+    /// `raw`: these characters, outside of a chunk; `\n` ends a line.
     Raw(&'static str),
-    /// `text`: a line that is no list.
+    /// `text`: a line that is not a list.
     Line(&'static str),
-    /// Nothing but a list.
+    /// A list, if the first word is none of the other kinds.
     List(ListText),
 }
 
@@ -189,10 +190,10 @@
         }
     }
 
-    /// The bytes, where this generation is held.
+    /// The bytes of the part, for a program that holds this generation.
     pub fn to_bytes(&self, held_generation: u64, workers: &TableWorkers) -> Vec<u8> {
-        const MORE_THAN_A_LIST_MAY_HAVE: usize = 5 * 1024 * 1024;
-        const DEPTH: usize = 10_000;
+        const TOO_LONG_BYTES: usize = 5 * 1024 * 1024;
+        const TOO_DEEP_LEVELS: usize = 10_000;
         let list = |text: &ListText| text.to_list(held_generation, workers);
         let text = match self {
             SentPart::ResponseHead => WATCH_RESPONSE_HEAD.to_owned(),
@@ -206,10 +207,8 @@
                 let chunks: String = bytes.iter().map(|byte| chunk(&char::from(*byte).to_string())).collect();
                 chunks + &chunk("\n")
             }
-            SentPart::TooLong => {
-                chunk(&format!("{{\"instances\":[{}", " ".repeat(MORE_THAN_A_LIST_MAY_HAVE)))
-            }
-            SentPart::TooDeep => chunk(&("[".repeat(DEPTH) + &"]".repeat(DEPTH) + "\n")),
+            SentPart::TooLong => chunk(&format!("{{\"instances\":[{}", " ".repeat(TOO_LONG_BYTES))),
+            SentPart::TooDeep => chunk(&("[".repeat(TOO_DEEP_LEVELS) + &"]".repeat(TOO_DEEP_LEVELS) + "\n")),
             SentPart::Raw(text) => text.replace("\\n", "\r\n"),
             SentPart::Line(text) => chunk(&format!("{text}\n")),
             SentPart::List(text) => chunk(&format!("{}\n", list(text))),
@@ -218,29 +217,29 @@
     }
 }
 
-/// The workers of the cases: s-1 to s-3, and where s-2 has gone.
+/// The workers of the cases: s-1 to s-3, and s-2 at its second address.
 pub struct TableWorkers(pub [Arc<FakeWorker>; 4]);
 
 impl TableWorkers {
-    /// What the cases call them.
+    /// The names of the workers in the cases.
     pub const NAMES: [&'static str; 4] = ["1", "2", "3", "2m"];
 
     pub fn start() -> TableWorkers {
         TableWorkers(["s-1", "s-2", "s-3", "s-2"].map(FakeWorker::start))
     }
 
-    /// The worker that the cases call s-2 at its first address: all that the program knows at its start.
+    /// The worker s-2 at its first address, which is the only one that the program knows at its start.
     pub fn known(&self) -> &[Arc<FakeWorker>] {
         &self.0[1..2]
     }
 
-    /// The worker of a word, with or without a state.
+    /// The worker that a word names, with or without a state.
     pub fn get(&self, word: &str) -> &FakeWorker {
         let index = if word.ends_with('m') { 3 } else { word[..1].parse::<usize>().expect("a number") - 1 };
         &self.0[index]
     }
 
-    /// The entry of a word such as `2u`.
+    /// The list entry for a word such as `2u`.
     pub fn entry(&self, word: &str) -> Value {
         let lifecycle = match &word[1..] {
             "d" => "draining",
--- a/tests/lists/full_list.rs
+++ b/tests/lists/full_list.rs
@@ -1,8 +1,8 @@
-//! The whole list, which a new service is asked for beside the watch.
+//! The call for the whole list, which a new service gets in addition to the call for a watch.
 
 use crate::*;
 
-/// SIGHUP names this service.
+/// Moves the program to this service by a reload.
 fn move_to(program: &mut DispatcherProcess, to: &FakeDiscovery) {
     let mut config = program.config.clone();
     config["discovery"] = json!(to.address.to_string());
@@ -14,13 +14,13 @@
     ScriptedResponse::Raw(list_response(value).into_bytes())
 }
 
-/// The whole list is asked for until one can be used; that may end with its connection. Cut in the middle, or answered with changes
-/// or a list of nobody, it was never asked for again, and a worker that the new service does not know stayed in the table for
-/// good.
+/// The call for the whole list is repeated until a list can be used, which may end with the connection. Regression: after a
+/// truncated list, a delta or an empty snapshot the call was not repeated, and a worker that the new service does not know stayed
+/// in the table forever.
 #[test]
 fn retries_full_list_that_is_truncated_or_unusable() {
     let workers = Workers::start();
-    // The versions of the first service mean nothing at the other.
+    // The generations of the two services cannot be compared.
     let first = FakeDiscovery::start(site::snapshot(100, &[workers.old.endpoint_entry("up")]));
     let new_entry = [workers.new.endpoint_entry("up")];
     let second = FakeDiscovery::start(site::delta(9, &new_entry));
@@ -38,15 +38,17 @@
     ];
     second.script_list_calls(&responses, whole);
     move_to(&mut program, &second);
-    wait_until("the whole list is asked for again", || second.list_call_count() == responses.len());
-    send_until_unused(&program, &workers.old, &workers.new); // its answer has been read
+    wait_until("the whole list is requested until it can be used", || {
+        second.list_call_count() == responses.len()
+    });
+    send_until_unused(&program, &workers.old, &workers.new); // the response has been read
     let metrics = program.shut_down_for_metrics();
-    assert_eq!(metrics["workers"], 1, "the old one is not of this service");
+    assert_eq!(metrics["workers"], 1, "the old worker is not on the list of the new service");
     assert_eq!((metrics["bad_lists"], second.list_call_count()), (4, responses.len()));
 }
 
-/// The whole list travels beside the watch, and does not count if it is older than what that has said meanwhile: it took back a
-/// drain.
+/// A whole list that is older than the latest data of the watch is ignored, because the two arrive on different connections.
+/// Regression: an older whole list reverted the start of a drain.
 #[test]
 fn ignores_full_list_older_than_watch() {
     let workers = Workers::start();
@@ -57,15 +59,15 @@
     let newest = site::snapshot(10, &workers.entries("draining", "up"));
     second.script_list_calls(&[ScriptedResponse::Hold], newest);
     move_to(&mut program, &second);
-    wait_until("the whole list is asked for", || second.list_call_count() == 1);
+    wait_until("the whole list is requested", || second.list_call_count() == 1);
     let drains = site::delta(10, &[workers.old.endpoint_entry("draining")]);
     second.push_change(&drains.to_string(), drains.clone());
     // The drain has been received, and the older list arrives.
     let used = send_until_unused(&program, &workers.old, &workers.new);
     second.release_list_calls(&site::snapshot(9, &workers.entries("up", "up")));
-    wait_until("the whole list is asked for again", || second.list_call_count() == 2);
+    wait_until("the whole list is requested again", || second.list_call_count() == 2);
     for number in 0..20 {
         send_until_used(&program, &workers.new, &format!("c{number}-"));
     }
-    assert_eq!(job_count(&workers.old), used, "it drains");
+    assert_eq!(job_count(&workers.old), used, "a draining worker got a job");
 }
--- a/tests/lists/table.rs
+++ b/tests/lists/table.rs
@@ -1,11 +1,12 @@
-//! A table of what a watch may say, played on one running program.
+//! The cases of [`crate::case`], run on one program.
 
 use crate::case::{self, Case, ListCounts, ListText, NextWatch, SentPart, TableWorkers, When};
 use crate::*;
 
-/// The generation held in a case is this much above that of the case before, so that no list of one counts in another.
+/// The difference between the held generations of two successive cases, which is so large that no list of one case applies in
+/// another.
 const GENERATIONS_PER_CASE: u64 = 100;
-/// Where a watch goes on, the last that it sends in a case is this much above the generation held.
+/// The generation of the last list of a case relative to the held one, if the watch stays open.
 const LAST_GENERATION: u64 = 50;
 /// An empty line that keeps a watch alive.
 const HEARTBEAT: &str = "1\r\n\n\r\n";
@@ -36,19 +37,19 @@
         ListText(text).to_list(held_generation, &self.workers)
     }
 
-    /// The bytes of what a watch sends in a case.
+    /// The bytes that a watch sends in a case.
     fn sent_bytes(&self, case: &Case, held_generation: u64) -> Vec<u8> {
         let to_bytes = |part: &SentPart| part.to_bytes(held_generation, &self.workers);
         let mut bytes: Vec<u8> = case.sent.iter().flat_map(to_bytes).collect();
         if case.next_watch == NextWatch::SameWatch {
-            // Received on this watch, or not at all.
+            // The next watch shows whether this list was received on the same watch.
             bytes.extend(SentPart::List(ListText("+50 change")).to_bytes(held_generation, &self.workers));
         }
         bytes
     }
 
-    /// Waits until more than this many watches have been opened, and returns after which generation. The open one is kept alive
-    /// meanwhile by these bytes.
+    /// Waits until more than this many watches have been opened, and returns the generation that the next one was opened after.
+    /// The open watch is kept alive meanwhile by these bytes.
     fn next_watch_index(&self, watches: usize, keep_alive: &str, what: &str) -> u64 {
         wait_until(what, || {
             self.discovery.write_to_watches(keep_alive.as_bytes());
@@ -61,8 +62,8 @@
         self.discovery.watch_indices().len()
     }
 
-    /// The program holds a list of this generation with s-1 draining and s-2 up, by a watch that has just been opened. How many
-    /// there have been with that one.
+    /// Opens a new watch, by which the program gets a list of this generation with s-1 draining and s-2 up. Returns the number of
+    /// watches so far, including the new one.
     fn prepare(&self, held_generation: u64, case: &Case) -> usize {
         let watches = self.watch_count();
         self.discovery.script_watches(&[], self.list(held_generation, "+0 whole 1d 2u"));
@@ -71,7 +72,8 @@
         watches + 1
     }
 
-    /// The newest of so many watches, or the next one, sends what the case says; the generation after which another is opened.
+    /// Sends the data of a case on the newest of this many watches, or on the next one. Returns the generation that another watch
+    /// is then opened after.
     fn send_case(&self, case: &Case, held_generation: u64, watches: usize, next_list: Value) -> u64 {
         let bytes = self.sent_bytes(case, held_generation);
         let is_first = case.when == When::First;
@@ -91,7 +93,7 @@
         self.next_watch_index(watches, keep_alive, case.line)
     }
 
-    /// Asserts that each of these workers, and nobody else, gets jobs.
+    /// Asserts that each of these workers, and no other, gets jobs.
     fn assert_used_workers(&self, expected: &str, held_generation: u64, case: &str) {
         let job_counts = || self.workers.0.each_ref().map(|worker| job_count(worker));
         let before = job_counts();
@@ -106,10 +108,10 @@
     }
 }
 
-/// Whatever a watch says: what is refused is counted and changes nothing, no worker of another row is touched, and the next
-/// call asks for what came after the list that is held.
+/// For any data of a watch: refused data is counted and changes nothing, workers of other rows are not affected, and the next
+/// call requests the changes since the held list.
 #[test]
-fn endpoint_table_stays_consistent_whatever_watch_sends() {
+fn endpoint_table_stays_consistent_for_any_data_of_a_watch() {
     let site = Site::start();
     wait_until("a watch", || site.watch_count() > 0);
     let mut held_generation = 0;
--- a/tests/lists/watch.rs
+++ b/tests/lists/watch.rs
@@ -1,11 +1,11 @@
-//! The watch: what it says is read however it is cut, and another one is opened soon when it fails.
+//! The watch: its data is parsed regardless of how it is split, and a new watch is opened soon after a failure.
 
 use crate::*;
 use std::time::Duration;
 
-/// A pushed list is watched again after its watch has ended, and after it has fallen silent. Where lists are pushed the program
-/// called nobody: it lived on `known` for ever, and went on sending to workers that the agent had long said were draining (on the
-/// second deployment's upgrade day 568 times).
+/// The watch of a pushed list is reopened after it has ended, and after it has fallen silent. Regression: with pushed lists the
+/// program made no call. It used the `known` list forever, and went on sending jobs to workers that the agent had listed as
+/// draining (568 times in one upgrade of a deployment).
 #[test]
 fn reopens_watch_of_pushed_list_after_end_or_silence() {
     let workers = Workers::start();
@@ -13,19 +13,19 @@
     let program = workers.start_program(&agent, |config| config["settings"]["Discovery"] = json!("pushed"));
     send_until_used(&program, &workers.new, "a");
     let used = job_count(&workers.old);
-    // An end is followed by another watch, and so is a silence: this agent sends no empty lines.
+    // Another watch is opened after the end, and again after the silence, because this agent sends no empty lines.
     agent.close_watches();
     wait_until("a watch after the end", || watch_calls(&agent) >= 2);
     wait_until("a watch after the silence", || watch_calls(&agent) >= 3);
-    // Changes may come over many lines.
+    // A list may be spread over many lines.
     let swapped = workers.entries("up", "draining");
     let indented = serde_json::to_string_pretty(&site::delta(3, &swapped)).expect("JSON");
     agent.push_change(&indented, site::snapshot(3, &swapped));
-    assert_eq!(job_count(&workers.old), used, "it drained until now");
+    assert_eq!(job_count(&workers.old), used, "a draining worker got a job");
     send_until_used(&program, &workers.old, "b");
 }
 
-/// A list over many lines is one list. It was cut at its line ends into as many bad ones.
+/// A list that is spread over many lines is one list. Regression: each of its lines was parsed as a list of its own and rejected.
 #[test]
 fn reads_indented_list_of_watch() {
     let workers = Workers::start();
@@ -38,16 +38,16 @@
     assert_eq!(program.shut_down_for_metrics()["bad_lists"], 0);
 }
 
-/// How calls fail, one after the other.
+/// Responses that make calls fail, one after the other.
 struct FailingCalls {
-    /// An open watch is lost first; otherwise the program has just started.
+    /// Whether an open watch is lost first; otherwise the program has just started.
     had_watch: bool,
     responses: [ScriptedResponse; 2],
 }
 
-/// After a reset, or a first call without an answer, the program calls again soon, whatever the poll interval. It was followed by
-/// the module's waits, which grew with each failure up to that interval: a worker that drained meanwhile went on getting jobs
-/// long after the 6 s that a change takes to count.
+/// After a reset, or a first call without a response, the program calls again soon, regardless of the poll interval. Regression:
+/// the next call waited for the decision module's retry delay, which grew with each failure up to the poll interval. A worker
+/// that drained meanwhile got jobs long after the 6 s within which a change must be notified.
 #[test]
 fn retries_discovery_soon_after_any_failure() {
     let workers = Workers::start();
@@ -72,12 +72,12 @@
         }
         send_until_used(&program, &workers.new, "a");
         let expected = 1 + u64::from(*had_watch) + responses.len() as u64;
-        assert_eq!(watch_calls(&discovery), expected, "{responses:?}: no more calls than failed");
+        assert_eq!(watch_calls(&discovery), expected, "calls after the responses {responses:?}");
     }
 }
 
-/// A list that came while the program was suspended counts, and its watch goes on. After a long turn a watch, or a call, was silent
-/// though its list was there, unread.
+/// A list that arrived while the program was suspended is applied, and the watch stays open. Regression: after a long turn of the
+/// event loop, a watch or call counted as silent although its list had arrived but was not read yet.
 #[test]
 fn reads_pending_bytes_before_watch_counts_as_silent() {
     const SUSPENSION: Duration = Duration::from_millis(2_600);
@@ -90,5 +90,5 @@
     let change = site::delta(2, &workers.entries("draining", "up"));
     program.suspend_for(SUSPENSION, || discovery.push_change(&change.to_string(), change.clone()));
     send_until_used(&program, &workers.new, "b");
-    assert_eq!(discovery.watch_indices(), [1], "the watch goes on");
+    assert_eq!(discovery.watch_indices(), [1], "the watch stays open");
 }
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,10 +1,10 @@
-//! Nothing in the program or in the deploy file is fitted to one customer: no name of a site stands there.
+//! The program and the deploy file are not tailored to one customer: they contain no name of a site.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Names that the kit's sites give to their classes, tenants, zones and machines; their files are not in the repository.
+/// The names of classes, tenants, zones and machines of the test kit's sites, whose files are not in the repository.
 const KIT_NAMES: [&str; 36] = [
     "almaty-cards",
     "alm-1",
@@ -48,15 +48,17 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The files below a folder that end in this.
+/// The files below a directory whose paths end in `ending`.
 fn files(dir: &Path, ending: &str) -> Vec<PathBuf> {
-    let entries = fs::read_dir(dir).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let entries = fs::read_dir(dir)
+        .expect("a readable directory")
+        .map(|entry| entry.expect("a readable directory entry").path());
     let below = |path: PathBuf| if path.is_dir() { files(&path, ending) } else { vec![path] };
     let has_ending = |path: &PathBuf| path.to_string_lossy().ends_with(ending);
     entries.flat_map(below).filter(has_ending).collect()
 }
 
-/// The site's own name and all that it gives to others.
+/// The site's own name and the names of its zones, tiers, kinds, classes and tenants.
 fn names(site: &toml::Value) -> Vec<String> {
     let name = |table: &toml::Value| table["name"].as_str().expect("a name").to_owned();
     let tables =
@@ -72,30 +74,30 @@
     names
 }
 
-/// Names of sites stand in their own files alone, not in the program or the deploy file.
+/// The names of a site occur only in its own file, not in the program or the deploy file.
 #[test]
-fn program_and_deploy_file_name_no_site() {
+fn program_and_deploy_file_contain_no_site_names() {
     let mut known: BTreeMap<String, String> =
         KIT_NAMES.map(|name| (name.to_owned(), "the kit's".to_owned())).into();
     let sites = files(&root().join("deploy/sites"), ".toml");
     assert_eq!(sites.len(), 2, "{sites:?}");
     for file in sites {
-        let text = fs::read_to_string(&file).expect("read");
-        let site: toml::Value = toml::from_str(&text).expect("a site file");
+        let text = fs::read_to_string(&file).expect("a readable file");
+        let site: toml::Value = toml::from_str(&text).expect("the site file is TOML");
         for name in names(&site) {
             let other = known.insert(name.clone(), file.display().to_string());
-            assert_eq!(other, None, "{} calls something {name} as another site does", file.display());
+            assert_eq!(other, None, "{} uses the name {name} of another site", file.display());
         }
     }
     let mut program = files(&root().join("src"), ".rs");
     program.push(root().join("deploy/balancer.toml"));
     for file in program {
-        let text = fs::read_to_string(&file).expect("read");
+        let text = fs::read_to_string(&file).expect("a readable file");
         for (name, site) in &known {
-            // A word that has another meaning is no name unless it is a text of its own.
+            // A name without a hyphen may be an ordinary word, so it counts only as a whole string literal.
             let is_named =
                 if name.contains('-') { text.contains(name) } else { text.contains(&format!("\"{name}\"")) };
-            assert!(!is_named, "{} names {name} of {site}", file.display());
+            assert!(!is_named, "{} contains the name {name} of {site}", file.display());
         }
     }
 }
--- a/tests/watch_liveness/calls.rs
+++ b/tests/watch_liveness/calls.rs
@@ -1,44 +1,45 @@
-//! One dispatcher's watch and its calls, whose outcomes a test chooses.
+//! One dispatcher's watch and its calls, whose outcomes the test chooses.
 
 use crate::lists::scenario::{MS, S};
 use mothproxy::Micros;
 use mothproxy::core::watch_liveness::{DiscoverySettings, WatchFailure, WatchLiveness};
 
-/// A change counts as notified this long after discovery had it and could be reached (PROTOCOL, "Figures").
+/// The time after which a change counts as notified, from when discovery has it and is reachable (PROTOCOL, "Figures").
 pub const NOTIFICATION_DEADLINE: Micros = 6 * S;
-/// Discovery gives up a call that has waited for this long; one that it answers is answered by then.
+/// The longest wait of a call in discovery's queue. A call that is not answered by then is refused.
 pub const MAX_QUEUE_TIME: Micros = S;
 
-/// What happens to a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug)]
 pub enum CallOutcome {
-    /// Its connection never comes up.
+    /// The connection is never established.
     NoConnection,
-    /// Refused, or its connection reset or ended, this long after it began.
+    /// The call is refused, or its connection is reset or closed, this long after its start.
     Refused(Micros),
-    /// Not answered.
+    /// The call is never answered.
     Hangs,
-    /// This long after it began half an object comes, and no more.
+    /// Half of an object arrives this long after the start, and nothing more.
     Partial(Micros),
-    /// An empty line comes this long after it began, and its end `then_ends` after that.
+    /// An empty line arrives `after` the start, and the connection is closed `then_ends` after that.
     EmptyLine { after: Micros, then_ends: Micros },
-    /// A list, this long after it began.
+    /// A list arrives this long after the start.
     List(Micros),
 }
 
-/// One dispatcher's watch and the calls for it, driven as by the program: whatever is due is waited for, and never missed.
+/// One dispatcher's watch and the calls for it. Each step happens exactly when it is due.
 pub struct Simulation {
     pub watch: WatchLiveness,
     rng: fastrand::Rng,
     pub now: Micros,
-    /// When each call began.
+    /// The start of each call.
     pub calls: Vec<Micros>,
-    /// How the last watch ended, and when, if it had sent something.
+    /// How and when the last watch ended, if it had sent data.
     pub lost: Option<(WatchFailure, Micros)>,
-    /// No wait is longer.
+    /// The maximum wait before a call.
     max_wait: Micros,
-    /// This many calls in a row waited in vain, the last one too: the service may be too slow for all.
-    pub waited_in_vain: u8,
+    /// The number of consecutive calls, up to the last one, that waited and were not answered. The service may be too slow for
+    /// all callers.
+    pub unanswered_calls: u8,
 }
 
 impl Simulation {
@@ -50,7 +51,7 @@
             calls: Vec::new(),
             lost: None,
             max_wait: call_interval(settings),
-            waited_in_vain: 0,
+            unanswered_calls: 0,
         }
     }
 
@@ -64,34 +65,37 @@
         }
     }
 
-    /// A call is made. Returns when the next is due, or `None` if a list was received.
+    /// Makes a call. Returns when the next one is due, or `None` if a list was received.
     pub fn call(&mut self, outcome: CallOutcome) -> Option<Micros> {
         let earliest = self.calls.last().map_or(0, |last| last + 200 * MS);
-        assert!(self.now >= earliest, "sooner after the one before than anybody may call");
+        assert!(self.now >= earliest, "a call less than 200 ms after the previous one");
         self.calls.push(self.now);
         self.lost = None;
-        let waited_in_vain = self.waited_in_vain;
-        self.waited_in_vain = match outcome {
-            CallOutcome::Refused(after) if after >= 200 * MS => waited_in_vain + 1,
-            CallOutcome::Hangs => waited_in_vain + 1,
+        let unanswered_calls = self.unanswered_calls;
+        self.unanswered_calls = match outcome {
+            CallOutcome::Refused(after) if after >= 200 * MS => unanswered_calls + 1,
+            CallOutcome::Hangs => unanswered_calls + 1,
             _ => 0,
         };
         let began = self.now;
         let connected_by = self.watch.on_call_started(began);
-        assert!(connected_by > began && connected_by <= began + 2 * S, "a connection waits for nothing");
+        assert!(
+            connected_by > began && connected_by <= began + 2 * S,
+            "the connection times out at {connected_by}, the call began at {began}"
+        );
         if matches!(outcome, CallOutcome::NoConnection) {
             return Some(self.fail(connected_by, WatchFailure::Unreachable));
         }
         let answered_by = self.watch.on_connected(began + self.rng.u64(0..=MS));
-        let max_wait = self.max_wait.max(answer_timeout(waited_in_vain));
+        let max_wait = self.max_wait.max(answer_timeout(unanswered_calls));
         assert!(
             answered_by > began && answered_by <= began + max_wait,
-            "an answer is waited for without end"
+            "the answer times out at {answered_by}, the call began at {began}"
         );
         self.answer(outcome, began, answered_by)
     }
 
-    /// The connection of a call is up, and its outcome comes, if that is before `answered_by`.
+    /// Applies the outcome of a call whose connection is established, if it is due before `answered_by`.
     fn answer(&mut self, outcome: CallOutcome, began: Micros, answered_by: Micros) -> Option<Micros> {
         match outcome {
             CallOutcome::List(after) if began + after < answered_by => {
@@ -124,25 +128,28 @@
         }
     }
 
-    /// Another service counts, which was never called.
+    /// Moves to another service, which has not been called yet.
     pub fn move_discovery(&mut self) -> Micros {
         self.calls.clear();
         self.watch.on_discovery_moved(self.now)
     }
 
-    /// The watch fails. Returns when the next call is due.
+    /// Makes the watch fail. Returns when the next call is due.
     pub fn fail(&mut self, at: Micros, failure: WatchFailure) -> Micros {
         self.now = at;
         let next = self.watch.on_watch_failed(at, failure);
-        assert!((at..=at + self.max_wait).contains(&next), "{next} after {at}");
+        assert!(
+            (at..=at + self.max_wait).contains(&next),
+            "the next call is due at {next} after a failure at {at}"
+        );
         next
     }
 }
 
-/// In its queue the service keeps as many calls as there are dispatchers: more of them have as long as a turn of all takes; and
-/// each that was in vain says that a turn may take twice as long.
-pub fn answer_timeout(waited_in_vain: u8) -> Micros {
-    if waited_in_vain == 0 { 2 * S } else { ((1_500 * MS) << waited_in_vain.min(2)).min(4_500 * MS) }
+/// The maximum timeout of an answer. The service's queue may hold one call of each dispatcher, so the timeout allows for a round
+/// of all calls, and each unanswered call indicates that a round may take twice as long.
+pub fn answer_timeout(unanswered_calls: u8) -> Micros {
+    if unanswered_calls == 0 { 2 * S } else { ((1_500 * MS) << unanswered_calls.min(2)).min(4_500 * MS) }
 }
 
 pub fn settings_for(dispatchers: u32) -> DiscoverySettings {
@@ -155,13 +162,13 @@
     DiscoverySettings { is_pushed: false, max_poll_interval, dispatchers }
 }
 
-/// How many refused calls the 6 s hold beside one that is answered, though the service may be too slow for all: two up to ten
-/// dispatchers; more of them call less often.
+/// The number of refused calls for which the 6 s leave time besides one that is answered, although the service may be too slow
+/// for all: two for up to ten dispatchers. With more dispatchers, each of them calls less often.
 pub fn max_refusals(settings: DiscoverySettings) -> u8 {
     ((NOTIFICATION_DEADLINE - 1_500 * MS) / call_interval(settings) - 1) as u8
 }
 
-/// The longest time from one call to the next: up to ten dispatchers may call in 1.5 s.
+/// The maximum time from one call to the next: up to ten dispatchers may all call within 1.5 s.
 pub fn call_interval(settings: DiscoverySettings) -> Micros {
     (150 * MS * u64::from(settings.dispatchers)).clamp(1_500 * MS, 4_500 * MS)
 }
--- a/tests/watch_liveness/main.rs
+++ b/tests/watch_liveness/main.rs
@@ -1,4 +1,4 @@
-//! The liveness of a watch under random orders of events, and its objects however they are cut.
+//! The liveness of a watch under random sequences of events, and the framing of its objects.
 
 #[path = "../common/lists/mod.rs"]
 mod lists;
--- a/tests/watch_liveness/objects.rs
+++ b/tests/watch_liveness/objects.rs
@@ -1,10 +1,10 @@
-//! The bytes of a watch, split into objects and signs of life.
+//! The framing of a watch: its bytes are split into objects and empty lines.
 
 use mothproxy::core::watch_liveness::ObjectSplitter;
 
-/// Objects of a watch are split alike wherever its bytes are cut; empty lines between them are seen.
+/// The objects of a watch are the same wherever its bytes are split, and empty lines between them are detected.
 #[test]
-fn splits_objects_however_they_are_cut_and_indented() {
+fn splits_objects_for_any_chunk_size_and_indentation() {
     let text =
         b"\n{\"a\":1}\n\n{\n  \"b\": [\n    {\"c\": \"}\\\"]\\\\\"}\n  ]\n}\n\nnot a list\n{\"d\":2}\n";
     let expected: [&[u8]; 4] =
@@ -12,24 +12,24 @@
     for size in 1..text.len() {
         let mut objects = ObjectSplitter::default();
         let (mut split, mut empty_lines) = (Vec::new(), 0);
-        for piece in text.chunks(size) {
-            objects.feed(piece);
+        for chunk in text.chunks(size) {
+            objects.feed(chunk);
             split.extend(std::iter::from_fn(|| objects.next_object()));
             empty_lines += usize::from(objects.take_empty_line());
         }
-        assert_eq!(split, expected, "in pieces of {size}");
+        assert_eq!(split, expected, "in chunks of {size}");
         assert!(!objects.is_partial() && objects.is_empty(), "{objects:?}");
         let is_exact = empty_lines == 3;
         assert!(
             empty_lines <= 3 && (size > 1 || is_exact),
-            "three empty lines: {empty_lines} in pieces of {size}"
+            "{empty_lines} empty lines instead of 3 in chunks of {size}"
         );
     }
 }
 
-/// Spaces, and parts of a line that begins no object, are no sign of life: a watch that sends only those is silent.
+/// Spaces and incomplete lines outside of objects do not count as data: a watch that sends nothing else is silent.
 #[test]
-fn counts_only_lines_and_objects_as_signs_of_life() {
+fn counts_only_empty_lines_and_objects_as_data() {
     for text in ["   ", "\t", "nothing", "{\"a\":1}\n", "junk\n"] {
         let mut objects = ObjectSplitter::default();
         objects.feed(text.as_bytes());
--- a/tests/watch_liveness/retries.rs
+++ b/tests/watch_liveness/retries.rs
@@ -1,47 +1,51 @@
-//! When calls are made again: soon enough for every list to come in time, and never in a busy loop.
+//! The times of repeated calls: soon enough for every list to arrive in time, and never in a busy loop.
 
 use crate::calls::*;
 use crate::lists::scenario::{MS, S};
 use mothproxy::Micros;
 use mothproxy::core::watch_liveness::{DiscoverySettings, WatchFailure, WatchLiveness};
 
-/// Random events for a while; at a random moment discovery comes back. From then on it refuses up to two calls, perhaps slowly, or
-/// as many as it does with this many dispatchers (at least one, unless it has kept calls waiting in vain; and one less for each
-/// call but the first that it has kept so). The next one is answered: whatever came before, that is within 6 s.
+/// Random events happen until discovery becomes reachable at a random time. From then on it refuses up to two calls, perhaps
+/// slowly, but no more than `max_refusals` allows. That number is reduced by one for each unanswered call before except the
+/// first, and is at least one if there was none. The next call is answered, which must be within 6 s regardless of the earlier
+/// events.
 #[test]
-fn receives_a_list_within_6_s_of_discovery_being_reachable_whatever_happened() {
+fn receives_a_list_within_6_s_of_discovery_being_reachable_after_any_events() {
     let mut latest = 0;
     for seed in 0..20_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
         let mut simulation = Simulation::new(settings, seed);
         simulation.now = simulation.watch.start(simulation.now);
-        let back = simulation.now + rng.u64(0..=12 * S);
-        random_events_until(back, &mut rng, &mut simulation);
-        // A watch that was open at the return: it counts from its end, or from its silence, of which 2.5 s are gone.
-        let (back, max_refused) = match simulation.lost {
-            Some((WatchFailure::Ended | WatchFailure::Unreachable, at)) => (back.max(at), 2),
-            Some((WatchFailure::Silent, _)) => (back, 1),
-            None => (back, 2),
+        let reachable_at = simulation.now + rng.u64(0..=12 * S);
+        random_events_until(reachable_at, &mut rng, &mut simulation);
+        // If a watch was open at that time, the 6 s run from its end, or from the start of its silence, which was 2.5 s ago.
+        let (reachable_at, max_refused) = match simulation.lost {
+            Some((WatchFailure::Ended | WatchFailure::Unreachable, at)) => (reachable_at.max(at), 2),
+            Some((WatchFailure::Silent, _)) => (reachable_at, 1),
+            None => (reachable_at, 2),
         };
-        // The first call after the return, and the second, are refused.
-        let waited_in_vain = simulation.waited_in_vain;
-        let left = max_refusals(settings).saturating_sub(waited_in_vain.saturating_sub(1));
-        let left = left.max(u8::from(waited_in_vain == 0));
+        // The first and the second call after that time may be refused.
+        let unanswered_calls = simulation.unanswered_calls;
+        let left = max_refusals(settings).saturating_sub(unanswered_calls.saturating_sub(1));
+        let left = left.max(u8::from(unanswered_calls == 0));
         for _ in 0..rng.u8(0..=max_refused.min(left)) {
             let after = rng.u64(0..=MAX_QUEUE_TIME);
             simulation.now = simulation.call(CallOutcome::Refused(after)).expect("refused");
         }
         let last = simulation.call(CallOutcome::List(rng.u64(0..=MAX_QUEUE_TIME)));
-        assert_eq!(last, None, "seed {seed}: answered in time");
-        let took = simulation.now - back;
+        assert_eq!(last, None, "seed {seed}: the last call was not answered in time");
+        let took = simulation.now - reachable_at;
         latest = latest.max(took);
-        assert!(simulation.now <= back + NOTIFICATION_DEADLINE, "seed {seed}: {took} after");
+        assert!(
+            simulation.now <= reachable_at + NOTIFICATION_DEADLINE,
+            "seed {seed}: the list came after {took} us"
+        );
     }
-    println!("at the latest {latest} us after the return");
+    println!("the latest list came {latest} us after discovery was reachable");
 }
 
-/// Calls of random outcomes, and moves of discovery, until a moment at which a call or a watch is over.
+/// Makes calls with random outcomes and moves of discovery, until the first end of a call or watch at or after `end`.
 fn random_events_until(end: Micros, rng: &mut fastrand::Rng, simulation: &mut Simulation) {
     loop {
         if rng.u8(0..12) == 0 {
@@ -68,8 +72,8 @@
     }
 }
 
-/// What a silent watch missed counts 6 s after it fell silent, and what a new service has 4 s after the SIGHUP that names it: also
-/// where one call is refused, after the longest wait in the queue, or is silent itself.
+/// Changes that a silent watch missed count as notified 6 s after the watch fell silent, and those of a new service 4 s after the
+/// SIGHUP. The list must arrive by then even if one call fails: refused after the longest wait in the queue, or never answered.
 #[test]
 fn a_failed_call_leaves_time_for_another_after_a_silence_and_after_a_move() {
     for seed in 0..20_000 {
@@ -84,24 +88,24 @@
             simulation.fail(from + 2_500 * MS, WatchFailure::Silent)
         };
         let outcome = simulation.random_failure(MAX_QUEUE_TIME);
-        simulation.now = simulation.call(outcome).expect("it failed");
+        simulation.now = simulation.call(outcome).expect("the call fails");
         let last = simulation.call(CallOutcome::List(MAX_QUEUE_TIME));
-        assert_eq!(last, None, "seed {seed}: answered in time");
+        assert_eq!(last, None, "seed {seed}: the last call was not answered in time");
         let deadline = if moves { 4 * S } else { NOTIFICATION_DEADLINE };
         let took = simulation.now - from;
-        assert!(took <= deadline, "seed {seed}: {outcome:?}, {took} after");
+        assert!(took <= deadline, "seed {seed}: {outcome:?}, the list came after {took} us");
     }
 }
 
-/// Discovery is down: nobody calls it in a busy loop, and an outage of 8 s costs each dispatcher few calls. Its return meets each
-/// dispatcher's call at its own time: no tenth of a second has many more than its part.
+/// While discovery is down, no dispatcher calls it in a busy loop, and an outage of 8 s costs each dispatcher few calls. The
+/// calls of the dispatchers are spread over time: no tenth of a second has far more than the average.
 #[test]
 fn calls_rarely_during_an_outage_and_spreads_calls_over_its_end() {
-    let (nodes, outage) = (300, 8 * S);
+    let (dispatchers, outage) = (300, 8 * S);
     let mut calls = 0;
     let mut calls_by_tenth = vec![0_u32; 130];
-    for me in 0..nodes {
-        let mut simulation = Simulation::new(settings_for(nodes), u64::from(me));
+    for own_number in 0..dispatchers {
+        let mut simulation = Simulation::new(settings_for(dispatchers), u64::from(own_number));
         simulation.call(CallOutcome::List(0));
         simulation.now += 3 * S;
         let from = simulation.now;
@@ -113,13 +117,15 @@
         }
         calls_by_tenth[((simulation.now - from) / (100 * MS)) as usize] += 1;
     }
-    assert!(calls < 4 * nodes, "{calls} calls of {nodes}"); // a slow service would not come round
-    // Evenly they would be 7 in a tenth of a second; those of the first half second are 40, for all lost their watches together.
-    let peak = |from: usize| *calls_by_tenth[from..].iter().max().expect("some");
+    assert!(calls < 4 * dispatchers, "{calls} calls of {dispatchers} dispatchers"); // more would overload a slow service
+    // Evenly spread, there would be 7 calls in a tenth of a second. In the first half second there are 40, because all
+    // dispatchers lost their watches together.
+    let peak =
+        |from: usize| *calls_by_tenth[from..].iter().max().expect("the outage has more tenths of a second");
     assert!(peak(0) < 70 && peak(60) < 50, "{calls_by_tenth:?}");
 }
 
-/// A watch that is opened and lost at once, over and over, is a call that failed: it is not opened in a busy loop.
+/// A watch that is lost as soon as it is opened counts as a failed call, so it is not reopened in a busy loop.
 #[test]
 fn does_not_reopen_a_failing_watch_in_a_busy_loop() {
     let mut simulation = Simulation::new(settings_for(1), 1);
@@ -131,17 +137,17 @@
     assert!(simulation.calls.len() <= 60, "{} calls in a minute", simulation.calls.len());
 }
 
-/// An agent that fails for ever is called for ever, about once in 200 ms.
+/// An agent that always fails is called forever, about once in 200 ms.
 #[test]
 fn calls_an_agent_forever_but_not_in_a_busy_loop() {
     let settings = DiscoverySettings { is_pushed: true, max_poll_interval: None, dispatchers: 3 };
     let mut watch = WatchLiveness::new(settings, 1);
-    assert!(watch.reconfigure(settings), "one is opened at the start");
+    assert!(watch.reconfigure(settings), "no watch was opened at the start");
     let mut now = 0;
     for call in 0..1_000 {
         now = watch.on_call_started(now);
         let failure = if call % 2 == 0 { WatchFailure::Silent } else { WatchFailure::Ended };
         now = watch.on_watch_failed(now, failure);
     }
-    assert!((200 * S..=250 * S).contains(&now), "{now}");
+    assert!((200 * S..=250 * S).contains(&now), "1,000 calls took {now} us");
 }
--- a/tests/watch_liveness/slow_service.rs
+++ b/tests/watch_liveness/slow_service.rs
@@ -1,10 +1,10 @@
-//! Many watches before one service that is slow.
+//! Many dispatchers that call one slow discovery service.
 
 use crate::lists::scenario::{AbandonedCallCost, MS, RunConfig, Scenario};
 use crate::lists::simulation::run;
 use mothproxy::Micros;
 
-/// Dispatchers, and the service's time for each call.
+/// The number of dispatchers, and the service's time for each call.
 #[derive(Clone, Copy)]
 struct Load {
     callers: u32,
@@ -12,13 +12,13 @@
 }
 
 impl Load {
-    /// The service's time for one call of each dispatcher.
+    /// The service's time for one call of each dispatcher, in microseconds.
     fn service_time(self) -> Micros {
         u64::from(self.callers) * self.call_ms * MS
     }
 }
 
-/// How the service treats calls that wait.
+/// How the service handles waiting calls.
 #[derive(Clone, Copy)]
 struct Queue {
     max_wait_ms: u64,
@@ -36,16 +36,16 @@
     }
 }
 
-/// Asserts that a day of many callers went as well as the service's own time allows.
+/// Asserts that a run with many callers has an outcome close to what the service's own time allows.
 fn assert_served_as_the_service_allows(config: RunConfig, load: Load, queue: Queue) {
     let outcome = run(config);
     // A whole list takes twice the time of a call.
     let service_time = load.service_time() * 2;
-    // A call that may be dead is given up before a service that waits for 6 s has come to it: its place is lost.
+    // With a maximum wait of 6 s, a call times out at the caller before the service handles it, and loses its place in the queue.
     let loses_places = queue.max_wait_ms > 4_500;
-    let is_hurried = matches!(config.scenario, Scenario::Silent | Scenario::Moved);
+    let has_short_deadline = matches!(config.scenario, Scenario::Silent | Scenario::Moved);
     let max_wasted = if loses_places { 2 } else { 1 };
-    let late_divisor = match (loses_places, is_hurried) {
+    let late_divisor = match (loses_places, has_short_deadline) {
         (true, _) => 2,
         (false, true) => 3,
         (false, false) => 4,
@@ -59,8 +59,8 @@
     assert!(outcome.late <= max_late && outcome.calls <= 10 * config.callers, "{config:?}: {outcome:?}");
 }
 
-/// Hundreds of dispatchers before a service that cannot answer all within the 6 s: as many as it can answer are notified in time,
-/// the last not long after the service's own time for all, and it hardly works for calls that nobody reads.
+/// Hundreds of dispatchers call a service that cannot answer all of them within the 6 s. As many as it can answer are notified in
+/// time, the last one not long after the service's own time for all, and little of that time is spent on calls that nobody reads.
 #[test]
 fn hundreds_of_callers_are_all_served_by_a_slow_service() {
     let loads = [
@@ -83,8 +83,9 @@
     }
 }
 
-/// In one deployment a service took 0.2 s a call, and let calls wait for 3 s: a few dispatchers are enough for it. Given up
-/// after 1.5 s each time, their calls kept it busy with what nobody read, and some were never notified.
+/// A few dispatchers are enough to overload a very slow service. In one deployment a service took 0.2 s for a call and let calls
+/// wait for 3 s. The calls of the dispatchers timed out after 1.5 s each, so that the service was busy with responses that nobody
+/// read, and some dispatchers were never notified.
 #[test]
 fn a_few_callers_are_all_served_by_a_very_slow_service() {
     let loads = [
