--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -53,7 +53,7 @@
     pub reset: bool,
     /// The valid rows.
     pub rows: Vec<EndpointRow>,
-    /// Names of the workers with invalid rows.
+    /// The names of the workers with invalid rows.
     #[serde(default, rename = "unread")]
     pub workers_with_invalid_rows: Vec<String>,
     /// The number of dropped rows: invalid ones, and those that a later row of the same worker replaced.
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -102,9 +102,9 @@
     Served(Vec<u8>),
     /// A rejection. If a time is given, in microseconds, the client should wait that long before it retries.
     Rejected(Option<Micros>),
-    /// The request failed before its deadline.
+    /// The request failed.
     Failed,
-    /// The request failed because its deadline passed.
+    /// The request failed at its deadline.
     TimedOut,
 }
 
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -94,8 +94,8 @@
         self.stale_lists
     }
 
-    /// Whether the rows date from before the start and must be revalidated. Until then, no worker is listed
-    /// as ready to the decision module.
+    /// Whether the rows date from before the start and must be revalidated. Until then, no worker is listed as
+    /// ready to the decision module.
     pub fn is_stale(&self) -> bool {
         self.is_stale
     }
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -60,7 +60,7 @@
     }
 
     /// Handles a worker's status callback, by the request's name and the worker's instance id. Returns whether the callback
-    /// changed the state. One without effect is counted, and its result is kept if the request has an idempotency record.
+    /// changed the state. A callback without effect is counted, and its result is kept if the request has an idempotency record.
     pub fn on_job_status(
         &mut self,
         now: Micros,
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -9,7 +9,7 @@
 use crate::policy::interface::{Action, Event, Micros, Outcome, WorkerId};
 use mothproxy_invariant::invariant;
 
-/// How long after its deadline the core itself fails a request that is still open, in microseconds.
+/// How long after the handling of a request's deadline the core itself fails the request if it is still open, in microseconds.
 const OVERDUE_GRACE: Micros = 15_000;
 
 impl Core {
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -15,7 +15,7 @@
 /// The result of looking up the key of a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// There is no record that matters: the request is handled like one without a key.
+    /// There is no record with a result or with an attempt that may have run: the request is handled like one without a key.
     Unknown,
     /// An earlier request with this key got this result.
     Answered(Vec<u8>),
--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -23,7 +23,7 @@
 pub struct ShutdownPlan {
     /// When the process received the signal.
     pub started_at: Micros,
-    /// When idle downstream connections begin to be closed.
+    /// When the process begins to close idle downstream connections.
     pub close_idle_at: Micros,
     /// Until when connections are kept if clients have no other dispatcher to move to. Half of the longest deadline is left for
     /// the last requests on those connections.
--- a/src/core/watch_liveness/call_schedule.rs
+++ b/src/core/watch_liveness/call_schedule.rs
@@ -25,13 +25,13 @@
 /// A watch that has failed, or a call for one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedCall {
-    /// When the call began.
+    /// The start of the call.
     pub called_at: Micros,
-    /// When it failed.
+    /// When the call or its watch failed.
     pub failed_at: Micros,
-    /// The phase in which it failed.
+    /// The phase at the time of the failure.
     pub phase: WatchPhase,
-    /// Why it failed.
+    /// The reason for the failure.
     pub failure: WatchFailure,
 }
 
--- a/src/core/watch_liveness/known_list.rs
+++ b/src/core/watch_liveness/known_list.rs
@@ -7,8 +7,8 @@
 
 /// How long a new process waits for discovery to revalidate the list that it started with, in microseconds. A reachable service
 /// that is not overloaded answers the first or second call within this time. A service that has sent nothing by then counts as
-/// unreachable, and a list that may be stale is better than none. The timeout is below 6 s, the shortest time that a
-/// process is given to become ready.
+/// unreachable, and a list that may be stale is better than none. The timeout is below 6 s, the shortest time that a process is
+/// given to become ready.
 const REVALIDATION_TIMEOUT: Micros = 3 * POLL_INTERVAL;
 
 /// The state of the list that the process started with, until discovery has revalidated it.
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -135,10 +135,10 @@
         }
     }
 
-    /// The presence of each place. A place counts as present while it is alive or suspected. The own place always counts as
-    /// present, and a place that has not sent anything yet does so for a limited time. A dead place, or one that stays unknown,
-    /// counts as unreachable until its assignment expires, because it may be alive on the other side of a partition. A place that
-    /// has left is gone.
+    /// The presence of each place. A place counts as present while it is alive or suspected. The place of this process always
+    /// counts as present, and a place that has not sent anything yet does so for a limited time. A dead place, or one that stays
+    /// unknown, counts as unreachable until its assignment expires, because it may be alive on the other side of a partition. A
+    /// place that has left is gone.
     fn presence(&self, now: Micros) -> Vec<PeerPresence> {
         let keeps_assignment =
             |since: Micros| self.dead_assignment_ttl.is_none_or(|ttl| now < since.saturating_add(ttl));
--- a/tests/common/lists/simulation.rs
+++ b/tests/common/lists/simulation.rs
@@ -15,11 +15,11 @@
 const SCENARIO_START: Micros = 1_000 * S;
 /// When the run ends. Callers without a list at this time count as never served.
 const SCENARIO_END: Micros = SCENARIO_START + 600 * S;
-/// How long before the scenario the watches were opened, without load on the service.
+/// How long before the scenario the watches were opened, in microseconds. The service has no load at that time.
 const WATCHES_OPENED_BEFORE: Micros = 60 * S;
-/// How long a watch may send nothing before it counts as silent.
+/// How long a watch may send nothing before it counts as silent, in microseconds.
 const LIVENESS_TIMEOUT: Micros = 2_500 * MS;
-/// The interval at which the service sends an empty line on a watch (PROTOCOL, "Discovery").
+/// The interval at which the service sends an empty line on a watch, in microseconds (PROTOCOL, "Discovery").
 const HEARTBEAT_INTERVAL: Micros = 2 * S;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -92,7 +92,7 @@
     assert!(harness.now <= from + 850 * MS);
 }
 
-/// On an overloaded machine a turn may be late. In this case the core itself once responded before the decision module could, and
+/// Regression: after a late turn, as on an overloaded machine, the core itself responded before the decision module could, and
 /// debug builds failed at an invariant.
 #[test]
 fn the_decision_module_responds_first_after_a_late_turn() {
--- a/tests/watch_liveness/retries.rs
+++ b/tests/watch_liveness/retries.rs
@@ -27,11 +27,11 @@
         };
         // The first and the second call after that time may be refused.
         let unanswered_calls = simulation.unanswered_calls;
-        let left = max_refusals(settings).saturating_sub(unanswered_calls.saturating_sub(1));
-        let left = left.max(u8::from(unanswered_calls == 0));
-        for _ in 0..rng.u8(0..=max_refused.min(left)) {
+        let remaining_refusals = max_refusals(settings).saturating_sub(unanswered_calls.saturating_sub(1));
+        let remaining_refusals = remaining_refusals.max(u8::from(unanswered_calls == 0));
+        for _ in 0..rng.u8(0..=max_refused.min(remaining_refusals)) {
             let after = rng.u64(0..=MAX_QUEUE_TIME);
-            simulation.now = simulation.call(CallOutcome::Refused(after)).expect("refused");
+            simulation.now = simulation.call(CallOutcome::Refused(after)).expect("the call is refused");
         }
         let last = simulation.call(CallOutcome::List(rng.u64(0..=MAX_QUEUE_TIME)));
         assert_eq!(last, None, "seed {seed}: the last call was not answered in time");
@@ -113,7 +113,7 @@
         while simulation.now < from + outage {
             calls_by_tenth[((simulation.now - from) / (100 * MS)) as usize] += 1;
             calls += 1;
-            simulation.now = simulation.call(CallOutcome::Refused(MS)).expect("refused");
+            simulation.now = simulation.call(CallOutcome::Refused(MS)).expect("the call is refused");
         }
         calls_by_tenth[((simulation.now - from) / (100 * MS)) as usize] += 1;
     }
