--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -1,6 +1,6 @@
 //! Twenty dispatcher processes with one discovery service, which in turn is slow, refuses connections, is down, is silent, is cut
-//! off by the network, and moves to another address (`docs/design/lists.md`). All processes must be notified of a change within 6
-//! s of the service being reachable, and within 4 s of SIGHUP after a move, and none may send jobs to a worker that left.
+//! off by the network, and moves to another address (`docs/design/lists.md`). All processes must be notified of a change within
+//! 6 s of the service being reachable, and within 4 s of SIGHUP after a move, and none may send jobs to a worker that left.
 
 use mothproxy_testkit::fleet::*;
 use serde_json::json;
