--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -1,5 +1,5 @@
-//! The admin address. Its connections use reserved descriptors and are served first in each turn, so that neither many clients
-//! nor callers that stop half way delay a call.
+//! The admin address. Its connections use reserved descriptors and are served first in each turn of the loop, so that calls are
+//! delayed neither by many clients nor by callers that stop half way through a call.
 
 use crate::http::{self, Framing, Piece};
 use crate::policy::interface::Micros;
@@ -20,7 +20,7 @@
 /// The maximum number of connections; they use descriptors that no other connection may use. A further connection closes the
 /// oldest one.
 const MAX_CONNECTIONS: usize = 16;
-/// The time from accepting a connection within which its call must be complete and its response read, in microseconds.
+/// The time, from accepting a connection, within which its call must be complete and its response read, in microseconds.
 const CALL_TIMEOUT: Micros = 5_000_000;
 /// The maximum size of a call in bytes: its head, and a body that is ignored.
 const MAX_CALL_BYTES: usize = 16 * 1024;
@@ -35,11 +35,11 @@
 /// A connection to the admin address; it carries one call.
 pub(in crate::server) struct AdminConnection {
     /// Whether its response is being written.
-    is_answered: bool,
+    is_responding: bool,
 }
 
 impl AdminServer {
-    /// Creates the admin address over a listening socket; `None` if it is off.
+    /// Creates the admin server for a listening socket; `None` if the admin address is off.
     pub(in crate::server) fn new(listener: Option<TcpListener>) -> AdminServer {
         AdminServer { listener, connections: VecDeque::new() }
     }
@@ -54,7 +54,7 @@
         token == ADMIN || self.connections.contains(&token)
     }
 
-    /// Accepts the next waiting connection; `None` if none waits or the system refuses.
+    /// Accepts the next waiting connection; `None` if none is waiting or the system call fails.
     fn accept(&self) -> Option<Connection> {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd = rustix::net::accept_with(self.listener.as_ref()?, flags).ok()?;
@@ -67,7 +67,7 @@
         if let Some(oldest) = self.take_excess() {
             context.reactor.close_token(context.core, oldest);
         }
-        let token = context.reactor.add(connection, Role::Admin(AdminConnection { is_answered: false }))?;
+        let token = context.reactor.add(connection, Role::Admin(AdminConnection { is_responding: false }))?;
         self.connections.push_back(token);
         if let Some((mut connection, role)) = context.reactor.take(token) {
             connection.set_timer(context.core, token, Some(context.clock.now() + CALL_TIMEOUT));
@@ -82,7 +82,7 @@
     }
 
     /// Writes the response of a call, and closes the connection once the response is written or the connection is broken.
-    fn write_answer(
+    fn write_response(
         &mut self,
         context: &mut Context<'_>,
         token: Token,
@@ -91,10 +91,10 @@
         flags: EventFlags,
     ) {
         let is_broken = !connection.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
-        if is_broken || caller.is_answered && connection.outbox.is_empty() {
+        if is_broken || caller.is_responding && connection.outbox.is_empty() {
             return self.close(context, token, connection, caller);
         }
-        let reading = if caller.is_answered { Reading::Paused } else { Reading::Wanted };
+        let reading = if caller.is_responding { Reading::Paused } else { Reading::Wanted };
         context.reactor.update_interest(token, &mut connection, reading);
         context.reactor.put(token, connection, Role::Admin(caller));
     }
@@ -126,7 +126,7 @@
     /// Reads the available bytes, if the flags say that there may be any.
     fn read_call(&self, connection: &mut Connection, flags: EventFlags) -> CallRead {
         let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
-        if self.is_answered || !is_readable {
+        if self.is_responding || !is_readable {
             return CallRead::Pending;
         }
         let end = connection.fill(MAX_CALL_BYTES);
@@ -160,9 +160,9 @@
     Some(admin::route(inbox, &head))
 }
 
-/// Accepting and answering calls. These are methods of the server because the answers need all its parts.
+/// Accepting and executing calls. These are methods of the server because the responses need all its parts.
 impl Server {
-    /// Accepts the waiting connections, and serves each at once, because its call has often arrived already.
+    /// Accepts the waiting connections, and serves each one at once, because its call has often arrived already.
     pub(in crate::server) fn accept_admin(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(connection) = self.admin.accept() else { return };
@@ -172,7 +172,7 @@
         }
     }
 
-    /// A connection to the admin address is readable, writable or closed.
+    /// Handles a connection to the admin address that is readable, writable or closed.
     pub(in crate::server) fn on_admin_ready(
         &mut self,
         token: Token,
@@ -183,16 +183,16 @@
         match caller.read_call(&mut connection, flags) {
             CallRead::Pending => {}
             CallRead::Complete(call) => {
-                connection.outbox.push(self.answer_admin_call(call));
-                caller.is_answered = true;
+                connection.outbox.push(self.execute_admin_call(call));
+                caller.is_responding = true;
             }
             CallRead::Ended => return self.admin.close(&mut context!(self), token, connection, caller),
         }
-        self.admin.write_answer(&mut context!(self), token, connection, caller, flags);
+        self.admin.write_response(&mut context!(self), token, connection, caller, flags);
     }
 
-    /// Carries out a call and returns its response.
-    fn answer_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
+    /// Executes a call and returns its response.
+    fn execute_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
             // After a handover the successor decides whether this dispatcher takes clients.
             Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -7,11 +7,11 @@
 
 /// Descriptors that no client, worker or probe may use: standard streams (3), epoll, listeners (3), signals (2), datagrams,
 /// the sockets of a hot restart (2), the descriptors of a handover packet (4), callers of the admin address (16), calls to
-/// discovery (a watch, the next one and a list), and files that are read (5).
+/// discovery (a watch, its replacement and a full list), and files that are read (5).
 pub(super) const RESERVED_DESCRIPTORS: usize = 40;
 /// The minimum number of connections, regardless of the limits.
 const MIN_CONNECTIONS: usize = 16;
-/// The memory of one connection, in bytes. It may buffer a whole request and a whole response.
+/// The memory of one connection, in bytes: the buffers of one complete request and one complete response.
 const CONNECTION_BYTES: usize = 2 * 96 * 1024;
 
 /// The maximum numbers of connections. However many connections clients hold, a sixth is left for workers and probes, and a
@@ -53,7 +53,8 @@
         if !self.is_budget_used_up() {
             return true;
         }
-        // A connection that only began to linger still holds its descriptor, so it is closed now.
+        // An idle connection may only have been half-closed. It then lingers with its descriptor, so the connection that has
+        // lingered for longest is closed too.
         self.close_idle_connection(min_idle)
             && (!self.is_budget_used_up()
                 || self.clients.close_oldest_lingering(&mut client_context!(self))
--- a/src/server/clock.rs
+++ b/src/server/clock.rs
@@ -16,18 +16,18 @@
         Clock { started: Instant::now(), now: Core::clock_start() }
     }
 
-    /// The time of the last update, in microseconds: when the events of this turn were taken, or later in a long turn.
+    /// The time of the last update, in microseconds: when the events of this turn were polled, or later in a long turn.
     pub fn now(&self) -> Micros {
         self.now
     }
 
     /// Sets [`Clock::now`] to the current time.
     pub fn update(&mut self) {
-        self.now = self.elapsed();
+        self.now = self.current_time();
     }
 
     /// The current time in microseconds, also in the middle of a turn.
-    pub fn elapsed(&self) -> Micros {
+    pub fn current_time(&self) -> Micros {
         Core::clock_start() + self.started.elapsed().as_micros() as Micros
     }
 }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,5 +1,5 @@
-//! A buffered, non-blocking socket. It keeps the bytes read but not used yet, and the bytes still to be written; writes are
-//! gathered.
+//! A buffered, non-blocking socket: the bytes read but not used yet, and the bytes still to be written. Several pieces are
+//! written by one system call (`writev`).
 
 use crate::core::Core;
 use crate::http::Piece;
@@ -86,15 +86,15 @@
 /// A connection with its buffers.
 #[derive(Debug)]
 pub struct Connection {
-    /// Its socket.
+    /// The non-blocking socket.
     pub stream: TcpStream,
     /// Bytes read but not used yet.
     pub inbox: Vec<u8>,
     /// Bytes still to be written.
     pub outbox: Outbox,
-    /// The events that epoll watches it for.
+    /// The events for which epoll watches the socket.
     pub interest: EventFlags,
-    /// Its deadline, if one is set.
+    /// The deadline on the loop's clock, in microseconds, if one is set.
     pub timer: Option<Micros>,
     /// Whether anything has been written since this flag was last reset.
     pub has_written: bool,
@@ -102,10 +102,10 @@
 
 impl Connection {
     /// Creates a connection over a non-blocking socket, and sets `TCP_NODELAY` so that the kernel does not hold back small
-    /// writes. An accepted socket inherits that option from its listener on some systems only. A close while bytes are unread
-    /// would also discard any bytes held back.
+    /// writes. An accepted socket inherits that option from its listener on some systems only. Closing the socket while received
+    /// bytes are unread would also discard bytes held back.
     pub fn new(stream: TcpStream) -> Connection {
-        let _ = stream.set_nodelay(true); // a slow connection is better than none
+        let _ = stream.set_nodelay(true); // without the option, writes are only slower
         let interest = EventFlags::empty();
         Connection {
             stream,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Sets its deadline, or cancels it if `at` is `None`. The deadline is the core's timer for `token`. [`Reactor::close`]
+    /// Sets the deadline, or cancels it if `at` is `None`. The deadline is the core's timer for `token`. [`Reactor::close`]
     /// cancels it too.
     ///
     /// [`Reactor::close`]: crate::server::reactor::Reactor::close
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -39,7 +39,7 @@
 /// A connection with its role.
 pub(super) type Entry = (Connection, Role);
 
-/// A place for one connection at a time.
+/// A slot of the table, which holds at most one connection.
 struct Slot {
     generation: u32,
     entry: Option<Entry>,
@@ -49,7 +49,7 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     open_connections: usize,
     clients: usize,
 }
@@ -100,7 +100,7 @@
     /// Reserves a free slot and returns its token. The caller must fill it by [`ConnectionTable::insert`] or free it by
     /// [`ConnectionTable::unreserve`].
     pub fn reserve(&mut self) -> Token {
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, entry: None });
             self.slots.len() - 1
         });
@@ -109,7 +109,7 @@
 
     /// Frees a reserved slot that was not filled.
     pub fn unreserve(&mut self, token: Token) {
-        self.free.push(token.slot());
+        self.free_slots.push(token.slot());
     }
 
     /// Fills a reserved slot and counts the connection.
@@ -122,9 +122,9 @@
     /// Frees the slot of a connection that was taken out. The slot's generation changes, so that the old token finds nothing.
     pub fn remove(&mut self, token: Token, role: &Role) {
         let slot = &mut self.slots[token.slot()];
-        invariant!(slot.entry.is_none(), "a connection closed while in its slot");
+        invariant!(slot.entry.is_none(), "a connection was removed from the table while it was in its slot");
         slot.generation = slot.generation.wrapping_add(1) & GENERATION_MASK;
-        self.free.push(token.slot());
+        self.free_slots.push(token.slot());
         self.open_connections -= usize::from(role.is_budgeted());
         self.clients -= usize::from(matches!(role, Role::Client(_)));
     }
--- a/src/server/context.rs
+++ b/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What each handler receives in addition to its own part.
+//! The context that each handler receives in addition to its own part of the server.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -9,10 +9,10 @@
 use crate::server::peers::PeerSocket;
 use crate::server::reactor::Reactor;
 
-/// What every part may use. The core, the reactor, the counters and the clock may be changed; the rest is read only. A handler
-/// that writes the state of another part names that part in its signature.
+/// The state that every part may use. The core, the reactor, the counters and the clock may be changed; the rest is read only.
+/// A handler that writes the state of another part names that part in its signature.
 pub(super) struct Context<'a> {
-    /// The core, which takes the events and holds the timers.
+    /// The core, which processes the events and holds the timers.
     pub core: &'a mut Core,
     /// Epoll and all connections.
     pub reactor: &'a mut Reactor,
@@ -22,20 +22,20 @@
     pub config: &'a Config,
     /// Whether this process drains, shuts down or has handed over.
     pub lifecycle: &'a Lifecycle,
-    /// The socket to the other dispatchers.
+    /// The datagram socket to the other dispatchers.
     pub peer_socket: &'a PeerSocket,
     /// The clock of the loop.
     pub clock: &'a mut Clock,
 }
 
 impl Context<'_> {
-    /// The time when the events of this turn were taken, or a later update of the clock in a long turn.
+    /// The time at which the events of this turn were polled, or a later update of the clock in a long turn.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
     /// Sends a datagram to another dispatcher; it may get lost. After a handover this sends nothing, since the successor then
-    /// speaks for both processes.
+    /// sends on behalf of both processes.
     pub fn send_to_peer(&self, to: u32, bytes: &[u8]) {
         if !self.lifecycle.has_handed_over() {
             self.peer_socket.send(self.config, to, bytes);
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -55,8 +55,8 @@
     fn on_accepted(&mut self, kind: ListenerKind, stream: TcpStream) {
         let is_sse = kind == ListenerKind::Sse;
         if is_sse {
-            // Progress that waits in the kernel for a slow reader is stale by the time it is read, and it holds memory.
-            // Without a bound it grows to megabytes. If the bound cannot be set, only this saving is lost.
+            // Progress events that queue in the kernel for a slow reader are stale by the time they are read, and without a
+            // bound the queue grows to megabytes. If the bound cannot be set, only more memory is used.
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
         let client = ClientConnection::new(is_sse, self.clock.now());
@@ -66,7 +66,7 @@
             self.clients.track_awaiting_request(token, &client);
             let context = &mut client_context!(self);
             self.clients.on_ready(context, token, connection, client, EventFlags::IN);
-            self.clients.close_if_disconnected(context, token); // the end of the connection may have too
+            self.clients.close_if_disconnected(context, token); // the client may have disconnected already, too
         }
     }
 }
--- a/src/server/downstream/client.rs
+++ b/src/server/downstream/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: what it has sent, and what it awaits.
+//! The state of one client's connection: which request is being read, and which response is awaited.
 
 use crate::core::RequestId;
 use crate::http::{Chunked, RequestHead};
@@ -43,8 +43,8 @@
 pub(in crate::server) struct StreamWatch {
     pub watcher: WatcherId,
     pub keep_alive: bool,
-    pub frame: StreamFraming,
-    /// When something was last written on it.
+    pub framing: StreamFraming,
+    /// When bytes were last written to the stream.
     pub last_write: Micros,
 }
 
@@ -53,7 +53,7 @@
 pub(in crate::server) struct ResponseStream {
     /// Whether the head of the response has been written.
     pub has_begun: bool,
-    /// When something was last written on it.
+    /// When bytes were last written to the stream.
     pub last_write: Micros,
 }
 
@@ -62,18 +62,19 @@
     /// Whether the connection was accepted at the SSE listener.
     pub(super) is_sse: bool,
     pub(super) state: ClientState,
+    /// When the connection became idle; `None` if it is not idle.
     pub(super) idle_since: Option<Micros>,
-    /// When the connection was accepted, until its first request is whole. After that, when a later request began, until
-    /// that one is whole.
+    /// When the connection was accepted, until its first request is complete. After that, when a later request began, until
+    /// that one is complete.
     pub(super) awaiting_request_since: Option<Micros>,
     /// When bytes were last read, or the time of `awaiting_request_since` if none were read since.
     pub(super) last_read: Micros,
-    /// Whether a worker has sent status callbacks on it.
+    /// Whether a worker has sent status callbacks on the connection.
     pub(in crate::server) has_callbacks: bool,
 }
 
 impl ClientConnection {
-    /// A connection accepted at `now`, whose first request is awaited.
+    /// Creates the state of a connection accepted at `now`, whose first request is awaited.
     pub(super) fn new(is_sse: bool, now: Micros) -> ClientConnection {
         ClientConnection {
             is_sse,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A connection that another process has handed over.
+    /// Creates the state of a connection that another process has handed over.
     pub(in crate::server) fn adopt(transferred: &TransferredClient, now: Micros) -> ClientConnection {
         ClientConnection {
             awaiting_request_since: transferred.is_awaiting_request.then_some(now),
@@ -104,17 +105,18 @@
         }
     }
 
-    /// Whether it has no open request and reads no chunked body: it is idle, or has a part of a request.
+    /// Whether there is no open request and no chunked body being read: the connection is idle, or a part of a request has
+    /// been read.
     pub(in crate::server) fn is_reading(&self) -> bool {
         matches!(self.state, ClientState::Reading)
     }
 
-    /// Whether a job's events are written on it.
+    /// Whether the client watches a job's events.
     pub(super) fn is_watching(&self) -> bool {
         matches!(self.state, ClientState::Watching(_))
     }
 
-    /// Whether this side is ending it, or has ended it.
+    /// Whether this side is ending the connection, or has ended it.
     pub(super) fn is_ending(&self) -> bool {
         matches!(self.state, ClientState::Closing | ClientState::Lingering { .. })
     }
@@ -124,7 +126,7 @@
         matches!(self.state, ClientState::AwaitingResponse { .. } | ClientState::Watching(_))
     }
 
-    /// Whether the client has yet to complete a request, with a deadline.
+    /// Whether the client must still complete a request, which has a deadline.
     pub(in crate::server) fn is_awaiting_request(&self) -> bool {
         self.awaiting_request_since.is_some()
     }
--- a/src/server/downstream/context.rs
+++ b/src/server/downstream/context.rs
@@ -10,8 +10,8 @@
 use crate::server::peers::PeerLink;
 use crate::server::pending_requests::PendingRequests;
 
-/// What a handler of clients' connections may use. It may change what every part may change, the open requests and the jobs
-/// of the event streams. It may only read the rest.
+/// The state that a handler of clients' connections may use. The handler may change what every part may change, the open
+/// requests and the jobs of the event streams; the rest is read only.
 pub(in crate::server) struct ClientContext<'a> {
     /// The context of every part.
     pub shared: Context<'a>,
@@ -21,12 +21,12 @@
     pub event_streams: &'a mut Option<EventStreams>,
     /// The other process during a hot restart. It may hold the request or job that a client or worker refers to.
     pub hot_restart: &'a HotRestart,
-    /// What the peers have announced.
+    /// The lifecycle states that the peers have announced.
     pub peers: &'a PeerLink,
-    /// How many connections there may be.
+    /// The maximum numbers of connections.
     pub budget: Budget,
     /// The heartbeat interval of event streams, in microseconds; 0 if they are off.
-    pub heartbeat: Micros,
+    pub heartbeat_interval: Micros,
 }
 
 impl ClientContext<'_> {
@@ -53,7 +53,7 @@
             hot_restart: &$server.hot_restart,
             peers: &$server.peers,
             budget: $server.budget,
-            heartbeat: $server.listeners.heartbeat(),
+            heartbeat_interval: $server.listeners.heartbeat_interval(),
         }
     };
 }
--- a/src/server/downstream/deadline.rs
+++ b/src/server/downstream/deadline.rs
@@ -19,8 +19,8 @@
 const WRITE_STALL_TIMEOUT: Micros = 2_500_000;
 
 impl ClientConnections {
-    /// Handles the deadline of a connection: closes the connection, rejects a request that is too slow, or writes a heartbeat,
-    /// as the state requires.
+    /// Handles the deadline of a connection. Depending on its state, closes the connection, rejects a request that is too slow,
+    /// or writes a heartbeat.
     pub(in crate::server) fn on_timer(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -43,10 +43,10 @@
                 }
             }
             ClientState::Watching(watch) => {
-                if watch.last_write + context.heartbeat <= context.now() {
+                if watch.last_write + context.heartbeat_interval <= context.now() {
                     watch.last_write = context.now();
                     if connection.outbox.is_empty() {
-                        connection.outbox.push(event_streams::heartbeat(watch.frame));
+                        connection.outbox.push(event_streams::heartbeat(watch.framing));
                     }
                 }
             }
@@ -70,7 +70,7 @@
 ) -> Option<Micros> {
     let has_progressed = std::mem::take(&mut connection.has_written);
     let stall_deadline = connection.timer.filter(|_| !has_progressed);
-    let heartbeat = context.heartbeat;
+    let heartbeat_interval = context.heartbeat_interval;
     match &client.state {
         ClientState::Lingering { .. } => connection.timer,
         ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
@@ -81,10 +81,12 @@
             Some(stall_deadline.unwrap_or(context.now() + WRITE_STALL_TIMEOUT))
         }
         ClientState::AwaitingResponse { stream: Some(stream), .. } if stream.has_begun => {
-            Some(stream.last_write + heartbeat)
+            Some(stream.last_write + heartbeat_interval)
+        }
+        // The timer is set again only once it is due; other events do not move it.
+        ClientState::Watching(watch) => {
+            Some(connection.timer.unwrap_or(watch.last_write + heartbeat_interval))
         }
-        // Set anew only once it is due: another event does not move it.
-        ClientState::Watching(watch) => Some(connection.timer.unwrap_or(watch.last_write + heartbeat)),
         ClientState::AwaitingResponse { .. } => None,
     }
 }
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -25,14 +25,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How often the broker's timer runs while it has something due, in microseconds.
+/// The interval of the broker's timer while the broker has anything due, in microseconds.
 const SWEEP_INTERVAL: Micros = 500_000;
 
 /// An event as encoded for a watcher's connection.
 struct EncodedEvent {
     job: JobId,
     event_id: u64,
-    frame: event_streams::StreamFraming,
+    framing: event_streams::StreamFraming,
     bytes: Rc<Vec<u8>>,
 }
 
@@ -46,7 +46,7 @@
     /// The watchers' connections.
     tokens: HashMap<WatcherId, Token>,
     is_sweep_scheduled: bool,
-    /// What the broker has asked for; it is done at the end of the turn.
+    /// The effects that the broker has requested; they are run at the end of the turn.
     effects: Vec<Effect>,
     /// The event that was encoded last. Watchers of one job share its bytes.
     last_encoded: Option<EncodedEvent>,
@@ -55,7 +55,7 @@
 }
 
 impl EventStreams {
-    /// Starts without jobs.
+    /// Creates event streams without jobs.
     pub fn new(settings: SseSettings) -> EventStreams {
         let limits = Limits { streams_per_tenant: settings.streams_per_tenant, ..Limits::default() };
         EventStreams {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Publishes the progress of a job: `share` is the part that is done; `None` means that the job has started.
-    pub fn publish_progress(&mut self, job: JobId, share: Option<f64>) {
-        match share {
+    /// Publishes the progress of a job: `fraction` is the part that is done; `None` means that the job has started.
+    pub fn publish_progress(&mut self, job: JobId, fraction: Option<f64>) {
+        match fraction {
             None => self.broker.publish(job, "started", "{}".to_owned(), &mut self.effects),
-            Some(share) => {
-                let data = serde_json::json!({ "share": share }).to_string();
+            Some(fraction) => {
+                let data = serde_json::json!({ "share": fraction }).to_string();
                 self.broker.publish_progress(job, "progress", data, &mut self.effects);
             }
         }
@@ -108,8 +108,8 @@
         self.broker.on_timer(now, &mut self.effects);
     }
 
-    /// Takes what the broker has asked for, each effect once: a watcher whose job made progress several times in this turn is
-    /// woken once.
+    /// Takes the effects that the broker has requested, without duplicates: a watcher whose job made progress several times in
+    /// this turn is woken once.
     fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
         effects.sort_unstable();
@@ -138,14 +138,14 @@
     }
 }
 
-/// Random bytes from the system that nobody can guess; `None` if the system provides none.
+/// Cryptographically secure random bytes from the system; `None` if the system provides none.
 fn random_bytes<const N: usize>() -> Option<[u8; N]> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).ok()?;
     Some(bytes)
 }
 
-/// Accepts a job that its client will watch later, and writes its id and token.
+/// Accepts a job that its client will watch later, and writes the job's id and token as the response.
 ///
 /// # Errors
 /// - `BadRequest`: the field that says whether the job ends when nobody watches it has an unknown value.
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Does what the broker has asked for. This runs once a turn, so that a watcher that is woken pulls the newest progress.
+    /// Runs the effects that the broker has requested. This runs once a turn, so that a woken watcher pulls the newest progress.
     pub(in crate::server) fn run_stream_effects(&mut self) {
         let Some(streams) = &mut self.event_streams else { return };
         for effect in streams.take_effects() {
@@ -214,11 +214,11 @@
         }
     }
 
-    /// Cancels a job that nobody watches and that must not go on unwatched.
+    /// Cancels a job that nobody watches and that must not continue unwatched.
     fn cancel_job(&mut self, job: JobId) {
         let Some(streams) = &mut self.event_streams else { return };
         if let Some(request_id) = streams.requests.remove(&job) {
-            streams.broker.transfer(job); // removes it: nobody can watch it any more
+            streams.broker.transfer(job); // removes the job from the broker: nobody can watch it any more
             self.pending.remove(request_id);
             self.core.on_client_disconnected(self.clock.now(), request_id);
         }
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -12,7 +12,7 @@
 use crate::server::transferred::{TransferredExchange, TransferredJob};
 use mothproxy_streams::{JobId, WatcherId};
 
-/// A job that has left this process's core and broker.
+/// A job that was removed from this process's core and broker in order to hand it over.
 pub(in crate::server) struct ReleasedJob {
     /// The message to the successor.
     pub job: TransferredJob,
@@ -36,7 +36,7 @@
         let mut exchange = None;
         if let Some(request_id) = request_id {
             if self.upstream.has_attempt_of(request_id) {
-                return None; // an attempt still awaits its 202, or streams
+                return None; // an attempt still awaits its first response, or reads an event stream
             }
             let request = self.pending.get(request_id).cloned()?;
             let transferred = self.core.transfer(request_id)?;
@@ -48,9 +48,9 @@
         }
         self.end_job_streams(job);
         let streams = self.event_streams.as_mut()?;
-        let carried = streams.broker.transfer(job)?;
+        let transferred_job = streams.broker.transfer(job)?;
         streams.requests.remove(&job);
-        let job = TransferredJob { job: carried, request: exchange };
+        let job = TransferredJob { job: transferred_job, request: exchange };
         Some(ReleasedJob { job, raw, request_id })
     }
 
@@ -68,20 +68,20 @@
         match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
             Some((token, (mut connection, Role::Client(mut client)))) => {
                 if let ClientState::Watching(stream) = &client.state {
-                    connection.outbox.push(event_streams::retry(stream.frame, RECONNECT_DELAY));
-                    connection.outbox.push(stream.frame.end());
+                    connection.outbox.push(event_streams::retry(stream.framing, RECONNECT_DELAY));
+                    connection.outbox.push(stream.framing.end());
                 }
                 client.state = ClientState::Closing;
-                self.forget_watcher(watcher);
+                self.remove_watcher(watcher);
                 self.clients.advance(&mut client_context!(self), token, connection, client);
             }
             Some((token, (connection, role))) => self.reactor.put(token, connection, role),
-            None => self.forget_watcher(watcher),
+            None => self.remove_watcher(watcher),
         }
     }
 
     /// Removes a watcher whose stream is over.
-    fn forget_watcher(&mut self, watcher: WatcherId) {
+    fn remove_watcher(&mut self, watcher: WatcherId) {
         if let Some(streams) = &mut self.event_streams {
             streams.on_watcher_disconnected(&mut context!(self), watcher);
         }
@@ -105,7 +105,7 @@
                         self.pending.record_broken_attempt(request_id);
                     }
                 }
-                // The core cannot serve it here: it fails at once.
+                // The core cannot serve the request in this process, so the job fails at once.
                 None => streams.finish_job(&mut context!(self), job, FinalResponse::Failed),
             }
         }
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -14,27 +14,28 @@
 
 /// A watcher's connection gets more events once it has fewer than this many bytes left to write.
 const MAX_STREAM_BACKLOG: usize = 2 * 1024;
-/// After which time a client that loses its stream should reconnect, in microseconds. The three values apply usually, under
-/// load, and while this process drains or has handed over.
+/// The time after which a client that loses its stream should reconnect, in microseconds.
 pub(super) const RECONNECT_DELAY: Micros = 500_000;
+/// The reconnect delay under load, in microseconds.
 const RECONNECT_DELAY_LOADED: Micros = 2_000_000;
+/// The reconnect delay while this process drains or has handed over, in microseconds.
 const RECONNECT_DELAY_DRAINING: Micros = 3_000_000;
 
-/// How to answer a request for an event stream.
+/// The properties of the response to a request for an event stream.
 struct ResponseOptions {
     /// The header fields for web pages of other origins (CORS).
     cors: String,
-    /// Whether the response has a body: not for `HEAD`.
+    /// Whether the response has a body; false for `HEAD`.
     has_body: bool,
     keep_alive: bool,
-    frame: StreamFraming,
+    framing: StreamFraming,
 }
 
 impl ResponseOptions {
-    /// The response to a client that may not watch the job.
-    fn refusal(&self, why: &BrokerError) -> Vec<Piece> {
+    /// The response to a client that the broker refuses to let watch the job.
+    fn refusal(&self, reason: &BrokerError) -> Vec<Piece> {
         let (cors, keep_alive, body) = (&self.cors, self.keep_alive, self.has_body);
-        match why {
+        match reason {
             BrokerError::Unknown => {
                 event_streams::plain("403 Forbidden", cors, "no such stream for this token", keep_alive, body)
             }
@@ -48,7 +49,7 @@
 
     /// The response to a client that accepts no event stream.
     fn not_acceptable(&self) -> Vec<Piece> {
-        let text = "it comes as text/event-stream only";
+        let text = "job events are available as text/event-stream only";
         event_streams::plain("406 Not Acceptable", &self.cors, text, self.keep_alive, self.has_body)
     }
 }
@@ -57,10 +58,10 @@
     /// Opens a watcher.
     ///
     /// # Errors
-    /// The broker's error. An id or token that cannot be parsed counts as an unknown one.
-    fn open_watcher(&mut self, wanted: &StreamRequest) -> Result<WatcherId, BrokerError> {
-        let (public_id, token) = wanted.public_id.zip(wanted.token).ok_or(BrokerError::Unknown)?;
-        self.broker.watch(public_id, token, wanted.last_event_id)
+    /// The broker's error. An id or token that cannot be parsed is reported as unknown.
+    fn open_watcher(&mut self, request: &StreamRequest) -> Result<WatcherId, BrokerError> {
+        let (public_id, token) = request.public_id.zip(request.token).ok_or(BrokerError::Unknown)?;
+        self.broker.watch(public_id, token, request.last_event_id)
     }
 
     /// Removes a watcher whose connection is over.
@@ -74,13 +75,13 @@
         self.schedule_sweep(context);
     }
 
-    /// Pulls what comes next for a watcher, encoded.
-    fn next_for(&mut self, watcher: WatcherId, frame: StreamFraming) -> NextPieces {
+    /// Pulls the next item for a watcher from the broker, and encodes it.
+    fn next_for(&mut self, watcher: WatcherId, framing: StreamFraming) -> NextPieces {
         match self.broker.pull(watcher) {
             Next::Nothing => NextPieces::Nothing,
-            Next::Missed(count) => NextPieces::More(event_streams::missed(frame, count)),
+            Next::Missed(count) => NextPieces::More(event_streams::missed(framing, count)),
             Next::Event { job, event, is_final } => {
-                let bytes = encode(&mut self.last_encoded, job, event, frame);
+                let bytes = encode(&mut self.last_encoded, job, event, framing);
                 let piece = Piece::Shared(bytes.clone(), 0..bytes.len());
                 if is_final { NextPieces::Last(piece) } else { NextPieces::More(vec![piece]) }
             }
@@ -88,7 +89,7 @@
     }
 }
 
-/// What comes next for a watcher, encoded.
+/// The next item for a watcher, encoded for its connection.
 enum NextPieces {
     Nothing,
     More(Vec<Piece>),
@@ -96,19 +97,20 @@
     Last(Piece),
 }
 
-/// Encodes an event. If `last` is the same event, returns its bytes; else encodes the event and keeps it in `last`.
+/// Encodes an event, and keeps its bytes in `last_encoded`. If `last_encoded` is the same event already, returns those bytes.
 fn encode(
-    last: &mut Option<EncodedEvent>,
+    last_encoded: &mut Option<EncodedEvent>,
     job: JobId,
     event: &JobEvent,
-    frame: StreamFraming,
+    framing: StreamFraming,
 ) -> Rc<Vec<u8>> {
-    let is_same = |known: &EncodedEvent| (known.job, known.event_id, known.frame) == (job, event.id, frame);
-    if let Some(known) = last.as_ref().filter(|known| is_same(known)) {
-        return known.bytes.clone();
+    let is_same =
+        |cached: &EncodedEvent| (cached.job, cached.event_id, cached.framing) == (job, event.id, framing);
+    if let Some(cached) = last_encoded.as_ref().filter(|cached| is_same(cached)) {
+        return cached.bytes.clone();
     }
-    let bytes = event_streams::event(frame, event);
-    *last = Some(EncodedEvent { job, event_id: event.id, frame, bytes: bytes.clone() });
+    let bytes = event_streams::event(framing, event);
+    *last_encoded = Some(EncodedEvent { job, event_id: event.id, framing, bytes: bytes.clone() });
     bytes
 }
 
@@ -128,22 +130,22 @@
         connection.outbox.push(event_streams::preflight(&cors, keep_alive));
         return true;
     }
-    let Some(wanted) = event_streams::stream_request(raw) else { return false };
+    let Some(request) = event_streams::stream_request(raw) else { return false };
     if method != b"GET" && method != b"HEAD" {
         connection.outbox.push(event_streams::wrong_method(keep_alive));
         return true;
     }
     let has_body = method == b"GET";
-    let frame =
+    let framing =
         if event_streams::is_http_1_0(raw) { StreamFraming::UntilClose } else { StreamFraming::Chunked };
-    let request = ResponseOptions { cors, has_body, keep_alive, frame };
+    let options = ResponseOptions { cors, has_body, keep_alive, framing };
     if !event_streams::accepts_event_stream(raw) {
-        connection.outbox.push(request.not_acceptable());
+        connection.outbox.push(options.not_acceptable());
         return true;
     }
-    match streams.open_watcher(&wanted) {
-        Ok(watcher) => start_stream(context, token, connection, client, watcher, &request),
-        Err(why) => connection.outbox.push(request.refusal(&why)),
+    match streams.open_watcher(&request) {
+        Ok(watcher) => start_stream(context, token, connection, client, watcher, &options),
+        Err(reason) => connection.outbox.push(options.refusal(&reason)),
     }
     true
 }
@@ -156,25 +158,25 @@
     connection: &mut Connection,
     client: &mut ClientConnection,
     watcher: WatcherId,
-    request: &ResponseOptions,
+    options: &ResponseOptions,
 ) {
     let reconnect_delay = reconnect_delay(context);
     let Some(streams) = &mut *context.event_streams else { return };
-    let frame = request.frame;
-    let keep_alive = request.keep_alive && frame == StreamFraming::Chunked;
-    connection.outbox.push(event_streams::stream_head(frame, &request.cors, keep_alive));
-    if !request.has_body {
+    let framing = options.framing;
+    let keep_alive = options.keep_alive && framing == StreamFraming::Chunked;
+    connection.outbox.push(event_streams::stream_head(framing, &options.cors, keep_alive));
+    if !options.has_body {
         streams.broker.remove_watcher(context.shared.now(), watcher);
         return;
     }
     streams.tokens.insert(watcher, token);
-    connection.outbox.push(event_streams::retry(frame, reconnect_delay));
+    connection.outbox.push(event_streams::retry(framing, reconnect_delay));
     client.state =
-        ClientState::Watching(StreamWatch { watcher, keep_alive, frame, last_write: context.shared.now() });
+        ClientState::Watching(StreamWatch { watcher, keep_alive, framing, last_write: context.shared.now() });
 }
 
-/// After which time a client that loses its stream should reconnect, as things are now. Three quarters of the budget for
-/// clients' connections count as load.
+/// The reconnect delay that applies now, in microseconds. The process is under load once three quarters of the budget for
+/// clients' connections are used.
 fn reconnect_delay(context: &ClientContext<'_>) -> Micros {
     if context.shared.lifecycle.is_draining() || context.shared.lifecycle.has_handed_over() {
         RECONNECT_DELAY_DRAINING
@@ -195,12 +197,12 @@
     let ClientState::Watching(stream) = &mut client.state else { return };
     let Some(streams) = &mut *context.event_streams else { return };
     while connection.outbox.len() < MAX_STREAM_BACKLOG {
-        match streams.next_for(stream.watcher, stream.frame) {
+        match streams.next_for(stream.watcher, stream.framing) {
             NextPieces::Nothing => return,
             NextPieces::More(pieces) => connection.outbox.push(pieces),
             NextPieces::Last(piece) => {
                 connection.outbox.push(vec![piece]);
-                connection.outbox.push(stream.frame.end());
+                connection.outbox.push(stream.framing.end());
                 streams.broker.remove_watcher(context.shared.now(), stream.watcher);
                 streams.tokens.remove(&stream.watcher);
                 let keep_alive = stream.keep_alive;
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -1,7 +1,8 @@
 //! Closing connections of clients that are idle or silent, when others need their descriptors.
 //!
-//! A client whose request crosses the close sends it again, while a new client would count a refusal. So connections that have
-//! been served are closed before a new one is refused. Connections that never sent a request are closed before those.
+//! A client whose request crosses the close on the wire sends the request again, whereas a new client would count its request
+//! as refused. So connections that have been served are closed before a new one is refused. Connections that never sent a
+//! request are closed before those.
 
 use crate::policy::interface::Micros;
 use crate::protocol::platform::Reject;
@@ -16,11 +17,11 @@
 
 /// A connection that has been idle for less than this may have a request in flight, in microseconds.
 pub(in crate::server) const MIN_IDLE_BEFORE_CLOSE: Micros = 30_000;
-/// A connection that awaits a whole request may be closed to make room once it has been silent for this long, in
+/// A connection whose request is not complete yet may be closed to make room once it has been silent for this long, in
 /// microseconds.
 pub(in crate::server) const SILENT_GRACE: Micros = 300_000;
 /// Until a connection with a partial request has been silent for this long, in microseconds, it is closed only after idle
-/// ones. Well-behaved clients that write slowly go on writing; those that stop half way do not.
+/// ones. A slow but well-behaved client writes more within this time; a client that has stopped half way does not.
 pub(in crate::server) const PARTIAL_REQUEST_GRACE: Micros = 1_000_000;
 
 impl ClientConnections {
@@ -32,7 +33,7 @@
     /// Closes idle connections until the clients' connections are within their budget. Returns false if they still exceed it.
     pub(super) fn ensure_capacity(&mut self, context: &mut ClientContext<'_>) -> bool {
         while self.active(context.shared.reactor) > context.budget.clients {
-            // A whole request takes precedence over a connection that may have one in flight.
+            // A complete request takes precedence over a connection that may have one in flight.
             if !self.close_any_idle(context, 0) {
                 return false;
             }
@@ -41,7 +42,7 @@
     }
 
     /// Closes one connection of a client to make room. The order is: a silent one, one that has been idle for `min_idle`
-    /// (those that have been served first), one with a partial request that has been silent for
+    /// (connections that have been served come before others), one with a partial request that has been silent for
     /// [`SILENT_GRACE`]. Returns false if there is none.
     pub(super) fn close_any_idle(&mut self, context: &mut ClientContext<'_>, min_idle: Micros) -> bool {
         self.close_silent(context, PARTIAL_REQUEST_GRACE)
@@ -64,7 +65,7 @@
                 self.on_ready(context, token, connection, client, EventFlags::IN);
                 return false;
             }
-            // A request that arrives from now on crosses the close.
+            // A request that arrives after this check crosses the close and is not served.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.half_close(context, token, &mut connection, &mut client);
                 context.shared.reactor.put(token, connection, Role::Client(client));
@@ -78,9 +79,8 @@
         true
     }
 
-    /// Closes the connection that has been idle for longest of those that have been served, if that is at least `min_idle`.
-    /// Returns false if there is none. A request that crosses the close is sent once more, while a new client would count it
-    /// as refused.
+    /// Closes, of the connections that have been served, the one that has been idle for longest, if it has been idle for at
+    /// least `min_idle`. Returns false if there is none.
     pub(in crate::server) fn close_oldest_served(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -100,7 +100,8 @@
         false
     }
 
-    /// The connection that has been idle for longest of those that have been served, if that is at least `min_idle`.
+    /// Returns, of the connections that have been served, the one that has been idle for longest, if it has been idle for at
+    /// least `min_idle`.
     fn oldest_served(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).find(|token| {
             let entry = context.shared.reactor.connections().get(*token);
@@ -108,7 +109,8 @@
         })
     }
 
-    /// Closes the connection that has been idle for longest, if that is at least `min_idle`. Returns false if there is none.
+    /// Closes the connection that has been idle for longest, if it has been idle for at least `min_idle`. Returns false if
+    /// there is none.
     pub(in crate::server) fn close_oldest_idle(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -120,14 +122,14 @@
                     return true;
                 }
             } else {
-                mothproxy_invariant::invariant!(false, "an idle connection that is none");
+                mothproxy_invariant::invariant!(false, "a connection tracked as idle is not a client's");
                 self.idle.pop_first();
             }
         }
         false
     }
 
-    /// The connection that has been idle for longest, if that is at least `min_idle`.
+    /// The connection that has been idle for longest, if it has been idle for at least `min_idle`.
     fn oldest_idle(&self, context: &ClientContext<'_>, min_idle: Micros) -> Option<Token> {
         self.idle_for(min_idle, context.now()).next()
     }
@@ -142,12 +144,12 @@
     ) -> bool {
         let silent: Vec<TimedToken> = self.silent_for(SILENT_GRACE, context.now()).collect();
         for (last_read, token) in silent {
-            // Already closed, and then no longer in the set, or in use right now.
+            // The connection was closed, and so removed from the set, by an earlier step of this loop, or its handler is running.
             let Some((connection, role)) = context.shared.reactor.take(token) else { continue };
             let Role::Client(client) = role else {
                 mothproxy_invariant::invariant!(
                     false,
-                    "a connection that asked for nothing is none of a frontend's"
+                    "a connection tracked as awaiting a request is not a client's"
                 );
                 context.shared.reactor.put(token, connection, role);
                 self.awaiting_request.remove(&(last_read, token));
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -1,8 +1,8 @@
 //! Connections of clients that this side has ended.
 //!
-//! What arrives on such a connection is read and dropped until the client has ended it too. Closing a connection with unread
-//! bytes would reset it, and the client could lose its response. Nothing read here is ever forwarded. A client whose request
-//! crossed the end of the connection sends it again elsewhere.
+//! Bytes that arrive on such a connection are read and dropped until the client has ended it too. Closing a connection with
+//! unread bytes would reset it, and the client could lose its response. Nothing read here is ever forwarded. A client whose
+//! request crossed the end of the connection sends the request again on another one.
 
 use crate::policy::interface::Micros;
 use crate::server::connection::{Connection, ReadEnd};
@@ -73,9 +73,8 @@
             Some((connection, Role::Client(client))) => {
                 self.on_linger_timeout(context, token, connection, client);
             }
-            // A connection that is in use right now notices this when its handler ends.
             Some((connection, role)) => context.shared.reactor.put(token, connection, role),
-            None => {}
+            None => {} // its handler is running: the connection is closed at its linger timeout
         }
         true
     }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -34,9 +34,9 @@
 use mothproxy_streams::JobId;
 use std::collections::BTreeSet;
 
-/// Maximum number of bytes buffered from a client: one whole request. Clients send one request at a time. If a client sends
-/// this much more before it has its response, its connection is closed: this process could not see what follows those bytes,
-/// which may be the end of the connection.
+/// Maximum number of bytes buffered from a client: one complete request. Clients send one request at a time. If a client sends
+/// this much more before it has its response, its connection is closed: bytes beyond the limit are not read, so the end of the
+/// connection could not be detected.
 const MAX_INBOX: usize = MAX_HEAD + MAX_BODY;
 /// No attempt may begin for a client that disconnected longer ago than this, in microseconds.
 const MAX_DISCONNECT_AGE: Micros = 100_000;
@@ -47,7 +47,7 @@
 /// has this bit set.
 const JOB_FLAG: u64 = 1 << 63;
 
-/// Where the final response to a request goes. The core knows it by its [`DownstreamId`].
+/// The recipient of the final response to a request. The core identifies it by a [`DownstreamId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum Downstream {
     /// A client's connection.
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Default)]
 pub(in crate::server) struct PollTime {
     at: Micros,
-    /// More events may have been waiting than the poll returned.
+    /// Whether more events may have been waiting than the poll returned.
     is_partial: bool,
 }
 
@@ -96,15 +96,15 @@
     }
 }
 
-/// A connection and a time that it is ordered by.
+/// A connection, with the time by which connections are ordered.
 type TimedToken = (Micros, Token);
 
-/// Connections of clients that may be closed to make room, by the reason why they may, the oldest first.
+/// Connections of clients that may be closed to make room, grouped by the reason why they may be, the oldest first.
 #[derive(Default)]
 pub(in crate::server) struct ClientConnections {
     /// Connections without a request, by the time at which they became idle.
     idle: BTreeSet<TimedToken>,
-    /// Connections that have not sent a whole first request, or have begun a later one, by the time of the last read.
+    /// Connections whose first request, or a later one that has begun, is incomplete, by the time of the last read.
     awaiting_request: BTreeSet<TimedToken>,
     /// Connections that this side has ended.
     lingering: LingeringConnections,
@@ -138,7 +138,7 @@
         since.is_some()
     }
 
-    /// Records that a connection has yet to complete a request.
+    /// Records that a request is awaited on a connection.
     pub fn track_awaiting_request(&mut self, token: Token, client: &ClientConnection) {
         self.awaiting_request.insert((client.last_read, token));
     }
@@ -152,7 +152,7 @@
         was_awaiting
     }
 
-    /// Records that bytes were read on a connection: its silence begins anew.
+    /// Records that bytes were read on a connection, which restarts the measurement of its silence.
     fn on_bytes_read(&mut self, token: Token, client: &mut ClientConnection, now: Micros) {
         if client.is_awaiting_request() {
             self.awaiting_request.remove(&(client.last_read, token));
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Removes a connection from the idle connections and from those with a request to complete.
+    /// Removes a connection from the idle connections and from those with an incomplete request.
     fn untrack(&mut self, token: Token, client: &mut ClientConnection) {
         self.untrack_idle(token, client);
         self.untrack_awaiting_request(token, client);
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -1,4 +1,4 @@
-//! Reading clients' connections: events, requests put together from bytes, and what to wait for next.
+//! Reading clients' connections: handling epoll events, assembling requests from bytes, and setting what to wait for next.
 
 use crate::core::RequestId;
 use crate::http::{self, Chunked, Framing, MAX_BODY, Piece};
@@ -24,7 +24,7 @@
 const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
 
 /// The result of one step of [`ClientConnections::advance`].
-enum Progress {
+enum StepResult {
     /// There may be more to do.
     Continue,
     /// Nothing more can be done until the next event.
@@ -70,8 +70,8 @@
             }
         }
         self.advance(context, token, connection, client);
-        // A short read does not show the end that follows the bytes. What arrived before the end has been used, but no attempt
-        // may begin for it.
+        // A short read does not show the end of the connection that follows the bytes. A request that arrived before the end has
+        // been processed, but no attempt may begin for it.
         if has_ended && let Some((connection, role)) = context.shared.reactor.take(token) {
             match role {
                 Role::Client(client) => self.on_closed(context, token, connection, client),
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Calls [`ClientConnections::advance`] for a connection that is in the connection table. A connection that is in use
-    /// right now is skipped: its handler does the same before it puts the connection back.
+    /// Calls [`ClientConnections::advance`] for a connection that is in the connection table. A connection whose handler is
+    /// running is skipped: the handler does the same before it puts the connection back.
     pub(super) fn advance_token(&mut self, context: &mut ClientContext<'_>, token: Token) {
         match context.shared.reactor.take(token) {
             Some((connection, Role::Client(client))) => self.advance(context, token, connection, client),
@@ -141,22 +141,22 @@
         mut client: ClientConnection,
     ) {
         loop {
-            let progress = match &client.state {
+            let result = match &client.state {
                 ClientState::Closing | ClientState::Lingering { .. } => {
                     connection.inbox.clear();
-                    Progress::Wait
+                    StepResult::Wait
                 }
-                ClientState::AwaitingResponse { .. } => Progress::Wait,
+                ClientState::AwaitingResponse { .. } => StepResult::Wait,
                 ClientState::Watching(_) => write_events(context, token, &mut connection, &mut client),
                 ClientState::Reading => self.read_request(context, token, &mut connection, &mut client),
                 ClientState::ReadingChunks(_) => {
                     self.read_chunks(context, token, &mut connection, &mut client)
                 }
             };
-            match progress {
-                Progress::Continue => {}
-                Progress::Wait => break,
-                Progress::Broken => return self.on_closed(context, token, connection, client),
+            match result {
+                StepResult::Continue => {}
+                StepResult::Wait => break,
+                StepResult::Broken => return self.on_closed(context, token, connection, client),
             }
         }
         self.finish_event(context, token, connection, client);
@@ -170,24 +170,24 @@
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
-    ) -> Progress {
+    ) -> StepResult {
         if connection.inbox.is_empty() || context.shared.lifecycle.has_handed_over() {
-            return Progress::Wait;
+            return StepResult::Wait;
         }
         if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
             if !connection.flush() {
-                return Progress::Broken;
+                return StepResult::Broken;
             }
             if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
-                return Progress::Wait;
+                return StepResult::Wait;
             }
         }
         let head = match http::read_request(&connection.inbox) {
-            Ok(None) => return Progress::Wait,
+            Ok(None) => return StepResult::Wait,
             Ok(Some(head)) => head,
             Err(error) => {
                 reject(context, connection, client, error.into());
-                return Progress::Continue;
+                return StepResult::Continue;
             }
         };
         // Once the body has begun, the client does not wait for the interim response.
@@ -201,17 +201,17 @@
                 let bytes = split_front(&mut connection.inbox, head.len);
                 let (decoder, body) = (Chunked::default(), Vec::new());
                 client.state = ClientState::ReadingChunks(ChunkedRequest { bytes, head, decoder, body });
-                return Progress::Continue;
+                return StepResult::Continue;
             }
             Framing::Absent => head.len,
         };
         if connection.inbox.len() < length {
-            return Progress::Wait;
+            return StepResult::Wait;
         }
         let bytes = split_front(&mut connection.inbox, length);
         let body = Piece::Shared(bytes.clone(), head.len..length);
         self.on_request(context, token, connection, client, RawRequest { bytes, head, body });
-        Progress::Continue
+        StepResult::Continue
     }
 
     /// Reads more of a chunked body, and handles the request once the body is complete.
@@ -221,8 +221,8 @@
         token: Token,
         connection: &mut Connection,
         client: &mut ClientConnection,
-    ) -> Progress {
-        let ClientState::ReadingChunks(request) = &mut client.state else { return Progress::Continue };
+    ) -> StepResult {
+        let ClientState::ReadingChunks(request) = &mut client.state else { return StepResult::Continue };
         match request.decoder.decode(&connection.inbox, &mut request.body) {
             Err(_) => reject(context, connection, client, Reject::BadRequest),
             Ok(_) if request.body.len() > MAX_BODY => {
@@ -231,7 +231,7 @@
             Ok(used) => {
                 connection.inbox.drain(..used);
                 if !request.decoder.is_done() {
-                    return Progress::Wait;
+                    return StepResult::Wait;
                 }
                 let state = std::mem::replace(&mut client.state, ClientState::Reading);
                 if let ClientState::ReadingChunks(ChunkedRequest { bytes, head, body, .. }) = state {
@@ -240,7 +240,7 @@
                 }
             }
         }
-        Progress::Continue
+        StepResult::Continue
     }
 
     /// Ends the handling of an event: writes what can be written, sets the deadline and the epoll interest, and puts the
@@ -323,26 +323,26 @@
     }
 }
 
-/// Writes the events of the job that a client watches, as many as the connection takes.
+/// Writes the events of the job that a client watches, as many as the connection accepts.
 fn write_events(
     context: &mut ClientContext<'_>,
     token: Token,
     connection: &mut Connection,
     client: &mut ClientConnection,
-) -> Progress {
+) -> StepResult {
     fill_stream(context, connection, client);
-    // Bytes that the socket takes at once make room for more events.
+    // Bytes that the socket accepts at once make room for more events.
     if !connection.flush() {
-        return Progress::Broken;
+        return StepResult::Broken;
     }
     if !client.is_watching() {
-        connection.set_timer(context.shared.core, token, None); // the timer was the heartbeat's
-        return Progress::Wait;
+        connection.set_timer(context.shared.core, token, None); // the timer was set for the heartbeat
+        return StepResult::Wait;
     }
     if connection.outbox.is_empty() && has_stream_events(context, client) {
-        Progress::Continue
+        StepResult::Continue
     } else {
-        Progress::Wait
+        StepResult::Wait
     }
 }
 
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Handling a whole request: routing it, and accepting or rejecting it.
+//! Handling a complete request: routing it, and accepting or rejecting it.
 
 use crate::core::NewRequest;
 use crate::http::{self, Framing};
@@ -15,7 +15,7 @@
 use crate::server::tokens::Token;
 
 impl ClientConnections {
-    /// Handles a whole request. It is answered at once, or its response is awaited from the core.
+    /// Handles a complete request: answers it at once, or passes it to the core and awaits the response.
     pub(super) fn on_request(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -27,7 +27,7 @@
         if context.shared.lifecycle.has_handed_over() {
             // The last chunk arrived after the handover began. The request is handed over as it was received, and the
             // successor handles it.
-            connection.inbox = chunked_again(&raw, &connection.inbox);
+            connection.inbox = encode_chunked(&raw, &connection.inbox);
             client.state = ClientState::Reading;
             return;
         }
@@ -36,21 +36,22 @@
         }
         let keep_alive = raw.head.keep_alive && context.keeps_connections();
         client.finish_response(keep_alive);
-        // The body is longer than its stated length. The part that was cut off must not run as though it were whole.
+        // The bytes that follow cannot begin a request, so the body is longer than its stated length. A truncated body must not
+        // be processed as if it were complete.
         if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
             return reject(context, connection, client, Reject::BadRequest);
         }
         if client.is_sse && on_stream_request(context, token, connection, client, &raw, keep_alive) {
             return;
         }
-        let Err(why) = self.route_request(context, token, connection, client, raw, keep_alive) else {
+        let Err(reason) = self.route_request(context, token, connection, client, raw, keep_alive) else {
             return;
         };
-        if why.closes() {
-            return reject(context, connection, client, why);
+        if reason.closes() {
+            return reject(context, connection, client, reason);
         }
-        context.shared.metrics.rejects += u64::from(why != Reject::NotReady);
-        connection.outbox.push(platform::reject(why, keep_alive));
+        context.shared.metrics.rejects += u64::from(reason != Reject::NotReady);
+        connection.outbox.push(platform::reject(reason, keep_alive));
     }
 
     /// Routes a request and handles it.
@@ -86,8 +87,8 @@
                 if let Some(plan) = context.shared.lifecycle.shutdown() {
                     request.time_budget = plan.time_budget(context.now(), request.time_budget);
                 }
-                // All descriptors for clients are in use. This request is rejected before anything has run, since a connection
-                // left in the listener's queue would be lost at its deadline.
+                // All descriptors for clients are in use. The request is rejected here, before anything has run. Had its connection
+                // been left in the listener's queue, the request would be lost at its deadline.
                 if !self.ensure_capacity(context) {
                     context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
@@ -203,7 +204,7 @@
 }
 
 /// Encodes a chunked request again, as one chunk, followed by the bytes that were read after it.
-fn chunked_again(raw: &RawRequest, rest: &[u8]) -> Vec<u8> {
+fn encode_chunked(raw: &RawRequest, rest: &[u8]) -> Vec<u8> {
     let mut bytes = raw.bytes.to_vec();
     let body = raw.body.bytes();
     if !body.is_empty() {
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -11,7 +11,7 @@
 use crate::server::tokens::Token;
 
 impl ClientConnections {
-    /// Writes the final response to a request, and goes on with what the client has sent after it.
+    /// Writes the final response to a request, and processes the bytes that the client has sent after the request.
     pub(in crate::server) fn send_response(
         &mut self,
         context: &mut ClientContext<'_>,
@@ -21,14 +21,20 @@
     ) {
         let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         let Role::Client(mut client) = role else {
-            mothproxy_invariant::invariant!(false, "an answer for a connection that is no frontend's");
+            mothproxy_invariant::invariant!(
+                false,
+                "a final response for a connection that is not a client's"
+            );
             return context.shared.reactor.put(token, connection, role);
         };
         let ClientState::AwaitingResponse { request_id: awaited, keep_alive, stream } = client.state else {
-            mothproxy_invariant::invariant!(false, "an answer for a frontend that waits for none");
+            mothproxy_invariant::invariant!(false, "a final response for a client that awaits none");
             return context.shared.reactor.put(token, connection, Role::Client(client));
         };
-        mothproxy_invariant::invariant!(awaited == request_id, "an answer for another session");
+        mothproxy_invariant::invariant!(
+            awaited == request_id,
+            "a final response for a request other than the awaited one"
+        );
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
         let keep_alive = keep_alive && (context.keeps_connections() || has_stream_begun);
         match (stream, &response) {
@@ -45,13 +51,14 @@
         self.advance(context, token, connection, client);
     }
 
-    /// Writes the progress of a request to a client that wants an event stream. `share` is the part of the job that is done;
-    /// `None` means that the job has started. Progress is dropped if the client has [`MAX_UNREAD_PROGRESS`] left to read.
+    /// Writes the progress of a request to a client that has asked for an event stream. `fraction` is the part of the job that
+    /// is done; `None` means that the job has started. The fraction is not written while the client has
+    /// [`MAX_UNREAD_PROGRESS`] bytes or more left to read.
     pub(in crate::server) fn send_progress(
         &mut self,
         context: &mut ClientContext<'_>,
         token: Token,
-        share: Option<f64>,
+        fraction: Option<f64>,
     ) {
         let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         let Role::Client(mut client) = role else {
@@ -64,22 +71,22 @@
             connection.outbox.push(sse::head(*keep_alive));
             connection.outbox.push(sse::started());
         }
-        if let Some(share) = share.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
-            connection.outbox.push(sse::progress(share));
+        if let Some(fraction) = fraction.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
+            connection.outbox.push(sse::progress(fraction));
         }
         stream.last_write = context.now();
         self.finish_event(context, token, connection, client);
     }
 }
 
-/// Rejects what has been read, and ends the connection once the rejection is written.
+/// Rejects the bytes read so far, and ends the connection once the rejection is written.
 pub(super) fn reject(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
     client: &mut ClientConnection,
-    why: Reject,
+    reason: Reject,
 ) {
-    context.shared.metrics.rejects += u64::from(why != Reject::NotReady);
-    connection.outbox.push(platform::reject(why, false));
+    context.shared.metrics.rejects += u64::from(reason != Reject::NotReady);
+    connection.outbox.push(platform::reject(reason, false));
     client.state = ClientState::Closing;
 }
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -26,11 +26,11 @@
 }
 
 /// Wraps an I/O error with the name of the operation.
-pub(super) fn io_failed(what: &'static str) -> impl Fn(std::io::Error) -> ServerError {
-    move |error| ServerError::System(what, error)
+pub(super) fn io_failed(operation: &'static str) -> impl Fn(std::io::Error) -> ServerError {
+    move |error| ServerError::System(operation, error)
 }
 
 /// Wraps the error of a system call with the name of the operation.
-pub(super) fn system(what: &'static str) -> impl Fn(rustix::io::Errno) -> ServerError {
-    move |error| ServerError::System(what, error.into())
+pub(super) fn system(operation: &'static str) -> impl Fn(rustix::io::Errno) -> ServerError {
+    move |error| ServerError::System(operation, error.into())
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,7 +1,7 @@
 //! One turn of the loop: run the core's commands, wait for events, and pass each event to its handler.
 //!
-//! The order of events within a turn is part of the contract. The admin address and the watch of discovery come first, then
-//! clients that have disconnected, then all other events in the order in which epoll reports them.
+//! The handlers rely on the order of events within a turn. Events of the admin address and of the watch of discovery come
+//! first, then those of clients that have disconnected, then all others in the order in which epoll reports them.
 
 use crate::core::{Command, DownstreamId, FinalResponse, RequestId, TimerToken};
 use crate::server::Server;
@@ -54,10 +54,10 @@
         self.reactor.wait(events, timeout).map_err(system("epoll"))
     }
 
-    /// Passes the events of a turn to their handlers, in the order that the contract requires.
+    /// Passes the events of a turn to their handlers, in the order that the module's documentation states.
     fn handle_events(&mut self, events: &[Event]) {
-        // Calls to the admin address do not wait for the requests of this turn. Lists on the watch of discovery take effect
-        // before any request of this turn is forwarded.
+        // Calls to the admin address do not wait for the requests of this turn. Endpoint lists that arrive on the watch of
+        // discovery take effect before any request of this turn is forwarded.
         let watch = self.discovery.watch();
         for event in events {
             match (Token(event.data.u64()), event.flags) {
@@ -68,7 +68,7 @@
                 _ => {}
             }
         }
-        // Handle disconnected clients before clients with requests, because requests take longer.
+        // Disconnected clients are handled before clients with requests, because requests take longer.
         for event in events {
             let context = &mut client_context!(self);
             self.clients.on_hangup(context, Token(event.data.u64()), event.flags);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Runs all pending commands of the core, then the effects of event streams.
+    /// Runs all pending commands of the core, then the pending effects of the event streams.
     pub(super) fn run_commands(&mut self) {
         while let Some(command) = self.core.next_command() {
             match command {
@@ -139,14 +139,14 @@
     }
 
     /// Passes the progress of a request to the client connection or the job that awaits its response.
-    fn notify_progress(&mut self, downstream: DownstreamId, share: Option<f64>) {
+    fn notify_progress(&mut self, downstream: DownstreamId, fraction: Option<f64>) {
         match Downstream::from_id(downstream) {
             Downstream::Connection(token) => {
-                self.clients.send_progress(&mut client_context!(self), token, share);
+                self.clients.send_progress(&mut client_context!(self), token, fraction);
             }
             Downstream::Job(job) => {
                 if let Some(streams) = &mut self.event_streams {
-                    streams.publish_progress(job, share);
+                    streams.publish_progress(job, fraction);
                 }
             }
         }
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -11,15 +11,15 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// How often to retry listening on an address that a predecessor still holds.
+/// The number of retries of listening on an address that a predecessor still uses.
 const MAX_LISTEN_ATTEMPTS: u32 = 100;
 /// The interval between these retries.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Accepting is tried again after this time if there was no capacity, in microseconds.
+/// The time after which accepting is retried if there was no capacity, in microseconds.
 const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
 
-/// The client address to which a connection came.
+/// The client address at which a connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
     /// The platform's address.
@@ -33,7 +33,7 @@
     /// The listening socket.
     pub socket: TcpListener,
     /// A stream without an event for this long gets a heartbeat, in microseconds.
-    pub heartbeat: Micros,
+    pub heartbeat_interval: Micros,
 }
 
 /// The listening sockets for clients.
@@ -42,14 +42,14 @@
     pub platform: TcpListener,
     /// The listener for event streams, if it is on.
     pub sse: Option<SseListener>,
-    /// Whether epoll watches them.
+    /// Whether epoll watches the listeners for new connections.
     is_accepting: bool,
 }
 
 impl Listeners {
     /// The heartbeat interval of event streams, in microseconds; 0 if they are off.
-    pub fn heartbeat(&self) -> Micros {
-        self.sse.as_ref().map_or(0, |sse| sse.heartbeat)
+    pub fn heartbeat_interval(&self) -> Micros {
+        self.sse.as_ref().map_or(0, |sse| sse.heartbeat_interval)
     }
 
     /// The listening socket of an address, if the address is on.
@@ -83,10 +83,10 @@
     fn set_interest(&self, reactor: &Reactor, flags: EventFlags) {
         let platform = reactor.set_watched_events(&self.platform, PLATFORM, flags);
         let sse = self.sse.as_ref().is_none_or(|sse| reactor.set_watched_events(&sse.socket, SSE, flags));
-        mothproxy_invariant::invariant!(platform && sse, "epoll does not know a listener");
+        mothproxy_invariant::invariant!(platform && sse, "a listener is not registered with epoll");
     }
 
-    /// Removes the listeners from epoll, because another process continues with them.
+    /// Removes the listeners from epoll, because the successor accepts connections from now on.
     pub fn hand_over(&mut self, reactor: &Reactor) {
         reactor.unwatch(&self.platform);
         if let Some(sse) = &self.sse {
@@ -127,7 +127,7 @@
         let sse = match sse {
             Some(settings) => Some(SseListener {
                 socket: inherit_or_listen(self.sse, settings.listen, should_retry)?,
-                heartbeat: settings.heartbeat,
+                heartbeat_interval: settings.heartbeat,
             }),
             None => None,
         };
@@ -139,36 +139,38 @@
 ///
 /// # Errors
 /// If the address cannot be listened on.
-pub(super) fn listen(at: SocketAddr) -> Result<TcpListener, ServerError> {
-    let failed = |error| ServerError::Listen(at, error);
-    let listener = TcpListener::bind(at).map_err(failed)?;
+pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, ServerError> {
+    let failed = |error| ServerError::Listen(address, error);
+    let listener = TcpListener::bind(address).map_err(failed)?;
     listener.set_nonblocking(true).map_err(failed)?;
     Ok(listener)
 }
 
 /// Whether an inherited socket has the address that this configuration wants. A wanted port of 0 matches any port.
 pub(super) fn has_address(socket: std::io::Result<SocketAddr>, wanted: SocketAddr) -> bool {
-    socket.is_ok_and(|at| at.ip() == wanted.ip() && (at.port() == wanted.port() || wanted.port() == 0))
+    socket.is_ok_and(|address| {
+        address.ip() == wanted.ip() && (address.port() == wanted.port() || wanted.port() == 0)
+    })
 }
 
 /// Returns the predecessor's listening socket, with the connections in its queue, if it has the wanted address; otherwise opens a
 /// new one. With `should_retry`, blocks while the address is in use, for at most [`MAX_LISTEN_ATTEMPTS`] retries.
 fn inherit_or_listen(
     inherited: Option<TcpListener>,
-    at: SocketAddr,
+    address: SocketAddr,
     should_retry: bool,
 ) -> Result<TcpListener, ServerError> {
-    if let Some(inherited) = inherited.filter(|listener| has_address(listener.local_addr(), at)) {
+    if let Some(inherited) = inherited.filter(|listener| has_address(listener.local_addr(), address)) {
         return Ok(inherited);
     }
     let retries = if should_retry { MAX_LISTEN_ATTEMPTS } else { 0 };
     for _ in 0..retries {
-        match listen(at) {
+        match listen(address) {
             Err(ServerError::Listen(_, error)) if error.kind() == ErrorKind::AddrInUse => {
                 std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
             other => return other,
         }
     }
-    listen(at)
+    listen(address)
 }
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -14,7 +14,7 @@
     pub attempts: u64,
     /// Attempts whose last byte has been written.
     pub attempts_written: u64,
-    /// Attempts held back before their last byte.
+    /// Attempts that were ended before their last byte was written, because they may no longer be sent.
     pub withheld: u64,
     /// Configurations reloaded.
     pub reloads: u64,
@@ -26,7 +26,7 @@
     pub connect_failures: u64,
     /// Connections to workers that broke during an exchange.
     pub resets: u64,
-    /// Attempts that no worker answered in time.
+    /// Attempts that were written and got no response from the worker in time.
     pub untaken: u64,
     /// Requests and messages that were rejected.
     pub rejects: u64,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -93,14 +93,14 @@
     membership: MembershipLink,
     /// The store of idempotency records; `None` if records are not persisted.
     records: Option<RecordStore>,
-    /// Jobs that are kept apart from their clients' connections; `None` if the SSE address is off.
+    /// Jobs that outlive the connections of the clients that submitted them; `None` if the SSE address is off.
     event_streams: Option<EventStreams>,
     budget: Budget,
     /// Client connections that may be closed to make room.
     clients: ClientConnections,
     /// Requests whose clients await a response.
     pending: PendingRequests,
-    /// Idle connections to workers, and what is awaited on the busy ones.
+    /// Idle connections to workers, and the exchanges on the busy ones.
     upstream: UpstreamPool,
     discovery: DiscoveryClient,
     lifecycle: Lifecycle,
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -98,23 +98,24 @@
 }
 
 impl Server {
-    /// Opens the server with all its sockets. `sse` configures the address of event streams. `restart_folder` is where the
-    /// processes of one dispatcher meet at a hot restart; without it there is no handover. `state` is where idempotency records
-    /// are stored.
+    /// Opens the server with all its sockets. `sse` configures the address of event streams. `restart_dir` is the
+    /// directory of the socket through which a process finds its predecessor at a hot restart; without it there is no handover.
+    /// `state` is where idempotency records are stored.
     ///
     /// # Errors
-    /// If the settings are invalid, an address cannot be listened on, the store cannot be opened, or the system refuses
-    /// something else.
+    /// If the settings are invalid, an address cannot be listened on, the store cannot be opened, or another system call
+    /// fails.
     pub fn open(
         mut config: Config,
         sse: Option<SseSettings>,
-        restart_folder: Option<&Path>,
+        restart_dir: Option<&Path>,
         state: Option<StateDir>,
         fleet: FleetSettings,
     ) -> Result<Server, ServerError> {
-        // The signal handlers come first: a SIGHUP without a handler would end the program, with all it has taken over.
+        // The signal handlers are registered first: a SIGHUP without a handler would terminate this process, after it has taken
+        // over the predecessor's sockets and connections.
         let signals = Signals::register().map_err(io_failed("signals"))?;
-        let restart_path = restart_folder.map(|folder| socket_path(folder, &config.name));
+        let restart_path = restart_dir.map(|dir| socket_path(dir, &config.name));
         let takeover = restart_path.as_deref().map_or(TakeoverResult::NoPredecessor, request_takeover);
         let should_retry = matches!(takeover, TakeoverResult::Refused);
         let mut inheritance = takeover.into_inheritance();
--- a/src/server/poller.rs
+++ b/src/server/poller.rs
@@ -17,7 +17,7 @@
     /// Creates an instance that watches nothing.
     ///
     /// # Errors
-    /// If the system gives no epoll instance.
+    /// If the system cannot create an epoll instance.
     pub fn new() -> Result<Poller, Errno> {
         epoll::create(epoll::CreateFlags::CLOEXEC).map(Poller)
     }
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -33,7 +33,7 @@
     /// Creates a reactor that watches nothing.
     ///
     /// # Errors
-    /// If the system gives no epoll instance.
+    /// If the system cannot create an epoll instance.
     pub fn new() -> Result<Reactor, Errno> {
         Ok(Reactor { epoll: Poller::new()?, connections: ConnectionTable::default() })
     }
@@ -124,7 +124,7 @@
     fn set_interest(&self, token: Token, connection: &mut Connection, flags: EventFlags) {
         if flags != connection.interest {
             let is_changed = self.epoll.modify(&connection.stream, token, flags);
-            invariant!(is_changed, "epoll does not know a connection");
+            invariant!(is_changed, "a connection is not registered with epoll");
             connection.interest = flags;
         }
     }
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -15,7 +15,7 @@
         TimerSlot { token, at: None }
     }
 
-    /// Sets the timer to another time, or cancels it if `at` is `None`.
+    /// Sets the timer to fire at `at` instead of any earlier set time, or cancels it if `at` is `None`.
     pub(in crate::server) fn set(&mut self, core: &mut Core, at: Option<Micros>) {
         if at == self.at {
             return;
@@ -34,7 +34,7 @@
         self.at.is_some()
     }
 
-    /// The core has reported that the timer fired: it is no longer set.
+    /// Records that the core has reported the timer as fired: it is no longer set.
     pub(in crate::server) fn on_fired(&mut self) {
         self.at = None;
     }
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -6,7 +6,7 @@
 use crate::core::TimerToken;
 
 /// The source of an epoll event. For a connection, the token holds its slot in the table and the slot's generation, which counts
-/// earlier uses. So an event of an earlier connection is not taken for one of the slot's next connection.
+/// earlier uses. So an event of an earlier connection is never applied to the next connection in the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Token(pub(super) u64);
 
--- a/src/server/transferred.rs
+++ b/src/server/transferred.rs
@@ -12,33 +12,33 @@
 /// The state that another process needs to continue a client connection.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredClient {
-    /// Whether it came to the address of event streams.
+    /// Whether the connection was accepted at the address of event streams.
     #[serde(rename = "sse")]
     pub is_sse: bool,
-    /// Whether no complete request has arrived on it yet.
+    /// Whether no complete request has arrived on the connection yet.
     #[serde(rename = "unasked")]
     pub is_awaiting_request: bool,
-    /// Whether a worker sends status callbacks on it.
+    /// Whether a worker sends status callbacks on the connection.
     #[serde(rename = "calls_back")]
     pub has_callbacks: bool,
-    /// The request whose response it awaits.
+    /// The request whose response the client awaits.
     #[serde(rename = "session")]
     pub request: Option<TransferredExchange>,
 }
 
-/// A request that is handed over with its client's connection or with its job. In the packet follow the request's bytes, its
-/// body if those bytes do not include it, and the bytes read after the request.
+/// A request that is handed over with its client's connection or with its job. In the packet it is followed by the request's
+/// bytes, by the body if those bytes do not include it, and by the bytes read after the request.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredExchange {
     /// The core's state of the request.
     #[serde(rename = "moved")]
     pub request: TransferredRequest,
-    /// Whether its client's connection is kept after the response.
+    /// Whether the client's connection is kept after the response.
     pub keep_alive: bool,
-    /// Whether its response stream has begun; `None` if it is not answered by a stream.
+    /// Whether the response's event stream has begun; `None` if the response is not an event stream.
     #[serde(rename = "stream")]
     pub has_stream_begun: Option<bool>,
-    /// Whether it has lost an attempt because the attempt's connection broke.
+    /// Whether the request has lost an attempt because the attempt's connection broke.
     #[serde(rename = "broken")]
     pub has_broken_attempt: bool,
     /// The length of the request's bytes in the packet.
@@ -64,12 +64,12 @@
     }
 }
 
-/// A job of the event streams on its way to the successor; the bytes of its request follow.
+/// A job of the event streams that is handed over to the successor; in the packet the bytes of its request follow.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TransferredJob {
     /// The job with its events.
     pub job: mothproxy_streams::TransferredJob,
-    /// Its request, while that is open.
+    /// The job's request, while it is open.
     #[serde(rename = "session")]
     pub request: Option<TransferredExchange>,
 }
@@ -89,11 +89,11 @@
 pub(super) struct SplitBytes<'a> {
     /// The request, if the message says that one follows.
     pub request: Option<RawRequest>,
-    /// The bytes read after it.
+    /// The bytes read after the request.
     pub rest: &'a [u8],
 }
 
-/// Splits the bytes of a packet into the request and the bytes read after it. Returns `None` if they do not fit the message.
+/// Splits the bytes of a packet into the request and the bytes read after it. Returns `None` if they do not match the message.
 pub(super) fn split_request<'a>(
     exchange: Option<&TransferredExchange>,
     bytes: &'a [u8],
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -6,34 +6,35 @@
 use rustix::event::epoll::EventFlags;
 use std::net::{SocketAddr, TcpStream};
 
-/// How long the last byte of an attempt on a new connection may be in transit, as a multiple of the time that the connection
-/// took to come up. That time is one round trip, and a handshake is up to two more (PROTOCOL, "Dispatchers to workers").
+/// How long the last byte of an attempt on a new connection may be in transit, as a multiple of the time that connecting took.
+/// Connecting takes one round trip, and a handshake up to two more (PROTOCOL, "Dispatchers to workers").
 const HANDSHAKE_ROUND_TRIPS: Micros = 3;
+
 /// A cancel to send to a worker.
 pub(super) struct CancelRequest {
     pub worker: WorkerId,
     /// The request's name, by which the worker knows the job.
     pub name: String,
-    /// The attempt that counts as ended only once the cancel is written.
-    pub ending: Option<AttemptId>,
+    /// The attempt that ends only once the cancel is written; `None` if no attempt depends on it.
+    pub ending_attempt: Option<AttemptId>,
 }
 
-/// What a connection is used for. It carries one exchange at a time.
+/// The exchange that a connection carries, of which there is at most one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exchange {
-    /// An attempt: a client's request is forwarded.
+    /// An attempt: a forwarded client request.
     Attempt(AttemptId),
-    /// A cancel: the worker is told to give a job up.
+    /// A cancel: the worker is asked to stop a job.
     Cancel {
-        /// The attempt that counts as ended only once the cancel is written.
-        ending: Option<AttemptId>,
+        /// The attempt that ends only once the cancel is written; `None` if no attempt depends on it.
+        ending_attempt: Option<AttemptId>,
     },
     /// A load probe.
     Probe,
 }
 
 impl Exchange {
-    /// Whether it is an attempt.
+    /// Whether the exchange is an attempt.
     pub fn is_attempt(self) -> bool {
         matches!(self, Exchange::Attempt(_))
     }
@@ -41,10 +42,10 @@
 
 /// The state of a connection and of the exchange on it.
 pub(super) enum UpstreamState {
-    /// The connection is not up yet.
+    /// The connection is not established yet.
     Connecting(Exchange),
     /// The response's head is awaited.
-    Awaiting(Exchange),
+    AwaitingResponse(Exchange),
     /// The body of a response is being read.
     ReadingBody(ResponseBody),
     /// The worker sends job statuses in an event stream.
@@ -53,57 +54,58 @@
     Idle,
 }
 
-/// The body of a response. That of a load probe is the load report.
+/// A response whose body is being read. The body of the response to a load probe is the load report.
 pub(super) struct ResponseBody {
     pub exchange: Exchange,
     pub status: u16,
     pub body: Body,
     /// The decoded bytes of the body read so far.
-    pub read: Vec<u8>,
+    pub decoded: Vec<u8>,
     pub keep_alive: bool,
 }
 
-/// The event stream that answers an attempt.
+/// The event stream with which a worker responds to an attempt.
 pub(super) struct StatusStream {
     pub attempt: AttemptId,
     pub body: Body,
     pub events: EventStream,
 }
 
-/// How far the establishment of a connection has come.
+/// The progress of establishing a connection.
 pub(super) enum ConnectProgress {
-    /// It was up before.
+    /// The connection had been established before.
     Established,
-    /// It has just come up, for this exchange.
+    /// The connection has just been established, for this exchange.
     Connected(Exchange),
-    /// It is not up yet.
+    /// The connection is not established yet.
     Pending,
-    /// It will not come up.
+    /// The connection could not be established.
     Failed,
 }
 
 /// A connection to a worker.
 pub(in crate::server) struct UpstreamConnection {
     pub(super) worker: WorkerId,
-    /// The address it is connected to. The worker may have another address by now.
+    /// The address that the connection was made to. The worker may have another address by now.
     pub(super) address: Option<SocketAddr>,
     pub(super) state: UpstreamState,
-    /// Whether it has carried an exchange before, or was adopted from another process.
+    /// Whether the connection has carried an exchange before, or was adopted from another process.
     pub(super) is_reused: bool,
-    /// The length of its attempt's request in bytes until the last byte is written; 0 before the request is encoded.
+    /// The length of the attempt's request in bytes, until its last byte is written; 0 before the request is encoded.
     pub(super) unwritten_length: Option<usize>,
-    /// How long the first response of its exchange may take, in microseconds. An attempt's deadline ends it in any case.
+    /// How long the first response of the exchange may take, in microseconds; `None` if there is no limit other than the
+    /// attempt's deadline.
     pub(super) response_timeout: Option<Micros>,
     /// When connecting began.
     pub(super) connect_started: Micros,
     /// How long the last byte of an attempt may be in transit, in microseconds.
     pub(super) transit_allowance: Micros,
-    /// How long it must rest before it is used again, in microseconds; 0 if it need not.
+    /// How long the connection must stay unused before its next exchange, in microseconds; 0 if it may be used at once.
     pub(super) cooldown: Micros,
 }
 
 impl UpstreamConnection {
-    /// A connection that begins connecting at `now`, for an exchange.
+    /// Creates the state of a connection that begins connecting at `now`, for an exchange.
     pub(super) fn connecting(
         worker: WorkerId,
         address: Option<SocketAddr>,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// An idle connection that another process has handed over.
+    /// Creates the state of an idle connection that another process has handed over.
     pub(super) fn adopted(worker: WorkerId, address: Option<SocketAddr>, now: Micros) -> UpstreamConnection {
         UpstreamConnection {
             worker,
@@ -141,14 +143,14 @@
 
     /// Uses an idle connection for an exchange.
     pub(super) fn reuse(&mut self, exchange: Exchange, response_timeout: Option<Micros>) {
-        self.state = UpstreamState::Awaiting(exchange);
+        self.state = UpstreamState::AwaitingResponse(exchange);
         self.is_reused = true;
         self.unwritten_length = exchange.is_attempt().then_some(0);
         self.response_timeout = response_timeout;
         self.transit_allowance = 0;
     }
 
-    /// Tells from an event's flags, and the socket's error, whether the connection has come up.
+    /// Determines from an event's flags and the socket's error whether the connection is established.
     pub(super) fn connect_progress(&self, stream: &TcpStream, flags: EventFlags) -> ConnectProgress {
         let UpstreamState::Connecting(exchange) = self.state else { return ConnectProgress::Established };
         let has_failed = stream.take_error().map_or(true, |error| error.is_some());
@@ -161,16 +163,16 @@
         }
     }
 
-    /// Records that the connection has come up and that the response to its exchange is awaited. Returns the time by which the
-    /// first response must have come, if there is a limit.
+    /// Records that the connection is established and that the response to its exchange is awaited. Returns the time by which
+    /// the first response must have arrived, if there is a limit.
     pub(super) fn on_connected(&mut self, exchange: Exchange, now: Micros) -> Option<Micros> {
-        self.state = UpstreamState::Awaiting(exchange);
+        self.state = UpstreamState::AwaitingResponse(exchange);
         let connect_time = now.saturating_sub(self.connect_started);
         self.transit_allowance = HANDSHAKE_ROUND_TRIPS * connect_time;
         self.response_timeout.map(|timeout| now + timeout)
     }
 
-    /// The worker, if the connection is idle and need not rest.
+    /// The worker, if the connection is idle and not in its cooldown.
     pub(in crate::server) fn idle_worker(&self) -> Option<WorkerId> {
         (matches!(self.state, UpstreamState::Idle) && self.cooldown == 0).then_some(self.worker)
     }
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -1,4 +1,4 @@
-//! The end of an exchange: its connection is over, or its time is up.
+//! The end of an exchange, because its connection has ended or its deadline has passed.
 
 use super::UpstreamPool;
 use super::connection::{CancelRequest, Exchange, ResponseBody, UpstreamConnection, UpstreamState};
@@ -12,7 +12,8 @@
 use crate::server::tokens::Token;
 
 impl UpstreamPool {
-    /// Handles the end of what the other side sends. A load probe's response may end with its connection; it counts then.
+    /// Handles the end of the bytes that the worker sends. The response to a load probe may be delimited by the end of its
+    /// connection, and is complete then.
     pub(super) fn on_eof(
         &mut self,
         context: &mut Context<'_>,
@@ -25,14 +26,14 @@
             && response.exchange == Exchange::Probe
             && response.body.ends_with_connection()
         {
-            let body = std::mem::take(&mut response.read);
+            let body = std::mem::take(&mut response.decoded);
             self.on_load_probe_response(context, token, response.status, &body);
         }
         self.on_closed(context, pending, token, connection, upstream);
     }
 
-    /// Closes a connection whose other side violates the protocol. If the faulty bytes came in response to an attempt that was
-    /// written whole, the worker may have accepted it. Then only a cancel stops it, and that cancel is returned.
+    /// Closes a connection whose worker violates the protocol. If the invalid bytes came in response to an attempt that was
+    /// written completely, the worker may have accepted the job. Then only a cancel stops the job, and that cancel is returned.
     pub(super) fn on_protocol_violation(
         &mut self,
         context: &mut Context<'_>,
@@ -41,18 +42,18 @@
         connection: Connection,
         upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
-        let taken = match upstream.state {
-            UpstreamState::Awaiting(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
+        let accepted_request = match upstream.state {
+            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
                 context.core.request_name(attempt)
             }
             _ => None,
         };
         let worker = upstream.worker;
         self.on_closed(context, pending, token, connection, upstream);
-        taken.map(|name| CancelRequest { worker, name, ending: None })
+        accepted_request.map(|name| CancelRequest { worker, name, ending_attempt: None })
     }
 
-    /// Closes a connection that is over, and ends its exchange with an outcome that depends on how far it had come.
+    /// Closes a connection that is over, and ends its exchange with an outcome that depends on the state of the exchange.
     pub(super) fn on_closed(
         &mut self,
         context: &mut Context<'_>,
@@ -69,7 +70,7 @@
                 context.metrics.connect_failures += 1;
                 self.on_exchange_failed(context, Some(token), worker, *exchange, Outcome::ConnectFailed);
             }
-            UpstreamState::Awaiting(exchange) => {
+            UpstreamState::AwaitingResponse(exchange) => {
                 // Until its last byte is written, a request has not begun on any worker.
                 if let Exchange::Attempt(attempt) = exchange
                     && upstream.is_reused
@@ -77,7 +78,7 @@
                     pending.record_broken_attempt(attempt.request_id);
                 }
                 context.metrics.resets += 1;
-                let outcome = outcome_of_break(is_written, upstream.is_reused);
+                let outcome = outcome_of_broken_connection(is_written, upstream.is_reused);
                 self.on_exchange_failed(context, Some(token), worker, *exchange, outcome);
             }
             UpstreamState::Streaming(stream) => {
@@ -107,17 +108,17 @@
                 end_attempt(context, attempt, outcome);
             }
             Exchange::Probe => self.on_load_probe_failed(context, token, worker, outcome),
-            // Whether the cancel was answered or not, the attempt's connection is closed and its time is over.
-            Exchange::Cancel { ending: Some(attempt) } => {
+            // With or without a response to the cancel, the attempt's connection is closed and its time has passed.
+            Exchange::Cancel { ending_attempt: Some(attempt) } => {
                 self.attempts.remove(&attempt);
                 end_attempt(context, attempt, Outcome::Cancelled);
             }
-            Exchange::Cancel { ending: None } => {}
+            Exchange::Cancel { ending_attempt: None } => {}
         }
     }
 
-    /// Reports a failed load probe to the core. Without a connection, the probe was never sent, and its failure is reported with
-    /// no elapsed time. With one, the failure is reported once only.
+    /// Reports a failed load probe to the core. A probe without a connection was never sent, and its failure is reported with
+    /// an elapsed time of 0. The failure of a probe with a connection is reported only once.
     fn on_load_probe_failed(
         &mut self,
         context: &mut Context<'_>,
@@ -145,17 +146,17 @@
         mut upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
         let is_written = connection.outbox.is_empty();
-        if is_written && matches!(upstream.state, UpstreamState::Awaiting(Exchange::Attempt(_))) {
+        if is_written && matches!(upstream.state, UpstreamState::AwaitingResponse(Exchange::Attempt(_))) {
             // After a long turn, the response may have arrived and not been read yet.
             let end = connection.fill(MAX_HEAD);
-            let is_sound = self.read(context, token, &mut connection, &mut upstream);
-            let is_answered = !matches!(upstream.state, UpstreamState::Awaiting(_));
+            let is_valid = self.read(context, token, &mut connection, &mut upstream);
+            let has_response = !matches!(upstream.state, UpstreamState::AwaitingResponse(_));
             let is_open = matches!(end, ReadEnd::WouldBlock | ReadEnd::LimitReached);
-            if is_answered && is_sound && is_open {
+            if has_response && is_valid && is_open {
                 self.finish_event(context, pending, token, connection, upstream);
                 return None;
             }
-            if is_answered {
+            if has_response {
                 self.on_eof(context, pending, token, connection, upstream);
                 return None;
             }
@@ -165,7 +166,7 @@
                 upstream.cooldown = 0;
                 self.finish_event(context, pending, token, connection, upstream);
             }
-            UpstreamState::Awaiting(Exchange::Attempt(attempt)) if is_written => {
+            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) if is_written => {
                 return self.on_attempt_unanswered(context, pending, token, connection, upstream, attempt);
             }
             _ => self.on_closed(context, pending, token, connection, upstream),
@@ -173,9 +174,9 @@
         None
     }
 
-    /// Ends an attempt that was written and got no response in time. The worker may have read it. Closing the connection gives
-    /// the attempt up, and the request is retried elsewhere instead of waiting until its deadline. If a response was lost or is
-    /// in flight, the worker has accepted the job. Then only a cancel stops it, so a cancel is returned.
+    /// Ends an attempt that was written and got no response in time. The worker may have read it. Closing the connection cancels
+    /// the attempt, and the request is retried elsewhere instead of waiting until its deadline. If a response was lost or is in
+    /// flight, the worker has accepted the job. Then only a cancel stops the job, so a cancel is returned.
     fn on_attempt_unanswered(
         &mut self,
         context: &mut Context<'_>,
@@ -185,27 +186,27 @@
         upstream: UpstreamConnection,
         attempt: AttemptId,
     ) -> Option<CancelRequest> {
-        // This is no fault of the worker, whose other connections serve, so it does not count against it. If its machine is
-        // gone, new connections to it will not come up, and that does count.
+        // The worker's other connections may be working, so this does not count as its failure. If its machine is down, new
+        // connections to it fail, and those do count.
         context.metrics.untaken += 1;
         pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = context.core.request_name(attempt);
-        // If two attempts must not be under way at once, the next one starts only after the cancel is written.
-        let ending = Some(attempt).filter(|_| !context.config.settings.may_hedge);
+        // If two attempts of a request must not run at once, the next one starts only after the cancel is written.
+        let ending_attempt = Some(attempt).filter(|_| !context.config.settings.may_hedge);
         self.attempts.remove(&attempt);
         context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
-        if ending.is_none() || name.is_none() {
+        if ending_attempt.is_none() || name.is_none() {
             self.on_exchange_failed(context, None, worker, Exchange::Attempt(attempt), Outcome::Cancelled);
         }
-        name.map(|name| CancelRequest { worker, name, ending })
+        name.map(|name| CancelRequest { worker, name, ending_attempt })
     }
 }
 
 /// The outcome of an exchange whose connection broke before a response. A reused connection that breaks under the next request
-/// was closed in the meantime. That says nothing about the worker, so it does not count against it. If the worker's process
-/// died, new connections are refused, and that does count.
-fn outcome_of_break(is_written: bool, is_reused: bool) -> Outcome {
+/// was closed in the meantime. That says nothing about the worker, so it does not count as its failure. If the worker's process
+/// has ended, new connections are refused, and that does count.
+fn outcome_of_broken_connection(is_written: bool, is_reused: bool) -> Outcome {
     match (is_written, is_reused) {
         (true, true) => Outcome::Cancelled,
         (true, false) => Outcome::Reset,
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! Upstream: connections to workers, for attempts, cancels and load probes, and the pool of idle ones.
 //!
 //! An exchange is one message to a worker with its response. `start` gives an exchange a connection, `write` writes the
-//! message, `read` reads the response, and `end` determines the outcome of an exchange whose connection is over. Most are
-//! methods of [`UpstreamPool`]. They get a [`Context`] and, if they need a request's bytes, the open requests. What involves
-//! clients too is a method of the [`Server`].
+//! message, `read` reads the response, and `end` determines the outcome of an exchange whose connection is over. Most functions
+//! are methods of [`UpstreamPool`]. They get a [`Context`] and, if they need a request's bytes, the open requests. Operations
+//! that involve clients too are methods of the [`Server`].
 //!
 //! [`Context`]: crate::server::context::Context
 
@@ -30,7 +30,7 @@
 use std::collections::HashMap;
 
 /// How long the response to a cancel or a load probe may take, in microseconds.
-const SIDE_EXCHANGE_TIMEOUT: Micros = 500_000;
+const CANCEL_OR_PROBE_TIMEOUT: Micros = 500_000;
 
 /// A load probe whose response is awaited.
 struct PendingProbe {
@@ -55,7 +55,7 @@
         self.attempts.keys().any(|attempt| attempt.request_id == request_id)
     }
 
-    /// Adds an idle connection to a worker, unless it is there already.
+    /// Adds an idle connection to a worker, unless the pool has it already.
     fn add_idle(&mut self, worker: WorkerId, token: Token) {
         let idle = self.idle.entry(worker).or_default();
         if !idle.contains(&token) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Removes a connection and returns it: the one that has been idle for longest, of the worker with the most idle ones.
+    /// Removes an idle connection and returns it: the one that has been idle for longest, of the worker with the most idle ones.
     fn pop_oldest_idle(&mut self) -> Option<Token> {
         let most = self.idle.values_mut().max_by_key(|idle| idle.len())?;
         if most.is_empty() { None } else { Some(most.remove(0)) }
@@ -99,7 +99,7 @@
 /// Methods of the server, since they involve clients too: the client of an attempt may have disconnected, and a cancel needs a
 /// connection.
 impl Server {
-    /// Handles a connection to a worker that has come up, is readable or writable, or was ended by its worker.
+    /// Handles a connection to a worker that is established now, is readable or writable, or was ended by its worker.
     pub(in crate::server) fn on_upstream_ready(
         &mut self,
         token: Token,
@@ -111,7 +111,7 @@
             ConnectProgress::Established => {}
             ConnectProgress::Connected(exchange) => {
                 if let Exchange::Attempt(attempt) = exchange {
-                    // If its client has disconnected, nothing of the attempt is written below.
+                    // If the request's client has disconnected, no byte of the attempt is written below.
                     self.clients.cancel_if_disconnected(&mut client_context!(self), attempt.request_id);
                 }
                 let deadline = upstream.on_connected(exchange, self.clock.now());
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -22,12 +22,12 @@
     EventFlags::IN.union(EventFlags::RDHUP).union(EventFlags::HUP).union(EventFlags::ERR);
 
 /// The result of reading a part of a response.
-enum Progress {
+enum StepResult {
     /// There may be more to process in the inbox.
     Continue,
     /// More must be read first.
     Wait,
-    /// The other side violates the protocol, or the connection cannot be used any more.
+    /// The worker violates the protocol, or the connection cannot be used any more.
     Unusable,
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl UpstreamPool {
-    /// Handles a connection that is up and is readable or writable, or that its worker has ended. Returns the cancel to send,
-    /// if any.
+    /// Handles an established connection that is readable or writable, or that its worker has ended. Returns the cancel to
+    /// send, if any.
     pub(super) fn on_ready(
         &mut self,
         context: &mut Context<'_>,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Processes the bytes that were read. Returns false if the other side violates the protocol, or the connection cannot be
-    /// used any more.
+    /// Processes the bytes that were read. Returns false if the worker violates the protocol, or the connection cannot be used
+    /// any more.
     pub(super) fn read(
         &mut self,
         context: &mut Context<'_>,
@@ -98,11 +98,11 @@
         upstream: &mut UpstreamConnection,
     ) -> bool {
         loop {
-            let progress = match &mut upstream.state {
-                UpstreamState::Connecting(_) => Progress::Wait,
-                UpstreamState::Idle if connection.inbox.is_empty() => Progress::Wait,
-                UpstreamState::Idle => Progress::Unusable,
-                UpstreamState::Awaiting(exchange) => {
+            let result = match &mut upstream.state {
+                UpstreamState::Connecting(_) => StepResult::Wait,
+                UpstreamState::Idle if connection.inbox.is_empty() => StepResult::Wait,
+                UpstreamState::Idle => StepResult::Unusable,
+                UpstreamState::AwaitingResponse(exchange) => {
                     let exchange = *exchange;
                     self.read_response_head(context, connection, upstream, exchange)
                 }
@@ -111,64 +111,64 @@
                 }
                 UpstreamState::Streaming(stream) => read_status_stream(context, connection, stream),
             };
-            match progress {
-                Progress::Continue => {}
-                Progress::Wait => return true,
-                Progress::Unusable => return false,
+            match result {
+                StepResult::Continue => {}
+                StepResult::Wait => return true,
+                StepResult::Unusable => return false,
             }
         }
     }
 
-    /// Processes the head of a response once it is whole. A 100 is skipped.
+    /// Processes the head of a response once it is complete. An interim response with status 100 is skipped.
     fn read_response_head(
         &mut self,
         context: &mut Context<'_>,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
         exchange: Exchange,
-    ) -> Progress {
+    ) -> StepResult {
         match http::read_response(&connection.inbox) {
-            Ok(None) => return Progress::Wait,
+            Ok(None) => return StepResult::Wait,
             Ok(Some(head)) if head.status == 100 => drop(connection.inbox.drain(..head.len)),
             Ok(Some(head)) if is_response_to(exchange, &head, connection) => {
                 self.on_response_head(context, connection, upstream, exchange, &head);
             }
-            _ => return Progress::Unusable,
+            _ => return StepResult::Unusable,
         }
-        Progress::Continue
+        StepResult::Continue
     }
 
-    /// Reads more of a response's body. Once it is whole, the connection is idle, or of no more use without keep-alive.
+    /// Reads more of a response's body. Once it is complete, the connection is idle, or unusable if it is not kept alive.
     fn read_response_body(
         &mut self,
         context: &mut Context<'_>,
         token: Token,
         connection: &mut Connection,
         upstream: &mut UpstreamConnection,
-    ) -> Progress {
-        let UpstreamState::ReadingBody(response) = &mut upstream.state else { return Progress::Continue };
-        let is_framed = response.body.feed(&mut connection.inbox, &mut response.read).is_ok();
-        if !is_framed || response.read.len() > MAX_BODY {
-            return Progress::Unusable;
+    ) -> StepResult {
+        let UpstreamState::ReadingBody(response) = &mut upstream.state else { return StepResult::Continue };
+        let is_framed = response.body.feed(&mut connection.inbox, &mut response.decoded).is_ok();
+        if !is_framed || response.decoded.len() > MAX_BODY {
+            return StepResult::Unusable;
         }
         if !response.body.is_done() {
-            return Progress::Wait;
+            return StepResult::Wait;
         }
         if response.exchange == Exchange::Probe {
-            let body = std::mem::take(&mut response.read);
+            let body = std::mem::take(&mut response.decoded);
             self.on_load_probe_response(context, token, response.status, &body);
         }
         if !response.keep_alive {
-            return Progress::Unusable;
+            return StepResult::Unusable;
         }
         upstream.state = UpstreamState::Idle;
-        Progress::Continue
+        StepResult::Continue
     }
 
-    /// Handles the head of a worker's response. What it says about an attempt counts at once, before the body is read.
+    /// Handles the head of a worker's response. The outcome of an attempt is reported at once, before the body is read.
     ///
-    /// A duplicate of a response that refuses a job would refuse the next job on this connection too. So the connection rests
-    /// after a refusal, until a duplicate has had time to arrive.
+    /// A duplicate of a response that refuses a job would refuse the next job on this connection too. So after a refusal the
+    /// connection is not used until a duplicate has had time to arrive.
     fn on_response_head(
         &mut self,
         context: &mut Context<'_>,
@@ -186,7 +186,7 @@
                 return;
             }
             self.attempts.remove(&attempt);
-            if let Some(outcome) = refusal(connection, head) {
+            if let Some(outcome) = refusal_outcome(connection, head) {
                 upstream.cooldown = context.config.connect_timeout;
                 let report =
                     platform::load_report_from_head(context.core.names(), &connection.inbox, &head.fields);
@@ -199,12 +199,12 @@
             exchange,
             status: head.status,
             body: Body::new(head.framing),
-            read: Vec::new(),
+            decoded: Vec::new(),
             keep_alive: head.keep_alive && head.framing != Framing::Absent,
         });
     }
 
-    /// Reports the response to a load probe to the core. Does nothing if the probe was answered or has failed before.
+    /// Reports the response to a load probe to the core. Does nothing if the probe has got a response or has failed before.
     pub(super) fn on_load_probe_response(
         &mut self,
         context: &mut Context<'_>,
@@ -221,7 +221,7 @@
 
 /// The outcome if a worker refuses an attempt: `Full` if a 503 or 504 says that the request was not processed, else `Error`.
 /// `None` if the worker has accepted the attempt.
-fn refusal(connection: &Connection, head: &http::ResponseHead) -> Option<Outcome> {
+fn refusal_outcome(connection: &Connection, head: &http::ResponseHead) -> Option<Outcome> {
     let is_unprocessed = head.fields.text(&connection.inbox, names::UNPROCESSED) == Some("1");
     match head.status {
         202 => None,
@@ -235,7 +235,7 @@
     context: &mut Context<'_>,
     connection: &mut Connection,
     stream: &mut StatusStream,
-) -> Progress {
+) -> StepResult {
     // Events that arrived before the framing broke are valid: the final event may be among them.
     let mut read = Vec::new();
     let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
@@ -244,8 +244,8 @@
     for event in events {
         report_stream_event(context, stream.attempt, &event);
     }
-    // The stream may end only after the final event. In that case the result changes nothing any more.
-    if is_framed && is_parsed && !stream.body.is_done() { Progress::Wait } else { Progress::Unusable }
+    // The stream may end only after the final event. The attempt has ended then, so the returned value has no effect on it.
+    if is_framed && is_parsed && !stream.body.is_done() { StepResult::Wait } else { StepResult::Unusable }
 }
 
 /// Reports an event of a worker's stream to the core. The event's data has the form of a status callback; an event that cannot
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -3,7 +3,7 @@
 use super::UpstreamPool;
 use super::connection::{CancelRequest, Exchange, UpstreamConnection, UpstreamState};
 use super::end::end_attempt;
-use super::{PendingProbe, SIDE_EXCHANGE_TIMEOUT, max_idle_time};
+use super::{CANCEL_OR_PROBE_TIMEOUT, PendingProbe, max_idle_time};
 use crate::core::AttemptId;
 use crate::core::endpoint_table::Endpoint;
 use crate::http::Piece;
@@ -26,7 +26,7 @@
     /// How long the first response may take, in microseconds.
     response_timeout: Option<Micros>,
     /// The message. It is empty for an attempt, whose request is encoded just before its first byte is written.
-    pieces: Vec<Piece>,
+    message: Vec<Piece>,
     /// Whether an idle connection must not be used.
     needs_new_connection: bool,
 }
@@ -45,23 +45,23 @@
     /// [`Outcome::NeverSent`].
     pub(in crate::server) fn start_attempt(&mut self, attempt: AttemptId, worker: WorkerId) {
         let request_id = attempt.request_id;
-        if self.polled_at.is_old(self.clock.elapsed()) {
+        if self.polled_at.is_old(self.clock.current_time()) {
             self.clients.cancel_if_disconnected(&mut client_context!(self), request_id);
         }
         if !self.pending.contains(request_id) {
-            // The client has disconnected in the meantime. Nothing is sent, and that says nothing about the worker.
+            // The client has disconnected in the meantime. Nothing is sent, and the worker is not at fault.
             return end_attempt(&mut context!(self), attempt, Outcome::NeverSent);
         }
         self.metrics.attempts += 1;
         let outgoing = OutgoingExchange {
             worker,
             exchange: Exchange::Attempt(attempt),
-            // A worker answers as soon as it has read the request. If it says nothing for as long as its machine may take to
-            // answer a connect, the connection has gone silent, and no reset will come. A request that could not be sent again
-            // has no such limit: its response is waited for.
+            // A worker responds as soon as it has read the request. If there is no response within the connect timeout, the
+            // connection is taken to be dead, although it was not reset. A request that could not be retried has no such limit:
+            // its response is awaited.
             response_timeout: self.core.accept_timeout(request_id, self.config.connect_timeout),
-            pieces: Vec::new(),
-            // A request has few attempts. Once a reused connection has cost it one, the others use new connections.
+            message: Vec::new(),
+            // A request has few attempts. Once it has lost one to a broken reused connection, the others use new connections.
             needs_new_connection: self.pending.has_broken_attempt(request_id),
         };
         if let Some(token) = self.assign_connection(outgoing) {
@@ -70,20 +70,20 @@
         }
     }
 
-    /// Gives an attempt up: by closing its connection, or by a cancel if its first response has come.
+    /// Cancels an attempt: by closing its connection, or by a cancel message if its first response has been read.
     pub(in crate::server) fn cancel_attempt(&mut self, attempt: AttemptId, worker: WorkerId, name: String) {
         match self.upstream.attempts.remove(&attempt) {
-            // The attempt is not answered yet, or its event stream is being read: closing the connection cancels it.
+            // The attempt has no response yet, or its event stream is being read: closing the connection cancels it.
             Some(token) => self.reactor.close_token(&mut self.core, token),
-            None => self.send_cancel(&CancelRequest { worker, name, ending: None }),
+            None => self.send_cancel(&CancelRequest { worker, name, ending_attempt: None }),
         }
     }
 
-    /// Sends a worker the cancel of a job, if the settings allow cancels and the worker is listed. The attempt that is ending
-    /// counts as ended once the cancel is written, or at once if no cancel is sent.
+    /// Sends a worker the cancel of a job, if the settings allow cancels and the worker is listed. The attempt in
+    /// [`CancelRequest::ending_attempt`] ends once the cancel is written, or at once if no cancel is sent.
     pub(super) fn send_cancel(&mut self, cancel: &CancelRequest) {
-        let CancelRequest { worker, ref name, ending } = *cancel;
-        let exchange = Exchange::Cancel { ending };
+        let CancelRequest { worker, ref name, ending_attempt } = *cancel;
+        let exchange = Exchange::Cancel { ending_attempt };
         let is_listed = self.core.endpoints().get(worker).is_some_and(|endpoint| !endpoint.is_removed());
         if !is_listed || !self.config.settings.may_cancel {
             let context = &mut context!(self);
@@ -92,12 +92,12 @@
         let outgoing = OutgoingExchange {
             worker,
             exchange,
-            response_timeout: Some(SIDE_EXCHANGE_TIMEOUT),
-            pieces: platform::cancel(name),
+            response_timeout: Some(CANCEL_OR_PROBE_TIMEOUT),
+            message: platform::cancel(name),
             needs_new_connection: false,
         };
         if let Some(token) = self.assign_connection(outgoing) {
-            if let Some(attempt) = ending {
+            if let Some(attempt) = ending_attempt {
                 self.upstream.attempts.insert(attempt, token);
             }
             self.upstream.start_exchange(&mut context!(self), &mut self.pending, token);
@@ -109,8 +109,8 @@
         let outgoing = OutgoingExchange {
             worker,
             exchange: Exchange::Probe,
-            response_timeout: Some(SIDE_EXCHANGE_TIMEOUT),
-            pieces: platform::load_probe(),
+            response_timeout: Some(CANCEL_OR_PROBE_TIMEOUT),
+            message: platform::load_probe(),
             needs_new_connection: false,
         };
         if let Some(token) = self.assign_connection(outgoing) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Gives an exchange an idle connection, or a new one. Returns `None` if it can have neither; the failure of the exchange
+    /// Assigns an idle connection, or a new one, to an exchange. Returns `None` if there is neither; the failure of the exchange
     /// has been reported then.
     fn assign_connection(&mut self, outgoing: OutgoingExchange) -> Option<Token> {
         let address = self.core.endpoints().get(outgoing.worker).map(Endpoint::address);
@@ -141,7 +141,7 @@
     /// Uses the connection for an exchange.
     fn reuse(self, reactor: &mut Reactor, outgoing: OutgoingExchange) -> Token {
         let IdleUpstream { token, mut connection, mut upstream } = self;
-        connection.outbox.push(outgoing.pieces);
+        connection.outbox.push(outgoing.message);
         upstream.reuse(outgoing.exchange, outgoing.response_timeout);
         reactor.put(token, connection, Role::Upstream(upstream));
         token
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes the most recently added idle connection to a worker that is still usable, and closes the unusable ones it meets.
+    /// Takes the most recently added idle connection to a worker that is still usable, and closes unusable ones on the way.
     fn take_idle(
         &mut self,
         context: &mut Context<'_>,
@@ -180,8 +180,8 @@
             let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else {
                 continue;
             };
-            // Unusable: the worker has another address now, has ended the connection, or has sent something unsolicited. What
-            // arrives before a request cannot be the response to it.
+            // Unusable: the worker has another address now, has ended the connection, or has sent unsolicited bytes.
+            // Bytes that arrive before a request is sent cannot be the response to it.
             if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
                 context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
                 continue;
@@ -199,11 +199,11 @@
         outgoing: OutgoingExchange,
         address: Option<SocketAddr>,
     ) -> Option<Token> {
-        let OutgoingExchange { worker, exchange, response_timeout, pieces, .. } = outgoing;
+        let OutgoingExchange { worker, exchange, response_timeout, message, .. } = outgoing;
         let connection = address.and_then(|at| Connection::connect(at).ok());
         context.metrics.connects += 1;
         let token = connection.and_then(|mut connection| {
-            connection.outbox.push(pieces);
+            connection.outbox.push(message);
             let now = context.now();
             let upstream = UpstreamConnection::connecting(worker, address, exchange, response_timeout, now);
             context.reactor.add(connection, Role::Upstream(upstream))
@@ -215,7 +215,7 @@
         token
     }
 
-    /// Ends an exchange that gets no connection because all descriptors of this process are in use. That says nothing about the
+    /// Ends an exchange that gets no connection because all descriptors of this process are in use. That is not a failure of the
     /// worker.
     fn on_no_descriptor(&mut self, context: &mut Context<'_>, outgoing: &OutgoingExchange) {
         context.metrics.connects += 1;
@@ -223,18 +223,18 @@
         self.on_exchange_failed(context, None, outgoing.worker, outgoing.exchange, Outcome::NeverSent);
     }
 
-    /// Starts an exchange on its connection: sets the deadline, and writes the message unless the connection is not up yet.
+    /// Starts an exchange on its connection: sets the deadline, and writes the message if the connection is established.
     fn start_exchange(&mut self, context: &mut Context<'_>, pending: &mut PendingRequests, token: Token) {
         let Some((mut connection, Role::Upstream(upstream))) = context.reactor.take(token) else { return };
         let timeout = match upstream.state {
             UpstreamState::Connecting(_) => Some(context.config.connect_timeout),
-            UpstreamState::Awaiting(_) => upstream.response_timeout,
+            UpstreamState::AwaitingResponse(_) => upstream.response_timeout,
             _ => None,
         };
         let deadline = timeout.map(|timeout| context.now() + timeout);
         connection.set_timer(context.core, token, deadline);
         if matches!(upstream.state, UpstreamState::Connecting(_)) {
-            context.reactor.await_connected(token, &mut connection); // the message waits until the connection is up
+            context.reactor.await_connected(token, &mut connection); // the message is written once the connection is established
             return context.reactor.put(token, connection, Role::Upstream(upstream));
         }
         self.finish_event(context, pending, token, connection, upstream);
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -2,7 +2,7 @@
 
 use super::UpstreamPool;
 use super::connection::{Exchange, UpstreamConnection, UpstreamState};
-use super::{SIDE_EXCHANGE_TIMEOUT, max_idle_time};
+use super::{CANCEL_OR_PROBE_TIMEOUT, max_idle_time};
 use crate::core::AttemptId;
 use crate::policy::interface::Outcome;
 use crate::protocol::platform;
@@ -14,8 +14,8 @@
 use crate::server::tokens::Token;
 
 impl UpstreamPool {
-    /// Writes as much as the socket takes, and counts an attempt as written at its last byte. This is the only place where bytes
-    /// of an attempt are sent, so it checks whether they still may be. Returns false if the connection cannot be used any more.
+    /// Writes as much as the socket accepts, and counts an attempt as written at its last byte. Bytes of an attempt are sent only
+    /// here, so this checks whether they may still be sent. Returns false if the connection cannot be used any more.
     pub(super) fn flush(
         &mut self,
         context: &mut Context<'_>,
@@ -25,10 +25,10 @@
         upstream: &mut UpstreamConnection,
     ) -> bool {
         if let Some(length) = upstream.unwritten_length
-            && let UpstreamState::Awaiting(Exchange::Attempt(attempt)) = upstream.state
+            && let UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) = upstream.state
         {
             let has_begun = connection.outbox.len() < length;
-            context.clock.update(); // a turn may be long, and its last bytes late
+            context.clock.update(); // in a long turn, the time of the poll is too old for this check
             let is_usable = is_endpoint_usable(context, upstream);
             let may_write = context.core.may_write(context.now(), attempt, upstream.transit_allowance);
             if !may_write || !(is_usable || has_begun) {
@@ -39,15 +39,15 @@
                 encode_attempt(context, pending, connection, upstream, attempt);
             }
         }
-        let is_sound = connection.flush();
-        if is_sound && connection.outbox.is_empty() {
+        let is_connected = connection.flush();
+        if is_connected && connection.outbox.is_empty() {
             self.on_exchange_written(context, upstream);
         }
-        is_sound
+        is_connected
     }
 
-    /// Gives up an attempt whose last byte was not sent. It never ran, and that is no fault of the worker. If no byte of it was
-    /// sent, the connection can carry another attempt.
+    /// Ends an attempt whose last byte was not sent. It never ran, and the worker is not at fault. If no byte of it was sent, the
+    /// connection can carry another attempt.
     fn withhold_attempt(
         &mut self,
         context: &mut Context<'_>,
@@ -64,14 +64,16 @@
         self.on_exchange_failed(context, Some(token), upstream.worker, exchange, Outcome::NeverSent);
     }
 
-    /// Handles an exchange whose message has been written whole: counts an attempt, and ends the attempt that a cancel is
-    /// ending.
+    /// Handles an exchange whose message has been written completely: counts an attempt, or ends the attempt that waits for a
+    /// cancel to be written.
     fn on_exchange_written(&mut self, context: &mut Context<'_>, upstream: &mut UpstreamConnection) {
         if upstream.unwritten_length.take().is_some() {
             context.metrics.attempts_written += 1;
         }
-        if let UpstreamState::Awaiting(cancel @ Exchange::Cancel { ending: Some(_) }) = upstream.state {
-            upstream.state = UpstreamState::Awaiting(Exchange::Cancel { ending: None });
+        if let UpstreamState::AwaitingResponse(cancel @ Exchange::Cancel { ending_attempt: Some(_) }) =
+            upstream.state
+        {
+            upstream.state = UpstreamState::AwaitingResponse(Exchange::Cancel { ending_attempt: None });
             self.on_exchange_failed(context, None, upstream.worker, cancel, Outcome::Cancelled);
         }
     }
@@ -90,22 +92,22 @@
             return self.on_closed(context, pending, token, connection, upstream);
         }
         match upstream.state {
-            // The deadline of the request ends the stream.
+            // The stream ends with the deadline of its request.
             UpstreamState::Streaming(_) => connection.set_timer(context.core, token, None),
-            // Without a deadline, a response might never end.
+            // Without a deadline, the body might never end. The limit for cancels and probes applies to it too.
             UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
-                connection.set_timer(context.core, token, Some(context.now() + SIDE_EXCHANGE_TIMEOUT));
+                connection.set_timer(context.core, token, Some(context.now() + CANCEL_OR_PROBE_TIMEOUT));
             }
-            UpstreamState::Idle => self.rest(context, token, &mut connection, &upstream),
+            UpstreamState::Idle => self.keep_idle(context, token, &mut connection, &upstream),
             _ => {}
         }
         context.reactor.update_interest(token, &mut connection, Reading::Wanted);
         context.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Keeps an idle connection: in the pool, or outside it until it has rested. Its timer ends the rest, or closes it once it
-    /// has been idle for too long.
-    fn rest(
+    /// Keeps an idle connection: in the pool, or outside it during its cooldown. Its timer ends the cooldown, or closes the
+    /// connection once it has been idle for too long.
+    fn keep_idle(
         &mut self,
         context: &mut Context<'_>,
         token: Token,
@@ -122,7 +124,7 @@
     }
 }
 
-/// Whether attempts may be sent on a connection: the endpoint list is not stale, and the worker takes work and still has the
+/// Whether attempts may be sent on a connection: the endpoint list is not stale, and the worker accepts work and still has the
 /// connection's address.
 fn is_endpoint_usable(context: &Context<'_>, upstream: &UpstreamConnection) -> bool {
     let endpoint = context.core.endpoints().get(upstream.worker);
@@ -131,8 +133,8 @@
     !context.core.endpoints().is_stale() && takes_attempts
 }
 
-/// Puts an attempt's request into the outbox of its connection. The request states how much time the client has left. That
-/// must be right when the first byte is sent, and the connection may have taken long to come up.
+/// Puts an attempt's request into the outbox of its connection. The request states how much time the client has left. It is
+/// encoded only when its first byte is about to be sent, because the connection may have taken long to be established.
 fn encode_attempt(
     context: &Context<'_>,
     pending: &PendingRequests,
