--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -1,5 +1,5 @@
-//! A dispatch leaves only if it still may at its first byte, whatever was true when it was decided. The worker `s-late` takes
-//! no connection until the test lets it: its accept queue is full, so a connection comes up only later, however long that is.
+//! An attempt is sent only if it is still allowed when its first byte is written, even if it was allowed when it was started. The
+//! accept queue of the worker `s-late` is full until the test empties it, so a connection to it is established only after that.
 
 use mothproxy_testkit::*;
 use serde_json::{Value, json};
@@ -9,61 +9,68 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// What is waited for here comes up by itself within this, and no limit of the settings is shorter unless a test says so.
-const LONG_MS: f64 = 15_000.0;
+/// A limit that no connection in these tests exceeds, in milliseconds. The time limits in the settings are no shorter, unless a
+/// test sets one.
+const LONG_TIMEOUT_MS: f64 = 15_000.0;
 
-struct Late {
+/// A worker whose accept queue is full.
+struct LateWorker {
     listener: TcpListener,
+    /// The connection that fills the accept queue.
     filler: TcpStream,
 }
 
-impl Late {
-    fn start() -> Late {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        rustix::net::listen(&listener, 0).expect("a shorter queue");
-        let filler = connect(listener.local_addr().expect("an address"));
-        Late { listener, filler }
+impl LateWorker {
+    fn start() -> LateWorker {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        rustix::net::listen(&listener, 0).expect("shorten the accept queue");
+        let filler = connect(listener.local_addr().expect("the local address"));
+        LateWorker { listener, filler }
     }
 
     fn endpoint_entry(&self, lifecycle: &str) -> Value {
         site::endpoint_entry(
             "s-late",
-            &self.listener.local_addr().expect("an address").to_string(),
+            &self.listener.local_addr().expect("the local address").to_string(),
             lifecycle,
         )
     }
 
-    /// Lets the connection come up and returns what was written to it until the program ended or closed it.
-    fn written(self, program: DispatcherProcess) -> (String, std::collections::BTreeMap<String, u64>) {
-        let (first, _) = self.listener.accept().expect("the filler");
-        drop((first, self.filler));
-        let (mut stream, _) = self.listener.accept().expect("the program's");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    /// Accepts the dispatcher's connection, and shuts the dispatcher down. Returns the bytes that it wrote on the connection, and
+    /// its metrics.
+    fn accept_and_read(
+        self,
+        program: DispatcherProcess,
+    ) -> (String, std::collections::BTreeMap<String, u64>) {
+        let (filler, _) = self.listener.accept().expect("accept the filler");
+        drop((filler, self.filler));
+        let (mut stream, _) = self.listener.accept().expect("accept the connection of the dispatcher");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
         let mut seen = Vec::new();
         let reader = std::thread::spawn(move || {
             let _ = stream.read_to_end(&mut seen);
             String::from_utf8_lossy(&seen).into_owned()
         });
         let metrics = program.shut_down_for_metrics();
-        (reader.join().expect("a reader"), metrics)
+        (reader.join().expect("join the reader"), metrics)
     }
 }
 
-/// A program that knows only the late worker, and the discovery that tells it of others.
-fn only_late(
-    late: &Late,
+/// Starts a dispatcher that knows only the late worker. Returns it with its discovery service, which can list the others.
+fn start_with_late_worker(
+    late: &LateWorker,
     others: &[&Arc<FakeWorker>],
     change: impl FnOnce(&mut Value),
 ) -> (DispatcherProcess, Arc<FakeDiscovery>) {
-    let first = site::snapshot(2, &[late.endpoint_entry("up")]);
-    let discovery = FakeDiscovery::start(first.clone());
+    let initial_list = site::snapshot(2, &[late.endpoint_entry("up")]);
+    let discovery = FakeDiscovery::start(initial_list.clone());
     let program = DispatcherProcess::builder(&[])
         .discovery(discovery.address)
         .configure(|config| {
-            config["known"] = first;
-            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(LONG_MS);
+            config["known"] = initial_list;
+            config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(LONG_TIMEOUT_MS);
             config["settings"]["Limits"]["SecondCopies"] = json!(false);
-            config["settings"]["Obligations"]["StopSendingWithinMs"] = json!(LONG_MS);
+            config["settings"]["Obligations"]["StopSendingWithinMs"] = json!(LONG_TIMEOUT_MS);
             change(config);
         })
         .start();
@@ -72,36 +79,39 @@
     (program, discovery)
 }
 
+/// Sends a request on a new connection, and returns the connection.
 fn submit(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
-    client.write_all(request.as_bytes()).expect("written");
+    client.write_all(request.as_bytes()).expect("write the request");
     client
 }
 
-/// Announced as leaving, gone from the list, or back under its name elsewhere: the dispatch goes to who takes work now.
+/// While a connection to a worker is being established, the worker drains, is no longer listed, or is listed with another
+/// address. The attempt is not written on that connection, and goes to a worker that accepts work now.
 #[test]
 fn sends_nothing_on_connection_established_after_worker_drained() {
-    for case in ["draining", "unnamed", "elsewhere"] {
-        let (late, worker, back) = (Late::start(), FakeWorker::start("s-1"), FakeWorker::start("s-late"));
-        // What did not leave is no attempt: the only one is left for the other worker.
-        let (program, discovery) = only_late(&late, &[&worker, &back], |config| {
+    for case in ["draining", "unlisted", "moved"] {
+        let (late, worker, moved) =
+            (LateWorker::start(), FakeWorker::start("s-1"), FakeWorker::start("s-late"));
+        // An attempt that was not written does not count, so the only attempt is left for the other worker.
+        let (program, discovery) = start_with_late_worker(&late, &[&worker, &moved], |config| {
             config["settings"]["Limits"]["MaxAttempts"] = json!(1);
         });
         let mut client = submit(&program, &job_request("a0", "redeem", "take started done=x", ""));
         wait_for_connection_attempt(&late.listener);
-        let (rows, server) = match case {
+        let (rows, serving_worker) = match case {
             "draining" => (vec![worker.endpoint_entry("up"), late.endpoint_entry("draining")], &worker),
-            "unnamed" => (vec![worker.endpoint_entry("up")], &worker),
-            _ => (vec![back.endpoint_entry("up")], &back),
+            "unlisted" => (vec![worker.endpoint_entry("up")], &worker),
+            _ => (vec![moved.endpoint_entry("up")], &moved),
         };
         discovery.push_change(&site::snapshot(3, &rows).to_string(), site::snapshot(3, &rows));
-        let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
-        let listener = late.listener.try_clone().expect("a descriptor");
-        let (first, _) = listener.accept().expect("the filler");
-        drop(first);
-        assert_eq!(reader.join().expect("a reader"), 200, "{case}");
-        assert!(server.has_received("a0"), "{case}: {} has served it", server.name);
-        let (mut stream, _) = listener.accept().expect("the program's");
+        let reader = std::thread::spawn(move || read_reply(&mut client).expect("a response").status);
+        let listener = late.listener.try_clone().expect("duplicate the listener");
+        let (filler, _) = listener.accept().expect("accept the filler");
+        drop(filler);
+        assert_eq!(reader.join().expect("join the reader"), 200, "{case}");
+        assert!(serving_worker.has_received("a0"), "{case}: {} did not get the job", serving_worker.name);
+        let (mut stream, _) = listener.accept().expect("accept the connection of the dispatcher");
         let metrics = program.shut_down_for_metrics();
         let mut seen = String::new();
         let _ = stream.read_to_string(&mut seen);
@@ -110,45 +120,46 @@
     }
 }
 
-/// Its client has left, where an attempt cannot be called off.
+/// The client disconnects while the connection is being established, and cancels are disabled.
 #[test]
-fn sends_nothing_on_connection_established_after_client_left() {
-    let late = Late::start();
+fn sends_nothing_on_connection_established_after_client_disconnected() {
+    let late = LateWorker::start();
     let (program, _discovery) =
-        only_late(&late, &[], |config| config["settings"]["Limits"]["Cancel"] = json!(false));
+        start_with_late_worker(&late, &[], |config| config["settings"]["Limits"]["Cancel"] = json!(false));
     let client = submit(&program, &simple_job("b0"));
     wait_for_connection_attempt(&late.listener);
     drop(client);
-    let (seen, metrics) = late.written(program);
+    let (seen, metrics) = late.accept_and_read(program);
     assert_eq!((seen.as_str(), metrics["gone"]), ("", 1));
     assert_eq!(metrics["withheld"], 1);
 }
 
-/// What its worker is told is left to the client is so when the bytes leave: the time that its connection took is over.
+/// The time left that an attempt states is the one at its first byte, after the time that establishing the connection took.
 #[test]
 fn late_connection_carries_remaining_time() {
-    let late = Late::start();
-    let (program, _discovery) = only_late(&late, &[], |_| {});
+    let late = LateWorker::start();
+    let (program, _discovery) = start_with_late_worker(&late, &[], |_| {});
     let _client = submit(&program, &job_request("e0", "balance", "", "X-Time-Left-Ms: 2500\r\n"));
     wait_for_connection_attempt(&late.listener);
-    let tried = Instant::now();
-    wait_until("some of its time is over", || tried.elapsed() > Duration::from_millis(500));
-    let (seen, _) = late.written(program);
+    let connect_began = Instant::now();
+    wait_until("500 ms have passed", || connect_began.elapsed() > Duration::from_millis(500));
+    let (seen, _) = late.accept_and_read(program);
     let milliseconds_left = seen
         .lines()
         .find_map(|line| line.to_ascii_lowercase().strip_prefix("x-time-left-ms: ")?.parse::<u64>().ok());
     assert!(
         milliseconds_left
             .is_some_and(|milliseconds_left| milliseconds_left > 0 && milliseconds_left <= 2_000),
-        "told {milliseconds_left:?} of 2500 ms, 500 ms later"
+        "the attempt states {milliseconds_left:?} ms left, expected 1 to 2000: 2500 ms less the 500 ms that have passed"
     );
 }
 
-/// An attempt may have run, and the window in which its repeat is dropped ends while the next one's connection is on its way.
+/// An attempt may have run. The window in which the worker drops a repeat of it ends while the connection of the next attempt is
+/// being established, so that attempt is not sent.
 #[test]
 fn sends_nothing_on_connection_established_after_repeat_window() {
-    let (late, worker) = (Late::start(), FakeWorker::start("s-1"));
-    let (program, discovery) = only_late(&late, &[&worker], |config| {
+    let (late, worker) = (LateWorker::start(), FakeWorker::start("s-1"));
+    let (program, discovery) = start_with_late_worker(&late, &[&worker], |config| {
         config["settings"]["Grades"][1]["MemorySpanMs"] = json!(2_000.0);
     });
     let rows = [worker.endpoint_entry("up"), late.endpoint_entry("draining")];
@@ -161,12 +172,12 @@
     discovery.push_change(&site::snapshot(4, &rows).to_string(), site::snapshot(4, &rows));
     worker.open_gate("told");
     wait_for_connection_attempt(&late.listener);
-    wait_until("the window's end", || sent.elapsed() > Duration::from_millis(2_000));
-    let reader = std::thread::spawn(move || read_reply(&mut client).expect("an answer").status);
-    let (first, _) = late.listener.accept().expect("the filler");
-    drop(first);
-    let (mut stream, _) = late.listener.accept().expect("the program's");
-    let status = reader.join().expect("a reader");
+    wait_until("the end of the repeat window", || sent.elapsed() > Duration::from_millis(2_000));
+    let reader = std::thread::spawn(move || read_reply(&mut client).expect("a response").status);
+    let (filler, _) = late.listener.accept().expect("accept the filler");
+    drop(filler);
+    let (mut stream, _) = late.listener.accept().expect("accept the connection of the dispatcher");
+    let status = reader.join().expect("join the reader");
     let metrics = program.shut_down_for_metrics();
     let mut seen = String::new();
     let _ = stream.read_to_string(&mut seen);
@@ -174,8 +185,8 @@
     assert_eq!(metrics["withheld"], 1);
 }
 
-/// An answer that came while the program was held up is read before its time is looked at: its worker has the job, so that
-/// closing the connection would not give it up, and another attempt would be a second one out.
+/// A response that arrived while the dispatcher was suspended is read before its timeout is checked. The worker has accepted the
+/// job, so closing the connection would not cancel it, and another attempt would run beside it.
 #[test]
 fn unread_response_counts_as_in_time() {
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
@@ -193,6 +204,6 @@
         workers.iter().for_each(|worker| worker.open_gate("held"));
     });
     workers.iter().for_each(|worker| worker.open_gate("read"));
-    assert_eq!(read_reply(&mut client).expect("an answer").status, 200);
+    assert_eq!(read_reply(&mut client).expect("a response").status, 200);
     assert_eq!((jobs(), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
