--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -34,7 +34,7 @@
 
 /// A connection to the admin address; it carries one call.
 pub(in crate::server) struct AdminConnection {
-    /// Whether its response is being written.
+    /// Whether the response is being written.
     is_responding: bool,
 }
 
@@ -114,7 +114,7 @@
 
 /// The result of reading a call.
 enum CallRead {
-    /// Nothing new: the call is not complete yet, or already answered.
+    /// The call is not complete yet, or its response is already being written.
     Pending,
     /// The call is complete, or known to be invalid.
     Complete(Result<AdminCall, Reject>),
@@ -194,7 +194,7 @@
     /// Executes a call and returns its response.
     fn execute_admin_call(&mut self, call: Result<AdminCall, Reject>) -> Vec<Piece> {
         match call {
-            // After a handover the successor decides whether this dispatcher takes clients.
+            // After a handover the successor decides whether this dispatcher accepts clients.
             Ok(AdminCall::Ready | AdminCall::OutOfService | AdminCall::InService)
                 if self.lifecycle.has_handed_over() =>
             {
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -41,7 +41,9 @@
 
 /// A slot of the table, which holds at most one connection.
 struct Slot {
+    /// The number of connections that have used the slot before, in 31 bits.
     generation: u32,
+    /// The connection; `None` if the slot is free or a handler has taken the connection out.
     entry: Option<Entry>,
 }
 
@@ -49,6 +51,7 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
+    /// The indexes of the slots that may be reserved.
     free_slots: Vec<usize>,
     open_connections: usize,
     clients: usize,
--- a/src/server/downstream/client.rs
+++ b/src/server/downstream/client.rs
@@ -23,7 +23,7 @@
     },
     /// The client watches a job that was submitted before.
     Watching(StreamWatch),
-    /// The last response is being written.
+    /// The last response on the connection is being written.
     Closing,
     /// This side has ended the connection and waits for the client to end it too.
     Lingering { since: Micros },
@@ -180,7 +180,7 @@
     }
 
     /// Whether the connection is not idle, or became idle only after `idle_before`. It is not idle while a request is
-    /// unanswered or incomplete, or while the client has yet to end a connection that this side has ended.
+    /// incomplete or has no response yet, or while the client has not ended a connection that this side has ended.
     pub(in crate::server) fn is_busy(&self, idle_before: Micros) -> bool {
         self.idle_since.is_none_or(|since| since > idle_before)
     }
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -45,6 +45,7 @@
     requests: HashMap<JobId, RequestId>,
     /// The watchers' connections.
     tokens: HashMap<WatcherId, Token>,
+    /// Whether the sweep timer is set.
     is_sweep_scheduled: bool,
     /// The effects that the broker has requested; they are run at the end of the turn.
     effects: Vec<Effect>,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,6 +1,6 @@
 //! The network side: one epoll loop. It turns incoming bytes into events for the core, and the core's commands into bytes.
 //!
-//! This module makes no decisions. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
+//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
 //! defines the order in which a turn serves them.
 //!
 //! - Only the `reactor` holds epoll and the table of connections. It begins and ends the lifecycle of each connection.
@@ -75,7 +75,7 @@
 pub struct Server {
     /// The current configuration; a reload replaces it.
     config: Config,
-    /// The core, which makes every decision.
+    /// The core, which makes all decisions.
     core: Core,
     clock: Clock,
     /// When all connections were last polled.
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -31,8 +31,8 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Everything that must be open before the server can be assembled.
-struct Foundation {
+/// The resources that must be open before the server can be assembled.
+struct ServerResources {
     signals: Signals,
     core: Core,
     clock: Clock,
@@ -125,9 +125,9 @@
         let reactor = Reactor::new().map_err(system("epoll"))?;
         let newest_start = load_initial_state(&mut core, &config, inheritance.as_mut());
         core.set_timer(clock.now() + METRICS_INTERVAL, METRICS_TIMER);
-        let foundation = Foundation { signals, core, clock, reactor, sockets };
+        let resources = ServerResources { signals, core, clock, reactor, sockets };
         let budget = Budget::new(config.limits, reserved_files(state.is_some()));
-        let mut server = Server::assemble(foundation, config, sse, fleet, budget);
+        let mut server = Server::assemble(resources, config, sse, fleet, budget);
         server.watch_listeners()?;
         if let Some(state) = state {
             let now = server.clock.now();
@@ -140,13 +140,13 @@
 
     /// Assembles the server from its parts.
     fn assemble(
-        foundation: Foundation,
+        resources: ServerResources,
         config: Config,
         sse: Option<SseSettings>,
         fleet: FleetSettings,
         budget: Budget,
     ) -> Server {
-        let Foundation { signals, mut core, clock, reactor, sockets } = foundation;
+        let ServerResources { signals, mut core, clock, reactor, sockets } = resources;
         let now = clock.now();
         let discovery = DiscoveryClient::open(&fleet, &config, now, core.endpoints().generation());
         core.enable_learners(membership::new_learners(&fleet, &config, now));
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -1,7 +1,7 @@
 //! Everything that the loop watches: epoll, and the connections with their epoll registrations and timers.
 //!
 //! Only this module manages the lifecycle of a connection. [`Reactor::add`] registers it. A handler takes it out of its slot,
-//! and puts it back or closes it. [`Reactor::close`] ends its timer and its registration.
+//! and puts it back or closes it. [`Reactor::close`] cancels its timer and removes its registration.
 
 use crate::core::Core;
 use crate::server::connection::Connection;
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -29,7 +29,8 @@
 use rustix::event::epoll::EventFlags;
 use std::collections::HashMap;
 
-/// How long the response to a cancel or a load probe may take, in microseconds.
+/// How long the response to a cancel or a load probe may take, in microseconds. The body of a response that has no other
+/// deadline may take as long.
 const CANCEL_OR_PROBE_TIMEOUT: Micros = 500_000;
 
 /// A load probe whose response is awaited.
@@ -46,6 +47,7 @@
     /// Connections on which an attempt awaits its first response, or reads an event stream, and those on which the cancel of
     /// an attempt that is ending is sent.
     attempts: HashMap<AttemptId, Token>,
+    /// Connections on which the response to a load probe is awaited.
     probes: HashMap<Token, PendingProbe>,
 }
 
