--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,6 +1,6 @@
 //! The network side: one epoll loop. It turns incoming bytes into events for the core, and the core's commands into bytes.
 //!
-//! This module makes no decisions. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
+//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
 //! defines the order in which a turn serves them.
 //!
 //! - Only the `reactor` holds epoll and the table of connections. It begins and ends the lifecycle of each connection.
@@ -75,7 +75,7 @@
 pub struct Server {
     /// The current configuration; a reload replaces it.
     config: Config,
-    /// The core, which makes every decision.
+    /// The core, which makes all decisions.
     core: Core,
     clock: Clock,
     /// When all connections were last polled.
@@ -93,14 +93,14 @@
     membership: MembershipLink,
     /// The store of idempotency records; `None` if records are not persisted.
     records: Option<RecordStore>,
-    /// Jobs that are kept apart from their clients' connections; `None` if the SSE address is off.
+    /// Jobs that outlive the connections of the clients that submitted them; `None` if the SSE address is off.
     event_streams: Option<EventStreams>,
     budget: Budget,
     /// Client connections that may be closed to make room.
     clients: ClientConnections,
     /// Requests whose clients await a response.
     pending: PendingRequests,
-    /// Idle connections to workers, and what is awaited on the busy ones.
+    /// Idle connections to workers, and the exchanges on the busy ones.
     upstream: UpstreamPool,
     discovery: DiscoveryClient,
     lifecycle: Lifecycle,
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -1,7 +1,7 @@
 //! Everything that the loop watches: epoll, and the connections with their epoll registrations and timers.
 //!
 //! Only this module manages the lifecycle of a connection. [`Reactor::add`] registers it. A handler takes it out of its slot,
-//! and puts it back or closes it. [`Reactor::close`] ends its timer and its registration.
+//! and puts it back or closes it. [`Reactor::close`] cancels its timer and removes its registration.
 
 use crate::core::Core;
 use crate::server::connection::Connection;
@@ -33,7 +33,7 @@
     /// Creates a reactor that watches nothing.
     ///
     /// # Errors
-    /// If the system gives no epoll instance.
+    /// If the system cannot create an epoll instance.
     pub fn new() -> Result<Reactor, Errno> {
         Ok(Reactor { epoll: Poller::new()?, connections: ConnectionTable::default() })
     }
@@ -124,7 +124,7 @@
     fn set_interest(&self, token: Token, connection: &mut Connection, flags: EventFlags) {
         if flags != connection.interest {
             let is_changed = self.epoll.modify(&connection.stream, token, flags);
-            invariant!(is_changed, "epoll does not know a connection");
+            invariant!(is_changed, "a connection is not registered with epoll");
             connection.interest = flags;
         }
     }
