--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -1,28 +1,29 @@
 //! One call to discovery: the head of its response, its body split into JSON objects, and the reasons why a call fails. This
-//! module uses no socket and no clock: bytes go in, objects come out.
+//! module uses no socket and no clock: its input is bytes, its output is objects.
 
 use crate::core::endpoint_table::{ListRejection, ListSource};
 use crate::core::watch_liveness::ObjectSplitter;
 use crate::http::{self, Body, ResponseHead};
 use crate::policy::interface::Micros;
 
-/// The maximum length of an object of a watch, or of a whole list, in bytes.
+/// The maximum length of an object of a watch, or of a full list, in bytes.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// A longer `Retry-After` is ignored, because changes that happen meanwhile count as notified.
+/// The longest `Retry-After` that is accepted. A longer one is ignored, because changes made during that wait would count as
+/// notified before the next call.
 const MAX_RETRY_AFTER_SECONDS: f64 = 10.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum CallKind {
-    /// The list and its changes, for as long as the connection lasts.
+    /// The list and its changes, until the connection ends.
     Watch,
-    /// The whole list, once.
+    /// The full list, once.
     FullList,
 }
 
 impl CallKind {
-    /// Its name in the log.
+    /// The name of the call in log lines.
     pub(super) fn log_name(self) -> &'static str {
         match self {
             CallKind::Watch => "watch",
@@ -31,7 +32,7 @@
     }
 }
 
-/// Why a call failed. The messages go to the log.
+/// Why a call failed. The messages are part of the log lines about failed calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallError {
     #[error("no connection")]
@@ -42,9 +43,10 @@
     Ended,
     #[error("no answer in time")]
     TimedOut,
+    /// An answered watch sent neither a complete list nor a heartbeat before its deadline.
     #[error("fell silent")]
-    FellSilent,
-    /// The status is not 200. `retry_after` is the wait that the response asks for, unless it is ignored.
+    WatchTimedOut,
+    /// The status is not 200. `retry_after` is the delay that the response requests; `None` if there is none or it is ignored.
     #[error("refused")]
     Refused { retry_after: Option<Micros> },
     #[error("not HTTP")]
@@ -56,9 +58,9 @@
     /// The list is older than the current one.
     #[error("list out of date")]
     OutOfDate,
-    /// The list is empty, or holds changes although the whole list was requested.
+    /// The list is empty, or holds changes although the full list was requested.
     #[error("no whole list")]
-    NotWhole,
+    NotFullList,
     #[error("list too long")]
     TooLong,
     /// The response has ended without a list.
@@ -70,30 +72,30 @@
     fn from(rejection: ListRejection) -> CallError {
         match rejection {
             ListRejection::Stale | ListRejection::GenerationReset => CallError::OutOfDate,
-            ListRejection::Empty | ListRejection::Partial => CallError::NotWhole,
+            ListRejection::Empty | ListRejection::Partial => CallError::NotFullList,
         }
     }
 }
 
-/// How a call for a watch, or the watch that it opened, ended.
+/// How a watch, or the call that opens it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
-    /// Refused; `retry_after` is the wait that the service asks for, unless it is ignored.
+    /// The service refused the call. `retry_after` is the delay that it requests; `None` if there is none or it is ignored.
     Refused { retry_after: Option<Micros> },
     /// No connection was established.
     Unreachable,
     /// The connection ended.
     Failed,
-    /// It sent nothing for too long.
+    /// The service sent nothing before the deadline of the call.
     Silent,
 }
 
-/// What a call does next.
+/// Whether a call needs more bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallProgress {
-    /// It waits for more bytes.
+    /// More bytes are needed.
     Pending,
-    /// It has received its list.
+    /// The requested list has been received.
     Complete,
 }
 
@@ -101,9 +103,9 @@
 pub(in crate::server) struct DiscoveryCall {
     pub(super) kind: CallKind,
     pub(super) is_connecting: bool,
-    /// Whether a list of it was accepted; it then counts as answered.
+    /// Whether a list of this call has been accepted; the call then counts as answered.
     pub(super) is_answered: bool,
-    /// The body, once the head has been read.
+    /// The response body, once the head has been read.
     body: Option<Body>,
     objects: ObjectSplitter,
 }
@@ -120,12 +122,12 @@
         }
     }
 
-    /// Whether it is the watch, or the call for it.
+    /// Whether this call is the watch, or is to open it.
     pub(super) fn is_watch(&self) -> bool {
         self.kind == CallKind::Watch
     }
 
-    /// How its next list relates to the current one.
+    /// How the next list of this call relates to the current list.
     pub(super) fn list_source(&self) -> ListSource {
         match (self.kind, self.is_answered) {
             (CallKind::FullList, _) => ListSource::FullList,
@@ -134,10 +136,11 @@
         }
     }
 
-    /// Takes the head out of the inbox, unless this was done before. Returns whether the head is complete.
+    /// Parses the response head and removes it from the inbox, unless it has been read already. Returns whether the head is
+    /// complete.
     ///
     /// # Errors
-    /// If the bytes are not HTTP, or the status is not 200.
+    /// If the bytes are not an HTTP response head, or the status is not 200.
     pub(super) fn read_head(&mut self, inbox: &mut Vec<u8>) -> Result<bool, CallError> {
         if self.body.is_some() {
             return Ok(true);
@@ -153,10 +156,10 @@
         Ok(true)
     }
 
-    /// Takes the bytes of the body out of the inbox. [`DiscoveryCall::next_object`] then returns its objects.
+    /// Moves the bytes of the body out of the inbox. [`DiscoveryCall::next_object`] then returns the objects in them.
     ///
     /// # Errors
-    /// If the framing is broken. Objects before the error count and can still be taken.
+    /// If the framing is malformed. Objects before the error are valid and can still be read.
     pub(super) fn read_body(&mut self, inbox: &mut Vec<u8>) -> Result<(), CallError> {
         let Some(body) = &mut self.body else { return Ok(()) };
         let mut content = Vec::new();
@@ -165,7 +168,7 @@
         framing.map_err(|_| CallError::BrokenFraming)
     }
 
-    /// Returns the next complete object of the body.
+    /// Returns the next complete object of the body; `None` if more bytes are needed.
     pub(super) fn next_object(&mut self) -> Option<Vec<u8>> {
         self.objects.next_object()
     }
@@ -180,20 +183,20 @@
         self.objects.is_partial()
     }
 
-    /// How the call ends if it fails with this error.
+    /// Returns how the call ends if it fails with this error.
     pub(super) fn end(&self, error: CallError) -> CallEnd {
         match error {
             CallError::Refused { retry_after } => CallEnd::Refused { retry_after },
             _ if self.is_connecting => CallEnd::Unreachable,
-            CallError::TimedOut | CallError::FellSilent => CallEnd::Silent,
+            CallError::TimedOut | CallError::WatchTimedOut => CallEnd::Silent,
             _ => CallEnd::Failed,
         }
     }
 
-    /// Returns what the call does next, once all complete objects were taken.
+    /// Returns whether the call needs more bytes. Must be called once all complete objects have been read.
     ///
     /// # Errors
-    /// If the response has ended, or the partial object is too long.
+    /// If the response has ended, or the partial object is longer than [`MAX_LIST_BYTES`].
     pub(super) fn progress(&self) -> Result<CallProgress, CallError> {
         if self.kind == CallKind::FullList && self.is_answered {
             return Ok(CallProgress::Complete);
@@ -210,12 +213,12 @@
     }
 }
 
-/// Returns the wait in `Retry-After`, in microseconds. `None` if there is none, it is longer than
+/// Returns the delay in `Retry-After`, in microseconds. `None` if there is none, it is longer than
 /// [`MAX_RETRY_AFTER_SECONDS`], or it is not a number of seconds.
 fn retry_after(inbox: &[u8], head: &ResponseHead) -> Option<Micros> {
     let seconds: f64 = head.fields.text(inbox, "Retry-After")?.trim().parse().ok()?;
-    let is_heeded = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
-    is_heeded.then_some((seconds * MICROS_PER_SECOND) as Micros)
+    let is_accepted = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
+    is_accepted.then_some((seconds * MICROS_PER_SECOND) as Micros)
 }
 
 #[cfg(test)]
--- a/src/server/discovery/call/tests.rs
+++ b/src/server/discovery/call/tests.rs
@@ -1,6 +1,6 @@
 use super::{CallEnd, CallError, CallKind, CallProgress, DiscoveryCall};
 
-/// Feeds a response to a call and returns the error of its head or body, the objects, and what follows.
+/// Feeds a response to a call. Returns the result of reading its head and body, and the complete objects.
 fn read(call: &mut DiscoveryCall, response: &str) -> (Result<(), CallError>, Vec<String>) {
     let mut inbox = response.as_bytes().to_vec();
     let read = match call.read_head(&mut inbox) {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_refusal_carries_the_retry_after_that_is_heeded() {
+fn a_refusal_holds_retry_after_within_its_limit() {
     for (field, retry_after) in [
         ("", None),
         ("Retry-After: 2\r\n", Some(2_000_000)),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn objects_before_broken_framing_are_still_taken() {
+fn objects_before_malformed_framing_are_still_read() {
     let mut call = DiscoveryCall::new(CallKind::Watch);
     let response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\nno chunk\r\n";
     let (result, objects) = read(&mut call, response);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_end_of_a_response_is_an_error_unless_its_list_was_taken() {
+fn the_end_of_a_response_is_an_error_unless_its_list_was_accepted() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n";
     for (kind, error) in [(CallKind::Watch, CallError::Ended), (CallKind::FullList, CallError::NoList)] {
         let mut call = DiscoveryCall::new(kind);
@@ -49,13 +49,13 @@
         assert_eq!(call.progress(), Err(error));
     }
     let mut call = DiscoveryCall::new(CallKind::FullList);
-    read(&mut call, response).0.expect("a response");
+    read(&mut call, response).0.expect("the response is well-formed");
     call.is_answered = true;
     assert_eq!(call.progress(), Ok(CallProgress::Complete));
 }
 
 #[test]
-fn a_response_that_is_not_http_fails_and_half_a_head_is_waited_for() {
+fn a_response_that_is_not_http_fails_and_a_partial_head_is_pending() {
     let mut call = DiscoveryCall::new(CallKind::Watch);
     assert_eq!(read(&mut call, "HTTP/1.1 200 OK\r\nContent-"), (Ok(()), Vec::new()));
     assert_eq!(call.progress(), Ok(CallProgress::Pending));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_call_that_fails_before_its_connection_is_up_ends_as_unreachable() {
+fn a_call_that_fails_before_it_is_connected_ends_as_unreachable() {
     let mut call = DiscoveryCall::new(CallKind::Watch);
     for error in [CallError::NotConnected, CallError::TimedOut] {
         assert_eq!(call.end(error), CallEnd::Unreachable);
@@ -72,7 +72,7 @@
     call.is_connecting = false;
     assert_eq!(call.end(CallError::Ended), CallEnd::Failed);
     assert_eq!(call.end(CallError::TimedOut), CallEnd::Silent);
-    assert_eq!(call.end(CallError::FellSilent), CallEnd::Silent);
+    assert_eq!(call.end(CallError::WatchTimedOut), CallEnd::Silent);
     let retry_after = Some(1);
     assert_eq!(call.end(CallError::Refused { retry_after }), CallEnd::Refused { retry_after });
 }
--- a/src/server/discovery/full_list/tests.rs
+++ b/src/server/discovery/full_list/tests.rs
@@ -6,7 +6,7 @@
     assert!(!state.start_request(), "a known list is not requested");
     state.on_generation_reset();
     assert!(state.start_request());
-    assert!(!state.start_request(), "one request is under way");
+    assert!(!state.start_request(), "one request is in progress");
     assert!(state.on_request_failed());
     assert!(!state.start_request(), "the retry waits for its timer");
     state.on_retry_timer();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn other_events_leave_the_state_as_it_is() {
+fn unrelated_events_do_not_change_the_state() {
     for state in [FullListState::Needed, FullListState::Requested, FullListState::RetryScheduled] {
         let mut after = state;
         after.on_generation_reset();
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -1,4 +1,4 @@
-//! Processes the content of a call's body: endpoint lists for the core, and heartbeats of the watch.
+//! Processes the endpoint lists in the body of a call, and sets the deadlines of the watch when data arrives.
 
 use super::DiscoveryClient;
 use super::call::{CallError, DiscoveryCall};
@@ -12,9 +12,9 @@
 use crate::server::tokens::Token;
 
 impl DiscoveryClient {
-    /// Processes complete objects until none is left or one fails. Returns whether any was accepted, and the failure if there
-    /// was one.
-    pub(super) fn take_lists(
+    /// Processes complete objects until none is left or one fails. Returns whether any was accepted, and the error of the one
+    /// that failed.
+    pub(super) fn process_lists(
         &mut self,
         context: &mut Context<'_>,
         membership: &mut MembershipLink,
@@ -30,7 +30,7 @@
         (has_lists, Ok(()))
     }
 
-    /// Sets the watch's deadline after a list or an empty line has arrived. Only these show that the watch is alive.
+    /// Sets the watch's deadline after a list or an empty line has arrived. Other bytes do not prove that the watch is alive.
     pub(super) fn on_watch_data(
         &mut self,
         context: &mut Context<'_>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sets the deadline by which an object of the watch must be complete, once it has begun.
+    /// Sets the deadline by which an object of the watch must be complete, once its first byte has arrived.
     pub(super) fn on_partial_object(
         &mut self,
         context: &mut Context<'_>,
@@ -58,8 +58,8 @@
     /// Processes an object of a call.
     ///
     /// # Errors
-    /// If the object is rejected or cannot be read. It may hold a change that no later object repeats, so the call then fails,
-    /// and the next call asks for the changes after the current list.
+    /// If the object is rejected or malformed. It may hold a change that no later object repeats, so the call then fails, and
+    /// the next call requests the changes after the current list.
     fn on_object(
         &mut self,
         context: &mut Context<'_>,
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Counts a rejected list, and returns the error that ends the call. An empty list does not end a watch: discovery is alive
-    /// and has lost its table.
+    /// Counts a rejected list, and returns the error that ends the call. An empty list does not end a watch: it means that
+    /// discovery is alive but has lost its table.
     fn on_list_rejected(
         &mut self,
         context: &mut Context<'_>,
@@ -102,7 +102,7 @@
         Err(rejection.into())
     }
 
-    /// Passes an accepted list to the core, and records that the call is answered.
+    /// Passes an accepted list to the core, and marks the call as answered.
     fn on_list_accepted(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -1,9 +1,10 @@
-//! The client of discovery: the watch of the endpoint list, and the single call for the whole list.
+//! The client of discovery: the watch of the endpoint list, and the single call for the full list.
 //!
 //! [`DiscoveryClient`] owns the state of both apart from their connections: when the watch is opened (`watch`, `pacing`) and
-//! whether a whole list must still be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
+//! whether a full list must still be fetched (`full_list`). [`DiscoveryCall`] (`call`) is the state of one connection. The
 //! methods here start and schedule calls, those in `transport` drive their connections, and those in `lists` pass received lists
-//! to the core. Handlers that may pace a call receive the membership, because the pacing publishes facts over it.
+//! to the core. Handlers that may schedule a paced call take the membership as an argument, because the pacing publishes facts
+//! through it.
 
 mod call;
 mod full_list;
@@ -30,15 +31,15 @@
 use full_list::FullListState;
 use pacing::{CallPacing, WatchEvent};
 
-/// The minimum time between two log lines about failed calls that were not answered by a list, in microseconds.
+/// The minimum time between two log lines about calls that failed before a list was accepted, in microseconds.
 const FAILURE_LOG_INTERVAL: Micros = 1_000_000;
 
-/// This dispatcher's calls to discovery.
+/// The state of this dispatcher's calls to discovery.
 pub(in crate::server) struct DiscoveryClient {
-    /// The connection of the watch, or of the call for it.
+    /// The connection of the watch, or of the call that opens it; `None` if there is neither.
     watch: Option<Token>,
     liveness: WatchLiveness,
-    /// The time at which the next watch is opened, while none is open.
+    /// The timer at which the next watch is opened, while none is open.
     watch_timer: TimerSlot,
     full_list: FullListState,
     pacing: CallPacing,
@@ -64,23 +65,24 @@
         }
     }
 
-    /// The connection of the watch.
+    /// The connection of the watch, or of the call that opens it.
     pub(in crate::server) fn watch(&self) -> Option<Token> {
         self.watch
     }
 
-    /// Forgets the watch if this is its connection; returns whether it was.
+    /// Clears the watch if `token` is its connection. Returns whether it was.
     fn take_watch(&mut self, token: Token) -> bool {
         self.watch.take_if(|watch| *watch == token).is_some()
     }
 
-    /// A call for the whole list has failed. Returns when to retry it, if it was made because of a new service.
+    /// Records that a call for the full list has failed. Returns when to retry it if it was made because of a new service;
+    /// `None` if the decision module requested it.
     fn record_full_list_failure(&mut self, now: Micros) -> Option<Micros> {
         self.full_list.on_request_failed().then(|| self.liveness.on_full_list_failed(now))
     }
 
     /// Returns whether to log the failure of a call: always if the call was answered, otherwise at most once per
-    /// [`FAILURE_LOG_INTERVAL`], because an agent on the same machine is called again at once.
+    /// [`FAILURE_LOG_INTERVAL`], because calls to an agent on the same machine are retried without delay.
     fn admit_failure_log(&mut self, now: Micros, was_answered: bool) -> bool {
         let is_admitted = was_answered || now >= self.next_failure_log;
         if is_admitted {
@@ -89,8 +91,8 @@
         is_admitted
     }
 
-    /// The decision module wants a watch. If a time for it is already set, this does nothing: the module's own waits grow beyond
-    /// the time within which a change must be notified.
+    /// Opens a watch at the request of the decision module. If the watch timer is already set, the request is ignored and the
+    /// timer decides: the module's retry delays can grow beyond the time within which a change must be notified.
     pub(in crate::server) fn on_watch_wanted(
         &mut self,
         context: &mut Context<'_>,
@@ -112,12 +114,12 @@
         }
     }
 
-    /// The stale-list timer has fired: the list known at the start may have become stale, or may be used again.
+    /// The stale-list timer has fired: the list that this process started with may have become stale, or may be used again.
     pub(in crate::server) fn on_stale_list_timer(&self, context: &mut Context<'_>) {
         self.check_stale_list(context.core, context.now());
     }
 
-    /// The full-list timer has fired: retries the call for a new service's whole list.
+    /// The full-list timer has fired: retries the call for a new service's full list.
     pub(in crate::server) fn on_full_list_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -127,14 +129,14 @@
         self.fetch_needed_list(context, membership);
     }
 
-    /// Calls a new service for its whole list, if that is needed and no call for it is under way.
+    /// Requests the full list of a new service, if that is needed and no such call is in progress.
     fn fetch_needed_list(&mut self, context: &mut Context<'_>, membership: &mut MembershipLink) {
         if self.full_list.start_request() {
             self.open_call(context, membership, CallKind::FullList);
         }
     }
 
-    /// Starts a call. A call for a watch closes the watch that is open.
+    /// Starts a call. A call for a watch first closes the watch that is open.
     pub(in crate::server) fn open_call(
         &mut self,
         context: &mut Context<'_>,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The watch, or the call for it, has ended: schedules the next one.
+    /// The watch, or the call that opens it, has ended: schedules the next one.
     fn on_watch_ended(&mut self, context: &mut Context<'_>, membership: &mut MembershipLink, end: CallEnd) {
         let reopen_at = self.record_watch_end(context.now(), end);
         if self.pacing.is_enabled() {
@@ -192,7 +194,8 @@
         self.check_stale_list(context.core, context.now());
     }
 
-    /// The address of discovery has changed: drops all calls to the old service, with any data they may still bring.
+    /// The address of discovery has changed: schedules a watch of the new service and closes all connections to the old one,
+    /// whose unread data is discarded.
     pub(in crate::server) fn on_service_moved(
         &mut self,
         context: &mut Context<'_>,
@@ -212,11 +215,11 @@
     }
 }
 
-/// Starts to connect, with the request in the outbox. A watch asks for the changes after the current list. Returns `None` if
+/// Starts to connect, with the request in the outbox. A watch requests the changes after the current list. Returns `None` if
 /// the system refuses the connection.
 fn connect(context: &mut Context<'_>, kind: CallKind) -> Option<Token> {
     let after = (kind == CallKind::Watch).then_some(context.core.endpoints().generation());
-    let mut connection = Connection::connect(context.config.discovery).ok()?; // reserved descriptor: see `RESERVED_DESCRIPTORS`
+    let mut connection = Connection::connect(context.config.discovery).ok()?; // uses a descriptor of `RESERVED_DESCRIPTORS`
     connection.outbox.push(platform::discovery_call(after));
     context.reactor.add(connection, Role::Discovery(DiscoveryCall::new(kind)))
 }
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -1,8 +1,8 @@
-//! The schedule of calls to discovery if the operators' file has `fleet.cold_start`. The dispatchers of a site then share their
-//! observations of the service, and spread their calls over time.
+//! The pacing of calls to discovery, which is on if the operators' file has `fleet.cold_start`. The dispatchers of a site then
+//! share their observations of the service, and spread their calls over time.
 //!
-//! In that case only the scheduler schedules the calls for a watch. The waits of the decision module and of [`WatchLiveness`]
-//! are not added to its own.
+//! With pacing on, only the poll scheduler decides when a call for a watch is made; the delays of the decision module and of
+//! [`WatchLiveness`] do not apply.
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
@@ -22,40 +22,41 @@
 use std::collections::HashMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time from the detection of a silent watch until the changes that it missed count as notified, in microseconds. A new call
-/// and its response must fit into it.
+/// The time from the detection of a silent watch until the changes that it missed count as notified, in microseconds. A new
+/// call must be answered within it.
 const SILENCE_RECOVERY_TIME: Micros = 2_500_000;
-/// A service that has just taken over is called within this time, in microseconds.
+/// The time within which a new discovery service is called after the address of discovery has changed, in microseconds.
 const MOVE_RECOVERY_TIME: Micros = 2_000_000;
 
-/// An event of the watch, for the scheduler.
+/// An event of the watch that the poll scheduler handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchEvent {
     /// The watch has sent a list of this generation.
     List { generation: u64 },
-    /// The watch, or the call for it, has ended.
+    /// The watch, or the call that opens it, has ended.
     Ended(CallEnd),
-    /// The configuration names another discovery service from now on.
+    /// The configuration now names another discovery service.
     DiscoveryMoved,
 }
 
-/// The schedule of this dispatcher's calls for a watch, if pacing is on.
+/// The pacing of this dispatcher's calls for a watch.
 pub(super) struct CallPacing {
     /// `None` if pacing is off.
     scheduler: Option<PollScheduler>,
-    /// The members' published observations of the service, if membership is on too.
+    /// The observations of the service that the members publish; `None` if pacing is off or facts of members are not received.
     observations: Option<SharedObservations>,
     /// The last known epoch of the member at each place.
     epochs: HashMap<u16, u64>,
     timer: TimerSlot,
+    /// When the current watch was requested, in microseconds.
     call_started: Micros,
     /// Whether the current watch has sent a list.
     is_answered: bool,
 }
 
 impl CallPacing {
-    /// Starts pacing, if it is on. `generation` is that of the current endpoint list. If lists are pushed to this dispatcher,
-    /// there is nothing to pace.
+    /// Creates the pacing. It is off if the settings have none, or if a local agent pushes lists to this dispatcher.
+    /// `generation` is that of the current endpoint list.
     pub(super) fn open(
         settings: &FleetSettings,
         config: &Config,
@@ -70,10 +71,10 @@
             scheduler.inspect_err(|error| tracing::warn!(%error, "cold start: poll scheduler disabled")).ok()
         });
         let place = u16::try_from(config.settings.own_index).unwrap_or(u16::MAX);
-        let hears_members = hears_members(settings, config);
+        let receives_facts = receives_facts(settings, config);
         let observations = scheduler
             .as_ref()
-            .filter(|_| hears_members)
+            .filter(|_| receives_facts)
             .map(|_| SharedObservations::new(place, unix_at_zero, now));
         CallPacing {
             scheduler,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether the scheduler decides when discovery is called.
+    /// Whether pacing is on: the scheduler decides when discovery is called.
     pub(super) fn is_enabled(&self) -> bool {
         self.scheduler.is_some()
     }
@@ -104,7 +105,7 @@
         self.timer.set(core, next_call.into_iter().chain(next_publish).min());
     }
 
-    /// The timer has fired. Returns whether the caller must start a call now; the call then counts as started.
+    /// The pacing timer has fired. Returns whether the caller must start a call now; the call then counts as started.
     fn on_timer(&mut self, now: Micros) -> bool {
         self.timer.on_fired();
         let is_due = self.scheduler.as_mut().is_some_and(|scheduler| scheduler.tick(now).is_some());
@@ -115,8 +116,8 @@
         is_due
     }
 
-    /// A member's state or epoch has changed. If its process has ended or was replaced, its published observations no longer
-    /// count. Returns whether pacing is on.
+    /// A member's state or epoch has changed. If the member's process has ended or was replaced, the observations that it
+    /// published are dropped. Returns whether pacing is on.
     fn on_member_changed(&mut self, now: Micros, change: Change, view: Option<&View>) -> bool {
         let Some(scheduler) = &mut self.scheduler else { return false };
         let previous = self.epochs.insert(change.place, change.epoch);
@@ -132,7 +133,7 @@
         true
     }
 
-    /// Another member has published a fact. Returns whether the fact concerns the pacing and could be read.
+    /// Another member has published a fact. Returns whether the fact concerns the pacing and is well-formed.
     fn on_fact(&mut self, now: Micros, fact: &OwnedFact) -> bool {
         let (Some(scheduler), Some(observations)) = (&mut self.scheduler, &mut self.observations) else {
             return false;
@@ -142,7 +143,7 @@
         }
         let origin = Origin { place: fact.place, epoch: fact.epoch };
         if let Err(error) = observations.absorb(now, origin, fact.slot, fact.number, &fact.bytes) {
-            tracing::debug!("cold start: a fact of member {}: {error}", fact.place);
+            tracing::debug!("cold start: fact of member {} rejected: {error}", fact.place);
             return false;
         }
         for update in observations.take_service_updates() {
@@ -177,8 +178,8 @@
     }
 }
 
-/// Whether facts of other members reach this dispatcher.
-fn hears_members(settings: &FleetSettings, config: &Config) -> bool {
+/// Whether this dispatcher receives facts of other members.
+fn receives_facts(settings: &FleetSettings, config: &Config) -> bool {
     settings.membership.is_some() && config.peer_listen.is_some()
 }
 
@@ -193,7 +194,7 @@
         poll_within: config.settings.max_poll_interval,
         unix_at_zero,
         seed: config.seed,
-        has_membership: hears_members(settings, config),
+        has_membership: receives_facts(settings, config),
         skip_scheduling: false,
     })
 }
@@ -246,7 +247,7 @@
         membership.apply_outputs(context, self);
     }
 
-    /// Passes an event of the watch to the scheduler, and applies the results.
+    /// Passes an event of the watch to the scheduler, and applies the outputs of the membership.
     pub(super) fn pace_on_watch_event(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -1,4 +1,4 @@
-//! The connection of a call: how it is established, read and ended.
+//! Drives the connection of a call: establishes, reads and closes it.
 
 use super::DiscoveryClient;
 use super::call::{CallError, CallKind, CallProgress, DiscoveryCall};
@@ -52,7 +52,7 @@
         context.reactor.put(token, connection, Role::Discovery(call));
     }
 
-    /// The connection of a call is established: sets the deadline of its answer.
+    /// The connection of a call is established: sets the deadline for the response.
     fn on_connected(
         &mut self,
         context: &mut Context<'_>,
@@ -68,7 +68,7 @@
         connection.set_timer(context.core, token, Some(answered_by));
     }
 
-    /// The deadline of a call has passed. The call fails, unless unread bytes keep it alive.
+    /// The deadline of a call has passed. The call fails, unless bytes that have not been read yet extend its deadline.
     pub(in crate::server) fn on_call_timer(
         &mut self,
         context: &mut Context<'_>,
@@ -77,7 +77,7 @@
         mut connection: Connection,
         mut call: DiscoveryCall,
     ) {
-        // After a long turn of the loop, data may have arrived that has not been read yet.
+        // After a long iteration of the event loop, data may have arrived that has not been read yet.
         if !call.is_connecting && connection.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_call(context, membership, token, &mut connection, &mut call) {
                 Ok(CallProgress::Pending) if connection.timer.is_none() => {}
@@ -90,14 +90,15 @@
                 Err(error) => return self.fail_call(context, membership, token, connection, call, error),
             }
         }
-        let error = if call.is_answered { CallError::FellSilent } else { CallError::TimedOut };
+        let error = if call.is_answered { CallError::WatchTimedOut } else { CallError::TimedOut };
         self.fail_call(context, membership, token, connection, call, error);
     }
 
-    /// Processes the bytes that have been read of a call.
+    /// Processes the bytes that have been read from a call's connection.
     ///
     /// # Errors
-    /// If the response is refused, broken, ended or holds an unusable list; the call has then failed.
+    /// If the service refuses the call, or the response is malformed, has ended or holds a list that is not accepted. The call
+    /// has then failed.
     fn read_call(
         &mut self,
         context: &mut Context<'_>,
@@ -111,20 +112,20 @@
         }
         let had_partial_object = call.has_partial_object();
         let framing = call.read_body(&mut connection.inbox);
-        let (has_lists, lists) = self.take_lists(context, membership, call);
+        let (has_lists, lists) = self.process_lists(context, membership, call);
         let has_data = call.take_heartbeat() || has_lists;
         if call.is_watch() {
             if has_data {
                 self.on_watch_data(context, membership, token, connection);
             }
-            // A partial object must be complete by the deadline that was set when it began.
+            // A partial object must be complete by the deadline that was set when its first byte arrived.
             if call.has_partial_object() && (has_data || !had_partial_object) {
                 self.on_partial_object(context, token, connection);
             }
         }
         lists.and(framing)?;
         let progress = call.progress();
-        // A partial list is counted when the call ends.
+        // A partial list is counted in `report_failed_call`.
         if let Err(CallError::TooLong | CallError::NoList) = progress
             && !call.has_partial_object()
         {
@@ -150,7 +151,7 @@
         context.reactor.close(context.core, token, connection, Role::Discovery(call));
     }
 
-    /// Logs a failed call, and counts its partial list as a bad one.
+    /// Logs a failed call, and counts a partial list in it as a bad list.
     fn report_failed_call(&mut self, context: &mut Context<'_>, call: &DiscoveryCall, error: CallError) {
         if call.has_partial_object() {
             context.metrics.bad_lists += 1;
--- a/src/server/discovery/watch.rs
+++ b/src/server/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! When the watch is opened, and for how long the endpoint list known at the start may be used. [`WatchLiveness`] decides both.
-//! The methods here set its timers and notify the core.
+//! Schedules the watch, and the use of the endpoint list that this process started with. [`WatchLiveness`] decides when the
+//! watch is opened and for how long that list may be used. The methods here set the timers and notify the core.
 //!
 //! [`WatchLiveness`]: crate::core::watch_liveness::WatchLiveness
 
@@ -11,8 +11,8 @@
 use crate::server::tokens::STALE_LIST_TIMER;
 
 impl DiscoveryClient {
-    /// Schedules the first watch, and the times at which the list known at the start becomes stale or is used anyway.
-    /// `newest_start` is the latest start of an endpoint on that list.
+    /// Schedules the first watch, and the times at which the list that this process started with becomes stale or is used
+    /// although it is stale. `newest_start` is the latest start of an endpoint on that list.
     pub(in crate::server) fn start(&mut self, core: &mut Core, now: Micros, newest_start: Option<Micros>) {
         let opens_at = self.liveness.start(now);
         self.schedule_watch(core, opens_at);
@@ -27,9 +27,9 @@
         }
     }
 
-    /// Another dispatcher received a message of this one's predecessor at `seen_at`. Until some time after that, the list that
-    /// this process started with lacks no change that counts as notified. This is ignored once that list is used, because the
-    /// message may then have been this process's own.
+    /// Another dispatcher received a message of this one's predecessor at `seen_at`. For some time after that, the list that
+    /// this process started with lacks no change that counts as notified. The report is ignored once that list is in use,
+    /// because the message may then have been sent by this process itself.
     pub(in crate::server) fn on_predecessor_seen(&mut self, core: &mut Core, now: Micros, seen_at: Micros) {
         if !core.endpoints().is_stale() {
             return;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Suspends or uses the list known at the start. It is suspended while it must be revalidated and discovery has sent no list.
-    /// Once discovery cannot be reached, or has not answered in time, it is used unchanged.
+    /// Suspends or uses the list that this process started with. The list is suspended while it must be revalidated and
+    /// discovery has sent no list. Once discovery cannot be reached, or has not answered in time, the list is used unchanged.
     pub(in crate::server) fn check_stale_list(&self, core: &mut Core, now: Micros) {
         match (core.endpoints().is_stale(), self.liveness.is_stale(now)) {
             (true, false) => {
@@ -55,8 +55,13 @@
     }
 
     /// Applies changed settings. If a local agent pushes lists and no watch is open, sets the watch timer to `now`.
-    pub(in crate::server) fn reconfigure(&mut self, core: &mut Core, now: Micros, terms: DiscoverySettings) {
-        if self.liveness.reconfigure(terms) {
+    pub(in crate::server) fn reconfigure(
+        &mut self,
+        core: &mut Core,
+        now: Micros,
+        settings: DiscoverySettings,
+    ) {
+        if self.liveness.reconfigure(settings) {
             self.schedule_watch(core, now);
         }
     }
@@ -66,8 +71,7 @@
         self.watch_timer.is_set()
     }
 
-    /// The watch timer has fired. Returns whether to open the watch: if none is open, and the poll scheduler does not decide
-    /// when to call.
+    /// The watch timer has fired. Returns whether to open the watch, which is the case if none is open and pacing is off.
     pub(super) fn is_watch_due(&mut self) -> bool {
         self.watch_timer.on_fired();
         self.watch.is_none() && !self.pacing.is_enabled()
@@ -78,7 +82,7 @@
         self.watch_timer.set(core, Some(at));
     }
 
-    /// The watch, or the call for it, has ended. Returns when to open the next one, if the poll scheduler does not decide that.
+    /// Records that the watch, or the call that opens it, has ended. Returns when to open the next one if pacing is off.
     pub(super) fn record_watch_end(&mut self, now: Micros, end: CallEnd) -> Micros {
         let failure = match end {
             CallEnd::Silent => WatchFailure::Silent,
