--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -1,5 +1,5 @@
-//! Persists the records of keyed jobs: in this process's store, or, after a handover, through the successor that has taken over
-//! the store.
+//! Persists the idempotency records of jobs: in this process's store, or, after a handover, through the successor, which has
+//! taken over the store.
 
 mod completion;
 mod record_store;
@@ -16,16 +16,16 @@
 use crate::server::{Server, ServerError, StateDir};
 use completion::Waiter;
 
-/// The maximum number of files that the store has open at a time.
+/// The maximum number of files that the store keeps open.
 const MAX_OPEN_FILES: usize = 48;
 
-/// The number of descriptors reserved for the store; 0 if there is none.
+/// The number of descriptors reserved for the store; 0 if there is no store.
 pub(in crate::server) fn reserved_files(has_store: bool) -> usize {
     if has_store { MAX_OPEN_FILES } else { 0 }
 }
 
-/// Opens the store and loads its records into the core. This happens before any client is served. If the system's clock has
-/// fallen behind the store, earlier jobs are not retried.
+/// Opens the store and loads its records into the core. Must be called before any client is served. If the system's clock is
+/// behind the newest time in the store, earlier jobs are not retried.
 ///
 /// # Errors
 /// If the store cannot be opened or watched.
@@ -37,7 +37,7 @@
 ) -> Result<RecordStore, ServerError> {
     let (records, loaded) = RecordStore::open(settings)?;
     let bad = core.enable_idempotency(now, loaded.records.into_iter());
-    if !loaded.is_clock_sound {
+    if !loaded.is_clock_plausible {
         core.expire_idempotency_windows();
     }
     for (key, error) in bad {
@@ -48,7 +48,7 @@
 }
 
 impl RecordStore {
-    /// The store has written records or failed to. Notifies the core or the predecessor that waits for each of them.
+    /// The store has completed writes, successfully or not. Notifies the core or the predecessor that waits for each of them.
     pub(in crate::server) fn on_readable(&mut self, core: &mut Core, hot_restart: &HotRestart) {
         for completion in self.drain_completions() {
             let outcome = match completion.result {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the counters of the store for the admin address; `None` if idempotency is off in the core.
+    /// Returns the metrics of the store for the admin address; `None` if idempotency is off in the core.
     pub(in crate::server) fn metrics(&self, core: &Core) -> Option<IdempotencyMetrics> {
         let keys = core.idempotency()?;
         Some(IdempotencyMetrics {
@@ -80,8 +80,8 @@
 
 /// Persisting records, either in the store or through the other process of a hot restart.
 impl Server {
-    /// Persists the record of a keyed job, or deletes it if `record` is `None`. The core waits for it with `ticket`, or does not
-    /// wait if that is `None`.
+    /// Persists the record of a job's idempotency key, or deletes it if `record` is `None`. The core is notified with `ticket`
+    /// once this is done, unless `ticket` is `None`.
     pub(in crate::server) fn persist_record(
         &mut self,
         ticket: Option<RecordTicket>,
@@ -120,7 +120,7 @@
                 let waiter = ticket.map_or(Waiter::Nobody, Waiter::Predecessor);
                 records.write(now, waiter, key, record);
             }
-            // This process was started without a store: the predecessor continues as if nothing had to be persisted.
+            // This process has no store: the predecessor must continue as if the record were persisted.
             (None, Some(ticket)) => {
                 self.hot_restart.report_record_persisted(ticket, PersistOutcome::Written);
             }
--- a/src/server/idempotency_store/completion.rs
+++ b/src/server/idempotency_store/completion.rs
@@ -1,4 +1,4 @@
-//! How the store's threads report to the loop: a queue of completions, and a socket that wakes the loop.
+//! Reports from the store's threads to the event loop: a queue of completions, and a socket that wakes the loop.
 
 use crate::core::RecordTicket;
 use mothproxy_store::StoreError;
@@ -9,13 +9,13 @@
 /// Why a record could not be written.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(in crate::server) enum RecordWriteError {
-    /// The store is not open, and no error of opening it is known.
-    #[error("not open")]
+    /// The store is not open, and no error of an attempt to open it is known.
+    #[error("the store is not open")]
     NotOpen,
     /// The store could not be opened.
     #[error(transparent)]
     Open(Arc<StoreError>),
-    /// The store did not accept the write.
+    /// The store rejected the write.
     #[error(transparent)]
     Submit(Arc<StoreError>),
     /// The store accepted the write and reported that it failed.
@@ -26,15 +26,15 @@
 /// The party that waits for a record to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum Waiter {
-    /// Nobody.
+    /// No party waits; the result is only counted.
     Nobody,
-    /// The core of this process, with its ticket.
+    /// The core of this process, which identifies the write by the ticket.
     Core(RecordTicket),
-    /// The predecessor, with the ticket of its core.
+    /// The predecessor, whose core identifies the write by the ticket.
     Predecessor(RecordTicket),
 }
 
-/// The result of a write.
+/// The result of a write, and the party that waits for it.
 #[derive(Debug)]
 pub(in crate::server) struct WriteCompletion {
     pub(in crate::server) waiter: Waiter,
@@ -48,16 +48,16 @@
     waker: Arc<UnixStream>,
 }
 
-/// The receiving end of the queue, for the loop.
+/// The receiving end of the queue, for the event loop.
 pub(super) struct CompletionReceiver {
     queue: Arc<Mutex<Vec<WriteCompletion>>>,
     woken: UnixStream,
 }
 
-/// Creates a queue.
+/// Creates a queue, and returns its two ends.
 ///
 /// # Errors
-/// If the system gives no pair of sockets, or they cannot be made non-blocking.
+/// If the socket pair cannot be created or made non-blocking.
 pub(super) fn completion_queue() -> std::io::Result<(CompletionSender, CompletionReceiver)> {
     let (woken, waker) = UnixStream::pair()?;
     woken.set_nonblocking(true)?;
@@ -68,23 +68,23 @@
 }
 
 impl CompletionSender {
-    /// Queues a completion. Wakes the loop if the queue was empty before.
+    /// Queues a completion. Wakes the event loop if the queue was empty before.
     pub(super) fn send(&self, completion: WriteCompletion) {
         let mut queue = lock(&self.queue);
         queue.push(completion);
         if queue.len() == 1 {
-            let _ = (&*self.waker).write(&[1]); // if the socket is full, the loop is already woken
+            let _ = (&*self.waker).write(&[1]); // if the socket's buffer is full, the loop has been woken already
         }
     }
 }
 
 impl CompletionReceiver {
-    /// The socket to watch. It is readable while there may be completions.
+    /// The socket that the event loop watches. It is readable while there may be completions.
     pub(super) fn socket(&self) -> &UnixStream {
         &self.woken
     }
 
-    /// Empties the socket and takes all completions.
+    /// Empties the socket, and removes and returns all completions.
     pub(super) fn drain(&mut self) -> Vec<WriteCompletion> {
         let mut buffer = [0; 64];
         while matches!((&self.woken).read(&mut buffer), Ok(length) if length > 0) {}
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -1,5 +1,5 @@
-//! The idempotency records on disk. The store's own threads do the writes, so that the loop never waits for the disk. Each write
-//! ends with a [`WriteCompletion`] in a queue; a socket that the loop watches announces it.
+//! The idempotency records on disk. The store's own threads do the writes, so that the event loop never waits for the disk. The
+//! end of each write is reported by a [`WriteCompletion`] in a queue, whose socket wakes the loop.
 
 use super::completion::{
     CompletionReceiver, CompletionSender, RecordWriteError, Waiter, WriteCompletion, completion_queue,
@@ -14,43 +14,43 @@
 
 /// The prefix of the records' keys in the store.
 const KEY_PREFIX: &str = "key/";
-/// How long to wait at the start for the previous process to close the store.
+/// How long this process waits at its start for the previous process to close the store.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(3);
-/// The interval of attempts to open a store that is still locked.
+/// The interval between attempts to open a store that is still locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// The minimum time between two attempts to reopen the store, in microseconds.
 const REOPEN_INTERVAL: Micros = 1_000_000;
 /// How far the system's clock may be behind the newest time in the store, in milliseconds.
 const CLOCK_TOLERANCE_MS: u64 = 1_000;
 
-/// The store of records, and whether writing to it works.
+/// The store of records, the queue of its completions, and the state of writing to it.
 pub(in crate::server) struct RecordStore {
     settings: StateDir,
-    /// `None` while the store cannot be opened, or after it was given up.
+    /// `None` while the store cannot be opened, or after it was closed for a handover.
     store: Option<Store>,
     sender: CompletionSender,
     receiver: CompletionReceiver,
-    /// The error of the last failed write or attempt to reopen; `None` after a successful write.
+    /// The error of the last failed write or failed attempt to reopen; `None` after a successful write.
     last_error: Option<RecordWriteError>,
     /// The number of failed writes.
     failures: u64,
+    /// When this process last tried to reopen the store, in microseconds.
     last_open_attempt: Option<Micros>,
 }
 
-/// The content of the store at the start.
+/// The content of the store when it was opened.
 pub(in crate::server) struct LoadedRecords {
-    /// The records as they were written, each with its key.
+    /// The encoded records, each with its key.
     pub(in crate::server) records: Vec<(String, Vec<u8>)>,
-    /// Whether the system's clock has not fallen behind the newest time in the store.
-    pub(in crate::server) is_clock_sound: bool,
+    /// Whether the system's clock is not behind the newest time in the store.
+    pub(in crate::server) is_clock_plausible: bool,
 }
 
 impl RecordStore {
-    /// Opens the store and reads its records. Blocks for up to [`LOCK_TIMEOUT`] while a process that is handing over still closes
-    /// it.
+    /// Opens the store and reads its records. Blocks for up to [`LOCK_TIMEOUT`] while the predecessor is still closing the store.
     ///
     /// # Errors
-    /// If the store cannot be opened, or the system gives no sockets.
+    /// If the store cannot be opened, or the sockets of the completion queue cannot be created.
     pub(in crate::server) fn open(settings: StateDir) -> Result<(RecordStore, LoadedRecords), ServerError> {
         let started = Instant::now();
         let opened = open_when_unlocked(&settings, started);
@@ -60,8 +60,8 @@
             tracing::error!(%damage, "idempotency store: damaged");
         }
         let records = read_records(&store);
-        let is_clock_sound = is_clock_sound(&store);
-        if !is_clock_sound {
+        let is_clock_plausible = is_clock_plausible(&store);
+        if !is_clock_plausible {
             tracing::warn!("idempotency store: clock is behind the records, earlier jobs are not retried");
         }
         let (count, directory) = (records.len(), settings.dir.display());
@@ -76,10 +76,10 @@
             failures: 0,
             last_open_attempt: None,
         };
-        Ok((record_store, LoadedRecords { records, is_clock_sound }))
+        Ok((record_store, LoadedRecords { records, is_clock_plausible }))
     }
 
-    /// The socket to watch. It is readable while there may be completions.
+    /// The socket that the event loop watches. It is readable while there may be completions.
     pub(in crate::server) fn socket(&self) -> &UnixStream {
         self.receiver.socket()
     }
@@ -89,16 +89,17 @@
         self.failures
     }
 
-    /// Gives up the store to another process, without waiting for the disk. Writes in progress still complete.
-    pub(in crate::server) fn give_up(&mut self) {
+    /// Closes the store for a handover, on another thread so that the event loop does not wait for the disk. Writes in progress
+    /// still complete.
+    pub(in crate::server) fn close_in_background(&mut self) {
         if let Some(store) = self.store.take() {
-            // If the thread cannot be started, the store is closed here, and the loop waits for it.
+            // If the thread cannot be started, the store is closed here, and the event loop waits for it.
             let closing = std::thread::Builder::new().name("store-close".to_owned());
             let _ = closing.spawn(move || drop(store));
         }
     }
 
-    /// Writes a record, or deletes it if `record` is `None`. A completion follows in any case.
+    /// Writes a record, or deletes it if `record` is `None`. A completion is queued in any case.
     pub(in crate::server) fn write(
         &mut self,
         now: Micros,
@@ -117,7 +118,7 @@
     /// Submits a write or a deletion to the store's threads.
     ///
     /// # Errors
-    /// If the store is not open or does not accept the write; no completion is queued then.
+    /// If the store is not open or rejects the write; no completion is queued then.
     fn submit(&self, waiter: Waiter, key: &str, record: Option<Vec<u8>>) -> Result<(), RecordWriteError> {
         let Some(store) = &self.store else {
             return Err(self.last_error.clone().unwrap_or(RecordWriteError::NotOpen));
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Takes the completions that have arrived, and counts the failed writes.
+    /// Removes and returns the completions that have arrived, and counts the failed writes.
     pub(in crate::server) fn drain_completions(&mut self) -> Vec<WriteCompletion> {
         let completions = self.receiver.drain();
         for completion in &completions {
@@ -161,7 +162,7 @@
         completions
     }
 
-    /// Records that writing fails; logs only the first failure in a row.
+    /// Records that writing fails. Only the first failure after a success is logged.
     fn set_failing(&mut self, error: RecordWriteError) {
         if self.last_error.is_none() {
             tracing::error!(%error, "idempotency store: writing fails, keyed jobs are rejected or failed");
@@ -169,7 +170,7 @@
         self.last_error = Some(error);
     }
 
-    /// Records that writing works; logs it if writing failed before.
+    /// Records that writing works. This is logged if writing failed before.
     fn set_working(&mut self) {
         if self.last_error.take().is_some() {
             tracing::info!(failures = self.failures, "idempotency store: writing again");
@@ -200,7 +201,7 @@
     }
 }
 
-/// Returns all records, with their keys without the prefix. Damaged records are logged and left out.
+/// Returns all records, each with its key without the prefix. Damaged records are logged and skipped.
 fn read_records(store: &Store) -> Vec<(String, Vec<u8>)> {
     let mut records = Vec::new();
     for entry in store.snapshot().iter_from(KEY_PREFIX.as_bytes()) {
@@ -220,8 +221,8 @@
     records
 }
 
-/// Whether the system's clock has not fallen behind the newest time in the store.
-fn is_clock_sound(store: &Store) -> bool {
+/// Whether the system's clock is at most [`CLOCK_TOLERANCE_MS`] behind the newest time in the store.
+fn is_clock_plausible(store: &Store) -> bool {
     let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     store.now() <= unix_ms + CLOCK_TOLERANCE_MS
 }
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -1,11 +1,12 @@
-//! Hot restart: a new version takes over under load. For a while two processes act as one dispatcher.
+//! Hot restart: a new version takes over under load. During the handover two processes act as one dispatcher.
 //!
 //! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and sends `Hello` ([`receiver`]).
 //! 2. The predecessor answers with its listening sockets, its endpoint list and the state that the policy has learned. From
-//!    then on it accepts no new connections ([`sender`]).
-//! 3. The predecessor transfers each connection and job, with all its state, as soon as nothing of it is in flight. After each
-//!    step it reports what it still holds. Status callbacks and idempotency records go to the process that they concern.
-//! 4. The predecessor ends once it has nothing left. If the successor ends first, the predecessor uses its listening sockets
+//!    then on the predecessor accepts no new connections ([`sender`]).
+//! 3. The predecessor transfers each connection and job, with all its state, as soon as no attempt for it is in flight. After
+//!    each step it reports the work that it still holds. Status callbacks and idempotency records are forwarded to the process
+//!    that they concern.
+//! 4. The predecessor ends once it holds no more work. If the successor ends first, the predecessor uses its listening sockets
 //!    again.
 //!
 //! [`protocol`] defines the messages; see also docs/designs.md.
@@ -32,23 +33,23 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
-/// The most packets read from the other process at a time.
+/// The maximum number of packets read from the other process in one iteration of the event loop.
 const MAX_PACKETS_PER_TURN: usize = 64;
-/// The number of processes that may wait to be accepted on the restart socket.
+/// The backlog of the restart socket: the number of processes that may wait to be accepted.
 const RESTART_BACKLOG: i32 = 4;
 
 /// The state of this process in a hot restart.
 #[derive(Default)]
 pub(in crate::server) struct HotRestart {
-    /// The path of the restart socket; `None` if no folder for it is configured.
+    /// The path of the restart socket; `None` if no directory for it is configured.
     socket_path: Option<PathBuf>,
-    /// The restart socket, on which the next version requests a takeover; open while this process serves.
+    /// The restart socket, on which the next version requests a takeover. It is open while this process serves.
     socket: Option<OwnedFd>,
     /// The other process of this dispatcher, during a hot restart.
     peer_process: Option<PeerProcess>,
 }
 
-/// The link to the other process, and the open work on both sides.
+/// The link to the other process, and the open work of both processes.
 struct PeerProcess {
     link: OwnedFd,
     /// The work that the other process still holds, if it is the predecessor.
@@ -72,7 +73,7 @@
 }
 
 impl HotRestart {
-    /// Listens for the next version, if a folder for the socket is configured. A failure is only logged.
+    /// Listens for the next version, if a directory for the socket is configured. A failure is only logged.
     fn open_socket(&mut self, reactor: &Reactor) {
         let Some(path) = &self.socket_path else { return };
         match listen_for_successor(path) {
@@ -84,14 +85,14 @@
         }
     }
 
-    /// Another process has connected. Its first packet says what it wants.
+    /// Another process has connected to the restart socket. Its first packet says what it requests.
     pub fn on_process_connected(&mut self, reactor: &Reactor) {
         let Some(socket) = &self.socket else { return };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let Ok(link) = rustix::net::accept_with(socket, flags) else { return };
         if self.peer_process.is_none() && reactor.watch(&link, PEER_PROCESS).is_ok() {
             self.peer_process = Some(PeerProcess::new(link, OpenWork::default()));
-        } // a third process finds its link closed
+        } // if a hot restart is in progress, the link of a third process is closed here
     }
 
     /// Whether the other process holds an open request with this id.
@@ -114,7 +115,7 @@
         process.map_or(0, |process| process.open.connections + RESERVED_DESCRIPTORS)
     }
 
-    /// Passes a status callback to the other process. Returns false if it cannot be sent; the worker must then retry.
+    /// Forwards a status callback to the other process. Returns false if it cannot be sent; the worker must then retry.
     pub fn forward_status_callback(&self, body: &[u8]) -> bool {
         self.send(&HandoverMessage::StatusCallback, &[body], &[])
     }
@@ -126,32 +127,33 @@
         self.send(&message, &[record.unwrap_or_default()], &[])
     }
 
-    /// Reports to the other process whether its record was written. Returns false if the message cannot be sent.
+    /// Reports to the other process whether the record that it forwarded was written. Returns false if the message cannot be
+    /// sent.
     pub fn report_record_persisted(&self, ticket: RecordTicket, outcome: PersistOutcome) -> bool {
         let is_written = outcome == PersistOutcome::Written;
         self.send(&HandoverMessage::RecordWritten { ticket, is_written }, &[], &[])
     }
 
-    /// Sends a message to the other process. Returns false if there is none or the message cannot be sent.
+    /// Sends a message to the other process. Returns false if there is no other process or the message cannot be sent.
     fn send(&self, message: &HandoverMessage, bytes: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> bool {
         let process = self.peer_process.as_ref();
         process.is_some_and(|process| send(&process.link, message, bytes, descriptors).is_ok())
     }
 }
 
-/// Returns the path of the socket on which the processes of the dispatcher `name` meet. Characters other than ASCII letters,
-/// digits and `-` become `_`.
-pub(in crate::server) fn socket_path(folder: &Path, name: &str) -> PathBuf {
-    let to_plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    folder.join(format!("mothproxy-{}.sock", name.chars().map(to_plain).collect::<String>()))
+/// Returns the path of the restart socket of the dispatcher `name`. Characters other than ASCII letters, digits and `-` become
+/// `_`.
+pub(in crate::server) fn socket_path(directory: &Path, name: &str) -> PathBuf {
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    directory.join(format!("mothproxy-{}.sock", name.chars().map(sanitize).collect::<String>()))
 }
 
-/// Listens on the socket on which the next version requests a takeover. Only the same user may connect.
+/// Opens the restart socket at `path`. Only processes of the same user may connect.
 ///
 /// # Errors
-/// If the system refuses one of the steps.
+/// If a system call fails.
 fn listen_for_successor(path: &Path) -> Result<OwnedFd, Errno> {
-    let _ = std::fs::remove_file(path); // a leftover, or the predecessor's, which no longer needs its name
+    let _ = std::fs::remove_file(path); // the file of an ended process, or of the predecessor, which has closed its socket
     let listener = packet_socket()?;
     rustix::net::bind(&listener, &SocketAddrUnix::new(path)?)?;
     rustix::fs::chmod(path, Mode::RUSR | Mode::WUSR)?;
@@ -161,8 +163,8 @@
 }
 
 impl Server {
-    /// Listens for the next version, and watches the link to the predecessor if there is one. Continues a drain of the
-    /// predecessor.
+    /// Listens for the next version, and watches the link to the predecessor if there is one. If the predecessor was draining,
+    /// this process continues the drain.
     pub(in crate::server) fn join_hot_restart(
         &mut self,
         path: Option<PathBuf>,
@@ -196,21 +198,21 @@
         }
     }
 
-    /// The other process has ended, normally or not. If it was the successor, this process serves again.
+    /// The other process has ended, normally or by a failure. If it was the successor, this process serves again.
     fn on_peer_process_closed(&mut self) {
         let Some(process) = self.hot_restart.peer_process.take() else { return };
         self.reactor.unwatch(&process.link);
         if !std::mem::take(&mut self.lifecycle.has_handed_over) {
             return tracing::info!("hot restart: the other process has ended");
         }
-        // The successor's work is lost with it. The listening sockets are still open in this process.
+        // The work that was handed over is lost with the successor. The listening sockets are still open in this process.
         tracing::info!("hot restart: the successor has ended, serving again");
         let are_listeners_watched = self.listeners.take_back(&self.reactor);
         let peers = self.peer_socket.socket();
         let are_peers_watched = peers.is_none_or(|socket| self.reactor.watch(socket, PEERS).is_ok());
         mothproxy_invariant::invariant!(
             are_listeners_watched && are_peers_watched,
-            "epoll does not take its listeners back"
+            "the listening sockets cannot be watched again after the successor has ended"
         );
         self.core.fail_unpersisted();
         self.hot_restart.open_socket(&self.reactor);
--- a/src/server/lifecycle/hot_restart/protocol.rs
+++ b/src/server/lifecycle/hot_restart/protocol.rs
@@ -1,7 +1,7 @@
 //! The messages between the two processes, and their packet format.
 //!
-//! A packet holds the length of its message (four bytes, least significant first), the message as JSON, and the bytes that the
-//! message refers to. Descriptors travel as ancillary data. The JSON names must stay those of the versions in operation.
+//! A packet holds the length of its message (four bytes, little-endian), the message as JSON, and the bytes that the message
+//! refers to. Descriptors are sent as ancillary data. The JSON names must stay those of the versions in operation.
 
 use crate::config::EndpointList;
 use crate::core::RecordTicket;
@@ -20,13 +20,13 @@
 use std::mem::MaybeUninit;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 
-/// The maximum length of a packet, in bytes: a request with its body, the bytes read after it, and its state.
+/// The maximum length of a packet, in bytes. It holds a request with its body, the bytes read after it, and its state.
 const MAX_PACKET_BYTES: usize = 256 * 1024;
-/// Marks a packet whose content is in a memory file. That is used for content longer than [`MAX_PACKET_BYTES`] or than the
+/// Marks a packet whose content is in a memory file. A file is used for content longer than [`MAX_PACKET_BYTES`] or than the
 /// system allows for a packet, such as the list and the learned state of a thousand workers. The marker replaces the length,
 /// and the file's descriptor is the last one of the packet.
 const FILE_MARKER: [u8; 4] = [u8::MAX; 4];
-/// The maximum number of bytes read from such a file. It holds the longest list that discovery may send many times over.
+/// The maximum number of bytes read from a memory file. It is many times the length of the longest list that discovery may send.
 const MAX_FILE_BYTES: u64 = 64 << 20;
 /// The size of the length field before a message, in bytes.
 const LENGTH_BYTES: usize = 4;
@@ -38,7 +38,7 @@
 pub(super) enum HandoverMessage {
     /// The successor requests the takeover.
     Hello,
-    /// The predecessor has stopped accepting; its listening sockets come with this message.
+    /// The predecessor has stopped accepting connections. Its listening sockets are the descriptors of this message.
     Listeners {
         #[serde(rename = "sse")]
         has_sse: bool,
@@ -48,7 +48,7 @@
         is_drained: bool,
         #[serde(rename = "table")]
         list: EndpointList,
-        /// Whether the list is still to be revalidated.
+        /// Whether the list must still be revalidated.
         #[serde(rename = "stale", default)]
         is_list_stale: bool,
         open: OpenWork,
@@ -59,14 +59,14 @@
     /// A connection of a client, or of a worker that sends status callbacks.
     #[serde(rename = "Front")]
     Client(TransferredClient),
-    /// An idle connection to a worker, which may stay idle for `idle_time_left` more microseconds.
+    /// An idle connection to a worker, which may stay open for `idle_time_left` more microseconds.
     #[serde(rename = "Back")]
     Upstream {
         worker: String,
         #[serde(rename = "left")]
         idle_time_left: Micros,
     },
-    /// A status callback for the other process; its body follows.
+    /// A status callback for a request of the other process; its body follows.
     #[serde(rename = "News")]
     StatusCallback,
     /// The work that the predecessor still holds.
@@ -74,7 +74,7 @@
     OpenWork(OpenWork),
     /// A job of the event streams; the bytes of its request follow.
     Job(TransferredJob),
-    /// The predecessor asks for an idempotency record to be written. If `is_kept`, the record follows; otherwise the key is
+    /// The predecessor requests that an idempotency record is written. If `is_kept`, the record follows; otherwise the key is
     /// deleted.
     #[serde(rename = "Write")]
     WriteRecord {
@@ -83,7 +83,7 @@
         #[serde(rename = "kept")]
         is_kept: bool,
     },
-    /// Whether the record was written.
+    /// The successor reports whether the record of a `WriteRecord` message was written.
     #[serde(rename = "Written")]
     RecordWritten {
         ticket: RecordTicket,
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReceiveError {
     /// The packet is malformed.
-    #[error("a packet that cannot be read")]
+    #[error("malformed handover packet")]
     Malformed,
     /// The system returned an error.
     #[error("{0}")]
@@ -126,7 +126,7 @@
     }
 }
 
-/// Creates a socket for packets between processes.
+/// Creates a Unix socket that keeps the boundaries of packets.
 pub(super) fn packet_socket() -> Result<OwnedFd, Errno> {
     rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None)
 }
@@ -154,7 +154,7 @@
     send_in_file(link, &parts, descriptors)
 }
 
-/// Sends a message in a memory file, whose descriptor goes last.
+/// Sends a message in a memory file, whose descriptor is the last one of the packet.
 fn send_in_file(link: &OwnedFd, parts: &[&[u8]], descriptors: &[BorrowedFd<'_>]) -> Result<(), Errno> {
     let mut file = File::from(rustix::fs::memfd_create("mothproxy-handover", MemfdFlags::CLOEXEC)?);
     let written = parts.iter().try_for_each(|part| file.write_all(part)).and_then(|()| file.rewind());
@@ -177,7 +177,7 @@
 /// Reads one packet. Returns `Ok(None)` if the other process has closed the link.
 ///
 /// # Errors
-/// If the packet is malformed, or the system returns an error (`EAGAIN` if no packet has come on a non-blocking link).
+/// If the packet is malformed, or the system returns an error (`EAGAIN` if no packet has arrived on a non-blocking link).
 pub(super) fn receive(link: &OwnedFd) -> Result<Option<Packet>, ReceiveError> {
     let mut bytes = vec![0; MAX_PACKET_BYTES];
     let mut descriptors = Vec::new();
@@ -200,7 +200,8 @@
     Ok(Some(Packet { message, bytes, descriptors }))
 }
 
-/// Reads a raw packet into `bytes` and appends its descriptors. Returns its length, 0 at the end of the link.
+/// Reads a raw packet into `bytes` and appends its descriptors to `descriptors`. Returns its length; 0 if the other process has
+/// closed the link.
 fn receive_packet(link: &OwnedFd, bytes: &mut [u8], descriptors: &mut Vec<OwnedFd>) -> Result<usize, Errno> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -1,7 +1,7 @@
-//! The successor's side. It requests everything at its start, and then takes one message after the other.
+//! The successor's side. At its start, the successor requests the takeover; after that it handles one message after the other.
 //!
-//! [`Server::on_handover_message`] serves both sides, because the predecessor also receives messages, such as status callbacks
-//! and answers about records.
+//! [`Server::on_handover_message`] is used by both sides, because the predecessor also receives messages, such as status
+//! callbacks and the results of writing records.
 
 use super::protocol::{HandoverMessage, OpenWork, Packet, packet_socket, receive, send};
 use crate::config::EndpointList;
@@ -23,7 +23,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// If the predecessor does not answer within this time, the successor starts without it. The successor has 6 s in all.
+/// How long the successor waits for the predecessor's answer before it starts without a handover. A process must be ready within
+/// 6 s of its start.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The sockets that the successor receives at its start.
@@ -38,7 +39,7 @@
     pub sockets: InheritedSockets,
     /// The last endpoint list that the predecessor received.
     pub list: EndpointList,
-    /// Whether the list is still to be revalidated.
+    /// Whether the list must still be revalidated.
     pub is_list_stale: bool,
     /// The state that the policy has learned; `None` if this version cannot read it.
     pub learned: Option<LearnedState>,
@@ -52,16 +53,16 @@
 
 /// The result of a takeover request.
 pub(in crate::server) enum TakeoverResult {
-    /// No process serves.
+    /// No other process serves this dispatcher.
     NoPredecessor,
-    /// A process serves or did so a moment ago, and hands nothing over. Its address may soon be free.
+    /// Another process serves, or has just stopped, and hands nothing over. Its address may soon be free.
     Refused,
     /// Everything that the predecessor handed over.
     Inherited(Box<Inheritance>),
 }
 
 impl TakeoverResult {
-    /// Returns the inheritance; `None` if there is none.
+    /// Returns what the predecessor handed over; `None` if it handed nothing over.
     pub fn into_inheritance(self) -> Option<Inheritance> {
         match self {
             TakeoverResult::Inherited(inheritance) => Some(*inheritance),
@@ -70,13 +71,13 @@
     }
 }
 
-/// Requests a takeover from the process that serves at `path`. Blocks for at most [`TAKEOVER_TIMEOUT`] while it waits for the
-/// answer.
+/// Requests a takeover from the process whose restart socket is at `path`. Blocks for at most [`TAKEOVER_TIMEOUT`] until the
+/// answer arrives.
 pub(in crate::server) fn request_takeover(path: &Path) -> TakeoverResult {
     let Some((link, address)) = packet_socket().ok().zip(SocketAddrUnix::new(path).ok()) else {
         return TakeoverResult::NoPredecessor;
     };
-    // There is no socket file, or its process has ended: no process serves.
+    // A failure means that there is no socket file, or that its process has ended.
     if rustix::net::connect(&link, &address).is_err() {
         return TakeoverResult::NoPredecessor;
     }
@@ -97,8 +98,8 @@
     receive(link).ok().flatten()
 }
 
-/// Reads the predecessor's answer. The descriptors come in a fixed order: the platform's listener, the SSE listener if there is
-/// one, the peers' socket if there is one. Returns `None` if the answer is another message.
+/// Reads the predecessor's answer. The descriptors have a fixed order: the platform's listener, the SSE listener if there is
+/// one, the peer socket if there is one. Returns `None` if the answer is another message.
 fn inherit(link: OwnedFd, packet: Packet) -> Option<Inheritance> {
     let HandoverMessage::Listeners { has_sse, has_peers, is_drained, list, is_list_stale, open, learned } =
         packet.message
@@ -115,7 +116,7 @@
 }
 
 impl Server {
-    /// Handles a message of the other process. Unreadable or unexpected messages are counted as rejects.
+    /// Handles a message of the other process. Malformed or unexpected messages are counted as rejects.
     pub(super) fn on_handover_message(&mut self, packet: Packet) {
         let Packet { message, bytes, descriptors } = packet;
         let descriptor = descriptors.into_iter().next();
@@ -158,7 +159,7 @@
     /// Handles a status callback that the other process has forwarded.
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
-            // The job was handed over in the meantime, so its callback goes to the successor, which sends nothing back.
+            // The job was handed over in the meantime, so its callback goes to the successor, which does not return it.
             Some(callback) if self.lifecycle.has_handed_over && !self.core.knows(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
@@ -186,7 +187,7 @@
         let Some(token) = self.reactor.add(connection, Role::Client(client)) else { return };
         let Some((mut connection, Role::Client(mut client))) = self.reactor.take(token) else { return };
         if client.is_awaiting_request() {
-            self.clients.track_awaiting_request(token, &client); // as far as this process knows, it was last read now
+            self.clients.track_awaiting_request(token, &client); // the time of the last read is unknown here and counts as now
         }
         if let Some((exchange, raw)) = transferred.request.zip(split.request) {
             match self.core.adopt(exchange.request, Downstream::Connection(token).to_id()) {
@@ -197,12 +198,12 @@
                     }
                     client.await_response(request_id, exchange.keep_alive, exchange.has_stream_begun, now);
                 }
-                // The core cannot take the request over: it fails at once.
+                // The core cannot take over the request, so it fails at once.
                 None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
         let context = &mut client_context!(self);
         self.clients.advance(context, token, connection, client);
-        self.clients.close_if_disconnected(context, token); // the client may have closed it before it was watched here
+        self.clients.close_if_disconnected(context, token); // the client may have disconnected before epoll watched it here
     }
 }
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side. It first hands over its listening sockets, and then, step by step, each connection and job as soon
-//! as nothing of it is in flight.
+//! The predecessor's side. The predecessor first hands over its listening sockets, and then, step by step, each connection and
+//! job as soon as no attempt for it is in flight.
 
 use super::protocol::{HandoverMessage, send};
 use crate::config::EndpointList;
@@ -16,21 +16,21 @@
 use crate::server::upstream::UpstreamConnection;
 use std::os::fd::AsFd;
 
-/// The interval at which the predecessor retries what it could not hand over yet, in microseconds.
+/// The interval at which the predecessor tries to hand over the connections and jobs that it still holds, in microseconds.
 const HANDOVER_INTERVAL: Micros = 4_000;
 
-/// A client's request that was taken out of the core for the other process.
+/// A client's request that was removed from the core for the handover.
 struct ReleasedRequest {
     exchange: TransferredExchange,
     raw: RawRequest,
 }
 
 impl Server {
-    /// The successor has requested the takeover. Sends it the listening sockets; it accepts from now on, and then receives one
-    /// connection after the other.
+    /// The successor has requested the takeover. Sends the listening sockets to the successor, which accepts connections from
+    /// now on, and starts to hand over connections and jobs.
     pub(super) fn start_handover(&mut self) {
-        if let Some(notes) = &mut self.records {
-            notes.give_up(); // the successor waits until the store is closed
+        if let Some(records) = &mut self.records {
+            records.close_in_background(); // the successor waits until the store is closed
         }
         let open = self.local_open_work();
         let Some(process) = &mut self.hot_restart.peer_process else { return };
@@ -56,7 +56,7 @@
             return self.on_peer_process_closed();
         }
         process.last_sent = open;
-        // Descriptors that the successor also holds would stay in this epoll unless they are removed.
+        // epoll keeps reporting descriptors that the successor also holds open, unless they are removed explicitly.
         self.listeners.hand_over(&self.reactor);
         if let Some(peers) = self.peer_socket.socket() {
             self.reactor.unwatch(peers);
@@ -68,12 +68,12 @@
         self.core.set_timer(self.clock.now() + 1, HANDOVER_TIMER);
     }
 
-    /// The handover timer has fired: hands over all connections and jobs that can go now.
+    /// The handover timer has fired: hands over all connections and jobs that can be handed over now.
     pub(in crate::server) fn on_handover_timer(&mut self) {
         if !self.lifecycle.has_handed_over {
             return;
         }
-        // Run the policy's pending decisions on these requests first.
+        // The policy's pending decisions about these requests are carried out first.
         self.core.batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
@@ -108,12 +108,12 @@
     }
 
     /// Hands over a client connection if it is between requests, or awaits a response and no attempt of its request is in
-    /// flight here. Otherwise it stays.
+    /// flight. Otherwise this process keeps the connection.
     fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
         let awaited = client.awaited_request();
-        let is_unsettled = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
-        let can_go = client.is_reading() || awaited.is_some();
-        if is_unsettled || !connection.outbox.is_empty() || !can_go {
+        let is_in_flight = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
+        let is_transferable = client.is_reading() || awaited.is_some();
+        if is_in_flight || !connection.outbox.is_empty() || !is_transferable {
             return self.reactor.put(token, connection, Role::Client(client));
         }
         let mut transferred = client.to_transferred();
@@ -136,7 +136,7 @@
             self.reactor.unwatch(&connection.stream);
             return self.clients.release(&mut context!(self), token, connection, client);
         }
-        // The link is full or closed: the request stays here, under a new number.
+        // The link is full or closed: this process keeps the request, under a new id.
         if let (HandoverMessage::Client(transferred), Some(raw)) = (message, raw)
             && let Some(exchange) = transferred.request
             && let Some(request_id) = self.core.adopt(exchange.request, Downstream::Connection(token).to_id())
@@ -147,7 +147,8 @@
         self.reactor.put(token, connection, Role::Client(client));
     }
 
-    /// Takes a request out of the core, to be handed over with its client's connection.
+    /// Removes a request from the core, to be handed over with its client's connection. Returns `None` if the request is unknown
+    /// or the core cannot release it.
     fn release_request(
         &mut self,
         request_id: RequestId,
@@ -164,7 +165,7 @@
         Some(ReleasedRequest { exchange, raw })
     }
 
-    /// Hands over an idle connection to a worker; any other connection stays.
+    /// Hands over a connection to a worker if the connection is idle. Otherwise this process keeps it.
     fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
         let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
         let worker = upstream.idle_worker().filter(|_| is_unused);
@@ -184,7 +185,7 @@
         self.reactor.put(token, connection, Role::Upstream(upstream));
     }
 
-    /// Hands over jobs of the event streams; their watchers reconnect to the successor.
+    /// Hands over the jobs of the event streams. Their watchers reconnect to the successor.
     fn transfer_jobs(&mut self) {
         for job in self.stream_jobs() {
             let Some(released) = self.release_job(job) else { continue };
@@ -195,7 +196,7 @@
                 self.pending.remove(request_id);
             }
             if !is_sent && let HandoverMessage::Job(job) = message {
-                return self.adopt_job(job, released.raw); // the link is full or closed: the job stays here
+                return self.adopt_job(job, released.raw); // the link is full or closed: this process keeps the job
             }
         }
     }
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of the process: signals, graceful shutdown, drain, reload of the configuration, hot restart.
 //!
-//! Each of these affects most parts, client connections above all. Therefore their steps are methods of the server; their
-//! state is in [`Lifecycle`] and [`hot_restart::HotRestart`].
+//! Each of these affects most parts of the server, especially client connections. Therefore their steps are methods of
+//! [`Server`](crate::server::Server); their state is in [`Lifecycle`] and [`hot_restart::HotRestart`].
 
 mod drain;
 pub(in crate::server) mod hot_restart;
@@ -13,12 +13,13 @@
 use crate::policy::interface::Micros;
 use crate::server::peers::PeerLink;
 
-/// Whether this process is draining, shutting down or being replaced, and its progress. Only this module writes it.
+/// Whether this process is draining, shutting down or being replaced, and how far that has progressed. Only this module and its
+/// submodules write it.
 #[derive(Default)]
 pub(in crate::server) struct Lifecycle {
     /// The plan of the shutdown, once a shutdown has been requested.
     shutdown: Option<ShutdownPlan>,
-    /// While shutting down: the time since which nothing is left to do.
+    /// While shutting down: the time since which no work has been left.
     quiescent_since: Option<Micros>,
     /// The start of the drain; `None` while not draining.
     drained_since: Option<Micros>,
@@ -56,13 +57,13 @@
         self.has_handed_over
     }
 
-    /// Whether clients keep their connections. They do while this dispatcher serves, and while it shuts down for as long as no
-    /// other dispatcher could take them (at most until the plan's `keep_clients_until`). During a drain they do not.
+    /// Whether client connections are kept open. They are while this dispatcher serves, and during a shutdown while no other
+    /// dispatcher could take the clients (at most until the plan's `keep_clients_until`). During a drain they are not.
     pub fn keeps_client_connections(&self, now: Micros, peers: &PeerLink) -> bool {
         if self.has_handed_over {
-            return true; // they are handed over to the successor unchanged
+            return true; // open connections are handed over to the successor
         }
-        let is_held = |plan: ShutdownPlan| now < plan.keep_clients_until && peers.have_all_stopped();
-        self.drained_since.is_none() && self.shutdown.is_none_or(is_held)
+        let keeps_clients = |plan: ShutdownPlan| now < plan.keep_clients_until && peers.have_all_stopped();
+        self.drained_since.is_none() && self.shutdown.is_none_or(keeps_clients)
     }
 }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -1,9 +1,9 @@
-//! Signals, and the reload of the configuration at SIGHUP.
+//! The handling of signals, and the reload of the configuration at SIGHUP.
 //!
-//! 1. The configuration is read again and checked, also by the membership and the core. An invalid one changes nothing.
-//! 2. The core takes the new settings, then the network side takes its budget and classes.
-//! 3. If the peers have changed, this dispatcher takes its place among them anew. If discovery has moved, the calls to the old
-//!    service are dropped and the new service is called.
+//! 1. The configuration is read again and validated, also by the membership and the core. An invalid one changes nothing.
+//! 2. The core applies the new settings, then the server computes its descriptor budget from the new limits.
+//! 3. If the peers or this dispatcher's place have changed, the peer link is renumbered and the membership restarts. If the
+//!    address of discovery has changed, the calls to the old service are closed and the new service is called.
 
 use crate::config::{Config, ConfigError};
 use crate::core::watch_liveness::DiscoverySettings;
@@ -17,13 +17,13 @@
 /// Why a new configuration was rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// It cannot be read, or it is invalid.
+    /// The configuration cannot be read, or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The membership cannot start under it.
+    /// The membership cannot start with the configuration.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The policy did not accept the settings.
+    /// The policy rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -36,13 +36,13 @@
             self.start_shutdown();
             self.membership.leave(&mut context!(self), &mut self.discovery);
         }
-        // A reload is taken while shutting down too: endpoint lists still count until the end.
+        // The configuration is reloaded during a shutdown too, because endpoint lists are needed until its end.
         if self.signals.take_reload() {
             self.reload();
         }
     }
 
-    /// Reads the configuration again. An invalid one is logged and counted, and changes nothing.
+    /// Reloads the configuration. An invalid one is logged and counted, and changes nothing.
     fn reload(&mut self) {
         match self.load_new_config() {
             Ok(config) => self.apply_config(config),
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Reads and checks the new configuration, and lets the core take its settings.
+    /// Reads and validates the new configuration, and applies its settings to the core.
     ///
     /// # Errors
-    /// If it cannot be read, or the membership or the core rejects it.
+    /// If the configuration cannot be read, or the membership or the core rejects it.
     fn load_new_config(&mut self) -> Result<Config, ReloadError> {
         let mut config = self.config.reload(self.core.names())?;
         let names = std::mem::take(&mut config.names);
@@ -65,7 +65,7 @@
         Ok(config)
     }
 
-    /// Switches the network side to a configuration whose settings the core has taken.
+    /// Switches the rest of the server to a configuration whose settings the core has applied.
     fn apply_config(&mut self, config: Config) {
         self.metrics.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -1,9 +1,10 @@
-//! Graceful shutdown. Connections keep arriving for a while after the signal, and every request that arrives is owed a response.
+//! Graceful shutdown. Connections keep arriving for a while after the signal, and every request that arrives must be answered.
 //!
 //! 1. At the signal a plan is made from the deadlines of the classes, and the peers are notified.
 //! 2. From `close_idle_at` on, idle client connections are closed, unless no other dispatcher could take those clients.
 //! 3. At `give_up_at`, every request that is still open fails.
-//! 4. From `arrivals_end_at` on, or after a handover, the loop ends once nothing has been left to do for a moment.
+//! 4. From `arrivals_end_at` on, or after a handover, the event loop ends once no work has been left for
+//!    [`MIN_IDLE_BEFORE_CLOSE`].
 
 use crate::core::shutdown_plan::ShutdownPlan;
 use crate::policy::interface::{ClassId, Micros};
@@ -18,11 +19,12 @@
 
 /// The interval between two steps of a shutdown or drain, in microseconds.
 pub(super) const STEP_INTERVAL: Micros = 25_000;
-/// Connections that are still busy this long after the plan's end, in microseconds, are dropped.
+/// How long after the plan's `give_up_at` the shutdown still waits for busy connections, in microseconds. After that they are
+/// dropped.
 const MAX_OVERTIME: Micros = STEP_INTERVAL * 8;
 
 impl Server {
-    /// Starts the shutdown, unless it has started.
+    /// Starts the shutdown, unless this process is shutting down already.
     pub(in crate::server) fn start_shutdown(&mut self) {
         if self.lifecycle.is_shutting_down() {
             return;
@@ -35,20 +37,21 @@
 
     /// Returns the plan of a shutdown that starts now.
     fn plan_shutdown(&self) -> ShutdownPlan {
-        let is_named = |number: usize| self.core.names().is_current_class(ClassId(number as u16));
+        let is_current = |number: usize| self.core.names().is_current_class(ClassId(number as u16));
         let deadlines = || self.config.settings.classes.iter().map(|class| class.deadline).enumerate();
-        let named = deadlines().filter(|(number, _)| is_named(*number));
-        let longest_named = named.map(|(_, deadline)| deadline).max();
+        let current = deadlines().filter(|(number, _)| is_current(*number));
+        let longest_current = current.map(|(_, deadline)| deadline).max();
         let longest = deadlines().map(|(_, deadline)| deadline).max();
-        ShutdownPlan::new(self.clock.now(), longest_named.unwrap_or(0), longest.unwrap_or(0))
+        ShutdownPlan::new(self.clock.now(), longest_current.unwrap_or(0), longest.unwrap_or(0))
     }
 
-    /// The shutdown timer has fired: takes the steps of the plan that are due, and sets the timer again unless all is done.
+    /// The shutdown timer has fired: takes the steps of the plan that are due, and sets the timer again unless the shutdown is
+    /// complete.
     pub(in crate::server) fn on_shutdown_timer(&mut self) {
         let Some(plan) = self.lifecycle.shutdown else { return };
         let keeps_clients = self.lifecycle.keeps_client_connections(self.clock.now(), &self.peers);
         if self.clock.now() >= plan.close_idle_at && !keeps_clients {
-            // Workers send callbacks until the last job is done.
+            // Workers send status callbacks until the last job has ended.
             let which = match self.core.ledger().open() {
                 0 => IdleClients::All,
                 _ => IdleClients::WithoutCallbacks,
@@ -62,7 +65,7 @@
         let may_end =
             self.lifecycle.has_handed_over || self.clock.now() >= plan.arrivals_end_at && !keeps_clients;
         if may_end && self.is_quiescent(plan) {
-            // A client whose last connection has just ended may come back with a new one.
+            // A client whose last connection has just ended may open a new one.
             let since = *self.lifecycle.quiescent_since.get_or_insert(self.clock.now());
             if self.clock.now() >= since + MIN_IDLE_BEFORE_CLOSE {
                 tracing::info!(open = self.core.ledger().open(), "shutdown complete");
@@ -75,7 +78,7 @@
         self.core.set_timer(self.clock.now() + STEP_INTERVAL, SHUTDOWN_TIMER);
     }
 
-    /// Returns whether nothing is left to answer or to read. It first accepts the connections that wait in the kernel's queues.
+    /// Returns whether nothing is left to answer or to read. First accepts the connections that wait in the listeners' backlogs.
     fn is_quiescent(&mut self, plan: ShutdownPlan) -> bool {
         if !self.lifecycle.has_handed_over {
             self.accept_clients(ListenerKind::Platform);
--- a/src/server/lifecycle/signals.rs
+++ b/src/server/lifecycle/signals.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The requests that signals have made. Each signal raises its flag before it wakes the loop, so that two signals close
-/// together, in either order, are both seen. The loop is woken through a pipe, not a socket pair: on the fleet's bench only
-/// TCP and UDP sockets over IPv4 may be created (STANDING, "In step with the bench").
+/// The reloads and shutdowns that signals have requested. Each signal sets its flag before it wakes the event loop, so that two
+/// signals in quick succession, in either order, are both handled. The loop is woken through a pipe and not through a socket
+/// pair, because some environments allow a process to create only TCP and UDP sockets over IPv4.
 pub(in crate::server) struct Signals {
     woken: OwnedFd,
     is_reload_requested: Arc<AtomicBool>,
@@ -20,7 +20,7 @@
     /// Installs the handlers of SIGHUP (reload), SIGTERM and SIGINT (shutdown), and SIGXFSZ (ignored).
     ///
     /// # Errors
-    /// If the system gives no pipe or refuses a handler.
+    /// If the system cannot create the pipe or install a handler.
     pub fn register() -> std::io::Result<Signals> {
         let (woken, waker) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
         let is_reload_requested = Arc::<AtomicBool>::default();
@@ -30,27 +30,27 @@
             (SIGTERM, &is_shutdown_requested),
             (SIGINT, &is_shutdown_requested),
         ];
-        for (signal, raised) in handled {
-            flag::register(signal, raised.clone())?;
+        for (signal, is_requested) in handled {
+            flag::register(signal, is_requested.clone())?;
             pipe::register(signal, waker.try_clone()?)?;
         }
-        // If a file reaches its size limit, the write fails and the program continues.
+        // With SIGXFSZ handled, a write beyond the file size limit returns an error and does not end the process.
         flag::register(SIGXFSZ, Arc::default())?;
         Ok(Signals { woken, is_reload_requested, is_shutdown_requested })
     }
 
-    /// Empties the pipe, so that the next signal wakes the loop again.
+    /// Empties the pipe, so that the next signal wakes the event loop again.
     pub fn clear_wakeups(&self) {
         let mut buffer = [0; 64];
         while matches!(rustix::io::read(&self.woken, &mut buffer), Ok(read) if read > 0) {}
     }
 
-    /// Whether a shutdown has been requested since this was called last.
+    /// Returns whether a shutdown has been requested since the last call of this function.
     pub fn take_shutdown(&self) -> bool {
         self.is_shutdown_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether a reload has been requested since this was called last.
+    /// Returns whether a reload has been requested since the last call of this function.
     pub fn take_reload(&self) -> bool {
         self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
