--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -1,5 +1,6 @@
-//! The driver of [`Fleet`]. Its datagrams use the peer socket, and its timer is one of the core's. Membership changes and facts
-//! go to the decision module, the learners and the pacing of discovery calls. The view goes to the log and the admin page.
+//! The driver of [`Fleet`], the state machine of the membership. The fleet's datagrams use the peer socket, and its timer is a
+//! timer of the core. Membership changes and facts are passed to the decision module, the learners and the pacing of discovery
+//! calls. Changes of the view are logged, and the admin page shows the view.
 
 use crate::config::Config;
 use crate::fleet::{Fleet, FleetError, FleetOutput, FleetSettings, Learners, OutgoingFact, ProcessIdentity};
@@ -12,18 +13,18 @@
 use mothproxy_membership::{Change, Member, View};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The state machine of the fleet, its timer, and the time when the learners publish next.
+/// The fleet, its timer, and the time when the learners publish next.
 pub(in crate::server) struct MembershipLink {
     fleet: Fleet,
     timer: TimerSlot,
     next_publish: Option<Micros>,
 }
 
-/// Creates the identity of a process that starts, or restarts, now at its place in a configuration. Its epoch is the Unix time
-/// in milliseconds.
+/// Creates the identity of a process that now starts, or restarts its membership, at its place in a configuration. The epoch is
+/// the Unix time in milliseconds.
 fn new_identity(config: &Config) -> ProcessIdentity {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-    // A dispatcher without an address for datagrams cannot hear any peer.
+    // A dispatcher without an address for datagrams cannot receive from any peer.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
     ProcessIdentity {
         place: config.settings.own_index,
@@ -33,13 +34,14 @@
     }
 }
 
-/// Creates the learners that the settings name, for a process that starts now.
+/// Creates the learners that the settings enable, for a process that starts now.
 pub(in crate::server) fn new_learners(settings: &FleetSettings, config: &Config, now: Micros) -> Learners {
     Learners::new(settings, new_identity(config), now)
 }
 
 impl MembershipLink {
-    /// Starts the parts that are on. If the configuration lacks what they need, they stay off, and a log line says why.
+    /// Starts the parts of the fleet that the settings enable. If the configuration does not permit them, they stay off and the
+    /// reason is logged.
     pub(in crate::server) fn open(settings: FleetSettings, config: &Config, now: Micros) -> MembershipLink {
         let fleet = Fleet::new(settings, new_identity(config), now).unwrap_or_else(|error| {
             tracing::warn!(%error, "membership disabled: configuration does not fit");
@@ -48,7 +50,7 @@
         MembershipLink { fleet, timer: TimerSlot::new(FLEET_TIMER), next_publish: Some(now) }
     }
 
-    /// The believed states of all places, if membership is on.
+    /// This process's view of the states of all places; `None` if membership is off.
     pub(in crate::server) fn view(&self) -> Option<&View> {
         self.fleet.view()
     }
@@ -58,7 +60,7 @@
         self.fleet.publish(now, fact);
     }
 
-    /// Handles a datagram if it belongs to the fleet. Returns whether it does.
+    /// Handles a datagram if it is a message of the fleet. Returns whether it is.
     pub(in crate::server) fn on_datagram(
         &mut self,
         context: &mut Context<'_>,
@@ -74,7 +76,7 @@
         is_accepted
     }
 
-    /// The fleet's timer has fired: runs the fleet, and publishes what the learners have learned if that is due.
+    /// The fleet's timer has fired: advances the fleet, and publishes the learners' facts if that is due.
     pub(in crate::server) fn on_timer(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         let now = context.now();
         self.timer.on_fired();
@@ -85,7 +87,7 @@
         self.apply_outputs(context, discovery);
     }
 
-    /// Publishes the learners' facts about jobs, and notes when they publish next.
+    /// Publishes the learners' facts about jobs, and records when they publish next.
     fn publish_learned(&mut self, now: Micros, learners: &mut Learners) {
         for fact in learners.publish(now) {
             self.fleet.publish(now, &fact);
@@ -93,7 +95,7 @@
         self.next_publish = learners.next_publish(now);
     }
 
-    /// Announces to the other members that this dispatcher leaves, unless another process has taken over its place.
+    /// Announces to the other members that this dispatcher leaves, unless a successor has taken over its place.
     pub(in crate::server) fn leave(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         if !context.lifecycle.has_handed_over() {
             self.fleet.announce_leave(context.now());
@@ -101,22 +103,22 @@
         }
     }
 
-    /// Stops acting as a member, because another process acts for this place from now on.
+    /// Stops acting as a member, because the successor acts for this place from now on.
     pub(in crate::server) fn suspend(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         self.fleet.suspend();
         self.apply_outputs(context, discovery);
     }
 
-    /// Checks whether the parts that are on could restart under this configuration.
+    /// Checks whether the enabled parts of the fleet could restart with this configuration.
     ///
     /// # Errors
-    /// If the configuration lacks what they need.
+    /// If the configuration does not permit them.
     pub(in crate::server) fn check_restart(&self, config: &Config, now: Micros) -> Result<(), FleetError> {
         self.fleet.check_restart(new_identity(config), now)
     }
 
-    /// Restarts with a new epoch, because the peers have changed or the process that acted for this place has ended. Does nothing
-    /// after a handover.
+    /// Restarts the membership with a new epoch, because the peers have changed or the successor that acted for this place has
+    /// ended. Has no effect while a successor acts for this place.
     pub(in crate::server) fn restart(&mut self, context: &mut Context<'_>, discovery: &mut DiscoveryClient) {
         if context.lifecycle.has_handed_over() {
             return;
@@ -124,12 +126,15 @@
         let (identity, now) = (new_identity(context.config), context.now());
         let restarted = self.fleet.restart(identity, now);
         context.core.learners_mut().restart(identity, now);
-        mothproxy_invariant::invariant!(restarted.is_ok(), "a configuration that was checked");
+        mothproxy_invariant::invariant!(
+            restarted.is_ok(),
+            "membership rejects a configuration that it has checked"
+        );
         self.apply_outputs(context, discovery);
     }
 
-    /// Applies the outputs of the fleet, and sets its timer. Facts of other members may concern the pacing of `discovery`, which
-    /// publishes facts in return.
+    /// Applies the outputs of the fleet, and sets its timer. Facts of other members are also passed to the pacing of `discovery`,
+    /// which may publish facts of its own in response.
     pub(in crate::server) fn apply_outputs(
         &mut self,
         context: &mut Context<'_>,
@@ -155,14 +160,14 @@
         self.update_timer(context);
     }
 
-    /// Sets the timer to the time when the fleet or the next publication is due.
+    /// Sets the timer to the earlier of the fleet's next timeout and the learners' next publication.
     fn update_timer(&mut self, context: &mut Context<'_>) {
         let next_publish = self.next_publish.filter(|_| self.fleet.can_publish());
         let wake = self.fleet.next_wake(context.now()).into_iter().chain(next_publish).min();
         self.timer.set(context.core, wake);
     }
 
-    /// The page of the members as this process sees them, if membership is on.
+    /// The admin page of the members as this process sees them; `None` if membership is off.
     pub(in crate::server) fn members_page(&self, config: &Config, now: Micros) -> Option<MembersPage> {
         let (view, membership_metrics) = self.fleet.view().zip(self.fleet.metrics())?;
         let row = |(place, member): (u16, &Member)| MemberRow {
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,8 +1,8 @@
 //! The datagram socket between dispatchers. Each dispatcher announces whether it serves or is about to stop. The messages of the
 //! decision module and of the membership use the same socket.
 //!
-//! [`PeerSocket`] sends for all of them. [`PeerLink`] holds the announced states. Datagrams that arrive are for several parts,
-//! so [`Server::on_peers_readable`] passes them on.
+//! [`PeerSocket`] sends the datagrams of all three. [`PeerLink`] holds the announced states. [`Server::on_peers_readable`]
+//! receives datagrams and passes each to the part that handles it.
 
 mod datagram;
 
@@ -18,13 +18,13 @@
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// How often the announcement that this dispatcher serves is repeated, because datagrams get lost, sometimes all of them for a
-/// while. During a shutdown the announcement that it stops is repeated until the end.
+/// How many times an announcement of this dispatcher's state is repeated, because datagrams get lost, sometimes all of them for
+/// a while. During a shutdown the announcement is repeated until the process ends.
 const MAX_REPEATS: u32 = 4;
-/// The time from one announcement of this dispatcher's state to the next, in microseconds.
+/// The interval between two announcements of this dispatcher's state, in microseconds.
 const REPEAT_INTERVAL: Micros = 150_000;
 
-/// The socket, and the addresses of the dispatchers.
+/// The peer socket, and the places of the dispatchers by their addresses.
 pub(in crate::server) struct PeerSocket {
     socket: Option<UdpSocket>,
     places: HashMap<SocketAddr, u32>,
@@ -36,11 +36,11 @@
     bytes: &'a [u8],
 }
 
-/// A datagram that is too long, or did not come from a dispatcher.
+/// A datagram that is too long, or whose sender is not a configured dispatcher.
 struct BadDatagram;
 
 impl PeerSocket {
-    /// Opens the socket to the dispatchers of a configuration. Uses the inherited socket if it has the configured address,
+    /// Opens the peer socket for the dispatchers of a configuration. Uses the inherited socket if it has the configured address,
     /// otherwise binds a new one.
     ///
     /// # Errors
@@ -61,12 +61,13 @@
         Ok(PeerSocket { socket, places: places_by_address(&config.peers) })
     }
 
-    /// The socket, if datagrams are on.
+    /// The socket; `None` if the configuration has no address for datagrams.
     pub(in crate::server) fn socket(&self) -> Option<&UdpSocket> {
         self.socket.as_ref()
     }
 
-    /// Sends a datagram, which may get lost. One that is longer than [`MAX_DATAGRAM`] is not sent.
+    /// Sends a datagram to the dispatcher at place `to`. Delivery is not guaranteed. A datagram longer than [`MAX_DATAGRAM`] is
+    /// not sent.
     pub(in crate::server) fn send(&self, config: &Config, to: u32, bytes: &[u8]) {
         let address = config.peers.get(to as usize).filter(|_| bytes.len() <= MAX_DATAGRAM);
         if let Some((socket, address)) = self.socket.as_ref().zip(address) {
@@ -88,9 +89,9 @@
 /// The announced states of the other dispatchers, and the announcements of this one.
 pub(in crate::server) struct PeerLink {
     lifecycle: PeerLifecycle,
-    /// When the last decision-module message of each other dispatcher arrived.
+    /// When the last decision-module message of each other dispatcher arrived, by the dispatcher's place.
     last_message_at: HashMap<u32, Micros>,
-    /// How often this dispatcher's state is still to be repeated.
+    /// How many more times the announcement of this dispatcher's state is repeated.
     repeats_left: u32,
 }
 
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Switches to the dispatchers of another configuration, for the socket too. The announced state of a dispatcher moves to
+    /// Switches this link and `socket` to the dispatchers of another configuration. The announced state of a dispatcher moves to
     /// the place that has its address in the new configuration.
     pub(in crate::server) fn renumber(
         &mut self,
@@ -120,7 +121,7 @@
         self.last_message_at = messages.filter_map(|(old, at)| Some((new_place(old)?, at))).collect();
     }
 
-    /// Whether every other dispatcher that reports to this one has announced that it stops.
+    /// Whether every dispatcher that sends its announcements to this one has announced that it stops.
     pub(in crate::server) fn have_all_stopped(&self) -> bool {
         self.lifecycle.are_all_stopping()
     }
@@ -140,23 +141,23 @@
         if !context.lifecycle.has_handed_over() {
             self.announce(context, state);
         }
-        // A process that has just started, and may not use its known list yet, asks its peer group when the predecessor was
-        // last heard: see `PeerDatagram::LastHeard`.
+        // A process that has just started, and must not use its known list yet, announces itself to its peer group too. The
+        // peers answer when they last received a message of the predecessor: see `PeerDatagram::LastMessageAge`.
         if context.core.endpoints().is_stale() && !self.lifecycle.is_small() {
-            let question = PeerDatagram::Serving.encode();
-            context.core.peer_group().iter().for_each(|to| context.send_to_peer(*to, &question));
+            let announcement = PeerDatagram::Serving.encode();
+            context.core.peer_group().iter().for_each(|to| context.send_to_peer(*to, &announcement));
         }
         context.core.set_timer(context.clock.now() + REPEAT_INTERVAL, PEER_TIMER);
     }
 
-    /// Sends a datagram to each dispatcher that this one reports to. In a small fleet it uses the address that reaches all of
-    /// them, if there is one.
+    /// Sends a datagram to each neighbor of this dispatcher. In a small fleet the datagram is sent to the address that reaches
+    /// all dispatchers, if one is configured.
     fn announce(&self, context: &Context<'_>, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let (peer_socket, config) = (context.peer_socket, context.config);
         let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
         match peer_socket.socket.as_ref().zip(shared_address) {
-            // A datagram may get lost anyway, so a failure to send it is ignored.
+            // Delivery is not guaranteed anyway, so a failure to send is ignored.
             Some((socket, address)) => drop(socket.send_to(&bytes, address)),
             None => {
                 let neighbors = self.lifecycle.neighbors().into_iter();
@@ -165,7 +166,7 @@
         }
     }
 
-    /// The peer timer has fired: repeats the announcement if it is still to be repeated.
+    /// The peer timer has fired: repeats the announcement if this dispatcher is shutting down or repeats are left.
     pub(in crate::server) fn on_timer(&mut self, context: &mut Context<'_>) {
         if context.lifecycle.is_shutting_down() || self.repeats_left > 0 {
             self.repeats_left = self.repeats_left.saturating_sub(1);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Another dispatcher has announced that it serves; it may have just started.
+    /// Another dispatcher, which may have just started, has announced that it serves.
     fn on_serving(&mut self, context: &Context<'_>, from: u32) {
         self.lifecycle.on_serving(from);
         // A dispatcher that has just started cannot know which others are about to stop.
@@ -182,7 +183,7 @@
         }
         if let Some(at) = self.last_message_at.get(&from) {
             let age_ms = u32::try_from(context.now().saturating_sub(*at) / MICROS_PER_MS).unwrap_or(u32::MAX);
-            context.send_to_peer(from, &PeerDatagram::LastHeard { age_ms }.encode());
+            context.send_to_peer(from, &PeerDatagram::LastMessageAge { age_ms }.encode());
         }
     }
 
@@ -203,7 +204,7 @@
 }
 
 impl Server {
-    /// Receives datagrams. They are for the peers' lifecycle, discovery, the membership or the decision module.
+    /// Receives the datagrams that have arrived, at most [`MAX_ACCEPTS_PER_TURN`] in one iteration of the event loop.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
         for _ in 0..MAX_ACCEPTS_PER_TURN {
@@ -215,16 +216,16 @@
         }
     }
 
-    /// Passes a datagram to the part that it is for.
+    /// Passes a datagram to the part that handles it: the peers' lifecycle, discovery, the membership or the decision module.
     fn on_peer_datagram(&mut self, from: u32, bytes: &[u8]) {
         let context = &mut context!(self);
         match PeerDatagram::decode(bytes) {
             PeerDatagram::Serving => self.peers.on_serving(context, from),
             PeerDatagram::Stopping => self.peers.lifecycle.on_stopping(from),
-            PeerDatagram::LastHeard { age_ms } => {
+            PeerDatagram::LastMessageAge { age_ms } => {
                 let now = context.now();
-                let heard_at = now.saturating_sub(Micros::from(age_ms) * MICROS_PER_MS);
-                self.discovery.on_predecessor_seen(context.core, now, heard_at);
+                let predecessor_seen_at = now.saturating_sub(Micros::from(age_ms) * MICROS_PER_MS);
+                self.discovery.on_predecessor_seen(context.core, now, predecessor_seen_at);
             }
             PeerDatagram::Message(message) => {
                 if !self.membership.on_datagram(context, &mut self.discovery, from, message) {
--- a/src/server/peers/datagram.rs
+++ b/src/server/peers/datagram.rs
@@ -6,19 +6,19 @@
 
 const SERVING: u8 = b'U';
 const STOPPING: u8 = b'S';
-const LAST_HEARD: u8 = b'H';
+const LAST_MESSAGE_AGE: u8 = b'H';
 
-/// A datagram of the peer socket. Each of the first three variants has one exact length; any other datagram is a message.
+/// A datagram of the peer socket. Each of the first three variants has a fixed length; any other datagram is a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::server) enum PeerDatagram<'a> {
-    /// The sender serves from now on: the one byte `U`.
+    /// The sender serves from now on. Encoded as the byte `U`.
     Serving,
-    /// The sender is about to stop: the one byte `S`.
+    /// The sender is about to stop. Encoded as the byte `S`.
     Stopping,
-    /// The answer to [`PeerDatagram::Serving`]: how long ago its sender last received a message of the decision module from the
-    /// receiver's place. The byte `H` and four bytes, most significant first.
-    LastHeard {
-        /// In milliseconds.
+    /// The answer to [`PeerDatagram::Serving`]: how long ago the answering dispatcher last received a message of the decision
+    /// module from the receiver's place. Encoded as the byte `H` and the age in four bytes, big-endian.
+    LastMessageAge {
+        /// The time since that message arrived, in milliseconds.
         age_ms: u32,
     },
     /// A message of the decision module or of the membership.
@@ -26,12 +26,14 @@
 }
 
 impl<'a> PeerDatagram<'a> {
-    /// Decodes a datagram. This cannot fail: an unknown datagram is a message.
+    /// Decodes a datagram. Decoding cannot fail, because a datagram of unknown form is a message.
     pub(in crate::server) fn decode(bytes: &'a [u8]) -> PeerDatagram<'a> {
         match *bytes {
             [SERVING] => PeerDatagram::Serving,
             [STOPPING] => PeerDatagram::Stopping,
-            [LAST_HEARD, a, b, c, d] => PeerDatagram::LastHeard { age_ms: u32::from_be_bytes([a, b, c, d]) },
+            [LAST_MESSAGE_AGE, a, b, c, d] => {
+                PeerDatagram::LastMessageAge { age_ms: u32::from_be_bytes([a, b, c, d]) }
+            }
             _ => PeerDatagram::Message(bytes),
         }
     }
@@ -41,7 +43,9 @@
         match self {
             PeerDatagram::Serving => vec![SERVING],
             PeerDatagram::Stopping => vec![STOPPING],
-            PeerDatagram::LastHeard { age_ms } => [&[LAST_HEARD][..], &age_ms.to_be_bytes()].concat(),
+            PeerDatagram::LastMessageAge { age_ms } => {
+                [&[LAST_MESSAGE_AGE][..], &age_ms.to_be_bytes()].concat()
+            }
             PeerDatagram::Message(bytes) => bytes.to_vec(),
         }
     }
