--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! The content of the admin pages: a snapshot of the metrics of this process, and its view of its peers.
+//! The content of the admin pages: a snapshot of the metrics of this process, and the process's view of the other members.
 
 use crate::fleet::LearnersMetrics;
 use mothproxy_membership::Metrics as MemberMetrics;
@@ -8,73 +8,73 @@
 pub struct ClassMetrics {
     /// The name of the class.
     pub name: String,
-    /// Requests served.
+    /// The number of requests served.
     pub served: u64,
-    /// Requests rejected.
+    /// The number of requests rejected.
     pub rejected: u64,
-    /// Requests failed.
+    /// The number of requests failed.
     pub failed: u64,
 }
 
 /// The metrics of the idempotency store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdempotencyMetrics {
-    /// Keys with a record.
+    /// The number of keys with a record.
     pub keys: usize,
-    /// Records that could not be written.
+    /// The number of records that could not be written.
     pub failures: u64,
-    /// Repeats that were answered with a recorded result.
+    /// The number of repeated requests that were answered with a recorded result.
     pub repeats_answered: u64,
-    /// Repeats of requests that may have run. Each was either sent within its deduplication scope or failed.
+    /// The number of repeats of requests that may have run. Each was either sent within its deduplication scope or failed.
     pub repeats_bound: u64,
-    /// Keys evicted before they expired, because the store was full.
+    /// The number of keys evicted before they expired, because the store was full.
     pub evicted: u64,
 }
 
-/// The metrics of submitted jobs, whose events watchers follow on other connections.
+/// The metrics of submitted jobs and of the event streams of their watchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamMetrics {
-    /// Submitted jobs that are held.
+    /// The number of submitted jobs in memory.
     pub jobs: usize,
-    /// Watchers of these jobs.
+    /// The number of watchers of these jobs.
     pub watchers: usize,
-    /// Bytes that their events occupy.
+    /// The number of bytes that the events of these jobs occupy.
     pub bytes: usize,
-    /// Jobs submitted since the start.
+    /// The number of jobs submitted since the start.
     pub submitted: u64,
-    /// Events that were reported to watchers as missed.
+    /// The number of events that were reported to watchers as missed.
     pub missed: u64,
-    /// Progress events left out for slow watchers.
+    /// The number of progress events that were not sent to slow watchers.
     pub coalesced: u64,
-    /// Finished jobs evicted before they expired.
+    /// The number of finished jobs evicted before they expired.
     pub evicted: u64,
 }
 
-/// The state of one peer slot, as this process sees it.
+/// The state of the member at one place, as this process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRow {
-    /// The number of the slot.
+    /// The number of the place.
     pub place: u16,
-    /// The peer's address, as this process reaches it.
+    /// The address to which this process sends the member's datagrams.
     pub address: String,
-    /// `unknown`, `alive`, `suspect`, `dead` or `left`.
+    /// The member's state: `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// When its process started, in milliseconds of Unix time; 0 while unknown.
+    /// When the member's process started, in milliseconds of Unix time; 0 while unknown.
     pub epoch: u64,
-    /// How often the member itself has refuted a suspicion.
+    /// The number of suspicions that the member itself has refuted.
     pub incarnation: u32,
-    /// How long the state has lasted, in milliseconds.
+    /// How long the member has been in this state, in milliseconds.
     pub for_ms: u64,
 }
 
 /// The members of the peer group, as this process sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembersPage {
-    /// The slot of this process.
+    /// The place of this process.
     pub me: u32,
-    /// The version of the view; it grows by one with every change.
+    /// The version of the view, which grows by one with every change.
     pub version: u64,
-    /// All slots.
+    /// The members at all places, in their order.
     pub members: Vec<MemberRow>,
     /// The metrics of the membership protocol.
     pub membership_metrics: MemberMetrics,
@@ -83,26 +83,26 @@
 /// The metrics of this process, counted from its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MetricsSnapshot {
-    /// The metrics of each class, also of classes without requests.
+    /// The metrics of each class, including classes without requests.
     pub classes: Vec<ClassMetrics>,
-    /// Attempts whose last byte was written to a worker.
+    /// The number of attempts that were written to a worker up to the last byte.
     pub attempts_written: u64,
-    /// Accepted requests that are still open.
+    /// The number of accepted requests that are still open.
     pub open: u64,
-    /// Workers in the endpoint table.
+    /// The number of workers in the endpoint table.
     pub listed: usize,
-    /// Listed workers that the decision module sends nothing to.
+    /// The number of listed workers to which the decision module sends nothing.
     pub avoided: usize,
-    /// Configurations accepted at SIGHUP.
+    /// The number of configurations accepted at SIGHUP.
     pub reloads: u64,
-    /// Configurations refused at SIGHUP.
+    /// The number of configurations rejected at SIGHUP.
     pub bad_reloads: u64,
-    /// The idempotency store; `None` if it is off.
+    /// The metrics of the idempotency store; `None` if it is off.
     pub idempotency: Option<IdempotencyMetrics>,
-    /// Submitted jobs; `None` if the SSE listener is off.
+    /// The metrics of submitted jobs; `None` if the SSE listener is off.
     pub streams: Option<StreamMetrics>,
-    /// The members; `None` if membership is off.
+    /// The members and their states; `None` if membership is off.
     pub members: Option<MembersPage>,
-    /// What is learned of jobs and tenants.
+    /// The metrics of the learners of run times and of tenants' shares.
     pub learners: LearnersMetrics,
 }
--- a/src/protocol/admin/mod.rs
+++ b/src/protocol/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The protocol of the admin address, for operators and the platform: readiness, metrics and drain. Each connection carries one
-//! call. A 2xx response means yes, any other status no.
+//! call. A 2xx status means yes, any other status means no.
 
 mod metrics;
 mod pages;
@@ -13,13 +13,13 @@
 /// A call at the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Asks whether this process takes clients.
+    /// Asks whether this process accepts clients.
     Ready,
     /// Asks for the metrics.
     Counters,
     /// Asks for the members and their states, as this process sees them.
     Members,
-    /// Starts a drain: clients are asked to leave, and the process keeps running.
+    /// Starts a drain: client connections are closed while the process keeps running.
     OutOfService,
     /// Ends a drain.
     InService,
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -1,4 +1,5 @@
-//! The text of the admin pages. Scripts read the lines of the counters page and the keys of the members page.
+//! The text of the admin pages. Scripts parse the lines of the counters page and the keys of the members page, so both must stay
+//! unchanged.
 
 use super::{ClassMetrics, IdempotencyMetrics, MemberRow, MembersPage, MetricsSnapshot, StreamMetrics};
 use crate::fleet::LearnerMetrics;
@@ -10,17 +11,17 @@
 /// The states of a member, in the order of their lines on the counters page.
 const MEMBER_STATES: [&str; 5] = ["unknown", "alive", "suspect", "dead", "left"];
 
-/// The counters page, with one line for each metric: `dispatcher.NAME:VALUE|KIND`.
+/// The text of the counters page, with one line for each metric: `dispatcher.NAME:VALUE|KIND`.
 #[derive(Default)]
 struct CounterLines(String);
 
 impl CounterLines {
-    /// Adds a value that only grows.
+    /// Adds a value that never decreases.
     fn counter(&mut self, name: &str, value: u64) {
         self.line(name, value, 'c');
     }
 
-    /// Adds a value that goes up and down.
+    /// Adds a value that may increase and decrease.
     fn gauge(&mut self, name: &str, value: u64) {
         self.line(name, value, 'g');
     }
@@ -117,7 +118,7 @@
         + membership_metrics.refused_stale
 }
 
-/// The page of the peer group, as JSON.
+/// The page of the members, as JSON.
 pub fn members_page(members: &MembersPage) -> Vec<Piece> {
     let text = json!({
         "me": members.me,
@@ -167,12 +168,12 @@
     })
 }
 
-/// The page that says yes.
+/// The 200 response: this process is ready, or has carried out the call.
 pub fn ok_page() -> Vec<Piece> {
     page("200 OK", "text/plain", "yes\n".to_owned())
 }
 
-/// The page that says no, for now.
+/// The 503 response: this process is not ready, or cannot carry out the call.
 pub fn unavailable_page() -> Vec<Piece> {
     page("503 Service Unavailable", "text/plain", "no\n".to_owned())
 }
--- a/src/protocol/event_streams/framing.rs
+++ b/src/protocol/event_streams/framing.rs
@@ -1,4 +1,4 @@
-//! The events of a stream as bytes, and how they are framed on the connection.
+//! The encoding of a stream's events, and their framing on the connection.
 
 use crate::core::FinalResponse;
 use crate::http::Piece;
@@ -14,9 +14,9 @@
 /// How the bytes of a stream are framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFraming {
-    /// In chunks (RFC 9112, 7.1); the connection may stay open after the stream.
+    /// The chunked transfer coding (RFC 9112, 7.1); the connection may stay open after the stream.
     Chunked,
-    /// Without framing, up to the close of the connection: for HTTP/1.0.
+    /// No framing: the stream ends with the connection. Used for HTTP/1.0.
     UntilClose,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The end of the stream.
+    /// The bytes that end the stream.
     pub fn end(self) -> Vec<Piece> {
         match self {
             StreamFraming::Chunked => vec!["0\r\n\r\n".into()],
@@ -40,7 +40,7 @@
     }
 }
 
-/// The field that says how long a client waits before it reconnects to a lost stream. `delay` is in microseconds.
+/// The `retry` field, framed: how long a client waits before it reconnects to a lost stream. `delay` is in microseconds.
 pub fn retry(framing: StreamFraming, delay: Micros) -> Vec<Piece> {
     framing.frame(format!("retry: {}\n\n", delay / MICROS_PER_MS).into_bytes())
 }
@@ -53,8 +53,8 @@
     Rc::new(pieces.iter().flat_map(|piece| piece.bytes().iter().copied()).collect())
 }
 
-/// An event that says how many events the client has missed. It has no id, so that the client's last event id stays as it was
-/// and a reconnect skips no further events.
+/// An event that reports how many events the client has missed. The event has no id, so that the client's last event id is
+/// unchanged and a reconnect skips no further events.
 pub fn missed(framing: StreamFraming, count: u64) -> Vec<Piece> {
     framing.frame(write_event("missed", &json!({ "count": count }).to_string()))
 }
--- a/src/protocol/event_streams/mod.rs
+++ b/src/protocol/event_streams/mod.rs
@@ -1,6 +1,6 @@
-//! Submitted jobs on the SSE listener. A client submits a job with `Prefer: respond-async` (RFC 7240), and the job gets a path of
-//! its own. Its events are a stream at that path, to which a browser's `EventSource` can reconnect (HTML standard, "Server-sent
-//! events").
+//! Submitted jobs on the SSE listener. A client submits a job with `Prefer: respond-async` (RFC 7240), and the job is assigned a
+//! path. The events of the job are streamed at that path, to which a browser's `EventSource` can reconnect (HTML standard,
+//! "Server-sent events").
 
 mod framing;
 mod request;
--- a/src/protocol/event_streams/responses.rs
+++ b/src/protocol/event_streams/responses.rs
@@ -23,7 +23,8 @@
     )
 }
 
-/// The response to a CORS preflight: the allowed methods and headers, or 403 if `cors` is empty because the origin is not allowed.
+/// The response to a CORS preflight: the allowed methods and headers, or 403 if `cors` is empty because the origin is not
+/// allowed.
 pub fn preflight(cors: &str, keep_alive: bool) -> Vec<Piece> {
     let connection = connection_line(keep_alive);
     let head = if cors.is_empty() {
@@ -39,15 +40,15 @@
     vec![head.into()]
 }
 
-/// A plain-text response at a stream's path. `extra` holds further header lines; `has_body` is false for `HEAD`, whose response
-/// states the length of the text without the text itself.
+/// A plain-text response at a stream's path. `extra` holds further header lines. `has_body` is false for `HEAD`, whose response
+/// states the length of the text but does not include it.
 pub fn plain_text(status: &str, extra: &str, text: &str, keep_alive: bool, has_body: bool) -> Vec<Piece> {
     let head = plain_text_head(status, extra, text.len(), keep_alive);
     let body: Piece = if has_body { text.to_owned().into() } else { "".into() };
     vec![head, body]
 }
 
-/// The head of a plain-text response. A 204 response has no content and so no header lines about it.
+/// The head of a plain-text response. A 204 response has no content, so its head has no header lines about content.
 fn plain_text_head(status: &str, extra: &str, content_length: usize, keep_alive: bool) -> Piece {
     let connection = connection_line(keep_alive);
     let content = if status.starts_with("204") {
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -4,7 +4,7 @@
 
 const CONNECTION_CLOSE: &str = "Connection: close\r\n";
 
-/// The `Connection` header line of a response; empty where the connection stays open, the default of HTTP/1.1.
+/// The `Connection` header line of a response; empty if the connection stays open, which is the default of HTTP/1.1.
 pub(super) fn connection_line(keep_alive: bool) -> &'static str {
     if keep_alive { "" } else { CONNECTION_CLOSE }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The encoding of the protocols: parsed requests become events of the core, and responses of the core become bytes. All of it
-//! is pure functions, without sockets, clock or decisions.
+//! The encoding of the protocols: parsed requests become inputs of the core, and responses of the core become bytes. The module
+//! consists of pure functions, without sockets, clock or decisions.
 
 pub mod admin;
 pub mod event_streams;
--- a/src/protocol/names.rs
+++ b/src/protocol/names.rs
@@ -6,28 +6,28 @@
 pub const CLASS: &str = "X-Service-Class";
 /// Header: the tenant of a request.
 pub const TENANT: &str = "X-Account";
-/// Header: how long the client will wait, in milliseconds.
+/// Header: how long the client will wait for the response, in milliseconds.
 pub const TIME_LEFT: &str = "X-Time-Left-Ms";
 /// Header: `1` marks a client's retry.
 pub const REPEAT: &str = "X-Repeat";
-/// Header: the expected work in milliseconds, where clients know it.
+/// Header: the client's estimate of the work of a request, in milliseconds.
 pub const WORK_HINT: &str = "X-Weight-Hint";
-/// Header: further numbers about a request, as name=value pairs.
+/// Header: further numeric properties of a request, as name=value pairs.
 pub const FACTS: &str = "X-Facts";
-/// Header: the idempotency key of a request, where its class requires one.
+/// Header: the idempotency key of a request; required by some classes.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// Cookie: the object that a request concerns.
+/// Cookie: the key of the object that a request concerns.
 pub const OBJECT_COOKIE: &str = "obj";
 /// Header of a worker's response: its load report.
 pub const LOAD_REPORT: &str = "X-Backend-Load";
 /// Header of a worker's response: `1` says that the worker has not started the request.
 pub const UNPROCESSED: &str = "X-Unprocessed";
-/// Header: whether a submitted job ends once its stream has no watcher: `end` or `go-on`.
+/// Header: what happens to a submitted job once its stream has no watcher: `end` ends the job, `go-on` lets it continue.
 pub const UNWATCHED: &str = "X-Unwatched";
 
-/// Path: whether this dispatcher takes requests.
+/// Path: the readiness check, whether this dispatcher accepts clients.
 pub const READY_PATH: &str = "/up";
-/// Path: where workers send status callbacks.
+/// Path: the status callbacks of workers.
 pub const STATUS_CALLBACK_PATH: &str = "/_jobs/news";
 /// Path on a worker: its load report.
 pub const LOAD_PROBE_PATH: &str = "/metrics/load";
--- a/src/protocol/platform/callbacks.rs
+++ b/src/protocol/platform/callbacks.rs
@@ -1,4 +1,4 @@
-//! Status callbacks: a worker's reports on a job, as JSON.
+//! Status callbacks: a worker's reports on the status of a job, as JSON.
 
 use super::load_reports::load_report_from_json;
 use crate::config::SiteNames;
@@ -23,20 +23,20 @@
     pub id: String,
     /// The name of the worker; empty if the callback has none.
     pub from: String,
-    /// The job's status.
+    /// The status of the job.
     pub status: JobStatus,
     /// The worker's load report, if the callback has one.
     pub report: Option<LoadReport>,
 }
 
-/// Parses a status callback, or the data of a worker's stream event, whose name is then the `state`. Returns `None` if the JSON
-/// is malformed, the state is missing or unknown, or a done job has no result.
+/// Parses a status callback, or the data of an event of a worker's stream; `state` is then the name of the event. Returns `None`
+/// if the JSON is malformed, the state is missing or unknown, or a done job has no result.
 pub fn parse_status_callback(site: &SiteNames, json: &[u8], state: Option<&str>) -> Option<StatusCallback> {
     let object: StatusCallbackJson = serde_json::from_slice(json).ok()?;
     let status = match state.or(object.state.as_deref())? {
         "started" => JobStatus::Started,
         "running" | "progress" => JobStatus::Progress(object.share.unwrap_or(0.0).clamp(0.0, 1.0)),
-        "done" => JobStatus::Done(result_bytes(object.result?)), // a 200 response needs a worker's result
+        "done" => JobStatus::Done(result_bytes(object.result?)), // the result is the body of the 200 response
         "failed" => JobStatus::Failed,
         "returned" => JobStatus::Returned,
         "lost" => JobStatus::Lost,
@@ -51,7 +51,7 @@
     })
 }
 
-/// The bytes of a result: a string as it is, any other value as JSON.
+/// The bytes of a result: the text of a string, or the JSON encoding of any other value.
 fn result_bytes(result: serde_json::Value) -> Vec<u8> {
     match result {
         serde_json::Value::String(text) => text.into_bytes(),
--- a/src/protocol/platform/forwarding.rs
+++ b/src/protocol/platform/forwarding.rs
@@ -9,13 +9,13 @@
 /// Headers that are copied from the client's request, in addition to the request's id and idempotency key.
 const FORWARDED_HEADERS: [&str; 4] = ["content-type", names::CLASS, names::TENANT, "cookie"];
 
-/// The request that is forwarded to a worker, which has `time_left` (in microseconds) to answer. Method, target, id, key and body
-/// are the client's own bytes, shared without a copy.
+/// The request that is forwarded to a worker, which has `time_left` (in microseconds) to respond. The method, target, id, key and
+/// body share the bytes of the client's request without a copy.
 pub fn forwarded_request(request: &RawRequest, time_left: Micros) -> Vec<Piece> {
     let shared = |range: Range<usize>| Piece::Shared(request.bytes.clone(), range);
     let find = |name| request.head.fields.find(&request.bytes, name);
     let mut pieces = vec![shared(request.head.method.start..request.head.target.end)];
-    // These are `names::UPSTREAM_HOST`, `names::REQUEST_ID` and `names::IDEMPOTENCY_KEY`, spelled out to avoid allocations.
+    // `names::UPSTREAM_HOST`, `names::REQUEST_ID` and `names::IDEMPOTENCY_KEY` are written as literals to avoid allocations.
     pieces.push(" HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: ".into());
     pieces.extend(find(names::REQUEST_ID).map(shared));
     if let Some(key) = find(names::IDEMPOTENCY_KEY) {
@@ -46,7 +46,7 @@
     vec![get(names::LOAD_PROBE_PATH)]
 }
 
-/// The request for discovery's endpoint list. With `after`, it opens a watch of the changes since that generation.
+/// The request for discovery's endpoint list. With `after`, the request opens a watch of the changes since that generation.
 pub fn discovery_call(after: Option<u64>) -> Vec<Piece> {
     let query = after.map_or(String::new(), |version| format!("?stream=1&index={version}"));
     vec![get(&format!("{}{query}", names::ENDPOINT_LIST_PATH))]
--- a/src/protocol/platform/load_reports.rs
+++ b/src/protocol/platform/load_reports.rs
@@ -6,7 +6,7 @@
 use crate::policy::interface::LoadReport;
 use crate::protocol::names;
 
-/// The settings' name of a load value that a worker may send under a plain name. Any other name is returned unchanged.
+/// The name in the settings of a load value that a worker sends under a common name. Any other name is returned unchanged.
 fn settings_name(name: &str) -> &str {
     match name {
         "inflight" => "active",
--- a/src/protocol/platform/mod.rs
+++ b/src/protocol/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol. A client submits a job by one `POST` and gets one plain response. Workers send load reports and
+//! The platform's protocol. A client submits a job by one `POST` and receives one final response. Workers send load reports and
 //! status callbacks. Discovery serves the endpoint list.
 
 mod callbacks;
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -12,11 +12,11 @@
 
 /// The maximum length of a request id, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 128;
-/// Names of the expected work in milliseconds among the pairs of [`names::FACTS`].
+/// The names of the expected work in milliseconds among the pairs of [`names::FACTS`].
 const WORK_HINT_FACTS: [&str; 2] = ["hint", "HintMs"];
-/// Names of the slots that a request takes, among the same pairs.
+/// The names of the number of slots that a request occupies, among the pairs of [`names::FACTS`].
 const SLOTS_FACTS: [&str; 2] = ["slots", "Needs"];
-/// Names of the memory that a request takes, among the same pairs.
+/// The names of the memory that a request needs, among the pairs of [`names::FACTS`].
 const MEMORY_FACTS: [&str; 2] = ["memory", "MemNeeded"];
 
 /// The purpose of a request.
@@ -30,7 +30,7 @@
     Submit(NewRequest),
 }
 
-/// Finds the purpose of a request. `serves_platform` says whether this listener serves readiness checks and status callbacks.
+/// Finds the purpose of a request. `serves_platform` tells whether the listener serves readiness checks and status callbacks.
 ///
 /// # Errors
 /// The reason why the request is refused.
@@ -97,7 +97,7 @@
     if let Some(class) = site.class_id(class_name).filter(|class| usize::from(class.0) < classes.len()) {
         return Ok(class);
     }
-    // If path and header name the same unknown class, the request is bad. Any other path is simply not served.
+    // If path and header name the same unknown class, the request is malformed. Any other path is unknown.
     let is_unknown_class = !class_name.is_empty() && request.field(names::CLASS) == Some(class_name);
     Err(if is_unknown_class { Reject::BadRequest } else { Reject::NoSuchPath })
 }
@@ -137,7 +137,7 @@
 }
 
 fn parse_request_id(request: &RawRequest) -> Result<&str, Reject> {
-    // The id becomes a part of a path (`DELETE /jobs/ID`).
+    // The id becomes a path segment of the cancel request (`DELETE /jobs/ID`).
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     let id = request.field(names::REQUEST_ID).ok_or(Reject::BadRequest)?;
     if id.is_empty() || id.len() > MAX_REQUEST_ID_LENGTH || !id.bytes().all(is_unreserved) {
@@ -155,7 +155,8 @@
     site.tenant_id(name).map(Some).ok_or(Reject::BadRequest)
 }
 
-/// How long the client will wait. The header has whole milliseconds, up to [`u32::MAX`] (49 days, longer than any client waits).
+/// How long the client will wait, in microseconds; `None` if the request does not state it. The header holds whole milliseconds,
+/// up to [`u32::MAX`] (49 days, longer than any client waits).
 fn parse_time_left(request: &RawRequest) -> Result<Option<Micros>, Reject> {
     let Some(digits) = request.field(names::TIME_LEFT) else { return Ok(None) };
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -165,7 +166,7 @@
     Ok(Some(Micros::from(ms) * MICROS_PER_MS))
 }
 
-/// The expected work in milliseconds, if the client states it.
+/// The client's estimate of the work, in milliseconds; `None` if the request does not state it.
 fn parse_work_hint(request: &RawRequest) -> Result<Option<f64>, Reject> {
     let Some(text) = request.field(names::WORK_HINT) else { return Ok(None) };
     match text.parse::<f64>() {
@@ -174,7 +175,7 @@
     }
 }
 
-/// The object that the request's cookie names.
+/// The key of the object that the request concerns, from its cookie.
 fn object_cookie(request: &RawRequest) -> Option<&str> {
     let mut cookies = request.field("cookie")?.split(';').filter_map(|pair| pair.trim().split_once('='));
     cookies.find(|(name, _)| *name == names::OBJECT_COOKIE).map(|(_, value)| value)
--- a/src/protocol/raw_request.rs
+++ b/src/protocol/raw_request.rs
@@ -20,7 +20,7 @@
         &self.bytes[self.head.method.clone()]
     }
 
-    /// Path and query, as text.
+    /// The path and query, as text.
     pub(super) fn target(&self) -> Result<&str, Utf8Error> {
         std::str::from_utf8(&self.bytes[self.head.target.clone()])
     }
--- a/src/protocol/reject.rs
+++ b/src/protocol/reject.rs
@@ -1,23 +1,23 @@
-//! The reasons why a request is refused before it is accepted, and the status of each.
+//! The reasons why a request is refused before it becomes a job, and the HTTP status of each.
 
 use crate::http::HeadError;
 
-/// Why a request is refused. Each reason has one status.
+/// Why a request is refused. Each reason has one HTTP status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reject {
     /// 400: the request is malformed, or its class or tenant is unknown.
     BadRequest,
-    /// 404: nothing is served at this path.
+    /// 404: the path is unknown.
     NoSuchPath,
-    /// 405: the path allows only this method.
+    /// 405: the path allows only the method given here.
     WrongMethod(&'static str),
-    /// 408: the request was not complete in time.
+    /// 408: the request was not complete before its deadline.
     TooSlow,
-    /// 409: a request of this id is still open.
+    /// 409: a request with this id is still open.
     DuplicateId,
-    /// 411: the request states no length of its body.
+    /// 411: the request does not state the length of its body.
     NoLength,
-    /// 422: the idempotency key was given to a request with another body or class.
+    /// 422: the idempotency key was used for a request with another body or class.
     KeyReused,
     /// 413: the body is too large.
     BodyTooLarge,
@@ -29,7 +29,7 @@
     Overloaded,
     /// 503 to a readiness check: this dispatcher is not ready, or is about to stop.
     NotReady,
-    /// 505: the request is of an unsupported version of HTTP.
+    /// 505: the version of HTTP is not supported.
     Version,
 }
 
--- a/src/protocol/sse.rs
+++ b/src/protocol/sse.rs
@@ -8,14 +8,14 @@
 use crate::http::{Piece, events::write_event};
 use serde_json::json;
 
-/// Whether a request asks for a stream.
+/// Whether a request accepts an event stream as its response.
 pub fn wants_stream(request: &RawRequest) -> bool {
     let accept = request.field("accept").unwrap_or("");
     let mut media_types = accept.split(',').map(|item| item.split(';').next().unwrap_or("").trim());
     media_types.any(|media_type| media_type.eq_ignore_ascii_case("text/event-stream"))
 }
 
-/// The head of the response.
+/// The head of a response that is an event stream.
 pub fn head(keep_alive: bool) -> Vec<Piece> {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n";
     vec![head.into(), connection_line(keep_alive).into(), "Transfer-Encoding: chunked\r\n\r\n".into()]
@@ -30,7 +30,7 @@
     event("started", "{}")
 }
 
-/// The event that reports which fraction of the job is done, 0 to 1.
+/// The event that reports the completed fraction of the job, 0 to 1.
 pub fn progress(fraction: f64) -> Vec<Piece> {
     event("progress", &json!({ "share": fraction }).to_string())
 }
