--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses under each kind of framing (RFC 9112, 6.3).
+//! An incremental reader of message bodies under each kind of framing (RFC 9112, 6.3).
 
 use super::chunked::ChunkError;
 use super::{Chunked, Framing};
@@ -7,21 +7,21 @@
 /// The part of a body that has not been read yet.
 #[derive(Debug)]
 pub enum Body {
-    /// This many bytes are left.
+    /// A body of known length; this many bytes are left.
     Length(usize),
-    /// The rest of a chunked body, with the state of its decoder.
+    /// A chunked body, with the state of its decoder.
     Chunked(Chunked),
-    /// All bytes up to the close of the connection.
+    /// A body that ends when the connection is closed.
     UntilClose,
 }
 
 /// The body violates its framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the body does not keep to its framing")]
+#[error("the body violates its framing")]
 pub struct BodyError(#[from] ChunkError);
 
 impl Body {
-    /// The body of a response with this framing.
+    /// Creates the body of a response with this framing, of which nothing has been read yet.
     pub fn new(framing: Framing) -> Body {
         match framing {
             Framing::Length(length) => Body::Length(length),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether the body is complete. A body without framing never is: only the close of the connection completes it.
+    /// Whether the body is complete. A body without framing never is, because it ends with the connection.
     pub fn is_done(&self) -> bool {
         match self {
             Body::Length(remaining) => *remaining == 0,
--- a/src/http/chunked.rs
+++ b/src/http/chunked.rs
@@ -9,7 +9,7 @@
 
 /// The chunked coding is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the chunked coding is broken")]
+#[error("the chunked coding is malformed")]
 pub struct ChunkError;
 
 /// What the decoder reads next.
@@ -18,9 +18,9 @@
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// The data of a chunk; this many bytes are left.
+    /// The data of a chunk, of which this many bytes are left.
     Data(usize),
-    /// The end of line that follows the data of a chunk.
+    /// The line end that follows the data of a chunk.
     DataEnd,
     /// Trailer fields, up to a blank line.
     Trailer,
@@ -42,7 +42,7 @@
         matches!(self.state, State::Done)
     }
 
-    /// Appends the decoded bytes to `out`. Returns how many bytes of `input` belong to this body.
+    /// Decodes `input` and appends the decoded bytes to `out`. Returns how many bytes of `input` belong to this body.
     ///
     /// # Errors
     /// [`ChunkError`] if the coding is malformed or a line is too long. The decoder cannot be used after an error.
@@ -63,7 +63,7 @@
         Ok(input.len() - rest.len())
     }
 
-    /// Takes the next line without its line end. Buffers an incomplete line and returns `None`.
+    /// Removes the next line from `input` and returns it without its line end. Buffers an incomplete line and returns `None`.
     fn take_line(&mut self, input: &mut &[u8]) -> Result<Option<Vec<u8>>, ChunkError> {
         let end = input.iter().position(|byte| *byte == b'\n');
         let (piece, rest) = input.split_at(end.map_or(input.len(), |at| at + 1));
@@ -83,7 +83,7 @@
         Ok(Some(line))
     }
 
-    /// The state that follows a line outside a chunk's data.
+    /// Returns the state that follows a line outside a chunk's data.
     fn on_line(&self, line: &[u8]) -> Result<State, ChunkError> {
         match self.state {
             State::Size => match parse_size(line)? {
--- a/src/http/events.rs
+++ b/src/http/events.rs
@@ -1,8 +1,8 @@
-//! A parser and a writer of event streams (`text/event-stream`; WHATWG HTML standard, "Server-sent events").
+//! A parser and an encoder of event streams (`text/event-stream`; WHATWG HTML standard, "Server-sent events").
 
 use thiserror::Error;
 
-/// The maximum length of an event, in bytes; the longest result of a job fits.
+/// The maximum length of an event, in bytes. An event with the longest possible result of a job fits.
 const MAX_EVENT_LENGTH: usize = 2 * super::MAX_BODY;
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
@@ -13,13 +13,13 @@
     pub name: String,
     /// The event's data; its lines are joined by line feeds.
     pub data: String,
-    /// The stream's last event id when the event was dispatched. It applies to later events until the stream sends another id.
+    /// The stream's last event id when the event was dispatched. An id applies to later events until the stream sends another.
     pub id: String,
 }
 
 /// An event exceeds the maximum length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an event of the stream is too long")]
+#[error("an event of the stream is longer than {MAX_EVENT_LENGTH} bytes")]
 pub struct EventTooLarge;
 
 /// Parses an event stream whose bytes may arrive in pieces of any size.
@@ -27,13 +27,13 @@
 pub struct EventStream {
     /// The line that is being read.
     line: Vec<u8>,
-    /// Whether the last byte was a carriage return; a line feed after it belongs to the same line end.
+    /// Whether the last byte was a carriage return. A line feed after a carriage return belongs to the same line end.
     ended_with_cr: bool,
     /// Whether the first line has been read. Only that line may begin with a byte order mark.
     is_past_first_line: bool,
     /// The event that is being read.
     event: StreamEvent,
-    /// Whether the current event has any data; an event without data is not dispatched.
+    /// Whether the current event has a `data` field. An event without one is not dispatched.
     has_data: bool,
     last_event_id: String,
     retry_ms: Option<u64>,
@@ -70,7 +70,7 @@
         &self.last_event_id
     }
 
-    /// How long a client should wait before it reconnects, in milliseconds; `None` if the stream does not say.
+    /// How long a client should wait before it reconnects, in milliseconds; `None` if the stream has not sent a `retry` field.
     pub fn retry(&self) -> Option<u64> {
         self.retry_ms
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Encodes one event. Each line of the data takes its own `data` field.
+/// Encodes one event. Each line of the data is written as a `data` field of its own.
 pub fn write_event(name: &str, data: &str) -> Vec<u8> {
     let mut out = format!("event: {name}\n");
     for line in data.split(['\n', '\r']) {
--- a/src/http/fields.rs
+++ b/src/http/fields.rs
@@ -3,7 +3,7 @@
 use super::head::HeadError;
 use std::ops::Range;
 
-/// The maximum number of fields of a head.
+/// The maximum number of fields in a head.
 const MAX_FIELDS: usize = 100;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     let text = &buffer[line.clone()];
     let colon = text.iter().position(|byte| *byte == b':').ok_or(HeadError::Malformed)?;
     let (name, value) = (&text[..colon], &text[colon + 1..]);
-    // Folded lines, spaces before the colon and control bytes are all ways to smuggle a request.
+    // Folded lines, spaces before the colon and control bytes are rejected because they permit request smuggling.
     let is_control = |byte: &u8| (*byte < 0x20 && *byte != b'\t') || *byte == 0x7f;
     if name.is_empty() || !name.iter().all(|byte| is_token(*byte)) || value.iter().any(is_control) {
         return Err(HeadError::Malformed);
@@ -82,7 +82,7 @@
     })
 }
 
-/// Whether a byte may be part of a token: a method or a field name (RFC 9110, 5.6.2).
+/// Whether a byte may be part of a token, such as a method or a field name (RFC 9110, 5.6.2).
 pub(super) fn is_token(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -15,11 +15,11 @@
     Chunked,
 }
 
-/// Reads the framing from the fields of a head.
+/// Parses the framing from the fields of a head.
 ///
 /// # Errors
-/// [`HeadError`] if a value is malformed or unsupported, or if two fields could contradict each other: a server behind this one
-/// might trust the other field, so that the two would see different requests.
+/// [`HeadError`] if a value is malformed or unsupported, or if two fields could contradict each other: another server on the path
+/// might use the other field, so that the two would see different requests (request smuggling).
 pub(super) fn parse_framing(buffer: &[u8], fields: &Fields) -> Result<Framing, HeadError> {
     let length = find_only(buffer, fields, "content-length")?;
     let coding = find_only(buffer, fields, "transfer-encoding")?;
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,4 +1,5 @@
-//! A parser of the heads of HTTP/1.1 messages (RFC 9112, 2 to 6). It works in place: the results are ranges of the buffer.
+//! A parser of the heads of HTTP/1.1 messages (RFC 9112, 2 to 6). Heads are parsed in place: the results are ranges of the
+//! buffer.
 
 use super::fields::{Fields, is_token};
 use super::framing::{Framing, keeps_alive, parse_framing};
@@ -14,20 +15,20 @@
 /// The methods of RFC 9110 and RFC 5789.
 const METHODS: [&str; 9] = ["GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"];
 
-/// Why a head is refused; each error maps to one status code.
+/// Why a head is refused. Each error maps to one status code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
     /// The head is not valid HTTP/1.x.
-    #[error("the head does not read as HTTP/1.x")]
+    #[error("the head is not valid HTTP/1.x")]
     Malformed,
     /// The head is longer than [`MAX_HEAD`] or has too many fields.
-    #[error("the head is too large")]
+    #[error("the head is longer than {MAX_HEAD} bytes or has too many fields")]
     TooLarge,
-    /// The head has two lengths, or a length and a transfer coding, so the end of the body is uncertain.
+    /// The head has two lengths, or a length and a transfer coding, so the end of the body is ambiguous.
     #[error("the length of the body is ambiguous")]
     Ambiguous,
     /// The body is longer than [`MAX_BODY`].
-    #[error("the body is too large")]
+    #[error("the body is longer than {MAX_BODY} bytes")]
     BodyTooLarge,
     /// The transfer coding is not chunked.
     #[error("the transfer coding is not supported")]
@@ -49,7 +50,7 @@
 pub struct RequestHead {
     /// The method.
     pub method: Range<usize>,
-    /// Path and query.
+    /// The path and query.
     pub target: Range<usize>,
     /// The header fields.
     pub fields: Fields,
@@ -76,14 +77,15 @@
     pub len: usize,
 }
 
-/// The head of a message. Its first line has not been parsed yet.
+/// The head of a message whose first line has not been parsed yet.
 struct MessageHead {
     first_line: Range<usize>,
     fields: Fields,
     len: usize,
 }
 
-/// The end of the head, just past its blank line; `None` if the head is not complete yet. Reads at most [`MAX_HEAD`] bytes.
+/// Returns the end of the head, just past its blank line; `None` if the head is not complete yet. Reads at most [`MAX_HEAD`]
+/// bytes.
 fn find_head_end(buffer: &[u8]) -> Result<Option<usize>, HeadError> {
     let readable = &buffer[..buffer.len().min(MAX_HEAD)];
     let mut line_start = 0;
@@ -98,7 +100,7 @@
     if buffer.len() >= MAX_HEAD { Err(HeadError::TooLarge) } else { Ok(None) }
 }
 
-/// The lines of a head as ranges, without their line ends.
+/// Returns the lines of a head as ranges, without their line ends.
 fn lines(head: &[u8]) -> impl Iterator<Item = Range<usize>> + '_ {
     let mut start = 0;
     std::iter::from_fn(move || {
@@ -110,7 +112,7 @@
     })
 }
 
-/// Reads the head of a message that begins at `offset`; `None` if it is not complete yet.
+/// Parses the head of a message that begins at `offset`; `None` if the head is not complete yet.
 fn read_head(buffer: &[u8], offset: usize) -> Result<Option<MessageHead>, HeadError> {
     let Some(head_length) = find_head_end(&buffer[offset..])? else { return Ok(None) };
     let end = offset + head_length;
@@ -134,7 +136,8 @@
     blanks.min(MAX_LEADING_BLANKS)
 }
 
-/// Whether the bytes after a request can be the start of another request. If not, the length of the first one was wrong.
+/// Whether the bytes after a request can be the start of another request. If they cannot, the stated length of the first request
+/// was wrong.
 pub fn may_begin_request(buffer: &[u8]) -> bool {
     let rest = &buffer[leading_blanks(buffer)..];
     METHODS.iter().any(|method| {
@@ -170,12 +173,12 @@
     }
 }
 
-/// Reads the head of a request; `None` if it is not complete yet.
+/// Parses the head of a request; `None` if the head is not complete yet.
 ///
 /// # Errors
-/// [`HeadError`] if the head is refused. The start of the next request is unknown then.
+/// [`HeadError`] if the head is refused. The start of the next request on the connection is then unknown.
 pub fn read_request(buffer: &[u8]) -> Result<Option<RequestHead>, HeadError> {
-    // Blank lines before a request are skipped, as RFC 9112, 2.2 asks.
+    // Blank lines before a request are skipped, as RFC 9112, 2.2 recommends.
     let Some(head) = read_head(buffer, leading_blanks(buffer))? else { return Ok(None) };
     let RequestLine { method, target, version } = parse_request_line(&buffer[head.first_line.clone()])?;
     if version == HttpVersion::Http11 && head.fields.find(buffer, "host").is_none() {
@@ -193,7 +196,7 @@
     }))
 }
 
-/// Reads the head of a response; `None` if it is not complete yet.
+/// Parses the head of a response; `None` if the head is not complete yet.
 ///
 /// # Errors
 /// [`HeadError`] if the head is refused. The connection cannot be used after that.
@@ -202,7 +205,7 @@
     let mut words = buffer[head.first_line.clone()].splitn(3, |byte| *byte == b' ');
     let version = parse_version(words.next().unwrap_or(b""))?;
     let status = parse_status(words.next().unwrap_or(b""))?;
-    // Responses with these statuses have no body, whatever their fields say (RFC 9112, 6.3).
+    // Responses with these statuses have no body, regardless of their header fields (RFC 9112, 6.3).
     let never_has_body = status < 200 || status == 204 || status == 304;
     let framing = if never_has_body { Framing::Length(0) } else { parse_framing(buffer, &head.fields)? };
     let keep_alive = keeps_alive(buffer, &head.fields, version) && framing != Framing::Absent;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! Parsers of HTTP/1.1 heads and bodies, load reports and event streams, and the pieces of messages to be written.
+//! Parsers of HTTP/1.1 heads and bodies, load reports and event streams, and the pieces of outgoing messages.
 //!
-//! The parsers work on byte slices and do no input or output. Input may be cut at any byte: each parser either keeps its state
-//! or starts again from the same buffer.
+//! The parsers work on byte slices and do no input or output. Input may be split at any byte: each parser either keeps its state
+//! between calls or is called again with the same, longer buffer.
 
 pub mod body;
 pub mod chunked;
--- a/src/http/piece.rs
+++ b/src/http/piece.rs
@@ -1,4 +1,4 @@
-//! Pieces of a message to be written. A gathered write sends them together without a copy.
+//! The pieces of an outgoing message. A vectored write sends them together without a copy.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -6,9 +6,9 @@
 /// One contiguous piece of a message.
 #[derive(Clone, Debug)]
 pub enum Piece {
-    /// Text that is part of the program.
+    /// Constant text.
     Static(&'static [u8]),
-    /// Bytes that belong to this message alone.
+    /// Bytes that only this message uses.
     Owned(Vec<u8>),
     /// A range of a buffer that other messages may share.
     Shared(Rc<Vec<u8>>, Range<usize>),
