--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! The second address: readiness, figures and drain, also while callers and clients keep it busy.
+//! Tests of the admin address: readiness, counters and drain, also while many admin calls and clients are open.
 
 use mothproxy_testkit::*;
 use serde_json::json;
@@ -12,12 +12,12 @@
         .event_streams(sse)
         .configure(|config| config["admin_addr"] = json!("127.0.0.1:0"))
         .start();
-    let admin = program.admin.expect("a second address");
+    let admin = program.admin.expect("the admin address is on");
     (program, admin)
 }
 
 fn call(admin: SocketAddr, method: &str, path: &str) -> HttpReply {
-    send(admin, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("an answer")
+    send(admin, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("the dispatcher answers")
 }
 
 fn counters(admin: SocketAddr) -> BTreeMap<String, (u64, char)> {
@@ -32,10 +32,10 @@
 }
 
 fn send_job(to: SocketAddr, id: &str, class: &str, body: &str) -> HttpReply {
-    send(to, &job_request(id, class, body, "")).expect("an answer")
+    send(to, &job_request(id, class, body, "")).expect("the dispatcher answers")
 }
 
-/// Figures that count a job twice, or before it has ended, are untrue to what its client saw.
+/// Each job is counted once, when it has ended, under the outcome that its client received.
 #[test]
 fn counters_match_what_clients_and_workers_saw() {
     let worker = FakeWorker::start("s-1");
@@ -52,16 +52,16 @@
             200
         );
     }
-    // It may have run and nobody else can repeat it: it fails once its client gives up.
+    // The job may have run and no other worker can run it, so it fails at the end of the client's time limit.
     let failing = job_request("b0", "redeem", "take started failed", "X-Time-Left-Ms: 300\r\n");
-    assert!(send(program.platform, &failing).expect("an answer").status >= 500);
+    assert!(send(program.platform, &failing).expect("the dispatcher answers").status >= 500);
     assert_eq!(send_job(program.platform, "b1", "nothing", "take").status, 400);
-    let mut open = connect(program.sse.expect("the SSE front is on"));
+    let mut open = connect(program.sse.expect("the SSE listener is on"));
     open.write_all(job_request("c0", "redeem", "take started wait=counted done=x", "").as_bytes())
-        .expect("written");
+        .expect("the request is written");
     wait_until("the open job is counted", || counters(admin)["inflight"] == (1, 'g'));
     worker.open_gate("counted");
-    assert_eq!(read_reply(&mut open).expect("an answer").status, 200);
+    assert_eq!(read_reply(&mut open).expect("the dispatcher answers").status, 200);
     let after = counters(admin);
     let expected =
         [("success.balance", 3), ("success.redeem", 1), ("failure.redeem", 1), ("failure.balance", 0)];
@@ -75,9 +75,9 @@
     assert!(after["hosts_down"].0 <= after["hosts_listed"].0);
 }
 
-/// Callers that stop half way, more of them than there are descriptors for, must not keep a call waiting.
+/// Incomplete admin calls and client requests, more than there are descriptors for, must not delay an admin call.
 #[test]
-fn half_calls_and_crowds_do_not_delay_admin_calls() {
+fn incomplete_calls_and_requests_do_not_delay_admin_calls() {
     let worker = FakeWorker::start("s-1");
     let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .configure(|config| {
@@ -85,32 +85,34 @@
             config["limits"]["sockets"] = json!(80);
         })
         .start();
-    let admin = program.admin.expect("a second address");
-    let mut half: Vec<_> = (0..40).map(|_| connect(admin)).collect();
-    half.iter_mut().for_each(|stream| stream.write_all(b"GET /control/rea").expect("written"));
-    let mut crowd: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
-    crowd.iter_mut().for_each(|stream| drop(stream.write_all(b"POST /balance HTTP/1.1\r\nHo")));
+    let admin = program.admin.expect("the admin address is on");
+    let mut incomplete_calls: Vec<_> = (0..40).map(|_| connect(admin)).collect();
+    incomplete_calls
+        .iter_mut()
+        .for_each(|stream| stream.write_all(b"GET /control/rea").expect("the request is written"));
+    let mut incomplete_requests: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
+    incomplete_requests.iter_mut().for_each(|stream| drop(stream.write_all(b"POST /balance HTTP/1.1\r\nHo")));
     for _ in 0..5 {
         assert_eq!(call(admin, "GET", "/control/ready").status, 200);
     }
-    // The newest half call is still good, one of the oldest has given way.
-    let mut newest = half.pop().expect("one of them");
-    newest.write_all(b"dy HTTP/1.1\r\nHost: n0\r\n\r\n").expect("written");
-    assert_eq!(read_reply(&mut newest).expect("an answer").status, 200);
-    wait_until("the oldest is closed", || is_closed(&half[0]));
-    // While the crowd's half requests are young a job is turned away at once; as they age, one is served.
+    // The newest incomplete call can still be completed; the oldest has been closed to free its descriptor.
+    let mut newest = incomplete_calls.pop().expect("there are incomplete calls");
+    newest.write_all(b"dy HTTP/1.1\r\nHost: n0\r\n\r\n").expect("the request is written");
+    assert_eq!(read_reply(&mut newest).expect("the dispatcher answers").status, 200);
+    wait_until("the oldest is closed", || is_closed(&incomplete_calls[0]));
+    // A job is rejected at once while the incomplete requests are recent, and served once they are old enough to be closed.
     let mut attempts = 0;
     wait_until("a job is served", || {
         attempts += 1;
         let reply = send_job(program.platform, &format!("d{attempts}"), "balance", "take started done=x");
-        let turned_away =
+        let is_rejected =
             reply.status == 503 && worker.job_count.load(std::sync::atomic::Ordering::SeqCst) == 0;
-        assert!(turned_away || (reply.status, reply.body.as_str()) == (200, "x"), "{}", reply.head);
-        !turned_away
+        assert!(is_rejected || (reply.status, reply.body.as_str()) == (200, "x"), "{}", reply.head);
+        !is_rejected
     });
 }
 
-/// Unknown paths, other methods and what is no request are refused, and the process serves on.
+/// Unknown paths, wrong methods and malformed requests are rejected without an effect on the process.
 #[test]
 fn rejects_unknown_admin_calls() {
     let worker = FakeWorker::start("s-1");
@@ -118,30 +120,31 @@
     assert_eq!(call(admin, "GET", "/control/nothing").status, 404);
     assert_eq!(call(admin, "GET", "/control/out-of-service").status, 405);
     assert_eq!(call(admin, "PUT", "/control/ready").status, 405);
-    assert_eq!(send(admin, "what is this\r\n\r\n").expect("an answer").status, 400);
-    assert_eq!(program.up_status(), 200, "nothing of that drained it");
-    // The second address is not the clients', nor theirs the second.
+    assert_eq!(send(admin, "what is this\r\n\r\n").expect("the dispatcher answers").status, 400);
+    assert_eq!(program.up_status(), 200, "none of these calls started a drain");
+    // Clients are not served at the admin address, nor admin calls at the clients' address.
     assert_eq!(call(program.platform, "GET", "/control/ready").status, 404);
     assert_eq!(send_job(admin, "e0", "balance", "take started done=x").status, 404);
 }
 
-/// A drain is no stop: what comes is still served, clients are let go, and the program goes on after it.
+/// During a drain, requests are still served while client connections are closed. Once the drain has ended, connections are kept
+/// again.
 #[test]
 fn drain_closes_clients_and_can_be_undone() {
-    // Two, since one without a report yet is not given a third job beside two.
+    // Two workers, because a worker that has not sent a load report yet is not given a third job while it has two.
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
     let (program, admin) = start_with_admin(&workers, true);
-    let (sse, keep) = (program.sse.expect("the SSE front is on"), "Accept: text/event-stream\r\n");
+    let (sse, accept) = (program.sse.expect("the SSE listener is on"), "Accept: text/event-stream\r\n");
     let idle = [connect(program.platform), connect(program.platform), connect(sse)];
     let mut busy = [connect(program.platform), connect(sse)];
     for (n, stream) in busy.iter_mut().enumerate() {
-        let text = job_request(&format!("f{n}"), "balance", "take started wait=drained done=kept", keep);
-        stream.write_all(text.as_bytes()).expect("written");
+        let text = job_request(&format!("f{n}"), "balance", "take started wait=drained done=kept", accept);
+        stream.write_all(text.as_bytes()).expect("the request is written");
     }
     let jobs = |worker: &Arc<FakeWorker>| worker.job_count.load(std::sync::atomic::Ordering::SeqCst);
     wait_until("both jobs arrive", || workers.iter().map(jobs).sum::<u64>() == 2);
     assert_eq!(call(admin, "PUT", "/control/out-of-service").status, 200);
-    assert_eq!(call(admin, "PUT", "/control/out-of-service").status, 200, "again changes nothing");
+    assert_eq!(call(admin, "PUT", "/control/out-of-service").status, 200, "a repeated call");
     assert_eq!(program.up_status(), 503);
     for (n, to) in [program.platform, sse].into_iter().enumerate() {
         let reply = send_job(to, &format!("g{n}"), "balance", "take started done=x");
@@ -150,9 +153,9 @@
     wait_until("idle connections are closed", || idle.iter().all(is_closed));
     workers.iter().for_each(|worker| worker.open_gate("drained"));
     for stream in &mut busy {
-        let reply = read_reply(stream).expect("an answer");
+        let reply = read_reply(stream).expect("the dispatcher answers");
         assert!(reply.body.contains("kept"), "{} {}", reply.status, reply.body);
-        wait_until("and those with a job after it", || is_closed(stream));
+        wait_until("a busy connection is closed after its job", || is_closed(stream));
     }
     assert_eq!(call(admin, "GET", "/control/ready").status, 200, "the process still takes clients");
     assert_eq!(call(admin, "PUT", "/control/in-service").status, 200);
@@ -160,8 +163,8 @@
     let mut kept = connect(program.platform);
     for n in 0..2 {
         let text = simple_job(&format!("h{n}"));
-        kept.write_all(text.as_bytes()).expect("written");
-        let reply = read_reply(&mut kept).expect("an answer on a kept connection");
+        kept.write_all(text.as_bytes()).expect("the request is written");
+        let reply = read_reply(&mut kept).expect("the kept connection is answered");
         assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
     let metrics = program.shut_down_for_metrics();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,71 +1,77 @@
-//! Two dispatchers stopping at once: clients are let go only where another one can take them.
+//! Tests of two dispatchers that stop at the same time: client connections are closed only if the other dispatcher can take the
+//! clients.
 
 use mothproxy_testkit::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The program with a test double for the other dispatcher, and where its datagrams come from.
-fn beside_a_peer(workers: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
-    let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+/// Starts a dispatcher with a fake peer. Returns the dispatcher, the peer's socket, and the address from which the dispatcher
+/// sends datagrams.
+fn start_with_peer(workers: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
+    let peer = UdpSocket::bind("127.0.0.1:0").expect("the peer's socket is bound");
+    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
     let program = DispatcherProcess::builder(workers)
         .configure(|config| {
             config["peer_listen"] = json!("127.0.0.1:0");
-            config["peers"] = json!(["127.0.0.1:9", peer.local_addr().expect("an address").to_string()]);
+            config["peers"] =
+                json!(["127.0.0.1:9", peer.local_addr().expect("the peer has an address").to_string()]);
             config["settings"]["Siblings"] = json!(2);
             config["settings"]["Limits"]["Peers"] = json!(true);
         })
         .start();
     let mut buf = [0; 16];
-    let (len, home) = peer.recv_from(&mut buf).expect("a datagram");
-    assert_eq!(&buf[..len], b"U", "it says that it serves");
-    (program, peer, home)
+    let (len, dispatcher_address) = peer.recv_from(&mut buf).expect("a datagram arrives");
+    assert_eq!(&buf[..len], b"U", "the dispatcher announces that it serves");
+    (program, peer, dispatcher_address)
 }
 
-fn wait_for_datagram(peer: &UdpSocket, what: &[u8]) {
+fn wait_for_datagram(peer: &UdpSocket, expected: &[u8]) {
     let mut buf = [0; 16];
-    while !matches!(peer.recv_from(&mut buf).expect("a datagram"), (len, _) if &buf[..len] == what) {}
+    while !matches!(peer.recv_from(&mut buf).expect("a datagram arrives"), (len, _) if &buf[..len] == expected)
+    {
+    }
 }
 
-/// Both closed their clients' connections although neither could take the other's: those clients found nobody.
+/// If two dispatchers that stop at the same time both close their client connections, the clients have no dispatcher left. A
+/// stopping dispatcher keeps them until its peer announces that it serves.
 #[test]
 fn keeps_clients_until_peer_serves() {
     let worker = FakeWorker::start("s-1");
-    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&worker));
+    let (program, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
     let mut client = connect(program.platform);
     let mut send_on_kept_connection = |id: String| {
         client
             .write_all(job_request(&id, "balance", "take started pause=150 done=x", "").as_bytes())
-            .expect("written");
-        read_reply(&mut client).expect("an answer on a kept connection")
+            .expect("the request is written");
+        read_reply(&mut client).expect("the kept connection is answered")
     };
     assert_eq!(send_on_kept_connection("a0".into()).status, 200);
-    peer.send_to(b"S", home).expect("sent");
+    peer.send_to(b"S", dispatcher_address).expect("the datagram is sent");
     program.terminate();
     wait_for_datagram(&peer, b"S");
     for n in 0..6 {
         let reply = send_on_kept_connection(format!("b{n}"));
         assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
-    peer.send_to(b"U", home).expect("sent");
-    wait_for_datagram(&peer, b"S"); // the one that has come back is told
+    peer.send_to(b"U", dispatcher_address).expect("the datagram is sent");
+    wait_for_datagram(&peer, b"S"); // the answer to the peer that serves again
     assert_eq!(send_on_kept_connection("c0".into()).header("Connection"), Some("close"));
-    // Datagrams get lost: it goes on saying that it stops.
+    // Datagrams get lost, so the dispatcher repeats the announcement that it stops.
     (0..3).for_each(|_| wait_for_datagram(&peer, b"S"));
     program.wait_for_complete_shutdown();
 }
 
-/// A dispatcher that stops sends its clients away while a peer serves.
+/// A dispatcher that stops closes its client connections while a peer serves.
 #[test]
 fn closes_client_connections_while_peer_serves() {
     let worker = FakeWorker::start("s-1");
-    let (program, peer, home) = beside_a_peer(std::slice::from_ref(&worker));
-    peer.send_to(b"S", home).expect("sent");
-    peer.send_to(b"U", home).expect("sent");
+    let (program, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
+    peer.send_to(b"S", dispatcher_address).expect("the datagram is sent");
+    peer.send_to(b"U", dispatcher_address).expect("the datagram is sent");
     program.terminate();
     wait_for_datagram(&peer, b"S");
-    let reply = send(program.platform, &simple_job("d0")).expect("an answer");
+    let reply = send(program.platform, &simple_job("d0")).expect("the dispatcher answers");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     assert!(program.wait_for_exit().0);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers against random cuts of valid messages and random garbage, from fixed seeds.
+//! Tests of the HTTP parsers with valid messages split at random positions and with random bytes, from fixed seeds.
 
 use mothproxy::http::{self, Body, Chunked, EventStream, Framing, HeadError, StreamEvent, events, load};
 use quickcheck::{Arbitrary, Gen};
@@ -9,8 +9,8 @@
     (0..ROUNDS).for_each(|seed| check(&mut Gen::from_size_and_seed(64, seed)));
 }
 
-/// Pieces of these bytes, cut at random places.
-fn cuts(bytes: &[u8], g: &mut Gen) -> Vec<Vec<u8>> {
+/// Splits bytes at random positions.
+fn split_at_random(bytes: &[u8], g: &mut Gen) -> Vec<Vec<u8>> {
     let mut rest = bytes;
     let mut pieces = Vec::new();
     while !rest.is_empty() {
@@ -21,14 +21,14 @@
     pieces
 }
 
-fn token(g: &mut Gen) -> String {
+fn random_token(g: &mut Gen) -> String {
     let letters: Vec<char> = "abcXYZ019-_".chars().collect();
     (0..1 + usize::arbitrary(g) % 12).filter_map(|_| g.choose(&letters).copied()).collect()
 }
 
-/// Whether bytes may become a request is known from its first ones on.
+/// Whether bytes can be the start of a request is decided from as many bytes as have arrived.
 #[test]
-fn recognizes_the_beginning_of_a_request() {
+fn recognizes_the_start_of_a_request() {
     for text in ["", "P", "POST", "POST /x", "\r\nGET /", "DELETE /jobs/1 HTTP/1.1\r\n"] {
         assert!(http::may_begin_request(text.as_bytes()), "{text}");
     }
@@ -37,17 +37,17 @@
     }
 }
 
-/// A head is read alike wherever its bytes are cut, with either line end.
+/// A head is parsed in the same way wherever its bytes are split, and with either line end.
 #[test]
-fn parses_a_request_head_at_any_cuts() {
+fn parses_a_request_head_split_anywhere() {
     each_round(|g| {
-        let (path, id, length) = (token(g), token(g), usize::arbitrary(g) % 70_000);
+        let (path, id, length) = (random_token(g), random_token(g), usize::arbitrary(g) % 70_000);
         let end = if bool::arbitrary(g) { "\r\n" } else { "\n" };
         let head = [format!("POST /{path} HTTP/1.1"), "Host: h".into(), format!("X-Id:  {id} ")];
         let text = head.join(end) + end + &format!("Content-Length: {length}{end}{end}tail");
         let head_len = text.len() - 4;
         let mut seen = Vec::new();
-        for piece in cuts(text.as_bytes(), g) {
+        for piece in split_at_random(text.as_bytes(), g) {
             let before = seen.len();
             seen.extend(piece);
             let read = http::read_request(&seen);
@@ -56,7 +56,9 @@
             } else if length > http::MAX_BODY {
                 assert_eq!(read, Err(HeadError::BodyTooLarge));
             } else {
-                let read = read.expect("valid").unwrap_or_else(|| panic!("cut at {before}"));
+                let read = read
+                    .expect("the head is valid")
+                    .unwrap_or_else(|| panic!("incomplete after byte {before}"));
                 assert_eq!((read.framing, read.len), (Framing::Length(length), head_len));
                 assert_eq!(&seen[read.target.clone()], format!("/{path}").as_bytes());
                 assert_eq!(read.fields.text(&seen, "x-ID"), Some(id.as_str()));
@@ -65,9 +67,9 @@
     });
 }
 
-/// A chunked body is decoded alike wherever its bytes are cut.
+/// A chunked body is decoded in the same way wherever its bytes are split.
 #[test]
-fn decodes_a_chunked_body_at_any_cuts() {
+fn decodes_a_chunked_body_split_anywhere() {
     each_round(|g| {
         let chunks: Vec<Vec<u8>> = (0..usize::arbitrary(g) % 6).map(|_| Vec::arbitrary(g)).collect();
         let mut wire = Vec::new();
@@ -77,42 +79,43 @@
         }
         wire.extend(b"0\r\nTrailer: x\r\n\r\nnext");
         let (mut decoder, mut body, mut used) = (Chunked::default(), Vec::new(), 0);
-        for piece in cuts(&wire, g) {
-            used += decoder.decode(&piece, &mut body).expect("valid");
+        for piece in split_at_random(&wire, g) {
+            used += decoder.decode(&piece, &mut body).expect("the chunked coding is valid");
         }
         assert!(decoder.is_done());
         assert_eq!((body, used), (chunks.concat(), wire.len() - 4));
     });
 }
 
-/// Events are read alike wherever their bytes are cut.
+/// Events are parsed in the same way wherever their bytes are split.
 #[test]
-fn parses_an_event_stream_at_any_cuts() {
+fn parses_an_event_stream_split_anywhere() {
     each_round(|g| {
         let (mut wire, mut sent) = (b": hello\n\n".to_vec(), Vec::new());
         for _ in 0..usize::arbitrary(g) % 6 {
             let event = StreamEvent {
-                name: token(g),
-                data: format!("{}\n{}", token(g), token(g)),
+                name: random_token(g),
+                data: format!("{}\n{}", random_token(g), random_token(g)),
                 id: String::new(),
             };
             let text = events::write_event(&event.name, &event.data);
-            let text =
-                String::from_utf8(text).expect("text").replace('\n', g.choose(&["\n", "\r\n"]).expect("two"));
+            let text = String::from_utf8(text)
+                .expect("the event is UTF-8")
+                .replace('\n', g.choose(&["\n", "\r\n"]).expect("a line end"));
             wire.extend(text.bytes());
             sent.push(event);
         }
         let (mut stream, mut seen) = (EventStream::default(), Vec::new());
-        for piece in cuts(&wire, g) {
-            stream.feed(&piece, |event| seen.push(event)).expect("small");
+        for piece in split_at_random(&wire, g) {
+            stream.feed(&piece, |event| seen.push(event)).expect("the event is within the length limit");
         }
         assert_eq!(seen, sent);
     });
 }
 
-/// Random bytes, and sound ones with a few changed, are refused or read, and nothing piles up.
+/// Random bytes, and valid messages with a few changed bytes, cause no panic, and the output stays within a bound of the input.
 #[test]
-fn garbage_neither_panics_nor_grows_without_bound() {
+fn invalid_input_neither_panics_nor_grows_without_bound() {
     let valid = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
     each_round(|g| {
         let mut bytes: Vec<u8> = if bool::arbitrary(g) { Vec::arbitrary(g) } else { valid.to_vec() };
@@ -134,14 +137,14 @@
         }
         let mut data = 0;
         let _ = EventStream::default().feed(&bytes, |event| data += event.data.len());
-        assert!(data <= 3 * bytes.len()); // a byte that is no UTF-8 becomes three
+        assert!(data <= 3 * bytes.len()); // a byte that is not UTF-8 becomes a replacement character of three bytes
         assert!(load::parse_pairs(&String::from_utf8_lossy(&bytes)).all(|(_, value)| value.is_finite()));
     });
 }
 
-/// A head whose length could be understood in two ways is refused.
+/// Heads that two servers could delimit differently are refused, because they permit request smuggling.
 #[test]
-fn refuses_what_could_smuggle_a_request() {
+fn refuses_heads_that_permit_request_smuggling() {
     let read = |fields: &str| {
         http::read_request(format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n\r\n").as_bytes()).map(|_| ())
     };
@@ -165,16 +168,17 @@
     assert_eq!(http::read_request(&vec![b'a'; http::MAX_HEAD]), Err(HeadError::TooLarge));
 }
 
-/// A line without an end is refused at its limit.
+/// A line without a line end is refused once it exceeds the length limit.
 #[test]
-fn refuses_an_endless_line() {
+fn refuses_a_line_beyond_the_length_limit() {
     assert!(Chunked::default().decode(&[b'0'; 2_000], &mut Vec::new()).is_err());
     assert!(EventStream::default().feed(&vec![b'a'; 200_000], |_| {}).is_err());
 }
 
-/// The clauses of the standard's "Parsing an event stream" and "Interpreting an event stream", at every cut.
+/// The clauses of "Parsing an event stream" and "Interpreting an event stream" in the HTML standard, with the input split at
+/// every byte.
 #[test]
-fn parses_event_streams_clause_by_clause() {
+fn parses_event_streams_as_the_standard_requires() {
     let event = |name: &str, data: &str, id: &str| StreamEvent {
         name: name.into(),
         data: data.into(),
@@ -208,13 +212,13 @@
         (b"data: \xff\n\n", vec![event("", "\u{fffd}", "")], None),
     ];
     for (bytes, expected, retry) in &cases {
-        for cut in 0..=bytes.len() {
+        for split in 0..=bytes.len() {
             let (mut stream, mut seen) = (EventStream::default(), Vec::new());
-            for part in [&bytes[..cut], &bytes[cut..]] {
-                stream.feed(part, |event| seen.push(event)).expect("small");
+            for part in [&bytes[..split], &bytes[split..]] {
+                stream.feed(part, |event| seen.push(event)).expect("the event is within the length limit");
             }
-            let shown = String::from_utf8_lossy(bytes);
-            assert_eq!((&seen, stream.retry()), (expected, *retry), "{shown:?} cut at {cut}");
+            let input = String::from_utf8_lossy(bytes);
+            assert_eq!((&seen, stream.retry()), (expected, *retry), "{input:?} split at byte {split}");
         }
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! A second process takes over from a running one: no client is turned away, no callback is lost, no id is open twice.
+//! Tests of hot restart: a second process takes over from a running one. No client is rejected, no status callback is lost, and
+//! no request id is open twice.
 
 use mothproxy_testkit::*;
 use serde_json::json;
@@ -7,27 +8,27 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// A folder that both processes share, as on the platform.
-struct Folder(PathBuf);
+/// A temporary directory that both processes share, as on the platform.
+struct SharedDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("mothproxy-up-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a temporary folder");
-        Folder(folder)
+impl SharedDirectory {
+    fn new(name: &str) -> SharedDirectory {
+        let path = std::env::temp_dir().join(format!("mothproxy-up-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("the temporary directory is created");
+        SharedDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for SharedDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn start_in(folder: &Path, workers: &[Arc<FakeWorker>], listen: &str) -> DispatcherProcess {
+fn start_in(directory: &Path, workers: &[Arc<FakeWorker>], listen: &str) -> DispatcherProcess {
     DispatcherProcess::builder(workers)
         .event_streams(true)
-        .temp_dir(folder)
+        .temp_dir(directory)
         .configure(|config| {
             config["listen"] = json!(listen);
             config["admin_addr"] = json!("127.0.0.1:0");
@@ -36,169 +37,185 @@
 }
 
 fn start_successor(
-    folder: &Folder,
+    directory: &SharedDirectory,
     workers: &[Arc<FakeWorker>],
     predecessor: &DispatcherProcess,
 ) -> DispatcherProcess {
-    let program = start_in(&folder.0, workers, &predecessor.platform.to_string());
-    assert_eq!(program.platform, predecessor.platform, "it has the listening socket");
-    program
+    let successor = start_in(&directory.0, workers, &predecessor.platform.to_string());
+    assert_eq!(successor.platform, predecessor.platform, "the successor inherits the listening socket");
+    successor
 }
 
-fn ready(program: &DispatcherProcess) -> u16 {
-    program.call_admin("GET", "/control/ready").status
+fn ready_status(process: &DispatcherProcess) -> u16 {
+    process.call_admin("GET", "/control/ready").status
 }
 
 fn wait_until_arrived(worker: &FakeWorker, jobs: u64) {
-    wait_until("the jobs arrive", || worker.job_count.load(Ordering::SeqCst) == jobs);
+    wait_until("the jobs arrive at the worker", || worker.job_count.load(Ordering::SeqCst) == jobs);
 }
 
-/// The second process could not listen and ended; and every client of the first lost its connection.
+/// Without a handover, the second process cannot listen and ends, or the clients of the first lose their connections.
 #[test]
 fn successor_takes_over_connections_and_jobs() {
-    let (folder, worker) = (Folder::new("all"), FakeWorker::start("s-1"));
+    let (directory, worker) = (SharedDirectory::new("all"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
-    let (platform, sse) = (predecessor.platform, predecessor.sse.expect("the SSE front is on"));
+    let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
+    let (platform, sse) = (predecessor.platform, predecessor.sse.expect("the SSE listener is on"));
     let mut idle = connect(platform);
-    idle.write_all(simple_job("a0").as_bytes()).expect("written");
-    assert_eq!(read_reply(&mut idle).expect("an answer").status, 200);
-    let whole = job_request("a1", "redeem", "take started done=half", "");
-    let (first, rest) = whole.split_at(whole.len() - 9);
-    let mut half = connect(platform);
-    half.write_all(first.as_bytes()).expect("written");
+    idle.write_all(simple_job("a0").as_bytes()).expect("the request is written");
+    assert_eq!(read_reply(&mut idle).expect("the dispatcher answers").status, 200);
+    let request = job_request("a1", "redeem", "take started done=half", "");
+    let (first, rest) = request.split_at(request.len() - 9);
+    let mut partial = connect(platform);
+    partial.write_all(first.as_bytes()).expect("the request is written");
     let mut chunked = connect(platform);
     let head = job_request("a2", "redeem", "", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    chunked.write_all(format!("{head}5\r\ntake \r\n").as_bytes()).expect("written");
+    chunked.write_all(format!("{head}5\r\ntake \r\n").as_bytes()).expect("the request is written");
     let mut waiting = connect(platform);
     let body = "take started wait=all running=0.5 done=kept";
-    waiting.write_all(job_request("b0", "redeem", body, "").as_bytes()).expect("written");
+    waiting.write_all(job_request("b0", "redeem", body, "").as_bytes()).expect("the request is written");
     let mut stream = connect(sse);
     let accept = "Accept: text/event-stream\r\n";
-    stream.write_all(job_request("b1", "redeem", body, accept).as_bytes()).expect("written");
+    stream.write_all(job_request("b1", "redeem", body, accept).as_bytes()).expect("the request is written");
     wait_until_arrived(&worker, 3);
-    let successor = start_successor(&folder, workers, &predecessor);
-    assert_eq!((ready(&successor), ready(&predecessor)), (200, 503));
-    // An id that is open is open for both, wherever it is now.
-    let doubled =
-        send(platform, &job_request("b0", "redeem", "take started done=twice", "")).expect("an answer");
-    assert_eq!(doubled.status, 409);
+    let successor = start_successor(&directory, workers, &predecessor);
+    assert_eq!((ready_status(&successor), ready_status(&predecessor)), (200, 503));
+    // A request id that is open in one process is a duplicate in the other too.
+    let duplicate = send(platform, &job_request("b0", "redeem", "take started done=twice", ""))
+        .expect("the dispatcher answers");
+    assert_eq!(duplicate.status, 409);
     predecessor.terminate();
     worker.open_gate("all");
-    assert_eq!(read_reply(&mut waiting).expect("an answer").body, "kept");
-    let streamed = read_reply(&mut stream).expect("a stream").body;
+    assert_eq!(read_reply(&mut waiting).expect("the dispatcher answers").body, "kept");
+    let streamed = read_reply(&mut stream).expect("the stream is answered").body;
     assert!(streamed.contains("progress") && streamed.matches("event: done").count() == 1, "{streamed}");
-    idle.write_all(job_request("c0", "balance", "take started done=y", "").as_bytes()).expect("written");
-    assert_eq!(read_reply(&mut idle).expect("an answer on the same connection").body, "y");
-    half.write_all(rest.as_bytes()).expect("written");
-    assert_eq!(read_reply(&mut half).expect("an answer").body, "half");
-    chunked.write_all(b"13\r\nstarted done=chunks\r\n0\r\n\r\n").expect("written");
-    assert_eq!(read_reply(&mut chunked).expect("an answer").body, "chunks");
-    let (clean, log) = predecessor.wait_for_exit();
-    assert!(clean && log.iter().any(|l| l == "shutdown complete open=0"), "{log:?}");
-    // Each job went to the worker once, also those that were under way.
+    idle.write_all(job_request("c0", "balance", "take started done=y", "").as_bytes())
+        .expect("the request is written");
+    assert_eq!(read_reply(&mut idle).expect("the same connection is answered").body, "y");
+    partial.write_all(rest.as_bytes()).expect("the request is written");
+    assert_eq!(read_reply(&mut partial).expect("the dispatcher answers").body, "half");
+    chunked.write_all(b"13\r\nstarted done=chunks\r\n0\r\n\r\n").expect("the request is written");
+    assert_eq!(read_reply(&mut chunked).expect("the dispatcher answers").body, "chunks");
+    let (is_clean, log) = predecessor.wait_for_exit();
+    assert!(is_clean && log.iter().any(|line| line == "shutdown complete open=0"), "{log:?}");
+    // Each job was sent to the worker once, including the jobs that were in progress during the handover.
     for id in ["a0", "a1", "a2", "b0", "b1", "c0"] {
-        let sent =
-            worker.received.lock().expect("a lock").iter().filter(|l| l.contains(&format!(" {id} "))).count();
-        assert_eq!(sent, 1, "{id}");
+        let sent = worker
+            .received
+            .lock()
+            .expect("the lock is not poisoned")
+            .iter()
+            .filter(|line| line.contains(&format!(" {id} ")))
+            .count();
+        assert_eq!(sent, 1, "requests for job {id}");
     }
     let metrics = successor.shut_down_for_metrics();
     assert_eq!((metrics["open"], metrics["failed"], metrics["broken_invariants"]), (0, 0, 0));
 }
 
-/// A session whose dispatch is not answered yet stays with the predecessor; the callbacks reach the successor.
+/// A request with an attempt in flight stays in the predecessor, but its status callbacks arrive at the successor. The successor
+/// must forward them.
 #[test]
 fn callbacks_reach_process_that_has_job() {
-    let (folder, worker) = (Folder::new("news"), FakeWorker::start("s-1"));
+    let (directory, worker) = (SharedDirectory::new("news"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
-    let mut streams = connect(predecessor.platform);
-    // The worker answers by a stream of events, which only the process that opened it can read.
-    streams
+    let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
+    let mut client = connect(predecessor.platform);
+    // The worker answers with an event stream, which only the process that opened the connection can read.
+    client
         .write_all(job_request("d0", "balance", "stream started wait=ever done=streamed", "").as_bytes())
-        .expect("written");
+        .expect("the request is written");
     wait_until_arrived(&worker, 1);
-    let successor = start_successor(&folder, workers, &predecessor);
-    assert_eq!(ready(&successor), 200);
-    let doubled = send(successor.platform, &job_request("d0", "balance", "take started done=twice", ""))
-        .expect("an answer");
-    assert_eq!(doubled.status, 409, "it is open with the predecessor");
+    let successor = start_successor(&directory, workers, &predecessor);
+    assert_eq!(ready_status(&successor), 200);
+    let duplicate = send(successor.platform, &job_request("d0", "balance", "take started done=twice", ""))
+        .expect("the dispatcher answers");
+    assert_eq!(duplicate.status, 409, "the request is open in the predecessor");
     let status_update =
         json!({"id": "d0", "from": "s-1", "state": "done", "result": "called back"}).to_string();
-    let call = format!(
+    let callback = format!(
         "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nContent-Length: {}\r\n\r\n{status_update}",
         status_update.len()
     );
-    assert_eq!(send(successor.platform, &call).expect("an answer").status, 204);
-    assert_eq!(read_reply(&mut streams).expect("an answer").body, "called back");
-    assert_eq!(send(successor.platform, &call).expect("an answer").status, 204, "a repeat changes nothing");
+    assert_eq!(send(successor.platform, &callback).expect("the dispatcher answers").status, 204);
+    assert_eq!(read_reply(&mut client).expect("the dispatcher answers").body, "called back");
+    assert_eq!(
+        send(successor.platform, &callback).expect("the dispatcher answers").status,
+        204,
+        "a repeated callback"
+    );
     predecessor.terminate();
     assert!(predecessor.wait_for_exit().0);
     assert_eq!(successor.shut_down_for_metrics()["broken_invariants"], 0);
 }
 
-/// If the new version dies, the old one goes on; a socket file that a process left behind is no process.
+/// If the successor is killed, the predecessor serves again. The socket file of a killed process does not stop a new process.
 #[test]
-fn survives_death_of_either_process() {
-    let (folder, worker) = (Folder::new("die"), FakeWorker::start("s-1"));
+fn continues_after_either_process_is_killed() {
+    let (directory, worker) = (SharedDirectory::new("die"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let send_job =
-        |to: &DispatcherProcess, id: &str| send(to.platform, &simple_job(id)).expect("an answer").status;
-    let mut predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
-    let successor = start_successor(&folder, workers, &predecessor);
+    let send_job = |to: &DispatcherProcess, id: &str| {
+        send(to.platform, &simple_job(id)).expect("the dispatcher answers").status
+    };
+    let mut predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
+    let successor = start_successor(&directory, workers, &predecessor);
     assert_eq!(send_job(&successor, "e0"), 200);
     successor.signal("-KILL");
     predecessor.wait_for_log("hot restart: the successor has ended, serving again");
-    assert_eq!((ready(&predecessor), send_job(&predecessor, "e1")), (200, 200));
-    let third = start_successor(&folder, workers, &predecessor);
+    assert_eq!((ready_status(&predecessor), send_job(&predecessor, "e1")), (200, 200));
+    let third = start_successor(&directory, workers, &predecessor);
     assert_eq!(send_job(&third, "e2"), 200);
     predecessor.signal("-KILL");
     drop(predecessor);
-    assert_eq!((ready(&third), send_job(&third, "e3")), (200, 200));
+    assert_eq!((ready_status(&third), send_job(&third, "e3")), (200, 200));
     third.signal("-KILL");
     let listen = third.platform.to_string();
     drop(third);
-    assert!(std::fs::read_dir(&folder.0).expect("a folder").count() > 0, "its socket file is still there");
-    let fourth = start_in(&folder.0, workers, &listen);
-    assert_eq!((ready(&fourth), send_job(&fourth, "e4")), (200, 200));
+    assert!(
+        std::fs::read_dir(&directory.0).expect("the directory is readable").count() > 0,
+        "the socket file of the killed process remains"
+    );
+    let fourth = start_in(&directory.0, workers, &listen);
+    assert_eq!((ready_status(&fourth), send_job(&fourth, "e4")), (200, 200));
 }
 
-/// A predecessor that is asked and says nothing must not hold the successor up for the 6 s it has, nor end it.
+/// A predecessor that does not answer the takeover request must neither delay the successor beyond the 6 s in which it must be
+/// ready nor end it.
 #[test]
-fn replaces_predecessor_that_dies_before_transfer() {
-    let (folder, worker) = (Folder::new("mute"), FakeWorker::start("s-1"));
+fn replaces_predecessor_killed_before_handover() {
+    let (directory, worker) = (SharedDirectory::new("mute"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
+    let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
     let listen = predecessor.platform.to_string();
-    predecessor.signal("-STOP"); // it neither answers nor frees its address
-    let path = folder.0.clone();
-    let (many, at) = (workers.to_vec(), listen.clone());
-    let successor = std::thread::spawn(move || start_in(&path, &many, &at));
+    predecessor.signal("-STOP"); // the stopped process neither answers nor frees its address
+    let path = directory.0.clone();
+    let (own_workers, own_listen) = (workers.to_vec(), listen.clone());
+    let successor = std::thread::spawn(move || start_in(&path, &own_workers, &own_listen));
     std::thread::sleep(std::time::Duration::from_millis(300));
-    drop(predecessor); // killed
-    let successor = successor.join().expect("it starts");
-    assert_eq!((successor.platform.to_string(), ready(&successor)), (listen, 200));
-    let text = simple_job("f0");
-    assert_eq!(send(successor.platform, &text).expect("an answer").status, 200);
+    drop(predecessor); // kills the process
+    let successor = successor.join().expect("the successor starts");
+    assert_eq!((successor.platform.to_string(), ready_status(&successor)), (listen, 200));
+    let request = simple_job("f0");
+    assert_eq!(send(successor.platform, &request).expect("the dispatcher answers").status, 200);
 }
 
-/// A drain belongs to the dispatcher, not to one of its processes.
+/// The successor continues a drain that was started in the predecessor, and the predecessor can no longer end it.
 #[test]
 fn drain_survives_hot_restart() {
-    let (folder, worker) = (Folder::new("drain"), FakeWorker::start("s-1"));
+    let (directory, worker) = (SharedDirectory::new("drain"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
-    let predecessor = start_in(&folder.0, workers, "127.0.0.1:0");
-    let call = |program: &DispatcherProcess, what: &str| {
-        program.call_admin("PUT", &format!("/control/{what}")).status
+    let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
+    let call = |process: &DispatcherProcess, action: &str| {
+        process.call_admin("PUT", &format!("/control/{action}")).status
     };
-    let up = |at: &DispatcherProcess| at.up_status();
+    let up = |process: &DispatcherProcess| process.up_status();
     assert_eq!((call(&predecessor, "out-of-service"), up(&predecessor)), (200, 503));
-    let successor = start_successor(&folder, workers, &predecessor);
+    let successor = start_successor(&directory, workers, &predecessor);
     assert_eq!(up(&successor), 503);
     assert_eq!(
         (call(&predecessor, "in-service"), up(&successor)),
         (503, 503),
-        "it is not the predecessor's any more"
+        "after the handover the predecessor rejects the call"
     );
     assert_eq!((call(&successor, "in-service"), up(&successor)), (200, 200));
 }
