--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -64,14 +64,14 @@
     /// The number of suspicions that the member itself has refuted.
     pub incarnation: u32,
     /// How long the member has been in this state, in milliseconds.
-    pub for_ms: u64,
+    pub state_age_ms: u64,
 }
 
 /// The members of the peer group, as this process sees them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembersPage {
     /// The place of this process.
-    pub me: u32,
+    pub own_place: u32,
     /// The version of the view, which grows by one with every change.
     pub version: u64,
     /// The members at all places, in their order.
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -121,7 +121,7 @@
 /// The page of the members, as JSON.
 pub fn members_page(members: &MembersPage) -> Vec<Piece> {
     let text = json!({
-        "me": members.me,
+        "me": members.own_place,
         "version": members.version,
         "members": members.members.iter().map(member_json).collect::<Vec<_>>(),
         "figures": membership_metrics_json(&members.membership_metrics),
@@ -136,7 +136,7 @@
         "state": member.state,
         "epoch": member.epoch,
         "incarnation": member.incarnation,
-        "for_ms": member.for_ms,
+        "for_ms": member.state_age_ms,
     })
 }
 
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -176,10 +176,10 @@
             state: format!("{:?}", member.state).to_lowercase(),
             epoch: member.epoch,
             incarnation: member.incarnation,
-            for_ms: now.saturating_sub(member.since) / MICROS_PER_MS,
+            state_age_ms: now.saturating_sub(member.since) / MICROS_PER_MS,
         };
         Some(MembersPage {
-            me: config.settings.own_index,
+            own_place: config.settings.own_index,
             version: view.version(),
             members: view.iter().map(row).collect(),
             membership_metrics,
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -20,11 +20,11 @@
         state: state.to_owned(),
         epoch: 1_790_000_000_000 + u64::from(place),
         incarnation: u32::from(place),
-        for_ms: 1_000 * u64::from(place),
+        state_age_ms: 1_000 * u64::from(place),
     };
     let states = ["unknown", "alive", "suspect", "dead", "left"];
     MembersPage {
-        me: 1,
+        own_place: 1,
         version: 77,
         members: (0..).zip(states).map(|(place, state)| row(place, state)).collect(),
         membership_metrics: mothproxy_membership::Metrics {
