--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -25,28 +25,28 @@
     let coding = find_only(buffer, fields, "transfer-encoding")?;
     match (length, coding) {
         (None, None) => Ok(Framing::Absent),
-        (Some(_), Some(_)) => Err(HeadError::Ambiguous),
+        (Some(_), Some(_)) => Err(HeadError::AmbiguousLength),
         (Some(length), None) => parse_content_length(&buffer[length]).map(Framing::Length),
         (None, Some(coding)) if buffer[coding.clone()].eq_ignore_ascii_case(b"chunked") => {
             Ok(Framing::Chunked)
         }
-        (None, Some(_)) => Err(HeadError::UnknownCoding),
+        (None, Some(_)) => Err(HeadError::UnsupportedCoding),
     }
 }
 
 /// The value of a field that may occur at most once in a head.
 ///
 /// # Errors
-/// [`HeadError::Ambiguous`] if it occurs more than once.
+/// [`HeadError::AmbiguousLength`] if it occurs more than once.
 fn find_only(buffer: &[u8], fields: &Fields, name: &str) -> Result<Option<Range<usize>>, HeadError> {
     let mut values = fields.find_all(buffer, name);
     let first = values.next();
-    if values.next().is_some() { Err(HeadError::Ambiguous) } else { Ok(first) }
+    if values.next().is_some() { Err(HeadError::AmbiguousLength) } else { Ok(first) }
 }
 
 fn parse_content_length(digits: &[u8]) -> Result<usize, HeadError> {
     if digits.contains(&b',') {
-        return Err(HeadError::Ambiguous);
+        return Err(HeadError::AmbiguousLength);
     }
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(HeadError::Malformed);
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -26,16 +26,16 @@
     TooLarge,
     /// The head has two lengths, or a length and a transfer coding, so the end of the body is ambiguous.
     #[error("the length of the body is ambiguous")]
-    Ambiguous,
+    AmbiguousLength,
     /// The body is longer than [`MAX_BODY`].
     #[error("the body is longer than {MAX_BODY} bytes")]
     BodyTooLarge,
     /// The transfer coding is not chunked.
     #[error("the transfer coding is not supported")]
-    UnknownCoding,
+    UnsupportedCoding,
     /// The version of HTTP is not supported.
     #[error("the version of HTTP is not supported")]
-    Version,
+    UnsupportedVersion,
 }
 
 /// The HTTP version of a message.
@@ -126,7 +126,7 @@
     match text {
         b"HTTP/1.1" => Ok(HttpVersion::Http11),
         b"HTTP/1.0" => Ok(HttpVersion::Http10),
-        [b'H', b'T', b'T', b'P', b'/', ..] => Err(HeadError::Version),
+        [b'H', b'T', b'T', b'P', b'/', ..] => Err(HeadError::UnsupportedVersion),
         _ => Err(HeadError::Malformed),
     }
 }
--- a/src/protocol/admin/mod.rs
+++ b/src/protocol/admin/mod.rs
@@ -28,7 +28,7 @@
 /// Finds the call that a request makes, by its method and path.
 ///
 /// # Errors
-/// [`Reject::BadRequest`] if the target is not UTF-8, [`Reject::NoSuchPath`] or [`Reject::WrongMethod`].
+/// [`Reject::BadRequest`] if the target is not UTF-8, [`Reject::NotFound`] or [`Reject::MethodNotAllowed`].
 pub fn route(buffer: &[u8], head: &RequestHead) -> Result<AdminCall, Reject> {
     let target = std::str::from_utf8(&buffer[head.target.clone()]).map_err(|_| Reject::BadRequest)?;
     let (call, method) = match target.split(['?', '#']).next().unwrap_or("") {
@@ -37,11 +37,11 @@
         "/control/members" => (AdminCall::Members, "GET"),
         "/control/out-of-service" => (AdminCall::OutOfService, "PUT"),
         "/control/in-service" => (AdminCall::InService, "PUT"),
-        _ => return Err(Reject::NoSuchPath),
+        _ => return Err(Reject::NotFound),
     };
     if &buffer[head.method.clone()] == method.as_bytes() {
         Ok(call)
     } else {
-        Err(Reject::WrongMethod(method))
+        Err(Reject::MethodNotAllowed(method))
     }
 }
--- a/src/protocol/platform/responses.rs
+++ b/src/protocol/platform/responses.rs
@@ -9,7 +9,7 @@
 /// The response to a request that is refused.
 pub fn reject(reason: Reject, keep_alive: bool) -> Vec<Piece> {
     let extra = match reason {
-        Reject::WrongMethod(method) => format!("Allow: {method}\r\n"),
+        Reject::MethodNotAllowed(method) => format!("Allow: {method}\r\n"),
         Reject::Overloaded => "Retry-After: 1\r\n".to_owned(),
         _ => String::new(),
     };
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -62,7 +62,7 @@
 fn route_ready(request: &RawRequest) -> Result<Route, Reject> {
     match request.method() {
         b"GET" => Ok(Route::Ready),
-        _ => Err(Reject::WrongMethod("GET")),
+        _ => Err(Reject::MethodNotAllowed("GET")),
     }
 }
 
@@ -73,11 +73,11 @@
 }
 
 fn require_post(request: &RawRequest) -> Result<(), Reject> {
-    if request.method() == b"POST" { Ok(()) } else { Err(Reject::WrongMethod("POST")) }
+    if request.method() == b"POST" { Ok(()) } else { Err(Reject::MethodNotAllowed("POST")) }
 }
 
 fn require_length(request: &RawRequest) -> Result<(), Reject> {
-    if request.head.framing == Framing::Absent { Err(Reject::NoLength) } else { Ok(()) }
+    if request.head.framing == Framing::Absent { Err(Reject::LengthRequired) } else { Ok(()) }
 }
 
 fn first_segment(path: &str) -> &str {
@@ -87,7 +87,7 @@
 /// The class that the first segment of the path names.
 ///
 /// # Errors
-/// [`Reject::BadRequest`] or [`Reject::NoSuchPath`] if there is no such class.
+/// [`Reject::BadRequest`] or [`Reject::NotFound`] if there is no such class.
 fn find_class(
     site: &SiteNames,
     classes: &[Class],
@@ -99,7 +99,7 @@
     }
     // If path and header name the same unknown class, the request is malformed. Any other path is unknown.
     let is_unknown_class = !class_name.is_empty() && request.field(names::CLASS) == Some(class_name);
-    Err(if is_unknown_class { Reject::BadRequest } else { Reject::NoSuchPath })
+    Err(if is_unknown_class { Reject::BadRequest } else { Reject::NotFound })
 }
 
 /// Parses the fields of a submitted job.
--- a/src/protocol/reject.rs
+++ b/src/protocol/reject.rs
@@ -8,15 +8,15 @@
     /// 400: the request is malformed, or its class or tenant is unknown.
     BadRequest,
     /// 404: the path is unknown.
-    NoSuchPath,
+    NotFound,
     /// 405: the path allows only the method given here.
-    WrongMethod(&'static str),
+    MethodNotAllowed(&'static str),
     /// 408: the request was not complete before its deadline.
-    TooSlow,
+    RequestTimeout,
     /// 409: a request with this id is still open.
     DuplicateId,
     /// 411: the request does not state the length of its body.
-    NoLength,
+    LengthRequired,
     /// 422: the idempotency key was used for a request with another body or class.
     KeyReused,
     /// 413: the body is too large.
@@ -24,13 +24,13 @@
     /// 431: the head is too large.
     HeadTooLarge,
     /// 501: the transfer coding is not supported.
-    UnknownCoding,
+    UnsupportedCoding,
     /// 503: no file descriptors are left for the request.
     Overloaded,
     /// 503 to a readiness check: this dispatcher is not ready, or is about to stop.
     NotReady,
     /// 505: the version of HTTP is not supported.
-    Version,
+    UnsupportedVersion,
 }
 
 impl Reject {
@@ -38,27 +38,27 @@
     pub(super) fn status(self) -> &'static str {
         match self {
             Reject::BadRequest => "400 Bad Request",
-            Reject::NoSuchPath => "404 Not Found",
-            Reject::WrongMethod(_) => "405 Method Not Allowed",
-            Reject::TooSlow => "408 Request Timeout",
+            Reject::NotFound => "404 Not Found",
+            Reject::MethodNotAllowed(_) => "405 Method Not Allowed",
+            Reject::RequestTimeout => "408 Request Timeout",
             Reject::DuplicateId => "409 Conflict",
-            Reject::NoLength => "411 Length Required",
+            Reject::LengthRequired => "411 Length Required",
             Reject::BodyTooLarge => "413 Content Too Large",
             Reject::KeyReused => "422 Unprocessable Content",
             Reject::HeadTooLarge => "431 Request Header Fields Too Large",
-            Reject::UnknownCoding => "501 Not Implemented",
+            Reject::UnsupportedCoding => "501 Not Implemented",
             Reject::Overloaded | Reject::NotReady => "503 Service Unavailable",
-            Reject::Version => "505 HTTP Version Not Supported",
+            Reject::UnsupportedVersion => "505 HTTP Version Not Supported",
         }
     }
 
     /// Whether the connection closes after this response, because the start of the next request is unknown.
-    pub fn closes(self) -> bool {
+    pub fn closes_connection(self) -> bool {
         !matches!(
             self,
             Reject::BadRequest
-                | Reject::NoSuchPath
-                | Reject::WrongMethod(_)
+                | Reject::NotFound
+                | Reject::MethodNotAllowed(_)
                 | Reject::DuplicateId
                 | Reject::KeyReused
                 | Reject::NotReady
@@ -69,11 +69,11 @@
 impl From<HeadError> for Reject {
     fn from(error: HeadError) -> Reject {
         match error {
-            HeadError::Malformed | HeadError::Ambiguous => Reject::BadRequest,
+            HeadError::Malformed | HeadError::AmbiguousLength => Reject::BadRequest,
             HeadError::TooLarge => Reject::HeadTooLarge,
             HeadError::BodyTooLarge => Reject::BodyTooLarge,
-            HeadError::UnknownCoding => Reject::UnknownCoding,
-            HeadError::Version => Reject::Version,
+            HeadError::UnsupportedCoding => Reject::UnsupportedCoding,
+            HeadError::UnsupportedVersion => Reject::UnsupportedVersion,
         }
     }
 }
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -204,7 +204,7 @@
             Ok(AdminCall::Counters) => admin::counters_page(&self.metrics_snapshot()),
             Ok(AdminCall::Members) => match self.membership.members_page(&self.config, self.clock.now()) {
                 Some(page) => admin::members_page(&page),
-                None => platform::reject(Reject::NoSuchPath, false),
+                None => platform::reject(Reject::NotFound, false),
             },
             Ok(AdminCall::OutOfService) => {
                 self.start_drain();
--- a/src/server/admin/tests.rs
+++ b/src/server/admin/tests.rs
@@ -24,5 +24,5 @@
     let endless = b"GET /control/ready HTTP/1.1\r\nHost: a\r\nName: ";
     assert!(matches!(parse_call(endless, ReadEnd::LimitReached), Some(Err(Reject::HeadTooLarge))));
     let elsewhere = b"GET /control/nothing HTTP/1.1\r\nHost: a\r\n\r\n";
-    assert!(matches!(parse_call(elsewhere, ReadEnd::WouldBlock), Some(Err(Reject::NoSuchPath))));
+    assert!(matches!(parse_call(elsewhere, ReadEnd::WouldBlock), Some(Err(Reject::NotFound))));
 }
--- a/src/server/downstream/deadline.rs
+++ b/src/server/downstream/deadline.rs
@@ -55,7 +55,7 @@
                 return self.on_closed(context, token, connection, client); // the client does not read its response
             }
             ClientState::Reading | ClientState::ReadingChunks(_) => {
-                reject(context, &mut connection, &mut client, Reject::TooSlow);
+                reject(context, &mut connection, &mut client, Reject::RequestTimeout);
             }
         }
         self.finish_event(context, token, connection, client);
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 /// - `BadRequest`: the field that says whether the job ends when nobody watches it has an unknown value.
-/// - `NoSuchPath`: event streams are off.
+/// - `NotFound`: event streams are off.
 /// - `Overloaded`: the broker has no room, or the system provides no random bytes.
 /// - `DuplicateId`: a request of this name is open.
 pub(super) fn submit_job(
@@ -160,7 +160,7 @@
     keep_alive: bool,
 ) -> Result<(), Reject> {
     let ends_unwatched = event_streams::ends_unwatched(&raw).ok_or(Reject::BadRequest)?;
-    let streams = context.event_streams.as_mut().ok_or(Reject::NoSuchPath)?;
+    let streams = context.event_streams.as_mut().ok_or(Reject::NotFound)?;
     let shared = &mut context.shared;
     let cors = event_streams::cors(&raw, &streams.origins);
     let public_id = random_bytes().map(|bytes| PublicJobId(u64::from_le_bytes(bytes)));
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -46,7 +46,7 @@
         let Err(why) = self.route_request(context, token, connection, client, raw, keep_alive) else {
             return;
         };
-        if why.closes() {
+        if why.closes_connection() {
             return reject(context, connection, client, why);
         }
         context.shared.metrics.rejects += u64::from(why != Reject::NotReady);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -149,10 +149,10 @@
         http::read_request(format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n\r\n").as_bytes()).map(|_| ())
     };
     let cases = [
-        ("Content-Length: 3\r\nContent-Length: 3", HeadError::Ambiguous),
-        ("Content-Length: 3, 3", HeadError::Ambiguous),
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked", HeadError::Ambiguous),
-        ("Transfer-Encoding: gzip, chunked", HeadError::UnknownCoding),
+        ("Content-Length: 3\r\nContent-Length: 3", HeadError::AmbiguousLength),
+        ("Content-Length: 3, 3", HeadError::AmbiguousLength),
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked", HeadError::AmbiguousLength),
+        ("Transfer-Encoding: gzip, chunked", HeadError::UnsupportedCoding),
         ("Content-Length: +3", HeadError::Malformed),
         ("Content-Length : 3", HeadError::Malformed),
         ("A: b\r\n folded", HeadError::Malformed),
@@ -163,7 +163,7 @@
         assert_eq!(read(fields), Err(error), "{fields:?}");
     }
     assert_eq!(read("Content-Length: 3"), Ok(()));
-    assert_eq!(http::read_request(b"GET / HTTP/2.0\r\nHost: h\r\n\r\n"), Err(HeadError::Version));
+    assert_eq!(http::read_request(b"GET / HTTP/2.0\r\nHost: h\r\n\r\n"), Err(HeadError::UnsupportedVersion));
     assert_eq!(http::read_request(b"GET / HTTP/1.1\r\n\r\n"), Err(HeadError::Malformed));
     assert_eq!(http::read_request(&vec![b'a'; http::MAX_HEAD]), Err(HeadError::TooLarge));
 }
