--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -39,7 +39,7 @@
     /// The connection of the watch, or of the call that opens it; `None` if there is neither.
     watch: Option<Token>,
     liveness: WatchLiveness,
-    /// The timer at which the next watch is opened, while none is open.
+    /// The timer for opening the next watch; set only while no watch is open.
     watch_timer: TimerSlot,
     full_list: FullListState,
     pacing: CallPacing,
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -55,16 +55,16 @@
 }
 
 impl CallPacing {
-    /// Creates the pacing. It is off if the settings have none, or if a local agent pushes lists to this dispatcher.
-    /// `generation` is that of the current endpoint list.
+    /// Creates the pacing. Pacing is off if the settings have no `cold_start`, or if a local agent pushes lists to this
+    /// dispatcher. `generation` is that of the current endpoint list.
     pub(super) fn open(
         settings: &FleetSettings,
         config: &Config,
         now: Micros,
         generation: u64,
     ) -> CallPacing {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        let unix_at_zero = unix.saturating_sub(now);
+        let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+        let unix_at_zero = unix_now.saturating_sub(now);
         let scheduler_config = scheduler_config(settings, config, unix_at_zero);
         let scheduler = scheduler_config.and_then(|scheduler_config| {
             let scheduler = PollScheduler::new(scheduler_config, now, generation);
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -36,11 +36,11 @@
     now: Micros,
 ) -> Result<RecordStore, ServerError> {
     let (records, loaded) = RecordStore::open(settings)?;
-    let bad = core.enable_idempotency(now, loaded.records.into_iter());
+    let unreadable = core.enable_idempotency(now, loaded.records.into_iter());
     if !loaded.is_clock_plausible {
         core.expire_idempotency_windows();
     }
-    for (key, error) in bad {
+    for (key, error) in unreadable {
         tracing::error!(key, %error, "idempotency store: unreadable record");
     }
     reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(system("epoll"))?;
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -55,7 +55,7 @@
         let started = Instant::now();
         let opened = open_when_unlocked(&settings, started);
         let (store, recovery) = opened.map_err(|error| ServerError::State(settings.dir.clone(), error))?;
-        let read_in = started.elapsed().as_millis();
+        let elapsed_ms = started.elapsed().as_millis();
         for damage in recovery.damage.iter().chain(&recovery.warnings) {
             tracing::error!(%damage, "idempotency store: damaged");
         }
@@ -65,7 +65,7 @@
             tracing::warn!("idempotency store: clock is behind the records, earlier jobs are not retried");
         }
         let (count, directory) = (records.len(), settings.dir.display());
-        tracing::info!(records = count, %directory, milliseconds = read_in, "idempotency store: opened");
+        tracing::info!(records = count, %directory, milliseconds = elapsed_ms, "idempotency store: opened");
         let (sender, receiver) = completion_queue().map_err(|error| ServerError::System("state", error))?;
         let record_store = RecordStore {
             settings,
@@ -137,7 +137,7 @@
 
     /// Tries to open the store again, at most once per [`REOPEN_INTERVAL`].
     fn reopen(&mut self, now: Micros) {
-        if self.last_open_attempt.is_some_and(|at| now < at + REOPEN_INTERVAL) {
+        if self.last_open_attempt.is_some_and(|last| now < last + REOPEN_INTERVAL) {
             return;
         }
         self.last_open_attempt = Some(now);
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -23,13 +23,13 @@
 /// Creates the identity of a process that now starts, or restarts its membership, at its place in a configuration. The epoch is
 /// the Unix time in milliseconds.
 fn new_identity(config: &Config) -> ProcessIdentity {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     // A dispatcher without an address for datagrams cannot receive from any peer.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
     ProcessIdentity {
         place: config.settings.own_index,
         peers,
-        epoch: unix.as_millis() as u64,
+        epoch: unix_now.as_millis() as u64,
         seed: config.seed,
     }
 }
@@ -44,7 +44,7 @@
     /// reason is logged.
     pub(in crate::server) fn open(settings: FleetSettings, config: &Config, now: Micros) -> MembershipLink {
         let fleet = Fleet::new(settings, new_identity(config), now).unwrap_or_else(|error| {
-            tracing::warn!(%error, "membership disabled: configuration does not fit");
+            tracing::warn!(%error, "membership disabled: invalid configuration");
             Fleet::default()
         });
         MembershipLink { fleet, timer: TimerSlot::new(FLEET_TIMER), next_publish: Some(now) }
@@ -191,9 +191,10 @@
 fn log_member_change(config: &Config, change: Change, suppressed: u64) {
     let address = config.peers.get(usize::from(change.place));
     let address = address.map_or("?".to_owned(), ToString::to_string);
-    let more = if suppressed > 0 { format!(", {suppressed} not shown before") } else { String::new() };
+    let suppressed_note =
+        if suppressed > 0 { format!(", {suppressed} not shown before") } else { String::new() };
     tracing::info!(
-        "member {} at {address}: {:?} to {:?}, epoch {}, view {}{more}",
+        "member {} at {address}: {:?} to {:?}, epoch {}, view {}{suppressed_note}",
         change.place,
         change.from,
         change.to,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -49,11 +49,12 @@
         inherited: Option<UdpSocket>,
         config: &Config,
     ) -> Result<PeerSocket, ServerError> {
-        let at = config.peer_listen;
-        let inherited = inherited.filter(|socket| at.is_some_and(|at| is_at(socket.local_addr(), at)));
-        let socket = match (inherited, at) {
+        let listen = config.peer_listen;
+        let inherited =
+            inherited.filter(|socket| listen.is_some_and(|address| is_at(socket.local_addr(), address)));
+        let socket = match (inherited, listen) {
             (Some(socket), _) => Some(socket),
-            (None, at) => at.map(UdpSocket::bind).transpose().map_err(io_failed("peer socket"))?,
+            (None, listen) => listen.map(UdpSocket::bind).transpose().map_err(io_failed("peer socket"))?,
         };
         if let Some(socket) = &socket {
             socket.set_nonblocking(true).map_err(io_failed("peer socket"))?;
@@ -118,7 +119,8 @@
             |old: u32| old_peers.get(old as usize).and_then(|address| socket.places.get(address)).copied();
         self.lifecycle.renumber(config.settings.own_index, config.peers.len(), new_place);
         let messages = std::mem::take(&mut self.last_message_at).into_iter();
-        self.last_message_at = messages.filter_map(|(old, at)| Some((new_place(old)?, at))).collect();
+        self.last_message_at =
+            messages.filter_map(|(old, arrived_at)| Some((new_place(old)?, arrived_at))).collect();
     }
 
     /// Whether every dispatcher that sends its announcements to this one has announced that it stops.
@@ -142,7 +144,7 @@
             self.announce(context, state);
         }
         // A process that has just started, and must not use its known list yet, announces itself to its peer group too. The
-        // peers answer when they last received a message of the predecessor: see `PeerDatagram::LastMessageAge`.
+        // peers answer with the time since the last message of the predecessor: see `PeerDatagram::LastMessageAge`.
         if context.core.endpoints().is_stale() && !self.lifecycle.is_small() {
             let announcement = PeerDatagram::Serving.encode();
             context.core.peer_group().iter().for_each(|to| context.send_to_peer(*to, &announcement));
@@ -181,8 +183,9 @@
         if context.lifecycle.is_draining() {
             context.send_to_peer(from, &PeerDatagram::Stopping.encode());
         }
-        if let Some(at) = self.last_message_at.get(&from) {
-            let age_ms = u32::try_from(context.now().saturating_sub(*at) / MICROS_PER_MS).unwrap_or(u32::MAX);
+        if let Some(arrived_at) = self.last_message_at.get(&from) {
+            let age_ms =
+                u32::try_from(context.now().saturating_sub(*arrived_at) / MICROS_PER_MS).unwrap_or(u32::MAX);
             context.send_to_peer(from, &PeerDatagram::LastMessageAge { age_ms }.encode());
         }
     }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 
 fn start_with_admin(workers: &[Arc<FakeWorker>], sse: bool) -> (DispatcherProcess, SocketAddr) {
-    let program = DispatcherProcess::builder(workers)
+    let dispatcher = DispatcherProcess::builder(workers)
         .event_streams(sse)
         .configure(|config| config["admin_addr"] = json!("127.0.0.1:0"))
         .start();
-    let admin = program.admin.expect("the admin address is on");
-    (program, admin)
+    let admin = dispatcher.admin.expect("the admin address is on");
+    (dispatcher, admin)
 }
 
 fn call(admin: SocketAddr, method: &str, path: &str) -> HttpReply {
@@ -39,7 +39,7 @@
 #[test]
 fn counters_match_what_clients_and_workers_saw() {
     let worker = FakeWorker::start("s-1");
-    let (program, admin) = start_with_admin(std::slice::from_ref(&worker), true);
+    let (dispatcher, admin) = start_with_admin(std::slice::from_ref(&worker), true);
     let before = counters(admin);
     for name in ["success.balance", "busy.balance", "failure.redeem", "backend_calls", "reconfig_failed"] {
         assert_eq!(before.get(name), Some(&(0, 'c')), "{name}");
@@ -48,15 +48,15 @@
     assert_eq!(before["hosts_down"], (0, 'g'));
     for n in 0..3 {
         assert_eq!(
-            send_job(program.platform, &format!("a{n}"), "balance", "take started done=x").status,
+            send_job(dispatcher.platform, &format!("a{n}"), "balance", "take started done=x").status,
             200
         );
     }
     // The job may have run and no other worker can run it, so it fails at the end of the client's time limit.
     let failing = job_request("b0", "redeem", "take started failed", "X-Time-Left-Ms: 300\r\n");
-    assert!(send(program.platform, &failing).expect("the dispatcher answers").status >= 500);
-    assert_eq!(send_job(program.platform, "b1", "nothing", "take").status, 400);
-    let mut open = connect(program.sse.expect("the SSE listener is on"));
+    assert!(send(dispatcher.platform, &failing).expect("the dispatcher answers").status >= 500);
+    assert_eq!(send_job(dispatcher.platform, "b1", "nothing", "take").status, 400);
+    let mut open = connect(dispatcher.sse.expect("the SSE listener is on"));
     open.write_all(job_request("c0", "redeem", "take started wait=counted done=x", "").as_bytes())
         .expect("the request is written");
     wait_until("the open job is counted", || counters(admin)["inflight"] == (1, 'g'));
@@ -79,18 +79,18 @@
 #[test]
 fn incomplete_calls_and_requests_do_not_delay_admin_calls() {
     let worker = FakeWorker::start("s-1");
-    let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
+    let dispatcher = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .configure(|config| {
             config["admin_addr"] = json!("127.0.0.1:0");
             config["limits"]["sockets"] = json!(80);
         })
         .start();
-    let admin = program.admin.expect("the admin address is on");
+    let admin = dispatcher.admin.expect("the admin address is on");
     let mut incomplete_calls: Vec<_> = (0..40).map(|_| connect(admin)).collect();
     incomplete_calls
         .iter_mut()
         .for_each(|stream| stream.write_all(b"GET /control/rea").expect("the request is written"));
-    let mut incomplete_requests: Vec<_> = (0..100).map(|_| connect(program.platform)).collect();
+    let mut incomplete_requests: Vec<_> = (0..100).map(|_| connect(dispatcher.platform)).collect();
     incomplete_requests.iter_mut().for_each(|stream| drop(stream.write_all(b"POST /balance HTTP/1.1\r\nHo")));
     for _ in 0..5 {
         assert_eq!(call(admin, "GET", "/control/ready").status, 200);
@@ -104,7 +104,7 @@
     let mut attempts = 0;
     wait_until("a job is served", || {
         attempts += 1;
-        let reply = send_job(program.platform, &format!("d{attempts}"), "balance", "take started done=x");
+        let reply = send_job(dispatcher.platform, &format!("d{attempts}"), "balance", "take started done=x");
         let is_rejected =
             reply.status == 503 && worker.job_count.load(std::sync::atomic::Ordering::SeqCst) == 0;
         assert!(is_rejected || (reply.status, reply.body.as_str()) == (200, "x"), "{}", reply.head);
@@ -116,14 +116,14 @@
 #[test]
 fn rejects_unknown_admin_calls() {
     let worker = FakeWorker::start("s-1");
-    let (program, admin) = start_with_admin(std::slice::from_ref(&worker), false);
+    let (dispatcher, admin) = start_with_admin(std::slice::from_ref(&worker), false);
     assert_eq!(call(admin, "GET", "/control/nothing").status, 404);
     assert_eq!(call(admin, "GET", "/control/out-of-service").status, 405);
     assert_eq!(call(admin, "PUT", "/control/ready").status, 405);
     assert_eq!(send(admin, "what is this\r\n\r\n").expect("the dispatcher answers").status, 400);
-    assert_eq!(program.up_status(), 200, "none of these calls started a drain");
+    assert_eq!(dispatcher.up_status(), 200, "none of these calls started a drain");
     // Clients are not served at the admin address, nor admin calls at the clients' address.
-    assert_eq!(call(program.platform, "GET", "/control/ready").status, 404);
+    assert_eq!(call(dispatcher.platform, "GET", "/control/ready").status, 404);
     assert_eq!(send_job(admin, "e0", "balance", "take started done=x").status, 404);
 }
 
@@ -133,10 +133,10 @@
 fn drain_closes_clients_and_can_be_undone() {
     // Two workers, because a worker that has not sent a load report yet is not given a third job while it has two.
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let (program, admin) = start_with_admin(&workers, true);
-    let (sse, accept) = (program.sse.expect("the SSE listener is on"), "Accept: text/event-stream\r\n");
-    let idle = [connect(program.platform), connect(program.platform), connect(sse)];
-    let mut busy = [connect(program.platform), connect(sse)];
+    let (dispatcher, admin) = start_with_admin(&workers, true);
+    let (sse, accept) = (dispatcher.sse.expect("the SSE listener is on"), "Accept: text/event-stream\r\n");
+    let idle = [connect(dispatcher.platform), connect(dispatcher.platform), connect(sse)];
+    let mut busy = [connect(dispatcher.platform), connect(sse)];
     for (n, stream) in busy.iter_mut().enumerate() {
         let text = job_request(&format!("f{n}"), "balance", "take started wait=drained done=kept", accept);
         stream.write_all(text.as_bytes()).expect("the request is written");
@@ -145,8 +145,8 @@
     wait_until("both jobs arrive", || workers.iter().map(jobs).sum::<u64>() == 2);
     assert_eq!(call(admin, "PUT", "/control/out-of-service").status, 200);
     assert_eq!(call(admin, "PUT", "/control/out-of-service").status, 200, "a repeated call");
-    assert_eq!(program.up_status(), 503);
-    for (n, to) in [program.platform, sse].into_iter().enumerate() {
+    assert_eq!(dispatcher.up_status(), 503);
+    for (n, to) in [dispatcher.platform, sse].into_iter().enumerate() {
         let reply = send_job(to, &format!("g{n}"), "balance", "take started done=x");
         assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
     }
@@ -159,14 +159,14 @@
     }
     assert_eq!(call(admin, "GET", "/control/ready").status, 200, "the process still takes clients");
     assert_eq!(call(admin, "PUT", "/control/in-service").status, 200);
-    assert_eq!(program.up_status(), 200);
-    let mut kept = connect(program.platform);
+    assert_eq!(dispatcher.up_status(), 200);
+    let mut kept = connect(dispatcher.platform);
     for n in 0..2 {
         let text = simple_job(&format!("h{n}"));
         kept.write_all(text.as_bytes()).expect("the request is written");
         let reply = read_reply(&mut kept).expect("the kept connection is answered");
         assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
-    let metrics = program.shut_down_for_metrics();
+    let metrics = dispatcher.shut_down_for_metrics();
     assert_eq!((metrics["open"], metrics["gone"], metrics["broken_invariants"]), (0, 0, 0));
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -11,7 +11,7 @@
 fn start_with_peer(workers: &[std::sync::Arc<FakeWorker>]) -> (DispatcherProcess, UdpSocket, SocketAddr) {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("the peer's socket is bound");
     peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
-    let program = DispatcherProcess::builder(workers)
+    let dispatcher = DispatcherProcess::builder(workers)
         .configure(|config| {
             config["peer_listen"] = json!("127.0.0.1:0");
             config["peers"] =
@@ -23,7 +23,7 @@
     let mut buf = [0; 16];
     let (len, dispatcher_address) = peer.recv_from(&mut buf).expect("a datagram arrives");
     assert_eq!(&buf[..len], b"U", "the dispatcher announces that it serves");
-    (program, peer, dispatcher_address)
+    (dispatcher, peer, dispatcher_address)
 }
 
 fn wait_for_datagram(peer: &UdpSocket, expected: &[u8]) {
@@ -38,8 +38,8 @@
 #[test]
 fn keeps_clients_until_peer_serves() {
     let worker = FakeWorker::start("s-1");
-    let (program, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
-    let mut client = connect(program.platform);
+    let (dispatcher, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
+    let mut client = connect(dispatcher.platform);
     let mut send_on_kept_connection = |id: String| {
         client
             .write_all(job_request(&id, "balance", "take started pause=150 done=x", "").as_bytes())
@@ -48,7 +48,7 @@
     };
     assert_eq!(send_on_kept_connection("a0".into()).status, 200);
     peer.send_to(b"S", dispatcher_address).expect("the datagram is sent");
-    program.terminate();
+    dispatcher.terminate();
     wait_for_datagram(&peer, b"S");
     for n in 0..6 {
         let reply = send_on_kept_connection(format!("b{n}"));
@@ -59,19 +59,19 @@
     assert_eq!(send_on_kept_connection("c0".into()).header("Connection"), Some("close"));
     // Datagrams get lost, so the dispatcher repeats the announcement that it stops.
     (0..3).for_each(|_| wait_for_datagram(&peer, b"S"));
-    program.wait_for_complete_shutdown();
+    dispatcher.wait_for_complete_shutdown();
 }
 
 /// A dispatcher that stops closes its client connections while a peer serves.
 #[test]
 fn closes_client_connections_while_peer_serves() {
     let worker = FakeWorker::start("s-1");
-    let (program, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
+    let (dispatcher, peer, dispatcher_address) = start_with_peer(std::slice::from_ref(&worker));
     peer.send_to(b"S", dispatcher_address).expect("the datagram is sent");
     peer.send_to(b"U", dispatcher_address).expect("the datagram is sent");
-    program.terminate();
+    dispatcher.terminate();
     wait_for_datagram(&peer, b"S");
-    let reply = send(program.platform, &simple_job("d0")).expect("the dispatcher answers");
+    let reply = send(dispatcher.platform, &simple_job("d0")).expect("the dispatcher answers");
     assert_eq!((reply.status, reply.header("Connection")), (200, Some("close")));
-    assert!(program.wait_for_exit().0);
+    assert!(dispatcher.wait_for_exit().0);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -116,7 +116,7 @@
 /// A request with an attempt in flight stays in the predecessor, but its status callbacks arrive at the successor. The successor
 /// must forward them.
 #[test]
-fn callbacks_reach_process_that_has_job() {
+fn forwards_status_callbacks_to_process_that_holds_job() {
     let (directory, worker) = (SharedDirectory::new("news"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
     let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
