--- a/src/server/admin/tests.rs
+++ b/src/server/admin/tests.rs
@@ -27,5 +27,5 @@
     let endless_head = b"GET /control/ready HTTP/1.1\r\nHost: a\r\nName: ";
     assert!(matches!(parse_call(endless_head, ReadEnd::LimitReached), Some(Err(Reject::HeadTooLarge))));
     let unknown_path = b"GET /control/nothing HTTP/1.1\r\nHost: a\r\n\r\n";
-    assert!(matches!(parse_call(unknown_path, ReadEnd::WouldBlock), Some(Err(Reject::NoSuchPath))));
+    assert!(matches!(parse_call(unknown_path, ReadEnd::WouldBlock), Some(Err(Reject::NotFound))));
 }
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -47,7 +47,7 @@
         let Err(reason) = self.route_request(context, token, connection, client, raw, keep_alive) else {
             return;
         };
-        if reason.closes() {
+        if reason.closes_connection() {
             return reject(context, connection, client, reason);
         }
         context.shared.metrics.rejects += u64::from(reason != Reject::NotReady);
