--- a/tests/common/event_stream.rs
+++ b/tests/common/event_stream.rs
@@ -1,6 +1,6 @@
-//! A client of the SSE listener: it sends a request and reads the answer, which may be an event stream. Shared by the tests of
-//! progress streams (`tests/streams.rs`) and of watched jobs (`tests/watch`).
-#![allow(dead_code)] // each of its users needs a part
+//! A client of the SSE listener, which sends a request and reads the response, which may be an event stream. Shared by the tests
+//! of progress streams (`tests/streams.rs`) and of watched jobs (`tests/watch`).
+#![allow(dead_code)] // each test crate uses only a part
 
 use mothproxy::http::{self, Body, EventStream, StreamEvent};
 use mothproxy_testkit::WAIT_TIMEOUT;
@@ -8,13 +8,13 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// The names of the events of which a job has exactly one, its last.
+/// The names of the final events. A job has exactly one of them, as its last event.
 pub const FINAL_EVENTS: [&str; 3] = ["done", "deny", "failed"];
 
-/// One answer, as far as it has been read.
+/// A connection with one request and the part of its response that has been read so far.
 pub struct StreamClient {
     connection: TcpStream,
-    /// Bytes that have been read and not yet understood.
+    /// Bytes that have been read and not yet parsed.
     inbox: Vec<u8>,
     body: Option<Body>,
     parser: EventStream,
@@ -22,12 +22,12 @@
     /// The status line and the header fields, as received.
     pub head: String,
     pub is_event_stream: bool,
-    /// The body, as received.
+    /// The body, without its transfer encoding.
     pub text: Vec<u8>,
     pub events: Vec<StreamEvent>,
-    /// The answer came to its proper end.
+    /// Whether the response was received completely.
     pub is_complete: bool,
-    /// Nothing more is read, as the answer or the connection has ended.
+    /// Whether the response or the connection has ended, so that nothing more is read.
     pub is_ended: bool,
 }
 
@@ -40,10 +40,10 @@
 }
 
 impl StreamClient {
-    /// Sends a request, and reads nothing yet.
+    /// Sends a request without reading anything.
     pub fn send(mut connection: TcpStream, request: &str) -> StreamClient {
-        connection.write_all(request.as_bytes()).expect("written");
-        connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+        connection.write_all(request.as_bytes()).expect("write failed");
+        connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
         StreamClient {
             connection,
             inbox: Vec::new(),
@@ -59,18 +59,18 @@
         }
     }
 
-    /// Sends a request and reads the head of the answer, and what comes with it.
+    /// Sends a request and reads the head of the response, with the bytes that arrive together with it.
     pub fn open(connection: TcpStream, request: &str) -> StreamClient {
         let mut client = StreamClient::send(connection, request);
         while client.body.is_none() && client.read_more() {}
         client
     }
 
-    /// Reads once; whether more may come.
+    /// Reads once. Returns whether more may follow.
     ///
     /// # Errors
     ///
-    /// The connection was reset, or nothing came for [`WAIT_TIMEOUT`].
+    /// If the connection was reset, or if no byte arrived within [`WAIT_TIMEOUT`].
     pub fn try_read_more(&mut self) -> io::Result<bool> {
         if self.is_ended {
             return Ok(false);
@@ -87,7 +87,7 @@
         Ok(!self.is_ended)
     }
 
-    /// Reads once; whether more may come. A connection that breaks has ended.
+    /// Reads once. Returns whether more may follow; an error counts as the end.
     pub fn read_more(&mut self) -> bool {
         self.try_read_more().unwrap_or(false)
     }
@@ -96,7 +96,7 @@
         if self.body.is_some() {
             return;
         }
-        let Some(head) = http::read_response(&self.inbox).expect("an HTTP answer") else { return };
+        let Some(head) = http::read_response(&self.inbox).expect("not an HTTP response") else { return };
         self.status = head.status;
         self.head = String::from_utf8_lossy(&self.inbox[..head.len]).into_owned();
         self.is_event_stream = head.fields.text(&self.inbox, "content-type") == Some("text/event-stream");
@@ -107,19 +107,19 @@
     fn read_body(&mut self) {
         let Some(body) = &mut self.body else { return };
         let mut text = Vec::new();
-        body.feed(&mut self.inbox, &mut text).expect("a sound body");
+        body.feed(&mut self.inbox, &mut text).expect("invalid body framing");
         self.is_complete = body.is_done();
         self.is_ended = self.is_complete;
         let events = &mut self.events;
-        self.parser.feed(&text, |event| events.push(event)).expect("sound events");
+        self.parser.feed(&text, |event| events.push(event)).expect("invalid event stream");
         self.text.extend(text);
     }
 
-    /// Reads until the answer ends, or until `is_enough` says so.
+    /// Reads until the response or the connection ends, or until `is_enough` returns true.
     ///
     /// # Panics
     ///
-    /// The connection was reset, or nothing came for [`WAIT_TIMEOUT`].
+    /// If the connection was reset, or if no byte arrived within [`WAIT_TIMEOUT`].
     pub fn read_until(mut self, is_enough: impl Fn(&StreamClient) -> bool) -> StreamClient {
         loop {
             match self.try_read_more() {
@@ -130,19 +130,19 @@
         }
     }
 
-    /// Reads until the answer or the connection ends.
+    /// Reads until the response or the connection ends. An error counts as the end.
     pub fn read_to_end(mut self) -> StreamClient {
         while self.read_more() {}
         self
     }
 
-    /// Reads until this many events have come, or the end; their ids and names.
+    /// Reads until this many events were received, or to the end. Returns the ids and names of all events so far.
     pub fn read_events(&mut self, count: usize) -> Vec<String> {
         while self.events.len() < count && self.read_more() {}
         self.ids_and_names()
     }
 
-    /// The ids and names of all events, as `1 started`.
+    /// The ids and names of all events, such as `1 started`.
     pub fn ids_and_names(&self) -> Vec<String> {
         self.events.iter().map(|event| format!("{} {}", event.id, event.name)).collect()
     }
@@ -152,18 +152,18 @@
         self.events.iter().map(|event| event.name.as_str()).collect()
     }
 
-    /// How many final answers it holds: final events, or a plain answer that is complete.
+    /// The number of final answers: final events, or 1 for a complete response that is not an event stream.
     pub fn final_answers(&self) -> usize {
         let plain = usize::from(!self.is_event_stream && self.is_complete);
         plain + self.names().iter().filter(|name| FINAL_EVENTS.contains(name)).count()
     }
 
-    /// How many empty comments came that keep a quiet stream alive.
+    /// The number of `alive` comments, which are sent on an idle stream.
     pub fn heartbeats(&self) -> usize {
         String::from_utf8_lossy(&self.text).matches(": alive\n").count()
     }
 
-    /// After how many milliseconds the server asks the client to come back, if it says so.
+    /// The reconnection time that the server set with a `retry` field, in milliseconds; `None` if it set none.
     pub fn retry(&self) -> Option<u64> {
         self.parser.retry()
     }
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -1,5 +1,5 @@
-//! The real program with a state directory: killed at random points under load, upgraded, and with a disk that fails.
-//! `DURABLE_RUNS` says how many times it is killed; `DURABLE_SEED` replays one.
+//! The program with a state directory: killed at random points under load, hot-restarted, and with a failing disk.
+//! `DURABLE_RUNS` is the number of kills; `DURABLE_SEED` replays the kill with that seed.
 
 use mothproxy_testkit::*;
 use serde_json::json;
@@ -21,10 +21,11 @@
 }
 
 fn temporary_folder() -> tempfile::TempDir {
-    tempfile::tempdir().expect("a folder")
+    tempfile::tempdir().expect("cannot create the temporary directory")
 }
 
-/// Starts the program with this state directory, in the folder of a predecessor if there is one.
+/// Starts the program with this state directory, with `folder` as its `$TMPDIR`. A process in the same folder hands its
+/// listeners and jobs over.
 fn start_with_state(
     workers: &[Arc<FakeWorker>],
     state: &Path,
@@ -45,12 +46,12 @@
         .start()
 }
 
-/// The same on a port that the system picks.
+/// Starts the program with this state directory and without a predecessor, on a port that the system picks.
 fn start_alone(workers: &[Arc<FakeWorker>], state: &Path) -> DispatcherProcess {
     start_with_state(workers, state, None, "127.0.0.1:0")
 }
 
-/// Sends a redeem with this idempotency key; `None` where no whole answer came.
+/// Sends a job of class `redeem` with this idempotency key; `None` if no complete response was received.
 fn try_redeem(to: SocketAddr, id: &str, key: &str, script: &str) -> Option<HttpReply> {
     let text = job_request(id, "redeem", script, "").replace(&format!("key-{id}"), key);
     let mut stream = TcpStream::connect(to).ok()?;
@@ -58,30 +59,31 @@
     read_reply(&mut stream)
 }
 
-/// Sends a redeem, which must be answered.
+/// Sends a job of class `redeem`, which must be answered.
 fn redeem(to: SocketAddr, id: &str, key: &str, script: &str) -> HttpReply {
-    try_redeem(to, id, key, script).expect("an answer")
+    try_redeem(to, id, key, script).expect("no complete response")
 }
 
-/// Asserts that a redeem is served with this result.
+/// Asserts that a job of class `redeem` is served with this result.
 fn assert_redeemed(to: SocketAddr, id: &str, key: &str, script: &str, result: &str) {
     let reply = redeem(to, id, key, script);
     assert_eq!((reply.status, reply.body.as_str()), (200, result));
 }
 
-/// Where a key was received.
+/// The executions of one idempotency key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Executions {
+    /// The cells whose workers received the key.
     cells: BTreeSet<usize>,
-    /// How often in all.
+    /// The number of jobs with the key that workers received.
     count: usize,
 }
 
-/// What workers have received of each key.
+/// The executions of each key that the workers have received.
 fn executions(workers: &[Arc<FakeWorker>]) -> BTreeMap<String, Executions> {
     let mut by_key: BTreeMap<String, Executions> = BTreeMap::new();
     for (number, worker) in workers.iter().enumerate() {
-        let received = worker.received.lock().expect("a lock");
+        let received = worker.received.lock().expect("mutex poisoned");
         for line in received.iter().filter(|line| line.starts_with("POST ")) {
             let key = line.rsplit(' ').next().unwrap_or("").to_owned();
             let executions = by_key.entry(key).or_default();
@@ -94,26 +96,28 @@
 
 fn counter(program: &DispatcherProcess, name: &str) -> u64 {
     let text = program.call_admin("GET", "/control/counters").body;
-    let line = text.lines().find_map(|l| l.strip_prefix(&format!("dispatcher.{name}:")));
-    line.and_then(|l| l.split('|').next()?.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+    let value = text.lines().find_map(|line| line.strip_prefix(&format!("dispatcher.{name}:")));
+    value
+        .and_then(|value| value.split('|').next()?.parse().ok())
+        .unwrap_or_else(|| panic!("no counter {name} in {text}"))
 }
 
-/// A job that was answered with a result.
+/// A job that was answered with status 200.
 struct AnsweredJob {
     script: &'static str,
     result: String,
 }
 
-/// What clients had when the program was killed.
+/// The jobs that clients had sent when the program was killed.
 #[derive(Default)]
 struct ClientRecords {
-    /// By key.
+    /// The jobs with a result, by idempotency key.
     answered: BTreeMap<String, AnsweredJob>,
-    /// Scripts of jobs without a result, by key.
+    /// The scripts of the jobs without a result, by idempotency key.
     unanswered: BTreeMap<String, &'static str>,
 }
 
-/// Eight clients send keyed jobs until the program is killed after this time.
+/// Runs eight clients that send keyed jobs until the program is killed after this time.
 fn load_until_killed(program: &DispatcherProcess, kill_after: Duration) -> ClientRecords {
     const CLIENTS: usize = 8;
     let platform = program.platform;
@@ -127,7 +131,7 @@
             let script =
                 if number % 4 == 0 { "take started pause=4 done=paid" } else { "take started done=paid" };
             let reply = try_redeem(platform, &format!("a{number}"), &key, script);
-            let mut records = records.lock().expect("a lock");
+            let mut records = records.lock().expect("mutex poisoned");
             match reply {
                 Some(reply) if reply.status == 200 => {
                     records.answered.insert(key, AnsweredJob { script, result: reply.body });
@@ -144,23 +148,24 @@
         program.signal("-KILL");
         is_over.store(true, Ordering::Relaxed);
     });
-    records.into_inner().expect("a lock")
+    records.into_inner().expect("mutex poisoned")
 }
 
-/// What one run with a kill has shown.
+/// The counts of one run with a kill.
 #[derive(Default)]
 struct KillSummary {
-    /// Keys that were answered before the kill.
+    /// Jobs that were answered with a result before the kill.
     answered: usize,
-    /// Repeats that were tried after it.
+    /// Jobs that were sent again after the kill.
     repeats: usize,
 }
 
-/// Repeats jobs after a kill: an answered one has the same result again, any other one a final status.
+/// Sends jobs again after a kill: one that had a result must get the same result, any other one a final status. Returns the
+/// number of jobs sent.
 fn repeat_after_kill(to: SocketAddr, records: &ClientRecords, seed: u64) -> usize {
     let mut repeats = 0;
-    // Results are recorded when they come, not before they are given: of the last few a repeat may run in the cell, which drops
-    // it. All others come from the records.
+    // A result is recorded when it arrives, and the response does not wait until the record is on disk. So repeats of the last
+    // few jobs may be sent to the cell, which deduplicates them. All other repeats are answered from the store.
     for (key, AnsweredJob { script, result }) in records.answered.iter().rev().take(60) {
         let reply = redeem(to, &format!("b-{key}"), key, script);
         assert_eq!((reply.status, &reply.body), (200, result), "seed {seed}: {key}");
@@ -174,7 +179,8 @@
     repeats
 }
 
-/// What a crash must not change: a result that a client got comes again and runs nothing, and no key gets to a second cell.
+/// Kills the program under load, restarts it and sends jobs again. Asserts the invariants across the crash: a repeat of a job
+/// with a result gets that result without an execution, and no key is sent to a second cell.
 fn kill_once(seed: u64) -> KillSummary {
     let state = temporary_folder();
     let workers = start_workers();
@@ -188,13 +194,13 @@
     let repeats = repeat_after_kill(program.platform, &records, seed);
     let after = executions(&workers);
     for (key, Executions { cells, count }) in &after {
-        assert!(cells.len() <= 1, "seed {seed}: {key} got to cells {cells:?}, {count} times");
+        assert!(cells.len() <= 1, "seed {seed}: {key} sent to cells {cells:?}, {count} times");
     }
     let answered = records.answered.len();
     let first = records.answered.keys().next();
     if let Some(first) = first.filter(|key| answered > 16 && before.contains_key(*key)) {
         let (count, count_before) = (after[first].count, before[first].count);
-        assert_eq!(count, count_before, "seed {seed}: {first} was answered long before and ran again");
+        assert_eq!(count, count_before, "seed {seed}: {first} had a recorded result and was executed again");
     }
     KillSummary { answered, repeats }
 }
@@ -203,10 +209,10 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Killed at random points under load and started again, the program gives recorded results again, and sends no key to a second
-/// cell.
+/// Killed at random points under load and restarted, the program answers repeats with recorded results, and sends no key to a
+/// second cell.
 #[test]
-fn kill_at_any_point_executes_no_key_in_second_pod() {
+fn kill_at_any_point_executes_no_key_in_second_cell() {
     if let Some(seed) = number_from_environment("DURABLE_SEED") {
         kill_once(seed);
         return;
@@ -219,11 +225,11 @@
         sum.repeats += repeats;
     }
     let KillSummary { answered, repeats } = sum;
-    println!("killed {runs} times: {answered} keys answered before, {repeats} repeats after");
-    assert!(answered > 0 && repeats > 0, "nothing was shown: {answered}, {repeats}");
+    println!("{runs} kills: {answered} jobs answered before, {repeats} jobs repeated after");
+    assert!(answered > 0 && repeats > 0, "no coverage: {answered} jobs answered, {repeats} repeated");
 }
 
-/// The successor of a hot restart has the results that the predecessor recorded, and records those of jobs that it took over.
+/// The successor of a hot restart has the results that its predecessor recorded, and records those of jobs that it took over.
 #[test]
 fn hot_restart_takes_over_store() {
     const FINISHED: &str = "take started done=one";
@@ -232,24 +238,24 @@
     let predecessor = start_with_state(&workers, state.path(), Some(folder.path()), "127.0.0.1:0");
     let platform = predecessor.platform;
     assert_eq!(redeem(platform, "a1", "k1", FINISHED).status, 200);
-    // This one waits over the upgrade: its result comes to the successor, which records it.
+    // This job is open during the hot restart: the successor receives its result and records it.
     let waiting = std::thread::spawn(move || redeem(platform, "a2", "k2", WAITING));
-    wait_until("it arrives", || executions(&workers).contains_key("k2"));
+    wait_until("the waiting job arrives", || executions(&workers).contains_key("k2"));
     let successor = start_with_state(&workers, state.path(), Some(folder.path()), &platform.to_string());
     predecessor.terminate();
-    assert!(predecessor.wait_for_exit().0, "the predecessor ends cleanly");
+    assert!(predecessor.wait_for_exit().0, "the predecessor exited with an error");
     workers.iter().for_each(|worker| worker.open_gate("go"));
-    let reply = waiting.join().expect("a thread");
+    let reply = waiting.join().expect("thread panicked");
     assert_eq!((reply.status, reply.body.as_str()), (200, "two"));
     let before = executions(&workers);
     assert_redeemed(platform, "b1", "k1", FINISHED, "one");
     assert_redeemed(platform, "b2", "k2", WAITING, "two");
-    assert_eq!(executions(&workers), before, "a repeat ran");
+    assert_eq!(executions(&workers), before, "a repeat was executed");
     assert_eq!(counter(&successor, "state_repeats_answered"), 2);
     assert_eq!(counter(&successor, "state_failures"), 0);
 }
 
-/// A key that belongs to a job with another body is refused, and runs nothing.
+/// A job with the key of an earlier job but another body is rejected and not executed.
 #[test]
 fn rejects_key_of_another_job() {
     let (state, workers) = (temporary_folder(), start_workers());
@@ -259,16 +265,16 @@
     assert_eq!(executions(&workers)["k1"].count, 1);
 }
 
-/// Limits the size of files that a program may write; a limit stands for a full disk: writes beyond it fail with EFBIG.
+/// Limits the size of files that a program may write, which simulates a full disk: writes beyond the limit fail with EFBIG.
 fn limit_file_size(program: &DispatcherProcess, bytes: &str) {
     let set = std::process::Command::new("prlimit")
         .args(["--pid", &program.pid().to_string(), &format!("--fsize={bytes}:unlimited")])
         .status();
-    assert!(set.is_ok_and(|status| status.success()), "prlimit runs");
+    assert!(set.is_ok_and(|status| status.success()), "prlimit failed");
 }
 
-/// While the store cannot write, keyed jobs are rejected at once and unkeyed ones go on; writing resumes by itself, and what was
-/// recorded is there after a restart.
+/// While the store cannot write, keyed jobs are rejected at once and unkeyed ones are served. Writing resumes by itself, and
+/// recorded results are available after a restart.
 #[test]
 fn disk_failure_stops_only_keyed_jobs() {
     let (state, workers) = (temporary_folder(), start_workers());
@@ -278,15 +284,15 @@
     limit_file_size(&program, "64");
     for number in 0..3 {
         let reply = redeem(platform, &format!("b{number}"), &format!("x{number}"), "take started done=no");
-        assert_eq!(reply.status, 503, "nothing of it may have run");
+        assert_eq!(reply.status, 503, "keyed job not rejected during a disk failure");
         assert!(reply.header("Retry-After").is_some());
     }
     let unkeyed = job_request("c1", "balance", "take started done=yes", "");
-    let reply = send(platform, &unkeyed).expect("an answer");
+    let reply = send(platform, &unkeyed).expect("no complete response");
     assert_eq!((reply.status, reply.body.as_str()), (200, "yes"));
     assert!(counter(&program, "state_failures") >= 3);
     let is_sent = executions(&workers).keys().any(|key| key.starts_with('x'));
-    assert!(!is_sent, "one that was not recorded was sent");
+    assert!(!is_sent, "a job without a record was sent to a worker");
     limit_file_size(&program, "unlimited");
     assert_redeemed(platform, "d1", "k2", "take started done=back", "back");
     drop(program);
@@ -295,7 +301,7 @@
     assert_redeemed(program.platform, "e2", "k2", "take started done=back", "back");
 }
 
-/// A second process with the same state directory does not start, and says why.
+/// A second process with the same state directory does not start, and logs the reason.
 #[test]
 fn refuses_to_start_with_unusable_state_directory() {
     let state = temporary_folder();
@@ -306,7 +312,7 @@
         .env("GW_CONFIG", &program.config_file)
         .env_remove("TMPDIR")
         .output()
-        .expect("it runs");
+        .expect("cannot run the program");
     let log = String::from_utf8_lossy(&started.stderr).into_owned();
     assert!(!started.status.success() && log.contains("in use by another process"), "{log}");
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Clients that leave: whatever of their going is there to be read counts before an attempt begins for them.
+//! Clients that disconnect: a disconnect that has already reached the dispatcher is handled before an attempt starts for
+//! that client.
 
 use mothproxy_testkit::*;
 use rustix::net::sockopt::set_socket_linger;
@@ -7,63 +8,63 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection that has been served once.
+/// Opens a persistent connection on which one job has been served.
 fn open_kept_connection(to: SocketAddr, id: &str) -> TcpStream {
     let mut stream = connect(to);
-    stream.write_all(simple_job(id).as_bytes()).expect("written");
-    assert_eq!(read_reply(&mut stream).expect("an answer").status, 200);
+    stream.write_all(simple_job(id).as_bytes()).expect("write failed");
+    assert_eq!(read_reply(&mut stream).expect("no complete response").status, 200);
     stream
 }
 
 fn serve_one(to: SocketAddr, id: &str) {
     let reply = send(to, &simple_job(id));
-    assert_eq!(reply.expect("an answer").status, 200);
+    assert_eq!(reply.expect("no complete response").status, 200);
 }
 
-/// Connections to workers are kept while a busy machine takes its time: an attempt over one begins at once.
-fn long_idle(config: &mut serde_json::Value) {
+/// Raises the idle timeout of worker connections, so that a slow machine does not close them before the next attempt.
+fn set_long_idle_timeout(config: &mut serde_json::Value) {
     config["settings"]["Limits"]["ConnIdleMs"] = json!(100_000.0);
 }
 
-/// Lets what was sent to the program, which stands still, arrive there: the system delivers it before it answers a later
-/// connection.
-fn wait_until_arrived(program: SocketAddr) {
+/// Waits until everything sent so far to the suspended program has reached its sockets: the kernel delivers it before it
+/// completes the handshake of a later connection.
+fn wait_until_delivered(program: SocketAddr) {
     drop(connect(program));
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Closed,
     Reset,
-    /// It would still read: the page knows no such client.
+    /// Only the client's sending side is closed. The protocol treats this as a disconnect, too.
     HalfClosed,
 }
 
 fn disconnect(stream: TcpStream, how: Disconnect) -> Option<TcpStream> {
     match how {
         Disconnect::Closed => return None,
-        Disconnect::Reset => set_socket_linger(&stream, Some(Duration::ZERO)).expect("a socket option"),
+        Disconnect::Reset => set_socket_linger(&stream, Some(Duration::ZERO)).expect("cannot set SO_LINGER"),
         Disconnect::HalfClosed => {
-            stream.shutdown(std::net::Shutdown::Write).expect("a connection");
+            stream.shutdown(std::net::Shutdown::Write).expect("cannot shut down the connection");
             return Some(stream);
         }
     }
     None
 }
 
-/// Requests used to be sent on in the turn in which they were read, with the end of their connection behind them: a
-/// client that had gone while it waited to be accepted, or to be read, was noticed one turn later.
+/// Guards against a request being forwarded in the same event-loop iteration in which it was read, before the end of its
+/// connection, which had also arrived, was noticed in the next iteration.
 #[test]
 fn does_not_forward_request_of_disconnected_client() {
     let worker = FakeWorker::start("s-1");
     let program = DispatcherProcess::builder(std::slice::from_ref(&worker))
         .event_streams(true)
-        .configure(long_idle)
+        .configure(set_long_idle_timeout)
         .start();
-    serve_one(program.platform, "first"); // its connection to the worker is kept: the next attempt needs no other
-    let (mut gone, mut streams) = (Vec::new(), Vec::new());
-    for (n, to) in [program.platform, program.sse.expect("the SSE front is on")].into_iter().enumerate() {
+    serve_one(program.platform, "first"); // leaves an idle worker connection, so that the next attempt needs no connect
+    let (mut disconnected_ids, mut streams) = (Vec::new(), Vec::new());
+    for (n, to) in [program.platform, program.sse.expect("no SSE listener")].into_iter().enumerate() {
         for how in [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed] {
             let id = |new: bool| format!("{n}-{how:?}-{new}");
             streams.push((
@@ -76,36 +77,39 @@
         }
     }
     program.suspend();
-    let mut still = Vec::new();
-    for (id, how, old, to) in streams {
-        let mut stream = old.unwrap_or_else(|| connect(to));
-        stream.write_all(simple_job(&id).as_bytes()).expect("written");
-        still.extend(disconnect(stream, how));
-        gone.push(id);
+    let mut half_closed = Vec::new();
+    for (id, how, kept, to) in streams {
+        let mut stream = kept.unwrap_or_else(|| connect(to));
+        stream.write_all(simple_job(&id).as_bytes()).expect("write failed");
+        half_closed.extend(disconnect(stream, how));
+        disconnected_ids.push(id);
     }
-    wait_until_arrived(program.platform);
+    wait_until_delivered(program.platform);
     program.resume();
     serve_one(program.platform, "after");
-    drop(still);
-    let sent: Vec<&String> = gone.iter().filter(|id| worker.has_received(&format!(" {id} "))).collect();
-    assert!(sent.is_empty(), "{sent:?}");
+    drop(half_closed);
+    let sent: Vec<&String> =
+        disconnected_ids.iter().filter(|id| worker.has_received(&format!(" {id} "))).collect();
+    assert!(sent.is_empty(), "forwarded for disconnected clients: {sent:?}");
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["open"], metrics["broken_invariants"]), (0, 0));
 }
 
-/// A worker whose machine holds as many connections as it may: what comes next waits until it is let in.
-fn full_worker() -> (TcpListener, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    rustix::net::listen(&listener, 0).expect("a shorter queue");
-    let first = connect(listener.local_addr().expect("an address"));
+/// A worker whose accept queue is full, and the connection that fills it. Further connections are not established until
+/// the worker accepts one.
+fn start_worker_with_full_queue() -> (TcpListener, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+    rustix::net::listen(&listener, 0).expect("cannot shorten the accept queue");
+    let first = connect(listener.local_addr().expect("no local address"));
     (listener, first)
 }
 
-/// Where attempts may not be called off, one whose connection came up late was written though its client had gone.
+/// With cancellation of attempts disabled, an attempt whose connection was established after its client had disconnected
+/// was still written to the worker.
 #[test]
 fn does_not_write_late_attempt_of_disconnected_client() {
-    let (listener, _filling) = full_worker();
-    let address = listener.local_addr().expect("an address").to_string();
+    let (listener, _queued) = start_worker_with_full_queue();
+    let address = listener.local_addr().expect("no local address").to_string();
     let program = DispatcherProcess::builder(&[])
         .configure(|config| {
             config["known"]["instances"] = json!([site::endpoint_entry("s-1", &address, "up")]);
@@ -114,32 +118,32 @@
         })
         .start();
     let mut leaves = connect(program.platform);
-    leaves.write_all(job_request("leaves", "balance", "", "").as_bytes()).expect("written");
+    leaves.write_all(job_request("leaves", "balance", "", "").as_bytes()).expect("write failed");
     let up = || program.up_status();
     wait_for_connection_attempt(&listener);
     drop(leaves);
-    (0..3).for_each(|_| assert_eq!(up(), 200)); // it has seen its client go
-    listener.set_nonblocking(true).expect("a socket option");
-    let mut let_in = Vec::new();
-    wait_until("the worker lets it in", || {
-        let_in.extend(listener.accept().ok().map(|(stream, _)| stream));
-        let_in.len() == 2
+    (0..3).for_each(|_| assert_eq!(up(), 200)); // the program has handled the disconnect by then
+    listener.set_nonblocking(true).expect("cannot set socket option");
+    let mut accepted = Vec::new();
+    wait_until("the worker accepts the connection of the attempt", || {
+        accepted.extend(listener.accept().ok().map(|(stream, _)| stream));
+        accepted.len() == 2
     });
-    (0..3).for_each(|_| assert_eq!(up(), 200)); // it has written what it writes
+    (0..3).for_each(|_| assert_eq!(up(), 200)); // by then the program would have written the attempt
     let mut seen = String::new();
-    for mut stream in let_in {
-        stream.set_nonblocking(true).expect("a socket option");
+    for mut stream in accepted {
+        stream.set_nonblocking(true).expect("cannot set socket option");
         let mut buf = [0; 4096];
         let read = stream.read(&mut buf).unwrap_or(0);
         seen.push_str(&String::from_utf8_lossy(&buf[..read]));
     }
-    assert!(!seen.contains("leaves"), "{seen}");
+    assert!(!seen.contains("leaves"), "written to the worker: {seen}");
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["gone"], metrics["broken_invariants"]), (1, 0));
 }
 
-/// What is sent ahead of an answer was read so far and no further: with more behind it than the system holds, the end
-/// of the connection was never seen, and the job went on for nobody.
+/// The dispatcher limits how many pipelined bytes it reads ahead of a response. With more of them than the socket buffers
+/// hold, the end of the connection was never noticed, and the job of a disconnected client continued.
 #[test]
 fn counts_pipelining_client_that_disconnects_as_gone() {
     for (ahead, how) in [
@@ -153,62 +157,67 @@
         let worker = FakeWorker::start("s-1");
         let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).start();
         let mut stream = connect(program.platform);
-        stream.write_all(job_request("busy", "redeem", "take hang", "").as_bytes()).expect("written");
+        stream.write_all(job_request("busy", "redeem", "take hang", "").as_bytes()).expect("write failed");
         wait_until("the job arrives", || worker.has_received("busy"));
-        let more = simple_job("more").repeat(1 + ahead / 150);
-        stream.set_write_timeout(Some(Duration::from_millis(300))).expect("a socket option");
-        let _ = stream.write_all(&more.as_bytes()[..ahead]); // not all of it may be taken
-        let _still = disconnect(stream, how);
-        serve_one(program.platform, "after"); // what comes later is seen later
+        let pipelined = simple_job("more").repeat(1 + ahead / 150);
+        stream.set_write_timeout(Some(Duration::from_millis(300))).expect("cannot set socket option");
+        let _ = stream.write_all(&pipelined.as_bytes()[..ahead]); // may time out: the buffers may not hold all of it
+        let _half_closed = disconnect(stream, how);
+        serve_one(program.platform, "after"); // served only after the disconnect was handled
         let metrics = program.shut_down_for_metrics();
-        assert_eq!((metrics["gone"], metrics["served"], metrics["taken"]), (1, 1, 2), "{ahead} {how:?}");
-        assert!(!worker.has_received("more"), "{ahead} {how:?}");
+        assert_eq!(
+            (metrics["gone"], metrics["served"], metrics["taken"]),
+            (1, 1, 2),
+            "{ahead} pipelined bytes, {how:?}"
+        );
+        assert!(!worker.has_received("more"), "{ahead} pipelined bytes, {how:?}");
     }
 }
 
 fn send_status_update(to: SocketAddr, id: &str, from: &str, state: &str) -> TcpStream {
     let mut stream = connect(to);
     let update = json!({"id": id, "from": from, "state": state});
-    stream.write_all(status_update_request(&update).as_bytes()).expect("written");
+    stream.write_all(status_update_request(&update).as_bytes()).expect("write failed");
     stream
 }
 
-/// One look at the connections shows 256 of them. News of a worker that were among them led to a further attempt for a
-/// client whose going was not.
+/// One poll returns at most 256 events. A worker's status update among them triggered a retry for a client whose
+/// disconnect was not yet among them.
 #[test]
 fn starts_no_attempt_in_burst_of_disconnects() {
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
-    let once = |config: &mut serde_json::Value| {
+    let without_hedging = |config: &mut serde_json::Value| {
         config["settings"]["Limits"]["SecondCopies"] = json!(false);
-        long_idle(config);
+        set_long_idle_timeout(config);
     };
-    let program = DispatcherProcess::builder(&workers).configure(once).start();
+    let program = DispatcherProcess::builder(&workers).configure(without_hedging).start();
     let crowd: Vec<TcpStream> =
         (0..300).map(|n| open_kept_connection(program.platform, &format!("c{n}"))).collect();
     let mut stream = connect(program.platform);
-    stream.write_all(job_request("last", "balance", "take hang", "").as_bytes()).expect("written");
+    stream.write_all(job_request("last", "balance", "take hang", "").as_bytes()).expect("write failed");
     wait_until("the job arrives", || workers.iter().any(|worker| worker.has_received(" last ")));
-    let from = workers.iter().rfind(|worker| worker.has_received(" last ")).expect("one has it");
+    let from =
+        workers.iter().rfind(|worker| worker.has_received(" last ")).expect("no worker received the job");
     program.suspend();
-    let count = || -> usize {
-        let lines = workers.iter().map(|worker| worker.received.lock().expect("a lock").clone());
+    let count_attempts = || -> usize {
+        let lines = workers.iter().map(|worker| worker.received.lock().expect("mutex poisoned").clone());
         lines.flatten().filter(|line| line.contains("POST ") && line.contains(" last ")).count()
     };
-    let before = count(); // on a busy machine one may not have been taken in time
+    let before = count_attempts(); // more than one if a slow machine did not accept the first in time
     let callback = send_status_update(program.platform, "last", &from.name, "returned");
     drop(crowd);
     drop(stream);
-    wait_until_arrived(program.platform);
+    wait_until_delivered(program.platform);
     program.resume();
     serve_one(program.platform, "after");
     drop(callback);
-    assert_eq!(count(), before);
+    assert_eq!(count_attempts(), before);
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["gone"], metrics["broken_invariants"]), (1, 0));
 }
 
-/// The successor took up a request with the connection that it came on, and sent it before it had looked whether
-/// the client was still there.
+/// The successor of a hot restart takes over connections with requests on them. It forwarded such a request before it
+/// checked whether the client was still connected.
 #[test]
 fn drops_request_of_client_that_disconnects_during_hot_restart() {
     let worker = FakeWorker::start("s-1");
@@ -217,36 +226,37 @@
             .temp_dir(folder)
             .configure(move |config| {
                 config["listen"] = json!(listen);
-                long_idle(config);
+                set_long_idle_timeout(config);
             })
             .start()
     };
-    // The predecessor keeps what has half come; it must not take too long, which a busy machine may make it.
-    let forced = (0..5).any(|n| {
-        let folder = tempfile::tempdir().expect("a folder");
+    // The predecessor keeps incomplete requests for a limited time. On a slow machine that limit may pass, so the order of
+    // events is tried several times.
+    let succeeded = (0..5).any(|n| {
+        let folder = tempfile::tempdir().expect("cannot create the temporary directory");
         let predecessor = start_at(folder.path(), "127.0.0.1:0".to_owned());
         serve_one(predecessor.platform, &format!("first-{n}"));
         let id = format!("leaves-{n}");
         let chunked = job_request(&id, "balance", "", "Transfer-Encoding: chunked\r\n")
             .replace("Content-Length: 0\r\n", "");
         let mut stream = connect(predecessor.platform);
-        stream.write_all((chunked + "4\r\ntake\r\n").as_bytes()).expect("written");
+        stream.write_all((chunked + "4\r\ntake\r\n").as_bytes()).expect("write failed");
         let successor = start_at(folder.path(), predecessor.platform.to_string());
         successor.suspend();
-        let _ = stream.write_all(b"0\r\n\r\n"); // now it is whole, and goes over
+        let _ = stream.write_all(b"0\r\n\r\n"); // completes the request, so that it is handed over
         predecessor.terminate();
         let (clean, log) = predecessor.wait_for_exit();
         assert!(clean, "{log:?}");
-        stream.set_nonblocking(true).expect("a socket option");
-        let late = stream.peek(&mut [0]).is_ok(); // answered, or closed
+        stream.set_nonblocking(true).expect("cannot set socket option");
+        let is_ended = stream.peek(&mut [0]).is_ok(); // the predecessor answered or closed the connection itself
         drop(stream);
-        wait_until_arrived(successor.platform);
+        wait_until_delivered(successor.platform);
         successor.resume();
         serve_one(successor.platform, &format!("after-{n}"));
         assert!(!worker.has_received(&id));
         let metrics = successor.shut_down_for_metrics();
         assert_eq!((metrics["open"], metrics["broken_invariants"]), (0, 0));
-        !late
+        !is_ended
     });
-    assert!(forced, "the order that is meant never came about");
+    assert!(succeeded, "the predecessor handed the request over in none of 5 tries");
 }
--- a/tests/sockets/endpoint_list.rs
+++ b/tests/sockets/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and one that must not be believed.
+//! Changes of the endpoint list, and an empty list, which is ignored.
 
 use crate::{assert_served, job_count};
 use mothproxy_testkit::*;
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Starts the program with only the first of these workers on the list that it knows: the others get a job only once a list of
-/// discovery names them.
+/// Starts the program with only the first of these workers in its configured list: the others get jobs only once discovery
+/// lists them.
 fn start_knowing_first(workers: &[Arc<FakeWorker>], discovery: &FakeDiscovery) -> DispatcherProcess {
     DispatcherProcess::builder(workers)
         .discovery(discovery.address)
@@ -16,18 +16,18 @@
 }
 
 fn wait_for_watch(discovery: &FakeDiscovery) {
-    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    wait_until("a watch is open", || discovery.calls.load(Ordering::SeqCst) > 0);
 }
 
-/// A worker that drains by a change of the list gets no more jobs; bad lines on the watch change nothing, and a watch that is closed
-/// is opened again.
+/// A worker that a change of the list marks as draining gets no more jobs. An invalid line on the watch changes nothing, and a
+/// closed watch is reopened.
 #[test]
 fn drained_worker_gets_no_jobs_and_closed_watch_reopens() {
     let (old, new) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
     let discovery = FakeDiscovery::start(site::snapshot(1, &[old.endpoint_entry("up")]));
     let program = start_knowing_first(&[old.clone(), new.clone()], &discovery);
     wait_for_watch(&discovery);
-    // The list has only the old one. It drains, the new one comes up; bad lines between change nothing.
+    // Only the old worker is listed so far. An invalid line comes first, then a change: the old worker drains, a new one is up.
     let entries = [old.endpoint_entry("draining"), new.endpoint_entry("up")];
     let after = site::snapshot(1, &entries);
     let change = site::delta(2, &entries);
@@ -42,14 +42,14 @@
     for number in 0..10 {
         assert_served(&program, &format!("h{number}"));
     }
-    assert_eq!(job_count(&old), before, "the old one drains");
+    assert_eq!(job_count(&old), before, "job sent to a draining worker");
     let calls = discovery.calls.load(Ordering::SeqCst);
     discovery.close_watches();
-    wait_until("another watch", || discovery.calls.load(Ordering::SeqCst) > calls);
+    wait_until("the watch is reopened", || discovery.calls.load(Ordering::SeqCst) > calls);
     assert_eq!(program.shut_down_for_metrics()["bad_lists"], 1);
 }
 
-/// Discovery that has lost its table says that there is nobody: no dispatcher may believe that, or the whole fleet stops.
+/// An empty full list means that discovery has lost its table. If dispatchers applied it, the whole fleet would stop serving.
 #[test]
 fn ignores_empty_full_list() {
     let (worker, other) = (FakeWorker::start("s-1"), FakeWorker::start("s-2"));
@@ -65,12 +65,12 @@
         assert_served(&program, &format!("e{requests}"));
         requests += 1;
     };
-    wait_until("the other one has a job", || {
+    wait_until("the added worker gets a job", || {
         serve_next();
         job_count(&other) > 0
     });
     let before = job_count(&worker);
-    wait_until("the first one still has jobs", || {
+    wait_until("the first worker still gets jobs", || {
         serve_next();
         job_count(&worker) > before
     });
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The program over real sockets: the platform's listener, workers, discovery, bad input, a graceful shutdown.
+//! The program over real sockets: the platform listener, workers, discovery, invalid input, and graceful shutdown.
 
 mod attempts;
 mod configuration;
@@ -16,13 +16,13 @@
     (worker, program)
 }
 
-/// How many jobs a worker has received.
+/// The number of jobs that a worker has received.
 fn job_count(worker: &FakeWorker) -> u64 {
     worker.job_count.load(Ordering::SeqCst)
 }
 
 /// Sends a simple job, which must be served.
 fn assert_served(program: &DispatcherProcess, id: &str) {
-    let reply = send(program.platform, &simple_job(id)).expect("an answer");
+    let reply = send(program.platform, &simple_job(id)).expect("no complete response");
     assert_eq!(reply.status, 200);
 }
--- a/tests/watch/final_events.rs
+++ b/tests/watch/final_events.rs
@@ -1,10 +1,10 @@
-//! Many jobs at once under faults: each has one final event.
+//! Many concurrent jobs under faults: each gets exactly one final event.
 
 use crate::client::{follow, start_with_event_streams, submit};
 use mothproxy_testkit::*;
 use std::sync::Arc;
 
-/// Clients at once, and the jobs that each hands in one after the other.
+/// Concurrent clients, each of which submits a number of jobs one after another.
 #[derive(Clone, Copy)]
 struct Load {
     clients: u64,
@@ -16,7 +16,8 @@
         self.clients * self.jobs_each
     }
 
-    /// Each client hands its jobs in by `run_job`, which is given the client, the job and the client's random numbers.
+    /// Runs all clients. Each of them calls `run_job` for each of its jobs, with the numbers of the client and of the job and the
+    /// client's random number generator. Returns the results of all calls.
     fn run(self, run_job: impl Fn(u64, u64, &mut fastrand::Rng) -> String + Sync) -> Vec<String> {
         let run_client = |client: u64| {
             let mut rng = fastrand::Rng::with_seed(client);
@@ -26,7 +27,7 @@
         std::thread::scope(|scope| {
             let threads: Vec<_> =
                 (0..self.clients).map(|client| scope.spawn(move || run_client(client))).collect();
-            threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect()
+            threads.into_iter().flat_map(|thread| thread.join().expect("client thread panicked")).collect()
         })
     }
 }
@@ -35,8 +36,8 @@
     (0..4).map(|number| FakeWorker::start(&format!("s-{number}"))).collect()
 }
 
-/// Faults on the workers' side as well: streams that are cut, break off inside an event, stall after a tick, or end twice. The
-/// watchers drop and come back all the while: each job still has one final event, in order, and none is left open.
+/// Workers end their streams early, break off within an event, stall after an update, or report two ends, while the watchers
+/// disconnect and resume: each job still gets one final event, in order, and none is left open.
 #[test]
 fn one_final_event_per_job_under_worker_faults() {
     const FAULTS: [&str; 8] = [
@@ -65,7 +66,7 @@
     assert_eq!((metrics["served"], not_served), (done, load.jobs() - done));
 }
 
-/// Several hundred jobs, clients that drop and come back at any point: each gets one final event, in order, none twice.
+/// Several hundred jobs whose watchers disconnect and resume at random points: each job gets one final event, in order.
 #[test]
 fn one_final_event_per_job_under_client_disconnects() {
     const SCRIPT: &str = "take started running=0.1 pause=2 running=0.4 running=0.8 pause=1 done=x";
--- a/tests/watch/main.rs
+++ b/tests/watch/main.rs
@@ -1,4 +1,5 @@
-//! Jobs apart from their streams, over real sockets: handing in, resuming, the end, the edges, upgrades, and many at once.
+//! Jobs that are submitted and watched on separate connections, over real sockets: submission, resumption, final events, edge
+//! cases, hot restarts and concurrent load.
 
 #[path = "../common/event_stream.rs"]
 mod event_stream;
--- a/tests/watch/resuming.rs
+++ b/tests/watch/resuming.rs
@@ -1,4 +1,4 @@
-//! A job goes on without its watcher, who may come back for what was missed.
+//! A job continues without a watcher, and a watcher may resume its stream and get the missed events.
 
 use crate::client::{
     open_stream, resume_status, resume_stream, start_with_event_streams, submit, wait_for_last_event,
@@ -12,14 +12,14 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// A watcher that comes back, and what it gets.
+/// A resumption of a stream and the events that it gets.
 struct Resumption {
     fields: &'static str,
     query: &'static str,
     expected: &'static [&'static str],
 }
 
-/// Watchers that had got to different places, one of them by the query; and ones that had nothing.
+/// Resumptions after different events, by header field and by query parameter, and one with an invalid id.
 const RESUMPTIONS: [Resumption; 4] = [
     Resumption { fields: "Last-Event-ID: 2\r\n", query: "", expected: &["3 progress", "4 done"] },
     Resumption { fields: "", query: "&last_event_id=1", expected: &["2 progress", "3 progress", "4 done"] },
@@ -31,8 +31,8 @@
     },
 ];
 
-/// A job that is handed in goes on when its watcher drops; who comes back gets what it has not had, and its result; who has
-/// all is told not to come back.
+/// A submitted job continues when its watcher disconnects. A watcher that resumes gets the events that it missed and the result;
+/// one that has all events gets a 204, after which it must not reconnect.
 #[test]
 fn submitted_job_is_watched_resumed_and_finished() {
     let worker = FakeWorker::start("s-1");
@@ -42,7 +42,7 @@
     assert_eq!(first.status, 200);
     assert_eq!(first.read_events(2), ["1 started", "2 progress"]);
     assert!(first.head.contains("Cache-Control: no-store") && first.retry() == Some(500), "{}", first.head);
-    drop(first); // the job goes on
+    drop(first); // the job continues
     worker.open_gate("more");
     wait_until("the job is done", || {
         resume_stream(sse, &location, "3").read_to_end().ids_and_names() == ["4 done"]
@@ -52,7 +52,7 @@
         assert_eq!((stream.status, stream.ids_and_names().as_slice()), (200, &to_strings(expected)[..]));
         assert_eq!(stream.events.last().map(|event| event.data.as_str()), Some("{\"result\":\"paid\"}"));
     }
-    assert_eq!(resume_status(sse, &location, "4"), 204, "there is nothing to come back for");
+    assert_eq!(resume_status(sse, &location, "4"), 204, "resumption after the final event");
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["taken"], metrics["served"]), (1, 1));
 }
@@ -61,20 +61,20 @@
     texts.iter().map(|text| (*text).to_owned()).collect()
 }
 
-/// The events of a stream, as a library of somebody else's reads them.
+/// The events of a stream, as the independent library `eventsource_stream` reads them.
 fn read_independently(text: &[u8]) -> Vec<StreamEvent> {
     let chunks = text.chunks(7).map(|chunk| Ok::<_, std::io::Error>(chunk.to_vec()));
     let events = futures_util::stream::iter(chunks).eventsource().collect::<Vec<_>>();
     futures_executor::block_on(events)
         .into_iter()
-        .map(|event| event.expect("an event"))
+        .map(|event| event.expect("invalid event"))
         .map(|event| StreamEvent { name: event.event, data: event.data, id: event.id })
-        // That library hands on `retry` alone as an event without data; the standard does not.
+        // Contrary to the standard, that library reports a block with only a `retry` field as an event without data.
         .filter(|event| !event.data.is_empty())
         .collect()
 }
 
-/// Somebody else's library reads the same events from a stream as our own reader.
+/// An independent library reads the same events from a stream as this project's own reader.
 #[test]
 fn independent_reader_gets_same_events() {
     let worker = FakeWorker::start("s-1");
@@ -89,7 +89,7 @@
     assert!(events.len() >= 2);
 }
 
-/// A job that nobody watches is cancelled if it was handed in with that wish, and goes on otherwise.
+/// A job without a watcher is cancelled if it was submitted with `X-Unwatched: end`, and continues otherwise.
 #[test]
 fn cancels_only_unwatched_job_that_asked_for_it() {
     let worker = FakeWorker::start("s-1");
@@ -99,14 +99,14 @@
     let mut watched = open_stream(sse, &ends, "");
     assert_eq!(watched.read_events(1), ["1 started"]);
     drop(watched);
-    wait_until("it is given up", || worker.has_received("DELETE /jobs/a1"));
+    wait_until("the unwatched job is cancelled", || worker.has_received("DELETE /jobs/a1"));
     worker.open_gate("go");
     wait_for_last_event(sse, &goes_on, "2 done");
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["taken"], metrics["served"], metrics["gone"]), (2, 1, 1));
 }
 
-/// Starts a process that takes over from one that listens there, if one does. Both share the folder.
+/// Starts a process, which takes over from the one that listens at these addresses, if there is one. Both share the folder.
 fn start_in(
     folder: &Path,
     workers: &[Arc<FakeWorker>],
@@ -115,7 +115,7 @@
 ) -> DispatcherProcess {
     let file = folder.join("sse.toml");
     let sse_listen = sse.map_or("127.0.0.1:0".to_owned(), |address| address.to_string());
-    std::fs::write(&file, format!("listen = \"{sse_listen}\"\n")).expect("written");
+    std::fs::write(&file, format!("listen = \"{sse_listen}\"\n")).expect("write failed");
     let args = [std::ffi::OsStr::new("--sse"), file.as_os_str()];
     DispatcherProcess::builder(workers)
         .temp_dir(folder)
@@ -124,15 +124,15 @@
         .start()
 }
 
-/// At a hot restart streams end without a final event; their watchers come back to the successor, which has the jobs that run and
-/// those that are done.
+/// In a hot restart streams end without a final event. Their watchers resume at the successor, which has both the open jobs and
+/// the finished ones.
 #[test]
 fn hot_restart_sends_watchers_to_successor() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("cannot create the temporary directory");
     let worker = FakeWorker::start("s-1");
     let workers = std::slice::from_ref(&worker);
     let predecessor = start_in(folder.path(), workers, "127.0.0.1:0", None);
-    let sse = predecessor.sse.expect("the SSE listener is on");
+    let sse = predecessor.sse.expect("no SSE listener");
     let done = submit(sse, "a1", "take started done=before", "");
     wait_for_last_event(sse, &done, "2 done");
     let location = submit(sse, "a2", "take started running=0.3 wait=go running=0.6 done=after", "");
@@ -144,17 +144,17 @@
     assert_eq!(
         watched.ids_and_names(),
         ["1 started", "2 progress"],
-        "its stream ended without its final event"
+        "the stream must end without a final event"
     );
     predecessor.terminate();
-    assert!(predecessor.wait_for_exit().0, "the predecessor ends cleanly");
-    let back = resume_stream(sse, &location, "2");
-    assert_eq!(back.status, 200);
+    assert!(predecessor.wait_for_exit().0, "the predecessor exited with an error");
+    let resumed = resume_stream(sse, &location, "2");
+    assert_eq!(resumed.status, 200);
     worker.open_gate("go");
-    // Progress that the end overtakes within one turn is left out.
-    let names = back.read_to_end().ids_and_names();
+    // Progress is omitted if the end of the job is handled in the same event-loop iteration.
+    let names = resumed.read_to_end().ids_and_names();
     assert!(names == ["3 progress", "4 done"] || names == ["4 done"], "{names:?}");
     let done = open_stream(sse, &done, "").read_to_end();
-    assert_eq!(done.ids_and_names(), ["1 started", "2 done"], "it went over too");
+    assert_eq!(done.ids_and_names(), ["1 started", "2 done"], "the finished job was not handed over");
     drop(successor);
 }
