--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The response to a call in place of the usual one.
+/// A scripted response to a call, instead of the usual one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScriptedResponse {
     /// Answers 503.
@@ -24,7 +24,7 @@
     Raw(Vec<u8>),
 }
 
-/// The number of bytes that a truncated response lacks.
+/// The number of bytes missing at the end of a truncated response.
 const TRUNCATED_BYTES: usize = 30;
 
 /// The scripted responses to the next calls.
@@ -58,7 +58,7 @@
     ///
     /// If no port can be bound.
     pub fn start(list: Value) -> Arc<FakeDiscovery> {
-        FakeDiscovery::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), list)
+        FakeDiscovery::start_on(TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port"), list)
     }
 
     /// Starts a service on the given listener.
@@ -67,7 +67,7 @@
     ///
     /// If the listener has no address.
     pub fn start_on(listener: TcpListener, list: Value) -> Arc<FakeDiscovery> {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("no local address");
         let discovery = Arc::new(FakeDiscovery {
             address,
             calls: AtomicU64::new(0),
@@ -82,7 +82,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.answer(stream);
-                shared.calls.fetch_add(1, Ordering::SeqCst); // only now can a test push to it
+                shared.calls.fetch_add(1, Ordering::SeqCst); // last, since tests may push once the call is counted
             }
         });
         discovery
@@ -94,7 +94,7 @@
         let request_line = String::from_utf8_lossy(&buffer[..length]).lines().next().unwrap_or("").to_owned();
         let is_watch = is_watch(&request_line);
         let scripted = self.next_scripted_response(is_watch);
-        self.request_lines.lock().expect("a lock").push(request_line);
+        self.request_lines.lock().expect("mutex poisoned").push(request_line);
         let usual = self.usual_response(is_watch);
         let response = match scripted {
             Some(ScriptedResponse::Refuse) => {
@@ -106,7 +106,7 @@
                 return;
             }
             Some(ScriptedResponse::Hold) => {
-                self.held.lock().expect("a lock").push(stream);
+                self.held.lock().expect("mutex poisoned").push(stream);
                 return;
             }
             Some(ScriptedResponse::Raw(bytes)) => bytes,
@@ -114,60 +114,61 @@
         };
         let _ = stream.write_all(&response);
         if is_watch {
-            self.watches.lock().expect("a lock").push(stream);
+            self.watches.lock().expect("mutex poisoned").push(stream);
         }
     }
 
     fn next_scripted_response(&self, is_watch: bool) -> Option<ScriptedResponse> {
-        let mut scripted = self.scripted.lock().expect("a lock");
+        let mut scripted = self.scripted.lock().expect("mutex poisoned");
         if is_watch { scripted.watches.pop_front() } else { scripted.list_calls.pop_front() }
     }
 
     fn usual_response(&self, is_watch: bool) -> String {
-        let list = self.list.lock().expect("a lock").clone();
+        let list = self.list.lock().expect("mutex poisoned").clone();
         if is_watch {
             return watch_response(&list);
         }
-        list_response(&self.full_list.lock().expect("a lock").clone().unwrap_or(list))
+        list_response(&self.full_list.lock().expect("mutex poisoned").clone().unwrap_or(list))
     }
 
     /// Scripts the responses to the next watches. Later watches get `list`.
     pub fn script_watches(&self, responses: &[ScriptedResponse], list: Value) {
-        self.scripted.lock().expect("a lock").watches.extend(responses.iter().cloned());
-        *self.list.lock().expect("a lock") = list;
+        self.scripted.lock().expect("mutex poisoned").watches.extend(responses.iter().cloned());
+        *self.list.lock().expect("mutex poisoned") = list;
     }
 
     /// Scripts the responses to the next calls for the full list. Later calls get `list`.
     pub fn script_list_calls(&self, responses: &[ScriptedResponse], list: Value) {
-        self.scripted.lock().expect("a lock").list_calls.extend(responses.iter().cloned());
-        *self.full_list.lock().expect("a lock") = Some(list);
+        self.scripted.lock().expect("mutex poisoned").list_calls.extend(responses.iter().cloned());
+        *self.full_list.lock().expect("mutex poisoned") = Some(list);
     }
 
     /// The number of calls for the full list so far.
     pub fn list_call_count(&self) -> usize {
-        self.request_lines.lock().expect("a lock").iter().filter(|line| !is_watch(line)).count()
+        self.request_lines.lock().expect("mutex poisoned").iter().filter(|line| !is_watch(line)).count()
     }
 
     /// The generations from which watches were requested so far. Waits until the last of them was answered.
     pub fn watch_indices(&self) -> Vec<u64> {
-        wait_until("an answer", || {
-            self.calls.load(Ordering::SeqCst) == self.request_lines.lock().expect("a lock").len() as u64
+        wait_until("all calls are answered", || {
+            self.calls.load(Ordering::SeqCst)
+                == self.request_lines.lock().expect("mutex poisoned").len() as u64
         });
         let index = |line: &String| line.split_once("index=")?.1.split_once(' ')?.0.parse().ok();
-        self.request_lines.lock().expect("a lock").iter().filter_map(index).collect()
+        self.request_lines.lock().expect("mutex poisoned").iter().filter_map(index).collect()
     }
 
     /// Answers the held calls for the full list.
     pub fn release_list_calls(&self, list: &Value) {
-        for mut stream in self.held.lock().expect("a lock").drain(..) {
+        for mut stream in self.held.lock().expect("mutex poisoned").drain(..) {
             let _ = stream.write_all(list_response(list).as_bytes());
         }
     }
 
     /// Answers the held watches.
     pub fn release_watches(&self, list: &Value) {
-        let mut watches = self.watches.lock().expect("a lock");
-        for mut stream in self.held.lock().expect("a lock").drain(..) {
+        let mut watches = self.watches.lock().expect("mutex poisoned");
+        for mut stream in self.held.lock().expect("mutex poisoned").drain(..) {
             let _ = stream.write_all(watch_response(list).as_bytes());
             watches.push(stream);
         }
@@ -175,13 +176,13 @@
 
     /// Sends a change to all watches, as one line. Later calls get `list`.
     pub fn push_change(&self, change: &str, list: Value) {
-        *self.list.lock().expect("a lock") = list;
+        *self.list.lock().expect("mutex poisoned") = list;
         self.write_to_watches(chunk(&format!("{change}\n")).as_bytes());
     }
 
     /// Sends these bytes to all watches.
     pub fn write_to_watches(&self, bytes: &[u8]) {
-        for watch in self.watches.lock().expect("a lock").iter_mut() {
+        for watch in self.watches.lock().expect("mutex poisoned").iter_mut() {
             let _ = watch.write_all(bytes);
         }
     }
@@ -200,7 +201,7 @@
 
     /// Closes all watches.
     pub fn close_watches(&self) {
-        for watch in self.watches.lock().expect("a lock").drain(..) {
+        for watch in self.watches.lock().expect("mutex poisoned").drain(..) {
             let _ = watch.shutdown(Shutdown::Both);
         }
     }
--- a/crates/testkit/src/fleet/address_block.rs
+++ b/crates/testkit/src/fleet/address_block.rs
@@ -5,10 +5,10 @@
 use super::plan::derive_seed;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 
-/// The number of blocks that are tried before a fleet gives up.
+/// The maximum number of blocks that are tried.
 const MAX_ATTEMPTS: u64 = 64;
-/// Every fleet binds this port at the broadcast address of its block, which reserves the block.
-const FACE_PORT: u16 = 7000;
+/// The port of the datagram relay's sockets. Binding it at the broadcast address of a block reserves the block for a fleet.
+const RELAY_PORT: u16 = 7000;
 const LISTEN_PORT: u16 = 8000;
 const ADMIN_PORT: u16 = 8001;
 const PEER_PORT: u16 = 8002;
@@ -16,24 +16,24 @@
 const DISCOVERY_PORT: u16 = 8500;
 /// The port of a dispatcher's link to worker 0; the links to the other workers have the following ports.
 const FIRST_WORKER_LINK_PORT: u16 = 9000;
-/// The last byte of the addresses: dispatchers from 1, workers from 150, then the services that there is one of.
+/// The last bytes of the addresses: dispatchers from 1 and workers from 150 on, then one each for discovery and broadcast.
 const FIRST_DISPATCHER: usize = 1;
 const FIRST_WORKER: usize = 150;
 const DISCOVERY: usize = 240;
 const BROADCAST: usize = 241;
 
-/// The two middle bytes of the block.
+/// A block, by the two middle bytes of its addresses.
 pub(super) struct AddressBlock([u8; 2]);
 
 /// A block, and the sockets of the datagram relay that reserve it.
 pub(super) struct TakenBlock {
     pub(super) block: AddressBlock,
-    pub(super) faces: Vec<UdpSocket>,
+    pub(super) relay_sockets: Vec<UdpSocket>,
     pub(super) broadcast: UdpSocket,
 }
 
 impl AddressBlock {
-    /// Takes a free block for this many dispatchers; `number` tells the fleets of this process apart.
+    /// Takes a free block for this many dispatchers; `number` differs between the fleets of this process.
     pub(super) fn take(size: usize, number: u64) -> Result<TakenBlock, FleetError> {
         let mut last_error = None;
         let first = derive_seed(u64::from(std::process::id()), number);
@@ -41,7 +41,7 @@
             let bytes = first.wrapping_add(attempt * 0x9e37) as u16;
             let block = AddressBlock([64 + (bytes >> 8) as u8 % 64, bytes as u8]);
             match block.bind(size) {
-                Ok((faces, broadcast)) => return Ok(TakenBlock { block, faces, broadcast }),
+                Ok((relay_sockets, broadcast)) => return Ok(TakenBlock { block, relay_sockets, broadcast }),
                 Err(error) => last_error = Some(error),
             }
         }
@@ -49,9 +49,9 @@
     }
 
     fn bind(&self, size: usize) -> std::io::Result<(Vec<UdpSocket>, UdpSocket)> {
-        let broadcast = UdpSocket::bind(self.at(BROADCAST, FACE_PORT))?;
-        let faces = (0..size).map(|i| UdpSocket::bind(self.at(FIRST_DISPATCHER + i, FACE_PORT)));
-        Ok((faces.collect::<Result<Vec<_>, _>>()?, broadcast))
+        let broadcast = UdpSocket::bind(self.at(BROADCAST, RELAY_PORT))?;
+        let relay_sockets = (0..size).map(|i| UdpSocket::bind(self.at(FIRST_DISPATCHER + i, RELAY_PORT)));
+        Ok((relay_sockets.collect::<Result<Vec<_>, _>>()?, broadcast))
     }
 
     fn at(&self, last: usize, port: u16) -> SocketAddr {
--- a/crates/testkit/src/fleet/admin.rs
+++ b/crates/testkit/src/fleet/admin.rs
@@ -34,7 +34,7 @@
     }
 
     fn get(&self, address: SocketAddr, path: &str) -> Option<HttpMessage> {
-        // The timeout needs the runtime as soon as it is made.
+        // The timeout must be created within the runtime.
         let exchange = async { tokio::time::timeout(CALL_TIMEOUT, get(address, path)).await };
         self.runtime().block_on(exchange).ok().flatten()
     }
--- a/crates/testkit/src/fleet/auditor/late_sends.rs
+++ b/crates/testkit/src/fleet/auditor/late_sends.rs
@@ -67,9 +67,9 @@
 
 struct SendAudit<'a> {
     rules: &'a AuditRules,
-    /// By dispatcher.
+    /// The notifications, by dispatcher.
     notified: HashMap<usize, NotifiedState>,
-    /// By worker.
+    /// The last change of each endpoint, by worker.
     changes: HashMap<usize, EndpointChange>,
 }
 
@@ -82,13 +82,13 @@
         self.changes.insert(endpoint.worker, EndpointChange { at, lifecycle: endpoint.lifecycle });
     }
 
-    /// How long a dispatcher has known at `at` that it must not send to a worker, if that exceeds the deadline.
+    /// The time for which a dispatcher has known at `at` that it must not send to a worker, if that exceeds the deadline.
     fn lateness(&self, at: u64, dispatcher: usize, worker: usize) -> Option<u64> {
         let since = self.stopped_since(dispatcher, worker)?;
         (at > since + self.rules.stop_deadline).then(|| at - since)
     }
 
-    /// Since when a dispatcher knows, or is assumed to know, that it must not send to a worker.
+    /// The time since which a dispatcher knows, or is assumed to know, that it must not send to a worker.
     fn stopped_since(&self, dispatcher: usize, worker: usize) -> Option<u64> {
         let state = self.notified.get(&dispatcher);
         let notified = state.and_then(|state| state.stopped.get(&worker).copied());
@@ -96,7 +96,7 @@
         notified.into_iter().chain(self.assumed_stopped_since(started_at, worker)).min()
     }
 
-    /// Since when a process that started at `started_at` is assumed to know that a worker stopped.
+    /// The time since which a process that started at `started_at` is assumed to know that a worker stopped.
     fn assumed_stopped_since(&self, started_at: u64, worker: usize) -> Option<u64> {
         let after = self.rules.assume_notified_after?;
         let change = self.changes.get(&worker)?;
--- a/crates/testkit/src/fleet/auditor/mod.rs
+++ b/crates/testkit/src/fleet/auditor/mod.rs
@@ -17,24 +17,24 @@
 /// The parameters of the rules; all durations are in microseconds. The default is the small deployment of [`crate::site`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AuditRules {
-    /// How long a dispatcher may send jobs to a worker after it was notified that the worker drains or is gone.
+    /// The maximum time for which a dispatcher may send jobs to a worker after it was notified that the worker drains or is gone.
     pub stop_deadline: u64,
-    /// How long after a change every dispatcher counts as notified, whether or not it was. `None`: a dispatcher is notified
-    /// only once the change was written to it.
+    /// The time after a change from which every dispatcher counts as notified, whether or not it was. `None`: a dispatcher counts
+    /// as notified only once the change has been written to it.
     pub assume_notified_after: Option<u64>,
-    /// How long after its client's timeout a reply may arrive. `None`: the time of replies is not checked.
+    /// The maximum time after the client's timeout at which a reply may arrive. `None`: the time of replies is not checked.
     pub answer_slack: Option<u64>,
     /// The fraction of its capacity with which a worker starts.
     pub initial_capacity: f64,
     /// The time from a worker's start until it has its full capacity.
     pub warm_up_time: u64,
-    /// A worker that is warming up collapses if it gets more work than this multiple of its capacity in `overload_window`.
+    /// A worker that is warming up is overloaded if it gets more work in `overload_window` than this multiple of its capacity.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// The window in which the work of a worker that is warming up is limited; see `overload_multiple`.
     pub overload_window: u64,
     /// The capacity of a warm worker in microseconds of work per microsecond: its slots times its speed.
     pub capacity: f64,
-    /// The mean work of a job.
+    /// The mean work of a job, in microseconds.
     pub mean_work: u64,
 }
 
@@ -72,9 +72,10 @@
     UnknownResult { at: u64, dispatcher: usize, id: String },
     /// A datagram was too long.
     LongDatagram { at: u64, dispatcher: usize, length: usize },
-    /// An idempotency key was executed more than once. `runs` is how often.
+    /// An idempotency key was executed more than once. `runs` is the number of executions.
     ExecutedTwice { key: String, runs: usize },
-    /// A worker that was warming up got more work than its budget in one window; both in jobs of mean work.
+    /// A worker that was warming up got more work than its budget in one window. `jobs` is what it got and `allowed` is the
+    /// budget, both in jobs of mean work.
     WarmUpExceeded { at: u64, worker: usize, jobs: f64, allowed: f64 },
     /// A process exited without a request, or not with code 0.
     Crashed { at: u64, dispatcher: usize },
--- a/crates/testkit/src/fleet/auditor/outages.rs
+++ b/crates/testkit/src/fleet/auditor/outages.rs
@@ -18,7 +18,7 @@
 /// One dispatcher's kills and pauses.
 #[derive(Default)]
 struct Outages {
-    /// From each kill to the next start. A job that a client writes to a dying process is not accepted.
+    /// The spans from each kill to the next start. A job that a client writes to a process that is being killed is not accepted.
     down: Vec<Span>,
     paused: Vec<Span>,
 }
@@ -77,7 +77,7 @@
         self.pauses(dispatcher).iter().any(|span| span.begin <= to && from <= span.end)
     }
 
-    /// When a process reads what is written to it at `at`: immediately, or at the end of the pause if it is paused.
+    /// The time at which a process reads what is written to it at `at`: immediately, or at the end of the pause if it is paused.
     pub(super) fn known_at(&self, dispatcher: usize, at: u64) -> u64 {
         let pause = self.pauses(dispatcher).iter().find(|span| (span.begin..=span.end).contains(&at));
         pause.map_or(at, |span| span.end)
--- a/crates/testkit/src/fleet/auditor/replies.rs
+++ b/crates/testkit/src/fleet/auditor/replies.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// How long after its client's timeout a reply arrived, if that is too long.
+    /// The time from the client's timeout until a reply, if that is too long.
     fn lateness(&self, reply: &Reply<'_>, job: OpenJob) -> Option<u64> {
         let slack = self.rules.answer_slack?;
         let late = reply.at.saturating_sub(job.sent_at + job.timeout);
--- a/crates/testkit/src/fleet/auditor/warm_up.rs
+++ b/crates/testkit/src/fleet/auditor/warm_up.rs
@@ -26,7 +26,7 @@
 /// A job that reached a worker while it was warming up.
 struct Arrival {
     at: u64,
-    /// In microseconds.
+    /// The work of the job, in microseconds.
     work: f64,
     /// Whether its dispatcher had been notified of the worker's start.
     is_informed: bool,
@@ -119,7 +119,7 @@
     /// The work that the worker can take in the window that begins at `from`, in microseconds.
     fn budget(&self, rules: &AuditRules, from: u64) -> f64 {
         let progress = (from - self.at) as f64 / rules.warm_up_time.max(1) as f64;
-        let warmth = warm_up_capacity(rules.initial_capacity, progress);
-        rules.overload_multiple * warmth * rules.capacity * rules.overload_window as f64
+        let capacity_fraction = warm_up_capacity(rules.initial_capacity, progress);
+        rules.overload_multiple * capacity_fraction * rules.capacity * rules.overload_window as f64
     }
 }
--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the surroundings of a fleet's processes: relays, workers, discovery, clients, and the configuration of each process.
+//! Builds a fleet without its processes: relays, workers, discovery, clients, and the configuration of each process.
 
 use super::address_block::{AddressBlock, TakenBlock};
 use super::clients::Clients;
@@ -34,13 +34,14 @@
     let runtime = runtime.map_err(FleetError::Socket)?;
     let event_log = Arc::new(EventLog::new(Clock::start()));
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-    let TakenBlock { block, faces, broadcast } = AddressBlock::take(size, number)?;
+    let TakenBlock { block, relay_sockets, broadcast } = AddressBlock::take(size, number)?;
     let peers = (0..size).map(|dispatcher| block.peer(dispatcher)).collect();
-    let datagrams = DatagramRelay::start(runtime.handle(), peers, faces, &broadcast, seed, event_log.clone());
+    let datagrams =
+        DatagramRelay::start(runtime.handle(), peers, relay_sockets, &broadcast, seed, event_log.clone());
     let datagrams = datagrams.map_err(FleetError::Socket)?;
     let listen: Vec<SocketAddr> = (0..size).map(|dispatcher| block.listen(dispatcher)).collect();
     let relay = TcpRelay::new(event_log.clone());
-    let surroundings = Surroundings {
+    let environment = Environment {
         handle: runtime.handle(),
         block: &block,
         relay: &relay,
@@ -48,9 +49,9 @@
         size,
         seed,
     };
-    let workers = surroundings.start_workers(&plan.workers, listen.clone())?;
-    let links = surroundings.start_links(workers.len())?;
-    let discovery = surroundings.start_discovery(&plan, &workers, &links.to_workers)?;
+    let workers = environment.start_workers(&plan.workers, listen.clone())?;
+    let links = environment.start_links(workers.len())?;
+    let discovery = environment.start_discovery(&plan, &workers, &links.to_workers)?;
     let folder = std::env::temp_dir().join(format!("mothproxy-fleet-{}-{number}", std::process::id()));
     let processes = prepare_processes(&plan, &folder, &event_log)?;
     let configure = |dispatcher| configure(dispatcher, &plan, &block, &discovery, &datagrams);
@@ -73,7 +74,7 @@
     })
 }
 
-/// The processes, not started, each with its own directory in this one.
+/// Creates the processes without starting them, each with its own subdirectory of `folder`.
 fn prepare_processes(
     plan: &Plan,
     folder: &Path,
@@ -85,8 +86,8 @@
     (0..plan.size).map(prepare).collect()
 }
 
-/// The inputs from which the surroundings of the processes are built.
-struct Surroundings<'a> {
+/// The inputs from which the workers, links and discovery of a fleet are built.
+struct Environment<'a> {
     handle: &'a Handle,
     block: &'a AddressBlock,
     relay: &'a Arc<TcpRelay>,
@@ -95,7 +96,7 @@
     seed: u64,
 }
 
-impl Surroundings<'_> {
+impl Environment<'_> {
     /// Starts the workers; `dispatchers` are the addresses for status callbacks.
     fn start_workers(
         &self,
@@ -210,7 +211,7 @@
     config
 }
 
-/// Raises the limit of open files: a fleet of 30 processes with its relays needs some thousand descriptors.
+/// Raises the limit of open files to its maximum: a fleet of 30 processes with its relays needs several thousand descriptors.
 fn raise_descriptor_limit() {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let limit = getrlimit(Resource::Nofile);
--- a/crates/testkit/src/fleet/clients.rs
+++ b/crates/testkit/src/fleet/clients.rs
@@ -28,7 +28,7 @@
     pub key: Option<String>,
     /// The object that the job concerns.
     pub subject: Option<String>,
-    /// The time budget that the client sends.
+    /// The client's timeout, which it sends with the job.
     pub timeout: Duration,
     /// The job's time at a worker of speed 1; if not given, the worker's script determines it.
     pub work: Option<Duration>,
@@ -81,23 +81,23 @@
 /// How a job ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// A whole reply came.
+    /// The client received a complete reply.
     Answer {
-        /// Its status code.
+        /// The status code of the reply.
         status: u16,
-        /// Its body.
+        /// The body of the reply.
         body: String,
-        /// After how long it came.
+        /// The time from the sending of the job until the reply.
         latency: Duration,
     },
     /// No process accepted the job.
     Unreachable,
-    /// The job was sent, and no complete reply came.
+    /// The job was sent, and the client received no complete reply.
     NoAnswer,
 }
 
 impl JobOutcome {
-    /// The reply's status.
+    /// The status code of the reply; `None` without a reply.
     pub fn status(&self) -> Option<u16> {
         match self {
             JobOutcome::Answer { status, .. } => Some(*status),
@@ -114,23 +114,23 @@
     last_id: String,
 }
 
-/// A job on its way to a dispatcher.
+/// A job that is being sent to a dispatcher.
 struct Sending {
     dispatcher: usize,
     id: String,
-    /// In microseconds of the harness's clock.
+    /// The time at which the client began to send the job, in microseconds of the harness's clock.
     begun_at: u64,
 }
 
-/// How an exchange over a connection went.
+/// The result of an exchange on a connection.
 enum Exchange {
     /// The client received a complete reply.
     Reply(HttpMessage),
     /// The job could not be written.
     NotWritten,
-    /// The connection closed or broke after the job was written, or what came is not HTTP.
+    /// The connection closed or broke after the job was written, or the received bytes are not HTTP.
     Failed,
-    /// No whole reply came in time.
+    /// The client received no complete reply in time.
     TimedOut,
 }
 
@@ -150,9 +150,9 @@
         Arc::new(Clients { dispatchers, idle, next: AtomicU64::new(0), seed, event_log })
     }
 
-    /// An id that no job had before.
+    /// A unique id for a job.
     fn next_id(&self) -> String {
-        // Each step can be undone, so no two numbers have one id.
+        // Each step is reversible, so different numbers result in different ids.
         let mut id = self.seed.wrapping_add(self.next.fetch_add(1, Ordering::Relaxed));
         id = (id ^ id >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         id = (id ^ id >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -162,7 +162,7 @@
     /// An idle connection that is still usable. Bytes received without a request are logged.
     fn take_idle(&self, dispatcher: usize) -> Option<ClientConnection> {
         loop {
-            let connection = self.idle[dispatcher].lock().expect("a lock").pop()?;
+            let connection = self.idle[dispatcher].lock().expect("mutex poisoned").pop()?;
             if self.is_usable(dispatcher, &connection) {
                 return Some(connection);
             }
@@ -183,7 +183,7 @@
     /// Checks all idle connections for bytes received without a request.
     pub(super) fn check_idle_connections(&self) {
         for (dispatcher, idle) in self.idle.iter().enumerate() {
-            idle.lock().expect("a lock").retain(|connection| self.is_usable(dispatcher, connection));
+            idle.lock().expect("mutex poisoned").retain(|connection| self.is_usable(dispatcher, connection));
         }
     }
 
@@ -202,7 +202,7 @@
             let may_resend = is_reused && !connection.reader.has_unread_bytes();
             match exchange {
                 Exchange::Reply(reply) => return self.on_reply(sending, connection, reply),
-                // The close crossed the request: once more, on a new connection.
+                // The close of the idle connection crossed the request, so the job is sent again on a new connection.
                 Exchange::NotWritten | Exchange::Failed if may_resend => {}
                 Exchange::NotWritten => return self.on_unreachable(sending),
                 Exchange::Failed | Exchange::TimedOut => return self.on_unanswered(sending),
@@ -247,7 +247,7 @@
     }
 
     fn keep(&self, dispatcher: usize, connection: ClientConnection) {
-        let mut idle = self.idle[dispatcher].lock().expect("a lock");
+        let mut idle = self.idle[dispatcher].lock().expect("mutex poisoned");
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// The maximum queue of a throttled pair; further datagrams are dropped.
+/// The maximum time in the queue of a throttled pair; datagrams that would wait longer are dropped.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
 /// The maximum delay of the second copy of a repeated datagram after the first.
 const MAX_REPEAT_DELAY: Duration = Duration::from_millis(5);
@@ -13,9 +13,9 @@
 pub struct DatagramFaults {
     /// The fraction that is dropped, from 0 to 1; 1 is a cut.
     pub drop: f64,
-    /// The fraction that arrives twice, the second up to 5 ms after the first.
+    /// The fraction that arrives twice, with the second copy up to 5 ms after the first.
     pub repeat: f64,
-    /// The fraction that is delayed by up to `reorder_delay` more, so that later datagrams overtake it.
+    /// The fraction that is delayed by up to `reorder_delay` in addition, so that later datagrams may overtake it.
     pub reorder: f64,
     /// The maximum additional delay of reordered datagrams.
     pub reorder_delay: Duration,
@@ -47,12 +47,12 @@
     }
 }
 
-/// One ordered pair of dispatchers.
+/// The faults and the state of one ordered pair of dispatchers.
 pub(super) struct Pair {
     pub(super) faults: DatagramFaults,
     pub(super) is_cut: bool,
     rng: fastrand::Rng,
-    /// The end of the queue of a throttled pair, in microseconds of the harness's clock.
+    /// The time at which the queue of a throttled pair will be empty, in microseconds of the harness's clock.
     busy_until: u64,
 }
 
@@ -110,7 +110,7 @@
         delays
     }
 
-    /// The time until a throttled datagram is through, in microseconds; `None` if the queue has no room for it.
+    /// The time until a throttled datagram has been sent, in microseconds; `None` if the queue has no room for it.
     fn enqueue(&mut self, now: u64, length: usize, rate: u64) -> Option<u64> {
         let begin = self.busy_until.max(now);
         let end = begin + length as u64 * MICROS_PER_SECOND / rate.max(1);
@@ -122,7 +122,7 @@
     }
 }
 
-/// This part of a duration, in microseconds.
+/// A fraction of a duration, in microseconds.
 fn scaled_micros(duration: Duration, part: f64) -> u64 {
     (duration.as_micros() as f64 * part) as u64
 }
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -1,8 +1,9 @@
 //! The datagram relay.
 //!
-//! Each dispatcher has one **face**: the address by which all others know it. The relay identifies the sender of a datagram to
-//! a face by its address, applies the faults of that ordered pair, and passes the datagram on to the dispatcher behind the
-//! face. It sends from the face of the sender. So datagrams come from the address in `peers`, as the protocol requires.
+//! The relay has one **relay socket** for each dispatcher, whose address is that dispatcher's entry in `peers` of all others. When
+//! a datagram arrives at the relay socket of its receiver, the relay identifies the sender by its source address, applies the
+//! faults of that ordered pair, and forwards the datagram to the receiver from the relay socket of the sender. So datagrams come
+//! from the address in `peers`, as the protocol requires.
 
 use super::datagram_faults::{DatagramFaults, Pair};
 use super::event_log::{Clock, Event, EventLog};
@@ -19,9 +20,9 @@
 pub const MAX_DATAGRAM_LENGTH: usize = 256;
 /// The maximum number of datagrams in flight. Further ones are dropped, as by a full queue.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 1 << 16;
-/// The number of bytes of a datagram that are read. It is enough to recognize datagrams that are too long.
+/// The maximum number of bytes that are read of a datagram: enough to recognize datagrams that are too long.
 const RECEIVED_LENGTH: usize = 2048;
-/// The system's receive buffer of each face, in bytes.
+/// The system's receive buffer of each relay socket, in bytes.
 const RECEIVE_BUFFER_SIZE: usize = 1 << 20;
 
 /// Datagrams of one kind.
@@ -53,7 +54,7 @@
 }
 
 impl DatagramTotals {
-    /// Counts a datagram that the dispatcher sent; no copies if it was dropped.
+    /// Counts a datagram that the dispatcher sent; `copies` is 0 if it was dropped.
     fn count_sent(&mut self, bytes: &[u8], copies: usize) {
         let length = bytes.len() as u64;
         self.sent += 1;
@@ -73,10 +74,11 @@
 }
 
 struct Inner {
-    /// By sender, then by receiver.
+    /// The ordered pairs of dispatchers, by sender and then by receiver.
     pairs: Vec<Pair>,
+    /// The totals, by dispatcher.
     totals: Vec<DatagramTotals>,
-    from_strangers: u64,
+    from_unknown_senders: u64,
 }
 
 /// The seed of the random draws of an ordered pair, by the number of the pair.
@@ -87,9 +89,9 @@
 /// The datagram relay of a fleet. The methods take dispatchers by number from 0. They panic if there is no such dispatcher, or
 /// if a thread of the relay has panicked.
 pub struct DatagramRelay {
-    /// The sockets of the faces. They do not use the runtime for sending: a datagram that cannot be sent at once is lost.
-    faces: Vec<std::net::UdpSocket>,
-    /// The addresses of the faces.
+    /// The relay sockets for sending, by dispatcher. Sending bypasses the runtime: a datagram that cannot be sent at once is lost.
+    relay_sockets: Vec<std::net::UdpSocket>,
+    /// The addresses of the relay sockets.
     addresses: Vec<SocketAddr>,
     /// The addresses at which the dispatchers themselves listen.
     own: Vec<SocketAddr>,
@@ -101,34 +103,35 @@
 }
 
 impl DatagramRelay {
-    /// `own` are the addresses of the dispatchers; `faces` and `broadcast` are sockets of the relay.
+    /// `own` are the addresses of the dispatchers; `relay_sockets` and `broadcast` are the sockets of the relay.
     pub(super) fn start(
         runtime: &Handle,
         own: Vec<SocketAddr>,
-        faces: Vec<std::net::UdpSocket>,
+        relay_sockets: Vec<std::net::UdpSocket>,
         broadcast: &std::net::UdpSocket,
         seed: u64,
         event_log: Arc<EventLog>,
     ) -> std::io::Result<Arc<DatagramRelay>> {
         let _inside = runtime.enter();
-        let addresses = faces.iter().map(std::net::UdpSocket::local_addr).collect::<Result<Vec<_>, _>>()?;
+        let addresses =
+            relay_sockets.iter().map(std::net::UdpSocket::local_addr).collect::<Result<Vec<_>, _>>()?;
         let broadcast_address = broadcast.local_addr()?;
         let socket = |socket: &std::net::UdpSocket| {
             socket.set_nonblocking(true)?;
             let _ = socket2::SockRef::from(socket).set_recv_buffer_size(RECEIVE_BUFFER_SIZE);
             UdpSocket::from_std(socket.try_clone()?)
         };
-        let sockets = faces.iter().map(socket).collect::<Result<Vec<_>, _>>()?;
+        let sockets = relay_sockets.iter().map(socket).collect::<Result<Vec<_>, _>>()?;
         let broadcast = socket(broadcast)?;
         let size = own.len();
         let pair = |number| Pair::new(pair_seed(seed, number));
         let inner = Inner {
             pairs: (0..size * size).map(pair).collect(),
             totals: vec![DatagramTotals::default(); size],
-            from_strangers: 0,
+            from_unknown_senders: 0,
         };
         let relay = Arc::new(DatagramRelay {
-            faces,
+            relay_sockets,
             addresses,
             own,
             broadcast: broadcast_address,
@@ -146,14 +149,14 @@
         Ok(relay)
     }
 
-    /// Passes on the datagrams to a socket: to the dispatcher `to`, or to all but the sender if that is `None`.
+    /// Forwards the datagrams that arrive at a socket: to the dispatcher `to`, or to all but the sender if that is `None`.
     async fn listen(self: &Arc<Self>, socket: &UdpSocket, to: Option<usize>) {
         let mut buffer = [0; RECEIVED_LENGTH];
         loop {
-            // An error is the answer to an earlier datagram that found nobody.
+            // An error reports that an earlier datagram reached a closed port.
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
             let Some(from) = self.own.iter().position(|own| *own == from) else {
-                self.inner().from_strangers += 1;
+                self.inner().from_unknown_senders += 1;
                 continue;
             };
             match to {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Passes a datagram on, now or later, with the faults of its ordered pair.
+    /// Forwards a datagram, immediately or later, with the faults of its ordered pair.
     fn pass(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         let now = self.clock.now();
         if bytes.len() > MAX_DATAGRAM_LENGTH {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// How long each copy of a datagram is delayed, in microseconds. Counts the datagram.
+    /// Draws the delay of each copy of a datagram, in microseconds, and counts the datagram.
     fn draw_delays(&self, now: u64, from: usize, to: usize, bytes: &[u8]) -> Vec<u64> {
         let mut inner = self.inner();
         let delays = inner.pairs[self.pair_number(from, to)].delays(now, bytes.len());
@@ -199,20 +202,20 @@
         });
     }
 
-    /// Sends bytes to a dispatcher from the face of another.
+    /// Sends bytes to a dispatcher from the relay socket of another.
     fn send_on(&self, from: usize, to: usize, bytes: &[u8]) {
-        let _ = self.faces[from].send_to(bytes, self.own[to]);
+        let _ = self.relay_sockets[from].send_to(bytes, self.own[to]);
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("a lock")
+        self.inner.lock().expect("mutex poisoned")
     }
 
     fn pair_number(&self, from: usize, to: usize) -> usize {
         from * self.own.len() + to
     }
 
-    /// The faces of all dispatchers: `peers` of the configuration, the same for all dispatchers.
+    /// The addresses of all relay sockets: `peers` of the configuration, the same for all dispatchers.
     pub fn peers(&self) -> Value {
         json!(self.addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>())
     }
@@ -222,7 +225,7 @@
         self.broadcast
     }
 
-    /// Sets the faults of datagrams from one dispatcher to another. A cut stays.
+    /// Sets the faults of datagrams from one dispatcher to another. Cuts are not affected.
     pub fn set(&self, from: usize, to: usize, faults: DatagramFaults) {
         self.inner().pairs[self.pair_number(from, to)].faults = faults;
     }
@@ -266,7 +269,7 @@
     }
 
     /// The number of datagrams from senders outside the fleet.
-    pub fn from_strangers(&self) -> u64 {
-        self.inner().from_strangers
+    pub fn from_unknown_senders(&self) -> u64 {
+        self.inner().from_unknown_senders
     }
 }
--- a/crates/testkit/src/fleet/discovery/connection.rs
+++ b/crates/testkit/src/fleet/discovery/connection.rs
@@ -16,7 +16,7 @@
 const WATCH_RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A call, by its request.
+/// A call to the service.
 enum Call {
     /// A watch of the changes after a generation.
     Watch { after: u64 },
@@ -110,7 +110,7 @@
         self.discovery.inner().metrics.count_call(self.dispatcher(), now);
     }
 
-    /// Writes nothing until the mode changes or the other side gives up. The connection is then reset.
+    /// Writes nothing until the mode changes or the dispatcher closes the connection. The connection is then reset.
     async fn hang(&mut self) -> Result<(), ConnectionFailed> {
         let mut script = self.discovery.script.subscribe();
         let mode = script.borrow_and_update().mode;
@@ -134,7 +134,8 @@
         self.send_list(&text, answer).await
     }
 
-    /// Sends a list in this form. Once the relay has written its last byte to the dispatcher, the notification is logged.
+    /// Sends a list that is encoded as `text`. Once the relay has written its last byte to the dispatcher, the notification is
+    /// logged.
     async fn send_list(&mut self, text: &str, list: ListFor) -> Result<(), ConnectionFailed> {
         let end = self.written + text.len() as u64;
         self.relayed.log_once_written(end, list.notified, &self.discovery.event_log);
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -66,7 +66,7 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("a lock")
+        self.inner.lock().expect("mutex poisoned")
     }
 
     /// The current script.
@@ -79,7 +79,7 @@
         self.script.send_modify(change);
     }
 
-    /// Changes the mode, that is, whether the service works.
+    /// Changes the mode, which determines whether the service works.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.change_script(|script| script.mode = mode);
     }
@@ -119,7 +119,7 @@
         loop {
             let Ok((stream, peer)) = listener.accept().await else { continue };
             let relayed = self.relay.connection_from(peer);
-            // Whoever does not come by a link is no dispatcher.
+            // A connection that did not come through a link is not from a dispatcher.
             let Some(relayed) = relayed.filter(|relayed| relayed.link.to == LinkTarget::Discovery) else {
                 continue;
             };
@@ -172,7 +172,7 @@
         self.inner().table.list_for(dispatcher, after)
     }
 
-    /// Like `list_for`, as the answer to a call, which is counted.
+    /// Like `list_for`, and counts an answered call.
     fn answer_call(&self, dispatcher: usize, after: Option<u64>) -> ListFor {
         let mut inner = self.inner();
         inner.metrics.answered[dispatcher] += 1;
--- a/crates/testkit/src/fleet/discovery/script.rs
+++ b/crates/testkit/src/fleet/discovery/script.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Microseconds of one span of [`DiscoveryMetrics::per_100ms`].
+/// The length of a span of [`DiscoveryMetrics::per_100ms`], in microseconds.
 const METRICS_SPAN: u64 = 100_000;
 
 /// Whether the service works.
@@ -23,7 +23,7 @@
 /// The script of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiscoveryScript {
-    /// Whether it works.
+    /// Whether the service works.
     pub mode: DiscoveryMode,
     /// The time to handle a call; calls are handled one after another.
     pub service_time: Duration,
@@ -38,7 +38,7 @@
     pub pushed: bool,
     /// Whether JSON objects are written over several lines.
     pub indented: bool,
-    /// The interval of heartbeats, which are empty lines, while nothing changes.
+    /// The interval of heartbeats (empty lines) on a watch while nothing changes.
     pub heartbeat_interval: Duration,
 }
 
@@ -59,11 +59,11 @@
 
 /// How a call is treated on arrival.
 pub(super) enum CallHandling {
-    /// Its connection is reset.
+    /// The call's connection is reset.
     Reset,
-    /// It is never answered.
+    /// The call is never answered.
     Hang,
-    /// It is answered in its turn.
+    /// The call is answered in its turn.
     Answer,
 }
 
@@ -73,7 +73,7 @@
         self.mode == DiscoveryMode::Down && !self.pushed
     }
 
-    /// How a call is treated, by whether it opens a watch or asks for the full list.
+    /// How a call is treated; `opens_watch` is false for a call for the full list.
     pub(super) fn handling_of(&self, opens_watch: bool) -> CallHandling {
         match self.mode {
             DiscoveryMode::Down if !self.pushed => CallHandling::Reset,
--- a/crates/testkit/src/fleet/error.rs
+++ b/crates/testkit/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Errors of building or starting a fleet, and of an exchange over a connection.
+//! Errors of building or starting a fleet, and of exchanges on a connection.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The plan has too few or too many processes or workers.
-    #[error("a fleet of {processes} processes and {workers} workers: 1 to 120 and 1 to 80 can be")]
+    #[error("fleet size out of range: {processes} processes (1 to 120), {workers} workers (1 to 80)")]
     Size {
         /// The number of processes.
         processes: usize,
@@ -14,30 +14,30 @@
         workers: usize,
     },
     /// A socket of the harness could not be opened.
-    #[error("a socket of the harness: {0}")]
+    #[error("cannot open a socket of the harness: {0}")]
     Socket(#[source] std::io::Error),
     /// A file or folder could not be written or found.
     #[error("{path}: {source}", path = .path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
     /// A process could not be started.
-    #[error("process {process} cannot be started: {source}")]
+    #[error("cannot start process {process}: {source}")]
     Start {
-        /// Its number.
+        /// The number of the process.
         process: usize,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The process is already running.
-    #[error("process {0} runs already")]
+    #[error("process {0} is already running")]
     AlreadyRunning(usize),
 }
 
 /// A connection broke, or the received bytes are not HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the connection broke, or what came on it is not HTTP")]
+#[error("connection broken, or received bytes are not HTTP")]
 pub struct ConnectionFailed;
--- a/crates/testkit/src/fleet/event_log.rs
+++ b/crates/testkit/src/fleet/event_log.rs
@@ -35,7 +35,7 @@
 }
 
 impl Lifecycle {
-    /// The word of the wire for this lifecycle.
+    /// The name of this lifecycle in endpoint lists.
     pub fn as_str(self) -> &'static str {
         match self {
             Lifecycle::Up => "up",
@@ -45,14 +45,14 @@
     }
 }
 
-/// One endpoint of a list that a dispatcher received.
+/// An endpoint of a list that a dispatcher received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotifiedEndpoint {
     /// The worker's number.
     pub worker: usize,
-    /// Its lifecycle.
+    /// The worker's lifecycle.
     pub lifecycle: Lifecycle,
-    /// Its last start in Unix milliseconds, 0 for long ago.
+    /// The worker's last start in Unix milliseconds, 0 for long ago.
     pub started_ms: u64,
 }
 
@@ -60,7 +60,7 @@
 #[allow(missing_docs)] // the fields are the same in all variants: documented above
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A process was started. It has no state of its predecessor.
+    /// A process was started, without any state of its predecessor.
     Started { dispatcher: usize },
     /// A process is about to get SIGKILL.
     Killed { dispatcher: usize },
@@ -133,7 +133,7 @@
 
     /// Adds an event at another time, in microseconds of the clock.
     pub fn add_at(&self, at: u64, event: Event) {
-        let mut inner = self.inner.lock().expect("a lock");
+        let mut inner = self.inner.lock().expect("mutex poisoned");
         if inner.events.len() < MAX_EVENTS {
             inner.events.push(LoggedEvent { at, event });
         } else {
@@ -141,9 +141,9 @@
         }
     }
 
-    /// All events in order of time, and the number of missing ones.
+    /// All events in order of time, and the number of events that did not fit.
     pub fn events(&self) -> (Vec<LoggedEvent>, u64) {
-        let inner = self.inner.lock().expect("a lock");
+        let inner = self.inner.lock().expect("mutex poisoned");
         let (mut events, missing) = (inner.events.clone(), inner.missing);
         drop(inner);
         events.sort_by_key(|logged| logged.at);
@@ -152,11 +152,17 @@
 
     /// The number of events that match.
     pub fn count(&self, mut matches: impl FnMut(&Event) -> bool) -> usize {
-        self.inner.lock().expect("a lock").events.iter().filter(|logged| matches(&logged.event)).count()
+        self.inner
+            .lock()
+            .expect("mutex poisoned")
+            .events
+            .iter()
+            .filter(|logged| matches(&logged.event))
+            .count()
     }
 
     /// Visits all events in the order in which they were added, which is nearly that of their times.
     pub fn for_each(&self, visit: impl FnMut(&LoggedEvent)) {
-        self.inner.lock().expect("a lock").events.iter().for_each(visit);
+        self.inner.lock().expect("mutex poisoned").events.iter().for_each(visit);
     }
 }
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -56,10 +56,12 @@
     message: HttpMessage,
 }
 
-/// Reads messages from a connection. It holds the bytes that were read and not used yet, and the number of used ones.
+/// Reads messages from a connection, and counts their bytes.
 #[derive(Default)]
 pub struct HttpReader {
+    /// The bytes received after the last message.
     buffer: Vec<u8>,
+    /// The total length of all messages so far, in bytes.
     used: u64,
 }
 
--- a/crates/testkit/src/fleet/link.rs
+++ b/crates/testkit/src/fleet/link.rs
@@ -46,7 +46,7 @@
     pub stall_in: bool,
     /// The minimum delay of each piece, in each direction.
     pub delay: Duration,
-    /// The maximum random addition to `delay`. Pieces stay in order.
+    /// The maximum random addition to `delay`; the order of pieces is kept.
     pub jitter: Duration,
     /// The maximum rate in each direction, in bytes per second, if there is a limit.
     pub rate: Option<u64>,
@@ -162,7 +162,7 @@
         self.state.send_modify(|state| state.far_side_drops += 1);
     }
 
-    /// Whether the link is unreachable or bytes from the dispatcher are held back. A worker's callback fails then too.
+    /// Whether the link is unreachable or bytes from the dispatcher are held back. Callbacks of the worker then fail, too.
     pub fn is_silent(&self) -> bool {
         self.state.borrow().is_silent()
     }
@@ -173,13 +173,13 @@
     }
 }
 
-/// The number of bytes that had been received from the dispatcher at a time.
+/// The number of bytes that had been received from the dispatcher at the time `at`.
 struct ReceivedMark {
     total: u64,
     at: u64,
 }
 
-/// The number of bytes written to the dispatcher, and the events that wait for more.
+/// The number of bytes written to the dispatcher, and the events that are logged once more have been.
 #[derive(Default)]
 struct Written {
     total: u64,
@@ -192,7 +192,7 @@
     event: Event,
 }
 
-/// One connection across a link, for queries of the far side.
+/// One connection through a link, as the far side sees it.
 pub(super) struct RelayedConnection {
     pub(super) link: Arc<Link>,
     clock: Clock,
@@ -206,9 +206,9 @@
         Arc::new(RelayedConnection { link, clock, received, written })
     }
 
-    /// When the byte at this offset was received from the dispatcher. Offsets must not go back between calls.
+    /// The time at which the byte at this offset was received from the dispatcher. Offsets must not decrease between calls.
     pub(super) fn received_at(&self, offset: u64) -> u64 {
-        let mut received = self.received.lock().expect("a lock");
+        let mut received = self.received.lock().expect("mutex poisoned");
         while received.front().is_some_and(|mark| mark.total <= offset) {
             received.pop_front();
         }
@@ -216,7 +216,7 @@
     }
 
     pub(super) fn on_received(&self, total: u64, at: u64) {
-        let mut received = self.received.lock().expect("a lock");
+        let mut received = self.received.lock().expect("mutex poisoned");
         if received.len() >= MAX_RECEIVED_MARKS {
             received.pop_front();
         }
@@ -225,7 +225,7 @@
 
     /// Logs this event once this many bytes have been written to the dispatcher.
     pub(super) fn log_once_written(&self, total: u64, event: Event, event_log: &EventLog) {
-        let mut written = self.written.lock().expect("a lock");
+        let mut written = self.written.lock().expect("mutex poisoned");
         if written.total >= total {
             event_log.add(event);
         } else {
@@ -234,7 +234,7 @@
     }
 
     pub(super) fn on_written(&self, length: usize, event_log: &EventLog) {
-        let mut written = self.written.lock().expect("a lock");
+        let mut written = self.written.lock().expect("mutex poisoned");
         written.total += length as u64;
         let total = written.total;
         while written.pending.front().is_some_and(|pending| pending.total <= total) {
--- a/crates/testkit/src/fleet/load.rs
+++ b/crates/testkit/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Random loads: jobs at random times, with one seed per load.
+//! Random loads: jobs at random times, determined by one seed per load.
 
 use super::clients::{Clients, Job, JobOutcome};
 use hdrhistogram::Histogram;
@@ -24,7 +24,7 @@
 pub struct LoadPlan {
     /// The dispatchers that get the load.
     pub dispatchers: Vec<usize>,
-    /// The mean rate at each of them, in jobs per second.
+    /// The mean rate at each dispatcher, in jobs per second.
     pub rate: f64,
     /// The duration of the load, unless it is stopped earlier.
     pub duration: Duration,
@@ -49,7 +49,7 @@
 
 impl LoadSummary {
     fn new() -> LoadSummary {
-        let latency = Histogram::new_with_bounds(1, 120_000_000, 3).expect("sound bounds");
+        let latency = Histogram::new_with_bounds(1, 120_000_000, 3).expect("invalid histogram bounds");
         LoadSummary { jobs: 0, answers: BTreeMap::new(), unreachable: 0, unanswered: 0, latency }
     }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Jobs served.
+    /// The number of jobs answered with status 200.
     pub fn served(&self) -> u64 {
         self.answers.get(&200).copied().unwrap_or(0)
     }
@@ -82,7 +82,7 @@
 }
 
 impl RunningLoad {
-    /// Starts a load. The part of each dispatcher has its own seed.
+    /// Starts a load. The jobs of each dispatcher have their own seed.
     pub(super) fn start(clients: &Arc<Clients>, runtime: &Handle, plan: &LoadPlan, seed: u64) -> RunningLoad {
         let is_stopped = Arc::new(AtomicBool::new(false));
         let summary = Arc::new(Mutex::new(LoadSummary::new()));
@@ -104,12 +104,12 @@
 
     /// The outcomes of the jobs so far.
     pub fn summary(&self) -> LoadSummary {
-        self.summary.lock().expect("a lock").clone()
+        self.summary.lock().expect("mutex poisoned").clone()
     }
 
-    /// Jobs served so far.
+    /// The number of jobs answered with status 200 so far.
     pub fn served(&self) -> u64 {
-        self.summary.lock().expect("a lock").served()
+        self.summary.lock().expect("mutex poisoned").served()
     }
 
     /// Waits until the load and all its jobs have ended. Returns the outcomes.
@@ -118,12 +118,12 @@
             let _ = self.runtime.block_on(task);
         }
         Arc::try_unwrap(self.summary).map_or_else(
-            |shared| shared.lock().expect("a lock").clone(),
-            |summary| summary.into_inner().expect("a lock"),
+            |shared| shared.lock().expect("mutex poisoned").clone(),
+            |summary| summary.into_inner().expect("mutex poisoned"),
         )
     }
 
-    /// Stops sending jobs, and then acts like [`RunningLoad::finish`].
+    /// Stops sending jobs, waits until those in flight have ended, and returns the outcomes.
     pub fn stop(self) -> LoadSummary {
         self.is_stopped.store(true, Ordering::Relaxed);
         self.finish()
@@ -162,7 +162,7 @@
                 (self.clients.clone(), self.summary.clone(), self.dispatcher);
             tokio::spawn(async move {
                 let outcome = clients.send(dispatcher, &job).await;
-                summary.lock().expect("a lock").add(&outcome);
+                summary.lock().expect("mutex poisoned").add(&outcome);
                 drop(permit);
             });
         }
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The fleet harness: it runs 3 to 30 processes of the built program on loopback, and audits their traffic.
 //!
-//! Relays pass on every datagram and every connection between the processes and their surroundings: a scripted discovery
-//! service, scripted workers and clients. Faults can be switched at any time. An auditor checks the recorded traffic. All
-//! random choices come from one seed, which is printed. `docs/design/harness.md` describes the use.
+//! Relays forward every datagram between the processes and every connection to the scripted discovery service and the scripted
+//! workers. Scripted clients send jobs. Faults can be changed at any time. An auditor checks the recorded traffic. All random
+//! choices derive from one seed, which is printed. `docs/design/harness.md` describes the use.
 //!
 //! Calls block, so they must not be made from within an asynchronous runtime. They panic if a thread of the harness has
 //! panicked.
@@ -59,15 +59,16 @@
 /// How long dropping a fleet waits for the threads of the harness.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A fleet. Dropping it kills its processes and removes their files; after a panic their logs go to standard error first.
+/// A fleet. Dropping it kills its processes and removes their files. After a panic, their logs are printed to standard error
+/// first.
 ///
-/// Its methods take dispatchers and workers by their numbers from 0, and panic if there is none of that number or a thread of the harness
-/// has panicked.
+/// The methods take dispatchers and workers by number from 0. They panic if there is none with that number, or if a thread of
+/// the harness has panicked.
 pub struct Fleet {
     processes: Vec<Process>,
-    /// By dispatcher.
+    /// The configurations, by dispatcher.
     configs: Mutex<Vec<Value>>,
-    /// The operators' file of every process.
+    /// The operators' settings file, the same for all processes.
     settings: Option<String>,
     /// The number of process starts so far.
     starts: AtomicU64,
@@ -88,7 +89,7 @@
 }
 
 impl Fleet {
-    /// Prepares the surroundings, starts all processes and waits until they are up.
+    /// Prepares everything except the processes, starts all processes and waits until they are up.
     ///
     /// # Errors
     ///
@@ -104,7 +105,7 @@
         Ok(fleet)
     }
 
-    /// Prepares the surroundings of the processes without starting any process.
+    /// Starts the relays, workers, discovery and clients, without starting any process.
     ///
     /// # Errors
     ///
@@ -114,7 +115,7 @@
     }
 
     fn runtime(&self) -> &tokio::runtime::Handle {
-        self.runtime.as_ref().expect("it is there until the fleet is dropped").handle()
+        self.runtime.as_ref().expect("runtime already shut down").handle()
     }
 
     /// The number of processes of the plan.
--- a/crates/testkit/src/fleet/outcome.rs
+++ b/crates/testkit/src/fleet/outcome.rs
@@ -9,8 +9,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Fleet {
-    /// When each dispatcher was first notified of a generation or a later one, since a time: microseconds of the harness's
-    /// clock. `None` for those that were not.
+    /// The time at which each dispatcher was first notified of a generation or a later one, not counting notifications before
+    /// `since`; `None` for those that were not. All times are in microseconds of the harness's clock.
     pub fn notified_at(&self, generation: u64, since: u64) -> Vec<Option<u64>> {
         let mut notified_at = vec![None; self.size()];
         self.event_log.for_each(|logged| match logged.event {
@@ -38,7 +38,7 @@
         });
     }
 
-    /// The violations of these rules. Loads should be finished before.
+    /// Checks the traffic so far and returns the violations of these rules. Loads should have finished before.
     pub fn audit(&self, rules: &AuditRules) -> Vec<Finding> {
         self.clients.check_idle_connections();
         self.log_exits();
--- a/crates/testkit/src/fleet/partition.rs
+++ b/crates/testkit/src/fleet/partition.rs
@@ -11,7 +11,7 @@
     pub has_discovery: bool,
 }
 
-/// Two sides of a partition; nothing gets from the first to the second.
+/// Two sides of a partition; all traffic from the first to the second is cut.
 pub(super) struct CutSides<'a, T> {
     pub(super) from: &'a T,
     pub(super) to: &'a T,
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -10,7 +10,7 @@
 /// The maximum number of workers of a fleet.
 pub const MAX_WORKERS: usize = 80;
 
-/// Changes the configuration of a dispatcher, by number, before it is written.
+/// Changes the configuration of the dispatcher with this number before it is written.
 pub type ConfigChange = Arc<dyn Fn(usize, &mut Value) + Send + Sync>;
 
 /// The plan of a fleet.
@@ -26,7 +26,7 @@
     pub workers: Vec<WorkerScript>,
     /// The discovery service.
     pub discovery: DiscoveryScript,
-    /// The operators' file of every process (protobuf text format), if there is one.
+    /// The operators' settings file of every process (protobuf text format), if there is one.
     pub settings: Option<String>,
     /// A final change of each configuration, for example of the settings or of `known`.
     pub change: Option<ConfigChange>,
@@ -69,10 +69,10 @@
     text.and_then(|text| parse(&text)).unwrap_or(seed)
 }
 
-/// The seeds of a fleet's parts: each part numbers its own purposes.
+/// The purposes from which [`derive_seed`] derives the seeds of a fleet's parts.
 pub(super) const CLIENTS_SEED: u64 = 7;
 pub(super) const FIRST_WORKER_SEED: u64 = 1_000;
-/// Links of dispatcher `i` have the seeds from `1,000 i` on: the worker's number, or this for discovery.
+/// The links of dispatcher `i` have the purposes `1,000 i` plus the worker's number, or plus this for discovery.
 pub(super) const DISCOVERY_LINK_SEED: u64 = 999;
 pub(super) const SEEDS_PER_DISPATCHER: u64 = 1_000;
 pub(super) const FIRST_START_SEED: u64 = 1 << 32;
--- a/crates/testkit/src/fleet/process.rs
+++ b/crates/testkit/src/fleet/process.rs
@@ -14,7 +14,7 @@
 const MAX_LOG_LINES: usize = 20_000;
 /// The name of the configuration file in the process's directory.
 pub(super) const CONFIG_FILE: &str = "config.json";
-/// The name of the operators' file in the process's directory.
+/// The name of the operators' settings file in the process's directory.
 const SETTINGS_FILE: &str = "settings.txtpb";
 
 /// A line of a process's log.
@@ -64,9 +64,9 @@
         done.map_err(|source| FleetError::File { path: file, source })
     }
 
-    /// Starts the process with this configuration and, if given, this operators' file.
+    /// Starts the process with this configuration and, if given, this operators' settings file.
     pub(super) fn start(&self, config: &Value, settings: Option<&str>) -> Result<(), FleetError> {
-        let mut running = self.child.lock().expect("a lock");
+        let mut running = self.child.lock().expect("mutex poisoned");
         if running.is_some() {
             return Err(FleetError::AlreadyRunning(self.number));
         }
@@ -93,7 +93,7 @@
         for name in ["GW_NAME", "GW_LISTEN", "GW_ADMIN_ADDR", "GW_DISCOVERY"] {
             command.env_remove(name);
         }
-        // It finds nobody else's files: neither the operators' of where the test runs nor another process's socket.
+        // The process must find neither a settings file in the test's working directory nor another process's socket in `$TMPDIR`.
         command.current_dir(&self.folder).env("TMPDIR", &self.folder);
         command.env("GW_CONFIG", self.file(CONFIG_FILE)).stdin(Stdio::null());
         command.stdout(Stdio::null()).stderr(Stdio::piped());
@@ -105,7 +105,7 @@
         let (log, clock) = (self.log.clone(), self.clock);
         std::thread::spawn(move || {
             for text in BufReader::new(stderr).lines().map_while(Result::ok) {
-                let mut log = log.lock().expect("a lock");
+                let mut log = log.lock().expect("mutex poisoned");
                 if log.len() >= MAX_LOG_LINES {
                     log.pop_front();
                 }
@@ -115,7 +115,7 @@
     }
 
     fn signal(child: &Child, signal: Signal) {
-        // It was not waited for yet, so its number is nobody else's.
+        // The child has not been waited for yet, so its process id cannot have been reused.
         if let Some(pid) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
@@ -123,14 +123,14 @@
 
     /// Logs an event and sends a signal, if the process runs.
     fn send(&self, signal: Signal, event: Event) {
-        if let Some(child) = self.child.lock().expect("a lock").as_ref() {
+        if let Some(child) = self.child.lock().expect("mutex poisoned").as_ref() {
             self.event_log.add(event);
             Process::signal(child, signal);
         }
     }
 
     pub(super) fn kill(&self) {
-        let child = self.child.lock().expect("a lock").take();
+        let child = self.child.lock().expect("mutex poisoned").take();
         if let Some(mut child) = child {
             self.event_log.add(Event::Killed { dispatcher: self.number });
             Process::signal(&child, Signal::KILL);
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn hang_up(&self) {
-        if let Some(child) = self.child.lock().expect("a lock").as_ref() {
+        if let Some(child) = self.child.lock().expect("mutex poisoned").as_ref() {
             Process::signal(child, Signal::HUP);
         }
     }
@@ -158,7 +158,7 @@
 
     /// Whether the process is running. Logs an event if it has exited by itself.
     pub(super) fn is_running(&self) -> bool {
-        let mut running = self.child.lock().expect("a lock");
+        let mut running = self.child.lock().expect("mutex poisoned");
         let Some(child) = running.as_mut() else { return false };
         match child.try_wait() {
             Ok(None) => true,
@@ -172,17 +172,17 @@
     }
 
     pub(super) fn pid(&self) -> Option<u32> {
-        self.child.lock().expect("a lock").as_ref().map(Child::id)
+        self.child.lock().expect("mutex poisoned").as_ref().map(Child::id)
     }
 
     pub(super) fn log(&self) -> Vec<LogLine> {
-        self.log.lock().expect("a lock").iter().cloned().collect()
+        self.log.lock().expect("mutex poisoned").iter().cloned().collect()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        if let Some(mut child) = self.child.lock().expect("a lock").take() {
+        if let Some(mut child) = self.child.lock().expect("mutex poisoned").take() {
             Process::signal(&child, Signal::KILL);
             let _ = child.wait();
         }
--- a/crates/testkit/src/fleet/process_control.rs
+++ b/crates/testkit/src/fleet/process_control.rs
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     ///
-    /// If it runs already or cannot be started, or its files cannot be written.
+    /// If the process is already running or cannot be started, or if its files cannot be written.
     pub fn start_process(&self, dispatcher: usize) -> Result<(), FleetError> {
         let start = self.starts.fetch_add(1, Ordering::Relaxed);
         let seed = derive_seed(self.seed, FIRST_START_SEED | start);
@@ -53,7 +53,7 @@
         self.processes[dispatcher].terminate();
     }
 
-    /// Writes the configuration of a process and makes it reload that (SIGHUP).
+    /// Writes the configuration file of a process and makes the process reload it (SIGHUP).
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
     ///
     /// # Panics
     ///
-    /// If they have not within [`crate::WAIT_TIMEOUT`].
+    /// If they have not ended within [`crate::WAIT_TIMEOUT`].
     pub fn wait_until_exited(&self, dispatchers: &[usize]) {
         self.wait_until("the processes end", || {
             dispatchers.iter().all(|dispatcher| !self.is_running(*dispatcher))
@@ -102,30 +102,30 @@
     ///
     /// # Panics
     ///
-    /// If they do not within [`crate::WAIT_TIMEOUT`].
+    /// If they are not up within [`crate::WAIT_TIMEOUT`].
     pub fn wait_until_up(&self, dispatchers: &[usize]) {
         self.wait_until("the processes are up", || {
             dispatchers.iter().all(|dispatcher| self.is_up(*dispatcher))
         });
     }
 
-    /// A process's id at the system, if it runs.
+    /// The system's id of a process; `None` if it does not run.
     pub fn pid(&self, dispatcher: usize) -> Option<u32> {
         self.processes[dispatcher].pid()
     }
 
-    /// The latest lines of a process's log, over all its starts.
+    /// The latest lines of a process's log, across all its starts.
     pub fn log(&self, dispatcher: usize) -> Vec<LogLine> {
         self.processes[dispatcher].log()
     }
 
     /// A process's configuration, as it will be at its next start or reload.
     pub fn config(&self, dispatcher: usize) -> Value {
-        self.configs.lock().expect("a lock")[dispatcher].clone()
+        self.configs.lock().expect("mutex poisoned")[dispatcher].clone()
     }
 
     /// Changes the configuration of a process, from its next start or reload on.
     pub fn change_config(&self, dispatcher: usize, change: impl FnOnce(&mut Value)) {
-        change(&mut self.configs.lock().expect("a lock")[dispatcher]);
+        change(&mut self.configs.lock().expect("mutex poisoned")[dispatcher]);
     }
 }
--- a/crates/testkit/src/fleet/tcp_relay.rs
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -1,7 +1,7 @@
 //! The TCP relay: one listener for each link from a dispatcher to a worker or to discovery.
 //!
-//! It accepts connections, connects to the far side and passes bytes on, with the faults that are set at the time. It records
-//! when each byte crossed which link.
+//! The relay accepts connections, connects to the far side and forwards bytes, with the faults that are set at the time. It
+//! records when each byte was received and written on each link.
 
 use super::ConnectionFailed;
 use super::event_log::EventLog;
@@ -24,10 +24,10 @@
 const PIECE_LENGTH: usize = 16 * 1024;
 /// The interval between attempts to open a listener again.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The timeout for the relay's own connection to a full queue, and for accepting the connections of that queue.
+/// The timeout for the relay's own connection, which fills the accept queue, and for accepting each connection of that queue.
 const LOOPBACK_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A piece of one direction, and the time at which it is passed on.
+/// Bytes of one direction, and the time at which they are forwarded, in microseconds of the harness's clock.
 struct Piece {
     due: u64,
     bytes: Vec<u8>,
@@ -67,7 +67,7 @@
 
     /// The connection that the far side accepted from this address; `None` if it did not come through a link.
     pub(super) fn connection_from(&self, peer: SocketAddr) -> Option<Arc<RelayedConnection>> {
-        self.connections.lock().expect("a lock").get(&peer).cloned()
+        self.connections.lock().expect("mutex poisoned").get(&peer).cloned()
     }
 
     pub(super) fn start_link(
@@ -180,7 +180,7 @@
         let Ok(far) = self.connect_far_side(&link).await else { return reset_on_drop(&near) };
         let _ = far.stream.set_nodelay(true);
         self.pass_both_ways(&link, &far.connection, near, far.stream).await;
-        self.connections.lock().expect("a lock").remove(&far.own_address);
+        self.connections.lock().expect("mutex poisoned").remove(&far.own_address);
     }
 
     /// Connects to the far side. The connection is registered first, since the far side looks it up as soon as it accepts.
@@ -190,15 +190,15 @@
         socket.bind(SocketAddr::new(link.address.ip(), 0))?;
         let own_address = socket.local_addr()?;
         let connection = RelayedConnection::new(link.clone(), self.event_log.clock);
-        self.connections.lock().expect("a lock").insert(own_address, connection.clone());
+        self.connections.lock().expect("mutex poisoned").insert(own_address, connection.clone());
         let connected = socket.connect(link.target).await;
         if connected.is_err() {
-            self.connections.lock().expect("a lock").remove(&own_address);
+            self.connections.lock().expect("mutex poisoned").remove(&own_address);
         }
         connected.map(|stream| FarSide { own_address, stream, connection })
     }
 
-    /// Passes bytes on in both directions until both have ended, one breaks, or the link ends its connections.
+    /// Forwards bytes in both directions until both have ended, one breaks, or the link ends its connections.
     async fn pass_both_ways(
         &self,
         link: &Arc<Link>,
@@ -238,7 +238,7 @@
         reset_on_drop(&near);
     }
 
-    /// Reads on one side and writes on the other, each piece when it is due.
+    /// Forwards bytes in one direction, each piece when it is due.
     async fn pass(
         &self,
         link: &Link,
@@ -317,15 +317,15 @@
 enum RelayEnd {
     /// Both directions have ended.
     Done,
-    /// One of them broke.
+    /// One direction broke.
     Broken,
     /// The link reset its connections.
     Reset,
-    /// The link dropped their far sides.
+    /// The link dropped the far sides of its connections.
     FarSideDropped,
 }
 
-/// Waits until a link ends the connections that it has had since `begun`.
+/// Waits until a link ends its connections, compared with its state `begun`.
 async fn forced_end(begun: &LinkState, mut state: watch::Receiver<LinkState>) -> RelayEnd {
     let is_far_side_dropped = |state: &LinkState| state.far_side_drops != begun.far_side_drops;
     let is_ended = |state: &LinkState| state.resets != begun.resets || is_far_side_dropped(state);
--- a/crates/testkit/src/fleet/worker/connection.rs
+++ b/crates/testkit/src/fleet/worker/connection.rs
@@ -110,7 +110,7 @@
         Reply::Send("HTTP/1.1 204 No Content\r\n\r\n".to_owned())
     }
 
-    /// Treats a job as the script says. An error resets the connection.
+    /// Handles a job according to the worker's behavior. An error resets the connection.
     async fn on_job(
         &self,
         stream: &mut TcpStream,
@@ -144,14 +144,14 @@
         Some(ArrivedJob { id, key, work: self.draw_work(script, &request.body) })
     }
 
-    /// The work of a job, by its body or else by the script.
+    /// The work of a job: the one in its body, or else that of the script.
     fn draw_work(&self, script: &WorkerScript, body: &str) -> Duration {
         let own = body.split_whitespace().find_map(|word| word.strip_prefix("work_us=")?.parse().ok());
         let mean = own.map_or(script.work, Duration::from_micros);
         if own.is_some() || !script.random_work {
             return mean;
         }
-        let draw = 1.0 - self.worker.rng.lock().expect("a lock").f64();
+        let draw = 1.0 - self.worker.rng.lock().expect("mutex poisoned").f64();
         mean.mul_f64(-draw.ln())
     }
 
--- a/crates/testkit/src/fleet/worker/executed_keys.rs
+++ b/crates/testkit/src/fleet/worker/executed_keys.rs
@@ -11,13 +11,13 @@
 /// The state of a key within a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum KeyState {
-    /// Its job waits or runs.
+    /// The key's job waits or runs.
     Open,
-    /// Its job ended without having run.
+    /// The key's job ended without having run.
     NeverRan,
-    /// Its job ran, and the outcome is unknown.
+    /// The key's job ran, and its result is unknown.
     Lost,
-    /// Its job ran with this result.
+    /// The key's job ran with this result.
     Result(String),
 }
 
@@ -34,13 +34,13 @@
     states: Mutex<HashMap<CellKey, Arc<watch::Sender<KeyState>>>>,
 }
 
-/// How a worker has to treat a job with a key.
+/// How a worker must handle a job with a key.
 pub(super) enum KeyClaim<'a> {
-    /// It is the first job with the key, and is executed.
+    /// The job is the first one with the key, and is executed.
     Execute(KeyExecution<'a>),
     /// Another job with the key is being executed or was.
     Repeat(Arc<watch::Sender<KeyState>>),
-    /// Too many keys are remembered: the job is executed without deduplication.
+    /// The maximum number of keys is remembered: the job is executed without deduplication.
     Unremembered,
 }
 
@@ -48,7 +48,7 @@
     /// Claims a key for a job; the first claim gets to execute it.
     pub(super) fn claim(&self, cell: u32, key: &str) -> KeyClaim<'_> {
         let cell_key = CellKey { cell, key: key.to_owned() };
-        let mut states = self.states.lock().expect("a lock");
+        let mut states = self.states.lock().expect("mutex poisoned");
         if let Some(state) = states.get(&cell_key) {
             return KeyClaim::Repeat(state.clone());
         }
@@ -61,7 +61,7 @@
     }
 }
 
-/// The one execution of a key. If it ends without a result, and nothing had run, the cell forgets the key.
+/// The one execution of a key. If it ends before the job ran, the cell forgets the key.
 pub(super) struct KeyExecution<'a> {
     keys: &'a ExecutedKeys,
     cell_key: CellKey,
@@ -70,12 +70,12 @@
 }
 
 impl KeyExecution<'_> {
-    /// Its work begins.
+    /// Records that the job begins to run.
     pub(super) fn on_run(&mut self) {
         self.has_run = true;
     }
 
-    /// Its work is done, with this result, which repeats get.
+    /// Records the result of the job, which repeats get.
     pub(super) fn on_result(&self, result: &str) {
         self.state.send_replace(KeyState::Result(result.to_owned()));
     }
@@ -87,7 +87,7 @@
             return;
         }
         if !self.has_run {
-            self.keys.states.lock().expect("a lock").remove(&self.cell_key);
+            self.keys.states.lock().expect("mutex poisoned").remove(&self.cell_key);
         }
         self.state.send_replace(if self.has_run { KeyState::Lost } else { KeyState::NeverRan });
     }
--- a/crates/testkit/src/fleet/worker/job.rs
+++ b/crates/testkit/src/fleet/worker/job.rs
@@ -28,7 +28,7 @@
     cancelled: Notify,
 }
 
-/// A job that was made pending, and the number of pending jobs.
+/// A job that was added to the pending jobs, and their number.
 pub(super) struct EnqueuedJob {
     pub(super) job: Arc<PendingJob>,
     pub(super) count: usize,
@@ -42,12 +42,12 @@
 
 impl PendingJobs {
     pub(super) fn count(&self) -> usize {
-        self.jobs.lock().expect("a lock").len()
+        self.jobs.lock().expect("mutex poisoned").len()
     }
 
-    /// Makes a job pending; `None` if `max_pending` jobs already are.
+    /// Adds a job; `None` if there are already `max_pending` jobs.
     pub(super) fn enqueue(&self, id: &str, max_pending: usize) -> Option<EnqueuedJob> {
-        let mut jobs = self.jobs.lock().expect("a lock");
+        let mut jobs = self.jobs.lock().expect("mutex poisoned");
         if jobs.len() >= max_pending {
             return None;
         }
@@ -58,7 +58,7 @@
 
     /// Cancels a job. Returns false if it is not pending.
     pub(super) fn cancel(&self, id: &str) -> bool {
-        let jobs = self.jobs.lock().expect("a lock");
+        let jobs = self.jobs.lock().expect("mutex poisoned");
         let Some(job) = jobs.get(id) else { return false };
         job.is_cancelled.store(true, Ordering::Relaxed);
         job.cancelled.notify_waiters();
@@ -66,18 +66,18 @@
     }
 
     pub(super) fn clear(&self) {
-        self.jobs.lock().expect("a lock").clear();
+        self.jobs.lock().expect("mutex poisoned").clear();
     }
 
     fn remove(&self, id: &str) {
-        self.jobs.lock().expect("a lock").remove(id);
+        self.jobs.lock().expect("mutex poisoned").remove(id);
     }
 }
 
 /// One job at one worker, from its acceptance to its last report.
 pub(super) struct JobRun {
     pub(super) worker: Arc<ScriptedWorker>,
-    /// The link by which the job came and by which its reports are sent.
+    /// The link through which the job arrived, and to whose dispatcher its status is reported.
     pub(super) link: Arc<Link>,
     pub(super) job: ArrivedJob,
     /// The worker's script when the job arrived.
@@ -91,13 +91,14 @@
         let mut deaths = self.worker.subscribe_to_deaths();
         tokio::select! {
             () = self.run() => {}
-            // The machine's agent saw the process die, where the machine is there.
+            // The worker's machine has an agent, which reports the loss after the worker process died.
             _ = deaths.changed() => self.report(JobStatus::Lost).await,
         }
         self.worker.pending.remove(&self.job.id);
     }
 
-    /// A key that runs or ran within the cell is not executed again: its result is reported once more.
+    /// Executes the job and reports its result. A key that is being executed or was executed within the cell is not executed
+    /// again; the earlier result is reported instead.
     async fn run(&self) {
         let claim = self.job.key.as_ref().map(|key| self.worker.context.keys.claim(self.script.cell, key));
         let mut execution = match claim {
@@ -119,7 +120,7 @@
 
     /// Waits for a slot and does the job's work. Returns false if the job was cancelled before it ran.
     async fn execute(&self, execution: Option<&mut KeyExecution<'_>>) -> bool {
-        let slots = self.worker.slots.lock().expect("a lock").clone();
+        let slots = self.worker.slots.lock().expect("mutex poisoned").clone();
         let cancelled = self.pending.cancelled.notified();
         tokio::pin!(cancelled);
         cancelled.as_mut().enable();
@@ -137,7 +138,7 @@
         let _running = RunningJob::count_in(&self.worker.running);
         let duration = self.run_time();
         let working = async { tokio::join!(self.report(JobStatus::Started), tokio::time::sleep(duration)) };
-        // What nobody waits for is dropped, unless it has a key: then it runs to its end, and repeats get its result.
+        // A cancelled job is aborted, unless it has a key: then it runs to its end, so that repeats get its result.
         tokio::select! {
             _ = working => true,
             () = &mut cancelled, if self.job.key.is_none() => false,
@@ -151,7 +152,7 @@
 
     /// The time of the job's work at the worker's current speed.
     fn run_time(&self) -> Duration {
-        let speed = self.script.speed * self.worker.warmth(&self.script);
+        let speed = self.script.speed * self.worker.speed_fraction(&self.script);
         self.job.work.div_f64(speed.max(MIN_SPEED))
     }
 
@@ -167,7 +168,7 @@
                 self.report_done(result).await;
             }
             KeyState::Lost => self.report(JobStatus::Failed).await,
-            // Whoever sends it again has it executed.
+            // The key was forgotten, so the dispatcher may send the job again.
             KeyState::NeverRan | KeyState::Open => self.report(JobStatus::Returned).await,
         }
     }
--- a/crates/testkit/src/fleet/worker/mod.rs
+++ b/crates/testkit/src/fleet/worker/mod.rs
@@ -58,7 +58,7 @@
     started_at: AtomicU64,
     /// Whether the worker was restarted, so that it warms up.
     is_restarted: AtomicBool,
-    /// The number of the worker's deaths.
+    /// The number of times that the worker died.
     incarnation: watch::Sender<u64>,
     callbacks: CallbackClient,
     rng: Mutex<fastrand::Rng>,
@@ -94,12 +94,12 @@
 
     /// The current script.
     pub fn script(&self) -> WorkerScript {
-        self.script.lock().expect("a lock").clone()
+        self.script.lock().expect("mutex poisoned").clone()
     }
 
     /// Changes the script. A change of `slots` applies to jobs that arrive from now on.
     pub fn change(&self, change: impl FnOnce(&mut WorkerScript)) {
-        let mut script = self.script.lock().expect("a lock");
+        let mut script = self.script.lock().expect("mutex poisoned");
         let slots = script.slots;
         change(&mut script);
         if script.slots != slots {
@@ -114,11 +114,11 @@
 
     /// The counters so far.
     pub fn metrics(&self) -> WorkerMetrics {
-        self.metrics.lock().expect("a lock").clone()
+        self.metrics.lock().expect("mutex poisoned").clone()
     }
 
-    /// Kills the worker: its connections are reset, and its jobs are lost without a report. If it comes back, it warms up from
-    /// now on. Its links determine whether connections are refused in the meantime.
+    /// Kills the worker: its connections are reset, and its jobs are lost. If it serves again, it warms up from now on. Its links
+    /// determine whether connections are refused in the meantime.
     pub(super) fn die(&self) {
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
         self.pending.clear();
@@ -130,7 +130,7 @@
     pub(super) async fn serve(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, peer)) = listener.accept().await else { continue };
-            // Whoever does not come by a link is no dispatcher.
+            // A connection that did not come through a link is not from a dispatcher.
             let relayed = self.context.relay.connection_from(peer);
             let Some(relayed) = relayed.filter(|relayed| relayed.link.to == LinkTarget::Worker(self.number))
             else {
@@ -141,11 +141,11 @@
     }
 
     fn replace_slots(&self, slots: usize) {
-        *self.slots.lock().expect("a lock") = Arc::new(Semaphore::new(slots));
+        *self.slots.lock().expect("mutex poisoned") = Arc::new(Semaphore::new(slots));
     }
 
     fn count(&self, change: impl FnOnce(&mut WorkerMetrics)) {
-        change(&mut self.metrics.lock().expect("a lock"));
+        change(&mut self.metrics.lock().expect("mutex poisoned"));
     }
 
     /// A receiver that is notified of the worker's deaths from now on.
@@ -155,8 +155,8 @@
         incarnation
     }
 
-    /// The current fraction of its full speed.
-    fn warmth(&self, script: &WorkerScript) -> f64 {
+    /// The fraction of its full speed that the worker has at present.
+    fn speed_fraction(&self, script: &WorkerScript) -> f64 {
         if !self.is_restarted.load(Ordering::Relaxed) || script.warm_up_time.is_zero() {
             return 1.0;
         }
@@ -165,7 +165,7 @@
         warm_up_capacity(script.initial_speed, progress)
     }
 
-    /// The load report, in the form of the wire.
+    /// The load report, in the JSON format of load probes and status callbacks.
     fn load_report(&self) -> Value {
         let script = self.script();
         let pending = self.pending.count() as f64;
--- a/crates/testkit/src/fleet/worker/script.rs
+++ b/crates/testkit/src/fleet/worker/script.rs
@@ -30,7 +30,7 @@
     pub zone: String,
     /// The kind, one of the settings.
     pub kind: String,
-    /// The cell: its workers share the keys that have been executed.
+    /// The cell, whose workers share the executed idempotency keys.
     pub cell: u32,
     /// The maximum number of running jobs.
     pub slots: usize,
@@ -38,9 +38,9 @@
     pub queue: usize,
     /// The speed. At speed 1, a job takes as long as its work.
     pub speed: f64,
-    /// The work of a job that does not name its own.
+    /// The work of a job whose request does not specify it.
     pub work: Duration,
-    /// Whether the work of each job is drawn from the exponential distribution with that mean.
+    /// Whether the work of each such job is drawn from the exponential distribution with the mean `work`.
     pub random_work: bool,
     /// Whether the worker answers load probes and health checks.
     pub answers_probes: bool,
@@ -92,11 +92,11 @@
     pub rejected: u64,
     /// Jobs cancelled by their dispatcher.
     pub cancelled: u64,
-    /// Repeats of keys that had been executed, answered from memory.
+    /// Repeats of keys that were being executed or had been, which are not executed again.
     pub repeats: u64,
     /// The maximum number of jobs that ran or waited at once.
     pub max_pending: usize,
-    /// Status callbacks that were never answered.
+    /// Status callbacks that were not answered in any attempt.
     pub unanswered_callbacks: u64,
 }
 
--- a/crates/testkit/src/fleet/worker/status_callback.rs
+++ b/crates/testkit/src/fleet/worker/status_callback.rs
@@ -18,7 +18,7 @@
 /// The maximum number of idle connections to one dispatcher.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// A connection for callbacks, with the bytes that were read and not used yet.
+/// A connection for callbacks, with its reader.
 struct CallbackConnection {
     stream: TcpStream,
     reader: HttpReader,
@@ -60,7 +60,7 @@
     }
 
     async fn call_back(&self, dispatcher: usize, update: &Value) -> Result<(), ConnectionFailed> {
-        let idle = self.idle.lock().expect("a lock").get_mut(&dispatcher).and_then(Vec::pop);
+        let idle = self.idle.lock().expect("mutex poisoned").get_mut(&dispatcher).and_then(Vec::pop);
         let exchange = async {
             let connection = match idle {
                 Some(idle) => idle,
@@ -91,7 +91,7 @@
     }
 
     fn keep(&self, dispatcher: usize, connection: CallbackConnection) {
-        let mut idle = self.idle.lock().expect("a lock");
+        let mut idle = self.idle.lock().expect("mutex poisoned");
         let idle = idle.entry(dispatcher).or_default();
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -29,7 +29,7 @@
 /// How the end of a body is determined.
 #[derive(Clone, Copy)]
 pub(crate) enum BodyFraming {
-    /// By the length of the body, in bytes.
+    /// By a length in bytes.
     Length(usize),
     /// By an empty chunk.
     Chunked,
@@ -47,8 +47,8 @@
         match (value("transfer-encoding"), value("content-length")) {
             (Some(_), _) => BodyFraming::Chunked,
             (None, Some(length)) => {
-                let text = std::str::from_utf8(length).expect("a number");
-                BodyFraming::Length(text.trim().parse().expect("a number"))
+                let text = std::str::from_utf8(length).expect("Content-Length is not a number");
+                BodyFraming::Length(text.trim().parse().expect("Content-Length is not a number"))
             }
             (None, None) => default,
         }
@@ -101,12 +101,11 @@
 /// Takes the next chunk from the buffer, if it is complete. The last chunk is empty.
 fn take_chunk(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
     const LINE_END: usize = 2;
-    let httparse::Status::Complete((head, size)) =
-        httparse::parse_chunk_size(buffer).expect("a well-formed chunk")
+    let httparse::Status::Complete((head, size)) = httparse::parse_chunk_size(buffer).expect("invalid chunk")
     else {
         return None;
     };
-    let end = head + usize::try_from(size).expect("a small chunk");
+    let end = head + usize::try_from(size).expect("chunk too long");
     if buffer.len() < end + LINE_END {
         return None;
     }
@@ -130,11 +129,11 @@
 ///
 /// If the received bytes are not an HTTP reply.
 pub fn read_next_reply(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<HttpReply> {
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
     let (length, status, framing) = loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        if let httparse::Status::Complete(length) = head.parse(buffer).expect("an HTTP reply") {
+        if let httparse::Status::Complete(length) = head.parse(buffer).expect("not an HTTP response") {
             match head.code.unwrap_or(0) {
                 100 => drop(buffer.drain(..length)),
                 status @ (204 | 304) => break (length, status, BodyFraming::Length(0)),
@@ -159,7 +158,7 @@
 ///
 /// If nothing listens there.
 pub fn connect(address: SocketAddr) -> TcpStream {
-    TcpStream::connect(address).expect("the dispatcher listens")
+    TcpStream::connect(address).expect("cannot connect to the dispatcher")
 }
 
 /// Whether the other side has closed or reset this connection.
@@ -168,9 +167,9 @@
 ///
 /// If the socket's options cannot be set.
 pub fn is_closed(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("a socket option");
+    stream.set_nonblocking(true).expect("cannot set socket option");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("a socket option");
+    stream.set_nonblocking(false).expect("cannot set socket option");
     peeked.map_or_else(|error| error.kind() != ErrorKind::WouldBlock, |length| length == 0)
 }
 
@@ -186,8 +185,8 @@
     read_reply(&mut stream)
 }
 
-/// The request of a client for a job. The body is the script for the [`crate::FakeWorker`] that runs the job. `headers` are
-/// further header lines, each with its line end.
+/// A client's request for a job. The body is the script for the [`crate::FakeWorker`] that runs the job. `headers` are
+/// additional header lines, each with its line end.
 pub fn job_request(id: &str, class: &str, script: &str, headers: &str) -> String {
     format!(
         "POST /{class} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
@@ -196,12 +195,12 @@
     )
 }
 
-/// The request for a job of class `balance`, which the first worker completes with the result `x`.
+/// A client's request for a job of class `balance`, which the worker completes with the result `x`.
 pub fn simple_job(id: &str) -> String {
     job_request(id, "balance", "take started done=x", "")
 }
 
-/// The status callback of a worker, on a separate connection.
+/// A worker's status callback with this update, after which the connection closes.
 pub fn status_update_request(update: &Value) -> String {
     let text = update.to_string();
     let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n";
--- a/crates/testkit/src/job_status.rs
+++ b/crates/testkit/src/job_status.rs
@@ -1,4 +1,4 @@
-//! The status of a job as workers report it, in the form of the wire.
+//! The status of a job as workers report it, and its JSON format.
 
 use serde_json::{Value, json};
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The update in the form of an event on the job's own connection.
+    /// The update as the data of an event on the job's own connection.
     pub(crate) fn to_update(&self) -> Value {
         let state = self.state();
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The update in the form of a status callback.
+    /// The update as the body of a status callback.
     pub(crate) fn to_callback(&self, job_id: &str, worker: &str) -> Value {
         let mut update = self.to_update();
         update["id"] = json!(job_id);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,12 +1,12 @@
-//! Test doubles for the surroundings of the dispatcher: clients, workers and discovery.
+//! Test doubles for the peers of the dispatcher: clients, workers and discovery.
 //!
-//! They are written from the public descriptions of the protocol and of HTTP. All of them listen on loopback, at ports that
-//! the system picks. They panic if a test cannot continue.
+//! The doubles are implemented from the public descriptions of the protocol and of HTTP, independently of the program. All of
+//! them listen on loopback, at ports that the system picks. They panic if a test cannot continue.
 //!
-//! - [`DispatcherProcess`] runs the built program; it calls [`FakeWorker`] and [`FakeDiscovery`].
-//! - [`send`], [`job_request`] and [`read_reply`] act as its clients.
-//! - [`site`] is the configuration that all of them share.
-//! - [`fleet`] runs many dispatchers, with relays on all of their connections, and audits the traffic.
+//! - [`DispatcherProcess`] runs the built program, which connects to [`FakeWorker`] and [`FakeDiscovery`].
+//! - [`send`], [`job_request`] and [`read_reply`] implement clients.
+//! - [`site`] has the configuration of the test deployment.
+//! - [`fleet`] runs many dispatchers with relays on all of their connections, and audits the traffic.
 
 mod discovery;
 pub mod fleet;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! The built program as a child process over real sockets, with a configuration of [`crate::site`].
+//! The built program as a child process with real sockets and a configuration from [`crate::site`].
 
 use crate::{FakeWorker, HttpReply, WAIT_TIMEOUT, send, site, wait_until};
 use serde_json::{Value, json};
@@ -19,10 +19,10 @@
 ///
 /// If it has not been built.
 pub fn program_path() -> PathBuf {
-    let own_path = std::env::current_exe().expect("the path of this executable");
+    let own_path = std::env::current_exe().expect("no path of this executable");
     let folders = own_path.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join("mothproxy")).find(|path| path.is_file());
-    found.expect("the program has been built: cargo build")
+    found.expect("mothproxy is not built: run cargo build")
 }
 
 /// The flag that names the settings file of the event-stream listener.
@@ -59,7 +59,7 @@
         self
     }
 
-    /// Sets `$TMPDIR`, by which predecessor and successor of a hot restart find each other.
+    /// Sets `$TMPDIR`, which must be the same for the predecessor and the successor of a hot restart.
     #[must_use]
     pub fn temp_dir(mut self, folder: impl Into<Option<&'a Path>>) -> Self {
         self.temp_dir = folder.into();
@@ -80,7 +80,8 @@
         self
     }
 
-    /// Starts the process and waits until it serves. Without discovery, waits until it has noticed that.
+    /// Starts the process and waits until it serves. Without discovery, also waits until it has logged that its endpoint list
+    /// is stale.
     ///
     /// # Panics
     ///
@@ -89,7 +90,7 @@
         let discovery = self.discovery.map_or(NO_DISCOVERY.to_owned(), |address| address.to_string());
         let config = self.config(&discovery);
         let files = ProcessFiles::write(&config, self.has_event_streams);
-        let mut child = self.command(&discovery, &files).spawn().expect("the program starts");
+        let mut child = self.command(&discovery, &files).spawn().expect("cannot start the program");
         let mut log = ProcessLog::follow(&mut child);
         let listeners = Listeners::wait(&mut log, self.discovery.is_none());
         let _ = std::fs::remove_file(&files.streams);
@@ -121,7 +122,7 @@
             .env_remove("GW_ADMIN_ADDR")
             .env_remove("TMPDIR")
             .envs(self.temp_dir.map(|folder| ("TMPDIR", folder)))
-            .env("GW_DISCOVERY", discovery) // as on the platform, where it says what the file says
+            .env("GW_DISCOVERY", discovery) // as on the platform, where it equals the address in the file
             .env("GW_CONFIG", &files.config)
             .stderr(Stdio::piped());
         command
@@ -131,7 +132,7 @@
 /// The files with which a process is started.
 struct ProcessFiles {
     config: PathBuf,
-    /// The settings of the SSE listener, which are read once.
+    /// The settings of the SSE listener, which the process reads only at its start.
     streams: PathBuf,
 }
 
@@ -143,9 +144,9 @@
         let stem = std::env::temp_dir().join(format!("mothproxy-test-{}-{number}", std::process::id()));
         let files =
             ProcessFiles { config: stem.with_extension("json"), streams: stem.with_extension("toml") };
-        std::fs::write(&files.config, config.to_string()).expect("a temporary file");
+        std::fs::write(&files.config, config.to_string()).expect("cannot write the temporary file");
         let streams = if has_event_streams { EVENT_STREAM_SETTINGS } else { "" };
-        std::fs::write(&files.streams, streams).expect("a temporary file");
+        std::fs::write(&files.streams, streams).expect("cannot write the temporary file");
         files
     }
 }
@@ -153,13 +154,13 @@
 /// The lines of a process's standard error.
 struct ProcessLog {
     lines: Receiver<String>,
-    /// The lines that were read so far.
+    /// The lines that have been read so far.
     read: Vec<String>,
 }
 
 impl ProcessLog {
     fn follow(child: &mut Child) -> ProcessLog {
-        let stderr = BufReader::new(child.stderr.take().expect("a pipe"));
+        let stderr = BufReader::new(child.stderr.take().expect("standard error is not piped"));
         let (sender, lines) = channel();
         std::thread::spawn(move || {
             stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
@@ -170,7 +171,8 @@
     /// The next line while the process starts.
     fn next_startup_line(&mut self) -> String {
         let line = self.lines.recv_timeout(WAIT_TIMEOUT);
-        let line = line.unwrap_or_else(|_| panic!("it does not serve: {:?}", self.read));
+        let line =
+            line.unwrap_or_else(|_| panic!("not serving within {WAIT_TIMEOUT:?}, log: {:?}", self.read));
         self.read.push(line.clone());
         line
     }
@@ -184,7 +186,8 @@
 }
 
 impl Listeners {
-    /// Waits until the process serves. Without discovery, it is ready for clients only once it has noticed that.
+    /// Waits until the process serves. Without discovery, it is ready for clients only once it has logged that its endpoint list
+    /// is stale.
     fn wait(log: &mut ProcessLog, is_without_discovery: bool) -> Listeners {
         let first = loop {
             let line = log.next_startup_line();
@@ -197,7 +200,7 @@
             && !is_successor
             && !log.next_startup_line().starts_with("endpoint list stale: ")
         {}
-        Listeners::parse(&first).unwrap_or_else(|| panic!("{first}"))
+        Listeners::parse(&first).unwrap_or_else(|| panic!("not a line of listener addresses: {first}"))
     }
 
     fn parse(line: &str) -> Option<Listeners> {
@@ -243,7 +246,7 @@
     /// If the signal cannot be sent.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
+        let sent = Command::new("kill").args([name, &pid]).status().expect("cannot run kill");
         assert!(sent.success());
     }
 
@@ -261,7 +264,7 @@
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
-        wait_until("it is held up", || {
+        wait_until("the process has stopped", || {
             std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T "))
         });
     }
@@ -276,7 +279,7 @@
         self.suspend();
         let suspended = Instant::now();
         meanwhile();
-        wait_until("its time is over", || suspended.elapsed() > duration);
+        wait_until("the suspension time has passed", || suspended.elapsed() > duration);
         self.resume();
     }
 
@@ -287,8 +290,8 @@
     /// If the file cannot be written.
     pub fn replace_config(&self, text: &str) {
         let fresh = self.config_file.with_extension("new");
-        std::fs::write(&fresh, text).expect("a temporary file");
-        std::fs::rename(fresh, &self.config_file).expect("the same folder");
+        std::fs::write(&fresh, text).expect("cannot write the temporary file");
+        std::fs::rename(fresh, &self.config_file).expect("cannot replace the configuration file");
     }
 
     /// The status code of `/up`.
@@ -297,7 +300,7 @@
     ///
     /// If the process does not answer.
     pub fn up_status(&self) -> u16 {
-        send(self.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("an answer").status
+        send(self.platform, "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n").expect("no complete response").status
     }
 
     /// Sends a request to the admin address.
@@ -306,8 +309,8 @@
     ///
     /// If the process has no such address or does not answer.
     pub fn call_admin(&self, method: &str, path: &str) -> HttpReply {
-        let address = self.admin.expect("a second address");
-        send(address, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("an answer")
+        let address = self.admin.expect("no admin address");
+        send(address, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("no complete response")
     }
 
     /// Waits for a line of the log with this prefix, and returns it.
@@ -316,11 +319,11 @@
     ///
     /// If there is no such line within [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&mut self, prefix: &str) -> String {
-        let deadline = Instant::now() + WAIT_TIMEOUT; // other lines may come without end
+        let deadline = Instant::now() + WAIT_TIMEOUT; // for the whole wait, since other lines may keep arriving
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let line = self.log.lines.recv_timeout(remaining);
-            let line = line.unwrap_or_else(|_| panic!("never logged: {prefix}"));
+            let line = line.unwrap_or_else(|_| panic!("not logged within {WAIT_TIMEOUT:?}: {prefix}"));
             self.log.read.push(line.clone());
             if line.starts_with(prefix) {
                 return line;
@@ -336,7 +339,7 @@
     pub fn wait_for_exit(mut self) -> (bool, Vec<String>) {
         let mut log = std::mem::take(&mut self.log.read);
         log.extend(std::iter::from_fn(|| self.log.lines.recv_timeout(WAIT_TIMEOUT).ok()));
-        (self.child.wait().expect("it ends").success(), log)
+        (self.child.wait().expect("no exit status").success(), log)
     }
 
     /// Waits for the end of the process, and checks that it exited with code 0 and logged that no request was open.
@@ -358,10 +361,14 @@
         self.terminate();
         let (is_clean, log) = self.wait_for_exit();
         assert!(is_clean, "{log:?}");
-        let last = log.iter().rev().find_map(|line| line.strip_prefix("figures ")).expect("a summary");
+        let last = log
+            .iter()
+            .rev()
+            .find_map(|line| line.strip_prefix("figures "))
+            .expect("no figures line in the log");
         last.split(' ')
             .filter_map(|part| part.split_once('='))
-            .map(|(name, value)| (name.into(), value.parse().expect("a number")))
+            .map(|(name, value)| (name.into(), value.parse().expect("not a number")))
             .collect()
     }
 }
@@ -372,7 +379,7 @@
         let _ = self.child.wait();
         if std::thread::panicking() {
             self.log.read.extend(self.log.lines.iter());
-            eprintln!("the program's log:\n{}", self.log.read.join("\n"));
+            eprintln!("log of the program:\n{}", self.log.read.join("\n"));
         }
         let _ = std::fs::remove_file(&self.config_file);
     }
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -1,9 +1,9 @@
-//! The configuration of a small deployment, in the form of the real one.
+//! The configuration of a small test deployment, in the JSON format that the program reads.
 
 use mothproxy::config::{Config, EndpointList};
 use serde_json::{Value, json};
 
-/// The configuration, with two classes, one tenant, a tick of 2 ms, and the given workers.
+/// The configuration with two classes, one tenant, a tick of 2 ms and the given entries of the endpoint list.
 pub fn config(listen: &str, discovery: &str, instances: Value) -> Value {
     let mut config = json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -38,30 +38,30 @@
            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// The configuration as the program parses it.
+/// Parses a configuration as the program does.
 ///
 /// # Panics
 ///
-/// If the program refuses it.
+/// If the configuration is invalid.
 pub fn read(config: &Value) -> Config {
-    Config::read(&config.to_string(), "config.json", |_| None).expect("a sound configuration")
+    Config::read(&config.to_string(), "config.json", |_| None).expect("invalid configuration")
 }
 
-/// A snapshot of the endpoint list in the form of discovery: all endpoints of a generation.
+/// A snapshot of the endpoint list in the format of discovery: all endpoints of a generation.
 pub fn snapshot(generation: u64, instances: &[Value]) -> Value {
     json!({"generation": generation, "reset": true, "instances": instances})
 }
 
-/// A delta of the endpoint list in the form of discovery: the endpoints that changed with a generation.
+/// A delta of the endpoint list in the format of discovery: the endpoints that changed with a generation.
 pub fn delta(generation: u64, instances: &[Value]) -> Value {
     json!({"generation": generation, "reset": false, "instances": instances})
 }
 
-/// An endpoint list of discovery as the program parses it.
+/// Parses an endpoint list of discovery as the program does.
 ///
 /// # Panics
 ///
-/// If the program refuses it.
+/// If the list is invalid.
 pub fn read_list(list: &Value) -> EndpointList {
-    EndpointList::from_json(list).expect("a list")
+    EndpointList::from_json(list).expect("invalid endpoint list")
 }
--- a/crates/testkit/src/timestamp.rs
+++ b/crates/testkit/src/timestamp.rs
@@ -11,7 +11,7 @@
 ///
 /// If the system's clock is before 1970.
 pub fn timestamp_fraction() -> f64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("system clock before 1970");
     (since_epoch.as_micros() % PERIOD_MICROS) as f64 / PERIOD_MICROS as f64
 }
 
--- a/crates/testkit/src/worker/mod.rs
+++ b/crates/testkit/src/worker/mod.rs
@@ -20,7 +20,8 @@
     pub name: String,
     /// The address of the worker, on loopback.
     pub address: SocketAddr,
-    /// A line for each request, in order of arrival: method, target, id and idempotency key. Also `stale ID` and `flooded`.
+    /// A line for each request, in order of arrival: method, target, id and idempotency key. Also a line `stale ID` for each job
+    /// whose connection was closed by `stale=NAME`, and `flooded` after each completed `flood`.
     pub received: Mutex<Vec<String>>,
     /// The number of jobs that arrived.
     pub job_count: AtomicU64,
@@ -43,7 +44,7 @@
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
-            let httparse::Status::Complete(length) = head.parse(buffer).expect("an HTTP request") else {
+            let httparse::Status::Complete(length) = head.parse(buffer).expect("not an HTTP request") else {
                 read_more(stream, buffer).then_some(())?;
                 continue;
             };
@@ -74,8 +75,8 @@
     ///
     /// If no port can be bound.
     pub fn start(name: &str) -> Arc<FakeWorker> {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
         let worker = Arc::new(FakeWorker {
             name: name.to_owned(),
             address,
@@ -100,7 +101,7 @@
     ///
     /// If a thread of the worker has panicked.
     pub fn set_callback_address(&self, dispatcher: SocketAddr) {
-        *self.callback_address.lock().expect("a lock") = Some(dispatcher);
+        *self.callback_address.lock().expect("mutex poisoned") = Some(dispatcher);
     }
 
     /// The entry of this worker in an endpoint list.
@@ -114,7 +115,7 @@
     ///
     /// If a thread of the worker has panicked.
     pub fn has_received(&self, text: &str) -> bool {
-        self.received.lock().expect("a lock").iter().any(|line| line.contains(text))
+        self.received.lock().expect("mutex poisoned").iter().any(|line| line.contains(text))
     }
 
     /// Opens a gate: jobs that `wait` for it continue.
@@ -123,18 +124,18 @@
     ///
     /// If a thread of the worker has panicked.
     pub fn open_gate(&self, gate: &str) {
-        self.open_gates.lock().expect("a lock").insert(gate.to_owned());
+        self.open_gates.lock().expect("mutex poisoned").insert(gate.to_owned());
     }
 
     fn record(&self, line: String) {
-        self.received.lock().expect("a lock").push(line);
+        self.received.lock().expect("mutex poisoned").push(line);
     }
 
     fn wait_for_gate(&self, gate: &str) {
-        wait_until(gate, || self.open_gates.lock().expect("a lock").contains(gate));
+        wait_until(gate, || self.open_gates.lock().expect("mutex poisoned").contains(gate));
     }
 
-    /// Answers the requests of a connection; each job by its script.
+    /// Answers the requests of a connection: each job according to its script.
     fn serve(self: Arc<FakeWorker>, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         let mut is_reused = false;
@@ -159,9 +160,9 @@
 
     /// Reports a status to the dispatcher by a status callback. Returns false if that was not answered with 204.
     fn call_back(&self, job_id: &str, status: &JobStatus) -> bool {
-        let dispatcher = self.callback_address.lock().expect("a lock").expect("the dispatcher's address");
+        let dispatcher = self.callback_address.lock().expect("mutex poisoned").expect("no callback address");
         let call = status_update_request(&status.to_callback(job_id, &self.name));
-        // The dispatcher may have been killed.
+        // The connect fails if the dispatcher was killed.
         let Ok(mut stream) = TcpStream::connect(dispatcher) else { return false };
         let _ = stream.write_all(call.as_bytes());
         read_reply(&mut stream).is_some_and(|reply| reply.status == 204)
--- a/crates/testkit/src/worker/script.rs
+++ b/crates/testkit/src/worker/script.rs
@@ -1,20 +1,20 @@
 //! The scripts of jobs, which a [`FakeWorker`] runs.
 //!
-//! A script is a line of commands, each a word or `word=value`, run in their order:
+//! A script is a line of commands separated by spaces, each a word or `word=value`, which run in order:
 //!
 //! | command | effect |
 //! | --- | --- |
-//! | `take` | accepts the job (202); the rest runs on a thread of its own, the connection is free |
+//! | `take` | accepts the job (202); the rest runs on a separate thread, so that the connection can take the next job |
 //! | `stream` | answers 200 and reports status updates as events on this connection |
 //! | `started`, `running=FRACTION`, `done=RESULT`, `failed`, `returned`, `lost` | reports this status |
 //! | `full`, `busy`, `error` | answers 503 with `X-Unprocessed`, 503, 500 |
 //! | `wait=GATE` | waits for [`FakeWorker::open_gate`] |
 //! | `pause=MS` | waits for this time |
 //! | `tick=COUNT,MS` | sends COUNT progress updates at this interval, each with its send time |
-//! | `flood=COUNT`, `big=BYTES` | sends COUNT events at once; sends one event of this size |
-//! | `cut`, `half` | shuts the connection down; does the same in the middle of an event |
-//! | `hang` | is silent until the other side gives up; after `take`, reports nothing more |
-//! | `mute=NAME`, `stale=NAME` | on the worker of that name: is silent; closes a reused connection on arrival |
+//! | `flood=COUNT`, `big=BYTES` | sends COUNT progress events at once; sends one event with this many bytes of filler |
+//! | `cut`, `half` | closes the connection; closes the connection in the middle of an event |
+//! | `hang` | sends nothing until the dispatcher closes the connection; after `take`, reports nothing more |
+//! | `mute=NAME`, `stale=NAME` | on the worker of that name: like `hang`; closes a reused connection when the job arrives |
 
 use super::FakeWorker;
 use crate::http::chunk;
@@ -52,9 +52,9 @@
     Cut,
     SendHalfAnEvent,
     Hang,
-    /// The worker with this name is silent.
+    /// Hangs if the worker has this name.
     Mute(&'a str),
-    /// Closes a reused connection on arrival; [`FakeWorker::serve`] handles this command.
+    /// Closes a reused connection when the job arrives; [`FakeWorker::serve`] handles this command.
     Stale,
 }
 
@@ -70,7 +70,9 @@
             "take" => Command::Accept,
             "stream" => Command::BeginStream,
             "started" => Command::Report(JobStatus::Started),
-            "running" => Command::Report(JobStatus::Running { fraction: value.parse().expect("a fraction") }),
+            "running" => {
+                Command::Report(JobStatus::Running { fraction: value.parse().expect("not a fraction") })
+            }
             "done" => Command::Report(done(value)),
             "failed" => Command::Report(JobStatus::Failed),
             "returned" => Command::Report(JobStatus::Returned),
@@ -81,11 +83,11 @@
             "wait" => Command::WaitForGate(value),
             "pause" => Command::Pause(milliseconds(value)),
             "tick" => {
-                let (count, interval) = value.split_once(',').expect("COUNT,MS");
+                let (count, interval) = value.split_once(',').expect("no comma in COUNT,MS");
                 Command::SendProgress { count: number(count), interval: milliseconds(interval) }
             }
             "flood" => Command::Flood { count: number(value) },
-            "big" => Command::SendBigEvent { bytes: value.parse().expect("a number") },
+            "big" => Command::SendBigEvent { bytes: value.parse().expect("not a number") },
             "cut" => Command::Cut,
             "half" => Command::SendHalfAnEvent,
             "hang" => Command::Hang,
@@ -103,11 +105,11 @@
 }
 
 fn number(text: &str) -> u32 {
-    text.parse().expect("a number")
+    text.parse().expect("not a number")
 }
 
 fn milliseconds(text: &str) -> Duration {
-    Duration::from_millis(text.parse().expect("a number"))
+    Duration::from_millis(text.parse().expect("not a number"))
 }
 
 /// How the connection continues after a command.
@@ -242,7 +244,7 @@
         Next::RunNextCommand
     }
 
-    /// Sends many events at once: a client that reads nothing for 2.5 s is disconnected.
+    /// Sends many progress events in one write, since a client that reads nothing for 2.5 s is disconnected.
     fn flood(&mut self, count: u32) -> Next {
         let progress = |number: u32| JobStatus::Running { fraction: f64::from(number % 100) / 100.0 };
         let events: String = (0..count).map(|number| event(&progress(number).to_update())).collect();
@@ -265,7 +267,7 @@
         self.cut()
     }
 
-    /// Is silent until the other side gives up.
+    /// Sends nothing until the dispatcher sends further bytes or closes the connection.
     fn hang(&mut self) -> Next {
         let _ = self.stream.read(&mut [0; 64]);
         Next::CloseConnection
@@ -274,6 +276,6 @@
 
 /// A chunk with one server-sent event.
 fn event(update: &Value) -> String {
-    let state = update["state"].as_str().expect("a state");
+    let state = update["state"].as_str().expect("no state in the update");
     chunk(&format!("event: {state}\ndata: {update}\n\n"))
 }
--- a/crates/testkit/tests/auditor.rs
+++ b/crates/testkit/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The auditor over records made by hand: a sound one in which it finds nothing, and for each thing that must not happen a
-//! change of that record, in which it finds that and nothing else.
+//! The auditor with synthetic event logs: a valid one in which it finds nothing, and for each rule changes of that log, in which
+//! it finds exactly the expected violations.
 
 use mothproxy_testkit::fleet::event_log::NotifiedEndpoint;
 use mothproxy_testkit::fleet::{AuditRules, Event, Finding, Lifecycle, LoggedEvent, audit};
@@ -34,8 +34,9 @@
     Event::Answered { dispatcher: 0, id: id.into(), status: 200, body: format!("{id} by w0") }
 }
 
-/// Two jobs, one keyed; worker 1 drains at 1,000 ms; worker 2 starts at 2,000 ms and gets its first job.
-fn sound() -> Vec<(u64, Event)> {
+/// A valid event log, with times in milliseconds: two jobs, one of them keyed; worker 1 drains at 1,000 ms; worker 2 starts at
+/// 2,000 ms and gets its first job.
+fn valid_log() -> Vec<(u64, Event)> {
     let up = |worker| endpoint(worker, Lifecycle::Up, 0);
     vec![
         (0, Event::Started { dispatcher: 0 }),
@@ -68,44 +69,45 @@
     audit(&entries, rules)
 }
 
-/// What is found in the sound record with these events in the place of those that begin at the given times.
-fn with(without: &[u64], more: Vec<(u64, Event)>) -> Vec<Finding> {
-    let events = sound().into_iter().filter(|(at, _)| !without.contains(at)).chain(more).collect();
+/// The findings in the valid log without the events at the times `removed`, and with the events `added`.
+fn findings_with_changes(removed: &[u64], added: Vec<(u64, Event)>) -> Vec<Finding> {
+    let events = valid_log().into_iter().filter(|(at, _)| !removed.contains(at)).chain(added).collect();
     findings(events, &AuditRules { answer_slack: Some(58 * MS), ..AuditRules::default() })
 }
 
 fn names(found: &[Finding]) -> Vec<String> {
-    let name = |f: &Finding| format!("{f:?}").split([' ', '{']).next().unwrap_or("").to_owned();
+    let name = |finding: &Finding| format!("{finding:?}").split([' ', '{']).next().unwrap_or("").to_owned();
     found.iter().map(name).collect()
 }
 
-/// What the change is, the times whose events are left out, those that come instead, and what is found.
+/// A description of the change, the times of removed events, the added events, and the names of the expected findings.
 type Case<'a> = (&'a str, &'a [u64], Vec<(u64, Event)>, &'a [&'a str]);
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one history or table of cases, read from top to bottom")]
+#[allow(clippy::too_many_lines, reason = "one table of cases, read from top to bottom")]
 fn finds_and_names_each_violation() {
-    assert_eq!(with(&[], vec![]), []);
+    assert_eq!(findings_with_changes(&[], vec![]), []);
     let burst =
         |count: u64, from: u64| (0..count).map(move |n| (2_100 + n, reached(2, &format!("f{from}-{n}"))));
-    // 4 x 0.38 x 4 x 1,500 ms / 20 ms = 456 jobs, and 2 root 456 + 2 = 44 more for chance.
-    let over = burst(505, 0).collect();
-    let within = burst(500, 0).collect();
-    // As many from one that was not told of the start: less than two thirds of the work is by who knew.
-    let (old, new) = (burst(300, 0), burst(300, 1));
-    let unknown = |(at, event): (u64, Event)| match event {
+    // The budget is 4 x 0.38 x 4 x 1,500 ms / 20 ms = 456 jobs, plus 2 x sqrt(456) + 2 = 44 jobs for random variation.
+    let over_budget = burst(505, 0).collect();
+    let within_budget = burst(500, 0).collect();
+    // Half of the jobs are from a dispatcher that was not notified of the start: less than two thirds of the work is from
+    // notified ones.
+    let (first, second) = (burst(300, 0), burst(300, 1));
+    let from_unnotified = |(at, event): (u64, Event)| match event {
         Event::Reached { worker, id, work, .. } => (at, Event::Reached { dispatcher: 9, worker, id, work }),
         event => (at, event),
     };
-    let shared = old.map(unknown).chain(new).collect();
+    let half_unnotified = first.map(from_unnotified).chain(second).collect();
     let unanswered = || Event::Unanswered { dispatcher: 0, id: "a".into() };
-    let again = (90, Event::Started { dispatcher: 0 });
-    let dead = |at| (at, Event::Killed { dispatcher: 0 });
-    let pause = |at, is_paused| (at, Event::Paused { dispatcher: 0, is_paused });
+    let restarted = (90, Event::Started { dispatcher: 0 });
+    let killed = |at| (at, Event::Killed { dispatcher: 0 });
+    let paused = |at, is_paused| (at, Event::Paused { dispatcher: 0, is_paused });
     let table: Vec<Case> = vec![
-        ("sent 460 ms after it was told", &[], vec![(1_460, reached(1, "e"))], &["LateSend"]),
+        ("sent 460 ms after the notification", &[], vec![(1_460, reached(1, "e"))], &["LateSend"]),
         (
-            "up again meanwhile",
+            "up again before the job is sent",
             &[],
             vec![
                 (1_100, notified(0, 3, false, vec![endpoint(1, Lifecycle::Up, 0)])),
@@ -114,19 +116,19 @@
             &[],
         ),
         (
-            "a new process was not told",
+            "restarted process without a notification",
             &[],
             vec![(1_200, Event::Started { dispatcher: 0 }), (1_460, reached(1, "e"))],
             &[],
         ),
         (
-            "told while it stood still, and knew later",
+            "notified during a pause, and known only after it",
             &[],
-            vec![pause(990, true), pause(1_300, false), (1_460, reached(1, "e"))],
+            vec![paused(990, true), paused(1_300, false), (1_460, reached(1, "e"))],
             &[],
         ),
         (
-            "a whole list without it",
+            "removed by a full list",
             &[1_000],
             vec![
                 (1_000, notified(0, 2, true, vec![endpoint(0, Lifecycle::Up, 0)])),
@@ -134,24 +136,24 @@
             ],
             &["LateSend"],
         ),
-        ("no answer", &[121], vec![(400, unanswered())], &["NeverAnswered"]),
-        ("nothing more is known of it", &[121], vec![], &["NeverAnswered"]),
-        ("killed before the answer", &[121, 3_000, 3_100], vec![dead(130), (140, unanswered())], &[]),
-        ("taken by a dying process", &[121, 3_000, 3_100], vec![dead(90), (140, unanswered())], &[]),
+        ("no reply", &[121], vec![(400, unanswered())], &["NeverAnswered"]),
+        ("no reply and no event of the client", &[121], vec![], &["NeverAnswered"]),
+        ("killed before the reply", &[121, 3_000, 3_100], vec![killed(130), (140, unanswered())], &[]),
+        ("sent to a killed process", &[121, 3_000, 3_100], vec![killed(90), (140, unanswered())], &[]),
         (
-            "dead, started again, then taken",
+            "sent after a kill and a restart",
             &[121],
-            vec![dead(80), again, (140, unanswered())],
+            vec![killed(80), restarted, (140, unanswered())],
             &["NeverAnswered"],
         ),
-        ("two answers", &[], vec![(130, answered("a"))], &["AnsweredTwice"]),
+        ("two replies", &[], vec![(130, answered("a"))], &["AnsweredTwice"]),
         (
-            "bytes that nobody asked for",
+            "bytes without a request",
             &[],
             vec![(130, Event::UnexpectedBytes { dispatcher: 0, id: "a".into() })],
             &["AnsweredTwice"],
         ),
-        ("a result that nobody made", &[120], vec![], &["UnknownResult"]),
+        ("a result that no worker reported", &[120], vec![], &["UnknownResult"]),
         (
             "another job's result",
             &[121],
@@ -162,37 +164,38 @@
             &["UnknownResult"],
         ),
         ("answered 100 ms late", &[121], vec![(700, answered("a"))], &["AnsweredLate"]),
-        ("a key that ran again", &[], vec![(230, executed("b2", Some("key")))], &["ExecutedTwice"]),
+        ("a key that was executed again", &[], vec![(230, executed("b2", Some("key")))], &["ExecutedTwice"]),
         (
             "a datagram of 257 bytes",
             &[],
             vec![(500, Event::LongDatagram { dispatcher: 0, length: 257 })],
             &["LongDatagram"],
         ),
-        ("a cold worker over its budget", &[], over, &["WarmUpExceeded"]),
-        ("and within it", &[], within, &[]),
-        ("over it, by others than those who knew", &[], shared, &[]),
-        ("ended without being asked", &[3_000], vec![], &["Crashed"]),
+        ("work over the budget of a worker that is warming up", &[], over_budget, &["WarmUpExceeded"]),
+        ("work within the budget of a worker that is warming up", &[], within_budget, &[]),
+        ("work over the budget, too much of it from unnotified dispatchers", &[], half_unnotified, &[]),
+        ("exited without a request", &[3_000], vec![], &["Crashed"]),
         (
-            "ended badly",
+            "exited with an error",
             &[3_100],
             vec![(3_100, Event::Exited { dispatcher: 0, is_clean: false })],
             &["Crashed"],
         ),
     ];
-    for (what, without, more, expected) in table {
-        assert_eq!(names(&with(without, more)), expected, "{what}");
+    for (description, removed, added, expected) in table {
+        assert_eq!(names(&findings_with_changes(removed, added)), expected, "{description}");
     }
 }
 
-/// Where a change counts as told after a time, arrived or not.
+/// With `assume_notified_after`, a change counts as notified after that time, even if it was never written to the dispatcher.
 #[test]
 fn change_that_never_arrived_counts_as_notified() {
-    let late = |at| {
-        let missed = sound().into_iter().filter(|(at, _)| *at != 1_000).chain([(at, reached(1, "e"))]);
+    let names_if_sent_at = |at| {
+        let without_notification =
+            valid_log().into_iter().filter(|(at, _)| *at != 1_000).chain([(at, reached(1, "e"))]);
         let rules = AuditRules { assume_notified_after: Some(6_000 * MS), ..AuditRules::default() };
-        names(&findings(missed.collect(), &rules))
+        names(&findings(without_notification.collect(), &rules))
     };
-    assert_eq!(late(7_440), Vec::<String>::new());
-    assert_eq!(late(7_460), ["LateSend"]);
+    assert_eq!(names_if_sent_at(7_440), Vec::<String>::new());
+    assert_eq!(names_if_sent_at(7_460), ["LateSend"]);
 }
