--- a/examples/proof_lists.rs
+++ b/examples/proof_lists.rs
@@ -1,7 +1,7 @@
-//! `make proof-lists`: up to 1,024 of the program's own watches before a slow list service, on a virtual clock
-//! (`docs/design/lists.md`). Each line sums up 25 services (2 to 50 ms a call; waits of 0.5 to 6 s) as they treat calls that
-//! nobody reads; the last line is JSON; exit code 1 where a caller is starved. `proof_lists NAME` also shows each service of the
-//! scenarios whose names hold NAME.
+//! `make proof-lists`: up to 1,024 callers with the program's own watch implementation at a slow discovery service, on a virtual
+//! clock (`docs/design/lists.md`). Each line summarizes 25 simulated services (2 to 50 ms per call; calls wait for at most 0.5 to
+//! 6 s) that treat abandoned calls alike. The last line is JSON; the exit code is 1 if a caller is starved. `proof_lists NAME`
+//! also prints each service for the scenarios whose names contain NAME.
 
 #[path = "../tests/common/lists/mod.rs"]
 mod lists;
@@ -26,8 +26,8 @@
 }
 
 impl Summary {
-    /// Plays the days; shows each of them if the scenario's name holds `shown`.
-    fn play(scenario: Scenario, callers: u32, cost: AbandonedCallCost, shown: Option<&str>) -> Summary {
+    /// Runs the scenario with all services. Prints each outcome if the scenario's name contains `shown`.
+    fn run(scenario: Scenario, callers: u32, cost: AbandonedCallCost, shown: Option<&str>) -> Summary {
         let is_shown = shown.is_some_and(|shown| format!("{scenario:?}").contains(shown));
         let mut outcomes = Vec::new();
         for call in CALLS_MS {
@@ -41,7 +41,7 @@
                     seed: SEED,
                 });
                 if is_shown {
-                    println!("{call} ms a call, waits {wait} ms, {cost:?}: {outcome:?}");
+                    println!("{call} ms per call, maximum wait {wait} ms, {cost:?}: {outcome:?}");
                 }
                 outcomes.push(outcome);
             }
@@ -49,19 +49,19 @@
         Summary { scenario, callers, cost, outcomes }
     }
 
-    /// The mean over the services.
-    fn mean(&self, figure: fn(&Outcome) -> u64) -> f64 {
-        self.outcomes.iter().map(figure).sum::<u64>() as f64 / self.outcomes.len() as f64
+    /// The mean of a measure over the services.
+    fn mean(&self, measure: fn(&Outcome) -> u64) -> f64 {
+        self.outcomes.iter().map(measure).sum::<u64>() as f64 / self.outcomes.len() as f64
     }
 
-    /// The mean for each caller.
-    fn per_caller(&self, figure: fn(&Outcome) -> u64) -> f64 {
-        self.mean(figure) / f64::from(self.callers)
+    /// The mean of a measure over the services, divided by the number of callers.
+    fn per_caller(&self, measure: fn(&Outcome) -> u64) -> f64 {
+        self.mean(measure) / f64::from(self.callers)
     }
 
     fn print(&self) {
         println!(
-            "{:16} {:5} {:8} late {:.3} of which {:.3} inevitable, never {:.3}; a caller: \
+            "{:16} {:5} {:8} late {:.3} of which {:.3} inevitable, never {:.3}; per caller: \
              calls {:.2} refused {:.2} cut {:.2}; wasted {:6.0} ms; p50 {:6.0} p99 {:6.0} max {:6} ms",
             format!("{:?}", self.scenario),
             self.callers,
@@ -79,7 +79,7 @@
         );
     }
 
-    /// Callers that never get a list, of services that see when a caller has gone.
+    /// The number of callers that never get a list; 0 for services that do not notice when a caller has disconnected.
     fn starved(&self) -> u32 {
         if self.cost == AbandonedCallCost::Late {
             return 0;
@@ -87,7 +87,7 @@
         self.outcomes.iter().map(|outcome| outcome.never).sum()
     }
 
-    /// The row of the last line.
+    /// The row of this summary in the JSON of the last line.
     fn to_json(&self) -> Value {
         json!([
             format!("{:?}", self.scenario),
@@ -110,18 +110,18 @@
     for scenario in Scenario::ALL {
         for callers in CALLERS {
             for cost in COSTS {
-                let summary = Summary::play(scenario, callers, cost, shown.as_deref());
+                let summary = Summary::run(scenario, callers, cost, shown.as_deref());
                 summary.print();
                 starved += summary.starved();
                 rows.push(summary.to_json());
             }
         }
     }
-    let held = starved == 0;
+    let passed = starved == 0;
     println!(
         "{}",
-        json!({"proof": "lists", "held": held, "seed": SEED, "seconds": started.elapsed().as_secs_f64().round(),
+        json!({"proof": "lists", "held": passed, "seed": SEED, "seconds": started.elapsed().as_secs_f64().round(),
                "scenario, callers, pays, late, never, calls": rows})
     );
-    ExitCode::from(u8::from(!held))
+    ExitCode::from(u8::from(!passed))
 }
