--- a/crates/testkit/src/fleet/auditor/mod.rs
+++ b/crates/testkit/src/fleet/auditor/mod.rs
@@ -1,7 +1,7 @@
-//! The auditor: it checks the recorded traffic of a fleet against a set of rules.
+//! The auditor, which checks the recorded traffic of a fleet against a set of rules.
 //!
-//! Its only input is the event log, and it uses no part of the program. Each rule is a separate module with a function from
-//! events to findings, which are violations of the rule.
+//! The only input of the auditor is the event log, and it uses no part of the program. Each rule is a separate module with a
+//! function from events to findings, which are violations of the rule.
 
 mod datagrams;
 mod executions;
--- a/crates/testkit/src/fleet/auditor/warm_up.rs
+++ b/crates/testkit/src/fleet/auditor/warm_up.rs
@@ -99,7 +99,7 @@
         arrivals
     }
 
-    /// Checks the window that begins with the first of these arrivals. It may exceed the mean by chance (two standard
+    /// Checks the window that begins with the first of these arrivals. The work may exceed the budget by chance (two standard
     /// deviations and two jobs). An excess is excused if dispatchers that had not been notified sent more than a third of the
     /// work.
     fn check_window(&self, rules: &AuditRules, arrivals: &[Arrival]) -> Option<Excess> {
--- a/crates/testkit/src/fleet/worker/script.rs
+++ b/crates/testkit/src/fleet/worker/script.rs
@@ -38,7 +38,7 @@
     pub queue: usize,
     /// The speed. At speed 1, a job takes as long as its work.
     pub speed: f64,
-    /// The work of a job whose request does not specify it.
+    /// The work of a job whose body does not specify it.
     pub work: Duration,
     /// Whether the work of each such job is drawn from the exponential distribution with the mean `work`.
     pub random_work: bool,
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -37,8 +37,8 @@
 const HELD_CONNECTION_KINDS: [&str; 3] = ["idle", "half", "kept-half"];
 
 /// Guards against two faults. With a system limit below the configured budget, the program ran out of descriptors before its
-/// budget was used up: it closed no connections, and the endpoint list could not be read. And incomplete requests on
-/// connections that had been served before were not closed for others until their timeout of two minutes.
+/// budget was used up: it closed no connections, and the endpoint list could not be read. And a connection with an incomplete
+/// request that had been served before was not closed for other connections for two minutes.
 #[test]
 fn held_descriptors_do_not_lock_out_others() {
     for (limit, sockets) in [(110, 1024), (20_000, 110)] {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -41,7 +41,7 @@
     stream.read_to_end(&mut seen).map(|_| seen).map_err(|error| error.kind())
 }
 
-/// Whether the other side resets this connection within 200 ms, because bytes were sent after it had closed its side.
+/// Whether the other side resets this connection within 200 ms. It does so if it receives bytes after it has closed the socket.
 fn is_reset(stream: &TcpStream) -> bool {
     let started = Instant::now();
     let mut has_error = false;
@@ -109,8 +109,8 @@
     assert!(!was_reset, "connection reset instead of closed");
 }
 
-/// Every job that was open 3.4 s after SIGTERM used to fail, however long its deadline. The response to the late job shows
-/// that the time limit for late jobs has passed; the earlier job is still open then and completes.
+/// Jobs that were accepted before SIGTERM keep their deadlines; they used to fail 3.4 s after SIGTERM. The response to the late
+/// job shows that the time limit for late jobs has passed; the earlier job is still open then and completes.
 #[test]
 fn a_job_accepted_before_the_signal_keeps_its_deadline_and_a_late_one_is_cut_short() {
     let worker = FakeWorker::start("s-1");
@@ -133,8 +133,9 @@
     assert!(program.wait_for_exit().0);
 }
 
-/// A worker's idle connection for callbacks used to be closed 0.45 s after SIGTERM, while a callback was in transit on it.
-/// A callback that was only half received at that time is completed, too.
+/// Callbacks are received until the last job is done, also on connections that were idle or had half of a callback when other
+/// idle connections were closed. A worker's idle connection used to be closed 0.45 s after SIGTERM, while a callback was in
+/// transit on it.
 #[test]
 fn receives_callbacks_until_the_last_job_is_done() {
     let worker = FakeWorker::start("s-1");
@@ -183,9 +184,9 @@
     let (first, rest) = request.split_at(request.len() - 5);
     half.write_all(first.as_bytes()).expect("write failed");
     half.set_nonblocking(true).expect("cannot set socket option");
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     wait_until("the connection of the incomplete request is closed", || {
-        crowd.push(connect(program.platform));
+        idle_clients.push(connect(program.platform));
         !matches!(half.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
     });
     half.set_nonblocking(false).expect("cannot set socket option");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -53,8 +53,8 @@
     None
 }
 
-/// Guards against a request being forwarded in the same event-loop iteration in which it was read, before the end of its
-/// connection, which had also arrived, was noticed in the next iteration.
+/// A request is not forwarded if the end of its connection has arrived, too. The dispatcher used to forward requests in the
+/// event-loop iteration in which it read them, and noticed the end of the connection only in the next one.
 #[test]
 fn does_not_forward_request_of_disconnected_client() {
     let worker = FakeWorker::start("s-1");
@@ -104,8 +104,8 @@
     (listener, first)
 }
 
-/// With cancellation of attempts disabled, an attempt whose connection was established after its client had disconnected
-/// was still written to the worker.
+/// An attempt whose connection is established only after its client has disconnected is not written to the worker. With
+/// cancellation of attempts disabled, it used to be written.
 #[test]
 fn does_not_write_late_attempt_of_disconnected_client() {
     let (listener, _queued) = start_worker_with_full_queue();
@@ -117,11 +117,11 @@
             config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(15_000.0);
         })
         .start();
-    let mut leaves = connect(program.platform);
-    leaves.write_all(job_request("leaves", "balance", "", "").as_bytes()).expect("write failed");
+    let mut client = connect(program.platform);
+    client.write_all(job_request("leaves", "balance", "", "").as_bytes()).expect("write failed");
     let up = || program.up_status();
     wait_for_connection_attempt(&listener);
-    drop(leaves);
+    drop(client);
     (0..3).for_each(|_| assert_eq!(up(), 200)); // the program has handled the disconnect by then
     listener.set_nonblocking(true).expect("cannot set socket option");
     let mut accepted = Vec::new();
@@ -142,8 +142,9 @@
     assert_eq!((metrics["gone"], metrics["broken_invariants"]), (1, 0));
 }
 
-/// The dispatcher limits how many pipelined bytes it reads ahead of a response. With more of them than the socket buffers
-/// hold, the end of the connection was never noticed, and the job of a disconnected client continued.
+/// The disconnect of a client is noticed even behind many pipelined bytes. The dispatcher used to read a limited number of them
+/// before it had sent the response. With more than this limit and the socket buffers hold, it never noticed the end of the
+/// connection, and the job continued without a client.
 #[test]
 fn counts_pipelining_client_that_disconnects_as_gone() {
     for (ahead, how) in [
@@ -181,8 +182,8 @@
     stream
 }
 
-/// One poll returns at most 256 events. A worker's status update among them triggered a retry for a client whose
-/// disconnect was not yet among them.
+/// Guards against a retry for a disconnected client. One poll returns at most 256 events: a worker's status update among them
+/// triggered a retry although the disconnect of the client, which was not among them, had already arrived.
 #[test]
 fn starts_no_attempt_in_burst_of_disconnects() {
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
@@ -191,7 +192,7 @@
         set_long_idle_timeout(config);
     };
     let program = DispatcherProcess::builder(&workers).configure(without_hedging).start();
-    let crowd: Vec<TcpStream> =
+    let idle_clients: Vec<TcpStream> =
         (0..300).map(|n| open_kept_connection(program.platform, &format!("c{n}"))).collect();
     let mut stream = connect(program.platform);
     stream.write_all(job_request("last", "balance", "take hang", "").as_bytes()).expect("write failed");
@@ -205,7 +206,7 @@
     };
     let before = count_attempts(); // more than one if a slow machine did not accept the first in time
     let callback = send_status_update(program.platform, "last", &from.name, "returned");
-    drop(crowd);
+    drop(idle_clients);
     drop(stream);
     wait_until_delivered(program.platform);
     program.resume();
@@ -216,8 +217,8 @@
     assert_eq!((metrics["gone"], metrics["broken_invariants"]), (1, 0));
 }
 
-/// The successor of a hot restart takes over connections with requests on them. It forwarded such a request before it
-/// checked whether the client was still connected.
+/// The successor of a hot restart takes over connections with complete requests. It does not forward such a request if the client
+/// has disconnected; it used to forward it before it checked the connection.
 #[test]
 fn drops_request_of_client_that_disconnects_during_hot_restart() {
     let worker = FakeWorker::start("s-1");
--- a/tests/sockets/attempts.rs
+++ b/tests/sockets/attempts.rs
@@ -44,8 +44,8 @@
     assert!(metrics["untaken"] >= 1 && metrics["broken_invariants"] == 0, "{metrics:?}");
 }
 
-/// A job of class semantics `side_effect` must not be retried elsewhere, so its attempt may be accepted until the client's
-/// timeout. It used to be abandoned after 150 ms.
+/// A job whose class has the semantics `side_effect` must not be retried elsewhere, so its attempt may be accepted until the
+/// client's timeout. The attempt used to be abandoned after 150 ms.
 #[test]
 fn waits_for_non_idempotent_attempt_until_client_timeout() {
     let worker = FakeWorker::start("s-1");
@@ -59,8 +59,8 @@
     assert_eq!((job_count(&worker), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
 
-/// An idle connection that turns out to be closed at the next request is no evidence against its worker. Each one used to count
-/// as a failure, so that many of them led to the ejection of healthy workers.
+/// A kept connection that breaks at the next request is no evidence against its worker. Each one used to count as a failure of the
+/// worker, so that many of them led to the ejection of healthy workers.
 #[test]
 fn stale_connections_do_not_count_as_worker_failures() {
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -104,8 +104,9 @@
 #[test]
 fn slow_reader_loses_progress_but_not_final_event() {
     const FLOOD: usize = 15_000;
-    /// Far less than the progress events take. Larger than necessary for that, since reading the buffered events through a window
-    /// of 4 KB took over a second, and a response of which nothing can be written for 2.5 s is aborted.
+    /// The client's receive buffer in bytes, which holds far less than all progress events. A buffer of 4 KB would do, but reading
+    /// the events buffered in the program through it took over a second, and a response of which nothing can be written for 2.5 s
+    /// is aborted.
     const RECEIVE_BUFFER: usize = 64 * 1024;
     // Two workers, since on a slow machine one may not accept the job in time.
     let workers = [FakeWorker::start("s-0"), FakeWorker::start("s-1")];
@@ -172,7 +173,7 @@
     for byte in &mut first {
         thread::sleep(Duration::from_secs(1));
         slow.read_exact(std::slice::from_mut(byte)).expect("read failed");
-        // Others are served meanwhile.
+        // Other clients are served at the same time.
         let request = job_request(&format!("g{byte}"), "balance", "stream started done=y", ACCEPT);
         assert_ends_with(&send_and_read(sse, &request), "done");
     }
--- a/tests/watch/slow_watchers.rs
+++ b/tests/watch/slow_watchers.rs
@@ -66,7 +66,7 @@
     assert_eq!(slow.read_events(1), ["1 started"]);
     let quick = open_stream(sse, &location, "");
     worker.open_gate("go");
-    // Once another watcher has read the whole stream, the job is over, and the slow one has still read only the first event.
+    // Once another watcher has read the whole stream, the job is over. The slow one has read only the first event until then.
     let quick = quick.read_to_end();
     let end = quick.ids_and_names().last().cloned().unwrap_or_default();
     assert!(end.ends_with(" done"), "{end}");
