--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -1,10 +1,10 @@
-//! The data that every decision can use.
+//! The data that all decisions use.
 
 use crate::policy::gossip::GroupGossip;
 use crate::policy::interface::{Class, EndpointEntry, Micros, Settings, WorkerId};
 use crate::policy::state::{Estimates, Job, PolicyState};
 
-/// A constant with one value for a dispatcher on its own and another for a dispatcher in a group.
+/// A constant that has one value for a dispatcher without a group and another for a dispatcher in a group.
 pub(crate) struct ByGrouping<T> {
     pub alone: T,
     pub grouped: T,
@@ -36,7 +36,7 @@
         self.state.now()
     }
 
-    /// What is known about this dispatcher's group.
+    /// The knowledge about this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         self.state.gossip()
     }
@@ -46,7 +46,8 @@
         self.state.estimates()
     }
 
-    /// Ejects a worker for `span` microseconds from now on, whatever ejection was recorded before. Its failures stay recorded.
+    /// Ejects a worker for `span` microseconds from now on. This replaces any earlier ejection; the worker's failures stay
+    /// recorded.
     pub fn eject_for(&mut self, worker: WorkerId, span: Micros) {
         self.state.eject_until(worker, self.now() + span);
     }
@@ -56,7 +57,7 @@
         self.state.is_warm(listed, self.settings.warm_up_time)
     }
 
-    /// The value that holds for this dispatcher, alone or in a group.
+    /// The value of a constant for this dispatcher, depending on whether it is in a group.
     pub fn by_grouping<T: Copy>(&self, values: &ByGrouping<T>) -> T {
         if self.is_grouped() { values.grouped } else { values.alone }
     }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,6 +1,6 @@
-//! The decision module of one dispatcher, as its host sees it: events in, actions out.
+//! The decision module of one dispatcher as its host sees it: it takes events and returns actions.
 //!
-//! The handler of an event updates `state` and calls the decisions in `rules`; it decides nothing itself.
+//! Event handlers update `state` and call the decisions in `rules`; they make no decision themselves.
 
 use super::context::Policy;
 use super::gossip::PeerRequest;
@@ -28,7 +28,7 @@
         Ok(Dispatcher { policy: Policy::new(settings, FIRST_REPORT_INTERVAL, seed) })
     }
 
-    /// Replaces the settings and keeps everything that was learned. A class keeps its index in the settings.
+    /// Replaces the settings and keeps everything that was learned. Classes must keep their indices in the settings.
     ///
     /// # Errors
     ///
@@ -37,15 +37,15 @@
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         if settings.classes.len() < self.policy.settings.classes.len() {
-            return Err(SettingsError::ClassGone);
+            return Err(SettingsError::MissingClass);
         }
         self.policy.state.reconfigure(&settings);
         self.policy.settings = settings;
         Ok(())
     }
 
-    /// Handles one event and appends the resulting actions to `actions`. A `now` earlier than that of a previous event counts
-    /// as the previous time.
+    /// Handles one event and appends the resulting actions to `actions`. If `now` is earlier than the time of a previous event,
+    /// the previous time is used.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.advance_to(now);
@@ -104,8 +104,8 @@
         policy.review(request.job, actions);
     }
 
-    /// Records that an attempt runs: its worker is available again. Cancels the job's unstarted attempts and reviews the
-    /// queued jobs.
+    /// Records that a worker runs an attempt and is therefore available again. Cancels the job's other, unstarted attempts and
+    /// reviews the queued jobs.
     fn on_attempt_started(&mut self, id: JobId, attempt: u32, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(started) = policy.state.attempt_started(id, attempt) else { return };
@@ -115,7 +115,7 @@
         policy.review_queued(actions);
     }
 
-    /// Learns from an attempt's end. Then reviews its job, and the queued jobs because a slot may be free for them now.
+    /// Learns from an attempt's end. Then reviews its job, and also the queued jobs because a slot may have become free.
     fn on_attempt_ended(&mut self, end: &AttemptEnded, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(ended) = policy.state.attempt_ended(end) else { return };
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Learns from a probe. Reviews those waiting jobs that wait for no other probe.
+    /// Learns from a probe, and reviews the jobs that were waiting for it and for no other probe.
     fn on_probe_response(&mut self, response: &ProbeResponse, actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         let Some(probe) = policy.state.probe_ended(response) else { return };
@@ -153,13 +153,13 @@
         }
         policy.state.learn_probe_delay(response.elapsed.min(policy.window()));
         for job in probe.waiting_jobs {
-            if policy.state.is_last_probe_of(job) {
+            if policy.state.end_probe_of(job) {
                 policy.review(job, actions);
             }
         }
     }
 
-    /// Handles another dispatcher's message and what it requests.
+    /// Handles another dispatcher's message, and its request if it contains one.
     fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         match policy.state.receive_message(from, bytes) {
@@ -174,28 +174,28 @@
         &self.policy.settings
     }
 
-    /// The indices of the other dispatchers of this dispatcher's group.
+    /// The indices of the other dispatchers in this dispatcher's group.
     pub(crate) fn group_peers(&self) -> &[u32] {
         self.policy.state.gossip().peers()
     }
 
-    /// The number of listed workers that get no work now: those that drain, are ejected, or are in a zone that seems
-    /// unreachable.
+    /// The number of listed workers that get no work now: those that are draining, those that are ejected, and those in a zone
+    /// that seems unreachable.
     pub fn unavailable_count(&self, now: Micros) -> usize {
         self.policy.state.unavailable_count(self.policy.settings.zone, now)
     }
 
-    /// Copies what was learned about the class `source` to the class `class`. Both are indices in the settings.
+    /// Copies the statistics of the class `source` to the class `class`. Both are indices in the settings.
     pub fn copy_class(&mut self, class: usize, source: usize) {
         self.policy.state.copy_class(class, source);
     }
 
-    /// What this instance has learned so far.
+    /// The data that this instance has learned so far.
     pub fn learned(&self) -> Learned {
         self.policy.state.learned()
     }
 
-    /// Starts from what another instance had learned. The clock of that instance is behind by `shift` microseconds.
+    /// Takes over what another instance had learned. The clock of that instance is `shift` microseconds behind this one's.
     pub fn restore(&mut self, learned: Learned, ids: &IdMap, shift: i64) {
         self.policy.state.restore(learned, ids, shift);
     }
--- a/src/policy/gossip/advertisements.rs
+++ b/src/policy/gossip/advertisements.rs
@@ -5,11 +5,11 @@
 use crate::policy::interface::Micros;
 use std::collections::BTreeMap;
 
-/// A dispatcher with outstanding work counts as silent if it has not advertised the work again for this long: one and a half
-/// times the interval at which it should.
+/// A dispatcher with outstanding work counts as silent if it has not advertised the work again for this long, which is one and a
+/// half times [`REPEAT_INTERVAL`].
 const SILENT_AFTER: Micros = ADVERTISEMENT_TTL / 4 * 3;
-/// It no longer counts as silent after this: by then the work of a dead dispatcher has ended, and one that has returned has
-/// advertised again.
+/// A silent dispatcher no longer counts as silent after this time: by then the work of a dead dispatcher has ended, and one that
+/// has returned has advertised again.
 const SILENT_UNTIL: Micros = 5 * ADVERTISEMENT_TTL / 2;
 
 /// The recipients of an advertisement.
@@ -21,7 +21,7 @@
     SlotOwner(u32),
 }
 
-/// The parts of an advertisement, and which of them must be sent.
+/// The parts of an advertisement, with a selection of those that must be sent.
 #[derive(Debug, Default)]
 pub(super) struct Parts {
     /// All parts, with the times at which they were sent.
@@ -30,15 +30,17 @@
     pub due: Vec<usize>,
 }
 
-/// What each dispatcher has advertised, in parts that do not overlap, and what this dispatcher last sent to each recipient.
+/// The advertisements of other dispatchers, and those that this dispatcher last sent to each recipient.
 #[derive(Debug, Default)]
 pub(super) struct Advertisements {
+    /// The advertisements by sender, in parts that do not overlap.
     received: BTreeMap<u32, Vec<LoadAdvertisement>>,
+    /// The parts that were last sent to each recipient.
     sent: BTreeMap<Recipient, Vec<LoadAdvertisement>>,
 }
 
 impl Advertisements {
-    /// Stores an advertisement. It replaces what its sender has advertised for the workers in its range of short tags.
+    /// Stores an advertisement, which replaces earlier advertisements of its sender for the workers in its range of short tags.
     pub fn receive(&mut self, from: u32, advertisement: LoadAdvertisement) {
         let parts = self.received.entry(from).or_default();
         parts.iter_mut().for_each(|part| part.remove(&advertisement.range));
@@ -53,8 +55,8 @@
         parts.filter(move |(_, part)| now < part.at + ADVERTISEMENT_TTL)
     }
 
-    /// Drops the advertisements of dispatchers other than `peers` that have no valid one. In a large fleet every dispatcher may
-    /// have sent some, and each job searches all that are kept.
+    /// Drops the advertisements of dispatchers that are not among `peers` and have no valid one. In a large fleet every
+    /// dispatcher may have sent some, and all that are kept are searched for each job.
     pub fn drop_expired(&mut self, now: Micros, peers: &[u32]) {
         let is_valid =
             |parts: &[LoadAdvertisement]| parts.iter().any(|part| now < part.at + ADVERTISEMENT_TTL);
@@ -70,13 +72,13 @@
         parts.any(|part| !part.outstanding.is_empty() && is_silent(part))
     }
 
-    /// The number of peers that have advertised within `span` before now.
+    /// The number of peers that have advertised within the last `span` microseconds.
     pub fn recent_count(&self, peers: &[u32], now: Micros, span: Micros) -> usize {
         let is_recent = |parts: &&Vec<LoadAdvertisement>| parts.iter().any(|part| now < part.at + span);
         peers.iter().filter_map(|peer| self.received.get(peer)).filter(is_recent).count()
     }
 
-    /// Splits an advertisement into parts, and finds those that the recipient does not have yet or that are due again.
+    /// Splits an advertisement into parts, and selects those that the recipient does not have yet or that are due again.
     pub fn parts_for(&mut self, recipient: Recipient, advertisement: LoadAdvertisement) -> Parts {
         let now = advertisement.at;
         let previous = self.sent.remove(&recipient).unwrap_or_default();
@@ -101,8 +103,8 @@
     }
 }
 
-/// When this part was last sent, if it has not changed since. For a recipient that has been sent nothing yet, an empty part
-/// counts as sent at time 0.
+/// When a part was last sent, if it has not changed since. If nothing has been sent to the recipient yet, an empty part counts
+/// as sent at time 0.
 fn unchanged_since(previous: &[LoadAdvertisement], part: &LoadAdvertisement) -> Option<Micros> {
     let Some(last) = previous.iter().find(|last| last.range == part.range) else {
         return (previous.is_empty() && part.is_empty()).then_some(0);
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -1,4 +1,4 @@
-//! Which workers are assigned to this dispatcher's group, and which parts of them are reserved for unreachable dispatchers.
+//! The assignment of workers to groups, and the parts of workers that are reserved for unreachable dispatchers.
 
 use super::ADVERTISEMENT_TTL;
 use super::group::{PeerGroup, group_hash};
@@ -10,17 +10,18 @@
 /// The assignment of the ready workers to the groups.
 #[derive(Debug, Default)]
 pub(super) struct Assignment {
-    /// The group's workers by the short tags that messages use for them.
+    /// The workers of this dispatcher's group, by the short tags that messages use for them.
     workers: BTreeMap<u16, WorkerId>,
-    /// The same workers, by ascending id.
+    /// The group's workers, by ascending id.
     assigned: Vec<WorkerId>,
     /// The positions in `assigned`, in the order of assignment. Random draws use this order.
     positions: Vec<usize>,
-    /// Whether a worker is in `workers`, indexed by its id.
+    /// Whether a worker is in `workers`, indexed by the worker's id.
     is_member: Vec<bool>,
     /// The group of each ready worker.
     owners: BTreeMap<WorkerId, u32>,
-    /// The group's workers that came from another group because of a change of presence, and when they came.
+    /// The group's workers that were reassigned from another group because of a change of presence, with the time of that
+    /// change.
     gained: BTreeMap<WorkerId, Micros>,
     /// For each of the group's workers, the ranks of the parts that are reserved for unreachable dispatchers. Empty if no
     /// dispatcher is unreachable.
@@ -29,17 +30,17 @@
     pub presence_changed_at: Option<Micros>,
 }
 
-/// A worker's bit in a set of bits, one for each position in [`Assignment::assigned`].
+/// The place of a worker's bit in a bit set that has one bit for each position in [`Assignment::assigned`].
 struct PositionBit {
     word: usize,
     mask: u64,
 }
 
 impl Assignment {
-    /// Assigns the ready workers to the groups, zone by zone, the oldest first. Each worker goes to the group that ranks highest
-    /// for it among those that do not have their full part yet, so that one worker more or less moves few others. A worker that
-    /// is warming up goes to the group that ranks highest of all: it has the same group whichever list and presence a
-    /// dispatcher has.
+    /// Assigns the ready workers to the groups, zone by zone, the oldest worker first. Each worker is assigned to the group with
+    /// the highest hash for it (rendezvous hashing) among those that do not have their full part yet, so that an added or removed
+    /// worker moves few others. A worker that is warming up is assigned to the group with the highest hash of all, so that its
+    /// group does not depend on the endpoint list and the presences that a dispatcher has.
     pub fn assign(
         &mut self,
         group: &PeerGroup,
@@ -82,11 +83,11 @@
         self.workers.values().for_each(|worker| self.is_member[worker.0 as usize] = true);
     }
 
-    /// Draws `max` of the group's workers at random, in the order of their ids; every set of that size is equally likely. If
-    /// there are no more than `max`, it returns all of them without drawing a number.
+    /// Draws `max` of the group's workers at random, and returns them in the order of their ids; every set of that size is equally
+    /// likely. If there are no more than `max` workers, returns all of them without drawing a random number.
     ///
-    /// Uses Floyd's algorithm (Bentley and Floyd, "A sample of brilliance", CACM 30(9), 1987), which needs `max` draws and no
-    /// walk through the workers, so the cost does not grow with the fleet.
+    /// Uses Floyd's algorithm (Bentley and Floyd, "A sample of brilliance", CACM 30(9), 1987), which needs `max` random numbers
+    /// and no walk over the workers, so that its cost does not grow with the fleet.
     pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
         let assigned = &self.assigned;
         if assigned.len() <= max {
@@ -109,9 +110,9 @@
         sample
     }
 
-    /// The bit of the worker at this place in the order of assignment.
-    fn position_bit(&self, place: usize) -> PositionBit {
-        let position = self.positions[place];
+    /// The bit of the worker at this index in the order of assignment.
+    fn position_bit(&self, index: usize) -> PositionBit {
+        let position = self.positions[index];
         PositionBit { word: position / 64, mask: 1 << (position % 64) }
     }
 
@@ -130,17 +131,17 @@
         self.workers.get(&tag) == Some(&worker)
     }
 
-    /// Whether a listed worker is assigned to the group. Unlike [`Assignment::has`], this takes one step.
+    /// Whether a listed worker is assigned to the group. Unlike [`Assignment::has`], this takes constant time.
     pub fn is_member(&self, worker: WorkerId) -> bool {
         self.is_member.get(worker.0 as usize).is_some_and(|is_member| *is_member)
     }
 
-    /// The group that a ready worker is assigned to; `None` for another worker.
+    /// The group that a ready worker is assigned to; `None` for a worker that is not ready.
     pub fn owning_group(&self, worker: WorkerId) -> Option<u32> {
         self.owners.get(&worker).copied()
     }
 
-    /// Whether a worker came from another group so recently that other dispatchers may not know it yet.
+    /// Whether a worker was reassigned from another group so recently that other dispatchers may not know this yet.
     pub fn is_newly_gained(&self, worker: WorkerId, now: Micros) -> bool {
         self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
     }
--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -1,13 +1,13 @@
-//! Borrowed slots: a dispatcher whose group's workers are full uses a slot of another group's worker, which a dispatcher of
-//! that group has offered.
+//! Borrowed slots. A dispatcher whose group's workers are full can use a slot at a worker of another group if a dispatcher of
+//! that group has offered the slot.
 
 use crate::policy::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An offered slot is reserved for this long, unless the borrower advertises earlier which slots it uses.
+/// The time for which an offered slot is reserved, unless the borrower advertises earlier which slots it uses.
 const OFFER_RESERVED_FOR: Micros = 60_000;
-/// An offer may be used for this long. This is shorter than the reservation, so that the borrower advertises the use while the
-/// slot is still reserved.
+/// The time within which an offer may be used. It is shorter than the reservation, so that the borrower advertises the use while
+/// the slot is still reserved.
 const OFFER_VALID_FOR: Micros = OFFER_RESERVED_FOR / 2;
 
 /// A slot that this dispatcher has offered to another dispatcher and that is not known to be used.
@@ -25,13 +25,12 @@
     until: Micros,
 }
 
-/// The slots that are offered or borrowed.
+/// The slots that this dispatcher has offered or borrowed.
 #[derive(Debug, Default)]
 pub(super) struct BorrowedSlots {
     sent: Vec<SentOffer>,
     received: BTreeMap<WorkerId, ReceivedOffer>,
-    /// The slot owner by worker: the dispatcher that offered the slot, for each worker of another group where this dispatcher
-    /// has work.
+    /// The slot owner (the dispatcher that offered the slot) for each worker of another group at which this dispatcher has work.
     slot_owners: BTreeMap<WorkerId, u32>,
 }
 
@@ -41,12 +40,12 @@
         self.sent.push(SentOffer { to, tag, until: now + OFFER_RESERVED_FOR });
     }
 
-    /// Ends the offers to a borrower, because it has advertised which of the slots it uses.
+    /// Ends the offers to a borrower that has advertised which of the slots it uses.
     pub fn end_offers_to(&mut self, borrower: u32) {
         self.sent.retain(|offer| offer.to != borrower);
     }
 
-    /// The short tags of the workers at which offered slots are reserved, one for each slot.
+    /// The short tags of the workers at which offered slots are reserved, with one entry for each slot.
     pub fn reserved_tags(&self, now: Micros) -> impl Iterator<Item = u16> {
         self.sent.iter().filter(move |offer| now < offer.until).map(|offer| offer.tag)
     }
@@ -66,7 +65,7 @@
         self.received.get(&worker).filter(|offer| now < offer.until).map(|offer| offer.from)
     }
 
-    /// Uses the offer for this worker, if there is one: the slot is then borrowed.
+    /// Uses the offer for this worker, if there is one, and records the slot as borrowed.
     pub fn use_offer(&mut self, worker: WorkerId) {
         if let Some(offer) = self.received.remove(&worker) {
             self.slot_owners.insert(worker, offer.from);
@@ -99,7 +98,7 @@
         self.slot_owners.values().copied().collect()
     }
 
-    /// Forgets the borrowed slots of an owner that has been notified that none of them is used any more.
+    /// Forgets the borrowed slots of an owner that has received an advertisement that none of them is used any more.
     pub fn forget_slot_owner(&mut self, owner: u32) {
         self.slot_owners.retain(|_, by| *by != owner);
     }
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -1,10 +1,10 @@
-//! The groups of dispatchers, and which group has a worker. Every dispatcher computes the same result, by rendezvous hashing of
-//! the worker's tag.
+//! The groups of dispatchers, and the mapping from workers to groups. All dispatchers compute the same mapping, by rendezvous
+//! hashing of the workers' tags.
 
 use super::hash::mix;
 use crate::policy::interface::{PeerPresence, Settings};
 
-/// The most dispatchers in a group. Each advertisement goes to all members but its sender.
+/// The maximum number of dispatchers in a group. Each advertisement is sent to all other members.
 const MAX_GROUP_SIZE: u32 = 10;
 /// The salt of the hashes that choose which dispatcher holds a worker.
 const HOLDER_SALT: u64 = 0x6d6f_7468_0000_0000;
@@ -33,12 +33,13 @@
 pub(super) struct PeerGroup {
     pub dispatcher_count: u32,
     pub own_index: u32,
-    /// The index of the group, and below the number of groups.
+    /// The index of the group.
     pub index: u32,
+    /// The number of groups.
     pub count: u32,
     /// The other dispatchers of the group.
     pub peers: Vec<u32>,
-    /// The presence of each dispatcher by index. If it is empty, all dispatchers are present.
+    /// The presence of each dispatcher by index. Empty if all dispatchers are present.
     presence: Vec<PeerPresence>,
 }
 
@@ -102,9 +103,9 @@
 
     /// The group that has a worker now; `group` is the one that has it while all dispatchers are present.
     ///
-    /// Each worker is held by one dispatcher of `group`. If that dispatcher is not present, the worker's tag determines a
-    /// sequence of dispatchers, and the first one present holds the worker. So the end of one of n dispatchers moves only the
-    /// workers that it held, about one in n of all, and its return moves them back.
+    /// Each worker has one dispatcher of `group` as its holder. If that dispatcher is not present, the worker's tag determines a
+    /// sequence of dispatchers, and the first one present becomes the holder. The loss of one of n dispatchers therefore moves
+    /// only the workers that it held, about one n-th of all, and its return moves them back.
     pub fn owning_group(&self, tag: u64, group: u32) -> u32 {
         if self.presence.is_empty() {
             return group;
@@ -112,7 +113,7 @@
         let size = self.size_of(group);
         let first = group + (mix(tag ^ mix(HOLDER_SALT)) % u64::from(size)) as u32 * self.count;
         let next = |n: u64| (mix(tag ^ mix(HOLDER_SALT + n)) % u64::from(self.dispatcher_count)) as u32;
-        // Even if only three in ten dispatchers are present, as many tries as there are dispatchers nearly always find one.
+        // Even if only 30 % of the dispatchers are present, as many tries as there are dispatchers nearly always find one.
         // Otherwise all dispatchers are tried in order.
         let tries = (1..=u64::from(self.dispatcher_count)).map(next);
         let mut sequence = std::iter::once(first).chain(tries).chain(0..self.dispatcher_count);
@@ -121,8 +122,8 @@
 
     /// The ranks of the dispatchers whose part of a worker is reserved for unreachable dispatchers.
     ///
-    /// All dispatchers compute the same ranks for a worker. The part of a dispatcher that is gone goes to the next in rank that
-    /// is not gone, so that both sides of a network partition give it to the same dispatcher.
+    /// All dispatchers compute the same ranks for a worker. The part of a dispatcher that is gone goes to the next dispatcher in
+    /// rank that is not gone, so that both sides of a network partition give it to the same dispatcher.
     ///
     /// # Panics
     ///
@@ -161,7 +162,7 @@
         dispatcher % self.count
     }
 
-    /// A dispatcher of `group`, chosen by a random number. It is present if any member of the group is.
+    /// A dispatcher of `group`, chosen by a random number. A member that is present is preferred.
     pub fn member_of(&self, group: u32, random: u32) -> u32 {
         let size = self.size_of(group);
         let member = |n: u32| group + (random % size + n) % size * self.count;
--- a/src/policy/gossip/hash.rs
+++ b/src/policy/gossip/hash.rs
@@ -1,6 +1,6 @@
 //! A hash function that gives the same result at every dispatcher.
 
-/// Hashes a number: the finalizer of SplitMix64 (Steele, Lea, Flood 2014). The result is the same at every dispatcher.
+/// Hashes a number with the finalizer of SplitMix64 (Steele, Lea, Flood 2014). The result is the same at every dispatcher.
 ///
 /// `crates/membership` has the same function for its own hash. The two stay separate: each is part of a wire format with its
 /// own version, and a change of one must not change the other.
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -1,12 +1,12 @@
 //! The datagrams that dispatchers send each other, as typed messages and as bytes.
 //!
-//! The first byte is the message type. In a load advertisement, the second byte is the number of suspect workers. Their short
-//! tags follow, then those of the outstanding work, one for each slot. Each tag has two bytes in big-endian order. The message
-//! holds everything that its sender advertises.
+//! The first byte is the message type. In a load advertisement, the second byte is the number of suspect workers. The short tags
+//! of the suspect workers follow, then those of the workers with outstanding work, one for each slot. Each tag takes two bytes in
+//! big-endian order. The message contains everything that its sender advertises.
 //!
-//! If that is more than [`MAX_TAGS`], the advertisement is sent in parts, with the bit [`PART`] set in the first byte. In a part
-//! the first byte is followed by two values: the number of leading bits that the tags of the part have in common, in one byte,
-//! and the first tag of the part's range, in two bytes. The rest is as above.
+//! If there are more than [`MAX_TAGS`] tags, the advertisement is sent in parts, with the bit [`PART`] set in the first byte. In
+//! a part, two values follow the first byte: the number of leading bits that the tags of the part have in common, in one byte,
+//! and the first tag of the part's range, in two bytes. The rest is the same as in a whole advertisement.
 
 use crate::policy::interface::{Micros, ZoneId};
 use std::ops::RangeInclusive;
@@ -21,21 +21,22 @@
 const SLOT_REQUEST: u8 = b'A';
 /// The first byte of an offer of a slot.
 const SLOT_OFFER: u8 = b'O';
-/// The most short tags in a message, so that it fits into the longest datagram allowed.
+/// The maximum number of short tags in a message, so that it fits into the longest datagram allowed.
 const MAX_TAGS: usize = 120;
 
-/// Who receives a load advertisement, and whose workers it is about.
+/// The recipients of a load advertisement, which determine whose workers it covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Audience {
-    /// The other dispatchers of the sender's group; it is about the workers of this group.
+    /// The other dispatchers of the sender's group. The advertisement covers the workers of this group.
     Group,
-    /// A dispatcher of another group that offered a slot; it is about the workers of that group.
+    /// A dispatcher of another group that offered a slot. The advertisement covers the workers of that group.
     SlotOwner,
 }
 
 /// A message of another dispatcher.
 #[derive(Debug)]
 pub(super) enum Message {
+    /// A load advertisement or a part of one.
     Load(Audience, LoadAdvertisement),
     /// A request for a slot, if possible in this zone.
     SlotRequest(ZoneId),
@@ -65,19 +66,21 @@
     vec![SLOT_OFFER, high, low]
 }
 
-/// What a dispatcher advertises at the time `at` about the workers in a range of short tags, which may be all tags.
-/// `outstanding` has the short tags of workers with outstanding work, one for each slot; `suspects` has those of suspect
-/// workers. Both are sorted.
+/// The load that a dispatcher advertises for the workers in a range of short tags, which may be all tags.
 #[derive(Debug)]
 pub(super) struct LoadAdvertisement {
+    /// When the advertisement was sent or received.
     pub at: Micros,
+    /// The range of short tags that the advertisement covers.
     pub range: RangeInclusive<u16>,
+    /// The short tags of workers with outstanding work, one for each slot; sorted.
     pub outstanding: Vec<u16>,
+    /// The short tags of suspect workers; sorted.
     pub suspects: Vec<u16>,
 }
 
 impl LoadAdvertisement {
-    /// Creates an advertisement about the workers in a range of short tags. The tags may be in any order.
+    /// Creates an advertisement for the workers in a range of short tags. The tags may be in any order.
     pub fn new(
         at: Micros,
         range: RangeInclusive<u16>,
@@ -99,15 +102,15 @@
         self.outstanding.partition_point(|t| *t <= tag) - self.outstanding.partition_point(|t| *t < tag)
     }
 
-    /// Removes what is advertised about the workers in this range.
+    /// Removes the load of the workers in this range.
     pub fn remove(&mut self, range: &RangeInclusive<u16>) {
         self.outstanding.retain(|tag| !range.contains(tag));
         self.suspects.retain(|tag| !range.contains(tag));
     }
 
-    /// Splits the advertisement into parts of at most [`MAX_TAGS`] tags. A range of tags with more is halved, and its halves
-    /// again, so that there are few parts and a change at one worker changes one of them. If the dispatcher has more outstanding
-    /// at a single worker than a message can hold, the rest is left out: the worker is full in any case.
+    /// Splits the advertisement into parts of at most [`MAX_TAGS`] tags. A range with more tags is halved recursively, so that
+    /// there are few parts and a change at one worker changes only one of them. If the dispatcher has more slots outstanding at a
+    /// single worker than fit into a message, the excess is left out, because the worker is full in any case.
     pub fn into_parts(self) -> Vec<LoadAdvertisement> {
         let (first, last) = self.range.clone().into_inner();
         if self.outstanding.len() + self.suspects.len() <= MAX_TAGS || first == last {
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -1,9 +1,9 @@
-//! What the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
+//! The load that the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
 //!
 //! The dispatchers are grouped by index, and every group has its part of the workers. All dispatchers compute the same parts
-//! from the endpoint list. The members of a group thus know what they have outstanding at its workers within the time of a
-//! datagram, while a load report shows it about a second later. This module only keeps this knowledge; `src/policy/rules`
-//! makes the decisions based on it.
+//! from the endpoint list. The members of a group thus know each other's outstanding work at its workers as soon as a datagram
+//! arrives, whereas a load report shows this work about a second later. This module only keeps this knowledge; the decisions
+//! based on it are in `src/policy/rules`.
 
 mod advertisements;
 mod assignment;
@@ -23,18 +23,18 @@
 use mothproxy_membership::partition;
 use short_tags::ShortTags;
 
-/// An advertisement is valid for this long.
+/// The time for which an advertisement is valid.
 pub const ADVERTISEMENT_TTL: Micros = 4_000_000;
-/// A dispatcher that has outstanding work advertises it again after this time.
+/// The interval at which a dispatcher advertises its outstanding work again.
 const REPEAT_INTERVAL: Micros = ADVERTISEMENT_TTL / 2;
-/// A change is advertised after this delay, so that changes in quick succession share a message.
+/// The delay before a change is advertised, so that changes in quick succession share a message.
 const ADVERTISEMENT_DELAY: Micros = 2_000;
-/// An advertisement counts as recent for the collapse window divided by this.
+/// The time for which an advertisement counts as recent is the collapse window divided by this.
 const RECENT_WINDOW_DIVISOR: Micros = 4;
-/// The most slots that are advertised for one attempt.
+/// The maximum number of slots that are advertised for one attempt.
 const MAX_SLOTS_PER_ATTEMPT: f64 = 16.0;
 
-/// What another dispatcher's message requests from this dispatcher.
+/// A request in another dispatcher's message.
 #[derive(Debug, PartialEq)]
 pub(crate) enum PeerRequest {
     /// A dispatcher of another group requests a slot, if possible in this zone.
@@ -43,16 +43,19 @@
     Offer,
 }
 
-/// The load that this dispatcher has at a worker, as input of its advertisements.
+/// The load of this dispatcher at one worker, from which its advertisements are made.
 pub(crate) struct OwnLoad {
     pub worker: WorkerId,
+    /// The worker's tag ([`EndpointEntry::tag`]).
     pub tag: u64,
-    /// The slots of each attempt that this dispatcher has outstanding there.
+    /// The slots of each attempt that this dispatcher has outstanding at the worker.
     pub outstanding: Vec<f64>,
+    /// Whether the worker is suspect for this dispatcher.
     pub is_suspect: bool,
 }
 
-/// What a dispatcher knows about its group: its members, the workers assigned to it, and what its peers have advertised.
+/// A dispatcher's knowledge about its group: its members, the workers assigned to it, and the load that the peers have
+/// advertised.
 #[derive(Debug, Default)]
 pub struct GroupGossip {
     group: PeerGroup,
@@ -60,7 +63,7 @@
     tags: ShortTags,
     advertisements: Advertisements,
     slots: BorrowedSlots,
-    /// Whether something has changed that may have to be advertised.
+    /// Whether there are changes that may have to be advertised.
     is_changed: bool,
 }
 
@@ -72,7 +75,7 @@
         GroupGossip { group: PeerGroup::new(settings), ..GroupGossip::default() }
     }
 
-    /// Adapts the group to new settings. What was advertised is kept if the group has the same members.
+    /// Adapts the group to new settings. Advertisements are kept if the group has the same members.
     pub fn regroup(&mut self, settings: &Settings) {
         let new = GroupGossip::new(settings);
         if !new.group.has_same_members(&self.group) {
@@ -129,18 +132,18 @@
         self.assignment.workers().filter(|_| self.is_grouped())
     }
 
-    /// Draws `max` of the group's workers at random, in the order of their ids. If there are no more than `max`, it returns all
-    /// of them without drawing a number; empty if there is no group.
+    /// Draws `max` of the group's workers at random, and returns them in the order of their ids. If there are no more than `max`
+    /// workers, returns all of them without drawing a random number; empty if there is no group.
     pub fn sample(&self, random: &mut fastrand::Rng, max: usize) -> Vec<WorkerId> {
         if self.is_grouped() { self.assignment.sample(random, max) } else { Vec::new() }
     }
 
-    /// The number of a worker's slots that are reserved for unreachable dispatchers: nobody on this side of a network partition
-    /// may use them. If the worker came from another group because of a change of presence, which others may not know yet, all
-    /// its slots are reserved for [`ADVERTISEMENT_TTL`].
+    /// The number of a worker's slots that are reserved for unreachable dispatchers: no dispatcher on this side of a network
+    /// partition may use them. If the worker was reassigned from another group because of a change of presence, which other
+    /// dispatchers may not know yet, all its slots are reserved for [`ADVERTISEMENT_TTL`].
     ///
     /// The slots that the sides of a partition use thus never add up to more than `slots`: the parts of all dispatchers add up
-    /// to `slots`, and a dispatcher is present on one side only.
+    /// to `slots`, and each dispatcher is present on one side only.
     pub fn reserved_slots(&self, worker: WorkerId, slots: u32, now: Micros) -> u32 {
         if self.assignment.is_newly_gained(worker, now) {
             return slots;
@@ -150,7 +153,7 @@
         let reserved = ranks.map(|rank| partition::allotment(slots, dispatcher_count, *rank)).sum();
         mothproxy_invariant::invariant!(
             reserved <= slots,
-            "{reserved} of {slots} slots are kept for others at {worker:?}"
+            "{reserved} of {slots} slots of {worker:?} are reserved for unreachable dispatchers"
         );
         reserved
     }
@@ -166,10 +169,10 @@
     }
 }
 
-/// What the other dispatchers have advertised.
+/// The load that other dispatchers have advertised.
 impl GroupGossip {
-    /// The slots that other dispatchers occupy at a worker, as they have advertised, and those that this dispatcher reserves for
-    /// its offers. `None` if the worker is not assigned to the group.
+    /// The number of slots at a worker that other dispatchers occupy according to their advertisements, or that this dispatcher
+    /// has offered to others. `None` if the worker is not assigned to the group.
     pub fn peer_load(&self, listed: &EndpointEntry, now: Micros) -> Option<f64> {
         if !self.is_grouped() || !self.assignment.is_member(listed.worker) {
             return None;
@@ -187,13 +190,13 @@
     }
 
     /// Whether a peer that had outstanding work when it last advertised has not advertised it again in time. The peer may be
-    /// unreachable or dead, and what it has outstanding at the group's workers is not known.
+    /// unreachable or dead, so its outstanding work at the group's workers is unknown.
     pub(crate) fn has_silent_peer(&self, now: Micros) -> bool {
         self.advertisements.has_silent(self.peers(), now)
     }
 
     /// Whether at least half of the peers have advertised recently. The work that they have sent since then is a small part of
-    /// what a worker that is warming up can bear within its collapse window.
+    /// the work that a worker can bear within its collapse window while it is warming up.
     pub(crate) fn has_recent_advertisements(&self, now: Micros, window: Micros) -> bool {
         let recent = self.advertisements.recent_count(self.peers(), now, window / RECENT_WINDOW_DIVISOR);
         self.is_grouped() && 2 * recent >= self.peers().len()
@@ -224,7 +227,7 @@
         self.slots.use_offer(worker);
     }
 
-    /// Asks a dispatcher of another group, chosen by a random number, for a slot.
+    /// Requests a slot from a dispatcher of another group, which is chosen by a random number.
     pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         if self.can_borrow() {
             let count = self.group.count;
@@ -248,9 +251,9 @@
         actions.push(Action::SendToPeer { to, bytes: messages::encode_slot_offer(tag) });
     }
 
-    /// Treats this dispatcher's work at workers of other groups as if their groups had offered the slots. A worker may have been
-    /// assigned to another group while this dispatcher had work there.
-    fn follow_assignment(&mut self, own_loads: &[OwnLoad]) {
+    /// Updates the slot owners of this dispatcher's outstanding work: its work at workers of other groups is treated as if these
+    /// groups had offered the slots. A worker may have been assigned to another group while this dispatcher had work there.
+    fn update_slot_owners(&mut self, own_loads: &[OwnLoad]) {
         if !self.can_borrow() {
             return;
         }
@@ -268,12 +271,12 @@
 
 /// Messages sent and received.
 impl GroupGossip {
-    /// Records that something has changed that must be advertised.
+    /// Records that there is a change to advertise.
     pub(crate) fn mark_changed(&mut self) {
         self.is_changed = true;
     }
 
-    /// Sets the timer of the next advertisement, if something has changed.
+    /// Sets the timer of the next advertisement, if there are changes to advertise.
     pub(crate) fn schedule_advertisement(&mut self, actions: &mut Vec<Action>) {
         if std::mem::take(&mut self.is_changed) && self.is_grouped() {
             actions.push(Action::SetTimer(Timer::Advertise.into(), ADVERTISEMENT_DELAY));
@@ -286,7 +289,7 @@
         if !self.is_grouped() {
             return;
         }
-        self.follow_assignment(own_loads);
+        self.update_slot_owners(own_loads);
         let to_group = self.group_advertisement(now, own_loads);
         let to_slot_owners = self.slot_owner_advertisements(now, own_loads);
         self.slots.drop_expired(now);
@@ -297,8 +300,8 @@
         }
     }
 
-    /// The advertisement to the group: what this dispatcher and those that borrow its slots have outstanding at the group's
-    /// workers, and the slots that it has offered.
+    /// The advertisement to the group. It contains the outstanding work of this dispatcher and of those that borrow its slots at
+    /// the group's workers, and the slots that this dispatcher has offered.
     fn group_advertisement(&self, now: Micros, own_loads: &[OwnLoad]) -> LoadAdvertisement {
         let is_own =
             |load: &OwnLoad| self.assignment.has(self.tags.short_tag(load.worker, load.tag), load.worker);
@@ -311,7 +314,7 @@
         advertisement
     }
 
-    /// The advertisement to each slot owner: what this dispatcher has outstanding in the slots borrowed from it.
+    /// The advertisement to each slot owner. It contains this dispatcher's outstanding work in the slots borrowed from that owner.
     fn slot_owner_advertisements(&self, now: Micros, own_loads: &[OwnLoad]) -> Vec<(u32, LoadAdvertisement)> {
         let for_owner = |owner: u32| {
             let is_borrowed = |load: &OwnLoad| self.slots.slot_owner(load.worker) == Some(owner);
@@ -340,7 +343,7 @@
     }
 
     /// Sends the parts of an advertisement that have changed or are due again, and schedules the next advertisement if one of
-    /// them has outstanding work. A slot owner that has been told that no slot is used any more is forgotten.
+    /// them contains outstanding work. A slot owner to which it advertises that no slot is used any more is forgotten.
     fn publish(&mut self, recipient: Recipient, advertisement: LoadAdvertisement, actions: &mut Vec<Action>) {
         let is_idle = advertisement.outstanding.is_empty();
         let parts = self.advertisements.parts_for(recipient, advertisement);
@@ -371,8 +374,8 @@
         }
     }
 
-    /// Handles a message and returns what it requests, if anything. A message that is not valid, or that its sender may not
-    /// send, is ignored.
+    /// Handles a message, and returns the request that it contains, if there is one. A message that is not valid, or that its
+    /// sender may not send, is ignored.
     pub(crate) fn receive(&mut self, now: Micros, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         let is_peer = self.peers().contains(&from);
         match Message::decode(now, bytes)? {
--- a/src/policy/gossip/short_tags.rs
+++ b/src/policy/gossip/short_tags.rs
@@ -1,4 +1,4 @@
-//! The short tags that messages use for the ready workers.
+//! The short tags that identify the ready workers in messages.
 
 use super::hash::mix;
 use crate::policy::interface::{EndpointEntry, WorkerId};
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ShortTags {
     workers: BTreeMap<u16, WorkerId>,
-    /// The workers whose short tag differs from their shortened tag, because another worker has it.
+    /// The short tags that differ from the shortened tag of their worker, because another worker has that one.
     aliases: BTreeMap<WorkerId, u16>,
 }
 
@@ -33,10 +33,10 @@
 }
 
 impl ShortTags {
-    /// Gives each ready worker a short tag of its own. If several tags shorten to the same number, the worker with the lowest
-    /// whole tag gets it, and the others get, in order, the next free numbers. Dispatchers that hold the same list thus use the
-    /// same short tags. While their lists differ, only workers whose tags shorten to the same number can be mistaken for each
-    /// other. If there are more than 65,536 workers, some get no short tag.
+    /// Assigns a unique short tag to each ready worker. If several tags shorten to the same number, the worker with the lowest
+    /// full tag gets that number, and the others get, in order, the next free numbers. Dispatchers with the same endpoint list
+    /// thus use the same short tags. While their lists differ, only workers whose tags shorten to the same number can be confused
+    /// with each other. If there are more than 65,536 workers, some get no short tag.
     pub fn assign(&mut self, ready: &[EndpointEntry]) {
         let mut order: Vec<Shortened> = ready.iter().map(Shortened::new).collect();
         order.sort_unstable();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The short tag of a worker. A worker that got none is named by its shortened tag, which may belong to another worker.
+    /// The short tag of a worker. For a worker that got none, this is its shortened tag, which may belong to another worker.
     pub fn short_tag(&self, worker: WorkerId, tag: u64) -> u16 {
         self.aliases.get(&worker).copied().unwrap_or_else(|| shorten(tag))
     }
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -2,43 +2,44 @@
 
 use super::{JobId, Micros, TimerId, WorkerId};
 
-/// Something that the host must do now. The host performs the actions of one event in order.
+/// An operation that the host must perform now. The host performs the actions of one event in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the job's next attempt. The attempts of a job are numbered 0, 1, 2 ... in the order sent.
+    /// Send a job's next attempt to a worker. The attempts of a job are numbered from 0 in the order in which they are sent.
     Send {
-        /// The job.
+        /// The job that the worker is to run.
         job: JobId,
-        /// The worker.
+        /// The worker that receives the attempt.
         worker: WorkerId,
         /// The attempt's timeout; `None` if it may run until the client gives up.
         limit: Option<Micros>,
     },
     /// Cancel one attempt. [`super::Event::AttemptEnded`] still reports its end.
     Cancel {
-        /// The job.
+        /// The job that the attempt belongs to.
         job: JobId,
-        /// The attempt's index.
+        /// The attempt's index within its job, from 0.
         attempt: u32,
     },
     /// Give the final response "rejected": the client may retry without harm.
     Reject {
-        /// The job.
+        /// The job that is rejected.
         job: JobId,
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries; `None` if it is given no time.
         retry_after: Option<Micros>,
     },
     /// Give the final response "failed": the job may have run.
     Fail(JobId),
-    /// Send [`super::Event::Timer`] with this id in the first batch at or after this time from now, never within this call.
+    /// Report [`super::Event::Timer`] with this id in the first batch of events after this span has passed, never within the
+    /// present call.
     SetTimer(TimerId, Micros),
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send at most 256 bytes to another dispatcher. They may be lost.
+    /// Send a datagram of at most 256 bytes to another dispatcher. Delivery is not guaranteed.
     SendToPeer {
-        /// The index of that dispatcher.
+        /// The index of the receiving dispatcher.
         to: u32,
-        /// The bytes.
+        /// The content of the datagram.
         bytes: Vec<u8>,
     },
     /// Open a watch of the endpoint list. One list event or failure follows.
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -5,32 +5,32 @@
 /// A worker's lifecycle as the endpoint list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes work.
+    /// The worker takes new work.
     Ready,
-    /// It finishes the work that it has and takes no new work.
+    /// The worker finishes the work that it has and takes no new work.
     Draining,
-    /// It is no longer listed.
+    /// The worker is no longer listed.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
-    /// The worker.
+    /// The worker that the entry describes.
     pub worker: WorkerId,
-    /// A number that every dispatcher has for this worker, such as a hash of its name.
+    /// A number that is the same for this worker at every dispatcher, such as a hash of its name.
     pub tag: u64,
-    /// Its zone.
+    /// The zone in which the worker runs.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// The worker's kind of machine.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell whose record of idempotency keys the worker shares.
     pub cell: CellId,
-    /// Whether it takes work.
+    /// The worker's lifecycle state.
     pub status: Status,
-    /// Its size, relative to the other workers.
+    /// The worker's capacity, relative to the other workers.
     pub weight: f64,
-    /// When it last started; `None` if that is long ago.
+    /// When the worker last started; `None` if that was long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -50,15 +50,15 @@
 pub struct LoadReport {
     /// CPU utilisation, 0 to 1.
     pub cpu: Option<f64>,
-    /// Free slots.
+    /// The number of free slots, perhaps fractional.
     pub free_slots: Option<f64>,
     /// Free memory, in the unit of [`NewJob::memory`].
     pub free_memory: Option<f64>,
     /// The number of running jobs.
     pub active: Option<f64>,
-    /// The number of waiting jobs.
+    /// The number of jobs in the worker's queue.
     pub waiting: Option<f64>,
-    /// Recent service time, in milliseconds.
+    /// The mean service time of recent jobs, in milliseconds.
     pub avg_ms: Option<f64>,
     /// Jobs served per second.
     pub rps: Option<f64>,
@@ -67,8 +67,8 @@
 }
 
 impl LoadReport {
-    /// The same report without the values that are not finite, and with the others clamped to their range: `cpu` to 0 to 1,
-    /// the others to at least 0.
+    /// The same report without the values that are not finite, and with the others clamped to their range: `cpu` to between 0
+    /// and 1, the others to at least 0.
     pub fn clean(&self) -> LoadReport {
         let clean = |value: Option<f64>| value.filter(|v| v.is_finite()).map(|v| v.max(0.0));
         LoadReport {
@@ -84,63 +84,63 @@
     }
 }
 
-/// The expected time for which a job occupies a slot at a worker of speed 1, the same measure as [`NewJob::hint`].
+/// The expected time for which a job occupies a slot at a worker of speed 1, measured like [`NewJob::hint`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// The median.
+    /// The median of the expected time.
     pub typical: Micros,
-    /// A high quantile, which is rarely exceeded.
+    /// A high quantile of the expected time, which jobs rarely exceed.
     pub long: Micros,
 }
 
-/// A job as it arrives.
+/// A client's request as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct NewJob {
-    /// Its id.
+    /// The job's id.
     pub job: JobId,
-    /// Its class.
+    /// The class that determines the job's latency objective, deadline and weight.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that the job counts for; `None` if it has none.
     pub tenant: Option<TenantId>,
-    /// Its subject; jobs with the same program or data set have the same one.
+    /// The job's subject; jobs with the same program or data set have the same one.
     pub key: Option<KeyId>,
     /// When the client gives up on this request.
     pub deadline: Micros,
-    /// Its expected work, as time on a standard core.
+    /// The job's expected work as the client gives it, as time on a standard core.
     pub hint: Option<Micros>,
-    /// The slots that it needs.
+    /// The number of slots that the job needs.
     pub slots: f64,
-    /// The memory that it needs, if memory counts.
+    /// The memory that the job needs; `None` if memory is not considered.
     pub memory: Option<f64>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub repeat: bool,
-    /// The estimate of its work from similar jobs, if that is learned.
+    /// The estimate of the job's work from similar jobs; `None` if run times are not learned.
     pub estimate: Option<Estimate>,
-    /// The weight of one more job of its tenant now, as a fraction of its class's weight, 0 to 1; `None` if no quotas are kept.
+    /// The weight of one more job of the tenant now, as a fraction of the class's weight, 0 to 1; `None` if no quotas apply.
     pub tenant_weight: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The worker served the attempt, or answered the probe.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the attempt may have run.
     Error,
-    /// The worker rejected it before it ran.
+    /// The worker rejected the attempt before it ran.
     Full,
-    /// The worker returned it unstarted by a callback that the worker may repeat. The job must not be sent to this worker
-    /// again, because the repeated callback could be taken for the end of the new attempt.
+    /// The worker returned the attempt unstarted by a callback that the worker may repeat. The job must not be sent to this
+    /// worker again, because the repeated callback could be taken for the end of the new attempt.
     HandedBack,
-    /// No response in time; it may have run.
+    /// No response arrived in time; the attempt may have run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the attempt may have run.
     Reset,
-    /// This dispatcher cancelled it; it may have run.
+    /// This dispatcher cancelled the attempt, which may have run.
     Cancelled,
-    /// It was never sent and does not count as an attempt.
+    /// The attempt was never sent and does not count as one.
     NeverSent,
 }
 
@@ -150,7 +150,7 @@
         self.is_rejection() || matches!(self, Outcome::ConnectFailed | Outcome::NeverSent)
     }
 
-    /// Whether a retry may succeed a little later and the outcome does not count as a failure of the worker.
+    /// Whether a retry may succeed a little later, so that the outcome does not count as a failure of the worker.
     pub fn is_transient(self) -> bool {
         self.is_rejection() || self == Outcome::NeverSent
     }
@@ -164,17 +164,17 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// The job.
+    /// The job that the attempt belongs to.
     pub job: JobId,
-    /// The attempt's index, from 0.
+    /// The attempt's index within its job, from 0.
     pub attempt: u32,
-    /// The worker.
+    /// The worker to which the attempt was sent.
     pub worker: WorkerId,
-    /// The time since it was sent.
+    /// The time since the attempt was sent.
     pub elapsed: Micros,
-    /// Whether the final response has been given, by this attempt or before it. If not, it is still due.
+    /// Whether the job's final response has been given, by this attempt or before it. If not, it is still due.
     pub is_job_closed: bool,
-    /// Its outcome.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// The load report that came with the response, if there was one.
     pub report: Option<LoadReport>,
@@ -183,9 +183,9 @@
 /// The response to a load probe, or its failure.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeResponse {
-    /// The worker.
+    /// The worker that was probed.
     pub worker: WorkerId,
-    /// [`Outcome::Ok`] if there was a response.
+    /// [`Outcome::Ok`] if there was a response, otherwise how the probe failed.
     pub outcome: Outcome,
     /// The time since the probe was sent.
     pub elapsed: Micros,
@@ -196,73 +196,74 @@
 /// An attempt that another process of this dispatcher made for a job.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// The worker.
+    /// The worker to which the attempt was sent.
     pub worker: WorkerId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Whether it has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub is_outstanding: bool,
-    /// When it started to run, if it did.
+    /// When the attempt started to run; `None` if it is not known to run.
     pub running_since: Option<Micros>,
-    /// Whether it has ended and is known never to have run.
+    /// Whether the attempt has ended and is known never to have run.
     pub never_ran: bool,
-    /// Whether its worker returned it by a callback.
+    /// Whether the worker returned the attempt by a callback.
     pub is_handed_back: bool,
 }
 
 /// The presence of a dispatcher, as membership sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPresence {
-    /// It takes work.
+    /// The dispatcher takes work.
     Present,
-    /// It does not answer, and may have outstanding work that this dispatcher cannot see. Its part of each worker is reserved.
+    /// The dispatcher does not answer, and may have outstanding work that is not visible here. Its part of each worker is
+    /// reserved.
     Unreachable,
-    /// It has no outstanding work any more. Its part of each worker goes to the others.
+    /// The dispatcher has no outstanding work any more. Its part of each worker goes to the others.
     Gone,
 }
 
-/// Something that has happened. The module ignores events about unknown jobs, attempts, workers or timers.
+/// An input of the decision module. The module ignores events about unknown jobs, attempts, workers or timers.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete endpoint list has arrived, or its changes.
+    /// An endpoint list has arrived, either complete or with the changes only.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A request for the endpoint list failed, or the watch broke. The present list stays in force.
+    /// A request for the endpoint list failed, or the watch was interrupted. The present list stays in force.
     ListFailed,
-    /// Another discovery service is used from now on and must be called at once. The present list stays in force.
+    /// Another discovery service is used from now on; its list must be requested at once. The present list stays in force.
     DiscoveryMoved,
     /// A job has arrived. Exactly one final response is due before its deadline.
     Arrived(NewJob),
-    /// This process takes over a job that another process of this dispatcher had accepted. It owes the final response from now
-    /// on.
+    /// This process takes over a job that another process of this dispatcher had accepted, and is responsible for the final
+    /// response from now on.
     Adopted {
-        /// The job.
+        /// The job as it arrived at the other process.
         request: NewJob,
-        /// When it arrived.
+        /// When the job arrived.
         arrived_at: Micros,
-        /// Its attempts, in the order sent.
+        /// The job's attempts, in the order in which they were sent.
         prior_attempts: Vec<PriorAttempt>,
     },
     /// The response stream of this attempt has started.
     StreamStarted {
-        /// The job.
+        /// The job that the attempt belongs to.
         job: JobId,
-        /// The attempt's index, from 0.
+        /// The attempt's index within its job, from 0.
         attempt: u32,
     },
-    /// An attempt has started to run.
+    /// A worker has started to run an attempt.
     Started {
-        /// The job.
+        /// The job that the attempt belongs to.
         job: JobId,
-        /// The attempt's index, from 0.
+        /// The attempt's index within its job, from 0.
         attempt: u32,
     },
     /// An attempt reports its progress.
     Progress {
-        /// The job.
+        /// The job that the attempt belongs to.
         job: JobId,
-        /// The attempt's index, from 0.
+        /// The attempt's index within its job, from 0.
         attempt: u32,
-        /// The fraction done, 0 to 1.
+        /// The fraction of the work that is done, 0 to 1.
         done: f64,
     },
     /// An attempt has ended. Exactly one such event follows every [`super::Action::Send`].
@@ -270,24 +271,24 @@
     /// The record that must be persisted before an attempt is sent could not be written. The attempt was not sent, and the
     /// module gives the job up at once.
     NotPersisted {
-        /// The job.
+        /// The job that the attempt belongs to.
         job: JobId,
-        /// The attempt's index, from 0.
+        /// The attempt's index within its job, from 0.
         attempt: u32,
     },
     /// The client disconnected. The job is over and no final response is due.
     ClientDisconnected(JobId),
     /// A timer that the module set has expired.
     Timer(TimerId),
-    /// A probe got its response or failed.
+    /// A load probe was answered or failed.
     ProbeResponse(ProbeResponse),
     /// The presence of each dispatcher, by index. Until the first such event, all dispatchers count as present.
     Peers(Vec<PeerPresence>),
     /// A message of another dispatcher has arrived.
     PeerMessage {
-        /// The sender's index.
+        /// The index of the sending dispatcher.
         from: u32,
-        /// The bytes of its [`super::Action::SendToPeer`].
+        /// The content of the datagram that the sender's [`super::Action::SendToPeer`] carried.
         bytes: Vec<u8>,
     },
 }
--- a/src/policy/interface/ids.rs
+++ b/src/policy/interface/ids.rs
@@ -3,7 +3,7 @@
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 
-/// The number of microseconds in a millisecond, the unit of times in messages and settings.
+/// The number of microseconds in a millisecond. Times in messages and settings are in milliseconds.
 pub const MICROS_PER_MS: Micros = 1_000;
 
 /// The number of microseconds in a second.
@@ -24,10 +24,10 @@
 /// A kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u16);
-/// A zone.
+/// A zone of the deployment, such as a data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
-/// A cell: workers that share their record of idempotency keys.
+/// A cell: workers that share one record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 /// The subject of a job, such as a program or data set. Jobs with the same key share it.
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -1,7 +1,7 @@
 //! The complete interface of the decision module: settings, events, actions and ids.
 //!
 //! Times are whole microseconds on any monotonic clock. Ids are small numbers that the host assigns; the module compares them
-//! and does not interpret them. Whatever a deployment may omit is an `Option`.
+//! and does not interpret them. A value that a deployment may omit is an `Option`.
 
 mod actions;
 mod events;
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -5,11 +5,11 @@
 /// Which workers recognise and drop the repeats of a job with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// All workers recognise the repeats of each other's jobs.
     All,
-    /// The workers of one zone.
+    /// The workers of one zone recognise the repeats of each other's jobs.
     Zone,
-    /// The workers of one cell.
+    /// The workers of one cell recognise the repeats of each other's jobs.
     Cell,
 }
 
@@ -28,16 +28,16 @@
 /// Whether a job that may have run may be repeated or rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may always be repeated or rejected.
+    /// The job may always be repeated or rejected.
     Idempotent,
-    /// It may be repeated only within `scope`, and within `window` of the first attempt that may have run.
+    /// The job may be repeated only within `scope`, and within `window` of the first attempt that may have run.
     IdempotentWithKey {
-        /// Which workers drop repeats.
+        /// Which workers recognise and drop repeats.
         scope: DeduplicationScope,
-        /// How long they remember a key.
+        /// How long the workers remember an idempotency key.
         window: Micros,
     },
-    /// It may be repeated or rejected only if no attempt may have run.
+    /// The job may be repeated or rejected only if no attempt may have run.
     NonIdempotent,
 }
 
@@ -60,7 +60,8 @@
 /// One class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A response is in time within this span after the arrival, plus `latency_factor` times the job's own work.
+    /// A response is in time if it comes within this span after the job's arrival, extended by `latency_factor` times the job's
+    /// own work.
     pub latency_objective: Micros,
     /// The multiple of the job's own work that is added to `latency_objective`.
     pub latency_factor: f64,
@@ -70,7 +71,7 @@
     pub idempotency: Idempotency,
     /// The priority weight of a job.
     pub weight: f64,
-    /// The fraction of `weight` that a response after the latency objective keeps.
+    /// The fraction of `weight` that a response after the latency objective still earns, 0 to 1.
     pub late_weight: f64,
     /// Whether the response is a stream, whose start [`super::Event::StreamStarted`] reports.
     pub is_stream: bool,
@@ -83,20 +84,20 @@
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its quota, in jobs per second over all dispatchers.
+    /// The tenant's quota, in jobs per second over all dispatchers.
     pub quota_per_s: f64,
-    /// Its weight in fair sharing.
+    /// The tenant's weight in fair sharing.
     pub share_weight: f64,
 }
 
 /// How load reports reach the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// With attempt outcomes and probe responses.
+    /// Reports come with attempt outcomes and with probe responses.
     WithResponses,
-    /// With probe responses only.
+    /// Reports come with probe responses only.
     ProbesOnly,
-    /// Not at all.
+    /// Workers send no load reports.
     Never,
 }
 
@@ -111,13 +112,13 @@
     pub zone: ZoneId,
     /// The classes of jobs.
     pub classes: Vec<Class>,
-    /// The tenants, if any.
+    /// The tenants; empty if the deployment has none.
     pub tenants: Vec<Tenant>,
     /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// The shortest time between two batches of events.
+    /// The shortest time between two batches of events, which is the resolution of all timers.
     pub tick: Micros,
-    /// Whether weight counts for each unit of work instead of for each job.
+    /// Whether a class's weight applies to each unit of work instead of to each job.
     pub weight_by_work: bool,
     /// How load reports reach the dispatcher.
     pub reports: Reports,
@@ -135,17 +136,17 @@
     pub may_message_peers: bool,
     /// Whether a job may have a hedged attempt beside its first one.
     pub may_hedge: bool,
-    /// The most attempts for a job.
+    /// The maximum number of attempts for a job.
     pub max_attempts: u32,
-    /// The longest `retry_after` that clients respect; `None` if clients are given none.
+    /// The longest `retry_after` that clients respect; `None` if rejections carry no such time.
     pub max_retry_after: Option<Micros>,
     /// The time after the client's deadline within which a final response still counts.
     pub response_grace: Micros,
     /// The time after which no attempt may be sent to a worker that is draining or gone.
     pub drain_grace: Micros,
-    /// The longest time from one poll to the next, if lists are sent only on request.
+    /// The longest time from one poll of the endpoint list to the next; `None` if changes of the list are pushed.
     pub max_poll_interval: Option<Micros>,
-    /// The least fraction of its capacity that a worker has at its start.
+    /// The fraction of its capacity that a worker has at least when it starts, 0 to 1.
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
     pub warm_up_time: Micros,
@@ -153,13 +154,13 @@
     pub collapse_multiple: f64,
     /// How long that load must last to cause the collapse.
     pub collapse_window: Micros,
-    /// The price of sending each job to another zone once, out of 1.
+    /// The price of sending every job to another zone once, as a fraction of the total weight of all jobs.
     pub price_cross_zone: f64,
-    /// The price of one probe for each job.
+    /// The price of one probe for every job, as a fraction of the total weight.
     pub price_probe: f64,
-    /// The price of wasting as much work as was requested.
+    /// The price of wasting as much work as was requested, as a fraction of the total weight.
     pub price_waste: f64,
-    /// The price if all weight ended unserved after its latency objective.
+    /// The price if every job ended unserved after its latency objective, as a fraction of the total weight.
     pub price_late_fail: f64,
 }
 
@@ -210,33 +211,33 @@
     }
 }
 
-/// The most dispatchers in a fleet. The limit exists because each dispatcher assigns all workers to all groups at every
-/// endpoint list.
+/// The maximum number of dispatchers in a fleet. The limit exists because each dispatcher assigns all workers to all groups at
+/// every endpoint list.
 pub const MAX_DISPATCHERS: u32 = 10_000;
 
-/// Why [`crate::Dispatcher::new`] or [`crate::Dispatcher::reconfigure`] refused the settings.
+/// The reason why [`crate::Dispatcher::new`] or [`crate::Dispatcher::reconfigure`] refused the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class.
+    /// `classes` is empty.
     #[error("settings name no class of jobs")]
     NoClasses,
     /// `own_index` is not below `dispatcher_count`.
-    #[error("this node's number is not below the count of nodes")]
-    NotAmongDispatchers,
+    #[error("the dispatcher's own index is not below the number of dispatchers")]
+    OwnIndexOutOfRange,
     /// There are more than [`MAX_DISPATCHERS`] dispatchers.
-    #[error("there are more than 10,000 nodes")]
+    #[error("there are more than 10,000 dispatchers")]
     TooManyDispatchers,
     /// `max_attempts` is 0.
     #[error("settings allow no attempt")]
     NoAttempts,
     /// A class has a deadline or a latency objective of 0.
-    #[error("a class has a deadline or an aim that is not above 0")]
-    NoTime,
+    #[error("a class has a deadline or a latency objective of 0")]
+    ZeroDuration,
     /// The new settings of a running module have fewer classes than its present ones.
-    #[error("settings lack a class of the running module")]
-    ClassGone,
+    #[error("settings lack a class that the running module has")]
+    MissingClass,
     /// A number is negative or not finite, or a fraction is above 1.
-    #[error("a figure of the settings is out of range")]
+    #[error("a number of the settings is out of range")]
     OutOfRange,
 }
 
@@ -245,13 +246,13 @@
     ///
     /// # Errors
     ///
-    /// Returns the first fault found, in the order of the variants of [`SettingsError`].
+    /// Returns the first inconsistency found, in the order of the variants of [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         if self.own_index >= self.dispatcher_count {
-            return Err(SettingsError::NotAmongDispatchers);
+            return Err(SettingsError::OwnIndexOutOfRange);
         }
         if self.dispatcher_count > MAX_DISPATCHERS {
             return Err(SettingsError::TooManyDispatchers);
@@ -260,7 +261,7 @@
             return Err(SettingsError::NoAttempts);
         }
         if self.classes.iter().any(|class| class.deadline == 0 || class.latency_objective == 0) {
-            return Err(SettingsError::NoTime);
+            return Err(SettingsError::ZeroDuration);
         }
         if !self.has_numbers_in_range() {
             return Err(SettingsError::OutOfRange);
@@ -268,7 +269,7 @@
         Ok(())
     }
 
-    /// Whether the numbers are finite and in their range. `price_late_fail` and the numbers of tenants are not checked.
+    /// Whether the numbers are finite and within their ranges. `price_late_fail` and the numbers of tenants are not checked.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
         let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
--- a/src/policy/interner.rs
+++ b/src/policy/interner.rs
@@ -1,4 +1,4 @@
-//! Numbers for names, in order of appearance.
+//! An interner, which assigns numbers to names.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Interner {
     current: HashMap<String, u32>,
-    /// The name of each number, including the numbers that no name has any more.
+    /// The name of each number, including numbers that are no longer in use.
     names: Vec<String>,
 }
 
@@ -27,7 +27,7 @@
         self.current.get(name).copied()
     }
 
-    /// The names by number, including those that have no number any more.
+    /// The names by number, including those whose numbers are no longer in use.
     pub(crate) fn names(&self) -> &[String] {
         &self.names
     }
@@ -37,9 +37,9 @@
         self.current.is_empty()
     }
 
-    /// The names of this interner with the numbers that they have in `older`, so that the older numbers stay valid. `is_same`
-    /// gets a name's number here and its number in `older`, and says whether both mean the same thing. If so, the name keeps its
-    /// number in `older`; otherwise it gets a new one. Names that are missing here have no number any more.
+    /// Renumbers the names of this interner so that the numbers assigned by `older` stay valid. `is_same` is given a name's
+    /// number here and its number in `older`, and returns whether both mean the same thing. If so, the name keeps its number in
+    /// `older`; otherwise it gets a new one. The numbers of names that are missing here are retired.
     pub(crate) fn keep_numbers(
         &self,
         older: &Interner,
@@ -61,9 +61,9 @@
     }
 }
 
-/// The names of one interner with the numbers of an older one.
+/// The names of one interner, renumbered so that the numbers of an older one stay valid.
 pub(crate) struct RenumberedNames {
     pub(crate) interner: Interner,
-    /// The new number of each name, indexed by its number before.
+    /// The new number of each name, indexed by its previous number.
     pub(crate) numbers: Vec<usize>,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! The decision module. It takes events with their times and returns actions. It has no clock and does no I/O; its seed is its
-//! only source of randomness.
+//! The decision module. It takes events with their times and returns actions. It has no clock, does no I/O, and draws its
+//! random numbers from a generator that is seeded at its creation.
 //!
-//! [`Dispatcher`] is the module as its host sees it. `rules` holds every decision and `state` the data that the decisions are
-//! based on. [`gossip`] holds what the dispatchers of a group advertise to each other. [`simulator`] hosts the same module
+//! [`Dispatcher`] is the module's interface to its host. `rules` contains all decisions, and `state` the data that they are
+//! based on. [`gossip`] keeps what the dispatchers of a group advertise to each other. [`simulator`] hosts the same module
 //! behind the simulator's line protocol.
 
 mod context;
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -1,35 +1,35 @@
-//! The types that the choice of a worker uses. `src/policy/rules` decides what makes one worker better than another.
+//! The types used to rank workers for a job. `src/policy/rules` decides what makes one worker better than another.
 
 use crate::policy::interface::{EndpointEntry, JobId, KindId, Micros, NewJob, WorkerId, ZoneId};
 use crate::policy::state::{LoadSample, PolicyState, Worker};
 use std::cmp::Ordering;
 
-/// The value of a load input that nothing reports.
+/// The value assumed for a load input that is not reported.
 const HALF_LOADED: f64 = 0.5;
 
 /// How suitable a worker is for a job, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Rank {
-    /// Its load is known and below full.
+    /// The worker's load is known, and it has capacity for the job.
     Fresh,
-    /// Its load is unknown.
+    /// The worker's load is unknown.
     Unknown,
-    /// Its load is known, and it has no free slot for the job.
+    /// The worker's load is known, and it has no free slot for the job.
     Full,
-    /// It is full, and its queue is longer than the job can wait.
+    /// The worker is full, and its queue is longer than the job can wait.
     Overloaded,
-    /// Its load is unknown although a probe would report it, and the job could not be moved away again.
+    /// The worker's load is unknown although a probe would report it, and a job that is sent could not be moved away again.
     Unprobed,
-    /// It is ejected for now. It is used only if there is no other worker.
+    /// The worker is ejected for now, and is used only if there is no other worker.
     Ejected,
 }
 
-/// What the candidates are selected for.
+/// The purpose for which candidates are selected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// The job is sent to one of them.
+    /// To send the job to one of them.
     Placing,
-    /// Some of them are probed.
+    /// To probe some of them.
     Probing,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Candidate {
-    /// Compares by preference: the better candidate is less.
+    /// Compares by preference: the better candidate is the lesser one.
     pub fn compare(&self, other: &Candidate) -> Ordering {
         let by_cost = || self.cost.total_cmp(&other.cost);
         let by_tie_break = || self.tie_break.total_cmp(&other.tie_break);
@@ -51,14 +51,14 @@
     }
 }
 
-/// What a job needs from a worker; the same for all candidates.
+/// The requirements of a job, which are the same for all candidates.
 pub(crate) struct Needs {
     pub request: NewJob,
-    /// Time left until its latest start, in microseconds.
+    /// The time left until the job's latest start, in microseconds.
     pub slack: f64,
-    /// How long an attempt may go unstarted before its worker counts as full.
+    /// How long an attempt may be outstanding without a start before its worker counts as full.
     pub start_timeout: Micros,
-    /// For each kind with jobs that no other kind can run: the fraction of its capacity that those jobs leave.
+    /// For each kind with jobs that no other kind can run: the fraction of the kind's capacity that those jobs leave.
     pub spare_by_kind: Vec<(KindId, f64)>,
 }
 
@@ -68,21 +68,23 @@
         self.request.memory.zip(sample.memory).is_some_and(|(needed, free)| free < needed)
     }
 
-    /// The fraction of a kind's capacity that this job may count on; 1 for a kind without an entry.
+    /// The fraction of a kind's capacity that is left for this job; 1 for a kind without an entry.
     pub fn spare(&self, kind: KindId) -> f64 {
         self.spare_by_kind.iter().find(|(bound, _)| *bound == kind).map_or(1.0, |(_, spare)| *spare)
     }
 }
 
-/// The position of a job in this dispatcher's queue; the least goes first.
+/// The position of a job in this dispatcher's queue. The job with the lowest position is first; jobs in time are before late
+/// ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     pub is_late: bool,
+    /// The order among the jobs in time, or among the late ones.
     pub order: Micros,
     pub job: JobId,
 }
 
-/// The parts of a worker's load that the choice of a worker uses.
+/// The measures of a worker's load by which workers are ranked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadInputs {
     /// CPU utilisation, 0 to 1.
@@ -98,8 +100,8 @@
         LoadInputs { cpu: HALF_LOADED, load: HALF_LOADED, free_slots }
     }
 
-    /// The inputs of a worker of the group with `capacity` slots, from what the group's dispatchers have outstanding there.
-    /// `None` if the worker is not assigned to the group.
+    /// The inputs of a worker of the group with `capacity` slots, computed from the outstanding work of the group's dispatchers
+    /// at that worker. `None` if the worker is not assigned to the group.
     pub fn from_group(
         state: &PolicyState,
         worker: &Worker,
@@ -111,13 +113,13 @@
         Some(LoadInputs { cpu: utilisation, load: utilisation, free_slots: (capacity - occupied).floor() })
     }
 
-    /// Whether a whole slot is free.
+    /// Whether at least one whole slot is free.
     pub fn has_free_slot(&self) -> bool {
         self.free_slots >= 1.0
     }
 
-    /// The inputs from a worker's load sample, increased by this dispatcher's attempts that the sample cannot show yet: those
-    /// sent at most `window` before the sample, or after it. `slots` is the worker's number of slots.
+    /// The inputs from a worker's load sample, increased by this dispatcher's attempts that the sample may not include yet: those
+    /// sent no earlier than `window` before the sample. `slots` is the worker's number of slots.
     pub fn from_sample(sample: &LoadSample, worker: &Worker, window: Micros, slots: f64) -> LoadInputs {
         let unseen = worker.slots_sent_since(sample.at.saturating_sub(window));
         let cpu = (sample.cpu + unseen / slots).min(1.0);
@@ -145,32 +147,36 @@
     }
 }
 
-/// A random number of the exponential distribution with mean 1.
+/// Draws a random number from the exponential distribution with mean 1.
 pub(crate) fn exponential(random: &mut fastrand::Rng) -> f64 {
     -(1.0 - random.f64()).ln()
 }
 
-/// A worker of this dispatcher's group that has a slot to offer to another group.
+/// A slot at a worker of this dispatcher's group that can be offered to another group.
 pub(crate) struct OfferableSlot {
+    /// The worker's list entry.
     pub listed: EndpointEntry,
-    /// Its CPU utilisation, 0 to 1.
+    /// The worker's CPU utilisation, 0 to 1.
     pub cpu: f64,
 }
 
 /// A worker that is considered for a job, with the data that its rank depends on.
 pub(crate) struct Considered<'a> {
     pub worker: &'a Worker,
+    /// The worker's list entry.
     pub listed: &'a EndpointEntry,
+    /// Whether the worker is in another zone than the dispatcher.
     pub is_remote: bool,
-    /// Response time for each unit of expected work.
+    /// The worker's response time divided by the expected work.
     pub slowness: f64,
-    /// The slots that this dispatcher's attempts occupy or wait for there.
+    /// The slots that this dispatcher's attempts occupy or wait for at the worker.
     pub occupied: f64,
+    /// A random number that breaks ties between equal workers.
     pub random: f64,
 }
 
 impl<'a> Considered<'a> {
-    /// A listed worker as a dispatcher in `own_zone` sees it. `random` breaks ties between equal workers.
+    /// Collects the data of a listed worker for a dispatcher in `own_zone`. `random` breaks ties between equal workers.
     pub fn new(
         state: &PolicyState,
         worker: &'a Worker,
@@ -193,7 +199,7 @@
         Candidate { rank, cost, tie_break, worker: self.listed.worker }
     }
 
-    /// This worker as a candidate without capacity. Among such candidates, the one that should respond soonest goes first.
+    /// This worker as a candidate without known capacity. Among such candidates, the one expected to respond first is preferred.
     pub fn inferior(&self, rank: Rank) -> Candidate {
         self.candidate(rank, self.slowness * (1.0 + self.occupied), self.random)
     }
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -1,16 +1,18 @@
-//! Deadlines and limits of a job: when it must start, where it may go, and its final response.
+//! Deadlines and limits of a job: when it must start, where it may be sent, and which final response it gets.
 
 use super::*;
 
-/// A job of unknown size is assumed to have this fraction of its class's mean: most are smaller.
+/// The work assumed for a job without a hint, as a fraction of its class's mean, because most jobs are smaller than the mean.
 const TYPICAL_FRACTION: f64 = 0.3;
-/// A job is queued here for this fraction of its slack before it queues at a worker.
+/// The fraction of its slack that a job waits in this dispatcher's queue before it may queue at a worker.
 const QUEUE_FRACTION: f64 = 0.7;
-/// The least fraction of a job's weight that counts as lost, so that its wait for its own zone ends.
+/// The least fraction of a job's weight that counts as lost by lateness. It bounds the time for which a job waits for a worker
+/// in its own zone.
 const MIN_LOSS: f64 = 0.01;
 
 impl Policy {
-    /// The dispatcher's final response: a rejection only where nothing may have run or a repeat does no harm.
+    /// Gives the dispatcher's own final response: a rejection if no attempt may have run or a repeat does no harm, otherwise a
+    /// failure.
     pub fn give_up(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let is_harmless = job.never_ran() || self.class(job).idempotency.is_repeatable_anywhere();
@@ -19,8 +21,8 @@
         self.state.close_job(id, &self.settings, actions);
     }
 
-    /// How long a rejected client should wait, if clients are given a time: until the ready workers, shared
-    /// with the other dispatchers, can have run what is queued here.
+    /// How long a rejected client should wait before it retries; `None` if the settings allow no such time. It is the time in
+    /// which this dispatcher's share of the ready workers can run the queued jobs.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
@@ -30,10 +32,10 @@
         Some(wait.max(self.settings.tick))
     }
 
-    /// Whether a job may be sent (again) to this worker, by its class and by what may have run.
+    /// Whether the class and the earlier attempts of a job allow another attempt at this worker.
     pub(super) fn may_send(&self, job: &Job, to: &EndpointEntry) -> bool {
-        let is_hedge_barred = !self.settings.may_hedge && !job.is_unassigned();
-        if self.is_out_of_attempts(job) || is_hedge_barred {
+        let is_hedge_forbidden = !self.settings.may_hedge && !job.is_unassigned();
+        if self.is_out_of_attempts(job) || is_hedge_forbidden {
             return false;
         }
         match self.class(job).idempotency {
@@ -46,12 +48,12 @@
         }
     }
 
-    /// Whether the job has had as many attempts as it may have.
+    /// Whether the job has had the maximum number of attempts.
     pub(super) fn is_out_of_attempts(&self, job: &Job) -> bool {
         job.sent_count() >= self.settings.max_attempts
     }
 
-    /// When the job must start at the latest to meet its latency objective.
+    /// The latest time at which the job must start to meet its latency objective.
     pub(super) fn latest_start(&self, job: &Job) -> Micros {
         let class = self.class(job);
         let work = job.work * if job.request.hint.is_some() { 1.0 } else { TYPICAL_FRACTION };
@@ -59,21 +61,23 @@
         job.arrived + class.latency_objective + (work * spare_factor) as Micros
     }
 
-    /// The time left until the latest start.
+    /// The time left until the job's latest start; 0 once that has passed.
     pub(super) fn slack(&self, job: &Job) -> Micros {
         self.latest_start(job).saturating_sub(self.now())
     }
 
-    /// Whether the job has been waiting so long that it may queue at a worker, and can still be in time.
-    pub(super) fn has_waited_here(&self, job: &Job) -> bool {
+    /// Whether the job has waited in this dispatcher's queue for so long that it may queue at a worker, and can still start in
+    /// time.
+    pub(super) fn may_queue_at_worker(&self, job: &Job) -> bool {
         let slack = self.slack(job);
         let whole_slack = self.latest_start(job) - job.arrived;
         slack > 0 && slack as f64 <= whole_slack as f64 * (1.0 - QUEUE_FRACTION)
     }
 
-    /// Whether the job may go to another zone. It waits here first: for that fraction of its slack which the
-    /// price of crossing is of the weight it loses by being late. Once late, the time until its deadline and
-    /// the weight it loses by not being served count instead.
+    /// Whether the job may be sent to another zone. It first waits for a worker of its own zone, if that has any: for a fraction
+    /// of its slack that is the ratio of the price of crossing zones to the weight lost by being late, at most
+    /// [`QUEUE_FRACTION`]. Once the job is late, the wait is that fraction of the time until its deadline, with the weight lost
+    /// by not being served.
     pub(super) fn may_cross_zones(&self, job: &Job) -> bool {
         let latest = self.latest_start(job);
         let late_weight = self.class(job).late_weight;
@@ -86,19 +90,19 @@
         !self.state.ready().has_home() || self.now() >= from + wait as Micros
     }
 
-    /// Whether only the final response is left: at the deadline, unless a stream runs, which has none.
+    /// Whether the deadline leaves time for the final response only. A stream that is running has no deadline.
     pub(super) fn is_past_deadline(&self, job: &Job) -> bool {
         let is_streaming = self.class(job).is_stream && job.has(AttemptState::Running);
         self.now() + self.settings.tick >= job.request.deadline && !is_streaming
     }
 
-    /// Whether a job without an outstanding attempt is not to be started: it may not be, or it can no longer
-    /// earn anything and would only delay the rest.
-    pub(super) fn is_hopeless(&self, job: &Job) -> bool {
+    /// Whether to give up a job that has no outstanding attempt: it may not be sent again, or its response would be too late to
+    /// earn any weight and its work would only delay other jobs.
+    pub(super) fn should_give_up(&self, job: &Job) -> bool {
         let class = self.class(job);
         let is_too_late = self.now() + self.settings.tick >= self.latest_start(job);
         let is_worthless = class.late_weight == 0.0 && is_too_late;
-        let is_barred = job.has(AttemptState::MayHaveRun) && !class.idempotency.is_repeatable();
-        is_worthless || is_barred || self.is_out_of_attempts(job)
+        let is_repeat_forbidden = job.has(AttemptState::MayHaveRun) && !class.idempotency.is_repeatable();
+        is_worthless || is_repeat_forbidden || self.is_out_of_attempts(job)
     }
 }
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -1,14 +1,15 @@
-//! How loaded a worker is, and how much one that is warming up may get.
+//! The load of workers, and the limits of the work that a worker gets while it is warming up (slow start).
 
 use super::*;
 
-/// The part of the warm-up budget that all dispatchers plan to use: a window may touch two lives of each.
+/// The fraction of the warm-up budget that the dispatchers plan to use together. The rest is reserved because a dispatcher may
+/// restart within a collapse window, and its new process does not know what the old one has sent.
 const WARM_UP_SAFETY: f64 = 0.5;
 
 impl Policy {
-    /// The worker's load, if it is known. For one of the group's own: what the group has outstanding there.
-    /// Else: its fresh sample, with the own attempts that it cannot show yet, or every dispatcher would keep
-    /// sending to one top score until it moves.
+    /// The worker's load, if it is known. For a worker of this dispatcher's group, it is what the group has outstanding there.
+    /// For other workers, it is the fresh load sample, increased by this dispatcher's attempts that the sample may not include
+    /// yet. Without that increase, a dispatcher would send all jobs to the worker with the best score until its next report.
     pub(super) fn load_inputs(&self, worker: &Worker, listed: &EndpointEntry) -> Option<LoadInputs> {
         if self.gossip().has_offer(listed.worker, self.now()) {
             return Some(LoadInputs::half_loaded(1.0));
@@ -16,7 +17,7 @@
         let slots = self.estimates().slots(listed.kind).max(1.0);
         let capacity = self.planned_capacity(listed, slots);
         let advertised = LoadInputs::from_group(&self.state, worker, listed, capacity);
-        // A peer that is silent may still send there: then a report is needed as well.
+        // A silent peer may still send work to the worker, so its load sample is needed as well.
         if advertised.is_some() && !self.gossip().has_silent_peer(self.now()) {
             return advertised;
         }
@@ -26,7 +27,7 @@
         Some(advertised.map_or(sampled, |advertised| advertised.worst(sampled)))
     }
 
-    /// The slots that the dispatchers of a group plan to use at a worker, 1 at least.
+    /// The number of slots that the dispatchers of a group plan to use at a worker, at least 1.
     fn planned_capacity(&self, listed: &EndpointEntry, slots: f64) -> f64 {
         let warm_up_time = self.settings.warm_up_time;
         let age = listed.started_at.map_or(warm_up_time, |start| self.now().saturating_sub(start));
@@ -35,15 +36,15 @@
         (slots * (multiple * self.warm_fraction(age)).min(1.0)).max(1.0)
     }
 
-    /// The fraction of its capacity that a worker has at least, this long after its start.
+    /// The fraction of its capacity that a worker has at least when it has been running for `age`.
     fn warm_fraction(&self, age: Micros) -> f64 {
         let initial = self.settings.initial_capacity;
         initial + (1.0 - initial) * (age as f64 / self.settings.warm_up_time as f64).min(1.0)
     }
 
-    /// Whether a worker is warm, or may get this job too while it warms up. In a group each of its
-    /// dispatchers has one job at most there, and all together what it can run.
-    pub(super) fn is_warm_enough(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
+    /// Whether slow start admits a job with this much work to a worker; always `true` for a warm one. In a group, each
+    /// dispatcher has at most one job at a worker that is warming up, and all together have no more than it can run.
+    pub(super) fn slow_start_admits(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         if self.is_warm(listed) || self.gossip().is_offered_by_slow_start_group(listed, self.now()) {
             return true;
         }
@@ -52,12 +53,15 @@
         is_free && self.fits_warm_up_budget(worker, listed, work)
     }
 
-    /// Slow start: all dispatchers keep within the fleet's budget. What they plan of it in any stretch of the
-    /// collapse window is assigned attempt by attempt, by ranks that no message changes; the first rank may
-    /// send one job in any case. Where peers have advertised lately, their work there is known, and only what
-    /// several send at once has to fit.
+    /// Whether one more attempt with this much work keeps the fleet within the budget of a worker that is warming up: the work
+    /// that the worker can bear within a collapse window.
+    ///
+    /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself, and that those
+    /// ranked before it send one more attempt each. The ranks do not depend on messages. The dispatcher with rank 0 may always
+    /// send one job. If peers have advertised recently, their work at the worker is known, and only the attempts that several
+    /// dispatchers send at once must fit.
     pub(super) fn fits_warm_up_budget(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
-        let Some(place) = self.gossip().slow_start_rank(listed.tag) else { return false };
+        let Some(slow_start) = self.gossip().slow_start_rank(listed.tag) else { return false };
         let now = self.now();
         let window = self.settings.collapse_window;
         let knows_peer_work = self.gossip().has_recent_advertisements(now, window);
@@ -68,7 +72,8 @@
         let slowness = self.estimates().worker_slowness(worker, listed).max(1.0);
         let budget = multiple * window as f64 * self.estimates().slots(listed.kind) / slowness;
         let attempt_work = work.max(self.estimates().mean_attempt_work());
-        let planned = f64::from(place.candidate_count) * sent + f64::from(place.rank + 1) * attempt_work;
-        place.rank == 0 && sent == 0.0 || planned <= budget * safety
+        let planned =
+            f64::from(slow_start.candidate_count) * sent + f64::from(slow_start.rank + 1) * attempt_work;
+        slow_start.rank == 0 && sent == 0.0 || planned <= budget * safety
     }
 }
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of the dispatcher; `src/policy/state` has what it remembers.
+//! All decisions of the dispatcher. They are based on the records in `src/policy/state`.
 //!
-//! Load reports become stamped samples, and a job goes to the worker with the best fresh fuzzy capability,
-//! then to one of unknown load, then, where all are full, to the one that responds soonest.
+//! Load reports become samples with a time stamp. A job goes to the worker with the best fuzzy capability among those with a
+//! fresh sample, otherwise to a worker of unknown load, and if all workers are full, to the one expected to respond first.
 
 mod fuzzy;
 mod jobs;
@@ -18,20 +18,25 @@
 use crate::policy::state::*;
 use crate::policy::timer::Timer;
 
-/// The paper's freshness window, its ratio to the report interval, and how many times it may grow.
-const PAPER_WINDOW: f64 = 150_000.0;
+/// The shortest freshness window of load samples, in microseconds: the window of Mileff and Nehéz.
+const MIN_WINDOW: f64 = 150_000.0;
+/// The freshness window, in report intervals.
 const WINDOW_PER_INTERVAL: f64 = 1.5;
-pub const FIRST_REPORT_INTERVAL: f64 = PAPER_WINDOW / WINDOW_PER_INTERVAL;
-const MAX_WINDOWS: f64 = 10.0;
-/// An event is overdue after this many times the usual wait for it.
-const OVERDUE: f64 = 2.0;
-/// An attempt that a worker has not started after this long shows a queue there, however usual queues are.
+/// The first estimate of the time between load reports, in microseconds.
+pub const FIRST_REPORT_INTERVAL: f64 = MIN_WINDOW / WINDOW_PER_INTERVAL;
+/// The longest freshness window, in multiples of the shortest one.
+const MAX_WINDOW_MULTIPLE: f64 = 10.0;
+/// An event is overdue after this multiple of the usual wait for it.
+const OVERDUE_FACTOR: f64 = 2.0;
+/// A worker that has not started an attempt for this long has a queue, in microseconds. The limit does not follow the usual
+/// wait, which grows with the queues.
 const QUEUE_EVIDENT_AFTER: Micros = 20_000;
-/// The first wait for a list is up to this part of the longest interval.
+/// The longest delay of the first call for a list is the longest poll interval divided by this.
 const FIRST_LIST_DELAY_DIVISOR: u64 = 8;
 
 impl Policy {
-    /// Opens a watch after a random wait, longer after each failure, so that dispatchers spread their calls.
+    /// Schedules the opening of a watch if lists are sent only on request. The delay is random, up to a limit that doubles with
+    /// consecutive failures, so that the calls of the dispatchers are spread.
     pub fn schedule_watch(&mut self, actions: &mut Vec<Action>) {
         if let Some(interval) = self.settings.max_poll_interval.filter(|_| self.settings.list_on_request) {
             let max_wait = (interval / FIRST_LIST_DELAY_DIVISOR) << self.state.list_wait_doublings();
@@ -39,18 +44,18 @@
         }
     }
 
-    /// A job has arrived: it is placed, unless its class is unknown.
+    /// Handles the arrival of a job. A job of an unknown class is rejected.
     pub fn on_arrived(&mut self, request: NewJob, actions: &mut Vec<Action>) {
         if usize::from(request.class.0) >= self.settings.classes.len() {
             return actions.push(Action::Reject { job: request.job, retry_after: self.retry_after() });
         }
         self.state.add_job(request, self.now(), &self.settings, actions);
-        self.review_queued(actions); // what is queued here already goes first
+        self.review_queued(actions); // Jobs that are already queued go first.
         self.review(request.job, actions);
     }
 
-    /// A dispatcher of another group, whose own workers are full, gets a slot at the least used of this
-    /// group's workers that has one to offer, in its zone if there is one.
+    /// Handles a slot request of a dispatcher of another group, whose own workers are full. Offers a slot at the worker of this
+    /// group with the lowest CPU utilisation, in the requested zone if possible.
     pub fn on_slot_request(&mut self, from: u32, zone: ZoneId, actions: &mut Vec<Action>) {
         let slots = self.gossip().workers().filter_map(|id| self.offerable_slot(id));
         let best = slots.min_by(|slot, other| {
@@ -62,7 +67,8 @@
         }
     }
 
-    /// A slot at this worker, if one is free and neither a failure nor its warm-up forbids to offer it.
+    /// A slot at this worker that may be offered; `None` if no slot is free, the worker is suspect or ejected, or its warm-up
+    /// budget is used up.
     fn offerable_slot(&self, id: WorkerId) -> Option<OfferableSlot> {
         let worker = self.state.worker(id);
         let listed = worker.listed()?;
@@ -73,22 +79,25 @@
         may_offer.then_some(OfferableSlot { listed: *listed, cpu: inputs.cpu })
     }
 
-    /// How old a load sample may be, and the unit of ejections: it follows the report interval.
+    /// The freshness window: how old a load sample may be. It follows the report interval, and is also the unit of ejection
+    /// times.
     pub fn window(&self) -> Micros {
         let window = self.estimates().report_interval() * WINDOW_PER_INTERVAL;
-        window.clamp(PAPER_WINDOW, PAPER_WINDOW * MAX_WINDOWS) as Micros
+        window.clamp(MIN_WINDOW, MIN_WINDOW * MAX_WINDOW_MULTIPLE) as Micros
     }
 
-    /// Response time for each unit of expected work: none is expected sooner than its work takes.
+    /// The mean response time divided by the expected work; at least 1, because no response is expected before its work is done.
     fn slowness(&self) -> f64 {
         self.estimates().slowness().max(1.0)
     }
 
-    /// How long a worker may take to show that it runs a job before that is overdue.
+    /// The time after which the start of a job with this much work is overdue: until then, its worker should have reported the
+    /// start, or its progress or response if starts are not reported.
     fn start_timeout(&self, work: f64) -> Micros {
-        let response = OVERDUE * work * self.slowness();
-        let shown = self.settings.progress.map_or(response, |span| response.min(OVERDUE * span as f64));
-        let started = OVERDUE * self.estimates().start_delay();
+        let response = OVERDUE_FACTOR * work * self.slowness();
+        let shown =
+            self.settings.progress.map_or(response, |span| response.min(OVERDUE_FACTOR * span as f64));
+        let started = OVERDUE_FACTOR * self.estimates().start_delay();
         let timeout = if self.settings.reports_start { started } else { shown };
         timeout as Micros + self.settings.tick
     }
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -1,36 +1,39 @@
-//! Outlier detection: workers and zones that fail are ejected for a while.
+//! Outlier detection: ejects workers and zones that fail, for a limited time.
 
 use super::*;
 
-/// A failure counts as a response so many times slower than expected.
+/// The greatest slowness (response time divided by expected work) that is recorded. A failed attempt counts as such a response.
 const MAX_SLOWNESS: f64 = 8.0;
-/// An ejection doubles with each failure in a row, up to this many doublings of the window; for a zone as in
-/// a group. Alone a dispatcher learns that a worker is well again only from a job that it risks there.
+/// The greatest number of consecutive failures that are counted. An ejection lasts for one window, doubled for each counted
+/// failure. For zones, the value of a group applies. The value without a group is lower, because such a dispatcher learns that a
+/// worker has recovered only from a job that it sends there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
-/// A worker that reports more errors a second than this, and more than it can have served, is failing.
+/// The errors per second up to which a worker never counts as failing. Above this, it does if it cannot have served as many
+/// jobs.
 const MAX_ERROR_RATE: f64 = 1.0;
 
 impl Policy {
-    /// One more failure of a worker: its load sample is dropped and it is ejected, twice as long each time.
+    /// Records a failure of a worker: drops its load sample and ejects it, for twice as long with each consecutive failure.
     pub(super) fn record_failure(&mut self, id: WorkerId) {
         self.state.record_failure(id, self.window(), self.by_grouping(&MAX_FAILURES));
     }
 
-    /// A probe's failure says nothing of a worker that was seen since: it was busy, and the probe waited.
+    /// Records that a probe has failed. Without a group, this does not count as a failure of a worker that has shown a sign of
+    /// life since the probe was sent: the worker was busy, and the probe waited in its queue.
     pub fn record_probe_failure(&mut self, response: &ProbeResponse, last_seen: Micros) {
         if self.is_grouped() || last_seen + response.elapsed <= self.now() {
             self.record_failure(response.worker);
         }
     }
 
-    /// A worker that starts an attempt is available again, but one at which it had to queue is full: the next
-    /// attempt would wait as long again.
+    /// Records that a worker has started an attempt, which ends its ejection. If the attempt had to queue there, the worker is
+    /// ejected for as long as the attempt waited, at most for a window, because the next attempt would wait as long.
     pub fn record_start(&mut self, started: &StartedAttempt) {
         let has_queued = started.waited > QUEUE_EVIDENT_AFTER;
         let queue_wait = if has_queued { started.waited.min(self.window()) } else { 0 };
         self.eject_for(started.worker, queue_wait);
         if !self.is_grouped() {
-            self.state.forgive(started.worker); // in a group it may fail all that it starts
+            self.state.forgive(started.worker); // In a group, the worker may fail everything that it starts.
         }
     }
 
@@ -41,12 +44,12 @@
                 let run_time = self.state.record_success(end, ended, &self.settings);
                 self.state.learn_slowness(end.worker, (run_time / ended.work).min(MAX_SLOWNESS));
             }
-            // A rejection is newer than any report: no more work for a window, but it is no failure.
+            // A rejection is more recent than any load report: the worker gets no work for a window, but has not failed.
             Outcome::Full | Outcome::HandedBack => self.eject_for(end.worker, self.window()),
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 self.state.learn_slowness(end.worker, MAX_SLOWNESS);
                 self.record_failure(end.worker);
-                // A cut shows as connections that fail to workers of another zone.
+                // A network partition shows as failed connections to the workers of another zone.
                 if end.outcome == Outcome::ConnectFailed {
                     self.state.record_zone_failure(end.worker, self.window(), MAX_FAILURES.grouped);
                 }
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Stores a report as a stamped sample. More errors than the worker can have served are a failure.
+    /// Stores a load report as a sample with a time stamp. In a group, a report of more errors than the worker can have served
+    /// jobs counts as a failure.
     pub fn record_report(&mut self, id: WorkerId, report: &LoadReport) {
         let report = report.clean();
         let sample = LoadSample::new(self.now(), &report);
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -2,26 +2,27 @@
 
 use super::*;
 
-/// Scores this close are a tie: report noise is as large.
-const TIE: f64 = 0.1;
-/// What another zone costs a job, in units of a tie.
+/// The step to which scores are rounded. Differences below it are within the noise of reports and count as ties.
+const SCORE_STEP: f64 = 0.1;
+/// The cost of a worker in another zone, in steps of the score.
 const REMOTE_COST: f64 = 1.0;
-/// Workers ranked for a job, half of the own zone.
+/// The greatest number of workers that are drawn from the group for a job. Without a group, half as many are drawn from each
+/// list of `ReadyWorkers`.
 const MAX_RANKED: usize = 32;
-/// A kind keeps at least this fraction of its fair load for jobs that other kinds can run too.
+/// The least fraction of a kind's capacity that is counted as available to jobs that other kinds can run too.
 const MIN_SPARE: f64 = 0.1;
-/// A worker of unknown load gets so many slots' work at least.
+/// The least number of slots assumed for a worker of unknown load.
 const MIN_UNKNOWN_SLOTS: f64 = 2.0;
 
-/// A worker's capability in units of a tie.
+/// A worker's capability, reduced to the fraction `spare`, in steps of [`SCORE_STEP`].
 fn score(inputs: &LoadInputs, spare: f64) -> f64 {
-    (capability(inputs.cpu, inputs.load) * spare / TIE).round()
+    (capability(inputs.cpu, inputs.load) * spare / SCORE_STEP).round()
 }
 
 impl Policy {
-    /// The workers to rank or probe for a job: a random sample of the group's, those probed for the job, and
-    /// those at which a slot is on offer. Without a group, or to probe where nothing can be borrowed, also
-    /// some that warm up, some of the home zone and some of all.
+    /// The eligible workers among those drawn for a job: a random sample of the group's workers, the workers probed for the job,
+    /// and those at which a slot is offered. Without a group, and for probes if no slot can be borrowed, the draw includes
+    /// workers that are warming up, workers of the dispatcher's own zone, and any workers.
     pub(super) fn candidates(&mut self, id: JobId, purpose: Purpose) -> Vec<WorkerId> {
         let gossip = self.state.gossip();
         let mut pool = gossip.sample(&mut self.random, MAX_RANKED);
@@ -38,17 +39,17 @@
         pool
     }
 
-    /// Whether the job may go to this worker at all.
+    /// Whether the job may be sent to this worker at all.
     fn is_eligible(&self, job: &Job, worker: &Worker, may_cross: bool) -> bool {
         let Some(listed) = worker.ready_entry() else { return false };
         self.class(job).kind.is_none_or(|kind| kind == listed.kind)
             && (may_cross || listed.zone == self.settings.zone)
             && !job.excludes(listed.worker)
             && self.may_send(job, &listed)
-            && self.is_warm_enough(worker, &listed, job.work)
+            && self.slow_start_admits(worker, &listed, job.work)
     }
 
-    /// The worker that wins the job, and whether it may have capacity.
+    /// The best candidate for a job; `None` if no worker is eligible.
     pub(super) fn pick(&mut self, id: JobId) -> Option<Candidate> {
         let pool = self.candidates(id, Purpose::Placing);
         let needs = self.needs(self.state.job(id)?);
@@ -68,8 +69,8 @@
         self.winner(&ranked, lowest_cpu).copied()
     }
 
-    /// The first candidate; but the same worker twice in a row only if its utilisation has changed since its
-    /// last assignment and is the lowest of all.
+    /// The first candidate, unless it got the last job too. The same worker is chosen twice in a row only if its utilisation has
+    /// changed since its last assignment and is the lowest of all, or if the next candidate ranks worse than [`Rank::Unknown`].
     fn winner<'a>(&self, ranked: &'a [Candidate], lowest_cpu: f64) -> Option<&'a Candidate> {
         let first = ranked.first()?;
         let worker = self.state.worker(first.worker);
@@ -80,12 +81,12 @@
         Some(next.filter(|_| is_repeat && !may_repeat).unwrap_or(first))
     }
 
-    /// What a job needs of a worker.
+    /// The requirements of a job.
     fn needs(&self, job: &Job) -> Needs {
         let max_start_timeout = if self.settings.reports_start { QUEUE_EVIDENT_AFTER } else { Micros::MAX };
-        let rivals: &[Class] = if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
+        let competing: &[Class] = if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
         let spare = |bound: BoundFraction| (bound.kind, (1.0 - bound.fraction).clamp(MIN_SPARE, 1.0));
-        let bound_fractions = self.state.bound_fractions(rivals);
+        let bound_fractions = self.state.bound_fractions(competing);
         Needs {
             request: job.request,
             slack: self.slack(job) as f64,
@@ -94,21 +95,21 @@
         }
     }
 
-    /// How suitable a worker is for a job with these needs.
+    /// Ranks a worker for a job with these needs.
     fn rank(&self, needs: &Needs, considered: &Considered) -> Candidate {
         let Considered { worker, listed, slowness, occupied, random, .. } = *considered;
-        // An attempt that it has not started in time shows it full, whatever it reports.
-        let is_late = worker.has_unstarted_before(self.now(), needs.start_timeout);
-        let is_held_back = self.state.is_ejected(worker) || is_late;
-        if self.is_last_resort(considered, is_held_back) {
+        // A worker that has not started an attempt in time counts as full, whatever load it reports.
+        let is_start_overdue = worker.has_unstarted_before(self.now(), needs.start_timeout);
+        let is_avoided = self.state.is_ejected(worker) || is_start_overdue;
+        if self.is_last_resort(considered, is_avoided) {
             return considered.inferior(Rank::Ejected);
         }
-        if is_held_back {
+        if is_avoided {
             return considered.inferior(Rank::Overloaded);
         }
         let spare = needs.spare(listed.kind);
         if let Some(inputs) = self.load_inputs(worker, listed) {
-            if self.is_short(needs, listed, &inputs) {
+            if self.lacks_capacity(needs, listed, &inputs) {
                 return considered.inferior(self.rank_of_full(needs, considered, &inputs));
             }
             let remote_cost = if considered.is_remote { REMOTE_COST } else { 0.0 };
@@ -117,7 +118,7 @@
             return considered.candidate(Rank::Fresh, cost, tie_break);
         }
         if !self.is_warm(listed) {
-            // A worker that is warming up and has its turn counts as half loaded.
+            // A worker that is warming up and passed the slow-start check counts as half loaded.
             return considered.candidate(Rank::Fresh, -score(&LoadInputs::half_loaded(1.0), spare), slowness);
         }
         if occupied + needs.request.slots > self.estimates().slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
@@ -130,22 +131,23 @@
         considered.candidate(Rank::Unknown, cost, random)
     }
 
-    /// Whether a worker gets the job only where there is no other. In a group, one that failed must show that
-    /// it is alive before it gets work again.
-    fn is_last_resort(&self, considered: &Considered, is_held_back: bool) -> bool {
-        considered.worker.has_failed() && is_held_back
+    /// Whether a worker gets the job only if there is no other. In a group, a worker that has failed must show a sign of life
+    /// before it gets work again.
+    fn is_last_resort(&self, considered: &Considered, is_avoided: bool) -> bool {
+        considered.worker.has_failed() && is_avoided
             || self.is_grouped() && self.state.is_suspect(considered.worker)
             || considered.is_remote && self.state.is_zone_ejected(considered.listed.zone)
     }
 
-    /// Whether a worker of known load has too little of something for the job.
-    fn is_short(&self, needs: &Needs, listed: &EndpointEntry, inputs: &LoadInputs) -> bool {
+    /// Whether a worker of known load has too few free slots or too little free memory for the job.
+    fn lacks_capacity(&self, needs: &Needs, listed: &EndpointEntry, inputs: &LoadInputs) -> bool {
         let sample = self.state.fresh_load(listed.worker, self.window());
         inputs.free_slots < needs.request.slots || sample.is_some_and(|sample| needs.exceed_memory_of(sample))
     }
 
-    /// How full a worker without a free slot is: its queue is the group's, or only this dispatcher's; where
-    /// starts are reported, one job waits there at most.
+    /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the time that the job would
+    /// wait in the worker's queue. The queue is the one that the worker reports, with the attempts of the group or, without a
+    /// group, of this dispatcher. Without a group and with reported starts, at most one attempt of this dispatcher waits there.
     fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
         let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
@@ -153,11 +155,12 @@
         let sample = self.state.fresh_load(listed.worker, self.window());
         let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + ahead + 1.0;
         let wait = queue * self.estimates().mean_work() * slowness / self.estimates().slots(listed.kind);
-        let is_queue_barred = is_start_reported && (is_remote || worker.has_unstarted());
-        if wait * OVERDUE > needs.slack || is_queue_barred { Rank::Overloaded } else { Rank::Full }
+        let is_queue_forbidden = is_start_reported && (is_remote || worker.has_unstarted());
+        if wait * OVERDUE_FACTOR > needs.slack || is_queue_forbidden { Rank::Overloaded } else { Rank::Full }
     }
 
-    /// Where a probe would show a queue, or capacity worth crossing zones, nothing is sent without it.
+    /// Whether a worker of unknown load must be probed before it gets a job: in a group, and wherever a probe would show a queue
+    /// at the worker or whether the worker of another zone has capacity.
     fn must_probe_first(&self, is_remote: bool) -> bool {
         let shows_queue = self.estimates().is_queue_reported() && !self.settings.reports_start;
         self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -1,18 +1,19 @@
-//! What to do with an open job now: answer it, wait, probe, queue it, send it, or send a hedged attempt.
+//! The review of an open job. It decides whether to give the final response, wait, probe workers, queue the job, send it, or
+//! send a hedged attempt.
 
 use super::*;
 
-/// A job that has been unstarted for this part of its slack is hedged: it may cost as much again.
+/// The fraction of its slack after which a job that has not started is hedged. A hedged attempt may cost as much work again.
 const HEDGE_FRACTION: f64 = 0.5;
-/// Attempts that never ran after which a job's further attempts are spread over its slack.
+/// The number of attempts that never ran after which a job's further attempts are spread over its slack.
 const QUICK_RETRIES: usize = 2;
-/// How many times a job is reviewed in its slack while it is queued here.
+/// The number of times that a queued job is reviewed within its slack.
 const QUEUED_REVIEWS: ByGrouping<u64> = ByGrouping { alone: 16, grouped: 10 };
-/// Workers probed for a job at a time.
+/// The number of workers that are probed for a job at a time.
 const SAMPLE_SIZE: ByGrouping<usize> = ByGrouping { alone: 4, grouped: 2 };
 
 impl Policy {
-    /// Decides what is to be done about a job now, if it is open and not waiting for something.
+    /// Decides what to do about a job now. Does nothing if the job is closed, is running, or must not be reviewed yet.
     pub fn review(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.open_job(id) else { return };
         if self.is_past_deadline(job) {
@@ -21,7 +22,7 @@
         if job.has(AttemptState::Running) || job.is_waiting(self.now()) {
             return;
         }
-        if job.is_unassigned() && self.is_hopeless(job) {
+        if job.is_unassigned() && self.should_give_up(job) {
             return self.give_up(id, actions);
         }
         if !self.awaits_start(id, actions) {
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Whether the job goes on waiting for its newest attempt to start, rather than to be hedged.
+    /// Whether the job goes on waiting for its newest unstarted attempt instead of being hedged. Schedules a review for the time
+    /// at which the start is overdue or the job may be hedged.
     fn awaits_start(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let Some(&Attempt { worker, sent_at, .. }) = job.newest_unstarted() else { return false };
@@ -42,7 +44,7 @@
         let may_hedge = job.outstanding_count() == 1 && is_repeatable && !self.is_out_of_attempts(job);
         let slack_when_sent = self.latest_start(job).saturating_sub(sent_at);
         let hedge_at = sent_at + (slack_when_sent as f64 * HEDGE_FRACTION) as Micros;
-        // A worker that does not start what its report had room for is ejected for a while.
+        // A worker that showed a free slot and does not start the attempt in time counts as failed.
         let was_start_expected = self.state.take_start_expectation(id);
         let is_alive = self.state.worker(worker).was_seen_after(sent_at);
         if was_start_expected && self.settings.reports_start && (self.is_grouped() || !is_alive) {
@@ -52,16 +54,16 @@
             self.state.schedule_review(id, hedge_at, actions);
             return true;
         }
-        // A worker that was seen since is alive: the job is in its queue and will run there in any case.
+        // A worker that was seen since the attempt was sent is alive: the attempt is in its queue and will run there anyway.
         is_alive || !may_hedge
     }
 
-    /// Sends the job to a worker, probes for one, or queues it here.
+    /// Sends the job to a worker, probes workers for it, or queues it at this dispatcher.
     fn place(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let is_unassigned = job.is_unassigned();
         let must_wait = is_unassigned && !self.is_grouped() && self.is_behind_queue(id);
-        // Others are asked for a slot only where the group's own workers have no capacity.
+        // In a group, workers are probed only if no candidate is known to have capacity.
         let has_fresh = self.is_grouped() && self.pick(id).is_some_and(|pick| pick.rank == Rank::Fresh);
         if is_unassigned && !has_fresh && !must_wait && self.probe_sample(id, actions) {
             return;
@@ -72,8 +74,9 @@
         }
     }
 
-    /// Whether the best worker is good enough for the job now. A full one at once where starts are reported,
-    /// else once the job has waited here; alone then even one that is ejected.
+    /// Whether a worker of this rank, the best one, is good enough for the job now. A full worker is good enough at once if starts
+    /// are reported and there is no group, otherwise after the job has waited in the queue. After that wait, a dispatcher without
+    /// a group also uses an unprobed or ejected worker.
     fn may_use(&self, id: JobId, rank: Rank) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let is_grouped = self.is_grouped();
@@ -82,13 +85,13 @@
             Rank::Fresh => true,
             _ if !job.is_unassigned() => false,
             Rank::Unknown => true,
-            Rank::Full => is_start_reported || self.has_waited_here(job),
+            Rank::Full => is_start_reported || self.may_queue_at_worker(job),
             Rank::Overloaded => false,
-            Rank::Unprobed | Rank::Ejected => !is_grouped && self.has_waited_here(job),
+            Rank::Unprobed | Rank::Ejected => !is_grouped && self.may_queue_at_worker(job),
         }
     }
 
-    /// Sends the job to the worker that was picked, to be reviewed once its start is overdue.
+    /// Sends the job to the picked worker, and schedules a review for the time at which the start is overdue.
     fn send(&mut self, id: JobId, pick: &Candidate, actions: &mut Vec<Action>) {
         let is_start_expected = pick.rank == Rank::Fresh;
         let window = self.settings.collapse_window;
@@ -96,8 +99,9 @@
         self.state.schedule_review(id, self.now() + self.start_timeout(work), actions);
     }
 
-    /// Nothing has capacity: the job waits here, and then for a report that shows some. The wait also
-    /// prevents endless probes where they fail at once.
+    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, gets a new sample at its
+    /// next review, and a slot is requested from another group. The wait also prevents an endless loop of probes that fail at
+    /// once.
     fn queue_or_wait(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let slack = self.slack(job);
@@ -111,9 +115,9 @@
         self.state.schedule_review(id, until, actions);
     }
 
-    /// A job's place among those queued here: the one that must start soonest first. But where late ones earn
-    /// too, one past its latency objective goes last, the newest first, or under overload all would be served
-    /// just too late. One that was rejected again and again has none: its last attempts are spread.
+    /// A job's position in this dispatcher's queue: the job with the earliest latest start is first. If late responses earn weight
+    /// too, jobs past their latency objective come last, the newest first; otherwise all jobs would be served just too late under
+    /// overload. A job that was rejected repeatedly has no position, because its last attempts are spread over its slack.
     fn queue_position(&self, id: JobId) -> Option<QueuePosition> {
         let job = self.state.job(id).filter(|job| job.unrun_count() < QUICK_RETRIES)?;
         let latest = self.latest_start(job);
@@ -122,17 +126,18 @@
         Some(QueuePosition { is_late, order: if is_late { Micros::MAX - latest } else { latest }, job: id })
     }
 
-    /// The places of the jobs queued here, but for those that have none.
+    /// The positions of the queued jobs that have one.
     fn queue_positions(&self) -> impl Iterator<Item = QueuePosition> {
         self.state.queue().iter().filter_map(|id| self.queue_position(id))
     }
 
-    /// Whether a job that is queued here goes before this one.
+    /// Whether a queued job comes before this one.
     fn is_behind_queue(&self, id: JobId) -> bool {
         self.queue_positions().min().is_some_and(|first| Some(first) < self.queue_position(id))
     }
 
-    /// A start or an end may mean capacity: the queued jobs are reviewed in turn as long as one is sent.
+    /// Reviews the queued jobs in order until one of them stays queued. To be called when a slot may have become free, for example
+    /// after an attempt has started or ended.
     pub fn review_queued(&mut self, actions: &mut Vec<Action>) {
         let mut positions: Vec<QueuePosition> = self.queue_positions().collect();
         positions.sort_unstable();
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Spreads a job's last attempts over the time left, once it was repeatedly rejected or not sent.
+    /// Spreads a job's last attempts over the time left if the job was repeatedly rejected or not sent.
     pub fn delay_retry(&mut self, end: &AttemptEnded, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(job) = self.state.open_job(end.job) else { return };
         let attempts_left = u64::from(self.settings.max_attempts.saturating_sub(job.sent_count()));
@@ -159,18 +164,19 @@
         }
     }
 
-    /// Probes a few random workers for their load before the job is placed; true if the job is to wait.
+    /// Probes a few random workers for their load before the job is placed. Returns whether the job must wait for a response.
     fn probe_sample(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         if !self.settings.may_probe || self.state.is_sampled(id) {
             return false;
         }
         let usual_delay = self.estimates().probe_delay() + self.settings.tick;
-        let until = self.now() + OVERDUE as Micros * usual_delay;
+        let until = self.now() + OVERDUE_FACTOR as Micros * usual_delay;
         let sample = self.draw_sample(id);
         self.state.probe_sample(id, sample, self.window(), until, actions)
     }
 
-    /// Draws workers to probe for a job: those of other zones first, once it may go there.
+    /// Draws the workers to probe for a job. Workers of other zones are preferred if the job may cross zones and there is no
+    /// group, otherwise workers of the dispatcher's own zone.
     fn draw_sample(&mut self, id: JobId) -> Vec<WorkerId> {
         let is_grouped = self.is_grouped();
         let mut pool = self.candidates(id, Purpose::Probing);
@@ -185,10 +191,10 @@
         pool
     }
 
-    /// Whether a worker may be probed in a group: none that is ejected, and where other groups can be asked
-    /// for a slot, only one of unknown size, or one that failed and has rested.
+    /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed from other groups, only if
+    /// it is suspect or its number of slots is unknown.
     fn may_probe_in_group(&self, worker: &Worker, can_borrow: bool) -> bool {
-        let is_unclear = || self.state.is_suspect(worker) || self.state.is_unsized(worker);
-        !self.state.is_ejected(worker) && (!can_borrow || is_unclear())
+        let needs_probe = || self.state.is_suspect(worker) || self.state.is_unsized(worker);
+        !self.state.is_ejected(worker) && (!can_borrow || needs_probe())
     }
 }
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of a deployment by name. A `hello` line of the simulator and the `settings` object of a configuration
-//! file use the same names.
+//! Reads the settings of a deployment from name-value pairs. A `hello` line of the simulator and the `settings` object of a
+//! configuration file use the same names.
 
 use crate::policy::interface::{
     Class, DeduplicationScope, Idempotency, KindId, LoadReport, Micros, Reports, Settings, Tenant, ZoneId,
@@ -7,7 +7,7 @@
 use crate::policy::interner::Interner;
 use std::collections::HashMap;
 
-/// A setting that must be a number is not one.
+/// The error for a setting whose text is not a number although it must be one.
 #[derive(Debug, thiserror::Error)]
 #[error("{path} is not a number: {text:?}")]
 pub struct NotANumber {
@@ -18,7 +18,7 @@
 /// The texts of settings by their paths, such as `Grades.0.TargetMs`.
 pub(crate) struct Profile<'a>(pub(crate) HashMap<&'a str, &'a str>);
 
-/// The meaning of a value in a load report.
+/// The field of [`LoadReport`] that a value in a load report belongs to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ReportValue {
     Cpu,
@@ -53,13 +53,13 @@
     span as f64 / 1000.0
 }
 
-/// The FNV-1a hash of a name. It is the same at every dispatcher.
+/// The FNV-1a hash of a name, which is the same at every dispatcher.
 pub(crate) fn tag(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl ReportValue {
-    /// The meaning of the value with this name in this deployment.
+    /// The meaning that the deployment `profile` gives to the value with this name.
     fn new(name: &str, profile: &Profile) -> ReportValue {
         match name {
             "cpu" => ReportValue::Cpu,
@@ -97,7 +97,7 @@
         self.0.get(path).copied()
     }
 
-    /// A setting that is a number, or `default` if it is not set.
+    /// The number that a setting contains, or `default` if it is not set.
     pub(crate) fn number(&self, path: &str, default: f64) -> Result<f64, NotANumber> {
         let Some(text) = self.text(path) else { return Ok(default) };
         text.parse().map_err(|_| NotANumber { path: path.to_owned(), text: text.to_owned() })
@@ -108,17 +108,17 @@
         Ok(to_micros(self.number(path, default_ms)?))
     }
 
-    /// A setting in milliseconds that counts only if `flag` is set; otherwise `None`.
+    /// A setting in milliseconds if `flag` is set; otherwise `None`, whatever the setting contains.
     fn micros_if(&self, flag: bool, path: &str, default_ms: f64) -> Result<Option<Micros>, NotANumber> {
         if flag { self.micros(path, default_ms).map(Some) } else { Ok(None) }
     }
 
-    /// The number of elements of a list, at most the number of settings.
+    /// The number of elements of a list, limited to the number of settings.
     fn count(&self, path: &str) -> Result<usize, NotANumber> {
         Ok((self.number(path, 0.0)? as usize).min(self.0.len()))
     }
 
-    /// A setting that is true (`true` or `1`) or false (any other text), or `default` if it is not set.
+    /// A boolean setting: `true` and `1` are true, any other text is false. `default` applies if it is not set.
     fn flag(&self, path: &str, default: bool) -> bool {
         self.text(path).map_or(default, |text| text == "true" || text == "1")
     }
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Numbers the names of `classes` classes and `tenants` tenants, and of the kinds, zones and report values. Zones and kinds
-    /// that have a number in `known` keep it.
+    /// Numbers the names of the first `classes` classes and `tenants` tenants, and those of the kinds, zones and report values.
+    /// Zones and kinds that have a number in `known` keep it.
     fn names(&self, known: &Names, classes: usize, tenants: usize) -> Names {
         let mut names = Names { zones: known.zones.clone(), kinds: known.kinds.clone(), ..Names::default() };
         for zone in self.list("Zones") {
@@ -207,8 +207,8 @@
     }
 }
 
-/// Reads [`Settings`] from a profile, and returns them with the names in it. Zones and kinds that have a number in `known`
-/// keep it.
+/// Reads [`Settings`] from a profile, and returns them with the names that the profile contains. Zones and kinds that have a
+/// number in `known` keep it.
 ///
 /// # Errors
 ///
--- a/src/policy/simulator/error.rs
+++ b/src/policy/simulator/error.rs
@@ -4,10 +4,10 @@
 use crate::policy::settings_map::NotANumber;
 use std::io;
 
-/// Why [`Host::serve`](super::Host::serve) stopped.
+/// The reason why [`Host::serve`](super::Host::serve) stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
     /// A line of the input is malformed.
@@ -15,97 +15,97 @@
     Malformed {
         /// The line's number, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The fault of the line.
         #[source]
         error: LineError,
     },
 }
 
-/// What is wrong with a line.
+/// The fault of a malformed line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is not valid UTF-8.
+    /// The line is not valid UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
     /// The input ends within a batch.
     #[error("the batch is cut short: no commit")]
     CutShort,
     /// A batch begins within another batch.
-    #[error("batch: the batch before it has no commit")]
+    #[error("batch: the previous batch has no commit")]
     NestedBatch,
     /// A message comes before the first batch or between two batches.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
-    /// Another message comes before all rows of a table have come.
+    /// Another message comes before the last row of a table.
     #[error("{message}: the table lacks {missing} of its rows")]
     TableCutShort {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// How many rows are missing.
+        /// The number of missing rows.
         missing: usize,
     },
     /// A table's number is too high.
-    #[error("table: Table {0} is not 0 to 15")]
+    #[error("table: Table {0} is not between 0 and 15")]
     TableOutOfRange(usize),
     /// A message refers to a table that was never sent.
     #[error("announce: Table {0} is not defined")]
     UnknownTable(usize),
-    /// A field is missing.
+    /// A required field is missing or empty.
     #[error("{message}: no {field}")]
     MissingField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
     },
-    /// A field is not a number.
+    /// A field that must be a number is not one.
     #[error("{message}: {field} is not a number: {text:?}")]
     NotANumber {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// What it holds.
+        /// The text of the field.
         text: String,
     },
-    /// A field is not a finite number.
+    /// A field that must be a finite number is infinite or NaN.
     #[error("{message}: {field} is not finite")]
     NotFinite {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
     },
-    /// A field has a number without a meaning.
+    /// A field has a number that stands for none of its values.
     #[error("{message}: unknown {field} {code}")]
     UnknownCode {
-        /// The message.
+        /// The name of the message.
         message: &'static str,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The number.
+        /// The number in the field.
         code: i64,
     },
-    /// An attempt or a probe ended in an unknown way.
+    /// The outcome of an attempt or a probe is unknown.
     #[error("{message}: unknown Ending {ending:?}")]
     UnknownEnding {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The ending.
+        /// The text of the field `Ending`.
         ending: String,
     },
-    /// The bytes of a peer message are missing or not hexadecimal.
+    /// The content of a peer message is missing or not hexadecimal.
     #[error("mail: Blob is not hex")]
     NotHex,
-    /// A message comes before any `instance` line of its batch.
+    /// A message comes before the first `instance` line of its batch.
     #[error("{0}: no instance named")]
     NoInstance(String),
     /// A message is for an instance that was never created or has been removed.
     #[error("{message}: unknown instance {name:?}")]
     UnknownInstance {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The instance.
+        /// The name of the instance.
         name: String,
     },
     /// A setting of a new instance cannot be read.
@@ -116,7 +116,7 @@
     BadSettings(#[source] SettingsError),
 }
 
-/// A setting of a `hello` line that must be a number is not one.
+/// The error for a setting of a `hello` line that is not a number although it must be one.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SettingNotANumber(#[from] NotANumber);
--- a/src/policy/simulator/fields.rs
+++ b/src/policy/simulator/fields.rs
@@ -1,4 +1,4 @@
-//! Parses one line of the simulator: a message and its `name=value` fields.
+//! Parses one line of the simulator, which consists of a message name and `name=value` fields.
 
 use super::error::LineError;
 use crate::policy::interface::Micros;
@@ -23,22 +23,22 @@
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
 
-    /// The text of a field. It is an error if the field is missing or empty.
+    /// The text of a field, or an error if the field is missing or empty.
     pub fn text(&self, name: &str) -> Result<&'a str, LineError> {
         self.find(name).filter(|value| !value.is_empty()).ok_or_else(|| self.missing(name))
     }
 
-    /// The number in a field, if there is one. It is an error if the text is not a number.
+    /// The number in a field, if the field exists, or an error if its text is not a number.
     pub fn parsed<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, LineError> {
         self.find(name).map(|text| self.parse_number(name, text)).transpose()
     }
 
-    /// The number in a field. It is an error if the field is missing.
+    /// The number in a field, or an error if the field is missing or not a number.
     pub fn required<T: std::str::FromStr>(&self, name: &str) -> Result<T, LineError> {
         self.parsed(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// The number in a field, if there is one. It is an error if the number is not finite.
+    /// The finite number in a field, if the field exists, or an error if it is not a number or not finite.
     pub fn finite(&self, name: &str) -> Result<Option<f64>, LineError> {
         match self.parsed::<f64>(name)? {
             Some(value) if !value.is_finite() => {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// The span or time in a field, if there is one. The field is in milliseconds, the result in microseconds.
+    /// The span or time in a field, if the field exists. The field is in milliseconds, the result in microseconds.
     pub fn micros(&self, name: &str) -> Result<Option<Micros>, LineError> {
         Ok(self.finite(name)?.map(to_micros))
     }
 
-    /// The span or time in a field, as [`Fields::micros`]. It is an error if the field is missing.
+    /// The span or time in a field as [`Fields::micros`] returns it, or an error if the field is missing.
     pub fn required_micros(&self, name: &str) -> Result<Micros, LineError> {
         self.micros(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// Parses a number of the field `name`, which only the error uses.
+    /// Parses a number. `name` is the field that the error names.
     pub fn parse_number<T: std::str::FromStr>(&self, name: &str, text: &str) -> Result<T, LineError> {
         text.parse().map_err(|_| LineError::NotANumber {
             message: self.message.to_owned(),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Decodes hexadecimal digits, in which "-" stands for no bytes. Returns `None` if the text is not hexadecimal.
+/// Decodes hexadecimal digits; the text "-" stands for no bytes. Returns `None` if the text is not hexadecimal.
 pub(super) fn from_hex(text: &str) -> Option<Vec<u8>> {
     if text == "-" {
         return Some(Vec::new());
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher of the simulator. It converts lines to events and actions to lines, and assigns ids.
+//! One dispatcher of the simulator. This module converts lines to events and actions to lines, and assigns ids.
 
 use super::error::{LineError, SettingNotANumber};
 use super::fields::{Fields, from_hex};
@@ -12,21 +12,23 @@
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-/// The bit of a job's `Flags` that is set if its hint counts.
+/// The bit of a job's `Flags` that is set if its hint is valid.
 const HAS_HINT: u64 = 1;
-/// The bit of a job's `Flags` that is set if it is a retry.
+/// The bit of a job's `Flags` that is set if the job is a retry.
 const IS_REPEAT: u64 = 2;
 
-/// A job that is open or has outstanding attempts: its name, its numbers of sent and ended attempts, and whether its final
-/// response has been given or is no longer due.
+/// A job that is open or has outstanding attempts.
 struct OpenJob {
     name: String,
+    /// The number of attempts that were sent.
     sent: u32,
+    /// The number of attempts that have ended.
     ended: u32,
+    /// Whether the final response has been given or is no longer due.
     is_closed: bool,
 }
 
-/// A dispatcher, and the names that its ids stand for.
+/// A dispatcher, with the names that belong to its ids.
 pub(super) struct Instance {
     pub dispatcher: Dispatcher,
     workers: Interner,
@@ -38,7 +40,7 @@
 }
 
 impl Instance {
-    /// Creates the instance of a `hello` line. It is an error if the settings cannot be read or are not consistent, or if the
+    /// Creates the instance of a `hello` line. Returns an error if the settings cannot be read or are not consistent, or if the
     /// seed is missing.
     pub fn new(fields: &Fields) -> Result<Instance, LineError> {
         let profile = Profile(fields.pairs.iter().copied().collect());
@@ -56,7 +58,7 @@
         })
     }
 
-    /// The event of a line. `None` if the message has no event, or if its job is not known.
+    /// The event of a line; `None` if the message stands for no event, or if its job is unknown.
     pub fn event(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Option<Event>, LineError> {
         Ok(match fields.message {
             "announce" => Some(self.endpoint_list(fields, tables)?),
@@ -88,12 +90,12 @@
         WorkerId(self.workers.id(name))
     }
 
-    /// The id of the job that a line is about, if the job is known.
+    /// The id of the job that a line names, if the job is known.
     fn job(&self, fields: &Fields) -> Result<Option<JobId>, LineError> {
         Ok(self.job_ids.get(fields.text("Job")?).copied())
     }
 
-    /// The event of an `announce` line: an endpoint list, or a failure to get one.
+    /// The event of an `announce` line: an endpoint list, or a failed request for one.
     fn endpoint_list(&mut self, fields: &Fields, tables: &[Vec<String>]) -> Result<Event, LineError> {
         let kind = match fields.required::<i64>("Kind")? {
             0 => ListKind::Delta,
@@ -128,7 +130,7 @@
         })
     }
 
-    /// The event of an `accept` line: a job has arrived. The job gets a new id.
+    /// The event of an `accept` line: the arrival of a job, which gets a new id.
     fn arrived(&mut self, fields: &Fields) -> Result<Event, LineError> {
         let name = fields.text("Job")?;
         let job = JobId(self.next_job);
@@ -154,7 +156,7 @@
         Ok(Event::Arrived(request))
     }
 
-    /// The event of a `change` line: an attempt has started, or reports its progress. `None` for other topics.
+    /// The event of a `change` line: the start or the progress of an attempt; `None` for other topics.
     fn attempt_changed(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         Ok(match (self.job(fields)?, fields.required::<i64>("Topic")?) {
             (Some(job), 1) => Some(Event::Started { job, attempt: attempt(fields)? }),
@@ -166,7 +168,7 @@
         })
     }
 
-    /// The event of an `ended` line: an attempt has ended.
+    /// The event of an `ended` line: the end of an attempt.
     fn attempt_ended(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let elapsed = fields.micros("TimeTakenMs")?.unwrap_or(0);
         let outcome = outcome(fields)?;
@@ -190,7 +192,7 @@
         })))
     }
 
-    /// The event of a `hangup` line: the client disconnected.
+    /// The event of a `hangup` line: the disconnection of a client.
     fn disconnected(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let Some(job) = self.job(fields)? else { return Ok(None) };
         if let Some(open) = self.jobs.get_mut(&job) {
@@ -199,8 +201,8 @@
         Ok(Some(Event::ClientDisconnected(job)))
     }
 
-    /// The load report of a line, if it has one. Its values are in the order of the settings, separated by commas; an empty
-    /// value is absent.
+    /// The load report of a line, if there is one. The values are separated by commas, in the order of the settings; an empty
+    /// text stands for an absent value.
     fn report(&self, fields: &Fields) -> Result<Option<LoadReport>, LineError> {
         let Some(row) = fields.find("Feedback").filter(|row| !row.is_empty() && *row != "-") else {
             return Ok(None);
@@ -250,10 +252,10 @@
             Action::OpenWatch => writeln!(reply, "stream_changes\tWant=1"),
             Action::FetchList => writeln!(reply, "reload"),
         };
-        line.expect("a string takes any text");
+        line.expect("writing to a string cannot fail");
     }
 
-    /// Appends the line of an attempt that is sent. An attempt of an unknown job is ignored.
+    /// Appends the line that sends an attempt. An attempt of an unknown job is ignored.
     fn print_send(
         &mut self,
         job: JobId,
@@ -279,7 +281,7 @@
         &self.workers.names()[worker.0 as usize]
     }
 
-    /// Closes a job, which is given its final response, and returns its name. `None` if the job is not known.
+    /// Closes a job that gets its final response, and returns the job's name; `None` if the job is unknown.
     fn close(&mut self, job: JobId) -> Option<&str> {
         let open = self.jobs.get_mut(&job)?;
         open.is_closed = true;
@@ -287,12 +289,12 @@
     }
 }
 
-/// The index of the attempt that a line is about; 0 if the line has none.
+/// The index of the attempt that a line names; 0 if the line has none.
 fn attempt(fields: &Fields) -> Result<u32, LineError> {
     Ok(fields.parsed("RoundNo")?.unwrap_or(0))
 }
 
-/// The outcome of the attempt or probe that a line is about.
+/// The outcome of an attempt or a probe, from the field `Ending` of a line.
 fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
     Ok(match fields.text("Ending")? {
         "ok" => Outcome::Ok,
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's line protocol. This module parses events, prints actions and assigns ids; it decides nothing.
+//! The simulator's line protocol. This module parses events, prints actions and assigns ids; it makes no decisions.
 //!
-//! Each instance interns its own ids in order of appearance. What one instance does therefore never depends on which other
-//! instances share its process.
+//! Each instance interns its own ids in order of appearance. The behaviour of an instance therefore never depends on the other
+//! instances in its process.
 
 mod error;
 mod fields;
@@ -26,27 +26,29 @@
     missing_rows: usize,
 }
 
-/// What to do after a line.
+/// The next step after a line has been handled.
 #[derive(PartialEq, Eq)]
 enum Step {
+    /// Read the next line.
     Continue,
     /// The batch is complete, and the reply must be sent.
     Reply,
 }
 
-/// All instances of this process by name, and the state of the batch that is being read.
+/// The host of all instances in this process. It keeps the instances by name, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
     tables: Vec<Vec<String>>,
     open_table: Option<OpenTable>,
-    /// The number of the line being read.
+    /// The number of the line that is being read, from 1.
     line: u64,
-    /// The time of the open batch.
+    /// The time of the open batch; `None` between two batches.
     now: Option<Micros>,
     actions: Vec<Action>,
-    /// The instance that lines are for, and below the instance whose actions were printed last.
+    /// The instance to which the present lines of the batch belong.
     current: Option<String>,
+    /// The instance whose actions were printed last in the reply.
     printed: Option<String>,
     reply: String,
 }
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Adds the number of the present line to an error.
+    /// Adds the number of the line that is being read to an error.
     fn malformed(&self, error: LineError) -> WireError {
         WireError::Malformed { line: self.line, error }
     }
@@ -159,13 +161,13 @@
         Ok(())
     }
 
-    /// The name of the instance that lines are for.
+    /// The name of the instance to which the present lines of the batch belong.
     fn current_name(&self, fields: &Fields) -> Result<&str, LineError> {
         self.current.as_deref().ok_or_else(|| LineError::NoInstance(fields.message.to_owned()))
     }
 
     /// Passes the event of a line to its instance, and appends the resulting actions to the reply. A panic of the decision module
-    /// ends only the handling of that event; the reply reports it.
+    /// ends only the handling of that event, and is reported in the reply.
     fn on_event(&mut self, now: Micros, fields: &Fields) -> Result<(), LineError> {
         let Some(name) = &self.current else { return Err(LineError::NoInstance(fields.message.to_owned())) };
         let instance = self.instances.get_mut(name).ok_or_else(|| unknown_instance(fields, name))?;
@@ -199,7 +201,7 @@
     LineError::UnknownInstance { message: fields.message.to_owned(), name: name.to_owned() }
 }
 
-/// The job whose last event this may be.
+/// The job that an event ends, or one of whose attempts it ends. Afterwards the job may have to be forgotten.
 fn ended_job(event: &Event) -> Option<JobId> {
     match event {
         Event::AttemptEnded(AttemptEnded { job, .. }) | Event::ClientDisconnected(job) => Some(*job),
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Records attempts, from their start to their end, in the state of their job and of their worker.
+//! Records the sending, start and end of attempts, in the state of their job and of their worker.
 
 use super::worker::OutstandingAttempt;
 use super::{Attempt, AttemptState, PolicyState};
@@ -6,22 +6,22 @@
     Action, AttemptEnded, JobId, Micros, Outcome, PriorAttempt, Settings, WorkerId,
 };
 
-/// An attempt that this dispatcher has just learned to be running.
+/// An attempt that is known to run since the present event.
 pub(crate) struct StartedAttempt {
     pub worker: WorkerId,
-    /// The time since it was sent, in microseconds.
+    /// The time from sending the attempt to its start, in microseconds.
     pub waited: Micros,
 }
 
 /// An attempt that has just ended.
 pub(crate) struct EndedAttempt {
-    /// The class of its job: an index in the settings.
+    /// The class of the job, as an index in the settings.
     pub class: usize,
-    /// The expected work of its job, in microseconds.
+    /// The expected work of the job, in microseconds.
     pub work: f64,
-    /// The number of attempts of its job that never ran, this one included.
+    /// The number of attempts of the job that never ran, this one included.
     pub unrun_count: usize,
-    /// When it was reported to run; `None` if it was not.
+    /// When the attempt was reported to run; `None` if it was not.
     pub running_since: Option<Micros>,
 }
 
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Sends a job's next attempt to a worker, and records the work that goes there for `window`. Returns the job's expected
-    /// work in microseconds, or `None` if the job is unknown.
+    /// Sends a job's next attempt to a worker, and records its work at the worker for `window`. Returns the job's expected work
+    /// in microseconds, or `None` if the job is unknown.
     pub fn send(
         &mut self,
         id: JobId,
@@ -88,14 +88,14 @@
         }
     }
 
-    /// Whether the newest unstarted attempt of a job was expected to start. The expectation is cleared, so the next call for
+    /// Whether the newest unstarted attempt of a job was expected to start. Clears the expectation, so that the next call for
     /// this attempt returns `false`.
     pub fn take_start_expectation(&mut self, id: JobId) -> bool {
         let unstarted = self.jobs.get_mut(&id).and_then(|job| job.newest_unstarted_mut());
         unstarted.is_some_and(|attempt| std::mem::take(&mut attempt.is_start_expected))
     }
 
-    /// Records that an attempt runs. Returns `None` if that was known before, or if the job, attempt or worker is unknown.
+    /// Records that an attempt runs. Returns `None` if that was already known, or if the job, attempt or worker is unknown.
     pub fn attempt_started(&mut self, id: JobId, index: u32) -> Option<StartedAttempt> {
         let attempt = self.jobs.get_mut(&id)?.attempt_mut(index)?;
         if !attempt.is_unstarted() {
@@ -126,7 +126,7 @@
         Some(ended)
     }
 
-    /// Records that an attempt was never sent. It no longer occupies its worker.
+    /// Records that an attempt was never sent, and frees its slots at its worker.
     pub fn attempt_not_sent(&mut self, id: JobId, index: u32) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(attempt) = job.attempt_mut(index) else { return };
--- a/src/policy/state/capacity.rs
+++ b/src/policy/state/capacity.rs
@@ -1,13 +1,13 @@
-//! The load and the slots of workers: what they report, what is sent to them, and what both show about their kinds.
+//! The load and the slots of workers: their load reports, the work sent to them, and the estimates of their kinds based on both.
 
 use super::worker::SentWork;
 use super::{BoundFraction, LoadSample, PolicyState, Worker, ready_workers};
 use crate::policy::interface::{Class, EndpointEntry, Micros, WorkerId, ZoneId};
 
-/// Learning.
+/// Records load, and learns estimates from it.
 impl PolicyState {
-    /// Records work that is sent or offered to a worker, for `window`. An attempt below the mean work counts as the mean,
-    /// because many small attempts also make a worker that is warming up collapse.
+    /// Records work that is sent or offered to a worker, and keeps the record for `window`. An attempt below the mean work
+    /// counts as the mean, because many small attempts also make a worker that is warming up collapse.
     pub(super) fn record_work(&mut self, id: WorkerId, work: f64, window: Micros) {
         let work = work.max(self.estimates.mean_attempt_work());
         self.workers.touch(id).record_work(SentWork { at: self.now, work }, window);
@@ -29,27 +29,27 @@
         }
     }
 
-    /// Learns the response time for each unit of work at a worker, for the worker itself and for its kind.
+    /// Learns the response time per unit of work at a worker, for the worker itself and for its kind.
     pub fn learn_slowness(&mut self, id: WorkerId, slowness: f64) {
         let worker = self.workers.touch(id);
         worker.slowness.add(slowness);
         self.estimates.learn_slowness(worker.listed().map(|listed| listed.kind), slowness);
     }
 
-    /// Learns how long an attempt waits until it is known to run. The estimate stays at or above `min_delay`.
+    /// Learns the time from sending an attempt until it is known to run. The estimate stays at or above `min_delay`.
     pub fn learn_start_delay(&mut self, waited: Micros, min_delay: Micros) {
         self.estimates.learn_start_delay(waited as f64, min_delay as f64);
     }
 
-    /// Copies what was learned about the class `source` to the class `class`. Both are indices in the settings.
+    /// Copies the statistics of the class `source` to the class `class`. Both are indices in the settings.
     pub fn copy_class(&mut self, class: usize, source: usize) {
         self.estimates.copy_class(class, source);
     }
 }
 
-/// What is known.
+/// The known load and capacity of workers.
 impl PolicyState {
-    /// The worker's load sample, if it is not older than the window.
+    /// The worker's load sample, if it is not older than `window`.
     pub fn fresh_load(&self, id: WorkerId, window: Micros) -> Option<&LoadSample> {
         self.worker(id).last_load().filter(|load| self.now <= load.at + window)
     }
@@ -78,8 +78,8 @@
         self.worker(id).listed().is_some_and(|listed| listed.zone != zone)
     }
 
-    /// Whether the slots of the worker's kind are still unknown: no report has shown them, and none has shown that reports of
-    /// this kind do not contain them. `false` for a worker that is not listed.
+    /// Whether the number of slots of the worker's kind is still unknown: no report has shown it, or that reports of this kind
+    /// do not contain it. `false` for a worker that is not listed.
     pub fn is_unsized(&self, worker: &Worker) -> bool {
         worker.listed().is_some_and(|listed| !self.estimates.is_sized(listed.kind))
     }
@@ -90,7 +90,8 @@
         self.ready.all().iter().map(|id| self.worker(*id).listed().map_or(0.0, slots)).sum()
     }
 
-    /// For each class that only one kind of worker can run: the fraction of that kind which the work of all such classes takes.
+    /// For each class that only one kind of worker can run: the fraction of that kind's capacity that the work of all such
+    /// classes takes.
     pub fn bound_fractions<'a>(&'a self, classes: &'a [Class]) -> impl Iterator<Item = BoundFraction> + 'a {
         let kinds = classes.iter().filter_map(|class| class.kind);
         kinds.map(|kind| self.estimates.bound_fraction(classes, self.ready.weight_by_kind(), kind))
--- a/src/policy/state/class_stats.rs
+++ b/src/policy/state/class_stats.rs
@@ -1,22 +1,23 @@
-//! Statistics of the work that the jobs of a class bring.
+//! Statistics of the work of the jobs of each class.
 
 use super::Mean;
 
 /// The statistics of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClassStats {
-    /// How long its jobs run, in microseconds.
+    /// The run time of the class's jobs, in microseconds.
     pub run_time: Mean,
-    /// How much expected work has arrived, in microseconds.
+    /// The sum of the expected work of all jobs that have arrived, in microseconds.
     pub work_sum: f64,
-    /// The number of jobs in which that work has arrived.
+    /// The number of jobs that have arrived.
     pub job_count: f64,
     /// The longest time that a job may take, in microseconds, if the last job came without a hint; otherwise 0.
     pub longest: f64,
 }
 
 impl ClassStats {
-    /// Records that a job has arrived with this expected work and may take `longest` at most, both in microseconds.
+    /// Records that a job has arrived. `work` is its expected work, and `longest` the value for [`ClassStats::longest`], both in
+    /// microseconds.
     pub fn record_arrival(&mut self, work: f64, longest: f64) {
         self.work_sum += work;
         self.job_count += 1.0;
@@ -31,11 +32,11 @@
     (work / count.max(1.0)).max(1.0)
 }
 
-/// The mean work of an attempt, in microseconds and at least 1, to compare with what a worker that is warming up can bear.
+/// The mean work of an attempt, in microseconds and at least 1, for comparison with the budget of a worker that is warming up.
 ///
 /// For each class, the mean is at least the run time of its jobs. If no job of the class has ended yet and its jobs come
 /// without a hint, the mean is the longest time that they may take. The first estimate of their work, the class's latency
-/// objective, may be a small fraction of that, and a process that has just started would send many times its part.
+/// objective, may be a small fraction of their run time, so that a newly started process would send many times its part.
 pub(crate) fn mean_attempt_work(classes: &[ClassStats]) -> f64 {
     let mut work: f64 = 0.0;
     let mut count: f64 = 0.0;
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -1,42 +1,44 @@
-//! The estimates learned from reports and run times, and what they show about the capacity of workers.
+//! The estimates learned from reports and run times, and the capacity of workers that follows from them.
 
 use super::class_stats::{self, ClassStats};
 use super::{Mean, Worker};
 use crate::policy::interface::{Class, EndpointEntry, KindId, Micros, Reports, Settings};
 use std::collections::BTreeMap;
 
-/// The number of prior observations that a worker's or kind's own mean is blended with: those of its kind, or of all workers.
+/// The weight, in observations, of the prior with which an own mean is blended: a worker's with that of its kind, a kind's with
+/// that of all workers.
 const PRIOR_COUNT: f64 = 3.0;
 /// The first estimate of the time until an attempt is known to run, in ticks.
 const INITIAL_START_DELAY_TICKS: f64 = 4.0;
-/// The slots of a worker of a kind for which no report has shown more.
+/// The number of slots of a worker of a kind for which no report has shown more.
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// The work that only one kind of worker can run.
+/// The amount of work that only one kind of worker can run.
 pub(crate) struct BoundFraction {
     pub kind: KindId,
-    /// As a fraction of the kind's fair part of all work.
+    /// That work as a fraction of the kind's fair part of all work.
     pub fraction: f64,
 }
 
 /// The running estimates of an instance.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
-    /// Whether load reports show how many jobs wait.
+    /// Whether load reports contain the number of waiting jobs.
     pub(super) reports_queue_length: bool,
-    /// Response time for each unit of expected work: the mean of all workers, and below the mean of each kind.
+    /// The response time per unit of expected work, as the mean of all workers.
     pub(super) slowness: Mean,
+    /// The response time per unit of expected work, as the mean of each kind.
     pub(super) slowness_by_kind: BTreeMap<KindId, Mean>,
-    /// The most free slots that a worker of the kind has reported.
+    /// The greatest number of free slots that a worker of the kind has reported.
     pub(super) slots_by_kind: BTreeMap<KindId, f64>,
-    /// Whether reports come only with probe responses, so that a report is as new as its response.
+    /// Whether reports come only with probe responses, so that a report is as recent as its response.
     is_probed_only: bool,
     pub(super) classes: Vec<ClassStats>,
-    /// Time between reports of one worker, in microseconds.
+    /// The time between reports of one worker, in microseconds.
     pub(super) report_interval: f64,
-    /// Time until an attempt is known to run, in microseconds.
+    /// The time from sending an attempt until it is known to run, in microseconds.
     pub(super) start_delay: f64,
-    /// Time until a probe response, in microseconds.
+    /// The time from sending a probe until its response, in microseconds.
     pub(super) probe_delay: Mean,
 }
 
@@ -56,9 +58,9 @@
         self.classes.resize(settings.classes.len(), ClassStats::default());
     }
 
-    /// Records that a job of a class has arrived, perhaps with a hint at its work. Returns its expected work in microseconds,
-    /// at least 1. Without a hint, that is the class's mean run time, or its latency objective if no job has ended yet.
-    /// Returns `None` if the class is unknown.
+    /// Records that a job of a class has arrived, perhaps with a hint at its work. Returns the job's expected work in
+    /// microseconds, at least 1, or `None` if the class is unknown. Without a hint, the expected work is the class's mean run
+    /// time, or the class's latency objective if no job has ended yet.
     pub fn record_arrival(&mut self, class: usize, terms: &Class, hint: Option<Micros>) -> Option<f64> {
         let stats = self.classes.get_mut(class)?;
         let guess = stats.run_time.value_or(terms.latency_objective as f64);
@@ -77,7 +79,7 @@
         self.classes[class].run_time.add(run_time);
     }
 
-    /// Learns the response time for each unit of work at a worker. `kind` is `None` if the worker is not listed.
+    /// Learns the response time per unit of work at a worker. `kind` is `None` if the worker is not listed.
     pub fn learn_slowness(&mut self, kind: Option<KindId>, slowness: f64) {
         self.slowness.add(slowness);
         if let Some(kind) = kind {
@@ -93,8 +95,8 @@
     }
 
     /// Learns how many slots workers of a kind have. If reports come only with probe responses, the first report that shows a
-    /// free slot implies that the work known to be at the worker occupies the other slots. Later reports do not imply this:
-    /// work on its way would sometimes be counted, and the maximum is kept.
+    /// free slot implies that the work known to be at the worker occupies the other slots. This is not applied to later reports:
+    /// attempts that have not reached the worker would sometimes be counted, and the maximum is kept.
     pub fn learn_slots(&mut self, kind: KindId, free_slots: Option<f64>, known_load: impl FnOnce() -> f64) {
         let is_first = !self.is_sized(kind);
         let occupied = if is_first && self.is_probed_only { known_load() } else { 0.0 };
@@ -104,44 +106,44 @@
         }
     }
 
-    /// Learns a running quartile of the wait for a start: one step down is as large as three steps up. The estimate stays at
-    /// or above `min_delay`. Both are in microseconds.
+    /// Learns the time until an attempt is known to run, as a running quartile: one step down is as large as three steps up. The
+    /// estimate stays at or above `min_delay`. Both parameters are in microseconds.
     pub fn learn_start_delay(&mut self, waited: f64, min_delay: f64) {
         self.start_delay *= if waited < self.start_delay { 0.85 } else { 1.05 };
         self.start_delay = self.start_delay.max(min_delay);
     }
 
-    /// Whether load reports show how many jobs wait.
+    /// Whether load reports contain the number of waiting jobs.
     pub fn is_queue_reported(&self) -> bool {
         self.reports_queue_length
     }
 
-    /// Time between reports of one worker, in microseconds.
+    /// The estimated time between reports of one worker, in microseconds.
     pub fn report_interval(&self) -> f64 {
         self.report_interval
     }
 
-    /// Time until an attempt is known to run, in microseconds.
+    /// The estimated time from sending an attempt until it is known to run, in microseconds.
     pub fn start_delay(&self) -> f64 {
         self.start_delay
     }
 
-    /// Mean time until a probe response; 0 before the first one.
+    /// The mean time until a probe response; 0 before the first one.
     pub fn probe_delay(&self) -> Micros {
         self.probe_delay.value as Micros
     }
 
-    /// Response time for each unit of expected work, as the mean of all workers; 0 if no attempt has been served yet.
+    /// The response time per unit of expected work, as the mean of all workers; 0 if no attempt has been served yet.
     pub fn slowness(&self) -> f64 {
         self.slowness.value
     }
 
-    /// Whether a report has shown how many slots workers of the kind have, or that reports do not contain it.
+    /// Whether a report has shown how many slots workers of the kind have, or that their reports do not contain this.
     pub fn is_sized(&self, kind: KindId) -> bool {
         self.slots_by_kind.contains_key(&kind)
     }
 
-    /// The estimated slots of a worker of the kind: the most free slots that one has reported.
+    /// The estimated number of slots of a worker of the kind: the greatest number of free slots that one has reported.
     pub fn slots(&self, kind: KindId) -> f64 {
         self.slots_by_kind.get(&kind).copied().unwrap_or(DEFAULT_SLOTS)
     }
@@ -151,18 +153,18 @@
         class_stats::mean_work(&self.classes)
     }
 
-    /// The mean work of an attempt, in microseconds, to compare with what a worker that is warming up can bear.
+    /// The mean work of an attempt, in microseconds, for comparison with the budget of a worker that is warming up.
     pub fn mean_attempt_work(&self) -> f64 {
         class_stats::mean_attempt_work(&self.classes)
     }
 
-    /// Response time for each unit of expected work at a worker, blended with that of its kind. A worker without observations
-    /// gets the value of its kind.
+    /// The response time per unit of expected work at a worker, blended with that of its kind. A worker without observations gets
+    /// the value of its kind.
     pub fn worker_slowness(&self, worker: &Worker, listed: &EndpointEntry) -> f64 {
         worker.slowness.blend(self.kind_slowness(listed.kind), PRIOR_COUNT)
     }
 
-    /// Response time for each unit of expected work at workers of a kind, blended with the mean of all workers.
+    /// The response time per unit of expected work at workers of a kind, blended with the mean of all workers.
     fn kind_slowness(&self, kind: KindId) -> f64 {
         let all = self.slowness.value_or(1.0);
         self.slowness_by_kind.get(&kind).map_or(all, |mean| mean.blend(all, PRIOR_COUNT))
@@ -174,7 +176,8 @@
         of_kind.map(|(kind, weight)| weight / self.kind_slowness(*kind)).sum()
     }
 
-    /// The work that only this kind can run, as a fraction of the kind's fair part of all work; 0 if no work has arrived.
+    /// The work that only this kind can run, as a fraction of the kind's fair part of all work; 0 if no work has arrived. The
+    /// fair part is proportional to the kind's part of the total capacity.
     pub fn bound_fraction(
         &self,
         classes: &[Class],
@@ -188,7 +191,7 @@
         BoundFraction { kind, fraction: if fair > 0.0 { bound / fair } else { 0.0 } }
     }
 
-    /// Copies what was learned about the class `source` to the class `class`.
+    /// Copies the statistics of the class `source` to the class `class`, except for [`ClassStats::longest`].
     ///
     /// # Panics
     ///
--- a/src/policy/state/failures.rs
+++ b/src/policy/state/failures.rs
@@ -1,10 +1,10 @@
-//! The failures, ejections and signs of life of workers and zones.
+//! Records the failures, ejections and signs of life of workers and zones.
 
 use super::{EndedAttempt, PolicyState, Worker};
 use crate::policy::interface::{AttemptEnded, EndpointEntry, Micros, Settings, Status, WorkerId, ZoneId};
 
 impl PolicyState {
-    /// Records that a worker has failed: drops its load sample, ejects it and notifies the group.
+    /// Records that a worker has failed: drops its load sample, ejects it, and marks the change for the next advertisement.
     pub fn record_failure(&mut self, id: WorkerId, window: Micros, max_failures: u32) {
         self.gossip.mark_changed();
         let worker = self.workers.touch(id);
@@ -19,8 +19,8 @@
         }
     }
 
-    /// Records that a worker has served an attempt: halves its count of failures, ends its ejection and forgets the failures
-    /// of its zone. Returns the attempt's run time in microseconds, at least 1.
+    /// Records that a worker has served an attempt: halves its count of failures, ends its ejection and forgets the failures of
+    /// its zone. Returns the attempt's run time in microseconds, at least 1.
     pub fn record_success(&mut self, end: &AttemptEnded, ended: &EndedAttempt, settings: &Settings) -> f64 {
         let running_since = ended.running_since.filter(|_| settings.reports_start);
         let run_time = running_since.map_or(end.elapsed, |since| self.now.saturating_sub(since));
@@ -34,7 +34,7 @@
         run_time
     }
 
-    /// Ejects a worker until this time, whatever ejection was recorded before. Its failures stay recorded.
+    /// Ejects a worker until this time, which replaces any earlier ejection. The worker's failures stay recorded.
     pub fn eject_until(&mut self, id: WorkerId, until: Micros) {
         self.workers.touch(id).outlier.eject_until(until);
     }
@@ -44,7 +44,7 @@
         self.workers.touch(id).outlier.forgive();
     }
 
-    /// Whether a worker is ejected now because it failed, was full or let an attempt wait in its queue.
+    /// Whether a worker is ejected now because it failed, rejected a job, or let an attempt wait in its queue.
     pub fn is_ejected(&self, worker: &Worker) -> bool {
         worker.outlier.is_ejected(self.now)
     }
@@ -61,8 +61,8 @@
         worker.is_suspect() || worker.listed().is_some_and(is_suspect_at_peer)
     }
 
-    /// The number of listed workers that get no work now: those that drain, those that are ejected after a failure, and those
-    /// in an ejected zone other than the dispatcher's own.
+    /// The number of listed workers that get no work now: those that are draining, those that are ejected after a failure, and
+    /// those in an ejected zone other than the dispatcher's own.
     pub fn unavailable_count(&self, own_zone: ZoneId, now: Micros) -> usize {
         let is_unavailable = |worker: &&Worker| {
             let Some(listed) = worker.listed() else { return false };
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -2,21 +2,21 @@
 
 use crate::policy::interface::{Micros, NewJob, Outcome, PriorAttempt, WorkerId};
 
-/// What is known about an attempt.
+/// The known state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It was sent and is not known to run.
+    /// The attempt was sent and is not known to run.
     Sent,
-    /// It is known to run.
+    /// The attempt is known to run.
     Running,
-    /// It was never sent, and does not count as an attempt.
+    /// The attempt was never sent, and does not count as one.
     NotSent,
-    /// It never ran; its worker may be tried again.
+    /// The attempt never ran, and its worker may be tried again.
     NotRun,
-    /// It never ran, but the callback that reported this may be repeated and names no attempt. Its worker therefore gets no
-    /// other attempt of the job.
+    /// The attempt never ran, but the callback that reported this may be repeated and does not identify the attempt. The worker
+    /// therefore gets no other attempt of the job.
     HandedBack,
-    /// It has ended, and may have run.
+    /// The attempt has ended, and may have run.
     MayHaveRun,
 }
 
@@ -51,27 +51,27 @@
     pub sent_at: Micros,
     pub(super) state: AttemptState,
     pub(super) running_since: Option<Micros>,
-    /// Whether its worker's load showed a free slot for it and it is not yet overdue to start.
+    /// Whether the worker's load showed a free slot for the attempt, and its start has not become overdue yet.
     pub(super) is_start_expected: bool,
 }
 
 impl Attempt {
-    /// Whether it has been sent and has not ended.
+    /// Whether the attempt has been sent and has not ended.
     pub fn is_outstanding(&self) -> bool {
         matches!(self.state, AttemptState::Sent | AttemptState::Running)
     }
 
-    /// Whether it is outstanding and not known to run.
+    /// Whether the attempt is outstanding and not known to run.
     pub fn is_unstarted(&self) -> bool {
         self.state == AttemptState::Sent
     }
 
-    /// Whether it certainly did not run.
+    /// Whether the attempt certainly did not run.
     pub fn never_ran(&self) -> bool {
         matches!(self.state, AttemptState::NotSent | AttemptState::NotRun | AttemptState::HandedBack)
     }
 
-    /// Whether its worker may not get another attempt of its job.
+    /// Whether the worker of the attempt may not get another attempt of the same job.
     pub fn excludes_worker(&self) -> bool {
         !matches!(self.state, AttemptState::NotSent | AttemptState::NotRun)
     }
@@ -82,18 +82,19 @@
 pub(crate) struct Job {
     pub request: NewJob,
     pub arrived: Micros,
-    /// Expected work, in microseconds.
+    /// The expected work, in microseconds.
     pub work: f64,
     attempts: Vec<Attempt>,
-    /// The workers sampled for it by probes, and below the number of probes that have not ended yet.
+    /// The workers sampled for the job by probes.
     sample: Vec<WorkerId>,
+    /// The number of probes of the sample that have not ended yet.
     pending_probes: usize,
-    /// It is not reviewed before this time, unless a probe response arrives or a slot becomes free.
+    /// The time before which the job is not reviewed, unless a probe response arrives or a slot becomes free.
     wait_until: Micros,
     is_closed: bool,
 }
 
-/// What the decisions ask of a job.
+/// The queries that decisions use.
 impl Job {
     /// Creates an open job without attempts.
     pub fn new(request: NewJob, arrived: Micros, work: f64) -> Self {
@@ -114,17 +115,17 @@
         !self.is_closed
     }
 
-    /// Whether it waits for something and must not be reviewed yet.
+    /// Whether the job waits and must not be reviewed yet.
     pub fn is_waiting(&self, now: Micros) -> bool {
         now < self.wait_until
     }
 
-    /// The workers that were sampled for it by probes.
+    /// The workers that were sampled for the job by probes.
     pub fn sample(&self) -> &[WorkerId] {
         &self.sample
     }
 
-    /// Its attempts that may have run.
+    /// The attempts that may have run, including those that are outstanding.
     pub fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| !attempt.never_ran())
     }
@@ -154,12 +155,12 @@
         self.attempts.iter().filter(|attempt| attempt.never_ran()).count()
     }
 
-    /// Its newest attempt that has not started.
+    /// The newest outstanding attempt that has not started.
     pub fn newest_unstarted(&self) -> Option<&Attempt> {
         self.attempts.iter().rfind(|attempt| attempt.is_unstarted())
     }
 
-    /// Whether this worker may not get another attempt of it.
+    /// Whether this worker may not get another attempt of the job.
     pub fn excludes(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker == worker && attempt.excludes_worker())
     }
@@ -169,35 +170,35 @@
         self.attempts.iter().any(|attempt| attempt.state == state)
     }
 
-    /// The indices of its attempts that meet a condition.
+    /// The indices of the attempts that meet a condition.
     pub fn attempts_where(&self, condition: impl Fn(&Attempt) -> bool) -> impl Iterator<Item = u32> {
         (0..).zip(&self.attempts).filter(move |(_, attempt)| condition(attempt)).map(|(index, _)| index)
     }
 }
 
-/// Changes.
+/// The changes that only the state makes.
 impl Job {
     /// Records that the final response has been given or is no longer due.
     pub(super) fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// Whether it is closed and has no outstanding attempt.
+    /// Whether the job is closed and has no outstanding attempt.
     pub(super) fn is_over(&self) -> bool {
         self.is_closed && self.is_unassigned()
     }
 
-    /// Lets it wait: it is not reviewed before `until`, unless a probe response arrives or a slot becomes free.
+    /// Lets the job wait: it is not reviewed before `until`, unless a probe response arrives or a slot becomes free.
     pub(super) fn wait_until(&mut self, until: Micros) {
         self.wait_until = until;
     }
 
-    /// Ends its wait: it may be reviewed at any time.
+    /// Ends the job's wait, so that it may be reviewed at any time.
     pub(super) fn end_wait(&mut self) {
         self.wait_until = 0;
     }
 
-    /// Adds its next attempt and returns the attempt's index.
+    /// Adds the job's next attempt and returns the attempt's index.
     pub(super) fn add_attempt(&mut self, attempt: Attempt) -> u32 {
         self.attempts.push(attempt);
         self.attempts.len() as u32 - 1
@@ -208,24 +209,24 @@
         self.attempts.get_mut(index as usize)
     }
 
-    /// Its newest attempt that has not started.
+    /// The newest outstanding attempt that has not started.
     pub(super) fn newest_unstarted_mut(&mut self) -> Option<&mut Attempt> {
         self.attempts.iter_mut().rfind(|attempt| attempt.is_unstarted())
     }
 
-    /// Records the workers sampled for it, and how many of their probes it waits for, until `until` at most.
+    /// Records the workers sampled for the job, and the number of their probes for which it waits, until `until` at most.
     pub(super) fn set_sample(&mut self, sample: Vec<WorkerId>, pending_probes: usize, until: Micros) {
         self.sample = sample;
         self.pending_probes = pending_probes;
         self.wait_until = if pending_probes == 0 { 0 } else { until };
     }
 
-    /// Forgets its sample, so that a new one is probed.
+    /// Forgets the job's sample, so that a new one is probed.
     pub(super) fn clear_sample(&mut self) {
         self.sample = Vec::new();
     }
 
-    /// Records that one of its probes has ended. If it was the last one and the job has no outstanding attempt, ends the job's
+    /// Records that a probe for the job has ended. If it was the last one and the job has no outstanding attempt, ends the job's
     /// wait and returns `true`.
     pub(super) fn end_probe(&mut self) -> bool {
         self.pending_probes = self.pending_probes.saturating_sub(1);
--- a/src/policy/state/jobs.rs
+++ b/src/policy/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Records jobs, from their arrival to their end.
+//! Records the arrival, waiting and end of jobs, and schedules their reviews.
 
 use super::{Attempt, Job, PolicyState};
 use crate::policy::interface::{Action, JobId, Micros, NewJob, Settings};
@@ -45,7 +45,7 @@
         actions.push(Action::SetTimer(Timer::Review(id).into(), after));
     }
 
-    /// Queues a job and lets it wait until `until`, unless a slot becomes free before.
+    /// Queues a job and lets it wait until `until`, or until a slot becomes free.
     pub fn queue_job(&mut self, id: JobId, until: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.wait_until(until);
@@ -53,7 +53,7 @@
         self.queue.push(id);
     }
 
-    /// Ends a job's wait: it may be reviewed at any time.
+    /// Ends a job's wait, so that it may be reviewed at any time.
     pub fn end_wait(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.end_wait();
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -1,4 +1,5 @@
-//! What an instance has learned, in the serialized form that one process of a dispatcher passes to the next.
+//! The data that an instance has learned, in the serialized form in which one process of a dispatcher passes it to its
+//! successor.
 //!
 //! The serialized names are those of the first version and must not change.
 
@@ -10,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What an instance has learned about a worker.
+/// The data that an instance has learned about a worker.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct LearnedWorker {
     #[serde(rename = "entry")]
@@ -23,23 +24,24 @@
     outlier: OutlierRecord,
     #[serde(rename = "heard")]
     last_seen: Micros,
-    /// Warm-up data of earlier versions. It is not used any more, but earlier versions require the field.
+    /// The warm-up data of earlier versions, which is no longer used. Earlier versions require the field.
     cold: (u64, f64),
     #[serde(rename = "sent", default)]
     recent_work: VecDeque<SentWork>,
 }
 
-/// What an instance has learned about a class.
+/// The data that an instance has learned about a class.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(from = "LearnedClassForm", into = "LearnedClassForm")]
 struct LearnedClass {
     run_time: Mean,
-    /// The expected work that has arrived, in microseconds, and below the number of jobs in which it arrived.
+    /// The sum of the expected work of all jobs that have arrived, in microseconds.
     work_sum: f64,
+    /// The number of jobs that have arrived.
     job_count: f64,
 }
 
-/// The serialized form of a class: its mean run time, then the work that has arrived and its number of jobs.
+/// The serialized form of a class: the mean run time, then the sum of the work that has arrived and the number of jobs.
 type LearnedClassForm = (Mean, (f64, f64));
 
 impl From<LearnedClassForm> for LearnedClass {
@@ -54,7 +56,7 @@
     }
 }
 
-/// What an instance has learned, for another instance that replaces it. Ids and times are those of the replaced instance.
+/// The data that an instance has learned, for the instance that replaces it. Ids and times are those of the replaced instance.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Learned {
     workers: Vec<LearnedWorker>,
@@ -74,19 +76,19 @@
     reports_queue_length: bool,
 }
 
-/// Maps the ids that [`Learned`] uses, as indices, to those of the replacing instance. `None` if that instance has no such id.
+/// Maps the ids in [`Learned`], as indices, to those of the replacing instance; `None` if that instance has no such id.
 #[derive(Clone, Debug, Default)]
 pub struct IdMap {
-    /// Workers.
+    /// The new id of each worker.
     pub workers: Vec<Option<WorkerId>>,
-    /// Kinds.
+    /// The new id of each kind.
     pub kinds: Vec<Option<KindId>>,
-    /// Classes.
+    /// The new id of each class.
     pub classes: Vec<Option<ClassId>>,
 }
 
 impl LearnedWorker {
-    /// Copies what is known about a worker.
+    /// Copies the learned data of a worker.
     fn new(worker: &Worker) -> LearnedWorker {
         LearnedWorker {
             load: worker.load.clone(),
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Restores what was learned about a worker. `shift`, in microseconds, converts its times to this instance's clock.
+    /// Restores the learned data of a worker. `shift`, in microseconds, is added to the times to convert them to this instance's
+    /// clock.
     fn restore(self, worker: &mut Worker, shift: i64) {
         let shifted = |at: Micros| at.saturating_add_signed(shift);
         worker.load = self.load.map(|load| LoadSample { at: shifted(load.at), ..load });
@@ -113,12 +116,12 @@
 }
 
 impl LearnedClass {
-    /// Copies what was learned about a class.
+    /// Copies the learned data of a class.
     fn new(stats: &ClassStats) -> LearnedClass {
         LearnedClass { run_time: stats.run_time, work_sum: stats.work_sum, job_count: stats.job_count }
     }
 
-    /// The statistics `stats` with the learned values in place of their own.
+    /// The statistics `stats` with the learned values in place of the present ones.
     fn restored(self, stats: &ClassStats) -> ClassStats {
         let LearnedClass { run_time, work_sum, job_count } = self;
         ClassStats { run_time, work_sum, job_count, ..*stats }
@@ -126,7 +129,7 @@
 }
 
 impl PolicyState {
-    /// What this instance has learned so far.
+    /// The data that this instance has learned so far.
     pub fn learned(&self) -> Learned {
         let estimates = &self.estimates;
         Learned {
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Starts from what another instance had learned. The clock of that instance is behind by `shift` microseconds.
+    /// Takes over what another instance had learned. The clock of that instance is `shift` microseconds behind this one's.
     pub fn restore(&mut self, mut learned: Learned, ids: &IdMap, shift: i64) {
         let workers = std::mem::take(&mut learned.workers);
         for (worker, id) in workers.into_iter().zip(&ids.workers) {
--- a/src/policy/state/list_backoff.rs
+++ b/src/policy/state/list_backoff.rs
@@ -1,9 +1,9 @@
 //! The back-off after failed requests for the endpoint list.
 
-/// The most doublings of the wait for an endpoint list.
+/// The maximum number of doublings of the wait for an endpoint list.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The number of consecutive failed requests for the endpoint list, up to the most that the back-off counts.
+/// The number of consecutive failed requests for the endpoint list, up to [`MAX_DOUBLINGS`].
 #[derive(Debug, Default)]
 pub(super) struct ListBackoff {
     failures: u32,
--- a/src/policy/state/mean.rs
+++ b/src/policy/state/mean.rs
@@ -1,17 +1,17 @@
-//! A running mean that adapts to change.
+//! A running mean that follows changes of the observed value.
 
 use serde::{Deserialize, Serialize};
 
-/// A running mean. The newest observation has a weight of at least `1 / MAX_COUNT`.
+/// A running mean. The newest observation has a weight of at least `1 / MAX_COUNT`, so that the mean follows changes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct Mean {
     pub value: f64,
-    /// The number of observations that the mean counts, at most [`Mean::MAX_COUNT`].
+    /// The number of observations, counted up to [`Mean::MAX_COUNT`].
     pub count: f64,
 }
 
 impl Mean {
-    /// The most observations that the mean counts.
+    /// The number of observations above which the weight of a new one no longer falls.
     const MAX_COUNT: f64 = 40.0;
 
     /// Adds an observation.
@@ -25,7 +25,7 @@
         if self.count > 0.0 { self.value } else { default }
     }
 
-    /// The mean, blended with `weight` additional observations of the value `prior`.
+    /// The mean, blended with `weight` additional observations that all have the value `prior`.
     pub fn blend(&self, prior: f64, weight: f64) -> f64 {
         (self.value * self.count + prior * weight) / (self.count + weight)
     }
