--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -1,9 +1,9 @@
-//! The state of the decision module. It only keeps records; every decision based on them is in `src/policy/rules`.
+//! The state of the decision module. It only keeps records; the decisions based on them are in `src/policy/rules`.
 //!
-//! The methods of [`PolicyState`] are split by task. `jobs` and `attempts` follow a job from its arrival to its end, `probes`
-//! its load probes. `failures` has the failures of workers and zones, `capacity` the load and the slots of workers. The parts
-//! of the state keep their own invariants. Decisions read the state through shared references and change it only through its
-//! methods.
+//! The methods of [`PolicyState`] are split by task. `jobs` and `attempts` record a job from its arrival to its end, and
+//! `probes` its load probes. `failures` records the failures of workers and zones, `capacity` the load and the slots of workers.
+//! Each part of the state maintains its own invariants. Decisions read the state through shared references and change it only
+//! through its methods.
 
 mod attempts;
 mod capacity;
@@ -44,16 +44,18 @@
 use worker_table::WorkerTable;
 use zone_outliers::ZoneOutliers;
 
-/// All that an instance has learned since its start.
+/// The complete state of an instance, except for its settings and its random numbers.
 #[derive(Debug, Default)]
 pub(crate) struct PolicyState {
+    /// The time of the event that is being handled.
     now: Micros,
-    /// What the dispatchers of this dispatcher's group have advertised.
+    /// The knowledge about this dispatcher's group, with what its members have advertised.
     gossip: GroupGossip,
     workers: WorkerTable,
     ready: ReadyWorkers,
     jobs: BTreeMap<JobId, Job>,
     queue: JobQueue,
+    /// The worker to which the most recent attempt was sent.
     last_assigned: Option<WorkerId>,
     zones: ZoneOutliers,
     list_backoff: ListBackoff,
@@ -61,14 +63,14 @@
     estimates: Estimates,
 }
 
-/// What the decisions read.
+/// The queries that decisions use.
 impl PolicyState {
     /// The time of the event that is being handled.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// What is known about this dispatcher's group.
+    /// The knowledge about this dispatcher's group.
     pub fn gossip(&self) -> &GroupGossip {
         &self.gossip
     }
@@ -78,7 +80,7 @@
         &self.estimates
     }
 
-    /// The ready workers, as the last endpoint list gives them.
+    /// The ready workers of the last endpoint list.
     pub fn ready(&self) -> &ReadyWorkers {
         &self.ready
     }
@@ -107,7 +109,7 @@
         self.job(id).filter(|job| job.is_open())
     }
 
-    /// The jobs that are queued at this dispatcher.
+    /// The jobs that are queued at this dispatcher, waiting for a worker.
     pub fn queue(&self) -> &JobQueue {
         &self.queue
     }
@@ -134,14 +136,14 @@
         self.now = self.now.max(now);
     }
 
-    /// Adapts to new settings: their classes, and their group of dispatchers if it has changed.
+    /// Adapts to new settings: to their classes, and to their group of dispatchers if it has changed.
     pub fn reconfigure(&mut self, settings: &Settings) {
         self.estimates.reconfigure(settings);
         self.gossip.regroup(settings);
         self.index_ready(settings);
     }
 
-    /// Applies an endpoint list. Any list but a cached one ends the back-off.
+    /// Applies an endpoint list. A list that is not a cached one ends the back-off.
     pub fn update_list(&mut self, kind: ListKind, entries: &[EndpointEntry], settings: &Settings) {
         self.workers.update_list(kind, entries);
         self.index_ready(settings);
@@ -155,7 +157,7 @@
         self.list_backoff.record_failure();
     }
 
-    /// Indexes the ready workers again and assigns them to the groups.
+    /// Rebuilds the index of the ready workers and assigns them to the groups.
     fn index_ready(&mut self, settings: &Settings) {
         let entries = self.workers.ready_entries();
         self.ready = ReadyWorkers::new(&entries, settings.zone, self.now, settings.warm_up_time);
@@ -165,37 +167,36 @@
 
 /// The group of dispatchers.
 impl PolicyState {
-    /// Applies the presence of each dispatcher. If it has changed, the workers are assigned again.
+    /// Applies the presence of each dispatcher. If the presence of any has changed, the workers are assigned again.
     pub fn update_presence(&mut self, peers: &[PeerPresence], settings: &Settings) {
         if self.gossip.set_presence(self.now, peers) {
             self.index_ready(settings);
         }
     }
 
-    /// Handles another dispatcher's message. Returns what the message requests, if anything.
+    /// Handles another dispatcher's message, and returns the request that it contains, if there is one.
     pub fn receive_message(&mut self, from: u32, bytes: &[u8]) -> Option<PeerRequest> {
         self.gossip.receive(self.now, from, bytes)
     }
 
-    /// Advertises this dispatcher's outstanding attempts and suspect workers to the group, if they have changed or are due
-    /// again.
+    /// Advertises this dispatcher's outstanding attempts and suspect workers, if they have changed or are due again.
     pub fn advertise(&mut self, actions: &mut Vec<Action>) {
         let own_loads = self.workers.own_loads();
         self.gossip.advertise(self.now, &own_loads, actions);
     }
 
-    /// Sets the timer of the next advertisement, if something has changed.
+    /// Sets the timer of the next advertisement, if there are changes to advertise.
     pub fn schedule_advertisement(&mut self, actions: &mut Vec<Action>) {
         self.gossip.schedule_advertisement(actions);
     }
 
-    /// Asks a dispatcher of another group, chosen by a random number, for a slot.
+    /// Requests a slot from a dispatcher of another group, which is chosen by a random number.
     pub fn request_slot(&self, zone: ZoneId, random: u32, actions: &mut Vec<Action>) {
         self.gossip.request_slot(zone, random, actions);
     }
 
-    /// Offers a slot at a listed worker of the group to another dispatcher. The offer counts for `window` as work that is sent
-    /// to the worker.
+    /// Offers a slot at a listed worker of the group to another dispatcher. The offer counts as work sent to the worker for
+    /// `window`.
     pub fn offer_slot(&mut self, to: u32, listed: &EndpointEntry, window: Micros, actions: &mut Vec<Action>) {
         self.record_work(listed.worker, 0.0, window);
         self.gossip.offer_slot(self.now, to, listed, actions);
--- a/src/policy/state/outlier_record.rs
+++ b/src/policy/state/outlier_record.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: the consecutive failures of a worker or zone.
+//! The record of consecutive failures on which outlier detection is based.
 
 use crate::policy::interface::Micros;
 use serde::{Deserialize, Serialize};
@@ -15,15 +15,15 @@
 }
 
 impl OutlierRecord {
-    /// Records a failure and ejects the worker or zone for `window`, doubled for each failure before. At most `max_failures`
-    /// failures are counted.
+    /// Records a failure and ejects the worker or zone for `window`, doubled for each failure counted before. At most
+    /// `max_failures` failures are counted.
     pub fn record_failure(&mut self, now: Micros, window: Micros, max_failures: u32) {
         self.last_failure = now;
         self.ejected_until = now + (window << self.consecutive_failures);
         self.consecutive_failures = (self.consecutive_failures + 1).min(max_failures);
     }
 
-    /// A success halves the count of failures and ends the ejection.
+    /// Records a success, which halves the count of failures and ends the ejection.
     pub fn record_success(&mut self) {
         self.consecutive_failures /= 2;
         self.ejected_until = 0;
@@ -39,7 +39,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Whether it is ejected now.
+    /// Whether the worker or zone is ejected now.
     pub fn is_ejected(&self, now: Micros) -> bool {
         now < self.ejected_until
     }
--- a/src/policy/state/probes.rs
+++ b/src/policy/state/probes.rs
@@ -5,14 +5,14 @@
 
 /// A probe that has just ended.
 pub(crate) struct EndedProbe {
-    /// The jobs that waited for it.
+    /// The jobs that waited for the probe.
     pub waiting_jobs: Vec<JobId>,
     /// When the worker last showed a sign of life before this probe response.
     pub last_seen: Micros,
 }
 
 impl PolicyState {
-    /// Whether the job has a sample; also `true` if the job is unknown.
+    /// Whether workers have been sampled for the job; also `true` if the job is unknown.
     pub fn is_sampled(&self, id: JobId) -> bool {
         self.job(id).is_none_or(|job| !job.sample().is_empty())
     }
@@ -59,13 +59,13 @@
         Some(ended)
     }
 
-    /// Records that a probe for a job has ended. Returns whether it was the last one and the job has no outstanding attempt;
-    /// the job's wait is then over.
-    pub fn is_last_probe_of(&mut self, id: JobId) -> bool {
+    /// Records that a probe for a job has ended. If it was the last one and the job has no outstanding attempt, ends the job's
+    /// wait and returns `true`.
+    pub fn end_probe_of(&mut self, id: JobId) -> bool {
         self.jobs.get_mut(&id).is_some_and(Job::end_probe)
     }
 
-    /// Learns how long a probe response takes.
+    /// Learns the time from sending a probe until its response.
     pub fn learn_probe_delay(&mut self, elapsed: Micros) {
         self.estimates.probe_delay.add(elapsed as f64);
     }
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -3,7 +3,7 @@
 use crate::policy::interface::{EndpointEntry, KindId, Micros, WorkerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// The ready workers, each list by ascending id.
+/// The ready workers, in several lists that are sorted by ascending id.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
     all: Vec<WorkerId>,
@@ -15,7 +15,7 @@
     weight_by_kind: BTreeMap<KindId, f64>,
 }
 
-/// The least weight that a worker counts with.
+/// The weight that a worker of lower weight counts with.
 pub(crate) const MIN_WEIGHT: f64 = 0.01;
 
 impl ReadyWorkers {
@@ -56,8 +56,8 @@
         &self.weight_by_kind
     }
 
-    /// Adds to a pool the workers that are warming up, those of the own zone, and all workers. From each list longer than
-    /// `max`, it draws `max` workers at random; a worker may be drawn several times.
+    /// Adds workers to a pool: those that are warming up, those of the dispatcher's own zone, and all workers. From each of these
+    /// lists that is longer than `max`, `max` workers are drawn at random; a worker may be drawn several times.
     pub fn draw(&self, pool: &mut Vec<WorkerId>, max: usize, random: &mut fastrand::Rng) {
         for list in [&self.warming_up, &self.home, &self.all] {
             if list.len() <= max {
--- a/src/policy/state/worker_table.rs
+++ b/src/policy/state/worker_table.rs
@@ -1,4 +1,4 @@
-//! The workers by id, and which of them may have something to advertise.
+//! The workers by id, and the set of those whose state may have to be advertised.
 
 use super::Worker;
 use crate::policy::gossip::OwnLoad;
@@ -11,13 +11,13 @@
     workers: Vec<Worker>,
     /// The workers that may have an outstanding attempt or be suspect: every worker returned by [`WorkerTable::touch`], until
     /// [`WorkerTable::own_loads`] finds that it has no outstanding attempt and is not suspect. Attempts and failures are
-    /// recorded only through `touch`, so this set holds every worker that is advertised. It avoids a walk over all workers,
-    /// which took 58 % of a job's time at 10,000 workers (`make bench-decision`).
+    /// recorded only through `touch`, so this set contains every worker that is advertised. It avoids a walk over all workers,
+    /// which took 58 % of the time per job at 10,000 workers (`make bench-decision`).
     touched: BTreeSet<WorkerId>,
 }
 
 impl WorkerTable {
-    /// The worker, for any change. A worker that is not known yet is added.
+    /// The worker, for any change. A worker that is not in the table yet is added.
     pub fn touch(&mut self, id: WorkerId) -> &mut Worker {
         let index = id.0 as usize;
         if self.workers.len() <= index {
@@ -27,7 +27,7 @@
         &mut self.workers[index]
     }
 
-    /// The worker if it is known, for a change that is not advertised: neither a new attempt nor a failure.
+    /// The worker if it is in the table, for a change that is not advertised: neither a new attempt nor a failure.
     pub fn get_mut(&mut self, id: WorkerId) -> Option<&mut Worker> {
         self.workers.get_mut(id.0 as usize)
     }
@@ -36,7 +36,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the worker is not known.
+    /// Panics if the worker is not in the table.
     pub fn get(&self, id: WorkerId) -> &Worker {
         &self.workers[id.0 as usize]
     }
@@ -61,7 +61,7 @@
         self.workers.iter().filter_map(Worker::ready_entry).collect()
     }
 
-    /// What this dispatcher advertises: its outstanding attempts at listed workers, and which of these workers are suspect.
+    /// The load that this dispatcher advertises: its outstanding attempts at listed workers, and which of these are suspect.
     pub fn own_loads(&mut self) -> Vec<OwnLoad> {
         let workers = &self.workers;
         self.touched.retain(|id| workers[id.0 as usize].has_something_to_advertise());
--- a/src/policy/state/zone_outliers.rs
+++ b/src/policy/state/zone_outliers.rs
@@ -4,7 +4,7 @@
 use crate::policy::interface::{Micros, ZoneId};
 use std::collections::BTreeMap;
 
-/// The connection failures of each zone since the last served attempt there.
+/// The connection failures of each zone since the last attempt that was served there.
 #[derive(Debug, Default)]
 pub(super) struct ZoneOutliers(BTreeMap<ZoneId, OutlierRecord>);
 
--- a/src/policy/timer.rs
+++ b/src/policy/timer.rs
@@ -1,4 +1,4 @@
-//! The timers that the decision module sets, and their ids.
+//! The timers that the decision module sets, and the mapping between their purposes and ids.
 
 use crate::policy::interface::{JobId, TimerId};
 
@@ -7,9 +7,9 @@
 pub(crate) enum Timer {
     /// Open a watch of the endpoint list.
     OpenWatch,
-    /// Advertise this dispatcher's load to its group.
+    /// Advertise this dispatcher's load to its group and to the owners of borrowed slots.
     Advertise,
-    /// Review a job.
+    /// Decide again what to do about a job.
     Review(JobId),
 }
 
--- a/tests/failures/upkeep.rs
+++ b/tests/failures/upkeep.rs
@@ -25,7 +25,7 @@
     assert_eq!(error(Settings { classes: vec![], ..base() }), Some(SettingsError::NoClasses));
     assert_eq!(
         error(Settings { own_index: 3, dispatcher_count: 3, ..base() }),
-        Some(SettingsError::NotAmongDispatchers)
+        Some(SettingsError::OwnIndexOutOfRange)
     );
     assert_eq!(
         error(Settings { dispatcher_count: u32::MAX, ..base() }),
--- a/tests/sockets/configuration.rs
+++ b/tests/sockets/configuration.rs
@@ -36,8 +36,8 @@
         (without("known"), "known is missing"),
         (replaced("127.0.0.1:0", "here"), "listen is not an address: \"here\""),
         (replaced("\"MaxAttempts\":3", "\"MaxAttempts\":0"), "settings allow no attempt"),
-        (replaced("\"Siblings\":1", "\"Siblings\":0"), "not below the count of nodes"),
-        (replaced("\"Siblings\":1", "\"Siblings\":4e9"), "more than 10,000 nodes"),
+        (replaced("\"Siblings\":1", "\"Siblings\":0"), "not below the number of dispatchers"),
+        (replaced("\"Siblings\":1", "\"Siblings\":4e9"), "more than 10,000 dispatchers"),
         (replaced("\"MaxAttempts\":3", "\"MaxAttempts\":\"x\""), "Limits.MaxAttempts is not a number"),
     ];
     for (text, message) in cases {
