--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -22,7 +22,7 @@
     owners: BTreeMap<WorkerId, u32>,
     /// The group's workers that were reassigned from another group because of a change of presence, with the time of that
     /// change.
-    gained: BTreeMap<WorkerId, Micros>,
+    gained_at: BTreeMap<WorkerId, Micros>,
     /// For each of the group's workers, the ranks of the parts that are reserved for unreachable dispatchers. Empty if no
     /// dispatcher is unreachable.
     reserved_ranks: BTreeMap<WorkerId, Vec<u16>>,
@@ -61,13 +61,13 @@
         for entry in &own {
             let was_other_group = previous.get(&entry.worker).is_some_and(|owner| *owner != group.index);
             if let Some(now) = changed_at.filter(|_| was_other_group) {
-                self.gained.insert(entry.worker, now);
+                self.gained_at.insert(entry.worker, now);
             }
             if group.has_unreachable() {
                 self.reserved_ranks.insert(entry.worker, group.reserved_ranks(entry.tag));
             }
         }
-        self.gained.retain(|worker, _| self.owners.get(worker) == Some(&group.index));
+        self.gained_at.retain(|worker, _| self.owners.get(worker) == Some(&group.index));
         self.index(tags, &own);
     }
 
@@ -143,7 +143,7 @@
 
     /// Whether a worker was reassigned from another group so recently that other dispatchers may not know this yet.
     pub fn is_newly_gained(&self, worker: WorkerId, now: Micros) -> bool {
-        self.gained.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
+        self.gained_at.get(&worker).is_some_and(|since| now < since + ADVERTISEMENT_TTL)
     }
 
     /// The ranks of the parts of a worker that are reserved for unreachable dispatchers.
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -200,7 +200,7 @@
     }
 
     /// This worker as a candidate without known capacity. Among such candidates, the one expected to respond first is preferred.
-    pub fn inferior(&self, rank: Rank) -> Candidate {
+    pub fn without_capacity(&self, rank: Rank) -> Candidate {
         self.candidate(rank, self.slowness * (1.0 + self.occupied), self.random)
     }
 }
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -87,7 +87,7 @@
         let loss = if is_late { late_weight } else { 1.0 - late_weight };
         let fraction = self.settings.price_cross_zone / loss.max(MIN_LOSS);
         let wait = to.saturating_sub(from) as f64 * fraction.min(QUEUE_FRACTION);
-        !self.state.ready().has_home() || self.now() >= from + wait as Micros
+        !self.state.ready().has_own_zone() || self.now() >= from + wait as Micros
     }
 
     /// Whether the deadline leaves time for the final response only. A stream that is running has no deadline.
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -32,8 +32,9 @@
         let has_queued = started.waited > QUEUE_EVIDENT_AFTER;
         let queue_wait = if has_queued { started.waited.min(self.window()) } else { 0 };
         self.eject_for(started.worker, queue_wait);
+        // In a group, a start is no proof of recovery: the worker may fail everything that it starts.
         if !self.is_grouped() {
-            self.state.forgive(started.worker); // In a group, the worker may fail everything that it starts.
+            self.state.clear_failures(started.worker);
         }
     }
 
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -102,15 +102,15 @@
         let is_start_overdue = worker.has_unstarted_before(self.now(), needs.start_timeout);
         let is_avoided = self.state.is_ejected(worker) || is_start_overdue;
         if self.is_last_resort(considered, is_avoided) {
-            return considered.inferior(Rank::Ejected);
+            return considered.without_capacity(Rank::Ejected);
         }
         if is_avoided {
-            return considered.inferior(Rank::Overloaded);
+            return considered.without_capacity(Rank::Overloaded);
         }
         let spare = needs.spare(listed.kind);
         if let Some(inputs) = self.load_inputs(worker, listed) {
             if self.lacks_capacity(needs, listed, &inputs) {
-                return considered.inferior(self.rank_of_full(needs, considered, &inputs));
+                return considered.without_capacity(self.rank_of_full(needs, considered, &inputs));
             }
             let remote_cost = if considered.is_remote { REMOTE_COST } else { 0.0 };
             let tie_break = if self.is_grouped() { random * slowness } else { slowness };
@@ -122,10 +122,10 @@
             return considered.candidate(Rank::Fresh, -score(&LoadInputs::half_loaded(1.0), spare), slowness);
         }
         if occupied + needs.request.slots > self.estimates().slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
-            return considered.inferior(Rank::Overloaded);
+            return considered.without_capacity(Rank::Overloaded);
         }
         if self.must_probe_first(considered.is_remote) {
-            return considered.inferior(Rank::Unprobed);
+            return considered.without_capacity(Rank::Unprobed);
         }
         let cost = (occupied + random) * slowness / (listed.weight.max(MIN_WEIGHT) * spare);
         considered.candidate(Rank::Unknown, cost, random)
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -119,7 +119,7 @@
     /// too, jobs past their latency objective come last, the newest first; otherwise all jobs would be served just too late under
     /// overload. A job that was rejected repeatedly has no position, because its last attempts are spread over its slack.
     fn queue_position(&self, id: JobId) -> Option<QueuePosition> {
-        let job = self.state.job(id).filter(|job| job.unrun_count() < QUICK_RETRIES)?;
+        let job = self.state.job(id).filter(|job| job.never_ran_count() < QUICK_RETRIES)?;
         let latest = self.latest_start(job);
         let class = self.class(job);
         let is_late = class.late_weight > 0.0 && self.now() >= job.arrived + class.latency_objective;
@@ -154,7 +154,7 @@
     pub fn delay_retry(&mut self, end: &AttemptEnded, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(job) = self.state.open_job(end.job) else { return };
         let attempts_left = u64::from(self.settings.max_attempts.saturating_sub(job.sent_count()));
-        let is_repeated = ended.unrun_count >= QUICK_RETRIES && end.outcome.is_transient();
+        let is_repeated = ended.never_ran_count >= QUICK_RETRIES && end.outcome.is_transient();
         if is_repeated && job.is_unassigned() && attempts_left > 0 {
             let interval = self.slack(job) / (attempts_left + 1);
             let min_wait = if end.outcome == Outcome::NeverSent { self.window() } else { 0 };
@@ -194,7 +194,7 @@
     /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed from other groups, only if
     /// it is suspect or its number of slots is unknown.
     fn may_probe_in_group(&self, worker: &Worker, can_borrow: bool) -> bool {
-        let needs_probe = || self.state.is_suspect(worker) || self.state.is_unsized(worker);
+        let needs_probe = || self.state.is_suspect(worker) || self.state.has_unknown_slots(worker);
         !self.state.is_ejected(worker) && (!can_borrow || needs_probe())
     }
 }
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -20,7 +20,7 @@
     /// The expected work of the job, in microseconds.
     pub work: f64,
     /// The number of attempts of the job that never ran, this one included.
-    pub unrun_count: usize,
+    pub never_ran_count: usize,
     /// When the attempt was reported to run; `None` if it was not.
     pub running_since: Option<Micros>,
 }
@@ -117,7 +117,7 @@
             running_since: attempt.running_since,
             class: usize::from(job.request.class.0),
             work: job.work,
-            unrun_count: job.unrun_count(),
+            never_ran_count: job.never_ran_count(),
         };
         self.release(end.worker, end.job, end.attempt);
         if end.outcome.is_rejection() || matches!(end.outcome, Outcome::Ok | Outcome::Error) {
--- a/src/policy/state/capacity.rs
+++ b/src/policy/state/capacity.rs
@@ -80,8 +80,8 @@
 
     /// Whether the number of slots of the worker's kind is still unknown: no report has shown it, or that reports of this kind
     /// do not contain it. `false` for a worker that is not listed.
-    pub fn is_unsized(&self, worker: &Worker) -> bool {
-        worker.listed().is_some_and(|listed| !self.estimates.is_sized(listed.kind))
+    pub fn has_unknown_slots(&self, worker: &Worker) -> bool {
+        worker.listed().is_some_and(|listed| !self.estimates.has_known_slots(listed.kind))
     }
 
     /// The total number of slots of the ready workers.
--- a/src/policy/state/class_stats.rs
+++ b/src/policy/state/class_stats.rs
@@ -12,16 +12,16 @@
     /// The number of jobs that have arrived.
     pub job_count: f64,
     /// The longest time that a job may take, in microseconds, if the last job came without a hint; otherwise 0.
-    pub longest: f64,
+    pub max_run_time: f64,
 }
 
 impl ClassStats {
-    /// Records that a job has arrived. `work` is its expected work, and `longest` the value for [`ClassStats::longest`], both in
+    /// Records that a job has arrived. `work` is its expected work, and `max_run_time` the value for [`ClassStats::max_run_time`], both in
     /// microseconds.
-    pub fn record_arrival(&mut self, work: f64, longest: f64) {
+    pub fn record_arrival(&mut self, work: f64, max_run_time: f64) {
         self.work_sum += work;
         self.job_count += 1.0;
-        self.longest = longest;
+        self.max_run_time = max_run_time;
     }
 }
 
@@ -41,7 +41,7 @@
     let mut work: f64 = 0.0;
     let mut count: f64 = 0.0;
     for class in classes.iter().filter(|class| class.job_count > 0.0) {
-        work += class.work_sum.max(class.job_count * class.run_time.value_or(class.longest));
+        work += class.work_sum.max(class.job_count * class.run_time.value_or(class.max_run_time));
         count += class.job_count;
     }
     (work / count.max(1.0)).max(1.0)
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -61,12 +61,17 @@
     /// Records that a job of a class has arrived, perhaps with a hint at its work. Returns the job's expected work in
     /// microseconds, at least 1, or `None` if the class is unknown. Without a hint, the expected work is the class's mean run
     /// time, or the class's latency objective if no job has ended yet.
-    pub fn record_arrival(&mut self, class: usize, terms: &Class, hint: Option<Micros>) -> Option<f64> {
+    pub fn record_arrival(
+        &mut self,
+        class: usize,
+        class_settings: &Class,
+        hint: Option<Micros>,
+    ) -> Option<f64> {
         let stats = self.classes.get_mut(class)?;
-        let guess = stats.run_time.value_or(terms.latency_objective as f64);
+        let guess = stats.run_time.value_or(class_settings.latency_objective as f64);
         let work = hint.map_or(guess, |hint| hint as f64).max(1.0);
-        let longest = if hint.is_some() { 0.0 } else { terms.deadline as f64 };
-        stats.record_arrival(work, longest);
+        let max_run_time = if hint.is_some() { 0.0 } else { class_settings.deadline as f64 };
+        stats.record_arrival(work, max_run_time);
         Some(work)
     }
 
@@ -98,7 +103,7 @@
     /// free slot implies that the work known to be at the worker occupies the other slots. This is not applied to later reports:
     /// attempts that have not reached the worker would sometimes be counted, and the maximum is kept.
     pub fn learn_slots(&mut self, kind: KindId, free_slots: Option<f64>, known_load: impl FnOnce() -> f64) {
-        let is_first = !self.is_sized(kind);
+        let is_first = !self.has_known_slots(kind);
         let occupied = if is_first && self.is_probed_only { known_load() } else { 0.0 };
         if free_slots.is_none_or(|free| free >= 1.0 || !is_first) {
             let most = self.slots_by_kind.entry(kind).or_insert(DEFAULT_SLOTS);
@@ -139,7 +144,7 @@
     }
 
     /// Whether a report has shown how many slots workers of the kind have, or that their reports do not contain this.
-    pub fn is_sized(&self, kind: KindId) -> bool {
+    pub fn has_known_slots(&self, kind: KindId) -> bool {
         self.slots_by_kind.contains_key(&kind)
     }
 
@@ -191,7 +196,7 @@
         BoundFraction { kind, fraction: if fair > 0.0 { bound / fair } else { 0.0 } }
     }
 
-    /// Copies the statistics of the class `source` to the class `class`, except for [`ClassStats::longest`].
+    /// Copies the statistics of the class `source` to the class `class`, except for [`ClassStats::max_run_time`].
     ///
     /// # Panics
     ///
--- a/src/policy/state/failures.rs
+++ b/src/policy/state/failures.rs
@@ -24,7 +24,7 @@
     pub fn record_success(&mut self, end: &AttemptEnded, ended: &EndedAttempt, settings: &Settings) -> f64 {
         let running_since = ended.running_since.filter(|_| settings.reports_start);
         let run_time = running_since.map_or(end.elapsed, |since| self.now.saturating_sub(since));
-        let run_time = run_time.max(1) as f64; // A run time of 0 would make all workers equal.
+        let run_time = run_time.max(1) as f64; // A slowness of 0 would cancel the random tie-break between workers.
         self.estimates.learn_run_time(ended.class, run_time);
         let worker = self.workers.touch(end.worker);
         worker.outlier.record_success();
@@ -39,9 +39,9 @@
         self.workers.touch(id).outlier.eject_until(until);
     }
 
-    /// Forgets a worker's failures; an ejection stays.
-    pub fn forgive(&mut self, id: WorkerId) {
-        self.workers.touch(id).outlier.forgive();
+    /// Sets a worker's count of failures to 0; an ejection stays in force.
+    pub fn clear_failures(&mut self, id: WorkerId) {
+        self.workers.touch(id).outlier.clear_failures();
     }
 
     /// Whether a worker is ejected now because it failed, rejected a job, or let an attempt wait in its queue.
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -12,7 +12,7 @@
     /// The attempt was never sent, and does not count as one.
     NotSent,
     /// The attempt never ran, and its worker may be tried again.
-    NotRun,
+    NeverRan,
     /// The attempt never ran, but the callback that reported this may be repeated and does not identify the attempt. The worker
     /// therefore gets no other attempt of the job.
     HandedBack,
@@ -26,7 +26,7 @@
         match outcome {
             Outcome::NeverSent => AttemptState::NotSent,
             Outcome::HandedBack => AttemptState::HandedBack,
-            _ if outcome.never_ran() => AttemptState::NotRun,
+            _ if outcome.never_ran() => AttemptState::NeverRan,
             _ => AttemptState::MayHaveRun,
         }
     }
@@ -38,7 +38,7 @@
         }
         match prior.never_ran {
             true if prior.is_handed_back => AttemptState::HandedBack,
-            true => AttemptState::NotRun,
+            true => AttemptState::NeverRan,
             false => AttemptState::MayHaveRun,
         }
     }
@@ -68,12 +68,12 @@
 
     /// Whether the attempt certainly did not run.
     pub fn never_ran(&self) -> bool {
-        matches!(self.state, AttemptState::NotSent | AttemptState::NotRun | AttemptState::HandedBack)
+        matches!(self.state, AttemptState::NotSent | AttemptState::NeverRan | AttemptState::HandedBack)
     }
 
     /// Whether the worker of the attempt may not get another attempt of the same job.
     pub fn excludes_worker(&self) -> bool {
-        !matches!(self.state, AttemptState::NotSent | AttemptState::NotRun)
+        !matches!(self.state, AttemptState::NotSent | AttemptState::NeverRan)
     }
 }
 
@@ -151,7 +151,7 @@
     }
 
     /// The number of attempts that never ran.
-    pub fn unrun_count(&self) -> usize {
+    pub fn never_ran_count(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.never_ran()).count()
     }
 
--- a/src/policy/state/jobs.rs
+++ b/src/policy/state/jobs.rs
@@ -14,8 +14,8 @@
         actions: &mut Vec<Action>,
     ) {
         let class = usize::from(request.class.0);
-        let Some(terms) = settings.classes.get(class) else { return };
-        let Some(work) = self.estimates.record_arrival(class, terms, request.hint) else { return };
+        let Some(class_settings) = settings.classes.get(class) else { return };
+        let Some(work) = self.estimates.record_arrival(class, class_settings, request.hint) else { return };
         self.jobs.insert(request.job, Job::new(request, arrived, work));
         self.schedule_review(request.job, request.deadline.saturating_sub(settings.tick), actions);
     }
--- a/src/policy/state/outlier_record.rs
+++ b/src/policy/state/outlier_record.rs
@@ -34,8 +34,8 @@
         self.ejected_until = until;
     }
 
-    /// Sets the count of failures to 0; an ejection stays.
-    pub fn forgive(&mut self) {
+    /// Sets the count of failures to 0; an ejection stays in force.
+    pub fn clear_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -8,7 +8,7 @@
 pub(crate) struct ReadyWorkers {
     all: Vec<WorkerId>,
     /// The workers in the dispatcher's own zone.
-    home: Vec<WorkerId>,
+    own_zone: Vec<WorkerId>,
     /// The workers that are not warm yet.
     warming_up: Vec<WorkerId>,
     /// The total weight of the workers of each kind.
@@ -26,7 +26,7 @@
         };
         let mut ready = ReadyWorkers {
             all: ids(&|_| true),
-            home: ids(&|entry| entry.zone == zone),
+            own_zone: ids(&|entry| entry.zone == zone),
             warming_up: ids(&|entry| !is_warm(entry, now, warm_up_time)),
             weight_by_kind: BTreeMap::new(),
         };
@@ -47,8 +47,8 @@
     }
 
     /// Whether there is a ready worker in the dispatcher's own zone.
-    pub fn has_home(&self) -> bool {
-        !self.home.is_empty()
+    pub fn has_own_zone(&self) -> bool {
+        !self.own_zone.is_empty()
     }
 
     /// The total weight of the workers of each kind.
@@ -59,7 +59,7 @@
     /// Adds workers to a pool: those that are warming up, those of the dispatcher's own zone, and all workers. From each of these
     /// lists that is longer than `max`, `max` workers are drawn at random; a worker may be drawn several times.
     pub fn draw(&self, pool: &mut Vec<WorkerId>, max: usize, random: &mut fastrand::Rng) {
-        for list in [&self.warming_up, &self.home, &self.all] {
+        for list in [&self.warming_up, &self.own_zone, &self.all] {
             if list.len() <= max {
                 pool.extend(list);
             } else {
