--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,9 +1,9 @@
-//! The module's time for one job, at 10, 100, 1,000 and 10,000 workers: `make bench-decision`.
+//! The decision module's time per job at 10, 100, 1,000 and 10,000 workers: `make bench-decision`.
 //!
-//! Each job is one whole cycle through [`Dispatcher::handle`]: it arrives, is sent, ends served with a load report,
-//! and the clock moves on by a millisecond, firing the timers that fall due and answering probes at once. The
-//! dispatcher is one of 30 in a fleet, so that the groups of `src/policy/gossip` are assigned and reviewed as on the mass
-//! days. The last line gives the ratio of the time a job at 10,000 workers to that at 10 (issue 21 asks 4 or less).
+//! Each job is one complete cycle through [`Dispatcher::handle`]: the job arrives, is sent, and ends served with a load report;
+//! then the clock advances by a millisecond, timers that are due fire, and probes are answered at once. The dispatcher is one of
+//! 30 in a fleet, so that the workers are assigned to groups (`src/policy/gossip`). The last line of the output gives the ratio of
+//! the time per job at 10,000 workers to that at 10 (issue 21 requires at most 4).
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -13,12 +13,14 @@
 use mothproxy::policy::interface::*;
 use std::time::Duration;
 
+/// The numbers of workers.
 const SIZES: [u32; 4] = [10, 100, 1_000, 10_000];
+/// The number of jobs before the measurement.
 const WARM_UP: u64 = 2_000;
 
-/// One of 30 dispatchers over workers that answer at once, past the cold start and the first probes.
-fn steady(workers: u32) -> TestDispatcher {
-    let mut node = TestDispatcher::new(Settings {
+/// One of 30 dispatchers in steady state: it has finished [`WARM_UP`] jobs at workers that answer at once.
+fn steady_dispatcher(workers: u32) -> TestDispatcher {
+    let mut dispatcher = TestDispatcher::new(Settings {
         dispatcher_count: 30,
         may_probe: true,
         may_message_peers: true,
@@ -31,23 +33,23 @@
         ..worker(w)
     };
     let list = (0..workers).map(entry).collect();
-    let actions = node.feed(Event::EndpointList(ListKind::Snapshot, list));
-    follow(&mut node, actions);
-    (0..WARM_UP).for_each(|n| cycle(&mut node, n));
-    node
+    let actions = dispatcher.feed(Event::EndpointList(ListKind::Snapshot, list));
+    perform(&mut dispatcher, actions);
+    (0..WARM_UP).for_each(|job| run_job(&mut dispatcher, job));
+    dispatcher
 }
 
-/// Does what was asked, and what that leads to: probes and jobs are answered, with a report.
-fn follow(node: &mut TestDispatcher, mut actions: Vec<Action>) {
+/// Performs actions and those that result from them: answers probes and serves attempts, each with a load report.
+fn perform(dispatcher: &mut TestDispatcher, mut actions: Vec<Action>) {
     let report =
         LoadReport { cpu: Some(0.3), free_slots: Some(4.0), active: Some(1.0), ..LoadReport::default() };
     while let Some(action) = actions.pop() {
         actions.extend(match action {
-            Action::Probe(worker) => node.end_probe(worker.0, Outcome::Ok, Some(report)),
-            // Each attempt is served, so it is its job's first.
+            Action::Probe(worker) => dispatcher.end_probe(worker.0, Outcome::Ok, Some(report)),
+            // All attempts are served, so that each is the first of its job.
             Action::Send { job, worker, .. } => {
                 let ended = attempt_ended(job.0, 0, worker, Outcome::Ok);
-                node.feed(Event::AttemptEnded(AttemptEnded {
+                dispatcher.feed(Event::AttemptEnded(AttemptEnded {
                     elapsed: 50 * MS,
                     report: Some(report),
                     ..ended
@@ -58,14 +60,15 @@
     }
 }
 
-/// One job's whole cycle, and a millisecond of the clock.
-fn cycle(node: &mut TestDispatcher, job: u64) {
-    let actions = node.arrive_sized(job, 0, 5_000 * MS, 50 * MS);
-    follow(node, actions);
-    let actions = node.advance(MS);
-    follow(node, actions);
+/// Runs one job through its complete cycle, and advances the clock by a millisecond.
+fn run_job(dispatcher: &mut TestDispatcher, job: u64) {
+    let actions = dispatcher.arrive_sized(job, 0, 5_000 * MS, 50 * MS);
+    perform(dispatcher, actions);
+    let actions = dispatcher.advance(MS);
+    perform(dispatcher, actions);
 }
 
+/// The mean time per job in nanoseconds that criterion has written; `None` if it has written none.
 fn mean_ns(workers: u32) -> Option<f64> {
     let path = format!("target/criterion/decision/{workers}/new/estimates.json");
     let text = std::fs::read_to_string(path).ok()?;
@@ -81,15 +84,15 @@
     let mut group = criterion.benchmark_group("decision");
     group.throughput(Throughput::Elements(1));
     for workers in SIZES {
-        let (mut node, mut job) = (steady(workers), WARM_UP);
+        let (mut dispatcher, mut job) = (steady_dispatcher(workers), WARM_UP);
         group.bench_with_input(BenchmarkId::from_parameter(workers), &workers, |b, _| {
             b.iter_custom(|jobs| {
-                node.time_spent = Duration::ZERO;
+                dispatcher.time_spent = Duration::ZERO;
                 for _ in 0..jobs {
-                    cycle(&mut node, job);
+                    run_job(&mut dispatcher, job);
                     job += 1;
                 }
-                node.time_spent
+                dispatcher.time_spent
             });
         });
     }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's parser: plain messages on malformed input, never a panic.
+//! The simulator's line protocol: malformed input gives clear error messages and never a panic.
 
 use mothproxy::policy::simulator::Host;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 
 const BATCH: &str = include_str!("batch.txt");
 
-/// Messages and fields that the adapter does not know change nothing.
+/// Unknown messages and fields are ignored.
 #[test]
 fn ignores_unknown_messages_and_fields() {
     let (result, out) = serve(BATCH.as_bytes());
@@ -20,7 +20,7 @@
     assert_eq!(out.matches("transmit\tJob=00000000000000aa").count(), 1);
 }
 
-/// Input that cannot be read is refused with its line and field.
+/// The error for malformed input names the line and the field.
 #[test]
 fn malformed_input_names_line_and_field() {
     let cases = [
@@ -40,7 +40,7 @@
     }
 }
 
-/// Two instances in one batch answer as each does alone.
+/// Two instances in one batch give the same replies as each of them alone.
 #[test]
 fn instances_do_not_affect_each_other() {
     let (_, alone) = serve(BATCH.as_bytes());
@@ -56,12 +56,12 @@
     let (result, both) = serve(doubled.as_bytes());
     assert_eq!(result, Ok(()));
     let of = |name: &str, text: &str| -> Vec<String> {
-        let mut speaking = String::new();
+        let mut current = String::new();
         let lines = text.lines().filter(|line| {
             if line.starts_with("by\t") {
-                speaking = line.to_string();
+                current = line.to_string();
             }
-            speaking.ends_with(name) && !line.starts_with("by\t") && *line != "done"
+            current.ends_with(name) && !line.starts_with("by\t") && *line != "done"
         });
         lines.map(str::to_owned).collect()
     };
@@ -77,13 +77,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any bytes are answered or refused.
+    /// Arbitrary bytes give a reply or an error.
     #[test]
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = serve(&bytes);
     }
 
-    /// A batch with a few bytes changed is answered or refused.
+    /// A batch with a few changed bytes gives a reply or an error.
     #[test]
     fn damaged_batches_never_panic(cuts in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
         let mut bytes = BATCH.as_bytes().to_vec();
--- a/tests/failures/placement.rs
+++ b/tests/failures/placement.rs
@@ -1,10 +1,10 @@
-//! Where a job goes, and when it rather waits.
+//! Placement: which worker gets a job, and when the job waits instead.
 
 use crate::common::*;
 use crate::{TIME_BUDGET, dispatcher_for};
 use mothproxy::*;
 
-/// A worker that reports nearly one free slot gets a job. Found on overloaded days: one free slot read as 0.96 and counted as none.
+/// A worker that reports nearly one free slot gets a job. Reports are noisy: a free slot was reported as 0.96 and counted as none.
 #[test]
 fn rounds_noisy_free_slots() {
     let mut dispatcher = dispatcher_for(Idempotency::Idempotent);
@@ -13,7 +13,8 @@
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)), [(1, WorkerId(0))]);
 }
 
-/// Jobs that any kind of worker may run leave the kind alone that others need. Found on deploy days: jobs that any kind may run filled the one kind that others need.
+/// Jobs that any kind of worker can run avoid the kind that other jobs need. Otherwise they fill that kind while the others are
+/// free.
 #[test]
 fn spares_a_kind_that_other_jobs_need() {
     const ANY_KIND: u16 = 0;
@@ -34,11 +35,11 @@
             dispatcher.end_attempt(job, 0, worker, Outcome::Ok);
         }
     }
-    assert!(free_at_bound_kind < 50, "{free_at_bound_kind} of 200 went to the kind that the bound jobs fill");
+    assert!(free_at_bound_kind < 50, "{free_at_bound_kind} of 200 went to the kind that the bound jobs need");
 }
 
-/// A worker that has not started a job gets no second one, whatever slots it reports, until a while after the start. Found on
-/// overloaded days: with the usual wait as the measure, queues at the workers grew with what was usual.
+/// A worker that has not started a job gets no second one, however many free slots it reports, until some time after the start.
+/// With a limit that followed the usual wait for a start, the limit and the queues at the workers grew together under overload.
 #[test]
 fn sends_no_second_job_to_a_worker_that_has_not_started_the_first() {
     let mut dispatcher = TestDispatcher::new(settings_with_start_reports());
@@ -47,16 +48,15 @@
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)).len(), 1);
     dispatcher.advance(25 * MS);
     dispatcher.report_load(0, 0.2, 8.0);
-    assert_eq!(sends(&dispatcher.arrive(2, 0, TIME_BUDGET)), [], "the first has not started yet");
-    // Its start shows room again, and the job that waits here is sent once that has rested for as long.
+    assert_eq!(sends(&dispatcher.arrive(2, 0, TIME_BUDGET)), [], "the first job has not started yet");
+    // The start shows free capacity again, and the queued job is sent after as long a time as the first one waited.
     assert_eq!(sends(&dispatcher.feed(Event::Started { job: JobId(1), attempt: 0 })), []);
     assert_eq!(sends(&dispatcher.advance(60 * MS)), [(2, WorkerId(0))]);
 }
 
-/// A worker whose slots all run our jobs gets one more at once, then none until that starts, and none after a failure. Found on
-/// overloaded days of `haatkhata-bengal`: a worker whose slots all ran our jobs counted those as a queue, so
-/// jobs were held until it reported room, up to a second late, while its slots stood free. And with that mended, one
-/// that had just failed got them as well: 67 waited at a hung one.
+/// A worker whose slots all run this dispatcher's jobs gets one more at once, then none until that one starts, and none after a
+/// failure. When the running jobs counted as a queue, jobs were held until the worker reported free slots, up to a second later.
+/// When a worker that had just failed also got one more job at a time, 67 jobs waited at a hung worker.
 #[test]
 fn queues_one_job_at_a_full_worker_and_none_at_a_failed_one() {
     let mut dispatcher = TestDispatcher::new(settings_with_start_reports());
@@ -67,17 +67,21 @@
         dispatcher.feed(Event::Started { job: JobId(job), attempt: 0 });
     }
     dispatcher.report_load(0, 1.0, 0.0);
-    assert_eq!(sends(&dispatcher.arrive(9, 0, TIME_BUDGET)), [(9, WorkerId(0))], "it follows at once");
+    assert_eq!(
+        sends(&dispatcher.arrive(9, 0, TIME_BUDGET)),
+        [(9, WorkerId(0))],
+        "one more job is sent at once"
+    );
     dispatcher.advance(25 * MS);
     dispatcher.report_load(0, 1.0, 0.0);
-    assert_eq!(sends(&dispatcher.arrive(10, 0, TIME_BUDGET)), [], "one waits there");
+    assert_eq!(sends(&dispatcher.arrive(10, 0, TIME_BUDGET)), [], "one job is queued at the worker");
     dispatcher.feed(Event::Started { job: JobId(9), attempt: 0 });
     dispatcher.end_attempt(9, 0, WorkerId(0), Outcome::Error);
-    assert_eq!(sends(&dispatcher.arrive(11, 0, TIME_BUDGET)), [], "it has just failed");
+    assert_eq!(sends(&dispatcher.arrive(11, 0, TIME_BUDGET)), [], "the worker has just failed");
 }
 
-/// A job goes to another zone only after a probe has shown room there. Found on overloaded days of `haatkhata-bengal`: jobs crossed blindly, half of all, to queue at workers as full as the
-/// own ones. Where probes are allowed another zone is asked first.
+/// Where probes are allowed, a job is sent to another zone only after a probe has shown capacity there. Under overload, half of
+/// all jobs were sent to other zones without a probe, where they queued at workers as full as those of their own zone.
 #[test]
 fn crosses_zones_only_to_known_capacity() {
     let base = settings_with(class(Idempotency::Idempotent));
--- a/tests/failures/retries.rs
+++ b/tests/failures/retries.rs
@@ -1,4 +1,4 @@
-//! Repeats, hedged attempts and rejections: what a job's attempts are spent on, and when it is given up.
+//! Retries, hedged attempts and rejections: when a job is sent again, and when it is given up.
 
 use crate::common::*;
 use crate::{TIME_BUDGET, class_without_late_weight, dispatcher_for};
@@ -8,7 +8,8 @@
     matches!(action, Action::Reject { .. })
 }
 
-/// After two rejections the third attempt waits, and is made before the time is over. Found on deploy days: all attempts were spent on bounces within milliseconds, and the job refused.
+/// After two rejections the third attempt waits, and is sent before the deadline. Otherwise, during a deployment, workers reject
+/// all attempts of a job within milliseconds, and the dispatcher rejects the job.
 #[test]
 fn retries_after_rejections_are_spread_over_the_time_left() {
     let mut dispatcher = dispatcher_for(Idempotency::NonIdempotent);
@@ -18,18 +19,19 @@
         let to = sent[attempt as usize].1;
         sent.extend(sends(&dispatcher.end_attempt(1, attempt, to, Outcome::Full)));
     }
-    assert_eq!(sent.len(), 2, "the third try waits");
+    assert_eq!(sent.len(), 2, "the third attempt waits");
     assert_eq!(sends(&dispatcher.advance(TIME_BUDGET)).len(), 1);
 }
 
-/// What happened to a job when an attempt ended: how many attempts followed at once, and how many a while later.
+/// The number of attempts of a job that followed the end of another one: at once, and within a window after it.
 #[derive(Debug, PartialEq, Eq)]
 struct FollowingAttempts {
     at_once: usize,
     later: usize,
 }
 
-/// What never leaves is no attempt, however often: all of them are left, and are not spent in a rush either.
+/// An attempt that was never sent does not count towards the maximum number of attempts, however often this happens, and the
+/// attempts that follow are spread over time.
 #[test]
 fn an_unsent_attempt_does_not_count() {
     let mut dispatcher = dispatcher_for(Idempotency::NonIdempotent);
@@ -52,21 +54,21 @@
         let FollowingAttempts { at_once, later } = end_newest(Outcome::Full);
         more += at_once + later;
     }
-    assert_eq!(more + 1, Settings::default().max_attempts as usize, "one of them is out already");
+    assert_eq!(more + 1, Settings::default().max_attempts as usize, "one attempt is already outstanding");
 }
 
-/// A job that does not start at a silent worker is hedged after half of its slack, and the first start cancels the other
-/// attempt; a worker that was heard of since keeps the job. Found with hung workers: a job waited where nothing moved. Found on
-/// `almaty-cards`: where a cancel stops nothing a hedged attempt costs a whole job.
+/// A job that does not start at a silent worker is hedged after half of its slack, and the first start cancels the other attempt.
+/// Otherwise jobs wait at hung workers. A job at a worker that has shown a sign of life since is not hedged: where workers do not
+/// honour cancellation, a hedged attempt costs the work of a whole job.
 #[test]
-fn hedges_an_unstarted_job_at_a_silent_worker_and_cancels_the_loser() {
+fn hedges_an_unstarted_job_at_a_silent_worker_and_cancels_the_other_attempt() {
     let settings = settings_with_start_reports();
     let mut dispatcher = TestDispatcher::new(settings.clone());
     dispatcher.load_cached_list(workers(3));
     let first = sends(&dispatcher.arrive(1, 0, TIME_BUDGET))[0].1;
-    assert_eq!(sends(&dispatcher.advance(30 * MS)), [], "not at the first delay");
+    assert_eq!(sends(&dispatcher.advance(30 * MS)), [], "it is not hedged at the first delay");
     for id in 0..3 {
-        dispatcher.report_unless(id, first);
+        dispatcher.report_idle_unless(id, first);
     }
     let second = sends(&dispatcher.advance(250 * MS))[0].1;
     assert_ne!(first, second);
@@ -80,12 +82,13 @@
     for id in 0..3 {
         dispatcher.report_load(id, 0.1, 4.0);
     }
-    assert_eq!(sends(&dispatcher.advance(250 * MS)), [], "worker {first:?} was heard of");
+    assert_eq!(sends(&dispatcher.advance(250 * MS)), [], "worker {first:?} has shown a sign of life");
 }
 
-/// A job whose response would be worth nothing any more is rejected long before its deadline. Found in overload: work that starts too late to count delays all the rest.
+/// A job whose response would earn no weight any more is rejected long before its deadline. Under overload, work that starts too
+/// late to earn weight delays all other jobs.
 #[test]
-fn gives_up_jobs_that_can_no_longer_earn() {
+fn rejects_jobs_that_can_no_longer_earn_weight() {
     let mut dispatcher = TestDispatcher::new(settings_with(class_without_late_weight()));
     dispatcher.load_cached_list(vec![]);
     dispatcher.arrive(1, 0, TIME_BUDGET);
@@ -93,10 +96,10 @@
     assert!(actions.iter().any(is_rejection), "{actions:?}");
 }
 
-/// A job that has been sent is neither rejected nor cancelled before its deadline, though its response would be worth nothing.
-/// Found on overloaded days: sent work was given up while it went on at the worker, where a cancel stops nothing.
+/// A job that has been sent is neither rejected nor cancelled before its deadline, even if its response would earn no weight.
+/// Where workers do not honour cancellation, the worker would go on with the work of a job that was given up.
 #[test]
-fn waits_for_a_sent_job() {
+fn keeps_a_sent_job_until_its_deadline() {
     let mut dispatcher = TestDispatcher::new(settings_with(class_without_late_weight()));
     dispatcher.load_cached_list(vec![worker(0)]);
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)).len(), 1);
@@ -111,21 +114,21 @@
 fn first_retry_after(settings: &Settings, waiting_jobs: u64) -> Micros {
     let mut dispatcher = TestDispatcher::new(settings.clone());
     dispatcher.load_cached_list(vec![worker(0)]);
-    dispatcher.arrive(1_000, 0, TIME_BUDGET); // it does not start, so nothing more is sent
+    dispatcher.arrive(1_000, 0, TIME_BUDGET); // This job does not start, so that no other job is sent.
     dispatcher.advance(25 * MS);
     for job in 0..waiting_jobs {
         dispatcher.arrive(job, 0, TIME_BUDGET);
     }
     let actions = dispatcher.advance(4_000 * MS);
     let first = actions.iter().find_map(|action| match action {
-        Action::Reject { retry_after, .. } => Some(retry_after.expect("the settings allow one")),
+        Action::Reject { retry_after, .. } => Some(retry_after.expect("the settings allow a Retry-After")),
         _ => None,
     });
-    first.expect("nothing has room")
+    first.expect("a job is rejected because no worker has capacity")
 }
 
-/// Clients that are rejected are told when to come back: later the more waits here, never beyond the maximum of the settings,
-/// and not at all where these have none.
+/// A rejection carries a time after which to retry, which grows with the number of queued jobs up to the maximum of the settings.
+/// It carries none if the settings have no maximum.
 #[test]
 fn rejections_carry_retry_after() {
     const MAX_RETRY_AFTER: Micros = 2_000 * MS;
--- a/tests/failures/upkeep.rs
+++ b/tests/failures/upkeep.rs
@@ -1,10 +1,10 @@
-//! Settings, timers and calls for the list.
+//! Settings, timers and requests for the endpoint list.
 
 use crate::TIME_BUDGET;
 use crate::common::*;
 use mothproxy::*;
 
-/// A dispatcher whose site has no push calls for the list within the poll interval, also after a call that failed.
+/// A dispatcher without pushed lists requests the endpoint list within the poll interval, also after a failed request.
 #[test]
 fn requests_the_list_with_jitter_and_again_after_failure() {
     const POLL_INTERVAL: Micros = 10_000 * MS;
@@ -17,7 +17,7 @@
     assert!(dispatcher.advance(POLL_INTERVAL).contains(&Action::OpenWatch));
 }
 
-/// Settings that do not fit each other are refused with the reason.
+/// Inconsistent settings are refused with the reason.
 #[test]
 fn rejects_inconsistent_settings() {
     let error = |settings: Settings| Dispatcher::new(settings, 1).err();
@@ -36,8 +36,8 @@
     assert_eq!(error(not_a_number), Some(SettingsError::OutOfRange));
 }
 
-/// A job that waits for its start keeps few timers pending. Found by a flood of timers: each look at an unstarted job set two,
-/// and each of them looked again.
+/// A job that waits for its start keeps few timers pending. When each review of an unstarted job set two timers, and each timer
+/// caused another review, the number of timers grew without bound.
 #[test]
 fn a_waiting_job_does_not_multiply_its_timers() {
     let mut dispatcher = TestDispatcher::new(settings_with_start_reports());
--- a/tests/failures/warm_up.rs
+++ b/tests/failures/warm_up.rs
@@ -1,37 +1,37 @@
-//! Workers that are warming up get no more than their budget.
+//! Slow start: workers that are warming up get no more work than their budget.
 
 use crate::common::*;
 use crate::{TIME_BUDGET, dispatcher_for};
 use mothproxy::*;
 
-/// Slots of a worker, as another one of its kind reports.
+/// The slots of a worker, as the warm worker of the same kind reports them.
 const SLOTS: f64 = 4.0;
 /// The mean work of a job, in seconds.
 const JOB_SECONDS: f64 = 0.1;
 /// The worker that has just started; the other one is warm.
 const WARMING_UP: WorkerId = WorkerId(0);
 
-/// Gives a dispatcher a worker that starts now and a warm one, which reports that its kind has four slots.
+/// Feeds a list with a worker that starts now and a warm one, which reports that workers of its kind have four slots.
 fn load_list_with_new_worker(dispatcher: &mut TestDispatcher) {
     let started_now = EndpointEntry { started_at: Some(dispatcher.now), ..worker(WARMING_UP.0) };
     dispatcher.load_cached_list(vec![started_now, worker(1)]);
     dispatcher.report_load(1, 0.5, SLOTS);
 }
 
-/// The work that a window may hold at a worker that started this long ago, in seconds of work a second.
+/// The work that a worker may get within a window of one second if it started this long ago, in seconds.
 fn window_budget(settings: &Settings, age: Micros) -> f64 {
     let warmed_up = age as f64 / settings.warm_up_time as f64;
     let capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * warmed_up;
     settings.collapse_multiple * capacity * SLOTS
 }
 
-/// A restarted or replaced worker: all dispatchers together stay within its budget in every window, and it still gets work.
+/// All dispatchers together stay within the budget of a restarted or replaced worker in every window, and it does get work.
 #[test]
-fn all_nodes_keep_a_warming_up_worker_within_its_budget() {
+fn all_dispatchers_keep_a_warming_up_worker_within_its_budget() {
     const DISPATCHERS: u32 = 12;
     let settings =
         Settings { dispatcher_count: DISPATCHERS, ..settings_with(class(Idempotency::Idempotent)) };
-    let dispatcher = |me| TestDispatcher::new(Settings { own_index: me, ..settings.clone() });
+    let dispatcher = |index| TestDispatcher::new(Settings { own_index: index, ..settings.clone() });
     let mut fleet: Vec<TestDispatcher> = (0..DISPATCHERS).map(dispatcher).collect();
     let start = fleet[0].now;
     fleet.iter_mut().for_each(load_list_with_new_worker);
@@ -49,7 +49,7 @@
             }
         }
     }
-    assert!(!sent_at.is_empty(), "a worker that is warming up takes work as its turns come");
+    assert!(!sent_at.is_empty(), "a worker that is warming up gets some work");
     for &from in &sent_at {
         let window = from..from + settings.collapse_window;
         let work: f64 = sent_at.iter().filter(|at| window.contains(at)).map(|_| JOB_SECONDS).sum();
@@ -57,12 +57,12 @@
     }
 }
 
-/// Small jobs count as the mean of their class. Found on overloaded days: the small jobs that a small turn admits pushed a
-/// worker over, in numbers, that was warming up.
+/// Small jobs count as the mean of their class. Otherwise the budget admits so many small jobs that they make a worker collapse
+/// that is warming up.
 #[test]
 fn small_jobs_count_as_the_class_mean_on_a_warming_up_worker() {
     const SMALL_JOB: Micros = MS;
-    const LARGE_JOB: Micros = 199 * MS; // in turn with small ones: 100 ms on the mean
+    const LARGE_JOB: Micros = 199 * MS; // Alternates with small jobs, for a mean of 100 ms.
     let mut dispatcher = dispatcher_for(Idempotency::Idempotent);
     let start = dispatcher.now;
     load_list_with_new_worker(&mut dispatcher);
--- a/tests/fleet/decision_time.rs
+++ b/tests/fleet/decision_time.rs
@@ -1,15 +1,15 @@
-//! What a decision costs: time of the module, links, probes and datagrams, by the size of the fleet.
+//! The cost of a decision by the size of the fleet: the module's time, links, probes and datagrams.
 
 use crate::common::*;
 use crate::simulation::{ARRIVAL_INTERVAL, Fleet};
 use crate::*;
 use std::time::Duration;
 
-/// Jobs of one size of the fleet.
+/// The number of jobs for each size of the fleet.
 const JOBS: u32 = 1_000;
-/// How long a job runs.
+/// The run time of a job.
 const JOB_DURATION: Micros = 300 * MS;
-/// A job ends when this many have come after it.
+/// The number of jobs that arrive while a job runs.
 const JOBS_IN_FLIGHT: u32 = (JOB_DURATION / ARRIVAL_INTERVAL) as u32;
 
 /// Submits [`JOBS`] jobs of [`JOB_DURATION`] to the dispatchers in turn.
@@ -18,7 +18,7 @@
     for job in 0..JOBS {
         fleet.submit(job % dispatchers, u64::from(job));
         workers.push(fleet.worker_of(u64::from(job)));
-        // Jobs end in the order they came; one that found no room at once is not waited for.
+        // Jobs end in the order of their arrival. A job that was not sent at once is skipped.
         let due = job.checked_sub(JOBS_IN_FLIGHT);
         if let Some(worker) = due.and_then(|due| workers[due as usize]) {
             fleet.end_oldest_job(worker);
@@ -26,7 +26,7 @@
     }
 }
 
-/// The discovery service fails, and refuses all calls for 4 s: the calls in each 50 ms.
+/// The numbers of discovery calls in intervals of 50 ms while the discovery service refuses all calls for 4 s.
 fn calls_while_discovery_refuses(fleet: &mut Fleet) -> Vec<usize> {
     const INTERVALS: usize = 80;
     const INTERVAL: Micros = 50 * MS;
@@ -40,8 +40,9 @@
     calls
 }
 
-/// What the same traffic costs when more dispatchers share it: 1,000 jobs of 300 ms, one each 3 ms, over 60 workers with 240
-/// slots; then discovery refuses everybody for 4 s. `--nocapture` prints the table of `docs/design/fleet.md`.
+/// The cost of the same traffic stays bounded when more dispatchers share it: 1,000 jobs of 300 ms, one every 3 ms, over 60
+/// workers with 240 slots. Afterwards the discovery service refuses all calls for 4 s, and only a part of the dispatchers may call
+/// it within 50 ms. `--nocapture` prints the table of `docs/design/fleet.md`.
 #[test]
 fn decision_time_is_bounded_however_many_dispatchers_there_are() {
     println!(
@@ -61,7 +62,7 @@
         let datagrams = per_job(fleet.counters.datagrams);
         assert!(fleet.counters.attempts >= JOBS as usize, "{} attempts", fleet.counters.attempts);
         fleet.assert_within_slots();
-        // A start and an end, each to the other nine of the group.
+        // The start and the end of a job are each advertised to the other nine dispatchers of the group.
         assert!(
             datagrams <= 2.5 * 9.0 && probes <= 0.1,
             "{count}: {datagrams} datagrams and {probes} probes a job"
@@ -74,28 +75,28 @@
     }
 }
 
-/// The least time of the module over five rounds, in one of 30 dispatchers among this many workers that report:
-/// the least, so that a busy machine slows both sides of a comparison alike.
-fn least_of_five(workers: u32, mut play_round: impl FnMut(&mut TestDispatcher, u64)) -> Duration {
+/// The shortest time that the module needs for a round, out of five rounds, in one of 30 dispatchers with this many workers that
+/// report their load. The shortest time depends least on other load of the machine.
+fn least_of_five(workers: u32, mut run_round: impl FnMut(&mut TestDispatcher, u64)) -> Duration {
     const ROUNDS: u64 = 5;
     let mut dispatcher = TestDispatcher::new(Settings { dispatcher_count: 30, ..settings(0) });
     dispatcher.load_cached_list((0..workers).map(worker).collect());
     for id in 0..workers {
         dispatcher.report_load(id, 0.3, SLOTS);
     }
-    let mut least = Duration::MAX;
+    let mut shortest = Duration::MAX;
     for round in 0..ROUNDS {
         dispatcher.time_spent = Duration::ZERO;
-        play_round(&mut dispatcher, round);
-        least = least.min(dispatcher.time_spent);
+        run_round(&mut dispatcher, round);
+        shortest = shortest.min(dispatcher.time_spent);
     }
-    least
+    shortest
 }
 
-/// The module's time a job must not follow the size of the group's part of the fleet (issue 21). Every worker of the
-/// part was ranked and sorted for each job: at 10,000 workers and 30 dispatchers 750 times as long as at 10
-/// (`make bench-decision`). Compared here at 20 and 2,000 workers. Ranking the whole part: 107 times as slow in a debug
-/// build, 73 in release; ranking at most `RANKED` of it: 22 and 10.
+/// The module's time per job must not grow with the number of workers of the group (issue 21). When every worker of the group was
+/// ranked and sorted for each job, a job took 750 times as long at 10,000 workers and 30 dispatchers as at 10 workers
+/// (`make bench-decision`). This test compares 20 and 2,000 workers: ranking all workers takes 107 times as long in a debug build
+/// and 73 times in a release build, ranking at most `MAX_RANKED` of them 22 and 10 times.
 #[test]
 fn decision_time_with_2000_workers_is_about_that_with_20() {
     const JOBS_PER_ROUND: u64 = 200;
@@ -110,15 +111,15 @@
     };
     let small = least_of_five(20, run_round);
     let large = least_of_five(2_000, run_round);
-    assert!(large < small * 50, "a job: {small:?} at 20 workers, {large:?} at 2,000 (200 jobs)");
+    assert!(large < small * 50, "200 jobs took {small:?} at 20 workers and {large:?} at 2,000");
 }
 
-/// Advertising what is out walked every worker each time: 58 % of a job's time at 10,000 workers
-/// (`make bench-decision`). Now only those with work out or in doubt: with none, 200 advertisements cost about the same among
-/// 20 workers as among 4,000 (1.2 to 1.5 times in a debug build; 82 times when every worker was walked).
+/// An advertisement must not walk over all workers, only over those that have outstanding work or are suspect. The walk took 58 %
+/// of the time per job at 10,000 workers (`make bench-decision`). If no worker has outstanding work, 200 advertisements cost about
+/// the same with 4,000 workers as with 20: 1.2 to 1.5 times as much in a debug build, and 82 times as much with the walk.
 #[test]
 fn advertising_skips_workers_without_outstanding_work() {
-    let advertisement_timer = || Event::Timer(TimerId(u64::MAX)); // the module's own
+    let advertisement_timer = || Event::Timer(TimerId(u64::MAX)); // The id of the module's advertisement timer.
     let run_round = |dispatcher: &mut TestDispatcher, _| {
         for _ in 0..=200 {
             dispatcher.feed(advertisement_timer());
@@ -126,5 +127,5 @@
     };
     let small = least_of_five(20, run_round);
     let large = least_of_five(4_000, run_round);
-    assert!(large < small * 10, "200 advertisements: {small:?} among 20 workers, {large:?} among 4,000");
+    assert!(large < small * 10, "200 advertisements took {small:?} at 20 workers and {large:?} at 4,000");
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Many dispatchers over many workers: what each may do that would do harm if all did it. One instance of the decision
-//! module, or many side by side, without sockets.
+//! Tests of the behaviour of many dispatchers that share many workers. They use one or many instances of the decision module,
+//! without sockets.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,26 +14,27 @@
 use common::*;
 use mothproxy::*;
 
-/// Dispatchers of a fleet, unless a test says otherwise: ten groups of [`GROUP_SIZE`].
+/// The number of dispatchers of a fleet, unless a test chooses another: ten groups of [`GROUP_SIZE`].
 const DISPATCHERS: u32 = 100;
-/// Dispatchers that tell each other of their work.
+/// The number of dispatchers in a group, which advertise their work to each other.
 const GROUP_SIZE: u32 = 10;
-/// Workers of a fleet: six for each group.
+/// The number of workers of a fleet: six for each group.
 const WORKERS: u32 = 60;
-/// Jobs that a worker can run at once.
+/// The number of jobs that a worker can run at once.
 const SLOTS: f64 = 4.0;
-/// How long the client of a job waits, where no test needs another time.
+/// The time for which the client of a job waits, unless a test chooses another.
 const TIME_BUDGET: Micros = 5_000 * MS;
 
-/// The dispatcher of [`lone_dispatcher`], and one of its group.
-const OWN_NUMBER: u32 = 7;
-const PEER_NUMBER: u32 = 3;
+/// The index of the dispatcher of [`single_worker_dispatcher`].
+const OWN_INDEX: u32 = 7;
+/// The index of the dispatcher of [`single_worker_peer`].
+const PEER_INDEX: u32 = 3;
 
 /// Settings of one dispatcher of the fleet, which may message its peers.
-fn settings(me: u32) -> Settings {
+fn settings(index: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        own_index: me,
+        own_index: index,
         dispatcher_count: DISPATCHERS,
         classes: vec![class],
         may_probe: true,
@@ -43,29 +44,29 @@
     }
 }
 
-/// Settings of one dispatcher that sends its peers nothing.
-fn settings_without_messages(me: u32) -> Settings {
-    Settings { may_message_peers: false, ..settings(me) }
+/// Settings of one dispatcher of the fleet, which may not message its peers.
+fn settings_without_messages(index: u32) -> Settings {
+    Settings { may_message_peers: false, ..settings(index) }
 }
 
-/// A dispatcher of a fleet that is one group, with these workers.
-fn group_member(me: u32, workers: Vec<EndpointEntry>) -> TestDispatcher {
-    let mut dispatcher = TestDispatcher::new(Settings { dispatcher_count: GROUP_SIZE, ..settings(me) });
+/// Creates a dispatcher of a fleet that consists of one group, with these workers.
+fn group_member(index: u32, workers: Vec<EndpointEntry>) -> TestDispatcher {
+    let mut dispatcher = TestDispatcher::new(Settings { dispatcher_count: GROUP_SIZE, ..settings(index) });
     dispatcher.load_cached_list(workers);
     dispatcher
 }
 
-/// A dispatcher whose group has worker 0 and no other.
-fn lone_dispatcher() -> TestDispatcher {
-    group_member(OWN_NUMBER, vec![worker(0)])
+/// Creates a dispatcher whose group has worker 0 only.
+fn single_worker_dispatcher() -> TestDispatcher {
+    group_member(OWN_INDEX, vec![worker(0)])
 }
 
-/// A peer of [`lone_dispatcher`] in its group, with the same one worker.
-fn peer_of_lone_dispatcher() -> TestDispatcher {
-    group_member(PEER_NUMBER, vec![worker(0)])
+/// Creates a peer of [`single_worker_dispatcher`] in the same group.
+fn single_worker_peer() -> TestDispatcher {
+    group_member(PEER_INDEX, vec![worker(0)])
 }
 
-/// The load report of a worker that uses this much CPU, has this many free slots and fails this many jobs a second.
+/// A load report with this CPU utilisation, this many free slots and this many errors per second.
 fn load_report(cpu: f64, free_slots: f64, errors_per_second: f64) -> Option<LoadReport> {
     Some(LoadReport {
         cpu: Some(cpu),
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -1,39 +1,39 @@
-//! A fleet of decision modules in one thread: what one wants done is done at once, and peer messages arrive at once.
+//! A simulated fleet of decision modules in one thread. Actions are performed immediately, and peer messages arrive without delay.
 
 use crate::common::*;
 use crate::{DISPATCHERS, SLOTS, WORKERS, load_report, settings, settings_without_messages};
 use mothproxy::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The time between two jobs that arrive.
+/// The time between the arrivals of two jobs.
 pub const ARRIVAL_INTERVAL: Micros = 3 * MS;
-/// How long the client of a job waits.
+/// The time for which the client of a job waits.
 const TIME_BUDGET: Micros = 7_000 * MS;
-/// The number of the first job of [`Fleet::submit_to_each`].
+/// The id of the first job of [`Fleet::submit_to_each`].
 const FIRST_JOB: u64 = 1_000;
 
-/// A job at a worker.
+/// A job that runs at a worker, and the dispatcher that sent it.
 struct RunningJob {
     dispatcher: u32,
     job: u64,
 }
 
-/// What has happened since the start.
+/// The counters of a fleet since its start.
 #[derive(Default)]
 pub struct Counters {
-    /// The workers that each dispatcher has sent a job or a probe.
+    /// The pairs of a dispatcher and a worker to which it has sent a job or a probe.
     pub links: BTreeSet<(u32, WorkerId)>,
     pub attempts: usize,
     pub probes: usize,
-    /// Messages between dispatchers.
+    /// The number of messages between dispatchers.
     pub datagrams: usize,
-    /// Calls of the discovery service, which refuses them all.
+    /// The number of calls to the discovery service, which refuses them all.
     pub watch_calls: usize,
-    /// The most jobs that one worker ever had at once.
+    /// The greatest number of jobs that one worker had at once.
     pub max_jobs_per_worker: usize,
 }
 
-/// Dispatchers that all know all workers.
+/// Dispatchers that all have the same endpoint list.
 pub struct Fleet {
     pub dispatchers: Vec<TestDispatcher>,
     pub counters: Counters,
@@ -42,32 +42,32 @@
 }
 
 impl Fleet {
-    /// A fleet of the usual size, whose dispatchers message their peers.
+    /// Creates a fleet of the default size, whose dispatchers message their peers.
     pub fn new() -> Fleet {
         Fleet::with_size(DISPATCHERS)
     }
 
-    /// A fleet of this many dispatchers, which message their peers.
+    /// Creates a fleet of this many dispatchers, which message their peers.
     pub fn with_size(count: u32) -> Fleet {
         Fleet::with_settings(count, settings)
     }
 
-    /// A fleet of the usual size, whose dispatchers know nothing of each other.
+    /// Creates a fleet of the default size, whose dispatchers do not message their peers.
     pub fn without_messages() -> Fleet {
         Fleet::with_settings(DISPATCHERS, settings_without_messages)
     }
 
     fn with_settings(count: u32, settings: impl Fn(u32) -> Settings) -> Fleet {
-        let dispatcher = |me| {
+        let dispatcher = |index| {
             let settings = Settings {
                 dispatcher_count: count,
                 list_on_request: true,
                 max_poll_interval: Some(2_000 * MS),
-                ..settings(me)
+                ..settings(index)
             };
-            let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(me));
+            let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(index));
             dispatcher.load_cached_list((0..WORKERS).map(worker).collect());
-            // One report says how many slots workers of this kind have.
+            // One report shows how many slots workers of this kind have.
             dispatcher.report_load(0, 0.0, SLOTS);
             dispatcher
         };
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Does what a dispatcher wants done, and what follows from that.
+    /// Performs the actions of a dispatcher, and those that result from them.
     pub fn perform(&mut self, from: u32, actions: &[Action]) {
         for (job, worker) in sends(actions) {
             self.start_job(from, job, worker);
@@ -101,7 +101,7 @@
         self.perform(dispatcher, &actions);
     }
 
-    /// A job starts at a worker as soon as it is sent, however many are there.
+    /// Starts a job at a worker as soon as it is sent, without a limit on the jobs there.
     fn start_job(&mut self, dispatcher: u32, job: u64, worker: WorkerId) {
         let jobs = self.running.entry(worker.0).or_default();
         jobs.push_back(RunningJob { dispatcher, job });
@@ -111,7 +111,7 @@
         self.feed(dispatcher, Event::Started { job: JobId(job), attempt: 0 });
     }
 
-    /// Probes answer that the worker is idle, as reports do that are older than the work.
+    /// Answers a probe with the report of an idle worker, like a report that is older than the worker's jobs.
     fn answer_probe(&mut self, dispatcher: u32, worker: WorkerId) {
         self.counters.probes += 1;
         self.counters.links.insert((dispatcher, worker));
@@ -120,7 +120,7 @@
         self.perform(dispatcher, &actions);
     }
 
-    /// One dispatcher after the other does this, and what it wants done is done.
+    /// Calls `act` for one dispatcher after the other, and performs the resulting actions.
     pub fn for_each(&mut self, act: impl Fn(&mut TestDispatcher) -> Vec<Action>) {
         for number in 0..self.dispatchers.len() {
             let actions = act(&mut self.dispatchers[number]);
@@ -128,26 +128,26 @@
         }
     }
 
-    /// Lets time pass, for one dispatcher after the other.
+    /// Advances the time by `span`, for one dispatcher after the other.
     pub fn advance(&mut self, span: Micros) {
         self.for_each(|dispatcher| dispatcher.advance(span));
     }
 
-    /// A job arrives at a dispatcher, a moment before the next one.
+    /// Lets a job arrive at a dispatcher, then advances the time by [`ARRIVAL_INTERVAL`].
     pub fn submit(&mut self, dispatcher: u32, job: u64) {
         let actions = self.dispatchers[dispatcher as usize].arrive(job, 0, TIME_BUDGET);
         self.perform(dispatcher, &actions);
         self.advance(ARRIVAL_INTERVAL);
     }
 
-    /// This many jobs arrive at each dispatcher of a fleet of the usual size, in turn.
+    /// Lets this many jobs arrive at each dispatcher of a fleet of the default size, in turn.
     pub fn submit_to_each(&mut self, jobs_each: u32) {
         for number in 0..jobs_each * DISPATCHERS {
             self.submit(number % DISPATCHERS, FIRST_JOB + u64::from(number));
         }
     }
 
-    /// The oldest job of a worker ends, if it has one.
+    /// Ends the oldest job of a worker, if it has one.
     pub fn end_oldest_job(&mut self, worker: u32) {
         let oldest = self.running.get_mut(&worker).and_then(VecDeque::pop_front);
         let Some(RunningJob { dispatcher, job }) = oldest else { return };
@@ -161,17 +161,17 @@
         self.running.iter().find(|(_, jobs)| runs(jobs)).map(|(worker, _)| *worker)
     }
 
-    /// How many jobs run.
+    /// The number of running jobs.
     pub fn running_jobs(&self) -> usize {
         self.running.values().map(VecDeque::len).sum()
     }
 
-    /// How many workers have a job.
+    /// The number of workers that run a job.
     pub fn busy_workers(&self) -> usize {
         self.running.values().filter(|jobs| !jobs.is_empty()).count()
     }
 
-    /// Asserts that no worker ever had more jobs at once than it has slots, and this many.
+    /// Asserts that no worker ever had more jobs at once than its slots plus `excess`.
     pub fn assert_overcommitted_by_at_most(&self, excess: usize) {
         let max = self.counters.max_jobs_per_worker;
         assert!(max <= SLOTS as usize + excess, "{max} jobs at once on one worker");
--- a/tests/fleet/warm_up.rs
+++ b/tests/fleet/warm_up.rs
@@ -1,11 +1,11 @@
-//! Workers that are warming up: each gets work, and all dispatchers together do not send it more than it can run.
+//! Slow start: each worker that is warming up gets work, and all dispatchers together send it no more than it can run.
 
 use crate::common::*;
 use crate::simulation::Fleet;
 use crate::*;
 
-/// Dispatchers without messages draw who may send a large job to a worker that has just started: some do, but not many at
-/// once. A fair share of such a worker's budget was smaller than a large job, and no dispatcher ever sent one.
+/// Without messages, some dispatchers but not many at once may send a large job to a worker that has just started. When each
+/// dispatcher had an equal part of such a worker's budget, a large job exceeded that part, and no dispatcher ever sent one.
 #[test]
 fn a_budget_smaller_than_a_job_still_admits_one() {
     const SMALL_JOB: Micros = 100 * MS;
@@ -14,25 +14,25 @@
     let warming_up = EndpointEntry { started_at: Some(CLOCK_START), ..worker(0) };
     let warm = worker(1);
     let mut sent = 0;
-    for me in 0..DISPATCHERS {
-        let mut dispatcher = TestDispatcher::new(settings_without_messages(me));
+    for index in 0..DISPATCHERS {
+        let mut dispatcher = TestDispatcher::new(settings_without_messages(index));
         dispatcher.load_cached_list(vec![warming_up, warm]);
-        // Small jobs, so that a large one is far above the mean.
+        // The small jobs keep the mean work far below that of the large job.
         for job in 0..SMALL_JOBS {
             dispatcher.arrive_sized(job, 0, TIME_BUDGET, SMALL_JOB);
             dispatcher.feed(Event::ClientDisconnected(JobId(job)));
         }
-        dispatcher.report_load(1, 0.5, SLOTS); // workers of this kind have four slots
-        dispatcher.report_load(1, 1.0, 0.0); // and the warm one is full
+        dispatcher.report_load(1, 0.5, SLOTS); // Workers of this kind have four slots.
+        dispatcher.report_load(1, 1.0, 0.0); // The warm worker is full.
         dispatcher.arrive_sized(SMALL_JOBS, 0, TIME_BUDGET, LARGE_JOB);
         let idle = load_report(0.0, SLOTS, 0.0);
         sent += sends(&dispatcher.end_probe(0, Outcome::Ok, idle)).len();
     }
     assert!(sent > 0, "no dispatcher of {DISPATCHERS} may send a large job to a worker that is warming up");
-    assert!(sent < 10, "{sent} dispatchers do at once");
+    assert!(sent < 10, "{sent} of {DISPATCHERS} dispatchers send one at once");
 }
 
-/// In a group: all dispatchers want workers that are warming up, and together send each no more than it can run.
+/// In groups, all dispatchers send jobs to workers that are warming up, and together send each no more than it can run.
 #[test]
 fn a_group_keeps_a_warming_up_worker_within_its_capacity() {
     let mut fleet = Fleet::new();
--- a/tests/four_rules/checker.rs
+++ b/tests/four_rules/checker.rs
@@ -1,13 +1,13 @@
-//! Drives the decision module by steps, and asserts that what it does keeps the rules.
+//! Drives the decision module by steps, and asserts that its actions keep the rules.
 
 use crate::common::{self, *};
 use crate::steps::*;
 use mothproxy::*;
 use std::collections::BTreeMap;
 
-/// How long the client of a job waits.
+/// The time for which the client of a job waits.
 const TIME_BUDGET: Micros = 1_000 * MS;
-/// Slots of a worker, as the module takes them by default.
+/// The slots of a worker.
 const SLOTS: f64 = 4.0;
 /// The work of a job, in seconds.
 const JOB_SECONDS: f64 = 0.1;
@@ -16,7 +16,7 @@
 struct Attempt {
     sent_at: Micros,
     worker: u32,
-    /// How it ended, if it has.
+    /// How the attempt ended; `None` while it is outstanding.
     outcome: Option<Outcome>,
 }
 
@@ -25,7 +25,7 @@
         self.outcome.is_none()
     }
 
-    /// Whether it certainly did not run.
+    /// Whether the attempt certainly did not run.
     fn never_ran(&self) -> bool {
         self.outcome.is_some_and(Outcome::never_ran)
     }
@@ -39,13 +39,13 @@
     worker: u32,
 }
 
-/// A job that is owed one final answer.
+/// A job, which must get exactly one final response.
 struct Job {
     class: JobClass,
     deadline: Micros,
-    /// The module has rejected or failed it.
+    /// Whether the module has rejected or failed the job.
     is_answered: bool,
-    /// A worker has served it, or its client has gone.
+    /// Whether a worker has served the job, or its client has disconnected.
     is_over: bool,
     attempts: Vec<Attempt>,
 }
@@ -59,15 +59,15 @@
         self.is_answered || self.is_over
     }
 
-    /// Asserts that a further attempt at this worker breaks no promise, given those that may have run.
+    /// Asserts that the job's class allows another attempt at this worker, given the attempts that may have run.
     fn assert_may_repeat_at(&self, worker: u32, now: Micros) {
         for earlier in self.attempts.iter().filter(|attempt| !attempt.never_ran()) {
             match self.class {
                 JobClass::Idempotent => {}
-                JobClass::NonIdempotent => panic!("an unsafe job sent twice"),
+                JobClass::NonIdempotent => panic!("a non-idempotent job was sent twice"),
                 JobClass::KeyedByZone => {
                     assert_within_window(earlier, now);
-                    assert_eq!(zone_of(earlier.worker), zone_of(worker), "resent outside its group");
+                    assert_eq!(zone_of(earlier.worker), zone_of(worker), "resent outside its zone");
                 }
                 JobClass::KeyedEverywhere => assert_within_window(earlier, now),
             }
@@ -76,7 +76,7 @@
 }
 
 fn assert_within_window(earlier: &Attempt, now: Micros) {
-    assert!(now <= earlier.sent_at + DEDUPLICATION_WINDOW, "resent after the memory span");
+    assert!(now <= earlier.sent_at + DEDUPLICATION_WINDOW, "resent after the deduplication window");
 }
 
 fn zone_of(worker: u32) -> u16 {
@@ -93,21 +93,21 @@
     sent_at: Micros,
 }
 
-/// The checker: what the module was notified of, what it did, and whether that keeps the rules.
+/// Feeds a module with events and checks its actions against the rules.
 pub struct Checker {
     dispatcher: TestDispatcher,
     settings: Settings,
     jobs: BTreeMap<u64, Job>,
-    /// Since when a worker that is listed as draining or gone is.
+    /// The workers that are listed as draining or gone, and since when they are.
     stopped_since: BTreeMap<u32, Micros>,
-    /// When workers started that did so during the test.
+    /// The workers that started during the test, and when they started.
     started_at: BTreeMap<u32, Micros>,
     warm_up_attempts: Vec<WarmUpAttempt>,
     arrived_jobs: u64,
 }
 
 impl Checker {
-    /// The checker of a module with these settings and the classes of [`JobClass`].
+    /// Creates the checker of a module with these settings and the classes of [`JobClass`].
     pub fn new(settings: Settings) -> Checker {
         let settings = Settings {
             classes: JobClass::ALL.iter().map(|class| common::class(class.idempotency())).collect(),
@@ -128,7 +128,7 @@
     }
 
     fn job_mut(&mut self, id: u64) -> &mut Job {
-        self.jobs.get_mut(&id).expect("a known job")
+        self.jobs.get_mut(&id).expect("the job is known")
     }
 
     fn check(&mut self, actions: &[Action]) {
@@ -136,40 +136,40 @@
             match action {
                 Action::Send { job, worker, .. } => self.check_attempt(job.0, worker.0),
                 Action::Reject { job, .. } => self.check_rejection(job.0),
-                Action::Fail(job) => self.check_answer(job.0),
+                Action::Fail(job) => self.check_final_response(job.0),
                 _ => {}
             }
         }
     }
 
-    /// Each job has one final answer, in time.
-    fn check_answer(&mut self, id: u64) {
+    /// Checks that a job gets one final response, in time.
+    fn check_final_response(&mut self, id: u64) {
         let now = self.dispatcher.now;
         let latest = self.jobs[&id].deadline + self.settings.response_grace;
         let job = self.job_mut(id);
-        assert!(!job.is_answered && !job.is_over, "a second final answer");
-        assert!(now <= latest, "answered too late");
+        assert!(!job.is_answered && !job.is_over, "a second final response");
+        assert!(now <= latest, "the final response came too late");
         job.is_answered = true;
     }
 
-    /// A job is rejected only if it has not run, or may run again at another dispatcher.
+    /// Checks that a rejected job has not run, or may run again at another dispatcher.
     fn check_rejection(&mut self, id: u64) {
-        self.check_answer(id);
+        self.check_final_response(id);
         let job = &self.jobs[&id];
         let has_not_run = job.attempts.iter().all(Attempt::never_ran);
         let may_run_again = matches!(job.class, JobClass::Idempotent | JobClass::KeyedEverywhere);
-        assert!(has_not_run || may_run_again, "refused though it may have run");
+        assert!(has_not_run || may_run_again, "rejected although it may have run");
     }
 
-    /// An attempt is one that the job's class, the list and the worker's warm-up allow.
+    /// Checks that an attempt is allowed by the job's class, the endpoint list and the worker's warm-up budget.
     fn check_attempt(&mut self, id: u64, worker: u32) {
         let now = self.dispatcher.now;
         let (max_attempts, may_hedge) = (self.settings.max_attempts as usize, self.settings.may_hedge);
         let job = self.job_mut(id);
-        assert!(!job.is_answered && !job.is_over, "sent after the end");
+        assert!(!job.is_answered && !job.is_over, "sent after the final response");
         assert!(job.attempts.len() < max_attempts, "too many attempts");
         let has_open_attempt = job.attempts.iter().any(Attempt::is_open);
-        assert!(!has_open_attempt || may_hedge, "two attempts out");
+        assert!(!has_open_attempt || may_hedge, "two attempts are outstanding");
         job.assert_may_repeat_at(worker, now);
         job.attempts.push(Attempt { sent_at: now, worker, outcome: None });
         if let Some(since) = self.stopped_since.get(&worker) {
@@ -178,7 +178,7 @@
         self.check_warm_up(worker);
     }
 
-    /// A worker that is warming up gets no more work in a window than it can bear.
+    /// Checks that a worker that is warming up gets no more work within a collapse window than it can bear.
     fn check_warm_up(&mut self, worker: u32) {
         let now = self.dispatcher.now;
         let settings = &self.settings;
@@ -192,7 +192,10 @@
         let work = self.warm_up_attempts.iter().filter(in_window).count() as f64 * JOB_SECONDS;
         let warmed_up = (now - start) as f64 / settings.warm_up_time as f64;
         let capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * warmed_up;
-        assert!(work <= settings.collapse_multiple * capacity * SLOTS, "a cold worker is pushed over");
+        assert!(
+            work <= settings.collapse_multiple * capacity * SLOTS,
+            "a worker that is warming up is overloaded"
+        );
     }
 
     fn pick_open_attempt(&self, pick: usize) -> Option<OpenAttempt> {
@@ -254,14 +257,14 @@
         self.dispatcher.feed(Event::ClientDisconnected(JobId(job)))
     }
 
-    /// Asserts that each job has had its final answer, or its end.
+    /// Asserts that each job has had its final response, or has ended otherwise.
     pub fn assert_no_job_lost(&self) {
         for (id, job) in &self.jobs {
             assert!(job.is_finished(), "job {id} was lost");
         }
     }
 
-    /// Lets time pass by the millisecond, so that each action is checked at its own time.
+    /// Advances the time in steps of a millisecond, so that each action is checked at its own time.
     pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             let actions = self.dispatcher.advance(MS);
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Takes a step, if there is what it is about, and checks what comes of it.
+    /// Takes a step and checks the resulting actions. A step that needs an attempt or a job does nothing if there is none.
     pub fn take(&mut self, step: &Step) {
         let actions = match *step {
             Step::Arrive { class } => self.arrive(class),
--- a/tests/four_rules/main.rs
+++ b/tests/four_rules/main.rs
@@ -19,8 +19,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens in whatever order: each job has one final answer in time, runs as often as its class allows, goes to no
-    /// worker that has stopped, and pushes none over that is warming up.
+    /// For any sequence of events: each job gets one final response in time and runs no more often than its class allows; no job
+    /// is sent to a worker that is draining or gone, and no worker that is warming up is overloaded.
     #[test]
     fn four_rules_hold(
         steps in prop::collection::vec(step(), 1..150),
@@ -33,7 +33,7 @@
         for step in &steps {
             checker.take(step);
         }
-        // Longer than any client waits.
+        // 1.5 s, which is longer than any client waits.
         for _ in 0..60 {
             checker.advance(25);
         }
--- a/tests/four_rules/steps.rs
+++ b/tests/four_rules/steps.rs
@@ -1,14 +1,14 @@
-//! Classes of jobs, and random legal events.
+//! The classes of jobs, and a generator of random legal events.
 
 use crate::common::MS;
 use mothproxy::*;
 use proptest::prelude::*;
 
-/// How long a worker remembers an idempotency key.
+/// The time for which a worker remembers an idempotency key.
 pub const DEDUPLICATION_WINDOW: Micros = 300 * MS;
-/// Workers of the list.
+/// The number of workers in the endpoint list.
 pub const WORKERS: u32 = 6;
-/// How an attempt may end; a full worker is twice as likely as any other end.
+/// The possible outcomes of an attempt. A rejection by a full worker is twice as likely as any other outcome.
 pub const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
@@ -25,9 +25,9 @@
 pub enum JobClass {
     Idempotent,
     NonIdempotent,
-    /// Repeated within the window and within one zone only.
+    /// The job may be repeated within the window and within one zone only.
     KeyedByZone,
-    /// Repeated within the window, anywhere.
+    /// The job may be repeated within the window, in any zone.
     KeyedEverywhere,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// One event. A `pick` chooses among what is there when the step is taken.
+/// One event. `pick` selects one of the attempts or jobs that exist when the step is taken.
 #[derive(Clone, Debug)]
 pub enum Step {
     Arrive { class: u16 },
@@ -62,12 +62,12 @@
     Advance { milliseconds: u64 },
 }
 
-/// What discovery says of a worker.
+/// A change of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum ListChange {
     Draining,
     Gone,
-    /// Ready, and just started.
+    /// The worker is ready and has just started.
     Restarted,
     Ready,
 }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -1,27 +1,28 @@
-//! The design's ordinary path: the fuzzy score, the ranks, the back-to-back rule, the fallback.
+//! Placement without failures: the fuzzy score, the ranks, the rule against consecutive assignments to one worker, and the choice
+//! of a worker if all are full.
 
 mod common;
 use common::*;
 use mothproxy::policy::capability;
 use mothproxy::*;
 
-/// How long the client of a job waits.
+/// The time for which the client of a job waits.
 const TIME_BUDGET: Micros = 5_000 * MS;
 
-/// The fuzzy score of a few inputs is what the design page gives.
+/// The fuzzy score of some inputs matches values computed by hand from the rules.
 #[test]
 fn capability_matches_values_computed_by_hand() {
-    // Corners are single rules; the centre is the middle rule (3 of 5).
+    // In the corners and in the centre a single rule applies; the centre's output is 3 of 5.
     for (cpu, load, score) in
         [(0.0, 0.0, 1.0), (1.0, 1.0, 0.0), (0.5, 0.5, 0.6), (0.0, 1.0, 0.4), (1.0, 0.0, 0.4)]
     {
         assert!((capability(cpu, load) - score).abs() < 1e-9, "{cpu} {load}");
     }
-    // A quarter of the way on both inputs: (5 + 4 + 4 + 3) / 4 of 5.
+    // Where both inputs are 0.25, four rules apply equally: (5 + 4 + 4 + 3) / 4 of 5.
     assert!((capability(0.25, 0.25) - 0.8).abs() < 1e-9);
 }
 
-/// On both inputs, less load never means a lower score, and the score is between 0 and 1.
+/// A lower load of either input never gives a lower score, and all scores are between 0 and 1.
 #[test]
 fn capability_never_falls_with_less_load() {
     let grid: Vec<f64> = (0..=40).map(|n| f64::from(n) / 40.0).collect();
@@ -34,23 +35,26 @@
     }
 }
 
-/// A class whose responses may take long.
-fn patient_class(idempotency: Idempotency) -> Class {
+/// A class with a long latency objective.
+fn class_with_long_objective(idempotency: Idempotency) -> Class {
     Class { latency_objective: 2_000 * MS, ..class(idempotency) }
 }
 
-/// A dispatcher whose reports all come with probes.
+/// Creates a dispatcher that gets load reports with probe responses only.
 fn probing_dispatcher() -> TestDispatcher {
     let settings = Settings {
         reports: Reports::ProbesOnly,
         may_probe: true,
-        classes: vec![patient_class(Idempotency::NonIdempotent), patient_class(Idempotency::Idempotent)],
+        classes: vec![
+            class_with_long_objective(Idempotency::NonIdempotent),
+            class_with_long_objective(Idempotency::Idempotent),
+        ],
         ..Settings::default()
     };
     TestDispatcher::new(settings)
 }
 
-/// Of workers that have all just reported, the one with the best score gets the job.
+/// If all workers have just reported, the one with the best score gets the job.
 #[test]
 fn picks_the_best_fresh_score() {
     let mut dispatcher = probing_dispatcher();
@@ -61,7 +65,7 @@
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)), [(1, WorkerId(1))]);
 }
 
-/// A worker that has reported nothing comes after one with a slot free, and before one that is full.
+/// A worker that has not reported its load ranks after one with a free slot, and before one that is full.
 #[test]
 fn unknown_ranks_after_fresh_and_before_full() {
     let mut dispatcher = TestDispatcher::new(settings_with(class(Idempotency::Idempotent)));
@@ -74,7 +78,7 @@
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)), [(1, WorkerId(1))]);
 }
 
-/// An old report decides nothing: the workers are probed again, and the job waits for that.
+/// Old reports are not used: the workers are probed again, and the job waits for the responses.
 #[test]
 fn load_samples_go_stale() {
     let mut dispatcher = probing_dispatcher();
@@ -82,12 +86,11 @@
     dispatcher.report_load(0, 0.1, 4.0);
     dispatcher.report_load(1, 0.9, 1.0);
     dispatcher.advance(10_000 * MS);
-    // The old reports do not decide: both workers are asked again and the job waits for that.
     let actions = dispatcher.arrive(1, 0, TIME_BUDGET);
     assert_eq!((probes(&actions).len(), sends(&actions).len()), (2, 0));
 }
 
-/// The worker of the last job gets the next one only if its report has changed and its utilisation is the lowest of all.
+/// The worker of the last job gets the next one too only if its reported utilisation has changed and is the lowest of all.
 #[test]
 fn no_second_assignment_in_a_row_unless_utilisation_changed_and_is_lowest() {
     let mut dispatcher = probing_dispatcher();
@@ -95,15 +98,15 @@
     dispatcher.report_load(0, 0.1, 8.0);
     dispatcher.report_load(1, 0.3, 8.0);
     assert_eq!(sends(&dispatcher.arrive(1, 0, TIME_BUDGET)), [(1, WorkerId(0))]);
-    // Same report: the next best wins though the first still scores higher.
+    // The report has not changed: the second-best worker is chosen although the first one still has a higher score.
     assert_eq!(sends(&dispatcher.arrive(2, 0, TIME_BUDGET)), [(2, WorkerId(1))]);
     assert_eq!(sends(&dispatcher.arrive(3, 0, TIME_BUDGET)), [(3, WorkerId(0))]);
-    // Changed, and lowest of all: it may have the next one too.
+    // The utilisation has changed and is the lowest of all: the same worker may be chosen again.
     dispatcher.report_load(0, 0.05, 8.0);
     assert_eq!(sends(&dispatcher.arrive(4, 0, TIME_BUDGET)), [(4, WorkerId(0))]);
 }
 
-/// When all workers are full, the job goes to the one whose responses came soonest.
+/// If all workers are full, the job is sent to the one that has responded fastest so far.
 #[test]
 fn picks_the_fastest_worker_when_all_are_full() {
     let mut dispatcher = probing_dispatcher();
@@ -128,7 +131,7 @@
     assert_eq!(sent.first(), Some(&(3, WorkerId(1))));
 }
 
-/// A job that needs two slots passes by a worker with one, however idle that is.
+/// A job that needs two slots is not sent to a worker with one free slot, even if that worker is idle.
 #[test]
 fn a_worker_with_too_few_free_slots_counts_as_full() {
     let mut dispatcher = TestDispatcher::new(settings_with(class(Idempotency::Idempotent)));
@@ -151,8 +154,9 @@
     assert_eq!(sends(&dispatcher.feed(Event::Arrived(new))), [(1, WorkerId(1))]);
 }
 
-/// Found on `haatkhata-bengal`: half of all jobs crossed zones, at 16 points, though a slot of the own zone came
-/// free well within their slack. A job waits at home for the part of it which that price is of what lateness loses.
+/// A job waits for a worker of its own zone for a fraction of its slack: the ratio of the price of crossing zones to the weight
+/// lost by being late. Without that wait, half of all jobs crossed zones although a slot in their own zone became free well
+/// within their slack.
 #[test]
 fn crosses_zones_only_after_the_wait_that_the_price_allows() {
     for (price, late_weight, wait) in
@@ -166,7 +170,7 @@
         dispatcher.report_load(0, 1.0, 0.0);
         dispatcher.report_load(1, 0.1, 4.0);
         let begun = dispatcher.now;
-        let mut sent = sends(&dispatcher.arrive(1, 0, TIME_BUDGET)); // it must start within 300 ms
+        let mut sent = sends(&dispatcher.arrive(1, 0, TIME_BUDGET)); // The job must start within 300 ms.
         while sent.is_empty() && dispatcher.now < begun + 300 * MS {
             sent = sends(&dispatcher.advance(5 * MS));
             dispatcher.report_load(0, 1.0, 0.0);
@@ -174,12 +178,15 @@
         }
         let waited = dispatcher.now - begun;
         assert_eq!(sent, [(1, WorkerId(1))], "price {price}");
-        assert!((wait..=wait + 25 * MS).contains(&waited), "price {price}, {late_weight}: {waited}");
+        assert!(
+            (wait..=wait + 25 * MS).contains(&waited),
+            "price {price}, late weight {late_weight}: waited {waited} us"
+        );
     }
 }
 
-/// Found on the overloaded day of `haatkhata-bengal`: 64 % of answers were late, since the jobs that were late
-/// already went first and made the next ones late.
+/// Jobs that can still be in time are sent before late ones. Under overload, when late jobs were sent first and made the next ones
+/// late too, 64 % of the responses were late.
 #[test]
 fn late_jobs_are_queued_behind_those_that_can_be_in_time() {
     let settings = settings_with_start_reports();
@@ -191,14 +198,18 @@
         actions.extend(dispatcher.feed(Event::Started { job: JobId(job), attempt: 0 }));
         actions.extend(dispatcher.advance(MS));
     }
-    assert_eq!(sends(&actions), [(1, WorkerId(0)), (2, WorkerId(0))], "as many as it may have room for");
-    dispatcher.advance(400 * MS); // the rest had to start within 300 ms
+    assert_eq!(
+        sends(&actions),
+        [(1, WorkerId(0)), (2, WorkerId(0))],
+        "as many as are sent to a worker of unknown load"
+    );
+    dispatcher.advance(400 * MS); // The other jobs had to start within 300 ms.
     dispatcher.arrive(7, 0, TIME_BUDGET);
     assert_eq!(sends(&dispatcher.end_attempt(1, 0, WorkerId(0), Outcome::Ok)), [(7, WorkerId(0))]);
     dispatcher.feed(Event::Started { job: JobId(7), attempt: 0 });
     assert_eq!(
         sends(&dispatcher.end_attempt(2, 0, WorkerId(0), Outcome::Ok)),
         [(6, WorkerId(0))],
-        "late ones follow, the newest first"
+        "late jobs follow, the newest first"
     );
 }
