--- a/tests/ramp/scenario.rs
+++ b/tests/ramp/scenario.rs
@@ -1,35 +1,37 @@
-//! What a simulated day is made of, and the cases that are worse than a plain one.
+//! The parameters of a simulated scenario, and the cases that are harder than the basic one.
 
 use crate::common::{MS, class};
 use mothproxy::*;
 
-/// Jobs that a worker runs at once.
+/// The number of jobs that a worker can run at once.
 pub const SLOTS: usize = 4;
 /// The window within which too many calls make a worker collapse that is warming up.
 pub const COLLAPSE_WINDOW: Micros = 1_500 * MS;
-/// How long a worker warms up.
+/// The time for which a worker warms up.
 pub const WARM_UP_TIME: Micros = 8_000 * MS;
-/// The part of its capacity that a worker has at its start.
+/// The fraction of its capacity that a worker has at its start.
 pub const INITIAL_CAPACITY: f64 = 0.38;
+/// The multiple of its present capacity at which a worker that is warming up collapses.
 const COLLAPSE_MULTIPLE: f64 = 4.0;
 
-/// When the day begins.
+/// The start of the simulation.
 pub const START: Micros = 1_000_000 * MS;
-/// Workers are replaced from here on, one after another over [`REPLACEMENT_SPAN`]; processes restart and bursts come in the
-/// middle of it.
+/// The time from which on workers are replaced, one after another over [`REPLACEMENT_SPAN`]. Processes restart and bursts arrive
+/// in the middle of that span.
 pub const REPLACEMENT_START: Micros = START + 5_000 * MS;
+/// The time from the first replacement of a worker to the end of the replacements.
 pub const REPLACEMENT_SPAN: Micros = 6_000 * MS;
-/// When the day ends.
+/// The end of the simulation.
 pub const END: Micros = REPLACEMENT_START + REPLACEMENT_SPAN + 5_000 * MS;
 
-/// Which dispatchers get each other's messages.
+/// The connectivity of the network between dispatchers.
 #[derive(Clone, Copy)]
 pub enum PeerNetwork {
+    /// All messages arrive.
     Connected,
-    /// Only those on one side of a cut.
-    Partitioned {
-        sides: u32,
-    },
+    /// Messages arrive only within each side of a partition.
+    Partitioned { sides: u32 },
+    /// No message arrives.
     Down,
 }
 
@@ -44,33 +46,33 @@
     }
 }
 
-/// A simulated day.
+/// The parameters of a simulated scenario.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub dispatchers: u32,
-    /// N: the calls that a worker may get in a window at its start.
+    /// N: the number of calls that a worker may get in a window at its start.
     pub window_calls: f64,
     pub workers: u32,
-    /// Work that comes, as a part of what all workers can run when they are warm.
+    /// The work that arrives, as a fraction of what all workers can run when they are warm.
     pub load: f64,
     /// Whether the settings allow messages between dispatchers.
     pub may_message_peers: bool,
     pub peer_network: PeerNetwork,
-    /// The part of the processes that restart, all at once.
+    /// The fraction of the dispatchers' processes that restart, all at the same time.
     pub restarted: f64,
-    /// The longest that a change of a worker takes to a dispatcher.
+    /// The longest time until a dispatcher is notified of a change of a worker.
     pub max_notification_delay: Micros,
-    /// Workers start anew at their place: who has not been notified takes them for warm.
+    /// Whether workers restart under their old name, so that dispatchers take them for warm until they are notified.
     pub restarts_in_place: bool,
-    /// Jobs that come at once to each dispatcher.
+    /// The number of jobs that arrive at each dispatcher at the same time.
     pub burst: u32,
-    /// The longest that the first connection to a worker takes.
+    /// The longest time that the first connection to a worker takes.
     pub max_connect_time: Micros,
     pub seed: u64,
 }
 
 impl Scenario {
-    /// A plain day.
+    /// The basic scenario.
     pub fn new(dispatchers: u32, window_calls: f64) -> Scenario {
         Scenario {
             dispatchers,
@@ -88,12 +90,13 @@
         }
     }
 
-    /// The mean duration of a job at a warm worker, in microseconds: what a worker may get in a window follows from it.
+    /// The mean duration of a job at a warm worker, in microseconds. It is chosen so that `window_calls` is the budget of a worker
+    /// at its start.
     pub fn mean_job_duration(&self) -> f64 {
         COLLAPSE_MULTIPLE * INITIAL_CAPACITY * SLOTS as f64 * COLLAPSE_WINDOW as f64 / self.window_calls
     }
 
-    /// The mean time between two jobs at a dispatcher, in microseconds: one in ten gets four times the mean.
+    /// The mean time between two jobs at a dispatcher, in microseconds. One dispatcher in ten gets four times the mean load.
     pub fn mean_arrival_interval(&self, dispatcher: u32) -> f64 {
         let relative_load = if dispatcher % 10 == 3 { 4.0 } else { 2.0 / 3.0 };
         let part = relative_load / f64::from(self.dispatchers);
@@ -102,7 +105,7 @@
     }
 
     /// The settings of one dispatcher.
-    pub fn settings(&self, me: u32) -> Settings {
+    pub fn settings(&self, index: u32) -> Settings {
         let class = Class {
             latency_objective: 250 * MS,
             deadline: 7_500 * MS,
@@ -110,7 +113,7 @@
             ..class(Idempotency::Idempotent)
         };
         Settings {
-            own_index: me,
+            own_index: index,
             dispatcher_count: self.dispatchers,
             classes: vec![class],
             may_probe: true,
@@ -126,58 +129,59 @@
     }
 }
 
-/// A way to be worse off than on a plain day.
+/// A variant of the basic scenario.
 pub struct Case {
-    /// What the table calls it.
+    /// The name of the case in the table.
     pub name: &'static str,
-    /// Makes a plain day this one.
+    /// Changes the basic scenario into this one.
     pub change: fn(&mut Scenario),
 }
 
+/// All cases; the first one is the basic scenario.
 pub const CASES: [Case; 8] = [
-    Case { name: "all hear each other", change: |_| {} },
-    Case { name: "nobody hears anybody", change: |day| day.peer_network = PeerNetwork::Down },
+    Case { name: "all dispatchers connected", change: |_| {} },
+    Case { name: "no message arrives", change: |scenario| scenario.peer_network = PeerNetwork::Down },
     Case {
-        name: "two sides of a cut, seven in ten restart",
-        change: |day| {
-            day.peer_network = PeerNetwork::Partitioned { sides: 2 };
-            day.restarted = 0.7;
+        name: "partition with two sides, 70 % restart",
+        change: |scenario| {
+            scenario.peer_network = PeerNetwork::Partitioned { sides: 2 };
+            scenario.restarted = 0.7;
         },
     },
     Case {
-        name: "half restart, a burst",
-        change: |day| {
-            day.restarted = 0.5;
-            day.burst = 5;
+        name: "50 % restart, burst",
+        change: |scenario| {
+            scenario.restarted = 0.5;
+            scenario.burst = 5;
         },
     },
     Case {
-        name: "told up to 5 s late, a burst",
-        change: |day| {
-            day.max_notification_delay = 5_000 * MS;
-            day.burst = 5;
+        name: "notified up to 5 s late, burst",
+        change: |scenario| {
+            scenario.max_notification_delay = 5_000 * MS;
+            scenario.burst = 5;
         },
     },
     Case {
-        name: "workers start anew in place, told late",
-        change: |day| {
-            day.restarts_in_place = true;
-            day.max_notification_delay = 3_000 * MS;
+        name: "workers restart in place, notified up to 3 s late",
+        change: |scenario| {
+            scenario.restarts_in_place = true;
+            scenario.max_notification_delay = 3_000 * MS;
         },
     },
     Case {
-        name: "connections come up late, twice the load",
-        change: |day| {
-            day.max_connect_time = 1_000 * MS;
-            day.load = 1.6;
+        name: "connections take up to 1 s, twice the load",
+        change: |scenario| {
+            scenario.max_connect_time = 1_000 * MS;
+            scenario.load = 1.6;
         },
     },
     Case {
-        name: "no peers allowed, a burst, half restart",
-        change: |day| {
-            day.may_message_peers = false;
-            day.burst = 5;
-            day.restarted = 0.5;
+        name: "peer messages not allowed, burst, 50 % restart",
+        change: |scenario| {
+            scenario.may_message_peers = false;
+            scenario.burst = 5;
+            scenario.restarted = 0.5;
         },
     },
 ];
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -6,13 +6,14 @@
 use mothproxy::*;
 use std::collections::BTreeMap;
 
-/// How long a call, a probe or an answer travels.
+/// The network delay of a call, a probe or a response.
 const NETWORK_DELAY: Micros = MS;
-/// How long a message between dispatchers travels.
+/// The network delay of a message between dispatchers.
 const PEER_DELAY: Micros = 2 * MS;
-/// How long the client of a job waits.
+/// The time for which the client of a job waits.
 const TIME_BUDGET: Micros = 7_500 * MS;
 
+/// An event of the simulation.
 enum Scheduled {
     JobArrives {
         dispatcher: u32,
@@ -27,7 +28,7 @@
         dispatcher: u32,
         entry: EndpointEntry,
     },
-    /// What only the process knows that it is meant for.
+    /// An event reaches a dispatcher, unless the process that it is meant for has ended.
     EventDelivered {
         dispatcher: u32,
         process: u64,
@@ -45,12 +46,13 @@
     },
 }
 
-/// A dispatcher with what outlives its processes.
+/// A dispatcher across the restarts of its process.
 struct SimulatedDispatcher {
+    /// The decision module of the present process.
     module: TestDispatcher,
-    /// How often it has restarted.
+    /// The present process, as the number of restarts before.
     process: u64,
-    /// What it has been notified of, and thus a new process of it.
+    /// The endpoint list as the dispatcher has been notified of it. A new process starts with this list.
     list: BTreeMap<u32, EndpointEntry>,
 }
 
@@ -70,31 +72,31 @@
     job: JobId,
 }
 
-/// What a day shows of the workers that started during it.
-pub struct DayOutcome {
-    /// The fullest window of each, the emptiest first.
+/// The results of a simulation for the workers that started during it.
+pub struct SimulationOutcome {
+    /// The fullest window of each of these workers, in ascending order.
     pub windows: Vec<Window>,
-    /// What they got while they warmed up, as a part of what they could have run.
+    /// The calls that these workers got while warming up, as a fraction of those that they could have run.
     pub capacity_used: f64,
 }
 
 pub struct Simulation {
     scenario: Scenario,
     now: Micros,
-    /// By time, and by the order in which they were scheduled.
+    /// The pending events, by time and by the order in which they were scheduled.
     scheduled: BTreeMap<(Micros, u64), Scheduled>,
     scheduled_count: u64,
     dispatchers: Vec<SimulatedDispatcher>,
     workers: Vec<Worker>,
-    /// When each connection is up.
+    /// The time at which each connection is established.
     connections: BTreeMap<ConnectionKey, Micros>,
-    /// How many attempts each job has had.
+    /// The number of attempts that each job has had.
     attempts: BTreeMap<JobKey, u32>,
     arrived_jobs: u64,
     rng: fastrand::Rng,
 }
 
-/// A worker's tag, by its number.
+/// The tag of the worker with this id.
 fn tag(worker: u32) -> u64 {
     u64::from(worker + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Six in ten of the workers are replaced, at even intervals.
+    /// Schedules the replacement of 60 % of the workers, at regular intervals.
     fn schedule_replacements(&mut self) {
         let replaced = self.scenario.workers * 6 / 10;
         for worker in 0..replaced {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// How long it is from the start to the middle of the replacements.
+    /// The time from the start of the simulation to the middle of the replacements.
     fn middle() -> Micros {
         REPLACEMENT_START - START + REPLACEMENT_SPAN / 2
     }
@@ -167,7 +169,7 @@
         }
     }
 
-    /// A new process of a dispatcher, with the list that its agent has.
+    /// Creates a new process of a dispatcher, which starts with this endpoint list.
     fn new_process(&self, dispatcher: u32, list: &BTreeMap<u32, EndpointEntry>) -> TestDispatcher {
         let seed = self.scenario.seed << 32 | u64::from(dispatcher);
         let mut module = TestDispatcher::with_seed(self.scenario.settings(dispatcher), seed);
@@ -181,12 +183,12 @@
         self.scheduled.insert((self.now + after, self.scheduled_count), scheduled);
     }
 
-    /// A random time of this mean, of an exponential distribution.
+    /// Draws a random time from the exponential distribution with this mean, in microseconds.
     fn random_time(&mut self, mean: f64) -> Micros {
         (-(1.0 - self.rng.f64()).ln() * mean) as Micros
     }
 
-    /// The process that a dispatcher has now gets this event later, if it is still there.
+    /// Schedules an event for the present process of a dispatcher. The event is dropped if that process has ended by then.
     fn deliver_in(&mut self, after: Micros, dispatcher: u32, event: Event) {
         let process = self.dispatchers[dispatcher as usize].process;
         self.schedule_in(after, Scheduled::EventDelivered { dispatcher, process, event });
@@ -199,7 +201,7 @@
         self.perform(dispatcher, actions);
     }
 
-    /// Does what a dispatcher wants done.
+    /// Performs the actions of a dispatcher.
     fn perform(&mut self, dispatcher: u32, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -218,25 +220,25 @@
         }
     }
 
-    /// Sends an attempt, which leaves as soon as the connection to its worker is up.
+    /// Sends an attempt as soon as the connection to its worker is established.
     fn send(&mut self, dispatcher: u32, job: JobId, worker: WorkerId) {
         let process = self.dispatchers[dispatcher as usize].process;
         let attempts = self.attempts.entry(JobKey { dispatcher, process, job }).or_insert(0);
         let call = Call { dispatcher, process, job, attempt: *attempts };
         *attempts += 1;
-        let new_connection_up = self.now + self.rng.u64(0..=self.scenario.max_connect_time);
+        let new_connected_at = self.now + self.rng.u64(0..=self.scenario.max_connect_time);
         let key = ConnectionKey { dispatcher, process, worker: worker.0 };
-        let connection_up = *self.connections.entry(key).or_insert(new_connection_up);
-        let travel_time = connection_up.saturating_sub(self.now) + NETWORK_DELAY;
-        self.schedule_in(travel_time, Scheduled::CallArrives { worker: worker.0, call });
+        let connected_at = *self.connections.entry(key).or_insert(new_connected_at);
+        let delay = connected_at.saturating_sub(self.now) + NETWORK_DELAY;
+        self.schedule_in(delay, Scheduled::CallArrives { worker: worker.0, call });
     }
 
-    /// Whether the process that sent a call is still there.
+    /// Whether the process that sent a call is still running.
     fn is_sender_alive(&self, call: &Call) -> bool {
         self.dispatchers[call.dispatcher as usize].process == call.process
     }
 
-    /// A worker answers a call, of which its sender learns if it is still there.
+    /// Ends a call at a worker, and notifies the sending process if it is still running.
     fn end_call(&mut self, worker: u32, call: Call, outcome: Outcome, elapsed: Micros) {
         if !self.is_sender_alive(&call) {
             return;
@@ -254,7 +256,7 @@
         self.deliver_in(NETWORK_DELAY, call.dispatcher, Event::AttemptEnded(ended));
     }
 
-    /// Starts what waits at a worker, if a slot is free.
+    /// Starts the oldest queued call of a worker, if a slot is free.
     fn start_next_call(&mut self, worker: u32) {
         let (mean, now) = (self.scenario.mean_job_duration(), self.now);
         let machine = &mut self.workers[worker as usize];
@@ -302,7 +304,7 @@
         }
     }
 
-    /// A job arrives at a dispatcher, and the next one is scheduled.
+    /// Handles the arrival of a job at a dispatcher, and schedules the next one.
     fn on_job_arrives(&mut self, dispatcher: u32) {
         self.arrived_jobs += 1;
         let interval = self.random_time(self.scenario.mean_arrival_interval(dispatcher));
@@ -323,7 +325,7 @@
         self.feed(dispatcher, Event::Arrived(new));
     }
 
-    /// A worker starts anew in place, or another one is there instead; each dispatcher is notified at another time.
+    /// Restarts a worker in place or replaces it by a new one. Each dispatcher is notified after another delay.
     fn on_worker_replaced(&mut self, worker: u32) {
         let old = self.workers[worker as usize].entry;
         let fresh = EndpointEntry { started_at: Some(self.now), ..old };
@@ -360,7 +362,7 @@
         self.start_next_call(worker);
     }
 
-    /// When the next timer of a dispatcher is due; the end of the day if none is.
+    /// The time of a dispatcher's next timer, or the end of the simulation if none is pending.
     fn next_timer(dispatcher: &SimulatedDispatcher) -> Micros {
         dispatcher.module.next_timer().unwrap_or(END)
     }
@@ -377,8 +379,8 @@
         }
     }
 
-    /// Plays the day to its end.
-    pub fn play(mut self) -> DayOutcome {
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> SimulationOutcome {
         loop {
             let next_scheduled = self.scheduled.first_key_value().map_or(END, |((at, _), _)| *at);
             let next_timer = self.dispatchers.iter().map(Simulation::next_timer).min().unwrap_or(END);
@@ -394,13 +396,13 @@
         }
     }
 
-    fn outcome(&self) -> DayOutcome {
+    fn outcome(&self) -> SimulationOutcome {
         let started: Vec<&Worker> = self.workers.iter().filter(|worker| worker.has_started_anew()).collect();
         let mut windows: Vec<Window> = started.iter().map(|worker| worker.fullest_window()).collect();
         windows.sort_by(|a, b| a.fill.total_cmp(&b.fill));
         let calls: usize = started.iter().map(|worker| worker.warm_up_call_count()).sum();
         let mean_job_duration = self.scenario.mean_job_duration();
         let capacity: f64 = started.iter().map(|worker| worker.warm_up_capacity(mean_job_duration)).sum();
-        DayOutcome { windows, capacity_used: calls as f64 / capacity }
+        SimulationOutcome { windows, capacity_used: calls as f64 / capacity }
     }
 }
--- a/tests/ramp/worker.rs
+++ b/tests/ramp/worker.rs
@@ -1,38 +1,40 @@
-//! A simulated worker: its slots, its queue, and the calls that it got while it warmed up.
+//! A simulated worker: its slots, its queue, and the calls that it gets while it is warming up.
 
 use crate::scenario::{COLLAPSE_WINDOW, END, INITIAL_CAPACITY, SLOTS, WARM_UP_TIME};
 use mothproxy::*;
 use std::collections::VecDeque;
 
-/// Calls that wait at a worker before it refuses more.
+/// The number of calls that wait at a worker before it rejects more.
 const MAX_QUEUED: usize = 40;
 
-/// An attempt on its way to a worker or there: the process of the dispatcher that sent it, its job and its number.
+/// An attempt on its way to a worker or at the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub dispatcher: u32,
-    /// Which process of this dispatcher sent it: the number of restarts before.
+    /// The process of this dispatcher that sent the call, as the number of its restarts before.
     pub process: u64,
     pub job: JobId,
     pub attempt: u32,
 }
 
-/// A stretch of the collapse window at a worker that is warming up.
+/// A collapse window at a worker that is warming up.
 #[derive(Clone, Copy)]
 pub struct Window {
-    /// The calls that came, as a part of those that may come.
+    /// The calls that arrived, as a fraction of those that the budget allows.
     pub fill: f64,
+    /// The number of calls that arrived.
     pub calls: usize,
 }
 
 pub struct Worker {
-    /// How discovery lists it. Its weight is N; the module only compares weights.
+    /// The worker's list entry. Its weight is N; the module only compares weights.
     pub entry: EndpointEntry,
-    /// How often it has started anew in place.
+    /// The worker's present process, as the number of its restarts in place.
     pub process: u64,
+    /// The number of running calls.
     pub running: usize,
     pub queue: VecDeque<Call>,
-    /// When calls came of dispatchers that had been notified of its start.
+    /// The arrival times of the calls of dispatchers that had been notified of the worker's start.
     pub notified_calls: Vec<Micros>,
 }
 
@@ -41,12 +43,12 @@
         Worker { entry, process: 0, running: 0, queue: VecDeque::new(), notified_calls: Vec::new() }
     }
 
-    /// Whether it has started during the day.
+    /// Whether the worker has started during the simulation.
     pub fn has_started_anew(&self) -> bool {
         self.entry.started_at.is_some()
     }
 
-    /// The calls that wait at it and are lost with its process: it starts anew in place.
+    /// Restarts the worker in place. Returns the queued calls, which are lost with the old process.
     pub fn restart(&mut self, entry: EndpointEntry) -> VecDeque<Call> {
         self.entry = entry;
         self.process += 1;
@@ -54,7 +56,7 @@
         std::mem::take(&mut self.queue)
     }
 
-    /// Takes a call in, if its queue is not full.
+    /// Queues a call, unless the queue is full.
     pub fn enqueue(&mut self, call: Call) -> Result<(), QueueFull> {
         if self.queue.len() >= MAX_QUEUED {
             return Err(QueueFull);
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Starts what has waited longest, if a slot is free.
+    /// Starts the oldest queued call, if a slot is free.
     pub fn start_next(&mut self) -> Option<Call> {
         if self.running == SLOTS {
             return None;
@@ -73,7 +75,7 @@
         Some(call)
     }
 
-    /// What it says of its load.
+    /// The worker's load report.
     pub fn load_report(&self) -> LoadReport {
         LoadReport {
             cpu: Some(self.running as f64 / SLOTS as f64),
@@ -82,33 +84,33 @@
         }
     }
 
-    /// The part of its capacity that it has at a time.
+    /// The fraction of its full capacity that the worker has at a time.
     pub fn capacity(&self, at: Micros) -> f64 {
         let Some(start) = self.entry.started_at else { return 1.0 };
         let warmed_up = at.saturating_sub(start) as f64 / WARM_UP_TIME as f64;
         INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * warmed_up.min(1.0)
     }
 
-    /// When calls came while it warmed up.
+    /// The arrival times of the calls that arrived during the warm-up.
     fn warm_up_calls(&self) -> Vec<Micros> {
         let Some(start) = self.entry.started_at else { return Vec::new() };
         let warm_up = start..start + WARM_UP_TIME;
         self.notified_calls.iter().copied().filter(|at| warm_up.contains(at)).collect()
     }
 
-    /// How many calls came while it warmed up.
+    /// The number of calls that arrived during the warm-up.
     pub fn warm_up_call_count(&self) -> usize {
         self.warm_up_calls().len()
     }
 
-    /// How many calls it could have run while it warmed up, as far as the day goes.
+    /// The number of calls that the worker could have run during its warm-up, up to the end of the simulation.
     pub fn warm_up_capacity(&self, mean_job_duration: f64) -> f64 {
         let age = END.saturating_sub(self.entry.started_at.unwrap_or(0)).min(WARM_UP_TIME) as f64;
         let mean_capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age / WARM_UP_TIME as f64 / 2.0;
         mean_capacity * age * SLOTS as f64 / mean_job_duration
     }
 
-    /// The window that held the most of what it may hold.
+    /// The window with the greatest fill.
     pub fn fullest_window(&self) -> Window {
         let calls = self.warm_up_calls();
         let mut fullest = Window { fill: 0.0, calls: 0 };
@@ -123,12 +125,12 @@
         fullest
     }
 
-    /// The calls that a window from this time on may hold.
+    /// The number of calls that the budget allows in a window that starts at this time.
     fn max_window_calls(&self, from: Micros) -> f64 {
         let budget = self.capacity(from) / INITIAL_CAPACITY * self.entry.weight;
         budget + 2.0 * budget.sqrt() + 2.0
     }
 }
 
-/// A worker's queue holds no more.
+/// The error for a call that arrives while the worker's queue is full.
 pub struct QueueFull;
