--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -105,11 +105,11 @@
     match (mean_ns(SIZES[0]), mean_ns(SIZES[3])) {
         (Some(small), Some(large)) => {
             println!(
-                "decision a job, {}; ratio of 10000 to 10 workers {:.2}",
+                "decision time per job: {}; ratio of 10000 to 10 workers {:.2}",
                 times.join(", "),
                 large / small
             );
         }
-        _ => println!("decision a job, {}; ratio unknown: no estimates written", times.join(", ")),
+        _ => println!("decision time per job: {}; ratio unknown: no estimates written", times.join(", ")),
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `mothproxy`: a dispatcher, and sub-commands for its files.
+//! The program `mothproxy`: the dispatcher, and sub-commands that work on its files.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records that a call for the endpoint list failed, and schedules the next watch.
+    /// Records that a request for the endpoint list failed, and schedules the next watch.
     fn on_list_failed(&mut self, actions: &mut Vec<Action>) {
         self.policy.state.record_list_failure();
         self.policy.schedule_watch(actions);
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -210,7 +210,7 @@
     pub is_handed_back: bool,
 }
 
-/// The presence of a dispatcher, as membership sees it.
+/// The presence of a dispatcher, as the membership protocol reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPresence {
     /// The dispatcher takes work.
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -2,17 +2,18 @@
 
 use super::*;
 
-/// The work assumed for a job without a hint, as a fraction of its class's mean, because most jobs are smaller than the mean.
+/// The work assumed for a job without a hint, as a fraction of its class's mean, because most jobs are
+/// smaller than the mean.
 const TYPICAL_FRACTION: f64 = 0.3;
 /// The fraction of its slack that a job waits in this dispatcher's queue before it may queue at a worker.
 const QUEUE_FRACTION: f64 = 0.7;
-/// The least fraction of a job's weight that counts as lost by lateness. It bounds the time for which a job waits for a worker
-/// in its own zone.
+/// The least fraction of a job's weight that counts as lost by lateness. It bounds the time for which a job
+/// waits for a worker in its own zone.
 const MIN_LOSS: f64 = 0.01;
 
 impl Policy {
-    /// Gives the dispatcher's own final response: a rejection if no attempt may have run or a repeat does no harm, otherwise a
-    /// failure.
+    /// Gives the dispatcher's own final response: a rejection if no attempt may have run or a repeat does no
+    /// harm, otherwise a failure.
     pub fn give_up(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let is_harmless = job.never_ran() || self.class(job).idempotency.is_repeatable_anywhere();
@@ -21,8 +22,8 @@
         self.state.close_job(id, &self.settings, actions);
     }
 
-    /// How long a rejected client should wait before it retries; `None` if the settings allow no such time. It is the time in
-    /// which this dispatcher's share of the ready workers can run the queued jobs.
+    /// How long a rejected client should wait before it retries; `None` if the settings allow no such time.
+    /// It is the time in which this dispatcher's share of the ready workers can run the queued jobs.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
@@ -66,18 +67,18 @@
         self.latest_start(job).saturating_sub(self.now())
     }
 
-    /// Whether the job has waited in this dispatcher's queue for so long that it may queue at a worker, and can still start in
-    /// time.
+    /// Whether the job has waited in this dispatcher's queue for so long that it may queue at a worker, and
+    /// can still start in time.
     pub(super) fn may_queue_at_worker(&self, job: &Job) -> bool {
         let slack = self.slack(job);
         let whole_slack = self.latest_start(job) - job.arrived;
         slack > 0 && slack as f64 <= whole_slack as f64 * (1.0 - QUEUE_FRACTION)
     }
 
-    /// Whether the job may be sent to another zone. It first waits for a worker of its own zone, if that has any: for a fraction
-    /// of its slack that is the ratio of the price of crossing zones to the weight lost by being late, at most
-    /// [`QUEUE_FRACTION`]. Once the job is late, the wait is that fraction of the time until its deadline, with the weight lost
-    /// by not being served.
+    /// Whether the job may be sent to another zone. It first waits for a worker of its own zone, if that has
+    /// any: for a fraction of its slack that is the ratio of the price of crossing zones to the weight lost
+    /// by being late, at most [`QUEUE_FRACTION`]. Once the job is late, the wait is that fraction of the time
+    /// until its deadline, with the weight lost by not being served.
     pub(super) fn may_cross_zones(&self, job: &Job) -> bool {
         let latest = self.latest_start(job);
         let late_weight = self.class(job).late_weight;
@@ -90,14 +91,15 @@
         !self.state.ready().has_own_zone() || self.now() >= from + wait as Micros
     }
 
-    /// Whether the deadline leaves time for the final response only. A stream that is running has no deadline.
+    /// Whether the deadline leaves time for the final response only. A stream that is running has no
+    /// deadline.
     pub(super) fn is_past_deadline(&self, job: &Job) -> bool {
         let is_streaming = self.class(job).is_stream && job.has(AttemptState::Running);
         self.now() + self.settings.tick >= job.request.deadline && !is_streaming
     }
 
-    /// Whether to give up a job that has no outstanding attempt: it may not be sent again, or its response would be too late to
-    /// earn any weight and its work would only delay other jobs.
+    /// Whether to give up a job that has no outstanding attempt: it may not be sent again, or its response
+    /// would be too late to earn any weight and its work would only delay other jobs.
     pub(super) fn should_give_up(&self, job: &Job) -> bool {
         let class = self.class(job);
         let is_too_late = self.now() + self.settings.tick >= self.latest_start(job);
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -2,14 +2,17 @@
 
 use super::*;
 
-/// The fraction of the warm-up budget that the dispatchers plan to use together. The rest is reserved because a dispatcher may
-/// restart within a collapse window, and its new process does not know what the old one has sent.
+/// The fraction of the warm-up budget that the dispatchers plan to use together. The rest is reserved because
+/// a dispatcher may restart within a collapse window, and its new process does not know what the old one has
+/// sent.
 const WARM_UP_SAFETY: f64 = 0.5;
 
 impl Policy {
-    /// The worker's load, if it is known. For a worker of this dispatcher's group, it is what the group has outstanding there.
-    /// For other workers, it is the fresh load sample, increased by this dispatcher's attempts that the sample may not include
-    /// yet. Without that increase, a dispatcher would send all jobs to the worker with the best score until its next report.
+    /// The worker's load, if it is known. For a worker of this dispatcher's group, it is what the group has
+    /// outstanding there. For other workers, it is the fresh load sample, increased by this dispatcher's
+    /// attempts that the sample may not include yet. Without that increase, a dispatcher would send all jobs
+    /// to the worker with the best score until its next report. A worker at which another group offers a slot
+    /// counts as half loaded, with one free slot.
     pub(super) fn load_inputs(&self, worker: &Worker, listed: &EndpointEntry) -> Option<LoadInputs> {
         if self.gossip().has_offer(listed.worker, self.now()) {
             return Some(LoadInputs::half_loaded(1.0));
@@ -42,8 +45,9 @@
         initial + (1.0 - initial) * (age as f64 / self.settings.warm_up_time as f64).min(1.0)
     }
 
-    /// Whether slow start admits a job with this much work to a worker; always `true` for a warm one. In a group, each
-    /// dispatcher has at most one job at a worker that is warming up, and all together have no more than it can run.
+    /// Whether slow start admits a job with this much work to a worker; always `true` for a warm one. In a
+    /// group, each dispatcher has at most one job at a worker that is warming up, and all together have no
+    /// more than it can run.
     pub(super) fn slow_start_admits(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         if self.is_warm(listed) || self.gossip().is_offered_by_slow_start_group(listed, self.now()) {
             return true;
@@ -53,13 +57,13 @@
         is_free && self.fits_warm_up_budget(worker, listed, work)
     }
 
-    /// Whether one more attempt with this much work keeps the fleet within the budget of a worker that is warming up: the work
-    /// that the worker can bear within a collapse window.
+    /// Whether one more attempt with this much work keeps the fleet within the budget of a worker that is
+    /// warming up: the work that the worker can bear within a collapse window.
     ///
-    /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself, and that those
-    /// ranked before it send one more attempt each. The ranks do not depend on messages. The dispatcher with rank 0 may always
-    /// send one job. If peers have advertised recently, their work at the worker is known, and only the attempts that several
-    /// dispatchers send at once must fit.
+    /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself,
+    /// and that those ranked before it send one more attempt each. The ranks do not depend on messages. The
+    /// dispatcher with rank 0 may always send one job. If peers have advertised recently, their work at the
+    /// worker is known, and only the attempts that several dispatchers send at once must fit.
     pub(super) fn fits_warm_up_budget(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         let Some(slow_start) = self.gossip().slow_start_rank(listed.tag) else { return false };
         let now = self.now();
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -2,34 +2,38 @@
 
 use super::*;
 
-/// The greatest slowness (response time divided by expected work) that is recorded. A failed attempt counts as such a response.
+/// The greatest slowness (response time divided by expected work) that is recorded. A failed attempt counts
+/// as such a response.
 const MAX_SLOWNESS: f64 = 8.0;
-/// The greatest number of consecutive failures that are counted. An ejection lasts for one window, doubled for each counted
-/// failure. For zones, the value of a group applies. The value without a group is lower, because such a dispatcher learns that a
-/// worker has recovered only from a job that it sends there.
+/// The greatest number of consecutive failures that are counted. An ejection lasts for one window, doubled
+/// for each counted failure. For zones, the value of a group applies. The value without a group is lower,
+/// because such a dispatcher learns that a worker has recovered only from a job that it sends there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
-/// The errors per second up to which a worker never counts as failing. Above this, it does if it cannot have served as many
-/// jobs.
+/// The errors per second up to which a worker never counts as failing. Above this, it does if it cannot have
+/// served as many jobs.
 const MAX_ERROR_RATE: f64 = 1.0;
 
 impl Policy {
-    /// Records a failure of a worker: drops its load sample and ejects it, for twice as long with each consecutive failure.
+    /// Records a failure of a worker: drops its load sample and ejects it, for twice as long with each
+    /// consecutive failure.
     pub(super) fn record_failure(&mut self, id: WorkerId) {
         self.state.record_failure(id, self.window(), self.by_grouping(&MAX_FAILURES));
     }
 
-    /// Records that a probe has failed. Without a group, this does not count as a failure of a worker that has shown a sign of
-    /// life since the probe was sent: the worker was busy, and the probe waited in its queue.
+    /// Records that a probe has failed. Without a group, this does not count as a failure of a worker that
+    /// has shown a sign of life since the probe was sent: the worker was busy, and the probe waited in its
+    /// queue.
     pub fn record_probe_failure(&mut self, response: &ProbeResponse, last_seen: Micros) {
         if self.is_grouped() || last_seen + response.elapsed <= self.now() {
             self.record_failure(response.worker);
         }
     }
 
-    /// Records that a worker has started an attempt, which ends its ejection. If the attempt had to queue there, the worker is
-    /// ejected for as long as the attempt waited, at most for a window, because the next attempt would wait as long.
+    /// Records that a worker has started an attempt, which ends its ejection. If the attempt had to queue
+    /// there, the worker is ejected for as long as the attempt waited, at most for a window, because the next
+    /// attempt would wait as long.
     pub fn record_start(&mut self, started: &StartedAttempt) {
-        let has_queued = started.waited > QUEUE_EVIDENT_AFTER;
+        let has_queued = started.waited > QUEUE_DETECTION_DELAY;
         let queue_wait = if has_queued { started.waited.min(self.window()) } else { 0 };
         self.eject_for(started.worker, queue_wait);
         // In a group, a start is no proof of recovery: the worker may fail everything that it starts.
@@ -45,7 +49,8 @@
                 let run_time = self.state.record_success(end, ended, &self.settings);
                 self.state.learn_slowness(end.worker, (run_time / ended.work).min(MAX_SLOWNESS));
             }
-            // A rejection is more recent than any load report: the worker gets no work for a window, but has not failed.
+            // A rejection is more recent than any load report: the worker gets no work for a window, but has
+            // not failed.
             Outcome::Full | Outcome::HandedBack => self.eject_for(end.worker, self.window()),
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 self.state.learn_slowness(end.worker, MAX_SLOWNESS);
@@ -59,8 +64,8 @@
         }
     }
 
-    /// Stores a load report as a sample with a time stamp. In a group, a report of more errors than the worker can have served
-    /// jobs counts as a failure.
+    /// Stores a load report as a sample with a time stamp. In a group, a report of more errors than the
+    /// worker can have served jobs counts as a failure.
     pub fn record_report(&mut self, id: WorkerId, report: &LoadReport) {
         let report = report.clean();
         let sample = LoadSample::new(self.now(), &report);
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -2,12 +2,13 @@
 
 use super::*;
 
-/// The step to which scores are rounded. Differences below it are within the noise of reports and count as ties.
+/// The step to which scores are rounded. Differences below it are within the noise of reports and count as
+/// ties.
 const SCORE_STEP: f64 = 0.1;
 /// The cost of a worker in another zone, in steps of the score.
 const REMOTE_COST: f64 = 1.0;
-/// The greatest number of workers that are drawn from the group for a job. Without a group, half as many are drawn from each
-/// list of `ReadyWorkers`.
+/// The greatest number of workers that are drawn from the group for a job. Without a group, half as many are
+/// drawn from each list of `ReadyWorkers`.
 const MAX_RANKED: usize = 32;
 /// The least fraction of a kind's capacity that is counted as available to jobs that other kinds can run too.
 const MIN_SPARE: f64 = 0.1;
@@ -20,9 +21,10 @@
 }
 
 impl Policy {
-    /// The eligible workers among those drawn for a job: a random sample of the group's workers, the workers probed for the job,
-    /// and those at which a slot is offered. Without a group, and for probes if no slot can be borrowed, the draw includes
-    /// workers that are warming up, workers of the dispatcher's own zone, and any workers.
+    /// The eligible workers among those drawn for a job: a random sample of the group's workers, the workers
+    /// probed for the job, and those at which a slot is offered. Without a group, and for probes if no slot
+    /// can be borrowed, the draw includes workers that are warming up, workers of the dispatcher's own zone,
+    /// and any workers.
     pub(super) fn candidates(&mut self, id: JobId, purpose: Purpose) -> Vec<WorkerId> {
         let gossip = self.state.gossip();
         let mut pool = gossip.sample(&mut self.random, MAX_RANKED);
@@ -69,8 +71,9 @@
         self.winner(&ranked, lowest_cpu).copied()
     }
 
-    /// The first candidate, unless it got the last job too. The same worker is chosen twice in a row only if its utilisation has
-    /// changed since its last assignment and is the lowest of all, or if the next candidate ranks worse than [`Rank::Unknown`].
+    /// The first candidate, unless it got the last job too. The same worker is chosen twice in a row only if
+    /// its utilisation has changed since its last assignment and is the lowest of all, or if the next
+    /// candidate ranks worse than [`Rank::Unknown`].
     fn winner<'a>(&self, ranked: &'a [Candidate], lowest_cpu: f64) -> Option<&'a Candidate> {
         let first = ranked.first()?;
         let worker = self.state.worker(first.worker);
@@ -83,7 +86,7 @@
 
     /// The requirements of a job.
     fn needs(&self, job: &Job) -> Needs {
-        let max_start_timeout = if self.settings.reports_start { QUEUE_EVIDENT_AFTER } else { Micros::MAX };
+        let max_start_timeout = if self.settings.reports_start { QUEUE_DETECTION_DELAY } else { Micros::MAX };
         let competing: &[Class] = if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
         let spare = |bound: BoundFraction| (bound.kind, (1.0 - bound.fraction).clamp(MIN_SPARE, 1.0));
         let bound_fractions = self.state.bound_fractions(competing);
@@ -131,8 +134,8 @@
         considered.candidate(Rank::Unknown, cost, random)
     }
 
-    /// Whether a worker gets the job only if there is no other. In a group, a worker that has failed must show a sign of life
-    /// before it gets work again.
+    /// Whether a worker gets the job only if there is no other. In a group, a worker that has failed must
+    /// show a sign of life before it gets work again.
     fn is_last_resort(&self, considered: &Considered, is_avoided: bool) -> bool {
         considered.worker.has_failed() && is_avoided
             || self.is_grouped() && self.state.is_suspect(considered.worker)
@@ -145,9 +148,10 @@
         inputs.free_slots < needs.request.slots || sample.is_some_and(|sample| needs.exceed_memory_of(sample))
     }
 
-    /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the time that the job would
-    /// wait in the worker's queue. The queue is the one that the worker reports, with the attempts of the group or, without a
-    /// group, of this dispatcher. Without a group and with reported starts, at most one attempt of this dispatcher waits there.
+    /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the time
+    /// that the job would wait in the worker's queue. The queue is the one that the worker reports, with the
+    /// attempts of the group or, without a group, of this dispatcher. Without a group and with reported
+    /// starts, at most one attempt of this dispatcher waits there.
     fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
         let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
@@ -159,8 +163,8 @@
         if wait * OVERDUE_FACTOR > needs.slack || is_queue_forbidden { Rank::Overloaded } else { Rank::Full }
     }
 
-    /// Whether a worker of unknown load must be probed before it gets a job: in a group, and wherever a probe would show a queue
-    /// at the worker or whether the worker of another zone has capacity.
+    /// Whether a worker of unknown load must be probed before it gets a job: in a group, and wherever a probe
+    /// would show a queue at the worker or whether the worker of another zone has capacity.
     fn must_probe_first(&self, is_remote: bool) -> bool {
         let shows_queue = self.estimates().is_queue_reported() && !self.settings.reports_start;
         self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -1,9 +1,10 @@
-//! The review of an open job. It decides whether to give the final response, wait, probe workers, queue the job, send it, or
-//! send a hedged attempt.
+//! The review of an open job. It decides whether to give the final response, wait, probe workers, queue the
+//! job, send it, or send a hedged attempt.
 
 use super::*;
 
-/// The fraction of its slack after which a job that has not started is hedged. A hedged attempt may cost as much work again.
+/// The fraction of its slack after which a job that has not started is hedged. A hedged attempt may cost as
+/// much work again.
 const HEDGE_FRACTION: f64 = 0.5;
 /// The number of attempts that never ran after which a job's further attempts are spread over its slack.
 const QUICK_RETRIES: usize = 2;
@@ -13,7 +14,8 @@
 const SAMPLE_SIZE: ByGrouping<usize> = ByGrouping { alone: 4, grouped: 2 };
 
 impl Policy {
-    /// Decides what to do about a job now. Does nothing if the job is closed, is running, or must not be reviewed yet.
+    /// Decides what to do about a job now. Does nothing if the job is closed, is running, or must not be
+    /// reviewed yet.
     pub fn review(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.open_job(id) else { return };
         if self.is_past_deadline(job) {
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Whether the job goes on waiting for its newest unstarted attempt instead of being hedged. Schedules a review for the time
-    /// at which the start is overdue or the job may be hedged.
+    /// Whether the job goes on waiting for its newest unstarted attempt instead of being hedged. Schedules a
+    /// review for the time at which the start is overdue or the job may be hedged.
     fn awaits_start(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let Some(&Attempt { worker, sent_at, .. }) = job.newest_unstarted() else { return false };
@@ -54,7 +56,8 @@
             self.state.schedule_review(id, hedge_at, actions);
             return true;
         }
-        // A worker that was seen since the attempt was sent is alive: the attempt is in its queue and will run there anyway.
+        // A worker that was seen since the attempt was sent is alive: the attempt is in its queue and will
+        // run there anyway.
         is_alive || !may_hedge
     }
 
@@ -74,9 +77,9 @@
         }
     }
 
-    /// Whether a worker of this rank, the best one, is good enough for the job now. A full worker is good enough at once if starts
-    /// are reported and there is no group, otherwise after the job has waited in the queue. After that wait, a dispatcher without
-    /// a group also uses an unprobed or ejected worker.
+    /// Whether a worker of this rank, the best one, is good enough for the job now. A full worker is good
+    /// enough at once if starts are reported and there is no group, otherwise after the job has waited in the
+    /// queue. After that wait, a dispatcher without a group also uses an unprobed or ejected worker.
     fn may_use(&self, id: JobId, rank: Rank) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let is_grouped = self.is_grouped();
@@ -99,9 +102,9 @@
         self.state.schedule_review(id, self.now() + self.start_timeout(work), actions);
     }
 
-    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, gets a new sample at its
-    /// next review, and a slot is requested from another group. The wait also prevents an endless loop of probes that fail at
-    /// once.
+    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, gets a
+    /// new sample at its next review, and a slot is requested from another group. The wait also prevents an
+    /// endless loop of probes that fail at once.
     fn queue_or_wait(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let slack = self.slack(job);
@@ -115,9 +118,10 @@
         self.state.schedule_review(id, until, actions);
     }
 
-    /// A job's position in this dispatcher's queue: the job with the earliest latest start is first. If late responses earn weight
-    /// too, jobs past their latency objective come last, the newest first; otherwise all jobs would be served just too late under
-    /// overload. A job that was rejected repeatedly has no position, because its last attempts are spread over its slack.
+    /// A job's position in this dispatcher's queue: the job with the earliest latest start is first. If late
+    /// responses earn weight too, jobs past their latency objective come last, the newest first; otherwise
+    /// all jobs would be served just too late under overload. A job that was rejected repeatedly has no
+    /// position, because its last attempts are spread over its slack.
     fn queue_position(&self, id: JobId) -> Option<QueuePosition> {
         let job = self.state.job(id).filter(|job| job.never_ran_count() < QUICK_RETRIES)?;
         let latest = self.latest_start(job);
@@ -136,8 +140,8 @@
         self.queue_positions().min().is_some_and(|first| Some(first) < self.queue_position(id))
     }
 
-    /// Reviews the queued jobs in order until one of them stays queued. To be called when a slot may have become free, for example
-    /// after an attempt has started or ended.
+    /// Reviews the queued jobs in order until one of them stays queued. To be called when a slot may have
+    /// become free, for example after an attempt has started or ended.
     pub fn review_queued(&mut self, actions: &mut Vec<Action>) {
         let mut positions: Vec<QueuePosition> = self.queue_positions().collect();
         positions.sort_unstable();
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Probes a few random workers for their load before the job is placed. Returns whether the job must wait for a response.
+    /// Probes a few random workers for their load before the job is placed. Returns whether the job must wait
+    /// for a response.
     fn probe_sample(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         if !self.settings.may_probe || self.state.is_sampled(id) {
             return false;
@@ -175,8 +180,8 @@
         self.state.probe_sample(id, sample, self.window(), until, actions)
     }
 
-    /// Draws the workers to probe for a job. Workers of other zones are preferred if the job may cross zones and there is no
-    /// group, otherwise workers of the dispatcher's own zone.
+    /// Draws the workers to probe for a job. Workers of other zones are preferred if the job may cross zones
+    /// and there is no group, otherwise workers of the dispatcher's own zone.
     fn draw_sample(&mut self, id: JobId) -> Vec<WorkerId> {
         let is_grouped = self.is_grouped();
         let mut pool = self.candidates(id, Purpose::Probing);
@@ -191,8 +196,8 @@
         pool
     }
 
-    /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed from other groups, only if
-    /// it is suspect or its number of slots is unknown.
+    /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed from
+    /// other groups, only if it is suspect or its number of slots is unknown.
     fn may_probe_in_group(&self, worker: &Worker, can_borrow: bool) -> bool {
         let needs_probe = || self.state.is_suspect(worker) || self.state.has_unknown_slots(worker);
         !self.state.is_ejected(worker) && (!can_borrow || needs_probe())
--- a/src/policy/state/worker_table.rs
+++ b/src/policy/state/worker_table.rs
@@ -17,7 +17,7 @@
 }
 
 impl WorkerTable {
-    /// The worker, for any change. A worker that is not in the table yet is added.
+    /// The worker with this id, for any change. A worker that is not in the table yet is added.
     pub fn touch(&mut self, id: WorkerId) -> &mut Worker {
         let index = id.0 as usize;
         if self.workers.len() <= index {
@@ -27,12 +27,12 @@
         &mut self.workers[index]
     }
 
-    /// The worker if it is in the table, for a change that is not advertised: neither a new attempt nor a failure.
+    /// The worker with this id if it is in the table, for a change that is not advertised: neither a new attempt nor a failure.
     pub fn get_mut(&mut self, id: WorkerId) -> Option<&mut Worker> {
         self.workers.get_mut(id.0 as usize)
     }
 
-    /// The worker.
+    /// The worker with this id.
     ///
     /// # Panics
     ///
