--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -231,7 +231,7 @@
     #[error("settings allow no attempt")]
     NoAttempts,
     /// A class has a deadline or a latency objective of 0.
-    #[error("a class has a deadline or a latency objective of 0")]
+    #[error("a class has a deadline or a latency objective that is not above 0")]
     ZeroDuration,
     /// The new settings of a running module have fewer classes than its present ones.
     #[error("settings lack a class that the running module has")]
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -81,7 +81,7 @@
         (read_with_peers(2, true), read_with_peers(0, true), read_with_peers(3, false)),
         ((false, true), (false, true), (false, true))
     );
-    for (count, why) in [(0, "not below the count"), (100_000, "more than 10,000")] {
+    for (count, why) in [(0, "not below the number of dispatchers"), (100_000, "more than 10,000")] {
         text["settings"]["Siblings"] = json!(count);
         let refused = Config::read(&text.to_string(), "config.json", |_| None).err().map(|e| e.to_string());
         assert!(refused.as_ref().is_some_and(|e| e.contains(why)), "{refused:?}");
