--- a/src/policy/state/jobs.rs
+++ b/src/policy/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Records jobs, from their arrival to their end.
+//! Records the arrival, waiting and end of jobs, and schedules their reviews.
 
 use super::{Attempt, Job, PolicyState};
 use crate::policy::interface::{Action, JobId, Micros, NewJob, Settings};
@@ -14,8 +14,8 @@
         actions: &mut Vec<Action>,
     ) {
         let class = usize::from(request.class.0);
-        let Some(terms) = settings.classes.get(class) else { return };
-        let Some(work) = self.estimates.record_arrival(class, terms, request.hint) else { return };
+        let Some(class_settings) = settings.classes.get(class) else { return };
+        let Some(work) = self.estimates.record_arrival(class, class_settings, request.hint) else { return };
         self.jobs.insert(request.job, Job::new(request, arrived, work));
         self.schedule_review(request.job, request.deadline.saturating_sub(settings.tick), actions);
     }
@@ -45,7 +45,7 @@
         actions.push(Action::SetTimer(Timer::Review(id).into(), after));
     }
 
-    /// Queues a job and lets it wait until `until`, unless a slot becomes free before.
+    /// Queues a job and lets it wait until `until`, or until a slot becomes free.
     pub fn queue_job(&mut self, id: JobId, until: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.wait_until(until);
@@ -53,7 +53,7 @@
         self.queue.push(id);
     }
 
-    /// Ends a job's wait: it may be reviewed at any time.
+    /// Ends a job's wait, so that it may be reviewed at any time.
     pub fn end_wait(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.end_wait();
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -3,19 +3,19 @@
 use crate::policy::interface::{EndpointEntry, KindId, Micros, WorkerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// The ready workers, each list by ascending id.
+/// The ready workers, in several lists that are sorted by ascending id.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
     all: Vec<WorkerId>,
     /// The workers in the dispatcher's own zone.
-    home: Vec<WorkerId>,
+    own_zone: Vec<WorkerId>,
     /// The workers that are not warm yet.
     warming_up: Vec<WorkerId>,
     /// The total weight of the workers of each kind.
     weight_by_kind: BTreeMap<KindId, f64>,
 }
 
-/// The least weight that a worker counts with.
+/// The weight that a worker of lower weight counts with.
 pub(crate) const MIN_WEIGHT: f64 = 0.01;
 
 impl ReadyWorkers {
@@ -26,7 +26,7 @@
         };
         let mut ready = ReadyWorkers {
             all: ids(&|_| true),
-            home: ids(&|entry| entry.zone == zone),
+            own_zone: ids(&|entry| entry.zone == zone),
             warming_up: ids(&|entry| !is_warm(entry, now, warm_up_time)),
             weight_by_kind: BTreeMap::new(),
         };
@@ -47,8 +47,8 @@
     }
 
     /// Whether there is a ready worker in the dispatcher's own zone.
-    pub fn has_home(&self) -> bool {
-        !self.home.is_empty()
+    pub fn has_own_zone(&self) -> bool {
+        !self.own_zone.is_empty()
     }
 
     /// The total weight of the workers of each kind.
@@ -56,10 +56,10 @@
         &self.weight_by_kind
     }
 
-    /// Adds to a pool the workers that are warming up, those of the own zone, and all workers. From each list longer than
-    /// `max`, it draws `max` workers at random; a worker may be drawn several times.
+    /// Adds workers to a pool: those that are warming up, those of the dispatcher's own zone, and all workers. From each of these
+    /// lists that is longer than `max`, `max` workers are drawn at random; a worker may be drawn several times.
     pub fn draw(&self, pool: &mut Vec<WorkerId>, max: usize, random: &mut fastrand::Rng) {
-        for list in [&self.warming_up, &self.home, &self.all] {
+        for list in [&self.warming_up, &self.own_zone, &self.all] {
             if list.len() <= max {
                 pool.extend(list);
             } else {
