--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -80,7 +80,7 @@
             Ok(listener) if reactor.watch(&listener, RESTART_SOCKET).is_ok() => self.socket = Some(listener),
             Ok(_) => {}
             Err(error) => {
-                tracing::info!(path = %path.display(), %error, "hot restart: cannot listen for a successor");
+                tracing::info!(path = %path.display(), %error, "hot restart: unavailable");
             }
         }
     }
