--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -75,9 +75,9 @@
     pub late_weight: f64,
     /// Whether the response is a stream, whose start [`super::Event::StreamStarted`] reports.
     pub is_stream: bool,
-    /// The only kind of worker that can run its jobs; `None` if every kind can.
+    /// The only kind of worker that can run jobs of this class; `None` if every kind can.
     pub kind: Option<KindId>,
-    /// The priority of its jobs in the workers' queues.
+    /// The priority of jobs of this class in the workers' queues.
     pub priority: i32,
 }
 
@@ -142,7 +142,7 @@
     pub max_retry_after: Option<Micros>,
     /// The time after the client's deadline within which a final response still counts.
     pub response_grace: Micros,
-    /// The time after which no attempt may be sent to a worker that is draining or gone.
+    /// The time after which no attempt may be sent to a worker, counted from when it is listed as draining or gone.
     pub drain_grace: Micros,
     /// The longest time from one poll of the endpoint list to the next; `None` if changes of the list are pushed.
     pub max_poll_interval: Option<Micros>,
@@ -152,7 +152,7 @@
     pub warm_up_time: Micros,
     /// The multiple of its present capacity at which a worker that is warming up collapses.
     pub collapse_multiple: f64,
-    /// How long that load must last to cause the collapse.
+    /// The time for which that load must last to cause the collapse.
     pub collapse_window: Micros,
     /// The price of sending every job to another zone once, as a fraction of the total weight of all jobs.
     pub price_cross_zone: f64,
--- a/src/policy/state/class_stats.rs
+++ b/src/policy/state/class_stats.rs
@@ -16,8 +16,8 @@
 }
 
 impl ClassStats {
-    /// Records that a job has arrived. `work` is its expected work, and `max_run_time` the value for [`ClassStats::max_run_time`], both in
-    /// microseconds.
+    /// Records that a job has arrived. `work` is its expected work, and `max_run_time` the new value of
+    /// [`ClassStats::max_run_time`], both in microseconds.
     pub fn record_arrival(&mut self, work: f64, max_run_time: f64) {
         self.work_sum += work;
         self.job_count += 1.0;
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -397,7 +397,8 @@
     }
 
     fn outcome(&self) -> SimulationOutcome {
-        let started: Vec<&Worker> = self.workers.iter().filter(|worker| worker.has_started_anew()).collect();
+        let started: Vec<&Worker> =
+            self.workers.iter().filter(|worker| worker.has_started_during_simulation()).collect();
         let mut windows: Vec<Window> = started.iter().map(|worker| worker.fullest_window()).collect();
         windows.sort_by(|a, b| a.fill.total_cmp(&b.fill));
         let calls: usize = started.iter().map(|worker| worker.warm_up_call_count()).sum();
--- a/tests/ramp/worker.rs
+++ b/tests/ramp/worker.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether the worker has started during the simulation.
-    pub fn has_started_anew(&self) -> bool {
+    pub fn has_started_during_simulation(&self) -> bool {
         self.entry.started_at.is_some()
     }
 
