--- a/tests/conformance/decision/mod.rs
+++ b/tests/conformance/decision/mod.rs
@@ -1,7 +1,15 @@
-//! The decision module, driven by a table: settings and workers, then reports, jobs, ends and the passing of time.
+//! Runs conformance tables on the decision module of one dispatcher.
 //!
-//! Words: `J to W` (job J is sent to worker W), `J waits`, `J refused`, `J failed`, `J calls off N` (its attempt N), `probe W`,
-//! `watch`, `fetch`, `spread N`, `score X`.
+//! Observations:
+//!
+//! - `J to W`: job J is sent to worker W;
+//! - `J waits`: job J has no outstanding attempt and no final response;
+//! - `J refused`, `J failed`: job J gets this final response;
+//! - `J calls off N`: attempt N of job J is cancelled;
+//! - `probe W`: a load probe is sent to worker W;
+//! - `watch`, `fetch`: a watch of the endpoint list is opened, or the list is fetched;
+//! - `spread N`: the number of different workers that the latest jobs were sent to;
+//! - `score X`: the capability score.
 
 pub mod simple_balancers;
 mod situation;
@@ -9,32 +17,32 @@
 
 use crate::common::{MS, TestDispatcher};
 use crate::runner::{Machine, MachineError};
-use crate::table::beyond;
+use crate::table::out_of_range;
 use mothproxy::*;
 use simple_balancers::{ChooseWorker, ReadyWorker};
 use situation::{ListedWorker, Situation, endpoint_list};
 use std::collections::{BTreeMap, BTreeSet};
 use steps::{DecisionStep, EndedAttempt, NewRequest, WorkerLoad};
 
-/// When a row begins.
+/// The time at which a row starts.
 const START: Micros = 1_000_000 * MS;
 
-/// How a job stands for whoever drives the module.
+/// The state of a job, as the test driver tracks it.
 #[derive(Default)]
 struct JobState {
-    /// The workers that it was sent to, by attempt.
+    /// The worker of each attempt, by attempt number.
     sent_to: Vec<WorkerId>,
     outstanding: usize,
     is_over: bool,
 }
 
 impl JobState {
-    fn waits(&self) -> bool {
+    fn is_waiting(&self) -> bool {
         self.outstanding == 0 && !self.is_over
     }
 
-    /// The number of the newest attempt; 0 if there is none.
-    fn newest_attempt(&self) -> usize {
+    /// The number of the latest attempt; 0 if there is none.
+    fn latest_attempt(&self) -> usize {
         self.sent_to.len().saturating_sub(1)
     }
 }
@@ -45,9 +53,9 @@
     jobs: BTreeMap<u64, JobState>,
     /// The workers of all attempts, in order.
     sent_to: Vec<WorkerId>,
-    /// One that chooses workers in the module's place.
+    /// A simple balancer whose choice replaces that of the module.
     balancer: Option<ChooseWorker>,
-    /// The workers of the situation.
+    /// The workers of the initial endpoint list.
     ready: Vec<ReadyWorker>,
 }
 
@@ -57,7 +65,7 @@
 
     fn new(situation: Situation, seed: u64) -> Result<DecisionMachine, MachineError> {
         let settings = situation.settings();
-        settings.check().map_err(MachineError::refused)?;
+        settings.check().map_err(MachineError::rejected)?;
         let mut dispatcher = TestDispatcher::with_seed(settings, seed);
         dispatcher.now = START;
         let list = endpoint_list(&situation.workers, START);
@@ -80,8 +88,8 @@
                 self.jobs.entry(job).or_default().is_over = true;
                 self.dispatcher.feed(Event::ClientDisconnected(JobId(job)))
             }
-            DecisionStep::List(lines) => self.receive_list(ListKind::Snapshot, &lines),
-            DecisionStep::Changes(lines) => self.receive_list(ListKind::Delta, &lines),
+            DecisionStep::List(workers) => self.receive_list(ListKind::Snapshot, &workers),
+            DecisionStep::Changes(workers) => self.receive_list(ListKind::Delta, &workers),
             DecisionStep::ListFailed(times) => {
                 (0..times).flat_map(|_| self.dispatcher.feed(Event::ListFailed)).collect()
             }
@@ -90,9 +98,9 @@
         Ok(self.perform(&actions))
     }
 
-    fn contrary(word: &str) -> String {
-        let (head, last) = word.rsplit_once(' ').unwrap_or(("", word));
-        let job = word.split(' ').next().filter(|job| !job.is_empty()).unwrap_or("1");
+    fn inverse(observation: &str) -> String {
+        let (head, last) = observation.rsplit_once(' ').unwrap_or(("", observation));
+        let job = observation.split(' ').next().filter(|job| !job.is_empty()).unwrap_or("1");
         match last {
             "waits" => format!("{job} to 0"),
             "refused" => format!("{job} failed"),
@@ -102,13 +110,13 @@
                 let high: f64 = last.split("..").last().and_then(|high| high.parse().ok()).unwrap_or(0.0);
                 format!("score {}..{}", high + 0.001, high + 1.0)
             }
-            _ => beyond(word),
+            _ => out_of_range(observation),
         }
     }
 }
 
 impl DecisionMachine {
-    /// The same machine, where this balancer chooses the workers.
+    /// Replaces the module's choice of workers by that of a balancer.
     pub fn with_balancer(self, choose: ChooseWorker) -> DecisionMachine {
         DecisionMachine { balancer: Some(choose), ..self }
     }
@@ -146,11 +154,11 @@
             estimate: None,
             tenant_weight: None,
         }));
-        self.perform_for(new.job, &actions)
+        self.perform_for_job(new.job, &actions)
     }
 
     fn start(&mut self, job: u64) -> Vec<Action> {
-        let attempt = self.jobs.get(&job).map_or(0, JobState::newest_attempt) as u32;
+        let attempt = self.jobs.get(&job).map_or(0, JobState::latest_attempt) as u32;
         self.dispatcher.feed(Event::Started { job: JobId(job), attempt })
     }
 
@@ -158,7 +166,7 @@
         let EndedAttempt { job, outcome, attempt, elapsed, report } = *ended;
         let outcome = Outcome::from(outcome);
         let state = self.jobs.get_mut(&job).ok_or(MachineError::Missing("job"))?;
-        let attempt = attempt.map_or(state.newest_attempt(), |number| number as usize);
+        let attempt = attempt.map_or(state.latest_attempt(), |number| number as usize);
         let worker = *state.sent_to.get(attempt).ok_or(MachineError::Missing("attempt"))?;
         state.outstanding -= 1;
         state.is_over |= outcome == Outcome::Ok;
@@ -175,11 +183,11 @@
             outcome,
             report: report.map(LoadReport::from),
         }));
-        Ok(if closed { self.perform(&actions) } else { self.perform_for(job, &actions) })
+        Ok(if closed { self.perform(&actions) } else { self.perform_for_job(job, &actions) })
     }
 
-    fn receive_list(&mut self, kind: ListKind, lines: &[ListedWorker]) -> Vec<Action> {
-        let list = endpoint_list(lines, self.dispatcher.now);
+    fn receive_list(&mut self, kind: ListKind, workers: &[ListedWorker]) -> Vec<Action> {
+        let list = endpoint_list(workers, self.dispatcher.now);
         self.dispatcher.feed(Event::EndpointList(kind, list))
     }
 
@@ -196,7 +204,6 @@
         format!("score {score:.3}")
     }
 
-    /// Sends a job to a worker.
     fn send(&mut self, job: u64, worker: WorkerId) -> String {
         for ready in self.ready.iter_mut().filter(|ready| ready.id == worker.0) {
             ready.outstanding += 1;
@@ -208,17 +215,17 @@
         format!("{job} to {}", worker.0)
     }
 
-    fn finish(&mut self, job: u64, how: &str) -> String {
+    fn finish(&mut self, job: u64, response: &str) -> String {
         self.jobs.entry(job).or_default().is_over = true;
-        format!("{job} {how}")
+        format!("{job} {response}")
     }
 
-    /// The worker that the simple balancer takes for a job, if one decides.
+    /// The worker that the simple balancer chooses for a job, if there is one.
     fn balancer_choice(&self, job: u64) -> Option<WorkerId> {
         self.balancer.map(|choose| WorkerId(self.ready[choose(&self.ready, job)].id))
     }
 
-    /// Does what the module wants done, and puts it into words.
+    /// Applies the actions of the module, and returns them as observations.
     fn perform(&mut self, actions: &[Action]) -> Vec<String> {
         actions.iter().filter_map(|action| self.perform_one(action)).collect()
     }
@@ -239,17 +246,17 @@
         }
     }
 
-    /// The same after an event of a job: also says that it waits if it has nothing outstanding then.
-    fn perform_for(&mut self, job: u64, actions: &[Action]) -> Vec<String> {
-        let mut words = self.perform(actions);
-        if words.is_empty()
+    /// Like [`Self::perform`] after an event of a job; adds an observation if the job is then waiting.
+    fn perform_for_job(&mut self, job: u64, actions: &[Action]) -> Vec<String> {
+        let mut observations = self.perform(actions);
+        if observations.is_empty()
             && let Some(worker) = self.balancer_choice(job)
         {
-            words.push(self.send(job, worker));
+            observations.push(self.send(job, worker));
         }
-        if self.jobs.get(&job).is_some_and(JobState::waits) {
-            words.push(format!("{job} waits"));
+        if self.jobs.get(&job).is_some_and(JobState::is_waiting) {
+            observations.push(format!("{job} waits"));
         }
-        words
+        observations
     }
 }
--- a/tests/conformance/decision/simple_balancers.rs
+++ b/tests/conformance/decision/simple_balancers.rs
@@ -1,19 +1,19 @@
-//! Balancers that know nothing of load reports. A clause whose rows one of them meets would say nothing.
+//! Balancers that ignore load reports. A clause whose rows all pass with one of them would not test the decision module.
 
 use super::DecisionMachine;
-use crate::runner::{machine_for, play};
+use crate::runner::{machine_for, run_row};
 use crate::table::{ConformanceTable, Row};
 use std::collections::BTreeSet;
 
-/// A worker that the list calls ready.
+/// A worker that the endpoint list marks as ready.
 #[derive(Clone, Copy)]
 pub struct ReadyWorker {
     pub id: u32,
-    /// The jobs that it has.
+    /// The number of its outstanding jobs.
     pub outstanding: usize,
 }
 
-/// Chooses a worker, by its place, for the job of this number. It always sends at once.
+/// Chooses the index of a worker for the job with this id. A job is always sent immediately.
 pub type ChooseWorker = fn(&[ReadyWorker], u64) -> usize;
 
 struct SimpleBalancer {
@@ -22,32 +22,38 @@
 }
 
 const SIMPLE_BALANCERS: [SimpleBalancer; 4] = [
-    SimpleBalancer { name: "the first", choose: |_, _| 0 },
-    SimpleBalancer { name: "the last", choose: |ready, _| ready.len() - 1 },
-    SimpleBalancer { name: "in turn", choose: |ready, job| (job as usize + ready.len() - 1) % ready.len() },
+    SimpleBalancer { name: "the first worker", choose: |_, _| 0 },
+    SimpleBalancer { name: "the last worker", choose: |ready, _| ready.len() - 1 },
     SimpleBalancer {
-        name: "the fewest out",
+        name: "workers in turn",
+        choose: |ready, job| (job as usize + ready.len() - 1) % ready.len(),
+    },
+    SimpleBalancer {
+        name: "the worker with the fewest outstanding jobs",
         choose: |ready, _| {
-            let least = ready.iter().enumerate().min_by_key(|(_, worker)| worker.outstanding);
-            least.map_or(0, |(place, _)| place)
+            let least_loaded = ready.iter().enumerate().min_by_key(|(_, worker)| worker.outstanding);
+            least_loaded.map_or(0, |(index, _)| index)
         },
     },
 ];
 
-/// Whether the row fails when this balancer decides.
+/// Whether the row fails when this balancer chooses the workers.
 fn row_fails(row: &Row, choose: ChooseWorker) -> bool {
-    let machine: DecisionMachine = machine_for(row, 1).expect("a situation");
-    !play(machine.with_balancer(choose), row).passes(row)
+    let machine: DecisionMachine = machine_for(row, 1).expect("the initial state must be valid");
+    !run_row(machine.with_balancer(choose), row).passes(row)
 }
 
-/// Asserts that each clause has a row that each simple balancer fails: no clause is met by chance.
-pub fn assert_each_misses_every_clause(name: &str, text: &str) {
-    let table = ConformanceTable::parse(text).expect("a table");
+/// Asserts that each simple balancer fails at least one row of each clause.
+pub fn assert_each_fails_every_clause(name: &str, text: &str) {
+    let table = ConformanceTable::parse(text).expect("the table must be valid");
     let clauses: BTreeSet<&str> = table.rows.iter().map(|row| row.of.as_str()).collect();
     for clause in clauses {
         for SimpleBalancer { name: balancer, choose } in SIMPLE_BALANCERS {
-            let is_caught = table.rows_of(clause).any(|row| row_fails(row, choose));
-            assert!(is_caught, "{name}.toml: a balancer that takes {balancer} meets every row of {clause}");
+            let is_failed = table.rows_of(clause).any(|row| row_fails(row, choose));
+            assert!(
+                is_failed,
+                "{name}.toml: a balancer that chooses {balancer} passes every row of {clause}"
+            );
         }
     }
 }
--- a/tests/conformance/decision/situation.rs
+++ b/tests/conformance/decision/situation.rs
@@ -1,11 +1,11 @@
-//! The situation of a row for the decision module. Times are in milliseconds; whatever is absent is as in
+//! The initial state of a row for the decision module. Times are in milliseconds; settings that are not listed here are as in
 //! [`Settings::default`].
 
 use crate::common::{MS, worker};
 use mothproxy::*;
 use serde::Deserialize;
 
-/// The settings of one dispatcher, and the workers that it knows.
+/// The settings of one dispatcher, and its initial endpoint list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Situation {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A line of the list; its number is its place unless it says so.
+/// An entry of an endpoint list; `id` defaults to its index.
 #[derive(Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListedWorker {
@@ -79,7 +79,7 @@
     zone: u16,
     cell: u32,
     state: Lifecycle,
-    /// How long ago it started.
+    /// Time since its start.
     age: Option<u64>,
 }
 
@@ -102,17 +102,17 @@
     }
 }
 
-/// The entries of a list that is received now.
-pub fn endpoint_list(lines: &[ListedWorker], now: Micros) -> Vec<EndpointEntry> {
-    let entry = |(place, line): (usize, &ListedWorker)| EndpointEntry {
-        zone: ZoneId(line.zone),
-        kind: KindId(line.kind),
-        cell: CellId(line.cell),
-        status: line.state.into(),
-        started_at: line.age.map(|age| now - age * MS),
-        ..worker(line.id.unwrap_or(place as u32))
+/// The endpoint entries of a list received at `now`.
+pub fn endpoint_list(workers: &[ListedWorker], now: Micros) -> Vec<EndpointEntry> {
+    let entry = |(index, listed): (usize, &ListedWorker)| EndpointEntry {
+        zone: ZoneId(listed.zone),
+        kind: KindId(listed.kind),
+        cell: CellId(listed.cell),
+        status: listed.state.into(),
+        started_at: listed.age.map(|age| now - age * MS),
+        ..worker(listed.id.unwrap_or(index as u32))
     };
-    lines.iter().enumerate().map(entry).collect()
+    workers.iter().enumerate().map(entry).collect()
 }
 
 /// A class of jobs.
@@ -120,8 +120,9 @@
 #[serde(deny_unknown_fields, default)]
 struct JobClass {
     effect: Effect,
-    /// Who drops repeats, and for how long.
+    /// The workers that share idempotency keys.
     group: Scope,
+    /// How long they keep a key.
     #[serde(rename = "memory")]
     window: u64,
     #[serde(rename = "aim")]
@@ -169,7 +170,7 @@
     }
 }
 
-/// Idempotency, in the words of the platform's pages.
+/// The effect of running a job twice, under the names that the platform uses for it.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Effect {
@@ -178,7 +179,7 @@
     Unsafe,
 }
 
-/// The deduplication scope.
+/// The deduplication scope of idempotency keys.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Scope {
--- a/tests/conformance/decision/steps.rs
+++ b/tests/conformance/decision/steps.rs
@@ -4,19 +4,19 @@
 use mothproxy::*;
 use serde::Deserialize;
 
-/// What happens to the dispatcher, or what is asked of it.
+/// An input to the dispatcher, or a query of its state.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum DecisionStep {
-    /// A probe brings a worker's load report.
+    /// A load probe returns the load report of a worker.
     Report(WorkerLoad),
-    /// A probe ended so, without a report.
+    /// A load probe ends without a report.
     Echo {
         worker: u32,
         #[serde(rename = "as")]
         outcome: AttemptEnd,
     },
-    /// Probes bring reports of the workers, each `every` milliseconds, so many times.
+    /// Load probes return these reports `times` times, at intervals of `every` milliseconds.
     Reports {
         every: u64,
         times: u64,
@@ -24,27 +24,27 @@
     },
     Arrive(NewRequest),
     End(EndedAttempt),
-    /// The newest attempt of a job starts.
+    /// The latest attempt of a job starts.
     Start {
         job: u64,
     },
     /// The client of a job disconnects.
     HangUp(u64),
-    /// A whole list.
+    /// A snapshot of the endpoint list.
     List(Vec<ListedWorker>),
-    /// Changes of a list.
+    /// A delta of the endpoint list.
     Changes(Vec<ListedWorker>),
-    /// So many times.
+    /// Fetching the endpoint list fails this many times.
     ListFailed(u32),
-    /// So much time goes by.
+    /// Time passes.
     Pass(u64),
-    /// At how many workers the last so many jobs sent are.
+    /// The number of different workers among the latest attempts; the argument is the number of attempts.
     Spread(usize),
-    /// The fuzzy capability of these inputs.
+    /// The capability score of a CPU utilisation and a load.
     Score(f64, f64),
 }
 
-/// The newest attempt of a job, or this one, ended so.
+/// The end of an attempt of a job; of the latest one unless `attempt` is given.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndedAttempt {
@@ -52,10 +52,10 @@
     #[serde(rename = "as")]
     pub outcome: AttemptEnd,
     pub attempt: Option<u32>,
-    /// Since it was sent.
+    /// Time since it was sent.
     #[serde(default = "default_elapsed", rename = "took")]
     pub elapsed: u64,
-    /// With it came a report of its worker.
+    /// The load report that the worker returned with it.
     pub report: Option<Load>,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// What a load report says.
+/// The contents of a load report.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -107,7 +107,7 @@
     }
 }
 
-/// A load report, and whose it is. It repeats the fields of [`Load`], as serde refuses no unknown field beside a flattened one.
+/// A load report and its worker. Repeats the fields of [`Load`], as serde cannot reject unknown fields beside a flattened struct.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerLoad {
@@ -125,7 +125,7 @@
     }
 }
 
-/// A job that arrives.
+/// A new job.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NewRequest {
@@ -133,9 +133,9 @@
     pub class: u16,
     #[serde(rename = "patience")]
     pub time_budget: u64,
-    /// How long it runs; unknown if 0.
+    /// Its run time; unknown if 0.
     pub work: u64,
-    /// The slots that it needs.
+    /// The number of slots that it needs.
     pub slots: f64,
     /// The memory that it needs.
     pub memory: Option<f64>,
--- a/tests/conformance/fairshare.rs
+++ b/tests/conformance/fairshare.rs
@@ -1,8 +1,13 @@
-//! Ledgers of a few members over the tenants of one installation, driven by a table. Words: of a tenant's use `low`, `likely`
-//! and `high` in units a second; of one more job's worth its tier and `part` in hundredths; of facts what became of them.
+//! Runs conformance tables on the ledgers of a peer group with one installation.
+//!
+//! Observations:
+//!
+//! - of a tenant's usage: `low`, `likely` and `high`, in units per second;
+//! - of the value of one more job: its tier, and `part`, its value as a percentage of the full value;
+//! - of a recorded or absorbed fact: `taken`, or the reason why it was rejected.
 
 use crate::runner::{Machine, MachineError};
-use crate::table::beyond;
+use crate::table::out_of_range;
 use mothproxy_fairshare::{
     AbsorbError, Config, Installation, Ledger, Origin, RecordError, Shares, Tenant, TenantKey, Tier, Usage,
 };
@@ -13,23 +18,23 @@
 const SECOND: u64 = 1_000_000;
 /// Unix time at time 0, in microseconds.
 const WALL: u64 = 1_700_000_000 * SECOND;
-/// What all together can do, in units a second.
+/// The capacity of all workers together, in units per second.
 const RATE: u64 = 1_000;
-/// Members that the ledgers have room for.
+/// The number of members that the ledgers are sized for.
 const MAX_MEMBERS: u16 = 8;
-/// In each second of [`FairshareStep::Serve`] members serve and publish so many times.
+/// How often members serve and publish in each second of [`FairshareStep::Serve`].
 const ROUNDS_PER_SECOND: u64 = 4;
 
-/// The situation in which a row begins.
+/// The initial state of a row.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Given {
     members: u16,
-    /// The tenants' weights.
+    /// The weight of each tenant.
     weights: BTreeMap<String, u32>,
 }
 
-/// A member serves a tenant at this rate, in units a second.
+/// A member, a tenant, and the rate at which the member serves the tenant, in units per second.
 #[derive(Deserialize)]
 pub struct ServiceRate(usize, String, u64);
 
@@ -37,31 +42,31 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageEntry {
-    /// The member.
+    /// The index of the member.
     by: usize,
     tenant: String,
     #[serde(rename = "worth")]
     units: u64,
-    /// How many seconds ago it happened, to come if negative.
+    /// Time since the usage, in seconds; negative if it lies in the future.
     ago: i64,
 }
 
-/// What happens to the members, or what is asked of them.
+/// An input to the members, or a query of their state.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FairshareStep {
-    /// For so many seconds members serve tenants at these rates; facts reach everybody but those that are `cut` off.
+    /// Members serve tenants at these rates and exchange facts; members in `cut` neither send nor receive any.
     Serve {
         seconds: u64,
         rates: Vec<ServiceRate>,
         #[serde(default)]
         cut: Vec<usize>,
     },
-    /// A member serves so much.
+    /// A member records usage.
     Record(UsageEntry),
-    /// A member takes so much back.
+    /// A member lowers usage that it recorded before.
     Correct(UsageEntry),
-    /// All that a member ever published, the newest first if `reversed`, so many times.
+    /// Delivers all facts that a member has published, the given number of times; the newest first if `reversed`.
     Hand {
         from: usize,
         to: usize,
@@ -69,7 +74,7 @@
         is_reversed: bool,
         times: usize,
     },
-    /// A fact of these bytes as if another place had published it.
+    /// Delivers a fact with these bytes as if the member at another place had published it.
     Forge {
         to: usize,
         place: u16,
@@ -85,11 +90,11 @@
     Worth {
         at: usize,
         tenant: String,
-        /// Asked when its jobs of this second have used up what it may have at full worth.
+        /// Whether the tenant's earlier jobs have used up its credit for jobs of full value.
         #[serde(default, rename = "beyond_pace")]
-        is_beyond_pace: bool,
+        is_pace_exceeded: bool,
     },
-    /// Whether two hold the same of every tenant, in every bit.
+    /// Compares the usage that two members know of each tenant; it must be identical.
     Same(usize, usize),
 }
 
@@ -105,7 +110,7 @@
 struct Member {
     origin: Origin,
     ledger: Ledger,
-    /// What it has published, also before it restarted.
+    /// Facts that the member has published, including those from before a restart.
     published: Vec<PublishedFact>,
 }
 
@@ -114,11 +119,11 @@
         let epoch = (WALL + now) / 1_000;
         let config =
             Config { place, epoch, unix_at_zero: WALL, peers: MAX_MEMBERS, rate: RATE, ..Config::default() };
-        let ledger = Ledger::new(config, shares, now).map_err(MachineError::refused)?;
+        let ledger = Ledger::new(config, shares, now).map_err(MachineError::rejected)?;
         Ok(Member { origin: Origin { place, epoch }, ledger, published: Vec::new() })
     }
 
-    /// Publishes what it has to say now.
+    /// Publishes all pending facts and returns them.
     fn publish(&mut self, now: u64) -> Vec<PublishedFact> {
         let first = self.published.len();
         while let Some((slot, bytes)) = self.ledger.publish(now) {
@@ -132,7 +137,7 @@
         self.ledger.absorb(now, fact.origin, fact.slot, fact.number, &fact.bytes)
     }
 
-    /// Records usage of the present moment.
+    /// Records usage at the current time.
     fn serve(&mut self, now: u64, tenant: &str, units: u64) -> Result<(), RecordError> {
         self.ledger.record(now, now, TenantKey::from_name(tenant), 0, usage(units))
     }
@@ -157,7 +162,7 @@
     Shares { installations: vec![home] }
 }
 
-fn record_word(result: Result<(), RecordError>) -> &'static str {
+fn record_observation(result: Result<(), RecordError>) -> &'static str {
     match result {
         Ok(()) => "taken",
         Err(RecordError::Late) => "too old",
@@ -166,7 +171,7 @@
     }
 }
 
-fn absorb_word(result: Result<(), AbsorbError>) -> &'static str {
+fn absorb_observation(result: Result<(), AbsorbError>) -> &'static str {
     match result {
         Ok(()) => "taken",
         Err(AbsorbError::Late) => "too old",
@@ -177,7 +182,7 @@
     }
 }
 
-fn tier_word(tier: Tier) -> &'static str {
+fn tier_name(tier: Tier) -> &'static str {
     match tier {
         Tier::Within => "within",
         Tier::Floor => "floor",
@@ -216,12 +221,12 @@
             FairshareStep::Forge { to, place, bytes } => {
                 let origin = Origin { place, epoch: WALL / 1_000 };
                 let forged = PublishedFact { origin, slot: 1, number: 1, bytes };
-                return Ok(vec![absorb_word(self.members[to].absorb(self.now, &forged)).to_owned()]);
+                return Ok(vec![absorb_observation(self.members[to].absorb(self.now, &forged)).to_owned()]);
             }
             FairshareStep::Used { at, tenant } => return Ok(self.used(at, &tenant)),
-            FairshareStep::Worth { at, tenant, is_beyond_pace } => {
-                if is_beyond_pace {
-                    self.use_up_pace(at, &tenant);
+            FairshareStep::Worth { at, tenant, is_pace_exceeded } => {
+                if is_pace_exceeded {
+                    self.exhaust_pace(at, &tenant);
                 }
                 return Ok(self.worth(at, &tenant));
             }
@@ -233,21 +238,21 @@
         Ok(Vec::new())
     }
 
-    fn contrary(word: &str) -> String {
-        let contrary = match word {
+    fn inverse(observation: &str) -> String {
+        let inverse = match observation {
             "same" => "different",
             "within" | "floor" => "over",
             "lent" | "over" => "within",
             "taken" => "too old",
             "too old" | "from the future" | "of nobody listed" | "not to be read" => "taken",
-            _ => return beyond(word),
+            _ => return out_of_range(observation),
         };
-        contrary.to_owned()
+        inverse.to_owned()
     }
 }
 
 impl FairshareMachine {
-    /// The time so many seconds ago.
+    /// The time this many seconds before now.
     fn seconds_ago(&self, seconds: i64) -> u64 {
         self.now.saturating_add_signed(-seconds * SECOND as i64)
     }
@@ -257,7 +262,7 @@
         let (at, key) = (self.seconds_ago(ago), TenantKey::from_name(&tenant));
         let recorded = self.members[by].ledger.record(self.now, at, key, 0, usage(units));
         self.tenants.insert(tenant);
-        record_word(recorded).to_owned()
+        record_observation(recorded).to_owned()
     }
 
     fn correct(&mut self, entry: &UsageEntry) -> String {
@@ -265,20 +270,20 @@
         let (at, key) = (self.seconds_ago(*ago), TenantKey::from_name(tenant));
         match self.members[*by].ledger.correct(self.now, at, key, 0, usage(*units)) {
             Ok(taken) => format!("took {}", taken.value),
-            Err(error) => record_word(Err(error)).to_owned(),
+            Err(error) => record_observation(Err(error)).to_owned(),
         }
     }
 
-    /// A member absorbs these facts so many times: what became of them, each word once.
+    /// Delivers facts to a member the given number of times, and returns the distinct results.
     fn absorb_all(&mut self, to: usize, facts: &[PublishedFact], times: usize) -> Vec<String> {
-        let mut words = BTreeSet::new();
+        let mut observations = BTreeSet::new();
         for fact in std::iter::repeat_n(facts, times).flatten() {
-            words.insert(absorb_word(self.members[to].absorb(self.now, fact)));
+            observations.insert(absorb_observation(self.members[to].absorb(self.now, fact)));
         }
-        words.into_iter().map(str::to_owned).collect()
+        observations.into_iter().map(str::to_owned).collect()
     }
 
-    /// A new process of a member, which knows nothing.
+    /// Replaces a member by a new process with an empty ledger.
     fn restart(&mut self, place: usize) -> Result<(), MachineError> {
         let published = std::mem::take(&mut self.members[place].published);
         let member = Member::start(place as u16, &self.shares, self.now)?;
@@ -289,7 +294,7 @@
     fn set_weights(&mut self, weights: BTreeMap<String, u32>) -> Result<(), MachineError> {
         self.shares = shares(&weights);
         for member in &mut self.members {
-            member.ledger.set_shares(&self.shares).map_err(MachineError::refused)?;
+            member.ledger.set_shares(&self.shares).map_err(MachineError::rejected)?;
         }
         self.tenants.extend(weights.into_keys());
         Ok(())
@@ -299,22 +304,22 @@
         let ledger = &mut self.members[at].ledger;
         let used = ledger.position(TenantKey::from_name(tenant), self.now).used;
         let memory = ledger.memory() as f64 / SECOND as f64;
-        let word = |name: &str, units: u64| format!("{name} {:.0}", units as f64 / memory);
-        vec![word("low", used.low), word("likely", used.likely), word("high", used.high)]
+        let bound = |name: &str, units: u64| format!("{name} {:.0}", units as f64 / memory);
+        vec![bound("low", used.low), bound("likely", used.likely), bound("high", used.high)]
     }
 
-    /// A tenant's jobs of this second use up what it may have at full worth.
-    fn use_up_pace(&mut self, at: usize, tenant: &str) {
-        let all_of_it = u64::MAX >> 16;
-        self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, all_of_it, self.now);
+    /// Uses up the tenant's credit for jobs of full value.
+    fn exhaust_pace(&mut self, at: usize, tenant: &str) {
+        let excessive_work = u64::MAX >> 16;
+        self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, excessive_work, self.now);
     }
 
     fn worth(&mut self, at: usize, tenant: &str) -> Vec<String> {
         let worth = self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, 1, self.now);
-        vec![tier_word(worth.tier).to_owned(), format!("part {:.0}", worth.fraction * 100.0)]
+        vec![tier_name(worth.tier).to_owned(), format!("part {:.0}", worth.fraction * 100.0)]
     }
 
-    /// What a member knows of each tenant's usage.
+    /// The usage of each tenant as a member knows it.
     fn known_usage(&mut self, at: usize) -> Vec<Usage> {
         let ledger = &mut self.members[at].ledger;
         let keys = self.tenants.iter().map(|name| TenantKey::from_name(name));
@@ -326,21 +331,21 @@
             self.now += SECOND / ROUNDS_PER_SECOND;
             for ServiceRate(member, tenant, rate) in rates {
                 let served = self.members[*member].serve(self.now, tenant, rate / ROUNDS_PER_SECOND);
-                served.map_err(MachineError::refused)?;
+                served.map_err(MachineError::rejected)?;
             }
             self.exchange_facts(cut)?;
         }
         Ok(())
     }
 
-    /// Each member publishes, and all others absorb that but those that are cut off.
+    /// Each member publishes its facts, and every other member absorbs them, except where either is cut off.
     fn exchange_facts(&mut self, cut: &[usize]) -> Result<(), MachineError> {
         let count = self.members.len();
         for from in 0..count {
             let facts = self.members[from].publish(self.now);
             for to in (0..count).filter(|to| *to != from && !cut.contains(to) && !cut.contains(&from)) {
                 for fact in &facts {
-                    self.members[to].absorb(self.now, fact).map_err(MachineError::refused)?;
+                    self.members[to].absorb(self.now, fact).map_err(MachineError::rejected)?;
                 }
             }
         }
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -1,8 +1,9 @@
-//! Conformance: what a page asks, clause by clause, as rows of a situation, its events and the decision expected.
+//! Conformance tests: requirements as clauses, and rows that check each clause with an initial state, a sequence of steps and
+//! the expected results.
 //!
-//! A table is a file here, `NAME.toml`. [`table`] reads it, [`runner`] plays it, and a driver for each kind of machine turns a
-//! row's steps into calls of its public interface and what comes of them into words. How to read and write the tables:
-//! `docs/design/conformance.md`.
+//! Each table is a file `NAME.toml` in this folder. [`table`] parses it and [`runner`] runs it. For each state machine under test
+//! a driver turns the steps of a row into calls of its public interface, and the results into text. The format is described
+//! in `docs/design/conformance.md`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -28,19 +29,19 @@
 const RUNTIMES: &str = include_str!("runtimes.toml");
 const WATCH_LIVENESS: &str = include_str!("watch_liveness.toml");
 
-/// The decision module does what the design page asks, or what a clause's `but` says that it does instead.
+/// The decision module meets the clauses of the design page, or deviates from them as a clause's `but` states.
 #[test]
 fn design_page_holds() {
     assert_table_holds::<DecisionMachine>("design", DESIGN);
 }
 
-/// Drains, refusals, repeats, single answers, workers that are warming up, hedged attempts.
+/// Drains, rejections, repeats, final responses, workers that are warming up, hedged attempts.
 #[test]
 fn rules_hold() {
     assert_table_holds::<DecisionMachine>("rules", RULES);
 }
 
-/// When a silent watch counts as broken, when the next call is due, when a list is stale.
+/// When a silent watch counts as failed, when the next call is due, when a list is stale.
 #[test]
 fn watch_liveness_rules_hold() {
     assert_table_holds::<WatchLivenessMachine>("watch_liveness", WATCH_LIVENESS);
@@ -52,19 +53,19 @@
     assert_table_holds::<MembershipMachine>("membership", MEMBERSHIP);
 }
 
-/// Estimates of run times, and jobs that may start in a gap.
+/// Run time estimates, reservations and backfilling.
 #[test]
 fn runtime_rules_hold() {
     assert_table_holds::<RuntimesMachine>("runtimes", RUNTIMES);
 }
 
-/// Use by late reports, and what a tenant's next job counts.
+/// Usage computed from late reports, and the value of a tenant's next job.
 #[test]
 fn fair_share_rules_hold() {
     assert_table_holds::<FairshareMachine>("fairshare", FAIRSHARE);
 }
 
-/// No row passes when one of its expectations is inverted.
+/// Every row fails when one of its expectations is inverted.
 #[test]
 fn inverted_expectations_fail() {
     assert_inversions_fail::<DecisionMachine>("design", DESIGN);
@@ -75,29 +76,29 @@
     assert_inversions_fail::<FairshareMachine>("fairshare", FAIRSHARE);
 }
 
-/// No clause of the page is one that a balancer which never heard of it would meet.
+/// No clause of the design page is met by a simple balancer that ignores load reports.
 #[test]
-fn simple_balancers_miss_every_clause_of_design_page() {
-    simple_balancers::assert_each_misses_every_clause("design", DESIGN);
+fn simple_balancers_fail_every_clause_of_design_page() {
+    simple_balancers::assert_each_fails_every_clause("design", DESIGN);
 }
 
-/// A table and the fault that must be found in it.
+/// A table and the text of an error that must be reported for it.
 struct FaultyTable {
     text: String,
     fault: &'static str,
 }
 
-/// A table is refused for a clause without a row, a row of no clause, a row that expects nothing and a word misspelt.
+/// Rejects a table with a clause without rows, a row of an unknown clause, a row without expectations, or a misspelt key.
 #[test]
 fn rejects_incomplete_tables() {
     let clause = "[[clause]]\nid = \"a\"\nsays = \"x\"\n";
     let row = |of: &str, step: &str| format!("[[row]]\nof = \"{of}\"\nsays = \"y\"\nsteps = [{step}]\n");
     let sound_step = "{ arrive = { job = 1 }, then = [\"1 to 0\"] }";
-    let ready = "given = { workers = [{}] }\n";
-    let table_with = |step: &str| format!("{clause}{}{ready}", row("a", step));
+    let one_worker = "given = { workers = [{}] }\n";
+    let table_with = |step: &str| format!("{clause}{}{one_worker}", row("a", step));
     let faulty = [
-        FaultyTable { text: clause.to_owned(), fault: "no row of clause a" },
-        FaultyTable { text: format!("{clause}{}", row("b", sound_step)), fault: "of no clause: b" },
+        FaultyTable { text: clause.to_owned(), fault: "clause a has no row" },
+        FaultyTable { text: format!("{clause}{}", row("b", sound_step)), fault: "unknown clause: b" },
         FaultyTable { text: table_with("{ arrive = { job = 1 } }"), fault: "expects nothing" },
         FaultyTable { text: table_with("{ arive = { job = 1 }, then = [] }"), fault: "arive" },
         FaultyTable { text: table_with("{ arrive = { job = 1 }, than = [] }"), fault: "one verb" },
@@ -109,7 +110,7 @@
     ];
     for FaultyTable { text, fault } in faulty {
         let found = found_faults(&text).join("\n");
-        assert!(found.contains(fault), "{fault:?} is not what was found: {found}\n{text}");
+        assert!(found.contains(fault), "expected an error with {fault:?}, got: {found}\n{text}");
     }
     assert_eq!(found_faults(&table_with(sound_step)), Vec::<String>::new());
 }
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -1,9 +1,17 @@
-//! Members of a group, driven by a table over the crate's own model of the net. Places are numbers from 0. Words: `P state` is
-//! what all running members but P hold of it (one word for each state that some hold), `P from to to` a change that some
-//! of them saw since the last `seen`.
+//! Runs conformance tables on the members of a group over the membership crate's simulated network. Places are numbered from 0.
+//!
+//! Observations cover the running members other than the place P that is asked about, one for each different value:
+//!
+//! - `P state`: the state in which a member holds P;
+//! - `P from to to`: a change of state of P that a member has detected since the last `seen`;
+//! - `P present start`, `P earlier start`: whether a member knows the current epoch of P;
+//! - `P may hold`, `P holds none`: whether P may hold work in the view of a member;
+//! - `P says text`: the fact of P that a member holds.
+//!
+//! `own` and `refuted` ask the member P itself. A forged datagram yields the name of each metric that counts it.
 
 use crate::runner::{Machine, MachineError};
-use crate::table::beyond;
+use crate::table::out_of_range;
 use mothproxy_membership::simulation::{Direction, Network, Start};
 use mothproxy_membership::{Config, Membership, Metrics, Output, State, VERSION};
 use serde::Deserialize;
@@ -12,14 +20,14 @@
 /// Microseconds in a millisecond.
 const MS: u64 = 1_000;
 
-/// The situation in which a row begins.
+/// The initial state of a row.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Given {
     members: u16,
-    /// They all know each other already.
+    /// Whether all members know each other already.
     warm: bool,
-    /// The part of datagrams that is lost.
+    /// The fraction of datagrams that is lost.
     loss: f64,
 }
 
@@ -29,11 +37,11 @@
     }
 }
 
-/// What happens to the group, or what is asked of it.
+/// An input to the group, or a query of its state.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MembershipStep {
-    /// Milliseconds go by.
+    /// Time passes, in milliseconds.
     Run(u64),
     Kill(u16),
     Start(u16),
@@ -41,34 +49,34 @@
     #[serde(rename = "stop")]
     Pause(u16),
     Resume(u16),
-    /// Nothing reaches this place from now on, though what it sends arrives.
+    /// Blocks all datagrams to this place; those that it sends still arrive.
     #[serde(rename = "deaf")]
     BlockInbound(u16),
-    /// All of it arrives again.
+    /// Delivers datagrams to this place again.
     #[serde(rename = "hears")]
     UnblockInbound(u16),
-    /// From here to there nothing comes through.
+    /// Blocks all datagrams from the first place to the second.
     OneWay(u16, u16),
-    /// The side of each place; nothing crosses.
+    /// Partitions the network; the argument is the side of each place.
     #[serde(rename = "sides")]
     Partition(Vec<u8>),
-    /// The state that the others hold of a place.
+    /// The state in which other members hold a place.
     #[serde(rename = "held")]
     StateOf(u16),
-    /// Whether the members that hold it alive know its present start.
+    /// Whether other members know the current epoch of a place.
     StartOf(u16),
-    /// What was seen of a place.
+    /// The changes of state of a place that other members have detected since the last such query.
     #[serde(rename = "seen")]
     ChangesOf(u16),
-    /// Whether a place may hold work, as the others see it.
+    /// Whether a place may hold work in the view of other members.
     #[serde(rename = "holds")]
     MayHoldWork(u16),
-    /// What a place holds of itself.
+    /// The state in which a place holds itself.
     #[serde(rename = "own")]
     OwnState(u16),
-    /// How often a place has refuted.
+    /// How often a place has refuted a suspicion.
     Refuted(u16),
-    /// Bytes from a place that no member sent, and which figure counts them.
+    /// Delivers a forged datagram, and returns the metrics that count it.
     Forge {
         to: u16,
         from: u16,
@@ -80,14 +88,14 @@
         slot: u32,
         text: String,
     },
-    /// The fact that all others hold of a place and slot.
+    /// The fact that other members hold for a place and slot.
     Fact {
         of: u16,
         slot: u32,
     },
 }
 
-/// What is wrong with forged bytes.
+/// The defect of a forged datagram.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bytes {
@@ -100,7 +108,7 @@
 /// The members of a group over a simulated network.
 pub struct MembershipMachine {
     network: Network,
-    /// How many changes have been asked for.
+    /// The number of changes of state that queries have covered.
     reported_changes: usize,
 }
 
@@ -146,7 +154,7 @@
             MembershipStep::Partition(sides) => network.faults.sides = sides,
             MembershipStep::Publish { by, slot, text } => {
                 let published = network.with(by, |member, now| member.publish(now, 1, slot, text.as_bytes()));
-                published.transpose().map_err(MachineError::refused)?;
+                published.transpose().map_err(MachineError::rejected)?;
             }
             MembershipStep::StateOf(place) => return Ok(self.states_of(place)),
             MembershipStep::StartOf(place) => return Ok(self.known_starts_of(place)),
@@ -160,8 +168,8 @@
         Ok(Vec::new())
     }
 
-    fn contrary(word: &str) -> String {
-        let turned = [
+    fn inverse(observation: &str) -> String {
+        let inverses = [
             ("alive", "dead"),
             ("dead", "alive"),
             ("suspect", "dead"),
@@ -173,43 +181,43 @@
             ("understood", "foreign"),
             ("says", "says something else than"),
         ];
-        let other = turned.iter().find(|(from, _)| word.ends_with(from));
-        match other {
-            _ if word.is_empty() => "2 alive to dead".to_owned(),
-            Some((from, to)) => format!("{}{to}", &word[..word.len() - from.len()]),
-            None => beyond(word),
+        let inverse = inverses.iter().find(|(from, _)| observation.ends_with(from));
+        match inverse {
+            _ if observation.is_empty() => "2 alive to dead".to_owned(),
+            Some((from, to)) => format!("{}{to}", &observation[..observation.len() - from.len()]),
+            None => out_of_range(observation),
         }
     }
 }
 
 impl MembershipMachine {
-    /// `P word` for each word that some running member other than P says of P.
-    fn words_of_others(&self, place: u16, word: impl Fn(&Membership) -> String) -> Vec<String> {
+    /// The different observations of a place by the running members other than itself, each preceded by the place.
+    fn observations_of_others(&self, place: u16, observe: impl Fn(&Membership) -> String) -> Vec<String> {
         let others = self.network.members().filter(|(other, _)| *other != place);
-        let words: BTreeSet<String> = others.map(|(_, member)| word(member)).collect();
-        words.into_iter().map(|word| format!("{place} {word}")).collect()
+        let observations: BTreeSet<String> = others.map(|(_, member)| observe(member)).collect();
+        observations.into_iter().map(|observation| format!("{place} {observation}")).collect()
     }
 
     fn states_of(&self, place: u16) -> Vec<String> {
-        self.words_of_others(place, |member| state_name(member.view().state(place)).to_owned())
+        self.observations_of_others(place, |member| state_name(member.view().state(place)).to_owned())
     }
 
     fn known_starts_of(&self, place: u16) -> Vec<String> {
         let epoch = |member: &Membership| member.view().member(place).map(|known| known.epoch);
         let present = self.network.member(place).and_then(epoch);
-        let word = |member: &Membership| {
+        let observe = |member: &Membership| {
             let is_present = epoch(member) == present;
             if is_present { "present start" } else { "earlier start" }.to_owned()
         };
-        self.words_of_others(place, word)
+        self.observations_of_others(place, observe)
     }
 
     fn holders(&self, place: u16) -> Vec<String> {
-        let word = |member: &Membership| {
+        let observe = |member: &Membership| {
             let may_hold = member.view().holders()[usize::from(place)];
             if may_hold { "may hold" } else { "holds none" }.to_owned()
         };
-        self.words_of_others(place, word)
+        self.observations_of_others(place, observe)
     }
 
     fn own_state(&self, place: u16) -> Vec<String> {
@@ -223,34 +231,34 @@
         vec![format!("{place} refuted {times}")]
     }
 
-    /// What other members have seen of a place since changes were asked for last.
+    /// The changes of state of a place that other members have detected since the last query.
     fn new_changes_of(&mut self, place: u16) -> Vec<String> {
         let new = &self.network.changes[self.reported_changes..];
-        let seen_by_others = new.iter().filter(|seen| seen.change.place == place && seen.by != place);
-        let words: BTreeSet<String> = seen_by_others
+        let detected_by_others = new.iter().filter(|seen| seen.change.place == place && seen.by != place);
+        let observations: BTreeSet<String> = detected_by_others
             .map(|seen| format!("{place} {} to {}", state_name(seen.change.from), state_name(seen.change.to)))
             .collect();
         self.reported_changes = self.network.changes.len();
-        words.into_iter().collect()
+        observations.into_iter().collect()
     }
 
     fn facts(&self, place: u16, slot: u32) -> Vec<String> {
-        let word = |member: &Membership| {
+        let observe = |member: &Membership| {
             let mut facts = member.facts().filter(|fact| fact.place == place && fact.slot == slot);
             let text = facts.next().map(|fact| String::from_utf8_lossy(fact.bytes).into_owned());
             format!("says {}", text.unwrap_or_else(|| "nothing".to_owned()))
         };
-        self.words_of_others(place, word)
+        self.observations_of_others(place, observe)
     }
 
-    /// Sends bytes that no member sent, and says which metrics of the receiver count them.
+    /// Delivers a forged datagram, and returns the metrics of the receiver that count it.
     fn forge(&mut self, to: u16, from: u16, bytes: Bytes) -> Result<Vec<String>, MachineError> {
-        let sound = sound_datagram(&self.network, to)?;
+        let valid = valid_datagram(&self.network, to)?;
         let bytes = match bytes {
-            Bytes::TooLong => [sound.as_slice(), &[0; 256]].concat(),
-            Bytes::CutShort => sound[..sound.len() / 2].to_vec(),
-            Bytes::OtherVersion => [&[VERSION + 1], &sound[1..]].concat(),
-            Bytes::Sound => sound,
+            Bytes::TooLong => [valid.as_slice(), &[0; 256]].concat(),
+            Bytes::CutShort => valid[..valid.len() / 2].to_vec(),
+            Bytes::OtherVersion => [&[VERSION + 1], &valid[1..]].concat(),
+            Bytes::Sound => valid,
         };
         let before = self.metrics(to);
         self.network.forge(to, from, &bytes);
@@ -262,7 +270,7 @@
             ("foreign", after.refused_foreign - before.refused_foreign),
             ("not to be read", after.refused_malformed - before.refused_malformed),
         ];
-        Ok(counts.iter().filter(|(_, count)| *count > 0).map(|(word, _)| (*word).to_owned()).collect())
+        Ok(counts.iter().filter(|(_, count)| *count > 0).map(|(name, _)| (*name).to_owned()).collect())
     }
 
     fn metrics(&self, place: u16) -> Metrics {
@@ -270,13 +278,13 @@
     }
 }
 
-/// A datagram as a member might have sent it to this place.
-fn sound_datagram(network: &Network, to: u16) -> Result<Vec<u8>, MachineError> {
+/// A valid datagram from another member to this place.
+fn valid_datagram(network: &Network, to: u16) -> Result<Vec<u8>, MachineError> {
     let from = u16::from(to == 0);
     let known = network.member(from).and_then(|member| member.view().member(from));
     let epoch = known.map_or(0, |known| known.epoch);
     let config = Config::new(from, network.members().count() as u16, epoch, 1);
-    let mut member = Membership::new(config, 0).map_err(MachineError::refused)?;
+    let mut member = Membership::new(config, 0).map_err(MachineError::rejected)?;
     for now in 0..1_000 {
         member.tick(now * 100 * MS);
         while let Some(output) = member.poll() {
@@ -286,5 +294,5 @@
             }
         }
     }
-    Err(MachineError::Missing("datagram: the member sends nothing"))
+    Err(MachineError::Missing("datagram: the member sent none"))
 }
--- a/tests/conformance/runner.rs
+++ b/tests/conformance/runner.rs
@@ -1,101 +1,103 @@
-//! Plays tables on machines, and judges what comes of them.
+//! Runs conformance tables on state machines and checks the results.
 //!
-//! **How a row is played.** A machine is made of the row's situation, once for each seed. It takes the steps in order, and says
-//! in words what came of each. A step with `then` holds if these are its words and no others. A step that the machine cannot
-//! take (a verb that it does not know, a job that is not there) fails the row.
+//! **Running a row.** For each seed, a state machine is created in the row's initial state. It performs the steps in order and
+//! returns the observations of each. A step with `then` passes if the observations are exactly the expected ones. A step that
+//! the machine cannot perform (an unknown verb, a job that does not exist) fails the row.
 //!
-//! **How a row is inverted.** So that no row passes by chance, each word that it expects is once replaced by its contrary
-//! ([`Machine::contrary`]) and once left out; a step that expects nothing is made to expect something. Each row that comes of
-//! this must fail, with every seed. The machine plays the row once: what it does does not depend on what is expected.
+//! **Inverting a row.** To show that no row passes by chance, each expected observation is in turn replaced by a contradicting
+//! one ([`Machine::inverse`]) and left out; for a step that expects none, one is added. Each of these inverted rows must fail
+//! with every seed. The machine runs the row only once, as its behaviour does not depend on the expectations.
 
-use crate::table::{Clause, ConformanceTable, Row, words_match};
+use crate::table::{Clause, ConformanceTable, Row, observations_match};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// What a table is played on. One is made for each row and seed.
+/// A state machine under test. A new one is created for each row and seed.
 pub trait Machine: Sized {
-    /// Seeds with which every row must give the same.
+    /// The number of seeds with which each row is run; the row must pass with all of them.
     const SEEDS: u64 = 16;
 
-    /// The situation, as a row gives it.
+    /// The initial state, as given in a row.
     type Given: DeserializeOwned;
 
-    /// A step, `{ verb = what it takes }`.
+    /// A step, `{ verb = arguments }`.
     type Step: DeserializeOwned;
 
-    /// Makes a machine in this situation.
+    /// Creates a machine in this initial state.
     fn new(given: Self::Given, seed: u64) -> Result<Self, MachineError>;
 
-    /// Takes a step, and returns what came of it in words.
+    /// Performs a step and returns its observations.
     fn step(&mut self, step: Self::Step) -> Result<Vec<String>, MachineError>;
 
-    /// A word that says the contrary of this one, as a row might have had it by mistake; for an empty word, any one.
-    fn contrary(word: &str) -> String;
+    /// An expectation that contradicts this one, as a wrong row might have it; any valid one for an empty text.
+    fn inverse(observation: &str) -> String;
 }
 
-/// Why a machine cannot be made, or cannot take a step.
+/// Why a machine cannot be created or cannot perform a step.
 #[derive(Debug, Error)]
 pub enum MachineError {
-    /// The situation or the step is not one of this machine.
+    /// The initial state or the step is not valid for this machine.
     #[error(transparent)]
     Format(#[from] toml::de::Error),
-    /// The step is about something that is not there.
+    /// The step refers to something that does not exist.
     #[error("no such {0}")]
     Missing(&'static str),
-    /// What is under test refuses it.
-    #[error("refused: {0}")]
-    Refused(Box<dyn std::error::Error + Send + Sync>),
+    /// The code under test rejects the initial state or the step.
+    #[error("rejected: {0}")]
+    Rejected(Box<dyn std::error::Error + Send + Sync>),
 }
 
 impl MachineError {
-    /// What is under test refuses it for this reason.
-    pub fn refused(source: impl std::error::Error + Send + Sync + 'static) -> MachineError {
-        MachineError::Refused(Box::new(source))
+    /// An error of the code under test.
+    pub fn rejected(source: impl std::error::Error + Send + Sync + 'static) -> MachineError {
+        MachineError::Rejected(Box::new(source))
     }
 }
 
-/// Why a row does not hold.
+/// Why a row fails.
 #[derive(Debug, Error)]
 pub enum RowError {
     #[error(transparent)]
     Machine(#[from] MachineError),
-    #[error("step {step}, {action}: {seen:?}, expected {expected:?}")]
-    Unexpected { step: usize, action: Table, seen: Vec<String>, expected: Vec<String> },
+    #[error("step {step}, {action}: expected {expected:?}, got {observed:?}")]
+    Unexpected { step: usize, action: Table, observed: Vec<String>, expected: Vec<String> },
 }
 
-/// What is wrong with a table.
+/// An error in a table.
 #[derive(Debug, Error)]
 pub enum TableFault {
     #[error(transparent)]
     Format(#[from] toml::de::Error),
-    #[error("no row of clause {0}")]
+    #[error("clause {0} has no row")]
     ClauseWithoutRow(String),
-    #[error("clause {0} says nothing, or is there twice")]
+    #[error("clause {0} has a blank text, or its id is used twice")]
     EmptyOrRepeatedClause(String),
-    #[error("a row of no clause: {0}")]
+    #[error("row of an unknown clause: {0}")]
     RowWithoutClause(String),
-    #[error("{clause}: {row}: it expects nothing")]
+    #[error("{clause}: {row}: the row expects nothing")]
     NoExpectation { clause: String, row: String },
     #[error("{clause}: {row}: {source} (seed {seed})")]
     RowFails { clause: String, row: String, seed: u64, source: RowError },
 }
 
-/// What came of each step of a row, up to one that could not be taken, and why not.
-pub struct PlayedRow {
-    seen: Vec<Vec<String>>,
+/// The observations of each step of a row, up to the first step that could not be performed, and its error.
+pub struct RowRun {
+    observed: Vec<Vec<String>>,
     error: Option<MachineError>,
 }
 
-impl PlayedRow {
-    /// The first step of which something else came than the row expects.
+impl RowRun {
+    /// The index of the first step with unexpected observations.
     fn first_unexpected(&self, row: &Row) -> Option<usize> {
-        let mut steps = row.steps.iter().zip(&self.seen);
-        steps.position(|(step, seen)| step.then.as_ref().is_some_and(|then| !words_match(seen, then)))
+        let mut steps = row.steps.iter().zip(&self.observed);
+        steps.position(|(step, observed)| {
+            step.then.as_ref().is_some_and(|then| !observations_match(observed, then))
+        })
     }
 
-    /// Whether that is what the row expects.
+    /// Whether all steps were performed and produced the observations that the row expects.
     pub fn passes(&self, row: &Row) -> bool {
         self.error.is_none() && self.first_unexpected(row).is_none()
     }
@@ -105,7 +107,7 @@
             return Err(RowError::Unexpected {
                 step,
                 action: row.steps[step].action.clone(),
-                seen: self.seen.swap_remove(step),
+                observed: self.observed.swap_remove(step),
                 expected: row.steps[step].then.clone().unwrap_or_default(),
             });
         }
@@ -113,36 +115,36 @@
     }
 }
 
-/// Makes a machine in the situation of a row.
+/// Creates a machine in the initial state of a row.
 pub fn machine_for<M: Machine>(row: &Row, seed: u64) -> Result<M, MachineError> {
     M::new(M::Given::deserialize(row.given.clone())?, seed)
 }
 
-/// Takes all steps of a row; what they lead to does not depend on what is expected.
-pub fn play<M: Machine>(mut machine: M, row: &Row) -> PlayedRow {
-    let mut played = PlayedRow { seen: Vec::new(), error: None };
+/// Performs the steps of a row. The result does not depend on the row's expectations.
+pub fn run_row<M: Machine>(mut machine: M, row: &Row) -> RowRun {
+    let mut run = RowRun { observed: Vec::new(), error: None };
     for step in &row.steps {
-        match take_step(&mut machine, &step.action) {
-            Ok(seen) => played.seen.push(seen),
+        match perform_step(&mut machine, &step.action) {
+            Ok(observed) => run.observed.push(observed),
             Err(error) => {
-                played.error = Some(error);
+                run.error = Some(error);
                 break;
             }
         }
     }
-    played
+    run
 }
 
-fn take_step<M: Machine>(machine: &mut M, action: &Table) -> Result<Vec<String>, MachineError> {
+fn perform_step<M: Machine>(machine: &mut M, action: &Table) -> Result<Vec<String>, MachineError> {
     machine.step(M::Step::deserialize(Value::Table(action.clone()))?)
 }
 
 fn check_row<M: Machine>(row: &Row, seed: u64) -> Result<(), RowError> {
     let machine = machine_for::<M>(row, seed)?;
-    play(machine, row).into_result(row)
+    run_row(machine, row).into_result(row)
 }
 
-/// Everything that is wrong with a table.
+/// All errors in a table.
 pub fn faults<M: Machine>(text: &str) -> Vec<TableFault> {
     let table = match ConformanceTable::parse(text) {
         Ok(table) => table,
@@ -156,7 +158,7 @@
 }
 
 fn clause_faults(table: &ConformanceTable) -> Vec<TableFault> {
-    let counts = table.clauses_by_id();
+    let counts = table.clause_counts_by_id();
     let mut faults = Vec::new();
     for clause in &table.clauses {
         let Clause { id, .. } = clause;
@@ -171,18 +173,18 @@
 }
 
 fn row_faults<M: Machine>(table: &ConformanceTable, row: &Row) -> Vec<TableFault> {
-    let names = || (row.of.clone(), row.says.clone());
+    let clause_and_row = || (row.of.clone(), row.says.clone());
     let mut faults = Vec::new();
     if !table.clauses.iter().any(|clause| clause.id == row.of) {
         faults.push(TableFault::RowWithoutClause(row.of.clone()));
     }
     if row.steps.iter().all(|step| step.then.is_none()) {
-        let (clause, row) = names();
+        let (clause, row) = clause_and_row();
         faults.push(TableFault::NoExpectation { clause, row });
     }
     for seed in 1..=M::SEEDS {
         if let Err(source) = check_row::<M>(row, seed) {
-            let (clause, row) = names();
+            let (clause, row) = clause_and_row();
             faults.push(TableFault::RowFails { clause, row, seed, source });
             break;
         }
@@ -190,56 +192,63 @@
     faults
 }
 
-/// Asserts that each clause has a row, and each row holds with every seed.
+/// Asserts that each clause has a row, and that each row passes with every seed.
 pub fn assert_table_holds<M: Machine>(name: &str, text: &str) {
     let faults: Vec<String> = faults::<M>(text).iter().map(TableFault::to_string).collect();
     assert!(faults.is_empty(), "{name}.toml:\n{}", faults.join("\n"));
 }
 
-/// The rows that come of this one when one expectation is inverted.
+/// The variants of a row with one expectation inverted.
 fn inverted_rows<M: Machine>(row: &Row) -> Vec<Row> {
     let mut inverted = Vec::new();
-    for (number, step) in row.steps.iter().enumerate() {
-        for then in step.then.iter().flat_map(|then| inverted_words::<M>(then)) {
+    for (index, step) in row.steps.iter().enumerate() {
+        for then in step.then.iter().flat_map(|then| inverted_expectations::<M>(then)) {
             let mut other = row.clone();
-            other.steps[number].then = Some(then);
+            other.steps[index].then = Some(then);
             inverted.push(other);
         }
     }
     inverted
 }
 
-/// Words that must not be what comes of a step of which these come: each one replaced by its contrary, and each left out; some
-/// word if there is none.
-fn inverted_words<M: Machine>(words: &[String]) -> Vec<Vec<String>> {
-    if words.is_empty() {
-        return vec![vec![M::contrary("")]];
+/// Variants of the expectations of a step, each with one replaced by a contradicting one or left out; one variant with an
+/// arbitrary expectation if there are none.
+fn inverted_expectations<M: Machine>(observations: &[String]) -> Vec<Vec<String>> {
+    if observations.is_empty() {
+        return vec![vec![M::inverse("")]];
     }
     let mut inverted = Vec::new();
-    for (place, word) in words.iter().enumerate() {
-        let mut other = words.to_vec();
-        other[place] = M::contrary(word);
+    for (index, observation) in observations.iter().enumerate() {
+        let mut other = observations.to_vec();
+        other[index] = M::inverse(observation);
         inverted.push(other.clone());
-        other.remove(place);
+        other.remove(index);
         inverted.push(other);
     }
     inverted
 }
 
-/// Asserts that each row fails, with every seed, once any word that it expects says the contrary or is left out.
+/// Asserts that each row fails with every seed once any of its expectations is inverted or left out.
 pub fn assert_inversions_fail<M: Machine>(name: &str, text: &str) {
-    let table = ConformanceTable::parse(text).expect("a table");
+    let table = ConformanceTable::parse(text).expect("the table must be valid");
     let mut count = 0;
     for row in &table.rows {
         let inverted = inverted_rows::<M>(row);
         count += inverted.len();
         for seed in 1..=M::SEEDS {
-            let machine = machine_for::<M>(row, seed).expect("a situation");
-            let played = play(machine, row);
-            let passing = inverted.iter().find(|other| played.passes(other));
+            let machine = machine_for::<M>(row, seed).expect("the initial state must be valid");
+            let run = run_row(machine, row);
+            let passing = inverted.iter().find(|other| run.passes(other));
             let Row { of, says, .. } = row;
-            assert!(passing.is_none(), "{name}.toml, {of}: {says}: passes turned round (seed {seed})");
+            assert!(
+                passing.is_none(),
+                "{name}.toml, {of}: {says}: passes with an inverted expectation (seed {seed})"
+            );
         }
     }
-    println!("{name}.toml: {} clauses, {} rows, {count} turned round", table.clauses.len(), table.rows.len());
+    println!(
+        "{name}.toml: {} clauses, {} rows, {count} inverted rows",
+        table.clauses.len(),
+        table.rows.len()
+    );
 }
--- a/tests/conformance/runtimes.rs
+++ b/tests/conformance/runtimes.rs
@@ -1,8 +1,14 @@
-//! Estimates of run times, driven by a table: dispatchers 0 and 1, jobs seen at workers of some kind, and facts between
-//! them. Words: `typical` and `long` in milliseconds; of [`backfill`] `at` and `spare`, `never`, `may go`, `must wait`.
+//! Runs conformance tables on the run time estimators of dispatchers 0 and 1, which observe jobs and exchange facts, and on
+//! [`backfill`].
+//!
+//! Observations:
+//!
+//! - of an estimate: `typical` and `long`, in milliseconds;
+//! - of a reservation: `at` in milliseconds and `spare` in slots, or `never`;
+//! - of a job to backfill: `may go` or `must wait`.
 
 use crate::runner::{Machine, MachineError};
-use crate::table::beyond;
+use crate::table::out_of_range;
 use mothproxy_runtimes::backfill::{self, OccupiedSlots, Reservation};
 use mothproxy_runtimes::{
     AttemptId, Config, Estimate, JobFeatures, Origin, Outcome, Placement, RuntimeEstimator, WorkerKey,
@@ -14,19 +20,19 @@
 const MS: u64 = 1_000;
 /// The epoch of both dispatchers.
 const EPOCH: u64 = 1_700_000_000_000;
-/// Jobs that a row starts by number are counted from here, beyond those of [`RuntimesStep::Saw`].
+/// The attempt id of job 0 of a row; above the ids of the jobs of [`RuntimesStep::Saw`].
 const FIRST_NUMBERED_JOB: u64 = 1_000_000;
 
-/// Nothing is given: both dispatchers start empty.
+/// The initial state of a row: both estimators start empty, so there is nothing to set.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Given {}
 
-/// So many jobs of these features, one after another.
+/// Jobs with these features that a dispatcher observes one after another.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SeenJobs {
-    /// The dispatcher that saw them.
+    /// The dispatcher that observes them.
     #[serde(default)]
     by: usize,
     class: String,
@@ -34,14 +40,14 @@
     subject: Option<String>,
     #[serde(default)]
     kind: u32,
-    /// How long each took, in turn if there are several.
+    /// The run times of the jobs; repeated in order if there are fewer than jobs.
     took: Vec<u64>,
     jobs: usize,
-    /// Those that took this long were cut off then, not done.
+    /// Jobs with this run time are cancelled after it rather than completed.
     cut: Option<u64>,
 }
 
-/// What an estimate is asked for.
+/// The job and the kind of worker that an estimate is for.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EstimateQuery {
@@ -50,7 +56,7 @@
     class: String,
     tenant: Option<String>,
     subject: Option<String>,
-    /// At a worker of this kind; else as work.
+    /// The kind of worker; if absent, the estimate is of the work.
     kind: Option<u32>,
 }
 
@@ -64,7 +70,7 @@
     }
 }
 
-/// What happens to the dispatchers, or what is asked of them. Times are in milliseconds.
+/// An input to the dispatchers, or a query of their state. Times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RuntimesStep {
@@ -81,17 +87,17 @@
         share: f64,
     },
     Pass(u64),
-    /// How long a running job will still be.
+    /// The remaining run time of a running job.
     Remaining(u64),
-    /// All that one has to publish goes to the other, so many times.
+    /// Delivers all facts that one dispatcher publishes to the other, the given number of times.
     Tell {
         from: usize,
         to: usize,
         times: usize,
     },
-    /// Bytes that nobody published.
+    /// Delivers a fact with these bytes, which no dispatcher has published.
     Forge(Vec<u8>),
-    /// The earliest time that there is room, by what is held: when each ends, and its slots.
+    /// The earliest time at which the slots needed are free; `held` is the end and the slots of each running job.
     Reserve {
         free: f64,
         need: f64,
@@ -109,7 +115,7 @@
 /// The estimators of two dispatchers.
 pub struct RuntimesMachine {
     estimators: [RuntimeEstimator; 2],
-    /// The facts that each has published; the number of a fact is its place among them, from 1.
+    /// The facts that each has published; the number of a fact is its index plus 1.
     published: [Vec<Vec<u8>>; 2],
     now: u64,
     seen_jobs: u64,
@@ -128,12 +134,12 @@
     Placement { kind: WorkerKind(kind), worker: WorkerKey(worker) }
 }
 
-/// The attempt of a job that a row numbers.
+/// The attempt of the job with this number in a row.
 fn numbered_attempt(job: u64) -> AttemptId {
     AttemptId(FIRST_NUMBERED_JOB + job)
 }
 
-fn estimate_words(estimate: Estimate) -> Vec<String> {
+fn estimate_observations(estimate: Estimate) -> Vec<String> {
     let Estimate { typical, long } = estimate;
     vec![format!("typical {}", typical / MS), format!("long {}", long / MS)]
 }
@@ -145,7 +151,7 @@
     type Step = RuntimesStep;
 
     fn new(_: Given, _: u64) -> Result<RuntimesMachine, MachineError> {
-        let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(MachineError::refused);
+        let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(MachineError::rejected);
         let estimators = [new(0)?, new(1)?];
         Ok(RuntimesMachine { estimators, published: Default::default(), now: 0, seen_jobs: 0 })
     }
@@ -176,8 +182,8 @@
         Ok(Vec::new())
     }
 
-    fn contrary(word: &str) -> String {
-        match word {
+    fn inverse(observation: &str) -> String {
+        match observation {
             "may go" => "must wait".to_owned(),
             "must wait" => "may go".to_owned(),
             "taken" => "refused".to_owned(),
@@ -186,13 +192,13 @@
             "at 0" => "never".to_owned(),
             "no such job" => "typical 1".to_owned(),
             "typical 1" => "no such job".to_owned(),
-            _ => beyond(word),
+            _ => out_of_range(observation),
         }
     }
 }
 
 impl RuntimesMachine {
-    /// Lets so many milliseconds pass.
+    /// Advances the time by a number of milliseconds.
     fn advance(&mut self, span: u64) {
         self.now += span * MS;
         for estimator in &mut self.estimators {
@@ -205,7 +211,7 @@
         for took in seen.took.iter().cycle().take(seen.jobs) {
             let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
             self.seen_jobs += 1;
-            // Each at a worker of its own, so that none is taken for a slow one.
+            // Each job runs on its own worker, so that no worker counts as slow.
             let attempt = AttemptId(self.seen_jobs);
             let placement = placement(seen.kind, self.seen_jobs);
             self.estimators[seen.by].on_started(self.now, attempt, &features, placement);
@@ -222,15 +228,15 @@
             Some(kind) => estimator.estimate(&features, WorkerKind(kind), None),
             None => estimator.estimate_work(&features),
         };
-        estimate_words(estimate)
+        estimate_observations(estimate)
     }
 
     fn remaining(&self, job: u64) -> Vec<String> {
         let remaining = self.estimators[0].remaining(self.now, numbered_attempt(job));
-        remaining.map_or_else(|| vec!["no such job".to_owned()], estimate_words)
+        remaining.map_or_else(|| vec!["no such job".to_owned()], estimate_observations)
     }
 
-    /// Lets a dispatcher publish until it has had nothing to say three times.
+    /// Lets a dispatcher publish until it has had nothing to publish in three rounds.
     fn publish_all(&mut self, from: usize) {
         let mut idle_rounds = 0;
         while idle_rounds < 3 {
@@ -245,15 +251,15 @@
         }
     }
 
-    /// One dispatcher absorbs all that the other has published, the newest first.
+    /// One dispatcher absorbs all facts that the other has published, the newest first.
     fn exchange_facts(&mut self, from: usize, to: usize, times: usize) -> Result<(), MachineError> {
         self.publish_all(from);
         let origin = Origin { place: from as u16, epoch: EPOCH };
         for _ in 0..times {
-            for (place, fact) in self.published[from].iter().enumerate().rev() {
-                let number = place as u64 + 1;
+            for (index, fact) in self.published[from].iter().enumerate().rev() {
+                let number = index as u64 + 1;
                 let absorbed = self.estimators[to].absorb(self.now, origin, number, fact);
-                absorbed.map_err(MachineError::refused)?;
+                absorbed.map_err(MachineError::rejected)?;
             }
         }
         self.advance(60_000);
--- a/tests/conformance/table.rs
+++ b/tests/conformance/table.rs
@@ -1,44 +1,44 @@
-//! The form of a table: clauses, their rows, and the words that the rows expect.
+//! The format of a conformance table: clauses, their rows, and the observations that the rows expect.
 //!
-//! A table is a TOML file. Each `[[clause]]` has an `id` and `says` what is asked. Each `[[row]]` names its clause (`of`), the
-//! situation (`given`) and the `steps`. A step is one verb with what it takes, and perhaps `then`: the words for everything
-//! that must come of it, in any order. What the situation and the verbs look like is up to the machine that plays the table
-//! (see [`Machine`](crate::runner::Machine)).
+//! A table is a TOML file. Each `[[clause]]` has an `id` and a requirement (`says`). Each `[[row]]` names its clause (`of`), the
+//! initial state (`given`) and the `steps`. A step is one verb with its arguments, and optionally `then`: all observations that
+//! the step must produce, in any order. An observation is a short text such as `1 to 0`. The state machine that runs the table
+//! defines the initial state, the verbs and the observations (see [`Machine`](crate::runner::Machine)).
 //!
-//! The last part of a word may be a choice, `1 to 0|1`, or a range of numbers, `typical 90..115`.
+//! The last part of an expected observation may be a choice, `1 to 0|1`, or a range of numbers, `typical 90..115`.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// What is asked.
+/// A requirement on the state machine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clause {
     pub id: String,
-    /// What is asked, in our words.
+    /// The requirement.
     pub says: String,
-    /// Where the program does otherwise, what it does; such a clause's rows show that.
+    /// How the program deviates from the requirement, if it does; the rows of the clause then check this behaviour.
     #[serde(default)]
     pub but: Option<String>,
 }
 
 impl Clause {
-    /// Whether a text is there but empty.
+    /// Whether one of the texts is blank.
     pub fn has_empty_text(&self) -> bool {
         let but_is_empty = self.but.as_ref().is_some_and(|but| but.trim().is_empty());
         self.says.trim().is_empty() || but_is_empty
     }
 }
 
-/// A situation, and what must come of each step in it.
+/// An initial state, and steps with their expected observations.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// The clause that it is of.
+    /// The id of the clause that the row checks.
     pub of: String,
-    /// What it shows.
+    /// The case that the row checks.
     pub says: String,
     #[serde(default = "empty_table")]
     pub given: Value,
@@ -49,22 +49,22 @@
     Value::Table(Table::new())
 }
 
-/// One verb with what it takes, and the words for all that must come of it, if that is asked.
+/// One verb with its arguments, and the observations that it must produce, if they are checked.
 #[derive(Clone, Deserialize)]
 #[serde(try_from = "Table")]
 pub struct Step {
-    /// `{ verb = what it takes }`.
+    /// `{ verb = arguments }`.
     pub action: Table,
     pub then: Option<Vec<String>>,
 }
 
-/// Why a step cannot be read.
+/// Why a step cannot be parsed.
 #[derive(Debug, Error)]
 pub enum StepFormatError {
     #[error(transparent)]
-    Words(#[from] toml::de::Error),
-    #[error("a step has one verb and perhaps `then`: {0}")]
-    Verbs(Table),
+    Expectations(#[from] toml::de::Error),
+    #[error("a step must have one verb and optionally `then`: {0}")]
+    VerbCount(Table),
 }
 
 impl TryFrom<Table> for Step {
@@ -73,13 +73,13 @@
     fn try_from(mut action: Table) -> Result<Step, StepFormatError> {
         let then = action.remove("then").map(Vec::<String>::deserialize).transpose()?;
         if action.len() != 1 {
-            return Err(StepFormatError::Verbs(action));
+            return Err(StepFormatError::VerbCount(action));
         }
         Ok(Step { action, then })
     }
 }
 
-/// A file of clauses and rows.
+/// The contents of a table file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConformanceTable {
@@ -90,22 +90,22 @@
 }
 
 impl ConformanceTable {
-    /// Reads a table.
+    /// Parses a table.
     ///
     /// # Errors
     ///
-    /// The text is no TOML, or has a field that no clause or row has.
+    /// The text is not valid TOML, or a clause or row has an unknown field.
     pub fn parse(text: &str) -> Result<ConformanceTable, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// The rows of a clause.
+    /// The rows that check a clause.
     pub fn rows_of<'a>(&'a self, clause: &'a str) -> impl Iterator<Item = &'a Row> {
         self.rows.iter().filter(move |row| row.of == clause)
     }
 
-    /// How many clauses have each id.
-    pub fn clauses_by_id(&self) -> BTreeMap<&str, usize> {
+    /// The number of clauses with each id.
+    pub fn clause_counts_by_id(&self) -> BTreeMap<&str, usize> {
         let mut counts = BTreeMap::new();
         for clause in &self.clauses {
             *counts.entry(clause.id.as_str()).or_default() += 1;
@@ -114,43 +114,44 @@
     }
 }
 
-/// Whether these are the words expected, in any order.
-pub fn words_match(seen: &[String], expected: &[String]) -> bool {
-    let mut unmatched: Vec<&String> = seen.iter().collect();
+/// Whether the observations are the expected ones, in any order.
+pub fn observations_match(observed: &[String], expected: &[String]) -> bool {
+    let mut unmatched: Vec<&String> = observed.iter().collect();
     for expected in expected {
-        let Some(place) = unmatched.iter().position(|seen| word_matches(seen, expected)) else {
+        let Some(index) = unmatched.iter().position(|observed| observation_matches(observed, expected))
+        else {
             return false;
         };
-        unmatched.swap_remove(place);
+        unmatched.swap_remove(index);
     }
     unmatched.is_empty()
 }
 
-/// Whether a word is what was expected: the same, or its last part is one of `a|b|c`, or a number in `a..b`.
-fn word_matches(seen: &str, expected: &str) -> bool {
-    let (Some((seen_head, seen_last)), Some((head, last))) =
-        (seen.rsplit_once(' '), expected.rsplit_once(' '))
+/// Whether an observation is the expected one: equal to it, or with a last part that is one of `a|b|c` or a number in `a..b`.
+fn observation_matches(observed: &str, expected: &str) -> bool {
+    let (Some((observed_head, observed_last)), Some((head, last))) =
+        (observed.rsplit_once(' '), expected.rsplit_once(' '))
     else {
-        return seen == expected;
+        return observed == expected;
     };
-    seen_head == head && last_part_matches(seen_last, last)
+    observed_head == head && last_part_matches(observed_last, last)
 }
 
-fn last_part_matches(seen: &str, expected: &str) -> bool {
+fn last_part_matches(observed: &str, expected: &str) -> bool {
     let number = |text: &str| text.parse::<f64>().ok();
     let range = expected.split_once("..").and_then(|(low, high)| Some(number(low)?..=number(high)?));
-    match (range, number(seen)) {
-        (Some(range), Some(seen)) => range.contains(&seen),
-        _ => expected.split('|').any(|choice| choice == seen),
+    match (range, number(observed)) {
+        (Some(range), Some(observed)) => range.contains(&observed),
+        _ => expected.split('|').any(|choice| choice == observed),
     }
 }
 
-/// The same word with a number, or a choice of numbers, beyond those that would do.
-pub fn beyond(word: &str) -> String {
-    let Some((head, last)) = word.rsplit_once(' ') else { return format!("not {word}") };
+/// An expectation like this one, but with a range of numbers above all that it accepts.
+pub fn out_of_range(observation: &str) -> String {
+    let Some((head, last)) = observation.rsplit_once(' ') else { return format!("not {observation}") };
     let highest = last.split(['|', '.']).filter_map(|number| number.parse::<u64>().ok()).max();
     match highest {
         Some(highest) => format!("{head} {}..{}", highest + 1, highest + 1_000_000),
-        None => format!("{word}, not"),
+        None => format!("{observation}, not"),
     }
 }
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -1,35 +1,43 @@
-//! The liveness of a watch, driven by a table. Its words: `due`, `again` (milliseconds from now), `told` (milliseconds since the
-//! start), `open`, `as it is`, `stale` and `usable`.
+//! Runs conformance tables on the liveness of a watch.
+//!
+//! Observations:
+//!
+//! - `due`: the time left until the call or the watch counts as silent, in milliseconds;
+//! - `again`: the time until the next call, in milliseconds;
+//! - `told`: the time from which a list counts as known, in milliseconds since the start of the row;
+//! - `open`: a watch is to be opened; `as it is`: nothing changes;
+//! - `stale`, `usable`: the state of the endpoint list;
+//! - `object X`, `partly`: a whole object, or the beginning of one, was received.
 
 use crate::runner::{Machine, MachineError};
-use crate::table::beyond;
+use crate::table::out_of_range;
 use mothproxy::core::watch_liveness::{DiscoverySettings, ObjectSplitter, WatchFailure, WatchLiveness};
 use serde::Deserialize;
 
-/// When a row begins, in microseconds; above 0 so that nothing lies before the clock began.
+/// The time at which a row starts, in microseconds; above 0 so that earlier times can be represented.
 const START: u64 = 1_000_000_000;
 const MILLISECOND: u64 = 1_000;
 
-/// The situation in which a row begins.
+/// The initial state of a row.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Given {
     #[serde(default, rename = "pushed")]
     is_pushed: bool,
-    /// A watch is open, and has just sent something.
+    /// Whether a watch is open, which has just received data.
     #[serde(default, rename = "open")]
     is_open: bool,
-    /// A call is under way that began just now.
+    /// The phase of a call that has just started, if there is one.
     call: Option<CallPhase>,
-    /// How many dispatchers there are.
+    /// The number of dispatchers.
     #[serde(default = "default_nodes")]
     nodes: u32,
-    /// The poll interval of the settings, in milliseconds.
+    /// The maximum poll interval of the settings, in milliseconds.
     #[serde(default = "default_poll_interval", rename = "within")]
     max_poll_interval: u64,
 }
 
-/// How far a call has come.
+/// The phase of a call to discovery.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 enum CallPhase {
@@ -48,7 +56,7 @@
     10_000
 }
 
-/// A step of a row. Spans are in milliseconds.
+/// An input to the watch, or a query of its state. Times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Step {
@@ -57,13 +65,13 @@
     Start {},
     Call {},
     Connected {},
-    /// The watch sent whole objects or empty lines, or the first part of an object.
+    /// The watch receives whole objects or empty lines, or the first part of an object.
     #[serde(rename = "heard")]
     Data {
         #[serde(rename = "partly")]
         is_partial: bool,
     },
-    /// A list is received.
+    /// The watch receives a list.
     #[serde(rename = "told")]
     List {},
     #[serde(rename = "broke")]
@@ -74,12 +82,12 @@
         is_pushed: bool,
     },
     Moved {},
-    /// What was known before the start is to be revalidated; its newest worker is this old.
+    /// A list from before the start is to be revalidated; `newest` is the age of its youngest worker.
     Revalidate {
         newest: Option<u64>,
     },
     IsStale {},
-    /// Bytes of the watch, as they are received.
+    /// The watch receives bytes.
     Bytes(String),
 }
 
@@ -101,7 +109,7 @@
     }
 }
 
-/// The liveness of one watch, and what splits its bytes.
+/// The liveness of one watch, and the splitter of its byte stream.
 pub struct WatchLivenessMachine {
     liveness: WatchLiveness,
     settings: DiscoverySettings,
@@ -144,13 +152,13 @@
     fn receive(&mut self, bytes: &[u8]) -> Vec<String> {
         self.objects.feed(bytes);
         let objects = std::iter::from_fn(|| self.objects.next_object());
-        let to_word = |object: Vec<u8>| {
+        let to_observation = |object: Vec<u8>| {
             let text = String::from_utf8_lossy(&object).replace([' ', '\n'], "");
             format!("object {text}")
         };
-        let mut words: Vec<String> = objects.map(to_word).collect();
-        words.extend(self.objects.is_partial().then(|| "partly".to_owned()));
-        words
+        let mut observations: Vec<String> = objects.map(to_observation).collect();
+        observations.extend(self.objects.is_partial().then(|| "partly".to_owned()));
+        observations
     }
 }
 
@@ -224,16 +232,16 @@
         })
     }
 
-    fn contrary(word: &str) -> String {
-        match word {
+    fn inverse(observation: &str) -> String {
+        match observation {
             "open" => "as it is".to_owned(),
             "as it is" => "open".to_owned(),
             "stale" => "usable".to_owned(),
             "usable" => "stale".to_owned(),
             "partly" => "object {}".to_owned(),
             "" => "open".to_owned(),
-            _ if word.starts_with("object") => "partly".to_owned(),
-            _ => beyond(word),
+            _ if observation.starts_with("object") => "partly".to_owned(),
+            _ => out_of_range(observation),
         }
     }
 }
