--- a/tests/size/groups.rs
+++ b/tests/size/groups.rs
@@ -1,4 +1,4 @@
-//! Peer groups over a thousand workers: what is advertised of them, which group has which, and slots that are lent.
+//! Peer groups with a thousand workers: load advertisements, assignment of workers to groups, and borrowed slots.
 
 use crate::common::{MS, TestDispatcher, datagrams_to, sends, worker};
 use crate::{SIZE, dispatcher_among, settings};
@@ -6,22 +6,22 @@
 use mothproxy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The message that asks for a slot, and the first byte of one that offers it.
+/// A slot request, and the first byte of a slot offer.
 const SLOT_REQUEST: [u8; 2] = [b'A', 0];
 const SLOT_OFFER_KIND: u8 = b'O';
-/// The longest datagram that a peer accepts.
+/// The maximum length of a datagram that a peer accepts, in bytes.
 const MAX_DATAGRAM_LEN: usize = 256;
-/// Dispatchers of a group.
+/// The number of dispatchers in a group.
 const GROUP_SIZE: u32 = 10;
 
-/// The short tag that messages have in place of a worker's tag: the last 16 bits of this hash.
+/// The short tag that messages use in place of a worker's tag: the low 16 bits of a hash of it.
 fn short_tag(tag: u64) -> u16 {
     let mixed = (tag ^ (tag >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (mixed ^ (mixed >> 31)) as u16
 }
 
-/// This many workers, each two of which have tags with the same short tag.
+/// Workers in pairs whose tags have the same short tag.
 fn workers_with_colliding_tags(count: u32) -> Vec<EndpointEntry> {
     let mut first_of_short_tag = BTreeMap::new();
     let mut tags = Vec::new();
@@ -37,17 +37,17 @@
     (0..).zip(tags).map(|(id, tag)| EndpointEntry { tag, ..worker(id) }).collect()
 }
 
-/// What came of jobs at a dispatcher.
-struct LoadResult {
+/// The messages that a dispatcher sends for a series of jobs.
+struct SubmissionResult {
     /// The jobs that were sent, with their workers.
     sent: Vec<(u64, WorkerId)>,
-    /// The messages to one peer.
+    /// The datagrams to one peer.
     datagrams: Vec<Vec<u8>>,
 }
 
-/// Jobs of these numbers arrive at a dispatcher, one each 3 ms; its messages to this peer are kept.
-fn submit(dispatcher: &mut TestDispatcher, jobs: std::ops::Range<u64>, peer: u32) -> LoadResult {
-    let mut result = LoadResult { sent: Vec::new(), datagrams: Vec::new() };
+/// Submits the jobs with these ids to a dispatcher, one every 3 ms, and returns the sent jobs and the datagrams to `peer`.
+fn submit(dispatcher: &mut TestDispatcher, jobs: std::ops::Range<u64>, peer: u32) -> SubmissionResult {
+    let mut result = SubmissionResult { sent: Vec::new(), datagrams: Vec::new() };
     for job in jobs {
         let mut actions = dispatcher.arrive(job, 0, 60_000 * MS);
         actions.extend(dispatcher.advance(3 * MS));
@@ -60,13 +60,13 @@
     result
 }
 
-/// A dispatcher receives these messages of dispatcher 0.
+/// Delivers datagrams from dispatcher 0 to a dispatcher.
 fn receive(dispatcher: &mut TestDispatcher, datagrams: Vec<Vec<u8>>) -> Vec<Action> {
     let message = |bytes| Event::PeerMessage { from: 0, bytes };
     datagrams.into_iter().flat_map(|bytes| dispatcher.feed(message(bytes))).collect()
 }
 
-/// Asserts that a dispatcher sends nearly all of these jobs, and none to a worker whose one slot a job of its peer takes.
+/// Asserts that a dispatcher sends more than 90 % of these jobs, and none to a worker whose only slot runs a job of its peer.
 fn assert_avoids_full_workers(
     dispatcher: &mut TestDispatcher,
     jobs: std::ops::Range<u64>,
@@ -78,45 +78,45 @@
     let at_full = sent.iter().filter(|(_, worker)| full.contains(worker)).count();
     assert!(
         at_full == 0 && sent.len() as u64 > count * 9 / 10,
-        "{at_full} of {} are at full workers",
+        "{at_full} of {} sent jobs are at full workers, of {count} submitted",
         sent.len()
     );
 }
 
-/// A group knows of all work that one of it has out, also where two workers have one short tag and more are busy than one
-/// message names, and though messages are lost. A message names 120 workers at most, and what was beyond that was left out:
-/// always the same ones, which the peers took for idle. Of two workers with one short tag the group knew of one alone, and
-/// counted the work of both there.
+/// A group knows all outstanding work of a member, also if two workers have the same short tag, if more workers are busy than
+/// fit into one message, and if messages are lost. Guards against two faults. A message holds at most 120 workers, and the others
+/// were left out: always the same ones, which the peers considered idle. The work of two workers with the same short tag was
+/// counted at one of them.
 #[test]
 fn a_group_knows_all_outstanding_work_at_a_thousand_workers() {
     let workers = workers_with_colliding_tags(SIZE);
     let [mut dispatcher, mut peer] = [0, 1].map(|me| dispatcher_among(me, 2, &workers));
-    let LoadResult { sent: mut outstanding, datagrams } = submit(&mut dispatcher, 0..600, 1);
+    let SubmissionResult { sent: mut outstanding, datagrams } = submit(&mut dispatcher, 0..600, 1);
     assert_eq!(outstanding.len(), 600);
     assert!(datagrams.iter().all(|bytes| bytes.len() <= MAX_DATAGRAM_LEN));
-    // A start changes one message or splits it in two; in 1.8 s nothing has to be said again.
-    assert!((600..=620).contains(&datagrams.len()), "{} messages of 600 starts", datagrams.len());
+    // A started job changes one message or splits it in two; no message is due for repetition within 1.8 s.
+    assert!((600..=620).contains(&datagrams.len()), "{} messages for 600 started jobs", datagrams.len());
     receive(&mut peer, datagrams);
     assert_avoids_full_workers(&mut peer, 0..300, &outstanding);
-    // What gets lost is said again.
+    // Lost messages are repeated.
     let lost = submit(&mut dispatcher, 600..650, 1);
     outstanding.extend(lost.sent);
     let repeated = datagrams_to(&dispatcher.advance(2_000 * MS), 1);
-    assert!((6..=12).contains(&repeated.len()), "{} messages of 650 that are out", repeated.len());
+    assert!((6..=12).contains(&repeated.len()), "{} messages for 650 outstanding jobs", repeated.len());
     receive(&mut peer, repeated);
     assert_avoids_full_workers(&mut peer, 300..330, &outstanding);
-    // What has ended takes no room any more, though messages of less than all are merged.
+    // Completed jobs leave the messages, and the remaining work is merged into one.
     for (job, worker) in outstanding.split_off(20) {
         dispatcher.end_attempt(job, 0, worker, Outcome::Ok);
     }
     let remaining = datagrams_to(&dispatcher.advance(3 * MS), 1);
-    assert_eq!(remaining.len(), 1, "it says all in one message again");
+    assert_eq!(remaining.len(), 1, "20 outstanding jobs fit into one message");
     receive(&mut peer, remaining);
     assert_avoids_full_workers(&mut peer, 330..630, &outstanding);
 }
 
-/// A borrowed slot is used at the worker that the offer names, though another one has the same short tag. It was taken at the
-/// other, whose group knew nothing of it.
+/// A borrowed slot is used at the worker that the slot offer names, even if another worker has the same short tag. Guards against
+/// using it at the other worker, whose group does not know about it.
 #[test]
 fn an_offer_is_used_at_the_worker_it_names() {
     let workers = workers_with_colliding_tags(300);
@@ -124,7 +124,11 @@
     let mut lenders_group = GroupGossip::new(&settings(0, 30));
     lenders_group.assign(&workers, &[]);
     let own = submit(&mut borrower, 0..160, 0).sent;
-    assert!((90..=110).contains(&own.len()), "{} workers in its part", own.len());
+    assert!(
+        (90..=110).contains(&own.len()),
+        "{} jobs sent to the borrower's own workers, expected 90 to 110",
+        own.len()
+    );
     let mut offers = Vec::new();
     for _ in 0..50 {
         let request = Event::PeerMessage { from: 1, bytes: SLOT_REQUEST.to_vec() };
@@ -132,12 +136,12 @@
     }
     offers.retain(|bytes| bytes[0] == SLOT_OFFER_KIND);
     let borrowed = sends(&receive(&mut borrower, offers));
-    assert!(borrowed.len() >= 45, "{} of 50 offers are taken", borrowed.len());
+    assert!(borrowed.len() >= 45, "{} of 50 offers are used, expected at least 45", borrowed.len());
     let strays = borrowed.iter().filter(|(_, worker)| !lenders_group.assigned().contains(worker)).count();
-    assert_eq!(strays, 0, "at workers of another group than the lender's");
+    assert_eq!(strays, 0, "jobs sent to workers outside the lender's group");
 }
 
-/// The workers that the group of this dispatcher has; the last dispatcher of the group must see the same.
+/// The workers assigned to a group, as computed by its first dispatcher; asserts that its last one computes the same.
 fn assigned_to_group(group: u32, dispatchers: u32, listed: &[EndpointEntry]) -> Vec<WorkerId> {
     let groups = dispatchers.div_ceil(GROUP_SIZE);
     let last_of_group = group + (dispatchers - 1 - group) / groups * groups;
@@ -146,11 +150,15 @@
         gossip.assign(listed, &[]);
         gossip.assigned().to_vec()
     });
-    assert_eq!(first, last, "two dispatchers of group {group} of {dispatchers}");
+    assert_eq!(
+        first, last,
+        "assignments of the first and the last dispatcher of group {group} of {dispatchers} dispatchers"
+    );
     first
 }
 
-/// Whatever the sizes, each worker has one group, by the word of any of its dispatchers, and no group far more than its part.
+/// For each size of the fleet, each worker is assigned to one group, all dispatchers of the group agree, and no group has many
+/// more workers than the mean.
 #[test]
 fn assigns_each_of_a_thousand_workers_to_one_group() {
     let entry = |id: u32| EndpointEntry { zone: ZoneId((id % 3) as u16), ..worker(id) };
@@ -161,7 +169,7 @@
         let mut assigned = Vec::new();
         for group in 0..groups.min(dispatchers) {
             let part = assigned_to_group(group, dispatchers, listed);
-            // Of each of three zones one more than the mean.
+            // One more than the mean in each of three zones.
             assert!(part.len() <= listed.len() / groups as usize + 3);
             assigned.extend(part);
         }
@@ -174,16 +182,19 @@
     }
 }
 
-/// What random peers and discovery send a dispatcher, and which workers are ready by that.
+/// Random messages and list changes, and the workers that are ready after them.
 struct RandomInput {
     rng: fastrand::Rng,
     ready: BTreeSet<WorkerId>,
 }
 
 impl RandomInput {
-    /// A change of one worker, listed or not.
+    /// A random change of one worker, which may not be listed yet.
     fn list_change(&mut self) -> Event {
-        let status = self.rng.choice([Status::Ready, Status::Draining, Status::Gone]).expect("one");
+        let status = self
+            .rng
+            .choice([Status::Ready, Status::Draining, Status::Gone])
+            .expect("the choices are not empty");
         let entry = EndpointEntry { status, ..worker(self.rng.u32(..SIZE * 2)) };
         self.ready.remove(&entry.worker);
         self.ready.extend((status == Status::Ready).then_some(entry.worker));
@@ -191,8 +202,8 @@
     }
 }
 
-/// Whatever all others say, and whatever the list and the settings become, work goes to workers that are listed, and no message
-/// is too long.
+/// With random messages from peers, list changes and reconfigurations, jobs are sent only to ready workers, and no datagram
+/// exceeds the maximum length.
 #[test]
 fn tolerates_any_message_as_one_of_a_thousand() {
     const STEPS: u64 = 2_000;
@@ -203,18 +214,18 @@
         RandomInput { rng: fastrand::Rng::with_seed(6), ready: (0..SIZE).map(WorkerId).collect() };
     let mut sent = 0;
     for step in 0..STEPS {
-        let said: Vec<u8> = (0..input.rng.usize(..40)).map(|_| input.rng.u8(..)).collect();
-        let kind = *input.rng.choice(MESSAGE_KINDS).expect("one of them");
+        let payload: Vec<u8> = (0..input.rng.usize(..40)).map(|_| input.rng.u8(..)).collect();
+        let kind = *input.rng.choice(MESSAGE_KINDS).expect("the choices are not empty");
         let mut actions = Vec::new();
         if step % 10 == 0 {
             let change = input.list_change();
             actions.extend(dispatcher.feed(change));
         }
         let from = input.rng.u32(..SIZE + 9);
-        actions.extend(dispatcher.feed(Event::PeerMessage { from, bytes: [&[kind], &said[..]].concat() }));
+        actions.extend(dispatcher.feed(Event::PeerMessage { from, bytes: [&[kind], &payload[..]].concat() }));
         if step % 500 == 499 {
             let fewer = settings(0, SIZE - step as u32 / 20);
-            dispatcher.dispatcher.reconfigure(fewer).expect("sound settings");
+            dispatcher.dispatcher.reconfigure(fewer).expect("the settings are valid");
         }
         actions.extend(dispatcher.arrive(step, 0, 7_000 * MS));
         actions.extend(dispatcher.advance(3 * MS));
@@ -226,5 +237,5 @@
         let is_too_long = |action: &Action| matches!(action, Action::SendToPeer { bytes, .. } if bytes.len() > MAX_DATAGRAM_LEN);
         assert!(!actions.iter().any(is_too_long));
     }
-    assert!(sent > 1_000, "{sent} of {STEPS} jobs are sent");
+    assert!(sent > 1_000, "{sent} of {STEPS} jobs are sent, expected more than 1,000");
 }
--- a/tests/size/main.rs
+++ b/tests/size/main.rs
@@ -1,4 +1,5 @@
-//! A thousand dispatchers and a thousand workers: what one may not do because all do it, what no list may be too long for.
+//! Fleets of a thousand dispatchers and a thousand workers: costs that add up over all dispatchers, and limits on the length of
+//! lists and messages.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,10 +14,10 @@
 use common::{MS, TestDispatcher, class};
 use mothproxy::*;
 
-/// Dispatchers, and workers on the list.
+/// The number of dispatchers, and of workers on the endpoint list.
 const SIZE: u32 = 1_024;
 
-/// Settings of one of this many dispatchers, which may message its peers.
+/// The settings of dispatcher `me` of `nodes`, which may message its peers.
 fn settings(me: u32, nodes: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
@@ -30,7 +31,7 @@
     }
 }
 
-/// One of this many dispatchers, among workers that have one slot each.
+/// Dispatcher `me` of `nodes`, with workers that have one slot each.
 fn dispatcher_among(me: u32, nodes: u32, workers: &[EndpointEntry]) -> TestDispatcher {
     let mut dispatcher = TestDispatcher::with_seed(settings(me, nodes), me.into());
     dispatcher.load_cached_list(workers.to_vec());
--- a/tests/size/process.rs
+++ b/tests/size/process.rs
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// The datagrams by which a dispatcher says that it serves and that it stops.
+/// The datagrams with which a dispatcher announces that it serves, and that it stops.
 const SERVING: &[u8] = b"U";
 const STOPPING: &[u8] = b"S";
-/// The load advertisement of a dispatcher that has nothing in flight.
+/// The load advertisement of a dispatcher without outstanding jobs.
 const NO_LOAD: &[u8] = b"W\0";
 /// The first byte of a load advertisement.
 const LOAD_KIND: u8 = b'W';
 
-/// A peer of the group of dispatcher 0.
+/// A dispatcher in the group of dispatcher 0.
 const GROUP_PEER: u32 = 103;
-/// Two dispatchers to which dispatcher 0 has nothing to say.
+/// Two dispatchers that dispatcher 0 sends no datagrams to.
 const UNRELATED: u32 = 5;
 const MOVED: u32 = 500;
 
-/// Other dispatchers, as sockets, by number.
+/// The sockets of other dispatchers, by index.
 struct Peers(BTreeMap<u32, UdpSocket>);
 
 impl Peers {
@@ -42,7 +42,7 @@
         Peers(numbers.into_iter().map(bind).collect())
     }
 
-    /// The address of a dispatcher; one at which nobody listens if it has no socket.
+    /// The address of a dispatcher; an unused one if it has no socket.
     fn address(&self, number: u32) -> SocketAddr {
         match self.0.get(&number) {
             Some(socket) => socket.local_addr().expect("an address"),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Waits until a peer gets such a datagram; where it came from.
+    /// Waits until a peer receives an expected datagram, and returns its source.
     fn receive(&self, number: u32, is_expected: impl Fn(&[u8]) -> bool) -> SocketAddr {
         let mut buffer = [0; 256];
         loop {
@@ -65,10 +65,10 @@
         self.0[&number].send_to(datagram, to).expect("sent");
     }
 
-    /// Two dispatchers change places.
+    /// Swaps the sockets of two dispatchers.
     fn swap(&mut self, one: u32, other: u32) {
-        let first = self.0.remove(&one).expect("it is there");
-        let second = self.0.remove(&other).expect("it is there");
+        let first = self.0.remove(&one).expect("the dispatcher has a socket");
+        let second = self.0.remove(&other).expect("the dispatcher has a socket");
         self.0.extend([(one, second), (other, first)]);
     }
 
@@ -76,12 +76,12 @@
         let socket = &self.0[&number];
         socket.set_nonblocking(true).expect("a socket option");
         let received = socket.recv_from(&mut [0; 256]);
-        assert!(received.is_err(), "said to one of a thousand more than needs it");
+        assert!(received.is_err(), "dispatcher {number} received a datagram, although it is no neighbor");
     }
 }
 
-/// Makes a configuration one of a thousand dispatchers and workers: all workers are this one, and the other dispatchers are
-/// these peers.
+/// Configures a fleet of a thousand dispatchers and workers. All worker entries have the address of `worker`, and the other
+/// dispatchers are `peers`.
 fn configure_thousand(config: &mut Value, worker: &FakeWorker, peers: &Peers) {
     config["known"]["instances"] = json!(list_entries(0..SIZE, worker, "up"));
     config["peer_listen"] = json!("127.0.0.1:0");
@@ -91,13 +91,13 @@
     config["settings"]["Limits"]["Probing"] = json!(true);
 }
 
-/// Entries of the list for workers of these numbers, all of them this one.
+/// Endpoint entries for workers with these numbers, all at the address of `worker`.
 fn list_entries(numbers: std::ops::Range<u32>, worker: &FakeWorker, lifecycle: &str) -> Vec<Value> {
     let address = worker.address.to_string();
     numbers.map(|number| site::endpoint_entry(&format!("s-{number:04}"), &address, lifecycle)).collect()
 }
 
-/// A request that must be served.
+/// Sends a request, and asserts that it is served.
 fn serve_request(client: &mut TcpStream, id: &str) -> HttpReply {
     let request = job_request(id, "balance", "stream started pause=5 done=x", "");
     client.write_all(request.as_bytes()).expect("written");
@@ -106,23 +106,23 @@
     reply
 }
 
-/// What a program has in memory, in KiB.
+/// The resident memory of a process, in KiB.
 fn resident_memory(program: &DispatcherProcess) -> u64 {
     memory_kib(program.pid(), "VmRSS")
 }
 
-/// Dispatcher 0 of a thousand, with the peers that it has something to say to.
+/// Dispatcher 0 of a thousand, and the peers that it exchanges datagrams with.
 struct Site {
     program: DispatcherProcess,
     discovery: Arc<FakeDiscovery>,
-    /// The list that discovery sends, of which half are the workers that the program knows.
+    /// The list that discovery sends; half of its workers are in the program's configuration.
     list: Value,
     old_worker: Arc<FakeWorker>,
     new_worker: Arc<FakeWorker>,
     peers: Peers,
-    /// The numbers of the dispatchers that it tells of its lifecycle.
+    /// The dispatchers that it notifies of changes in its lifecycle.
     neighbors: Vec<u32>,
-    /// Where it sends its datagrams from.
+    /// The address from which it sends datagrams.
     home: SocketAddr,
     client: TcpStream,
     requests: u32,
@@ -147,27 +147,27 @@
         Site { program, discovery, list, old_worker, new_worker, peers, neighbors, home, client, requests: 0 }
     }
 
-    /// The next request is served.
+    /// Sends the next request, and asserts that it is served.
     fn serve_next(&mut self) {
         let id = format!("a{}", self.requests);
         self.requests += 1;
         serve_request(&mut self.client, &id);
     }
 
-    /// Waits until the list counts, by which half of the workers are new ones.
+    /// Waits until the list is in effect, which adds new workers.
     fn wait_for_new_workers(&mut self) {
-        wait_until("the new list counts", || {
+        wait_until("the new list is in effect", || {
             self.serve_next();
             self.new_worker.job_count.load(SeqCst) > 0
         });
     }
 
-    /// Discovery drains the other workers; waits until that counts.
+    /// Marks the old workers as draining in discovery, and waits until they get no more jobs.
     fn drain_old_workers(&mut self) {
         let entries = list_entries(0..SIZE / 2, &self.old_worker, "draining");
         let change = json!({"generation": 3, "reset": false, "instances": entries});
         self.discovery.push_change(&change.to_string(), self.list.clone());
-        wait_until("the change counts", || {
+        wait_until("the drain is in effect", || {
             let before = self.old_worker.job_count.load(SeqCst);
             for _ in 0..10 {
                 self.serve_next();
@@ -176,7 +176,7 @@
         });
     }
 
-    /// A dispatcher says that it stops, then changes places with a neighbor, and the program reads the new configuration.
+    /// A dispatcher announces that it stops, then swaps its address with a neighbor, and the program reloads its configuration.
     fn reload_with_moved_peer(&mut self) {
         let neighbor = self.neighbors[0];
         self.peers.send(MOVED, self.home, STOPPING);
@@ -184,31 +184,38 @@
         let mut config = self.program.config.clone();
         configure_thousand(&mut config, &self.old_worker, &self.peers);
         self.peers.send(GROUP_PEER, self.home, NO_LOAD);
-        serve_request(&mut self.client, "b0"); // and the datagrams have been read
+        serve_request(&mut self.client, "b0"); // the program has read the datagrams before this request
         self.program.replace_config(&config.to_string());
         self.program.signal("-HUP");
         self.program.wait_for_log("configuration reloaded");
     }
 
-    /// Asserts that the program takes no more memory for a thousand workers than a few KiB each.
+    /// Asserts that the program uses less than 8 KiB of memory per worker.
     fn assert_memory_per_worker(&self) {
-        // An entry of the list is in the configuration, in the table and in what was read last; the module knows a worker
-        // by less.
+        // An endpoint entry is stored in the configuration, in the endpoint table and in the last list that was read. The
+        // decision module's state of a worker is smaller.
         const MAX_KIB_PER_WORKER: u64 = 8;
         let small = DispatcherProcess::builder(std::slice::from_ref(&self.old_worker)).start();
         let more = resident_memory(&self.program).saturating_sub(resident_memory(&small));
         let ever_listed = u64::from(SIZE) * 3 / 2;
-        assert!(more < ever_listed * MAX_KIB_PER_WORKER, "{more} KiB more than with one worker");
+        assert!(
+            more < ever_listed * MAX_KIB_PER_WORKER,
+            "{more} KiB more than with one worker, for {ever_listed} workers"
+        );
     }
 
-    /// The program stops while all its neighbors do, until one of them serves again.
+    /// Stops the program while all of its neighbors are stopping, until one of them serves again.
     fn stop_with_all_neighbors(&mut self) {
         self.program.terminate();
         for neighbor in &self.neighbors {
             self.peers.receive(*neighbor, |datagram| datagram == STOPPING);
         }
         let reply = serve_request(&mut self.client, "d0");
-        assert_eq!(reply.header("Connection"), None, "nobody else could take its client");
+        assert_eq!(
+            reply.header("Connection"),
+            None,
+            "all peers are stopping, so the client's connection must stay open"
+        );
         let serving = self.neighbors[1];
         self.peers.send(serving, self.home, SERVING);
         self.peers.receive(serving, |datagram| datagram == STOPPING);
@@ -217,18 +224,18 @@
     }
 }
 
-/// One of a thousand dispatchers takes whole lists and changes, knows its peers by address after a reload, and closes its
-/// clients' connections at shutdown only while another one serves. Beyond 16 dispatchers one said nothing of its stop, and
-/// closed its clients' connections though all others stopped too.
+/// A dispatcher in a fleet of a thousand handles snapshots and deltas of the endpoint list, identifies its peers by address after
+/// a reload, and closes its clients' connections at shutdown only while another dispatcher serves. Guards against a fault with
+/// more than 16 dispatchers: they did not announce their shutdown, and closed their clients' connections even if all stopped.
 #[test]
-fn one_of_a_thousand_nodes_starts_serves_reloads_and_stops() {
+fn one_of_a_thousand_dispatchers_starts_serves_reloads_and_stops() {
     let mut site = Site::start();
     site.serve_next();
     site.wait_for_new_workers();
     site.drain_old_workers();
     let advertiser = site.peers.receive(GROUP_PEER, |datagram| datagram[0] == LOAD_KIND);
-    assert_eq!(advertiser, site.home, "its group knows of its work");
-    // What was said counts for an address, whatever its number is after a reload.
+    assert_eq!(advertiser, site.home, "load advertisements are sent from the dispatcher's address");
+    // Announcements apply to an address, also if its index changes with a reload.
     site.reload_with_moved_peer();
     for neighbor in &site.neighbors[1..] {
         site.peers.send(*neighbor, site.home, STOPPING);
@@ -238,23 +245,24 @@
     site.stop_with_all_neighbors();
     let Site { program, peers, .. } = site;
     let (is_clean, log) = program.wait_for_exit();
-    let summary = log.iter().rev().find(|line| line.starts_with("figures ")).expect("a summary");
+    let summary =
+        log.iter().rev().find(|line| line.starts_with("figures ")).expect("the log has a summary line");
     let figures =
         [" bad_datagrams=0 ", " bad_lists=0 ", " bad_rows=0 ", " workers=512 ", " broken_invariants=0"];
     assert!(is_clean && figures.iter().all(|figure| summary.contains(figure)), "{summary}");
     peers.assert_received_nothing(UNRELATED);
 }
 
-/// A successor takes over a thousand workers with what was learned of them, and serves on the same connection. All of it went
-/// over in one packet of at most 256 KB: it could not be sent, and the successor waited for an address that the predecessor
-/// kept.
+/// At a hot restart the successor takes over a thousand workers with the state learned about them, and serves on the same
+/// connection. Guards against sending this state in one packet, which is limited to 256 KB: the transfer failed, and the
+/// successor waited for the listening address that the predecessor kept.
 #[test]
 fn transfers_a_thousand_workers_to_the_successor() {
     let worker = FakeWorker::start("s-0000");
-    let folder = tempfile::tempdir().expect("a folder");
+    let temp_dir = tempfile::tempdir().expect("a temporary directory");
     let start = |listen: String| {
         DispatcherProcess::builder(&[])
-            .temp_dir(folder.path())
+            .temp_dir(temp_dir.path())
             .configure(|config| {
                 configure_thousand(config, &worker, &Peers::none());
                 config["listen"] = json!(listen);
@@ -268,7 +276,7 @@
     }
     let successor = start(predecessor.platform.to_string());
     predecessor.wait_for_log("hot restart: handing over");
-    // On the same connection, by the successor: the predecessor holds nothing and ends.
+    // The successor serves on the same connection; the predecessor has no connections left and exits.
     serve_request(&mut client, "b0");
     predecessor.terminate();
     assert!(predecessor.wait_for_exit().0);
--- a/tests/size/shutdown.rs
+++ b/tests/size/shutdown.rs
@@ -1,17 +1,17 @@
-//! Dispatchers tell some of each other that they stop, so that each knows whether all do.
+//! Stopping dispatchers notify some of their peers, so that each can tell whether all dispatchers stop.
 
 use mothproxy::core::peer_lifecycle::PeerLifecycle;
 
-/// What a round of shutdown messages leads to.
+/// The result of one round of shutdown announcements.
 #[derive(Debug, PartialEq, Eq)]
 struct Round {
     datagrams: usize,
-    /// The dispatchers that stop and take it that all do.
-    believe_all_stop: usize,
+    /// The number of stopping dispatchers that consider all dispatchers to be stopping.
+    detecting_full_stop: usize,
 }
 
-/// One round in which each dispatcher that stops says so.
-fn play_round(count: u32, stops: impl Fn(u32) -> bool) -> Round {
+/// Runs one round in which each stopping dispatcher notifies its neighbors.
+fn run_round(count: u32, stops: impl Fn(u32) -> bool) -> Round {
     let mut lifecycles: Vec<PeerLifecycle> =
         (0..count).map(|me| PeerLifecycle::new(me, count as usize)).collect();
     let stopping: Vec<u32> = (0..count).filter(|number| stops(*number)).collect();
@@ -19,24 +19,27 @@
     for &me in &stopping {
         for to in lifecycles[me as usize].neighbors() {
             let is_mutual = lifecycles[to as usize].neighbors().contains(&me);
-            assert!(to != me && is_mutual, "{me} tells {to} of {count}");
+            assert!(
+                to != me && is_mutual,
+                "{me} of {count} dispatchers notifies {to}, which is itself or does not have {me} as a neighbor"
+            );
             lifecycles[to as usize].on_stopping(me);
             datagrams += 1;
         }
     }
-    let believes = |number: &&u32| lifecycles[**number as usize].are_all_stopping();
-    let believe_all_stop = stopping.iter().filter(believes).count();
-    Round { datagrams, believe_all_stop }
+    let detects_full_stop = |number: &&u32| lifecycles[**number as usize].are_all_stopping();
+    let detecting_full_stop = stopping.iter().filter(detects_full_stop).count();
+    Round { datagrams, detecting_full_stop }
 }
 
-/// When all stop, each dispatcher knows it after one round, at the price of a few datagrams each; when a part of them stops,
-/// none takes it for all. Beyond 16 dispatchers nobody said anything, so that in a stop of all each sent its clients to others
-/// that stopped too. Said to all, a release of 300 would cost 300 x 299 datagrams for each time that it is said.
+/// If all dispatchers stop, each knows it after one round of a few datagrams each; if only some stop, none considers it a full
+/// stop. Guards against a fault with more than 16 dispatchers: none announced its shutdown, and in a full stop each sent its
+/// clients to others that stopped too. Announcements to all peers would cost 300 x 299 datagrams per round with 300 dispatchers.
 #[test]
-fn tells_a_full_stop_from_a_rolling_release_at_any_size() {
+fn distinguishes_full_stop_from_rolling_release_at_any_size() {
     for (count, datagrams) in [(2, 2), (16, 240), (17, 136), (300, 2_400), (1_024, 8_192)] {
-        let expected = Round { datagrams, believe_all_stop: count as usize };
-        assert_eq!(play_round(count, |_| true), expected, "all {count} stop");
+        let expected = Round { datagrams, detecting_full_stop: count as usize };
+        assert_eq!(run_round(count, |_| true), expected, "all {count} stop");
     }
     for count in (17..1_100_u32).step_by(7) {
         let groups = count.div_ceil(10);
@@ -50,7 +53,7 @@
             ("one zone of three", &|number| number % 3 == 1 && number < count - 1),
         ];
         for (release, stops) in releases {
-            assert_eq!(play_round(count, stops).believe_all_stop, 0, "{release} of {count}");
+            assert_eq!(run_round(count, stops).detecting_full_stop, 0, "{release} of {count}");
         }
     }
 }
