--- a/tests/membership/partitioned_fleet.rs
+++ b/tests/membership/partitioned_fleet.rs
@@ -1,22 +1,22 @@
-//! Peer groups on two sides of a partition, without sockets.
+//! Peer groups in a partitioned fleet, simulated without sockets.
 
 use crate::common::{MS, PeerDatagram, TestDispatcher, peer_datagrams, sends, workers};
 use mothproxy::policy::interface::PeerPresence::{self, Present, Unreachable};
 use mothproxy::policy::interface::{Action, Event, JobId};
 
-/// Twenty dispatchers in two groups before twelve workers with four slots each, partitioned into two sides that hold members of
-/// both groups and do not hear each other.
+/// Twenty dispatchers in two peer groups, and twelve workers with four slots each. The dispatchers are partitioned into two sides;
+/// each side has members of both groups, and receives nothing from the other.
 struct PartitionedFleet {
     dispatchers: Vec<TestDispatcher>,
-    /// The jobs at each worker.
+    /// The number of jobs at each worker.
     running: Vec<usize>,
 }
 
-/// Jobs that run in a [`PartitionedFleet`].
+/// The number of running jobs in a [`PartitionedFleet`].
 struct RunningJobs {
-    /// At the fullest worker.
+    /// At the worker with the most jobs.
     max_per_worker: usize,
-    in_all: usize,
+    total: usize,
 }
 
 impl PartitionedFleet {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// A fleet whose dispatchers take each other for present.
+    /// A fleet whose dispatchers consider all peers present.
     fn unaware() -> PartitionedFleet {
         PartitionedFleet::with_presence(|_, _| None)
     }
 
-    /// A fleet whose dispatchers have each seen those of the other side die.
+    /// A fleet whose dispatchers consider the peers on the other side unreachable.
     fn aware() -> PartitionedFleet {
         let is_near = |me, other| PartitionedFleet::side(me) == PartitionedFleet::side(other);
         PartitionedFleet::with_presence(|me, other| {
@@ -59,18 +59,19 @@
         })
     }
 
-    /// A fleet in which each dispatcher is notified of what it believes of each, if of anything.
+    /// A fleet in which each dispatcher is notified of the presence of its peers; not if `presence` returns `None`.
     fn with_presence(presence: impl Fn(u32, u32) -> Option<PeerPresence>) -> PartitionedFleet {
         let count = PartitionedFleet::DISPATCHERS;
         let dispatcher = |me| {
             let settings = PartitionedFleet::settings(me);
             let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(me));
             dispatcher.load_cached_list(workers(PartitionedFleet::WORKERS));
-            // One report says how many slots workers of this kind have.
+            // One load report suffices for the number of slots of all workers of a kind.
             dispatcher.report_load(0, 0.0, PartitionedFleet::SLOTS as f64);
-            let believed: Option<Vec<PeerPresence>> = (0..count).map(|other| presence(me, other)).collect();
-            if let Some(believed) = believed {
-                dispatcher.feed(Event::Peers(believed));
+            let known_presence: Option<Vec<PeerPresence>> =
+                (0..count).map(|other| presence(me, other)).collect();
+            if let Some(known_presence) = known_presence {
+                dispatcher.feed(Event::Peers(known_presence));
             }
             dispatcher
         };
@@ -78,11 +79,11 @@
             dispatchers: (0..count).map(dispatcher).collect(),
             running: vec![0; PartitionedFleet::WORKERS as usize],
         };
-        fleet.advance(5_000 * MS); // workers that came from the other group are let rest
+        fleet.advance(5_000 * MS); // workers assigned from another group are not used at first
         fleet
     }
 
-    /// Does what a dispatcher wants done, and what follows from that.
+    /// Applies the actions of a dispatcher, and the events that follow from them.
     fn perform(&mut self, from: u32, actions: &[Action]) {
         for (job, worker) in sends(actions) {
             self.running[worker.0 as usize] += 1;
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Far more jobs than there are slots arrive within 2 s.
+    /// Submits 400 jobs for 48 slots within 2 s.
     fn fill(mut self) -> RunningJobs {
         for job in 0..400 {
             let number = job % PartitionedFleet::DISPATCHERS;
@@ -117,18 +118,21 @@
         }
         RunningJobs {
             max_per_worker: self.running.iter().copied().max().unwrap_or(0),
-            in_all: self.running.iter().sum(),
+            total: self.running.iter().sum(),
         }
     }
 }
 
-/// What both sides of a partition take is within each worker's slots once each has seen it, and nearly all of them are used;
-/// without the view both fill every worker by themselves.
+/// Once both sides of a partition have detected it, their jobs together stay within each worker's slots, and most slots are used.
+/// Otherwise each side fills the workers by itself.
 #[test]
 fn partitioned_sides_stay_within_worker_slots() {
-    let RunningJobs { max_per_worker, in_all } = PartitionedFleet::aware().fill();
-    assert!(max_per_worker <= 4, "{max_per_worker} jobs at once on one worker with four slots");
-    assert!(in_all >= 36, "{in_all} of 48 slots are used");
+    let RunningJobs { max_per_worker, total } = PartitionedFleet::aware().fill();
+    assert!(max_per_worker <= 4, "{max_per_worker} concurrent jobs on a worker with 4 slots");
+    assert!(total >= 36, "{total} of 48 slots are used, expected at least 36");
     let RunningJobs { max_per_worker, .. } = PartitionedFleet::unaware().fill();
-    assert!(max_per_worker > 4, "the measure: without the view {max_per_worker} at once");
+    assert!(
+        max_per_worker > 4,
+        "control run: only {max_per_worker} concurrent jobs on a worker without partition detection"
+    );
 }
