--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages name what is there: links between them lead somewhere, and paths of the repository exist.
+//! Checks of the documentation pages: the targets of their links and the repository paths that they name must exist.
 
 use std::path::{Path, PathBuf};
 
@@ -7,8 +7,8 @@
 }
 
 fn pages_below(folder: &Path, pages: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("the directory can be read") {
+        let path = entry.expect("the directory entry can be read").path();
         if path.is_dir() {
             pages_below(&path, pages);
         } else if path.extension().is_some_and(|extension| extension == "md") {
@@ -24,14 +24,14 @@
     pages
 }
 
-/// The targets of `[text](target)` in a page, but for other hosts and places within the page.
+/// The targets of links `[text](target)` in a page, without those to other hosts or within the page.
 fn links(text: &str) -> impl Iterator<Item = &str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     let paths = targets.map(|target| target.split('#').next().unwrap_or(""));
     paths.filter(|path| !path.is_empty() && !path.contains("://"))
 }
 
-/// Words that name a file or folder of the sources.
+/// The paths of source files and directories in a page.
 fn source_paths(text: &str) -> impl Iterator<Item = &str> {
     let folders = ["src/", "crates/", "tests/", "benches/", "examples/", "proto/", "deploy/"];
     let is_part = |c: char| c.is_ascii_alphanumeric() || "_-./".contains(c);
@@ -41,34 +41,32 @@
     })
 }
 
-/// Each link from page to page leads to a file that is there.
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_have_existing_targets() {
     let mut seen = 0;
     for page in pages() {
-        let text = std::fs::read_to_string(&page).expect("text");
+        let text = std::fs::read_to_string(&page).expect("the page is text");
         for link in links(&text) {
-            let target = page.parent().expect("a folder").join(link);
-            assert!(target.exists(), "{}: {link}", page.display());
+            let target = page.parent().expect("a page has a parent directory").join(link);
+            assert!(target.exists(), "{}: the target of the link {link} does not exist", page.display());
             seen += 1;
         }
     }
-    assert!(seen > 20, "{seen} links were found");
+    assert!(seen > 20, "{seen} links found, expected more than 20");
 }
 
-/// The verdicts of days that were played name the sources of their day.
+/// Pages that record earlier states of the repository, and may name files that no longer exist.
 const HISTORY: [&str; 2] = ["docs/operate/acceptance.md", "CHANGELOG.md"];
 
-/// Each path of the source that a page names is there.
 #[test]
 fn paths_in_pages_exist() {
     let mut seen = 0;
     for page in pages().into_iter().filter(|page| !HISTORY.iter().any(|name| page.ends_with(name))) {
-        let text = std::fs::read_to_string(&page).expect("text");
+        let text = std::fs::read_to_string(&page).expect("the page is text");
         for path in source_paths(&text) {
-            assert!(root().join(path).exists(), "{}: {path}", page.display());
+            assert!(root().join(path).exists(), "{}: the path {path} does not exist", page.display());
             seen += 1;
         }
     }
-    assert!(seen > 50, "{seen} paths were found");
+    assert!(seen > 50, "{seen} paths found, expected more than 50");
 }
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -1,5 +1,5 @@
-//! Stories of several processes: the built program on loopback, faults between them, and an auditor that reads what crossed
-//! the wires. The harness is `crates/testkit` (`docs/design/harness.md`).
+//! Fleets of several processes of the built program on loopback, with faults injected between them. An auditor checks all events
+//! on the network connections. The harness is `crates/testkit` (`docs/design/harness.md`).
 
 use mothproxy_testkit::fleet::*;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
     Plan::new(env!("CARGO_BIN_EXE_mothproxy"), size, workers, seed_or(seed))
 }
 
-/// One job in four has an idempotency key.
+/// A random job; one in four has an idempotency key.
 fn random_job(rng: &mut fastrand::Rng, number: u64) -> Job {
     match rng.u32(..4) {
         0 => Job::keyed(&format!("k{:x}-{number}", rng.u64(..))),
@@ -17,11 +17,11 @@
     }
 }
 
-/// Cut apart, killed, started again, a worker gone silent, another drained: every job has its one answer, no key runs twice,
-/// and nothing is sent to who drains.
+/// Through a partition, a kill, a restart, a silent worker and a drain, each job gets one response, no job with an idempotency
+/// key runs twice, and no job is sent to a draining worker.
 #[test]
 fn five_processes_answer_each_job_once_through_faults() {
-    let fleet = Fleet::start(plan(5, 4, 0x5eed_0001)).expect("a fleet");
+    let fleet = Fleet::start(plan(5, 4, 0x5eed_0001)).expect("the fleet starts");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_load(&LoadPlan {
         dispatchers: fleet.all(),
@@ -39,7 +39,7 @@
     fleet.kill(3);
     wait_for_more_served(60);
     fleet.datagrams.heal();
-    fleet.restart(3).expect("it starts again");
+    fleet.restart(3).expect("the process restarts");
     fleet.set_worker_cut(1, true);
     wait_for_more_served(60);
     fleet.set_worker_cut(1, false);
@@ -48,27 +48,27 @@
     wait_for_more_served(120);
     let report = load.stop();
     eprintln!(
-        "{:?}, {} unreachable, {} without an answer",
+        "{:?}, {} unreachable, {} without a response",
         report.answers, report.unreachable, report.unanswered
     );
     let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
     assert!(report.served() > 300, "{:?}", report.answers);
     let (entries, _) = fleet.event_log.events();
-    assert_auditor_sees_mistakes(&entries, generation);
+    assert_auditor_finds_violations(&entries, generation);
     let totals = fleet.datagrams.totals();
     assert!(totals.iter().all(|link| link.sent > 0 && link.delivered > 0), "{totals:?}");
-    assert!(totals.iter().any(|link| link.dropped > 0), "the partition dropped nothing: {totals:?}");
+    assert!(totals.iter().any(|link| link.dropped > 0), "the partition dropped no datagrams: {totals:?}");
 }
 
-/// Each kind of mistake, put into a sound record, is found: the auditor was not blind to the sound one. The worker that drained
-/// did so by the list of this generation.
-fn assert_auditor_sees_mistakes(entries: &[LoggedEvent], drain_generation: u64) {
+/// Asserts that the auditor finds each kind of violation if it is inserted into these valid events. The worker drains from list
+/// generation `drain_generation` on.
+fn assert_auditor_finds_violations(entries: &[LoggedEvent], drain_generation: u64) {
     assert_found(entries, "UnknownResult", |entries| {
         let completed = first(entries, |event| matches!(event, Event::Completed { .. }));
         entries.remove(completed);
     });
-    // Of dispatcher 0: what the one that is killed leaves open is excused.
+    // A job of dispatcher 0, because jobs that the killed dispatcher leaves unanswered are no violation.
     assert_found(entries, "NeverAnswered", |entries| {
         let answered = first(entries, |event| matches!(event, Event::Answered { dispatcher: 0, .. }));
         entries.remove(answered);
@@ -79,7 +79,7 @@
     assert_found(entries, "ExecutedTwice", |entries| {
         repeat_first(entries, |event| matches!(event, Event::Executed { key: Some(_), .. }));
     });
-    // As if discovery had sent the drain a second earlier.
+    // Moves the notification of the drain to a second earlier.
     assert_found(entries, "LateSend", |entries| {
         for entry in entries {
             if matches!(entry.event, Event::Notified { generation, .. } if generation == drain_generation) {
@@ -89,31 +89,34 @@
     });
 }
 
-/// Asserts that the auditor finds this in the record with one thing made wrong, and nothing else.
-fn assert_found(entries: &[LoggedEvent], expected: &str, make_wrong: impl Fn(&mut Vec<LoggedEvent>)) {
+/// Asserts that the auditor finds only this violation in events that `corrupt` has changed.
+fn assert_found(entries: &[LoggedEvent], expected: &str, corrupt: impl Fn(&mut Vec<LoggedEvent>)) {
     let mut entries = entries.to_vec();
-    make_wrong(&mut entries);
+    corrupt(&mut entries);
     entries.sort_by_key(|entry| entry.at);
     let found = audit(&entries, &AuditRules::default());
     assert!(!found.is_empty(), "{expected} is not found");
-    assert!(found.iter().all(|fault| format!("{fault:?}").starts_with(expected)), "{expected}: {found:#?}");
+    assert!(
+        found.iter().all(|violation| format!("{violation:?}").starts_with(expected)),
+        "{expected}: {found:#?}"
+    );
 }
 
-/// Where the first such event is.
-fn first(entries: &[LoggedEvent], is_such: impl Fn(&Event) -> bool) -> usize {
-    entries.iter().position(|entry| is_such(&entry.event)).expect("such an entry")
+/// The index of the first matching event.
+fn first(entries: &[LoggedEvent], is_match: impl Fn(&Event) -> bool) -> usize {
+    entries.iter().position(|entry| is_match(&entry.event)).expect("a matching event is recorded")
 }
 
-/// Records the first such event once more.
-fn repeat_first(entries: &mut Vec<LoggedEvent>, is_such: impl Fn(&Event) -> bool) {
-    let repeated = entries[first(entries, is_such)].clone();
+/// Appends a copy of the first matching event.
+fn repeat_first(entries: &mut Vec<LoggedEvent>, is_match: impl Fn(&Event) -> bool) {
+    let repeated = entries[first(entries, is_match)].clone();
     entries.push(repeated);
 }
 
-/// The harness itself at its full size: thirty processes come up, hold the list and serve.
+/// The harness supports thirty processes, which all receive the list and serve.
 #[test]
 fn thirty_processes_serve() {
-    let fleet = Fleet::start(plan(30, 6, 0x5eed_0030)).expect("a fleet");
+    let fleet = Fleet::start(plan(30, 6, 0x5eed_0030)).expect("the fleet starts");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_plain_load(&fleet.all(), 5.0, Duration::from_secs(60));
     fleet.wait_until("jobs are served", || load.served() >= 150);
