--- a/tests/compatibility/adapter.rs
+++ b/tests/compatibility/adapter.rs
@@ -1,12 +1,12 @@
-//! The simulator's line protocol: the adapter's answer to a batch that holds every kind of message.
+//! The simulator's line protocol: the adapter's reply to a batch with messages of every kind.
 
 use crate::path;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// The simulator's batch has the same answer, byte for byte.
+/// The reply to the simulator's batch is unchanged, byte for byte.
 #[test]
-fn answers_its_batch_as_before() {
+fn reply_to_batch_is_unchanged() {
     let batch = std::fs::read(path("../batch.txt")).expect("the batch");
     let mut child = Command::new(env!("CARGO_BIN_EXE_mothproxy-simhost"))
         .stdin(Stdio::piped())
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -1,6 +1,6 @@
-//! The pages of the second address.
+//! The pages of the admin address.
 
-use crate::assert_kept;
+use crate::assert_matches_golden_file;
 use mothproxy::fleet::{LearnerMetrics, LearnersMetrics};
 use mothproxy::http::{Piece, read_request};
 use mothproxy::protocol::admin::{
@@ -58,7 +58,7 @@
     Some(LearnerMetrics { seen: first, published: first + 1, absorbed: first + 2, refused: first + 3 })
 }
 
-fn all_figures() -> MetricsSnapshot {
+fn full_metrics() -> MetricsSnapshot {
     let class = |name: &str, served| ClassMetrics { name: name.to_owned(), served, rejected: 2, failed: 3 };
     MetricsSnapshot {
         classes: vec![class("balance", 40), class("redeem", 41)],
@@ -89,19 +89,22 @@
     }
 }
 
-/// The admin pages are written as before.
+/// The bytes of the admin pages are unchanged.
 #[test]
 fn pages_keep_their_bytes() {
-    assert_kept("admin/counters.http", &text(&counters_page(&all_figures())));
-    assert_kept("admin/counters-bare.http", &text(&counters_page(&MetricsSnapshot::default())));
-    assert_kept("admin/members.http", &text(&members_page(&members_page_values())));
-    assert_kept("admin/yes.http", &text(&ok_page()));
-    assert_kept("admin/no.http", &text(&unavailable_page()));
+    assert_matches_golden_file("admin/counters.http", &text(&counters_page(&full_metrics())));
+    assert_matches_golden_file(
+        "admin/counters-bare.http",
+        &text(&counters_page(&MetricsSnapshot::default())),
+    );
+    assert_matches_golden_file("admin/members.http", &text(&members_page(&members_page_values())));
+    assert_matches_golden_file("admin/yes.http", &text(&ok_page()));
+    assert_matches_golden_file("admin/no.http", &text(&unavailable_page()));
 }
 
-/// The admin paths and methods mean what they did.
+/// The admin methods and paths select the same calls.
 #[test]
-fn paths_keep_their_meaning() {
+fn methods_and_paths_keep_their_calls() {
     let table = [
         ("GET /control/ready", AdminCall::Ready),
         ("GET /control/counters", AdminCall::Counters),
--- a/tests/compatibility/facts.rs
+++ b/tests/compatibility/facts.rs
@@ -1,6 +1,6 @@
-//! What the learning crates say to other dispatchers.
+//! The facts that the crates for run times, fair shares and cold starts publish to other dispatchers.
 
-use crate::{assert_kept, to_hex};
+use crate::{assert_matches_golden_file, to_hex};
 use mothproxy_coldstart::{Fault, Observation, Report, ServiceStatus, SharedObservations};
 use mothproxy_fairshare::{Installation, Ledger, Shares, Tenant, TenantKey, Usage};
 use mothproxy_runtimes::{
@@ -8,38 +8,41 @@
 };
 
 const SECOND: u64 = 1_000_000;
-const UNIX: u64 = 1_790_000_000 * SECOND;
+/// Unix time at time 0, in microseconds.
+const UNIX_TIME: u64 = 1_790_000_000 * SECOND;
 
 fn line((slot, bytes): (u32, Vec<u8>)) -> String {
     format!("{slot} {}\n", to_hex(&bytes))
 }
 
-/// Facts on run times are written as before.
+/// The bytes of facts about run times are unchanged.
 #[test]
 fn runtimes_facts_keep_their_bytes() {
-    let config =
-        mothproxy_runtimes::Config { facts_per_s: 40.0, ..mothproxy_runtimes::Config::new(3, UNIX / 1000) };
+    let config = mothproxy_runtimes::Config {
+        facts_per_s: 40.0,
+        ..mothproxy_runtimes::Config::new(3, UNIX_TIME / 1000)
+    };
     let mut runtimes = RuntimeEstimator::new(config, 0).expect("the defaults hold");
     let mut rng = fastrand::Rng::with_seed(9);
     let mut written = String::new();
     for id in 0..60 {
         let now = id * SECOND / 4;
-        let likeness = JobFeatures {
+        let features = JobFeatures {
             tenant: Some(rng.u64(..3)),
             subject: Some(rng.u64(..4)),
             attributes: [Some(rng.u64(..2)), None],
             ..JobFeatures::from_class(rng.u64(..2))
         };
         let placement = Placement { kind: WorkerKind(rng.u32(..3)), worker: WorkerKey(rng.u64(..4)) };
-        runtimes.on_started(now, AttemptId(id), &likeness, placement);
+        runtimes.on_started(now, AttemptId(id), &features, placement);
         let outcome = if rng.u8(..10) == 0 { Outcome::Censored } else { Outcome::Done };
         runtimes.on_ended(now + rng.u64(1_000..SECOND / 5), AttemptId(id), outcome);
         written.extend(std::iter::from_fn(|| runtimes.publish(now + SECOND / 4)).map(line));
     }
-    assert_kept("facts/runtimes.txt", &written);
+    assert_matches_golden_file("facts/runtimes.txt", &written);
 }
 
-/// Facts on fair shares are written as before.
+/// The bytes of facts about fair shares are unchanged.
 #[test]
 fn fair_share_facts_keep_their_bytes() {
     let tenant = |name: &str, weight| Tenant { name: name.to_owned(), weight, classes: vec![] };
@@ -47,8 +50,8 @@
     let shares = Shares { installations: vec![Installation { name: "home".into(), weight: 1, tenants }] };
     let config = mothproxy_fairshare::Config {
         place: 2,
-        epoch: UNIX / 1000,
-        unix_at_zero: UNIX,
+        epoch: UNIX_TIME / 1000,
+        unix_at_zero: UNIX_TIME,
         peers: 8,
         rate: 1_000,
         ..mothproxy_fairshare::Config::default()
@@ -62,17 +65,17 @@
         ledger.record(now, now, key, class, Usage { value: 1_000 + n, work: 300 * n }).expect("in time");
         written.extend(std::iter::from_fn(|| ledger.publish(now)).map(line));
     }
-    assert_kept("facts/fairshare.txt", &written);
+    assert_matches_golden_file("facts/fairshare.txt", &written);
 }
 
-/// Facts of a cold start are written as before.
+/// The bytes of facts about a cold start are unchanged.
 #[test]
 fn cold_start_facts_keep_their_bytes() {
-    let mut observations = SharedObservations::new(2, UNIX, 0);
+    let mut observations = SharedObservations::new(2, UNIX_TIME, 0);
     let mut written = String::new();
     for n in 0..40_u64 {
         let now = n * SECOND;
-        let seen = match n % 6 {
+        let observation = match n % 6 {
             0 => Observation::Alive,
             1 => Observation::Fault(Fault::Refuses),
             2 => Observation::Fault(Fault::Hangs),
@@ -80,7 +83,7 @@
             4 => Observation::WarmingUp,
             _ => Observation::Report(Report { cpu: 40, free: 3 }),
         };
-        observations.record(now, n * 7 % 11, seen);
+        observations.record(now, n * 7 % 11, observation);
         if n % 10 == 4 {
             let service =
                 ServiceStatus { generation: n, is_watching: n % 20 == 4, ..ServiceStatus::default() };
@@ -88,5 +91,5 @@
         }
         written.extend(std::iter::from_fn(|| observations.publish(now)).map(line));
     }
-    assert_kept("facts/coldstart.txt", &written);
+    assert_matches_golden_file("facts/coldstart.txt", &written);
 }
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -1,11 +1,11 @@
-//! Datagrams of a peer group: two groups of dispatchers under a seeded load, with all that they send each other in order.
+//! Datagrams of peer groups: two groups of dispatchers under a seeded load, and their datagrams in order.
 
 use crate::common::*;
-use crate::{assert_kept, to_hex};
+use crate::{assert_matches_golden_file, to_hex};
 use mothproxy::*;
 use std::collections::{BTreeMap, VecDeque};
 
-const NODES: u32 = 20;
+const DISPATCHERS: u32 = 20;
 const WORKERS: u32 = 40;
 const SLOTS: f64 = 24.0;
 
@@ -15,34 +15,38 @@
         Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
     Settings {
         own_index: me,
-        dispatcher_count: NODES,
+        dispatcher_count: DISPATCHERS,
         classes: vec![class],
         zone: ZoneId((me % 3) as u16),
         ..base
     }
 }
 
-struct Groups {
-    nodes: Vec<TestDispatcher>,
-    mail: VecDeque<(u32, u32, Vec<u8>)>,
+/// The dispatchers of two peer groups on a simulated network.
+struct PeerGroups {
+    dispatchers: Vec<TestDispatcher>,
+    /// The sender, receiver and bytes of datagrams that are not delivered yet.
+    in_flight: VecDeque<(u32, u32, Vec<u8>)>,
+    /// The dispatcher, job and attempt number of the attempts at each worker, the oldest first.
     running: BTreeMap<u32, VecDeque<(u32, u64, u32)>>,
+    /// The recorded datagrams, in the format of the golden file.
     sent: String,
-    kinds: BTreeMap<u8, usize>,
+    counts_by_kind: BTreeMap<u8, usize>,
 }
 
-impl Groups {
-    fn new(workers: u32) -> Groups {
-        let mut nodes: Vec<TestDispatcher> =
-            (0..NODES).map(|me| TestDispatcher::with_seed(settings(me), u64::from(me))).collect();
-        for node in &mut nodes {
-            node.load_cached_list((0..workers).map(worker).collect());
-            node.report_load(0, 0.0, SLOTS);
+impl PeerGroups {
+    fn new(workers: u32) -> PeerGroups {
+        let mut dispatchers: Vec<TestDispatcher> =
+            (0..DISPATCHERS).map(|me| TestDispatcher::with_seed(settings(me), u64::from(me))).collect();
+        for dispatcher in &mut dispatchers {
+            dispatcher.load_cached_list((0..workers).map(worker).collect());
+            dispatcher.report_load(0, 0.0, SLOTS);
         }
-        let (mail, running, sent, kinds) = Default::default();
-        Groups { nodes, mail, running, sent, kinds }
+        let (in_flight, running, sent, counts_by_kind) = Default::default();
+        PeerGroups { dispatchers, in_flight, running, sent, counts_by_kind }
     }
 
-    fn act(&mut self, from: u32, actions: Vec<Action>) {
+    fn apply(&mut self, from: u32, actions: Vec<Action>) {
         let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
         for action in actions {
             match action {
@@ -60,70 +64,72 @@
                     };
                     let outcome = if worker.0 % 7 == 3 { Outcome::Timeout } else { Outcome::Ok };
                     let report = (outcome == Outcome::Ok).then_some(report);
-                    let echoed = self.nodes[from as usize].end_probe(worker.0, outcome, report);
-                    self.act(from, echoed);
+                    let probe_actions = self.dispatchers[from as usize].end_probe(worker.0, outcome, report);
+                    self.apply(from, probe_actions);
                 }
-                Action::SendToPeer { to, bytes } => self.mail.push_back((from, to, bytes)),
+                Action::SendToPeer { to, bytes } => self.in_flight.push_back((from, to, bytes)),
                 _ => {}
             }
         }
     }
 
     fn deliver(&mut self) {
-        while let Some((from, to, bytes)) = self.mail.pop_front() {
-            let seen = self.kinds.entry(bytes[0]).or_default();
-            *seen += 1;
-            // The first of each kind in full; of the rest a few, or the file would be long.
-            if *seen <= 12 || *seen % 101 == 0 {
+        while let Some((from, to, bytes)) = self.in_flight.pop_front() {
+            let count = self.counts_by_kind.entry(bytes[0]).or_default();
+            *count += 1;
+            // Records the first datagrams of each kind, and only a few of the rest to limit the size of the file.
+            if *count <= 12 || *count % 101 == 0 {
                 self.sent += &format!("{from} {to} {}\n", to_hex(&bytes));
             }
-            let heard = self.nodes[to as usize].feed(Event::PeerMessage { from, bytes });
-            self.act(to, heard);
+            let reply_actions = self.dispatchers[to as usize].feed(Event::PeerMessage { from, bytes });
+            self.apply(to, reply_actions);
         }
     }
 
-    fn pass(&mut self, span: Micros) {
-        for n in 0..NODES {
-            let actions = self.nodes[n as usize].advance(span);
-            self.act(n, actions);
+    fn advance(&mut self, span: Micros) {
+        for n in 0..DISPATCHERS {
+            let actions = self.dispatchers[n as usize].advance(span);
+            self.apply(n, actions);
         }
         self.deliver();
     }
 
     fn end_some(&mut self, every: u32) {
         for worker in (0..WORKERS).filter(|worker| worker % every == 0) {
-            let Some((node, job, attempt)) = self.running.entry(worker).or_default().pop_front() else {
+            let Some((dispatcher, job, attempt)) = self.running.entry(worker).or_default().pop_front() else {
                 continue;
             };
             let outcome = if job % 5 == 0 { Outcome::Reset } else { Outcome::Ok };
-            let ended = self.nodes[node as usize].end_attempt(job, attempt, WorkerId(worker), outcome);
-            self.act(node, ended);
+            let end_actions =
+                self.dispatchers[dispatcher as usize].end_attempt(job, attempt, WorkerId(worker), outcome);
+            self.apply(dispatcher, end_actions);
         }
         self.deliver();
     }
 }
 
-/// Datagrams of two groups under load, and of one with more work out than a datagram names, are written as before.
+/// The bytes of the datagrams of two peer groups under load are unchanged, also if a dispatcher has more outstanding work than
+/// fits into one datagram.
 #[test]
 fn group_datagrams_keep_their_bytes() {
-    let mut groups = Groups::new(WORKERS);
+    let mut groups = PeerGroups::new(WORKERS);
     for n in 0..160_u32 {
-        let node = n % NODES;
-        let actions = groups.nodes[node as usize].arrive(u64::from(1_000 + n), 0, 7_000 * MS);
-        groups.act(node, actions);
+        let dispatcher = n % DISPATCHERS;
+        let actions = groups.dispatchers[dispatcher as usize].arrive(u64::from(1_000 + n), 0, 7_000 * MS);
+        groups.apply(dispatcher, actions);
         groups.deliver();
-        groups.pass(4 * MS);
+        groups.advance(4 * MS);
         if n % 3 == 0 {
             groups.end_some(1 + n % 5);
         }
     }
-    // One dispatcher with more work out than one datagram names.
+    // One dispatcher gets more outstanding work than fits into one datagram.
     for n in 0..260_u32 {
-        let actions = groups.nodes[4].arrive(u64::from(9_000 + n), 0, 7_000 * MS);
-        groups.act(4, actions);
+        let actions = groups.dispatchers[4].arrive(u64::from(9_000 + n), 0, 7_000 * MS);
+        groups.apply(4, actions);
     }
-    (0..12).for_each(|_| groups.pass(200 * MS));
+    (0..12).for_each(|_| groups.advance(200 * MS));
     let kinds: String =
-        groups.kinds.iter().map(|(kind, count)| format!("kind {kind:02x}: {count}\n")).collect();
-    assert_kept("group-datagrams.txt", &(kinds + &groups.sent));
+        groups.counts_by_kind.iter().map(|(kind, count)| format!("kind {kind:02x}: {count}\n")).collect();
+    assert_matches_golden_file("group-datagrams.txt", &(kinds + &groups.sent));
 }
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -1,6 +1,7 @@
-//! What the decision module has learned, and a request under way, as one process hands them to the next.
+//! The learned state of the decision module, and a request with outstanding attempts, as a process transfers them to its
+//! successor.
 
-use crate::{assert_kept, kept};
+use crate::{assert_matches_golden_file, golden_file};
 use mothproxy::core::idempotency::IdempotencyKey;
 use mothproxy::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
 use mothproxy::core::{AttemptId, AttemptOutcome, Command, Core, DownstreamId, JobStatus, NewRequest};
@@ -12,17 +13,17 @@
 
 /// Unix time at the start of the core, in microseconds.
 const UNIX_TIME_AT_START: u128 = 1_790_000_000_000_000;
-/// Requests that the core gets.
+/// The number of requests that the core accepts.
 const REQUESTS: u64 = 20;
 
-/// A core with three workers, and its clock.
-struct Lesson {
+/// A core with three workers, and its simulated clock.
+struct TestCore {
     core: Core,
     now: Micros,
 }
 
-impl Lesson {
-    fn start() -> Lesson {
+impl TestCore {
+    fn start() -> TestCore {
         let address = |number| format!("127.0.0.1:{}", 9000 + number);
         let entry = |number| site::endpoint_entry(&format!("s-{number}"), &address(number), "up");
         let mut entries: Vec<_> = (0..3).map(entry).collect();
@@ -32,11 +33,11 @@
         let mut core = core.expect("sound settings");
         let now = Core::clock_start();
         core.on_cached_list(&config.known_endpoints);
-        Lesson { core, now }
+        TestCore { core, now }
     }
 
-    /// A request arrives, and each of its attempts ends: most are served, some are reset and some meet a full worker.
-    fn play_request(&mut self, number: u64) {
+    /// Submits a request and ends each of its attempts: most are served, some are reset, and some are rejected by a full worker.
+    fn run_request(&mut self, number: u64) {
         self.now += 40 * MS;
         let name = format!("job-{number}");
         self.core.accept(self.now, request(&name, number)).expect("a request");
@@ -102,19 +103,19 @@
     }
 }
 
-/// A core that has served, been refused and failed on three workers.
+/// A core whose attempts at three workers were served, rejected and failed.
 fn core_with_history() -> Core {
-    let mut lesson = Lesson::start();
+    let mut test_core = TestCore::start();
     for number in 0..REQUESTS {
-        lesson.play_request(number);
+        test_core.run_request(number);
     }
-    lesson.core
+    test_core.core
 }
 
-/// The file's value, which the type writes again alike: the same keys in the same order, the same values. The last bit of a
-/// number may differ, since JSON is read without `float_roundtrip`.
-fn read_and_written_again<T: serde::Serialize + serde::de::DeserializeOwned>(name: &str) -> T {
-    let text = kept(name);
+/// Reads a golden file, and asserts that the value is written with the same keys in the same order and the same values. The last
+/// bit of a number may differ, because JSON is read without `float_roundtrip`.
+fn assert_round_trip<T: serde::Serialize + serde::de::DeserializeOwned>(name: &str) -> T {
+    let text = golden_file(name);
     let value: T = serde_json::from_str(text.trim_end()).unwrap_or_else(|error| panic!("{name}: {error}"));
     let written = serde_json::to_string(&value).expect("JSON");
     let parts =
@@ -130,28 +131,28 @@
     value
 }
 
-/// What a core has learned is written as it was, is read again, and is used.
+/// The format of the learned state is unchanged, and a core uses the state that it has read.
 #[test]
-fn what_is_learned_keeps_its_form() {
+fn learned_state_keeps_its_format() {
     let learned = serde_json::to_string(&core_with_history().learned_state()).expect("JSON");
-    assert_kept("learned.json", &(learned + "\n"));
-    let learned: LearnedState = read_and_written_again("learned.json");
+    assert_matches_golden_file("learned.json", &(learned + "\n"));
+    let learned: LearnedState = assert_round_trip("learned.json");
     let mut core = core_with_history();
     core.restore(learned);
     let again = serde_json::to_value(core.learned_state()).expect("JSON");
     assert_eq!(again["learned"]["workers"].as_array().map(Vec::len), Some(3), "what was read is used");
 }
 
-/// A request under way, with its attempts, is written as it was and read again.
+/// The format of a transferred request and its attempts is unchanged.
 #[test]
-fn a_request_under_way_keeps_its_form() {
+fn transferred_request_keeps_its_format() {
     let attempt = |worker: &str, started_at, phase| TransferredAttempt {
         worker: worker.to_owned(),
         sent_at: 1_790_000_000_000_000,
         started_at,
         phase,
     };
-    let moved = TransferredRequest {
+    let transferred = TransferredRequest {
         name: "job-1".into(),
         class: "redeem".into(),
         tenant: Some("steppe-mart".into()),
@@ -169,6 +170,6 @@
             attempt("s-2", Some(1_790_000_000_100_000), TransferredPhase::InFlight),
         ],
     };
-    assert_kept("request.json", &(serde_json::to_string(&moved).expect("JSON") + "\n"));
-    assert_eq!(read_and_written_again::<TransferredRequest>("request.json"), moved);
+    assert_matches_golden_file("request.json", &(serde_json::to_string(&transferred).expect("JSON") + "\n"));
+    assert_eq!(assert_round_trip::<TransferredRequest>("request.json"), transferred);
 }
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,7 +1,8 @@
-//! Bytes that other versions of the program, other dispatchers and scripts read, kept as files.
+//! Compatibility with other versions of the program, other dispatchers and scripts, checked with golden files.
 //!
-//! Each file was written by the sources before the names in them were changed. A test reads it with the present code and writes
-//! it again alike. The messages of a handover are private to the program; `src/server/lifecycle/hot_restart/tests.rs` reads those files.
+//! Each file was written by the program before the names in its sources were changed. The tests read the files with the current
+//! code, and check that it writes the same bytes. The messages of a hot restart are private to the program; their files are read
+//! by `src/server/lifecycle/hot_restart/tests.rs`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,22 +19,22 @@
 
 use std::path::PathBuf;
 
-/// Where a kept file is.
+/// The path of a golden file.
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility").join(name)
 }
 
-fn kept(name: &str) -> String {
+fn golden_file(name: &str) -> String {
     std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// Asserts that the present code writes what the file holds.
-fn assert_kept(name: &str, written: &str) {
-    let kept = kept(name);
-    for (number, (kept, written)) in kept.lines().zip(written.lines()).enumerate() {
-        assert_eq!(written, kept, "{name}, line {}", number + 1);
+/// Asserts that the bytes written by the current code are those of the golden file.
+fn assert_matches_golden_file(name: &str, written: &str) {
+    let golden = golden_file(name);
+    for (number, (golden, written)) in golden.lines().zip(written.lines()).enumerate() {
+        assert_eq!(written, golden, "{name}, line {}", number + 1);
     }
-    assert_eq!(written.len(), kept.len(), "{name}");
+    assert_eq!(written.len(), golden.len(), "{name}");
 }
 
 fn to_hex(bytes: &[u8]) -> String {
--- a/tests/compatibility/records.rs
+++ b/tests/compatibility/records.rs
@@ -1,28 +1,28 @@
-//! A keyed job's record, as the store holds it and the other process of a dispatcher takes it over.
+//! Idempotency records, as the store keeps them and as a successor takes them over.
 
-use crate::{assert_kept, from_hex, kept, to_hex};
+use crate::{assert_matches_golden_file, from_hex, golden_file, to_hex};
 use mothproxy::core::idempotency::{AttemptRecord, IdempotencyRecord};
 
-fn sent(worker: &str, at: i64, never_ran: bool) -> AttemptRecord {
+fn attempt(worker: &str, at: i64, never_ran: bool) -> AttemptRecord {
     AttemptRecord { worker: worker.to_owned(), cell: 7, zone: "alm 1".to_owned(), sent_at: at, never_ran }
 }
 
-fn record(sent: Vec<AttemptRecord>, result: Option<&[u8]>) -> IdempotencyRecord {
+fn record(attempts: Vec<AttemptRecord>, result: Option<&[u8]>) -> IdempotencyRecord {
     let (class, id) = ("redeem".to_owned(), "job-1".to_owned());
     IdempotencyRecord {
         class,
         body_fingerprint: 0x1122_3344_5566_7788,
         request_name: id,
-        attempts: sent,
+        attempts,
         result: result.map(<[u8]>::to_vec),
     }
 }
 
-/// Idempotency records are written as before and read again.
+/// The bytes of idempotency records are unchanged, and decode to the same records.
 #[test]
 fn records_keep_their_bytes() {
-    let first = sent("s-1", 1_790_000_000_000_000, false);
-    let second = sent("s-2", i64::MIN, true);
+    let first = attempt("s-1", 1_790_000_000_000_000, false);
+    let second = attempt("s-2", i64::MIN, true);
     let records = [
         record(Vec::new(), None),
         record(vec![first.clone()], None),
@@ -30,8 +30,8 @@
         IdempotencyRecord::default(),
     ];
     let written: String = records.iter().map(|record| to_hex(&record.encode()) + "\n").collect();
-    assert_kept("records.hex", &written);
-    for (line, record) in kept("records.hex").lines().zip(records) {
+    assert_matches_golden_file("records.hex", &written);
+    for (line, record) in golden_file("records.hex").lines().zip(records) {
         assert_eq!(IdempotencyRecord::decode(&from_hex(line)), Ok(record), "{line}");
     }
 }
--- a/tests/compatibility/store.rs
+++ b/tests/compatibility/store.rs
@@ -1,6 +1,6 @@
-//! A small store directory, as the version before left it on disk.
+//! A small store directory, as written by the previous version.
 
-use crate::{assert_kept, kept, path};
+use crate::{assert_matches_golden_file, golden_file, path};
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
@@ -17,28 +17,31 @@
     (status.code().expect("a code"), String::from_utf8(stdout).expect("text"))
 }
 
-fn copy(from: &Path, to: &Path) {
+fn copy_files(from: &Path, to: &Path) {
     for file in std::fs::read_dir(from).expect("a folder") {
         let file = file.expect("a file").path();
         std::fs::copy(&file, to.join(file.file_name().expect("a name"))).expect("copied");
     }
 }
 
-/// A store that the version before wrote is read, and written to.
+/// A store of the previous version can be read and written.
 #[test]
-fn a_store_of_the_version_before_is_read_and_goes_on() {
-    let folder = tempfile::tempdir().expect("a folder");
-    copy(&path("store"), folder.path());
-    let at = folder.path().display().to_string();
-    assert_eq!(mothproxy(&["store", "verify", &at], "").0, 0);
-    assert_kept("store.dump", &mothproxy(&["store", "dump", &at], "").1);
+fn store_of_previous_version_can_be_read_and_written() {
+    let store_dir = tempfile::tempdir().expect("a folder");
+    copy_files(&path("store"), store_dir.path());
+    let location = store_dir.path().display().to_string();
+    assert_eq!(mothproxy(&["store", "verify", &location], "").0, 0);
+    assert_matches_golden_file("store.dump", &mothproxy(&["store", "dump", &location], "").1);
     let more = "{\"key\":\"later\",\"value\":\"4\"}\n";
-    assert_eq!(mothproxy(&["store", "put", &at], more), (0, "later\n".to_owned()));
-    let dump = mothproxy(&["store", "dump", &at], "").1;
+    assert_eq!(mothproxy(&["store", "put", &location], more), (0, "later\n".to_owned()));
+    let dump = mothproxy(&["store", "dump", &location], "").1;
     assert!(
-        kept("store.dump").lines().chain(["{\"key\":\"later\",\"value\":\"4\"}"]).all(|l| dump.contains(l)),
+        golden_file("store.dump")
+            .lines()
+            .chain(["{\"key\":\"later\",\"value\":\"4\"}"])
+            .all(|l| dump.contains(l)),
         "{dump}"
     );
-    assert_eq!(mothproxy(&["store", "compact", &at], "").0, 0);
-    assert_eq!(mothproxy(&["store", "dump", &at], "").1, dump);
+    assert_eq!(mothproxy(&["store", "compact", &location], "").0, 0);
+    assert_eq!(mothproxy(&["store", "dump", &location], "").1, dump);
 }
