--- a/tests/conformance/decision/mod.rs
+++ b/tests/conformance/decision/mod.rs
@@ -81,10 +81,12 @@
             DecisionStep::Spread(last) => return Ok(vec![self.spread(last)]),
             DecisionStep::Score(cpu, load) => return Ok(vec![self.score(cpu, load)]),
             DecisionStep::Report(load) => self.report(load),
-            DecisionStep::Echo { worker, outcome } => self.dispatcher.end_probe(worker, outcome.into(), None),
+            DecisionStep::ProbeEnded { worker, outcome } => {
+                self.dispatcher.end_probe(worker, outcome.into(), None)
+            }
             DecisionStep::Reports { every, times, of } => self.report_repeatedly(every, times, &of),
             DecisionStep::Start { job } => self.start(job),
-            DecisionStep::HangUp(job) => {
+            DecisionStep::Disconnect(job) => {
                 self.jobs.entry(job).or_default().is_over = true;
                 self.dispatcher.feed(Event::ClientDisconnected(JobId(job)))
             }
@@ -93,7 +95,7 @@
             DecisionStep::ListFailed(times) => {
                 (0..times).flat_map(|_| self.dispatcher.feed(Event::ListFailed)).collect()
             }
-            DecisionStep::Pass(span) => self.dispatcher.advance(span * MS),
+            DecisionStep::Advance(span) => self.dispatcher.advance(span * MS),
         };
         Ok(self.perform(&actions))
     }
--- a/tests/conformance/decision/steps.rs
+++ b/tests/conformance/decision/steps.rs
@@ -11,7 +11,8 @@
     /// A load probe returns the load report of a worker.
     Report(WorkerLoad),
     /// A load probe ends without a report.
-    Echo {
+    #[serde(rename = "echo")]
+    ProbeEnded {
         worker: u32,
         #[serde(rename = "as")]
         outcome: AttemptEnd,
@@ -29,7 +30,8 @@
         job: u64,
     },
     /// The client of a job disconnects.
-    HangUp(u64),
+    #[serde(rename = "hang_up")]
+    Disconnect(u64),
     /// A snapshot of the endpoint list.
     List(Vec<ListedWorker>),
     /// A delta of the endpoint list.
@@ -37,7 +39,8 @@
     /// Fetching the endpoint list fails this many times.
     ListFailed(u32),
     /// Time passes.
-    Pass(u64),
+    #[serde(rename = "pass")]
+    Advance(u64),
     /// The number of different workers among the latest attempts; the argument is the number of attempts.
     Spread(usize),
     /// The capability score of a CPU utilisation and a load.
--- a/tests/conformance/fairshare.rs
+++ b/tests/conformance/fairshare.rs
@@ -17,7 +17,7 @@
 /// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 /// Unix time at time 0, in microseconds.
-const WALL: u64 = 1_700_000_000 * SECOND;
+const UNIX_TIME_AT_START: u64 = 1_700_000_000 * SECOND;
 /// The capacity of all workers together, in units per second.
 const RATE: u64 = 1_000;
 /// The number of members that the ledgers are sized for.
@@ -67,7 +67,8 @@
     /// A member lowers usage that it recorded before.
     Correct(UsageEntry),
     /// Delivers all facts that a member has published, the given number of times; the newest first if `reversed`.
-    Hand {
+    #[serde(rename = "hand")]
+    DeliverFacts {
         from: usize,
         to: usize,
         #[serde(default, rename = "reversed")]
@@ -83,18 +84,22 @@
     },
     Restart(usize),
     Weights(BTreeMap<String, u32>),
-    Used {
+    /// The usage of a tenant as a member knows it.
+    #[serde(rename = "used")]
+    UsageOf {
         at: usize,
         tenant: String,
     },
-    Worth {
+    /// The value of one more job of a tenant.
+    #[serde(rename = "worth")]
+    JobValue {
         at: usize,
         tenant: String,
         /// Whether the tenant's earlier jobs have used up its credit for jobs of full value.
         #[serde(default, rename = "beyond_pace")]
         is_pace_exceeded: bool,
     },
-    /// Compares the usage that two members know of each tenant; it must be identical.
+    /// Whether two members know exactly the same usage of each tenant.
     Same(usize, usize),
 }
 
@@ -116,9 +121,15 @@
 
 impl Member {
     fn start(place: u16, shares: &Shares, now: u64) -> Result<Member, MachineError> {
-        let epoch = (WALL + now) / 1_000;
-        let config =
-            Config { place, epoch, unix_at_zero: WALL, peers: MAX_MEMBERS, rate: RATE, ..Config::default() };
+        let epoch = (UNIX_TIME_AT_START + now) / 1_000;
+        let config = Config {
+            place,
+            epoch,
+            unix_at_zero: UNIX_TIME_AT_START,
+            peers: MAX_MEMBERS,
+            rate: RATE,
+            ..Config::default()
+        };
         let ledger = Ledger::new(config, shares, now).map_err(MachineError::rejected)?;
         Ok(Member { origin: Origin { place, epoch }, ledger, published: Vec::new() })
     }
@@ -211,7 +222,7 @@
             FairshareStep::Weights(weights) => self.set_weights(weights)?,
             FairshareStep::Record(entry) => return Ok(vec![self.record(entry)]),
             FairshareStep::Correct(entry) => return Ok(vec![self.correct(&entry)]),
-            FairshareStep::Hand { from, to, is_reversed, times } => {
+            FairshareStep::DeliverFacts { from, to, is_reversed, times } => {
                 let mut facts = self.members[from].published.clone();
                 if is_reversed {
                     facts.reverse();
@@ -219,16 +230,16 @@
                 return Ok(self.absorb_all(to, &facts, times));
             }
             FairshareStep::Forge { to, place, bytes } => {
-                let origin = Origin { place, epoch: WALL / 1_000 };
+                let origin = Origin { place, epoch: UNIX_TIME_AT_START / 1_000 };
                 let forged = PublishedFact { origin, slot: 1, number: 1, bytes };
                 return Ok(vec![absorb_observation(self.members[to].absorb(self.now, &forged)).to_owned()]);
             }
-            FairshareStep::Used { at, tenant } => return Ok(self.used(at, &tenant)),
-            FairshareStep::Worth { at, tenant, is_pace_exceeded } => {
+            FairshareStep::UsageOf { at, tenant } => return Ok(self.usage_of(at, &tenant)),
+            FairshareStep::JobValue { at, tenant, is_pace_exceeded } => {
                 if is_pace_exceeded {
                     self.exhaust_pace(at, &tenant);
                 }
-                return Ok(self.worth(at, &tenant));
+                return Ok(self.job_value(at, &tenant));
             }
             FairshareStep::Same(one, other) => {
                 let is_same = self.known_usage(one) == self.known_usage(other);
@@ -300,7 +311,7 @@
         Ok(())
     }
 
-    fn used(&mut self, at: usize, tenant: &str) -> Vec<String> {
+    fn usage_of(&mut self, at: usize, tenant: &str) -> Vec<String> {
         let ledger = &mut self.members[at].ledger;
         let used = ledger.position(TenantKey::from_name(tenant), self.now).used;
         let memory = ledger.memory() as f64 / SECOND as f64;
@@ -314,9 +325,9 @@
         self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, excessive_work, self.now);
     }
 
-    fn worth(&mut self, at: usize, tenant: &str) -> Vec<String> {
-        let worth = self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, 1, self.now);
-        vec![tier_name(worth.tier).to_owned(), format!("part {:.0}", worth.fraction * 100.0)]
+    fn job_value(&mut self, at: usize, tenant: &str) -> Vec<String> {
+        let value = self.members[at].ledger.job_value(TenantKey::from_name(tenant), 0, 1, self.now);
+        vec![tier_name(value.tier).to_owned(), format!("part {:.0}", value.fraction * 100.0)]
     }
 
     /// The usage of each tenant as a member knows it.
--- a/tests/conformance/main.rs
+++ b/tests/conformance/main.rs
@@ -93,26 +93,26 @@
 fn rejects_incomplete_tables() {
     let clause = "[[clause]]\nid = \"a\"\nsays = \"x\"\n";
     let row = |of: &str, step: &str| format!("[[row]]\nof = \"{of}\"\nsays = \"y\"\nsteps = [{step}]\n");
-    let sound_step = "{ arrive = { job = 1 }, then = [\"1 to 0\"] }";
+    let valid_step = "{ arrive = { job = 1 }, then = [\"1 to 0\"] }";
     let one_worker = "given = { workers = [{}] }\n";
     let table_with = |step: &str| format!("{clause}{}{one_worker}", row("a", step));
     let faulty = [
         FaultyTable { text: clause.to_owned(), fault: "clause a has no row" },
-        FaultyTable { text: format!("{clause}{}", row("b", sound_step)), fault: "unknown clause: b" },
+        FaultyTable { text: format!("{clause}{}", row("b", valid_step)), fault: "unknown clause: b" },
         FaultyTable { text: table_with("{ arrive = { job = 1 } }"), fault: "expects nothing" },
         FaultyTable { text: table_with("{ arive = { job = 1 }, then = [] }"), fault: "arive" },
         FaultyTable { text: table_with("{ arrive = { job = 1 }, than = [] }"), fault: "one verb" },
         FaultyTable {
-            text: format!("{clause}{}given = {{ wrkrs = [] }}\n", row("a", sound_step)),
+            text: format!("{clause}{}given = {{ wrkrs = [] }}\n", row("a", valid_step)),
             fault: "wrkrs",
         },
-        FaultyTable { text: table_with(&sound_step.replace("1 to 0", "1 waits")), fault: "\"1 to 0\"" },
+        FaultyTable { text: table_with(&valid_step.replace("1 to 0", "1 waits")), fault: "\"1 to 0\"" },
     ];
     for FaultyTable { text, fault } in faulty {
         let found = found_faults(&text).join("\n");
         assert!(found.contains(fault), "expected an error with {fault:?}, got: {found}\n{text}");
     }
-    assert_eq!(found_faults(&table_with(sound_step)), Vec::<String>::new());
+    assert_eq!(found_faults(&table_with(valid_step)), Vec::<String>::new());
 }
 
 fn found_faults(text: &str) -> Vec<String> {
--- a/tests/conformance/membership.rs
+++ b/tests/conformance/membership.rs
@@ -42,7 +42,8 @@
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MembershipStep {
     /// Time passes, in milliseconds.
-    Run(u64),
+    #[serde(rename = "run")]
+    Advance(u64),
     Kill(u16),
     Start(u16),
     Leave(u16),
@@ -80,7 +81,7 @@
     Forge {
         to: u16,
         from: u16,
-        bytes: Bytes,
+        bytes: ForgedDatagram,
     },
     #[serde(rename = "tell")]
     Publish {
@@ -95,14 +96,16 @@
     },
 }
 
-/// The defect of a forged datagram.
+/// The kind of a forged datagram.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Bytes {
+pub enum ForgedDatagram {
     TooLong,
-    CutShort,
+    #[serde(rename = "cut_short")]
+    Truncated,
     OtherVersion,
-    Sound,
+    #[serde(rename = "sound")]
+    Valid,
 }
 
 /// The members of a group over a simulated network.
@@ -138,7 +141,7 @@
     fn step(&mut self, step: MembershipStep) -> Result<Vec<String>, MachineError> {
         let network = &mut self.network;
         match step {
-            MembershipStep::Run(span) => network.run_to(network.now + span * MS),
+            MembershipStep::Advance(span) => network.run_to(network.now + span * MS),
             MembershipStep::Kill(place) => network.kill(place),
             MembershipStep::Start(place) => network.start(place),
             MembershipStep::Leave(place) => drop(network.with(place, Membership::leave)),
@@ -252,13 +255,13 @@
     }
 
     /// Delivers a forged datagram, and returns the metrics of the receiver that count it.
-    fn forge(&mut self, to: u16, from: u16, bytes: Bytes) -> Result<Vec<String>, MachineError> {
+    fn forge(&mut self, to: u16, from: u16, bytes: ForgedDatagram) -> Result<Vec<String>, MachineError> {
         let valid = valid_datagram(&self.network, to)?;
         let bytes = match bytes {
-            Bytes::TooLong => [valid.as_slice(), &[0; 256]].concat(),
-            Bytes::CutShort => valid[..valid.len() / 2].to_vec(),
-            Bytes::OtherVersion => [&[VERSION + 1], &valid[1..]].concat(),
-            Bytes::Sound => valid,
+            ForgedDatagram::TooLong => [valid.as_slice(), &[0; 256]].concat(),
+            ForgedDatagram::Truncated => valid[..valid.len() / 2].to_vec(),
+            ForgedDatagram::OtherVersion => [&[VERSION + 1], &valid[1..]].concat(),
+            ForgedDatagram::Valid => valid,
         };
         let before = self.metrics(to);
         self.network.forge(to, from, &bytes);
--- a/tests/conformance/runtimes.rs
+++ b/tests/conformance/runtimes.rs
@@ -20,7 +20,7 @@
 const MS: u64 = 1_000;
 /// The epoch of both dispatchers.
 const EPOCH: u64 = 1_700_000_000_000;
-/// The attempt id of job 0 of a row; above the ids of the jobs of [`RuntimesStep::Saw`].
+/// The attempt id of job 0 of a row; above the ids of the jobs of [`RuntimesStep::Observe`].
 const FIRST_NUMBERED_JOB: u64 = 1_000_000;
 
 /// The initial state of a row: both estimators start empty, so there is nothing to set.
@@ -31,7 +31,7 @@
 /// Jobs with these features that a dispatcher observes one after another.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SeenJobs {
+pub struct ObservedJobs {
     /// The dispatcher that observes them.
     #[serde(default)]
     by: usize,
@@ -41,10 +41,12 @@
     #[serde(default)]
     kind: u32,
     /// The run times of the jobs; repeated in order if there are fewer than jobs.
-    took: Vec<u64>,
+    #[serde(rename = "took")]
+    run_times: Vec<u64>,
     jobs: usize,
     /// Jobs with this run time are cancelled after it rather than completed.
-    cut: Option<u64>,
+    #[serde(rename = "cut")]
+    cancelled_after: Option<u64>,
 }
 
 /// The job and the kind of worker that an estimate is for.
@@ -74,7 +76,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RuntimesStep {
-    Saw(SeenJobs),
+    #[serde(rename = "saw")]
+    Observe(ObservedJobs),
     Estimate(EstimateQuery),
     Start {
         job: u64,
@@ -86,11 +89,13 @@
         job: u64,
         share: f64,
     },
-    Pass(u64),
+    #[serde(rename = "pass")]
+    Advance(u64),
     /// The remaining run time of a running job.
     Remaining(u64),
     /// Delivers all facts that one dispatcher publishes to the other, the given number of times.
-    Tell {
+    #[serde(rename = "tell")]
+    DeliverFacts {
         from: usize,
         to: usize,
         times: usize,
@@ -104,7 +109,8 @@
         held: Vec<HeldSlots>,
     },
     /// Whether a job may start before a reservation.
-    MayGo {
+    #[serde(rename = "may_go")]
+    MayStart {
         slots: f64,
         long: u64,
         at: u64,
@@ -118,7 +124,7 @@
     /// The facts that each has published; the number of a fact is its index plus 1.
     published: [Vec<Vec<u8>>; 2],
     now: u64,
-    seen_jobs: u64,
+    observed_jobs: u64,
 }
 
 fn features(class: &str, tenant: Option<&str>, subject: Option<&str>) -> JobFeatures {
@@ -153,12 +159,12 @@
     fn new(_: Given, _: u64) -> Result<RuntimesMachine, MachineError> {
         let new = |place| RuntimeEstimator::new(Config::new(place, EPOCH), 0).map_err(MachineError::rejected);
         let estimators = [new(0)?, new(1)?];
-        Ok(RuntimesMachine { estimators, published: Default::default(), now: 0, seen_jobs: 0 })
+        Ok(RuntimesMachine { estimators, published: Default::default(), now: 0, observed_jobs: 0 })
     }
 
     fn step(&mut self, step: RuntimesStep) -> Result<Vec<String>, MachineError> {
         match step {
-            RuntimesStep::Saw(seen) => self.see_jobs(&seen),
+            RuntimesStep::Observe(jobs) => self.observe_jobs(&jobs),
             RuntimesStep::Start { job, class, kind } => {
                 let features = features(&class, None, None);
                 let attempt = numbered_attempt(job);
@@ -167,13 +173,13 @@
             RuntimesStep::Progress { job, share } => {
                 self.estimators[0].on_progress(self.now, numbered_attempt(job), share);
             }
-            RuntimesStep::Pass(span) => self.advance(span),
-            RuntimesStep::Tell { from, to, times } => self.exchange_facts(from, to, times)?,
+            RuntimesStep::Advance(span) => self.advance(span),
+            RuntimesStep::DeliverFacts { from, to, times } => self.exchange_facts(from, to, times)?,
             RuntimesStep::Estimate(query) => return Ok(self.estimate(&query)),
             RuntimesStep::Remaining(job) => return Ok(self.remaining(job)),
             RuntimesStep::Forge(bytes) => return Ok(vec![self.absorb_forged(&bytes).to_owned()]),
             RuntimesStep::Reserve { free, need, held } => return Ok(self.reserve(free, need, held)),
-            RuntimesStep::MayGo { slots, long, at, spare } => {
+            RuntimesStep::MayStart { slots, long, at, spare } => {
                 let reserved = Reservation { at: at * MS, spare };
                 let may_start = backfill::may_start_before(self.now, slots, long * MS, &reserved);
                 return Ok(vec![if may_start { "may go" } else { "must wait" }.to_owned()]);
@@ -206,17 +212,18 @@
         }
     }
 
-    fn see_jobs(&mut self, seen: &SeenJobs) {
-        let features = features(&seen.class, seen.tenant.as_deref(), seen.subject.as_deref());
-        for took in seen.took.iter().cycle().take(seen.jobs) {
-            let outcome = if seen.cut == Some(*took) { Outcome::Censored } else { Outcome::Done };
-            self.seen_jobs += 1;
+    fn observe_jobs(&mut self, observed: &ObservedJobs) {
+        let features = features(&observed.class, observed.tenant.as_deref(), observed.subject.as_deref());
+        for run_time in observed.run_times.iter().cycle().take(observed.jobs) {
+            let outcome =
+                if observed.cancelled_after == Some(*run_time) { Outcome::Censored } else { Outcome::Done };
+            self.observed_jobs += 1;
             // Each job runs on its own worker, so that no worker counts as slow.
-            let attempt = AttemptId(self.seen_jobs);
-            let placement = placement(seen.kind, self.seen_jobs);
-            self.estimators[seen.by].on_started(self.now, attempt, &features, placement);
-            self.now += took * MS;
-            self.estimators[seen.by].on_ended(self.now, attempt, outcome);
+            let attempt = AttemptId(self.observed_jobs);
+            let placement = placement(observed.kind, self.observed_jobs);
+            self.estimators[observed.by].on_started(self.now, attempt, &features, placement);
+            self.now += run_time * MS;
+            self.estimators[observed.by].on_ended(self.now, attempt, outcome);
         }
         self.advance(1_000);
     }
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -60,7 +60,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Step {
-    Pass(u64),
+    #[serde(rename = "pass")]
+    Advance(u64),
     #[serde(rename = "begin")]
     Start {},
     Call {},
@@ -193,7 +194,7 @@
     fn step(&mut self, step: Step) -> Result<Vec<String>, MachineError> {
         let now = self.now;
         Ok(match step {
-            Step::Pass(span) => {
+            Step::Advance(span) => {
                 self.now += span * MILLISECOND;
                 Vec::new()
             }
--- a/tests/size/process.rs
+++ b/tests/size/process.rs
@@ -35,8 +35,8 @@
 
     fn bind(numbers: impl IntoIterator<Item = u32>) -> Peers {
         let bind = |number| {
-            let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-            socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket option");
+            let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
+            socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket option is set");
             (number, socket)
         };
         Peers(numbers.into_iter().map(bind).collect())
@@ -45,7 +45,7 @@
     /// The address of a dispatcher; an unused one if it has no socket.
     fn address(&self, number: u32) -> SocketAddr {
         match self.0.get(&number) {
-            Some(socket) => socket.local_addr().expect("an address"),
+            Some(socket) => socket.local_addr().expect("the socket has an address"),
             None => SocketAddr::from(([127, 8, (number >> 8) as u8, number as u8], 9)),
         }
     }
@@ -54,7 +54,7 @@
     fn receive(&self, number: u32, is_expected: impl Fn(&[u8]) -> bool) -> SocketAddr {
         let mut buffer = [0; 256];
         loop {
-            let (len, from) = self.0[&number].recv_from(&mut buffer).expect("a datagram");
+            let (len, from) = self.0[&number].recv_from(&mut buffer).expect("a datagram arrives");
             if is_expected(&buffer[..len]) {
                 return from;
             }
@@ -62,7 +62,7 @@
     }
 
     fn send(&self, number: u32, to: SocketAddr, datagram: &[u8]) {
-        self.0[&number].send_to(datagram, to).expect("sent");
+        self.0[&number].send_to(datagram, to).expect("the datagram is sent");
     }
 
     /// Swaps the sockets of two dispatchers.
@@ -74,7 +74,7 @@
 
     fn assert_received_nothing(&self, number: u32) {
         let socket = &self.0[&number];
-        socket.set_nonblocking(true).expect("a socket option");
+        socket.set_nonblocking(true).expect("the socket option is set");
         let received = socket.recv_from(&mut [0; 256]);
         assert!(received.is_err(), "dispatcher {number} received a datagram, although it is no neighbor");
     }
@@ -100,8 +100,8 @@
 /// Sends a request, and asserts that it is served.
 fn serve_request(client: &mut TcpStream, id: &str) -> HttpReply {
     let request = job_request(id, "balance", "stream started pause=5 done=x", "");
-    client.write_all(request.as_bytes()).expect("written");
-    let reply = read_reply(client).expect("an answer");
+    client.write_all(request.as_bytes()).expect("the request is written");
+    let reply = read_reply(client).expect("the program responds");
     assert_eq!((reply.status, reply.body.as_str()), (200, "x"), "{id}");
     reply
 }
@@ -123,7 +123,7 @@
     /// The dispatchers that it notifies of changes in its lifecycle.
     neighbors: Vec<u32>,
     /// The address from which it sends datagrams.
-    home: SocketAddr,
+    source_address: SocketAddr,
     client: TcpStream,
     requests: u32,
 }
@@ -142,9 +142,20 @@
             .discovery(discovery.address)
             .configure(|config| configure_thousand(config, &old_worker, &peers))
             .start();
-        let home = peers.receive(neighbors[0], |datagram| datagram == SERVING);
+        let source_address = peers.receive(neighbors[0], |datagram| datagram == SERVING);
         let client = connect(program.platform);
-        Site { program, discovery, list, old_worker, new_worker, peers, neighbors, home, client, requests: 0 }
+        Site {
+            program,
+            discovery,
+            list,
+            old_worker,
+            new_worker,
+            peers,
+            neighbors,
+            source_address,
+            client,
+            requests: 0,
+        }
     }
 
     /// Sends the next request, and asserts that it is served.
@@ -179,11 +190,11 @@
     /// A dispatcher announces that it stops, then swaps its address with a neighbor, and the program reloads its configuration.
     fn reload_with_moved_peer(&mut self) {
         let neighbor = self.neighbors[0];
-        self.peers.send(MOVED, self.home, STOPPING);
+        self.peers.send(MOVED, self.source_address, STOPPING);
         self.peers.swap(MOVED, neighbor);
         let mut config = self.program.config.clone();
         configure_thousand(&mut config, &self.old_worker, &self.peers);
-        self.peers.send(GROUP_PEER, self.home, NO_LOAD);
+        self.peers.send(GROUP_PEER, self.source_address, NO_LOAD);
         serve_request(&mut self.client, "b0"); // the program has read the datagrams before this request
         self.program.replace_config(&config.to_string());
         self.program.signal("-HUP");
@@ -217,7 +228,7 @@
             "all peers are stopping, so the client's connection must stay open"
         );
         let serving = self.neighbors[1];
-        self.peers.send(serving, self.home, SERVING);
+        self.peers.send(serving, self.source_address, SERVING);
         self.peers.receive(serving, |datagram| datagram == STOPPING);
         let reply = serve_request(&mut self.client, "d1");
         assert_eq!(reply.header("Connection"), Some("close"));
@@ -234,11 +245,11 @@
     site.wait_for_new_workers();
     site.drain_old_workers();
     let advertiser = site.peers.receive(GROUP_PEER, |datagram| datagram[0] == LOAD_KIND);
-    assert_eq!(advertiser, site.home, "load advertisements are sent from the dispatcher's address");
+    assert_eq!(advertiser, site.source_address, "load advertisements are sent from the dispatcher's address");
     // Announcements apply to an address, also if its index changes with a reload.
     site.reload_with_moved_peer();
     for neighbor in &site.neighbors[1..] {
-        site.peers.send(*neighbor, site.home, STOPPING);
+        site.peers.send(*neighbor, site.source_address, STOPPING);
     }
     serve_request(&mut site.client, "c0");
     site.assert_memory_per_worker();
