--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -21,13 +21,14 @@
     pub indirect_probes: u32,
     /// A suspicion with enough confirmations lasts `suspicion_factor * (2 + ln(members + 1)) * probe_period`.
     pub suspicion_factor: f64,
-    /// A suspicion without confirmations lasts this many times as long.
+    /// A suspicion without confirmations lasts this many times as long as one with enough confirmations.
     pub suspicion_spread: f64,
     /// The number of independent confirmations that shorten a suspicion to its minimum (Lifeguard).
     pub confirmations: u32,
     /// A change of the view is passed on `gossip_factor * ln(members + 1)` times, rounded up.
     pub gossip_factor: f64,
-    /// The same factor for a fact. Anti-entropy delivers facts that dissemination misses.
+    /// A fact is passed on `fact_factor * ln(members + 1)` times, rounded up. Anti-entropy delivers facts that dissemination
+    /// misses.
     pub fact_factor: f64,
     /// The interval between two rounds of gossip while there are updates. Updates also travel with probes.
     pub gossip_period: Micros,
@@ -35,8 +36,8 @@
     pub gossip_fanout: u32,
     /// The interval between two anti-entropy exchanges.
     pub sync_period: Micros,
-    /// The interval between two probes of places that are unknown, dead or have left. By these probes the sides of a healed
-    /// network partition find each other.
+    /// The interval between two probes of places that are unknown, dead or have left. They reconnect the sides of a
+    /// network partition after it heals.
     pub meet_period: Micros,
     /// The maximum local health score (Lifeguard). Timeouts of probes grow by at most a factor of this plus one.
     pub max_health: u32,
@@ -46,16 +47,16 @@
     pub budget: u32,
     /// How long the facts of a member that is dead or has left are kept.
     pub forget_after: Micros,
-    /// A deliberate fault for tests of the tests: a failed probe is a death, without a suspicion.
+    /// A deliberate fault, to verify that the checks detect it: a member whose probe fails is declared dead without a suspicion.
     #[doc(hidden)]
     pub skip_suspicion: bool,
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// This member's place is not among the peers.
-    #[error("place {place} is not among {peers} peers; set `me` below their number")]
+    #[error("place {place} is not among the {peers} peers; `me` must be below {peers}")]
     Place {
         /// This member's place.
         place: u16,
@@ -63,9 +64,9 @@
         peers: u16,
     },
     /// A span, factor or budget is out of its range. Holds the name of the setting.
-    #[error("`{0}` is out of its range")]
+    #[error("setting `{0}` is out of range")]
     Range(&'static str),
-    /// An epoch that can't be milliseconds of Unix time.
+    /// The epoch is too large for milliseconds of Unix time. Holds the epoch.
     #[error("epoch {0} is not milliseconds of Unix time")]
     Epoch(u64),
 }
@@ -114,7 +115,7 @@
     }
 
     /// Checks that every setting is within its range.
-    pub(crate) fn check(&self) -> Result<(), ConfigError> {
+    pub(crate) fn validate(&self) -> Result<(), ConfigError> {
         if self.place >= self.peers {
             return Err(ConfigError::Place { place: self.place, peers: self.peers });
         }
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -2,8 +2,8 @@
 //!
 //! The facts of a place merge as a map of last-writer-wins registers: each register keeps the fact with the greatest stamp,
 //! and the map keeps the [`MAX_FACTS_PER_MEMBER`] greatest stamps. Both operations are idempotent, commutative and
-//! associative. That holds for the cut too: a fact is cut only if that many others have greater stamps, and no later merge
-//! reduces their number.
+//! associative. That holds for the limit too: a fact is dropped only if that many others have greater stamps, and no later
+//! merge reduces their number.
 
 #[cfg(test)]
 mod tests;
@@ -26,7 +26,7 @@
 struct PlaceFacts {
     by_key: BTreeMap<FactKey, HeldFact>,
     by_stamp: BTreeSet<StampedKey>,
-    /// The exclusive or of the hashes of all facts, so that it does not depend on their order.
+    /// The exclusive or of the hashes of all facts, which does not depend on their order.
     hash: u64,
 }
 
@@ -44,8 +44,8 @@
     New,
     /// The same fact, or a later one with its key, was already held.
     Known,
-    /// The place has [`MAX_FACTS_PER_MEMBER`] facts with greater stamps.
-    Cut,
+    /// The fact was refused: the place has [`MAX_FACTS_PER_MEMBER`] facts with greater stamps.
+    Refused,
 }
 
 impl StampedKey {
@@ -83,7 +83,7 @@
         if facts.by_key.len() >= MAX_FACTS_PER_MEMBER {
             match facts.by_stamp.first().copied() {
                 Some(oldest) if oldest < fact => self.count -= usize::from(facts.remove(oldest.key)),
-                _ => return Merged::Cut,
+                _ => return Merged::Refused,
             }
         }
         facts.insert(fact, bytes);
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -1,12 +1,12 @@
 //! The hash that all members share: for digests, checksums of datagrams and rendezvous hashing.
 //!
-//! It is SplitMix64 (Steele, Lea, Flood 2014) over a sequence of words. It is part of the wire format: a change of the hash
-//! needs a new [`crate::VERSION`].
+//! The function is SplitMix64 (Steele, Lea, Flood 2014) over a sequence of words. The hash is part of the wire format: a
+//! change of it needs a new [`crate::VERSION`].
 
 /// The increment of SplitMix64: 2^64 divided by the golden ratio.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The finalizer of SplitMix64, which spreads each bit over all 64.
+/// The finalizer of SplitMix64: each bit of the input affects all bits of the output.
 fn mix(word: u64) -> u64 {
     let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -119,12 +119,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FactError {
     /// The fact is longer than [`MAX_FACT_BYTES`]. Holds its length, in bytes.
-    #[error("a fact of {0} bytes, where {MAX_FACT_BYTES} are the most")]
+    #[error("the fact has {0} bytes, and the limit is {MAX_FACT_BYTES} bytes")]
     TooLong(usize),
     /// This member has published facts in [`MAX_FACTS_PER_MEMBER`] other slots.
-    #[error("all {MAX_FACTS_PER_MEMBER} slots are in use; publish to slots that were used before")]
+    #[error("all {MAX_FACTS_PER_MEMBER} fact slots of this member are in use; publish to one of them")]
     Full,
     /// This member has left.
-    #[error("the member has left")]
+    #[error("this member has left the group")]
     Left,
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -59,7 +59,7 @@
     metrics: Metrics,
     outputs: VecDeque<Output>,
     left_at: Option<Micros>,
-    /// The time for [`Membership::tick`] that this member last asked for.
+    /// The result of [`Membership::next_wake`] after the last input.
     wake: Micros,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// Returns a [`ConfigError`] if a setting is out of its range.
     pub fn new(config: Config, now: Micros) -> Result<Membership, ConfigError> {
-        config.check()?;
+        config.validate()?;
         let mut rng = fastrand::Rng::with_seed(config.seed ^ u64::from(config.place) << 48);
         let mut view = View::new(config.peers, now);
         view.members[usize::from(config.place)] =
@@ -105,10 +105,10 @@
         Ok(member)
     }
 
-    /// Marks all places as alive at these epochs, as if they had been known for long. For simulations that start in a steady
-    /// state.
+    /// Marks all places as alive at these epochs, as if their members had been known for a long time. For simulations that
+    /// start in a steady state.
     #[doc(hidden)]
-    pub fn assume(&mut self, epochs: &[u64]) {
+    pub fn assume_all_alive(&mut self, epochs: &[u64]) {
         for (member, epoch) in self.view.members.iter_mut().zip(epochs) {
             *member = Member { state: State::Alive, epoch: *epoch, incarnation: 0, since: self.now };
         }
@@ -219,7 +219,7 @@
         let (place, epoch) = (self.config.place, self.own_version().epoch);
         let is_full =
             self.facts.count_of(place) >= MAX_FACTS_PER_MEMBER && self.facts.get(place, key).is_none();
-        // Facts of an earlier epoch of this place make room.
+        // A fact of an earlier epoch of this place is dropped by the merge, to make room for the new one.
         if is_full && self.facts.oldest_stamp(place).is_none_or(|oldest| oldest.epoch == epoch) {
             return Err(FactError::Full);
         }
@@ -241,7 +241,6 @@
         Metrics { health: self.health.score(), facts_held: self.facts.count() as u64, ..self.metrics }
     }
 
-    /// This member's own version.
     fn own_version(&self) -> MemberVersion {
         self.view.at(self.config.place).version()
     }
@@ -346,7 +345,7 @@
     fn set_state(&mut self, place: u16, to: State, version: MemberVersion) {
         let was = self.view.at(place);
         let MemberVersion { epoch, incarnation } = version;
-        mothproxy_invariant::invariant!(version >= was.version(), "the version of place {place} went back");
+        mothproxy_invariant::invariant!(version >= was.version(), "the version of place {place} decreased");
         let since = if was.state == to { was.since } else { self.now };
         self.view.members[usize::from(place)] = Member { state: to, epoch, incarnation, since };
         if was.state != to || was.epoch != epoch {
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -24,9 +24,9 @@
 /// The maximum number of places whose facts are compared after one page.
 const MAX_PLACES_COMPARED: usize = 8;
 /// The maximum number of facts in the first list.
-const FIRST_FACT_LIST: usize = 8;
+const FIRST_LIST_FACTS: usize = 8;
 /// The maximum number of facts in each further list.
-const NEXT_FACT_LIST: usize = 32;
+const NEXT_LIST_FACTS: usize = 32;
 /// The maximum number of facts that answer one list or request.
 const MAX_FACTS_SENT: usize = 48;
 /// The random delay of an exchange that is brought forward is below this, in microseconds.
@@ -62,7 +62,7 @@
 }
 
 impl Membership {
-    /// Brings the next exchange forward, since the last one showed that something was missed.
+    /// Brings the next exchange forward, since the last one showed that updates were missed.
     fn sync_soon(&mut self) {
         let jitter = self.rng.u64(0..SOON_JITTER);
         let min_gap = self.config.sync_period / 8;
@@ -142,7 +142,7 @@
         for part in differing {
             let (start, end) = (self.part_start(part), self.part_start(part + 1));
             if pages < MAX_PAGES && !(covered.contains(&start) && end <= covered.end) {
-                // A part that does not fit into a page: begin at a random place of it.
+                // If the part does not fit into a page, begin at a random place of the part.
                 let start = if end - start > PAGE_PLACES { self.rng.u16(start..end) } else { start };
                 covered = start..self.send_member_page(from, salt, start, self.config.peers);
                 pages += 1;
@@ -195,7 +195,7 @@
             self.anti_entropy.next_sync = self.anti_entropy.next_sync.min(self.now.max(earliest));
         }
         for place in differing.into_iter().take(MAX_PLACES_COMPARED) {
-            self.send_fact_list(from, salt, place, None, FIRST_FACT_LIST);
+            self.send_fact_list(from, salt, place, None, FIRST_LIST_FACTS);
         }
     }
 
@@ -251,7 +251,7 @@
         }
         self.send_records(from, &records);
         if last.is_some() && self.rest_hash(place, last, salt) != *rest_hash {
-            self.send_fact_list(from, salt, place, last, NEXT_FACT_LIST);
+            self.send_fact_list(from, salt, place, last, NEXT_LIST_FACTS);
         }
     }
 
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -11,12 +11,12 @@
 /// The number of updates from the front of a queue that are tried for the rest of a datagram.
 const MAX_UPDATES_TRIED: usize = 40;
 
-/// Whether a datagram may use the part of the budget that is kept for probes and refutations.
+/// Whether a datagram may use the part of the budget that is reserved for probes and refutations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Priority {
-    /// Yes: a probe, its answer or a refutation.
+    /// A probe, its answer or a refutation: may use the reserved part.
     Urgent,
-    /// No: gossip or anti-entropy, which can wait.
+    /// Gossip or anti-entropy: may not use the reserved part, since it can be sent later.
     Background,
 }
 
@@ -81,7 +81,7 @@
         self.dissemination.next_gossip = self.now + self.config.gossip_period;
     }
 
-    /// How often an update is passed on; grows with the number of members present.
+    /// How often an update is passed on, which grows with the number of members present.
     pub(super) fn retransmissions(&self, factor: f64) -> u32 {
         (factor * (self.present as f64 + 1.0).ln()).ceil().max(1.0) as u32
     }
@@ -91,7 +91,7 @@
         if self.now < self.dissemination.next_gossip || self.present < 2 {
             return;
         }
-        // If many members die at once, the updates do not fit into a few datagrams.
+        // If many members fail at once, the updates do not fit into a few datagrams.
         let has_many_updates = self.dissemination.states.len() > MAX_UPDATES_TRIED;
         let fanout = self.config.gossip_fanout * if has_many_updates { 2 } else { 1 };
         for _ in 0..fanout {
@@ -145,7 +145,11 @@
             self.metrics.over_budget += 1;
             return 0;
         }
-        invariant!(writer.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", writer.len());
+        invariant!(
+            writer.len() <= MAX_DATAGRAM_BYTES,
+            "a datagram of {} bytes exceeds {MAX_DATAGRAM_BYTES} bytes",
+            writer.len()
+        );
         self.metrics.sent += 1;
         self.metrics.sent_bytes += writer.len() as u64;
         let route = Route { from: self.config.place, to, peers: self.config.peers };
--- a/crates/membership/src/member/local_health.rs
+++ b/crates/membership/src/member/local_health.rs
@@ -11,7 +11,7 @@
 }
 
 impl LocalHealth {
-    /// A healthy member, whose score will never exceed `max`.
+    /// The state of a healthy member. Its score never exceeds `max`.
     pub fn new(max: u32) -> LocalHealth {
         LocalHealth { score: 0, max }
     }
@@ -21,7 +21,7 @@
         self.score
     }
 
-    /// Raises the score after a failure that is more likely this member's own fault.
+    /// Raises the score after a failure whose cause is more likely at this member itself.
     pub fn degrade(&mut self) {
         self.score = (self.score + 1).min(self.max);
     }
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -3,8 +3,8 @@
 //! Each probe period (SWIM's protocol period) this member pings one present member, in rounds over all of them in random
 //! order. If the target does not acknowledge in time, a few relays ping it too (SWIM's `ping-req`). A relay that gets no
 //! acknowledgement either answers with a nack (Lifeguard). A target that acknowledges to no one is suspected. There are two
-//! more reasons for a probe: others claim that a member is dead which is alive in this view, and a place that is not
-//! present may have come back.
+//! more reasons for a probe: a member that is alive in this view was declared dead by others, or a place that is not present
+//! may have rejoined.
 
 mod state;
 
@@ -17,7 +17,7 @@
 
 /// The maximum number of concurrent probes for other members.
 const MAX_RELAYED_PROBES: usize = 256;
-/// The interval between two checks of members that others claim to be dead, in microseconds.
+/// The interval between two probes of members that others declared dead, in microseconds.
 const CHECK_INTERVAL: Micros = 50_000;
 
 impl Membership {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Probes a place that is not present. This is how the two sides of a network partition find each other again.
+    /// Probes a place that is not present. These probes reconnect the sides of a network partition after it heals.
     fn look_up_absent(&mut self) {
         let is_alone = self.present == 1;
         let period = if is_alone { self.config.probe_period } else { self.config.meet_period };
@@ -157,7 +157,7 @@
             return;
         }
         self.metrics.probes_failed += 1;
-        // No datagram arrived from any member in the meantime: this member itself is more likely at fault.
+        // No datagram arrived from any member since the probe started: the fault is more likely at this member itself.
         if probe.nacks == 0 && self.last_received_any <= probe.started_at && self.present > 2 {
             self.health.degrade();
         }
--- a/crates/membership/src/member/probing/state.rs
+++ b/crates/membership/src/member/probing/state.rs
@@ -10,11 +10,11 @@
 /// Why a place is probed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeReason {
-    /// It is next in the round.
+    /// The place is the next one of the round.
     Round,
-    /// Others claim that it is dead.
+    /// Other members declared the place dead.
     Accused,
-    /// It is not present in this view and may have come back.
+    /// The place is not present in this view and may have rejoined.
     Absent,
 }
 
@@ -25,7 +25,7 @@
     pub target: u16,
     pub reason: ProbeReason,
     pub started_at: Micros,
-    /// When relays are asked to probe; `None` once that is done, or if it is not planned.
+    /// When relays are asked to probe the target; `None` once they were asked, or if the probe uses no relays.
     pub indirect_at: Option<Micros>,
     pub ends_at: Micros,
     /// The members that were asked to probe the target.
@@ -55,9 +55,9 @@
     pub(super) round: Vec<u16>,
     /// The index in `round` of the next member.
     pub(super) position: usize,
-    /// Places that are alive in this view and that others claim to be dead, with the version in question.
+    /// Places that are alive in this view and that others declared dead, with the version that was declared dead.
     pub(super) accusations: BTreeMap<u16, MemberVersion>,
-    /// Accused places that are still to be checked.
+    /// Accused places that have not been probed yet.
     checks: VecDeque<u16>,
     pub(super) next_probe: Micros,
     pub(super) next_check: Micros,
@@ -116,12 +116,12 @@
             probe.indirect_at = probe.indirect_at.map(|at| at + lost);
             probe.ends_at += lost;
         }
-        // The members that asked for these have given up by now.
+        // The probes of the members that requested these have ended by now.
         self.relayed.clear();
         self.next_probe = self.next_probe.max(earliest);
     }
 
-    /// Schedules a check of a place that is present in this view and that others claim to be dead.
+    /// Schedules a probe of a place that is present in this view and that others declared dead.
     pub fn accuse(&mut self, place: u16, version: MemberVersion) {
         if self.accusations.insert(place, version).is_none() {
             self.checks.push_back(place);
@@ -133,7 +133,7 @@
         self.accusations.remove(&place);
     }
 
-    /// Counts a relay that got no answer either, but is alive itself.
+    /// Counts a relay that answered that it got no answer from the target either.
     pub fn on_nack(&mut self, from: u16, seq: u32) {
         let is_asked = |probe: &&mut Probe| probe.seq == seq && probe.relays.contains(&from);
         if let Some(probe) = self.pending.iter_mut().find(is_asked) {
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -9,7 +9,8 @@
 use mothproxy_invariant::invariant;
 
 impl Membership {
-    /// Handles a record about a place, received from the member `from` or derived from its datagram, which proves it alive.
+    /// Handles a record about a place. The record was received from the member `from`, or follows from the fact that `from`
+    /// sent a datagram and so is alive.
     pub(super) fn on_state_record(&mut self, from: u16, record: &StateRecord) {
         let StateRecord { place, state, version, ref accusers } = *record;
         if place == self.config.place {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Handles the claim of others that a place is dead. That alone does not make it dead in this view: it shortens a
-    /// suspicion, or makes this member check for itself.
+    /// Handles a record by which others declared a place dead. A place that is present in this view does not become dead by
+    /// that alone: the record shortens a suspicion, or this member probes the place itself.
     fn on_death_record(&mut self, place: u16, version: MemberVersion, known: State, is_newer: bool) {
         match known {
             State::Suspect if !is_newer => self.confirm_suspicion(place),
@@ -66,7 +67,7 @@
         let MemberVersion { epoch, incarnation } = version;
         let can_exceed = epoch + 1 < EPOCH_BOUND;
         if (epoch > own.epoch || epoch == own.epoch && state == State::Left) && can_exceed {
-            // The clock went back, or an earlier process with this epoch has left.
+            // The clock of this member's host went back, or an earlier process with this epoch has left.
             self.metrics.refuted += 1;
             self.raise_epoch(epoch + 1);
         } else if epoch == own.epoch && incarnation >= own.incarnation && state > State::Alive {
@@ -113,13 +114,16 @@
                 self.outputs.push_back(Output::Fact(fact));
             }
             Merged::Known => {}
-            Merged::Cut => self.metrics.facts_refused += 1,
+            Merged::Refused => self.metrics.facts_refused += 1,
         }
         let count = self.facts.count_of(place);
-        invariant!(count <= MAX_FACTS_PER_MEMBER, "place {place} has more facts than slots");
+        invariant!(
+            count <= MAX_FACTS_PER_MEMBER,
+            "place {place} has {count} facts, more than {MAX_FACTS_PER_MEMBER}"
+        );
     }
 
-    /// Whether a place has been gone for so long that its facts are dropped.
+    /// Whether a place has been dead or left for longer than its facts are kept.
     pub(super) fn is_forgotten(&self, place: u16) -> bool {
         let member = self.view.at(place);
         member.state.is_gone() && self.now >= member.since + self.config.forget_after
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -15,18 +15,18 @@
 struct Suspicion {
     since: Micros,
     expires_at: Micros,
-    /// The members that got no answer from it; the first few of them.
+    /// The first few members that got no answer from the suspect.
     accusers: Vec<u16>,
 }
 
 /// What an accusation changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Accusation {
-    /// It started a suspicion.
+    /// A suspicion was started.
     Started,
-    /// It added accusers to a suspicion.
+    /// Accusers were added to a suspicion.
     Confirmed,
-    /// All its accusers are known already, or there are enough.
+    /// Nothing: all accusers were known already, or the suspicion has enough of them.
     Redundant,
 }
 
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sets the timeout of a suspicion to `span` after its start, but not before `earliest`. It is never moved to a later
-    /// time.
+    /// Sets the timeout of a suspicion to `span` after its start, but not before `earliest`. A timeout is never moved to a
+    /// later time.
     fn shorten(&mut self, place: u16, span: Micros, earliest: Micros) {
         let Some(suspicion) = self.by_place.get_mut(&place) else { return };
         let expires_at = (suspicion.since + span).max(earliest).min(suspicion.expires_at);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Handles a suspect that another member has declared dead: that counts as all required confirmations.
+    /// Handles the death of a suspect that another member has declared. That counts as all required confirmations.
     pub(super) fn confirm_suspicion(&mut self, place: u16) {
         self.shorten_suspicion(place, self.required_confirmations());
     }
@@ -139,25 +139,28 @@
         (self.config.confirmations as usize).min(self.present.saturating_sub(2))
     }
 
-    /// The duration of a suspicion with this number of confirmations (Lifeguard's rule: each further one counts less).
+    /// The duration of a suspicion with this number of confirmations (Lifeguard's rule: each further one shortens it less).
     fn suspicion_timeout(&self, confirmations: usize) -> Micros {
-        let least = self.config.suspicion_span(self.present) as f64;
-        let most = least * self.config.suspicion_spread;
+        let min_span = self.config.suspicion_span(self.present) as f64;
+        let max_span = min_span * self.config.suspicion_spread;
         let fraction = match self.required_confirmations() {
             0 => 1.0,
             required => (confirmations as f64 + 1.0).ln() / (required as f64 + 1.0).ln(),
         };
-        (most - (most - least) * fraction).max(least) as Micros
+        (max_span - (max_span - min_span) * fraction).max(min_span) as Micros
     }
 
     /// Declares dead the suspects that did not refute in time.
     pub(super) fn expire_suspicions(&mut self) {
         while let Some(place) = self.suspicions.next_expired(self.now) {
             let member = self.view.at(place);
-            let least = self.config.suspicion_span(self.present).min(self.config.probe_period);
+            let min_span = self.config.suspicion_span(self.present).min(self.config.probe_period);
             let suspicion = self.suspicions.by_place.get(&place);
-            let had_time = suspicion.is_some_and(|suspicion| self.now >= suspicion.since + least);
-            invariant!(member.state == State::Suspect && had_time, "place {place} dies before its time");
+            let had_time = suspicion.is_some_and(|suspicion| self.now >= suspicion.since + min_span);
+            invariant!(
+                member.state == State::Suspect && had_time,
+                "place {place} was declared dead before its minimum suspicion time"
+            );
             self.suspicions.expiries.pop_first();
             self.metrics.declared_dead += 1;
             self.set_state(place, State::Dead, member.version());
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -7,7 +7,7 @@
 /// A member at place 0 of 5, started at epoch 100, and the others at epoch 50.
 fn member() -> Membership {
     let mut member = Membership::new(Config::new(0, 5, 100, 1), 1_000_000).unwrap();
-    member.assume(&[100, 50, 50, 50, 50]);
+    member.assume_all_alive(&[100, 50, 50, 50, 50]);
     member
 }
 
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -15,7 +15,7 @@
     pub refused_long: u64,
     /// Refused: of another version.
     pub refused_version: u64,
-    /// Refused: from a place that is not among the peers, or about one.
+    /// Refused: from or about a place that is not among the peers.
     pub refused_foreign: u64,
     /// Refused: cut short, or not decodable.
     pub refused_malformed: u64,
@@ -41,7 +41,7 @@
     pub facts_published: u64,
     /// New facts of other members.
     pub facts_received: u64,
-    /// Facts refused because their place has too many.
+    /// Facts refused because their place has [`MAX_FACTS_PER_MEMBER`](crate::MAX_FACTS_PER_MEMBER) later ones.
     pub facts_refused: u64,
     /// Facts held at present, including this member's own.
     pub facts_held: u64,
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -1,9 +1,11 @@
 //! The assignment of workers to places, and the number of a worker's slots that one place may claim.
 //!
-//! These two are separate on purpose. The assignment ([`owner`], [`assign_groups`]) follows the view: after a death only the
-//! workers of the dead member move. The number of slots ([`allotment`], [`SlotClaims`]) does not depend on the view. Every
-//! configured place has its part, by a rank that all places compute alike. So the sum over all places is within the limit
+//! These two are independent. The assignment ([`owner`], [`assign_groups`]) follows the view: after a death only the workers
+//! of the dead member move. The number of slots ([`allotment`], [`SlotClaims`]) does not depend on the view. Every configured
+//! place has its part, by a rank that is the same when computed at any place. So the sum over all places is within the limit
 //! even while their views differ (docs/design/membership.md has the argument).
+//!
+//! A worker is identified by a 64-bit tag, which must be the same at all places.
 
 mod search;
 mod slot_claims;
@@ -43,7 +45,7 @@
     present.iter().for_each(|place| members[usize::from(place % groups)] += 1);
     let share = |members: &usize| (tags.len() * members).div_ceil(present.len().max(1));
     let mut capacity: Vec<usize> = members.iter().map(share).collect();
-    // The order does not depend on that of the list, so that one worker more or less changes little.
+    // The order does not depend on that of `tags`, so that an added or removed worker changes few assignments.
     let mut order: Vec<usize> = (0..tags.len()).collect();
     order.sort_unstable_by_key(|worker| (hash(&[tags[*worker]]), tags[*worker], *worker));
     let mut assigned = vec![None; tags.len()];
--- a/crates/membership/src/partition/search.rs
+++ b/crates/membership/src/partition/search.rs
@@ -1,4 +1,4 @@
-//! A random search for a worker that is claimed beyond its limit, for proofs of [`SlotClaims`].
+//! A random search for a worker that gets more jobs than its limit, to test [`SlotClaims`].
 
 use super::{ReportedCapacity, SlotClaims, StalenessBound, rank};
 use crate::Micros;
@@ -13,8 +13,8 @@
 }
 
 /// Simulates a worker and the places that claim its slots, each by a random recent report. Returns by how many jobs the
-/// worker exceeded its limit at worst. With a `window` of 1 the result must be 0. With less, a place forgets its claims too
-/// early, which is a deliberate fault.
+/// worker exceeded its limit at worst. With a `window` of 1 the result must be 0. A smaller `window` is a deliberate fault: a
+/// place then drops its claims too early.
 #[doc(hidden)]
 pub fn worst_overcommit(seed: u64, window: f64) -> u32 {
     const STEPS: usize = 80;
@@ -26,7 +26,7 @@
     let bound = StalenessBound { peers, max_report_age: lag - flight, max_flight_time: flight, reserve };
     let jobs_end = rng.bool();
     let ranks: Vec<u16> = (0..peers).map(|place| rank(seed, place, peers)).collect();
-    // The places with a running process, whatever the views are.
+    // The places with a running process. Their views do not matter.
     let live: Vec<u16> = (0..peers).filter(|_| rng.u8(0..10) < 6).collect();
     let mut claims: Vec<SlotClaims> = vec![SlotClaims::default(); peers.into()];
     let mut jobs: Vec<Job> = Vec::new();
--- a/crates/membership/src/partition/slot_claims.rs
+++ b/crates/membership/src/partition/slot_claims.rs
@@ -1,4 +1,4 @@
-//! The number of a worker's slots that one place may claim. It follows from late reports, and is such that all places
+//! The number of a worker's slots that one place may claim. The number is derived from late reports, so that all places
 //! together stay within the worker's limit.
 
 use super::allotment;
@@ -14,8 +14,8 @@
     pub max_report_age: Micros,
     /// The maximum time from a decision until the worker's reports show it, in microseconds.
     pub max_flight_time: Micros,
-    /// The slots that all places together may claim within the sum of both times. In return, as many slots of the limit stay
-    /// free.
+    /// The number of slots that all places together may claim within the sum of both times. The same number of slots of the
+    /// limit stays free.
     pub reserve: u32,
 }
 
@@ -39,9 +39,9 @@
 ///
 /// Two limits apply to the claims of the last `max_report_age + max_flight_time` whose jobs have not ended: the place's
 /// [`allotment`] of the reserve, and its allotment of the reported free slots minus the reserve. No worker then ever exceeds
-/// its limit, whatever each place's view of the others is: docs/design/membership.md has the proof. Each report that shows
-/// earlier claims and ended jobs allows new claims. So the survivors of a failure come to use all slots of a worker but the
-/// reserve, although no place takes over the part of another.
+/// its limit, whatever the views of the places are: docs/design/membership.md has the proof. Each report that shows
+/// earlier claims and ended jobs allows new claims. So after a failure the remaining places can use all slots of a worker but
+/// the reserve, although no place takes over the part of another.
 #[derive(Debug, Clone, Default)]
 pub struct SlotClaims {
     claims: VecDeque<Claim>,
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -133,7 +133,7 @@
             self.start(place);
             if start == Start::Warm {
                 if let Some(member) = &mut self.node_mut(place).member {
-                    member.assume(&epochs);
+                    member.assume_all_alive(&epochs);
                 }
                 self.carry_out_outputs(place);
             }
--- a/crates/membership/src/update_queue.rs
+++ b/crates/membership/src/update_queue.rs
@@ -25,7 +25,7 @@
         UpdateQueue { ranks: BTreeMap::new(), order: BTreeSet::new(), pushed: 0, capacity }
     }
 
-    /// Adds an update. If it is already queued, it starts over as if it had never been sent.
+    /// Adds an update. If it is already queued, its count of transmissions starts at 0 again.
     pub fn push(&mut self, key: K) {
         self.remove(key);
         self.pushed += 1;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Records that an update was sent; it leaves the queue once it was sent `limit` times.
+    /// Records that an update was sent, and removes it from the queue once it was sent `limit` times.
     pub fn record_sent(&mut self, key: K, limit: u32) {
         if let Some(rank) = self.ranks.get(&key).copied() {
             self.remove(key);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -35,7 +35,7 @@
 pub(crate) struct MemberVersion {
     /// The start of the process, in milliseconds of Unix time.
     pub epoch: u64,
-    /// Raised only by the member itself, to refute a suspicion.
+    /// The incarnation, which only the member itself raises, to refute a suspicion.
     pub incarnation: u32,
 }
 
@@ -46,9 +46,9 @@
     pub state: State,
     /// The start of the process at the place, in milliseconds of Unix time; 0 while unknown.
     pub epoch: u64,
-    /// Raised only by the member itself, to refute a suspicion.
+    /// The incarnation, which only the member itself raises, to refute a suspicion.
     pub incarnation: u32,
-    /// Since when the place is in this state, by the caller's clock.
+    /// When the place entered this state, by the caller's clock.
     pub since: Micros,
 }
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -3,8 +3,8 @@
 //! A datagram consists of `version, checksum (4 bytes), kind, the sender's epoch, its incarnation`, the fields of the kind,
 //! and then records until the end. Numbers are varints: seven bits per byte, the least significant first. An epoch after the
 //! first is encoded as its signed difference from the sender's, since members of one group mostly start within hours. The
-//! checksum covers the datagram, both places and the number of peers. So a torn datagram is refused, and so is one of a
-//! group with other peers.
+//! checksum covers the datagram, both places and the number of peers. So a damaged datagram is refused, and so is one
+//! of a group with other peers.
 //!
 //! [`Writer`] keeps a datagram within [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES). [`read`] decodes a whole datagram or
 //! refuses it.
@@ -53,7 +53,7 @@
     Ack { seq: u32 },
     /// Asks the receiver to probe this place and to pass on the answer (SWIM's `ping-req`).
     PingRequest { seq: u32, target: u16 },
-    /// The requested probe was not answered either, but the sender of this datagram is alive.
+    /// The answer to a `PingRequest` whose target did not answer. It shows that the sender of this datagram is alive.
     Nack { seq: u32 },
     /// No body; the datagram carries records only.
     Gossip,
@@ -61,7 +61,7 @@
     Digest { salt: u16, hashes: Vec<u32> },
     /// The sender's state of consecutive places.
     MemberPage(MemberPage),
-    /// The facts of a place that the sender holds, without their bytes.
+    /// The keys and stamps of the facts that the sender holds of a place.
     FactList(FactList),
     /// Asks for facts of a place that the sender lacks.
     FactRequest { place: u16, keys: Vec<FactKey> },
--- a/crates/membership/src/wire/reader.rs
+++ b/crates/membership/src/wire/reader.rs
@@ -30,7 +30,7 @@
     #[error("the datagram is from or about a place that is not among the peers")]
     ForeignPlace,
     /// The datagram is cut short, its checksum is wrong, or a value in it is out of its range.
-    #[error("the datagram cannot be read")]
+    #[error("the datagram is malformed")]
     Malformed,
 }
 
@@ -67,7 +67,7 @@
 impl Reader<'_> {
     fn datagram(&mut self) -> Option<Datagram> {
         let kind = self.byte()?;
-        self.base_epoch = self.number().filter(|epoch| *epoch < EPOCH_BOUND)?;
+        self.base_epoch = self.varint().filter(|epoch| *epoch < EPOCH_BOUND)?;
         let sender = MemberVersion { epoch: self.base_epoch, incarnation: self.incarnation()? };
         let body = self.body(kind)?;
         let mut records = Vec::new();
@@ -79,10 +79,10 @@
 
     fn body(&mut self, kind: u8) -> Option<Body> {
         Some(match kind {
-            kind::PING => Body::Ping { seq: self.small()? },
-            kind::ACK => Body::Ack { seq: self.small()? },
-            kind::NACK => Body::Nack { seq: self.small()? },
-            kind::PING_REQUEST => Body::PingRequest { target: self.place()?, seq: self.small()? },
+            kind::PING => Body::Ping { seq: self.narrow_varint()? },
+            kind::ACK => Body::Ack { seq: self.narrow_varint()? },
+            kind::NACK => Body::Nack { seq: self.narrow_varint()? },
+            kind::PING_REQUEST => Body::PingRequest { target: self.place()?, seq: self.narrow_varint()? },
             kind::GOSSIP => Body::Gossip,
             kind::DIGEST => Body::Digest {
                 salt: self.salt()?,
@@ -147,7 +147,7 @@
 
     /// A place. Sets `names_foreign_place` if it is not among the peers.
     fn place(&mut self) -> Option<u16> {
-        let place = self.small::<u16>()?;
+        let place = self.narrow_varint::<u16>()?;
         self.names_foreign_place |= place >= self.peers;
         Some(place)
     }
@@ -156,15 +156,15 @@
         Some(MemberVersion { epoch: self.epoch()?, incarnation: self.incarnation()? })
     }
 
-    /// An epoch, decoded from its difference from the sender's in zigzag form.
+    /// An epoch, decoded from its zigzag-encoded difference from the sender's epoch.
     fn epoch(&mut self) -> Option<u64> {
-        let number = self.number()?;
+        let number = self.varint()?;
         let difference = (number >> 1) as i64 ^ -((number & 1) as i64);
         Some(self.base_epoch.wrapping_add(difference as u64)).filter(|epoch| *epoch < EPOCH_BOUND)
     }
 
     fn incarnation(&mut self) -> Option<u32> {
-        self.small::<u32>().filter(|incarnation| *incarnation < INCARNATION_BOUND)
+        self.narrow_varint::<u32>().filter(|incarnation| *incarnation < INCARNATION_BOUND)
     }
 
     fn stamped_key(&mut self) -> Option<StampedKey> {
@@ -173,11 +173,11 @@
     }
 
     fn fact_key(&mut self) -> Option<FactKey> {
-        Some(FactKey { kind: self.byte()?, slot: self.small()? })
+        Some(FactKey { kind: self.byte()?, slot: self.narrow_varint()? })
     }
 
     fn stamp(&mut self) -> Option<Stamp> {
-        let stamp = Stamp { epoch: self.epoch()?, number: self.number()? };
+        let stamp = Stamp { epoch: self.epoch()?, number: self.varint()? };
         Some(stamp).filter(|stamp| stamp.number < FACT_NUMBER_BOUND)
     }
 
@@ -195,12 +195,12 @@
     }
 
     /// A varint, as a smaller type; `None` if it does not fit.
-    fn small<T: TryFrom<u64>>(&mut self) -> Option<T> {
-        T::try_from(self.number()?).ok()
+    fn narrow_varint<T: TryFrom<u64>>(&mut self) -> Option<T> {
+        T::try_from(self.varint()?).ok()
     }
 
     /// A varint; `None` if it does not fit into 64 bits.
-    fn number(&mut self) -> Option<u64> {
+    fn varint(&mut self) -> Option<u64> {
         let mut number = 0_u64;
         for shift in (0..64).step_by(7) {
             let byte = self.byte()?;
--- a/crates/membership/src/wire/writer.rs
+++ b/crates/membership/src/wire/writer.rs
@@ -26,8 +26,8 @@
     fn begin(sender: MemberVersion, kind: u8) -> Writer {
         let mut writer = Writer { bytes: Vec::with_capacity(64), base_epoch: sender.epoch };
         writer.bytes.extend([VERSION, 0, 0, 0, 0, kind]);
-        writer.number(sender.epoch);
-        writer.number(sender.incarnation.into());
+        writer.varint(sender.epoch);
+        writer.varint(sender.incarnation.into());
         writer
     }
 
@@ -59,10 +59,10 @@
 
     fn body(&mut self, body: &Body) {
         match body {
-            Body::Ping { seq } | Body::Ack { seq } | Body::Nack { seq } => self.number((*seq).into()),
+            Body::Ping { seq } | Body::Ack { seq } | Body::Nack { seq } => self.varint((*seq).into()),
             Body::PingRequest { seq, target } => {
-                self.number((*target).into());
-                self.number((*seq).into());
+                self.varint((*target).into());
+                self.varint((*seq).into());
             }
             Body::Gossip => {}
             Body::Digest { salt, hashes } => {
@@ -72,7 +72,7 @@
             Body::MemberPage(page) => self.member_page(page),
             Body::FactList(list) => self.fact_list(list),
             Body::FactRequest { place, keys } => {
-                self.number((*place).into());
+                self.varint((*place).into());
                 self.bytes.push(keys.len() as u8);
                 keys.iter().for_each(|key| self.fact_key(*key));
             }
@@ -81,14 +81,14 @@
 
     fn member_page(&mut self, page: &MemberPage) {
         self.bytes.extend(page.salt.to_le_bytes());
-        self.number(page.first.into());
+        self.varint(page.first.into());
         self.bytes.push(page.rows.len() as u8);
         page.rows.iter().for_each(|row| self.member_row(row));
     }
 
     fn fact_list(&mut self, list: &FactList) {
         self.bytes.extend(list.salt.to_le_bytes());
-        self.number(list.place.into());
+        self.varint(list.place.into());
         self.bytes.push(list.below.is_some().into());
         list.below.into_iter().for_each(|below| self.stamp(below));
         self.bytes.extend(list.rest_hash.to_le_bytes());
@@ -101,17 +101,17 @@
 
     fn state_record(&mut self, record: &StateRecord) {
         self.bytes.push(record.state as u8);
-        self.number(record.place.into());
+        self.varint(record.place.into());
         self.version(record.version);
         if record.state == State::Suspect {
             self.bytes.push(record.accusers.len() as u8);
-            record.accusers.iter().for_each(|accuser| self.number((*accuser).into()));
+            record.accusers.iter().for_each(|accuser| self.varint((*accuser).into()));
         }
     }
 
     fn fact_record(&mut self, record: &FactRecord) {
         self.bytes.push(FACT_TAG);
-        self.number(record.place.into());
+        self.varint(record.place.into());
         self.fact_key(record.key);
         self.stamp(record.stamp);
         self.bytes.push(record.bytes.len() as u8);
@@ -131,27 +131,27 @@
 
     fn fact_key(&mut self, key: FactKey) {
         self.bytes.push(key.kind);
-        self.number(key.slot.into());
+        self.varint(key.slot.into());
     }
 
     fn stamp(&mut self, stamp: Stamp) {
         self.epoch(stamp.epoch);
-        self.number(stamp.number);
+        self.varint(stamp.number);
     }
 
     fn version(&mut self, version: MemberVersion) {
         self.epoch(version.epoch);
-        self.number(version.incarnation.into());
+        self.varint(version.incarnation.into());
     }
 
-    /// An epoch as its difference from the sender's, in zigzag form.
+    /// Appends an epoch as its zigzag-encoded difference from the sender's epoch.
     fn epoch(&mut self, epoch: u64) {
         let difference = epoch.wrapping_sub(self.base_epoch) as i64;
-        self.number((difference << 1 ^ difference >> 63) as u64);
+        self.varint((difference << 1 ^ difference >> 63) as u64);
     }
 
-    /// A varint.
-    fn number(&mut self, mut number: u64) {
+    /// Appends a varint.
+    fn varint(&mut self, mut number: u64) {
         while number >= 0x80 {
             self.bytes.push(number as u8 | 0x80);
             number >>= 7;
