--- a/crates/membership/examples/membership_model.rs
+++ b/crates/membership/examples/membership_model.rs
@@ -1,6 +1,8 @@
-//! Runs the scenarios of the simulation. `membership_model [SEEDS] [LARGE_SEEDS] [FIRST_SEED] [skip]`: seeds of each scenario,
-//! seeds with 3,000 members, the first seed, and the deliberate fault. The last line is JSON; the exit code is 1 where
-//! something did not hold.
+//! Runs the scenarios of the simulation, and prints their measurements and failed checks.
+//!
+//! Usage: `membership_model [SEEDS] [LARGE_SEEDS] [FIRST_SEED] [skip]`, with the number of seeds of each scenario, the number
+//! of seeds with 3,000 members, and the first seed. `skip` runs the scenarios with the deliberate fault `skip_suspicion`. The
+//! last line of the output is JSON. The exit code is 1 if a check failed.
 
 use mothproxy_membership::simulation::{Extent, proof, run};
 use std::process::ExitCode;
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -1,17 +1,17 @@
-//! Merging facts is a join: the order, repetition and grouping of merges do not matter.
+//! Merging facts gives the same result in any order, with any repetition and in any grouping.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Facts whose bytes follow from their stamp: a place numbers each fact once.
-fn published(seed: &[(u8, u8, u8, u16)]) -> Vec<FactRecord> {
-    let one = |(n, (place, epoch, slot, wide)): (usize, &(u8, u8, u8, u16))| {
+/// Facts with a distinct number each, so that two facts with the same stamp never differ.
+fn records_of(seed: &[(u8, u8, u8, u16)]) -> Vec<FactRecord> {
+    let to_record = |(n, (place, epoch, slot, wide)): (usize, &(u8, u8, u8, u16))| {
         let slot = if wide % 4 == 0 { 0 } else { u32::from(*slot % 8) };
         let stamp = Stamp { epoch: u64::from(epoch % 3), number: n as u64 };
         let key = FactKey { kind: slot as u8 % 2, slot };
         FactRecord { place: u16::from(place % 3), key, stamp, bytes: vec![*place, *wide as u8] }
     };
-    seed.iter().enumerate().map(one).collect()
+    seed.iter().enumerate().map(to_record).collect()
 }
 
 fn merged(facts: &[&FactRecord]) -> Facts {
@@ -23,19 +23,19 @@
 }
 
 proptest! {
-    /// Any order, any repetition and any grouping give the same state, with the hash of what is held.
+    /// All orders, repetitions and groupings give the same state, and the incremental hash is that of the facts held.
     #[test]
     fn merge_gives_one_state_in_any_order_repetition_and_grouping(
         seed in prop::collection::vec(any::<(u8, u8, u8, u16)>(), 1..60),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..200),
     ) {
-        let facts = published(&seed);
+        let facts = records_of(&seed);
         let once = merged(&facts.iter().collect::<Vec<_>>());
         let mut other: Vec<_> = order.iter().map(|i| i.get(&facts)).collect();
         other.extend(facts.iter().rev());
         let other = merged(&other);
         prop_assert_eq!(&once, &other);
-        // Two that each received a part, and then from each other.
+        // Two replicas merge one part each, and one of them then merges the facts of the other.
         let (left, right) = facts.split_at(order.len() % facts.len());
         let (left, right) = (merged(&left.iter().collect::<Vec<_>>()), merged(&right.iter().collect::<Vec<_>>()));
         let mut both = right.clone();
@@ -51,9 +51,8 @@
     }
 }
 
-/// The cut to the greatest stamps does not depend on the order either.
 #[test]
-fn cuts_a_place_to_its_latest_facts_in_any_order() {
+fn keeps_the_latest_facts_of_a_place_in_any_order() {
     let facts: Vec<_> = (0..MAX_FACTS_PER_MEMBER as u64 + 300)
         .map(|n| FactRecord {
             place: 1,
@@ -62,10 +61,10 @@
             bytes: vec![n as u8],
         })
         .collect();
-    let forth = merged(&facts.iter().collect::<Vec<_>>());
-    let back = merged(&facts.iter().rev().collect::<Vec<_>>());
+    let forward = merged(&facts.iter().collect::<Vec<_>>());
+    let reversed = merged(&facts.iter().rev().collect::<Vec<_>>());
     let (evens, odds): (Vec<_>, Vec<_>) = facts.iter().partition(|fact| fact.stamp.number % 2 == 0);
-    assert_eq!(forth.count(), MAX_FACTS_PER_MEMBER);
-    assert_eq!(forth, back);
-    assert_eq!(forth, merged(&[odds, evens].concat()));
+    assert_eq!(forward.count(), MAX_FACTS_PER_MEMBER);
+    assert_eq!(forward, reversed);
+    assert_eq!(forward, merged(&[odds, evens].concat()));
 }
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member, driven by datagrams and time.
+//! Tests of the state machine of one member, driven by datagrams and time.
 
 use super::*;
 use crate::wire::{FactRecord, StateRecord, Writer};
@@ -26,7 +26,7 @@
     Record::State(StateRecord { place, state, version, accusers })
 }
 
-/// What is believed of a place.
+/// The state and version of a place in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Belief {
     state: State,
@@ -55,16 +55,16 @@
     believed(Left, epoch, incarnation)
 }
 
-/// What is known of place 3, the record about it that comes from place 1, and what is believed then.
+/// The entry of place 3 before a record about it arrives from place 1, the record, and the entry afterwards.
 #[derive(Clone, Copy, Debug)]
 struct RecordCase {
     known: Belief,
     record: Belief,
-    then: Belief,
+    after: Belief,
 }
 
-const fn case(known: Belief, record: Belief, then: Belief) -> RecordCase {
-    RecordCase { known, record, then }
+const fn case(known: Belief, record: Belief, after: Belief) -> RecordCase {
+    RecordCase { known, record, after }
 }
 
 fn check_records(cases: &[RecordCase]) {
@@ -84,10 +84,10 @@
     }
     let records = [record(3, case.record.state, case.record.version)];
     member.receive(1_000_100, 1, &gossip(1, version(50, 0), &records));
-    let is = member.view().members[3];
-    assert_eq!(Belief { state: is.state, version: is.version() }, case.then, "{case:?}");
-    let holds = member.view().holders().iter().filter(|h| **h).count();
-    assert_eq!(holds, member.present, "{case:?}");
+    let entry = member.view().members[3];
+    assert_eq!(Belief { state: entry.state, version: entry.version() }, case.after, "{case:?}");
+    let present = member.view().holders().iter().filter(|h| **h).count();
+    assert_eq!(present, member.present, "{case:?}");
 }
 
 #[test]
@@ -100,7 +100,7 @@
     ]);
 }
 
-/// A suspicion counts, a death alone does not: this member probes for itself.
+/// A member adopts a suspicion from others, but not a death: it probes the accused member itself.
 #[test]
 fn suspects_an_accused_member_but_does_not_declare_it_dead() {
     check_records(&[
@@ -112,7 +112,7 @@
     ]);
 }
 
-/// Only what the suspect itself has said since clears it.
+/// Only the suspect itself raises its incarnation, so only a record from it can refute.
 #[test]
 fn only_a_later_incarnation_refutes_a_suspicion_or_a_death() {
     check_records(&[
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_member_that_left_is_back_with_another_epoch_only() {
+fn a_member_that_left_returns_only_with_a_later_epoch() {
     check_records(&[
         case(left(50, 1), alive(50, 9), left(50, 1)),
         case(left(50, 1), dead(50, 9), left(50, 1)),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_later_epoch_replaces_what_was_known_and_an_earlier_one_is_refused() {
+fn a_later_epoch_replaces_the_entry_and_an_earlier_one_is_refused() {
     check_records(&[
         case(dead(50, 7), alive(51, 0), alive(51, 0)),
         case(alive(50, 7), suspect(51, 0), suspect(51, 0)),
@@ -145,45 +145,51 @@
     ]);
 }
 
-/// What is said of this member, at epoch 100 and incarnation 0, and its version then.
 #[test]
 fn refutes_wrong_records_about_itself() {
+    // Records about this member, which has epoch 100 and incarnation 0, and its version afterwards.
     let table = [
         (suspect(100, 0), version(100, 1)),
         (dead(100, 4), version(100, 5)),
         (alive(100, 0), version(100, 0)),
         (left(100, 0), version(101, 0)),
         (suspect(99, 5), version(100, 0)),
-        // Its clock went back: it raises its epoch above the one it is known by.
+        // The clock of its host went back: it raises its epoch above the known one.
         (alive(200, 0), version(201, 0)),
     ];
-    for (said, then) in table {
+    for (claimed, after) in table {
         let mut member = member();
         member.publish(1_000_000, 1, 7, b"x").unwrap();
-        member.receive(1_000_100, 1, &gossip(1, version(50, 0), &[record(0, said.state, said.version)]));
-        assert_eq!(member.own_version(), then, "{said:?}");
+        member.receive(
+            1_000_100,
+            1,
+            &gossip(1, version(50, 0), &[record(0, claimed.state, claimed.version)]),
+        );
+        assert_eq!(member.own_version(), after, "{claimed:?}");
         assert_eq!(member.view().state(0), Alive);
-        // What it published moves to the new epoch.
-        assert_eq!(member.facts().map(|f| f.epoch).collect::<Vec<_>>(), [then.epoch]);
+        // The published facts move to the new epoch.
+        assert_eq!(member.facts().map(|f| f.epoch).collect::<Vec<_>>(), [after.epoch]);
     }
 }
 
-/// A datagram of a sender's earlier epoch has no effect, and its sender is answered why.
+/// A datagram from an earlier epoch of its sender changes nothing, and the answer has the epoch that is known.
 #[test]
-fn refuses_a_datagram_of_an_earlier_epoch_and_answers_why() {
+fn refuses_a_datagram_of_an_earlier_epoch_and_answers_with_the_known_one() {
     let mut member = member();
     let mut writer = Writer::new(version(49, 9), &Body::Ping { seq: 3 });
     assert!(writer.add(&record(3, Suspect, version(50, 0))));
     member.receive(1_000_100, 1, &writer.finish(Route { from: 1, to: 0, peers: 5 }));
     assert_eq!((member.view().state(3), member.metrics().refused_stale), (Alive, 1));
-    let Some(Output::Send { to: 1, bytes }) = member.poll() else { panic!("nothing was said") };
-    let said = wire::read(&bytes, Route { from: 0, to: 1, peers: 5 }).unwrap();
-    assert_eq!(said.records.first(), Some(&record(1, Alive, version(50, 0))));
+    let Some(Output::Send { to: 1, bytes }) = member.poll() else {
+        panic!("no answer to a ping from an earlier epoch")
+    };
+    let answer = wire::read(&bytes, Route { from: 0, to: 1, peers: 5 }).unwrap();
+    assert_eq!(answer.records.first(), Some(&record(1, Alive, version(50, 0))));
 }
 
-/// Whatever comes, no more is sent than the budget allows; and facts are refused beyond their bounds.
+/// A flood of pings does not raise the sending rate beyond the budget, and facts beyond their limits are refused.
 #[test]
-fn keeps_to_the_send_budget_and_the_bounds_of_facts() {
+fn keeps_to_the_send_budget_and_the_limits_of_facts() {
     let mut member = member();
     let (mut now, mut sent) = (1_000_000, 0);
     let ping =
@@ -196,7 +202,7 @@
             sent += if let Output::Send { bytes, .. } = output { bytes.len() } else { 0 };
         }
     }
-    assert!(sent <= member.config.budget as usize * 5 / 2, "{sent} bytes in two seconds");
+    assert!(sent <= member.config.budget as usize * 5 / 2, "{sent} bytes sent in 2 s exceed the budget");
     assert!(member.metrics().over_budget > 0);
     assert_eq!(
         member.publish(now, 1, 0, &[0; MAX_FACT_BYTES + 1]),
@@ -209,7 +215,7 @@
     assert_eq!(member.publish(now, 1, 0, b"y"), Err(FactError::Left));
 }
 
-/// Facts of the dead stay for a while, and come anew with who comes back.
+/// The facts of a member that left are kept for `forget_after`, then refused until the member returns.
 #[test]
 fn forgets_facts_of_the_departed_after_their_retention() {
     let mut member = member();
@@ -224,20 +230,24 @@
         1,
         &gossip(1, version(50, 0), &[fact.clone(), record(3, Left, version(50, 1))]),
     );
-    let gone = 1_000_100 + member.config.forget_after;
-    for (now, held) in [(gone - 1, 1), (gone, 0)] {
+    let forgotten_at = 1_000_100 + member.config.forget_after;
+    for (now, held) in [(forgotten_at - 1, 1), (forgotten_at, 0)] {
         member.tick(now);
         assert_eq!(member.facts().count(), held);
     }
-    member.receive(gone + 10, 1, &gossip(1, version(50, 0), std::slice::from_ref(&fact)));
+    member.receive(forgotten_at + 10, 1, &gossip(1, version(50, 0), std::slice::from_ref(&fact)));
     assert_eq!(member.facts().count(), 0);
-    member.receive(gone + 20, 1, &gossip(1, version(50, 0), &[record(3, Alive, version(60, 0)), fact]));
+    member.receive(
+        forgotten_at + 20,
+        1,
+        &gossip(1, version(50, 0), &[record(3, Alive, version(60, 0)), fact]),
+    );
     assert_eq!(member.facts().count(), 1);
 }
 
-/// A process that did not run suspects nobody for what it did not receive.
+/// A process that did not run for a while declares no suspect dead, since it could not receive refutations.
 #[test]
-fn a_starved_member_gives_suspects_the_time_it_lost() {
+fn a_starved_member_extends_suspicions_by_the_lost_time() {
     let mut member = member();
     member.suspect(3, version(50, 0), &[1, 2, 4]);
     member.tick(member.next_wake());
--- a/crates/membership/src/partition/tests.rs
+++ b/crates/membership/src/partition/tests.rs
@@ -1,23 +1,22 @@
-//! Parts add up to the whole, a death moves few workers, and no worker is claimed beyond its limit.
+//! Tests that allotments add up to all slots, that a death moves few workers, and that no worker exceeds its limit.
 
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
-    /// The allotments of all places are the limit, whatever any of them believes of the others, and none falls with more slots.
+    /// The allotments of all places add up to all slots, and no allotment shrinks as the number of slots grows.
     #[test]
     fn allotments_add_up_to_all_slots(slots in 0..100_000_u32, more in 0..500_u32, peers in 1..400_u16, tag in any::<u64>()) {
         let mut ranks: Vec<u16> = (0..peers).map(|place| rank(tag, place, peers)).collect();
         prop_assert_eq!(ranks.iter().map(|r| allotment(slots, peers, *r)).sum::<u32>(), slots);
         prop_assert!(ranks.iter().all(|r| allotment(slots, peers, *r) <= allotment(slots + more, peers, *r)));
-        // Each sees other free slots, no more than there are: together they still claim no more.
-        let least = |n: u16| slots.saturating_sub(u32::from(n) * 7 % (slots + 1));
-        prop_assert!((0..peers).map(|n| allotment(least(n), peers, ranks[usize::from(n)])).sum::<u32>() <= slots);
+        // Places that see different numbers of free slots, none above the actual one, still stay within it together.
+        let seen = |n: u16| slots.saturating_sub(u32::from(n) * 7 % (slots + 1));
+        prop_assert!((0..peers).map(|n| allotment(seen(n), peers, ranks[usize::from(n)])).sum::<u32>() <= slots);
         ranks.sort_unstable();
         prop_assert!(ranks.iter().enumerate().all(|(n, r)| n == usize::from(*r)));
     }
 
-    /// Only a dead place's workers move.
     #[test]
     fn a_death_moves_only_its_own_workers(tags in prop::collection::vec(any::<u64>(), 1..200), peers in 2..40_usize, dead in any::<prop::sample::Index>()) {
         let all = vec![true; peers];
@@ -35,31 +34,32 @@
 /// Groups get workers in proportion to their members, and one death moves about as many workers as one place has.
 #[test]
 fn a_death_moves_few_workers_of_the_groups() {
-    let (mut moved, mut due) = (0, 0.0);
+    let (mut moved, mut expected) = (0, 0.0);
     for seed in 0..20_u64 {
         let tags: Vec<u64> = (0..600).map(|n| hash(&[seed, n])).collect();
         let mut holders = vec![true; 100];
         let before = assign_groups(&tags, &holders, 10);
         for group in 0..10 {
-            let has = before.iter().filter(|g| **g == Some(group)).count();
-            assert!(has <= 60, "seed {seed}: group {group} has {has}");
+            let workers = before.iter().filter(|g| **g == Some(group)).count();
+            assert!(workers <= 60, "seed {seed}: group {group} has {workers} workers, more than 60");
         }
         holders[(seed * 7 % 100) as usize] = false;
         let after = assign_groups(&tags, &holders, 10);
         moved += before.iter().zip(&after).filter(|(a, b)| a != b).count();
-        due += 600.0 / 100.0;
+        expected += 600.0 / 100.0;
     }
-    println!("moved {moved} where {due} are the dead ones' own");
-    assert!(moved as f64 <= 3.0 * due, "moved {moved}, due {due}");
+    println!("{moved} workers moved; the dead places had {expected}");
+    assert!(moved as f64 <= 3.0 * expected, "{moved} workers moved, more than 3 times {expected}");
     assert_eq!(assign_groups(&[1, 2], &[false, false], 2), [None, None]);
 }
 
-/// Nothing is over the limit; where places forget too early what they claimed, the same search finds it over.
+/// The random search finds no worker beyond its limit. It does find one if places drop their claims too early, which shows
+/// that the search can detect a violation.
 #[test]
 fn claimed_slots_stay_within_the_limit() {
     for seed in 0..3_000 {
         assert_eq!(worst_overcommit(seed, 1.0), 0, "seed {seed}");
     }
-    let over = (0..3_000).filter(|seed| worst_overcommit(*seed, 0.0) > 0).count();
-    assert!(over > 0, "the search finds nothing, so it says nothing");
+    let violations = (0..3_000).filter(|seed| worst_overcommit(*seed, 0.0) > 0).count();
+    assert!(violations > 0, "the search does not detect claims that are dropped too early");
 }
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of many members and the network between them.
 //!
-//! It runs the same state machines as the program does on sockets, in one process and with a virtual clock. A seed
+//! The simulation runs the state machines that the program runs on sockets, in one process and with a virtual clock. A seed
 //! determines the run. [`Network`] is the simulation, and [`scenarios`] has the experiments. [`proof`] runs all scenarios and
 //! checks their results; `examples/membership_model.rs` prints them.
 
@@ -38,10 +38,10 @@
     pub change: Change,
 }
 
-/// How the members of a network start.
+/// What the members of a network know about each other at the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// All members know each other already.
+    /// All members know each other.
     Warm,
     /// The members start at once and know no other member.
     Cold,
@@ -77,9 +77,9 @@
 
 /// The members and the network between them.
 pub struct Network {
-    /// The current time.
+    /// The current time of the virtual clock.
     pub now: Micros,
-    /// The faults of the network from now on.
+    /// The faults that apply to datagrams sent from now on.
     pub faults: Faults,
     /// All changes of all members' views, in order.
     pub changes: Vec<ObservedChange>,
@@ -248,7 +248,7 @@
             self.now = at;
             match event {
                 Event::DatagramArrives { to, from, bytes } => self.on_datagram(to, from, &bytes),
-                // Ignore a wake that an earlier one has replaced.
+                // Wakes that were replaced by an earlier one are ignored.
                 Event::Wake { place } if self.node(place).wake == at => {
                     self.node_mut(place).wake = u64::MAX;
                     self.on_wake(place);
@@ -309,14 +309,15 @@
         if self.faults.blocks(Direction { from, to }) || self.rng.f64() < self.faults.loss {
             return;
         }
-        let copies = if self.rng.f64() < self.faults.repeat { 2 } else { 1 };
+        let copies = if self.rng.f64() < self.faults.duplication { 2 } else { 1 };
         for _ in 0..copies {
             let at = self.now + self.rng.u64(self.faults.latency.clone());
             self.schedule(at, Event::DatagramArrives { to, from, bytes: bytes.to_vec() });
         }
     }
 
-    /// Whether all views agree with reality: each running process is alive at its current epoch, and no other is present.
+    /// Whether all views agree with the actual state: each running process is alive at its current epoch, and no other place
+    /// is present.
     pub fn has_agreement(&self) -> bool {
         self.members().all(|(_, observer)| {
             observer.view().iter().zip(&self.nodes).all(|((_, believed), node)| match &node.member {
@@ -329,14 +330,14 @@
         })
     }
 
-    /// Whether a place is in this state in the views of all other members.
-    pub fn others_hold(&self, place: u16, state: State) -> bool {
+    /// Whether all other members have this place in this state in their views.
+    pub fn others_believe(&self, place: u16, state: State) -> bool {
         let mut others = self.members().filter(|(other, _)| *other != place);
         others.all(|(_, member)| member.view().state(place) == state)
     }
 
-    /// The number of false deaths since a time: a live member declared another live member dead. `is_live` tells which
-    /// members ran all the time and were never partitioned.
+    /// The number of false deaths since a time: a live member declared another live member dead. `is_live` selects the members
+    /// that ran all the time and were never partitioned.
     pub fn false_deaths(&self, since: Micros, is_live: impl Fn(u16) -> bool) -> usize {
         let deaths = self.changes.iter().filter(|seen| seen.at >= since && seen.change.to == State::Dead);
         deaths.filter(|seen| is_live(seen.change.place) && is_live(seen.by)).count()
--- a/crates/membership/src/simulation/faults.rs
+++ b/crates/membership/src/simulation/faults.rs
@@ -6,13 +6,13 @@
 /// The faults of the network, and its latency.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// The fraction of datagrams that is lost.
+    /// The fraction of datagrams that is lost, from 0 to 1.
     pub loss: f64,
-    /// The fraction of datagrams that arrives twice.
-    pub repeat: f64,
+    /// The fraction of datagrams that arrives twice, from 0 to 1.
+    pub duplication: f64,
     /// The range of latencies, in microseconds.
     pub latency: RangeInclusive<Micros>,
-    /// The side of each place. Datagrams from one side to another are lost.
+    /// The side of the partition that each place is on. Datagrams from one side to another are lost.
     pub sides: Vec<u8>,
     /// Whether no datagram reaches a place, by place. The datagrams that it sends arrive.
     pub inbound_blocked: Vec<bool>,
@@ -34,7 +34,7 @@
     pub(super) fn none(members: u16) -> Faults {
         Faults {
             loss: 0.0,
-            repeat: 0.0,
+            duplication: 0.0,
             latency: 200..=2_000,
             sides: vec![0; members.into()],
             inbound_blocked: vec![false; members.into()],
--- a/crates/membership/src/simulation/scenarios.rs
+++ b/crates/membership/src/simulation/scenarios.rs
@@ -1,7 +1,7 @@
 //! The scenarios of the simulation, with their measurements and checks.
 //!
-//! Each scenario is a function that runs a [`Network`] for several seeds, measures it, and checks what must hold. The name of
-//! a measurement ends with the number of members.
+//! Each scenario is a function that runs a [`Network`] for several seeds, takes measurements and checks conditions. The name
+//! of a measurement ends with the number of members.
 
 mod failures;
 mod network_faults;
@@ -26,7 +26,7 @@
     pub large_seeds: u64,
     /// The first seed.
     pub first_seed: u64,
-    /// A deliberate fault: a failed probe is a death, without a suspicion.
+    /// A deliberate fault: a member whose probe fails is declared dead without a suspicion.
     pub skip_suspicion: bool,
 }
 
@@ -35,7 +35,7 @@
         Network::new(members, seed, start, move |config| config.skip_suspicion = self.skip_suspicion)
     }
 
-    /// A network of members that know each other, after two quiet seconds.
+    /// A network of members that know each other, after 2 s without faults.
     fn settled_network(self, members: u16, seed: u64) -> Network {
         let mut network = self.network(members, seed, Start::Warm);
         network.run_to(2 * SECOND);
@@ -90,8 +90,8 @@
         report.merge(startup::cold_start(extent, 300, 2));
         report.merge(failures::kill(extent, 3_000, extent.large_seeds));
     }
-    let broken = mothproxy_invariant::violations(env!("CARGO_PKG_NAME"));
-    report.check(broken == 0, format!("{broken} invariants were broken"));
+    let violated = mothproxy_invariant::violations(env!("CARGO_PKG_NAME"));
+    report.check(violated == 0, format!("invariants were violated {violated} times"));
     report
 }
 
@@ -101,7 +101,7 @@
     let faulty = network_faults::loss(Extent { skip_suspicion: true, ..extent }, 10, 2);
     let deaths = faulty.metrics.get("false_deaths_loss_10").copied().unwrap_or(0.0);
     report.record("skip_suspicion_false_deaths", deaths);
-    let is_caught = deaths > 0.0 && !faulty.violations.is_empty();
-    report.check(is_caught, "a missing suspicion is not caught");
+    let is_detected = deaths > 0.0 && !faulty.violations.is_empty();
+    report.check(is_detected, "the deliberate fault skip_suspicion was not detected");
     report
 }
--- a/crates/membership/src/simulation/scenarios/overcommit.rs
+++ b/crates/membership/src/simulation/scenarios/overcommit.rs
@@ -1,30 +1,31 @@
-//! Places that claim slots of one worker, each by the last report that it has.
+//! The scenario of many places that claim slots of one worker, each by a recent report of it.
 
 use super::{Extent, Report};
 use crate::Micros;
 use crate::partition::{ReportedCapacity, SlotClaims, StalenessBound, rank, worst_overcommit};
 use crate::simulation::SECOND;
 
-/// Places that claim slots of the worker.
+/// The number of places that claim slots of the worker.
 const PEERS: u16 = 30;
-/// Slots of the worker.
+/// The number of slots of the worker.
 const LIMIT: u32 = 64;
-/// How long a step of the run is.
+/// The duration of a step of the run.
 const STEP: Micros = SECOND / 10;
-/// Steps of a run; from half of them on only three in ten places live.
+/// The number of steps of a run. In the second half only 30% of the places are alive.
 const STEPS: u64 = 400;
-/// The last steps, over which the use by the survivors is measured.
+/// The number of steps at the end of a run over which the use of the worker by the surviving places is measured.
 const MEASURED_STEPS: u64 = 100;
 
 struct OvercommitRun {
-    /// The most that the worker had beyond its limit.
+    /// The maximum number of jobs that the worker had beyond its limit.
     beyond_limit: u32,
-    /// The fraction of the worker that the survivors used in the end.
+    /// The mean fraction of the slots that the surviving places used at the end.
     used_by_survivors: f64,
 }
 
-/// A worker whose slots 30 places claim, each by the last report it has, cut off and killed as may be: the most it ever had
-/// beyond its limit, and the fraction of it that the three in ten that survive come to use.
+/// 30 places claim the slots of one worker, each by a recent report, and 70% of them die. Checks that the worker never has
+/// more jobs than its limit, and measures the fraction of its slots that the surviving places use. A random search looks for
+/// further violations of the limit; with a window of 0 it must find some.
 pub(super) fn overcommit(extent: Extent, seeds: u64) -> Report {
     let searched = 3_000.max(seeds * 100);
     let worst_by_search =
@@ -37,8 +38,11 @@
     report.record("bound_beyond_limit", f64::from(beyond));
     report.record("bound_found_with_a_short_window", found_with_short_window as f64);
     report.record_mean("bound_used_by_three_in_ten", runs.iter().map(|run| run.used_by_survivors));
-    report.check(beyond == 0, format!("a worker had {beyond} more than its limit"));
-    report.check(found_with_short_window > 0, "the search for a broken bound finds none where there is one");
+    report.check(beyond == 0, format!("a worker had {beyond} jobs beyond its limit"));
+    report.check(
+        found_with_short_window > 0,
+        "the random search does not detect the deliberate fault of a window of 0",
+    );
     report
 }
 
@@ -53,7 +57,7 @@
     let mut claims = vec![SlotClaims::default(); PEERS.into()];
     let mut job_ends: Vec<Micros> = Vec::new();
     let mut reports: Vec<ReportedCapacity> = Vec::new();
-    let (mut most, mut used_by_survivors) = (0, 0.0);
+    let (mut max_jobs, mut used_by_survivors) = (0, 0.0);
     for step in 1..=STEPS {
         let now = step * STEP;
         job_ends.retain(|at| *at > now);
@@ -62,19 +66,19 @@
             reports.push(ReportedCapacity { free: LIMIT - used, measured_at: now });
         }
         for place in (0..PEERS).filter(|place| step < STEPS / 2 || place % 10 < 3) {
-            // A report comes within 0.4 s, and the one before it may be the last that came.
-            let has_come = |report: &&ReportedCapacity| report.measured_at + SECOND * 2 / 5 <= now;
-            let mut received = reports.iter().rev().filter(has_come);
+            // A report arrives after 0.4 s. A place has received the latest of these reports, or only the one before it.
+            let has_arrived = |report: &&ReportedCapacity| report.measured_at + SECOND * 2 / 5 <= now;
+            let mut received = reports.iter().rev().filter(has_arrived);
             let Some(reported) = received.nth(rng.usize(0..2)).copied() else { continue };
             let claims = &mut claims[usize::from(place)];
             let slots = claims.available(now, reported, &bound, rank(seed, place, PEERS));
             claims.record_claimed(now, slots);
             job_ends.extend((0..slots).map(|_| now + rng.u64(SECOND..20 * SECOND)));
         }
-        most = most.max(job_ends.len() as u32);
+        max_jobs = max_jobs.max(job_ends.len() as u32);
         if step > STEPS - MEASURED_STEPS {
             used_by_survivors += job_ends.len() as f64 / f64::from(LIMIT) / MEASURED_STEPS as f64;
         }
     }
-    OvercommitRun { beyond_limit: most.saturating_sub(LIMIT), used_by_survivors }
+    OvercommitRun { beyond_limit: max_jobs.saturating_sub(LIMIT), used_by_survivors }
 }
--- a/crates/membership/src/simulation/scenarios/report.rs
+++ b/crates/membership/src/simulation/scenarios/report.rs
@@ -1,13 +1,13 @@
-//! The measurements of scenarios, and the violations that they found.
+//! The measurements of scenarios, and the checks that failed.
 
 use std::collections::BTreeMap;
 
-/// The measurements by name, and the violations.
+/// The measurements by name, and the checks that failed.
 #[derive(Debug, Default, Clone)]
 pub struct Report {
     /// The measurements, rounded to thousandths.
     pub metrics: BTreeMap<String, f64>,
-    /// Descriptions of what did not hold.
+    /// A description of each check that failed.
     pub violations: Vec<String>,
 }
 
--- a/crates/membership/src/simulation/scenarios/startup.rs
+++ b/crates/membership/src/simulation/scenarios/startup.rs
@@ -7,13 +7,13 @@
 struct ColdStartRun {
     has_agreed: bool,
     agreed_after: f64,
-    /// The maximum that one member sent in a second, in bytes.
+    /// The maximum number of bytes that one member sent in a second.
     peak_bytes: u64,
     false_deaths: usize,
 }
 
-/// All members start at once and know no other member. Measures the time until all views agree, and the maximum that one
-/// member sent in a second.
+/// All members start at once and know no other member. Measures the time until all views agree, and the maximum number
+/// of bytes that one member sent in a second.
 pub(super) fn cold_start(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| cold_start_run(extent, members, seed));
     let mut report = Report::default();
@@ -23,7 +23,7 @@
     report.record(format!("cold_peak_bytes_{members}"), peak as f64);
     report.check(
         runs.iter().all(|run| run.has_agreed && run.false_deaths == 0),
-        format!("{members} started at once: no agreement, or deaths"),
+        format!("{members} members started at once: no agreement within 60 s, or a false death"),
     );
     report
 }
@@ -65,7 +65,7 @@
 /// The number of garbage datagrams that one member receives.
 const GARBAGE: u64 = 20_000;
 
-/// A restart without a detected death, a flood of garbage, and a leave.
+/// One member restarts before its death is detected and then receives garbage datagrams, and another member leaves.
 pub(super) fn restart_leave_and_garbage(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| lifecycle_run(extent, members, seed));
     let mut report = Report::default();
@@ -73,19 +73,19 @@
     report.record_quantile(format!("restart_p99_s_{members}"), 0.99, known_after);
     report.check(
         runs.iter().all(|run| run.is_restart_known),
-        format!("a restart among {members} is not known to all"),
+        format!("one of {members} members restarted: the views do not agree after 30 s"),
     );
     report.check(
         runs.iter().all(|run| run.garbage_refused == GARBAGE),
-        format!("rubbish among {members} was taken"),
+        format!("one of {members} members accepted a garbage datagram"),
     );
     report.check(
         runs.iter().all(|run| run.changes_by_garbage == 0),
-        format!("rubbish among {members} changed a view"),
+        format!("garbage datagrams changed the view of one of {members} members"),
     );
     report.check(
         runs.iter().all(|run| run.is_leave_known && run.false_deaths == 0),
-        format!("a leave among {members} is not known, or deaths"),
+        format!("one of {members} members left: not known to all after 30 s, or a false death"),
     );
     report
 }
@@ -98,12 +98,12 @@
     let restarted_at = network.now;
     let is_restart_known = network.run_while(restarted_at + 30 * SECOND, |net| !net.has_agreement());
     let restart_known_after = seconds(network.now - restarted_at);
-    let calm_since = network.now;
+    let garbage_since = network.now;
     send_garbage(&mut network, restarting, members);
     let metrics = network.member(restarting).map(crate::Membership::metrics).unwrap_or_default();
     let garbage_refused =
         metrics.refused_long + metrics.refused_version + metrics.refused_foreign + metrics.refused_malformed;
-    let changes_by_garbage = network.changes.iter().filter(|seen| seen.at > calm_since).count();
+    let changes_by_garbage = network.changes.iter().filter(|seen| seen.at > garbage_since).count();
     network.with(leaving, crate::Membership::leave);
     network.run_for(30 * SECOND);
     let is_leave_known = network.members().all(|(_, member)| member.view().state(leaving) == State::Left);
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams read back as they were written, and whatever is not one is refused.
+//! Tests that datagrams are decoded as they were encoded, and that other bytes are refused.
 
 use super::*;
 use crate::config::EPOCH_BOUND;
@@ -70,9 +70,10 @@
 }
 
 proptest! {
-    /// What is written is read back; a datagram cut short, flipped in a bit or from another way round is refused.
+    /// An encoded datagram decodes to the same values. It is refused if it is cut short, if a bit is flipped, or if its sender
+    /// and receiver are swapped.
     #[test]
-    fn reads_back_what_was_written_and_refuses_what_was_altered(
+    fn decodes_encoded_datagrams_and_refuses_altered_ones(
         body in bodies(), records in prop::collection::vec(records(), 0..4), epoch in 0..EPOCH_BOUND, bit in any::<prop::sample::Index>(), cut in any::<prop::sample::Index>(),
     ) {
         let sender = MemberVersion { epoch, incarnation: 5 };
@@ -90,11 +91,11 @@
         prop_assert!(read(&flipped, ROUTE).is_err());
     }
 
-    /// Whatever comes is read or refused; with a true check too, so that the reader itself is met.
+    /// Random bytes are decoded or refused without a panic. Some have a valid checksum, so that they reach the decoder.
     #[test]
-    fn reads_or_refuses_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300), checked in any::<bool>()) {
+    fn decodes_or_refuses_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300), has_checksum in any::<bool>()) {
         let mut bytes = bytes;
-        if checked && bytes.len() > 6 {
+        if has_checksum && bytes.len() > 6 {
             bytes[0] = VERSION;
             bytes[5] %= 9;
             let checksum = ROUTE.checksum(&bytes[5..]);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn refuses_a_record_about_a_place_that_is_no_peer() {
+fn refuses_datagrams_from_or_about_unknown_places_and_of_wrong_length_or_version() {
     let version = MemberVersion { epoch: 9, incarnation: 0 };
     let mut writer = Writer::new(version, &Body::Gossip);
     let about =
