--- a/crates/fairshare/src/accounts.rs
+++ b/crates/fairshare/src/accounts.rs
@@ -31,7 +31,7 @@
 /// Where usage happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// At this member.
+    /// At this member, since its start.
     Own,
     /// At another member, or at this one before a restart.
     Reported,
@@ -78,7 +78,7 @@
     key: TenantKey,
     has_share: bool,
     classes: Vec<ClassAccount>,
-    /// The amount that this member may still serve at full value. It is not part of any report.
+    /// The amount that this member may still serve at full value. Not part of any report.
     credit: PaceCredit,
     /// The number of reported lines, and of own accounts in a bucket, that the sums include.
     lines: u32,
@@ -96,7 +96,7 @@
 pub(crate) struct DecayedTotal {
     /// The usage of all members, in the measure.
     pub measured: u64,
-    /// This member's part of it.
+    /// This member's part of `measured`.
     pub own: u64,
 }
 
@@ -127,17 +127,17 @@
         &self.decay
     }
 
-    /// Number of tenants.
+    /// The number of tenants with open accounts.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Invariants that did not hold.
+    /// The number of violated invariants.
     pub fn broken(&self) -> u64 {
         self.broken
     }
 
-    /// The tenant of a key, if it is open.
+    /// The tenant of a key, if its accounts are open.
     pub fn find(&self, key: TenantKey) -> Option<TenantIndex> {
         self.by_key.get(&key).copied()
     }
@@ -184,7 +184,7 @@
             self.tenants[tenant as usize] = TenantAccounts::default();
             self.free.push(tenant);
         }
-        self.check(is_held, "a tenant lost more lines than it had");
+        self.check(is_held, "more lines were released than the tenant had");
     }
 
     /// Adds usage of a bucket.
@@ -239,7 +239,7 @@
             }
             let recent = &mut self.class_account(entry.account).recent;
             let Some(at) = recent.iter().position(|usage| usage.member == member) else {
-                self.check(false, "recent usage that was never added");
+                self.check(false, "recent usage was subtracted that was never added");
                 continue;
             };
             recent[at].amount = recent[at].amount.saturating_sub(amount);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Advances the landmark of the decay, where no bucket before `oldest` counts any longer.
+    /// Advances the landmark of the decay. No sum may include usage of a bucket before `oldest`.
     pub fn advance(&mut self, oldest: Bucket) {
         let shift = self.decay.advance(oldest);
         if shift == 0 {
@@ -259,7 +259,7 @@
         for account in self.tenants.iter_mut().flat_map(|tenant| &mut tenant.classes) {
             lossy += u64::from(account.shift(shift));
         }
-        debug_assert!(lossy == 0, "a moved landmark lost a part of a sum");
+        debug_assert!(lossy == 0, "advancing the landmark lost bits of {lossy} accounts");
         self.broken += lossy;
     }
 
@@ -295,14 +295,14 @@
         }
     }
 
-    /// The amount that a tenant may still get at full value from this member.
+    /// The credit of a tenant: the amount that this member may still serve at full value.
     pub fn credit_mut(&mut self, tenant: TenantIndex) -> &mut PaceCredit {
         &mut self.tenants[tenant as usize].credit
     }
 
     /// Checks an invariant. If it is violated, a debug build panics and a release build counts it.
-    fn check(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    fn check(&mut self, holds: bool, message: &str) {
+        debug_assert!(holds, "{message}");
         self.broken += u64::from(!holds);
     }
 }
--- a/crates/fairshare/src/clock.rs
+++ b/crates/fairshare/src/clock.rs
@@ -1,4 +1,4 @@
-//! The ledger's time: buckets and sub-steps of Unix time. The caller advances it.
+//! The ledger's time, which the caller advances, in buckets and sub-steps of Unix time.
 
 use crate::{Config, Micros};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 pub(crate) struct Bucket(pub u64);
 
 impl Bucket {
-    /// The sub-step at which it begins.
+    /// The first sub-step of the bucket.
     pub fn start(self) -> Step {
         Step(self.0 * SUB_STEPS)
     }
@@ -37,7 +37,7 @@
 pub(crate) struct Step(pub u64);
 
 impl Step {
-    /// The bucket that it is in.
+    /// The bucket that contains the sub-step.
     pub fn bucket(self) -> Bucket {
         Bucket(self.0 / SUB_STEPS)
     }
@@ -99,7 +99,7 @@
         self.step.bucket()
     }
 
-    /// The oldest bucket that counts.
+    /// The oldest bucket within the horizon.
     pub fn oldest_bucket(&self) -> Bucket {
         self.bucket().plus(1).minus(self.horizon)
     }
--- a/crates/fairshare/src/config.rs
+++ b/crates/fairshare/src/config.rs
@@ -15,10 +15,10 @@
 /// The quantity that shares are measured in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Measure {
-    /// Value served.
+    /// The value of the jobs served.
     #[default]
     Value,
-    /// Work done.
+    /// The work done.
     Work,
 }
 
@@ -30,7 +30,8 @@
     pub place: u16,
     /// This member's epoch: milliseconds of Unix time at its start.
     pub epoch: u64,
-    /// The Unix time of the caller's zero, in microseconds. Buckets are aligned to Unix time, the same at every member.
+    /// The Unix time at time 0 of the caller's clock, in microseconds. Buckets are aligned to Unix time, the same at every
+    /// member.
     pub unix_at_zero: Micros,
 
     /// The number of peers, including this one.
@@ -51,7 +52,7 @@
     pub over_quota_value: f64,
     /// The maximum discount on a job whose tenant may be within its share, as a fraction of its class's value.
     pub uncertainty_discount: f64,
-    /// The fraction of its share that a tenant gets at least while it pays back.
+    /// The minimum fraction of its share that a tenant gets while it pays back.
     pub floor: f64,
     /// The time after which the high estimate for a silent member is twice its likely usage, in microseconds.
     pub widening_time: Micros,
@@ -66,7 +67,7 @@
     pub max_pages: u8,
     /// The maximum number of tenants with usage or a share.
     pub max_tenants: usize,
-    /// A deliberate fault for tests of the tests: a later report is added to the earlier one.
+    /// A deliberate fault, to verify that tests detect it: a later report is added to the earlier one instead of replacing it.
     #[doc(hidden)]
     pub count_twice: bool,
 }
@@ -133,24 +134,24 @@
     #[error(transparent)]
     Shares(#[from] SharesError),
     /// `place` is not below `peers`.
-    #[error("the own place is not among the peers")]
+    #[error("`place` is not below `peers`")]
     Place,
-    /// A span of time is 0.
-    #[error("a span of time is 0")]
+    /// `bucket_width`, `publish_interval` or `widening_time` is 0.
+    #[error("`bucket_width`, `publish_interval` or `widening_time` is 0")]
     ZeroSpan,
     /// The half-life is not a power of two from 1 to 32.
-    #[error("a half-life is not 1, 2, 4, 8, 16 or 32 buckets")]
+    #[error("`half_life` is not 1, 2, 4, 8, 16 or 32 buckets")]
     HalfLife,
     /// The horizon is 0, above 64, or more than 30 half-lives; or `max_buckets_ahead` or `max_extrapolation` is above 64.
-    #[error("the horizon is out of range")]
+    #[error("`horizon`, `max_buckets_ahead` or `max_extrapolation` is out of range")]
     Horizon,
-    /// A fraction is not from 0 to 1.
-    #[error("a part is not from 0 to 1")]
+    /// `over_quota_value`, `uncertainty_discount` or `floor` is not from 0 to 1.
+    #[error("`over_quota_value`, `uncertainty_discount` or `floor` is not from 0 to 1")]
     Fraction,
     /// `max_pages` is 0 or above [`MAX_PAGES`], or `facts_per_round` is 0.
-    #[error("no or too many pages")]
+    #[error("`max_pages` is not from 1 to {MAX_PAGES}, or `facts_per_round` is 0")]
     Pages,
     /// `rate` is above 2^36, or the federation's capacity over a horizon is out of range.
-    #[error("the rate is out of range")]
+    #[error("`rate` is out of range")]
     Rate,
 }
--- a/crates/fairshare/src/decay.rs
+++ b/crates/fairshare/src/decay.rs
@@ -11,7 +11,7 @@
 const FRACTION_BITS: u32 = 30;
 /// The number of fractional bits of a span of decayed time.
 pub(crate) const SPAN_BITS: u32 = 16;
-/// The landmark is moved once sums can be halved this often without a loss of bits.
+/// The landmark is advanced once sums can be halved this many times without a loss of bits.
 const MIN_HALVINGS: u64 = 16;
 
 /// Weights that double every `half_life` buckets, from a landmark.
@@ -43,7 +43,8 @@
 }
 
 impl Decay {
-    /// Creates the weights. `half_life`, in buckets, must be a power of two; `horizon` is the number of buckets that count.
+    /// Creates the weights. `half_life`, in buckets, must be a power of two; `horizon` is the number of buckets for which
+    /// usage counts.
     pub fn new(half_life: u32, horizon: u32, landmark: Bucket) -> Decay {
         let half_life = u64::from(half_life);
         let mut decay =
@@ -57,7 +58,7 @@
         decay
     }
 
-    /// The fraction left at an age in sub-steps, with [`SPAN_BITS`] fractional bits.
+    /// The fraction of an amount that is left at an age in sub-steps, with [`SPAN_BITS`] fractional bits.
     fn fraction_left(&self, age: u64) -> u64 {
         let period = self.powers.len() as u64;
         let weight = u128::from(self.powers[(age % period) as usize]) << (age / period).min(64);
@@ -91,7 +92,7 @@
         (1..=buckets).map(|age| self.fraction_left(age * SUB_STEPS)).sum()
     }
 
-    /// Advances the landmark, where no bucket before `oldest` counts any longer. Returns the number of bits by which every
+    /// Advances the landmark. No sum may include usage of a bucket before `oldest`. Returns the number of bits by which every
     /// sum must then be shifted right. The shift loses nothing, since all remaining weights are multiples of that power of
     /// two.
     pub fn advance(&mut self, oldest: Bucket) -> u32 {
--- a/crates/fairshare/src/ledger.rs
+++ b/crates/fairshare/src/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger of one member: it records usage, exchanges facts, and values the jobs of tenants.
 //!
-//! It owns the state and advances it in time. [`crate::receiver`] applies received facts, [`crate::usage_estimate`] estimates
-//! usage as an interval, [`crate::share_pool`] lends unused shares, and [`crate::valuation`] derives the value of a job from
-//! a tenant's position.
+//! The ledger owns the state and advances it in time. [`crate::receiver`] applies received facts, [`crate::usage_estimate`]
+//! estimates usage as an interval, [`crate::share_pool`] lends unused shares, and [`crate::valuation`] derives the value of a
+//! job from a tenant's position.
 
 use crate::accounts::{AccountId, Accounts, Entry, Source, TenantIndex};
 use crate::clock::{Bucket, Clock, SUB_STEPS};
@@ -22,7 +22,7 @@
 /// The maximum capacity over the decayed horizon, in units of the measure.
 const MAX_CAPACITY: u128 = 1 << 56;
 
-/// The ledger of one member.
+/// The usage of all tenants, as one member knows it.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     config: Config,
@@ -76,7 +76,7 @@
         self.pool.set_shares(shares, &mut self.accounts)
     }
 
-    /// Advances to `now`: drops usage beyond the horizon, and carries usage without room on its pages into the present bucket.
+    /// Advances to `now`: drops usage beyond the horizon, and carries usage without room on its pages into the current bucket.
     fn advance(&mut self, now: Micros) {
         if !self.clock.advance(now) {
             return;
@@ -101,7 +101,7 @@
         self.active_places = self.members.active_places();
     }
 
-    /// Adds own usage to the accounts. `is_new_line` tells whether it is the account's first in this bucket.
+    /// Adds own usage to the accounts. `is_new_line` tells whether it is the first usage of its account in this bucket.
     fn add_own(&mut self, bucket: Bucket, entry: Entry, is_new_line: bool) {
         if is_new_line {
             self.accounts.retain(entry.account.tenant);
@@ -109,7 +109,7 @@
         self.accounts.add(entry, bucket, Source::Own);
     }
 
-    /// The bucket of own usage at `at`, or the reason for which that usage is refused.
+    /// The bucket of own usage at time `at`, or the reason for which that usage is refused.
     fn own_bucket(&mut self, at: Micros) -> Result<Bucket, RecordError> {
         let bucket = self.clock.step_at(at).bucket();
         let refusal = if bucket < self.clock.oldest_bucket() {
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// Subtracts `less` from the usage recorded at time `at`, at most down to 0. Returns the amount subtracted.
+    /// Subtracts `excess` from the usage recorded at time `at`, at most down to 0. Returns the amount subtracted.
     ///
     /// # Errors
     ///
@@ -167,13 +167,13 @@
         at: Micros,
         tenant: TenantKey,
         class: u8,
-        less: Usage,
+        excess: Usage,
     ) -> Result<Usage, RecordError> {
         self.advance(now);
         let bucket = self.own_bucket(at)?;
         let Some(index) = self.accounts.find(tenant) else { return Ok(Usage::default()) };
         let account = AccountId { tenant: index, class: self.account_class(tenant, class) };
-        let taken = self.own.take(bucket, account, tenant, less);
+        let taken = self.own.take(bucket, account, tenant, excess);
         self.accounts.subtract(Entry { account, usage: taken }, bucket, Source::Own);
         Ok(taken)
     }
@@ -193,8 +193,8 @@
         self.own.next_round()
     }
 
-    /// Absorbs a fact of another member. Facts may arrive in any order; one that is not later than what is known changes
-    /// nothing.
+    /// Absorbs a fact of another member. Facts may arrive in any order; one that is not later than the known fact of
+    /// its slot changes nothing.
     ///
     /// # Errors
     ///
@@ -218,7 +218,7 @@
     /// Handles a member that left, or whose process is known to have ended: its usage is not extrapolated beyond this time.
     pub fn on_member_left(&mut self, now: Micros, origin: Origin) {
         self.advance(now);
-        self.members.left(origin, self.clock.step());
+        self.members.record_left(origin, self.clock.step());
     }
 
     /// The position of a tenant. Without a share, its `share` and `allowance` are 0.
@@ -235,7 +235,7 @@
         }
     }
 
-    /// The known usage of a tenant, in the account.
+    /// The usage of a tenant that was recorded here or reported by others, in the account.
     pub fn known_usage(&mut self, tenant: TenantKey, now: Micros) -> Usage {
         self.advance(now);
         let index = self.accounts.find(tenant);
@@ -293,7 +293,7 @@
         UsageEstimator { clock: &self.clock, accounts: &self.accounts, members: &mut self.members }
     }
 
-    /// Lends unused shares anew, once per bucket.
+    /// Lends unused shares, once per bucket.
     fn lend(&mut self) {
         let Ledger { clock, accounts, members, .. } = self;
         self.pool.lend(&mut UsageEstimator { clock, accounts, members });
@@ -308,7 +308,7 @@
         Some((index, Standing { position: Position { used, share, allowance }, own, class_share }))
     }
 
-    /// The effective length of the account in microseconds: a steady flow has a balance of its rate times this.
+    /// The effective length of the account in microseconds: the balance of a steady flow is its rate times this.
     pub fn memory(&self) -> Micros {
         let memory = u128::from(self.accounts.decay().memory());
         ((memory * u128::from(self.config.bucket_width)) >> SPAN_BITS) as u64
--- a/crates/fairshare/src/lib.rs
+++ b/crates/fairshare/src/lib.rs
@@ -1,13 +1,13 @@
-//! Fair shares of federated tenants, computed from late reports. The result is exact, whatever the order of the reports.
+//! Fair shares of federated tenants, computed from late reports. The result is exact and independent of the order of the reports.
 //!
 //! A [`Ledger`] holds the usage of each tenant, as this member recorded it and as the other members of the fleet reported
 //! it, by the time at which it happened. From that it derives a tenant's [`Position`], with its usage as an interval
 //! ([`Ledger::position`]), and the value of one more of its jobs ([`Ledger::job_value`]). The ledger makes no decisions about
-//! jobs, reads no clock and has no sockets: the caller publishes its facts ([`Ledger::publish`]) and passes on those of
+//! jobs, reads no clock and has no sockets. The caller publishes its facts ([`Ledger::publish`]) and passes on those of
 //! others ([`Ledger::absorb`], see docs/design/parts.md). docs/design/fairshare.md states the error bounds.
 //!
 //! Units: time is in microseconds. Value and work are in whole units of the caller's choice, the same at every member, for
-//! example thousandths of a point, and milliseconds. An amount *in the account* is decayed: a steady flow has a balance of
+//! example thousandths of a point, and milliseconds. An amount *in the account* is decayed: the balance of a steady flow is
 //! its rate times [`Ledger::memory`].
 //!
 //! ```
@@ -60,9 +60,9 @@
 /// The usage of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Usage {
-    /// Value served, in the caller's units.
+    /// The value of the jobs served, in the caller's units.
     pub value: u64,
-    /// Work done, in the caller's units.
+    /// The work done, in the caller's units.
     pub work: u64,
 }
 
--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -12,9 +12,9 @@
 use member::{Member, is_recent};
 use std::collections::BTreeMap;
 
-/// A member's recent rate is taken over this many whole buckets.
+/// The number of whole buckets over which a member's recent rate is computed.
 pub(crate) const RATE_WINDOW: u64 = 4;
-/// The maximum number of epochs of a place that are kept: the latest ones.
+/// The maximum number of epochs that are kept of a place. These are the latest ones.
 const MAX_EPOCHS: usize = 8;
 /// The high estimate for a silent member exceeds its likely usage by at most this many times that usage.
 const MAX_WIDENING: u64 = 3;
@@ -64,7 +64,7 @@
         self.slots[index as usize].as_mut()
     }
 
-    /// Number of members.
+    /// The number of known members.
     pub fn count(&self) -> u64 {
         self.slots.iter().flatten().count() as u64
     }
@@ -111,7 +111,7 @@
         }
         for index in self.by_origin.range(first..origin).map(|(_, index)| *index as usize) {
             if let Some(before) = &mut self.slots[index] {
-                before.unreported = None; // that process ended when this one began
+                before.unreported = None; // the earlier process ended when this one began
             }
         }
         let free = self.slots.iter().position(Option::is_none).unwrap_or(self.slots.len());
@@ -123,8 +123,8 @@
         Ok(free as MemberIndex)
     }
 
-    /// Applies a head. Returns false, and changes nothing, if it is not later than the known one.
-    pub fn take_head(
+    /// Applies a head. Returns false, and changes nothing, if the head is not later than the known one.
+    pub fn apply_head(
         &mut self,
         index: MemberIndex,
         number: u64,
@@ -139,7 +139,7 @@
         member.head_number = Some(number);
         member.head_bucket = head.at.bucket();
         member.head_revisions = head.revisions;
-        self.reported_until(index, head.at);
+        self.record_reported_until(index, head.at);
         self.update_rate(index, clock, accounts);
         true
     }
@@ -177,14 +177,14 @@
     }
 
     /// Records that a member has reported everything up to this sub-step.
-    pub fn reported_until(&mut self, index: MemberIndex, until: Step) {
+    pub fn record_reported_until(&mut self, index: MemberIndex, until: Step) {
         if let Some(member) = self.get_mut(index) {
             member.reported_until = member.reported_until.max(until);
             member.unreported = None;
         }
     }
 
-    /// Updates the recent rate of a member: it is that of the latest whole buckets without missing revisions.
+    /// Updates the recent rate of a member, which is that of the latest whole buckets without missing revisions.
     pub fn update_rate(&mut self, index: MemberIndex, clock: &Clock, accounts: &mut Accounts) {
         let Some(member) = self.get_mut(index) else { return };
         let after = member.complete_until(clock.oldest_bucket());
@@ -243,7 +243,7 @@
     }
 
     /// Records that a member left at this sub-step: its usage is not extrapolated beyond it.
-    pub fn left(&mut self, origin: Origin, step: Step) {
+    pub fn record_left(&mut self, origin: Origin, step: Step) {
         let Some(index) = self.by_origin.get(&origin).copied() else { return };
         if let Some(member) = self.get_mut(index) {
             member.left_at = Some(member.left_at.map_or(step, |earlier| earlier.min(step)));
--- a/crates/fairshare/src/members/member.rs
+++ b/crates/fairshare/src/members/member.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub origin: Origin,
-    /// The sub-step up to which it reported.
+    /// The sub-step up to which the member has reported.
     pub reported_until: Step,
-    /// The recent rate of the member is that of the buckets before this one.
+    /// The bucket after those from which the recent rate of the member is computed.
     pub rated_before: Bucket,
     /// The number of the fact that held the latest head.
     pub head_number: Option<u64>,
--- a/crates/fairshare/src/metrics.rs
+++ b/crates/fairshare/src/metrics.rs
@@ -8,21 +8,21 @@
 pub struct Metrics {
     /// Facts absorbed, including stale ones.
     pub absorbed: u64,
-    /// Absorbed facts that were not later than what was known.
+    /// Absorbed facts that were not later than the known one of their slot.
     pub stale: u64,
     /// Refused: older than the horizon.
     pub late: u64,
-    /// Refused: from the future.
+    /// Refused: further in the future than clocks may differ.
     pub future: u64,
-    /// Refused: too long, of another version, or unreadable.
+    /// Refused: too long, of an unknown version, or malformed.
     pub malformed: u64,
-    /// Refused: of a place that is not listed, or of an epoch too far back.
+    /// Refused: from a place that is not among the peers, or from an epoch older than those kept of its place.
     pub foreign: u64,
     /// Refused: no room for more tenants.
     pub full: u64,
-    /// Own usage that was refused as too old or from the future.
+    /// Records of own usage that were refused as too old or from the future.
     pub own_refused: u64,
-    /// Jobs valued whose tenant has no share.
+    /// Valued jobs whose tenant has no share.
     pub unknown: u64,
     /// Amounts that were moved to a later bucket because the pages were full.
     pub carried: u64,
@@ -30,11 +30,11 @@
     pub published: u64,
     /// Bytes of the published facts.
     pub published_bytes: u64,
-    /// Members (place and epoch) that are known.
+    /// Known members, each identified by place and epoch.
     pub members: u64,
     /// Known members that have been silent for more than two rounds and a bucket.
     pub silent: u64,
-    /// Buckets of which a published page has not arrived.
+    /// Buckets of which a published revision of a page has not arrived.
     pub gaps: u64,
     /// Tenants with open accounts, with or without a share.
     pub tenants: u64,
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -1,7 +1,7 @@
 //! This member's own usage, on the pages that it publishes.
 //!
 //! A page is a register: a later revision replaces an earlier one. An account that outgrows its page continues with a line on
-//! another page. The lines of a bucket add up, so a page never has to lose a line.
+//! another page. The lines of a bucket add up, so no line has to move to another page.
 
 mod bucket;
 
@@ -32,12 +32,12 @@
     max_pages: u8,
 }
 
-/// The own usage within the horizon and the queue of pages to publish.
+/// This member's usage within the horizon, and the queue of pages to publish.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnUsage {
     policy: PublishPolicy,
     buckets: BTreeMap<Bucket, OwnBucket>,
-    /// The buckets with amounts that have no line.
+    /// The buckets with amounts that have no line, for lack of room.
     overflowing: BTreeSet<Bucket>,
     /// The pages that have changed since they were last published.
     queue: VecDeque<PageId>,
@@ -159,7 +159,7 @@
         self.publish_head(step)
     }
 
-    /// The slot and bytes of the head, unless it holds nothing new.
+    /// The slot and bytes of the head, unless it contains nothing new.
     fn publish_head(&mut self, step: Step) -> Option<(u32, Vec<u8>)> {
         let Bucket(bucket) = step.bucket();
         let mut revisions: Vec<u32> = (0..self.policy.horizon.min(MAX_HEAD_BUCKETS as u64))
--- a/crates/fairshare/src/own_usage/bucket.rs
+++ b/crates/fairshare/src/own_usage/bucket.rs
@@ -16,7 +16,7 @@
 /// An account's usage in a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnAccount {
-    /// The line to which further usage is added as long as it fits.
+    /// The line to which further usage is added, as long as the result fits into the line and its page.
     newest_line: Option<LineRef>,
     /// The part of `total` that has no line.
     overflow: Usage,
@@ -102,7 +102,9 @@
 
 /// Where an amount was added.
 pub(crate) enum Placement {
+    /// To a line on the page with this number.
     OnPage(u8),
+    /// To the overflow of the account, since no page has room.
     Overflow,
 }
 
@@ -217,8 +219,8 @@
     Some(pages.len() as u8 - 1)
 }
 
-/// Subtracts as much of `wanted` from `usage` as possible, and the same amount from `wanted`. Returns whether that was
-/// anything.
+/// Subtracts as much of `wanted` from `usage` as possible, and the same amount from `wanted`. Returns whether the amount was
+/// more than 0.
 fn take_up_to(usage: &mut Usage, wanted: &mut Usage) -> bool {
     let taken = Usage { value: usage.value.min(wanted.value), work: usage.work.min(wanted.work) };
     *usage = *usage - taken;
--- a/crates/fairshare/src/receiver.rs
+++ b/crates/fairshare/src/receiver.rs
@@ -1,4 +1,4 @@
-//! Reception of facts: a report of another member is checked, and entered into its registers and the accounts.
+//! Reception of facts: checks a report of another member, and applies it to the state of that member and to the accounts.
 
 use crate::accounts::{AccountId, Accounts, Entry, Source};
 use crate::clock::{Bucket, Clock, SUB_STEPS};
@@ -21,9 +21,9 @@
 /// The result of absorbing a valid fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Absorbed {
-    /// The fact was later than what was known.
+    /// The fact was later than the known one of its slot.
     New,
-    /// The fact was not later than what was known, and changed nothing.
+    /// The fact was not later than the known one of its slot, and changed nothing.
     Stale,
 }
 
@@ -42,7 +42,7 @@
         if fact.origin.place >= self.config.peers {
             Err(AbsorbError::Place)
         } else if fact.origin == own {
-            Ok(Absorbed::New) // the own accounts have it already
+            Ok(Absorbed::New) // the own accounts include it already
         } else if fact.slot == wire::HEAD_SLOT {
             self.absorb_head(fact)
         } else {
@@ -54,7 +54,7 @@
         let head = wire::decode_head(fact.bytes)?;
         self.check_time(head.at.bucket())?;
         let member = self.members.find_or_add(fact.origin, self.clock, self.accounts)?;
-        let is_new = self.members.take_head(member, fact.number, head, self.clock, self.accounts);
+        let is_new = self.members.apply_head(member, fact.number, head, self.clock, self.accounts);
         Ok(if is_new { Absorbed::New } else { Absorbed::Stale })
     }
 
@@ -73,7 +73,7 @@
             return Ok(Absorbed::Stale);
         }
         self.check_room(&page)?;
-        self.members.reported_until(member, until);
+        self.members.record_reported_until(member, until);
         let entries = self.add_entries(&page);
         let reported = ReportedPage { fact_number: fact.number, revision: page.revision, entries };
         let replaced = self.members.replace_page(member, id, reported, self.accounts);
--- a/crates/fairshare/src/share_pool.rs
+++ b/crates/fairshare/src/share_pool.rs
@@ -6,11 +6,11 @@
 use crate::valuation::Interval;
 use crate::{TenantKey, accounts::Accounts};
 
-/// The federation's capacity, divided into shares; unused shares are lent anew once a bucket.
+/// The federation's capacity, divided into shares. Unused shares are lent once per bucket.
 #[derive(Clone, Debug)]
 pub(crate) struct SharePool {
     tree: ShareTree,
-    /// The balance of the federation's rate in the account.
+    /// The balance of the account at the federation's full rate.
     capacity: u64,
     /// The bucket in which unused shares were last lent.
     lent_in: Option<Bucket>,
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Lends unused shares anew, unless that was already done in this bucket.
+    /// Lends unused shares, unless that was already done in this bucket.
     pub fn lend(&mut self, estimator: &mut UsageEstimator) {
         let bucket = estimator.clock.bucket();
         if self.lent_in == Some(bucket) {
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -44,7 +44,7 @@
 pub struct TenantKey(pub u32);
 
 impl TenantKey {
-    /// The key of a name.
+    /// The key of the tenant with this name.
     pub fn from_name(name: &str) -> TenantKey {
         /// The parameters of FNV-1a with 32 bits.
         const OFFSET_BASIS: u32 = 0x811c_9dc5;
@@ -57,17 +57,17 @@
 /// Why a tree of shares was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SharesError {
-    /// A name is listed twice.
+    /// A name is listed twice. Holds the name.
     #[error("tenant {0:?} is listed twice")]
-    Twice(String),
-    /// Two names have the same key.
-    #[error("tenants {0:?} and {1:?} have the same key: rename one")]
-    SameKey(String, String),
-    /// There are more than [`MAX_TENANTS`].
-    #[error("there are {0} tenants, {MAX_TENANTS} at most")]
-    TooMany(usize),
-    /// A tenant has more than [`MAX_CLASSES`].
-    #[error("tenant {0:?} has {1} classes, {MAX_CLASSES} at most")]
+    DuplicateTenant(String),
+    /// Two names have the same [`TenantKey`]. Holds the names.
+    #[error("tenants {0:?} and {1:?} have the same 32-bit key; rename one of them")]
+    KeyCollision(String, String),
+    /// There are more than [`MAX_TENANTS`] tenants. Holds their number.
+    #[error("there are {0} tenants, and the limit is {MAX_TENANTS}")]
+    TooManyTenants(usize),
+    /// A tenant has more than [`MAX_CLASSES`] classes. Holds its name and the number of its classes.
+    #[error("tenant {0:?} has {1} classes, and the limit is {MAX_CLASSES}")]
     TooManyClasses(String, usize),
 }
 
@@ -80,7 +80,7 @@
     pub classes: Vec<u32>,
     /// The tenant's part of the capacity by the weights alone.
     pub share: u64,
-    /// The share, plus what is lent to the tenant on top.
+    /// The share plus the capacity lent to the tenant.
     pub allowance: u64,
 }
 
@@ -136,13 +136,13 @@
     /// The sum of the weights of the participants that need their share or more.
     unsatisfied_weight: u64,
     /// The number of participants with a weight of 0 and a need.
-    weightless: u64,
+    zero_weight_participants: u64,
 }
 
 impl Demand {
     fn add(&mut self, participant: Participant) {
         if participant.weight == 0 {
-            self.weightless += u64::from(participant.need > 0);
+            self.zero_weight_participants += u64::from(participant.need > 0);
         } else if participant.is_unsatisfied() {
             self.unsatisfied_weight += participant.weight;
         } else {
@@ -156,7 +156,7 @@
         let Participant { weight, share, need } = participant;
         let left = whole.saturating_sub(self.satisfied_need);
         if weight == 0 {
-            return if self.unsatisfied_weight > 0 { 0 } else { left / self.weightless.max(1) };
+            return if self.unsatisfied_weight > 0 { 0 } else { left / self.zero_weight_participants.max(1) };
         }
         if participant.is_unsatisfied() {
             return proportion(left, weight, self.unsatisfied_weight);
@@ -170,7 +170,7 @@
     pub fn new(shares: &Shares, whole: u64) -> Result<ShareTree, SharesError> {
         let tenants = shares.installations.iter().map(|installation| installation.tenants.len()).sum();
         if tenants > MAX_TENANTS {
-            return Err(SharesError::TooMany(tenants));
+            return Err(SharesError::TooManyTenants(tenants));
         }
         let mut tree = ShareTree::default();
         let mut names: FxHashMap<TenantKey, &str> = FxHashMap::default();
@@ -190,7 +190,7 @@
         Ok(tree)
     }
 
-    /// Adds a tenant of the installation that is about to be pushed.
+    /// Adds a tenant of the installation that will be added to `installations` next.
     fn add_leaf(&mut self, key: TenantKey, tenant: &Tenant, share: u64) {
         self.by_key.insert(key, self.leaves.len() as u32);
         self.leaves.push(Leaf {
@@ -218,7 +218,7 @@
         let mut level = Demand::default();
         for (installation, demand) in self.installations.iter().zip(&within) {
             let mut participant = installation.participant(demand);
-            participant.need = participant.need.max(u64::from(demand.weightless > 0));
+            participant.need = participant.need.max(u64::from(demand.zero_weight_participants > 0));
             level.add(participant);
         }
         let wholes: Vec<u64> = (self.installations.iter().zip(&within))
@@ -241,7 +241,8 @@
 impl InstallationShare {
     /// An installation with an unsatisfied tenant is unsatisfied itself.
     fn participant(&self, demand: &Demand) -> Participant {
-        let is_unsatisfied = demand.unsatisfied_weight > 0 || (demand.weightless > 0 && self.weight > 0);
+        let is_unsatisfied =
+            demand.unsatisfied_weight > 0 || (demand.zero_weight_participants > 0 && self.weight > 0);
         let need = if is_unsatisfied { u64::MAX } else { demand.satisfied_need };
         Participant { weight: self.weight, share: self.share, need }
     }
@@ -254,8 +255,8 @@
 ) -> Result<TenantKey, SharesError> {
     let key = TenantKey::from_name(&tenant.name);
     match names.insert(key, &tenant.name) {
-        Some(other) if other == tenant.name => Err(SharesError::Twice(other.to_owned())),
-        Some(other) => Err(SharesError::SameKey(other.to_owned(), tenant.name.clone())),
+        Some(other) if other == tenant.name => Err(SharesError::DuplicateTenant(other.to_owned())),
+        Some(other) => Err(SharesError::KeyCollision(other.to_owned(), tenant.name.clone())),
         None if tenant.classes.len() > MAX_CLASSES => {
             Err(SharesError::TooManyClasses(tenant.name.clone(), tenant.classes.len()))
         }
--- a/crates/fairshare/src/shares/tests.rs
+++ b/crates/fairshare/src/shares/tests.rs
@@ -1,4 +1,4 @@
-//! Lending of unused shares.
+//! Tests of the lending of unused shares.
 
 use super::{Installation, ShareTree, Shares, Tenant};
 
@@ -12,19 +12,19 @@
     ShareTree::new(&Shares { installations: installations.collect() }, 1_200).unwrap()
 }
 
-/// Weights, needs, then what each may have.
+/// The weights of the installations and their tenants, the needs of the tenants, and the expected allowances.
 type Row = (&'static [(u32, &'static [u32])], &'static [u64], &'static [u64]);
 
 #[test]
 fn unused_shares_are_lent_down_the_tree() {
     let rows: &[Row] = &[
-        // All hungry: shares.
+        // All need more than their share: each gets its share.
         (&[(1, &[1, 1]), (2, &[1])], &[900, 900, 900], &[200, 200, 800]),
-        // One idle: first to its sibling, which does not need a tree to get it.
+        // One tenant is idle: its share goes to the other tenant of its installation.
         (&[(1, &[1, 1]), (2, &[1])], &[0, 900, 900], &[200, 400, 800]),
-        // A whole installation uses half: the rest goes to the other, by weight.
+        // An installation needs half of its share: the rest goes to the tenants of the other one, by weight.
         (&[(1, &[1, 3]), (2, &[1])], &[900, 900, 400], &[200, 600, 800]),
-        // Weight 0: nothing while another wants it, else all that is left.
+        // A tenant or installation of weight 0 gets nothing while another needs more than its share, and else the rest.
         (&[(1, &[0, 1])], &[500, 1_200], &[0, 1_200]),
         (&[(1, &[0, 1])], &[500, 300], &[900, 1_200]),
         (&[(1, &[0, 0])], &[5, 5], &[600, 600]),
@@ -33,7 +33,7 @@
     for (n, (weights, needs, allowances)) in rows.iter().enumerate() {
         let mut tree = tree(weights);
         tree.lend(1_200, needs);
-        let got: Vec<u64> = tree.leaves.iter().map(|leaf| leaf.allowance).collect();
-        assert_eq!(&got, allowances, "row {n}");
+        let actual: Vec<u64> = tree.leaves.iter().map(|leaf| leaf.allowance).collect();
+        assert_eq!(&actual, allowances, "row {n}");
     }
 }
--- a/crates/fairshare/src/usage_estimate.rs
+++ b/crates/fairshare/src/usage_estimate.rs
@@ -13,7 +13,7 @@
     pub own: u64,
 }
 
-/// Estimates usage at the current time of the clock. It borrows [`Members`] mutably, since that caches each member's
+/// Estimates usage at the current time of the clock. [`Members`] is borrowed mutably, since it caches each member's
 /// unreported time for the current sub-step.
 pub(crate) struct UsageEstimator<'a> {
     pub clock: &'a Clock,
--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -1,4 +1,4 @@
-//! The position of a tenant, and the value of one more of its jobs that follows from it. Only [`PaceCredit`] has state.
+//! The position of a tenant, and the value of one more of its jobs, which is derived from it. Only [`PaceCredit`] has state.
 
 use crate::{Config, Micros};
 
@@ -25,18 +25,18 @@
     pub used: Interval,
     /// The tenant's part of the capacity by its weight.
     pub share: u64,
-    /// The share, plus what is lent to the tenant on top, as of the beginning of the current bucket.
+    /// The share plus the capacity lent to the tenant, as of the beginning of the current bucket.
     pub allowance: u64,
 }
 
 /// The reason for the value of one more job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// The known usage is within the share. Usage that is only possible never moves a tenant to another tier.
+    /// The known usage is within the share. Estimated usage beyond the known usage never moves a tenant to another tier.
     Within,
     /// The tenant is beyond its share and pays back, and the job is within its reduced pace.
     Floor,
-    /// The tenant is beyond its share, but within what is lent to it.
+    /// The tenant is beyond its share, but within its allowance.
     Lent,
     /// The tenant is beyond its allowance.
     Over,
@@ -116,8 +116,8 @@
     pub fn within_share(&self, limits: &ValueLimits) -> JobValue {
         let Interval { low, likely, .. } = self.position.used;
         let share = self.position.share;
-        let doubt = if likely > share { (likely - share) as f64 / (likely - low) as f64 } else { 0.0 };
-        JobValue { fraction: 1.0 - limits.uncertainty_discount * (1.0 + doubt) / 2.0, tier: Tier::Within }
+        let excess = if likely > share { (likely - share) as f64 / (likely - low) as f64 } else { 0.0 };
+        JobValue { fraction: 1.0 - limits.uncertainty_discount * (1.0 + excess) / 2.0, tier: Tier::Within }
     }
 
     /// The value of a job beyond the share. It falls from below the values within the share to the value over quota, which it
--- a/crates/fairshare/tests/ledger/main.rs
+++ b/crates/fairshare/tests/ledger/main.rs
@@ -1,4 +1,5 @@
-//! The ledger: the same bits in whatever order of reports, positions beside a model that sees everything, and the hard cases.
+//! Tests of the ledger: equal results for any order of the reports, positions compared with an exact model, extrapolation of
+//! missing reports, refused facts, and usage that exceeds the pages of a bucket.
 
 mod extrapolation;
 mod merging;
--- a/crates/fairshare/tests/ledger/merging.rs
+++ b/crates/fairshare/tests/ledger/merging.rs
@@ -1,4 +1,4 @@
-//! The order of reports does not matter.
+//! The result does not depend on the order of the reports.
 
 use super::support::{Fact, Publisher, SECOND, WALL, config, decayed, key, ledger, shares};
 use mothproxy_fairshare::{Config, Position, Shares, Usage};
@@ -26,21 +26,21 @@
     prop::collection::vec(step, 1..80)
 }
 
-/// Members that publish after each step, what they have published, and what was really used.
+/// Members that publish after each step, all facts that they have published, and the actual usage.
 struct History {
     shares: Shares,
     now: u64,
     members: Vec<Publisher>,
     facts: Vec<Fact>,
-    /// By tenant: when, and how much.
-    truth: HashMap<usize, Vec<(u64, i64)>>,
+    /// The actual usage by tenant: the time and the amount of each use.
+    actual: HashMap<usize, Vec<(u64, i64)>>,
 }
 
 impl History {
     fn new(shares: Shares) -> History {
         let now = 60 * SECOND;
         let members = (0..3).map(|me| Publisher::new(config(me), &shares, now)).collect();
-        History { shares, now, members, facts: Vec::new(), truth: HashMap::new() }
+        History { shares, now, members, facts: Vec::new(), actual: HashMap::new() }
     }
 
     fn apply(&mut self, step: Step) {
@@ -49,18 +49,18 @@
                 let at = self.now - ago * SECOND;
                 let used = Usage { value: amount, work: amount / 7 };
                 self.members[member].ledger.record(self.now, at, key(NAMES[tenant]), 0, used).unwrap();
-                self.truth.entry(tenant).or_default().push((at, amount as i64));
+                self.actual.entry(tenant).or_default().push((at, amount as i64));
             }
             Step::Correct { member, tenant, amount, ago } => {
                 let at = self.now - ago * SECOND;
-                let less = Usage { value: amount, work: 0 };
+                let excess = Usage { value: amount, work: 0 };
                 let ledger = &mut self.members[member].ledger;
-                let taken = ledger.correct(self.now, at, key(NAMES[tenant]), 0, less).unwrap();
+                let taken = ledger.correct(self.now, at, key(NAMES[tenant]), 0, excess).unwrap();
                 assert!(taken.value <= amount);
-                self.truth.entry(tenant).or_default().push((at, -(taken.value as i64)));
+                self.actual.entry(tenant).or_default().push((at, -(taken.value as i64)));
             }
             Step::Restart { member } => {
-                // What it has not published is lost with it: let it publish first.
+                // A restart loses unpublished usage, so the member publishes first.
                 self.now += 2 * SECOND;
                 self.facts.extend(self.members[member].publish(self.now));
                 let config = Config { epoch: (WALL + self.now) / 1000, ..config(member as u16) };
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Whether a ledger that took everything knows what was really used.
-    fn check_truth(&self, known: &[Usage]) {
+    /// Checks that the known usage of a ledger that absorbed all facts is the actual usage.
+    fn check_known(&self, known: &[Usage]) {
         for (tenant, known) in known.iter().enumerate() {
-            let want = self.truth.get(&tenant).map_or(0.0, |uses| decayed(uses, self.now));
-            let difference = (known.value as f64 - want).abs();
-            assert!(difference <= 1.0 + want * 1e-6, "{tenant}: {known:?} {want}");
+            let expected = self.actual.get(&tenant).map_or(0.0, |uses| decayed(uses, self.now));
+            let difference = (known.value as f64 - expected).abs();
+            assert!(difference <= 1.0 + expected * 1e-6, "tenant {tenant}: {known:?}, expected {expected}");
         }
     }
 }
 
-/// All that a ledger says of the tenants.
+/// The results of all queries of a ledger about the tenants.
 #[derive(Debug, PartialEq)]
 struct LedgerState {
     known: [Usage; 5],
@@ -96,7 +96,7 @@
     job_values: [u64; 5],
 }
 
-/// What a ledger says once it has taken these facts at `now`: at that time, and 5 s later.
+/// The state of a ledger that absorbed these facts at `now`: the known usage at that time, and the rest 5 s later.
 fn absorb_all(facts: Vec<Fact>, shares: &Shares, now: u64) -> LedgerState {
     let mut ledger = ledger(7, shares);
     for fact in facts {
@@ -119,18 +119,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Ledgers that took the same reports, in order, shuffled with repeats, or only the last of each slot, agree in every
-    /// bit, and where nothing was lost with what was really used.
+    /// Ledgers that absorb the same reports in order, shuffled with duplicates, or only the last one of each slot, have
+    /// exactly the same state. If no report was lost, the known usage is the actual usage.
     #[test]
-    fn the_order_of_reports_does_not_matter(steps in steps(), seed: u64, lose in 0..3u32) {
+    fn the_state_does_not_depend_on_the_order_of_reports(steps in steps(), seed: u64, loss in 0..3u32) {
         let mut history = History::new(shares(&[("a", 3), ("b", 1), ("c", 0), ("d", 2)]));
         steps.into_iter().for_each(|step| history.apply(step));
         history.now += 2 * SECOND;
         history.publish();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut facts = history.facts.clone();
-        facts.retain(|_| lose < 2 || rng.u32(0..4) > 0);
-        let has_lost = facts.len() < history.facts.len();
+        facts.retain(|_| loss < 2 || rng.u32(0..4) > 0);
+        let has_loss = facts.len() < history.facts.len();
         let mut shuffled: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
         rng.shuffle(&mut shuffled);
         let mut last = HashMap::new();
@@ -139,8 +139,8 @@
         }
         let orders = [facts, shuffled, last.into_values().collect()];
         let states = orders.map(|facts| absorb_all(facts, &history.shares, history.now));
-        if !has_lost {
-            states.iter().for_each(|state| history.check_truth(&state.known));
+        if !has_loss {
+            states.iter().for_each(|state| history.check_known(&state.known));
         }
         prop_assert_eq!(&states[0], &states[1]);
         prop_assert_eq!(&states[0], &states[2]);
--- a/crates/fairshare/tests/ledger/refusals.rs
+++ b/crates/fairshare/tests/ledger/refusals.rs
@@ -1,4 +1,4 @@
-//! Facts that are refused, and what is counted of them.
+//! Facts and usage that are refused, and how the refusals are counted.
 
 use super::support::{Fact, Publisher, SECOND, WALL, config, decayed, key, ledger, shares};
 use mothproxy_fairshare::{AbsorbError, Config, Ledger, Origin, RecordError, Shares, Usage};
@@ -7,7 +7,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes from outside is taken or refused, and never held beyond what it says.
+    /// Random and damaged facts are absorbed or refused without a panic. Whatever is absorbed expires with its bucket.
     #[test]
     fn malformed_facts_are_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0..40usize, flip in any::<(usize, u8)>(),
@@ -21,20 +21,20 @@
         let origin = Origin { place, epoch };
         let _ = ledger.absorb(3 * SECOND, origin, slot, number, &bytes);
         for fact in &published {
-            let mut bent = fact.bytes.clone();
-            bent.truncate(bent.len().saturating_sub(cut));
-            if !bent.is_empty() {
-                let at = flip.0 % bent.len();
-                bent[at] ^= flip.1;
+            let mut damaged = fact.bytes.clone();
+            damaged.truncate(damaged.len().saturating_sub(cut));
+            if !damaged.is_empty() {
+                let at = flip.0 % damaged.len();
+                damaged[at] ^= flip.1;
             }
-            let _ = ledger.absorb(3 * SECOND, fact.origin, fact.slot, number, &bent);
+            let _ = ledger.absorb(3 * SECOND, fact.origin, fact.slot, number, &damaged);
             let longer = [&fact.bytes[..], &[0]].concat();
             prop_assert!(ledger.absorb(3 * SECOND, fact.origin, fact.slot, number, &longer).is_err());
         }
-        let figures = ledger.metrics();
-        prop_assert!(figures.tenants < 100 && figures.broken == 0);
+        let metrics = ledger.metrics();
+        prop_assert!(metrics.tenants < 100 && metrics.broken == 0);
         ledger.position(key("a"), 300 * SECOND);
-        prop_assert_eq!(ledger.metrics().tenants, 1, "all of it ran out");
+        prop_assert_eq!(ledger.metrics().tenants, 1, "the absorbed usage did not expire");
     }
 }
 
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn refused_facts_say_why() {
+fn refused_facts_give_the_reason() {
     let shares = shares(&[("a", 1)]);
     let page = published_page(&shares);
     let mut ledger = ledger(7, &shares);
     let with = |change: &dyn Fn(&mut Fact)| changed(&page, change);
-    // When the receiver's clock shows this, and the report that comes.
+    // The receiver's time, the fact that arrives, and the result.
     let rows = [
         (SECOND, page.clone(), Ok(())),
         (SECOND, with(&|f| f.origin.place = 8), Err(AbsorbError::Place)),
@@ -72,24 +72,24 @@
         (118 * SECOND, with(&|f| f.number = 9), Ok(())),
         (121 * SECOND, with(&|f| f.number = 10), Err(AbsorbError::Late)),
     ];
-    for (n, (now, fact, want)) in rows.iter().enumerate() {
-        assert_eq!(fact.to(&mut ledger, *now), *want, "row {n}");
+    for (n, (now, fact, expected)) in rows.iter().enumerate() {
+        assert_eq!(fact.to(&mut ledger, *now), *expected, "row {n}");
     }
 }
 
 #[test]
-fn clocks_may_differ_by_seconds_and_not_by_more() {
+fn facts_beyond_the_maximum_clock_difference_are_refused() {
     let shares = shares(&[("a", 1)]);
     let page = published_page(&shares);
     let behind = |by: u64| Config { unix_at_zero: WALL - by * SECOND, ..config(6) };
-    for (by, want) in [(5, Ok(())), (20, Err(AbsorbError::Future))] {
+    for (by, expected) in [(5, Ok(())), (20, Err(AbsorbError::Future))] {
         let mut behind = Ledger::new(behind(by), &shares, 0).unwrap();
-        assert_eq!(page.to(&mut behind, SECOND), want, "{by} s behind");
-        assert_eq!(behind.metrics().future, u64::from(want.is_err()));
+        assert_eq!(page.to(&mut behind, SECOND), expected, "{by} s behind");
+        assert_eq!(behind.metrics().future, u64::from(expected.is_err()));
     }
 }
 
-/// The latest eight epochs are held, whichever came first; those of two restarts ago count until they run out.
+/// The eight latest epochs of a place are kept, in whatever order their facts arrive. Their usage counts until it expires.
 #[test]
 fn the_latest_epochs_of_a_place_are_kept_and_older_ones_refused() {
     let shares = shares(&[("a", 1)]);
@@ -97,19 +97,19 @@
     let mut ledger = ledger(7, &shares);
     for epoch in [3, 12, 4, 9, 10, 5, 8, 7, 6, 11] {
         let fact = changed(&page, |f| f.origin.epoch = WALL / 1000 - 100 + epoch);
-        let want = if epoch == 3 || epoch >= 4 { Ok(()) } else { Err(AbsorbError::Epoch) };
-        assert_eq!(fact.to(&mut ledger, SECOND), want, "epoch {epoch}");
+        let expected = if epoch == 3 || epoch >= 4 { Ok(()) } else { Err(AbsorbError::Epoch) };
+        assert_eq!(fact.to(&mut ledger, SECOND), expected, "epoch {epoch}");
     }
     assert_eq!(changed(&page, |f| f.origin.epoch = 1).to(&mut ledger, SECOND), Err(AbsorbError::Epoch));
     assert_eq!(ledger.metrics().members, 8);
-    let want = decayed(&[(SECOND, 8 * 5)], SECOND);
-    assert_eq!(ledger.known_usage(key("a"), 0).value, want as u64);
-    let figures = ledger.metrics();
-    assert_eq!((figures.foreign, figures.absorbed), (1, 10));
+    let expected = decayed(&[(SECOND, 8 * 5)], SECOND);
+    assert_eq!(ledger.known_usage(key("a"), 0).value, expected as u64);
+    let metrics = ledger.metrics();
+    assert_eq!((metrics.foreign, metrics.absorbed), (1, 10));
 }
 
 #[test]
-fn own_usage_is_held_to_the_same_horizon() {
+fn own_usage_outside_the_horizon_is_refused() {
     let mut ledger = ledger(7, &shares(&[("a", 1)]));
     let used = Usage { value: 1, work: 1 };
     assert_eq!(ledger.record(200 * SECOND, 60 * SECOND, key("a"), 0, used), Err(RecordError::Late));
--- a/crates/fairshare/tests/ledger/support.rs
+++ b/crates/fairshare/tests/ledger/support.rs
@@ -1,11 +1,11 @@
-//! Ledgers, members that publish, and a fleet of them.
+//! Test fixtures: ledgers, members that publish their usage, and a fleet of such members.
 
 use mothproxy_fairshare::{
     AbsorbError, Config, Installation, Ledger, Origin, Shares, Tenant, TenantKey, Usage,
 };
 
 pub const SECOND: u64 = 1_000_000;
-/// Unix time at the models' time 0.
+/// The Unix time of time 0 of the tests, in microseconds.
 pub const WALL: u64 = 1_700_000_000 * SECOND;
 
 pub fn shares(weights: &[(&str, u32)]) -> Shares {
@@ -58,7 +58,7 @@
         self.ledger.record(now, now, key(tenant), 0, Usage { value, work: value * 3 }).unwrap();
     }
 
-    /// Publishes what there is; returns these facts.
+    /// Publishes all facts that are due, and returns them.
     pub fn publish(&mut self, now: u64) -> Vec<Fact> {
         let from = self.published.len();
         while let Some((slot, bytes)) = self.ledger.publish(now) {
@@ -74,16 +74,16 @@
     }
 }
 
-/// What a use of long ago counts now, by the definition.
+/// The sum of past uses, decayed to `now` by the definition of the decay.
 pub fn decayed(uses: &[(u64, i64)], now: u64) -> f64 {
     let Config { bucket_width: bucket, half_life, .. } = Config::default();
-    let begun = |at: u64| ((WALL + at) / bucket * bucket) as f64;
-    let now = ((WALL + now) / (bucket / 16) * (bucket / 16)) as f64; // the present has a resolution of sixteenths
-    let age = |at: u64| (now - begun(at)) / (bucket * u64::from(half_life)) as f64;
+    let bucket_start = |at: u64| ((WALL + at) / bucket * bucket) as f64;
+    let now = ((WALL + now) / (bucket / 16) * (bucket / 16)) as f64; // the resolution of the current time is 1/16 of a bucket
+    let age = |at: u64| (now - bucket_start(at)) / (bucket * u64::from(half_life)) as f64;
     uses.iter().map(|(at, amount)| *amount as f64 * (-age(*at)).exp2()).sum()
 }
 
-/// Members that serve tenants at even rates and tell each other, but for what a case holds back.
+/// Members that serve tenants at even rates and send each other their facts, except those that a test drops.
 pub struct Fleet {
     pub members: Vec<Publisher>,
     pub now: u64,
@@ -94,7 +94,8 @@
         Fleet { members: (0..members).map(|me| Publisher::new(config(me), shares, 0)).collect(), now: 0 }
     }
 
-    /// For so many seconds, each member serves what `rates` says a second; `is_delivered(from, to)` says whose facts arrive.
+    /// Runs the fleet for a number of seconds. `rates` has the member, the tenant and the value per second;
+    /// `is_delivered(from, to)` is whether the facts of a member arrive at another.
     pub fn run(
         &mut self,
         seconds: u64,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// A tenant's position at a member, in units a second.
+    /// The low, likely and high usage of a tenant according to a member, as rates in units per second.
     pub fn rates(&mut self, at: usize, tenant: &str) -> [f64; 3] {
         let ledger = &mut self.members[at].ledger;
         let (used, memory) = (ledger.position(key(tenant), self.now).used, ledger.memory() as f64 / 1e6);
@@ -123,6 +124,6 @@
     }
 }
 
-pub fn near(is: f64, want: f64) -> bool {
-    (is - want).abs() <= want.abs() * 0.03
+pub fn is_near(actual: f64, expected: f64) -> bool {
+    (actual - expected).abs() <= expected.abs() * 0.03
 }
