--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -101,7 +101,7 @@
         let first = Origin { epoch: 0, ..origin };
         let epochs = self.by_origin.range(first..).take_while(|(known, _)| known.place == origin.place);
         let known: Vec<(Origin, MemberIndex)> = epochs.map(|(origin, index)| (*origin, *index)).collect();
-        // Keep the latest epochs, whatever the order of arrival.
+        // Keep the latest epochs, in any order of arrival.
         if known.len() >= MAX_EPOCHS {
             let (oldest, index) = known[0];
             if origin < oldest {
--- a/crates/fairshare/tests/ledger/extrapolation.rs
+++ b/crates/fairshare/tests/ledger/extrapolation.rs
@@ -1,6 +1,6 @@
 //! Members whose reports stop, whose pages are lost, or that restart.
 
-use super::support::{Fleet, Publisher, SECOND, WALL, config, is_near, shares};
+use super::support::{Fleet, Publisher, SECOND, UNIX_AT_ZERO, config, is_near, shares};
 use mothproxy_fairshare::Config;
 
 #[test]
@@ -55,7 +55,7 @@
     let [low, likely, high] = fleet.rates(0, "a");
     assert!(low < 150.0 && is_near(likely, 200.0) && high >= likely, "{low} {likely} {high}");
     // A restart: usage that the old epoch did not report is extrapolated up to the start of the new epoch, not beyond.
-    let config = Config { epoch: (WALL + fleet.now) / 1000, ..config(1) };
+    let config = Config { epoch: (UNIX_AT_ZERO + fleet.now) / 1000, ..config(1) };
     fleet.members[1] = Publisher::new(config, &shares, fleet.now);
     fleet.run(2, &[(1, "a", 200)], |_, _| true);
     let [_, likely, _] = fleet.rates(0, "a");
--- a/crates/fairshare/tests/ledger/merging.rs
+++ b/crates/fairshare/tests/ledger/merging.rs
@@ -1,6 +1,6 @@
 //! The result does not depend on the order of the reports.
 
-use super::support::{Fact, Publisher, SECOND, WALL, config, decayed, key, ledger, shares};
+use super::support::{Fact, Publisher, SECOND, UNIX_AT_ZERO, config, decayed, key, ledger, shares};
 use mothproxy_fairshare::{Config, Position, Shares, Usage};
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
                 // A restart loses unpublished usage, so the member publishes first.
                 self.now += 2 * SECOND;
                 self.facts.extend(self.members[member].publish(self.now));
-                let config = Config { epoch: (WALL + self.now) / 1000, ..config(member as u16) };
+                let config = Config { epoch: (UNIX_AT_ZERO + self.now) / 1000, ..config(member as u16) };
                 self.members[member] = Publisher::new(config, &self.shares, self.now);
             }
             Step::Wait(ms) => self.now += ms * 1000,
--- a/crates/fairshare/tests/ledger/refusals.rs
+++ b/crates/fairshare/tests/ledger/refusals.rs
@@ -1,13 +1,13 @@
 //! Facts and usage that are refused, and how the refusals are counted.
 
-use super::support::{Fact, Publisher, SECOND, WALL, config, decayed, key, ledger, shares};
+use super::support::{Fact, Publisher, SECOND, UNIX_AT_ZERO, config, decayed, key, ledger, shares};
 use mothproxy_fairshare::{AbsorbError, Config, Ledger, Origin, RecordError, Shares, Usage};
 use proptest::prelude::*;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random and damaged facts are absorbed or refused without a panic. Whatever is absorbed expires with its bucket.
+    /// Random and damaged facts are absorbed or refused without a panic. Absorbed usage expires with its bucket.
     #[test]
     fn malformed_facts_are_refused(
         bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0..40usize, flip in any::<(usize, u8)>(),
@@ -81,7 +81,7 @@
 fn facts_beyond_the_maximum_clock_difference_are_refused() {
     let shares = shares(&[("a", 1)]);
     let page = published_page(&shares);
-    let behind = |by: u64| Config { unix_at_zero: WALL - by * SECOND, ..config(6) };
+    let behind = |by: u64| Config { unix_at_zero: UNIX_AT_ZERO - by * SECOND, ..config(6) };
     for (by, expected) in [(5, Ok(())), (20, Err(AbsorbError::Future))] {
         let mut behind = Ledger::new(behind(by), &shares, 0).unwrap();
         assert_eq!(page.to(&mut behind, SECOND), expected, "{by} s behind");
@@ -89,14 +89,14 @@
     }
 }
 
-/// The eight latest epochs of a place are kept, in whatever order their facts arrive. Their usage counts until it expires.
+/// The eight latest epochs of a place are kept, for any order of arrival of their facts. Their usage counts until it expires.
 #[test]
 fn the_latest_epochs_of_a_place_are_kept_and_older_ones_refused() {
     let shares = shares(&[("a", 1)]);
     let page = published_page(&shares);
     let mut ledger = ledger(7, &shares);
     for epoch in [3, 12, 4, 9, 10, 5, 8, 7, 6, 11] {
-        let fact = changed(&page, |f| f.origin.epoch = WALL / 1000 - 100 + epoch);
+        let fact = changed(&page, |f| f.origin.epoch = UNIX_AT_ZERO / 1000 - 100 + epoch);
         let expected = if epoch == 3 || epoch >= 4 { Ok(()) } else { Err(AbsorbError::Epoch) };
         assert_eq!(fact.to(&mut ledger, SECOND), expected, "epoch {epoch}");
     }
--- a/crates/fairshare/tests/ledger/support.rs
+++ b/crates/fairshare/tests/ledger/support.rs
@@ -6,7 +6,7 @@
 
 pub const SECOND: u64 = 1_000_000;
 /// The Unix time of time 0 of the tests, in microseconds.
-pub const WALL: u64 = 1_700_000_000 * SECOND;
+pub const UNIX_AT_ZERO: u64 = 1_700_000_000 * SECOND;
 
 pub fn shares(weights: &[(&str, u32)]) -> Shares {
     let tenant =
@@ -16,7 +16,14 @@
 }
 
 pub fn config(place: u16) -> Config {
-    Config { place, epoch: WALL / 1000, unix_at_zero: WALL, peers: 8, rate: 1_000, ..Config::default() }
+    Config {
+        place,
+        epoch: UNIX_AT_ZERO / 1000,
+        unix_at_zero: UNIX_AT_ZERO,
+        peers: 8,
+        rate: 1_000,
+        ..Config::default()
+    }
 }
 
 pub fn ledger(place: u16, shares: &Shares) -> Ledger {
@@ -77,8 +84,8 @@
 /// The sum of past uses, decayed to `now` by the definition of the decay.
 pub fn decayed(uses: &[(u64, i64)], now: u64) -> f64 {
     let Config { bucket_width: bucket, half_life, .. } = Config::default();
-    let bucket_start = |at: u64| ((WALL + at) / bucket * bucket) as f64;
-    let now = ((WALL + now) / (bucket / 16) * (bucket / 16)) as f64; // the resolution of the current time is 1/16 of a bucket
+    let bucket_start = |at: u64| ((UNIX_AT_ZERO + at) / bucket * bucket) as f64;
+    let now = ((UNIX_AT_ZERO + now) / (bucket / 16) * (bucket / 16)) as f64; // the resolution of the current time is 1/16 of a bucket
     let age = |at: u64| (now - bucket_start(at)) / (bucket * u64::from(half_life)) as f64;
     uses.iter().map(|(at, amount)| *amount as f64 * (-age(*at)).exp2()).sum()
 }
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -28,42 +28,42 @@
 
 /// The state and version of a place in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Belief {
+struct PlaceEntry {
     state: State,
     version: MemberVersion,
 }
 
-const fn believed(state: State, epoch: u64, incarnation: u32) -> Belief {
-    Belief { state, version: MemberVersion { epoch, incarnation } }
+const fn place_entry(state: State, epoch: u64, incarnation: u32) -> PlaceEntry {
+    PlaceEntry { state, version: MemberVersion { epoch, incarnation } }
 }
 
-const UNKNOWN: Belief = believed(Unknown, 0, 0);
+const UNKNOWN: PlaceEntry = place_entry(Unknown, 0, 0);
 
-const fn alive(epoch: u64, incarnation: u32) -> Belief {
-    believed(Alive, epoch, incarnation)
+const fn alive(epoch: u64, incarnation: u32) -> PlaceEntry {
+    place_entry(Alive, epoch, incarnation)
 }
 
-const fn suspect(epoch: u64, incarnation: u32) -> Belief {
-    believed(Suspect, epoch, incarnation)
+const fn suspect(epoch: u64, incarnation: u32) -> PlaceEntry {
+    place_entry(Suspect, epoch, incarnation)
 }
 
-const fn dead(epoch: u64, incarnation: u32) -> Belief {
-    believed(Dead, epoch, incarnation)
+const fn dead(epoch: u64, incarnation: u32) -> PlaceEntry {
+    place_entry(Dead, epoch, incarnation)
 }
 
-const fn left(epoch: u64, incarnation: u32) -> Belief {
-    believed(Left, epoch, incarnation)
+const fn left(epoch: u64, incarnation: u32) -> PlaceEntry {
+    place_entry(Left, epoch, incarnation)
 }
 
 /// The entry of place 3 before a record about it arrives from place 1, the record, and the entry afterwards.
 #[derive(Clone, Copy, Debug)]
 struct RecordCase {
-    known: Belief,
-    record: Belief,
-    after: Belief,
+    known: PlaceEntry,
+    record: PlaceEntry,
+    after: PlaceEntry,
 }
 
-const fn case(known: Belief, record: Belief, after: Belief) -> RecordCase {
+const fn case(known: PlaceEntry, record: PlaceEntry, after: PlaceEntry) -> RecordCase {
     RecordCase { known, record, after }
 }
 
@@ -85,13 +85,13 @@
     let records = [record(3, case.record.state, case.record.version)];
     member.receive(1_000_100, 1, &gossip(1, version(50, 0), &records));
     let entry = member.view().members[3];
-    assert_eq!(Belief { state: entry.state, version: entry.version() }, case.after, "{case:?}");
+    assert_eq!(PlaceEntry { state: entry.state, version: entry.version() }, case.after, "{case:?}");
     let present = member.view().holders().iter().filter(|h| **h).count();
     assert_eq!(present, member.present, "{case:?}");
 }
 
 #[test]
-fn believes_any_record_about_an_unknown_place() {
+fn accepts_any_record_about_an_unknown_place() {
     check_records(&[
         case(UNKNOWN, alive(50, 0), alive(50, 0)),
         case(UNKNOWN, suspect(50, 0), suspect(50, 0)),
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -320,18 +320,18 @@
     /// is present.
     pub fn has_agreement(&self) -> bool {
         self.members().all(|(_, observer)| {
-            observer.view().iter().zip(&self.nodes).all(|((_, believed), node)| match &node.member {
+            observer.view().iter().zip(&self.nodes).all(|((_, observed), node)| match &node.member {
                 Some(member) => {
                     let own = member.view().member(member.place());
-                    believed.state == State::Alive && Some(believed.epoch) == own.map(|own| own.epoch)
+                    observed.state == State::Alive && Some(observed.epoch) == own.map(|own| own.epoch)
                 }
-                None => !believed.state.is_present(),
+                None => !observed.state.is_present(),
             })
         })
     }
 
     /// Whether all other members have this place in this state in their views.
-    pub fn others_believe(&self, place: u16, state: State) -> bool {
+    pub fn others_observe(&self, place: u16, state: State) -> bool {
         let mut others = self.members().filter(|(other, _)| *other != place);
         others.all(|(_, member)| member.view().state(place) == state)
     }
--- a/crates/membership/src/simulation/scenarios/failures.rs
+++ b/crates/membership/src/simulation/scenarios/failures.rs
@@ -127,7 +127,7 @@
         let victim = network.random_place();
         network.pause(victim);
         network.run_for(30 * SECOND);
-        let is_detected = network.others_believe(victim, State::Dead);
+        let is_detected = network.others_observe(victim, State::Dead);
         network.resume(victim);
         let resumed_at = network.now;
         let has_agreed = network.run_while(resumed_at + 60 * SECOND, |net| !net.has_agreement());
--- a/crates/membership/src/simulation/scenarios/network_faults.rs
+++ b/crates/membership/src/simulation/scenarios/network_faults.rs
@@ -69,8 +69,8 @@
     network.faults.sides = (0..members).map(|place| side(place) as u8).collect();
     network.run_for(30 * SECOND);
     let is_partition_detected = network.members().all(|(place, member)| {
-        let mut believed = member.view().iter();
-        believed.all(|(other, there)| (there.state == State::Dead) == (side(other) != side(place)))
+        let mut entries = member.view().iter();
+        entries.all(|(other, entry)| (entry.state == State::Dead) == (side(other) != side(place)))
     });
     let deaths = network.changes.iter().filter(|seen| seen.change.to == State::Dead);
     let deaths_within_sides = deaths.filter(|seen| side(seen.by) == side(seen.change.place)).count();
@@ -148,7 +148,7 @@
         network.faults.inbound_blocked[usize::from(victim)] = true;
         let unreachable_since = network.now;
         network.run_for(60 * SECOND);
-        let is_victim_detected = network.others_believe(victim, State::Dead);
+        let is_victim_detected = network.others_observe(victim, State::Dead);
         let deaths_of_others = network.false_deaths(unreachable_since, |place| place != victim);
         network.faults.inbound_blocked.fill(false);
         let healed_at = network.now;
