--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -172,8 +172,8 @@
 
     /// Whether [`PollScheduler::status`] would change what others do: too few of them have reported the same state of the
     /// service, or none of them holds this generation of the list.
-    pub fn has_news(&self) -> bool {
-        self.statuses.has_news(self.unix_ms())
+    pub fn is_status_urgent(&self) -> bool {
+        self.statuses.is_status_urgent(self.unix_ms())
     }
 
     fn on_answered(&mut self, generation: u64, waited: Micros) {
--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -21,7 +21,7 @@
 /// A member need not report an outage of the service once this many others have done so.
 const ENOUGH_OUTAGE_REPORTS: usize = 3;
 /// An answer is worth reporting if it is this much later than the latest one that others reported, in milliseconds.
-const ANSWER_NEWS_MS: Millis = 1_000;
+const MIN_ANSWER_ADVANCE_MS: Millis = 1_000;
 
 /// One member's status of the list service: the payload of slot 0 of this crate's facts. It is encoded by position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -135,7 +135,7 @@
 
     /// Whether the own status would change what others do: too few of them have reported the same state of the service, or
     /// none of them holds this generation of the list.
-    pub fn has_news(&self, now_ms: Millis) -> bool {
+    pub fn is_status_urgent(&self, now_ms: Millis) -> bool {
         if Self::level_of(std::iter::once(&self.own), now_ms) > Self::level_of(self.peers(), now_ms) {
             return true;
         }
@@ -145,7 +145,7 @@
             return self.own.failed_at_ms > last_answer && reports < ENOUGH_OUTAGE_REPORTS;
         }
         let newest = self.peers().map(|status| status.generation).max().unwrap_or(0);
-        let is_later = self.own.answered_at_ms > last_answer + ANSWER_NEWS_MS;
+        let is_later = self.own.answered_at_ms > last_answer + MIN_ANSWER_ADVANCE_MS;
         self.own.answered_at_ms > 0 && (self.own.generation > newest || reports > 0 || is_later)
     }
 
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -79,7 +79,7 @@
         let status = machines.scheduler.status();
         if dispatcher.last_status != Some(status) {
             dispatcher.last_status = Some(status);
-            machines.observations.set_service_status(status, machines.scheduler.has_news());
+            machines.observations.set_service_status(status, machines.scheduler.is_status_urgent());
         }
         while let Some((slot, bytes)) = machines.observations.publish(now) {
             dispatcher.fact_number += 1;
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -94,7 +94,7 @@
     fn update(&mut self, now: Micros, membership: &mut MembershipLink, core: &mut Core) {
         let mut next_publish = None;
         if let (Some(scheduler), Some(observations)) = (&self.scheduler, &mut self.observations) {
-            observations.set_service_status(scheduler.status(), scheduler.has_news());
+            observations.set_service_status(scheduler.status(), scheduler.is_status_urgent());
             while let Some((slot, bytes)) = observations.publish(now) {
                 membership.publish(now, &OutgoingFact { kind: KIND, slot, bytes });
             }
