--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -8,11 +8,11 @@
 use std::collections::HashMap;
 
 /// The initial limit of concurrent trials of unconfirmed workers.
-const FIRST_MAX_TRIALS: usize = 4;
-/// Each failed trial raises the limit by one, up to this, so that a list of dead workers is worked through quickly.
+const INITIAL_MAX_TRIALS: usize = 4;
+/// The maximum of the limit, which each failed trial raises by one, so that a list of dead workers is tried quickly.
 const MAX_TRIALS: usize = 32;
-/// How long a faulty worker gets no jobs, in microseconds: this long at the first place, rising to twice as long at the
-/// last. The first places to try it again publish what they observe, which saves the others a trial.
+/// How long a faulty worker gets no jobs, in microseconds: this long at the first place, increasing to twice as long at the
+/// last. The first places to try the worker again publish the result, so the other places need no trial of their own.
 const FAULT_BACKOFF: Micros = 5_000_000;
 
 /// The state of one unconfirmed worker since the start.
@@ -36,11 +36,11 @@
 /// How a worker may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Like any confirmed worker.
+    /// The worker may be used like any confirmed worker.
     Unrestricted,
-    /// For one job, which counts as a trial. Call [`HealthConfirmation::begin_trial`] when it is sent.
+    /// The worker may get one job, which counts as a trial. Call [`HealthConfirmation::begin_trial`] when the job is sent.
     Trial,
-    /// Not at present.
+    /// The worker must not be used at present.
     Refused,
 }
 
@@ -49,7 +49,7 @@
     pub fn new(tags: impl IntoIterator<Item = WorkerTag>, place: u16, places: u16) -> HealthConfirmation {
         let fault_backoff = FAULT_BACKOFF + FAULT_BACKOFF * u64::from(place) / u64::from(places.max(1));
         let unconfirmed = tags.into_iter().map(|tag| (tag, TrialState::Untried)).collect();
-        HealthConfirmation { unconfirmed, trials: 0, max_trials: FIRST_MAX_TRIALS, fault_backoff }
+        HealthConfirmation { unconfirmed, trials: 0, max_trials: INITIAL_MAX_TRIALS, fault_backoff }
     }
 
     /// How this worker may be used now, given what the members observed of it. An observation never admits a worker that is
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Records that the service's current list has this worker, which then needs no trial.
+    /// Records that the service's current list contains this worker, which then needs no trial.
     pub fn on_listed(&mut self, tag: WorkerTag) {
         if self.unconfirmed.remove(&tag) == Some(TrialState::UnderWay) {
             self.trials -= 1;
--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -11,10 +11,10 @@
 //! - [`HealthConfirmation`] limits how many workers of an unconfirmed list are tried at once. A list is unconfirmed if no
 //!   dispatcher has seen its workers alive since the start.
 //!
-//! Time is in microseconds of the caller's monotonic clock. Dispatchers coordinate by Unix time: each machine gets the Unix
-//! time of the caller's zero once, when it is created, so that a later change of the system clock has no effect.
-//! A dispatcher is identified by its **place**: its index among all configured dispatchers. [`simulation`] runs hundreds of
-//! dispatchers around one service, for tests and for the measurements of the design.
+//! Time is in microseconds of the caller's monotonic clock. Dispatchers coordinate by Unix time: when a state machine is
+//! created, it is given the Unix time at which the caller's clock read 0, so that a later change of the system clock has no
+//! effect. A dispatcher is identified by its **place**: its index among all configured dispatchers. [`simulation`] runs
+//! hundreds of dispatchers against one service, for tests and for the measurements of the design.
 //!
 //! ```
 //! use mothproxy_coldstart::poll_scheduler::{Config, SERVICE_TIME};
@@ -60,14 +60,14 @@
 pub type Micros = u64;
 /// Milliseconds of Unix time, or a span of them.
 pub type Millis = u64;
-/// Identifies a worker; the same at every dispatcher.
+/// Identifies a worker. Every dispatcher uses the same tag for the same worker.
 pub type WorkerTag = u64;
 
 /// Why a state machine cannot be created from its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// This dispatcher's place is not one of the places.
-    #[error("place {place} is not below the count of places, {places}")]
+    #[error("place {place} is out of range: the number of places is {places}")]
     Place {
         /// This dispatcher's place.
         place: u16,
@@ -75,7 +75,7 @@
         places: u16,
     },
     /// A span that must be positive is 0. Holds the name of the setting.
-    #[error("{0} is 0")]
+    #[error("{0} is 0, but must be positive")]
     Zero(&'static str),
     /// A number that must be positive and finite is not. Holds the name of the setting.
     #[error("{0} is not a positive number")]
--- a/crates/coldstart/src/poll_scheduler.rs
+++ b/crates/coldstart/src/poll_scheduler.rs
@@ -1,12 +1,12 @@
 //! Schedules the calls of this dispatcher to the list service.
 //!
 //! Time is divided into **rounds** of `places x service time`, aligned to Unix time. In each round every place has one slot,
-//! as long as the service takes for a call. Calls of different places therefore follow one another, whenever the processes
-//! started. After a failure the scheduler waits with decorrelated jitter (M. Brooker, "Exponential Backoff And Jitter",
-//! 2015: each wait is drawn between a base and three times the wait before, up to a cap), and then until its next slot. A
-//! refusal after a wait in the service's queue doubles the round: the service is slower than assumed.
+//! as long as the service takes for a call. Calls of different places therefore follow one another, regardless of when the
+//! processes started. After a failure the scheduler waits with decorrelated jitter (M. Brooker, "Exponential Backoff And
+//! Jitter", 2015: each wait is drawn between a base and three times the previous wait, up to a cap), and then until its
+//! next slot. A refusal after a wait in the service's queue doubles the round: the service is slower than assumed.
 //!
-//! Dispatchers may know each other's statuses. If two of them found the service down, they call in turns of a much slower
+//! Dispatchers may know each other's statuses. If two of them found the service down, they take turns in a much longer
 //! round until one of them is answered; then all spread their calls over one round. A peer's status changes only *when*
 //! this dispatcher calls, never whether.
 
@@ -112,7 +112,7 @@
         if self.deadline.is_none() && !self.config.skip_scheduling && self.defer() {
             return None;
         }
-        invariant!(!self.has_open_call, "a second call at once");
+        invariant!(!self.has_open_call, "a call was started while another one is open");
         self.has_open_call = true;
         self.metrics.calls += 1;
         Some(Call { number: self.metrics.calls })
@@ -154,7 +154,7 @@
         }
     }
 
-    /// This dispatcher's own status of the service, for the others.
+    /// This dispatcher's own status of the service, to be sent to the other dispatchers.
     pub fn status(&self) -> ServiceStatus {
         self.statuses.own
     }
@@ -170,8 +170,8 @@
         self.statuses.is_service_down(self.unix_ms())
     }
 
-    /// Whether [`PollScheduler::status`] would change what others do: too few of them have reported the same state of the
-    /// service, or none of them holds this generation of the list.
+    /// Whether [`PollScheduler::status`] would change the behaviour of other dispatchers: too few of them have reported the
+    /// same state of the service, or none of them holds this generation of the list.
     pub fn is_status_urgent(&self) -> bool {
         self.statuses.is_status_urgent(self.unix_ms())
     }
@@ -233,12 +233,13 @@
             return;
         }
         let own = &self.statuses.own;
-        // A member was answered after this one found the service down: all that waited for that share one round.
-        let is_back = self.backoff.is_active()
+        // A member was answered after this one found the service down: all members that waited for the end of the outage
+        // spread their calls over one round.
+        let has_recovered = self.backoff.is_active()
             && own.failed_at_ms > own.answered_at_ms
             && status.answered_at_ms > own.failed_at_ms;
         let is_waiting = self.needs_call() && self.deadline.is_none();
-        if is_waiting && (is_back || self.planned.is_outage_turn && !self.is_service_down()) {
+        if is_waiting && (has_recovered || self.planned.is_outage_turn && !self.is_service_down()) {
             self.schedule_after_outage(status.answered_at_ms);
         }
     }
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Schedules the call for a new reason into the own slot of the current round.
+    /// Schedules the call for a new reason in this place's slot of the current round.
     fn schedule_first_call(&mut self, reason: CallReason) {
         self.need = CallNeed::new(reason, self.now, self.config.has_membership);
         let round = self.round_length().regular();
@@ -276,7 +277,7 @@
         self.set_due(at);
     }
 
-    /// Schedules the next call after one that failed: after a wait, and not before the time that `Retry-After` allows. A
+    /// Schedules the next call after a failed one: after a backoff, and not before the time that `Retry-After` allows. A
     /// `retry_after` of 0 means that there was no such header.
     fn schedule_retry(&mut self, failure: Failure, retry_after: Micros) {
         if self.deadline.is_some_and(|deadline| deadline <= self.now + DEADLINE_MARGIN) {
@@ -297,12 +298,13 @@
         }
     }
 
-    /// The service is back, as a member that was answered says: the call goes into the own slot of a regular round.
+    /// Schedules the next call in this place's slot of a regular round, after a member was answered at `answered_at_ms`,
+    /// which shows that the outage has ended.
     fn schedule_after_outage(&mut self, answered_at_ms: Millis) {
         self.backoff.reset();
         let round = self.round_length().regular();
         let at = self.slots.next(self.now.max(self.backoff.not_before()), round);
-        // If the news is old, less than a whole round is left: take the next slot or the planned time, whichever is sooner.
+        // If the answer is old, less than a whole round is left: use the next slot or the planned time, whichever is sooner.
         let age = self.unix_ms().saturating_sub(answered_at_ms) * 1_000;
         let due_at = if age > round / 8 { self.planned.due_at.min(at) } else { at };
         self.planned = PlannedCall { due_at, round, is_outage_turn: false };
@@ -320,8 +322,8 @@
         };
     }
 
-    /// Reconsiders the planned time now that the statuses of others have had time to arrive. Far fewer members than assumed
-    /// may lack a list, or no other member may be present.
+    /// Reconsiders the planned time once the statuses of others have had time to arrive. They may show that far fewer
+    /// members than assumed lack a list, or that no other member is present.
     fn recheck(&mut self) {
         self.need.record_recheck(self.now);
         let round = self.round_length().regular();
@@ -340,7 +342,8 @@
         }
     }
 
-    /// Defers a call that is due now if anything learned since its slot was chosen requires it. Returns whether it did.
+    /// Defers a call that is due now if a status received since its slot was chosen requires it. Returns whether the call
+    /// was deferred.
     fn defer(&mut self) -> bool {
         if self.planned.is_outage_turn {
             return false;
@@ -353,9 +356,9 @@
             // Calls take longer than when the slot was chosen.
             self.planned.round = round;
             self.planned.due_at = self.slots.next(self.now + 1, round);
-        } else if !self.need.has_yielded && self.is_list_being_distributed() {
-            // The others call first; this call is not deferred a second time.
-            self.need.has_yielded = true;
+        } else if !self.need.was_deferred_for_list && self.is_list_being_distributed() {
+            // The others call first; this call is not deferred for that reason a second time.
+            self.need.was_deferred_for_list = true;
             self.planned.due_at = self.now + self.rng.u64(1..=1 + round / 2);
         } else {
             return false;
--- a/crates/coldstart/src/poll_scheduler/backoff.rs
+++ b/crates/coldstart/src/poll_scheduler/backoff.rs
@@ -1,18 +1,18 @@
-//! The wait after a call that failed: exponential backoff with decorrelated jitter.
+//! The wait after a failed call: exponential backoff with decorrelated jitter.
 //!
-//! Each wait is drawn between a base and three times the wait before, up to a cap (M. Brooker, "Exponential Backoff And
+//! Each wait is drawn between a base and three times the previous wait, up to a cap (M. Brooker, "Exponential Backoff And
 //! Jitter", 2015).
 
 use crate::Micros;
 
-/// The longest wait after a failure is two rounds, yet at least this, in microseconds.
+/// The cap of a wait is two rounds, or this if two rounds are shorter, in microseconds.
 const MIN_CAP: Micros = 2_000_000;
-/// No wait after a failure is drawn below this, in microseconds.
+/// The minimum wait after a failure, in microseconds.
 pub(super) const MIN_WAIT: Micros = 50_000;
-/// A refusal means that the service is busy if it took at least as long as this many calls and [`MIN_BUSY_WAIT`]. A quicker
-/// one means that the service is down.
+/// A refusal means that the service is busy if it took at least as long as this many calls and at least
+/// [`MIN_BUSY_WAIT`]. A quicker refusal means that the service is down.
 const BUSY_CALLS: u64 = 5;
-/// See [`BUSY_CALLS`], in microseconds.
+/// The minimum time until the refusal of a busy service, in microseconds; see [`BUSY_CALLS`].
 const MIN_BUSY_WAIT: Micros = 100_000;
 
 /// Why a call ended without a list.
@@ -25,7 +25,7 @@
 }
 
 impl Failure {
-    /// Classifies a refusal by the time until it came. Both spans are in microseconds.
+    /// Classifies a refusal by the time that it took. Both spans are in microseconds.
     pub fn from_refusal(waited: Micros, service_time: Micros) -> Failure {
         if waited >= MIN_BUSY_WAIT.max(BUSY_CALLS * service_time) { Failure::Busy } else { Failure::Down }
     }
@@ -43,7 +43,7 @@
     poll_within: Option<Micros>,
     /// The last wait; 0 if no call has failed since the last answer.
     last_wait: Micros,
-    /// The earliest time that the last `Retry-After` allows.
+    /// The earliest time of a call that the last `Retry-After` allows.
     not_before: Micros,
 }
 
@@ -63,12 +63,12 @@
         self.last_wait
     }
 
-    /// The earliest time that the last `Retry-After` allows.
+    /// The earliest time of a call that the last `Retry-After` allows.
     pub fn not_before(&self) -> Micros {
         self.not_before
     }
 
-    /// Starts again after an answer; a `Retry-After` still holds.
+    /// Starts the backoff anew after an answer; the last `Retry-After` stays in force.
     pub fn reset(&mut self) {
         self.last_wait = 0;
     }
@@ -78,8 +78,8 @@
         self.not_before = 0;
     }
 
-    /// Draws the wait after a call that failed at `now`, for rounds of this length. `retry_after` is 0 if the answer had no
-    /// such header.
+    /// Draws the wait after a call that failed at `now`, for rounds of this length. `retry_after` is 0 if the response had
+    /// no such header.
     pub fn draw(&mut self, rng: &mut fastrand::Rng, now: Micros, round: Micros, retry_after: Micros) {
         let base = (round / 4).max(MIN_WAIT);
         // After a failed call, changes count as received once four times `poll_within` has passed. A wait uses half of that
--- a/crates/coldstart/src/poll_scheduler/call_need.rs
+++ b/crates/coldstart/src/poll_scheduler/call_need.rs
@@ -1,4 +1,4 @@
-//! Why a call is needed, and what has been learned of the others since then.
+//! Why a call is needed, and what this dispatcher has learned of the other members since then.
 
 use super::slots::MAX_FIRST_CALLS_SPAN;
 use crate::Micros;
@@ -18,22 +18,29 @@
     pub reason: CallReason,
     /// When the reason arose, in the caller's microseconds.
     pub since: Micros,
-    /// When to reconsider the time of the call: by then the statuses of others have had time to arrive. `u64::MAX`, that is
-    /// never, without membership.
+    /// When to reconsider the time of the call, in the caller's microseconds: by then the statuses of others have had time
+    /// to arrive. `u64::MAX`, that is never, without membership.
     pub next_recheck: Micros,
     /// How often the time of the call has been reconsidered.
     pub rechecks: u32,
     /// The number of members whose processes ended since the reason arose.
     pub members_gone: u64,
     /// Whether the call was deferred once because the service is distributing a new list.
-    pub has_yielded: bool,
+    pub was_deferred_for_list: bool,
 }
 
 impl CallNeed {
-    /// A need that arises at `now`.
+    /// Creates a need that arises at `now`.
     pub fn new(reason: CallReason, now: Micros, has_membership: bool) -> CallNeed {
         let next_recheck = if has_membership { now + MAX_FIRST_CALLS_SPAN } else { u64::MAX };
-        CallNeed { reason, since: now, next_recheck, rechecks: 0, members_gone: 0, has_yielded: false }
+        CallNeed {
+            reason,
+            since: now,
+            next_recheck,
+            rechecks: 0,
+            members_gone: 0,
+            was_deferred_for_list: false,
+        }
     }
 
     /// Records that the time of the call is reconsidered at `now`, and sets the next time to do so.
--- a/crates/coldstart/src/poll_scheduler/config.rs
+++ b/crates/coldstart/src/poll_scheduler/config.rs
@@ -17,13 +17,13 @@
     /// How long a dispatcher without a watch may rely on its list after its last call, in microseconds; four times as long
     /// after a call that failed.
     pub poll_within: Option<Micros>,
-    /// The Unix time of the caller's zero, in microseconds.
+    /// The Unix time at which the caller's clock reads 0, in microseconds.
     pub unix_at_zero: Micros,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Whether the statuses of others can be received at all.
+    /// Whether the statuses of other members can be received at all.
     pub has_membership: bool,
-    /// A deliberate fault for tests of the tests: calls are not spread over slots.
+    /// A fault to inject, which the tests must detect: calls are not spread over slots.
     #[doc(hidden)]
     pub skip_scheduling: bool,
 }
--- a/crates/coldstart/src/poll_scheduler/event.rs
+++ b/crates/coldstart/src/poll_scheduler/event.rs
@@ -34,16 +34,16 @@
     },
     /// The call failed: it could not connect, or the connection was reset or closed.
     Failed,
-    /// No answer came in time. This is no evidence of an outage for the others: a single watch may be silent.
+    /// The call timed out. This does not count as evidence of an outage, since a single watch may be silent.
     TimedOut,
     /// The watch has ended.
     WatchEnded,
-    /// The watch has fallen silent and counts as broken.
+    /// The watch has been silent for too long and counts as broken.
     WatchSilent {
         /// The latest time for the next call, in the caller's microseconds.
         deadline: Micros,
     },
-    /// Another service is configured from now on; everything learned of the old one is discarded.
+    /// The configuration now names another service; everything learned of the old one is discarded.
     ServiceMoved {
         /// The latest time for the next call, in the caller's microseconds, if there is one.
         deadline: Option<Micros>,
@@ -52,7 +52,7 @@
     Presence(Vec<bool>),
     /// The process at this place has ended or was replaced; its status is discarded.
     MemberGone(u16),
-    /// A member's status of the service arrived.
+    /// A member's status of the service was received.
     PeerStatus {
         /// The member's place.
         place: u16,
--- a/crates/coldstart/src/poll_scheduler/round_length.rs
+++ b/crates/coldstart/src/poll_scheduler/round_length.rs
@@ -6,9 +6,11 @@
 use super::service_status::MemberStatuses;
 use crate::{Micros, Millis};
 
-/// While the service is down, each member calls it once in this time, in microseconds ...
+/// The maximum time from one call of a member to its next one while the service is down, in microseconds, unless a regular
+/// round is longer.
 const OUTAGE_TURN: Micros = 26_000_000;
-/// ... and the whole group once in this time at least, in microseconds.
+/// The time from a call of one member to the call of the next member while the service is down, in microseconds, in a group
+/// that is small enough for [`OUTAGE_TURN`].
 const OUTAGE_GROUP_TURN: Micros = 1_000_000;
 
 /// The inputs from which the length of a round is computed, at one point in time.
@@ -25,7 +27,7 @@
 
 impl RoundLength<'_> {
     /// The length of one round in microseconds: a slot for each place that may lack a list. Members that held a list before
-    /// the need for the call arose do not call. Members that got theirs since then had a slot in this round.
+    /// the need for the call arose do not call. Members that received a list since then had a slot in this round.
     pub fn regular(self) -> Micros {
         // Refusals show that a call takes longer than assumed. They add nothing if the members measured how long it takes.
         let is_measured = self.statuses.answer_time(self.config.service_time, self.now_ms).is_some();
@@ -33,18 +35,18 @@
         (self.service_time() * (u64::from(self.config.places) - self.list_holders()).max(1)) << level
     }
 
-    /// The length of a round while the service is down, in microseconds. It is long, so that the turns load the service
-    /// little, and short enough for the group to notice the end of the outage soon.
+    /// The length of a round while the service is down, in microseconds: long enough to put little load on the service, and
+    /// short enough for the group to notice the end of the outage soon.
     pub fn outage(self) -> Micros {
         OUTAGE_TURN.min(OUTAGE_GROUP_TURN * (self.assumed_others() + 1)).max(self.regular())
     }
 
-    /// Whether calls go by outage turns: the service is down, and others are there to take turns with.
+    /// Whether calls are made in outage turns: the service is down, and other members are present to take turns with.
     pub fn takes_outage_turns(self) -> bool {
         self.config.has_membership && self.assumed_others() > 0 && self.statuses.is_service_down(self.now_ms)
     }
 
-    /// The number of others that already held a list when the need for the call arose: they need no slot.
+    /// The number of other members that already held a list when the need for the call arose, and so need no slot.
     fn list_holders(self) -> u64 {
         let holders = if self.need.may_know_holders() {
             self.statuses.others_with_watch_since_before(self.config.unix_ms(self.need.since))
@@ -55,14 +57,14 @@
         if self.need.members_gone * 8 > holders { 0 } else { holders }
     }
 
-    /// The number of others that are assumed to be present: all of them until statuses have had time to arrive.
+    /// The number of other members that are assumed to be present: all of them until statuses have had time to arrive.
     fn assumed_others(self) -> u64 {
         let is_early = self.config.has_membership && self.need.rechecks == 0;
         if is_early { u64::from(self.config.places) - 1 } else { self.statuses.present_others() }
     }
 
-    /// The time that the service needs for a call, in microseconds: as the members measured it, or else as configured, or
-    /// less if an own call was answered sooner.
+    /// The time that the service needs for a call, in microseconds: the members' measurement if there is one, or else the
+    /// configured time, or less if a call of this dispatcher was answered sooner.
     fn service_time(self) -> Micros {
         let configured = self.config.service_time;
         let own = self.min_answer_time.map_or(configured, |time| time.clamp(configured / 8 + 1, configured));
--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -1,29 +1,30 @@
-//! The members' statuses of the list service, and what this dispatcher concludes from all of them.
+//! The members' statuses of the list service, and the state of the service that follows from all of them.
 
 use crate::{Micros, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Statuses older than this are no evidence that the service is down now, in milliseconds.
+/// The age above which a status is no evidence that the service is down now, in milliseconds.
 const OUTAGE_EVIDENCE_TTL_MS: Millis = 60_000;
-/// A refusal by a busy service lengthens rounds for this long, in milliseconds.
+/// The time for which a refusal by a busy service lengthens rounds, in milliseconds.
 const BUSY_EVIDENCE_TTL_MS: Millis = 10_000;
-/// The measured time of a call is used for this long, in milliseconds.
+/// The time for which a measured duration of a call is used, in milliseconds.
 const ANSWER_TIME_TTL_MS: Millis = 15_000;
 /// The number of members that must report the time of their calls before it is used: with fewer, a slow service cannot be
 /// told from a long queue.
 const MIN_ANSWER_TIMES: usize = 8;
-/// The queue length of a service that is just kept busy, including the call itself.
+/// The length of a short queue at the service, in calls, including the call itself.
 const SHORT_QUEUE: u64 = 3;
-/// How often rounds are doubled at most.
+/// The maximum number of times that rounds are doubled.
 pub(super) const MAX_BACKOFF_LEVEL: u8 = 4;
-/// Two lengths that differ by less than this factor count as equal.
+/// The factor below which a difference between two lengths is ignored.
 pub(super) const SIGNIFICANT_CHANGE: f64 = 1.5;
-/// A member need not report an outage of the service once this many others have done so.
+/// The number of outage reports by other members at which a further report is not urgent.
 const ENOUGH_OUTAGE_REPORTS: usize = 3;
-/// An answer is worth reporting if it is this much later than the latest one that others reported, in milliseconds.
+/// An answer is urgent to report if it is more than this later than the latest one that others reported, in milliseconds.
 const MIN_ANSWER_ADVANCE_MS: Millis = 1_000;
 
-/// One member's status of the list service: the payload of slot 0 of this crate's facts. It is encoded by position.
+/// One member's status of the list service: the payload of slot 0 of this crate's facts. Fields are encoded by position, so
+/// they must keep their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
     /// The generation of the list that the member holds.
@@ -47,14 +48,14 @@
 pub(super) struct MemberStatuses {
     place: usize,
     pub own: ServiceStatus,
-    /// By place; `None` for the own place.
+    /// The last status received from each place, indexed by place; `None` if unknown, and for the own place.
     peers: Vec<Option<ServiceStatus>>,
-    /// By place.
+    /// Whether a member is present, indexed by place.
     is_present: Vec<bool>,
 }
 
 impl MemberStatuses {
-    /// The state of the member at `place`, which holds the list of this generation and knows no other status.
+    /// Creates the state of the member at `place`, which holds the list of this generation and knows no other status.
     pub fn new(place: u16, places: u16, generation: u64) -> MemberStatuses {
         MemberStatuses {
             place: usize::from(place),
@@ -133,8 +134,8 @@
         is_fresh && (reports >= 2 || reports == 1 && !is_watched)
     }
 
-    /// Whether the own status would change what others do: too few of them have reported the same state of the service, or
-    /// none of them holds this generation of the list.
+    /// Whether the own status would change the behaviour of other members: too few of them have reported the same state of
+    /// the service, or none of them holds this generation of the list.
     pub fn is_status_urgent(&self, now_ms: Millis) -> bool {
         if Self::level_of(std::iter::once(&self.own), now_ms) > Self::level_of(self.peers(), now_ms) {
             return true;
--- a/crates/coldstart/src/poll_scheduler/slots.rs
+++ b/crates/coldstart/src/poll_scheduler/slots.rs
@@ -1,9 +1,9 @@
-//! The own slots of a place within rounds.
+//! The slots of one place within rounds.
 
 use crate::Micros;
 
 /// The first calls after a start are stretched over this fraction of a round, within the bounds below. If the service is
-/// down, most members then learn that from the first ones before they call.
+/// down, most members then learn it from the members that call first, before they call themselves.
 const FIRST_CALLS_FRACTION: f64 = 1.0;
 /// The shortest time over which first calls are stretched, in microseconds.
 const MIN_FIRST_CALLS_SPAN: Micros = 100_000;
@@ -13,8 +13,9 @@
 /// The position of one place's slot in rounds of any length. Times are the caller's microseconds.
 #[derive(Debug)]
 pub(super) struct Slots {
-    /// The position of the own call as a fraction of a round: the start of the own slot plus a random offset within it.
+    /// The position of this place's call as a fraction of a round: the start of its slot plus a random offset within it.
     phase: f64,
+    /// See [`super::Config::unix_at_zero`].
     unix_at_zero: Micros,
     /// Whether first calls are stretched, which helps only if statuses of others can be received. All slots are then shifted
     /// by the same amount, so that they do not overlap.
@@ -26,7 +27,7 @@
         Slots { phase, unix_at_zero, stretches_first_calls }
     }
 
-    /// The first time at or after `from` that lies in the own slot, for rounds of this length.
+    /// The first time at or after `from` at which this place calls, for rounds of this length.
     pub fn next(&self, from: Micros, round: Micros) -> Micros {
         let shift = if self.stretches_first_calls { shift(round) } else { 0 };
         let elapsed = (self.unix_at_zero + from) % round;
@@ -34,8 +35,8 @@
         from + (own_offset + round - elapsed) % round
     }
 
-    /// The time of a first call. If first calls are stretched, slots within the first quarter of the span move to four times their
-    /// distance; all later slots are shifted.
+    /// The time of a first call. If first calls are stretched, slots within the first quarter of the span move to four times
+    /// their distance; all later slots are shifted.
     pub fn first(&self, now: Micros, round: Micros) -> Micros {
         let at = self.next(now, round);
         if !self.stretches_first_calls {
@@ -52,12 +53,12 @@
     }
 }
 
-/// The time over which first calls are stretched.
+/// The time over which first calls are stretched, in microseconds.
 fn first_calls_span(round: Micros) -> Micros {
     ((round as f64 * FIRST_CALLS_FRACTION) as u64).clamp(MIN_FIRST_CALLS_SPAN, MAX_FIRST_CALLS_SPAN)
 }
 
-/// How much later slots are if first calls are stretched.
+/// The shift of slots if first calls are stretched, in microseconds.
 fn shift(round: Micros) -> Micros {
     first_calls_span(round) / 4 * 3
 }
--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -1,4 +1,4 @@
-//! Observations of workers, made by this dispatcher and by its peers, which exchange them as facts.
+//! Observations of workers by this dispatcher and its peers, which exchange them as facts.
 //!
 //! For each worker the state holds the latest time of each kind of observation: proof of life, refusal, hang, reset, sign of
 //! warming up, and report. Absorbing a fact takes the maximum of each of these times, so the state does not depend on the
@@ -37,17 +37,19 @@
 pub const MAX_CLOCK_SKEW_MS: Millis = 5_000;
 /// The slot of a member's status of the list service.
 const SERVICE_SLOT: u32 = 0;
-/// The minimum interval between two facts of worker buckets, and before an urgent fact of the service, in microseconds.
+/// The minimum interval between two facts of worker buckets, and between a fact of the service and an urgent one after it,
+/// in microseconds.
 const PUBLISH_INTERVAL: Micros = 50_000;
-/// The weight of an observation halves every this many milliseconds; it is 0 after [`OBSERVATION_TTL_MS`].
+/// The half-life of the weight of an observation, in milliseconds. The weight is 0 after [`OBSERVATION_TTL_MS`].
 const HALF_LIFE_MS: f64 = 5_000.0;
-/// An observation counts for this long, in milliseconds.
+/// The time after which an observation is ignored, in milliseconds.
 const OBSERVATION_TTL_MS: Millis = 30_000;
-/// A fault is published again once the last known one is this old, in milliseconds: members that avoid the worker because
-/// of it will soon try again.
+/// The age of the last known fault above which a fault is published again, in milliseconds: members that avoid the worker
+/// because of that fault will soon try it again.
 const FAULT_REPUBLISH_MS: Millis = 2_500;
-/// Proofs of life and reports are published again once the last known one is this old, in milliseconds, plus up to as much
-/// again by place. Most places then receive the observation of another before they publish their own.
+/// The age of the last known proof of life or report above which one is published again, in milliseconds. The age at a
+/// place is between one and two times this value, so that most places receive the observation of another place before they
+/// publish their own.
 const PROOF_REPUBLISH_MS: Millis = 12_000;
 
 /// The process that published a fact.
@@ -76,6 +78,7 @@
 }
 
 impl WorkerKey {
+    /// The key of the worker with this tag.
     fn from_tag(tag: WorkerTag) -> WorkerKey {
         let mixed = mix(tag);
         let bucket = 1 + (mixed % u64::from(BUCKETS)) as u32;
@@ -93,7 +96,9 @@
 /// The observations of workers and the statuses of the list service, from this dispatcher and its peers.
 #[derive(Debug)]
 pub struct SharedObservations {
+    /// The Unix time at which the caller's clock reads 0, in microseconds.
     unix_at_zero: Micros,
+    /// The value of [`PROOF_REPUBLISH_MS`] for this place.
     proof_republish_ms: Millis,
     /// The join of all own observations and all absorbed ones.
     all: BTreeMap<WorkerKey, ObservedTimes>,
@@ -103,16 +108,19 @@
     by_age: BTreeSet<(Millis, WorkerKey)>,
     /// The buckets to publish.
     unpublished: BTreeSet<u32>,
+    /// The earliest time at which the next bucket may be published.
     next_bucket_at: Micros,
     service: OwnServiceStatus,
     /// The version of the last status of the service from each place.
     service_stamps: HashMap<u16, Stamp>,
     service_updates: Vec<ServiceUpdate>,
+    /// The number of buckets published so far.
     published: u64,
 }
 
 impl SharedObservations {
-    /// Creates the state without any observation. `unix_at_zero` is the Unix time of the caller's zero, in microseconds.
+    /// Creates the state without any observation. `unix_at_zero` is the Unix time at which the caller's clock reads 0, in
+    /// microseconds.
     pub fn new(place: u16, unix_at_zero: Micros, now: Micros) -> SharedObservations {
         SharedObservations {
             unix_at_zero,
@@ -133,22 +141,22 @@
         (self.unix_at_zero + now) / 1_000
     }
 
-    /// Records an observation of a worker by this dispatcher. It is published if it is news to the others.
+    /// Records an observation of a worker by this dispatcher. It is published unless the other members know as much already.
     pub fn record(&mut self, now: Micros, tag: WorkerTag, observation: Observation) {
         let key = WorkerKey::from_tag(tag);
         let now_ms = self.unix_ms(now);
         let before = self.all.get(&key).copied().unwrap_or_default();
-        let is_news = self.is_worth_publishing(&before, observation, now_ms);
+        let is_worth_publishing = self.is_worth_publishing(&before, observation, now_ms);
         let observed = ObservedTimes::from_observation(observation, now_ms);
         self.own.entry(key).or_default().join(&observed);
         self.join(key, &observed);
-        if is_news {
+        if is_worth_publishing {
             self.unpublished.insert(key.bucket);
         }
     }
 
-    /// Whether an observation changes what the others conclude, or renews one that will soon be too old. A proof of life of
-    /// a worker without a known fault is published only at long intervals.
+    /// Whether an observation would change a worker's status at the other members, or renews one that will soon be too old.
+    /// A proof of life of a worker without a known fault is published only at long intervals.
     fn is_worth_publishing(&self, before: &ObservedTimes, observation: Observation, now_ms: Millis) -> bool {
         let worst = before.worst_fault();
         match observation {
@@ -161,11 +169,13 @@
         }
     }
 
-    /// Sets this dispatcher's status of the service. It is published sooner if `is_urgent`: it changes what the others do.
+    /// Sets this dispatcher's status of the service. It is published sooner if `is_urgent`, that is, if it changes the
+    /// behaviour of other members ([`PollScheduler::is_status_urgent`](crate::PollScheduler::is_status_urgent)).
     pub fn set_service_status(&mut self, status: ServiceStatus, is_urgent: bool) {
         self.service.set(status, is_urgent);
     }
 
+    /// Joins observed times into the state, and drops the worker with the oldest last observation if there are too many.
     fn join(&mut self, key: WorkerKey, observed: &ObservedTimes) {
         let times = self.all.entry(key).or_default();
         let before = times.newest();
@@ -179,7 +189,7 @@
                 self.own.remove(&oldest);
             }
         }
-        invariant!(self.by_age.len() == self.all.len(), "a worker without its age");
+        invariant!(self.by_age.len() == self.all.len(), "the index by age does not match the workers");
     }
 
     /// The status of a worker at `now`; `None` if no observation of it is recent enough.
@@ -276,7 +286,7 @@
         let last = self.service_stamps.entry(place).or_default();
         if stamp > *last {
             *last = stamp;
-            // Only the last status of each member counts: it replaces one that was not taken yet.
+            // Only the last status of each member counts: it replaces one that the caller has not taken yet.
             self.service_updates.retain(|update| update.place != place);
             self.service_updates.push(ServiceUpdate { place, status });
         }
--- a/crates/coldstart/src/shared_observations/observation.rs
+++ b/crates/coldstart/src/shared_observations/observation.rs
@@ -1,4 +1,4 @@
-//! Observations of a worker, and the status that they add up to.
+//! Observations of a worker, and the status computed from them.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/coldstart/src/shared_observations/own_service_status.rs
+++ b/crates/coldstart/src/shared_observations/own_service_status.rs
@@ -4,21 +4,21 @@
 use crate::Micros;
 use crate::poll_scheduler::ServiceStatus;
 
-/// The minimum interval before a status that is not urgent, in microseconds.
+/// The minimum interval between the last publication and one of a status that is not urgent, in microseconds.
 const IDLE_STATUS_INTERVAL: Micros = 5_000_000;
 
 /// The current status of the service, and the last one published.
 #[derive(Debug)]
 pub(super) struct OwnServiceStatus {
     current: Option<ServiceStatus>,
-    /// Whether the current status changes what the others do.
+    /// Whether the current status changes the behaviour of other members.
     is_urgent: bool,
     published: Option<ServiceStatus>,
     published_at: Micros,
 }
 
 impl OwnServiceStatus {
-    /// The state without any status. A first status that is urgent may be published at once.
+    /// Creates the state without any status. A first status that is urgent may be published at once.
     pub fn new(now: Micros) -> OwnServiceStatus {
         OwnServiceStatus {
             current: None,
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Replaces the status. It is urgent if it changes what the others do.
+    /// Replaces the current status. It is urgent if it changes the behaviour of other members.
     pub fn set(&mut self, status: ServiceStatus, is_urgent: bool) {
         self.current = Some(status);
         self.is_urgent = is_urgent;
     }
 
-    /// The current status, unless it is already published.
+    /// The current status, unless it was the last one published.
     pub fn unpublished(&self) -> Option<ServiceStatus> {
         self.current.filter(|status| Some(*status) != self.published)
     }
--- a/crates/coldstart/src/shared_observations/wire.rs
+++ b/crates/coldstart/src/shared_observations/wire.rs
@@ -13,19 +13,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AbsorbError {
     /// The fact has an unknown version.
-    #[error("version {0} of a finding is not known here")]
+    #[error("unknown version {0} of a fact; this program reads version {VERSION}")]
     Version(u8),
     /// The fact cannot be decoded.
-    #[error("a finding cannot be read")]
+    #[error("a fact cannot be decoded")]
     Malformed,
     /// The fact is longer than [`MAX_FACT_BYTES`]. Holds its length, in bytes.
-    #[error("a finding has {0} bytes, {MAX_FACT_BYTES} at most")]
+    #[error("a fact of {0} bytes exceeds the maximum of {MAX_FACT_BYTES} bytes")]
     TooLong(usize),
     /// The fact has a slot that this kind of fact does not use.
-    #[error("slot {0} is none of this kind's")]
+    #[error("slot {0} is not used by this kind of fact")]
     Slot(u32),
     /// The fact is further in the future than clocks may differ. Holds by how much, in milliseconds.
-    #[error("a finding is from {0} ms in the future")]
+    #[error("a fact is dated {0} ms in the future, more than the allowed {MAX_CLOCK_SKEW_MS} ms")]
     Future(Millis),
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Encodes the body of a fact, with its version in front.
+/// Encodes a fact: the version byte, followed by the body.
 pub(super) fn encode(body: &impl Serialize) -> Option<Vec<u8>> {
     postcard::to_extend(body, vec![VERSION]).ok()
 }
--- a/crates/coldstart/src/simulation.rs
+++ b/crates/coldstart/src/simulation.rs
@@ -1,9 +1,9 @@
-//! A discrete-event simulation of hundreds of dispatchers around one list service and a set of workers.
+//! A discrete-event simulation of hundreds of dispatchers with one list service and a set of workers.
 //!
-//! It has a virtual clock, and one seed determines the run. The service handles calls one after another, refuses a call
-//! that has waited for a second, and resets all connections when it goes down. Facts travel by rounds of gossip with delay
-//! and loss. The dispatchers follow one of four strategies ([`PollingStrategy`]); the last two run this crate's state
-//! machines as the program does.
+//! The clock is virtual, and one seed determines the run. Times and spans are in microseconds. The service handles calls one
+//! after another, refuses a call that has waited for a second, and resets all connections when it goes down. Facts are
+//! exchanged in rounds of gossip, with delay and loss. The dispatchers use one of four strategies ([`PollingStrategy`]); the
+//! last two run this crate's state machines as the program does.
 
 mod dispatcher;
 mod event_queue;
@@ -25,18 +25,18 @@
 
 const MS: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
-/// The one-way latency of a datagram or of a step of a connection.
+/// The latency of each step of a connection, and the minimum one-way latency of a datagram.
 const HOP: u64 = 300;
-/// A call or a watch is given up after this long without a byte.
+/// The time without any byte after which a call or a watch counts as failed.
 const SILENCE_TIMEOUT: u64 = 3 * SECOND;
-/// Changes that a silent watch did not deliver count as received after this.
+/// The time within which a dispatcher must learn of a change that a silent watch did not deliver.
 const NOTIFICATION_DEADLINE: u64 = 6 * SECOND;
 /// The interval at which the dispatchers' views of the membership change.
 const VIEW_INTERVAL: u64 = SECOND;
 /// The Unix time at the start of a run.
 const UNIX_AT_ZERO: u64 = 1_764_633_600 * SECOND;
 
-/// The state of a place in the views of the others.
+/// The state of a place as the other dispatchers see it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Presence {
     is_running: bool,
@@ -56,7 +56,7 @@
     /// Indices of the workers on the service's own list.
     current_list: Vec<usize>,
     service: ListService,
-    /// By when all watches that fall silent must be replaced by new calls.
+    /// The time by which all watches that fall silent must be replaced by new calls.
     silence_deadline: Option<u64>,
     /// The last published views, by place.
     presence: Vec<Presence>,
@@ -76,7 +76,7 @@
         let listed_before = (usize::from(scenario.dispatchers) / 4).max(12);
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
         let dead = (listed_before as f64 * scenario.dead_workers.min(1.0)).round() as usize;
-        // Dead workers are on the old list only. If all workers of that list are dead, the service lists as many others.
+        // Dead workers are on the old list only. If all workers of that list are dead, the service lists as many new ones.
         let replacements = if scenario.dead_workers >= 1.0 { listed_before } else { 0 };
         let count = listed_before + replacements;
         let workers =
@@ -111,7 +111,7 @@
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Schedules the events of the scenario, from the first starts on.
+    /// Schedules the starts of all dispatchers and the other events of the scenario.
     fn schedule_scenario(&mut self) {
         let scenario = self.scenario;
         for place in 0..scenario.dispatchers {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether facts and views travel between two places, which a network partition prevents.
+    /// Whether facts and views are exchanged between two places, which a network partition prevents.
     fn are_connected(&self, one: u16, other: u16) -> bool {
         self.scenario.partitioned_until.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
     }
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Updates the views of all dispatchers at once. In reality a new process is known by its first datagram, and the end of
-    /// a process some time later; the simulation simplifies that to a fixed interval.
+    /// Updates the views of all dispatchers at the same time. In reality a new process becomes known by its first datagram,
+    /// and the end of a process some time later; the simulation simplifies that to a fixed interval.
     fn on_views_change(&mut self) {
         let presence: Vec<Presence> = self.dispatchers.iter().map(Dispatcher::presence).collect();
         let before = std::mem::replace(&mut self.presence, presence);
--- a/crates/coldstart/src/simulation/dispatcher.rs
+++ b/crates/coldstart/src/simulation/dispatcher.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A place with its dispatcher, whether or not its process is running.
+/// The dispatcher at one place, whether or not its process is running.
 #[derive(Default)]
 pub(super) struct Dispatcher {
     /// The number of earlier processes at this place.
@@ -29,18 +29,19 @@
     pub first_list_at: Option<u64>,
     /// Consecutive calls and watches that failed.
     pub failures: u32,
-    /// By the worker's index.
+    /// The connections to each worker, by the worker's index.
     pub connections: HashMap<usize, Connections>,
     /// This crate's state machines, if the strategy uses them.
     pub machines: Option<Machines>,
     /// The facts held, by place and slot.
     pub facts: BTreeMap<(u16, u32), Rc<Fact>>,
-    /// The facts to pass on.
+    /// The facts to forward.
     pub gossip_queue: VecDeque<QueuedFact>,
-    /// Whether the process has requested the facts of another one after its start.
+    /// Whether the process has requested the facts of another process after its start.
     pub has_joined: bool,
     /// The last status of the service that was given to `SharedObservations`.
     pub last_status: Option<ServiceStatus>,
+    /// The number of the last fact that the process published.
     pub fact_number: u64,
 }
 
@@ -59,7 +60,7 @@
 }
 
 impl Machines {
-    /// The machines of a process that starts at `now` and holds a list with the workers of these tags.
+    /// Creates the state machines of a process that starts at `now` and holds a list with the workers of these tags.
     pub fn new(
         scenario: &SimulationScenario,
         place: u16,
--- a/crates/coldstart/src/simulation/event_queue.rs
+++ b/crates/coldstart/src/simulation/event_queue.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// One process of a dispatcher. After a kill, another process with the next incarnation starts at the same place.
+/// Identifies a process of a dispatcher. After a kill, another process with the next incarnation starts at the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessId {
     pub place: u16,
@@ -41,7 +41,7 @@
 }
 
 impl Event {
-    /// The process that the event is for, if it is dropped when that process has ended.
+    /// The process that handles the event, for events that are dropped if that process has ended.
     pub fn process(&self) -> Option<ProcessId> {
         match self {
             Event::Wake(process)
@@ -104,7 +104,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event.
+    /// Schedules an event at a time.
     pub fn push(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         self.heap.push(Scheduled { at, sequence: self.sequence, event });
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -1,4 +1,4 @@
-//! The transport of facts: rounds of gossip between random dispatchers, with delay and loss.
+//! The simulated transport of facts: rounds of gossip between random dispatchers, with delay and loss.
 
 use super::event_queue::{Event, ProcessId};
 use super::{HOP, MS, PollingStrategy, Simulation, UNIX_AT_ZERO};
@@ -7,14 +7,14 @@
 
 /// The interval between two rounds of gossip of a dispatcher.
 pub(super) const GOSSIP_INTERVAL: u64 = 200 * MS;
-/// The number of receivers in a round.
+/// The number of receivers in a round of gossip.
 const FANOUT: usize = 3;
 /// The maximum number of facts in a datagram.
 const FACTS_PER_DATAGRAM: usize = 8;
 /// The fraction of datagrams that is lost.
 const LOSS: f64 = 0.01;
 /// The maximum number of facts that are sent to a process that has just started.
-const FACTS_FOR_NEWCOMER: usize = 64;
+const MAX_JOIN_FACTS: usize = 64;
 /// The slot of a member's status of the service.
 const SERVICE_SLOT: u32 = 0;
 
@@ -27,14 +27,14 @@
     bytes: Vec<u8>,
 }
 
-/// A fact that is to be passed on a number of times.
+/// A fact that is still to be sent a number of times.
 pub(super) struct QueuedFact {
     sends_left: usize,
     fact: Rc<Fact>,
 }
 
 impl super::dispatcher::Dispatcher {
-    /// Queues a fact; those of the service go first.
+    /// Queues a fact. Facts of the service are sent before all others.
     fn queue_fact(&mut self, queued: QueuedFact) {
         match queued.fact.slot {
             SERVICE_SLOT => self.gossip_queue.push_front(queued),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes the next facts to send from the queue. Those that are to be sent again are queued again.
+    /// Takes the facts of the next datagram from the queue. Those that are to be sent again are queued again.
     fn take_facts_to_send(&mut self) -> Vec<Rc<Fact>> {
         let mut facts = Vec::new();
         let mut again = Vec::new();
@@ -63,7 +63,7 @@
 }
 
 impl Simulation<'_> {
-    /// How often a fact is passed on.
+    /// The number of times that each dispatcher sends a fact.
     fn sends(&self) -> usize {
         usize::from(self.scenario.dispatchers).ilog2() as usize + 3
     }
@@ -103,7 +103,7 @@
             let dispatcher = &mut self.dispatchers[usize::from(place)];
             let mut facts = dispatcher.take_facts_to_send();
             if facts.len() < FACTS_PER_DATAGRAM / 2 {
-                // Fill the rest with old facts, so that dispatchers that were partitioned receive them.
+                // Fill the datagram with old facts, so that dispatchers that were partitioned receive them.
                 let skip = self.rng.usize(0..dispatcher.facts.len().max(1));
                 facts.extend(dispatcher.facts.values().skip(skip).take(2).cloned());
             }
@@ -119,16 +119,16 @@
     /// few datagrams hold.
     fn join(&mut self, place: u16) {
         let drawn: Vec<u16> = (0..8).map(|_| self.rng.u16(0..self.scenario.dispatchers)).collect();
-        let knows_facts = |other: &u16| {
+        let can_send_facts = |other: &u16| {
             *other != place && self.dispatcher(*other).has_joined && self.are_connected(place, *other)
         };
-        let Some(other) = drawn.into_iter().find(knows_facts) else { return };
+        let Some(other) = drawn.into_iter().find(can_send_facts) else { return };
         let facts = self.dispatcher(other).facts.values();
         let (mut first, others): (Vec<_>, Vec<_>) =
             facts.cloned().partition(|fact| fact.slot == SERVICE_SLOT);
         first.sort_by_key(|fact| std::cmp::Reverse((fact.epoch, fact.number)));
         first.extend(others);
-        first.truncate(FACTS_FOR_NEWCOMER);
+        first.truncate(MAX_JOIN_FACTS);
         self.schedule(self.now + 2 * MS, Event::FactsArrive(place, first));
     }
 
--- a/crates/coldstart/src/simulation/list_service.rs
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -1,21 +1,22 @@
-//! The list service, and the calls and watches of dispatchers.
+//! The simulated list service, and the calls and watches of dispatchers.
 
 use super::event_queue::{Event, ProcessId};
 use super::{HOP, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
 use crate::poll_scheduler;
 
-/// A call that has waited for this long is refused.
+/// The wait after which a call is refused.
 const MAX_WAIT: u64 = SECOND;
-/// The generation of the service's list; that of the old list is 1.
+/// The generation of the service's list. The generation of the old list is 1.
 const GENERATION: u64 = 2;
 
-/// The service's side of all calls.
+/// The state of the service.
 pub(super) struct ListService {
     pub is_up: bool,
     /// When the service will have handled all waiting calls.
     free_at: u64,
-    /// The number of times that the service went down; tells its runs apart.
+    /// The number of times that the service went down, which identifies its current run.
     run: u64,
+    /// The number of calls in the queue.
     waiting: u64,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// One call.
+/// A call of a dispatcher to the service.
 #[derive(Clone, Copy)]
 pub(super) struct Call {
     pub process: ProcessId,
@@ -47,8 +48,8 @@
 }
 
 impl Reply {
-    /// Whether the reply depends on the service: it does not come if the service went down in the meantime.
-    fn is_of_service(self) -> bool {
+    /// Whether the service sends the reply, so that the reply is lost if the service goes down first.
+    fn depends_on_service(self) -> bool {
         matches!(self, Reply::List | Reply::Refused | Reply::Silence)
     }
 }
@@ -112,8 +113,8 @@
             (self.now + MAX_WAIT, Reply::Refused)
         } else {
             self.service.free_at = begins_at + self.scenario.service_time;
-            let is_mute = call.number == 1 && self.rng.f64() < self.scenario.silent_first_watches;
-            (self.service.free_at, if is_mute { Reply::Silence } else { Reply::List })
+            let is_silent = call.number == 1 && self.rng.f64() < self.scenario.silent_first_watches;
+            (self.service.free_at, if is_silent { Reply::Silence } else { Reply::List })
         };
         let call = Call { service_run: self.service.run, ..call };
         self.schedule(at, Event::Reply(call, reply));
@@ -122,7 +123,7 @@
     pub(super) fn on_reply(&mut self, call: Call, reply: Reply) {
         let now = self.now;
         let place = call.process.place;
-        if reply.is_of_service() {
+        if reply.depends_on_service() {
             if call.service_run != self.service.run {
                 return;
             }
@@ -171,7 +172,7 @@
         self.publish(place);
     }
 
-    /// Handles a failed call or the end of a watch, and schedules the next call.
+    /// Handles the failure of a call or the end of a watch, and schedules the next call.
     fn on_call_or_watch_failed(&mut self, place: u16, event: poll_scheduler::Event) {
         let (now, poll_within) = (self.now, self.scenario.poll_within);
         let dispatcher = self.dispatcher_mut(place);
--- a/crates/coldstart/src/simulation/scenario.rs
+++ b/crates/coldstart/src/simulation/scenario.rs
@@ -7,20 +7,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollingStrategy {
     /// The behaviour of the program without this crate: a random wait of up to an eighth of `poll_within`, doubled with
-    /// each failure at most three times. Each dispatcher computes its backoff from workers, and its turns at workers that
-    /// warm up, on its own.
+    /// each failure, at most three times. Each dispatcher computes its backoff from workers, and its turns at workers that
+    /// warm up, without information from the others.
     RandomWait,
-    /// The first call at once; after failures full jitter, up to 100 ms doubled with each failure, at most 10 s. Otherwise
-    /// like `RandomWait`.
+    /// The first call is made at once. After a failure, the wait is drawn with full jitter up to a limit, which is 100 ms,
+    /// doubled with each failure, at most 10 s. Otherwise like `RandomWait`.
     FullJitter,
-    /// This crate, without facts from the others.
+    /// The state machines of this crate, without facts from other dispatchers.
     SchedulerAlone,
-    /// This crate, with facts from the others.
+    /// The state machines of this crate, with facts from other dispatchers.
     SchedulerWithGossip,
 }
 
 impl PollingStrategy {
-    /// The name of the strategy in the figures of the proof.
+    /// The name of the strategy in the output of `examples/proof_coldstart.rs`.
     pub fn name(self) -> &'static str {
         match self {
             PollingStrategy::RandomWait => "landed",
@@ -40,10 +40,10 @@
     pub until: u64,
 }
 
-/// A restart of many dispatchers: they are killed at once, and each starts again within half a second.
+/// A restart of many dispatchers: they are killed at the same time, and each starts again within half a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MassRestart {
-    /// When they are killed.
+    /// When the dispatchers are killed.
     pub at: u64,
     /// The fraction of the dispatchers that is killed.
     pub fraction: f64,
@@ -63,21 +63,21 @@
 pub struct SimulationScenario {
     /// The number of dispatchers.
     pub dispatchers: u16,
-    /// All dispatchers start within this span.
+    /// The span within which all dispatchers start.
     pub start_within: u64,
     /// The time that the service needs for a call.
     pub service_time: u64,
     /// The time that dispatchers assume the service needs for a call.
     pub assumed_service_time: u64,
-    /// When the service is down.
+    /// An outage of the service.
     pub outage: Option<Outage>,
-    /// When dispatchers are killed and started again.
+    /// A restart of many dispatchers.
     pub restart: Option<MassRestart>,
     /// When all watches fall silent.
     pub watches_silent_at: Option<u64>,
     /// The fraction of first watches that are silent from the start.
     pub silent_first_watches: f64,
-    /// Dispatchers that are paused.
+    /// A pause of some dispatchers.
     pub pause: Option<Pause>,
     /// The end of a network partition of the dispatchers into two sides; the second side starts a second later.
     pub partitioned_until: Option<u64>,
@@ -93,7 +93,7 @@
     pub duration: u64,
     /// The seed of the run.
     pub seed: u64,
-    /// A deliberate fault for tests of the tests: calls are not spread over slots.
+    /// A fault to inject, which the tests must detect: calls are not spread over slots.
     pub skip_scheduling: bool,
 }
 
--- a/crates/coldstart/src/simulation/summary.rs
+++ b/crates/coldstart/src/simulation/summary.rs
@@ -1,11 +1,11 @@
-//! The measurements of a run, and the figures computed from them.
+//! The measurements of a simulated run, and the summary computed from them.
 
 use super::{MS, Simulation};
 
 /// The window over which peaks of calls are counted.
 const PEAK_WINDOW: u64 = 100 * MS;
 
-/// The figures of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationSummary {
     /// All calls to the service.
@@ -22,7 +22,7 @@
     pub peak_calls_after_outage: u64,
     /// The median time until a process holds a list, from its start or from the end of the outage, in microseconds.
     pub list_time_p50: u64,
-    /// The 99th percentile of the same time.
+    /// The 99th percentile of the time until a process holds a list, in microseconds.
     pub list_time_p99: u64,
     /// Processes without a watch at the end.
     pub processes_without_watch: u64,
@@ -30,11 +30,11 @@
     pub late_watches: u64,
     /// The mean number of handshakes at a live worker in the first 10 s.
     pub mean_handshakes: f64,
-    /// The maximum number of handshakes at one such worker.
+    /// The maximum number of handshakes at one live worker in the first 10 s.
     pub max_handshakes: u64,
     /// The mean number of jobs tried at a dead worker in the first 10 s.
     pub mean_tries_at_dead_workers: f64,
-    /// Collapses of workers that warm up.
+    /// How often a worker that warms up collapsed under too much load.
     pub collapses: u64,
     /// The maximum load of a worker that warms up, as a fraction of its limit.
     pub max_budget_fraction: f64,
@@ -44,7 +44,7 @@
     pub lost_jobs: u64,
     /// Facts published by all dispatchers.
     pub facts: u64,
-    /// The total length of these facts, in bytes.
+    /// The total length of all published facts, in bytes.
     pub fact_bytes: u64,
     /// The maximum number of calls that one dispatcher had open at once.
     pub max_open_calls: u64,
@@ -58,7 +58,7 @@
     call_times: Vec<u64>,
     /// How long each process was without a list.
     list_times: Vec<u64>,
-    /// The figures that are counted directly.
+    /// The results that are counted directly.
     counts: SimulationSummary,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl Simulation<'_> {
-    /// The figures of the run so far.
+    /// The results of the run so far.
     pub(super) fn summary(mut self) -> SimulationSummary {
         let Measurements { processes, mut call_times, mut list_times, counts } =
             std::mem::take(&mut self.measurements);
@@ -131,7 +131,7 @@
                 .iter()
                 .filter(|dispatcher| !dispatcher.has_watch)
                 .count() as u64,
-            // Those that were silent and not called for again by the end are late too.
+            // Watches that are still silent at the end are late too.
             late_watches: counts.late_watches + still_silent as u64,
             mean_handshakes: mean(&handshakes),
             mean_tries_at_dead_workers: mean(&trials),
@@ -141,7 +141,7 @@
     }
 }
 
-/// The maximum number of these sorted times within one window.
+/// The maximum number of these sorted times within one [`PEAK_WINDOW`].
 fn peak(times: &[u64]) -> u64 {
     let mut first = 0;
     let counts = times.iter().enumerate().map(|(last, at)| {
--- a/crates/coldstart/src/simulation/workers.rs
+++ b/crates/coldstart/src/simulation/workers.rs
@@ -5,19 +5,20 @@
 use crate::{Admission, Decision, Fault, Observation, Request};
 use std::collections::VecDeque;
 
-/// A job is lost if it finds no worker within this time.
+/// The time within which a job must find a worker; otherwise it is lost.
 const JOB_TIMEOUT: u64 = 7_500 * MS;
-/// A connection attempt without an answer is given up after this.
+/// The timeout of a connection attempt.
 const CONNECT_TIMEOUT: u64 = 250 * MS;
-/// The wait before a job without a worker is tried again.
+/// The interval at which a job without a worker is tried again.
 const RETRY_INTERVAL: u64 = 20 * MS;
 /// The capacity of a warm worker, in jobs of mean work per second.
 const REQUESTS_PER_SECOND: f64 = 40.0;
 /// The number of jobs that a worker runs at a time.
 const SLOTS: f64 = 4.0;
-/// A worker collapses if it is sent more than [`OVERLOAD_MULTIPLE`] times its capacity over this window.
+/// The window over which the load of a worker that warms up is limited; see [`OVERLOAD_MULTIPLE`].
 pub(super) const OVERLOAD_WINDOW: u64 = 1_500 * MS;
-/// See [`OVERLOAD_WINDOW`].
+/// A worker that warms up collapses if it is sent more than this multiple of its capacity over [`OVERLOAD_WINDOW`], plus a
+/// margin for random variation.
 pub(super) const OVERLOAD_MULTIPLE: f64 = 4.0;
 /// The fraction of its capacity with which a worker starts.
 pub(super) const INITIAL_CAPACITY: f64 = 0.38;
@@ -25,28 +26,28 @@
 pub(super) const WARM_UP_TIME: u64 = 8_400 * MS;
 /// The work of a handshake, in jobs of mean work.
 pub(super) const HANDSHAKE_WORK: f64 = 0.015;
-/// An idle connection is closed after this.
+/// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: u64 = 5 * SECOND;
 /// The number of random workers that a dispatcher considers for each job.
 const SAMPLED_WORKERS: usize = 8;
-/// Handshakes and trials are counted for this long from the start.
+/// The time from the start of the run for which handshakes and trials are counted.
 const COUNTED_TIME: u64 = 10 * SECOND;
 
-/// A worker.
+/// A simulated worker.
 pub(super) struct Worker {
     pub is_dead: bool,
     /// Whether connections to the dead worker hang instead of being refused.
     hangs: bool,
-    /// The Unix time of its start, if it has to warm up.
+    /// The Unix time of the worker's start, if it has to warm up.
     started_at: Option<u64>,
-    /// The time and the work of each job sent to it within the window.
+    /// The time and the work of each job sent to the worker within the window.
     sent: VecDeque<(u64, f64)>,
     pub handshakes: u64,
     pub trials: u64,
 }
 
 impl Worker {
-    /// The worker of this index; those below `dead` are dead, one in three of them hanging.
+    /// Creates the worker with this index. Workers with an index below `dead` are dead, and one in three of those hangs.
     pub fn new(index: usize, dead: usize, warms_up: bool, rng: &mut fastrand::Rng) -> Worker {
         let is_dead = index < dead;
         Worker {
@@ -59,13 +60,13 @@
         }
     }
 
-    /// The time since its start, while it warms up.
+    /// The time since the worker's start; `None` if the worker is warm.
     fn warm_up_age(&self, now: u64) -> Option<u64> {
         let age = self.started_at.map(|at| (UNIX_AT_ZERO + now).saturating_sub(at));
         age.filter(|age| *age < WARM_UP_TIME)
     }
 
-    /// The worker in the form that the budget takes.
+    /// The description of the worker for [`crate::WarmUpBudget`].
     fn for_budget(&self, index: usize) -> crate::Worker {
         crate::Worker {
             tag: index as u64,
@@ -80,6 +81,7 @@
 pub(super) struct Connections {
     /// The time since which each idle connection is idle.
     idle_since: Vec<u64>,
+    /// Consecutive failed attempts.
     failures: u32,
     ejected_until: u64,
     /// For strategies without this crate: the last turn in which the dispatcher sent work while the worker warmed up, and
@@ -99,11 +101,11 @@
     }
 }
 
-/// A job.
+/// A job of a client.
 #[derive(Clone, Copy)]
 pub(super) struct Job {
     arrived_at: u64,
-    /// In jobs of mean work.
+    /// The work of the job, in jobs of mean work.
     work: f64,
 }
 
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Looks for a worker for a job, among a random sample of the list that the dispatcher holds.
+    /// Sends a job to a worker of a random sample of the dispatcher's list, or schedules a retry if none is usable.
     pub(super) fn try_job(&mut self, process: ProcessId, job: Job) {
         if self.now > job.arrived_at + JOB_TIMEOUT {
             return self.measurements.record_lost_job();
@@ -165,7 +167,7 @@
         best
     }
 
-    /// A worker, if it may get a job now.
+    /// The worker with this index as a candidate; `None` if it may not get a job now.
     fn candidate(&self, place: u16, index: usize, work: f64) -> Option<Candidate> {
         let (now, dispatcher, worker) = (self.now, self.dispatcher(place), &self.workers[index]);
         let connections = dispatcher.connections.get(&index);
@@ -190,7 +192,8 @@
         is_usable.then_some(Candidate { worker: index, needs_connection, is_trial })
     }
 
-    /// Whether the program without this crate would send this work to a worker. It has its own turns at workers that warm up.
+    /// Whether the program without this crate would send this work to a worker. That program has turns of its own at
+    /// workers that warm up.
     fn has_turn_without_scheduler(
         &self,
         place: u16,
@@ -264,7 +267,7 @@
         self.schedule(now + duration, Event::JobEnds(attempt));
     }
 
-    /// Adds work to a worker that warms up. The worker collapses if its load exceeds its limit.
+    /// Adds work to the load of a worker that warms up. The worker collapses if its load exceeds its limit.
     fn add_load(&mut self, index: usize, work: f64) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -308,12 +311,12 @@
     }
 }
 
-/// A draw of the exponential distribution with mean 1.
+/// A draw from the exponential distribution with mean 1.
 fn exponential(rng: &mut fastrand::Rng) -> f64 {
     -(1.0 - rng.f64()).ln()
 }
 
-/// The request to the budget for a job of this work.
+/// The request against the budget for a job of this work.
 fn job_request(is_trial: bool, work: f64) -> Request {
     if is_trial { Request::FirstJob } else { Request::Job(work) }
 }
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -1,4 +1,5 @@
-//! A budget of handshakes, probes and first jobs for each worker, shared by all configured dispatchers without any message.
+//! A budget of handshakes, probes and first jobs for each worker. All configured dispatchers share it without exchanging
+//! messages.
 //!
 //! **The bound.** Within any interval as long as the overload window `W`, a worker gets at most `B` units from all places
 //! together. `B` is the budget that the settings allow at the start of the interval. The bound holds whichever processes
@@ -8,7 +9,7 @@
 //! its age, so that all dispatchers see the same phases. The units spent within one window have local times within
 //! `W + 2 skew`. That span touches at most `k + 1` turns, and one more if it crosses into the next phase of a worker that
 //! warms up, which has the larger budget. A turn is owned by as many places as `B / (k + 2)` units allow, in rotation by
-//! place and worker. Each owner spends at most its part of them. A process does not use the turn in which it started, since
+//! place and worker. Each owner spends at most its share of them. A process does not use the turn in which it started, since
 //! an earlier process at the same place may have spent it. So a window holds `(k + 2) floor(B / (k + 2)) <= B` units.
 
 mod config;
@@ -26,12 +27,12 @@
 /// Handshakes and probes each use at most this fraction of a warm worker's capacity. First jobs at an unconfirmed worker
 /// use at most its whole capacity.
 const WARM_FRACTION: f64 = 0.02;
-/// The maximum number of spent turns in memory.
+/// The maximum number of spent turns that are kept in memory.
 const MAX_SPENT_TURNS: usize = 65_536;
 /// Spending is counted in thousandths of a unit.
 const MILLI_UNITS: u64 = 1_000;
 
-/// A worker as the endpoint list and the settings describe it: the same at every dispatcher.
+/// A worker as described by the endpoint list and the settings, which are the same at every dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Worker {
     /// The tag of the worker.
@@ -72,8 +73,8 @@
 pub struct ConnectionQuota {
     /// The maximum number of connections.
     pub connections: u32,
-    /// The end of the quota, in the caller's microseconds. The caller then asks for the next one, and closes connections
-    /// beyond it.
+    /// The end of the quota, in the caller's microseconds. The caller then requests the next quota, and closes the
+    /// connections that exceed it.
     pub valid_until: Micros,
 }
 
@@ -98,7 +99,7 @@
 struct SpentTurn {
     /// The start of the turn, in microseconds of Unix time.
     start: Micros,
-    /// In thousandths of units.
+    /// The amount, in thousandths of a unit.
     spent: u64,
 }
 
@@ -106,9 +107,9 @@
 struct Claim {
     key: BudgetKey,
     turn: Turn,
-    /// In thousandths of units.
+    /// The cost of the request, in thousandths of a unit.
     cost: u64,
-    /// The amount already spent in the turn, in thousandths of units.
+    /// The amount already spent in the turn, in thousandths of a unit.
     spent: u64,
     /// Whether this place owns the turn and can still afford the cost.
     is_open: bool,
@@ -141,7 +142,8 @@
         Ok(WarmUpBudget { created_at: config.unix_at_zero + now, config, spent: HashMap::new() })
     }
 
-    /// The budget of a worker that warms up, in requests of mean work, for a window that begins at this age in microseconds.
+    /// The budget of a worker that warms up, in requests of mean work, for a window that begins at this age of the worker,
+    /// in microseconds.
     pub fn warming_budget(&self, worker: &Worker, age: Micros) -> u64 {
         let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
         let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
@@ -211,7 +213,7 @@
         let cost = (units * MILLI_UNITS as f64).ceil() as u64;
         let current = self.spent.get(&key).filter(|spent| spent.start == turn.start);
         let spent = current.map_or(0, |turn| turn.spent);
-        invariant!(spent <= turn.units * MILLI_UNITS, "more than the own part of a turn was spent");
+        invariant!(spent <= turn.units * MILLI_UNITS, "more was spent than this place's share of the turn");
         let is_own = self.config.skip_turns || turn.start >= self.created_at && self.owns(&turn, worker.tag);
         let is_open = is_own && spent + cost <= turn.units * MILLI_UNITS;
         Some(Claim { key, turn, cost, spent, is_open })
--- a/crates/coldstart/src/warm_up_budget/config.rs
+++ b/crates/coldstart/src/warm_up_budget/config.rs
@@ -9,7 +9,7 @@
     pub place: u16,
     /// The number of places, whether or not a dispatcher runs at each of them.
     pub places: u16,
-    /// The Unix time of the caller's zero, in microseconds.
+    /// The Unix time at which the caller's clock reads 0, in microseconds.
     pub unix_at_zero: Micros,
     /// The maximum difference of a clock from true time, in microseconds.
     pub max_clock_skew: Micros,
@@ -30,7 +30,7 @@
     /// How long a place may keep a connection before it passes to another place, in microseconds. Used if a worker's limit
     /// of connections is below the number of places.
     pub connection_lease: Micros,
-    /// A deliberate fault for tests of the tests: every turn counts as this place's.
+    /// A fault to inject, which the tests must detect: this place uses every turn as if it owned it.
     #[doc(hidden)]
     pub skip_turns: bool,
 }
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// The length of the overload window as it may appear by clocks with the maximum difference, in microseconds.
+    /// The length of the overload window as measured by clocks that differ by the maximum, in microseconds.
     pub(super) fn skewed_window(&self) -> Micros {
         self.overload_window + 2 * self.max_clock_skew
     }
--- a/crates/coldstart/src/warm_up_budget/turn.rs
+++ b/crates/coldstart/src/warm_up_budget/turn.rs
@@ -1,4 +1,4 @@
-//! Turns: intervals of time in which certain places may spend a worker's budget, each a certain number of units.
+//! Turns: intervals of time in which certain places may spend a worker's budget, each place a certain number of units.
 
 use super::BudgetKind;
 use crate::{Micros, WorkerTag, mix};
@@ -25,7 +25,7 @@
 pub(super) struct Turn {
     /// The start of the phase that the turn belongs to plus the lengths of the turns before it, in microseconds of Unix time.
     pub start: Micros,
-    /// In microseconds.
+    /// The length of the turn, in microseconds.
     pub length: Micros,
     /// The number of turns of the phase before this one.
     pub index: u64,
@@ -33,12 +33,12 @@
     pub owners: u64,
     /// The units that each owner may spend.
     pub units: u64,
-    /// The number of kinds of turns that alternate, each with its own rotation of owners.
+    /// The number of alternating kinds of turns, each with its own rotation of owners.
     pub kinds: u64,
 }
 
 impl Turn {
-    /// The current turn of a budget. `window` is the overload window with the differences of clocks, in microseconds.
+    /// The current turn of a budget. `window` is the overload window as measured by clocks that differ, in microseconds.
     pub fn new(kind: BudgetKind, phase: &Phase, window: Micros, places: u16) -> Turn {
         let budget = phase.budget;
         let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
@@ -53,7 +53,7 @@
         } else {
             (1, 1)
         };
-        // With fewer places than units each place has its part of every turn; otherwise the places take turns.
+        // With fewer places than units, each place has a share of every turn; otherwise the places take turns.
         let units = (turn_budget / places).max(min_units).max(1);
         let owners = (turn_budget / units).clamp(1, places);
         Turn { start: phase.start + index * length, length, index, owners, units, kinds }
--- a/crates/coldstart/tests/health_confirmation.rs
+++ b/crates/coldstart/tests/health_confirmation.rs
@@ -1,15 +1,15 @@
-//! Workers of an old list are tried few at a time.
+//! Limits on trials of the unconfirmed workers of an old endpoint list.
 
 use mothproxy_coldstart::{Admission, Fault, HealthConfirmation, Observation, SharedObservations};
 
 const MS: u64 = 1_000;
-const S: u64 = 1_000_000;
-const UNIX: u64 = 1_764_633_600 * S;
+const SECOND: u64 = 1_000_000;
+const UNIX_AT_ZERO: u64 = 1_764_633_600 * SECOND;
 
 #[test]
 fn unconfirmed_workers_are_tried_few_at_a_time() {
     let (mut confirmation, mut now) = (HealthConfirmation::new(0..200, 3, 10), 0);
-    let (mut tried, mut most) = (0, 0);
+    let (mut tried, mut max_trials) = (0, 0);
     let mut under_way = Vec::new();
     while tried < 200 {
         now += 10 * MS;
@@ -20,12 +20,12 @@
                 tried += 1;
             }
         }
-        most = most.max(confirmation.trials());
+        max_trials = max_trials.max(confirmation.trials());
         under_way.drain(..).for_each(|tag| confirmation.on_result(tag, false, now));
-        assert!(now < 10 * S, "a list of dead workers is gone through quickly");
+        assert!(now < 10 * SECOND, "only {tried} of 200 dead workers were tried within 10 s");
     }
-    assert!(most <= 32 && confirmation.trials() == 0 && confirmation.unconfirmed() == 200);
-    let mut observations = SharedObservations::new(0, UNIX, 0);
+    assert!(max_trials <= 32 && confirmation.trials() == 0 && confirmation.unconfirmed() == 200);
+    let mut observations = SharedObservations::new(0, UNIX_AT_ZERO, 0);
     observations.record(now, 7, Observation::Alive);
     observations.record(now, 8, Observation::Fault(Fault::Hangs));
     let admission_of =
