--- a/crates/runtimes/src/cell_sum.rs
+++ b/crates/runtimes/src/cell_sum.rs
@@ -16,12 +16,13 @@
 /// The weighted totals of a cell.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CellSum {
-    /// The hash of the class cell, shortened; 0 for a worker's.
+    /// The shortened hash of the class cell; 0 if the cell is of a worker.
     pub class: u32,
+    /// The weighted number of jobs.
     pub jobs: f64,
     /// The weighted sum of the effects of the cells between this one and the class.
     pub expected: f64,
-    /// Sorted by kind.
+    /// The totals by kind of worker, sorted by kind.
     pub kinds: Vec<KindSum>,
     /// The counts by bin of the residual; `None` if no residual was counted.
     pub counts: Option<Box<BinCounts>>,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Adds jobs of a kind.
+    /// Adds jobs of a kind, by their weighted number and the weighted sum of their logarithmic run times.
     pub fn add_kind(&mut self, kind: WorkerKind, jobs: f64, log_sum: f64) {
         self.jobs += jobs;
         match self.kinds.binary_search_by_key(&kind, |sum| sum.kind) {
--- a/crates/runtimes/src/config.rs
+++ b/crates/runtimes/src/config.rs
@@ -23,9 +23,9 @@
     pub epoch: u64,
     /// The quantile of [`crate::Estimate::long`], from 0.5 to 0.99; 0.9 by default.
     pub long_quantile: f64,
-    /// The typical run time before any observation; 250 ms by default.
+    /// The median run time that is assumed before any observation; 250 ms by default.
     pub prior_runtime: Micros,
-    /// The standard deviation of the logarithm of run times before any observation; 1 by default.
+    /// The standard deviation of the logarithm of run times that is assumed before any observation; 1 by default.
     pub prior_deviation: f64,
     /// The known speeds of kinds of workers, which define a speed of 1. Speeds of other kinds are learned.
     pub speeds: Vec<KindSpeed>,
@@ -45,11 +45,11 @@
     pub facts_per_s: f64,
     /// The span over which a shared slowdown is tracked; 2 s by default.
     pub slowdown_span: Micros,
-    /// The number of completions against which the evidence of a slowdown is weighed; 20 by default.
+    /// The weight of the assumption that there is no slowdown, in completions; 20 by default.
     pub slowdown_weight: f64,
     /// The span over which a lasting slowdown becomes the usual speed; 5 minutes by default.
     pub slowdown_memory: Micros,
-    /// A deliberate fault for tests of the tests: censored observations count as complete ones.
+    /// A fault to inject, which the tests must detect: censored observations count as complete ones.
     #[doc(hidden)]
     pub censored_as_short: bool,
 }
@@ -106,13 +106,13 @@
     /// The conservative quantile is out of range. Holds its value.
     #[error("the conservative quantile must be from 0.5 to 0.99, not {0}")]
     Quantile(f64),
-    /// A factor, weight or rate is not above 0.
-    #[error("speeds, spreads, weights and rates must be above 0")]
+    /// A speed, deviation, weight or rate is not finite or not above 0.
+    #[error("speeds, deviations, weights and rates must be finite and above 0")]
     Positive,
     /// A span or bound is 0.
     #[error("spans and bounds must be above 0")]
     Zero,
-    /// The epoch is not a Unix time in milliseconds.
-    #[error("the epoch is in milliseconds of Unix time")]
+    /// The epoch is too large for a Unix time in milliseconds.
+    #[error("the epoch must be a Unix time in milliseconds of at most {MAX_EPOCH}")]
     Epoch,
 }
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -1,4 +1,5 @@
-//! Encoding of a summary as a fact of at most [`MAX_FACT_BYTES`], in postcard, which encodes fields in the order of the code.
+//! Encoding of a summary as a fact of at most [`MAX_FACT_BYTES`], in postcard. Postcard encodes by position, so fields must
+//! keep their order.
 
 use crate::cell_sum::CellSum;
 use crate::distribution::BIN_COUNT;
@@ -21,16 +22,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AbsorbError {
     /// The first byte is another version of the encoding.
-    #[error("a summary of run times of version {0}; this program reads version 1: upgrade the older side")]
+    #[error(
+        "a summary of run times has version {0}, but this program reads version {VERSION}; upgrade the older program"
+    )]
     Version(u8),
     /// The fact is too long or cannot be decoded.
-    #[error("a summary of run times that can't be read")]
+    #[error("a summary of run times is too long or cannot be decoded")]
     Malformed,
     /// The figures of the summary contradict each other or are out of bounds.
-    #[error("a summary of run times whose figures can't be true")]
+    #[error("the figures of a summary of run times contradict each other or are out of range")]
     Figures,
     /// The span of the summary is further in the future than clocks may differ. Holds the number of the span.
-    #[error("a summary of run times from the future (span {0}): compare the members' clocks")]
+    #[error("a summary of run times is from the future (span {0}); check the clocks of the members")]
     Future(u32),
 }
 
@@ -72,7 +75,7 @@
         self.counts.iter().try_fold(0u32, |sum, &count| sum.checked_add(count))
     }
 
-    /// The number of the bin after the last one, as before merging.
+    /// The number of the bin after the last one, in bins before merging.
     fn end(&self, coarseness: u8) -> usize {
         (usize::from(self.first) + self.counts.len()) << coarseness.min(MAX_COARSENESS)
     }
@@ -88,6 +91,7 @@
     }
 }
 
+/// The encoded form of a summary.
 #[derive(Debug, Serialize, Deserialize)]
 struct EncodedSummary {
     version: u8,
--- a/crates/runtimes/src/estimator.rs
+++ b/crates/runtimes/src/estimator.rs
@@ -1,4 +1,4 @@
-//! The estimator: it observes jobs, exchanges facts with other dispatchers, and returns estimates.
+//! The estimator, which observes jobs, exchanges facts with other dispatchers, and returns estimates.
 
 use crate::distribution::bin_of;
 use crate::encoding::{AbsorbError, ReceivedSummary};
@@ -20,19 +20,19 @@
 
 /// The interval at which running jobs add to the expected completions.
 const COUNT_INTERVAL: Micros = 250_000;
-/// The interval between two fits if anything changed, without the part for summaries.
+/// The interval between two fits without any summary, if anything has changed.
 const FIT_INTERVAL: Micros = 1_000_000;
-/// The addition to [`FIT_INTERVAL`] for each summary, since the cost of a fit grows with their number.
+/// The addition to [`FIT_INTERVAL`] for each summary, since the cost of a fit grows with the number of summaries.
 const FIT_INTERVAL_PER_SUMMARY: Micros = 1_000;
 /// A fit is done early if the number of new jobs is at least this fraction of the jobs of the last fit.
 const EARLY_FIT_FRACTION: f64 = 1.0 / 8.0;
-/// The interval before an early fit is the regular one divided by this.
+/// The divisor of the regular interval between two fits that gives the minimum interval before an early fit.
 const EARLY_FIT_FACTOR: u64 = 5;
-/// An early fit may replace a fit of fewer jobs than this at any time.
+/// The number of jobs of the last fit below which an early fit needs no minimum interval.
 const FEW_JOBS: f64 = 64.0;
 /// The maximum number of spans by which a received summary may be ahead, since clocks differ.
 const MAX_SPANS_AHEAD: u32 = 2;
-/// The minimum remaining run time of a job, as a fraction of the time for which it has run.
+/// The minimum estimate of the remaining run time of a job, as a fraction of the time for which it has run.
 const MIN_REMAINING: f64 = 0.02;
 
 /// The result of absorbing a valid fact.
@@ -115,8 +115,9 @@
         self.spans.span_at(self.now)
     }
 
-    /// Advances to `now`: updates the shared slowdown, drops expired observations, and fits the model anew if that is due.
-    /// All methods that take `&mut self` and the time do this too. Without any such call, estimates do not change.
+    /// Advances to `now`: updates the shared slowdown, and if a fit is due, drops expired observations and fits the model
+    /// anew. All methods that take `&mut self` and the time do this first. Without such a call, the result of
+    /// [`RuntimeEstimator::estimate`] does not change.
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.slowdown.advance(self.now);
@@ -274,8 +275,8 @@
         self.quantiles(&expected, log_runtime)
     }
 
-    /// How long a running attempt will still occupy its slot, given its run time so far and its reported progress. This grows
-    /// once the first estimate has proved too low. `None` if there is no such attempt.
+    /// How long a running attempt will still occupy its slot, given its run time so far and its reported progress. The
+    /// estimate grows once the attempt has exceeded the first estimate. `None` if there is no such attempt.
     pub fn remaining(&self, now: Micros, attempt: AttemptId) -> Option<Estimate> {
         let job = self.running.get(attempt)?;
         let elapsed = (self.slowdown.work_at(now) - job.started.work).max(1.0);
@@ -310,7 +311,7 @@
     ///
     /// # Errors
     ///
-    /// An [`AbsorbError`] with the reason for which the fact was refused; it changes nothing then.
+    /// An [`AbsorbError`] if the fact was refused, in which case the state does not change.
     pub fn absorb(
         &mut self,
         now: Micros,
--- a/crates/runtimes/src/ids.rs
+++ b/crates/runtimes/src/ids.rs
@@ -12,7 +12,7 @@
 pub struct WorkerKey(pub u64);
 
 impl WorkerKey {
-    /// The key of a worker's name.
+    /// The key of the worker with this name.
     pub fn from_name(name: &str) -> WorkerKey {
         WorkerKey(stable_hash(name.as_bytes()))
     }
@@ -24,10 +24,10 @@
 pub struct WorkerKind(pub u32);
 
 impl WorkerKind {
-    /// All kinds for which a summary has no room.
+    /// Stands for all kinds that do not have a total of their own in a summary.
     pub(crate) const OTHER: WorkerKind = WorkerKind(u32::MAX);
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn from_name(name: &str) -> WorkerKind {
         WorkerKind(stable_hash(name.as_bytes()) as u32)
     }
--- a/crates/runtimes/src/lib.rs
+++ b/crates/runtimes/src/lib.rs
@@ -1,10 +1,10 @@
 //! Estimates of the run times of jobs, learned from similar past jobs and mergeable between dispatchers.
 //!
 //! A [`RuntimeEstimator`] is notified when attempts start, make progress and end. It estimates how long a job with certain
-//! [`JobFeatures`] will occupy a slot at a worker, and how long a running job still will. It publishes its observations to
+//! [`JobFeatures`] will occupy a slot at a worker, and how much longer a running job will. It publishes its observations to
 //! the other dispatchers as facts ([`RuntimeEstimator::publish`]), and absorbs theirs ([`RuntimeEstimator::absorb`]) in any
-//! order and any number of times. It reads no clock. [`backfill`] has the arithmetic of fitting jobs into gaps.
-//! `docs/design/runtimes.md` compares the alternatives.
+//! order and any number of times. It reads no clock. The module [`backfill`] computes reservations of slots, and which jobs
+//! may start before them. `docs/design/runtimes.md` compares the alternatives.
 //!
 //! # Model and statistics
 //!
@@ -19,7 +19,7 @@
 //! | attempts that did not run to their end | right-censored observations; one expectation-maximisation step for the mean | `estimator`, `running_jobs` |
 //! | shared slowdown | observed against expected events (Nelson-Aalen cumulative hazards, martingale residuals), with hysteresis | `shared_slowdown` |
 //! | a running job's own progress | inverse-variance weighting of the report and the estimate | `running_jobs` |
-//! | forgetting | exponential decay by spans of time | `span_clock` |
+//! | decay of old observations | exponential decay by spans of time | `span_clock` |
 //! | merging between dispatchers | sufficient statistics in a last-writer-wins map (a state-based CRDT) | `summary`, `received_summaries` |
 //!
 //! ```
@@ -80,7 +80,7 @@
 pub struct Origin {
     /// The member's place among the peers.
     pub place: u16,
-    /// The epoch of the process, as membership numbers it.
+    /// The epoch of the process in the membership.
     pub epoch: u64,
 }
 
@@ -98,6 +98,6 @@
 pub enum Outcome {
     /// The attempt ran to its end.
     Done,
-    /// The attempt timed out, was cancelled or was lost. It would have run for longer than was observed.
+    /// The attempt timed out, was cancelled or was lost: its run time is longer than the observed time (right-censored).
     Censored,
 }
--- a/crates/runtimes/src/own_summaries.rs
+++ b/crates/runtimes/src/own_summaries.rs
@@ -12,16 +12,16 @@
 
 /// The maximum number of jobs in a summary.
 const MAX_JOBS: u32 = 1 << 22;
-/// The delay after which a summary that has grown by less than [`MIN_GROWTH`] is published again.
+/// The delay after which a summary that has grown by less than [`MIN_GROWTH`] is published again, in microseconds.
 const MAX_PUBLISH_DELAY: Micros = 30_000_000;
-/// A summary that has grown by this factor is published at once.
+/// The growth factor from which on a summary is published again without waiting for [`MAX_PUBLISH_DELAY`].
 const MIN_GROWTH: f64 = 1.25;
 /// The minimum number of jobs of a published summary of a worker.
 const MIN_WORKER_JOBS: u32 = 8;
 /// The minimum number of jobs of a published summary below the level of classes.
 const MIN_FINE_JOBS: u32 = 3;
-/// The number of recent sightings after which a cell of all features of a job gets a summary. Most of these cells are never
-/// seen again.
+/// The number of recent sightings from which on a cell of all features of a job ([`Level::All`]) gets a summary. Most of
+/// these cells are seen only once.
 const MIN_SIGHTINGS: u8 = 4;
 /// The number of counters of an [`AdmissionFilter`], which cells share by hash.
 const SIGHTING_COUNTERS: usize = 4_096;
@@ -51,15 +51,15 @@
 
 struct OwnSummary {
     summary: Summary,
-    /// The slot in which it is published, if it was published.
+    /// The slot of the published summary; `None` if it is not published.
     slot: Option<u32>,
-    /// The number of its jobs when it was last published.
+    /// The number of jobs when the summary was last published.
     published_jobs: u32,
     published_at: Micros,
 }
 
 impl OwnSummary {
-    /// Whether it has grown enough to be published again.
+    /// Whether the summary should be published, for the first time or again.
     fn is_due(&self, level: Level, now: Micros) -> bool {
         let jobs = self.summary.jobs();
         let min_jobs = match level {
@@ -68,11 +68,11 @@
             _ => MIN_FINE_JOBS,
         };
         let growth = f64::from(jobs) / f64::from(self.published_jobs.max(1));
-        let is_ripe = growth >= MIN_GROWTH || now - self.published_at >= MAX_PUBLISH_DELAY;
-        jobs > self.published_jobs && jobs >= min_jobs && (self.published_jobs == 0 || is_ripe)
+        let is_update_due = growth >= MIN_GROWTH || now - self.published_at >= MAX_PUBLISH_DELAY;
+        jobs > self.published_jobs && jobs >= min_jobs && (self.published_jobs == 0 || is_update_due)
     }
 
-    /// How much others would learn from it, by its relative growth.
+    /// The priority of publishing the summary: its relative growth, which measures how much others would learn from it.
     fn urgency(&self) -> f64 {
         let new_jobs = self.summary.jobs() - self.published_jobs;
         f64::from(new_jobs) / f64::from(self.published_jobs + 4)
@@ -83,9 +83,9 @@
 enum SlotSource {
     /// A free slot.
     Free,
-    /// The slot of the least used published summary.
-    LeastUsed { rank: i64, key: OwnKey },
-    /// There is no slot.
+    /// The slot of the published summary with the lowest rank.
+    LowestRanked { rank: i64, key: OwnKey },
+    /// No slot can be taken.
     Exhausted,
 }
 
@@ -94,7 +94,7 @@
     fn admits(&self, rank: i64) -> bool {
         match self {
             SlotSource::Free => true,
-            SlotSource::LeastUsed { rank: least, .. } => rank > *least,
+            SlotSource::LowestRanked { rank: lowest, .. } => rank > *lowest,
             SlotSource::Exhausted => false,
         }
     }
@@ -115,7 +115,7 @@
 impl OwnSummaries {
     pub fn new(config: &Config, spans: SpanClock) -> OwnSummaries {
         let slots = config.slots;
-        // Each run begins at another slot, so that it overwrites the facts of the previous run late.
+        // Each run begins at a different slot, so that it does not soon overwrite the facts of the previous run.
         let mut hasher = SipHasher13::new();
         hasher.write_u64(config.epoch);
         let first = (hasher.finish() % u64::from(slots)) as u32;
@@ -145,8 +145,8 @@
         self.spans.rank(key.span, summary.jobs())
     }
 
-    /// The summary of a cell in the current span, if there is room. To make room, a summary of an older span is dropped:
-    /// nothing is added to those any more, so a published summary never shrinks.
+    /// The summary of a cell in the current span, if there is room. To make room, a summary of an older span is dropped.
+    /// Nothing is added to older summaries any more, so a published summary never shrinks.
     pub fn summary_mut(&mut self, span: u32, cell: CellId, class: u32) -> Option<&mut Summary> {
         if cell.level == Level::All && !self.admission.admits(cell) {
             return None;
@@ -154,8 +154,8 @@
         let key = OwnKey { span, cell };
         if !self.summaries.contains_key(&key) && self.summaries.len() >= self.max_summaries {
             self.dropped += 1;
-            let least_used = self.least_used_before(span)?;
-            self.remove(&least_used);
+            let lowest_ranked = self.lowest_ranked_before(span)?;
+            self.remove(&lowest_ranked);
         }
         let own = self.summaries.entry(key).or_insert_with(|| OwnSummary {
             summary: Summary { class, ..Summary::default() },
@@ -166,10 +166,10 @@
         (own.summary.jobs() < MAX_JOBS).then_some(&mut own.summary)
     }
 
-    fn least_used_before(&self, span: u32) -> Option<OwnKey> {
+    fn lowest_ranked_before(&self, span: u32) -> Option<OwnKey> {
         let older = self.summaries.iter().take_while(|(key, _)| key.span < span);
-        let least = older.min_by_key(|(key, own)| (self.rank(key, &own.summary), **key));
-        least.map(|(key, _)| *key)
+        let lowest = older.min_by_key(|(key, own)| (self.rank(key, &own.summary), **key));
+        lowest.map(|(key, _)| *key)
     }
 
     fn remove(&mut self, key: &OwnKey) {
@@ -197,8 +197,9 @@
         }
     }
 
-    /// The slot and bytes of the next fact to publish: that of the summary that has grown most since it was published. If all
-    /// slots are in use, the slot of the least used summary is reused; members that received that summary keep it.
+    /// The slot and bytes of the next fact to publish: that of the summary that has grown most since it was last published.
+    /// If all slots are in use, the slot of the summary with the lowest rank is reused; members that received that summary
+    /// keep it.
     pub fn publish(&mut self, now: Micros) -> Option<(u32, Vec<u8>)> {
         let source = self.slot_source();
         let key = self.most_urgent(now, &source)?;
@@ -220,8 +221,8 @@
             return SlotSource::Free;
         }
         let published = self.summaries.iter().filter(|(_, own)| own.slot.is_some());
-        let least_used = published.map(|(key, own)| (self.rank(key, &own.summary), *key)).min();
-        least_used.map_or(SlotSource::Exhausted, |(rank, key)| SlotSource::LeastUsed { rank, key })
+        let lowest_ranked = published.map(|(key, own)| (self.rank(key, &own.summary), *key)).min();
+        lowest_ranked.map_or(SlotSource::Exhausted, |(rank, key)| SlotSource::LowestRanked { rank, key })
     }
 
     /// The most urgent summary among those that are due and have a slot or may take one.
@@ -239,7 +240,7 @@
     fn take_slot(&mut self, source: &SlotSource) -> Option<u32> {
         match source {
             SlotSource::Free => self.free_slots.pop_front(),
-            SlotSource::LeastUsed { key, .. } => self.summaries.get_mut(key)?.slot.take(),
+            SlotSource::LowestRanked { key, .. } => self.summaries.get_mut(key)?.slot.take(),
             SlotSource::Exhausted => None,
         }
     }
--- a/crates/runtimes/src/publish_pacer.rs
+++ b/crates/runtimes/src/publish_pacer.rs
@@ -2,9 +2,9 @@
 
 use crate::{Config, Micros};
 
-/// The capacity of the bucket, as the time in which it fills. It allows a burst of facts after a time without any.
+/// The capacity of the bucket, as the time in which it fills: the maximum burst after a time without any fact.
 const BURST_SECONDS: f64 = 10.0;
-/// The pause after an attempt without a fact to publish.
+/// The pause after an attempt without a fact to publish, in microseconds.
 const IDLE_INTERVAL: Micros = 500_000;
 
 /// Determines when a fact may be published.
--- a/crates/runtimes/src/received_summaries.rs
+++ b/crates/runtimes/src/received_summaries.rs
@@ -1,5 +1,5 @@
-//! The summaries of other dispatchers, and of earlier runs of this one. They form a last-writer-wins map, which keeps the
-//! latest version for each key and so does not depend on the order of arrival.
+//! The summaries of other dispatchers, and of earlier runs of this one, in a last-writer-wins map. The map keeps the latest
+//! version for each key, and so does not depend on the order of arrival.
 
 use crate::cell_sum::CellSum;
 use crate::encoding::{ReceivedSummary, SummaryKey};
@@ -59,8 +59,8 @@
         self.dropped
     }
 
-    /// Stores a version of a summary. Returns by how many jobs it exceeds the previous version; `None`, with no change, if the
-    /// known version is the same or later.
+    /// Stores a version of a summary. Returns by how many jobs it exceeds the previous version, or `None` without a change
+    /// if the stored version is the same or a later one.
     pub fn insert(&mut self, version: Version, summary: ReceivedSummary) -> Option<f64> {
         let key = summary.key;
         let jobs = f64::from(summary.jobs);
@@ -76,14 +76,14 @@
         self.by_rank.insert((rank, key));
         self.summaries.insert(key, Received { version, rank, summary });
         if self.summaries.len() > self.max_summaries {
-            self.drop_least_used();
+            self.drop_lowest_ranked();
         }
         Some(jobs - jobs_before)
     }
 
-    fn drop_least_used(&mut self) {
-        if let Some((_, least_used)) = self.by_rank.pop_first() {
-            self.summaries.remove(&least_used);
+    fn drop_lowest_ranked(&mut self) {
+        if let Some((_, lowest_ranked)) = self.by_rank.pop_first() {
+            self.summaries.remove(&lowest_ranked);
             self.dropped += 1;
         }
     }
--- a/crates/runtimes/src/running_jobs.rs
+++ b/crates/runtimes/src/running_jobs.rs
@@ -10,13 +10,14 @@
 use crate::{AttemptId, Placement};
 use std::collections::BTreeMap;
 
-/// The maximum number of jobs whose hazards are counted at a time, in turn, and of jobs that enter a fit, as a sample.
+/// The maximum number of jobs whose hazards are counted at a time; if there are more, they take turns. Also the maximum
+/// number of running jobs in a fit; if there are more, the fit uses a sample.
 const MAX_COUNTED: usize = 1_024;
 /// The minimum weighted number of jobs of a class for its hazards to be counted.
 const MIN_TRACKED_CLASS_JOBS: f64 = 100.0;
 /// The minimum weighted number of jobs of a class for its residuals to be counted.
 pub(crate) const MIN_EXPECTATION_JOBS: f64 = 2.0;
-/// Progress up to this fraction is ignored.
+/// The fraction up to which reported progress is ignored.
 const MIN_PROGRESS: f64 = 0.01;
 /// The error of a progress report before any progress, as a logarithm; it shrinks as the job progresses.
 const INITIAL_REPORT_ERROR: f64 = 0.5;
@@ -43,8 +44,10 @@
     pub started: WorkClocks,
     /// The logarithm of the run time that was expected at the start.
     expected: f64,
-    /// The residual up to which the hazard was counted; `None` if the class was not known well enough at the start.
+    /// The residual up to which the hazard was counted; `None` if the class had too few jobs when this one started
+    /// ([`MIN_TRACKED_CLASS_JOBS`]).
     counted_until: Option<f64>,
+    /// The last progress report.
     progress: Option<Progress>,
 }
 
@@ -56,7 +59,7 @@
 }
 
 impl RunningJob {
-    /// A job that starts at the time of the clocks `started`.
+    /// Creates a job that starts when the clocks read `started`.
     pub fn new(chain: CellChain, placement: Placement, started: WorkClocks, model: &Model) -> RunningJob {
         let expected = model.expectation(&chain);
         let Placement { kind, worker } = placement;
@@ -119,8 +122,8 @@
         LogEstimate { typical, long: typical + spread }
     }
 
-    /// Adds the job to the sums of its cells as a right-censored observation, which represents `count` jobs. The bins count it
-    /// as censored; the sums count it with the probability that it would have ended by now.
+    /// Adds the job to the sums of its cells as a right-censored observation, which represents `count` jobs. The bins count
+    /// it as censored. The sums count it with the probability that a job like it would have ended by now.
     fn add_lower_bound(
         &self,
         sums: &mut BTreeMap<CellId, CellSum>,
@@ -191,7 +194,8 @@
     }
 
     /// The growth of the jobs' cumulative hazards since they were last counted, which is the number of completions that were
-    /// expected in the meantime. At most [`MAX_COUNTED`] jobs are counted at a time, in turn.
+    /// expected in the meantime. At most [`MAX_COUNTED`] jobs are counted in one call; the next call continues with the
+    /// others.
     pub fn count_hazards(&mut self, model: &Model, work_clock: f64) -> f64 {
         let in_turn = self.jobs.range(self.next_counted..).chain(self.jobs.range(..self.next_counted));
         let ids: Vec<AttemptId> = in_turn.take(MAX_COUNTED.min(self.jobs.len())).map(|(id, _)| *id).collect();
--- a/crates/runtimes/src/shared_slowdown.rs
+++ b/crates/runtimes/src/shared_slowdown.rs
@@ -1,5 +1,5 @@
-//! A slowdown that all jobs share, for example because of an overloaded store or a hot machine room. It is tracked within
-//! seconds.
+//! A slowdown that all jobs share, for example because of an overloaded store or a hot machine room. Estimates follow it
+//! within seconds.
 //!
 //! The number of observed completions is compared with the expected number. Each running job adds the growth of its
 //! cumulative hazard to the expected number. Over a whole run time that is 1 on average, whether or not the end is observed
@@ -8,11 +8,12 @@
 //! the start of a slowdown is measured correctly.
 //!
 //! The factor is applied with hysteresis: once it exceeds three standard errors, and until it falls below one and a half.
-//! Otherwise its noise would enter the learned model, and both could drift apart without bound while their sum stays right.
+//! Otherwise its noise would enter the learned model, and the factor and the model could drift apart without bound while
+//! their sum stays correct.
 
 use crate::{Config, Micros};
 
-/// The maximum absolute logarithm of the factor. A greater one must have another cause.
+/// The maximum absolute logarithm of the factor. A greater slowdown is assumed to have another cause.
 const MAX_LOG_FACTOR: f64 = 3.0;
 /// The variance of the factor's logarithm, times the number of completions that it is based on.
 const NOISE_VARIANCE: f64 = 0.7;
@@ -24,28 +25,31 @@
 /// The factor by which all jobs are slower at present.
 #[derive(Debug)]
 pub(crate) struct SharedSlowdown {
-    /// The logarithm of the factor by the evidence alone.
+    /// The logarithm of the factor according to the observed completions, whether or not it is applied.
     raw: f64,
     /// Whether the factor exceeds its noise and is applied.
     is_applied: bool,
     /// The part of the factor's logarithm that has lasted long enough to be learned as the usual speed.
     usual: f64,
-    /// The work done by a job at speed 1 since the start.
+    /// The work that a job at speed 1 would have done since the start.
     clocks: WorkClocks,
     advanced_to: Micros,
     /// The number of recent completions, decayed.
     recent: f64,
+    /// See [`Config::slowdown_span`].
     span: f64,
+    /// See [`Config::slowdown_weight`].
     weight: f64,
+    /// See [`Config::slowdown_memory`].
     memory: f64,
 }
 
 /// The two clocks of work, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkClocks {
-    /// Slowed down by the whole factor.
+    /// The clock that is slowed down by the whole factor.
     pub work: f64,
-    /// Slowed down by the part of the factor that has not become the usual speed; used for learning.
+    /// The clock that is slowed down only by the part of the factor that has not become the usual speed; used for learning.
     pub learning: f64,
 }
 
@@ -85,12 +89,12 @@
         }
     }
 
-    /// Both clocks.
+    /// The readings of both clocks at the time of the last [`SharedSlowdown::advance`].
     pub fn clocks(&self) -> WorkClocks {
         self.clocks
     }
 
-    /// The work clock at `now`, if the factor does not change until then.
+    /// The reading of the work clock at `now`, if the factor does not change until then.
     pub fn work_at(&self, now: Micros) -> f64 {
         self.clocks.work + now.saturating_sub(self.advanced_to) as f64 * (-self.log()).exp()
     }
--- a/crates/runtimes/src/summary.rs
+++ b/crates/runtimes/src/summary.rs
@@ -1,7 +1,7 @@
-//! A summary: the observations of one cell by one dispatcher in one span of time. It is the unit of publishing.
+//! A summary: the observations of one cell by one dispatcher in one span of time, which are published together.
 //!
-//! A summary holds sufficient statistics: counts, sums of logarithms, and a histogram of residuals. It only grows, and a later
-//! version replaces an earlier one as a whole, so that nothing is counted twice.
+//! A summary holds sufficient statistics: counts, sums of logarithms, and a histogram of residuals. Its counts only grow, and
+//! a later version replaces an earlier one as a whole, so that nothing is counted twice.
 
 use crate::{Outcome, WorkerKind};
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 pub(crate) struct LoggedJob {
     /// The run time; if it was censored, the expected run time.
     pub runtime: f64,
-    /// The same without the slowness of the worker's kind.
+    /// The run time without the slowness of the worker's kind.
     pub work: f64,
     /// The sum of the effects of the cells between this one and the class.
     pub expected: f64,
@@ -48,13 +48,13 @@
 /// The totals of a cell over a span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Summary {
-    /// The hash of the class cell, shortened; 0 for a worker's.
+    /// The shortened hash of the class cell; 0 if the summary is of a worker.
     pub class: u32,
-    /// Sorted by kind.
+    /// The totals by kind of worker, sorted by kind.
     pub kinds: Vec<KindTotal>,
     /// The sum of [`LoggedJob::expected`] over all jobs, in fixed point.
     pub expected: i64,
-    /// Sorted by bin.
+    /// The numbers of jobs by bin, sorted by bin.
     pub bins: Vec<BinTotal>,
 }
 
