--- a/examples/proof_runtimes/carrier.rs
+++ b/examples/proof_runtimes/carrier.rs
@@ -1,13 +1,14 @@
-//! A carrier of facts between dispatchers, as unreliable as a membership may be: it loses, delays, repeats and reorders.
+//! A simulated transport of facts between dispatchers, as unreliable as a membership may be: it loses, delays, repeats and
+//! reorders them.
 
 use crate::SECOND;
 use mothproxy_runtimes::{Origin, RuntimeEstimator};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How often a fact is sent to another member: a fifth is lost, a tenth comes twice.
+/// The number of times that a fact is delivered to another member, to draw from: a fifth is lost, a tenth is delivered twice.
 const COPIES: [usize; 10] = [1, 1, 1, 1, 1, 1, 1, 0, 0, 2];
-/// Facts take at most this long, in microseconds.
+/// The maximum delay of a delivery, in microseconds.
 const MAX_DELAY: u64 = 2 * SECOND;
 
 #[derive(Clone)]
@@ -17,7 +18,7 @@
     bytes: Vec<u8>,
 }
 
-/// A fact on its way, ordered by the time of its delivery.
+/// A future delivery of a fact, ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Delivery {
     at: u64,
@@ -25,31 +26,33 @@
     to: u16,
 }
 
-/// A slot of a member.
+/// Identifies a slot of a member.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotKey {
     place: u16,
     slot: u32,
 }
 
-pub struct Carrier {
+/// A transport of facts with loss, delay, repetition and reordering.
+pub struct FactTransport {
     rng: fastrand::Rng,
     /// The newest fact of each slot.
     slots: BTreeMap<SlotKey, Fact>,
-    under_way: BinaryHeap<Reverse<Delivery>>,
-    /// The facts under way by the ids of their deliveries.
+    in_transit: BinaryHeap<Reverse<Delivery>>,
+    /// The facts in transit, by the id of their delivery.
     facts: BTreeMap<u64, Fact>,
+    /// The number of the last published fact.
     number: u64,
-    /// Deliveries so far.
+    /// The number of deliveries scheduled so far.
     pub deliveries: u64,
 }
 
-impl Carrier {
-    pub fn new(seed: u64) -> Carrier {
-        Carrier {
+impl FactTransport {
+    pub fn new(seed: u64) -> FactTransport {
+        FactTransport {
             rng: fastrand::Rng::with_seed(seed),
             slots: BTreeMap::new(),
-            under_way: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             facts: BTreeMap::new(),
             number: 0,
             deliveries: 0,
@@ -60,7 +63,7 @@
         let id = self.deliveries;
         self.deliveries += 1;
         self.facts.insert(id, fact);
-        self.under_way.push(Reverse(Delivery { at: now + self.rng.u64(..MAX_DELAY), id, to }));
+        self.in_transit.push(Reverse(Delivery { at: now + self.rng.u64(..MAX_DELAY), id, to }));
     }
 
     /// Sends a fact to all other members.
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Sends so many random facts to each member again, as anti-entropy does.
+    /// Sends `facts_each` random facts to each member again, as anti-entropy does.
     pub fn repair(&mut self, now: u64, members: u16, facts_each: usize) {
         let all: Vec<&Fact> = self.slots.values().collect();
         let mut picked = Vec::new();
@@ -86,16 +89,16 @@
         picked.into_iter().for_each(|(to, fact)| self.send(now, to, fact));
     }
 
-    /// Delivers what has arrived by now.
+    /// Delivers the facts that have arrived by `now`.
     pub fn deliver(&mut self, now: u64, members: &mut [RuntimeEstimator]) {
-        while let Some(Reverse(Delivery { at, id, to })) = self.under_way.peek().copied() {
+        while let Some(Reverse(Delivery { at, id, to })) = self.in_transit.peek().copied() {
             if at > now {
                 break;
             }
-            self.under_way.pop();
+            self.in_transit.pop();
             let Some(Fact { origin, number, bytes }) = self.facts.remove(&id) else { continue };
             let absorbed = members[usize::from(to)].absorb(at, origin, number, &bytes);
-            assert_eq!(absorbed, Ok(()), "a fact that a member published must be readable");
+            assert_eq!(absorbed, Ok(()), "a published fact must be absorbed");
         }
     }
 }
--- a/examples/proof_runtimes/day.rs
+++ b/examples/proof_runtimes/day.rs
@@ -1,6 +1,7 @@
-//! A day of a fleet: dispatchers estimate the jobs that they start, alone or sharing what they learn, and another one joins.
+//! A simulation of a fleet: dispatchers estimate the jobs that they start, alone or sharing their observations, and another
+//! dispatcher joins later.
 
-use crate::carrier::Carrier;
+use crate::carrier::FactTransport;
 use crate::fleet::{Fleet, Job, next_interval};
 use crate::loss::{ClassMean, Loss};
 use crate::{EPOCH, SECOND};
@@ -8,111 +9,111 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A part of the day, in seconds from its start.
-pub struct Part {
+/// A period of the simulated time, in seconds from the start.
+pub struct Period {
     pub from: u64,
     pub to: u64,
 }
 
-/// The parts of the day.
-pub const PARTS: [Part; 5] = [
-    Part { from: 0, to: 10 },
-    Part { from: 10, to: 30 },
-    Part { from: 30, to: 100 },
-    Part { from: 100, to: 150 },
-    Part { from: 150, to: 230 },
+/// The periods over which results are averaged.
+pub const PERIODS: [Period; 5] = [
+    Period { from: 0, to: 10 },
+    Period { from: 10, to: 30 },
+    Period { from: 30, to: 100 },
+    Period { from: 100, to: 150 },
+    Period { from: 150, to: 230 },
 ];
-/// The last part of the day.
-pub const LAST: usize = PARTS.len() - 1;
-/// A new dispatcher joins then, in seconds from the start.
-const JOINS_AT: u64 = 150;
-/// The ends of the parts of the time after that, in seconds from then.
-const JOINED_PARTS: [u64; 3] = [10, 30, 100];
-/// Jobs per second of all dispatchers.
+/// The index of the last period.
+pub const LAST_PERIOD: usize = PERIODS.len() - 1;
+/// The time at which a new dispatcher joins, in seconds from the start.
+const JOIN_AT: u64 = 150;
+/// The ends of consecutive periods after [`JOIN_AT`], in seconds from [`JOIN_AT`].
+const JOINED_PERIOD_ENDS: [u64; 3] = [10, 30, 100];
+/// The rate of jobs at all dispatchers together, per second.
 const JOBS_PER_S: f64 = 100.0;
-/// Jobs that are cancelled anywhere before their end.
-const CANCELLED: f64 = 0.02;
-/// Dispatchers publish and receive at this interval, in microseconds.
+/// The fraction of jobs that are cancelled, each at a random time before its end.
+const CANCELLED_FRACTION: f64 = 0.02;
+/// The interval at which dispatchers publish and receive facts, in microseconds.
 const ROUND_INTERVAL: u64 = SECOND / 4;
-/// Facts that each member receives again every second.
+/// The number of facts that each member receives again every second.
 const REPAIRED_FACTS: usize = 25;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy)]
-pub struct DayPlan {
+pub struct Scenario {
     pub seed: u64,
-    /// Dispatchers at the start.
+    /// The number of dispatchers at the start.
     pub dispatchers: u16,
     pub is_sharing: bool,
-    /// Jobs are cut off at so many times the middle of their class.
+    /// The time limit of jobs, as a multiple of the scale of their class ([`Fleet::class_scale`]).
     pub time_limit: f64,
-    /// The seeded fault of [`Config::censored_as_short`].
+    /// Whether to inject the fault [`Config::censored_as_short`].
     pub has_fault: bool,
 }
 
-/// The losses of a day.
+/// The losses of estimates in a simulation.
 #[derive(Default)]
 pub struct Losses {
-    /// Of the estimators, by part of the day.
-    pub learned: [Loss; PARTS.len()],
-    /// Of the true quantiles.
-    pub oracle: [Loss; PARTS.len()],
-    /// Of the class means.
-    pub mean: [Loss; PARTS.len()],
-    /// Of the dispatcher that joins, by the time since then.
-    pub joined: [Loss; JOINED_PARTS.len()],
-    /// Of the others meanwhile.
-    pub others: [Loss; JOINED_PARTS.len()],
+    /// The losses of the estimators, by period.
+    pub learned: [Loss; PERIODS.len()],
+    /// The losses of the true quantiles, by period.
+    pub oracle: [Loss; PERIODS.len()],
+    /// The losses of the class means, by period.
+    pub mean: [Loss; PERIODS.len()],
+    /// The losses of the dispatcher that joins, by period since it joined.
+    pub joined: [Loss; JOINED_PERIOD_ENDS.len()],
+    /// The losses of the other dispatchers, by period since one joined.
+    pub others: [Loss; JOINED_PERIOD_ENDS.len()],
 }
 
-/// What a day comes to.
-pub struct Day {
+/// The results of a simulation.
+pub struct ScenarioResult {
     pub losses: Losses,
-    /// Bytes that the first dispatcher published per second.
+    /// The bytes that the first dispatcher published per second.
     pub published_bytes_per_s: f64,
-    /// The most memory of a dispatcher, in bytes.
+    /// The maximum memory of a dispatcher at the end, in bytes.
     pub memory: usize,
-    /// Summaries that the first dispatcher keeps.
+    /// The number of summaries that the first dispatcher holds at the end.
     pub summaries: usize,
-    /// Facts delivered.
+    /// The number of deliveries of facts.
     pub facts: u64,
-    /// The fraction of jobs that were censored.
+    /// The fraction of the first dispatcher's jobs that were censored.
     pub censored: f64,
     /// The first dispatcher's estimator.
     pub first: RuntimeEstimator,
 }
 
-impl Day {
-    /// The loss above that of the true quantiles, as a fraction of what the class mean's is above it: 0 is as good as knowing
-    /// the distribution, 1 as bad as the class mean.
-    pub fn excess(&self, part: usize) -> [f64; 2] {
+impl ScenarioResult {
+    /// The excess of the estimators' loss over that of the true quantiles, as a fraction of the excess of the class mean's
+    /// loss: 0 is as good as knowing the distribution, 1 as bad as the class mean.
+    pub fn excess(&self, period: usize) -> [f64; 2] {
         let Losses { learned, oracle, mean, .. } = &self.losses;
-        let (learned, oracle) = (learned[part].mean_pinball(), oracle[part].mean_pinball());
-        let mean = mean[part].mean_pinball();
+        let (learned, oracle) = (learned[period].mean_pinball(), oracle[period].mean_pinball());
+        let mean = mean[period].mean_pinball();
         [0, 1].map(|index| (learned[index] - oracle[index]) / (mean[index] - oracle[index]).max(1e-9))
     }
 }
 
-/// The end of a job that runs, ordered by its time.
+/// The end of a running job, ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct JobEnd {
     at: u64,
     id: u64,
     dispatcher: usize,
     class: usize,
-    /// It was not cut off or cancelled.
+    /// Whether the job ran to its end, neither cut off by the time limit nor cancelled.
     is_done: bool,
 }
 
 struct Simulation {
-    plan: DayPlan,
+    scenario: Scenario,
     fleet: Fleet,
     rng: fastrand::Rng,
-    carrier: Carrier,
+    transport: FactTransport,
     dispatchers: Vec<RuntimeEstimator>,
     class_means: Vec<ClassMean>,
     ends: BinaryHeap<Reverse<JobEnd>>,
-    /// The logarithmic run times of the jobs that run.
+    /// The logarithmic run times of the running jobs.
     log_runtimes: BTreeMap<u64, f64>,
     losses: Losses,
     now: u64,
@@ -121,31 +122,31 @@
     next_id: u64,
 }
 
-/// Simulates a day.
-pub fn simulate(plan: DayPlan) -> Day {
-    let mut simulation = Simulation::new(plan);
-    let end = PARTS[LAST].to * SECOND;
+/// Runs a simulation to its end.
+pub fn simulate(scenario: Scenario) -> ScenarioResult {
+    let mut simulation = Simulation::new(scenario);
+    let end = PERIODS[LAST_PERIOD].to * SECOND;
     while simulation.now < end {
         simulation.advance();
     }
-    simulation.into_day()
+    simulation.into_result()
 }
 
-fn new_dispatcher(plan: &DayPlan, place: u16, now: u64) -> RuntimeEstimator {
-    let config = Config { censored_as_short: plan.has_fault, ..Config::new(place, EPOCH + now / 1_000) };
+fn new_dispatcher(scenario: &Scenario, place: u16, now: u64) -> RuntimeEstimator {
+    let config = Config { censored_as_short: scenario.has_fault, ..Config::new(place, EPOCH + now / 1_000) };
     RuntimeEstimator::new(config, now).expect("the defaults are valid")
 }
 
 impl Simulation {
-    fn new(plan: DayPlan) -> Simulation {
-        let fleet = Fleet::new(plan.seed);
+    fn new(scenario: Scenario) -> Simulation {
+        let fleet = Fleet::new(scenario.seed);
         Simulation {
-            rng: fastrand::Rng::with_seed(plan.seed.wrapping_mul(31) + u64::from(plan.dispatchers)),
-            carrier: Carrier::new(plan.seed ^ 5),
-            dispatchers: (0..plan.dispatchers).map(|place| new_dispatcher(&plan, place, 0)).collect(),
+            rng: fastrand::Rng::with_seed(scenario.seed.wrapping_mul(31) + u64::from(scenario.dispatchers)),
+            transport: FactTransport::new(scenario.seed ^ 5),
+            dispatchers: (0..scenario.dispatchers).map(|place| new_dispatcher(&scenario, place, 0)).collect(),
             class_means: (0..fleet.class_count()).map(|_| ClassMean::default()).collect(),
             fleet,
-            plan,
+            scenario,
             ends: BinaryHeap::new(),
             log_runtimes: BTreeMap::new(),
             losses: Losses::default(),
@@ -169,13 +170,13 @@
         }
     }
 
-    /// Another dispatcher joins if it is time, and facts are exchanged.
+    /// Lets the new dispatcher join if it is time, and exchanges facts.
     fn on_round(&mut self) {
-        let has_joined = self.dispatchers.len() > usize::from(self.plan.dispatchers);
-        if !has_joined && self.now >= JOINS_AT * SECOND {
-            self.dispatchers.push(new_dispatcher(&self.plan, self.plan.dispatchers, self.now));
+        let has_joined = self.dispatchers.len() > usize::from(self.scenario.dispatchers);
+        if !has_joined && self.now >= JOIN_AT * SECOND {
+            self.dispatchers.push(new_dispatcher(&self.scenario, self.scenario.dispatchers, self.now));
         }
-        if self.plan.is_sharing {
+        if self.scenario.is_sharing {
             self.exchange_facts();
         }
         self.next_round += ROUND_INTERVAL;
@@ -184,18 +185,18 @@
     fn exchange_facts(&mut self) {
         let (now, count) = (self.now, self.dispatchers.len() as u16);
         for (place, dispatcher) in (0..).zip(&mut self.dispatchers) {
-            let epoch = if place == self.plan.dispatchers { EPOCH + JOINS_AT * 1_000 } else { EPOCH };
+            let epoch = if place == self.scenario.dispatchers { EPOCH + JOIN_AT * 1_000 } else { EPOCH };
             while let Some((slot, bytes)) = dispatcher.publish(now) {
-                self.carrier.publish(now, Origin { place, epoch }, slot, bytes, count);
+                self.transport.publish(now, Origin { place, epoch }, slot, bytes, count);
             }
         }
         if now % SECOND == 0 {
-            self.carrier.repair(now, count, REPAIRED_FACTS);
+            self.transport.repair(now, count, REPAIRED_FACTS);
         }
-        self.carrier.deliver(now, &mut self.dispatchers);
+        self.transport.deliver(now, &mut self.dispatchers);
     }
 
-    /// A job arrives at a dispatcher, which estimates and starts it.
+    /// Handles the arrival of a job at a dispatcher, which estimates and starts it.
     fn on_job(&mut self) {
         let job = self.fleet.draw_job(&mut self.rng);
         let index = self.rng.usize(..self.dispatchers.len());
@@ -211,38 +212,38 @@
 
     /// Records the losses of a dispatcher's estimate.
     fn record(&mut self, job: &Job, dispatcher: usize, estimate: [f64; 2]) {
-        let part = PARTS.iter().position(|part| self.now < part.to * SECOND).unwrap_or(LAST);
-        let since_join = self.now.checked_sub(JOINS_AT * SECOND);
-        let joined_part =
-            since_join.and_then(|since| JOINED_PARTS.iter().position(|end| since < end * SECOND));
+        let period = PERIODS.iter().position(|period| self.now < period.to * SECOND).unwrap_or(LAST_PERIOD);
+        let since_join = self.now.checked_sub(JOIN_AT * SECOND);
+        let joined_period =
+            since_join.and_then(|since| JOINED_PERIOD_ENDS.iter().position(|end| since < end * SECOND));
         let losses = &mut self.losses;
-        if dispatcher == usize::from(self.plan.dispatchers) {
-            if let Some(joined_part) = joined_part {
-                losses.joined[joined_part].add(job, estimate);
+        if dispatcher == usize::from(self.scenario.dispatchers) {
+            if let Some(joined_period) = joined_period {
+                losses.joined[joined_period].add(job, estimate);
             }
             return;
         }
-        losses.learned[part].add(job, estimate);
-        losses.oracle[part].add(job, job.log_quantiles);
-        losses.mean[part].add(job, self.class_means[job.class].estimate());
-        if let Some(joined_part) = joined_part {
-            losses.others[joined_part].add(job, estimate);
+        losses.learned[period].add(job, estimate);
+        losses.oracle[period].add(job, job.log_quantiles);
+        losses.mean[period].add(job, self.class_means[job.class].estimate());
+        if let Some(joined_period) = joined_period {
+            losses.others[joined_period].add(job, estimate);
         }
     }
 
-    /// A job ends by itself, or is cut off or cancelled before.
+    /// Schedules the end of a job: by itself, at the time limit, or when it is cancelled.
     fn schedule_end(&mut self, job: &Job, dispatcher: usize) {
         let runtime = job.log_runtime.exp();
-        let limit = self.fleet.class_middle(job.class) * self.plan.time_limit;
+        let limit = self.fleet.class_scale(job.class) * self.scenario.time_limit;
         let cancelled_after =
-            if self.rng.f64() < CANCELLED { runtime * self.rng.f64() } else { f64::INFINITY };
-        let seen = runtime.min(limit).min(cancelled_after);
+            if self.rng.f64() < CANCELLED_FRACTION { runtime * self.rng.f64() } else { f64::INFINITY };
+        let observed = runtime.min(limit).min(cancelled_after);
         self.ends.push(Reverse(JobEnd {
-            at: self.now + seen as u64 + 1,
+            at: self.now + observed as u64 + 1,
             id: self.next_id,
             dispatcher,
             class: job.class,
-            is_done: seen >= runtime,
+            is_done: observed >= runtime,
         }));
         self.log_runtimes.insert(self.next_id, job.log_runtime);
     }
@@ -257,15 +258,15 @@
         }
     }
 
-    fn into_day(mut self) -> Day {
+    fn into_result(mut self) -> ScenarioResult {
         let first = self.dispatchers[0].metrics();
         let memory = self.dispatchers.iter().map(|dispatcher| dispatcher.metrics().bytes).max();
-        Day {
+        ScenarioResult {
             losses: self.losses,
-            published_bytes_per_s: first.published_bytes as f64 / PARTS[LAST].to as f64,
+            published_bytes_per_s: first.published_bytes as f64 / PERIODS[LAST_PERIOD].to as f64,
             memory: memory.unwrap_or(0),
             summaries: first.summaries,
-            facts: self.carrier.deliveries,
+            facts: self.transport.deliveries,
             censored: first.censored as f64 / first.seen as f64,
             first: self.dispatchers.swap_remove(0),
         }
--- a/examples/proof_runtimes/loss.rs
+++ b/examples/proof_runtimes/loss.rs
@@ -1,34 +1,36 @@
-//! How good estimates are: losses beside the true run times and distributions, and the class mean as the baseline.
+//! The accuracy of estimates: losses compared with the true run times and distributions, and the class mean as the baseline.
 
 use crate::QUANTILES;
 use crate::fleet::Job;
 use serde_json::{Value, json};
 
 /// Rounds to three decimals.
-pub fn round(x: f64) -> f64 {
-    (x * 1e3).round() / 1e3
+pub fn round_to_thousandths(value: f64) -> f64 {
+    (value * 1e3).round() / 1e3
 }
 
+/// The pinball loss of an estimate of a quantile.
 fn pinball(quantile: f64, truth: f64, estimate: f64) -> f64 {
     let difference = truth - estimate;
     if difference > 0.0 { quantile * difference } else { (quantile - 1.0) * difference }
 }
 
-/// Sums over the jobs of a part of the day, for each of the [`QUANTILES`], of logarithms.
+/// Sums over the jobs of a period, for each of the [`QUANTILES`]. All differences are of logarithms.
 #[derive(Clone, Copy, Default)]
 pub struct Loss {
     pub jobs: f64,
+    /// The sums of the pinball losses.
     pub pinball: [f64; 2],
-    /// Absolute differences from the true quantile.
+    /// The sums of the absolute differences from the true quantile.
     pub error: [f64; 2],
-    /// Differences from the true quantile.
+    /// The sums of the differences from the true quantile.
     pub bias: [f64; 2],
-    /// Jobs that ran for no longer than was estimated.
+    /// The numbers of jobs that ran for no longer than was estimated.
     pub below: [f64; 2],
 }
 
 impl Loss {
-    /// Adds a job for which these logarithms were estimated.
+    /// Adds a job with the estimated logarithms of its quantiles.
     pub fn add(&mut self, job: &Job, estimate: [f64; 2]) {
         self.jobs += 1.0;
         for (index, quantile) in QUANTILES.into_iter().enumerate() {
@@ -53,7 +55,7 @@
     }
 
     pub fn json(&self) -> Value {
-        let mean = |sums: [f64; 2]| self.mean(sums).map(round);
+        let mean = |sums: [f64; 2]| self.mean(sums).map(round_to_thousandths);
         json!({
             "jobs": self.jobs,
             "pinball": mean(self.pinball),
@@ -63,24 +65,23 @@
     }
 }
 
-/// The baseline: the mean of a class and the empirical quantile 0.9 of all its run times. It is what is known without the
-/// estimator, given the jobs of all dispatchers.
+/// The baseline: the mean of a class and the empirical quantile 0.9 of all its run times, from the jobs of all dispatchers.
 #[derive(Default)]
 pub struct ClassMean {
     sum: f64,
     jobs: f64,
     log_runtimes: Vec<f64>,
-    /// The run times sorted, as of some jobs ago.
+    /// The run times in order, without those of the most recent jobs.
     sorted: Vec<f64>,
 }
 
-/// An estimate where a class has had no job, in microseconds.
+/// The estimate for a class without any job, in microseconds.
 const UNKNOWN_RUNTIME: f64 = 250_000.0;
-/// The run times are sorted again after so many more.
+/// The number of new run times after which they are sorted again.
 const MAX_UNSORTED: usize = 500;
 
 impl ClassMean {
-    /// The logarithms of both estimates.
+    /// The logarithms of the estimated mean and quantile.
     pub fn estimate(&mut self) -> [f64; 2] {
         let (known, sorted) = (self.log_runtimes.len(), self.sorted.len());
         if known == 0 {
--- a/examples/proof_runtimes/main.rs
+++ b/examples/proof_runtimes/main.rs
@@ -1,7 +1,13 @@
-//! The proof of the run times' estimates (`make proof-runtimes`): heavy-tailed jobs of a simulated fleet, whose true
-//! distributions are known, estimated by dispatchers alone and by ones that share over a carrier that loses, repeats and
-//! reorders; a shared slowdown; backfilling on against off; costs. All from one seed (`--seed N`), with no clock but for the
-//! costs. Ends in one JSON line; the exit code is not 0 where a part fails.
+//! Measures the estimates of run times (`make proof-runtimes`):
+//!
+//! - the accuracy for heavy-tailed jobs of a simulated fleet, whose true distributions are known, by dispatchers that learn
+//!   alone and by dispatchers that share observations over a transport that loses, repeats and reorders them;
+//! - a slowdown that all jobs share;
+//! - backfilling compared with first fit;
+//! - the cost of estimates, observations and fits.
+//!
+//! One seed (`--seed N`) determines everything except the costs, which are measured by the clock. The last line is JSON; the
+//! exit code is not 0 if a check failed.
 
 mod carrier;
 #[path = "../common/mod.rs"]
@@ -22,18 +28,18 @@
 
 /// A second in microseconds.
 const SECOND: u64 = 1_000_000;
-/// Unix time at the start, in milliseconds: 120 s before the end of a span of the summaries (10 minutes).
+/// The Unix time at the start, in milliseconds: 120 s before the end of a span of the summaries, which is 10 minutes long.
 const EPOCH: u64 = 1_790_000_280_000;
 /// The quantiles that are estimated.
 const QUANTILES: [f64; 2] = [0.5, 0.9];
-/// Seeds of the pools and the slowdowns.
+/// The number of seeds over which pools are averaged; slowdowns use twice as many.
 const SEEDS: u64 = 5;
 const DEFAULT_SEED: u64 = 27;
 
-/// The seed that the command line names.
+/// The seed of the command line, or [`DEFAULT_SEED`].
 fn seed() -> u64 {
-    let named = std::env::args().skip_while(|argument| argument != "--seed").nth(1);
-    named.and_then(|seed| seed.parse().ok()).unwrap_or(DEFAULT_SEED)
+    let value = std::env::args().skip_while(|argument| argument != "--seed").nth(1);
+    value.and_then(|seed| seed.parse().ok()).unwrap_or(DEFAULT_SEED)
 }
 
 fn main() -> ExitCode {
@@ -41,9 +47,10 @@
     let seed = seed();
     println!("seed {seed}");
     let results = Results::measure(seed, started);
-    report::print_days(&results.days);
-    let aims = report::aims(&results);
-    let is_held = aims.as_object().is_some_and(|aims| aims.values().all(|held| *held == json!(true)));
-    println!("{}", report::summary(&results, &aims, is_held));
-    if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    report::print_groups(&results.groups);
+    let checks = report::checks(&results);
+    let have_passed =
+        checks.as_object().is_some_and(|checks| checks.values().all(|is_met| *is_met == json!(true)));
+    println!("{}", report::summary(&results, &checks, have_passed));
+    if have_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/examples/proof_runtimes/pool/mod.rs
+++ b/examples/proof_runtimes/pool/mod.rs
@@ -1,5 +1,5 @@
-//! A pool of workers with small and large jobs, with and without reservations for the large ones: whether backfilling helps,
-//! and what it needs of the estimates.
+//! A simulated pool of workers with small and large jobs, with and without reservations for the large ones: whether
+//! backfilling helps, and how accurate the estimates must be.
 
 mod workload;
 
@@ -16,55 +16,56 @@
 const WORKERS: usize = 8;
 const SLOTS: f64 = 8.0;
 const SPEEDS: [f64; 4] = [0.6, 0.85, 1.2, 1.7];
-/// At most so many workers have a reservation at a time.
+/// The maximum number of workers with a reservation at a time.
 const MAX_RESERVATIONS: usize = WORKERS / 4;
 const SUBJECTS: usize = 20;
-/// The fraction of all slots' time that reservations may keep idle, and the burst in microseconds.
+/// The fraction of the time of all slots that reservations may keep idle.
 const IDLE_FRACTION: f64 = 0.04;
+/// The burst of idle time of each slot before [`IDLE_FRACTION`] is applied, in microseconds.
 const IDLE_BURST: u64 = 10 * SECOND;
-/// Jobs that arrive earlier are not counted.
+/// The time before which arriving jobs are not counted, in microseconds.
 const WARM_UP: u64 = 60 * SECOND;
 const END: u64 = 300 * SECOND;
 
-/// Where the estimates come from.
+/// The source of the estimates. The names of the variants appear in the output.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Guess {
-    /// The run itself, known beforehand.
+pub enum EstimateSource {
+    /// The true run times, known beforehand.
     True,
-    /// The estimator.
+    /// The estimates of a [`RuntimeEstimator`].
     Learned,
-    /// The run times this.
+    /// The true run times multiplied by this factor.
     Times(f64),
-    /// The run times a draw of its own, half of them wrong by a factor of 2 or more.
+    /// The true run times, each multiplied by a random factor; half of them are wrong by a factor of 2 or more.
     Random,
 }
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy)]
-pub struct PoolPlan {
+pub struct PoolScenario {
     pub seed: u64,
-    /// The fraction of the slots' time that the jobs need.
+    /// The fraction of the capacity of all slots that the jobs need.
     pub load: f64,
-    pub guess: Guess,
+    pub estimate_source: EstimateSource,
 }
 
-/// Which jobs go first.
+/// The order in which waiting jobs start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Order {
-    /// Whoever fits.
+    /// Any job that fits starts, in the order of arrival.
     FirstFit,
-    /// Large jobs that wait hold reservations, and others go before them only where that does not delay them.
+    /// Waiting large jobs have reservations, and other jobs start before them only if that does not delay them.
     Backfill,
 }
 
-/// Fractions of jobs that ended in time.
+/// The fractions of large and small jobs that ended in time.
 #[derive(Clone, Copy, Default)]
 pub struct InTime {
     pub large: f64,
     pub small: f64,
 }
 
-/// The same without and with reservations.
+/// The fractions of jobs that ended in time, without and with reservations.
 pub struct Comparison {
     pub first_fit: InTime,
     pub backfill: InTime,
@@ -76,13 +77,15 @@
     slots: f64,
     started_at: u64,
     ends_at: u64,
-    /// When it was expected to end.
+    /// When the job was expected to end, as estimated at its start.
     estimated_end: u64,
 }
 
-/// The workers at one moment.
+/// The capacity of the workers at one time.
 struct Capacity {
+    /// The number of free slots of each worker.
     free: [f64; WORKERS],
+    /// The reservation at each worker, if there is one.
     reserved: [Option<Reservation>; WORKERS],
 }
 
@@ -99,7 +102,7 @@
 }
 
 struct Simulation {
-    guess: Guess,
+    estimate_source: EstimateSource,
     order: Order,
     speeds: Vec<f64>,
     /// The logarithmic effects of the subjects.
@@ -111,7 +114,7 @@
     waiting: Vec<WaitingJob>,
     running: Vec<RunningJob>,
     allowance: IdleAllowance,
-    /// Slots that reservations keep idle.
+    /// The number of slots that reservations keep idle.
     idle: f64,
     /// Whether the allowance permits reservations.
     may_reserve: bool,
@@ -123,14 +126,14 @@
 }
 
 impl Simulation {
-    fn new(plan: PoolPlan, order: Order) -> Simulation {
-        let PoolPlan { seed, load, guess } = plan;
+    fn new(scenario: PoolScenario, order: Order) -> Simulation {
+        let PoolScenario { seed, load, estimate_source } = scenario;
         let speeds: Vec<f64> = (0..WORKERS).map(|worker| SPEEDS[worker % SPEEDS.len()]).collect();
         let mut rng = fastrand::Rng::with_seed(seed);
         let effects: Vec<f64> = (0..SUBJECTS).map(|_| 0.6 * normal(&mut rng)).collect();
         let slot_capacity = load * SLOTS * speeds.iter().sum::<f64>();
         Simulation {
-            guess,
+            estimate_source,
             order,
             jobs_per_s: workload::jobs_per_s(seed, &effects, slot_capacity),
             speeds,
@@ -160,7 +163,7 @@
         InTime { large: self.large.fraction(), small: self.small.fraction() }
     }
 
-    /// Handles the next end or arrival.
+    /// Handles the next end or arrival of a job.
     fn advance(&mut self) {
         let next_end = self.running.iter().enumerate().min_by_key(|(_, run)| (run.ends_at, run.id));
         let next_end = next_end.map(|(index, run)| (index, run.ends_at));
@@ -177,10 +180,10 @@
     fn on_arrival(&mut self) {
         let DrawnJob { is_large, subject, work } = DrawnJob::draw(&mut self.rng, &self.effects);
         let class = JobFeatures::from_class(u64::from(is_large));
-        let estimate_error = match self.guess {
-            Guess::Times(factor) => factor,
-            Guess::Random => normal(&mut self.error_rng).exp(),
-            Guess::True | Guess::Learned => 1.0,
+        let estimate_error = match self.estimate_source {
+            EstimateSource::Times(factor) => factor,
+            EstimateSource::Random => normal(&mut self.error_rng).exp(),
+            EstimateSource::True | EstimateSource::Learned => 1.0,
         };
         self.waiting.push(WaitingJob {
             id: self.next_id,
@@ -200,7 +203,7 @@
         count.in_time += f64::from(u8::from(is_in_time));
     }
 
-    /// Drops the jobs whose clients leave.
+    /// Drops the jobs whose clients have left.
     fn drop_late_jobs(&mut self) {
         let now = self.now;
         let is_late = |job: &WaitingJob| now > job.arrived_at + 6 * job.objective();
@@ -248,7 +251,7 @@
 
     /// How long a job will run at a worker.
     fn estimate(&self, job: &WaitingJob, worker: usize) -> Estimate {
-        if self.guess == Guess::Learned {
+        if self.estimate_source == EstimateSource::Learned {
             return self.estimator.estimate(&job.features, self.placement(worker).kind, None);
         }
         let runtime = (job.work * job.estimate_error / self.speeds[worker]) as u64;
@@ -257,14 +260,14 @@
 
     /// When a running job will end.
     fn expected_end(&self, run: &RunningJob) -> u64 {
-        match self.guess {
-            Guess::True => run.ends_at,
-            Guess::Learned => {
+        match self.estimate_source {
+            EstimateSource::True => run.ends_at,
+            EstimateSource::Learned => {
                 let remaining = self.estimator.remaining(self.now, AttemptId(run.id));
                 remaining.map_or(self.now, |left| self.now + left.typical)
             }
-            // Raised by a quarter of what it has run where it proved too low.
-            Guess::Times(_) | Guess::Random => {
+            // Once the estimate has proved too low, the job is expected to run for a quarter of its time so far again.
+            EstimateSource::Times(_) | EstimateSource::Random => {
                 run.estimated_end.max(self.now + (self.now - run.started_at) / 4)
             }
         }
@@ -273,14 +276,15 @@
     /// The worker with the most room among those at which a job may start now.
     fn best_worker(&self, job: &WaitingJob, capacity: &Capacity) -> Option<usize> {
         let slots = slots_of(job.is_large);
-        // A small job that has waited for half of what it may ignores reservations: they are made at the cost of slack, not
-        // of being late.
+        // A small job that has used half of its slack ignores reservations: they may cost slack, but not delay a job beyond
+        // its deadline.
         let slack = job.objective().saturating_sub(self.estimate(job, 0).typical);
-        let is_pressed = 2 * (self.now - job.arrived_at) > slack;
+        let has_used_half_of_slack = 2 * (self.now - job.arrived_at) > slack;
         let fits = |&worker: &usize| {
             let may_pass = |reservation: Reservation| {
                 let long = self.estimate(job, worker).long;
-                is_pressed && !job.is_large || may_start_before(self.now, slots, long, &reservation)
+                has_used_half_of_slack && !job.is_large
+                    || may_start_before(self.now, slots, long, &reservation)
             };
             capacity.free[worker] >= slots && capacity.reserved[worker].is_none_or(may_pass)
         };
@@ -300,7 +304,7 @@
         }
         self.running.push(RunningJob { id: job.id, worker, slots, started_at: now, ends_at, estimated_end });
         capacity.free[worker] -= slots;
-        // What a reservation leaves beside it is used up by what starts beside it.
+        // The job may use slots that the reservation counted as additional, so the reservation is computed again.
         if let Some(reservation) = capacity.reserved[worker] {
             let renewed = self.earliest(worker, LARGE_SLOTS, capacity);
             capacity.reserved[worker] = renewed.or(Some(reservation));
@@ -324,7 +328,7 @@
         }
     }
 
-    /// The earliest time at which so many slots are expected to be free at a worker.
+    /// The earliest time at which `slots` slots are expected to be free at a worker.
     fn earliest(&self, worker: usize, slots: f64, capacity: &Capacity) -> Option<Reservation> {
         let running = self.running.iter().filter(|run| run.worker == worker);
         let mut occupied: Vec<OccupiedSlots> =
@@ -333,10 +337,11 @@
     }
 }
 
-/// The mean over some seeds, from that of the plan on, in both orders.
-pub fn compare(plan: PoolPlan) -> Comparison {
+/// The mean results over [`SEEDS`] consecutive seeds from that of the scenario on, in both orders.
+pub fn compare(scenario: PoolScenario) -> Comparison {
     let mean = |order: Order| {
-        let runs = (0..SEEDS).map(|n| Simulation::new(PoolPlan { seed: plan.seed + n, ..plan }, order).run());
+        let runs = (0..SEEDS)
+            .map(|n| Simulation::new(PoolScenario { seed: scenario.seed + n, ..scenario }, order).run());
         runs.fold(InTime::default(), |mean, run| InTime {
             large: mean.large + run.large / SEEDS as f64,
             small: mean.small + run.small / SEEDS as f64,
--- a/examples/proof_runtimes/pool/workload.rs
+++ b/examples/proof_runtimes/pool/workload.rs
@@ -1,18 +1,18 @@
-//! The jobs of a pool: few large ones among many small ones.
+//! The jobs of a simulated pool: few large ones and many small ones.
 
 use crate::SECOND;
 use crate::fleet::normal;
 use mothproxy_runtimes::JobFeatures;
 
-/// Slots of a large job.
+/// The number of slots of a large job.
 pub const LARGE_SLOTS: f64 = 6.0;
 const SMALL_SLOTS: f64 = 1.0;
 /// The fraction of large jobs.
-const LARGE: f64 = 0.03;
-/// Jobs from which the mean work is computed.
+const LARGE_FRACTION: f64 = 0.03;
+/// The number of random jobs from which the mean work is computed.
 const SAMPLES: u32 = 20_000;
 
-/// The rate at which jobs need so many slots at a speed of 1, in jobs per second.
+/// The rate of jobs that occupies `slots` slots on average at a speed of 1, in jobs per second.
 pub fn jobs_per_s(seed: u64, effects: &[f64], slots: f64) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
     let drawn = (0..SAMPLES).map(|_| DrawnJob::draw(&mut rng, effects));
@@ -20,17 +20,17 @@
     slots * SECOND as f64 * f64::from(SAMPLES) / slot_time
 }
 
-/// A job as it is drawn.
+/// The random properties of a job.
 pub struct DrawnJob {
     pub is_large: bool,
     pub subject: usize,
-    /// Microseconds at a speed of 1.
+    /// The run time at a speed of 1, in microseconds.
     pub work: f64,
 }
 
 impl DrawnJob {
     pub fn draw(rng: &mut fastrand::Rng, effects: &[f64]) -> DrawnJob {
-        let is_large = rng.f64() < LARGE;
+        let is_large = rng.f64() < LARGE_FRACTION;
         let subject = rng.usize(..effects.len());
         let stretch = if is_large { 5f64.ln() + rng.f64() * (29f64 / 5.0).ln() } else { 0.0 };
         let spread = if is_large { 0.5 } else { 1.04 };
@@ -39,26 +39,30 @@
     }
 }
 
+/// The number of slots of a job.
 pub fn slots_of(is_large: bool) -> f64 {
     if is_large { LARGE_SLOTS } else { SMALL_SLOTS }
 }
 
+/// A job that has arrived and not started yet.
 pub struct WaitingJob {
     pub id: u64,
     pub arrived_at: u64,
     pub is_large: bool,
     pub features: JobFeatures,
+    /// The run time at a speed of 1, in microseconds.
     pub work: f64,
-    /// How wrong estimates of it are that are not learned, as a factor.
+    /// The ratio of an estimate that is not learned to the true run time.
     pub estimate_error: f64,
 }
 
 impl WaitingJob {
-    /// The time within which it should end: a second and three times its work. A client leaves after six times that.
+    /// The time within which the job should end: a second and three times its work. The client leaves after six times this.
     pub fn objective(&self) -> u64 {
         SECOND + (3.0 * self.work) as u64
     }
 
+    /// The time by which the job should end.
     pub fn deadline(&self) -> u64 {
         self.arrived_at + self.objective()
     }
--- a/examples/proof_runtimes/report.rs
+++ b/examples/proof_runtimes/report.rs
@@ -1,76 +1,80 @@
-//! The report: a line for each day, the aims and whether they are met, and the summary as one JSON line.
+//! The report: a line for each group of dispatchers, the checks with their results, and the summary as one JSON line.
 
-use crate::day::{Day, LAST, PARTS};
-use crate::loss::{Loss, round};
+use crate::day::{LAST_PERIOD, PERIODS, ScenarioResult};
+use crate::loss::{Loss, round_to_thousandths};
 use crate::pool::Comparison;
-use crate::results::{Results, SharedDay};
+use crate::results::{GroupResult, Results};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The part of the day before the last one.
-const BEFORE_LAST: usize = LAST - 1;
-/// The greatest part of the class mean's excess loss that an estimator may have.
+/// The index of the period before the last one.
+const PERIOD_BEFORE_LAST: usize = LAST_PERIOD - 1;
+/// The maximum excess loss of an estimator, as a fraction of that of the class mean.
 const MAX_EXCESS: f64 = 0.25;
-/// The greatest bias of a quantile, as a logarithm.
+/// The limit of the bias of a quantile, as a logarithm.
 const MAX_BIAS: f64 = 0.2;
 
-fn mean_bias(day: &Day) -> [f64; 2] {
-    let loss = &day.losses.learned[LAST];
+fn mean_bias(result: &ScenarioResult) -> [f64; 2] {
+    let loss = &result.losses.learned[LAST_PERIOD];
     loss.mean(loss.bias)
 }
 
-/// With a third of the jobs cut off, no quantile may be off by more than a fifth.
-fn is_unbiased(day: &Day) -> bool {
-    mean_bias(day).iter().all(|bias| bias.abs() < MAX_BIAS)
+/// Whether the bias of each quantile is below [`MAX_BIAS`].
+fn is_unbiased(result: &ScenarioResult) -> bool {
+    mean_bias(result).iter().all(|bias| bias.abs() < MAX_BIAS)
 }
 
-/// Whether nine tenths of the runs are below the quantile 0.9.
-fn is_calibrated(day: &Day) -> bool {
-    let loss = &day.losses.learned[LAST];
+/// Whether about nine tenths of the run times are below the estimated quantile 0.9.
+fn is_calibrated(result: &ScenarioResult) -> bool {
+    let loss = &result.losses.learned[LAST_PERIOD];
     (0.87..0.93).contains(&loss.mean(loss.below)[1])
 }
 
-fn has_low_excess(day: &Day, part: usize) -> bool {
-    day.excess(part).iter().all(|excess| *excess < MAX_EXCESS)
+fn has_low_excess(result: &ScenarioResult, period: usize) -> bool {
+    result.excess(period).iter().all(|excess| *excess < MAX_EXCESS)
 }
 
-/// Whether a dispatcher that joins and shares is nearly as good as the others, and better than one that does not share.
-fn joins_well(results: &Results, dispatchers: u16) -> bool {
-    let sharing = &results.day(dispatchers, true).losses;
-    let alone = &results.day(dispatchers, false).losses;
+/// Whether a dispatcher that joins a sharing group soon estimates nearly as well as the others, and better than one that
+/// joins a group without sharing.
+fn learns_fast_after_joining(results: &Results, dispatchers: u16) -> bool {
+    let sharing = &results.group_result(dispatchers, true).losses;
+    let alone = &results.group_result(dispatchers, false).losses;
     let joined = sharing.joined[2].mean_error()[0];
     joined < 1.5 * sharing.others[2].mean_error()[0] && joined < 0.8 * alone.joined[2].mean_error()[0]
 }
 
-/// Whether the large jobs gain by backfilling, and the small ones lose 5 % at most.
+/// Whether more of the large jobs end in time with backfilling, and at most 5 % fewer of the small ones.
 fn backfilling_pays(comparison: &Comparison) -> bool {
     let Comparison { first_fit, backfill } = comparison;
     backfill.large > first_fit.large && backfill.small >= 0.95 * first_fit.small
 }
 
-fn follows_and_returns(slowdown: &Value) -> bool {
-    let median = |figure: &str| slowdown[figure][0].as_f64();
+/// Whether the estimator soon follows the start and the end of a slowdown, in the median over all seeds.
+fn follows_slowdown(slowdown: &Value) -> bool {
+    let median = |key: &str| slowdown[key][0].as_f64();
     median("follows_s") < Some(8.0) && median("returns_s") < Some(10.0)
 }
 
-/// Each aim with whether it is met.
-pub fn aims(results: &Results) -> Value {
+/// The result of each check, by its description.
+pub fn checks(results: &Results) -> Value {
     let groups = [3, 10, 30];
-    let shares_well = groups.iter().all(|n| has_low_excess(results.day(*n, true), LAST));
-    let halves = [10, 30]
-        .iter()
-        .all(|n| results.day(*n, true).excess(LAST)[0] < 0.5 * results.day(*n, false).excess(LAST)[0]);
+    let has_low_excess_if_sharing =
+        groups.iter().all(|n| has_low_excess(results.group_result(*n, true), LAST_PERIOD));
+    let sharing_halves_excess = [10, 30].iter().all(|n| {
+        results.group_result(*n, true).excess(LAST_PERIOD)[0]
+            < 0.5 * results.group_result(*n, false).excess(LAST_PERIOD)[0]
+    });
     json!({
         "alone, by the third minute: at most a quarter of the class mean's loss beyond the true draw's":
-            has_low_excess(results.day(1, false), BEFORE_LAST),
-        "sharing, by the fourth minute: the same with 3, 10 and 30": shares_well,
-        "sharing halves the loss of being one of 10 or 30": halves,
+            has_low_excess(results.group_result(1, false), PERIOD_BEFORE_LAST),
+        "sharing, by the fourth minute: the same with 3, 10 and 30": has_low_excess_if_sharing,
+        "sharing halves the loss of being one of 10 or 30": sharing_halves_excess,
         "a fresh one that shares is nearly as good as an old one within 100 s":
-            groups.iter().all(|n| joins_well(results, *n)),
+            groups.iter().all(|n| learns_fast_after_joining(results, *n)),
         "nine tenths of runs below the conservative quantile":
-            results.days.iter().all(|shared| is_calibrated(&shared.day)),
+            results.groups.iter().all(|group| is_calibrated(&group.result)),
         "a shared slowdown is followed and left within seconds":
-            results.slowdowns.iter().all(follows_and_returns),
+            results.slowdowns.iter().all(follows_slowdown),
         "censored jobs bias no quantile": is_unbiased(&results.censored),
         "the fault (censored as short) is caught": !is_unbiased(&results.faulty),
         "backfill: large up, small down by at most 5 %":
@@ -79,77 +83,80 @@
     })
 }
 
-/// Prints a line for each day.
-pub fn print_days(days: &[SharedDay]) {
-    for SharedDay { dispatchers, is_sharing, day } in days {
+/// Prints a line for each group.
+pub fn print_groups(groups: &[GroupResult]) {
+    for GroupResult { dispatchers, is_sharing, result } in groups {
         let losses = |losses: &[Loss]| losses.iter().map(Loss::json).collect::<Vec<_>>();
-        let excess = PARTS.iter().enumerate();
-        let excess = excess.map(|(n, part)| json!([part.from, part.to, day.excess(n).map(round)]));
+        let excess = PERIODS.iter().enumerate();
+        let excess = excess
+            .map(|(n, period)| json!([period.from, period.to, result.excess(n).map(round_to_thousandths)]));
         let line = json!({
             "excess": excess.collect::<Vec<_>>(),
-            "learned": losses(&day.losses.learned),
-            "true_draw": day.losses.oracle[LAST].json(),
-            "class_mean": day.losses.mean[LAST].json(),
-            "joined_late": losses(&day.losses.joined),
-            "others_meanwhile": losses(&day.losses.others),
+            "learned": losses(&result.losses.learned),
+            "true_draw": result.losses.oracle[LAST_PERIOD].json(),
+            "class_mean": result.losses.mean[LAST_PERIOD].json(),
+            "joined_late": losses(&result.losses.joined),
+            "others_meanwhile": losses(&result.losses.others),
         });
         let sharing = if *is_sharing { "sharing" } else { "each alone" };
         println!("{dispatchers} dispatchers, {sharing}: {line}");
     }
 }
 
-fn day_json(shared: &SharedDay) -> Value {
-    let SharedDay { dispatchers, is_sharing, day } = shared;
-    let learned = day.losses.learned[LAST].json();
-    let errors = |losses: &[Loss]| losses.iter().map(|loss| round(loss.mean_error()[0])).collect::<Vec<_>>();
+fn group_json(group: &GroupResult) -> Value {
+    let GroupResult { dispatchers, is_sharing, result } = group;
+    let learned = result.losses.learned[LAST_PERIOD].json();
+    let errors = |losses: &[Loss]| {
+        losses.iter().map(|loss| round_to_thousandths(loss.mean_error()[0])).collect::<Vec<_>>()
+    };
     json!({
         "dispatchers": dispatchers,
         "sharing": is_sharing,
-        "excess_p50_p90_at_100_150_s": day.excess(BEFORE_LAST).map(round),
-        "at_150_230_s": day.excess(LAST).map(round),
+        "excess_p50_p90_at_100_150_s": result.excess(PERIOD_BEFORE_LAST).map(round_to_thousandths),
+        "at_150_230_s": result.excess(LAST_PERIOD).map(round_to_thousandths),
         "pinball": learned["pinball"],
         "log_error": learned["log_error"],
         "below": learned["below"],
-        "log_error_joined_late": errors(&day.losses.joined),
-        "of_others": errors(&day.losses.others),
-        "bytes_told_a_second": day.published_bytes_per_s.round(),
-        "memory": day.memory,
-        "registers": day.summaries,
-        "facts_delivered": day.facts,
+        "log_error_joined_late": errors(&result.losses.joined),
+        "of_others": errors(&result.losses.others),
+        "bytes_told_a_second": result.published_bytes_per_s.round(),
+        "memory": result.memory,
+        "registers": result.summaries,
+        "facts_delivered": result.facts,
     })
 }
 
-/// The fractions in time, without and with reservations.
+/// The fractions of jobs that ended in time, without and with reservations.
 fn comparison_json(comparison: &Comparison) -> Value {
     let Comparison { first_fit, backfill } = comparison;
-    let large = [first_fit.large, backfill.large].map(round);
-    let small = [first_fit.small, backfill.small].map(round);
+    let large = [first_fit.large, backfill.large].map(round_to_thousandths);
+    let small = [first_fit.small, backfill.small].map(round_to_thousandths);
     json!({ "large": large, "small": small })
 }
 
-/// The summary.
-pub fn summary(results: &Results, aims: &Value, is_held: bool) -> Value {
-    let alone = &results.day(1, false).losses;
-    let by_guess: BTreeMap<String, Value> = (results.pools.iter())
-        .map(|pool| (format!("{:?}", pool.guess), comparison_json(&pool.comparison)))
+/// The summary of all results, under the names of the output.
+pub fn summary(results: &Results, checks: &Value, have_passed: bool) -> Value {
+    let alone = &results.group_result(1, false).losses;
+    let by_source: BTreeMap<String, Value> = (results.pools.iter())
+        .map(|pool| (format!("{:?}", pool.estimate_source), comparison_json(&pool.comparison)))
         .collect();
     json!({
         "proof": "runtimes",
         "seed": results.seed,
-        "held": is_held,
-        "aims": aims,
-        "seconds": round(results.started.elapsed().as_secs_f64()),
-        "true_draw": alone.oracle[LAST].json(),
-        "class_mean": alone.mean[LAST].json(),
-        "days": results.days.iter().map(day_json).collect::<Vec<_>>(),
+        "held": have_passed,
+        "aims": checks,
+        "seconds": round_to_thousandths(results.started.elapsed().as_secs_f64()),
+        "true_draw": alone.oracle[LAST_PERIOD].json(),
+        "class_mean": alone.mean[LAST_PERIOD].json(),
+        "days": results.groups.iter().map(group_json).collect::<Vec<_>>(),
         "slowdown_100_a_second": results.slowdowns[0],
         "slowdown_20_a_second": results.slowdowns[1],
         "cut_off": {
-            "part": round(results.censored.censored),
-            "bias": mean_bias(&results.censored).map(round),
-            "bias_with_fault": mean_bias(&results.faulty).map(round),
+            "part": round_to_thousandths(results.censored.censored),
+            "bias": mean_bias(&results.censored).map(round_to_thousandths),
+            "bias_with_fault": mean_bias(&results.faulty).map(round_to_thousandths),
         },
-        "backfill_off_on": by_guess,
+        "backfill_off_on": by_source,
         "backfill_at_load_0.9": comparison_json(&results.full_pool),
         "cost": results.costs,
     })
--- a/examples/proof_runtimes/slowdown.rs
+++ b/examples/proof_runtimes/slowdown.rs
@@ -1,7 +1,7 @@
-//! One dispatcher through a slowdown that all jobs share: how soon its estimates follow and return.
+//! A slowdown that all jobs share: how soon the estimates of one dispatcher follow its start and its end.
 
 use crate::fleet::{Fleet, next_interval};
-use crate::loss::round;
+use crate::loss::round_to_thousandths;
 use crate::{EPOCH, SECOND, SEEDS};
 use mothproxy_runtimes::{AttemptId, Config, Outcome, RuntimeEstimator};
 use serde_json::{Value, json};
@@ -9,37 +9,38 @@
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
-/// All jobs are this many times slower during [`SLOW`].
+/// The factor by which all jobs are slower during [`SLOWDOWN`].
 const FACTOR: f64 = 2.5;
-const SLOW: Range<u64> = 120 * SECOND..180 * SECOND;
+const SLOWDOWN: Range<u64> = 120 * SECOND..180 * SECOND;
 const END: u64 = 260 * SECOND;
-/// The estimator's factor strays in this calm time.
-const CALM: Range<u64> = 60 * SECOND..SLOW.start;
-/// Errors are measured before the slowdown and after it.
-const ERROR_PARTS: [Range<u64>; 2] = [90 * SECOND..SLOW.start, 230 * SECOND..END];
-/// The factor is looked at this often, in microseconds.
+/// The time without a slowdown in which the drift of the estimator's factor is measured.
+const CALM: Range<u64> = 60 * SECOND..SLOWDOWN.start;
+/// The periods before and after the slowdown in which errors are measured.
+const ERROR_PERIODS: [Range<u64>; 2] = [90 * SECOND..SLOWDOWN.start, 230 * SECOND..END];
+/// The interval at which the factor is checked, in microseconds.
 const CHECK_INTERVAL: u64 = SECOND / 10;
-/// The factor has followed or returned once it is within this ratio.
+/// The ratio to the true factor within which the estimator's factor counts as close.
 const CLOSE_RATIO: f64 = 1.2;
-/// Stands for what never came: it counts as the worst.
+/// Replaces the time of an event that did not occur, in seconds, so that it counts as the worst.
 const NEVER: f64 = 1e3;
 
-/// What a run comes to. Times in seconds.
+/// The results of a run. Times are in seconds.
 struct SlowdownRun {
-    /// From the start of the slowdown until the factor has followed it; NaN for never.
-    follows: f64,
-    /// From its end until the factor has returned; NaN for never.
-    returns: f64,
-    /// The largest logarithm of the factor in the calm time.
-    strays: f64,
-    /// Mean error of the estimated median, as a logarithm, before and after.
+    /// The time from the start of the slowdown until the factor is close to it; NaN for never.
+    rise_time: f64,
+    /// The time from the end of the slowdown until the factor is close to 1; NaN for never.
+    recovery_time: f64,
+    /// The maximum absolute logarithm of the factor during [`CALM`].
+    max_drift: f64,
+    /// The mean error of the estimated median, as a logarithm, in each of [`ERROR_PERIODS`].
     errors: [f64; 2],
 }
 
-/// When a job of so much work (in microseconds at the usual speed) that starts at `from` ends.
+/// When a job that starts at `from` ends. `work` is its run time without a slowdown, in microseconds.
 fn end_of_job(from: u64, work: f64) -> u64 {
     let (mut at, mut left) = (from as f64, work);
-    for (until, factor) in [(SLOW.start as f64, 1.0), (SLOW.end as f64, FACTOR), (f64::INFINITY, 1.0)] {
+    for (until, factor) in [(SLOWDOWN.start as f64, 1.0), (SLOWDOWN.end as f64, FACTOR), (f64::INFINITY, 1.0)]
+    {
         let room = (until - at).max(0.0);
         if left * factor <= room {
             return (at + left * factor) as u64 + 1;
@@ -63,10 +64,10 @@
     estimator: RuntimeEstimator,
     /// The ends of running jobs, with their numbers.
     ends: BinaryHeap<Reverse<(u64, u64)>>,
-    follows: f64,
-    returns: f64,
-    strays: f64,
-    errors: [Mean; ERROR_PARTS.len()],
+    rise_time: f64,
+    recovery_time: f64,
+    max_drift: f64,
+    errors: [Mean; ERROR_PERIODS.len()],
     now: u64,
     next_job: u64,
     next_check: u64,
@@ -81,9 +82,9 @@
             rng: fastrand::Rng::with_seed(seed),
             estimator: RuntimeEstimator::new(Config::new(0, EPOCH), 0).expect("the defaults are valid"),
             ends: BinaryHeap::new(),
-            follows: f64::NAN,
-            returns: f64::NAN,
-            strays: 0.0,
+            rise_time: f64::NAN,
+            recovery_time: f64::NAN,
+            max_drift: 0.0,
             errors: Default::default(),
             now: 0,
             next_job: 0,
@@ -105,7 +106,12 @@
             }
         }
         let errors = self.errors.map(|error| error.sum / error.count);
-        SlowdownRun { follows: self.follows, returns: self.returns, strays: self.strays, errors }
+        SlowdownRun {
+            rise_time: self.rise_time,
+            recovery_time: self.recovery_time,
+            max_drift: self.max_drift,
+            errors,
+        }
     }
 
     fn check_factor(&mut self) {
@@ -114,13 +120,13 @@
         let factor = self.estimator.metrics().slowdown;
         let seconds_since = |start: u64| (now - start) as f64 / SECOND as f64;
         if CALM.contains(&now) {
-            self.strays = self.strays.max(factor.ln().abs());
+            self.max_drift = self.max_drift.max(factor.ln().abs());
         }
-        if now > SLOW.start && self.follows.is_nan() && factor > FACTOR / CLOSE_RATIO {
-            self.follows = seconds_since(SLOW.start);
+        if now > SLOWDOWN.start && self.rise_time.is_nan() && factor > FACTOR / CLOSE_RATIO {
+            self.rise_time = seconds_since(SLOWDOWN.start);
         }
-        if now > SLOW.end && self.returns.is_nan() && factor < CLOSE_RATIO {
-            self.returns = seconds_since(SLOW.end);
+        if now > SLOWDOWN.end && self.recovery_time.is_nan() && factor < CLOSE_RATIO {
+            self.recovery_time = seconds_since(SLOWDOWN.end);
         }
         self.next_check += CHECK_INTERVAL;
     }
@@ -131,8 +137,8 @@
         let placement = job.placement;
         let estimate = self.estimator.estimate(&job.features, placement.kind, Some(placement.worker));
         let error = ((estimate.typical as f64).ln() - job.log_quantiles[0]).abs();
-        for (mean, part) in self.errors.iter_mut().zip(ERROR_PARTS) {
-            if part.contains(&now) {
+        for (mean, period) in self.errors.iter_mut().zip(ERROR_PERIODS) {
+            if period.contains(&now) {
                 *mean = Mean { sum: mean.sum + error, count: mean.count + 1.0 };
             }
         }
@@ -143,22 +149,22 @@
     }
 }
 
-/// The middle and the worst of some values.
-fn middle_and_worst(mut values: Vec<f64>) -> [f64; 2] {
+/// The median and the maximum of some values, where NaN counts as [`NEVER`].
+fn median_and_worst(mut values: Vec<f64>) -> [f64; 2] {
     values.iter_mut().filter(|value| value.is_nan()).for_each(|value| *value = NEVER);
     values.sort_by(f64::total_cmp);
-    [values[values.len() / 2], values[values.len() - 1]].map(round)
+    [values[values.len() / 2], values[values.len() - 1]].map(round_to_thousandths)
 }
 
-/// Simulates slowdowns with some seeds from this one on.
+/// Simulates slowdowns with consecutive seeds from this one on, and returns the results under the names of the output.
 pub fn measure(seed: u64, jobs_per_s: f64) -> Value {
     let runs: Vec<SlowdownRun> =
         (0..2 * SEEDS).map(|n| Simulation::new(seed + n, jobs_per_s).run()).collect();
-    let over_runs = |figure: fn(&SlowdownRun) -> f64| middle_and_worst(runs.iter().map(figure).collect());
+    let over_runs = |figure: fn(&SlowdownRun) -> f64| median_and_worst(runs.iter().map(figure).collect());
     json!({
-        "follows_s": over_runs(|run| run.follows),
-        "returns_s": over_runs(|run| run.returns),
-        "strays_by": over_runs(|run| run.strays).map(|log| round(log.exp())),
+        "follows_s": over_runs(|run| run.rise_time),
+        "returns_s": over_runs(|run| run.recovery_time),
+        "strays_by": over_runs(|run| run.max_drift).map(|log| round_to_thousandths(log.exp())),
         "log_error_before": over_runs(|run| run.errors[0])[0],
         "log_error_after": over_runs(|run| run.errors[1])[0],
     })
