--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -1,7 +1,7 @@
 //! Cold start of many dispatchers: spreads their calls to discovery, and limits the load that they put on workers.
 //!
-//! The crate has no sockets and reads no clock. It consists of four state machines; each takes events and the time, and
-//! returns what to do:
+//! The crate has no sockets and reads no clock. It consists of four state machines, whose methods take events and the time,
+//! and return what the caller has to do:
 //!
 //! - [`PollScheduler`] decides when this dispatcher calls the list service.
 //! - [`SharedObservations`] holds what this dispatcher and its peers observed of workers and of the list service. The
--- a/crates/coldstart/src/poll_scheduler/round_length.rs
+++ b/crates/coldstart/src/poll_scheduler/round_length.rs
@@ -29,7 +29,7 @@
     /// The length of one round in microseconds: a slot for each place that may lack a list. Members that held a list before
     /// the need for the call arose do not call. Members that received a list since then had a slot in this round.
     pub fn regular(self) -> Micros {
-        // Refusals show that a call takes longer than assumed. They add nothing if the members measured how long it takes.
+        // Refusals show that a call takes longer than assumed, which adds nothing if the members have measured that time.
         let is_measured = self.statuses.answer_time(self.config.service_time, self.now_ms).is_some();
         let level = if is_measured { 0 } else { self.statuses.backoff_level(self.now_ms) };
         (self.service_time() * (u64::from(self.config.places) - self.list_holders()).max(1)) << level
--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -10,7 +10,7 @@
 /// The time for which a measured duration of a call is used, in milliseconds.
 const ANSWER_TIME_TTL_MS: Millis = 15_000;
 /// The number of members that must report the time of their calls before it is used: with fewer, a slow service cannot be
-/// told from a long queue.
+/// distinguished from a long queue.
 const MIN_ANSWER_TIMES: usize = 8;
 /// The length of a short queue at the service, in calls, including the call itself.
 const SHORT_QUEUE: u64 = 3;
--- a/crates/coldstart/src/shared_observations.rs
+++ b/crates/coldstart/src/shared_observations.rs
@@ -6,8 +6,8 @@
 //! Replicated Data Types", 2011). A worker's status is computed from these times on demand: the worst fault that no later
 //! proof of life refutes, with a weight that halves at a fixed interval of its age.
 //!
-//! Slot 0 of this kind of fact holds a member's status of the list service ([`ServiceStatus`]); each other slot holds a
-//! bucket of workers.
+//! Slot 0 of this kind of fact contains a member's status of the list service ([`ServiceStatus`]); each other slot contains
+//! a bucket of workers.
 
 mod observation;
 mod observed_times;
@@ -26,8 +26,8 @@
 
 /// The kind of this crate's facts.
 pub const KIND: u8 = 1;
-/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
-/// since none of them depends on the crate that carries them.
+/// The maximum length of a fact, in bytes, as specified in `docs/design/parts.md`. Each crate that encodes facts defines
+/// this constant, since none of them depends on the crate that transports facts.
 pub const MAX_FACT_BYTES: usize = 160;
 /// The number of buckets of workers, which are slots 1 to this.
 pub const BUCKETS: u32 = 512;
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes the facts of the next datagram from the queue. Those that are to be sent again are queued again.
+    /// Takes the facts of the next datagram from the queue, and queues again those that are to be sent again.
     fn take_facts_to_send(&mut self) -> Vec<Rc<Fact>> {
         let mut facts = Vec::new();
         let mut again = Vec::new();
--- a/crates/runtimes/src/distribution.rs
+++ b/crates/runtimes/src/distribution.rs
@@ -1,8 +1,8 @@
 //! The distribution of run times of similar jobs around their mean.
 //!
-//! It is a histogram with logarithmic bins, which counts complete and censored observations separately, and the survival curve
-//! by the Kaplan-Meier (product-limit) estimator. A residual is the logarithm of a run time minus its expectation; all
-//! logarithms are natural.
+//! A histogram with logarithmic bins counts complete and censored observations separately. The Kaplan-Meier (product-limit)
+//! estimator computes the survival curve from these counts. A residual is the logarithm of a run time minus its expectation;
+//! all logarithms are natural.
 
 /// The number of bins of residuals.
 pub(crate) const BIN_COUNT: usize = 81;
@@ -12,7 +12,7 @@
 const MIN_SURVIVAL: f64 = 0.005;
 /// The lower edge of the first bin.
 const LOWEST: f64 = -(BIN_COUNT as f64) / 2.0 * BIN_WIDTH;
-/// A number of observations, or a probability, that is not above this counts as 0.
+/// The number of observations, or the probability, up to which a value counts as 0.
 const MIN_MASS: f64 = 1e-9;
 
 /// The bin of a residual. Residuals beyond either end are in the outermost bin.
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -7,8 +7,8 @@
 use crate::summary::{BinTotal, FIXED_POINT, KindTotal, MAX_KINDS, Summary};
 use serde::{Deserialize, Serialize};
 
-/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
-/// since none of them depends on the crate that carries them.
+/// The maximum length of a fact, in bytes, as specified in `docs/design/parts.md`. Each crate that encodes facts defines
+/// this constant, since none of them depends on the crate that transports facts.
 pub(crate) const MAX_FACT_BYTES: usize = 160;
 const VERSION: u8 = 1;
 /// The maximum number of jobs of a received summary.
--- a/crates/runtimes/src/kind_slowness.rs
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -1,7 +1,7 @@
 //! The slowness of each kind of worker: the logarithm of the inverse of its speed.
 //!
-//! This is the two-way additive model `log run time = work(unit) + slowness(kind)`, with a unit for each group of similar
-//! jobs. It is fitted by alternating least squares, with a ridge penalty toward the configured speeds. Work and slowness are
+//! The model is two-way additive: `log run time = work(unit) + slowness(kind)`, with a unit for each group of similar jobs.
+//! It is fitted by alternating least squares, with a ridge penalty toward the configured speeds. Work and slowness are
 //! determined only up to a constant, so the mean slowness is kept at that of the configured speeds.
 
 use crate::cell_sum::{CellSum, KindSum};
@@ -13,9 +13,9 @@
 const PRIOR_JOBS: f64 = 2.0;
 /// The maximum number of rounds of the fit.
 const MAX_ROUNDS: usize = 50;
-/// The fit has converged once the slowness of no kind changes by this much.
+/// The change of a kind's slowness in one round below which the fit has converged, if it holds for all kinds.
 const TOLERANCE: f64 = 1e-4;
-/// Kinds with at most this weighted number of jobs in a unit are ignored there.
+/// The weighted number of jobs up to which a kind is ignored in a unit.
 const MIN_UNIT_JOBS: f64 = 0.05;
 
 /// The slowness of a kind.
@@ -103,7 +103,7 @@
 }
 
 /// The units of the fit: the subjects, and each class without its subjects, that is, its jobs without a subject or with one
-/// that was dropped. A unit that was observed at only one kind has no information about the kinds, and is left out.
+/// whose summary was dropped. A unit that was observed at only one kind has no information about the kinds, and is left out.
 fn fitted_units(sums: &BTreeMap<CellId, CellSum>) -> Vec<Vec<KindSum>> {
     let mut classes: BTreeMap<u32, CellSum> = BTreeMap::new();
     for (cell, sum) in sums.iter().filter(|(cell, _)| cell.level == Level::Class) {
--- a/crates/runtimes/src/model.rs
+++ b/crates/runtimes/src/model.rs
@@ -39,10 +39,12 @@
 const FINE_LEVELS: [Level; 5] =
     [Level::Tenant, Level::Subject, Level::Attribute(0), Level::Attribute(1), Level::All];
 
+/// The fitted parameters of a cell.
 #[derive(Clone, Copy, Debug)]
 struct Cell {
     /// The shrunk effect of the cell, which is added to the expectation of its class; for a class, that expectation itself.
     effect: f64,
+    /// The weighted number of jobs.
     jobs: f64,
     /// The index of the cell's own distribution, if it has one.
     distribution: Option<u32>,
@@ -64,6 +66,7 @@
 pub(crate) struct Expectation {
     /// The logarithm of the work at speed 1.
     pub work: f64,
+    /// The index of the distribution of the finest cell that has one.
     distribution: u32,
     /// For each cell of the chain, the sum of the effects of the cells between it and the class.
     pub above: [f64; MAX_CHAIN],
--- a/examples/proof_runtimes/slowdown.rs
+++ b/examples/proof_runtimes/slowdown.rs
@@ -26,11 +26,11 @@
 
 /// The results of a run. Times are in seconds.
 struct SlowdownRun {
-    /// The time from the start of the slowdown until the factor is close to it; NaN for never.
+    /// The time from the start of the slowdown until the estimator's factor is close to [`FACTOR`]; NaN for never.
     rise_time: f64,
-    /// The time from the end of the slowdown until the factor is close to 1; NaN for never.
+    /// The time from the end of the slowdown until the estimator's factor is close to 1; NaN for never.
     recovery_time: f64,
-    /// The maximum absolute logarithm of the factor during [`CALM`].
+    /// The maximum absolute logarithm of the estimator's factor during [`CALM`].
     max_drift: f64,
     /// The mean error of the estimated median, as a logarithm, in each of [`ERROR_PERIODS`].
     errors: [f64; 2],
@@ -41,12 +41,12 @@
     let (mut at, mut left) = (from as f64, work);
     for (until, factor) in [(SLOWDOWN.start as f64, 1.0), (SLOWDOWN.end as f64, FACTOR), (f64::INFINITY, 1.0)]
     {
-        let room = (until - at).max(0.0);
-        if left * factor <= room {
+        let span = (until - at).max(0.0);
+        if left * factor <= span {
             return (at + left * factor) as u64 + 1;
         }
-        left -= room / factor;
-        at += room;
+        left -= span / factor;
+        at += span;
     }
     at as u64
 }
