--- a/crates/coldstart/src/simulation.rs
+++ b/crates/coldstart/src/simulation.rs
@@ -17,7 +17,7 @@
 pub use summary::SimulationSummary;
 
 use crate::poll_scheduler;
-use dispatcher::{Dispatcher, Machines};
+use dispatcher::{Dispatcher, StateMachines};
 use event_queue::{Event, EventQueue, ProcessId};
 use list_service::ListService;
 use summary::Measurements;
@@ -26,7 +26,7 @@
 const MS: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
 /// The latency of each step of a connection, and the minimum one-way latency of a datagram.
-const HOP: u64 = 300;
+const HOP_LATENCY: u64 = 300;
 /// The time without any byte after which a call or a watch counts as failed.
 const SILENCE_TIMEOUT: u64 = 3 * SECOND;
 /// The time within which a dispatcher must learn of a change that a silent watch did not deliver.
@@ -194,19 +194,20 @@
         let (now, scenario) = (self.now, self.scenario);
         let seed = self.rng.u64(..);
         self.measurements.processes += 1;
-        let machines = match self.strategy {
+        let state_machines = match self.strategy {
             PollingStrategy::RandomWait | PollingStrategy::FullJitter => None,
             PollingStrategy::SchedulerAlone | PollingStrategy::SchedulerWithGossip => {
                 let tags = self.old_list.iter().map(|worker| *worker as u64);
                 let has_membership = self.strategy == PollingStrategy::SchedulerWithGossip;
-                Machines::new(scenario, place, seed, has_membership, tags, now)
+                StateMachines::new(scenario, place, seed, has_membership, tags, now)
             }
         };
         let dispatcher = self.dispatcher_mut(place);
         dispatcher.is_running = true;
         dispatcher.started_at = now;
-        let first_wake = machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
-        dispatcher.machines = machines;
+        let first_wake =
+            state_machines.as_ref().and_then(|state_machines| state_machines.scheduler.next_wake());
+        dispatcher.state_machines = state_machines;
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
         let first_call = match self.strategy {
             PollingStrategy::RandomWait => now + self.rng.u64(0..=scenario.poll_within / 8),
@@ -252,11 +253,11 @@
                 .map(|other| self.are_connected(place, other) && self.presence[usize::from(other)].is_running)
                 .collect();
             let now = self.now;
-            if let Some(machines) = &mut self.dispatcher_mut(place).machines {
+            if let Some(state_machines) = &mut self.dispatcher_mut(place).state_machines {
                 for other in &gone {
-                    machines.scheduler.handle(now, poll_scheduler::Event::MemberGone(*other));
+                    state_machines.scheduler.handle(now, poll_scheduler::Event::MemberGone(*other));
                 }
-                machines.scheduler.handle(now, poll_scheduler::Event::Presence(view));
+                state_machines.scheduler.handle(now, poll_scheduler::Event::Presence(view));
             }
         }
         self.schedule(self.now + VIEW_INTERVAL, Event::ViewsChange);
--- a/crates/coldstart/src/simulation/dispatcher.rs
+++ b/crates/coldstart/src/simulation/dispatcher.rs
@@ -32,7 +32,7 @@
     /// The connections to each worker, by the worker's index.
     pub connections: HashMap<usize, Connections>,
     /// This crate's state machines, if the strategy uses them.
-    pub machines: Option<Machines>,
+    pub state_machines: Option<StateMachines>,
     /// The facts held, by place and slot.
     pub facts: BTreeMap<(u16, u32), Rc<Fact>>,
     /// The facts to forward.
@@ -52,14 +52,14 @@
 }
 
 /// This crate's state machines of one dispatcher.
-pub(super) struct Machines {
+pub(super) struct StateMachines {
     pub scheduler: PollScheduler,
     pub observations: SharedObservations,
     pub budget: WarmUpBudget,
     pub confirmation: HealthConfirmation,
 }
 
-impl Machines {
+impl StateMachines {
     /// Creates the state machines of a process that starts at `now` and holds a list with the workers of these tags.
     pub fn new(
         scenario: &SimulationScenario,
@@ -68,7 +68,7 @@
         has_membership: bool,
         tags: impl Iterator<Item = u64>,
         now: u64,
-    ) -> Option<Machines> {
+    ) -> Option<StateMachines> {
         let places = scenario.dispatchers;
         let schedule = poll_scheduler::Config {
             place,
@@ -95,7 +95,7 @@
             connection_lease: 10 * SECOND,
             skip_turns: false,
         };
-        Some(Machines {
+        Some(StateMachines {
             scheduler: PollScheduler::new(schedule, now, 1).ok()?,
             budget: WarmUpBudget::new(budget, now).ok()?,
             observations: SharedObservations::new(place, UNIX_AT_ZERO, now),
--- a/crates/coldstart/src/simulation/gossip.rs
+++ b/crates/coldstart/src/simulation/gossip.rs
@@ -1,7 +1,7 @@
 //! The simulated transport of facts: rounds of gossip between random dispatchers, with delay and loss.
 
 use super::event_queue::{Event, ProcessId};
-use super::{HOP, MS, PollingStrategy, Simulation, UNIX_AT_ZERO};
+use super::{HOP_LATENCY, MS, PollingStrategy, Simulation, UNIX_AT_ZERO};
 use crate::{Origin, poll_scheduler};
 use std::rc::Rc;
 
@@ -75,13 +75,15 @@
         }
         let (now, sends_left) = (self.now, self.sends());
         let dispatcher = &mut self.dispatchers[usize::from(place)];
-        let Some(machines) = &mut dispatcher.machines else { return };
-        let status = machines.scheduler.status();
+        let Some(state_machines) = &mut dispatcher.state_machines else { return };
+        let status = state_machines.scheduler.status();
         if dispatcher.last_status != Some(status) {
             dispatcher.last_status = Some(status);
-            machines.observations.set_service_status(status, machines.scheduler.is_status_urgent());
+            state_machines
+                .observations
+                .set_service_status(status, state_machines.scheduler.is_status_urgent());
         }
-        while let Some((slot, bytes)) = machines.observations.publish(now) {
+        while let Some((slot, bytes)) = state_machines.observations.publish(now) {
             dispatcher.fact_number += 1;
             self.measurements.record_fact(bytes.len());
             let epoch = (UNIX_AT_ZERO + dispatcher.started_at) / MS;
@@ -109,7 +111,7 @@
             }
             let is_sent = to != place && !facts.is_empty() && self.are_connected(place, to);
             if is_sent && self.rng.f64() >= LOSS {
-                let at = self.now + self.rng.u64(HOP..5 * MS);
+                let at = self.now + self.rng.u64(HOP_LATENCY..5 * MS);
                 self.schedule(at, Event::FactsArrive(to, facts));
             }
         }
@@ -139,24 +141,24 @@
             return;
         }
         for fact in facts {
-            let Some(machines) = &mut dispatcher.machines else { return };
+            let Some(state_machines) = &mut dispatcher.state_machines else { return };
             let key = (fact.place, fact.slot);
             let is_known = |held: &Rc<Fact>| (held.epoch, held.number) >= (fact.epoch, fact.number);
             if fact.place == place || dispatcher.facts.get(&key).is_some_and(is_known) {
                 continue;
             }
             let origin = Origin { place: fact.place, epoch: fact.epoch };
-            if machines.observations.absorb(now, origin, fact.slot, fact.number, &fact.bytes).is_ok() {
+            if state_machines.observations.absorb(now, origin, fact.slot, fact.number, &fact.bytes).is_ok() {
                 dispatcher.queue_fact(QueuedFact { sends_left, fact: fact.clone() });
                 dispatcher.facts.insert(key, fact);
             }
         }
-        let Some(machines) = &mut dispatcher.machines else { return };
-        let updates = machines.observations.take_service_updates();
+        let Some(state_machines) = &mut dispatcher.state_machines else { return };
+        let updates = state_machines.observations.take_service_updates();
         let has_updates = !updates.is_empty();
         for update in updates {
             let event = poll_scheduler::Event::PeerStatus { place: update.place, status: update.status };
-            machines.scheduler.handle(now, event);
+            state_machines.scheduler.handle(now, event);
         }
         if has_updates {
             self.schedule_wake(place);
--- a/crates/coldstart/src/simulation/list_service.rs
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -1,7 +1,7 @@
 //! The simulated list service, and the calls and watches of dispatchers.
 
 use super::event_queue::{Event, ProcessId};
-use super::{HOP, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
+use super::{HOP_LATENCY, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
 use crate::poll_scheduler;
 
 /// The wait after which a call is refused.
@@ -63,14 +63,14 @@
             return;
         }
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
-        if let Some(machines) = &mut dispatcher.machines {
-            let is_due = machines.scheduler.next_wake().is_some_and(|at| at <= now);
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            let is_due = state_machines.scheduler.next_wake().is_some_and(|at| at <= now);
             if dispatcher.will_pause && is_due {
                 dispatcher.will_pause = false;
                 dispatcher.paused_until = now + pause;
                 return self.schedule(now + pause, Event::Wake(process));
             }
-            let call = machines.scheduler.tick(now);
+            let call = state_machines.scheduler.tick(now);
             self.publish(place);
             if call.is_none() {
                 return self.schedule_wake(place);
@@ -89,13 +89,16 @@
         dispatcher.open_calls += 1;
         let (number, open_calls) = (dispatcher.calls, dispatcher.open_calls);
         self.measurements.record_call(now, open_calls);
-        self.schedule(now + HOP, Event::CallArrives(Call { process, number, service_run: 0 }));
+        self.schedule(now + HOP_LATENCY, Event::CallArrives(Call { process, number, service_run: 0 }));
     }
 
     /// Schedules the next wake of the scheduler, if it has one.
     pub(super) fn schedule_wake(&mut self, place: u16) {
         let dispatcher = self.dispatcher(place);
-        let wake = dispatcher.machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
+        let wake = dispatcher
+            .state_machines
+            .as_ref()
+            .and_then(|state_machines| state_machines.scheduler.next_wake());
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
         if let Some(at) = wake {
             self.schedule(at.max(self.now + 1), Event::Wake(process));
@@ -104,7 +107,7 @@
 
     pub(super) fn on_call_arrives(&mut self, call: Call) {
         if !self.service.is_up {
-            return self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+            return self.schedule(self.now + HOP_LATENCY, Event::Reply(call, Reply::Reset));
         }
         self.service.waiting += 1;
         self.measurements.record_queue(self.service.waiting);
@@ -164,10 +167,10 @@
             dispatcher.first_list_at = Some(now);
             self.measurements.record_first_list(now.saturating_sub(dispatcher.started_at.max(back_at)));
         }
-        if let Some(machines) = &mut dispatcher.machines {
-            self.current_list.iter().for_each(|worker| machines.confirmation.on_listed(*worker as u64));
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            self.current_list.iter().for_each(|worker| state_machines.confirmation.on_listed(*worker as u64));
             let answered = poll_scheduler::Event::Answered { generation: GENERATION, waited };
-            machines.scheduler.handle(now, answered);
+            state_machines.scheduler.handle(now, answered);
         }
         self.publish(place);
     }
@@ -179,8 +182,8 @@
         dispatcher.failures += 1;
         let failures = dispatcher.failures;
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
-        if let Some(machines) = &mut dispatcher.machines {
-            machines.scheduler.handle(now, event);
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            state_machines.scheduler.handle(now, event);
             self.publish(place);
             return self.schedule_wake(place);
         }
@@ -203,7 +206,7 @@
             } else if dispatcher.open_calls > 0 {
                 let process = ProcessId { place, incarnation: dispatcher.incarnation };
                 let call = Call { process, number: dispatcher.calls, service_run: 0 };
-                self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+                self.schedule(self.now + HOP_LATENCY, Event::Reply(call, Reply::Reset));
             }
         }
     }
--- a/crates/coldstart/src/simulation/workers.rs
+++ b/crates/coldstart/src/simulation/workers.rs
@@ -1,7 +1,7 @@
 //! The simulated workers, and the jobs that dispatchers send them.
 
 use super::event_queue::{Event, ProcessId};
-use super::{HOP, MS, SECOND, Simulation, UNIX_AT_ZERO};
+use super::{HOP_LATENCY, MS, SECOND, Simulation, UNIX_AT_ZERO};
 use crate::{Admission, Decision, Fault, Observation, Request};
 use std::collections::VecDeque;
 
@@ -175,18 +175,18 @@
             return None;
         }
         let needs_connection = !connections.is_some_and(|connections| connections.has_idle(now));
-        let Some(machines) = &dispatcher.machines else {
+        let Some(state_machines) = &dispatcher.state_machines else {
             let is_usable = self.has_turn_without_scheduler(place, index, connections, work);
             return is_usable.then_some(Candidate { worker: index, needs_connection, is_trial: false });
         };
-        let status = machines.observations.worker_status(index as u64, now);
-        let is_trial = match machines.confirmation.admission(index as u64, status.as_ref(), now) {
+        let status = state_machines.observations.worker_status(index as u64, now);
+        let is_trial = match state_machines.confirmation.admission(index as u64, status.as_ref(), now) {
             Admission::Refused => return None,
             Admission::Trial => true,
             Admission::Unrestricted => false,
         };
         let worker = worker.for_budget(index);
-        let would_grant = |request| machines.budget.would_grant(now, &worker, request);
+        let would_grant = |request| state_machines.budget.would_grant(now, &worker, request);
         let may_connect = is_trial || !needs_connection || would_grant(Request::Handshake);
         let is_usable = may_connect && would_grant(job_request(is_trial, work));
         is_usable.then_some(Candidate { worker: index, needs_connection, is_trial })
@@ -219,7 +219,7 @@
         let (now, index) = (self.now, candidate.worker);
         let worker = &self.workers[index];
         let dispatcher = &mut self.dispatchers[usize::from(place)];
-        let Some(machines) = &mut dispatcher.machines else {
+        let Some(state_machines) = &mut dispatcher.state_machines else {
             if let Some(started_at) = worker.started_at {
                 let turn = (UNIX_AT_ZERO + now).saturating_sub(started_at) / OVERLOAD_WINDOW;
                 let connections = dispatcher.connections.entry(index).or_default();
@@ -229,7 +229,8 @@
             return true;
         };
         let worker = worker.for_budget(index);
-        let mut is_granted = |request| machines.budget.try_spend(now, &worker, request) == Decision::Granted;
+        let mut is_granted =
+            |request| state_machines.budget.try_spend(now, &worker, request) == Decision::Granted;
         if candidate.needs_connection && !candidate.is_trial && !is_granted(Request::Handshake) {
             return false;
         }
@@ -237,7 +238,7 @@
             return false;
         }
         if candidate.is_trial {
-            machines.confirmation.begin_trial(index as u64);
+            state_machines.confirmation.begin_trial(index as u64);
         }
         true
     }
@@ -257,8 +258,8 @@
         }
         let duration = match (is_dead, hangs) {
             (true, true) => CONNECT_TIMEOUT,
-            (true, false) => 2 * HOP,
-            _ => (job.work / REQUESTS_PER_SECOND * SLOTS * SECOND as f64) as u64 + 2 * HOP,
+            (true, false) => 2 * HOP_LATENCY,
+            _ => (job.work / REQUESTS_PER_SECOND * SLOTS * SECOND as f64) as u64 + 2 * HOP_LATENCY,
         };
         if !is_dead {
             self.add_load(index, job.work + if needs_connection { HANDSHAKE_WORK } else { 0.0 });
@@ -300,10 +301,10 @@
             connections.failures = (connections.failures + 1).min(6);
             connections.ejected_until = now + ((150 * MS) << connections.failures);
         }
-        if let Some(machines) = &mut dispatcher.machines {
-            machines.confirmation.on_result(index as u64, is_alive, now);
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            state_machines.confirmation.on_result(index as u64, is_alive, now);
             let observation = if is_alive { Observation::Alive } else { Observation::Fault(fault) };
-            machines.observations.record(now, index as u64, observation);
+            state_machines.observations.record(now, index as u64, observation);
         }
         if !is_alive {
             self.try_job(attempt.process, attempt.job);
