--- a/crates/coldstart/src/simulation/list_service.rs
+++ b/crates/coldstart/src/simulation/list_service.rs
@@ -1,21 +1,22 @@
-//! The list service, and the calls and watches of dispatchers.
+//! The simulated list service, and the calls and watches of dispatchers.
 
 use super::event_queue::{Event, ProcessId};
-use super::{HOP, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
+use super::{HOP_LATENCY, MS, PollingStrategy, SECOND, SILENCE_TIMEOUT, Simulation};
 use crate::poll_scheduler;
 
-/// A call that has waited for this long is refused.
+/// The wait after which a call is refused.
 const MAX_WAIT: u64 = SECOND;
-/// The generation of the service's list; that of the old list is 1.
+/// The generation of the service's list. The generation of the old list is 1.
 const GENERATION: u64 = 2;
 
-/// The service's side of all calls.
+/// The state of the service.
 pub(super) struct ListService {
     pub is_up: bool,
     /// When the service will have handled all waiting calls.
     free_at: u64,
-    /// The number of times that the service went down; tells its runs apart.
+    /// The number of times that the service went down, which identifies its current run.
     run: u64,
+    /// The number of calls in the queue.
     waiting: u64,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// One call.
+/// A call of a dispatcher to the service.
 #[derive(Clone, Copy)]
 pub(super) struct Call {
     pub process: ProcessId,
@@ -47,8 +48,8 @@
 }
 
 impl Reply {
-    /// Whether the reply depends on the service: it does not come if the service went down in the meantime.
-    fn is_of_service(self) -> bool {
+    /// Whether the service sends the reply, so that the reply is lost if the service goes down first.
+    fn depends_on_service(self) -> bool {
         matches!(self, Reply::List | Reply::Refused | Reply::Silence)
     }
 }
@@ -62,14 +63,14 @@
             return;
         }
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
-        if let Some(machines) = &mut dispatcher.machines {
-            let is_due = machines.scheduler.next_wake().is_some_and(|at| at <= now);
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            let is_due = state_machines.scheduler.next_wake().is_some_and(|at| at <= now);
             if dispatcher.will_pause && is_due {
                 dispatcher.will_pause = false;
                 dispatcher.paused_until = now + pause;
                 return self.schedule(now + pause, Event::Wake(process));
             }
-            let call = machines.scheduler.tick(now);
+            let call = state_machines.scheduler.tick(now);
             self.publish(place);
             if call.is_none() {
                 return self.schedule_wake(place);
@@ -88,13 +89,16 @@
         dispatcher.open_calls += 1;
         let (number, open_calls) = (dispatcher.calls, dispatcher.open_calls);
         self.measurements.record_call(now, open_calls);
-        self.schedule(now + HOP, Event::CallArrives(Call { process, number, service_run: 0 }));
+        self.schedule(now + HOP_LATENCY, Event::CallArrives(Call { process, number, service_run: 0 }));
     }
 
     /// Schedules the next wake of the scheduler, if it has one.
     pub(super) fn schedule_wake(&mut self, place: u16) {
         let dispatcher = self.dispatcher(place);
-        let wake = dispatcher.machines.as_ref().and_then(|machines| machines.scheduler.next_wake());
+        let wake = dispatcher
+            .state_machines
+            .as_ref()
+            .and_then(|state_machines| state_machines.scheduler.next_wake());
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
         if let Some(at) = wake {
             self.schedule(at.max(self.now + 1), Event::Wake(process));
@@ -103,7 +107,7 @@
 
     pub(super) fn on_call_arrives(&mut self, call: Call) {
         if !self.service.is_up {
-            return self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+            return self.schedule(self.now + HOP_LATENCY, Event::Reply(call, Reply::Reset));
         }
         self.service.waiting += 1;
         self.measurements.record_queue(self.service.waiting);
@@ -112,8 +116,8 @@
             (self.now + MAX_WAIT, Reply::Refused)
         } else {
             self.service.free_at = begins_at + self.scenario.service_time;
-            let is_mute = call.number == 1 && self.rng.f64() < self.scenario.silent_first_watches;
-            (self.service.free_at, if is_mute { Reply::Silence } else { Reply::List })
+            let is_silent = call.number == 1 && self.rng.f64() < self.scenario.silent_first_watches;
+            (self.service.free_at, if is_silent { Reply::Silence } else { Reply::List })
         };
         let call = Call { service_run: self.service.run, ..call };
         self.schedule(at, Event::Reply(call, reply));
@@ -122,7 +126,7 @@
     pub(super) fn on_reply(&mut self, call: Call, reply: Reply) {
         let now = self.now;
         let place = call.process.place;
-        if reply.is_of_service() {
+        if reply.depends_on_service() {
             if call.service_run != self.service.run {
                 return;
             }
@@ -163,23 +167,23 @@
             dispatcher.first_list_at = Some(now);
             self.measurements.record_first_list(now.saturating_sub(dispatcher.started_at.max(back_at)));
         }
-        if let Some(machines) = &mut dispatcher.machines {
-            self.current_list.iter().for_each(|worker| machines.confirmation.on_listed(*worker as u64));
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            self.current_list.iter().for_each(|worker| state_machines.confirmation.on_listed(*worker as u64));
             let answered = poll_scheduler::Event::Answered { generation: GENERATION, waited };
-            machines.scheduler.handle(now, answered);
+            state_machines.scheduler.handle(now, answered);
         }
         self.publish(place);
     }
 
-    /// Handles a failed call or the end of a watch, and schedules the next call.
+    /// Handles the failure of a call or the end of a watch, and schedules the next call.
     fn on_call_or_watch_failed(&mut self, place: u16, event: poll_scheduler::Event) {
         let (now, poll_within) = (self.now, self.scenario.poll_within);
         let dispatcher = self.dispatcher_mut(place);
         dispatcher.failures += 1;
         let failures = dispatcher.failures;
         let process = ProcessId { place, incarnation: dispatcher.incarnation };
-        if let Some(machines) = &mut dispatcher.machines {
-            machines.scheduler.handle(now, event);
+        if let Some(state_machines) = &mut dispatcher.state_machines {
+            state_machines.scheduler.handle(now, event);
             self.publish(place);
             return self.schedule_wake(place);
         }
@@ -202,7 +206,7 @@
             } else if dispatcher.open_calls > 0 {
                 let process = ProcessId { place, incarnation: dispatcher.incarnation };
                 let call = Call { process, number: dispatcher.calls, service_run: 0 };
-                self.schedule(self.now + HOP, Event::Reply(call, Reply::Reset));
+                self.schedule(self.now + HOP_LATENCY, Event::Reply(call, Reply::Reset));
             }
         }
     }
