--- a/crates/streams/src/broker.rs
+++ b/crates/streams/src/broker.rs
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// [`BrokerError::Unknown`] for a wrong id or token, [`BrokerError::Over`] if nothing is left to receive, and
+    /// [`BrokerError::Unknown`] for a wrong id or token, [`BrokerError::StreamEnded`] if nothing is left to receive, and
     /// [`BrokerError::TooManyStreams`] if the tenant has reached its limit of streams.
     pub fn watch(
         &mut self,
@@ -204,7 +204,7 @@
         let next_id = job.log.next_id();
         let received = last_received.filter(|last| *last < next_id).unwrap_or(0);
         if job.is_over_after(received) {
-            return Err(BrokerError::Over);
+            return Err(BrokerError::StreamEnded);
         }
         if self.streams.get(job.tenant) >= self.limits.streams_per_tenant {
             return Err(BrokerError::TooManyStreams);
--- a/crates/streams/src/error.rs
+++ b/crates/streams/src/error.rs
@@ -8,7 +8,7 @@
     Unknown,
     /// The client has received the final event, or the event was dropped: there is nothing left to receive.
     #[error("the job's stream is over")]
-    Over,
+    StreamEnded,
     /// The tenant has reached its limit of streams.
     #[error("the tenant has too many streams")]
     TooManyStreams,
--- a/crates/streams/tests/broker.rs
+++ b/crates/streams/tests/broker.rs
@@ -105,9 +105,9 @@
     let again = watch(&mut broker, 1, TOKEN, None).expect("known");
     assert_eq!(pulled(&mut broker, again), [1]);
     broker.remove_watcher(1, again);
-    assert_eq!(watch(&mut broker, 1, TOKEN, Some(1)), Err(BrokerError::Over), "it has it");
+    assert_eq!(watch(&mut broker, 1, TOKEN, Some(1)), Err(BrokerError::StreamEnded), "it has it");
     broker.on_timer(limits.final_event_ttl, &mut Vec::new());
-    assert_eq!(watch(&mut broker, 1, TOKEN, None), Err(BrokerError::Over));
+    assert_eq!(watch(&mut broker, 1, TOKEN, None), Err(BrokerError::StreamEnded));
     assert_eq!(watch(&mut broker, 1, TOKEN + 1, None), Err(BrokerError::Unknown));
     assert_eq!(broker.metrics().bytes, 0);
     broker.on_timer(limits.final_event_ttl + limits.token_ttl, &mut Vec::new());
@@ -247,7 +247,7 @@
         let Some(watcher) = client.watcher else {
             match watch(broker, 1, TOKEN, client.last) {
                 Ok(watcher) => client.watcher = Some(watcher),
-                Err(BrokerError::Over) => {
+                Err(BrokerError::StreamEnded) => {
                     assert_eq!(client.finals, 1, "seed {seed}: over without its end");
                 }
                 Err(why) => panic!("seed {seed}: {why:?}"),
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -42,7 +42,9 @@
                 keep_alive,
                 body,
             ),
-            BrokerError::Over => event_streams::plain_text("204 No Content", cors, "", keep_alive, false),
+            BrokerError::StreamEnded => {
+                event_streams::plain_text("204 No Content", cors, "", keep_alive, false)
+            }
             BrokerError::TooManyStreams | BrokerError::Full => {
                 let extra = format!("Retry-After: 2\r\n{cors}");
                 event_streams::plain_text(
