--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// [`SettingsFileError`] with all faults in the text.
-pub fn read(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
+pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
     let descriptor = descriptor();
     mothproxy_invariant::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
     let Some(descriptor) = descriptor else { return Ok(Settings::default()) };
@@ -74,7 +74,7 @@
     }
     let file_name = file.display().to_string();
     match std::fs::read_to_string(file) {
-        Ok(text) => read(&text, &file_name),
+        Ok(text) => parse(&text, &file_name),
         Err(error) => {
             let kind = FaultKind::Unreadable(error);
             let fault = SettingsFault { file: file_name, line: 1, field: String::new(), kind };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The operators' file: what it sets, and its faults with file, line and field.
 
 use mothproxy::config::FilePresence;
-use mothproxy::settings::{load, read};
+use mothproxy::settings::{load, parse};
 use mothproxy_store::SyncMode;
 use std::path::Path;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// Each section that is set is read, and what is not set stays off.
 #[test]
 fn reads_what_is_set_and_leaves_the_rest_off() {
-    let settings = read(ALL_SECTIONS, "f").expect("sound");
+    let settings = parse(ALL_SECTIONS, "f").expect("sound");
     let streams = settings.streams.expect("on");
     assert_eq!((streams.listen.port(), streams.heartbeat, streams.streams_per_tenant), (8444, 250_000, 7));
     assert_eq!(streams.origins, ["https://pay.example", "http://localhost:3000"]);
@@ -40,11 +40,11 @@
     let same =
         config.suspicion_factor == 2.0 && config.probe_period == 100_000 && config.gossip_period < 100_000;
     assert!(same && (config.place, config.peers, config.epoch) == (2, 9, 7), "{config:?}");
-    let plain = read("fleet { membership {} }", "f").expect("sound").fleet;
+    let plain = parse("fleet { membership {} }", "f").expect("sound").fleet;
     assert_eq!(plain.membership, Some(Default::default()), "on as it is");
-    let none = read("", "f").expect("sound");
+    let none = parse("", "f").expect("sound");
     assert_eq!(
-        (&none.fleet, read("fleet {}", "f").expect("sound").fleet),
+        (&none.fleet, parse("fleet {}", "f").expect("sound").fleet),
         (&Default::default(), Default::default())
     );
     assert_eq!((none.streams, none.state, none.json_log), (None, None, false));
@@ -93,7 +93,7 @@
         ("log {\n  form: XML\n}\n", &["f:2: ", "XML"]),
     ];
     for (text, named) in cases {
-        let faults = read(text, "f").expect_err(text).to_string();
+        let faults = parse(text, "f").expect_err(text).to_string();
         for name in named {
             assert!(faults.contains(name), "{text:?}: {name:?} is not in {faults:?}");
         }
