--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The operators' file: the settings that it sets, and the report of its faults with file, line and field.
 
 use mothproxy::config::FilePresence;
-use mothproxy::settings::{load, read};
+use mothproxy::settings::{load, parse};
 use mothproxy_store::SyncMode;
 use std::path::Path;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// Each section in the file is read, and the parts without a section stay off.
 #[test]
 fn reads_what_is_set_and_leaves_the_rest_off() {
-    let settings = read(ALL_SECTIONS, "f").expect("the file is valid");
+    let settings = parse(ALL_SECTIONS, "f").expect("the file is valid");
     let streams = settings.streams.expect("the section is set");
     assert_eq!((streams.listen.port(), streams.heartbeat, streams.streams_per_tenant), (8444, 250_000, 7));
     assert_eq!(streams.origins, ["https://pay.example", "http://localhost:3000"]);
@@ -40,15 +40,15 @@
     let same =
         config.suspicion_factor == 2.0 && config.probe_period == 100_000 && config.gossip_period < 100_000;
     assert!(same && (config.place, config.peers, config.epoch) == (2, 9, 7), "{config:?}");
-    let plain = read("fleet { membership {} }", "f").expect("the file is valid").fleet;
+    let plain = parse("fleet { membership {} }", "f").expect("the file is valid").fleet;
     assert_eq!(
         plain.membership,
         Some(Default::default()),
         "an empty section turns the part on with its defaults"
     );
-    let none = read("", "f").expect("the file is valid");
+    let none = parse("", "f").expect("the file is valid");
     assert_eq!(
-        (&none.fleet, read("fleet {}", "f").expect("the file is valid").fleet),
+        (&none.fleet, parse("fleet {}", "f").expect("the file is valid").fleet),
         (&Default::default(), Default::default())
     );
     assert_eq!((none.streams, none.state, none.json_log), (None, None, false));
@@ -104,7 +104,7 @@
         ("log {\n  form: XML\n}\n", &["f:2: ", "XML"]),
     ];
     for (text, named) in cases {
-        let faults = read(text, "f").expect_err(text).to_string();
+        let faults = parse(text, "f").expect_err(text).to_string();
         for name in named {
             assert!(faults.contains(name), "{text:?}: {name:?} is not in {faults:?}");
         }
