--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -66,7 +66,7 @@
     fn from(outcome: Outcome) -> AttemptEnd {
         match outcome {
             Outcome::NeverSent => AttemptEnd::NeverSent,
-            Outcome::HandedBack => AttemptEnd::ReturnedByCallback,
+            Outcome::ReturnedByCallback => AttemptEnd::ReturnedByCallback,
             _ if outcome.never_ran() => AttemptEnd::NeverRan,
             _ => AttemptEnd::MayHaveRun,
         }
@@ -152,7 +152,7 @@
             is_outstanding: self.is_in_flight(),
             running_since: self.started_at,
             never_ran: self.has_never_run(),
-            is_handed_back: self.phase == AttemptPhase::Ended(AttemptEnd::ReturnedByCallback),
+            is_returned_by_callback: self.phase == AttemptPhase::Ended(AttemptEnd::ReturnedByCallback),
         }
     }
 }
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -96,7 +96,7 @@
         report: Option<LoadReport>,
     ) -> bool {
         if status == JobStatus::Returned {
-            let outcome = AttemptOutcome::Unserved(Outcome::HandedBack);
+            let outcome = AttemptOutcome::Unserved(Outcome::ReturnedByCallback);
             return self.on_attempt_ended(now, id, outcome, report);
         }
         self.on_attempt_status(now, id, status, report)
@@ -116,7 +116,7 @@
             JobStatus::Progress(fraction) => return self.on_progress(now, id, fraction),
             JobStatus::Done(result) => AttemptOutcome::Done(result),
             JobStatus::Failed => AttemptOutcome::Unserved(Outcome::Error),
-            JobStatus::Returned => AttemptOutcome::Unserved(Outcome::Full),
+            JobStatus::Returned => AttemptOutcome::Unserved(Outcome::Rejected),
             JobStatus::Lost => AttemptOutcome::Unserved(Outcome::Reset),
         };
         self.on_attempt_ended(now, id, outcome, report)
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -128,10 +128,10 @@
     /// The worker answered with an error; the attempt may have run.
     Error,
     /// The worker rejected the attempt before it ran.
-    Full,
+    Rejected,
     /// The worker returned the attempt unstarted by a callback that the worker may repeat. The job must not be sent to this
     /// worker again, because the repeated callback could be taken for the end of the new attempt.
-    HandedBack,
+    ReturnedByCallback,
     /// No response arrived in time; the attempt may have run.
     Timeout,
     /// No connection was established; the attempt never ran.
@@ -157,7 +157,7 @@
 
     /// Whether the worker was reached and rejected the job.
     pub fn is_rejection(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::HandedBack)
+        matches!(self, Outcome::Rejected | Outcome::ReturnedByCallback)
     }
 }
 
@@ -207,7 +207,7 @@
     /// Whether the attempt has ended and is known never to have run.
     pub never_ran: bool,
     /// Whether the worker returned the attempt by a callback.
-    pub is_handed_back: bool,
+    pub is_returned_by_callback: bool,
 }
 
 /// The presence of a dispatcher, as the membership protocol reports it.
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -51,7 +51,7 @@
             }
             // A rejection is more recent than any load report: the worker gets no work for a window, but has
             // not failed.
-            Outcome::Full | Outcome::HandedBack => self.eject_for(end.worker, self.window()),
+            Outcome::Rejected | Outcome::ReturnedByCallback => self.eject_for(end.worker, self.window()),
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 self.state.learn_slowness(end.worker, MAX_SLOWNESS);
                 self.record_failure(end.worker);
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -299,7 +299,7 @@
     Ok(match fields.text("Ending")? {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        "full" => Outcome::Full,
+        "full" => Outcome::Rejected,
         "timeout" => Outcome::Timeout,
         "connect_failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
--- a/src/policy/state/job.rs
+++ b/src/policy/state/job.rs
@@ -15,7 +15,7 @@
     NeverRan,
     /// The attempt never ran, but the callback that reported this may be repeated and does not identify the attempt. The worker
     /// therefore gets no other attempt of the job.
-    HandedBack,
+    ReturnedByCallback,
     /// The attempt has ended, and may have run.
     MayHaveRun,
 }
@@ -25,7 +25,7 @@
     pub fn after(outcome: Outcome) -> AttemptState {
         match outcome {
             Outcome::NeverSent => AttemptState::NotSent,
-            Outcome::HandedBack => AttemptState::HandedBack,
+            Outcome::ReturnedByCallback => AttemptState::ReturnedByCallback,
             _ if outcome.never_ran() => AttemptState::NeverRan,
             _ => AttemptState::MayHaveRun,
         }
@@ -37,7 +37,7 @@
             return if prior.running_since.is_some() { AttemptState::Running } else { AttemptState::Sent };
         }
         match prior.never_ran {
-            true if prior.is_handed_back => AttemptState::HandedBack,
+            true if prior.is_returned_by_callback => AttemptState::ReturnedByCallback,
             true => AttemptState::NeverRan,
             false => AttemptState::MayHaveRun,
         }
@@ -68,7 +68,10 @@
 
     /// Whether the attempt certainly did not run.
     pub fn never_ran(&self) -> bool {
-        matches!(self.state, AttemptState::NotSent | AttemptState::NeverRan | AttemptState::HandedBack)
+        matches!(
+            self.state,
+            AttemptState::NotSent | AttemptState::NeverRan | AttemptState::ReturnedByCallback
+        )
     }
 
     /// Whether the worker of the attempt may not get another attempt of the same job.
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -219,13 +219,13 @@
     }
 }
 
-/// The outcome if a worker refuses an attempt: `Full` if a 503 or 504 says that the request was not processed, else `Error`.
-/// `None` if the worker has accepted the attempt.
+/// The outcome if a worker refuses an attempt: `Rejected` if a 503 or 504 says that the request was not processed, otherwise
+/// `Error`. `None` if the worker has accepted the attempt.
 fn refusal_outcome(connection: &Connection, head: &http::ResponseHead) -> Option<Outcome> {
     let is_unprocessed = head.fields.text(&connection.inbox, names::UNPROCESSED) == Some("1");
     match head.status {
         202 => None,
-        503 | 504 if is_unprocessed => Some(Outcome::Full),
+        503 | 504 if is_unprocessed => Some(Outcome::Rejected),
         _ => Some(Outcome::Error),
     }
 }
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -45,7 +45,7 @@
             self.now += 8 * MS;
             match number % 7 {
                 3 => self.end_unserved(&attempt, Outcome::Reset, None),
-                5 => self.end_unserved(&attempt, Outcome::Full, Some(load_report())),
+                5 => self.end_unserved(&attempt, Outcome::Rejected, Some(load_report())),
                 _ => self.serve(&attempt, &name),
             }
             self.core.turn(self.now);
--- a/tests/conformance/decision/steps.rs
+++ b/tests/conformance/decision/steps.rs
@@ -81,7 +81,7 @@
         match end {
             AttemptEnd::Ok => Outcome::Ok,
             AttemptEnd::Error => Outcome::Error,
-            AttemptEnd::Full => Outcome::Full,
+            AttemptEnd::Full => Outcome::Rejected,
             AttemptEnd::Timeout => Outcome::Timeout,
             AttemptEnd::NoConnection => Outcome::ConnectFailed,
             AttemptEnd::Broken => Outcome::Reset,
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -200,7 +200,7 @@
 }
 
 fn end_attempt(random: &mut Gen, harness: &mut CoreHarness, audit: &mut Audit, ended: StartedAttempt) {
-    let never_ran = [Outcome::Full, Outcome::ConnectFailed, Outcome::NeverSent];
+    let never_ran = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NeverSent];
     let outcomes = [&never_ran[..], &[Outcome::Reset, Outcome::Error]].concat();
     let outcome = match random.choose(&outcomes) {
         Some(outcome) if bool::arbitrary(random) => AttemptOutcome::Unserved(*outcome),
--- a/tests/failures/retries.rs
+++ b/tests/failures/retries.rs
@@ -17,7 +17,7 @@
     let mut sent = sends(&dispatcher.arrive(1, 0, TIME_BUDGET));
     for attempt in 0..2 {
         let to = sent[attempt as usize].1;
-        sent.extend(sends(&dispatcher.end_attempt(1, attempt, to, Outcome::Full)));
+        sent.extend(sends(&dispatcher.end_attempt(1, attempt, to, Outcome::Rejected)));
     }
     assert_eq!(sent.len(), 2, "the third attempt waits");
     assert_eq!(sends(&dispatcher.advance(TIME_BUDGET)).len(), 1);
@@ -51,7 +51,7 @@
     }
     let mut more = 0;
     for _ in 0..200 {
-        let FollowingAttempts { at_once, later } = end_newest(Outcome::Full);
+        let FollowingAttempts { at_once, later } = end_newest(Outcome::Rejected);
         more += at_once + later;
     }
     assert_eq!(more + 1, Settings::default().max_attempts as usize, "one attempt is already outstanding");
--- a/tests/four_rules/steps.rs
+++ b/tests/four_rules/steps.rs
@@ -12,12 +12,12 @@
 pub const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Full,
+    Outcome::Rejected,
 ];
 
 /// The classes of jobs, in the order of the settings.
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -357,7 +357,7 @@
             machine.notified_calls.push(self.now);
         }
         if let Err(QueueFull) = machine.enqueue(call) {
-            self.end_call(worker, call, Outcome::Full, MS);
+            self.end_call(worker, call, Outcome::Rejected, MS);
         }
         self.start_next_call(worker);
     }
