--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -74,7 +74,7 @@
         seed: u64,
         unix_now: u128,
     ) -> Result<Core, SettingsError> {
-        let batch_interval = settings.tick;
+        let batch_interval = settings.batch_interval;
         Ok(Core {
             dispatcher: Dispatcher::new(settings, seed)?,
             names,
@@ -101,7 +101,7 @@
     /// # Errors
     /// [`SettingsError`] if the settings contradict themselves or lack a class; nothing changes then.
     pub fn reconfigure(&mut self, settings: Settings, names: SiteNames) -> Result<(), SettingsError> {
-        let batch_interval = settings.tick;
+        let batch_interval = settings.batch_interval;
         let known_classes = self.names.class_names().len();
         self.dispatcher.reconfigure(settings)?;
         self.copy_redefined_classes(known_classes, names.class_names());
--- a/src/core/event_queue.rs
+++ b/src/core/event_queue.rs
@@ -33,10 +33,10 @@
         self.len_after_transfer = self.events.len();
     }
 
-    /// Takes the events of a batch that begins now. The next batch begins `tick` later at the earliest.
-    pub fn take_batch(&mut self, now: Micros, tick: Micros) -> Vec<Event> {
+    /// Takes the events of a batch that begins now. The next batch begins `batch_interval` later at the earliest.
+    pub fn take_batch(&mut self, now: Micros, batch_interval: Micros) -> Vec<Event> {
         self.len_after_transfer = 0;
-        self.next_batch = now + tick;
+        self.next_batch = now + batch_interval;
         std::mem::take(&mut self.events)
     }
 }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -111,7 +111,7 @@
         let Some(started) = policy.state.attempt_started(id, attempt) else { return };
         policy.record_start(&started);
         policy.state.cancel_unstarted(id, &policy.settings, actions);
-        policy.state.learn_start_delay(started.waited, policy.settings.tick);
+        policy.state.learn_start_delay(started.waited, policy.settings.batch_interval);
         policy.review_queued(actions);
     }
 
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -18,5 +18,5 @@
     WorkerId, ZoneId,
 };
 pub use settings::{
-    Class, DeduplicationScope, Idempotency, MAX_DISPATCHERS, Reports, Settings, SettingsError, Tenant,
+    Class, DeduplicationScope, Idempotency, LoadReporting, MAX_DISPATCHERS, Settings, SettingsError, Tenant,
 };
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -92,7 +92,7 @@
 
 /// How load reports reach the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// Reports come with attempt outcomes and with probe responses.
     WithResponses,
     /// Reports come with probe responses only.
@@ -117,15 +117,15 @@
     /// The weight of a job beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
     /// The shortest time between two batches of events, which is the resolution of all timers.
-    pub tick: Micros,
+    pub batch_interval: Micros,
     /// Whether a class's weight applies to each unit of work instead of to each job.
     pub weight_by_work: bool,
     /// How load reports reach the dispatcher.
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     /// Whether workers report when a job starts ([`super::Event::Started`]).
     pub reports_start: bool,
     /// The interval at which running jobs report their progress; `None` if they do not.
-    pub progress: Option<Micros>,
+    pub progress_interval: Option<Micros>,
     /// Whether changes of the endpoint list are sent only on request.
     pub list_on_request: bool,
     /// Whether [`super::Action::Cancel`] is allowed.
@@ -161,7 +161,7 @@
     /// The price of wasting as much work as was requested, as a fraction of the total weight.
     pub price_waste: f64,
     /// The price if every job ended unserved after its latency objective, as a fraction of the total weight.
-    pub price_late_fail: f64,
+    pub price_late_failure: f64,
 }
 
 impl Default for Settings {
@@ -184,11 +184,11 @@
             classes: vec![class],
             tenants: Vec::new(),
             over_quota_weight: 1.0,
-            tick: 1_000,
+            batch_interval: 1_000,
             weight_by_work: false,
-            reports: Reports::WithResponses,
+            load_reporting: LoadReporting::WithResponses,
             reports_start: false,
-            progress: None,
+            progress_interval: None,
             list_on_request: false,
             may_cancel: true,
             may_probe: false,
@@ -206,7 +206,7 @@
             price_cross_zone: 0.0,
             price_probe: 0.0,
             price_waste: 0.05,
-            price_late_fail: 0.0,
+            price_late_failure: 0.0,
         }
     }
 }
@@ -269,7 +269,7 @@
         Ok(())
     }
 
-    /// Whether the numbers are finite and within their ranges. `price_late_fail` and the numbers of tenants are not checked.
+    /// Whether the numbers are finite and within their ranges. `price_late_failure` and the numbers of tenants are not checked.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
         let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -30,7 +30,7 @@
         let jobs = (self.state.queue().len() + 1) as f64;
         let work = jobs * self.estimates().mean_work() * self.slowness();
         let wait = (work / own_slots).min(max as f64) as Micros;
-        Some(wait.max(self.settings.tick))
+        Some(wait.max(self.settings.batch_interval))
     }
 
     /// Whether the class and the earlier attempts of a job allow another attempt at this worker.
@@ -43,7 +43,7 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => job.never_ran(),
             Idempotency::IdempotentWithKey { scope, window } => job.possible_runs().all(|attempt| {
-                let is_key_remembered = self.now() + self.settings.tick < attempt.sent_at + window;
+                let is_key_remembered = self.now() + self.settings.batch_interval < attempt.sent_at + window;
                 is_key_remembered && scope.covers(self.state.worker(attempt.worker).listed(), to)
             }),
         }
@@ -95,14 +95,14 @@
     /// deadline.
     pub(super) fn is_past_deadline(&self, job: &Job) -> bool {
         let is_streaming = self.class(job).is_stream && job.has(AttemptState::Running);
-        self.now() + self.settings.tick >= job.request.deadline && !is_streaming
+        self.now() + self.settings.batch_interval >= job.request.deadline && !is_streaming
     }
 
     /// Whether to give up a job that has no outstanding attempt: it may not be sent again, or its response
     /// would be too late to earn any weight and its work would only delay other jobs.
     pub(super) fn should_give_up(&self, job: &Job) -> bool {
         let class = self.class(job);
-        let is_too_late = self.now() + self.settings.tick >= self.latest_start(job);
+        let is_too_late = self.now() + self.settings.batch_interval >= self.latest_start(job);
         let is_worthless = class.late_weight == 0.0 && is_too_late;
         let is_repeat_forbidden = job.has(AttemptState::MayHaveRun) && !class.idempotency.is_repeatable();
         is_worthless || is_repeat_forbidden || self.is_out_of_attempts(job)
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -97,10 +97,12 @@
     /// have reported the start, or its progress or response if starts are not reported.
     fn start_timeout(&self, work: f64) -> Micros {
         let response = OVERDUE_FACTOR * work * self.slowness();
-        let shown =
-            self.settings.progress.map_or(response, |span| response.min(OVERDUE_FACTOR * span as f64));
+        let shown = self
+            .settings
+            .progress_interval
+            .map_or(response, |span| response.min(OVERDUE_FACTOR * span as f64));
         let started = OVERDUE_FACTOR * self.estimates().start_delay();
         let timeout = if self.settings.reports_start { started } else { shown };
-        timeout as Micros + self.settings.tick
+        timeout as Micros + self.settings.batch_interval
     }
 }
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -174,7 +174,7 @@
         if !self.settings.may_probe || self.state.is_sampled(id) {
             return false;
         }
-        let usual_delay = self.estimates().probe_delay() + self.settings.tick;
+        let usual_delay = self.estimates().probe_delay() + self.settings.batch_interval;
         let until = self.now() + OVERDUE_FACTOR as Micros * usual_delay;
         let sample = self.draw_sample(id);
         self.state.probe_sample(id, sample, self.window(), until, actions)
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -2,7 +2,8 @@
 //! configuration file use the same names.
 
 use crate::policy::interface::{
-    Class, DeduplicationScope, Idempotency, KindId, LoadReport, Micros, Reports, Settings, Tenant, ZoneId,
+    Class, DeduplicationScope, Idempotency, KindId, LoadReport, LoadReporting, Micros, Settings, Tenant,
+    ZoneId,
 };
 use crate::policy::interner::Interner;
 use std::collections::HashMap;
@@ -177,11 +178,11 @@
     }
 
     /// How load reports reach the dispatcher.
-    fn reports(&self) -> Reports {
+    fn load_reporting(&self) -> LoadReporting {
         match self.text("LoadInfo.Source") {
-            Some("piggyback") => Reports::WithResponses,
-            Some("pull") => Reports::ProbesOnly,
-            _ => Reports::Never,
+            Some("piggyback") => LoadReporting::WithResponses,
+            Some("pull") => LoadReporting::ProbesOnly,
+            _ => LoadReporting::Never,
         }
     }
 
@@ -219,7 +220,7 @@
     let tenants = (0..profile.count("Projects.count")?).map(|index| profile.tenant(index));
     let tenants = tenants.collect::<Result<Vec<Tenant>, _>>()?;
     let mut names = profile.names(known, classes.len(), tenants.len());
-    let progress = profile.micros("Domain.ProgressMs", 0.0)?;
+    let progress_interval = profile.micros("Domain.ProgressMs", 0.0)?;
     let list_on_request = profile.text("Discovery") == Some("on_request");
     let has_retry_after = profile.flag("Limits.RetryAfter", false);
     let settings = Settings {
@@ -229,11 +230,11 @@
         classes,
         tenants,
         over_quota_weight: profile.number("OverShareWorth", 1.0)?,
-        tick: profile.micros("GranularityMs", 1.0)?,
+        batch_interval: profile.micros("GranularityMs", 1.0)?,
         weight_by_work: profile.text("CountedBy") == Some("work"),
-        reports: profile.reports(),
+        load_reporting: profile.load_reporting(),
         reports_start: profile.flag("Domain.TellsStart", false),
-        progress: (progress > 0).then_some(progress),
+        progress_interval: (progress_interval > 0).then_some(progress_interval),
         list_on_request,
         may_cancel: profile.flag("Limits.Cancel", false),
         may_probe: profile.flag("Limits.Probing", false),
@@ -251,7 +252,7 @@
         price_cross_zone: profile.number("Prices.CrossZone", 0.0)?,
         price_probe: profile.number("Prices.Probe", 0.0)?,
         price_waste: profile.number("Prices.Waste", 0.0)?,
-        price_late_fail: profile.number("Prices.LateFail", 0.0)?,
+        price_late_failure: profile.number("Prices.LateFail", 0.0)?,
     };
     Ok((settings, names))
 }
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -2,14 +2,14 @@
 
 use super::class_stats::{self, ClassStats};
 use super::{Mean, Worker};
-use crate::policy::interface::{Class, EndpointEntry, KindId, Micros, Reports, Settings};
+use crate::policy::interface::{Class, EndpointEntry, KindId, LoadReporting, Micros, Settings};
 use std::collections::BTreeMap;
 
 /// The weight, in observations, of the prior with which an own mean is blended: a worker's with that of its kind, a kind's with
 /// that of all workers.
 const PRIOR_COUNT: f64 = 3.0;
-/// The first estimate of the time until an attempt is known to run, in ticks.
-const INITIAL_START_DELAY_TICKS: f64 = 4.0;
+/// The first estimate of the time until an attempt is known to run, in batch intervals.
+const INITIAL_START_DELAY_INTERVALS: f64 = 4.0;
 /// The number of slots of a worker of a kind for which no report has shown more.
 const DEFAULT_SLOTS: f64 = 1.0;
 
@@ -46,7 +46,7 @@
     /// Creates estimates without observations. `report_interval` is the first estimate of the time between reports, in
     /// microseconds.
     pub fn new(settings: &Settings, report_interval: f64) -> Estimates {
-        let start_delay = INITIAL_START_DELAY_TICKS * settings.tick as f64;
+        let start_delay = INITIAL_START_DELAY_INTERVALS * settings.batch_interval as f64;
         let mut estimates = Estimates { report_interval, start_delay, ..Estimates::default() };
         estimates.reconfigure(settings);
         estimates
@@ -54,7 +54,7 @@
 
     /// Adapts to new settings: how reports arrive, and the number of classes.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        self.is_probed_only = settings.reports == Reports::ProbesOnly;
+        self.is_probed_only = settings.load_reporting == LoadReporting::ProbesOnly;
         self.classes.resize(settings.classes.len(), ClassStats::default());
     }
 
--- a/src/policy/state/jobs.rs
+++ b/src/policy/state/jobs.rs
@@ -5,7 +5,7 @@
 use crate::policy::timer::Timer;
 
 impl PolicyState {
-    /// Records a job and schedules its last review one tick before its deadline. A job of an unknown class is ignored.
+    /// Records a job and schedules its last review one batch interval before its deadline. A job of an unknown class is ignored.
     pub fn add_job(
         &mut self,
         request: NewJob,
@@ -17,7 +17,7 @@
         let Some(class_settings) = settings.classes.get(class) else { return };
         let Some(work) = self.estimates.record_arrival(class, class_settings, request.hint) else { return };
         self.jobs.insert(request.job, Job::new(request, arrived, work));
-        self.schedule_review(request.job, request.deadline.saturating_sub(settings.tick), actions);
+        self.schedule_review(request.job, request.deadline.saturating_sub(settings.batch_interval), actions);
     }
 
     /// Closes a job and removes it from the queue. Its outstanding attempts are cancelled if the settings allow it.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -17,7 +17,7 @@
     ));
     let settings = &config.settings;
     assert_eq!(
-        (settings.tick, settings.classes.len(), settings.tenants.len(), settings.max_attempts),
+        (settings.batch_interval, settings.classes.len(), settings.tenants.len(), settings.max_attempts),
         (2_000, 2, 1, 3)
     );
     assert_eq!((settings.classes[0].latency_factor, settings.classes[1].latency_objective), (2.0, 600_000));
--- a/tests/failures/outliers.rs
+++ b/tests/failures/outliers.rs
@@ -11,7 +11,7 @@
     let settings = Settings {
         may_probe: true,
         reports_start: true,
-        reports: Reports::ProbesOnly,
+        load_reporting: LoadReporting::ProbesOnly,
         classes: vec![class(Idempotency::NonIdempotent)],
         ..Settings::default()
     };
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -43,7 +43,7 @@
 /// Creates a dispatcher that gets load reports with probe responses only.
 fn probing_dispatcher() -> TestDispatcher {
     let settings = Settings {
-        reports: Reports::ProbesOnly,
+        load_reporting: LoadReporting::ProbesOnly,
         may_probe: true,
         classes: vec![
             class_with_long_objective(Idempotency::NonIdempotent),
