--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -46,7 +46,7 @@
             self.now += 8 * MS;
             match number % 7 {
                 3 => self.end_unserved(&attempt, Outcome::Reset, None),
-                5 => self.end_unserved(&attempt, Outcome::Full, Some(load_report())),
+                5 => self.end_unserved(&attempt, Outcome::Rejected, Some(load_report())),
                 _ => self.serve(&attempt, &name),
             }
             self.core.turn(self.now);
