--- a/examples/proof_fairshare/aims.rs
+++ b/examples/proof_fairshare/aims.rs
@@ -1,13 +1,13 @@
-//! What the proof asks of the figures.
+//! The conditions that the measurements must meet.
 
 use serde_json::{Map, Value, json};
 
-/// Aims by name, and whether each held so far.
+/// The conditions by name, and whether each has held so far.
 #[derive(Default)]
 pub struct Aims(Map<String, Value>);
 
 impl Aims {
-    /// An aim holds if it held each time that it was checked.
+    /// Records the result of a check. A condition holds if it held in all checks.
     pub fn check(&mut self, name: &str, holds: bool) {
         let held_before = self.0.get(name).is_none_or(|held| *held == json!(true));
         self.0.insert(name.into(), (holds && held_before).into());
@@ -22,53 +22,66 @@
     }
 }
 
-/// A figure, or NaN where there is none.
-pub fn figure(line: &Value, name: &str) -> f64 {
-    line[name].as_f64().unwrap_or(f64::NAN)
+/// The measurement with this name; NaN if there is none.
+pub fn metric(result: &Value, name: &str) -> f64 {
+    result[name].as_f64().unwrap_or(f64::NAN)
 }
 
-/// Checks one scenario under one policy, beside the others.
-pub fn check(aims: &mut Aims, line: &Value, all: &[Value]) {
-    match line["policy"].as_str() {
-        Some("Mutated") => aims.check("a report counted twice is caught", line["exact"] == false),
+/// Checks the measurements of one scenario under one policy. `all` are those of all scenarios and policies.
+pub fn check(aims: &mut Aims, result: &Value, all: &[Value]) {
+    match result["policy"].as_str() {
+        Some("Mutated") => aims.check("a report counted twice is detected", result["exact"] == false),
         Some("FairShare") => {
-            check_ledgers(aims, line);
-            check_fairness(aims, line, all);
-            check_against_rivals(aims, line, all);
+            check_ledgers(aims, result);
+            check_fairness(aims, result, all);
+            check_against_baselines(aims, result, all);
         }
         _ => {}
     }
 }
 
-fn check_ledgers(aims: &mut Aims, line: &Value) {
-    let is_restart = line["story"] == "killed";
-    aims.check("all members agree in every bit", line["agree"] == true);
+fn check_ledgers(aims: &mut Aims, result: &Value) {
+    let is_restart = result["story"] == "killed";
+    aims.check("all members have exactly the same usage", result["agree"] == true);
     aims.check(
-        "what is known is what was used, but for what died untold",
-        line["exact"] == true || is_restart,
+        "the known usage is the actual usage, except what a kill lost before it was published",
+        result["exact"] == true || is_restart,
     );
-    aims.check("nothing broken", line["broken"] == 0);
+    aims.check("no invariant is violated", result["broken"] == 0);
 }
 
-fn check_fairness(aims: &mut Aims, line: &Value, all: &[Value]) {
-    // In a cut a tenant that reaches one side only can have half of the workers at most, whoever deals.
-    let sees_all = all.iter().find(|o| o["story"] == line["story"] && o["policy"] == "OneLedger");
-    let least = sees_all.filter(|o| o["story"] == "cut").map_or(0.9, |o| 0.95 * figure(o, "worst"));
-    let is_fair = figure(line, "worst") >= least && figure(line, "jain") >= 0.98;
-    aims.check("worst tenant at least 0.9 of its due (in a cut: 0.95 of what sees all), Jain 0.98", is_fair);
-    aims.check("nobody below half of its due for 10 s after", figure(line, "least_in_10_s") >= 0.5);
-    aims.check("a lender has its share back within 2 s", figure(line, "lender_2_to_8_s") >= 0.95);
-    let is_cut = line["story"] == "cut";
-    let settles = !is_cut || figure(line, "settled_after_s") <= 60.0;
-    aims.check("within 5 % at most 60 s after a heal", settles);
-    let is_within_bound = !is_cut || figure(line, "beyond_of_bound") <= 1.0;
-    aims.check("beyond the share in a cut: within the bound", is_within_bound);
+fn check_fairness(aims: &mut Aims, result: &Value, all: &[Value]) {
+    // During a partition, a tenant whose jobs arrive at one side only can use at most half of the workers under any policy.
+    let with_one_ledger = all.iter().find(|o| o["story"] == result["story"] && o["policy"] == "OneLedger");
+    let min_worst =
+        with_one_ledger.filter(|o| o["story"] == "cut").map_or(0.9, |o| 0.95 * metric(o, "worst"));
+    let is_fair = metric(result, "worst") >= min_worst && metric(result, "jain") >= 0.98;
+    aims.check(
+        "worst tenant at least 0.9 of its due (in a partition 0.95 of that with one ledger), Jain's index 0.98",
+        is_fair,
+    );
+    aims.check(
+        "after the fault, no tenant gets less than half of its due over 10 s",
+        metric(result, "least_in_10_s") >= 0.5,
+    );
+    aims.check(
+        "a tenant whose share was lent has it back within 2 s",
+        metric(result, "lender_2_to_8_s") >= 0.95,
+    );
+    let is_cut = result["story"] == "cut";
+    let settles = !is_cut || metric(result, "settled_after_s") <= 60.0;
+    aims.check("at most 60 s after a partition, each tenant gets its due within 5%", settles);
+    let is_within_bound = !is_cut || metric(result, "beyond_of_bound") <= 1.0;
+    aims.check("usage beyond the share during a partition is within its bound", is_within_bound);
 }
 
-fn check_against_rivals(aims: &mut Aims, line: &Value, all: &[Value]) {
-    let same = all.iter().filter(|o| o["story"] == line["story"] && o["seed"] == line["seed"]);
-    for rival in same.filter(|o| o["policy"] == "Today" || o["policy"] == "QuotaByNode") {
-        let is_better = |name: &str| figure(line, name) > figure(rival, name);
-        aims.check("better than today and than quotas by node", is_better("worst") && is_better("jain"));
+fn check_against_baselines(aims: &mut Aims, result: &Value, all: &[Value]) {
+    let same = all.iter().filter(|o| o["story"] == result["story"] && o["seed"] == result["seed"]);
+    for baseline in same.filter(|o| o["policy"] == "Today" || o["policy"] == "QuotaByNode") {
+        let is_better = |name: &str| metric(result, name) > metric(baseline, name);
+        aims.check(
+            "fairer than without shares and than with quotas by dispatcher",
+            is_better("worst") && is_better("jain"),
+        );
     }
 }
--- a/examples/proof_fairshare/carrier.rs
+++ b/examples/proof_fairshare/carrier.rs
@@ -1,4 +1,5 @@
-//! What the membership crate does for facts, as far as it matters here: the latest of each slot is kept and passed on.
+//! A model of the dissemination of facts by the membership crate: dispatchers keep the latest fact of each slot, and get
+//! missing facts from each other.
 
 use crate::setup::{DISPATCHERS, Scenario};
 use mothproxy_fairshare::Origin;
@@ -12,7 +13,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A fact on its way.
+/// A fact in flight to a dispatcher.
 pub struct Delivery {
     pub to: usize,
     pub fact: Fact,
@@ -22,7 +23,7 @@
     /// The latest fact of each slot, by dispatcher.
     held: Vec<BTreeMap<(Origin, u32), Fact>>,
     in_flight: BTreeMap<u64, Vec<Delivery>>,
-    /// Bytes carried.
+    /// The number of bytes of all facts sent and not lost.
     pub bytes: u64,
 }
 
@@ -31,7 +32,7 @@
         Carrier { held: vec![BTreeMap::new(); DISPATCHERS], in_flight: BTreeMap::new(), bytes: 0 }
     }
 
-    /// Sends a fact, one in twenty twice; each copy may be lost.
+    /// Sends a fact. One in twenty is sent twice, and each copy may be lost.
     pub fn send(
         &mut self,
         rng: &mut fastrand::Rng,
@@ -49,17 +50,17 @@
         }
     }
 
-    /// A dispatcher forgets what it holds.
+    /// Drops all facts that a dispatcher holds.
     pub fn forget(&mut self, dispatcher: usize) {
         self.held[dispatcher].clear();
     }
 
-    /// A dispatcher holds a fact of its own.
+    /// Stores a fact that a dispatcher published itself.
     pub fn hold_own(&mut self, dispatcher: usize, fact: &Fact) {
         self.held[dispatcher].insert((fact.origin, fact.slot), fact.clone());
     }
 
-    /// A dispatcher holds a fact that it received, unless it holds a later one.
+    /// Stores a fact that a dispatcher received, unless it holds a later one of the same slot.
     pub fn hold_received(&mut self, delivery: &Delivery) {
         let Delivery { to, fact } = delivery;
         let held = self.held[*to].entry((fact.origin, fact.slot)).or_insert_with(|| fact.clone());
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The facts of `other` that are later than those of a dispatcher.
+    /// The facts that `other` holds and of which a dispatcher holds none or an earlier one.
     pub fn missing(&self, dispatcher: usize, other: usize) -> Vec<Fact> {
         let is_later = |(slot, fact): &(&(Origin, u32), &Fact)| {
             self.held[dispatcher].get(slot).is_none_or(|held| held.number < fact.number)
@@ -76,7 +77,7 @@
         self.held[other].iter().filter(is_later).map(|(_, fact)| fact.clone()).collect()
     }
 
-    /// What has arrived by now, in the order of its times.
+    /// Removes and returns the facts that have arrived by `now`, in order of arrival.
     pub fn take_arrived(&mut self, now: u64) -> Vec<Delivery> {
         let rest = self.in_flight.split_off(&(now + 1));
         std::mem::replace(&mut self.in_flight, rest).into_values().flatten().collect()
--- a/examples/proof_fairshare/main.rs
+++ b/examples/proof_fairshare/main.rs
@@ -1,6 +1,9 @@
-//! The proof of fair shares (`make proof-fairshare`): a model of dispatchers with a carrier that loses, delays, repeats and is
-//! cut, serving by weight, beside today's module and beside quotas by dispatcher, against a ledger that sees all at once.
-//! Ends in one JSON line; the exit code is not 0 where a part fails. `proof_fairshare SEED` simulates one seed alone.
+//! Measures and checks the fair shares: a simulation of dispatchers that serve jobs by weight and exchange facts over a network
+//! with loss, delay, duplication and a partition.
+//!
+//! The shares by facts are compared with no shares, with a fixed quota at each dispatcher, and with one ledger that all
+//! dispatchers share. `make proof-fairshare` runs this program. Usage: `proof_fairshare [SEED]`; with a seed, only that seed is
+//! simulated. The last line of the output is JSON. The exit code is not 0 if a check failed.
 
 mod aims;
 mod carrier;
@@ -9,7 +12,7 @@
 mod setup;
 mod simulation;
 
-use aims::{Aims, figure};
+use aims::{Aims, metric};
 use serde_json::{Value, json};
 use setup::{LOSSY, Policy, SCENARIOS, Scenario};
 use std::process::ExitCode;
@@ -27,7 +30,8 @@
     seed: u64,
 }
 
-/// Every scenario under every policy with the first seed, the crate's with the others too, and the seeded fault.
+/// All scenarios under all policies with the first seed, those under [`Policy::FairShare`] also with the other seeds, and one
+/// with the deliberate fault.
 fn cases(seeds: &[u64]) -> Vec<Case> {
     let mut cases = Vec::new();
     for scenario in &SCENARIOS {
@@ -40,25 +44,25 @@
     cases
 }
 
-/// Simulates all cases on a few threads; the lines are sorted by scenario, policy and seed.
+/// Simulates all cases on [`THREADS`] threads. Returns the measurements of each, sorted by scenario, policy and seed.
 fn simulate_all(cases: &[Case]) -> Vec<Value> {
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let (next, measured) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 while let Some(case) = cases.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let line = measures::measure(case.scenario, case.policy, case.seed);
-                    println!("{line}");
-                    done.lock().expect("no case panics").push(line);
+                    let result = measures::measure(case.scenario, case.policy, case.seed);
+                    println!("{result}");
+                    measured.lock().expect("no case panics").push(result);
                 }
             });
         }
     });
-    let mut lines = done.into_inner().expect("no case panics");
-    lines.sort_by_key(|line| {
-        line["story"].to_string() + &line["policy"].to_string() + &line["seed"].to_string()
+    let mut results = measured.into_inner().expect("no case panics");
+    results.sort_by_key(|result| {
+        result["story"].to_string() + &result["policy"].to_string() + &result["seed"].to_string()
     });
-    lines
+    results
 }
 
 fn main() -> ExitCode {
@@ -67,16 +71,16 @@
         Some(seed) => vec![seed],
         None => vec![1, 2],
     };
-    let lines = simulate_all(&cases(&seeds));
+    let results = simulate_all(&cases(&seeds));
     let mut aims = Aims::default();
-    lines.iter().for_each(|line| aims::check(&mut aims, line, &lines));
+    results.iter().for_each(|result| aims::check(&mut aims, result, &results));
     let costs: Vec<Value> = [10, 1_000, 10_000].map(costs::measure).into();
-    aims.check("a query of 10,000 tenants under 20 us", figure(&costs[2], "us_a_query") < 20.0);
+    aims.check("a query with 10,000 tenants takes less than 20 us", metric(&costs[2], "us_a_query") < 20.0);
     let held = aims.all_hold();
-    let line = json!({
+    let summary = json!({
         "proof": "fairshare", "held": held, "aims": aims.into_json(), "seconds": started.elapsed().as_secs_f64(),
-        "seeds": seeds, "costs": costs, "stories": lines,
+        "seeds": seeds, "costs": costs, "stories": results,
     });
-    println!("{line}");
+    println!("{summary}");
     if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/examples/proof_fairshare/measures.rs
+++ b/examples/proof_fairshare/measures.rs
@@ -1,10 +1,11 @@
-//! How fair a simulated outcome is, in figures.
+//! Measurements of how fair a simulated outcome is.
 
 use crate::setup::{CAPACITY, DISPATCHERS, LENDER, Policy, Scenario, TENANTS, WITHOUT_QUOTA};
 use crate::simulation::{Outcome, simulate};
 use serde_json::{Value, json};
 
-/// Served against due over a span of seconds, by tenant, for those due more than a fraction of all.
+/// The ratio of the jobs served to the jobs due over a span of seconds, for each tenant with a quota that was due more than
+/// the fraction `above` of the capacity.
 fn ratios(outcome: &Outcome, from: u64, to: u64, above: f64) -> Vec<f64> {
     let span = from as usize..to as usize;
     let ratio = |t: usize| {
@@ -15,7 +16,7 @@
     (0..TENANTS.len()).filter(|t| *t != WITHOUT_QUOTA).filter_map(ratio).collect()
 }
 
-/// The worst and the best off, and Jain's index.
+/// The lowest and the highest ratio of the jobs served to the jobs due, and Jain's fairness index.
 struct Fairness {
     worst: f64,
     best: f64,
@@ -33,32 +34,33 @@
     }
 }
 
-/// Seconds after `from` until what each tenant with a twentieth of all got in the last 10 s is within 5 % of its due, and
-/// stays so for 10 s.
+/// The number of seconds after `from` until each tenant that is due more than 5% of the capacity got its due within 5% over
+/// the last 10 s, and still does during the next 10 s.
 fn settling_time(outcome: &Outcome, from: u64, until: u64) -> Option<u64> {
     let is_close = |at: u64| ratios(outcome, at - 10, at, 0.05).iter().all(|r| (0.95..=1.05).contains(r));
     (from + 1..until - 10).find(|at| (*at..*at + 10).all(is_close)).map(|at| at - from)
 }
 
-/// A tenant's quota in jobs a second.
+/// A tenant's quota in jobs per second.
 fn quota(t: usize) -> f64 {
     CAPACITY as f64 * f64::from(TENANTS[t].weight) / 101.0
 }
 
-/// What all sides together gave within the quota beyond it, against the bound: rate times time times the other sides. The
-/// most of any tenant.
+/// The excess of a tenant during a partition, as a fraction of its bound; the maximum over all tenants. The excess is the
+/// number of jobs that both sides together served within the quota, minus the quota. The bound is the quota times the duration
+/// of the partition plus 2 s, times the number of other sides, which is 1.
 fn excess_in_cut(outcome: &Outcome, scenario: &Scenario) -> Option<f64> {
     let cut = scenario.cut?;
     let excess = |t: usize| {
-        let given: u64 =
+        let served: u64 =
             outcome.within_quota[cut.from as usize..cut.to as usize].iter().map(|second| second[t]).sum();
         let bound = quota(t) * ((cut.to - cut.from) + 2) as f64;
-        (given as f64 - quota(t) * (cut.to - cut.from) as f64) / bound
+        (served as f64 - quota(t) * (cut.to - cut.from) as f64) / bound
     };
     Some((0..TENANTS.len()).filter(|t| *t != WITHOUT_QUOTA).map(excess).fold(f64::MIN, f64::max))
 }
 
-/// With `SERIES` in the environment: the ratios of every 5 s on standard error.
+/// Prints the ratios of each 5 s on standard error, if the environment variable `SERIES` is set.
 fn print_series(outcome: &Outcome, scenario: &Scenario, policy: Policy) {
     if std::env::var_os("SERIES").is_none() {
         return;
@@ -69,7 +71,7 @@
     }
 }
 
-/// A scenario under a policy, in figures.
+/// Simulates a scenario under a policy and returns the measurements.
 pub fn measure(scenario: &Scenario, policy: Policy, seed: u64) -> Value {
     let outcome = simulate(scenario, policy, seed);
     print_series(&outcome, scenario, policy);
@@ -80,16 +82,16 @@
         let Fairness { worst, best, jain } = Fairness::of(&ratios(&outcome, cut.from, cut.to, 0.0));
         (worst, best, jain)
     });
-    // The least that one with a twentieth gets in any 10 s after the heal.
+    // The lowest ratio of a tenant that is due more than 5% of the capacity, over any 10 s after the fault.
     let windows =
         (healed..scenario.seconds - 10).map(|at| Fairness::of(&ratios(&outcome, at, at + 10, 0.05)).worst);
-    let least = windows.fold(f64::MAX, f64::min);
+    let min_worst = windows.fold(f64::MAX, f64::min);
     let lender: u64 = outcome.served[42..48].iter().map(|second| second[LENDER]).sum();
     let member_seconds = scenario.seconds as f64 * DISPATCHERS as f64;
     json!({
         "story": scenario.name, "seed": seed, "policy": format!("{policy:?}"), "worst": overall.worst,
         "best": overall.best, "jain": overall.jain, "in_cut": in_cut,
-        "settled_after_s": settling_time(&outcome, healed, scenario.seconds), "least_in_10_s": least,
+        "settled_after_s": settling_time(&outcome, healed, scenario.seconds), "least_in_10_s": min_worst,
         "beyond_of_bound": excess_in_cut(&outcome, scenario),
         "lender_2_to_8_s": lender as f64 / (quota(LENDER) * 6.0), "facts": outcome.facts_published,
         "fact_bytes": outcome.bytes_published,
--- a/examples/proof_fairshare/setup.rs
+++ b/examples/proof_fairshare/setup.rs
@@ -1,4 +1,4 @@
-//! What is simulated: dispatchers, tenants and their traffic, policies and scenarios.
+//! The parameters of the simulation: dispatchers, tenants and their traffic, policies and scenarios.
 
 use mothproxy_fairshare::{Config, Installation, Shares, Tenant};
 
@@ -6,16 +6,16 @@
 /// The simulation's step, in microseconds.
 pub const TICK: u64 = 20_000;
 pub const TICKS_PER_SECOND: u64 = SECOND / TICK;
-/// Unix time at the model's time 0.
-pub const WALL: u64 = 1_700_000_000 * SECOND;
+/// The Unix time of time 0 of the simulation, in microseconds.
+pub const UNIX_AT_ZERO: u64 = 1_700_000_000 * SECOND;
 pub const DISPATCHERS: usize = 12;
-/// Jobs a second that all workers together can do.
+/// The number of jobs per second that all workers together can run.
 pub const CAPACITY: u64 = 1_200;
-/// A job's work in the ledger's units.
-pub const JOB: u64 = 1_000;
-/// A job runs for this many ticks; then it is answered and counts.
+/// The value of a job, in the units of the ledger.
+pub const JOB_VALUE: u64 = 1_000;
+/// The time from the start of a job until its final response, when its usage is recorded, in ticks.
 pub const SERVICE_TICKS: u64 = 15;
-/// Clients give up after this many ticks.
+/// The time that a client waits for the start of its job, in ticks.
 pub const TIMEOUT_TICKS: u64 = TICKS_PER_SECOND;
 pub const OVER_QUOTA_WEIGHT: f64 = 0.1;
 
@@ -23,38 +23,39 @@
 pub struct Traffic {
     pub name: &'static str,
     pub weight: u32,
-    /// Jobs a second, by second.
+    /// The number of jobs per second, as a function of the second.
     pub rate: fn(u64) -> f64,
-    /// The dispatchers that get them.
-    pub at: fn(usize) -> bool,
+    /// Whether a dispatcher receives jobs of the tenant.
+    pub arrives_at: fn(usize) -> bool,
 }
 
 const fn everywhere(_: usize) -> bool {
     true
 }
 
-/// Whether a dispatcher is in the west, one of the two sides of a cut.
-pub fn west(at: usize) -> bool {
-    at < DISPATCHERS / 2
+/// Whether a dispatcher is in the west, one of the two sides of a partition.
+pub fn west(dispatcher: usize) -> bool {
+    dispatcher < DISPATCHERS / 2
 }
 
-fn east(at: usize) -> bool {
-    !west(at)
+fn east(dispatcher: usize) -> bool {
+    !west(dispatcher)
 }
 
-/// Of 1,200 a second a weight of 1 in 101 has 11.9.
+/// The tenants. The weights add up to 101, so a weight of 1 is a quota of 11.9 jobs per second out of 1,200.
 pub const TENANTS: [Traffic; 8] = [
-    Traffic { name: "flood", weight: 10, rate: |_| 6_000.0, at: everywhere },
-    Traffic { name: "steady", weight: 20, rate: |_| 214.0, at: west },
-    Traffic { name: "both", weight: 20, rate: |_| 600.0, at: everywhere },
-    Traffic { name: "west", weight: 15, rate: |_| 270.0, at: west },
-    Traffic { name: "east", weight: 15, rate: |_| 270.0, at: east },
-    Traffic { name: "lender", weight: 20, rate: |s| if s < 40 { 0.0 } else { 285.0 }, at: west },
-    Traffic { name: "small", weight: 1, rate: |_| 6.0, at: |at| at == 3 },
-    Traffic { name: "nothing", weight: 0, rate: |_| 100.0, at: everywhere },
+    Traffic { name: "flood", weight: 10, rate: |_| 6_000.0, arrives_at: everywhere },
+    Traffic { name: "steady", weight: 20, rate: |_| 214.0, arrives_at: west },
+    Traffic { name: "both", weight: 20, rate: |_| 600.0, arrives_at: everywhere },
+    Traffic { name: "west", weight: 15, rate: |_| 270.0, arrives_at: west },
+    Traffic { name: "east", weight: 15, rate: |_| 270.0, arrives_at: east },
+    Traffic { name: "lender", weight: 20, rate: |s| if s < 40 { 0.0 } else { 285.0 }, arrives_at: west },
+    Traffic { name: "small", weight: 1, rate: |_| 6.0, arrives_at: |at| at == 3 },
+    Traffic { name: "nothing", weight: 0, rate: |_| 100.0, arrives_at: everywhere },
 ];
-/// The tenant that lends its quota for 40 s, and the one without a quota.
+/// The tenant that has no jobs in the first 40 s, so that its quota is lent.
 pub const LENDER: usize = 5;
+/// The tenant without a quota.
 pub const WITHOUT_QUOTA: usize = 7;
 
 pub fn shares() -> Shares {
@@ -66,45 +67,45 @@
 pub fn config(place: usize, epoch: u64) -> Config {
     Config {
         place: place as u16,
-        epoch: WALL / 1000 + epoch / 1000,
-        unix_at_zero: WALL,
+        epoch: UNIX_AT_ZERO / 1000 + epoch / 1000,
+        unix_at_zero: UNIX_AT_ZERO,
         peers: DISPATCHERS as u16,
-        rate: CAPACITY * JOB,
+        rate: CAPACITY * JOB_VALUE,
         over_quota_value: OVER_QUOTA_WEIGHT,
         ..Config::default()
     }
 }
 
-/// How dispatchers weigh jobs. The names are part of the proof's output.
+/// How dispatchers weigh jobs. The names are part of the output.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// The module as it is: it does not look at a job's tenant.
+    /// No shares: the weight of a job does not depend on its tenant.
     Today,
-    /// Each dispatcher holds each tenant to its part of the quota.
+    /// Each dispatcher has an equal part of each tenant's quota. Jobs beyond it have a lower weight.
     QuotaByNode,
-    /// The crate under proof.
+    /// A ledger of mothproxy-fairshare at each dispatcher. The dispatchers exchange facts.
     FairShare,
-    /// The crate, with one ledger that all dispatchers see at once.
+    /// One ledger of mothproxy-fairshare that all dispatchers share without delay.
     OneLedger,
-    /// The crate with the seeded fault.
+    /// As `FairShare`, with the deliberate fault `count_twice`.
     Mutated,
 }
 
 impl Policy {
     /// Whether dispatchers send each other facts.
-    pub fn is_shared_by_facts(self) -> bool {
+    pub fn exchanges_facts(self) -> bool {
         matches!(self, Policy::FairShare | Policy::Mutated)
     }
 }
 
-/// Seconds from the first on, up to the second.
+/// A span of time in seconds, from `from` to before `to`.
 #[derive(Clone, Copy, Debug)]
 pub struct Seconds {
     pub from: u64,
     pub to: u64,
 }
 
-/// A dispatcher whose facts are late.
+/// A dispatcher whose facts are delayed by `by_seconds` from `from_second` on.
 #[derive(Clone, Copy, Debug)]
 pub struct LateFacts {
     pub dispatcher: usize,
@@ -112,7 +113,7 @@
     pub by_seconds: u64,
 }
 
-/// A dispatcher that is killed, with what it has not published, and starts anew.
+/// A dispatcher that is killed, which loses its unpublished usage, and starts again. Both times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
     pub dispatcher: usize,
@@ -124,11 +125,11 @@
 pub struct Scenario {
     pub name: &'static str,
     pub seconds: u64,
-    /// The fraction of facts that is lost.
+    /// The fraction of facts that is lost, from 0 to 1.
     pub loss: f64,
-    /// The longest usual delay of a fact, in microseconds.
+    /// The maximum delay of a fact apart from `late`, in microseconds.
     pub delay: u64,
-    /// A cut between west and east.
+    /// A network partition between west and east.
     pub cut: Option<Seconds>,
     pub late: Option<LateFacts>,
     pub restart: Option<Restart>,
@@ -151,7 +152,7 @@
     },
     Scenario { name: "lossy", loss: 0.3, delay: 3 * SECOND, ..UNDISTURBED },
 ];
-/// The scenario in which the seeded fault must be caught.
+/// The scenario in which the checks must detect the deliberate fault.
 pub const LOSSY: &Scenario = &SCENARIOS[3];
 
 impl Scenario {
@@ -159,12 +160,12 @@
         self.cut.is_some_and(|cut| (cut.from..cut.to).contains(&second))
     }
 
-    /// Seconds until everything that was published has arrived.
+    /// The duration with a period without new jobs at the end, in which all published facts arrive.
     pub fn seconds_with_quiet_end(&self) -> u64 {
         self.seconds + 15 + self.late.map_or(0, |late| late.by_seconds)
     }
 
-    /// How late the facts of a dispatcher are, in microseconds.
+    /// The additional delay of the facts of a dispatcher, in microseconds.
     pub fn lateness(&self, dispatcher: usize, second: u64) -> u64 {
         let late = self.late.filter(|late| late.dispatcher == dispatcher && second >= late.from_second);
         late.map_or(0, |late| late.by_seconds * SECOND)
--- a/examples/proof_fairshare/simulation.rs
+++ b/examples/proof_fairshare/simulation.rs
@@ -1,18 +1,18 @@
-//! Dispatchers that serve jobs by their weight, tick by tick.
+//! A simulation of dispatchers that serve jobs by their weight, in ticks of [`TICK`].
 
 use crate::carrier::{Carrier, Fact};
 use crate::setup::{
-    CAPACITY, DISPATCHERS, JOB, OVER_QUOTA_WEIGHT, Policy, SECOND, SERVICE_TICKS, Scenario, TENANTS, TICK,
-    TICKS_PER_SECOND, TIMEOUT_TICKS, config, shares, west,
+    CAPACITY, DISPATCHERS, JOB_VALUE, OVER_QUOTA_WEIGHT, Policy, SECOND, SERVICE_TICKS, Scenario, TENANTS,
+    TICK, TICKS_PER_SECOND, TIMEOUT_TICKS, config, shares, west,
 };
 use mothproxy_fairshare::{Config, JobValue, Ledger, Origin, Shares, TenantKey, Tier, Usage};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A waiting job; greater is served first.
+/// A waiting job. The greatest one is served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Job {
-    /// Its weight in millionths.
+    /// The weight, in millionths.
     weight: u32,
     arrived: Reverse<u64>,
     tie_break: u32,
@@ -24,7 +24,7 @@
 struct RunningJob {
     answered_at: u64,
     dispatcher: usize,
-    /// Of the dispatcher's process.
+    /// The epoch of the dispatcher's process that started the job.
     epoch: u64,
     tenant: usize,
 }
@@ -33,11 +33,11 @@
     is_up: bool,
     ledger: Ledger,
     epoch: u64,
-    /// Facts published.
+    /// The number of facts published.
     published: u64,
-    /// Waiting jobs, the weightiest first and of these the oldest.
+    /// The waiting jobs, by descending weight and then by age.
     waiting: BinaryHeap<Job>,
-    /// Quotas by dispatcher: jobs left of each tenant's part.
+    /// The tokens of each tenant for [`Policy::QuotaByNode`], in jobs.
     tokens: Vec<f64>,
 }
 
@@ -47,7 +47,7 @@
         Dispatcher {
             is_up: true,
             epoch: config.epoch,
-            ledger: Ledger::new(config, shares, now).expect("settings"),
+            ledger: Ledger::new(config, shares, now).expect("the configuration is valid"),
             published: 0,
             waiting: BinaryHeap::new(),
             tokens: vec![0.0; TENANTS.len()],
@@ -57,38 +57,38 @@
 
 #[derive(Default)]
 pub struct Outcome {
-    /// Jobs served, by second and tenant.
+    /// The number of jobs served, by second and tenant.
     pub served: Vec<Vec<u64>>,
-    /// Jobs that each tenant was due, by second and tenant.
+    /// The number of jobs that were due by max-min fairness, by second and tenant.
     pub due: Vec<Vec<f64>>,
-    /// Jobs served within the quota, by second and tenant.
+    /// The number of jobs served within the quota, by second and tenant.
     pub within_quota: Vec<Vec<u64>>,
     pub facts_published: u64,
     pub bytes_published: u64,
     pub bytes_carried: u64,
-    /// Members agree in every bit on what is known.
+    /// Whether all dispatchers know exactly the same usage at the end.
     pub is_agreed: bool,
-    /// What is known is what was really used.
+    /// Whether the known usage is the actual usage at the end.
     pub is_exact: bool,
     pub broken_invariants: u64,
 }
 
-/// Max-min shares of the capacity by weight, for what was asked for in a second.
-fn max_min_shares(asked: &[f64]) -> Vec<f64> {
-    let mut due = vec![0.0; asked.len()];
-    let (mut left, mut open): (f64, Vec<usize>) = (CAPACITY as f64, (0..asked.len()).collect());
+/// The weighted max-min fair shares of the capacity, in jobs, for the number of jobs that arrived in a second.
+fn max_min_shares(demands: &[f64]) -> Vec<f64> {
+    let mut due = vec![0.0; demands.len()];
+    let (mut left, mut open): (f64, Vec<usize>) = (CAPACITY as f64, (0..demands.len()).collect());
     loop {
         let weights: f64 = open.iter().map(|t| f64::from(TENANTS[*t].weight)).sum();
         let level =
             |t: usize| if weights > 0.0 { left * f64::from(TENANTS[t].weight) / weights } else { left / 1.0 };
-        let done: Vec<usize> = open.iter().copied().filter(|t| asked[*t] <= level(*t)).collect();
-        if done.is_empty() || open.is_empty() {
+        let satisfied: Vec<usize> = open.iter().copied().filter(|t| demands[*t] <= level(*t)).collect();
+        if satisfied.is_empty() || open.is_empty() {
             open.iter().for_each(|t| due[*t] = level(*t));
             return due;
         }
-        for t in done {
-            due[t] = asked[t];
-            left -= asked[t];
+        for t in satisfied {
+            due[t] = demands[t];
+            left -= demands[t];
             open.retain(|o| *o != t);
         }
     }
@@ -110,13 +110,13 @@
     keys: Vec<TenantKey>,
     total_weight: f64,
     rng: fastrand::Rng,
-    /// Apart, so that the same jobs come under every policy.
+    /// A separate generator for arrivals, so that the same jobs arrive under all policies.
     traffic_rng: fastrand::Rng,
     dispatchers: Vec<Dispatcher>,
-    /// The ledger that sees everything at once.
-    truth: Ledger,
+    /// A ledger in which all usage is recorded without delay.
+    reference: Ledger,
     carrier: Carrier,
-    /// Jobs that the workers of each side can still start.
+    /// The number of jobs that the workers of each side can start now.
     credit: [f64; 2],
     running: VecDeque<RunningJob>,
     outcome: Outcome,
@@ -136,7 +136,7 @@
             rng: fastrand::Rng::with_seed(seed),
             traffic_rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
             dispatchers: (0..DISPATCHERS).map(|place| Dispatcher::new(place, 0, policy, &shares)).collect(),
-            truth: Ledger::new(config(0, 0), &shares, 0).expect("settings"),
+            reference: Ledger::new(config(0, 0), &shares, 0).expect("the configuration is valid"),
             shares,
             carrier: Carrier::new(),
             credit: [0.0; 2],
@@ -166,7 +166,7 @@
         }
         self.start_jobs();
         self.answer_jobs();
-        if self.policy.is_shared_by_facts() {
+        if self.policy.exchanges_facts() {
             (0..DISPATCHERS).for_each(|from| self.publish(from));
             self.deliver();
         }
@@ -186,11 +186,12 @@
         }
     }
 
-    /// Jobs come, at dispatchers that are up.
+    /// Adds the jobs that arrive in this tick, at dispatchers that are up.
     fn add_jobs(&mut self) {
         for (t, tenant) in TENANTS.iter().enumerate() {
             let is_up = |d: &usize| self.dispatchers[*d].is_up;
-            let mut at: Vec<usize> = (0..DISPATCHERS).filter(|d| (tenant.at)(*d) && is_up(d)).collect();
+            let mut at: Vec<usize> =
+                (0..DISPATCHERS).filter(|d| (tenant.arrives_at)(*d) && is_up(d)).collect();
             if at.is_empty() {
                 at.push((0..DISPATCHERS).find(is_up).unwrap_or(0));
             }
@@ -223,12 +224,13 @@
                 JobValue { fraction: 1.0, tier: Tier::Within }
             }
             Policy::QuotaByNode => JobValue { fraction: OVER_QUOTA_WEIGHT, tier: Tier::Over },
-            Policy::OneLedger => self.truth.job_value(key, 0, JOB, self.now),
-            Policy::FairShare | Policy::Mutated => at.ledger.job_value(key, 0, JOB, self.now),
+            Policy::OneLedger => self.reference.job_value(key, 0, JOB_VALUE, self.now),
+            Policy::FairShare | Policy::Mutated => at.ledger.job_value(key, 0, JOB_VALUE, self.now),
         }
     }
 
-    /// Workers take the weightiest jobs, of these the oldest; in a cut each side has half of the workers.
+    /// Starts the waiting jobs with the greatest weight, and of these the oldest. During a partition each side has half of the
+    /// workers.
     fn start_jobs(&mut self) {
         let sides: &[&[usize]] = if self.scenario.is_cut(self.second) {
             &[&[0, 1, 2, 3, 4, 5], &[6, 7, 8, 9, 10, 11]]
@@ -261,15 +263,18 @@
         self.running.push_back(RunningJob { answered_at, dispatcher, epoch, tenant: job.tenant });
     }
 
-    /// Jobs are answered, and count from then on.
+    /// Ends the jobs whose final response is due, and records their usage.
     fn answer_jobs(&mut self) {
         while self.running.front().is_some_and(|job| job.answered_at <= self.tick) {
             let Some(job) = self.running.pop_front() else { return };
-            let (key, used) = (self.keys[job.tenant], Usage { value: JOB, work: 10 });
-            self.truth.record(self.now, self.now, key, 0, used).expect("recorded");
+            let (key, used) = (self.keys[job.tenant], Usage { value: JOB_VALUE, work: 10 });
+            self.reference.record(self.now, self.now, key, 0, used).expect("the current time is accepted");
             let dispatcher = &mut self.dispatchers[job.dispatcher];
             if dispatcher.is_up && dispatcher.epoch == job.epoch {
-                dispatcher.ledger.record(self.now, self.now, key, 0, used).expect("recorded");
+                dispatcher
+                    .ledger
+                    .record(self.now, self.now, key, 0, used)
+                    .expect("the current time is accepted");
             }
         }
     }
@@ -278,7 +283,7 @@
         !self.scenario.is_cut(self.second) || west(a) == west(b)
     }
 
-    /// A dispatcher's new facts go out, and it asks another one for what that holds later.
+    /// Sends the new facts of a dispatcher to all others, and starts an anti-entropy exchange if one is due.
     fn publish(&mut self, from: usize) {
         let late = self.scenario.lateness(from, self.second);
         while let Some(fact) = self.next_fact(from) {
@@ -293,7 +298,7 @@
                 }
             }
         }
-        // Anti-entropy: twice a second each asks one other for what it holds later.
+        // Anti-entropy: twice per second, each dispatcher gets missing facts from a random other one.
         let other = self.rng.usize(0..DISPATCHERS);
         let is_due = self.tick % (TICKS_PER_SECOND / 2) == 0 && other != from;
         let are_up = self.dispatchers[from].is_up && self.dispatchers[other].is_up;
@@ -322,7 +327,7 @@
             }
             self.carrier.hold_received(&delivery);
             let fact = &delivery.fact;
-            // Refusals of the late are counted by the ledger.
+            // The result is ignored: the ledger counts refused facts.
             let ledger = &mut self.dispatchers[delivery.to].ledger;
             let _ = ledger.absorb(self.now, fact.origin, fact.slot, fact.number, &fact.bytes);
         }
@@ -333,12 +338,12 @@
         let known = |ledger: &mut Ledger| -> Vec<Usage> {
             keys.iter().map(|k| ledger.known_usage(*k, end)).collect()
         };
-        let truth = known(&mut self.truth);
+        let reference = known(&mut self.reference);
         let views: Vec<Vec<Usage>> = self.dispatchers.iter_mut().map(|d| known(&mut d.ledger)).collect();
         Outcome {
             bytes_carried: self.carrier.bytes,
             is_agreed: views.iter().all(|view| *view == views[0]),
-            is_exact: views.iter().all(|view| *view == truth),
+            is_exact: views.iter().all(|view| *view == reference),
             broken_invariants: self.dispatchers.iter().map(|d| d.ledger.metrics().broken).sum(),
             ..self.outcome
         }
