--- a/crates/fairshare/tests/ledger/extrapolation.rs
+++ b/crates/fairshare/tests/ledger/extrapolation.rs
@@ -25,7 +25,7 @@
     let mut late = fleet.members[1].published.clone();
     late.reverse();
     let now = fleet.now;
-    late.iter().for_each(|f| f.to(&mut fleet.members[0].ledger, now).unwrap_or(()));
+    late.iter().for_each(|f| f.absorb_into(&mut fleet.members[0].ledger, now).unwrap_or(()));
     let [low, likely, high] = fleet.rates(0, "a");
     assert!(is_near(low, 400.0) && is_near(likely, 400.0) && is_near(high, 400.0), "{low} {likely} {high}");
     // It ends without a further report: after the maximum extrapolation and the horizon, none of its usage is left.
@@ -48,7 +48,7 @@
         let now = fleet.now;
         fleet.members[1].serve(now, "a", 50);
         for fact in fleet.members[1].publish(now).iter().filter(|f| f.slot == 0) {
-            fact.to(&mut fleet.members[0].ledger, now).unwrap();
+            fact.absorb_into(&mut fleet.members[0].ledger, now).unwrap();
         }
     }
     assert!(fleet.members[0].ledger.metrics().gaps >= 4);
--- a/crates/fairshare/tests/ledger/merging.rs
+++ b/crates/fairshare/tests/ledger/merging.rs
@@ -16,10 +16,10 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let of = || (0..3usize, 0..5usize, 1..200_000u64, 0..20u64);
+    let operation = || (0..3usize, 0..5usize, 1..200_000u64, 0..20u64);
     let step = prop_oneof![
-        6 => of().prop_map(|(member, tenant, amount, ago)| Step::Serve { member, tenant, amount, ago }),
-        2 => of().prop_map(|(member, tenant, amount, ago)| Step::Correct { member, tenant, amount, ago }),
+        6 => operation().prop_map(|(member, tenant, amount, ago)| Step::Serve { member, tenant, amount, ago }),
+        2 => operation().prop_map(|(member, tenant, amount, ago)| Step::Correct { member, tenant, amount, ago }),
         1 => (0..3usize).prop_map(|member| Step::Restart { member }),
         3 => (1..3_000u64).prop_map(Step::Wait),
     ];
@@ -39,7 +39,7 @@
 impl History {
     fn new(shares: Shares) -> History {
         let now = 60 * SECOND;
-        let members = (0..3).map(|me| Publisher::new(config(me), &shares, now)).collect();
+        let members = (0..3).map(|place| Publisher::new(config(place), &shares, now)).collect();
         History { shares, now, members, facts: Vec::new(), actual: HashMap::new() }
     }
 
@@ -100,7 +100,7 @@
 fn absorb_all(facts: Vec<Fact>, shares: &Shares, now: u64) -> LedgerState {
     let mut ledger = ledger(7, shares);
     for fact in facts {
-        assert_eq!(fact.to(&mut ledger, now), Ok(()));
+        assert_eq!(fact.absorb_into(&mut ledger, now), Ok(()));
     }
     let known = NAMES.map(|name| ledger.known_usage(key(name), now));
     let later = now + 5 * SECOND;
--- a/crates/fairshare/tests/ledger/pages.rs
+++ b/crates/fairshare/tests/ledger/pages.rs
@@ -18,7 +18,7 @@
         now += SECOND / 2;
         for fact in publisher.publish(now) {
             slots.insert(fact.slot);
-            fact.to(&mut reader, now).unwrap();
+            fact.absorb_into(&mut reader, now).unwrap();
         }
     }
     assert!(slots.iter().all(|slot| *slot < 2_305), "{slots:?}");
--- a/crates/fairshare/tests/ledger/refusals.rs
+++ b/crates/fairshare/tests/ledger/refusals.rs
@@ -73,7 +73,7 @@
         (121 * SECOND, with(&|f| f.number = 10), Err(AbsorbError::Late)),
     ];
     for (n, (now, fact, expected)) in rows.iter().enumerate() {
-        assert_eq!(fact.to(&mut ledger, *now), *expected, "row {n}");
+        assert_eq!(fact.absorb_into(&mut ledger, *now), *expected, "row {n}");
     }
 }
 
@@ -84,7 +84,7 @@
     let behind = |by: u64| Config { unix_at_zero: UNIX_AT_ZERO - by * SECOND, ..config(6) };
     for (by, expected) in [(5, Ok(())), (20, Err(AbsorbError::Future))] {
         let mut behind = Ledger::new(behind(by), &shares, 0).unwrap();
-        assert_eq!(page.to(&mut behind, SECOND), expected, "{by} s behind");
+        assert_eq!(page.absorb_into(&mut behind, SECOND), expected, "{by} s behind");
         assert_eq!(behind.metrics().future, u64::from(expected.is_err()));
     }
 }
@@ -98,9 +98,12 @@
     for epoch in [3, 12, 4, 9, 10, 5, 8, 7, 6, 11] {
         let fact = changed(&page, |f| f.origin.epoch = UNIX_AT_ZERO / 1000 - 100 + epoch);
         let expected = if epoch == 3 || epoch >= 4 { Ok(()) } else { Err(AbsorbError::Epoch) };
-        assert_eq!(fact.to(&mut ledger, SECOND), expected, "epoch {epoch}");
+        assert_eq!(fact.absorb_into(&mut ledger, SECOND), expected, "epoch {epoch}");
     }
-    assert_eq!(changed(&page, |f| f.origin.epoch = 1).to(&mut ledger, SECOND), Err(AbsorbError::Epoch));
+    assert_eq!(
+        changed(&page, |f| f.origin.epoch = 1).absorb_into(&mut ledger, SECOND),
+        Err(AbsorbError::Epoch)
+    );
     assert_eq!(ledger.metrics().members, 8);
     let expected = decayed(&[(SECOND, 8 * 5)], SECOND);
     assert_eq!(ledger.known_usage(key("a"), 0).value, expected as u64);
--- a/crates/fairshare/tests/ledger/support.rs
+++ b/crates/fairshare/tests/ledger/support.rs
@@ -43,7 +43,7 @@
 }
 
 impl Fact {
-    pub fn to(&self, ledger: &mut Ledger, now: u64) -> Result<(), AbsorbError> {
+    pub fn absorb_into(&self, ledger: &mut Ledger, now: u64) -> Result<(), AbsorbError> {
         ledger.absorb(now, self.origin, self.slot, self.number, &self.bytes)
     }
 }
@@ -85,7 +85,7 @@
 pub fn decayed(uses: &[(u64, i64)], now: u64) -> f64 {
     let Config { bucket_width: bucket, half_life, .. } = Config::default();
     let bucket_start = |at: u64| ((UNIX_AT_ZERO + at) / bucket * bucket) as f64;
-    let now = ((UNIX_AT_ZERO + now) / (bucket / 16) * (bucket / 16)) as f64; // the resolution of the current time is 1/16 of a bucket
+    let now = ((UNIX_AT_ZERO + now) / (bucket / 16) * (bucket / 16)) as f64; // in steps of 1/16 of a bucket
     let age = |at: u64| (now - bucket_start(at)) / (bucket * u64::from(half_life)) as f64;
     uses.iter().map(|(at, amount)| *amount as f64 * (-age(*at)).exp2()).sum()
 }
@@ -98,7 +98,10 @@
 
 impl Fleet {
     pub fn new(members: u16, shares: &Shares) -> Fleet {
-        Fleet { members: (0..members).map(|me| Publisher::new(config(me), shares, 0)).collect(), now: 0 }
+        Fleet {
+            members: (0..members).map(|place| Publisher::new(config(place), shares, 0)).collect(),
+            now: 0,
+        }
     }
 
     /// Runs the fleet for a number of seconds. `rates` has the member, the tenant and the value per second;
@@ -117,7 +120,7 @@
             for from in 0..self.members.len() {
                 let facts = self.members[from].publish(self.now);
                 for to in (0..self.members.len()).filter(|to| *to != from && is_delivered(from, *to)) {
-                    facts.iter().for_each(|f| f.to(&mut self.members[to].ledger, self.now).unwrap());
+                    facts.iter().for_each(|f| f.absorb_into(&mut self.members[to].ledger, self.now).unwrap());
                 }
             }
         }
--- a/crates/fairshare/tests/ledger/valuation.rs
+++ b/crates/fairshare/tests/ledger/valuation.rs
@@ -42,7 +42,7 @@
     // After the partition heals, a is beyond its share and pays back: jobs within its reduced pace still have full value.
     for (from, to) in [(0, 1), (1, 0)] {
         let (published, now) = (fleet.members[from].published.clone(), fleet.now);
-        published.iter().for_each(|f| f.to(&mut fleet.members[to].ledger, now).unwrap_or(()));
+        published.iter().for_each(|f| f.absorb_into(&mut fleet.members[to].ledger, now).unwrap_or(()));
     }
     assert!(first_and_last(&mut fleet, 0, "a").1.tier >= Tier::Lent);
     fleet.run(2, &[], |_, _| true);
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -5,11 +5,11 @@
 
 /// Facts with a distinct number each, so that two facts with the same stamp never differ.
 fn records_of(seed: &[(u8, u8, u8, u16)]) -> Vec<FactRecord> {
-    let to_record = |(n, (place, epoch, slot, wide)): (usize, &(u8, u8, u8, u16))| {
-        let slot = if wide % 4 == 0 { 0 } else { u32::from(*slot % 8) };
+    let to_record = |(n, (place, epoch, slot, noise)): (usize, &(u8, u8, u8, u16))| {
+        let slot = if noise % 4 == 0 { 0 } else { u32::from(*slot % 8) };
         let stamp = Stamp { epoch: u64::from(epoch % 3), number: n as u64 };
         let key = FactKey { kind: slot as u8 % 2, slot };
-        FactRecord { place: u16::from(place % 3), key, stamp, bytes: vec![*place, *wide as u8] }
+        FactRecord { place: u16::from(place % 3), key, stamp, bytes: vec![*place, *noise as u8] }
     };
     seed.iter().enumerate().map(to_record).collect()
 }
--- a/crates/membership/src/member/records.rs
+++ b/crates/membership/src/member/records.rs
@@ -9,8 +9,8 @@
 use mothproxy_invariant::invariant;
 
 impl Membership {
-    /// Handles a record about a place. The record was received from the member `from`, or follows from the fact that `from`
-    /// sent a datagram and so is alive.
+    /// Handles a record about a place. The record was received from the member `from`, or stands for a datagram of `from`, which
+    /// proves that `from` is alive.
     pub(super) fn on_state_record(&mut self, from: u16, record: &StateRecord) {
         let StateRecord { place, state, version, ref accusers } = *record;
         if place == self.config.place {
--- a/crates/membership/src/simulation/scenarios/failures.rs
+++ b/crates/membership/src/simulation/scenarios/failures.rs
@@ -42,10 +42,11 @@
     });
     let mut report = Report::default();
     let times = || runs.iter().flat_map(|run| run.detected_after.iter().copied());
-    let last = runs.iter().filter_map(|run| run.detected_after.iter().copied().reduce(f64::max));
+    let last_detected_after =
+        runs.iter().filter_map(|run| run.detected_after.iter().copied().reduce(f64::max));
     report.record_quantile(format!("detect_p50_s_{members}"), 0.5, times());
     report.record_quantile(format!("detect_p99_s_{members}"), 0.99, times());
-    report.record_quantile(format!("detect_all_p50_s_{members}"), 0.5, last);
+    report.record_quantile(format!("detect_all_p50_s_{members}"), 0.5, last_detected_after);
     report.record_mean(format!("bytes_a_second_{members}"), runs.iter().map(|run| run.bytes_per_second));
     report.check(
         runs.iter().all(|run| run.missed == 0),
@@ -59,10 +60,14 @@
 }
 
 struct MassKillRun {
+    /// Whether all views agreed within 120 s of the kill.
     is_detected: bool,
+    /// The time from the kill until all views agreed, in seconds.
     all_detected_after: f64,
     false_deaths: usize,
+    /// Whether all views agreed within 60 s of the restart.
     is_restart_detected: bool,
+    /// The time from the restart until all views agreed, in seconds.
     restart_detected_after: f64,
 }
 
@@ -111,8 +116,11 @@
 }
 
 struct PauseRun {
+    /// Whether the paused member was dead in all other views at the end of the pause.
     is_detected: bool,
+    /// Whether all views agreed within 60 s of the end of the pause, and still agreed at the end of the run.
     has_agreement: bool,
+    /// The time from the end of the pause until all views agreed, in seconds.
     agreed_after: f64,
     /// The number of deaths that the paused member declared.
     own_deaths: usize,
--- a/crates/membership/src/simulation/scenarios/network_faults.rs
+++ b/crates/membership/src/simulation/scenarios/network_faults.rs
@@ -6,7 +6,9 @@
 
 struct LossRun {
     false_deaths: usize,
+    /// The number of refutations by all members.
     refuted: u64,
+    /// Whether all views agreed 20 s after the end of the loss.
     has_agreement: bool,
 }
 
@@ -54,12 +56,16 @@
     is_partition_detected: bool,
     /// The number of times that a member declared a member of its own side dead.
     deaths_within_sides: usize,
+    /// Whether all views agreed within 60 s of the end of the partition.
     has_agreed: bool,
+    /// The time from the end of the partition until all views agreed, in seconds.
     agreed_after: f64,
+    /// The number of deaths that were declared after the end of the partition.
     deaths_after_heal: usize,
     /// How often a member became alive again in the view of a member of another side, per pair of such members; 1 if no
     /// state flaps.
     returns_per_pair: f64,
+    /// Whether all views agreed at the end of the run.
     is_agreed_at_end: bool,
 }
 
@@ -127,10 +133,13 @@
 struct OneWayRun {
     /// The number of deaths while datagrams were lost in one direction between two members.
     deaths_by_pair_fault: usize,
+    /// Whether the member that received no datagrams was dead in all other views.
     is_victim_detected: bool,
     /// The number of deaths of other members while one member received no datagrams.
     deaths_of_others: usize,
+    /// Whether all views agreed within 60 s of the end of the faults.
     has_agreed: bool,
+    /// The time from the end of the faults until all views agreed, in seconds.
     agreed_after: f64,
 }
 
--- a/crates/membership/src/simulation/scenarios/publishing.rs
+++ b/crates/membership/src/simulation/scenarios/publishing.rs
@@ -10,6 +10,7 @@
 const KIND: u8 = 1;
 
 struct FactsRun {
+    /// The mean sending rate of a member, in bytes per second.
     bytes_per_second: f64,
     /// The time from the last publication until all members hold the same facts, in seconds; infinite if it exceeds 60 s.
     converged_after: f64,
@@ -85,10 +86,12 @@
 }
 
 struct FloodRun {
+    /// The mean sending rate of a member during the publications, in bytes per second.
     bytes_per_second: f64,
     /// The time from the last publication until all members hold the last fact of each slot, or until the end of the run, in
     /// seconds.
     ended_after: f64,
+    /// Whether all members hold the last fact of each slot at the end of the run.
     has_converged: bool,
     false_deaths: usize,
 }
--- a/crates/membership/src/simulation/scenarios/startup.rs
+++ b/crates/membership/src/simulation/scenarios/startup.rs
@@ -5,7 +5,9 @@
 use crate::simulation::{Network, SECOND, Start};
 
 struct ColdStartRun {
+    /// Whether all views agreed within 60 s.
     has_agreed: bool,
+    /// The time until all views agreed, in seconds.
     agreed_after: f64,
     /// The maximum number of bytes that one member sent in a second.
     peak_bytes: u64,
@@ -53,11 +55,15 @@
 }
 
 struct LifecycleRun {
+    /// Whether all views agreed within 30 s of the restart.
     is_restart_known: bool,
+    /// The time from the restart until all views agreed, in seconds.
     restart_known_after: f64,
+    /// The number of garbage datagrams that were refused.
     garbage_refused: u64,
     /// The number of changes of any view while the garbage arrived.
     changes_by_garbage: usize,
+    /// Whether the member that left had done so in all views 30 s later.
     is_leave_known: bool,
     false_deaths: usize,
 }
