--- a/crates/fairshare/tests/ledger/extrapolation.rs
+++ b/crates/fairshare/tests/ledger/extrapolation.rs
@@ -21,14 +21,14 @@
         assert!(low < likely * 0.95 && high > last, "{low} {high} after {last}");
         last = high;
     }
-    // All facts that it has published arrive at once, the latest first.
+    // All facts that member 1 has published arrive at once, the latest first.
     let mut late = fleet.members[1].published.clone();
     late.reverse();
     let now = fleet.now;
     late.iter().for_each(|f| f.absorb_into(&mut fleet.members[0].ledger, now).unwrap_or(()));
     let [low, likely, high] = fleet.rates(0, "a");
     assert!(is_near(low, 400.0) && is_near(likely, 400.0) && is_near(high, 400.0), "{low} {likely} {high}");
-    // It ends without a further report: after the maximum extrapolation and the horizon, none of its usage is left.
+    // Member 1 ends without a further report: after the maximum extrapolation and the horizon, none of its usage is left.
     fleet.run(60, &rates[..1], |from, _| from != 1);
     assert!(fleet.rates(0, "a")[1] > 250.0, "not extrapolated any longer after 60 s");
     fleet.run(190, &rates[..1], |from, _| from != 1);
