--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,5 +1,5 @@
-//! `cargo bench -p mothproxy-store`: the parts of the store that do not wait for a disk. What waits is measured by
-//! `mothproxy store bench`, beside the same bytes by hand.
+//! `cargo bench -p mothproxy-store`: the parts of the store that do not wait for a disk. `mothproxy store bench` measures
+//! those that do, and compares them with plain writes of the same bytes.
 
 #![allow(missing_docs, reason = "the function that criterion_group! makes has no doc comment")]
 
--- a/crates/store/src/active_segment.rs
+++ b/crates/store/src/active_segment.rs
@@ -12,8 +12,8 @@
 
 /// The maximum number of zeros that are written ahead at a time, in bytes.
 const MAX_ZEROS_AHEAD: u64 = 512 << 10;
-/// The zeros written ahead are at most one in this many bytes of the size of a segment.
-const ZEROS_PART: u32 = 8;
+/// The zeros that are written ahead at a time are at most the size of a segment divided by this.
+const ZEROS_AHEAD_DIVISOR: u32 = 8;
 
 /// Frames that are encoded for a certain offset of the segment.
 pub(crate) struct EncodedFrames {
@@ -64,7 +64,7 @@
         self.durable_len
     }
 
-    /// Whether this many bytes fit into a segment of `max_len`. Any number fits into an empty segment.
+    /// Whether this many bytes fit into a segment of at most `max_len` bytes. An empty segment has room for any number.
     pub fn has_room_for(&self, bytes: usize, max_len: u32) -> bool {
         let is_empty = self.len <= HEADER_LEN as u64;
         is_empty || self.len + bytes as u64 <= u64::from(max_len)
@@ -110,7 +110,7 @@
         if end <= self.zeroed_len {
             return;
         }
-        let step = u64::from(segment_bytes / ZEROS_PART).min(MAX_ZEROS_AHEAD);
+        let step = u64::from(segment_bytes / ZEROS_AHEAD_DIVISOR).min(MAX_ZEROS_AHEAD);
         let ahead = (end + step).min(u64::from(segment_bytes)).max(end);
         let zeros = vec![0; (ahead - end) as usize];
         // If there is no space for them, the segment continues without zeros.
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -40,7 +40,7 @@
     pub(crate) next_seq: u64,
 }
 
-/// A merged segment that is complete and durable, under the name of an unfinished file.
+/// A merged segment that is complete and durable, but still has the name of an unfinished file.
 pub struct MergedSegment {
     pub(crate) run: Arc<Run>,
     pub(crate) unfinished_name: String,
@@ -69,7 +69,7 @@
         set: SegmentSet,
         last_number: Option<u64>,
     ) -> Option<SegmentSelection> {
-        // Damaged regions between the runs belong to damaged segments, which are merged only all together.
+        // Damaged regions between the runs belong to damaged segments, which are merged only in a compaction of all segments.
         let runs: Vec<Arc<Run>> = runs(&view.layers).cloned().collect();
         let names = segment_names(&runs);
         let is_selected = |run: &&Arc<Run>| names[range.clone()].contains(&run.segment.name);
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -63,7 +63,7 @@
     Shared,
 }
 
-/// Keeps a directory locked for as long as it lives.
+/// A lock on a directory, which is held until this is dropped.
 pub type DirectoryLock = Box<dyn Any + Send + Sync>;
 
 /// One directory of files.
@@ -127,7 +127,7 @@
     dir: PathBuf,
 }
 
-/// The name of the file whose lock stands for the directory.
+/// The name of the file that is locked in place of the directory.
 const LOCK_FILE: &str = "LOCK";
 
 impl RealDisk {
@@ -256,7 +256,7 @@
     Ok(())
 }
 
-/// Reads a range, repeating short and interrupted reads. The result is shorter than `len` if the file ends before.
+/// Reads a range, repeating short and interrupted reads. The result is shorter than `len` if the file ends earlier.
 pub(crate) fn read_range(file: &dyn DiskFile, offset: u64, len: usize) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; len];
     let mut at = 0;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A system call failed.
-    #[error("{what} {file}: {source}")]
+    #[error("{operation} {file}: {source}")]
     Io {
-        /// The operation.
-        what: &'static str,
-        /// The file or directory.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The name of the file or directory.
         file: String,
         /// The error of the system call.
         source: io::Error,
@@ -22,7 +22,7 @@
     /// The file was written by a version that this one cannot read.
     #[error("{file}: format version {found}; this program reads version {known}")]
     Version {
-        /// The file.
+        /// The name of the file.
         file: String,
         /// The version of the file.
         found: u16,
@@ -32,7 +32,7 @@
     /// A record is damaged.
     #[error("{file}: the record at offset {offset} is damaged")]
     Damaged {
-        /// The file.
+        /// The name of the file.
         file: String,
         /// The offset of the record, in bytes.
         offset: u64,
@@ -40,7 +40,7 @@
     /// Damage may hide a newer value of this key, so older values are not returned.
     #[error("{file}: damage at offset {offset} may hide a newer value of this key")]
     InDoubt {
-        /// The file.
+        /// The name of the file.
         file: String,
         /// The offset of the damage, in bytes.
         offset: u64,
@@ -48,17 +48,17 @@
     /// A key, value or batch is out of bounds.
     #[error("{0}")]
     Invalid(#[from] BatchError),
-    /// The disk failed. Each further write tries it again. All batches of a group share the error.
+    /// The disk failed. Each further write tries the disk again. All batches of a group share the error.
     #[error("the disk failed: {0}")]
     Failing(#[source] Arc<StoreError>),
     /// The queue of batches would exceed [`crate::Options::max_queued_bytes`].
-    #[error("the disk failed: too many writes wait for the disk")]
+    #[error("the write queue is full: too many writes wait for the disk")]
     QueueFull,
     /// The store was closed.
     #[error("the store is closed")]
     Closed,
-    /// The store is damaged, and the call would hide that. Holds the number of damaged places.
-    #[error("the store is damaged ({0} places); see `verify`")]
+    /// The store is damaged, and the call would hide the damage. The field is the number of damaged places.
+    #[error("the store is damaged in {0} places; `verify` lists them")]
     NeedsRepair(usize),
 }
 
@@ -69,17 +69,20 @@
     #[error("a key is empty")]
     EmptyKey,
     /// A key is longer than [`crate::MAX_KEY`].
-    #[error("a key has {0} bytes, {max} at most", max = crate::MAX_KEY)]
+    #[error("a key has {0} bytes; the maximum is {max}", max = crate::MAX_KEY)]
     KeyTooLong(usize),
     /// A value is longer than [`crate::MAX_VALUE`].
-    #[error("a value has {0} bytes, {max} at most", max = crate::MAX_VALUE)]
+    #[error("a value has {0} bytes; the maximum is {max}", max = crate::MAX_VALUE)]
     ValueTooLong(usize),
     /// The batch is larger than [`crate::MAX_BATCH`].
-    #[error("a batch has {0} bytes, {max} at most", max = crate::MAX_BATCH)]
+    #[error("a batch has {0} bytes; the maximum is {max}", max = crate::MAX_BATCH)]
     BatchTooLarge(usize),
 }
 
 /// Returns a function that adds the operation and the file to an I/O error.
-pub(crate) fn io_error<'a>(what: &'static str, file: &'a str) -> impl FnOnce(io::Error) -> StoreError + 'a {
-    move |source| StoreError::Io { what, file: file.to_owned(), source }
+pub(crate) fn io_error<'a>(
+    operation: &'static str,
+    file: &'a str,
+) -> impl FnOnce(io::Error) -> StoreError + 'a {
+    move |source| StoreError::Io { operation, file: file.to_owned(), source }
 }
--- a/crates/store/src/format/footer.rs
+++ b/crates/store/src/format/footer.rs
@@ -11,10 +11,10 @@
 pub const FOOTER_HEAD_LEN: usize = 16;
 /// The length of the trailer after the entries of a footer, in bytes.
 pub const TRAILER_LEN: usize = 44;
-/// The offset of the checksum in a trailer.
+/// The offset of the checksum in a trailer, in bytes.
 const TRAILER_CRC_AT: usize = 36;
 /// The last bytes of a sealed segment. They are not zeros, since an interrupted footer may be followed by zeros.
-const END: [u8; 4] = [0xa5; 4];
+const END_MARKER: [u8; 4] = [0xa5; 4];
 
 const FLAG_TOMBSTONE: u64 = 1;
 const FLAG_EXPIRES: u64 = 2;
@@ -73,7 +73,7 @@
     out.extend(sum.to_le_bytes());
     let trailer_sum = crc(&[&salt.to_le_bytes(), &out[tail..]]);
     out.extend(trailer_sum.to_le_bytes());
-    out.extend(END);
+    out.extend(END_MARKER);
     out
 }
 
@@ -109,10 +109,10 @@
 /// The description of the entries in the head of a footer that begins at an offset; `None` if there is no intact head.
 pub(super) fn footer_head(bytes: &[u8], salt: u64, offset: usize) -> Option<EntriesInfo> {
     let head = bytes.get(offset..offset + FOOTER_HEAD_LEN)?;
-    let is_sound =
+    let is_intact =
         u32_at(head, 0)? == FOOTER_MAGIC && u32_at(head, 12)? == crc_at(&head[..12], salt, offset as u64);
     let info = EntriesInfo { len: u32_at(head, 4)?, crc: u32_at(head, 8)? };
-    is_sound.then_some(info)
+    is_intact.then_some(info)
 }
 
 /// The length of the footer that begins at an offset, in bytes; `None` if there is no intact head.
@@ -123,9 +123,9 @@
 /// Decodes the trailer at the end of a segment: its fields, and the description of the entries.
 pub fn decode_trailer(tail: &[u8], salt: u64) -> Option<(Trailer, EntriesInfo)> {
     let tail = &tail[tail.len().checked_sub(TRAILER_LEN)?..];
-    let is_sound = u32_at(tail, 0)? == TRAILER_MAGIC
+    let is_intact = u32_at(tail, 0)? == TRAILER_MAGIC
         && u32_at(tail, TRAILER_CRC_AT)? == crc(&[&salt.to_le_bytes(), &tail[..TRAILER_CRC_AT]])
-        && tail[TRAILER_CRC_AT + 4..] == END;
+        && tail[TRAILER_CRC_AT + 4..] == END_MARKER;
     let trailer = Trailer {
         data_end: u64::from(u32_at(tail, 4)?),
         count: u32_at(tail, 8)?,
@@ -133,7 +133,7 @@
         sealed_at: u64_at(tail, 24)?,
     };
     let entries = EntriesInfo { len: u32_at(tail, 12)?, crc: u32_at(tail, 32)? };
-    is_sound.then_some((trailer, entries))
+    is_intact.then_some((trailer, entries))
 }
 
 /// Decodes the entries of a footer and calls `each` with them, in order of keys. Returns `None` if they do not match the
--- a/crates/store/src/format/frame.rs
+++ b/crates/store/src/format/frame.rs
@@ -9,7 +9,7 @@
 pub(super) const FRAME_MAGIC: u32 = 0x4d46_5241;
 /// The length of the head of a frame, in bytes.
 pub const FRAME_HEAD_LEN: usize = 40;
-/// A frame repeats the fingerprints of the preceding frame if that has at most this many keys.
+/// A frame repeats the fingerprints of the preceding frame if that frame has at most this many keys.
 pub const MAX_FINGERPRINTS: usize = 1024;
 /// The maximum length of a varint, in bytes.
 const MAX_VARINT_LEN: usize = 10;
@@ -93,7 +93,7 @@
 /// The head of a frame that begins at an offset; `None` if it is not intact.
 fn decode_head(bytes: &[u8], salt: u64, offset: usize) -> Option<FrameHead> {
     let head = bytes.get(offset..offset + FRAME_HEAD_LEN)?;
-    let is_sound =
+    let is_intact =
         u32_at(head, 0)? == FRAME_MAGIC && u32_at(head, 4)? == crc_at(&head[8..], salt, offset as u64);
     let fields = FrameHead {
         body_len: u32_at(head, 8)?,
@@ -103,7 +103,7 @@
         written_at: u64_at(head, 28)?,
         count: u32_at(head, 36)?,
     };
-    is_sound.then_some(fields)
+    is_intact.then_some(fields)
 }
 
 /// What begins at an offset of a segment.
@@ -134,7 +134,7 @@
 
 /// The offset of the next intact head of a frame, or of a footer, at or after `from`.
 pub fn resync(bytes: &[u8], salt: u64, from: usize) -> Option<usize> {
-    // Skip the zeros that were written ahead at once. A magic number may begin in the last three of them.
+    // Skip all zeros that were written ahead in one step. A magic number may begin in the last three of them.
     let zeros = bytes.get(from..)?.iter().position(|byte| *byte != 0)?;
     let from = from + zeros.saturating_sub(3);
     let magics = [FRAME_MAGIC.to_le_bytes(), super::footer::FOOTER_MAGIC.to_le_bytes()];
--- a/crates/store/src/format/header.rs
+++ b/crates/store/src/format/header.rs
@@ -8,7 +8,7 @@
 const HEADER_COPY_LEN: usize = 64;
 /// The length of the header, in bytes; the frames of a segment follow it.
 pub const HEADER_LEN: usize = 2 * HEADER_COPY_LEN;
-/// The offset of the checksum in a copy.
+/// The offset of the checksum in a copy, in bytes.
 const CRC_AT: usize = 56;
 
 /// The range of numbers that a segment covers. A merged segment covers the numbers of all segments that it replaces.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub numbers: SegmentNumbers,
-    /// Part of all checksums of the segment, so that the bytes of a value cannot be mistaken for a frame.
+    /// A number that all checksums of the segment cover, so that the bytes of a value cannot be mistaken for a frame.
     pub salt: u64,
     /// The valid length of the preceding segment, in bytes. Bytes after it were never acknowledged.
     pub previous_len: u64,
@@ -88,7 +88,7 @@
 
     /// Decodes one copy: the header and its version; `None` if the copy is not intact.
     fn decode_copy(copy: &[u8]) -> Option<(Header, u16)> {
-        let is_whole = copy[..MAGIC.len()] == MAGIC
+        let is_intact = copy[..MAGIC.len()] == MAGIC
             && u32_at(copy, CRC_AT)? == crc(&[&copy[..CRC_AT]])
             && copy[CRC_AT + 4..] == [0; 4];
         let field = |index: usize| u64_at(copy, 16 + 8 * index);
@@ -99,6 +99,6 @@
             first_seq: field(4)?,
             is_merged: copy[10] != 0,
         };
-        is_whole.then_some((header, u16_at(copy, 8)?))
+        is_intact.then_some((header, u16_at(copy, 8)?))
     }
 }
--- a/crates/store/src/format/record.rs
+++ b/crates/store/src/format/record.rs
@@ -147,15 +147,15 @@
 }
 
 impl Record<'_> {
-    /// Whether the checksum of the record is right.
-    pub fn is_sound(&self, salt: u64) -> bool {
+    /// Whether the checksum of the record is valid.
+    pub fn has_valid_checksum(&self, salt: u64) -> bool {
         let (bytes, sum) = self.checked;
         sum == crc(&[&salt.to_le_bytes(), bytes])
     }
 }
 
 /// Decodes the record at the start of these bytes; `None` if it is malformed. The checksum is not checked: see
-/// [`Record::is_sound`].
+/// [`Record::has_valid_checksum`].
 pub fn decode_record(bytes: &[u8]) -> Option<Record<'_>> {
     let (flags, mut at) = (*bytes.first()?, 1);
     if flags & !(FLAG_TOMBSTONE | FLAG_EXPIRES) != 0 {
--- a/crates/store/src/index/run.rs
+++ b/crates/store/src/index/run.rs
@@ -73,7 +73,7 @@
     pub segment: Arc<Segment>,
     keys: Vec<u8>,
     slots: Vec<Slot>,
-    /// The length of the segment's file in bytes.
+    /// The length of the segment's file, in bytes.
     pub file_len: u64,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl RunBuilder {
-    /// A builder with capacity for this many entries, and bytes of keys.
+    /// A builder with capacity for this many entries, and this many bytes of keys.
     pub fn with_capacity(entries: usize, key_bytes: usize) -> RunBuilder {
         RunBuilder { keys: Vec::with_capacity(key_bytes), slots: Vec::with_capacity(entries) }
     }
--- a/crates/store/src/index/view.rs
+++ b/crates/store/src/index/view.rs
@@ -14,7 +14,7 @@
 /// A damaged region of the log that may hide newer values than the layers below it.
 #[derive(Debug)]
 pub struct DamagedRegion {
-    /// The file.
+    /// The name of the file.
     pub file: String,
     /// The offset of the damage, in bytes.
     pub offset: u64,
@@ -84,7 +84,7 @@
         let bytes = read_range(&*self.segment.file, offset, self.location.len as usize)
             .map_err(io_error("cannot read", &self.segment.name))?;
         let record = format::decode_record(&bytes);
-        let record = record.filter(|record| record.is_sound(self.segment.salt));
+        let record = record.filter(|record| record.has_valid_checksum(self.segment.salt));
         match record.filter(|record| record.key == key && record.len == bytes.len()) {
             Some(record) => Ok(record.value.map(<[u8]>::to_vec)),
             None => Err(self.segment.damaged(offset)),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! An embedded, ordered key-value store in one directory.
 //!
 //! The store is log-structured: a segmented log on disk, and sorted runs of keys in memory. It has atomic batches,
-//! tombstones, time to live, snapshots, compaction and recovery. It knows nothing of jobs.
+//! tombstones, time to live, snapshots, compaction and recovery. It does not interpret keys and values.
 //!
 //! Durability depends on the [`SyncMode`]. A batch for which [`Store::write`] returned `Ok` is complete after a crash. A
 //! batch for which it returned an error never takes effect once a later write has succeeded. docs/design/store.md describes
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -5,7 +5,7 @@
 pub struct Metrics {
     /// Batches acknowledged.
     pub batches: u64,
-    /// Operations in them.
+    /// Operations in the acknowledged batches.
     pub operations: u64,
     /// Groups of batches written together.
     pub groups: u64,
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -10,11 +10,11 @@
     /// Before they are acknowledged. A power cut loses no acknowledged write.
     #[default]
     Always,
-    /// At most this long after they are acknowledged. A power cut may lose the newest writes of that time. The end of the
-    /// process loses none.
+    /// At most this long after they are acknowledged. A power cut may lose the newest writes of that time. If only the
+    /// process ends, none is lost.
     Interval(Duration),
-    /// When a segment is sealed. A power cut may lose the newest writes, up to a whole segment. The end of the process loses
-    /// none.
+    /// When a segment is sealed. A power cut may lose the newest writes, up to a whole segment. If only the process ends, none
+    /// is lost.
     Never,
 }
 
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -65,11 +65,11 @@
 /// The space that a sealed segment uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SegmentUsage {
-    /// The length of its file.
+    /// The length of the segment's file, in bytes.
     pub bytes: u64,
-    /// The bytes of obsolete records.
+    /// The size of the obsolete records, in bytes.
     pub dead_bytes: u64,
-    /// Whether it is damaged, and therefore not compacted.
+    /// Whether the segment is damaged, and therefore not compacted.
     pub is_damaged: bool,
 }
 
@@ -120,14 +120,14 @@
 
 /// The first range of neighbours of similar size.
 fn small_neighbours(segments: &[SegmentUsage]) -> Option<Range<usize>> {
-    let is_alike = |window: &[SegmentUsage]| {
+    let is_mergeable = |window: &[SegmentUsage]| {
         let sizes = || window.iter().map(|segment| segment.bytes);
         let (smallest, largest) = (sizes().min().unwrap_or(0), sizes().max().unwrap_or(0));
         window.iter().all(|segment| !segment.is_damaged)
             && sizes().sum::<u64>() <= MAX_MERGED_BYTES
             && largest <= smallest.max(1) * MAX_SIZE_RATIO
     };
-    let found = segments.windows(MERGED_NEIGHBOURS).position(is_alike)?;
+    let found = segments.windows(MERGED_NEIGHBOURS).position(is_mergeable)?;
     Some(found..found + MERGED_NEIGHBOURS)
 }
 
--- a/crates/store/src/plan/tests.rs
+++ b/crates/store/src/plan/tests.rs
@@ -1,4 +1,4 @@
-//! Names, tilings and compactions by tables.
+//! Tables of cases: segment names, the choice of valid segments, and the choice of segments to compact.
 
 use super::{
     SegmentUsage, Tiling, is_unfinished_name, range_to_compact, segment_name, segment_numbers, tile,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_merged_segment_replaces_what_it_covers_and_gaps_are_seen() {
+fn merged_segment_replaces_covered_segments_and_gaps_are_reported() {
     let cases: [(&[(u64, u64)], Tiling); 5] = [
         (&[], Tiling::default()),
         (&[(1, 1), (2, 2)], tiling(&[(1, 1), (2, 2)], &[], &[])),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn names_are_read_only_as_they_are_written() {
+fn parses_only_the_names_that_it_formats() {
     assert_eq!(segment_numbers(&segment_name(numbers(3, 0xfeed))), Some(numbers(3, 0xfeed)));
     for bad in ["", "LOCK", "000000000001-000000000000.seg", "000000000000-000000000001.seg", "1-2.seg"] {
         assert_eq!(segment_numbers(bad), None, "{bad}");
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn compaction_goes_where_it_wins_most_and_leaves_damage_alone() {
+fn compacts_the_range_with_the_greatest_gain_and_skips_damaged_segments() {
     let damaged = SegmentUsage { is_damaged: true, ..segment(100, 100) };
     let cases: [(&[SegmentUsage], Option<Range<usize>>); 6] = [
         (&[], None),
-        (&[segment(100, 10), segment(100, 5)], None), // too little to win
+        (&[segment(100, 10), segment(100, 5)], None), // too few dead bytes
         (&[segment(100, 90), segment(100, 0), segment(100, 90)], Some(0..3)),
         (&[segment(100, 0), segment(100, 80), segment(400, 0)], Some(1..2)),
         (&[segment(100, 60), damaged, segment(100, 70)], Some(2..3)),
--- a/crates/store/src/random.rs
+++ b/crates/store/src/random.rs
@@ -11,7 +11,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A small generator. A seed gives the same sequence on every platform.
+/// A small pseudo-random number generator. A seed gives the same sequence on every platform.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -16,17 +16,17 @@
 /// One damaged place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// The file.
+    /// The name of the file.
     pub file: String,
     /// The offset of the damage, in bytes.
     pub offset: u64,
     /// A description of the damage.
-    pub what: String,
+    pub description: String,
 }
 
 impl std::fmt::Display for Damage {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: offset {}: {}", self.file, self.offset, self.what)
+        write!(f, "{}: offset {}: {}", self.file, self.offset, self.description)
     }
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Whether the file ends before its first frame, so that it holds no acknowledged write.
-    fn is_stillborn(&self) -> bool {
+    fn is_incomplete(&self) -> bool {
         self.header.is_err() && self.file.len().is_ok_and(|len| len <= HEADER_LEN as u64)
     }
 }
@@ -103,9 +103,9 @@
             .collect::<Result<_, _>>()?;
         // The last segment may have been interrupted while it was created. The segment before it is then the last valid
         // one, whose end may be torn.
-        if let Some(stillborn) = segments.last().filter(|last| last.is_stillborn()) {
-            leftovers.push(stillborn.name.clone());
-            candidates.retain(|numbers| plan::segment_name(*numbers) != stillborn.name);
+        if let Some(incomplete) = segments.last().filter(|last| last.is_incomplete()) {
+            leftovers.push(incomplete.name.clone());
+            candidates.retain(|numbers| plan::segment_name(*numbers) != incomplete.name);
             continue;
         }
         let loaded = load_all(&segments)?;
@@ -163,7 +163,7 @@
 fn load_one(segments: &[OpenedSegment], index: usize) -> Result<Option<LoadedSegment>, StoreError> {
     let OpenedSegment { name, file, header: Ok(header) } = &segments[index] else { return Ok(None) };
     let successor = match segments.get(index + 1).map(|next| &next.header) {
-        Some(Ok(next)) => Successor::Sound { previous_len: next.previous_len },
+        Some(Ok(next)) => Successor::Intact { previous_len: next.previous_len },
         Some(Err(_)) => Successor::HeaderLost,
         None => Successor::Missing,
     };
@@ -188,14 +188,15 @@
     for ((numbers, segment), loaded) in tiling.kept.iter().zip(segments).zip(loaded) {
         if let Some(gap) = tiling.gaps.iter().find(|gap| gap.last + 1 == numbers.first) {
             let SegmentNumbers { first, last } = gap;
-            let what = format!("segments {first} to {last} are missing; which keys they had is not known");
-            opened.add_lost(plan::segment_name(*gap), what);
+            let description = format!("segments {first} to {last} are missing; their keys are unknown");
+            opened.add_lost(plan::segment_name(*gap), description);
         }
         match loaded {
             Some(loaded) => opened.add_segment(loaded),
             None => {
-                let what = "its header is damaged: it cannot be read; which keys it had is not known";
-                opened.add_lost(segment.name, what.to_owned());
+                let description =
+                    "the header is damaged, so that the segment cannot be read; its keys are unknown";
+                opened.add_lost(segment.name, description.to_owned());
                 opened.last_end = segment.file.len().unwrap_or(0);
             }
         }
@@ -205,8 +206,8 @@
 
 impl OpenedDirectory {
     /// Adds a file of which nothing can be read.
-    fn add_lost(&mut self, file: String, what: String) {
-        self.recovery.damage.push(Damage { file: file.clone(), offset: 0, what });
+    fn add_lost(&mut self, file: String, description: String) {
+        self.recovery.damage.push(Damage { file: file.clone(), offset: 0, description });
         let region = DamagedRegion { file, offset: 0, fingerprints: None };
         self.layers.push(Layer::Damaged(Arc::new(region)));
     }
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -78,7 +78,7 @@
 }
 
 impl Scan {
-    /// Adds a frame; `body` begins with its body. Returns the offset after it.
+    /// Adds a frame, whose body is at the start of `body`. Returns the offset after the frame.
     fn add_frame(&mut self, offset: usize, head: FrameHead, body: &[u8]) -> usize {
         if let Some(ScanItem::Hole(hole)) = self.items.last_mut() {
             let missing = head.first_seq.saturating_sub(self.next_seq);
@@ -91,7 +91,7 @@
         offset + FRAME_HEAD_LEN + head.body_len as usize
     }
 
-    /// Adds a hole that begins at `from`. Returns the offset after it: `after` if that is readable, or else the next offset
+    /// Adds a hole that begins at `from`. Returns the offset after the hole: `after` if that is readable, or else the next offset
     /// that is.
     fn add_hole(&mut self, bytes: &[u8], salt: u64, from: usize, after: Option<usize>) -> usize {
         let is_readable = |at: &usize| format::probe(bytes, salt, *at) != Probe::Unreadable;
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashSet;
 use std::sync::Arc;
 
-const DAMAGED_FOOTER: &str = "its footer is damaged; the index was read from the records";
+const DAMAGED_FOOTER: &str = "the footer is damaged; the index was rebuilt from the records";
 
 /// A segment that was loaded.
 pub struct LoadedSegment {
@@ -30,12 +30,12 @@
     pub end: u64,
 }
 
-/// The segment that follows a segment, whose header tells the valid length of the one before.
+/// What is known of the segment that follows another one. Its header states the valid length of the segment before it.
 #[derive(Clone, Copy, Debug)]
 pub enum Successor {
-    /// Its header is intact and states the valid length of the segment, in bytes.
-    Sound { previous_len: u64 },
-    /// Its header is damaged, so that the valid length is unknown.
+    /// The header of the successor is intact and states the valid length of the segment, in bytes.
+    Intact { previous_len: u64 },
+    /// The header of the successor is damaged, so that the valid length is unknown.
     HeaderLost,
     /// There is no successor: the end of the segment may be torn.
     Missing,
@@ -45,7 +45,7 @@
     /// The valid length of the segment in bytes, if the header of its successor states it.
     fn previous_len(self) -> Option<u64> {
         match self {
-            Successor::Sound { previous_len } => Some(previous_len),
+            Successor::Intact { previous_len } => Some(previous_len),
             Successor::HeaderLost | Successor::Missing => None,
         }
     }
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Io`]. The inner error is that of a header that cannot be used.
+/// [`StoreError::Io`] if the file cannot be read. The inner error says why the header cannot be used.
 pub fn read_header(
     file: &dyn DiskFile,
     name: &str,
@@ -94,8 +94,8 @@
         read_range(&*self.segment.file, offset, len).map_err(io_error("cannot read", &self.segment.name))
     }
 
-    fn damage(&self, offset: u64, what: &str) -> Damage {
-        Damage { file: self.segment.name.clone(), offset, what: what.to_owned() }
+    fn damage(&self, offset: u64, description: &str) -> Damage {
+        Damage { file: self.segment.name.clone(), offset, description: description.to_owned() }
     }
 
     /// Loads the index from the footer, if it is intact. A damaged footer adds a warning.
@@ -138,7 +138,7 @@
             return Some(self.len);
         }
         match successor {
-            Successor::Sound { previous_len } => Some(previous_len),
+            Successor::Intact { previous_len } => Some(previous_len),
             Successor::HeaderLost => Some(self.len),
             Successor::Missing => None,
         }
@@ -158,18 +158,19 @@
                     let start = offset + FRAME_HEAD_LEN;
                     let body = &bytes[start..start + head.body_len as usize];
                     if layers.add_records(body, start) != Some(head.count) {
-                        layers.add_damage(*offset, "a frame whose records do not fit its checksum");
+                        layers.add_damage(*offset, "a frame with a valid checksum but malformed records");
                     }
                 }
                 ScanItem::Hole(hole) => layers.add_hole(hole),
             }
         }
         layers.close_run();
-        let is_cut = valid_len.is_some_and(|valid_len| self.len < valid_len);
+        let is_truncated = valid_len.is_some_and(|valid_len| self.len < valid_len);
         // A merged segment gets its name only after its footer is written. Without a footer it was truncated.
-        let is_merge_cut = self.header.is_merged && layers.damage.is_empty() && self.warnings.is_empty();
-        if is_cut || is_merge_cut {
-            layers.add_cut_end();
+        let is_truncated_merge =
+            self.header.is_merged && layers.damage.is_empty() && self.warnings.is_empty();
+        if is_truncated || is_truncated_merge {
+            layers.add_truncation();
         }
         let (layers, damage) = layers.finish();
         Ok(self.into_loaded(layers, damage, &scanned))
@@ -221,8 +222,8 @@
         })
     }
 
-    fn add_damage(&mut self, offset: usize, what: &str) {
-        self.damage.push(self.loader.damage(offset as u64, what));
+    fn add_damage(&mut self, offset: usize, description: &str) {
+        self.damage.push(self.loader.damage(offset as u64, description));
     }
 
     fn add_region(&mut self, offset: u64, fingerprints: Option<FxHashSet<u64>>) {
@@ -231,29 +232,29 @@
     }
 
     fn add_hole(&mut self, hole: &Hole) {
-        // The region behind the last frame of a sealed segment is its footer, not records.
+        // The region after the last frame of a sealed segment is its footer, not records.
         if self.loader.warnings.first().is_some_and(|warning| warning.offset == hole.from as u64) {
             return;
         }
         self.close_run();
         let keys = hole.fingerprints.as_ref().map(|known| known.iter().copied().collect::<FxHashSet<u64>>());
         let len = hole.len();
-        let what = match &keys {
+        let description = match &keys {
             Some(keys) => format!("{len} bytes of records are damaged: {} keys", keys.len()),
-            None => format!("{len} bytes of records are damaged; which keys is not known"),
+            None => format!("{len} bytes of records are damaged; their keys are unknown"),
         };
-        self.add_damage(hole.from, &what);
+        self.add_damage(hole.from, &description);
         self.add_region(hole.from as u64, keys);
     }
 
-    /// Adds the damage of a file that is shorter than it was.
-    fn add_cut_end(&mut self) {
+    /// Adds the damage of a file that was truncated.
+    fn add_truncation(&mut self) {
         let len = self.loader.len;
-        self.damage.push(self.loader.damage(len, "it is cut off: what was acknowledged is missing"));
+        self.damage.push(self.loader.damage(len, "the file is truncated: acknowledged records are missing"));
         self.add_region(len, None);
     }
 
-    /// Makes a layer of the records since the last one.
+    /// Ends the current run and adds it as a layer.
     fn close_run(&mut self) {
         if !self.run.is_empty() {
             let run = std::mem::take(&mut self.run).finish(self.loader.segment.clone(), self.loader.len);
--- a/crates/store/src/segment_usage.rs
+++ b/crates/store/src/segment_usage.rs
@@ -47,7 +47,7 @@
     usage
 }
 
-/// The names of segments with damage, and of those that follow damage: a merge across a loss would hide it.
+/// The names of segments with damage, and of those that follow damage: a merge across lost records would hide the loss.
 fn damaged_segments(layers: &[Layer]) -> Vec<&str> {
     let mut names = Vec::new();
     let mut is_behind_damage = false;
--- a/crates/store/src/shared_view.rs
+++ b/crates/store/src/shared_view.rs
@@ -13,7 +13,7 @@
     lock(shared).clone()
 }
 
-/// Locks a mutex, even if it is poisoned. No code of this crate leaves an incomplete change behind when it panics.
+/// Locks a mutex, even if it is poisoned: no code of this crate leaves an incomplete change behind when it panics.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/store/src/sim/inode.rs
+++ b/crates/store/src/sim/inode.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A failed sync: some of the changes become durable, and the others never will.
-    pub fn sync_in_part(&mut self, rng: &mut Rng) {
+    /// Simulates a failed sync: some of the changes become durable, and the others never do.
+    pub fn sync_partially(&mut self, rng: &mut Rng) {
         for change in std::mem::take(&mut self.unsynced) {
             if rng.once_in(2) {
                 change.apply_to(&mut self.durable);
--- a/crates/store/src/sim/mod.rs
+++ b/crates/store/src/sim/mod.rs
@@ -27,7 +27,7 @@
     /// A write fails because the disk is full.
     pub full: u64,
     /// Any call fails with an I/O error.
-    pub broken: u64,
+    pub io_error: u64,
     /// A sync fails.
     pub sync: u64,
 }
@@ -42,7 +42,7 @@
     /// The power is cut at this call: all later calls fail.
     cut_at: Option<u64>,
     /// The maximum size of all files together, in bytes.
-    room: u64,
+    capacity: u64,
 }
 
 /// A simulated disk. Clones share the same disk.
@@ -61,7 +61,7 @@
     }
 
     /// A disk with durable files.
-    fn with_files(inodes: Vec<Inode>, names: Names, rng: Rng, room: u64) -> SimDisk {
+    fn with_files(inodes: Vec<Inode>, names: Names, rng: Rng, capacity: u64) -> SimDisk {
         SimDisk(Arc::new(Mutex::new(State {
             inodes,
             directory: Directory::durable(names),
@@ -69,7 +69,7 @@
             rng,
             calls: 0,
             cut_at: None,
-            room,
+            capacity,
         })))
     }
 
@@ -83,8 +83,8 @@
     }
 
     /// Sets the maximum size of all files together, in bytes.
-    pub fn set_room(&self, room: u64) {
-        self.state().room = room;
+    pub fn set_capacity(&self, capacity: u64) {
+        self.state().capacity = capacity;
     }
 
     /// Cuts the power at the n-th call from now.
@@ -103,7 +103,7 @@
         let (mut rng, state) = (Rng::new(seed), self.state());
         let names = state.directory.after_power_cut(&mut rng);
         let inodes = state.inodes.iter().map(|inode| inode.after_power_cut(&mut rng)).collect();
-        SimDisk::with_files(inodes, names, rng, state.room)
+        SimDisk::with_files(inodes, names, rng, state.capacity)
     }
 
     /// The bytes of a file, to inspect or to damage.
@@ -124,7 +124,7 @@
     pub fn copy(&self) -> SimDisk {
         let state = self.state();
         let inodes = state.inodes.iter().map(|inode| Inode::durable(inode.bytes().to_vec())).collect();
-        SimDisk::with_files(inodes, state.directory.names().clone(), state.rng.clone(), state.room)
+        SimDisk::with_files(inodes, state.directory.names().clone(), state.rng.clone(), state.capacity)
     }
 }
 
@@ -133,9 +133,9 @@
     fn call(&mut self) -> io::Result<()> {
         self.calls += 1;
         if self.cut_at.is_some_and(|at| self.calls > at) {
-            return Err(io::Error::other("the power is gone"));
+            return Err(io::Error::other("simulated power cut"));
         }
-        if self.faults.broken > 0 && self.rng.once_in(self.faults.broken) {
+        if self.faults.io_error > 0 && self.rng.once_in(self.faults.io_error) {
             return Err(io::Error::from_raw_os_error(EIO));
         }
         Ok(())
@@ -160,15 +160,15 @@
             take = state.rng.below(bytes.len() as u64 + 1) as usize;
         }
         let grows = (offset + take as u64).saturating_sub(state.inodes[self.inode].len());
-        let room = state.room.saturating_sub(state.used());
-        if grows > room {
-            take = take.saturating_sub((grows - room) as usize);
+        let free = state.capacity.saturating_sub(state.used());
+        if grows > free {
+            take = take.saturating_sub((grows - free) as usize);
             if take == 0 {
                 return Err(full);
             }
         }
         state.inodes[self.inode].change(Change::Write { offset, bytes: bytes[..take].to_vec() });
-        if cut { Err(io::Error::other("the power is gone")) } else { Ok(take) }
+        if cut { Err(io::Error::other("simulated power cut")) } else { Ok(take) }
     }
 
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize> {
@@ -199,7 +199,7 @@
         let State { inodes, rng, .. } = &mut *state;
         let inode = &mut inodes[self.inode];
         if fails {
-            inode.sync_in_part(rng);
+            inode.sync_partially(rng);
             return Err(io::Error::from_raw_os_error(EIO));
         }
         inode.sync();
--- a/crates/store/src/store/compactor.rs
+++ b/crates/store/src/store/compactor.rs
@@ -21,7 +21,7 @@
 
 /// The result of one attempt to compact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Round {
+enum CompactionOutcome {
     Compacted,
     NothingToDo,
 }
@@ -66,7 +66,7 @@
     pub fn run(&self) {
         while self.wait_for_request() {
             // A failed compaction changes nothing. It is tried again once the next segment is sealed.
-            while matches!(self.compact_best(), Ok(Round::Compacted)) && !self.is_closing() {}
+            while matches!(self.compact_best(), Ok(CompactionOutcome::Compacted)) && !self.is_closing() {}
         }
     }
 
@@ -88,12 +88,12 @@
     }
 
     /// Compacts the segments with the greatest gain, if there are any.
-    fn compact_best(&self) -> Result<Round, StoreError> {
+    fn compact_best(&self) -> Result<CompactionOutcome, StoreError> {
         let _one_at_a_time = lock(&self.in_progress);
         let view = view_of(&self.context.view);
-        let Some(compaction) = self.plan_best(&view)? else { return Ok(Round::NothingToDo) };
+        let Some(compaction) = self.plan_best(&view)? else { return Ok(CompactionOutcome::NothingToDo) };
         self.carry_out(&compaction, DamagedRecords::Refuse)?;
-        Ok(Round::Compacted)
+        Ok(CompactionOutcome::Compacted)
     }
 
     /// Plans a compaction that pays off. It visits all keys without holding the writer's lock.
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store with its threads: one writes batches, one notifies their writers, one compacts.
+//! The store with its threads: one writes batches, one notifies their callers, one compacts.
 
 mod compactor;
 mod context;
--- a/crates/store/src/store/write_pipeline.rs
+++ b/crates/store/src/store/write_pipeline.rs
@@ -93,7 +93,7 @@
     /// Writes the caller's own batch, which is the only one in the queue.
     fn write_own_batch<'a>(&'a self, queue: MutexGuard<'a, WriteQueue>) {
         let (queue, written) = self.write_next_group(queue);
-        let has_more = !queue.is_empty() || queue.is_closed || queue.exposed_since.is_some();
+        let has_more = !queue.is_empty() || queue.is_closed || queue.unsynced_since.is_some();
         drop(queue);
         if has_more {
             self.write_needed.notify_one();
@@ -124,7 +124,7 @@
         let mut queue = self.queue();
         queue.is_writing = false;
         if result.is_ok() && matches!(self.context.options.sync, SyncMode::Interval(_)) {
-            queue.exposed_since.get_or_insert(started);
+            queue.unsynced_since.get_or_insert(started);
         }
         (queue, WrittenGroup { batches, result })
     }
@@ -170,7 +170,7 @@
         };
         let mut queue = self.queue();
         loop {
-            let sync_due = interval.zip(queue.exposed_since).map(|(interval, since)| since + interval);
+            let sync_due = interval.zip(queue.unsynced_since).map(|(interval, since)| since + interval);
             let is_sync_due =
                 |queue: &WriteQueue| sync_due.is_some_and(|due| Instant::now() >= due || queue.is_closed);
             queue = if queue.is_writing {
@@ -178,7 +178,7 @@
             } else if !queue.is_empty() {
                 self.write_for_others(queue)
             } else if is_sync_due(&queue) {
-                self.sync_exposed(queue)
+                self.sync_acknowledged(queue)
             } else if queue.is_closed {
                 lock(&self.written).take(); // ends the notifying thread
                 return;
@@ -211,8 +211,8 @@
     }
 
     /// Syncs the writes that were acknowledged without a sync.
-    fn sync_exposed<'a>(&'a self, mut queue: MutexGuard<'a, WriteQueue>) -> MutexGuard<'a, WriteQueue> {
-        queue.exposed_since = None;
+    fn sync_acknowledged<'a>(&'a self, mut queue: MutexGuard<'a, WriteQueue>) -> MutexGuard<'a, WriteQueue> {
+        queue.unsynced_since = None;
         drop(queue);
         let now = self.context.clock.now();
         let result = self.context.with_writer(|writer| writer.sync(&self.context.view, now));
@@ -222,7 +222,7 @@
         }
         let mut queue = self.queue();
         if has_failed && !queue.is_closed {
-            queue.exposed_since = Some(Instant::now()); // the next group writes again what may be lost
+            queue.unsynced_since = Some(Instant::now()); // the next group writes again what may be lost
         }
         queue
     }
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -49,8 +49,8 @@
 }
 
 impl Verification {
-    fn add_damage(&mut self, segment: &Segment, offset: u64, what: &str) {
-        let damage = Damage { file: segment.name.clone(), offset, what: what.to_owned() };
+    fn add_damage(&mut self, segment: &Segment, offset: u64, description: &str) {
+        let damage = Damage { file: segment.name.clone(), offset, description: description.to_owned() };
         self.recovery.damage.push(damage);
     }
 
@@ -60,7 +60,7 @@
 
     fn verify_segment(&mut self, segment: &Segment) -> Result<(), StoreError> {
         if read_header(&*segment.file, &segment.name)?.is_ok_and(|decoded| !decoded.has_both_copies) {
-            self.add_damage(segment, 0, "one of the two copies of its header is damaged");
+            self.add_damage(segment, 0, "one of the two copies of the header is damaged");
         }
         let io = || io_error("cannot read", &segment.name);
         let len = segment.file.len().map_err(io())?;
@@ -70,7 +70,7 @@
         let has_damaged_head =
             data_end.is_some_and(|end| format::probe(&bytes, segment.salt, end as usize) != Probe::Footer);
         if has_damaged_head && !self.has_damage(segment, |_| true) {
-            self.add_damage(segment, data_end.unwrap_or(0), "the head of its footer is damaged");
+            self.add_damage(segment, data_end.unwrap_or(0), "the head of the footer is damaged");
         }
         Ok(())
     }
@@ -85,8 +85,8 @@
                 ScanItem::Hole(hole) => {
                     let offset = hole.from as u64;
                     if data_end.is_some() && !self.has_damage(segment, |known| known == offset) {
-                        let what = format!("{} bytes of records are damaged", hole.len());
-                        self.add_damage(segment, offset, &what);
+                        let description = format!("{} bytes of records are damaged", hole.len());
+                        self.add_damage(segment, offset, &description);
                     }
                 }
             }
--- a/crates/store/src/waiting_thread.rs
+++ b/crates/store/src/waiting_thread.rs
@@ -10,18 +10,18 @@
 use std::thread::Thread;
 
 /// The number of other threads of its group that a thread wakes.
-const WAKES: usize = 2;
+const WAKES_PER_THREAD: usize = 2;
 
 /// The result of a thread's batch, and the threads to wake.
 struct Completion {
     result: WriteResult,
     /// The threads that this thread wakes.
-    wakes: [Option<Arc<WaitingThread>>; WAKES],
+    wakes: [Option<Arc<WaitingThread>>; WAKES_PER_THREAD],
 }
 
 impl Completion {
     fn empty() -> Completion {
-        Completion { result: Ok(()), wakes: [const { None }; WAKES] }
+        Completion { result: Ok(()), wakes: [const { None }; WAKES_PER_THREAD] }
     }
 }
 
@@ -45,7 +45,7 @@
     /// Sets the result of all threads of a group, and wakes the first of them.
     pub fn complete(group: &[Arc<WaitingThread>], result: &WriteResult) {
         for (index, waiting) in group.iter().enumerate() {
-            let wakes = std::array::from_fn(|nth| group.get(WAKES * index + 1 + nth).cloned());
+            let wakes = std::array::from_fn(|nth| group.get(WAKES_PER_THREAD * index + 1 + nth).cloned());
             *lock(&waiting.completion) = Completion { result: result.clone(), wakes };
         }
         group.iter().for_each(|waiting| waiting.is_done.store(true, Ordering::Release));
--- a/crates/store/src/write_queue.rs
+++ b/crates/store/src/write_queue.rs
@@ -66,7 +66,7 @@
     pub is_writing: bool,
     pub is_closed: bool,
     /// When the writing of the oldest batch that is acknowledged and not durable began; `None` if there is none.
-    pub exposed_since: Option<Instant>,
+    pub unsynced_since: Option<Instant>,
 }
 
 impl WriteQueue {
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -25,7 +25,7 @@
     active: Option<ActiveSegment>,
     next_segment: u64,
     next_seq: u64,
-    /// Up to where the segment before the next one is valid, in bytes.
+    /// The valid length of the last complete segment, in bytes. The header of the next segment will state it.
     previous_len: u64,
     /// Batches that are acknowledged and not synced yet. If their sync fails, they are written again. Empty in mode
     /// [`SyncMode::Always`].
@@ -36,7 +36,7 @@
     salt: u64,
     unpublished: Unpublished,
     /// Obsolete files that could not be removed yet.
-    garbage: Vec<String>,
+    obsolete_files: Vec<String>,
     /// Counters since the directory was opened.
     pub metrics: Metrics,
     _lock: DirectoryLock,
@@ -46,7 +46,7 @@
 pub struct OpenedWriter {
     /// The writer.
     pub writer: Writer,
-    /// The view that it publishes to.
+    /// The view to which the writer publishes.
     pub shared: SharedView,
     /// What recovery found.
     pub recovery: Recovery,
@@ -81,20 +81,20 @@
         must_rewrite: false,
         salt: splitmix64(options.seed ^ opened.next_seq.rotate_left(32) ^ opened.next_segment),
         unpublished: Unpublished::default(),
-        garbage: opened.leftovers,
+        obsolete_files: opened.leftovers,
         metrics: Metrics::default(),
         _lock: lock,
     };
-    writer.remove_garbage();
+    writer.remove_obsolete_files();
     let shared = Arc::new(Mutex::new(view));
     Ok(OpenedWriter { writer, shared, recovery: opened.recovery, written_at: opened.written_at })
 }
 
 impl Writer {
-    /// Removes obsolete files. Those that cannot be removed are tried again later.
-    fn remove_garbage(&mut self) {
+    /// Removes obsolete files. Keeps the names of those that cannot be removed, for the next call.
+    fn remove_obsolete_files(&mut self) {
         let disk = &self.disk;
-        self.garbage.retain(|name| match disk.remove(name) {
+        self.obsolete_files.retain(|name| match disk.remove(name) {
             Ok(()) => false,
             Err(error) => error.kind() != std::io::ErrorKind::NotFound,
         });
@@ -251,8 +251,8 @@
     fn abandon_active(&mut self, shared: &SharedView) {
         let Some(active) = self.active.take() else { return };
         if self.unsynced.is_empty() {
-            // Best effort: its successor's header says the same. What was acknowledged and waits for its sync is still
-            // read from there until it is written again.
+            // Best effort: the header of the next segment states the valid length too. If there are unsynced batches, the file
+            // keeps its length, since they are still read from it until they are written again.
             active.truncate_to_durable();
         }
         self.previous_len = active.durable_len();
@@ -294,7 +294,7 @@
         Ok(())
     }
 
-    /// Begins a segment: it and its name are durable before any record is written to it.
+    /// Begins a segment. The file and its name are durable before any record is written to it.
     fn begin_segment(&mut self, shared: &SharedView) -> Result<(), StoreError> {
         let numbers = SegmentNumbers { first: self.next_segment, last: self.next_segment };
         let name = plan::segment_name(numbers);
@@ -306,9 +306,9 @@
             is_merged: false,
         };
         let file = self.create_file(&name)?;
-        self.garbage.retain(|old| *old != name); // the name is in use again
+        self.obsolete_files.retain(|old| *old != name); // the name is in use again
         let written = write_all(&*file, 0, &header.encode()).and_then(|()| file.sync());
-        written.and_then(|()| self.disk.sync_dir()).map_err(io_error("cannot begin", &name))?;
+        written.and_then(|()| self.disk.sync_dir()).map_err(io_error("cannot create segment", &name))?;
         let segment = Arc::new(Segment { name, numbers, salt: self.salt, file });
         lock(shared).active = Some(segment.clone());
         self.next_segment += 1;
@@ -364,15 +364,15 @@
         let MergedSegment { run, unfinished_name, replaced, bytes } = merged;
         let name = run.segment.name.clone();
         self.disk.rename(&unfinished_name, &name).map_err(io_error("cannot rename", &unfinished_name))?;
-        self.garbage.retain(|old| *old != name);
+        self.obsolete_files.retain(|old| *old != name);
         let durable = self.disk.sync_dir();
         self.metrics.bytes_written += bytes;
         self.metrics.compactions += 1;
         replace_layers(&mut lock(shared).layers, Layer::Run(run));
         // The old files must stay until the new name is durable.
         durable.map_err(io_error("cannot sync", &name))?;
-        self.garbage.extend(replaced.into_iter().filter(|old| *old != name));
-        self.remove_garbage();
+        self.obsolete_files.extend(replaced.into_iter().filter(|old| *old != name));
+        self.remove_obsolete_files();
         Ok(())
     }
 }
@@ -385,6 +385,6 @@
     let to = layers.iter().rposition(is_covered).map_or(from, |last| last + 1);
     layers.splice(from..to, [merged]);
     if numbers.first == 1 {
-        layers.drain(..from); // nothing is older: no damaged region reaches below
+        layers.drain(..from); // no record is older, so earlier damaged regions hide nothing
     }
 }
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Seeded histories over the simulated disk, held against a model. `STORE_HISTORIES` says how many, `STORE_SEED` replays one.
+//! Random histories of operations and faults on the simulated disk, compared with a model. `STORE_HISTORIES` sets their
+//! number, `STORE_SEED` runs a single one.
 
 use mothproxy_store::disk::Disk;
 use mothproxy_store::sim::{Faults, Rng, SimDisk};
@@ -12,12 +13,12 @@
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// What the store must hold: all that was acknowledged, and the groups since then that may be there in part, each whole.
+/// The contents that the store may have after a crash: the durable ones, and some of the later groups, each as a whole.
 #[derive(Default)]
 struct Model {
-    sure: Contents,
-    /// Groups since then, oldest first: those that failed, and those that were acknowledged without a sync.
-    perhaps: Vec<(bool, Vec<Operation>)>,
+    durable: Contents,
+    /// Later groups, the oldest first, each with whether it failed. The others were acknowledged without a sync.
+    pending: Vec<(bool, Vec<Operation>)>,
 }
 
 fn apply(contents: &mut Contents, ops: &[Operation]) {
@@ -30,28 +31,29 @@
 }
 
 impl Model {
-    /// After a crash a first part of what was acknowledged is there; of what failed, any group may be, whole.
+    /// Whether the store may have these contents after a crash. The acknowledged groups in them are a prefix of
+    /// all acknowledged ones. Any failed group may be in them as a whole.
     fn allows(&self, found: &Contents) -> bool {
-        let mut now = BTreeSet::from([self.sure.clone()]);
-        for (failed, group) in &self.perhaps {
-            if now.contains(found) {
+        let mut possible = BTreeSet::from([self.durable.clone()]);
+        for (failed, group) in &self.pending {
+            if possible.contains(found) {
                 return true;
             }
-            let with = now.iter().cloned().map(|mut state| {
+            let with = possible.iter().cloned().map(|mut state| {
                 apply(&mut state, group);
                 state
             });
             let with: BTreeSet<Contents> = with.collect();
-            if *failed { now.extend(with) } else { now = with }
+            if *failed { possible.extend(with) } else { possible = with }
         }
-        now.contains(found)
+        possible.contains(found)
     }
 }
 
 fn contents(shared: &SharedView) -> Result<Contents, StoreError> {
     let (view, mut all) = (view_of(shared), Contents::new());
     for step in view.walk(&[]) {
-        assert!(step.hidden_by.is_none(), "a doubt without damage");
+        assert!(step.hidden_by.is_none(), "a key is in doubt although nothing is damaged");
         if let Some(value) = step.hit.read(&step.key)? {
             all.insert(step.key, value);
         }
@@ -59,7 +61,7 @@
     Ok(all)
 }
 
-fn random_op(rng: &mut Rng) -> Operation {
+fn random_operation(rng: &mut Rng) -> Operation {
     let key = format!("key-{}", rng.below(12)).into_bytes();
     let len = [0, 3, 40, 700][rng.below(4) as usize];
     let value = (!rng.once_in(4)).then(|| (0..len).map(|_| rng.next_u64() as u8).collect());
@@ -68,11 +70,11 @@
 
 fn open(disk: &SimDisk, options: Options) -> Result<(Writer, SharedView), StoreError> {
     let OpenedWriter { writer, shared, recovery, .. } = open_writer(Arc::new(disk.clone()), options)?;
-    assert_eq!(recovery.damage, [], "recovery takes a crash for damage");
+    assert_eq!(recovery.damage, [], "recovery reports damage after a crash");
     Ok((writer, shared))
 }
 
-/// One history: operations, compactions, faults, and crashes at any call; the contents are compared after each crash.
+/// Runs one history: operations, compactions, faults, and crashes at any call. Compares the contents after each crash.
 fn history(seed: u64) {
     let mut rng = Rng::new(seed);
     let mut disk = SimDisk::new(rng.next_u64());
@@ -82,22 +84,24 @@
         Options { segment_bytes: 600 + rng.below(3000) as u32, sync: mode, seed, ..Options::default() };
     let mut model = Model::default();
     for _ in 0..1 + rng.below(5) {
-        let Ok((writer, shared)) = open(&disk, options) else { panic!("seed {seed}: cannot open") };
-        let found = contents(&shared).expect("sound records");
+        let Ok((writer, shared)) = open(&disk, options) else {
+            panic!("seed {seed}: the store cannot be opened")
+        };
+        let found = contents(&shared).expect("readable records");
         assert!(
             model.allows(&found),
-            "seed {seed}: found {} keys that no order of writes gives",
+            "seed {seed}: the contents after the crash, of {} keys, do not result from the writes before it",
             found.len()
         );
         let reads = found.clone();
-        model = Model { sure: found, perhaps: Vec::new() };
+        model = Model { durable: found, pending: Vec::new() };
         inject_faults(&disk, &mut rng);
-        let mut life = Life { writer, shared, mode, model, reads };
+        let mut store = OpenStore { writer, shared, mode, model, reads };
         for step in 0..rng.below(40) {
-            life.step(&mut rng, step, seed);
+            store.step(&mut rng, step, seed);
         }
-        model = life.model;
-        // Either the power goes, or the process ends and the files stay as they are.
+        model = store.model;
+        // Either the power is cut, or the process ends and the files stay as they are.
         let keeps_files = rng.once_in(4) && mode == SyncMode::Always;
         disk = if keeps_files { disk.copy() } else { disk.reboot(rng.next_u64()) };
     }
@@ -106,8 +110,8 @@
 fn inject_faults(disk: &SimDisk, rng: &mut Rng) {
     if rng.once_in(2) {
         let rate = |rng: &mut Rng| if rng.once_in(2) { 3 + rng.below(30) } else { 0 };
-        let (short, full, broken, sync) = (rate(rng), rate(rng), rate(rng), rate(rng));
-        disk.set_faults(Faults { short, full, broken, sync });
+        let (short, full, io_error, sync) = (rate(rng), rate(rng), rate(rng), rate(rng));
+        disk.set_faults(Faults { short, full, io_error, sync });
     }
     if rng.once_in(2) {
         disk.cut_after(1 + rng.below(60));
@@ -115,16 +119,16 @@
 }
 
 /// A store from its opening to a crash.
-struct Life {
+struct OpenStore {
     writer: Writer,
     shared: SharedView,
     mode: SyncMode,
     model: Model,
-    /// What must be read.
+    /// The contents that readers must see.
     reads: Contents,
 }
 
-impl Life {
+impl OpenStore {
     fn step(&mut self, rng: &mut Rng, step: u64, seed: u64) {
         match rng.below(10) {
             0 if rng.once_in(2) => {
@@ -134,20 +138,20 @@
             }
             0 => self.compact_some(step),
             1 if self.writer.sync(&self.shared, step).is_ok() => {
-                self.model.sure = self.reads.clone();
-                // It may have had nothing to do: what failed is gone for sure only once something is written.
-                self.model.perhaps.retain(|(failed, _)| *failed);
+                self.model.durable = self.reads.clone();
+                // The sync may have had nothing to do. Failed groups can reappear until a later write succeeds.
+                self.model.pending.retain(|(failed, _)| *failed);
             }
             _ => self.commit(rng, step),
         }
-        // What was acknowledged reads back, whatever failed since.
+        // Acknowledged writes can be read even after others have failed.
         if rng.once_in(6) {
-            let found = contents(&self.shared).expect("sound records");
-            assert_eq!(found, self.reads, "seed {seed}: reads differ");
+            let found = contents(&self.shared).expect("readable records");
+            assert_eq!(found, self.reads, "seed {seed}: readers do not see the acknowledged writes");
         }
     }
 
-    /// Compacts all there is; an error where it cannot be sealed first.
+    /// Compacts all segments. Fails if the active segment cannot be sealed first.
     fn compact_all(&mut self, step: u64) -> Result<(), StoreError> {
         self.writer.seal(&self.shared, step)?;
         let compaction = self.writer.plan_full_compaction(&view_of(&self.shared), step);
@@ -155,7 +159,7 @@
         Ok(())
     }
 
-    /// Compacts what pays off.
+    /// Compacts the segments for which it pays off.
     fn compact_some(&mut self, step: u64) {
         let compaction = self.writer.plan_compaction(&view_of(&self.shared), step);
         self.carry_out(compaction);
@@ -165,31 +169,32 @@
         if let Some(compaction) = compaction
             && let Ok(merged) = compaction.run(DamagedRecords::Refuse)
         {
-            let _ = self.writer.install(&self.shared, merged); // a failure must cost nothing
+            let _ = self.writer.install(&self.shared, merged); // a failed installation must not lose data
         }
     }
 
     fn commit(&mut self, rng: &mut Rng, step: u64) {
-        let batches: Vec<Vec<Operation>> =
-            (0..1 + rng.below(3)).map(|_| (0..1 + rng.below(3)).map(|_| random_op(rng)).collect()).collect();
+        let batches: Vec<Vec<Operation>> = (0..1 + rng.below(3))
+            .map(|_| (0..1 + rng.below(3)).map(|_| random_operation(rng)).collect())
+            .collect();
         let group: Vec<Operation> = batches.iter().flatten().cloned().collect();
         let slices: Vec<&[Operation]> = batches.iter().map(Vec::as_slice).collect();
         if self.writer.commit(&self.shared, &slices, step).is_err() {
-            self.model.perhaps.push((true, group));
+            self.model.pending.push((true, group));
             return;
         }
         apply(&mut self.reads, &group);
         if self.mode == SyncMode::Always {
-            self.model.sure = self.reads.clone();
-            self.model.perhaps.clear();
+            self.model.durable = self.reads.clone();
+            self.model.pending.clear();
         } else {
-            self.model.perhaps.push((false, group));
+            self.model.pending.push((false, group));
         }
     }
 }
 
 #[test]
-fn seeded_histories_keep_to_the_model() {
+fn seeded_histories_match_the_model() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("STORE_SEED") {
         return history(seed);
@@ -209,21 +214,21 @@
     println!("histories: {count}");
 }
 
-/// A store of some hundred records with overwrites, deletes, batches and a compaction in the middle of its life.
-fn lived_in(sealed: bool) -> (SimDisk, Vec<Contents>) {
+/// A store after 120 batches of writes and deletions with a compaction between them, and its contents after each batch.
+fn store_with_history(sealed: bool) -> (SimDisk, Vec<Contents>) {
     let (disk, mut rng) = (SimDisk::new(1), Rng::new(99));
     let options = Options { segment_bytes: 2500, seed: 7, ..Options::default() };
-    let (mut writer, shared) = open(&disk, options).expect("an empty disk");
-    let (mut now, mut states) = (Contents::new(), vec![Contents::new()]);
+    let (mut writer, shared) = open(&disk, options).expect("store opens on an empty disk");
+    let (mut current, mut states) = (Contents::new(), vec![Contents::new()]);
     for step in 0..120 {
-        let batch: Vec<Operation> = (0..1 + rng.below(4)).map(|_| random_op(&mut rng)).collect();
+        let batch: Vec<Operation> = (0..1 + rng.below(4)).map(|_| random_operation(&mut rng)).collect();
         let batch: Vec<Operation> = batch
             .into_iter()
             .map(|op| Operation { value: op.value.map(|v| v[..v.len().min(60)].to_vec()), ..op })
             .collect();
-        writer.commit(&shared, &[&batch], step).expect("a sound disk");
-        apply(&mut now, &batch);
-        states.push(now.clone());
+        writer.commit(&shared, &[&batch], step).expect("disk without faults");
+        apply(&mut current, &batch);
+        states.push(current.clone());
         if step == 70 {
             let merge = writer.plan_full_compaction(&view_of(&shared), step).expect("segments to merge");
             writer.install(&shared, merge.run(DamagedRecords::Refuse).expect("merged")).expect("installed");
@@ -235,26 +240,27 @@
     (disk.copy(), states)
 }
 
-/// What a damaged store gives out: each key's value, or nothing for keys that are gone or in doubt.
+/// The readable contents of a store that may be damaged, the number of keys that cannot be read, and whether recovery found
+/// no damage.
 fn read_damaged(disk: &SimDisk) -> Result<(Contents, usize, bool), StoreError> {
     let OpenedWriter { shared, recovery, .. } = open_writer(Arc::new(disk.clone()), Options::default())?;
-    let (view, mut all, mut refused) = (view_of(&shared), Contents::new(), 0);
+    let (view, mut all, mut unreadable) = (view_of(&shared), Contents::new(), 0);
     for step in view.walk(&[]) {
         match step.hit.read(&step.key) {
-            _ if step.hidden_by.is_some() => refused += 1,
+            _ if step.hidden_by.is_some() => unreadable += 1,
             Ok(Some(value)) => drop(all.insert(step.key, value)),
             Ok(None) => {}
-            Err(StoreError::Damaged { .. }) => refused += 1,
+            Err(StoreError::Damaged { .. }) => unreadable += 1,
             Err(error) => return Err(error),
         }
     }
-    Ok((all, refused, recovery.damage.is_empty()))
+    Ok((all, unreadable, recovery.damage.is_empty()))
 }
 
 #[test]
-fn a_cut_at_every_byte_brings_back_whole_records_only() {
+fn truncation_at_any_byte_leaves_only_whole_records() {
     for sealed in [false, true] {
-        let (disk, states) = lived_in(sealed);
+        let (disk, states) = store_with_history(sealed);
         let names = disk.list().expect("files");
         let last = names.iter().filter(|n| n.ends_with(".seg")).max().expect("a segment").clone();
         for name in names.iter().filter(|n| n.ends_with(".seg")) {
@@ -262,18 +268,24 @@
             for len in 0..bytes.len() {
                 let cut = disk.copy();
                 cut.replace(name, bytes[..len].to_vec());
-                let (found, _, whole) = read_damaged(&cut).expect("it opens");
+                let (found, _, is_undamaged) = read_damaged(&cut).expect("store opens");
                 if *name == last {
-                    // The tail is torn: some earlier state, in full.
-                    assert!(states.contains(&found), "{name} cut at {len}: a state that never was");
+                    // The end of the last segment may be torn: the contents are those after some batch.
+                    assert!(
+                        states.contains(&found),
+                        "{name} truncated to {len} bytes: not the contents after any batch"
+                    );
                 } else {
-                    let newest = states.last().expect("states");
-                    assert!(!whole || found == *newest, "{name} cut at {len}: not noticed");
+                    let newest = states.last().expect("at least one state");
+                    assert!(
+                        !is_undamaged || found == *newest,
+                        "{name} truncated to {len} bytes: the damage is not reported"
+                    );
                     for (key, value) in &found {
                         assert_eq!(
                             newest.get(key),
                             Some(value),
-                            "{name} cut at {len}: an older value is back"
+                            "{name} truncated to {len} bytes: an older value is read"
                         );
                     }
                 }
@@ -283,10 +295,10 @@
 }
 
 #[test]
-fn a_flip_of_any_byte_is_seen_and_never_brings_back_what_is_older() {
+fn bit_flip_in_any_byte_is_reported_and_never_reveals_an_older_value() {
     for sealed in [true, false] {
-        let (disk, states) = lived_in(sealed);
-        let newest = states.last().expect("states");
+        let (disk, states) = store_with_history(sealed);
+        let newest = states.last().expect("at least one state");
         let (mut kept, mut cases) = (0, 0);
         for name in disk.list().expect("files").iter().filter(|n| n.ends_with(".seg")) {
             let bytes = disk.bytes(name).expect("a file");
@@ -298,50 +310,61 @@
                 let (found, _, _) = match read_damaged(&flipped) {
                     Ok(read) => read,
                     Err(StoreError::Version { .. }) => {
-                        panic!("{name} at {at}: a flip passes for another version")
+                        panic!("{name} at {at}: the flip is taken for another version")
                     }
                     Err(error) => panic!("{name} at {at}: {error}"),
                 };
                 let older = |(key, value): &(&Vec<u8>, &Vec<u8>)| newest.get(*key) != Some(*value);
                 if sealed {
-                    assert_eq!(found.iter().find(older), None, "{name} at {at}: invented or older");
-                    let report = verify(&flipped).expect("it can be read").recovery;
-                    assert!(!report.damage.is_empty(), "{name} at {at}: verify sees nothing");
+                    assert_eq!(
+                        found.iter().find(older),
+                        None,
+                        "{name} at {at}: a wrong or older value is read"
+                    );
+                    let report = verify(&flipped).expect("verify reads the store").recovery;
+                    assert!(!report.damage.is_empty(), "{name} at {at}: verify reports no damage");
                 } else if found.iter().any(|kv| older(&kv)) {
-                    // Only the very end of a store that was not closed may pass for a torn write.
-                    assert!(states[states.len() - 2] == found, "{name} at {at}: invented or older");
+                    // If the store was not closed, damage to the last batch cannot be told from a torn write.
+                    assert!(
+                        states[states.len() - 2] == found,
+                        "{name} at {at}: a wrong or older value is read"
+                    );
                 }
                 kept += found.len();
                 cases += 1;
             }
         }
         let share = kept as f64 / (cases * newest.len()) as f64;
-        println!("sealed {sealed}: {cases} flips, {share:.3} of the records given out on average");
-        assert!(share > 0.8, "damage costs too much: {share:.3}");
+        println!("sealed {sealed}: {cases} flips, {share:.3} of the records readable on average");
+        assert!(share > 0.8, "only {share:.3} of the records are readable, not above 0.8");
     }
 }
 
 #[test]
-fn power_cut_at_every_call_of_a_compaction_costs_nothing() {
-    let (disk, states) = lived_in(true);
-    let newest = states.last().expect("states");
+fn power_cut_at_any_call_of_a_compaction_loses_nothing() {
+    let (disk, states) = store_with_history(true);
+    let newest = states.last().expect("at least one state");
     let (mut cuts, options) = (0, Options { segment_bytes: 2500, seed: 9, ..Options::default() });
     loop {
         let torn = disk.copy();
-        let (mut writer, shared) = open(&torn, options).expect("a sound disk");
+        let (mut writer, shared) = open(&torn, options).expect("disk without faults");
         torn.cut_after(cuts);
         let view = view_of(&shared);
         let merge = writer.plan_full_compaction(&view, 1).expect("segments to merge");
         let done = merge.run(DamagedRecords::Refuse).and_then(|merged| writer.install(&shared, merged));
         for seed in 0..6 {
-            let (_, again) = open(&torn.reboot(cuts * 31 + seed), options).expect("it opens");
-            assert_eq!(contents(&again).expect("sound records"), *newest, "cut at call {cuts}, seed {seed}");
+            let (_, again) = open(&torn.reboot(cuts * 31 + seed), options).expect("store opens");
+            assert_eq!(
+                contents(&again).expect("readable records"),
+                *newest,
+                "power cut at call {cuts}, seed {seed}"
+            );
         }
         cuts += 1;
         if done.is_ok() && cuts > 4 && torn.calls() < cuts {
             break;
         }
     }
-    println!("cut at {cuts} calls of a compaction");
+    println!("power cut at {cuts} calls of a compaction");
     assert!(cuts > 8);
 }
