--- a/crates/invariant/src/lib.rs
+++ b/crates/invariant/src/lib.rs
@@ -1,6 +1,6 @@
-//! Checks of what must hold: they panic in debug builds and are counted in release builds.
+//! Checks of invariants: a violation panics in debug builds and is counted in release builds.
 //!
-//! Each package has a count of its own, so that a program can show what its own code violated.
+//! Violations are counted for each package, so that a program can report those of its own code.
 //!
 //! ```
 //! use mothproxy_invariant::{invariant, violations};
@@ -14,13 +14,13 @@
 
 use std::sync::{Mutex, PoisonError};
 
-/// How many violations a package has counted.
+/// The number of violations that a package has counted.
 struct PackageViolations {
     package: &'static str,
     count: u64,
 }
 
-/// The packages that have counted any. A lock will do: nothing is counted in a sound program.
+/// The packages with violations. A mutex is fast enough, since a correct program counts none.
 static VIOLATIONS: Mutex<Vec<PackageViolations>> = Mutex::new(Vec::new());
 
 /// Counts a violated invariant of a package. Called by [`invariant!`].
@@ -32,22 +32,23 @@
     }
 }
 
-/// How many invariants of a package were found violated since the process started. Packages go by their names in Cargo; one's
-/// own is `env!("CARGO_PKG_NAME")`.
+/// The number of violations that a package has counted since the process started. A package is identified by its Cargo name,
+/// which is `env!("CARGO_PKG_NAME")` for the calling package.
 pub fn violations(package: &str) -> u64 {
     let packages = VIOLATIONS.lock().unwrap_or_else(PoisonError::into_inner);
     packages.iter().find(|known| known.package == package).map_or(0, |known| known.count)
 }
 
-/// States a condition that must hold at this point, with a message as for `assert!`.
+/// Checks a condition that must hold at this point. The message is formatted as for `assert!`.
 ///
 /// # Panics
 ///
-/// In debug builds, if the condition does not hold. A release build counts it for the calling package, see [`violations`].
+/// In debug builds, if the condition does not hold. A release build counts the violation for the calling package; see
+/// [`violations`].
 #[macro_export]
 macro_rules! invariant {
-    ($holds:expr, $($message:tt)+) => {
-        if !$holds {
+    ($condition:expr, $($message:tt)+) => {
+        if !$condition {
             debug_assert!(false, $($message)+);
             $crate::record_violation(env!("CARGO_PKG_NAME"));
         }
--- a/crates/streams/src/broker.rs
+++ b/crates/streams/src/broker.rs
@@ -32,7 +32,7 @@
 pub enum Effect {
     /// Call [`EventBroker::pull`] for this watcher.
     Wake(WatcherId),
-    /// End this job: it has had no watcher for too long, and [`NewJob::ends_unwatched`] is set.
+    /// End this job: it has had no watcher for [`Limits::unwatched_timeout`], and [`NewJob::ends_unwatched`] is set.
     End(JobId),
 }
 
@@ -99,7 +99,7 @@
         while self.jobs.len() >= self.limits.jobs || self.bytes >= self.limits.bytes {
             let is_evictable = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_evictable);
             let Some(id) = self.timers.iter().map(|(_, id)| *id).find(is_evictable) else { return false };
-            self.forget(id);
+            self.remove_job(id);
             self.evicted += 1;
         }
         true
@@ -143,7 +143,7 @@
         }
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn remove_job(&mut self, id: JobId) {
         self.set_timer(id, None);
         let Some(job) = self.jobs.remove(&id) else { return };
         self.by_public_id.remove(&job.public_id);
@@ -203,7 +203,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return Err(BrokerError::Unknown) };
         let next_id = job.log.next_id();
         let received = last_received.filter(|last| *last < next_id).unwrap_or(0);
-        if job.is_over_after(received) {
+        if job.has_ended_after(received) {
             return Err(BrokerError::StreamEnded);
         }
         if self.streams.get(job.tenant) >= self.limits.streams_per_tenant {
@@ -256,7 +256,7 @@
         found.is_some_and(|(watcher, job)| watcher.has_more(&job.log))
     }
 
-    /// Removes a watcher. Its job continues; if it is one that ends unwatched and has no watcher left, its timer starts.
+    /// Removes a watcher. Its job continues. If the job ends unwatched and has no watcher left, its timer starts.
     pub fn remove_watcher(&mut self, now: Micros, id: WatcherId) {
         let Some(watcher) = self.watchers.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&watcher.job) else { return };
@@ -278,12 +278,12 @@
                 JobPhase::Finished if job.watchers.is_empty() => self.expire(now, id),
                 // A watcher may still be reading the final event.
                 JobPhase::Finished => self.set_timer(id, Some(now + self.limits.final_event_ttl)),
-                JobPhase::Expired => self.forget(id),
+                JobPhase::Expired => self.remove_job(id),
             }
         }
     }
 
-    /// Drops the events of a finished job. Its token stays known for a while.
+    /// Drops the events of a finished job. Its token is kept for [`Limits::token_ttl`].
     fn expire(&mut self, now: Micros, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.bytes -= job.log.bytes();
@@ -299,7 +299,7 @@
     /// Removes a job with its watchers, to transfer it to another process. `None` if there is no such job.
     pub fn transfer(&mut self, id: JobId) -> Option<TransferredJob> {
         let transferred = self.jobs.get(&id)?.to_transferred();
-        self.forget(id);
+        self.remove_job(id);
         Some(transferred)
     }
 
--- a/crates/streams/src/event_log.rs
+++ b/crates/streams/src/event_log.rs
@@ -27,9 +27,9 @@
 /// Whether a slow watcher receives an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// It receives every event of this kind.
+    /// A slow watcher receives every event of this kind.
     Every,
-    /// It receives only the latest event of this kind.
+    /// Of consecutive events of this kind, a slow watcher receives only the latest.
     Latest,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl EventLog {
-    /// A log with these events, in order. If `is_finished`, the last of them is the final event.
+    /// A log with these events, in order. If `is_finished` is true, the last of them is the final event.
     pub fn new(events: Vec<JobEvent>, next_id: u64, is_finished: bool) -> EventLog {
         let mut ring = VecDeque::from(events);
         let final_event = if is_finished { ring.pop_back() } else { None };
--- a/crates/streams/src/ids.rs
+++ b/crates/streams/src/ids.rs
@@ -1,9 +1,9 @@
-//! The identifiers of a job: its broker's, the clients', and the secret that lets a client watch it.
+//! The identifiers of a job: the broker's id, the clients' id, and the secret token that lets a client watch the job.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a job at its broker, from 0. It has no meaning in another process.
+/// The number of a job at its broker, from 0. The number has no meaning in another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PublicJobId(pub u64);
 
-/// The random secret that lets a client watch a job. Its `Debug` form does not show it.
+/// The random secret that lets a client watch a job. The `Debug` form does not show the secret.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchToken(pub u128);
 
--- a/crates/streams/src/job.rs
+++ b/crates/streams/src/job.rs
@@ -57,11 +57,11 @@
 /// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobPhase {
-    /// The final event is still to come.
+    /// The job has no final event yet.
     Running,
     /// The final event is in the log.
     Finished,
-    /// The final event was dropped; only the token is still known.
+    /// All events were dropped; only the ids and the token are kept.
     Expired,
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Drops all events. The token stays known.
+    /// Drops all events. The ids and the token are kept.
     pub fn expire(&mut self) {
         self.log.clear();
         self.is_expired = true;
@@ -132,7 +132,7 @@
     }
 
     /// Whether nothing is left for a watcher that has received the events up to `received`.
-    pub fn is_over_after(&self, received: u64) -> bool {
+    pub fn has_ended_after(&self, received: u64) -> bool {
         self.is_expired || self.log.final_id().is_some_and(|last| received >= last)
     }
 }
--- a/crates/streams/src/limits.rs
+++ b/crates/streams/src/limits.rs
@@ -11,13 +11,13 @@
     pub ring_bytes: usize,
     /// The maximum number of jobs.
     pub jobs: usize,
-    /// The size of all kept events, in bytes, from which on a new job needs others to be dropped.
+    /// The size of all kept events, in bytes, at which finished jobs are dropped before a new job is added.
     pub bytes: usize,
     /// The maximum number of streams of one tenant.
     pub streams_per_tenant: usize,
     /// How long a final event is kept, in microseconds.
     pub final_event_ttl: Micros,
-    /// How long a job's token stays known after its final event was dropped, in microseconds.
+    /// How long a job's token is kept after the job's final event was dropped, in microseconds.
     pub token_ttl: Micros,
     /// How long a job that ends unwatched may be without a watcher, in microseconds.
     pub unwatched_timeout: Micros,
--- a/crates/streams/src/metrics.rs
+++ b/crates/streams/src/metrics.rs
@@ -3,7 +3,7 @@
 /// Current sizes, and counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Jobs, including those of which only the token is known.
+    /// Jobs, including those of which only the token is kept.
     pub jobs: usize,
     /// Watchers of all jobs.
     pub watchers: usize,
--- a/crates/streams/src/watcher.rs
+++ b/crates/streams/src/watcher.rs
@@ -22,7 +22,7 @@
     pub job: JobId,
     /// The number of the first event that the watcher has not received.
     next_id: u64,
-    /// The watcher receives every event before this number: they existed before it came, so it asked to replay them.
+    /// The watcher receives every event before this number: they existed before it was added, so it asked to replay them.
     replay_until: u64,
 }
 
--- a/crates/streams/tests/broker.rs
+++ b/crates/streams/tests/broker.rs
@@ -1,4 +1,4 @@
-//! The broker by tables and by seeded histories against a model: nothing lost, doubled or out of order.
+//! The event broker: tables of cases, and random histories in which no client may lose, repeat or reorder events.
 
 use mothproxy_streams::{
     BrokerError, Effect, EventBroker, JobEvent, JobId, Limits, NewJob, Next, PublicJobId, TransferredJob,
@@ -24,7 +24,7 @@
 
 fn broker(limits: Limits) -> (EventBroker, JobId) {
     let mut broker = EventBroker::new(limits);
-    let job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("room");
+    let job = broker.add_job(0, new_job(1, TOKEN, 0, false)).expect("below the limits");
     (broker, job)
 }
 
@@ -34,8 +34,8 @@
     effects
 }
 
-/// All that a watcher gets now: ids of events, and negative counts of what it missed.
-fn pulled(broker: &mut EventBroker, watcher: WatcherId) -> Vec<i64> {
+/// All items that a watcher can pull now: the ids of events, and the counts of missed events as negative numbers.
+fn pull_all(broker: &mut EventBroker, watcher: WatcherId) -> Vec<i64> {
     let mut all = Vec::new();
     loop {
         match broker.pull(watcher) {
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn a_watcher_resumes_exactly_after_what_it_has() {
+fn a_watcher_resumes_after_the_last_received_event() {
     let (mut broker, job) = broker(Limits::default());
     broker.publish(job, "started", "{}".into(), &mut Vec::new());
     (2..=6).for_each(|n| drop(progress(&mut broker, job, n)));
-    // Garbage and ids from the future count as none.
+    // An id that the job has not reached is ignored.
     for (after, first) in [(None, 1), (Some(3), 4), (Some(6), 7), (Some(99), 1)] {
-        let watcher = watch(&mut broker, 1, TOKEN, after).expect("known");
-        assert_eq!(pulled(&mut broker, watcher), (first..7).collect::<Vec<i64>>(), "after {after:?}");
+        let watcher = watch(&mut broker, 1, TOKEN, after).expect("id and token are valid");
+        assert_eq!(pull_all(&mut broker, watcher), (first..7).collect::<Vec<i64>>(), "after {after:?}");
     }
 }
 
@@ -64,23 +64,23 @@
     broker.publish(job, "started", "{}".into(), &mut Vec::new());
     (2..=10).for_each(|n| drop(progress(&mut broker, job, n)));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    let fresh = watch(&mut broker, 1, TOKEN, None).expect("known");
-    assert_eq!(pulled(&mut broker, fresh), [1, -6, 8, 9, 10, 11]);
-    let later = watch(&mut broker, 1, TOKEN, Some(4)).expect("known");
-    assert_eq!(pulled(&mut broker, later), [-3, 8, 9, 10, 11]);
+    let fresh = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
+    assert_eq!(pull_all(&mut broker, fresh), [1, -6, 8, 9, 10, 11]);
+    let later = watch(&mut broker, 1, TOKEN, Some(4)).expect("id and token are valid");
+    assert_eq!(pull_all(&mut broker, later), [-3, 8, 9, 10, 11]);
     assert_eq!(broker.metrics().missed, 9);
 }
 
 #[test]
-fn a_slow_reader_gets_the_newest_progress_and_always_the_end() {
+fn a_slow_reader_gets_the_latest_progress_and_always_the_final_event() {
     let (mut broker, job) = broker(Limits::default());
-    let watcher = watch(&mut broker, 1, TOKEN, None).expect("known");
+    let watcher = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
     broker.publish(job, "started", "{}".into(), &mut Vec::new());
     (2..=9).for_each(|n| drop(progress(&mut broker, job, n)));
-    assert_eq!(pulled(&mut broker, watcher), [1, 9]);
+    assert_eq!(pull_all(&mut broker, watcher), [1, 9]);
     (10..=200).for_each(|n| drop(progress(&mut broker, job, n)));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    assert_eq!(pulled(&mut broker, watcher), [201], "progress before the end is stale");
+    assert_eq!(pull_all(&mut broker, watcher), [201], "the final event replaces the progress before it");
     assert_eq!(broker.metrics().missed, 0);
 }
 
@@ -90,8 +90,8 @@
     for (public, token) in [(1, TOKEN + 1), (2, TOKEN), (1, !TOKEN), (2, 0), (9, u128::MAX)] {
         assert_eq!(watch(&mut broker, public, token, None), Err(BrokerError::Unknown));
     }
-    // A token of another job's is a wrong one.
-    broker.add_job(0, new_job(2, TOKEN + 5, 0, false)).expect("room");
+    // The token of another job is wrong, too.
+    broker.add_job(0, new_job(2, TOKEN + 5, 0, false)).expect("below the limits");
     assert_eq!(watch(&mut broker, 1, TOKEN + 5, None), Err(BrokerError::Unknown));
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
     assert_eq!(watch(&mut broker, 1, TOKEN + 1, Some(1)), Err(BrokerError::Unknown));
@@ -102,10 +102,14 @@
     let limits = Limits::default();
     let (mut broker, job) = broker(limits);
     broker.finish(0, job, "done", "x".into(), &mut Vec::new());
-    let again = watch(&mut broker, 1, TOKEN, None).expect("known");
-    assert_eq!(pulled(&mut broker, again), [1]);
+    let again = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
+    assert_eq!(pull_all(&mut broker, again), [1]);
     broker.remove_watcher(1, again);
-    assert_eq!(watch(&mut broker, 1, TOKEN, Some(1)), Err(BrokerError::StreamEnded), "it has it");
+    assert_eq!(
+        watch(&mut broker, 1, TOKEN, Some(1)),
+        Err(BrokerError::StreamEnded),
+        "the client has received the final event"
+    );
     broker.on_timer(limits.final_event_ttl, &mut Vec::new());
     assert_eq!(watch(&mut broker, 1, TOKEN, None), Err(BrokerError::StreamEnded));
     assert_eq!(watch(&mut broker, 1, TOKEN + 1, None), Err(BrokerError::Unknown));
@@ -119,20 +123,20 @@
 fn a_job_ends_unwatched_only_after_its_last_watcher() {
     let limits = Limits::default();
     let mut broker = EventBroker::new(limits);
-    let job = broker.add_job(0, new_job(1, TOKEN, 0, true)).expect("room");
-    let other = broker.add_job(0, new_job(2, TOKEN, 0, false)).expect("room");
+    let job = broker.add_job(0, new_job(1, TOKEN, 0, true)).expect("below the limits");
+    let other = broker.add_job(0, new_job(2, TOKEN, 0, false)).expect("below the limits");
     let mut effects = Vec::new();
     let (one, two) = (
-        watch(&mut broker, 1, TOKEN, None).expect("known"),
-        watch(&mut broker, 1, TOKEN, None).expect("known"),
+        watch(&mut broker, 1, TOKEN, None).expect("id and token are valid"),
+        watch(&mut broker, 1, TOKEN, None).expect("id and token are valid"),
     );
     broker.remove_watcher(10, one);
     broker.on_timer(10 + limits.unwatched_timeout, &mut effects);
-    assert_eq!(effects, [], "one still watches");
+    assert_eq!(effects, [], "a watcher is left");
     broker.remove_watcher(20, two);
-    let back = watch(&mut broker, 1, TOKEN, None).expect("known");
+    let back = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
     broker.on_timer(20 + limits.unwatched_timeout, &mut effects);
-    assert_eq!(effects, [], "it came back in time");
+    assert_eq!(effects, [], "a new watcher was added before the timeout");
     broker.remove_watcher(30, back);
     broker.on_timer(30 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [Effect::End(job)]);
@@ -144,27 +148,27 @@
     let limits = Limits { jobs: 3, streams_per_tenant: 2, ..Limits::default() };
     let mut broker = EventBroker::new(limits);
     let ids: Vec<JobId> =
-        (0..3).map(|n| broker.add_job(0, new_job(n, TOKEN, 0, false)).expect("room")).collect();
+        (0..3).map(|n| broker.add_job(0, new_job(n, TOKEN, 0, false)).expect("below the limits")).collect();
     assert_eq!(
         broker.add_job(0, new_job(9, TOKEN, 0, false)),
         Err(BrokerError::Full),
-        "none of them is finished"
+        "none of the jobs is finished"
     );
     broker.finish(5, ids[1], "done", "x".into(), &mut Vec::new());
-    broker.add_job(6, new_job(9, TOKEN, 1, false)).expect("the finished one gave way");
+    broker.add_job(6, new_job(9, TOKEN, 1, false)).expect("the finished job is evicted");
     assert_eq!(
         (watch(&mut broker, 1, TOKEN, None), broker.metrics().evicted),
         (Err(BrokerError::Unknown), 1)
     );
-    let held =
-        [watch(&mut broker, 0, TOKEN, None), watch(&mut broker, 2, TOKEN, None)].map(|w| w.expect("room"));
+    let held = [watch(&mut broker, 0, TOKEN, None), watch(&mut broker, 2, TOKEN, None)]
+        .map(|w| w.expect("below the limits"));
     assert_eq!(watch(&mut broker, 0, TOKEN, None), Err(BrokerError::TooManyStreams));
-    assert!(watch(&mut broker, 9, TOKEN, None).is_ok(), "another tenant's");
+    assert!(watch(&mut broker, 9, TOKEN, None).is_ok(), "another tenant is below its limit");
     broker.remove_watcher(7, held[0]);
     assert!(watch(&mut broker, 0, TOKEN, None).is_ok());
 }
 
-/// A client as a browser is: it keeps the id of the last event that it got whole, and comes back with it.
+/// A client that behaves like a browser: it reconnects with the id of the last event that it received completely.
 #[derive(Default)]
 struct Client {
     watcher: Option<WatcherId>,
@@ -174,7 +178,7 @@
     missed: u64,
 }
 
-/// Several watchers of one job under drops, evictions, slow reading and transfer to another broker.
+/// Several clients of one job with disconnections, evictions, slow reads and transfers to another broker.
 struct History {
     seed: u64,
     rng: SmallRng,
@@ -183,7 +187,7 @@
     job: JobId,
     clients: Vec<Client>,
     published: u64,
-    /// Events of the job, the final one included.
+    /// The number of events of the job, including the final one.
     total: u64,
 }
 
@@ -206,10 +210,14 @@
         }
         let (seed, total) = (self.seed, self.total);
         for client in &self.clients {
-            assert_eq!(client.finals, 1, "seed {seed}: finals");
-            assert_eq!(client.last, Some(total), "seed {seed}");
+            assert_eq!(client.finals, 1, "seed {seed}: final events of a client");
+            assert_eq!(client.last, Some(total), "seed {seed}: last event of a client");
             let starts = client.names.iter().filter(|n| *n == "started").count();
-            assert_eq!(starts, usize::from(total > 1), "seed {seed}: the start came {starts} times");
+            assert_eq!(
+                starts,
+                usize::from(total > 1),
+                "seed {seed}: a client received the first event {starts} times"
+            );
         }
     }
 
@@ -232,15 +240,15 @@
         }
     }
 
-    /// A hot restart: every stream ends, the job goes to another process.
+    /// Simulates a hot restart: all streams end, and the job is transferred to another process.
     fn transfer(&mut self, now: u64) {
-        let transferred: TransferredJob = self.broker.transfer(self.job).expect("it is there");
+        let transferred: TransferredJob = self.broker.transfer(self.job).expect("the broker has the job");
         self.broker = EventBroker::new(self.limits);
-        self.job = self.broker.restore(now, transferred).expect("nobody has its id");
+        self.job = self.broker.restore(now, transferred).expect("the public id is not in use");
         self.clients.iter_mut().for_each(|client| client.watcher = None);
     }
 
-    /// A client connects, or reads what comes next.
+    /// Connects a random client, or pulls its next item.
     fn read(&mut self, now: u64) {
         let (seed, broker) = (self.seed, &mut self.broker);
         let client = &mut self.clients[self.rng.random_range(0..4)];
@@ -248,16 +256,16 @@
             match watch(broker, 1, TOKEN, client.last) {
                 Ok(watcher) => client.watcher = Some(watcher),
                 Err(BrokerError::StreamEnded) => {
-                    assert_eq!(client.finals, 1, "seed {seed}: over without its end");
+                    assert_eq!(client.finals, 1, "seed {seed}: the stream has ended before the final event");
                 }
                 Err(why) => panic!("seed {seed}: {why:?}"),
             }
             return;
         };
-        let drops = self.rng.random_ratio(1, 6);
+        let disconnects = self.rng.random_ratio(1, 6);
         match broker.pull(watcher) {
-            // What was on its way when the client dropped is lost.
-            _ if drops => {
+            // An event that was in transit when the client disconnected is lost.
+            _ if disconnects => {
                 broker.remove_watcher(now, watcher);
                 client.watcher = None;
             }
@@ -277,7 +285,7 @@
 impl Client {
     fn receive(&mut self, event: &JobEvent, is_final: bool, seed: u64) {
         let (id, last) = (event.id, self.last);
-        assert!(last.is_none_or(|had| id > had), "seed {seed}: {id} after {last:?}");
+        assert!(last.is_none_or(|had| id > had), "seed {seed}: event {id} after event {last:?}");
         self.last = Some(id);
         self.finals += usize::from(is_final);
         self.names.push(event.name.clone());
@@ -285,7 +293,7 @@
 }
 
 #[test]
-fn seeded_histories_give_each_client_one_end_and_nothing_twice() {
+fn seeded_histories_give_each_client_one_final_event_and_no_duplicates() {
     let count = std::env::var("STREAM_HISTORIES").ok().and_then(|t| t.parse().ok()).unwrap_or(3_000);
     (0..count).for_each(|seed| History::new(seed).run());
     println!("histories: {count}");
