--- a/src/cli/bench/compaction.rs
+++ b/src/cli/bench/compaction.rs
@@ -20,11 +20,12 @@
 const UNDISTURBED_WRITES: u64 = 1500;
 /// The number of compactions during which writes are measured.
 const COMPACTIONS: usize = 5;
-/// The first numbers of the records that are measured. They keep these records apart from each other and from the fill.
+/// The first numbers of the measured records, so that their keys differ from each other and from those of the fill.
 const FIRST_UNDISTURBED_NUMBER: u64 = 1 << 40;
 const FIRST_CONCURRENT_NUMBER: u64 = 2 << 40;
 
-/// Measures the p50 and p99 latency of writes in both cases, and the space that the compaction frees.
+/// Measures the p50 and p99 latencies of writes with and without a concurrent compaction, and the size of the store before
+/// and after a compaction.
 pub(super) fn measure(dir: &Path) -> Result<Value, CommandError> {
     let (store, _) = Store::open(&dir.join(STORE_DIR), without_compaction())?;
     fill(&store)?;
@@ -70,10 +71,10 @@
     Ok(latencies)
 }
 
-/// The result of writes that were made while compactions ran.
+/// The latencies of writes that were made while compactions ran.
 struct ConcurrentWrites {
     latencies: Histogram<u64>,
-    /// How many compactions the store had run at the end.
+    /// The number of compactions since the store was opened.
     compactions: u64,
 }
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// Writes until `is_over`, and measures the latency of each write.
+/// Writes until `is_over` is set, and measures the latency of each write.
 fn measure_writes_until(store: &Store, is_over: &AtomicBool) -> Result<Histogram<u64>, CommandError> {
     let mut latencies = latency_histogram()?;
     let mut n = 0;
@@ -106,7 +107,7 @@
     Ok(latencies)
 }
 
-/// Compacts [`COMPACTIONS`] times, or up to the first error. Returns the last result.
+/// Compacts [`COMPACTIONS`] times, or until the first error. Returns the last result.
 fn compact_repeatedly(store: &Store) -> Result<Stat, StoreError> {
     let mut last = store.compact(DamagedRecords::Refuse);
     for _ in 1..COMPACTIONS {
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -13,7 +13,7 @@
 
 /// The length of each value, in bytes.
 const VALUE_LENGTH: usize = 200;
-/// How often each measurement is repeated. The median counts, because results vary from one moment to the next.
+/// How often each measurement is repeated. The median is reported, because the speed of a disk varies.
 const ROUNDS: usize = 5;
 /// The numbers of records for which recovery is measured, if they are below the requested number.
 const RECOVERY_SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
@@ -26,10 +26,10 @@
 /// An odd multiplier (the 64-bit golden ratio) that scatters consecutive numbers.
 const SCATTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Runs all measurements, prints the results, and leaves the folder as it was.
+/// Runs all measurements, prints the results, and restores the directory to its previous state.
 ///
 /// # Errors
-/// [`CommandError`] if the folder is not empty or a measurement fails.
+/// [`CommandError`] if the directory is not empty or a measurement fails.
 pub(super) fn run(dir: &Path, records: u64, as_json: bool) -> Result<(), CommandError> {
     let has_existed = dir.exists();
     if has_existed && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
@@ -39,7 +39,7 @@
     let measured = measure_all(dir, records);
     for name in [writes::BASELINE_FILE, writes::SINGLE_DIR, writes::MANY_DIR, compaction::STORE_DIR] {
         let path = dir.join(name);
-        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // what a measurement left behind
+        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // left behind by a failed measurement
     }
     if !has_existed {
         let _ = std::fs::remove_dir(dir);
@@ -69,7 +69,7 @@
 
 /// The write of one record. The same number always gives the same record.
 fn operation(number: u64) -> Operation {
-    // The keys are in no order, like idempotency keys.
+    // The keys are not in ascending order, like idempotency keys.
     let key = format!("key-{:016x}", number.wrapping_mul(SCATTER_MULTIPLIER)).into_bytes();
     Operation { key, value: Some(vec![number as u8; VALUE_LENGTH]), expires_at: None }
 }
@@ -84,7 +84,7 @@
     Options { compacts: false, ..Options::default() }
 }
 
-/// A histogram of nanoseconds.
+/// A histogram of latencies in nanoseconds.
 fn latency_histogram() -> Result<Histogram<u64>, BenchError> {
     Ok(Histogram::new_with_bounds(1, MAX_LATENCY_NS, HISTOGRAM_DIGITS)?)
 }
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -20,7 +20,7 @@
 /// Nanoseconds in one millisecond.
 const NS_PER_MS: f64 = 1e6;
 
-/// Measures the recovery of a store with this many records. Its last segment has no footer, as after a crash.
+/// Measures the recovery of a store with this many records, whose last segment has no footer, as after a crash.
 pub(super) fn measure(dir: &Path, records: u64) -> Result<Value, CommandError> {
     let path = dir.join(format!("recover-{records}"));
     write_without_seal(&path, records)?;
@@ -74,7 +74,7 @@
     time.as_secs_f64() * MS_PER_SECOND
 }
 
-/// The result of a sequential read of all files of a folder.
+/// The result of a sequential read of all files of a directory.
 struct PlainRead {
     time: Duration,
     bytes: u64,
--- a/src/cli/bench/writes.rs
+++ b/src/cli/bench/writes.rs
@@ -52,7 +52,7 @@
 }
 
 impl Baseline {
-    /// Makes `appends` appends of `length` bytes, and syncs after each.
+    /// Appends `length` bytes `appends` times, and syncs after each append.
     fn measure(dir: &Path, length: usize, appends: usize) -> Result<Baseline, BenchError> {
         let path = dir.join(BASELINE_FILE);
         let mut file = File::create(&path)?;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -8,7 +8,7 @@
 /// The file name extension of operators' files.
 const SETTINGS_EXTENSION: &str = "txtpb";
 
-/// Checks a file. Its extension says which kind of file it is.
+/// Checks a file. The extension of its name determines which kind of file it is.
 pub(super) fn run(file: &Path) -> Result<(), CommandError> {
     if file.extension().is_some_and(|extension| extension == SETTINGS_EXTENSION) {
         check_settings(file)
@@ -20,7 +20,7 @@
 fn check_settings(file: &Path) -> Result<(), CommandError> {
     let settings = settings::load(file, FilePresence::Required)?;
     println!(
-        "{}: sound: streams {}, state {}, membership {}, cold start {}, runtimes {}, fair share {}",
+        "{}: valid: streams {}, state {}, membership {}, cold start {}, runtimes {}, fair share {}",
         file.display(),
         on_or_off(settings.streams.is_some()),
         on_or_off(settings.state.is_some()),
@@ -40,7 +40,7 @@
     let env = |name: &str| (name == "GW_CONFIG").then(|| file.display().to_string());
     let config = Config::load(env)?;
     println!(
-        "{}: sound: {} on {}, {} classes, {} peers",
+        "{}: valid: {} on {}, {} classes, {} peers",
         file.display(),
         config.name,
         config.listen,
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -35,25 +35,25 @@
     Directory {
         /// The directory.
         dir: PathBuf,
-        /// Why.
+        /// The error of the system call.
         #[source]
         error: io::Error,
     },
     /// A directory contains no store.
-    #[error("{}: no store is there", .0.display())]
+    #[error("{}: the directory contains no store", .0.display())]
     NoStore(PathBuf),
     /// A directory contains files that do not belong to a store.
-    #[error("{}: it holds files that are no store's", .0.display())]
+    #[error("{}: the directory contains files that do not belong to a store", .0.display())]
     ForeignFiles(PathBuf),
     /// A directory that must be empty is not.
-    #[error("{}: the folder is not empty", .0.display())]
+    #[error("{}: the directory is not empty", .0.display())]
     NotEmpty(PathBuf),
     /// A line of standard input is invalid.
     #[error("standard input: line {line}: {error}")]
     BadLine {
         /// The line's number, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// Why the line is invalid.
         #[source]
         error: RecordError,
     },
@@ -61,17 +61,17 @@
     #[error("standard input: {0}")]
     StandardInput(#[source] io::Error),
     /// Standard output was closed before all keys were printed.
-    #[error("standard output was closed")]
+    #[error("standard output was closed before all keys were printed")]
     StandardOutputClosed,
     /// The store could not write a record.
     #[error("{0}")]
     WriteFailed(#[source] Arc<StoreError>),
     /// A dump skipped damaged records.
-    #[error("{}: damaged: {damaged} places; what is whole was printed", dir.display())]
+    #[error("{}: {damaged} damaged places; all readable records were printed", dir.display())]
     DamageSkipped {
         /// The store's directory.
         dir: PathBuf,
-        /// How many places are damaged.
+        /// The number of damaged places.
         damaged: usize,
     },
     /// The store is damaged; each damage has been printed already.
@@ -85,7 +85,7 @@
 /// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum BenchError {
-    /// The folder cannot be read.
+    /// The directory cannot be read.
     #[error("bench: {0}")]
     Folder(#[source] io::Error),
     /// A system call failed.
@@ -98,14 +98,14 @@
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The thread of the compaction panicked.
-    #[error("the compaction ended in a panic")]
+    #[error("bench: the thread of the compaction panicked")]
     CompactionPanicked,
     /// Recovery lost records.
-    #[error("bench: {found} of {written} records came back")]
+    #[error("bench: recovery found {found} of {written} records")]
     RecordsLost {
-        /// Records that were found.
+        /// The number of records that were found.
         found: u64,
-        /// Records that were written.
+        /// The number of records that were written.
         written: u64,
     },
 }
@@ -148,7 +148,7 @@
         | StoreError::Failing(_)
         | StoreError::QueueFull
         | StoreError::Closed => EXIT_FAILED,
-        // The others say that the directory on the command line cannot be used.
+        // The other errors mean that the directory on the command line cannot be used.
         _ => EXIT_BAD_INPUT,
     }
 }
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -12,10 +12,10 @@
 /// The form of log lines.
 #[derive(Clone, Copy, Default, PartialEq, ValueEnum)]
 pub(super) enum LogFormat {
-    /// One plain line each.
+    /// One line of text for each event.
     #[default]
     Text,
-    /// One JSON object each.
+    /// One JSON object for each event.
     Json,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Starts to write log lines to standard error. If that fails, the reason is printed and there is no log.
+/// Starts to write log lines to standard error. If that fails, prints the reason; nothing is logged then.
 pub(super) fn start(format: LogFormat) {
     let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(tracing::Level::INFO);
     let started = match format {
@@ -58,6 +58,6 @@
         LogFormat::Text => builder.event_format(PlainFormat).try_init(),
     };
     if let Err(error) = started {
-        eprintln!("mothproxy: no log: {error}");
+        eprintln!("mothproxy: cannot start the log: {error}");
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line. Without a sub-command the program serves. Exit codes: 0 done, 1 it failed or found damage,
-//! 2 bad input: nothing was changed.
+//! The command line. Without a sub-command the program serves. Exit codes: 0 for success, 1 for a failure or if damage was
+//! found, 2 for bad input. Bad input changes nothing, except that `store put` keeps the records of the lines before it.
 
 mod bench;
 mod check;
@@ -23,7 +23,7 @@
     command: Option<Command>,
     #[command(flatten)]
     serve: ServeArgs,
-    /// The form of log lines on standard error.
+    /// The format of log lines on standard error.
     #[arg(long, value_enum, global = true)]
     log: Option<LogFormat>,
 }
@@ -32,12 +32,12 @@
 enum Command {
     /// Serve as a dispatcher; the environment variable GW_CONFIG names the configuration.
     Serve(ServeArgs),
-    /// Check a configuration file and change nothing.
+    /// Check a configuration or an operators' file without serving.
     Check {
-        /// The configuration, as GW_CONFIG would name it, or an operators' file (*.txtpb).
+        /// A configuration, as GW_CONFIG names it, or an operators' file (*.txtpb).
         file: PathBuf,
     },
-    /// Work on a store's directory.
+    /// Inspect, change or measure a store.
     #[command(subcommand)]
     Store(StoreCommand),
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -17,13 +17,13 @@
 
 #[derive(Args)]
 pub(super) struct ServeArgs {
-    /// The operators' file [default: deploy/mothproxy.txtpb, where it is there].
+    /// The operators' file [default: deploy/mothproxy.txtpb, if it exists].
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// A TOML file that says where event streams are served, in place of `streams` of the operators' file.
+    /// A TOML file with the settings of event streams, which replaces `streams` of the operators' file.
     #[arg(long, value_name = "FILE")]
     sse: Option<PathBuf>,
-    /// The directory of the idempotency records, so that keyed jobs survive a crash, in place of `state` of the operators' file.
+    /// The directory of the idempotency records, so that keyed jobs survive a crash; replaces `state` of the operators' file.
     #[arg(long, value_name = "DIR")]
     state: Option<PathBuf>,
     /// When idempotency records become durable: always, interval:MS or never.
@@ -31,9 +31,9 @@
     state_sync: Option<SyncMode>,
 }
 
-/// A text is not a sync mode. clap shows it to the user.
+/// The error for a text that is not a sync mode, which clap prints.
 #[derive(Debug, Error)]
-#[error("it is always, interval:MS (MS above 0) or never")]
+#[error("expected always, interval:MS (MS above 0) or never")]
 struct UnknownSyncMode;
 
 /// Parses `always`, `interval:MS` or `never`.
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -17,49 +17,49 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// What to do with a store.
+/// A sub-command of `mothproxy store`.
 #[derive(Subcommand)]
 pub enum StoreCommand {
-    /// Write JSON lines {"key":"..","value":".."} from standard input; a value null deletes. Each key is printed once it
-    /// is durable. A line that is out of order ends it: what was printed before it stays.
+    /// Write JSON lines {"key":"..","value":".."} from standard input; a value of null deletes the key. Each key is printed
+    /// once its record is durable. An invalid line ends the command; the records of the lines before it stay written.
     Put {
-        /// The store; made if it is not there.
+        /// The directory of the store, which is created if it does not exist.
         dir: PathBuf,
     },
-    /// Print all records as such lines, by key. Bytes that are no UTF-8 come as key_base64 and value_base64.
+    /// Print all records as JSON lines, in order of keys. Bytes that are not UTF-8 are printed as key_base64 and value_base64.
     Dump {
-        /// The store.
+        /// The directory of the store.
         dir: PathBuf,
     },
-    /// Read every byte and name each damage. Exit code 0: whole; 1: damaged.
+    /// Read every byte and print each damaged place. Exit code 0: no damage; 1: damaged.
     Verify {
-        /// The store.
+        /// The directory of the store.
         dir: PathBuf,
     },
-    /// Rewrite what counts into one segment.
+    /// Rewrite all live records into one segment.
     Compact {
-        /// The store.
+        /// The directory of the store.
         dir: PathBuf,
-        /// Leave out what cannot be read. Without it a damaged store stays as it is.
+        /// Drop damaged records. Without this option, a damaged store is not changed.
         #[arg(long)]
         drop_damaged: bool,
     },
-    /// Show figures.
+    /// Print statistics.
     Stat {
-        /// The store.
+        /// The directory of the store.
         dir: PathBuf,
-        /// As one JSON object.
+        /// Print one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Measure a store against plain appends and reads by hand, in the same run.
+    /// Compare a store with plain appends and reads of the same bytes.
     Bench {
-        /// A folder that is empty or not there.
+        /// A directory that is empty or does not exist.
         dir: PathBuf,
-        /// Records for the measurement of recovery.
+        /// The number of records for the measurement of recovery.
         #[arg(long, default_value_t = 100_000, value_parser = clap::value_parser!(u64).range(100..=10_000_000))]
         records: u64,
-        /// As one JSON object.
+        /// Print one JSON object.
         #[arg(long)]
         json: bool,
     },
@@ -179,7 +179,7 @@
     })
 }
 
-/// The figures, one line each.
+/// The statistics, one line for each.
 fn stat_lines(stat: &Stat) -> String {
     let json = stat_json(stat);
     let fields = json.as_object().into_iter().flatten();
--- a/src/cli/store/put.rs
+++ b/src/cli/store/put.rs
@@ -31,7 +31,7 @@
     let window = Arc::new(WriteWindow::default());
     let mut writer = LineWriter { dir, store: None, window: window.clone(), acknowledge };
     let written = writer.write_lines(&mut std::io::stdin().lock());
-    // Every accepted line is written and printed, also if the input ended with an error.
+    // Every accepted record is written and its key printed, even if the input ended with an error.
     let closed = writer.close();
     let has_printed_all = printer.join().unwrap_or(false);
     written?;
@@ -121,7 +121,7 @@
             let record = Record::parse(text).map_err(bad_line)?;
             self.open_store()?;
             if !self.window.acquire() {
-                return Ok(()); // the caller reports why
+                return Ok(()); // `run` reports the failed write
             }
             self.submit(record).map_err(|error| match error {
                 StoreError::Invalid(invalid) => bad_line(RecordError::Invalid(invalid)),
@@ -129,7 +129,7 @@
             })?;
         }
         if !self.dir.exists() {
-            self.open_store()?; // no line at all: an empty store
+            self.open_store()?; // the input has no records: create an empty store
         }
         Ok(())
     }
--- a/src/cli/store/record.rs
+++ b/src/cli/store/record.rs
@@ -21,29 +21,29 @@
     /// The line is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The object has an unknown field; its name.
-    #[error("\"{0}\" is no field; it has \"key\" and \"value\"")]
+    /// The object has an unknown field with this name.
+    #[error("unknown field \"{0}\"; the fields are \"key\" and \"value\"")]
     UnknownField(String),
-    /// A field is given both as text and in base64; its name.
-    #[error("both \"{0}\" and \"{0}_base64\"")]
+    /// The field with this name is given both as text and in base64.
+    #[error("both \"{0}\" and \"{0}_base64\" are given")]
     GivenTwice(&'static str),
-    /// A field is not a string; its name.
-    #[error("\"{0}\" is no string")]
+    /// The field with this name is not a string.
+    #[error("\"{0}\" is not a string")]
     NotAString(String),
     /// A field is not base64.
     #[error("\"{field}\": {error}")]
     NotBase64 {
         /// The field's name.
         field: String,
-        /// What is wrong with it.
+        /// Why the field is not base64.
         #[source]
         error: base64::DecodeError,
     },
     /// The key is missing.
-    #[error("no \"key\"")]
+    #[error("\"key\" is missing")]
     NoKey,
     /// The value is missing.
-    #[error("no \"value\" (null deletes)")]
+    #[error("\"value\" is missing (null deletes the key)")]
     NoValue,
     /// The key is empty.
     #[error("the key is empty")]
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -15,7 +15,7 @@
         SettingsFileError { faults }
     }
 
-    /// The faults.
+    /// The faults, in the order in which they were found.
     pub fn faults(&self) -> &[SettingsFault] {
         &self.faults
     }
@@ -37,7 +37,7 @@
     pub line: usize,
     /// The path of the field, such as `streams.listen`; empty if the fault is not in a field.
     pub field: String,
-    /// What is wrong.
+    /// The kind of fault.
     #[source]
     pub kind: FaultKind,
 }
@@ -60,13 +60,13 @@
     #[error("{0:?} is not an address with a port")]
     NotAnAddress(String),
     /// A text is not an origin.
-    #[error("{0:?} is no origin such as https://pay.example")]
+    #[error("{0:?} is not an origin such as https://pay.example")]
     NotAnOrigin(String),
     /// A number must be above 0.
     #[error("is not above 0")]
     NotPositive,
     /// A number is out of range.
-    #[error("is not {min} to {max}")]
+    #[error("is not in the range {min} to {max}")]
     OutOfRange {
         /// The smallest allowed value.
         min: f64,
@@ -77,16 +77,16 @@
     #[error("INTERVAL needs interval_ms above 0")]
     IntervalMissing,
     /// An interval is set, but the sync mode is not `INTERVAL`.
-    #[error("it counts with sync: INTERVAL only")]
+    #[error("is used only with sync: INTERVAL")]
     IntervalUnused,
     /// The idempotency store has no directory.
     #[error("it has no directory")]
     DirectoryMissing,
     /// The probe timeout is not below the probe interval.
-    #[error("is not below probe_interval_ms (500 where that is absent)")]
+    #[error("is not below probe_interval_ms (500 if not set)")]
     ProbeTimeoutTooLong,
     /// A tenant has no name.
-    #[error("one has no name")]
+    #[error("a tenant has no name")]
     TenantNameMissing,
     /// The shares of the tenants are invalid.
     #[error("{0}")]
--- a/src/settings/fleet.rs
+++ b/src/settings/fleet.rs
@@ -1,4 +1,4 @@
-//! Reads the section `fleet`: membership of the dispatchers, and what they share with each other.
+//! Reads the section `fleet`: membership of the dispatchers, and the state that they share with each other.
 
 use super::fault::FaultKind;
 use super::reader::{Reader, Section};
@@ -10,7 +10,7 @@
 use prost_reflect::Value;
 use std::ops::RangeInclusive;
 
-/// The range of the time of a call to discovery, in milliseconds.
+/// The range of the time that a call to discovery takes, in milliseconds.
 const CALL_TIME_MS: RangeInclusive<f64> = 1.0..=10_000.0;
 /// The range of the rate that a federation can serve, in points per second.
 const POINTS_PER_S: RangeInclusive<f64> = 0.001..=1e6;
@@ -21,9 +21,9 @@
 const MAX_MILLIPOINTS_PER_S: f64 = 1e9;
 /// The range of the weight of a job beyond its tenant's quota, as a fraction of the weight of its class.
 const OVER_QUOTA_WEIGHT: RangeInclusive<f64> = 0.0..=1.0;
-/// The default of that fraction.
+/// The default weight of a job beyond its tenant's quota, as a fraction of the weight of its class.
 const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 0.1;
-/// The range of the quantile of run times that counts as long.
+/// The range of the quantile of run times that is taken as a long run time.
 const LONG_QUANTILE: RangeInclusive<f64> = 0.5..=0.99;
 /// The range of the multiplier of a suspicion's duration.
 const SUSPICION_MULTIPLIER: RangeInclusive<f64> = 0.1..=100.0;
@@ -31,9 +31,9 @@
 const PROBE_INTERVAL_MS: RangeInclusive<u32> = 20..=60_000;
 /// The range of the timeout of a probe, in milliseconds.
 const PROBE_TIMEOUT_MS: RangeInclusive<u32> = 5..=59_999;
-/// The default of the probe timeout, in percent of a probe interval that is set.
+/// The default of the probe timeout, in percent of a probe interval that the file sets.
 const DEFAULT_PROBE_TIMEOUT_PERCENT: Micros = 30;
-/// The range of the time for which anything is kept for a dead member, in seconds: up to a day.
+/// The range of the retention times of a dead member's state, in seconds; at most a day.
 const RETENTION_S: RangeInclusive<u32> = 1..=86_400;
 /// The range of the budget for a member's datagrams, in bytes per second.
 const BYTES_PER_S: RangeInclusive<u32> = 1_024..=100_000_000;
--- a/src/settings/location.rs
+++ b/src/settings/location.rs
@@ -34,7 +34,7 @@
 /// Tracks the current field of a text, token by token.
 struct FieldScanner<'a> {
     text: &'a str,
-    /// The messages around the current position, from the outermost.
+    /// The names of the messages around the current position, from the outermost.
     enclosing: Vec<&'a str>,
     /// The field that was named last.
     field: &'a str,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -20,7 +20,7 @@
 use reader::{Reader, Section};
 use std::path::Path;
 
-/// The compiled schema; `build.rs` makes it.
+/// The compiled schema, which `build.rs` writes.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/mothproxy.desc"));
 /// The name of the message that the file contains.
 const MESSAGE: &str = "mothproxy.v1.Settings";
@@ -36,17 +36,17 @@
     pub state: Option<StateDir>,
     /// Whether log lines are JSON objects.
     pub json_log: bool,
-    /// Membership of the dispatchers, and what they share with each other.
+    /// Membership of the dispatchers, and the state that they share with each other.
     pub fleet: FleetSettings,
 }
 
-/// Parses the text of an operators' file; error messages call it `file`.
+/// Parses the text of an operators' file. `file` is the name of the file in error messages.
 ///
 /// # Errors
 /// [`SettingsFileError`] with all faults in the text.
 pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsFileError> {
     let descriptor = descriptor();
-    mothproxy_invariant::invariant!(descriptor.is_some(), "the schema that was built in cannot be read");
+    mothproxy_invariant::invariant!(descriptor.is_some(), "the compiled-in schema cannot be decoded");
     let Some(descriptor) = descriptor else { return Ok(Settings::default()) };
     let message = DynamicMessage::parse_text_format(descriptor, text)
         .map_err(|error| SettingsFileError::new(vec![syntax_fault(error, text, file)]))?;
@@ -64,7 +64,7 @@
     reader.finish(settings)
 }
 
-/// Reads an operators' file. If it is optional and missing, nothing is set.
+/// Reads an operators' file. If the file is optional and missing, returns the default settings.
 ///
 /// # Errors
 /// [`SettingsFileError`] with all faults in the file, or if it cannot be read.
--- a/src/settings/serving.rs
+++ b/src/settings/serving.rs
@@ -14,7 +14,7 @@
 const SYNC_INTERVAL: i32 = 1;
 const SYNC_NEVER: i32 = 2;
 
-/// Reads `streams`; `None` if it has no valid address of a listener.
+/// Reads `streams`; `None` if the section has no valid address to listen on.
 pub(super) fn read_streams(reader: &mut Reader<'_>, section: &Section) -> Option<SseSettings> {
     let listen_text = section.text("listen");
     let listen = listen_text.parse().ok();
@@ -36,7 +36,7 @@
     })
 }
 
-/// A number, or its default. A number that is not above 0 is recorded as a fault.
+/// The value of a field, or its default. A value that is not above 0 is recorded as a fault.
 fn positive(reader: &mut Reader<'_>, section: &Section, field: &str, default: u32) -> u32 {
     let value = section.number(field).unwrap_or(default);
     if value == 0 {
@@ -45,7 +45,7 @@
     value
 }
 
-/// Reads `state`; `None` if it has no directory.
+/// Reads `state`; `None` if the section has no directory.
 pub(super) fn read_state(reader: &mut Reader<'_>, section: &Section) -> Option<StateDir> {
     let sync = read_sync_mode(reader, section);
     let directory = section.text("directory");
