--- a/examples/proof_store.rs
+++ b/examples/proof_store.rs
@@ -1,5 +1,6 @@
-//! The store's proof, reduced (`make proof-store`): histories, cuts and flips, killed processes, figures beside the raw disk.
-//! Ends in one JSON line; the exit code is not 0 where a part fails. What it runs must have been built (`make build-proof`).
+//! A shortened check of the store (`make proof-store`): random histories, truncated files and flipped bits, killed processes,
+//! and a benchmark against the raw disk. The last line of the output is a JSON object; the exit code is not 0 if a part fails.
+//! `make build-proof` builds the programs that this one runs.
 
 mod common;
 
@@ -8,26 +9,26 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// The number between two texts, where they are found.
+/// The number between two texts; `None` if the texts are not found.
 fn number(text: &str, before: &str, after: &str) -> Option<u64> {
     let start = text.find(before)? + before.len();
     let rest = &text[start..];
     rest[..rest.find(after)?].trim().parse().ok()
 }
 
-/// The number between two texts in the output of a part, if that came to its end.
+/// The number between two texts in the output of a part; `None` if the part failed.
 fn output_number(output: Option<&str>, before: &str, after: &str) -> Option<u64> {
     output.and_then(|text| number(text, before, after))
 }
 
 const CARGO: [&str; 5] = ["cargo", "test", "--locked", "--release", "-q"];
 
-/// Runs tests with these variables; their output.
+/// Runs tests with these environment variables. Returns their output, or `None` if they failed.
 fn run_tests(name: &str, environment: &[(&str, &str)], arguments: &[&str]) -> Option<String> {
     run_part(name, environment, &[&CARGO[..], arguments, &["--", "--nocapture"]].concat())
 }
 
-/// The output of the parts that are tests.
+/// The output of the parts that are tests; `None` for a part that failed.
 struct TestOutputs {
     histories: Option<String>,
     put: Option<String>,
@@ -51,11 +52,11 @@
         }
     }
 
-    fn held(&self) -> bool {
+    fn all_passed(&self) -> bool {
         self.histories.is_some() && self.put.is_some() && self.dispatcher.is_some()
     }
 
-    /// Bits that were flipped in sealed and in open segments.
+    /// The number of bits that were flipped in sealed and in open segments.
     fn flips(&self) -> Option<u64> {
         let text = self.histories.as_deref()?;
         let sealed = number(text, "sealed true: ", " flips")?;
@@ -63,23 +64,23 @@
     }
 }
 
-/// Runs the benchmark of the store beside the raw disk; its figures.
+/// Runs the benchmark of the store against the raw disk. Returns the results, or `None` if it failed.
 fn run_bench() -> Option<Value> {
     let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
     let path = folder.display().to_string();
     let command = ["target/release/mothproxy", "store", "bench", &path, "--records", "1000000", "--json"];
     let output = run_part("figures", &[], &command);
-    let _ = std::fs::remove_dir_all(&folder); // the bench removes it itself, unless it failed
+    let _ = std::fs::remove_dir_all(&folder); // the benchmark removes the directory itself, unless it failed
     serde_json::from_str(&output?).ok()
 }
 
-/// Whether a recovery took no longer than three plain reads, and 100,000 records no longer than 1 s.
+/// Whether a recovery took no longer than three plain reads, and no longer than 1 s per 100,000 records.
 fn recovers_in_time(recovery: &Value) -> bool {
     let figure = |name: &str| recovery[name].as_f64().unwrap_or(f64::NAN);
     figure("ratio") <= 3.0 && figure("recovery_ms") <= figure("records") / 100.0
 }
 
-/// Which aims the figures of the benchmark reach.
+/// Checks which aims the results of the benchmark reach.
 fn check_aims(bench: &Value) -> Map<String, Value> {
     let figure = |path: &str| bench.pointer(path).and_then(Value::as_f64).unwrap_or(f64::NAN);
     let recoveries = bench["recovery"].as_array().cloned().unwrap_or_default();
@@ -100,7 +101,8 @@
     let tests = TestOutputs::run();
     let bench = run_bench();
     let aims = bench.as_ref().map(check_aims).unwrap_or_default();
-    let held = tests.held() && !aims.is_empty() && aims.values().all(|held| *held == json!(true));
+    let held =
+        tests.all_passed() && !aims.is_empty() && aims.values().all(|is_reached| *is_reached == json!(true));
     let (put, dispatcher) = (tests.put.as_deref(), tests.dispatcher.as_deref());
     let line = json!({
         "proof": "store", "held": held, "aims": aims, "seconds": started.elapsed().as_secs_f64(),
