--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -155,7 +155,7 @@
     },
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send a datagram, which may be lost, to another dispatcher, by its number among the peers.
+    /// Send a datagram, which may be lost, to another dispatcher, by its place.
     SendToPeer(u32, Vec<u8>),
     /// Open a watch of the endpoint list.
     OpenWatch,
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -190,12 +190,12 @@
         self.events.push(Event::ProbeResponse(ProbeResponse { worker, outcome, elapsed, report }));
     }
 
-    /// Handles a message of another dispatcher, by its number among the peers.
+    /// Handles a message of another dispatcher, by its place.
     pub fn on_peer_message(&mut self, from: u32, bytes: Vec<u8>) {
         self.events.push(Event::PeerMessage { from, bytes });
     }
 
-    /// Handles a change of presence. `peers` has the presence of each dispatcher, by its number.
+    /// Handles a change of presence. `peers` has the presence of each dispatcher, by place.
     pub fn on_peer_presence(&mut self, peers: Vec<PeerPresence>) {
         self.events.push(Event::Peers(peers));
     }
--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -3,8 +3,8 @@
 //!
 //! A graceful shutdown uses the announcements for one decision: whether every other dispatcher stops too, so that clients have no
 //! dispatcher to move to. In a small fleet, all dispatchers exchange announcements. In a larger fleet, each dispatcher exchanges
-//! them with a few neighbors whose numbers are far apart, so that the cost to a dispatcher does not grow with the fleet. That is
-//! sufficient because a rolling restart, in order of numbers, in steps or by groups, never stops all neighbors at once, while a
+//! them with a few neighbors whose places are far apart, so that the cost to a dispatcher does not grow with the fleet. That is
+//! sufficient because a rolling restart, in order of places, in steps or by groups, never stops all neighbors at once, while a
 //! stop of the whole fleet does.
 
 use std::collections::BTreeSet;
@@ -23,17 +23,17 @@
 /// The state that the neighbors have announced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerLifecycle {
-    own_number: u32,
+    own_place: u32,
     fleet_size: u32,
     stopping: BTreeSet<u32>,
 }
 
 impl PeerLifecycle {
-    /// Creates the state of the dispatcher with number `own_number` in a fleet of `fleet_size`, this one included. No peer has
+    /// Creates the state of the dispatcher at `own_place` in a fleet of `fleet_size`, this one included. No peer has
     /// announced anything yet.
-    pub fn new(own_number: u32, fleet_size: usize) -> PeerLifecycle {
+    pub fn new(own_place: u32, fleet_size: usize) -> PeerLifecycle {
         let fleet_size = u32::try_from(fleet_size).unwrap_or(u32::MAX);
-        PeerLifecycle { own_number, fleet_size, stopping: BTreeSet::new() }
+        PeerLifecycle { own_place, fleet_size, stopping: BTreeSet::new() }
     }
 
     /// Whether every dispatcher is a neighbor of every other.
@@ -41,18 +41,18 @@
         self.fleet_size <= MAX_SMALL_FLEET
     }
 
-    /// The numbers of the dispatchers that this one exchanges announcements with.
+    /// The places of the dispatchers that this one exchanges announcements with.
     pub fn neighbors(&self) -> Vec<u32> {
         if self.is_small() {
-            return (0..self.fleet_size).filter(|peer| *peer != self.own_number).collect();
+            return (0..self.fleet_size).filter(|peer| *peer != self.own_place).collect();
         }
-        let own_number = u64::from(self.own_number);
+        let own_place = u64::from(self.own_place);
         let fleet_size = u64::from(self.fleet_size);
         let far_distances = NEIGHBOR_DISTANCES_PERMILLE.map(|permille| fleet_size * permille / PERMILLE);
         far_distances
             .into_iter()
             .chain([NEAREST_NEIGHBOR_DISTANCE])
-            .flat_map(|distance| [own_number + distance, own_number + fleet_size - distance])
+            .flat_map(|distance| [own_place + distance, own_place + fleet_size - distance])
             .map(|peer| u32::try_from(peer % fleet_size).unwrap_or(0))
             .collect()
     }
@@ -73,10 +73,10 @@
         !neighbors.is_empty() && neighbors.iter().all(|peer| self.stopping.contains(peer))
     }
 
-    /// Applies a new numbering of all dispatchers. `new_number` maps an old number to the new one; `None` if the dispatcher was
+    /// Applies a new order of all dispatchers. `new_place` maps an old place to the new one; `None` if the dispatcher was
     /// removed.
-    pub fn renumber(&mut self, own_number: u32, fleet_size: usize, new_number: impl Fn(u32) -> Option<u32>) {
-        let stopping = self.stopping.iter().filter_map(|peer| new_number(*peer)).collect();
-        *self = PeerLifecycle { stopping, ..PeerLifecycle::new(own_number, fleet_size) };
+    pub fn renumber(&mut self, own_place: u32, fleet_size: usize, new_place: impl Fn(u32) -> Option<u32>) {
+        let stopping = self.stopping.iter().filter_map(|peer| new_place(*peer)).collect();
+        *self = PeerLifecycle { stopping, ..PeerLifecycle::new(own_place, fleet_size) };
     }
 }
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -32,14 +32,14 @@
 #[derive(Debug, Default)]
 pub(super) struct PeerGroup {
     pub dispatcher_count: u32,
-    pub own_index: u32,
+    pub own_place: u32,
     /// The index of the group.
     pub index: u32,
     /// The number of groups.
     pub count: u32,
     /// The other dispatchers of the group.
     pub peers: Vec<u32>,
-    /// The presence of each dispatcher by index. Empty if all dispatchers are present.
+    /// The presence of each dispatcher, by place. Empty if all dispatchers are present.
     presence: Vec<PeerPresence>,
 }
 
@@ -48,13 +48,13 @@
     /// no peers.
     pub fn new(settings: &Settings) -> PeerGroup {
         let count = settings.dispatcher_count.div_ceil(MAX_GROUP_SIZE).max(1);
-        let index = settings.own_index % count;
+        let index = settings.own_place % count;
         let is_allowed = settings.may_message_peers && settings.may_probe;
         let members = (index..settings.dispatcher_count).step_by(count as usize);
-        let peers = members.filter(|member| is_allowed && *member != settings.own_index).collect();
+        let peers = members.filter(|member| is_allowed && *member != settings.own_place).collect();
         PeerGroup {
             dispatcher_count: settings.dispatcher_count,
-            own_index: settings.own_index,
+            own_place: settings.own_place,
             index,
             count,
             peers,
@@ -77,11 +77,11 @@
         self.is_grouped() && self.count > 1
     }
 
-    /// Applies the presence of each dispatcher, by index. Returns whether anything has changed. A list of the wrong length, or
+    /// Applies the presence of each dispatcher, by place. Returns whether anything has changed. A list of the wrong length, or
     /// one in which this dispatcher is not present, is ignored.
     pub fn set_presence(&mut self, presence: &[PeerPresence]) -> bool {
         let is_valid = presence.len() == self.dispatcher_count as usize
-            && presence.get(self.own_index as usize) == Some(&PeerPresence::Present);
+            && presence.get(self.own_place as usize) == Some(&PeerPresence::Present);
         let are_all_present = presence.iter().all(|presence| *presence == PeerPresence::Present);
         let presence = if are_all_present { &[][..] } else { presence };
         let is_changed = is_valid && self.is_grouped() && self.presence != presence;
@@ -130,8 +130,8 @@
     /// Panics if all dispatchers are present, because the list of presences is then empty.
     pub fn reserved_ranks(&self, tag: u64) -> Vec<u16> {
         let mut order: Vec<u32> = (0..self.dispatcher_count).collect();
-        order.sort_unstable_by_key(|index| (mix(tag ^ mix(RANK_SALT + u64::from(*index))), *index));
-        let presence = |index: &u32| self.presence[*index as usize];
+        order.sort_unstable_by_key(|place| (mix(tag ^ mix(RANK_SALT + u64::from(*place))), *place));
+        let presence = |place: &u32| self.presence[*place as usize];
         let presence_from = |rank: usize| order.iter().cycle().skip(rank).take(order.len()).map(presence);
         let is_reserved = |rank: &usize| {
             let holder = presence_from(*rank).find(|presence| *presence != PeerPresence::Gone);
@@ -150,11 +150,11 @@
     /// settings and the worker's tag.
     pub fn slow_start_rank(&self, tag: u64) -> Option<SlowStartRank> {
         if !self.is_grouped() {
-            return Some(SlowStartRank::new(tag, self.own_index, self.dispatcher_count.max(1)));
+            return Some(SlowStartRank::new(tag, self.own_place, self.dispatcher_count.max(1)));
         }
         let group_size = self.peers.len() as u32 + 1;
         let is_own = self.slow_start_group(tag) == self.index;
-        is_own.then(|| SlowStartRank::new(tag, self.own_index / self.count, group_size))
+        is_own.then(|| SlowStartRank::new(tag, self.own_place / self.count, group_size))
     }
 
     /// The group of a dispatcher.
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -1,6 +1,6 @@
 //! The load that the dispatchers of one group advertise to each other: the work that each has outstanding at the group's workers.
 //!
-//! The dispatchers are grouped by index, and every group has its part of the workers. All dispatchers compute the same parts
+//! The dispatchers are grouped by place, and every group has its part of the workers. All dispatchers compute the same parts
 //! from the endpoint list. The members of a group thus know each other's outstanding work at its workers as soon as a datagram
 //! arrives, whereas a load report shows this work about a second later. This module only keeps this knowledge; the decisions
 //! based on it are in `src/policy/rules`.
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Applies the presence of each dispatcher, by index. Returns whether anything has changed; the workers must then be
+    /// Applies the presence of each dispatcher, by place. Returns whether anything has changed; the workers must then be
     /// assigned again. A list of the wrong length, or one in which this dispatcher is not present, is ignored.
     pub fn set_presence(&mut self, now: Micros, presence: &[PeerPresence]) -> bool {
         let is_changed = self.group.set_presence(presence);
@@ -262,7 +262,7 @@
             if group == self.group.index {
                 self.slots.clear_slot_owner(worker);
             } else if self.slots.slot_owner(worker).is_none_or(|owner| self.group.group_of(owner) != group) {
-                let owner = self.group.member_of(group, hash::mix(u64::from(self.group.own_index)) as u32);
+                let owner = self.group.member_of(group, hash::mix(u64::from(self.group.own_place)) as u32);
                 self.slots.set_slot_owner(worker, owner);
             }
         }
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -37,7 +37,7 @@
     Probe(WorkerId),
     /// Send a datagram of at most 256 bytes to another dispatcher. Delivery is not guaranteed.
     SendToPeer {
-        /// The index of the receiving dispatcher.
+        /// The place of the receiving dispatcher.
         to: u32,
         /// The content of the datagram.
         bytes: Vec<u8>,
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -282,11 +282,11 @@
     Timer(TimerId),
     /// A load probe was answered or failed.
     ProbeResponse(ProbeResponse),
-    /// The presence of each dispatcher, by index. Until the first such event, all dispatchers count as present.
+    /// The presence of each dispatcher, by place. Until the first such event, all dispatchers count as present.
     Peers(Vec<PeerPresence>),
     /// A message of another dispatcher has arrived.
     PeerMessage {
-        /// The index of the sending dispatcher.
+        /// The place of the sending dispatcher.
         from: u32,
         /// The content of the datagram that the sender's [`super::Action::SendToPeer`] carried.
         bytes: Vec<u8>,
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -104,8 +104,8 @@
 /// The settings of one instance. [`Settings::default`] is a single dispatcher with one idempotent class.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This dispatcher's index among all dispatchers, from 0.
-    pub own_index: u32,
+    /// This dispatcher's place: its index among all configured dispatchers, from 0.
+    pub own_place: u32,
     /// The number of dispatchers, this one included.
     pub dispatcher_count: u32,
     /// This dispatcher's zone.
@@ -178,7 +178,7 @@
             priority: 0,
         };
         Settings {
-            own_index: 0,
+            own_place: 0,
             dispatcher_count: 1,
             zone: ZoneId(0),
             classes: vec![class],
@@ -221,9 +221,9 @@
     /// `classes` is empty.
     #[error("settings name no class of jobs")]
     NoClasses,
-    /// `own_index` is not below `dispatcher_count`.
-    #[error("the dispatcher's own index is not below the number of dispatchers")]
-    OwnIndexOutOfRange,
+    /// `own_place` is not below `dispatcher_count`.
+    #[error("the dispatcher's own place is not below the number of dispatchers")]
+    OwnPlaceOutOfRange,
     /// There are more than [`MAX_DISPATCHERS`] dispatchers.
     #[error("there are more than 10,000 dispatchers")]
     TooManyDispatchers,
@@ -251,8 +251,8 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if self.own_index >= self.dispatcher_count {
-            return Err(SettingsError::OwnIndexOutOfRange);
+        if self.own_place >= self.dispatcher_count {
+            return Err(SettingsError::OwnPlaceOutOfRange);
         }
         if self.dispatcher_count > MAX_DISPATCHERS {
             return Err(SettingsError::TooManyDispatchers);
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -224,7 +224,7 @@
     let list_on_request = profile.text("Discovery") == Some("on_request");
     let has_retry_after = profile.flag("Limits.RetryAfter", false);
     let settings = Settings {
-        own_index: profile.number("Me", 0.0)? as u32,
+        own_place: profile.number("Me", 0.0)? as u32,
         dispatcher_count: profile.number("Siblings", 1.0)? as u32,
         zone: ZoneId(names.zones.id(profile.text("Zone").unwrap_or("")) as u16),
         classes,
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -70,7 +70,7 @@
             let scheduler = PollScheduler::new(scheduler_config, now, generation);
             scheduler.inspect_err(|error| tracing::warn!(%error, "cold start: poll scheduler disabled")).ok()
         });
-        let place = u16::try_from(config.settings.own_index).unwrap_or(u16::MAX);
+        let place = u16::try_from(config.settings.own_place).unwrap_or(u16::MAX);
         let receives_facts = receives_facts(settings, config);
         let observations = scheduler
             .as_ref()
@@ -188,7 +188,7 @@
 fn scheduler_config(settings: &FleetSettings, config: &Config, unix_at_zero: u64) -> Option<SchedulerConfig> {
     let cold_start = settings.cold_start.as_ref().filter(|_| config.settings.list_on_request)?;
     Some(SchedulerConfig {
-        place: u16::try_from(config.settings.own_index).ok()?,
+        place: u16::try_from(config.settings.own_place).ok()?,
         places: u16::try_from(config.settings.dispatcher_count).ok()?,
         service_time: cold_start.call_time,
         poll_within: config.settings.max_poll_interval,
@@ -228,7 +228,7 @@
         membership: &mut MembershipLink,
         fact: &OwnedFact,
     ) {
-        let is_own = u32::from(fact.place) == context.config.settings.own_index;
+        let is_own = u32::from(fact.place) == context.config.settings.own_place;
         if !is_own && self.pacing.on_fact(context.now(), fact) {
             self.update_pacing(context, membership);
         }
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -72,8 +72,8 @@
         self.budget = Budget::new(config.limits, reserved_files(self.records.is_some()));
         let has_discovery_moved = config.discovery != self.config.discovery;
         let old = std::mem::replace(&mut self.config, config);
-        let own_place = self.config.settings.own_index;
-        if own_place != old.settings.own_index || self.config.peers != old.peers {
+        let own_place = self.config.settings.own_place;
+        if own_place != old.settings.own_place || self.config.peers != old.peers {
             self.peers.renumber(&mut self.peer_socket, &old.peers, &self.config);
             self.membership.restart(&mut context!(self), &mut self.discovery);
         }
--- a/src/server/membership.rs
+++ b/src/server/membership.rs
@@ -27,7 +27,7 @@
     // A dispatcher without an address for datagrams cannot receive from any peer.
     let peers = if config.peer_listen.is_some() { config.peers.len() } else { 0 };
     ProcessIdentity {
-        place: config.settings.own_index,
+        place: config.settings.own_place,
         peers,
         epoch: unix_now.as_millis() as u64,
         seed: config.seed,
@@ -179,7 +179,7 @@
             state_age_ms: now.saturating_sub(member.since) / MICROS_PER_MS,
         };
         Some(MembersPage {
-            own_place: config.settings.own_index,
+            own_place: config.settings.own_place,
             version: view.version(),
             members: view.iter().map(row).collect(),
             membership_metrics,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -100,7 +100,7 @@
     /// Creates the state for the dispatchers of a configuration, none of which has announced anything yet.
     pub(in crate::server) fn new(config: &Config) -> PeerLink {
         PeerLink {
-            lifecycle: PeerLifecycle::new(config.settings.own_index, config.peers.len()),
+            lifecycle: PeerLifecycle::new(config.settings.own_place, config.peers.len()),
             last_message_at: HashMap::new(),
             repeats_left: 0,
         }
@@ -117,7 +117,7 @@
         socket.places = places_by_address(&config.peers);
         let new_place =
             |old: u32| old_peers.get(old as usize).and_then(|address| socket.places.get(address)).copied();
-        self.lifecycle.renumber(config.settings.own_index, config.peers.len(), new_place);
+        self.lifecycle.renumber(config.settings.own_place, config.peers.len(), new_place);
         let messages = std::mem::take(&mut self.last_message_at).into_iter();
         self.last_message_at =
             messages.filter_map(|(old, arrived_at)| Some((new_place(old)?, arrived_at))).collect();
--- a/tests/compatibility/group.rs
+++ b/tests/compatibility/group.rs
@@ -14,7 +14,7 @@
     let base =
         Settings { may_probe: true, may_message_peers: true, reports_start: true, ..Settings::default() };
     Settings {
-        own_index: me,
+        own_place: me,
         dispatcher_count: NODES,
         classes: vec![class],
         zone: ZoneId((me % 3) as u16),
--- a/tests/failures/upkeep.rs
+++ b/tests/failures/upkeep.rs
@@ -24,8 +24,8 @@
     let base = Settings::default;
     assert_eq!(error(Settings { classes: vec![], ..base() }), Some(SettingsError::NoClasses));
     assert_eq!(
-        error(Settings { own_index: 3, dispatcher_count: 3, ..base() }),
-        Some(SettingsError::OwnIndexOutOfRange)
+        error(Settings { own_place: 3, dispatcher_count: 3, ..base() }),
+        Some(SettingsError::OwnPlaceOutOfRange)
     );
     assert_eq!(
         error(Settings { dispatcher_count: u32::MAX, ..base() }),
--- a/tests/failures/warm_up.rs
+++ b/tests/failures/warm_up.rs
@@ -31,7 +31,7 @@
     const DISPATCHERS: u32 = 12;
     let settings =
         Settings { dispatcher_count: DISPATCHERS, ..settings_with(class(Idempotency::Idempotent)) };
-    let dispatcher = |index| TestDispatcher::new(Settings { own_index: index, ..settings.clone() });
+    let dispatcher = |index| TestDispatcher::new(Settings { own_place: index, ..settings.clone() });
     let mut fleet: Vec<TestDispatcher> = (0..DISPATCHERS).map(dispatcher).collect();
     let start = fleet[0].now;
     fleet.iter_mut().for_each(load_list_with_new_worker);
--- a/tests/fleet/borrowed_slots.rs
+++ b/tests/fleet/borrowed_slots.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_full_group_probes_workers_with_unknown_slots_where_reports_come_with_probes() {
     let settings =
-        Settings { dispatcher_count: 20, load_reporting: LoadReporting::ProbesOnly, ..settings(OWN_INDEX) };
+        Settings { dispatcher_count: 20, load_reporting: LoadReporting::ProbesOnly, ..settings(OWN_PLACE) };
     let mut dispatcher = TestDispatcher::new(settings);
     dispatcher.load_cached_list((0..4).map(worker).collect());
     let mut next_job = 0..;
--- a/tests/fleet/failing_workers.rs
+++ b/tests/fleet/failing_workers.rs
@@ -36,8 +36,8 @@
     let mut peer = single_worker_peer();
     fail_to_connect(&mut peer);
     let mut dispatcher = single_worker_dispatcher();
-    for bytes in datagrams_to(&peer.advance(5 * MS), OWN_INDEX) {
-        dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes });
+    for bytes in datagrams_to(&peer.advance(5 * MS), OWN_PLACE) {
+        dispatcher.feed(Event::PeerMessage { from: PEER_PLACE, bytes });
     }
     let actions = dispatcher.arrive(1, 0, TIME_BUDGET);
     assert!(sends(&actions).is_empty(), "{actions:?}");
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -25,16 +25,16 @@
 /// The time for which the client of a job waits, unless a test chooses another.
 const TIME_BUDGET: Micros = 5_000 * MS;
 
-/// The index of the dispatcher of [`single_worker_dispatcher`].
-const OWN_INDEX: u32 = 7;
-/// The index of the dispatcher of [`single_worker_peer`].
-const PEER_INDEX: u32 = 3;
+/// The place of the dispatcher of [`single_worker_dispatcher`].
+const OWN_PLACE: u32 = 7;
+/// The place of the dispatcher of [`single_worker_peer`].
+const PEER_PLACE: u32 = 3;
 
 /// Settings of one dispatcher of the fleet, which may message its peers.
 fn settings(index: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        own_index: index,
+        own_place: index,
         dispatcher_count: DISPATCHERS,
         classes: vec![class],
         may_probe: true,
@@ -58,12 +58,12 @@
 
 /// Creates a dispatcher whose group has worker 0 only.
 fn single_worker_dispatcher() -> TestDispatcher {
-    group_member(OWN_INDEX, vec![worker(0)])
+    group_member(OWN_PLACE, vec![worker(0)])
 }
 
 /// Creates a peer of [`single_worker_dispatcher`] in the same group.
 fn single_worker_peer() -> TestDispatcher {
-    group_member(PEER_INDEX, vec![worker(0)])
+    group_member(PEER_PLACE, vec![worker(0)])
 }
 
 /// A load report with this CPU utilisation, this many free slots and this many errors per second.
--- a/tests/fleet/outstanding_work.rs
+++ b/tests/fleet/outstanding_work.rs
@@ -61,7 +61,7 @@
         &[b'w', 1, 0, 0, 2, 0, 0],
     ];
     for bytes in from_peer {
-        let message = Event::PeerMessage { from: PEER_INDEX, bytes: bytes.to_vec() };
+        let message = Event::PeerMessage { from: PEER_PLACE, bytes: bytes.to_vec() };
         assert!(dispatcher.feed(message).is_empty(), "{bytes:?}");
     }
     let from_unknown = Event::PeerMessage { from: 999, bytes: b"W".to_vec() };
@@ -78,15 +78,15 @@
         member.report_load(0, 0.0, 1.0); // The worker has a single slot.
     }
     sender.arrive(1, 0, 60_000 * MS);
-    let first = datagrams_to(&sender.advance(10 * MS), OWN_INDEX);
+    let first = datagrams_to(&sender.advance(10 * MS), OWN_PLACE);
     let bytes = first.first().cloned().expect("its work is advertised");
     assert!(bytes.len() <= CHEAP_DATAGRAM_LEN, "a longer datagram has a higher price: {bytes:?}");
-    dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes });
+    dispatcher.feed(Event::PeerMessage { from: PEER_PLACE, bytes });
     dispatcher.arrive(1, 0, 60_000 * MS);
     let sent = sends(&dispatcher.advance(100 * MS));
     assert!(sent.is_empty(), "the only slot is occupied: {sent:?}");
     sender.feed(Event::Started { job: JobId(1), attempt: 0 });
-    let repeated = datagrams_to(&sender.advance(2_500 * MS), OWN_INDEX);
+    let repeated = datagrams_to(&sender.advance(2_500 * MS), OWN_PLACE);
     assert!(!repeated.is_empty(), "the work is advertised again");
     // While the peer counts as silent, load reports count as well; afterwards it counts as dead.
     dispatcher.advance(11_000 * MS);
@@ -120,9 +120,9 @@
         member.report_load(0, 0.0, SLOTS);
     }
     assert_eq!(sends(&peer.arrive(1, 0, TIME_BUDGET)).len(), 1);
-    let advertised = datagrams_to(&peer.advance(5 * MS), OWN_INDEX);
+    let advertised = datagrams_to(&peer.advance(5 * MS), OWN_PLACE);
     let bytes = advertised.first().cloned().expect("its work is advertised");
-    dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes: bytes.clone() });
+    dispatcher.feed(Event::PeerMessage { from: PEER_PLACE, bytes: bytes.clone() });
     assert_eq!(sends(&dispatcher.arrive(2, 0, TIME_BUDGET)).len(), 1, "three slots are free");
     dispatcher.end_attempt(2, 0, WorkerId(0), Outcome::Ok);
     // The peer should have repeated its advertisement after 2 s. Its outstanding work is unknown now, and the worker is probed.
@@ -133,7 +133,7 @@
     let full = load_report(1.0, 0.0, 0.0);
     assert_eq!(sends(&dispatcher.end_probe(0, Outcome::Ok, full)), [], "the worker is full");
     // Once the peer has advertised again, its advertisement counts.
-    dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes });
+    dispatcher.feed(Event::PeerMessage { from: PEER_PLACE, bytes });
     let sent = sends(&dispatcher.arrive(4, 0, TIME_BUDGET));
     assert_eq!(sent.len(), 2, "the queued job is sent as well");
 }
@@ -143,7 +143,7 @@
 #[test]
 fn spreads_jobs_that_take_no_time() {
     const LISTED: u32 = 8;
-    let mut dispatcher = group_member(OWN_INDEX, (0..LISTED).map(worker).collect());
+    let mut dispatcher = group_member(OWN_PLACE, (0..LISTED).map(worker).collect());
     let mut used = BTreeSet::new();
     for job in 0..100 {
         for (job, worker) in sends(&dispatcher.arrive(job, 0, TIME_BUDGET)) {
--- a/tests/membership/partitioned_fleet.rs
+++ b/tests/membership/partitioned_fleet.rs
@@ -36,7 +36,7 @@
             ..default.classes[0].clone()
         };
         mothproxy::Settings {
-            own_index: me,
+            own_place: me,
             dispatcher_count: PartitionedFleet::DISPATCHERS,
             classes: vec![class],
             may_probe: true,
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -7,7 +7,7 @@
 
 fn settings(index: u32) -> Settings {
     Settings {
-        own_index: index,
+        own_place: index,
         dispatcher_count: 100,
         may_message_peers: true,
         may_probe: true,
--- a/tests/ramp/scenario.rs
+++ b/tests/ramp/scenario.rs
@@ -113,7 +113,7 @@
             ..class(Idempotency::Idempotent)
         };
         Settings {
-            own_index: index,
+            own_place: index,
             dispatcher_count: self.dispatchers,
             classes: vec![class],
             may_probe: true,
--- a/tests/size/main.rs
+++ b/tests/size/main.rs
@@ -20,7 +20,7 @@
 fn settings(me: u32, nodes: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        own_index: me,
+        own_place: me,
         dispatcher_count: nodes,
         classes: vec![class],
         may_probe: true,
