--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -53,8 +53,8 @@
     pub slots: f64,
     /// The memory that the job needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
-    /// Whether the client marked the request as a repeat.
-    pub repeat: bool,
+    /// Whether the client marked the request as a retry.
+    pub is_retry: bool,
     /// The idempotency key; `None` if the request has none or keys are not recorded.
     pub idempotency_key: Option<IdempotencyKey>,
 }
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -52,7 +52,7 @@
             hint: request.hint,
             slots: request.slots,
             memory: request.memory,
-            repeat: request.repeat,
+            is_retry: request.is_retry,
             estimate,
             tenant_weight: self.learners.tenant_weight(now, tenant_name, class, class_weight),
         }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -80,7 +80,7 @@
             hint: job.hint,
             slots: job.slots,
             memory: job.memory,
-            repeat: job.repeat,
+            is_retry: job.is_retry,
             is_start_notified: request.is_start_notified(),
             idempotency_key: request.idempotency_key().cloned(),
             attempts,
@@ -140,7 +140,7 @@
             hint: transferred.hint,
             slots: transferred.slots,
             memory: transferred.memory,
-            repeat: transferred.repeat,
+            is_retry: transferred.is_retry,
             estimate: job_labels(&self.names, class, tenant, key)
                 .and_then(|job| self.learners.estimate(&job)),
             tenant_weight: None,
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -33,8 +33,9 @@
     pub slots: f64,
     /// The memory that the job needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
-    /// Whether the client marked the request as a repeat.
-    pub repeat: bool,
+    /// Whether the client marked the request as a retry.
+    #[serde(rename = "repeat")]
+    pub is_retry: bool,
     /// Whether the client has been notified that the job has started.
     #[serde(rename = "told_started")]
     pub is_start_notified: bool,
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -113,7 +113,7 @@
     /// The memory that the job needs; `None` if memory is not considered.
     pub memory: Option<f64>,
     /// Whether the client marked the request as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The estimate of the job's work from similar jobs; `None` if run times are not learned.
     pub estimate: Option<Estimate>,
     /// The weight of one more job of the tenant now, as a fraction of the class's weight, 0 to 1; `None` if no quotas apply.
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -15,7 +15,7 @@
 /// The bit of a job's `Flags` that is set if its hint is valid.
 const HAS_HINT: u64 = 1;
 /// The bit of a job's `Flags` that is set if the job is a retry.
-const IS_REPEAT: u64 = 2;
+const IS_RETRY: u64 = 2;
 
 /// A job that is open or has outstanding attempts.
 struct OpenJob {
@@ -146,7 +146,7 @@
             hint: hint.filter(|hint| flags & HAS_HINT != 0 && *hint > 0),
             slots: fields.finite("Needs")?.unwrap_or(1.0),
             memory: fields.finite("MemNeeded")?,
-            repeat: flags & IS_REPEAT != 0,
+            is_retry: flags & IS_RETRY != 0,
             estimate: None,
             tenant_weight: None,
         };
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -126,7 +126,7 @@
         hint: hint_ms.map(to_micros).filter(|hint| *hint > 0),
         slots: find_fact(&facts, SLOTS_FACTS).unwrap_or(1.0),
         memory: find_fact(&facts, MEMORY_FACTS),
-        repeat: request.field(names::REPEAT) == Some("1"),
+        is_retry: request.field(names::REPEAT) == Some("1"),
         idempotency_key: None,
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -139,7 +139,7 @@
             hint: Some(hint),
             slots: 1.0,
             memory: None,
-            repeat: false,
+            is_retry: false,
             estimate: None,
             tenant_weight: None,
         };
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -97,7 +97,7 @@
         hint: None,
         slots: 1.0,
         memory: None,
-        repeat: false,
+        is_retry: false,
         idempotency_key: None,
     }
 }
@@ -161,7 +161,7 @@
         hint: Some(120_000),
         slots: 1.0,
         memory: Some(0.5),
-        repeat: true,
+        is_retry: true,
         is_start_notified: true,
         idempotency_key: Some(IdempotencyKey { key: "steppe-mart/k".into(), body_fingerprint: 77 }),
         attempts: vec![
--- a/tests/conformance/decision/mod.rs
+++ b/tests/conformance/decision/mod.rs
@@ -142,7 +142,7 @@
             hint: (new.work > 0).then_some(new.work * MS),
             slots: new.slots,
             memory: new.memory,
-            repeat: false,
+            is_retry: false,
             estimate: None,
             tenant_weight: None,
         }));
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -124,7 +124,7 @@
         hint: None,
         slots: 1.0,
         memory: None,
-        repeat: false,
+        is_retry: false,
         idempotency_key: None,
     }
 }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -147,7 +147,7 @@
         hint: None,
         slots: 2.0,
         memory: None,
-        repeat: false,
+        is_retry: false,
         estimate: None,
         tenant_weight: None,
     };
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -318,7 +318,7 @@
             hint: None,
             slots: 1.0,
             memory: None,
-            repeat: false,
+            is_retry: false,
             estimate: None,
             tenant_weight: None,
         };
