--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -104,7 +104,7 @@
     /// is no older than that, so the changes that it lacks count as notified `NOTIFICATION_DEADLINE` after it at the earliest.
     /// Returns the span in which the list must not be used.
     pub fn revalidate(&mut self, now: Micros, newest_start: Option<Micros>) -> Range<Micros> {
-        let newest_start = newest_start.filter(|_| !self.settings.is_pushed);
+        let newest_start = newest_start.filter(|_| !self.settings.is_list_pushed);
         self.known_list.revalidate(now, newest_start)
     }
 
@@ -113,7 +113,7 @@
     /// which count as notified `NOTIFICATION_DEADLINE` after they were made. Returns from when on the list must not be used;
     /// `None` if it need not be revalidated, or if a local agent pushes lists, whose changes count as notified at once.
     pub fn on_predecessor_seen(&mut self, at: Micros) -> Option<Micros> {
-        if self.settings.is_pushed { None } else { self.known_list.on_predecessor_seen(at) }
+        if self.settings.is_list_pushed { None } else { self.known_list.on_predecessor_seen(at) }
     }
 
     /// Whether the list that the process started with must not be used: discovery has sent no list yet, its changes may count as
@@ -125,7 +125,7 @@
     /// Applies other settings. Returns whether to open a watch now, because a local agent pushes lists and no watch is open.
     pub fn reconfigure(&mut self, settings: DiscoverySettings) -> bool {
         self.settings = settings;
-        settings.is_pushed && self.phase == WatchPhase::Closed
+        settings.is_list_pushed && self.phase == WatchPhase::Closed
     }
 
     /// Handles the move to another service. Until that service sends a list, this dispatcher may lack changes. Returns when to
@@ -138,20 +138,20 @@
     }
 
     fn first_call_at(&mut self, now: Micros, spread: Micros) -> Micros {
-        now + if self.settings.is_pushed { 0 } else { self.rng.u64(0..=spread) }
+        now + if self.settings.is_list_pushed { 0 } else { self.rng.u64(0..=spread) }
     }
 
     /// Handles the start of a call for a watch. Returns by when the connection must be established.
     pub fn on_call_started(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Connecting;
         self.last_call = Some(now);
-        now + if self.settings.is_pushed { AGENT_ANSWER_TIMEOUT } else { CONNECT_TIMEOUT }
+        now + if self.settings.is_list_pushed { AGENT_ANSWER_TIMEOUT } else { CONNECT_TIMEOUT }
     }
 
     /// Handles the established connection of a call for a watch. Returns by when the service must have sent data.
     pub fn on_connected(&mut self, now: Micros) -> Micros {
         self.phase = WatchPhase::Requested;
-        if self.settings.is_pushed { now + AGENT_ANSWER_TIMEOUT } else { self.answer_deadline(now) }
+        if self.settings.is_list_pushed { now + AGENT_ANSWER_TIMEOUT } else { self.answer_deadline(now) }
     }
 
     /// Returns by when a call for the whole list that begins now must be answered.
@@ -211,7 +211,7 @@
     pub fn on_watch_failed(&mut self, now: Micros, failure: WatchFailure) -> Micros {
         let is_silent = failure == WatchFailure::Silent;
         let phase = std::mem::replace(&mut self.phase, WatchPhase::Closed);
-        if failure == WatchFailure::Unreachable || self.settings.is_pushed && is_silent {
+        if failure == WatchFailure::Unreachable || self.settings.is_list_pushed && is_silent {
             self.known_list.end_revalidation();
         }
         if let WatchPhase::Live { last_data_at } = phase
@@ -219,7 +219,7 @@
         {
             self.freshness = self.freshness.after_silence(last_data_at);
         }
-        if self.settings.is_pushed {
+        if self.settings.is_list_pushed {
             // The agent is called again soon even if the watch ended, because it may send the changes since then at once.
             return now + if is_silent { 0 } else { MIN_RETRY_INTERVAL };
         }
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoverySettings {
     /// Whether lists are pushed to a local agent, which answers calls at once and puts no load on the service.
-    pub is_pushed: bool,
+    pub is_list_pushed: bool,
     /// The maximum time between polls without a watch, in microseconds; `None` if there is no maximum.
     pub max_poll_interval: Option<Micros>,
     /// The number of dispatchers that share the service.
@@ -33,7 +33,7 @@
 impl From<&Settings> for DiscoverySettings {
     fn from(settings: &Settings) -> DiscoverySettings {
         DiscoverySettings {
-            is_pushed: !settings.list_on_request,
+            is_list_pushed: !settings.list_on_request,
             max_poll_interval: settings.max_poll_interval,
             dispatchers: settings.dispatcher_count,
         }
--- a/tests/common/lists/simulation.rs
+++ b/tests/common/lists/simulation.rs
@@ -197,7 +197,7 @@
 
     fn new_liveness(&mut self) -> WatchLiveness {
         let settings = DiscoverySettings {
-            is_pushed: false,
+            is_list_pushed: false,
             max_poll_interval: Some(10 * S),
             dispatchers: self.config.callers,
         };
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -132,7 +132,8 @@
     }
 
     fn reconfigure(&mut self, is_pushed: bool) -> Vec<String> {
-        let opens = self.liveness.reconfigure(DiscoverySettings { is_pushed, ..self.settings });
+        let opens =
+            self.liveness.reconfigure(DiscoverySettings { is_list_pushed: is_pushed, ..self.settings });
         vec![if opens { "open" } else { "as it is" }.to_owned()]
     }
 
@@ -160,7 +161,7 @@
 
     fn new(given: Given, seed: u64) -> Result<WatchLivenessMachine, MachineError> {
         let settings = DiscoverySettings {
-            is_pushed: given.is_pushed,
+            is_list_pushed: given.is_pushed,
             max_poll_interval: Some(given.max_poll_interval * MILLISECOND),
             dispatchers: given.nodes,
         };
--- a/tests/watch_liveness/calls.rs
+++ b/tests/watch_liveness/calls.rs
@@ -153,13 +153,13 @@
 }
 
 pub fn settings_for(dispatchers: u32) -> DiscoverySettings {
-    DiscoverySettings { is_pushed: false, max_poll_interval: Some(10 * S), dispatchers }
+    DiscoverySettings { is_list_pushed: false, max_poll_interval: Some(10 * S), dispatchers }
 }
 
 pub fn random_settings(rng: &mut fastrand::Rng) -> DiscoverySettings {
     let dispatchers = if rng.bool() { rng.u32(1..=10) } else { rng.u32(1..=300) };
     let max_poll_interval = Some(rng.u64(3..=60) * S);
-    DiscoverySettings { is_pushed: false, max_poll_interval, dispatchers }
+    DiscoverySettings { is_list_pushed: false, max_poll_interval, dispatchers }
 }
 
 /// The number of refused calls for which the 6 s leave time besides one that is answered, although the service may be too slow
--- a/tests/watch_liveness/retries.rs
+++ b/tests/watch_liveness/retries.rs
@@ -140,7 +140,7 @@
 /// An agent that always fails is called forever, about once in 200 ms.
 #[test]
 fn calls_an_agent_forever_but_not_in_a_busy_loop() {
-    let settings = DiscoverySettings { is_pushed: true, max_poll_interval: None, dispatchers: 3 };
+    let settings = DiscoverySettings { is_list_pushed: true, max_poll_interval: None, dispatchers: 3 };
     let mut watch = WatchLiveness::new(settings, 1);
     assert!(watch.reconfigure(settings), "no watch was opened at the start");
     let mut now = 0;
