--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -2,7 +2,7 @@
 //! sends its own announcement.
 //!
 //! A graceful shutdown uses the announcements for one decision: whether every other dispatcher stops too, so that clients have no
-//! dispatcher to move to. In a small fleet, all dispatchers exchange announcements. In a larger fleet, each dispatcher exchanges
+//! dispatcher to move to. In a small fleet, a full mesh, all dispatchers exchange announcements. In a larger one, each exchanges
 //! them with a few neighbors whose places are far apart, so that the cost to a dispatcher does not grow with the fleet. That is
 //! sufficient because a rolling restart, in order of places, in steps or by groups, never stops all neighbors at once, while a
 //! stop of the whole fleet does.
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 /// The maximum size of a fleet in which every dispatcher is a neighbor of every other.
-const MAX_SMALL_FLEET: u32 = 16;
+const MAX_FULL_MESH_SIZE: u32 = 16;
 /// The divisor that converts thousandths to a fraction.
 const PERMILLE: u64 = 1_000;
 /// The distances to the neighbors in a larger fleet, in both directions, in thousandths of the fleet's size. They are powers of
@@ -37,13 +37,13 @@
     }
 
     /// Whether every dispatcher is a neighbor of every other.
-    pub fn is_small(&self) -> bool {
-        self.fleet_size <= MAX_SMALL_FLEET
+    pub fn is_full_mesh(&self) -> bool {
+        self.fleet_size <= MAX_FULL_MESH_SIZE
     }
 
     /// The places of the dispatchers that this one exchanges announcements with.
     pub fn neighbors(&self) -> Vec<u32> {
-        if self.is_small() {
+        if self.is_full_mesh() {
             return (0..self.fleet_size).filter(|peer| *peer != self.own_place).collect();
         }
         let own_place = u64::from(self.own_place);
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -145,7 +145,7 @@
         }
         // A process that has just started, and must not use its known list yet, announces itself to its peer group too. The
         // peers answer with the time since the last message of the predecessor: see `PeerDatagram::LastMessageAge`.
-        if context.core.endpoints().is_stale() && !self.lifecycle.is_small() {
+        if context.core.endpoints().is_stale() && !self.lifecycle.is_full_mesh() {
             let announcement = PeerDatagram::Serving.encode();
             context.core.peer_group().iter().for_each(|to| context.send_to_peer(*to, &announcement));
         }
@@ -157,7 +157,7 @@
     fn announce(&self, context: &Context<'_>, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let (peer_socket, config) = (context.peer_socket, context.config);
-        let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
+        let shared_address = config.peers_all.filter(|_| self.lifecycle.is_full_mesh());
         match peer_socket.socket.as_ref().zip(shared_address) {
             // Delivery is not guaranteed anyway, so a failure to send is ignored.
             Some((socket, address)) => drop(socket.send_to(&bytes, address)),
