--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -16,14 +16,14 @@
 impl AttemptId {
     /// The id as one number, for a [`RecordTicket`](super::RecordTicket) and for the learners. The number is unique as long as a
     /// request has at most 256 attempts; the settings allow far fewer.
-    pub(super) fn to_number(self) -> u64 {
+    pub(super) fn to_u64(self) -> u64 {
         self.request_id.0 << 8 | u64::from(self.number & 0xff)
     }
 }
 
 impl From<AttemptId> for mothproxy_runtimes::AttemptId {
     fn from(id: AttemptId) -> mothproxy_runtimes::AttemptId {
-        mothproxy_runtimes::AttemptId(id.to_number())
+        mothproxy_runtimes::AttemptId(id.to_u64())
     }
 }
 
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -19,7 +19,7 @@
 
 impl From<AttemptId> for RecordTicket {
     fn from(id: AttemptId) -> RecordTicket {
-        RecordTicket(id.to_number())
+        RecordTicket(id.to_u64())
     }
 }
 
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -153,7 +153,7 @@
     }
 
     /// The number of workers that take work.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.takes_work()).count()
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// The number of workers on discovery's list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| !endpoint.is_removed()).count()
     }
 
@@ -193,7 +193,7 @@
     fn rejection(&self, list: &EndpointList, source: ListSource) -> Option<ListRejection> {
         let is_older = list.generation < self.generation;
         match source {
-            _ if list.reset && list.rows.is_empty() && self.listed() > 0 => Some(ListRejection::Empty),
+            _ if list.reset && list.rows.is_empty() && self.listed_count() > 0 => Some(ListRejection::Empty),
             ListSource::FullList if !list.reset => Some(ListRejection::Partial),
             ListSource::WatchStart if list.reset => None,
             ListSource::WatchStart if is_older => Some(ListRejection::GenerationReset),
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -77,7 +77,7 @@
         let attempt = worker.and_then(|worker| self.requests.find_attempt(request_name, worker));
         let is_new = attempt.is_some_and(|id| self.on_callback(now, id, status, report));
         if !is_new {
-            self.stale_status_updates += 1;
+            self.stale_status_callbacks += 1;
             if let Some(result) = result {
                 self.persist_late_result(now, request_name, result);
             }
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -60,7 +60,7 @@
     unpersisted: HashMap<RecordTicket, AttemptId>,
     /// The enabled learners.
     learners: Learners,
-    stale_status_updates: u64,
+    stale_status_callbacks: u64,
 }
 
 impl Core {
@@ -91,7 +91,7 @@
             idempotency: None,
             unpersisted: HashMap::new(),
             learners: Learners::default(),
-            stale_status_updates: 0,
+            stale_status_callbacks: 0,
         })
     }
 
@@ -145,8 +145,8 @@
     }
 
     /// The number of status callbacks since the start that were for unknown attempts or for attempts that had ended.
-    pub fn stale_status_updates(&self) -> u64 {
-        self.stale_status_updates
+    pub fn stale_status_callbacks(&self) -> u64 {
+        self.stale_status_callbacks
     }
 
     /// The first reading of the module's clock, in microseconds.
@@ -205,7 +205,7 @@
     }
 
     /// The counts of how requests ended, by class name. Classes without requests and removed classes are included.
-    pub fn tallies(&self) -> BTreeMap<&str, Tally> {
+    pub fn tallies_by_class(&self) -> BTreeMap<&str, Tally> {
         self.tallies.by_name(self.names.class_names())
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// The number of listed workers that the decision module sends no jobs to.
-    pub fn ejected_endpoints(&self, now: Micros) -> usize {
+    pub fn unavailable_workers(&self, now: Micros) -> usize {
         self.dispatcher.unavailable_count(now)
     }
 }
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -15,7 +15,7 @@
     /// Accepts a request that has arrived. Returns `None` if the name belongs to a request that is open or has attempts in
     /// flight, because the callbacks of the two could not be distinguished.
     pub fn accept(&mut self, now: Micros, request: NewRequest) -> Option<RequestId> {
-        if self.knows(&request.name) {
+        if self.has_request(&request.name) {
             return None;
         }
         let known = self.look_up_record(now, &request);
@@ -157,7 +157,7 @@
     }
 
     /// Whether a request with this name is open or has an attempt in flight.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn has_request(&self, name: &str) -> bool {
         self.requests.find(name).is_some()
     }
 }
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -105,7 +105,7 @@
     /// flight.
     pub fn adopt(&mut self, transferred: TransferredRequest, downstream: DownstreamId) -> Option<RequestId> {
         let class = self.names.class_id(&transferred.class)?;
-        if self.knows(&transferred.name) {
+        if self.has_request(&transferred.name) {
             return None;
         }
         let attempts = transferred.attempts.iter().map(|attempt| self.to_attempt(attempt));
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -22,7 +22,7 @@
             self.on_timer(now, timer);
         }
         if self.events.next_batch().is_some_and(|at| now >= at || is_batch_urgent) {
-            self.batch(now);
+            self.process_batch(now);
         }
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Passes the pending events to the decision module and executes the resulting actions.
-    pub fn batch(&mut self, now: Micros) {
+    pub fn process_batch(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for event in self.events.take_batch(now, self.batch_interval) {
             self.dispatcher.handle(now, event, &mut actions);
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -89,10 +89,10 @@
     pub attempts_written: u64,
     /// The number of accepted requests that are still open.
     pub open: u64,
-    /// The number of workers in the endpoint table.
-    pub listed: usize,
+    /// The number of workers on discovery's list.
+    pub listed_workers: usize,
     /// The number of listed workers to which the decision module sends nothing.
-    pub avoided: usize,
+    pub unavailable_workers: usize,
     /// The number of configurations accepted at SIGHUP.
     pub reloads: u64,
     /// The number of configurations rejected at SIGHUP.
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -87,8 +87,8 @@
     }
     lines.counter("backend_calls", metrics.attempts_written);
     lines.gauge("inflight", metrics.open);
-    lines.gauge("hosts_listed", metrics.listed as u64);
-    lines.gauge("hosts_down", metrics.avoided as u64);
+    lines.gauge("hosts_listed", metrics.listed_workers as u64);
+    lines.gauge("hosts_down", metrics.unavailable_workers as u64);
     lines.counter("reconfig_ok", metrics.reloads);
     lines.counter("reconfig_failed", metrics.bad_reloads);
     if let Some(store) = &metrics.idempotency {
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -220,7 +220,7 @@
 
     /// Collects the current counters of all parts.
     fn metrics_snapshot(&self) -> MetricsSnapshot {
-        let tallies = self.core.tallies();
+        let tallies = self.core.tallies_by_class();
         let classes = tallies.into_iter().map(|(name, tally)| ClassMetrics {
             name: name.to_owned(),
             served: tally.served,
@@ -231,8 +231,8 @@
             classes: classes.collect(),
             attempts_written: self.metrics.attempts_written,
             open: self.core.ledger().open(),
-            listed: self.core.endpoints().listed(),
-            avoided: self.core.ejected_endpoints(self.clock.now()),
+            listed_workers: self.core.endpoints().listed_count(),
+            unavailable_workers: self.core.unavailable_workers(self.clock.now()),
             reloads: self.metrics.reloads,
             bad_reloads: self.metrics.bad_reloads,
             idempotency: self.records.as_ref().and_then(|records| records.metrics(&self.core)),
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -119,7 +119,9 @@
     let callback =
         platform::parse_status_callback(context.shared.core.names(), body, None).ok_or(Reject::BadRequest)?;
     client.has_callbacks = true;
-    if context.hot_restart.is_open_in_peer_process(&callback.id) && !context.shared.core.knows(&callback.id) {
+    if context.hot_restart.is_open_in_peer_process(&callback.id)
+        && !context.shared.core.has_request(&callback.id)
+    {
         if !context.hot_restart.forward_status_callback(body) {
             return Err(Reject::Overloaded); // the worker retries
         }
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -160,7 +160,7 @@
     fn on_forwarded_callback(&mut self, body: &[u8]) {
         match platform::parse_status_callback(self.core.names(), body, None) {
             // The job was handed over in the meantime, so its callback goes to the successor, which does not return it.
-            Some(callback) if self.lifecycle.has_handed_over && !self.core.knows(&callback.id) => {
+            Some(callback) if self.lifecycle.has_handed_over && !self.core.has_request(&callback.id) => {
                 self.hot_restart.forward_status_callback(body);
             }
             Some(callback) => {
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -74,7 +74,7 @@
             return;
         }
         // The policy's pending decisions about these requests are carried out first.
-        self.core.batch(self.clock.now());
+        self.core.process_batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
             let token = self.reactor.connections().token_at(slot);
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -74,7 +74,7 @@
             network.resets,
             network.untaken,
             network.rejects,
-            core.stale_status_updates(),
+            core.stale_status_callbacks(),
             core.endpoints().bad_rows(),
             network.bad_lists,
             core.endpoints().stale_lists(),
@@ -83,7 +83,7 @@
             network.reloads,
             network.bad_reloads,
             context.reactor.connections().open_connections(),
-            core.endpoints().ready(),
+            core.endpoints().ready_count(),
             mothproxy_invariant::violations(env!("CARGO_PKG_NAME")),
         );
     }
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -64,8 +64,8 @@
         classes: vec![class("balance", 40), class("redeem", 41)],
         attempts_written: 50,
         open: 51,
-        listed: 52,
-        avoided: 53,
+        listed_workers: 52,
+        unavailable_workers: 53,
         reloads: 54,
         bad_reloads: 55,
         idempotency: Some(IdempotencyMetrics {
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -17,7 +17,7 @@
     let table = harness.core.endpoints();
     assert!(table.get(WorkerId(0)).is_some_and(|endpoint| endpoint.is_removed() && !endpoint.takes_work()));
     assert_eq!(table.get(WorkerId(1)).map(|endpoint| endpoint.address().port()), Some(9101));
-    assert_eq!((table.find("s-7"), table.ready()), (Some(WorkerId(2)), 2));
+    assert_eq!((table.find("s-7"), table.ready_count()), (Some(WorkerId(2)), 2));
     let bad = [
         json!({"instanceId": "s-8"}),
         json!({"hostPort": "x"}),
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -73,7 +73,7 @@
         elapsed: Micros,
         is_clock_sound: bool,
     ) -> CoreHarness {
-        let workers = self.core.endpoints().listed();
+        let workers = self.core.endpoints().listed_count();
         let unix = u128::from(self.now - Core::clock_start() + elapsed);
         let mut next = CoreHarness::starting_at(workers, unix);
         let unreadable = next.core.enable_idempotency(next.now, records.clone().into_iter());
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -18,7 +18,7 @@
     assert_eq!(responses(&harness.advance(20 * MS)), [(id, served)]);
     assert!(!harness.report_status("job-1", worker, JobStatus::Done(b"late".to_vec())));
     assert_eq!(
-        (harness.core.ledger().served(), harness.core.ledger().open(), harness.core.stale_status_updates()),
+        (harness.core.ledger().served(), harness.core.ledger().open(), harness.core.stale_status_callbacks()),
         (1, 0, 2)
     );
 }
--- a/tests/core/transfer.rs
+++ b/tests/core/transfer.rs
@@ -14,7 +14,7 @@
     let id = harness.accept(1, 5_000 * MS).expect("the request is new");
     let worker = started(&harness.advance(5 * MS))[0].worker;
     assert!(harness.report_status("job-1", worker, JobStatus::Returned));
-    harness.core.batch(harness.now);
+    harness.core.process_batch(harness.now);
     let transferred = through_json(&harness.core.transfer(id).expect("the request can be transferred"));
     harness.core.adopt(transferred, DownstreamId(70)).expect("the worker is known");
     assert_eq!(started(&harness.advance(2_000 * MS)), []);
@@ -97,7 +97,7 @@
     assert!(predecessor.report_status("job-1", worker, JobStatus::Started));
     predecessor.advance(10 * MS);
     let transferred = through_json(&predecessor.core.transfer(id).expect("the request can be transferred"));
-    assert!(!predecessor.core.knows("job-1") && predecessor.core.ledger().open() == 0);
+    assert!(!predecessor.core.has_request("job-1") && predecessor.core.ledger().open() == 0);
     let more = predecessor.advance(5_000 * MS);
     let is_for_request = |c: &Command| {
         matches!(c, Command::CancelAttempt { .. } | Command::StartAttempt { .. } | Command::Respond { .. })
