--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -19,7 +19,7 @@
 
 impl From<AttemptId> for RecordTicket {
     fn from(id: AttemptId) -> RecordTicket {
-        RecordTicket(id.to_number())
+        RecordTicket(id.to_u64())
     }
 }
 
@@ -53,8 +53,8 @@
     pub slots: f64,
     /// The memory that the job needs, in the unit of the workers' reports; `None` if memory does not count.
     pub memory: Option<f64>,
-    /// Whether the client marked the request as a repeat.
-    pub repeat: bool,
+    /// Whether the client marked the request as a retry.
+    pub is_retry: bool,
     /// The idempotency key; `None` if the request has none or keys are not recorded.
     pub idempotency_key: Option<IdempotencyKey>,
 }
@@ -155,7 +155,7 @@
     },
     /// Send a load probe to a worker.
     Probe(WorkerId),
-    /// Send a datagram, which may be lost, to another dispatcher, by its number among the peers.
+    /// Send a datagram, which may be lost, to another dispatcher, by its place.
     SendToPeer(u32, Vec<u8>),
     /// Open a watch of the endpoint list.
     OpenWatch,
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -113,7 +113,7 @@
     /// The memory that the job needs; `None` if memory is not considered.
     pub memory: Option<f64>,
     /// Whether the client marked the request as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The estimate of the job's work from similar jobs; `None` if run times are not learned.
     pub estimate: Option<Estimate>,
     /// The weight of one more job of the tenant now, as a fraction of the class's weight, 0 to 1; `None` if no quotas apply.
@@ -282,11 +282,11 @@
     Timer(TimerId),
     /// A load probe was answered or failed.
     ProbeResponse(ProbeResponse),
-    /// The presence of each dispatcher, by index. Until the first such event, all dispatchers count as present.
+    /// The presence of each dispatcher, by place. Until the first such event, all dispatchers count as present.
     Peers(Vec<PeerPresence>),
     /// A message of another dispatcher has arrived.
     PeerMessage {
-        /// The index of the sending dispatcher.
+        /// The place of the sending dispatcher.
         from: u32,
         /// The content of the datagram that the sender's [`super::Action::SendToPeer`] carried.
         bytes: Vec<u8>,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -100,7 +100,7 @@
     /// Creates the state for the dispatchers of a configuration, none of which has announced anything yet.
     pub(in crate::server) fn new(config: &Config) -> PeerLink {
         PeerLink {
-            lifecycle: PeerLifecycle::new(config.settings.own_index, config.peers.len()),
+            lifecycle: PeerLifecycle::new(config.settings.own_place, config.peers.len()),
             last_message_at: HashMap::new(),
             repeats_left: 0,
         }
@@ -117,7 +117,7 @@
         socket.places = places_by_address(&config.peers);
         let new_place =
             |old: u32| old_peers.get(old as usize).and_then(|address| socket.places.get(address)).copied();
-        self.lifecycle.renumber(config.settings.own_index, config.peers.len(), new_place);
+        self.lifecycle.renumber(config.settings.own_place, config.peers.len(), new_place);
         let messages = std::mem::take(&mut self.last_message_at).into_iter();
         self.last_message_at =
             messages.filter_map(|(old, arrived_at)| Some((new_place(old)?, arrived_at))).collect();
@@ -145,7 +145,7 @@
         }
         // A process that has just started, and must not use its known list yet, announces itself to its peer group too. The
         // peers answer with the time since the last message of the predecessor: see `PeerDatagram::LastMessageAge`.
-        if context.core.endpoints().is_stale() && !self.lifecycle.is_small() {
+        if context.core.endpoints().is_stale() && !self.lifecycle.is_full_mesh() {
             let announcement = PeerDatagram::Serving.encode();
             context.core.peer_group().iter().for_each(|to| context.send_to_peer(*to, &announcement));
         }
@@ -157,7 +157,7 @@
     fn announce(&self, context: &Context<'_>, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let (peer_socket, config) = (context.peer_socket, context.config);
-        let shared_address = config.peers_all.filter(|_| self.lifecycle.is_small());
+        let shared_address = config.peers_all.filter(|_| self.lifecycle.is_full_mesh());
         match peer_socket.socket.as_ref().zip(shared_address) {
             // Delivery is not guaranteed anyway, so a failure to send is ignored.
             Some((socket, address)) => drop(socket.send_to(&bytes, address)),
--- a/tests/compatibility/learned.rs
+++ b/tests/compatibility/learned.rs
@@ -98,7 +98,7 @@
         hint: None,
         slots: 1.0,
         memory: None,
-        repeat: false,
+        is_retry: false,
         idempotency_key: None,
     }
 }
@@ -162,7 +162,7 @@
         hint: Some(120_000),
         slots: 1.0,
         memory: Some(0.5),
-        repeat: true,
+        is_retry: true,
         is_start_notified: true,
         idempotency_key: Some(IdempotencyKey { key: "steppe-mart/k".into(), body_fingerprint: 77 }),
         attempts: vec![
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -73,7 +73,7 @@
         elapsed: Micros,
         is_clock_sound: bool,
     ) -> CoreHarness {
-        let workers = self.core.endpoints().listed();
+        let workers = self.core.endpoints().listed_count();
         let unix = u128::from(self.now - Core::clock_start() + elapsed);
         let mut next = CoreHarness::starting_at(workers, unix);
         let unreadable = next.core.enable_idempotency(next.now, records.clone().into_iter());
@@ -124,7 +124,7 @@
         hint: None,
         slots: 1.0,
         memory: None,
-        repeat: false,
+        is_retry: false,
         idempotency_key: None,
     }
 }
