--- a/src/policy/gossip/borrowed_slots.rs
+++ b/src/policy/gossip/borrowed_slots.rs
@@ -98,8 +98,8 @@
         self.slot_owners.values().copied().collect()
     }
 
-    /// Forgets the borrowed slots of an owner that has received an advertisement that none of them is used any more.
+    /// Forgets the borrowed slots of an owner that has been sent the advertisement that none of them is used any more.
     pub fn forget_slot_owner(&mut self, owner: u32) {
-        self.slot_owners.retain(|_, by| *by != owner);
+        self.slot_owners.retain(|_, slot_owner| *slot_owner != owner);
     }
 }
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -20,8 +20,8 @@
 }
 
 impl SlowStartRank {
-    /// The rank, for the worker with this tag, of the dispatcher with this index among `candidate_count` dispatchers. It
-    /// differs from worker to worker.
+    /// The rank of the dispatcher with this index, among `candidate_count` dispatchers, for the worker with this tag. A
+    /// dispatcher's ranks differ from worker to worker.
     fn new(tag: u64, index: u32, candidate_count: u32) -> SlowStartRank {
         let first = (mix(tag ^ RANK_SALT) % u64::from(candidate_count)) as u32;
         SlowStartRank { rank: (index + first) % candidate_count, candidate_count }
--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -155,10 +155,10 @@
             _ => return None,
         };
         let (suspect_count, tags) = rest.split_first()?;
-        let is_whole = tags.len() % 2 == 0;
+        let has_whole_tags = tags.len() % 2 == 0;
         let tags: Vec<u16> = tags.chunks_exact(2).map(|t| u16::from_be_bytes([t[0], t[1]])).collect();
         let (suspects, outstanding) = tags.split_at_checked(usize::from(*suspect_count))?;
-        let is_valid = is_whole && tags.iter().all(|tag| range.contains(tag));
+        let is_valid = has_whole_tags && tags.iter().all(|tag| range.contains(tag));
         is_valid
             .then(|| (audience, LoadAdvertisement::new(at, range, outstanding.to_vec(), suspects.to_vec())))
     }
@@ -168,6 +168,6 @@
 fn decode_range(bytes: &[u8]) -> Option<(RangeInclusive<u16>, &[u8])> {
     let [common_bits @ 1..=16, high, low, rest @ ..] = bytes else { return None };
     let first = u16::from_be_bytes([*high, *low]);
-    let others = u16::MAX.checked_shr((*common_bits).into()).unwrap_or(0);
-    (first & others == 0).then_some((first..=first | others, rest))
+    let varying_bits = u16::MAX.checked_shr((*common_bits).into()).unwrap_or(0);
+    (first & varying_bits == 0).then_some((first..=first | varying_bits, rest))
 }
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -113,7 +113,7 @@
         &self.group.peers
     }
 
-    /// Assigns the ready workers to the groups. `warming_up` has those that are warming up, by ascending id.
+    /// Assigns the ready workers to the groups. `warming_up` lists those that are warming up, by ascending id.
     pub fn assign(&mut self, ready: &[EndpointEntry], warming_up: &[WorkerId]) {
         if self.is_grouped() {
             self.is_changed |= self.can_borrow();
@@ -343,7 +343,8 @@
     }
 
     /// Sends the parts of an advertisement that have changed or are due again, and schedules the next advertisement if one of
-    /// them contains outstanding work. A slot owner to which it advertises that no slot is used any more is forgotten.
+    /// these parts contains outstanding work. A slot owner is forgotten once it has been sent an advertisement without
+    /// outstanding work.
     fn publish(&mut self, recipient: Recipient, advertisement: LoadAdvertisement, actions: &mut Vec<Action>) {
         let is_idle = advertisement.outstanding.is_empty();
         let parts = self.advertisements.parts_for(recipient, advertisement);
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -272,11 +272,12 @@
     /// Whether the numbers are finite and within their ranges. `price_late_fail` and the numbers of tenants are not checked.
     fn has_numbers_in_range(&self) -> bool {
         let fractions = [self.initial_capacity, self.over_quota_weight];
-        let sizes = [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
-        let class_sizes =
+        let non_negatives =
+            [self.collapse_multiple, self.price_probe, self.price_cross_zone, self.price_waste];
+        let class_non_negatives =
             self.classes.iter().flat_map(|class| [class.weight, class.late_weight, class.latency_factor]);
-        let is_size = |size: f64| size.is_finite() && size >= 0.0;
+        let is_non_negative = |number: f64| number.is_finite() && number >= 0.0;
         fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction))
-            && sizes.into_iter().chain(class_sizes).all(is_size)
+            && non_negatives.into_iter().chain(class_non_negatives).all(is_non_negative)
     }
 }
--- a/src/policy/interner.rs
+++ b/src/policy/interner.rs
@@ -48,8 +48,10 @@
         let mut names = older.names.clone();
         let mut current = HashMap::new();
         let mut numbers = Vec::new();
-        for (here, name) in self.names.iter().enumerate() {
-            let is_kept = |there: &usize| older.names[*there] == *name && is_same(here, *there);
+        for (own_number, name) in self.names.iter().enumerate() {
+            let is_kept = |older_number: &usize| {
+                older.names[*older_number] == *name && is_same(own_number, *older_number)
+            };
             let number = (0..older.names.len()).rev().find(is_kept).unwrap_or(names.len());
             if number == names.len() {
                 names.push(name.clone());
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -18,7 +18,8 @@
     Full,
     /// The worker is full, and its queue is longer than the job can wait.
     Overloaded,
-    /// The worker's load is unknown although a probe would report it, and a job that is sent could not be moved away again.
+    /// The worker's load is unknown although a probe would report it, and a job sent to the worker could not be moved to
+    /// another one.
     Unprobed,
     /// The worker is ejected for now, and is used only if there is no other worker.
     Ejected,
@@ -199,7 +200,8 @@
         Candidate { rank, cost, tie_break, worker: self.listed.worker }
     }
 
-    /// This worker as a candidate without known capacity. Among such candidates, the one expected to respond first is preferred.
+    /// This worker as a candidate that is not known to have capacity. Among such candidates, the one expected to respond first is
+    /// preferred.
     pub fn without_capacity(&self, rank: Rank) -> Candidate {
         self.candidate(rank, self.slowness * (1.0 + self.occupied), self.random)
     }
--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -22,8 +22,8 @@
         self.state.close_job(id, &self.settings, actions);
     }
 
-    /// How long a rejected client should wait before it retries; `None` if the settings allow no such time.
-    /// It is the time in which this dispatcher's share of the ready workers can run the queued jobs.
+    /// How long a rejected client should wait before it retries; `None` if the settings give clients no such time.
+    /// It is the time in which this dispatcher's share of the ready workers can run the queued jobs and one more.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
@@ -83,12 +83,12 @@
         let latest = self.latest_start(job);
         let late_weight = self.class(job).late_weight;
         let is_late = self.now() >= latest;
-        let from = if is_late { latest } else { job.arrived };
-        let to = if is_late { job.request.deadline } else { latest };
+        let period_start = if is_late { latest } else { job.arrived };
+        let period_end = if is_late { job.request.deadline } else { latest };
         let loss = if is_late { late_weight } else { 1.0 - late_weight };
         let fraction = self.settings.price_cross_zone / loss.max(MIN_LOSS);
-        let wait = to.saturating_sub(from) as f64 * fraction.min(QUEUE_FRACTION);
-        !self.state.ready().has_own_zone() || self.now() >= from + wait as Micros
+        let wait = period_end.saturating_sub(period_start) as f64 * fraction.min(QUEUE_FRACTION);
+        !self.state.ready().has_own_zone() || self.now() >= period_start + wait as Micros
     }
 
     /// Whether the deadline leaves time for the final response only. A stream that is running has no
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -62,14 +62,16 @@
     ///
     /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself,
     /// and that those ranked before it send one more attempt each. The ranks do not depend on messages. The
-    /// dispatcher with rank 0 may always send one job. If peers have advertised recently, their work at the
-    /// worker is known, and only the attempts that several dispatchers send at once must fit.
+    /// dispatcher with rank 0 may send one job within a window whatever the budget is. If peers have advertised
+    /// recently, their work at the worker is known, and only the attempts that several dispatchers send at once
+    /// must fit.
     pub(super) fn fits_warm_up_budget(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         let Some(slow_start) = self.gossip().slow_start_rank(listed.tag) else { return false };
         let now = self.now();
         let window = self.settings.collapse_window;
         let knows_peer_work = self.gossip().has_recent_advertisements(now, window);
-        let sent = if knows_peer_work { 0.0 } else { worker.work_sent_since(now.saturating_sub(window)) };
+        let sent_work =
+            if knows_peer_work { 0.0 } else { worker.work_sent_since(now.saturating_sub(window)) };
         let safety = if knows_peer_work { 1.0 } else { WARM_UP_SAFETY };
         let age = now.saturating_sub(listed.started_at.unwrap_or(0));
         let multiple = self.warm_fraction(age.saturating_sub(window)) * self.settings.collapse_multiple;
@@ -77,7 +79,7 @@
         let budget = multiple * window as f64 * self.estimates().slots(listed.kind) / slowness;
         let attempt_work = work.max(self.estimates().mean_attempt_work());
         let planned =
-            f64::from(slow_start.candidate_count) * sent + f64::from(slow_start.rank + 1) * attempt_work;
-        slow_start.rank == 0 && sent == 0.0 || planned <= budget * safety
+            f64::from(slow_start.candidate_count) * sent_work + f64::from(slow_start.rank + 1) * attempt_work;
+        slow_start.rank == 0 && sent_work == 0.0 || planned <= budget * safety
     }
 }
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -19,7 +19,8 @@
 use crate::policy::state::*;
 use crate::policy::timer::Timer;
 
-/// The shortest freshness window of load samples, in microseconds: the window of Mileff and Nehéz.
+/// The shortest freshness window of load samples, in microseconds: the one that Mileff and Nehéz use for their
+/// fuzzy load balancer.
 const MIN_WINDOW: f64 = 150_000.0;
 /// The freshness window, in report intervals.
 const WINDOW_PER_INTERVAL: f64 = 1.5;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Handles the arrival of a job. A job of an unknown class is rejected.
+    /// Handles the arrival of a job. A job of an unknown class is rejected, any other job is placed.
     pub fn on_arrived(&mut self, request: NewJob, actions: &mut Vec<Action>) {
         if usize::from(request.class.0) >= self.settings.classes.len() {
             return actions.push(Action::Reject { job: request.job, retry_after: self.retry_after() });
@@ -96,11 +97,13 @@
     /// The time after which the start of a job with this much work is overdue: until then, its worker should
     /// have reported the start, or its progress or response if starts are not reported.
     fn start_timeout(&self, work: f64) -> Micros {
-        let response = OVERDUE_FACTOR * work * self.slowness();
-        let shown =
-            self.settings.progress.map_or(response, |span| response.min(OVERDUE_FACTOR * span as f64));
-        let started = OVERDUE_FACTOR * self.estimates().start_delay();
-        let timeout = if self.settings.reports_start { started } else { shown };
+        let response_timeout = OVERDUE_FACTOR * work * self.slowness();
+        let progress_timeout = self
+            .settings
+            .progress
+            .map_or(response_timeout, |span| response_timeout.min(OVERDUE_FACTOR * span as f64));
+        let report_timeout = OVERDUE_FACTOR * self.estimates().start_delay();
+        let timeout = if self.settings.reports_start { report_timeout } else { progress_timeout };
         timeout as Micros + self.settings.tick
     }
 }
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -6,7 +6,7 @@
 /// as such a response.
 const MAX_SLOWNESS: f64 = 8.0;
 /// The greatest number of consecutive failures that are counted. An ejection lasts for one window, doubled
-/// for each counted failure. For zones, the value of a group applies. The value without a group is lower,
+/// for each failure counted before. For zones, the value of a group applies. The value without a group is lower,
 /// because such a dispatcher learns that a worker has recovered only from a job that it sends there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
 /// The errors per second up to which a worker never counts as failing. Above this, it does if it cannot have
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Learns from an attempt's outcome.
+    /// Records the outcome of an attempt: learns the worker's slowness, and ends the worker's ejection or ejects
+    /// it.
     pub fn record_outcome(&mut self, end: &AttemptEnded, ended: &EndedAttempt) {
         match end.outcome {
             Outcome::Ok => {
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -15,7 +15,7 @@
 /// The least number of slots assumed for a worker of unknown load.
 const MIN_UNKNOWN_SLOTS: f64 = 2.0;
 
-/// A worker's capability, reduced to the fraction `spare`, in steps of [`SCORE_STEP`].
+/// A worker's capability multiplied by the fraction `spare`, in steps of [`SCORE_STEP`].
 fn score(inputs: &LoadInputs, spare: f64) -> f64 {
     (capability(inputs.cpu, inputs.load) * spare / SCORE_STEP).round()
 }
@@ -87,9 +87,10 @@
     /// The requirements of a job.
     fn needs(&self, job: &Job) -> Needs {
         let max_start_timeout = if self.settings.reports_start { QUEUE_DETECTION_DELAY } else { Micros::MAX };
-        let competing: &[Class] = if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
+        let competing_classes: &[Class] =
+            if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
         let spare = |bound: BoundFraction| (bound.kind, (1.0 - bound.fraction).clamp(MIN_SPARE, 1.0));
-        let bound_fractions = self.state.bound_fractions(competing);
+        let bound_fractions = self.state.bound_fractions(competing_classes);
         Needs {
             request: job.request,
             slack: self.slack(job) as f64,
@@ -155,16 +156,18 @@
     fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
         let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
-        let ahead = if is_start_reported { 0.0 } else { occupied.max(-inputs.free_slots) };
+        let slots_ahead = if is_start_reported { 0.0 } else { occupied.max(-inputs.free_slots) };
         let sample = self.state.fresh_load(listed.worker, self.window());
-        let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + ahead + 1.0;
+        let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + slots_ahead + 1.0;
         let wait = queue * self.estimates().mean_work() * slowness / self.estimates().slots(listed.kind);
         let is_queue_forbidden = is_start_reported && (is_remote || worker.has_unstarted());
         if wait * OVERDUE_FACTOR > needs.slack || is_queue_forbidden { Rank::Overloaded } else { Rank::Full }
     }
 
-    /// Whether a worker of unknown load must be probed before it gets a job: in a group, and wherever a probe
-    /// would show a queue at the worker or whether the worker of another zone has capacity.
+    /// Whether a worker of unknown load must be probed before it gets a job. In a group, it always must.
+    /// Otherwise it must, if probes are allowed, in two cases: the worker is in another zone, so that only known
+    /// capacity is worth the price of crossing zones; or load reports show the queue of a worker that does not
+    /// report starts.
     fn must_probe_first(&self, is_remote: bool) -> bool {
         let shows_queue = self.estimates().is_queue_reported() && !self.settings.reports_start;
         self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -46,7 +46,8 @@
         let may_hedge = job.outstanding_count() == 1 && is_repeatable && !self.is_out_of_attempts(job);
         let slack_when_sent = self.latest_start(job).saturating_sub(sent_at);
         let hedge_at = sent_at + (slack_when_sent as f64 * HEDGE_FRACTION) as Micros;
-        // A worker that showed a free slot and does not start the attempt in time counts as failed.
+        // A worker that showed a free slot and does not start the attempt in time counts as failed. Without a
+        // group, it does not if it has shown a sign of life since the attempt was sent.
         let was_start_expected = self.state.take_start_expectation(id);
         let is_alive = self.state.worker(worker).was_seen_after(sent_at);
         if was_start_expected && self.settings.reports_start && (self.is_grouped() || !is_alive) {
@@ -67,8 +68,9 @@
         let is_unassigned = job.is_unassigned();
         let must_wait = is_unassigned && !self.is_grouped() && self.is_behind_queue(id);
         // In a group, workers are probed only if no candidate is known to have capacity.
-        let has_fresh = self.is_grouped() && self.pick(id).is_some_and(|pick| pick.rank == Rank::Fresh);
-        if is_unassigned && !has_fresh && !must_wait && self.probe_sample(id, actions) {
+        let has_known_capacity =
+            self.is_grouped() && self.pick(id).is_some_and(|pick| pick.rank == Rank::Fresh);
+        if is_unassigned && !has_known_capacity && !must_wait && self.probe_sample(id, actions) {
             return;
         }
         match self.pick(id) {
@@ -78,17 +80,18 @@
     }
 
     /// Whether a worker of this rank, the best one, is good enough for the job now. A full worker is good
-    /// enough at once if starts are reported and there is no group, otherwise after the job has waited in the
-    /// queue. After that wait, a dispatcher without a group also uses an unprobed or ejected worker.
+    /// enough at once if starts are reported, there is no group and the job can still start in time; otherwise
+    /// after the job has waited in the queue. After that wait, a dispatcher without a group also uses an unprobed
+    /// or ejected worker.
     fn may_use(&self, id: JobId, rank: Rank) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let is_grouped = self.is_grouped();
-        let is_start_reported = self.slack(job) > 0 && self.settings.reports_start && !is_grouped;
+        let accepts_full_at_once = self.slack(job) > 0 && self.settings.reports_start && !is_grouped;
         match rank {
             Rank::Fresh => true,
             _ if !job.is_unassigned() => false,
             Rank::Unknown => true,
-            Rank::Full => is_start_reported || self.may_queue_at_worker(job),
+            Rank::Full => accepts_full_at_once || self.may_queue_at_worker(job),
             Rank::Overloaded => false,
             Rank::Unprobed | Rank::Ejected => !is_grouped && self.may_queue_at_worker(job),
         }
@@ -102,9 +105,9 @@
         self.state.schedule_review(id, self.now() + self.start_timeout(work), actions);
     }
 
-    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, gets a
-    /// new sample at its next review, and a slot is requested from another group. The wait also prevents an
-    /// endless loop of probes that fail at once.
+    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, a slot is
+    /// requested for it from another group, and its next review draws a new sample of workers to probe. The wait
+    /// also prevents an endless loop of probes that fail at once.
     fn queue_or_wait(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let slack = self.slack(job);
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Spreads a job's last attempts over the time left if the job was repeatedly rejected or not sent.
+    /// Spreads a job's last attempts over the time left if the job was repeatedly rejected or not sent. An
+    /// attempt that was not sent is followed by a wait of at least one window.
     pub fn delay_retry(&mut self, end: &AttemptEnded, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(job) = self.state.open_job(end.job) else { return };
         let attempts_left = u64::from(self.settings.max_attempts.saturating_sub(job.sent_count()));
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -6,7 +6,7 @@
     Action, AttemptEnded, JobId, Micros, Outcome, PriorAttempt, Settings, WorkerId,
 };
 
-/// An attempt that is known to run since the present event.
+/// An attempt that the event being handled has shown to be running.
 pub(crate) struct StartedAttempt {
     pub worker: WorkerId,
     /// The time from sending the attempt to its start, in microseconds.
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -5,8 +5,8 @@
 use crate::policy::interface::{Class, EndpointEntry, KindId, Micros, Reports, Settings};
 use std::collections::BTreeMap;
 
-/// The weight, in observations, of the prior with which an own mean is blended: a worker's with that of its kind, a kind's with
-/// that of all workers.
+/// The weight of the prior, in observations, when a mean is blended with it. The prior for a worker is the mean of its kind, and
+/// the prior for a kind is the mean of all workers.
 const PRIOR_COUNT: f64 = 3.0;
 /// The first estimate of the time until an attempt is known to run, in ticks.
 const INITIAL_START_DELAY_TICKS: f64 = 4.0;
@@ -106,8 +106,8 @@
         let is_first = !self.has_known_slots(kind);
         let occupied = if is_first && self.is_probed_only { known_load() } else { 0.0 };
         if free_slots.is_none_or(|free| free >= 1.0 || !is_first) {
-            let most = self.slots_by_kind.entry(kind).or_insert(DEFAULT_SLOTS);
-            *most = most.max(free_slots.map_or(DEFAULT_SLOTS, |free| free + occupied));
+            let max_slots = self.slots_by_kind.entry(kind).or_insert(DEFAULT_SLOTS);
+            *max_slots = max_slots.max(free_slots.map_or(DEFAULT_SLOTS, |free| free + occupied));
         }
     }
 
@@ -190,10 +190,12 @@
         kind: KindId,
     ) -> BoundFraction {
         let stats = classes.iter().zip(&self.classes);
-        let bound: f64 = stats.filter(|(c, _)| c.kind == Some(kind)).map(|(_, stats)| stats.work_sum).sum();
-        let all: f64 = self.classes.iter().map(|stats| stats.work_sum).sum();
-        let fair = all * self.capacity(weight_by_kind, Some(kind)) / self.capacity(weight_by_kind, None);
-        BoundFraction { kind, fraction: if fair > 0.0 { bound / fair } else { 0.0 } }
+        let bound_work: f64 =
+            stats.filter(|(c, _)| c.kind == Some(kind)).map(|(_, stats)| stats.work_sum).sum();
+        let all_work: f64 = self.classes.iter().map(|stats| stats.work_sum).sum();
+        let fair_work =
+            all_work * self.capacity(weight_by_kind, Some(kind)) / self.capacity(weight_by_kind, None);
+        BoundFraction { kind, fraction: if fair_work > 0.0 { bound_work / fair_work } else { 0.0 } }
     }
 
     /// Copies the statistics of the class `source` to the class `class`, except for [`ClassStats::max_run_time`].
--- a/src/policy/state/failures.rs
+++ b/src/policy/state/failures.rs
@@ -24,7 +24,7 @@
     pub fn record_success(&mut self, end: &AttemptEnded, ended: &EndedAttempt, settings: &Settings) -> f64 {
         let running_since = ended.running_since.filter(|_| settings.reports_start);
         let run_time = running_since.map_or(end.elapsed, |since| self.now.saturating_sub(since));
-        let run_time = run_time.max(1) as f64; // A slowness of 0 would cancel the random tie-break between workers.
+        let run_time = run_time.max(1) as f64; // With a run time and thus a slowness of 0, all workers would rank the same.
         self.estimates.learn_run_time(ended.class, run_time);
         let worker = self.workers.touch(end.worker);
         worker.outlier.record_success();
--- a/src/policy/state/job_queue.rs
+++ b/src/policy/state/job_queue.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::interface::JobId;
 
-/// The queued jobs, in the order in which they were queued. No job is in it twice.
+/// The queued jobs, each of them once, in the order in which they were queued.
 #[derive(Debug, Default)]
 pub(crate) struct JobQueue(Vec<JobId>);
 
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -167,7 +167,8 @@
 
 /// The group of dispatchers.
 impl PolicyState {
-    /// Applies the presence of each dispatcher. If the presence of any has changed, the workers are assigned again.
+    /// Applies the presence of each dispatcher, by index. If the presence of any dispatcher has changed, the workers are assigned
+    /// to the groups again.
     pub fn update_presence(&mut self, peers: &[PeerPresence], settings: &Settings) {
         if self.gossip.set_presence(self.now, peers) {
             self.index_ready(settings);
--- a/src/policy/state/ready_workers.rs
+++ b/src/policy/state/ready_workers.rs
@@ -15,7 +15,7 @@
     weight_by_kind: BTreeMap<KindId, f64>,
 }
 
-/// The weight that a worker of lower weight counts with.
+/// The least weight of a worker; lower weights are replaced by this one.
 pub(crate) const MIN_WEIGHT: f64 = 0.01;
 
 impl ReadyWorkers {
--- a/src/policy/state/worker.rs
+++ b/src/policy/state/worker.rs
@@ -79,9 +79,12 @@
 /// The start time in a worker's most recent list entry, which is kept while the worker is not listed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ListedStart {
+    /// The worker has never been listed.
     #[default]
     NeverListed,
+    /// The entry has no start time, because the worker started long ago.
     LongAgo,
+    /// The worker started at this time.
     At(Micros),
 }
 
