--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: one forwarding to one worker.
+//! One attempt of a request, which is sent to one worker.
 
 use super::request::RequestId;
 use super::timers::{Timer, TimerQueue};
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -43,8 +43,8 @@
     pub fn may_write(&self, now: Micros, id: AttemptId, transit_time: Micros) -> bool {
         let request = self.requests.get(id.request_id).filter(|request| request.is_open());
         let Some(request) = request else { return false };
-        let Some(this) = request.in_flight(id.number) else { return false };
-        if now >= this.timeout_at().unwrap_or(request.job().deadline) {
+        let Some(attempt) = request.in_flight(id.number) else { return false };
+        if now >= attempt.timeout_at().unwrap_or(request.job().deadline) {
             return false;
         }
         let others = (0..).zip(request.attempts()).filter(|(number, _)| *number != id.number);
--- a/src/core/engine/endpoint_list.rs
+++ b/src/core/engine/endpoint_list.rs
@@ -27,12 +27,12 @@
     }
 
     fn apply_list(&mut self, list: &EndpointList, kind: ListKind) {
-        let named = self.endpoints.apply(list);
+        let listed_workers = self.endpoints.apply(list);
         if self.endpoints.clear_stale() {
             // The decision module has seen no worker as ready until now, so all of them are passed on.
             self.push_all_endpoints(ListKind::Snapshot);
         } else {
-            self.push_endpoints(kind, named);
+            self.push_endpoints(kind, listed_workers);
         }
     }
 
--- a/src/core/engine/idempotency.rs
+++ b/src/core/engine/idempotency.rs
@@ -93,7 +93,8 @@
         self.commands.push_back(Command::PersistRecord { ticket, key: key.key.clone(), record });
     }
 
-    /// Records the result of a job that an earlier process sent, because its client may repeat the request.
+    /// Records a result that is not a final response, such as that of a job that an earlier process sent, because the client may
+    /// repeat the request.
     pub(super) fn persist_late_result(&mut self, now: Micros, request_name: &str, result: Vec<u8>) {
         let Some(store) = &mut self.idempotency else { return };
         let Some(key) = store.key_of_request(request_name) else { return };
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -18,7 +18,7 @@
         if self.knows(&request.name) {
             return None;
         }
-        let known = self.look_up_record(now, &request);
+        let lookup = self.look_up_record(now, &request);
         let id = self.requests.allocate_id();
         self.ledger.record_accepted();
         let job = self.new_job(now, id, &request);
@@ -26,11 +26,11 @@
         let pending = PendingRequest::new(name, job, now, downstream, idempotency_key);
         self.requests.insert(id, pending);
         self.timers.schedule(job.deadline, Timer::RequestDeadline(id));
-        match known {
+        match lookup {
             LookupResult::Answered(result) => {
                 self.respond(now, id, FinalResponse::Served(result), Completion::Served);
             }
-            LookupResult::MayHaveRun(first) => self.adopt_recorded_attempt(now, job, &first),
+            LookupResult::MayHaveRun(recorded) => self.adopt_recorded_attempt(now, job, &recorded),
             LookupResult::Unknown => self.events.push(Event::Arrived(job)),
         }
         Some(id)
@@ -60,9 +60,9 @@
 
     /// Adopts the attempt of an earlier request with the same idempotency key that may have run. That attempt counts as one of
     /// this request, and the decision module decides whether and where to send another.
-    fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, first: &AttemptRecord) {
-        let sent_at = self.clock.module_time(first.sent_at).min(now);
-        let worker = self.endpoints.id_or_placeholder(first);
+    fn adopt_recorded_attempt(&mut self, now: Micros, job: NewJob, recorded: &AttemptRecord) {
+        let sent_at = self.clock.module_time(recorded.sent_at).min(now);
+        let worker = self.endpoints.id_or_placeholder(recorded);
         let attempt = Attempt::ended(worker, sent_at, AttemptEnd::MayHaveRun);
         let prior_attempts = vec![attempt.to_prior()];
         self.events.push(Event::Adopted { request: job, arrived_at: now, prior_attempts });
--- a/src/core/idempotency/store.rs
+++ b/src/core/idempotency/store.rs
@@ -110,8 +110,8 @@
             self.repeats_answered += 1;
             return LookupResult::Answered(result);
         }
-        // The oldest attempt determines how long a repeat is safe. All attempts that may have run went to the same cell, because
-        // the decision module sends no others.
+        // The oldest attempt that may have run determines how long a repeat is safe. The others went to workers of the same
+        // deduplication scope, because the decision module sends no others.
         match record.first_that_may_have_run().cloned() {
             Some(first) => {
                 self.restricted_repeats += 1;
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger: each request that is accepted has exactly one completion.
+//! The ledger: counts of accepted requests and of their completions. Each accepted request has exactly one completion, unless it
+//! is transferred to another process.
 
 use crate::policy::interface::ClassId;
 use mothproxy_invariant::invariant;
--- a/src/core/peer_lifecycle.rs
+++ b/src/core/peer_lifecycle.rs
@@ -14,7 +14,7 @@
 /// The divisor that converts thousandths to a fraction.
 const PERMILLE: u64 = 1_000;
 /// The distances to the neighbors in a larger fleet, in both directions, in thousandths of the fleet's size. They are powers of
-/// the golden ratio, so that no two neighbors are near each other.
+/// the inverse golden ratio (0.618), so that no two neighbors are near each other.
 const NEIGHBOR_DISTANCES_PERMILLE: [u64; 3] = [382, 236, 146];
 /// The distance to the nearest neighbors, in both directions. A rolling restart in steps does not stop them together with this
 /// dispatcher.
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, from its last byte to its final response.
+//! A client's request, from the receipt of its last byte until its final response and the end of its attempts.
 
 use super::attempt::Attempt;
 use super::commands::DownstreamId;
--- a/src/core/shutdown_plan.rs
+++ b/src/core/shutdown_plan.rs
@@ -4,8 +4,8 @@
 
 /// How long after the signal new connections may still arrive, in microseconds.
 const ARRIVAL_WINDOW: Micros = 400_000;
-/// A time after the signal, in microseconds. A request that arrives later counts as lost if the process is killed before the
-/// response. An earlier request is answered by its own deadline as usual, and does not count as lost if the process is killed
+/// The time after the signal, in microseconds, from which on an arriving request counts as lost if the process is killed before the
+/// response. An earlier request must be answered by its own deadline as usual, and does not count as lost if the process is killed
 /// before that deadline.
 const LATE_ARRIVAL_LIMIT: Micros = 700_000;
 /// The cap on the longest deadline, in microseconds, in the calculation of the time from which the process may be killed.
@@ -52,7 +52,8 @@
         }
     }
 
-    /// How long a request that arrives now may take, in microseconds, if its client waits for `time_budget`.
+    /// How long a request that arrives now may take, in microseconds, if its client waits for `time_budget`. After
+    /// `ARRIVAL_WINDOW`, it must be answered by [`ShutdownPlan::answer_late_by`].
     pub fn time_budget(&self, now: Micros, time_budget: Micros) -> Micros {
         if now <= self.started_at + ARRIVAL_WINDOW {
             time_budget
--- a/src/core/watch_liveness/call_schedule.rs
+++ b/src/core/watch_liveness/call_schedule.rs
@@ -15,10 +15,10 @@
 /// The minimum delay before the next call after an agent refused or a call used all its time, in microseconds. The delay prevents
 /// a busy loop.
 pub(super) const MIN_RETRY_INTERVAL: Micros = 50_000;
-/// The next call begins at a random time in the last part of the interval until it is due, so that dispatchers do not call at the
-/// same time. This number is the divisor that gives the length of that part.
+/// The next call begins at a random time within a window that ends when the call is due, so that dispatchers do not call at the
+/// same time. The window's length is the time until the call is due divided by this number.
 const RETRY_SPREAD_DIVISOR: Micros = 8;
-/// The value of [`RETRY_SPREAD_DIVISOR`] for many dispatchers at a slow service that has not answered them: in a smaller part
+/// The value of [`RETRY_SPREAD_DIVISOR`] for many dispatchers at a slow service that has not answered them: within a shorter window
 /// they would call at the same time again.
 const OVERLOAD_SPREAD_DIVISOR: Micros = 2;
 
--- a/src/core/watch_liveness/service_load.rs
+++ b/src/core/watch_liveness/service_load.rs
@@ -63,8 +63,8 @@
 
     /// Records that a call timed out without an answer.
     pub fn on_unanswered(&mut self, now: Micros) {
-        let before = self.overload.unwrap_or(Overload { since: now, failed_calls: 0 });
-        self.overload = Some(Overload { failed_calls: before.failed_calls.saturating_add(1), ..before });
+        let previous = self.overload.unwrap_or(Overload { since: now, failed_calls: 0 });
+        self.overload = Some(Overload { failed_calls: previous.failed_calls.saturating_add(1), ..previous });
     }
 
     /// Records that a call failed in a way that shows no overload.
--- a/src/core/watch_liveness/settings.rs
+++ b/src/core/watch_liveness/settings.rs
@@ -45,8 +45,9 @@
     /// maximum poll interval of the settings, because changes count as notified at a dispatcher that has not called for that
     /// long.
     pub(super) fn call_interval(&self) -> Micros {
-        let fair = self.slow_service_round().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
-        self.max_poll_interval.map_or(fair, |within| fair.min(within / 2))
+        let turn_interval =
+            self.slow_service_round().clamp(POLL_INTERVAL, NOTIFICATION_DEADLINE - POLL_INTERVAL);
+        self.max_poll_interval.map_or(turn_interval, |max_interval| turn_interval.min(max_interval / 2))
     }
 
     /// The maximum time between the starts of two calls if the dispatchers do not take turns, in microseconds.
--- a/src/fleet/log_limiter/tests.rs
+++ b/src/fleet/log_limiter/tests.rs
@@ -8,8 +8,8 @@
     }
     assert_eq!(limiter.admit(0), None);
     assert_eq!(limiter.admit(REFILL_INTERVAL - 1), None);
-    assert_eq!(limiter.admit(REFILL_INTERVAL), Some(2), "both suppressed lines are reported");
-    assert_eq!(limiter.admit(REFILL_INTERVAL), None, "one line an interval");
+    assert_eq!(limiter.admit(REFILL_INTERVAL), Some(2), "the admitted line reports both suppressed ones");
+    assert_eq!(limiter.admit(REFILL_INTERVAL), None, "one line per interval");
 }
 
 #[test]
