--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::interface::{MICROS_PER_MS, Micros};
 
-/// A moment in Unix time, in microseconds.
+/// A point in Unix time, in microseconds.
 pub type UnixMicros = i64;
 
 /// The first reading of the module's clock, in microseconds. The hour before it represents events before the start of the
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -76,7 +76,7 @@
     Lost,
 }
 
-/// How an attempt ended, as the upstream connection saw it.
+/// How an attempt ended, according to its upstream connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
     /// The worker responded with a result.
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -36,7 +36,7 @@
         Some(id)
     }
 
-    /// The job that the decision module sees for a request.
+    /// The job that represents a request in the decision module.
     fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
         let NewRequest { class, tenant, key, .. } = *request;
         let labels = job_labels(&self.names, class, tenant, key);
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -127,7 +127,7 @@
         Some(id)
     }
 
-    /// The job that the decision module of this process gets for a transferred request.
+    /// The job that represents a transferred request in the decision module of this process.
     fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
         let tenant = transferred.tenant.as_ref().and_then(|name| self.names.tenant_id(name));
         let key = transferred.key.map(KeyId);
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -88,7 +88,7 @@
         &self.name
     }
 
-    /// The job that the decision module sees.
+    /// The job that represents the request in the decision module.
     pub fn job(&self) -> &NewJob {
         &self.job
     }
--- a/src/core/watch_liveness/mod.rs
+++ b/src/core/watch_liveness/mod.rs
@@ -1,5 +1,8 @@
 //! The liveness of a watch of discovery's list, as a state machine without clock and socket.
 //!
+//! A change of the list counts as notified after a fixed time, whether or not this dispatcher has received it. If the dispatcher
+//! may lack changes, it therefore calls discovery early enough to receive them within that time, as far as possible.
+//!
 //! The state machine decides when a watch counts as broken although its connection is open, when the first and each further
 //! watch is opened, from when on missed changes count as notified, and whether the list that the process started with must still
 //! be revalidated. Its methods take the current time and return the time at which the next step is due. There is always a next
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -153,7 +153,7 @@
         let reserved = ranks.map(|rank| partition::allotment(slots, dispatcher_count, *rank)).sum();
         mothproxy_invariant::invariant!(
             reserved <= slots,
-            "{reserved} of {slots} slots of {worker:?} are reserved for unreachable dispatchers"
+            "{worker:?} has {slots} slots, but {reserved} are reserved for unreachable dispatchers"
         );
         reserved
     }
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -9,8 +9,8 @@
 /// for each failure counted before. For zones, the value of a group applies. The value without a group is lower,
 /// because such a dispatcher learns that a worker has recovered only from a job that it sends there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
-/// The errors per second up to which a worker never counts as failing. Above this, it does if it cannot have
-/// served as many jobs.
+/// The rate of reported errors, per second, up to which a worker never counts as failing. Above it, the worker
+/// counts as failing if it reports more errors than the jobs that it can have served.
 const MAX_ERROR_RATE: f64 = 1.0;
 
 impl Policy {
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -24,7 +24,7 @@
     /// The eligible workers among those drawn for a job: a random sample of the group's workers, the workers
     /// probed for the job, and those at which a slot is offered. Without a group, and for probes if no slot
     /// can be borrowed, the draw includes workers that are warming up, workers of the dispatcher's own zone,
-    /// and any workers.
+    /// and workers of all zones.
     pub(super) fn candidates(&mut self, id: JobId, purpose: Purpose) -> Vec<WorkerId> {
         let gossip = self.state.gossip();
         let mut pool = gossip.sample(&mut self.random, MAX_RANKED);
@@ -71,7 +71,7 @@
         self.winner(&ranked, lowest_cpu).copied()
     }
 
-    /// The first candidate, unless it got the last job too. The same worker is chosen twice in a row only if
+    /// The first candidate, unless the last job was assigned to it too. The same worker is chosen twice in a row only if
     /// its utilisation has changed since its last assignment and is the lowest of all, or if the next
     /// candidate ranks worse than [`Rank::Unknown`].
     fn winner<'a>(&self, ranked: &'a [Candidate], lowest_cpu: f64) -> Option<&'a Candidate> {
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -74,7 +74,7 @@
             return;
         }
         match self.pick(id) {
-            Some(pick) if !must_wait && self.may_use(id, pick.rank) => self.send(id, &pick, actions),
+            Some(pick) if !must_wait && self.accepts_rank(id, pick.rank) => self.send(id, &pick, actions),
             _ => self.queue_or_wait(id, actions),
         }
     }
@@ -83,7 +83,7 @@
     /// enough at once if starts are reported, there is no group and the job can still start in time; otherwise
     /// after the job has waited in the queue. After that wait, a dispatcher without a group also uses an unprobed
     /// or ejected worker.
-    fn may_use(&self, id: JobId, rank: Rank) -> bool {
+    fn accepts_rank(&self, id: JobId, rank: Rank) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let is_grouped = self.is_grouped();
         let accepts_full_at_once = self.slack(job) > 0 && self.settings.reports_start && !is_grouped;
--- a/src/policy/state/capacity.rs
+++ b/src/policy/state/capacity.rs
@@ -90,8 +90,8 @@
         self.ready.all().iter().map(|id| self.worker(*id).listed().map_or(0.0, slots)).sum()
     }
 
-    /// For each class that only one kind of worker can run: the fraction of that kind's capacity that the work of all such
-    /// classes takes.
+    /// For each class that only one kind of worker can run: the work of all classes that only this kind can run, as a fraction
+    /// of the kind's fair part of all work.
     pub fn bound_fractions<'a>(&'a self, classes: &'a [Class]) -> impl Iterator<Item = BoundFraction> + 'a {
         let kinds = classes.iter().filter_map(|class| class.kind);
         kinds.map(|kind| self.estimates.bound_fraction(classes, self.ready.weight_by_kind(), kind))
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -13,10 +13,10 @@
 /// The number of slots of a worker of a kind for which no report has shown more.
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// The amount of work that only one kind of worker can run.
+/// The work that only workers of one kind can run, relative to that kind's fair part of all work.
 pub(crate) struct BoundFraction {
     pub kind: KindId,
-    /// That work as a fraction of the kind's fair part of all work.
+    /// The work as a fraction of the kind's fair part of all work; above 1 if the kind has more to do than its fair part.
     pub fraction: f64,
 }
 
