--- a/src/policy/rules/jobs.rs
+++ b/src/policy/rules/jobs.rs
@@ -1,4 +1,5 @@
-//! Deadlines and limits of a job: when it must start, where it may be sent, and which final response it gets.
+//! Deadlines and limits of a job: when it must start, where it may be sent, and which final response it
+//! gets.
 
 use super::*;
 
@@ -12,8 +13,8 @@
 const MIN_LOSS: f64 = 0.01;
 
 impl Policy {
-    /// Gives the dispatcher's own final response: a rejection if no attempt may have run or a repeat does no
-    /// harm, otherwise a failure.
+    /// Gives the dispatcher's own final response: a rejection if no attempt may have run or a repeat does
+    /// no harm, otherwise a failure.
     pub fn give_up(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let is_harmless = job.never_ran() || self.class(job).idempotency.is_repeatable_anywhere();
@@ -22,8 +23,9 @@
         self.state.close_job(id, &self.settings, actions);
     }
 
-    /// How long a rejected client should wait before it retries; `None` if the settings give clients no such time.
-    /// It is the time in which this dispatcher's share of the ready workers can run the queued jobs and one more.
+    /// How long a rejected client should wait before it retries; `None` if the settings give clients no
+    /// such time. It is the time in which this dispatcher's share of the ready workers can run the queued
+    /// jobs and one more.
     pub(super) fn retry_after(&self) -> Option<Micros> {
         let max = self.settings.max_retry_after?;
         let own_slots = self.state.ready_slots() / f64::from(self.settings.dispatcher_count);
@@ -75,10 +77,10 @@
         slack > 0 && slack as f64 <= whole_slack as f64 * (1.0 - QUEUE_FRACTION)
     }
 
-    /// Whether the job may be sent to another zone. It first waits for a worker of its own zone, if that has
-    /// any: for a fraction of its slack that is the ratio of the price of crossing zones to the weight lost
-    /// by being late, at most [`QUEUE_FRACTION`]. Once the job is late, the wait is that fraction of the time
-    /// until its deadline, with the weight lost by not being served.
+    /// Whether the job may be sent to another zone. It first waits for a worker of its own zone, if that
+    /// has any: for a fraction of its slack that is the ratio of the price of crossing zones to the weight
+    /// lost by being late, at most [`QUEUE_FRACTION`]. Once the job is late, the wait is that fraction of
+    /// the time until its deadline, with the weight lost by not being served.
     pub(super) fn may_cross_zones(&self, job: &Job) -> bool {
         let latest = self.latest_start(job);
         let late_weight = self.class(job).late_weight;
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-/// The fraction of the warm-up budget that the dispatchers plan to use together. The rest is reserved because
-/// a dispatcher may restart within a collapse window, and its new process does not know what the old one has
-/// sent.
+/// The fraction of the warm-up budget that the dispatchers plan to use together. The rest is reserved
+/// because a dispatcher may restart within a collapse window, and its new process does not know what the
+/// old one has sent.
 const WARM_UP_SAFETY: f64 = 0.5;
 
 impl Policy {
     /// The worker's load, if it is known. For a worker of this dispatcher's group, it is what the group has
     /// outstanding there. For other workers, it is the fresh load sample, increased by this dispatcher's
-    /// attempts that the sample may not include yet. Without that increase, a dispatcher would send all jobs
-    /// to the worker with the best score until its next report. A worker at which another group offers a slot
-    /// counts as half loaded, with one free slot.
+    /// attempts that the sample may not include yet. Without that increase, a dispatcher would send all
+    /// jobs to the worker with the best score until its next report. A worker at which another group offers
+    /// a slot counts as half loaded, with one free slot.
     pub(super) fn load_inputs(&self, worker: &Worker, listed: &EndpointEntry) -> Option<LoadInputs> {
         if self.gossip().has_offer(listed.worker, self.now()) {
             return Some(LoadInputs::half_loaded(1.0));
@@ -60,11 +60,11 @@
     /// Whether one more attempt with this much work keeps the fleet within the budget of a worker that is
     /// warming up: the work that the worker can bear within a collapse window.
     ///
-    /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself,
-    /// and that those ranked before it send one more attempt each. The ranks do not depend on messages. The
-    /// dispatcher with rank 0 may send one job within a window whatever the budget is. If peers have advertised
-    /// recently, their work at the worker is known, and only the attempts that several dispatchers send at once
-    /// must fit.
+    /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as
+    /// itself, and that those ranked before it send one more attempt each. The ranks do not depend on
+    /// messages. The dispatcher with rank 0 may send one job within a window whatever the budget is. If
+    /// peers have advertised recently, their work at the worker is known, and only the attempts that
+    /// several dispatchers send at once must fit.
     pub(super) fn fits_warm_up_budget(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
         let Some(slow_start) = self.gossip().slow_start_rank(listed.tag) else { return false };
         let now = self.now();
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -19,8 +19,8 @@
 use crate::policy::state::*;
 use crate::policy::timer::Timer;
 
-/// The shortest freshness window of load samples, in microseconds: the one that Mileff and Nehéz use for their
-/// fuzzy load balancer.
+/// The shortest freshness window of load samples, in microseconds: the one that Mileff and Nehéz use for
+/// their fuzzy load balancer.
 const MIN_WINDOW: f64 = 150_000.0;
 /// The freshness window, in report intervals.
 const WINDOW_PER_INTERVAL: f64 = 1.5;
@@ -30,15 +30,15 @@
 const MAX_WINDOW_MULTIPLE: f64 = 10.0;
 /// An event is overdue after this multiple of the usual wait for it.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// A worker that has not started an attempt after this time, in microseconds, has a queue. The limit does not
-/// follow the usual wait, because that grows with the queues.
+/// A worker that has not started an attempt after this time, in microseconds, has a queue. The limit does
+/// not follow the usual wait, because that grows with the queues.
 const QUEUE_DETECTION_DELAY: Micros = 20_000;
 /// The longest delay of the first call for a list is the longest poll interval divided by this.
 const FIRST_LIST_DELAY_DIVISOR: u64 = 8;
 
 impl Policy {
-    /// Schedules the opening of a watch if lists are sent only on request. The delay is random, up to a limit
-    /// that doubles with consecutive failures, so that the calls of the dispatchers are spread.
+    /// Schedules the opening of a watch if lists are sent only on request. The delay is random, up to a
+    /// limit that doubles with consecutive failures, so that the calls of the dispatchers are spread.
     pub fn schedule_watch(&mut self, actions: &mut Vec<Action>) {
         if let Some(interval) = self.settings.max_poll_interval.filter(|_| self.settings.list_on_request) {
             let max_wait = (interval / FIRST_LIST_DELAY_DIVISOR) << self.state.list_wait_doublings();
@@ -56,8 +56,8 @@
         self.review(request.job, actions);
     }
 
-    /// Handles a slot request of a dispatcher of another group, whose own workers are full. Offers a slot at
-    /// the worker of this group with the lowest CPU utilisation, in the requested zone if possible.
+    /// Handles a slot request of a dispatcher of another group, whose own workers are full. Offers a slot
+    /// at the worker of this group with the lowest CPU utilisation, in the requested zone if possible.
     pub fn on_slot_request(&mut self, from: u32, zone: ZoneId, actions: &mut Vec<Action>) {
         let slots = self.gossip().workers().filter_map(|id| self.offerable_slot(id));
         let best = slots.min_by(|slot, other| {
@@ -94,8 +94,8 @@
         self.estimates().slowness().max(1.0)
     }
 
-    /// The time after which the start of a job with this much work is overdue: until then, its worker should
-    /// have reported the start, or its progress or response if starts are not reported.
+    /// The time after which the start of a job with this much work is overdue: until then, its worker
+    /// should have reported the start, or its progress or response if starts are not reported.
     fn start_timeout(&self, work: f64) -> Micros {
         let response_timeout = OVERDUE_FACTOR * work * self.slowness();
         let progress_timeout = self
--- a/src/policy/rules/outliers.rs
+++ b/src/policy/rules/outliers.rs
@@ -6,11 +6,11 @@
 /// as such a response.
 const MAX_SLOWNESS: f64 = 8.0;
 /// The greatest number of consecutive failures that are counted. An ejection lasts for one window, doubled
-/// for each failure counted before. For zones, the value of a group applies. The value without a group is lower,
-/// because such a dispatcher learns that a worker has recovered only from a job that it sends there.
+/// for each failure counted before. For zones, the value of a group applies. The value without a group is
+/// lower, because such a dispatcher learns that a worker has recovered only from a job that it sends there.
 const MAX_FAILURES: ByGrouping<u32> = ByGrouping { alone: 3, grouped: 6 };
-/// The rate of reported errors, per second, up to which a worker never counts as failing. Above it, the worker
-/// counts as failing if it reports more errors than the jobs that it can have served.
+/// The rate of reported errors, per second, up to which a worker never counts as failing. Above it, the
+/// worker counts as failing if it reports more errors than the jobs that it can have served.
 const MAX_ERROR_RATE: f64 = 1.0;
 
 impl Policy {
@@ -30,8 +30,8 @@
     }
 
     /// Records that a worker has started an attempt, which ends its ejection. If the attempt had to queue
-    /// there, the worker is ejected for as long as the attempt waited, at most for a window, because the next
-    /// attempt would wait as long.
+    /// there, the worker is ejected for as long as the attempt waited, at most for a window, because the
+    /// next attempt would wait as long.
     pub fn record_start(&mut self, started: &StartedAttempt) {
         let has_queued = started.waited > QUEUE_DETECTION_DELAY;
         let queue_wait = if has_queued { started.waited.min(self.window()) } else { 0 };
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Records the outcome of an attempt: learns the worker's slowness, and ends the worker's ejection or ejects
-    /// it.
+    /// Records the outcome of an attempt: learns the worker's slowness, and ends the worker's ejection or
+    /// ejects it.
     pub fn record_outcome(&mut self, end: &AttemptEnded, ended: &EndedAttempt) {
         match end.outcome {
             Outcome::Ok => {
                 let run_time = self.state.record_success(end, ended, &self.settings);
                 self.state.learn_slowness(end.worker, (run_time / ended.work).min(MAX_SLOWNESS));
             }
-            // A rejection is more recent than any load report: the worker gets no work for a window, but has
-            // not failed.
+            // A rejection is more recent than any load report: the worker gets no work for a window, but
+            // has not failed.
             Outcome::Rejected | Outcome::ReturnedByCallback => self.eject_for(end.worker, self.window()),
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 self.state.learn_slowness(end.worker, MAX_SLOWNESS);
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -7,10 +7,11 @@
 const SCORE_STEP: f64 = 0.1;
 /// The cost of a worker in another zone, in steps of the score.
 const REMOTE_COST: f64 = 1.0;
-/// The greatest number of workers that are drawn from the group for a job. Without a group, half as many are
-/// drawn from each list of `ReadyWorkers`.
+/// The greatest number of workers that are drawn from the group for a job. Without a group, half as many
+/// are drawn from each list of `ReadyWorkers`.
 const MAX_RANKED: usize = 32;
-/// The least fraction of a kind's capacity that is counted as available to jobs that other kinds can run too.
+/// The least fraction of a kind's capacity that is counted as available to jobs that other kinds can run
+/// too.
 const MIN_SPARE: f64 = 0.1;
 /// The least number of slots assumed for a worker of unknown load.
 const MIN_UNKNOWN_SLOTS: f64 = 2.0;
@@ -21,10 +22,10 @@
 }
 
 impl Policy {
-    /// The eligible workers among those drawn for a job: a random sample of the group's workers, the workers
-    /// probed for the job, and those at which a slot is offered. Without a group, and for probes if no slot
-    /// can be borrowed, the draw includes workers that are warming up, workers of the dispatcher's own zone,
-    /// and workers of all zones.
+    /// The eligible workers among those drawn for a job: a random sample of the group's workers, the
+    /// workers probed for the job, and those at which a slot is offered. Without a group, and for probes if
+    /// no slot can be borrowed, the draw includes workers that are warming up, workers of the dispatcher's
+    /// own zone, and workers of all zones.
     pub(super) fn candidates(&mut self, id: JobId, purpose: Purpose) -> Vec<WorkerId> {
         let gossip = self.state.gossip();
         let mut pool = gossip.sample(&mut self.random, MAX_RANKED);
@@ -71,9 +72,9 @@
         self.winner(&ranked, lowest_cpu).copied()
     }
 
-    /// The first candidate, unless the last job was assigned to it too. The same worker is chosen twice in a row only if
-    /// its utilisation has changed since its last assignment and is the lowest of all, or if the next
-    /// candidate ranks worse than [`Rank::Unknown`].
+    /// The first candidate, unless the last job was assigned to it too. The same worker is chosen twice in
+    /// a row only if its utilisation has changed since its last assignment and is the lowest of all, or if
+    /// the next candidate ranks worse than [`Rank::Unknown`].
     fn winner<'a>(&self, ranked: &'a [Candidate], lowest_cpu: f64) -> Option<&'a Candidate> {
         let first = ranked.first()?;
         let worker = self.state.worker(first.worker);
@@ -149,10 +150,10 @@
         inputs.free_slots < needs.request.slots || sample.is_some_and(|sample| needs.exceed_memory_of(sample))
     }
 
-    /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the time
-    /// that the job would wait in the worker's queue. The queue is the one that the worker reports, with the
-    /// attempts of the group or, without a group, of this dispatcher. Without a group and with reported
-    /// starts, at most one attempt of this dispatcher waits there.
+    /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the
+    /// time that the job would wait in the worker's queue. The queue is the one that the worker reports,
+    /// with the attempts of the group or, without a group, of this dispatcher. Without a group and with
+    /// reported starts, at most one attempt of this dispatcher waits there.
     fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
         let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
@@ -165,9 +166,9 @@
     }
 
     /// Whether a worker of unknown load must be probed before it gets a job. In a group, it always must.
-    /// Otherwise it must, if probes are allowed, in two cases: the worker is in another zone, so that only known
-    /// capacity is worth the price of crossing zones; or load reports show the queue of a worker that does not
-    /// report starts.
+    /// Otherwise it must, if probes are allowed, in two cases: the worker is in another zone, so that only
+    /// known capacity is worth the price of crossing zones; or load reports show the queue of a worker that
+    /// does not report starts.
     fn must_probe_first(&self, is_remote: bool) -> bool {
         let shows_queue = self.estimates().is_queue_reported() && !self.settings.reports_start;
         self.is_grouped() || self.settings.may_probe && (is_remote || shows_queue)
--- a/src/policy/rules/review.rs
+++ b/src/policy/rules/review.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whether the job goes on waiting for its newest unstarted attempt instead of being hedged. Schedules a
-    /// review for the time at which the start is overdue or the job may be hedged.
+    /// Whether the job goes on waiting for its newest unstarted attempt instead of being hedged. Schedules
+    /// a review for the time at which the start is overdue or the job may be hedged.
     fn awaits_start(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let Some(&Attempt { worker, sent_at, .. }) = job.newest_unstarted() else { return false };
@@ -46,8 +46,8 @@
         let may_hedge = job.outstanding_count() == 1 && is_repeatable && !self.is_out_of_attempts(job);
         let slack_when_sent = self.latest_start(job).saturating_sub(sent_at);
         let hedge_at = sent_at + (slack_when_sent as f64 * HEDGE_FRACTION) as Micros;
-        // A worker that showed a free slot and does not start the attempt in time counts as failed. Without a
-        // group, it does not if it has shown a sign of life since the attempt was sent.
+        // A worker that showed a free slot and does not start the attempt in time counts as failed. Without
+        // a group, it does not if it has shown a sign of life since the attempt was sent.
         let was_start_expected = self.state.take_start_expectation(id);
         let is_alive = self.state.worker(worker).was_seen_after(sent_at);
         if was_start_expected && self.settings.reports_start && (self.is_grouped() || !is_alive) {
@@ -80,9 +80,9 @@
     }
 
     /// Whether a worker of this rank, the best one, is good enough for the job now. A full worker is good
-    /// enough at once if starts are reported, there is no group and the job can still start in time; otherwise
-    /// after the job has waited in the queue. After that wait, a dispatcher without a group also uses an unprobed
-    /// or ejected worker.
+    /// enough at once if starts are reported, there is no group and the job can still start in time;
+    /// otherwise after the job has waited in the queue. After that wait, a dispatcher without a group also
+    /// uses an unprobed or ejected worker.
     fn accepts_rank(&self, id: JobId, rank: Rank) -> bool {
         let Some(job) = self.state.job(id) else { return false };
         let is_grouped = self.is_grouped();
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Sends the job to the picked worker, and schedules a review for the time at which the start is overdue.
+    /// Sends the job to the picked worker, and schedules a review for the time at which the start is
+    /// overdue.
     fn send(&mut self, id: JobId, pick: &Candidate, actions: &mut Vec<Action>) {
         let is_start_expected = pick.rank == Rank::Fresh;
         let window = self.settings.collapse_window;
@@ -105,9 +106,9 @@
         self.state.schedule_review(id, self.now() + self.start_timeout(work), actions);
     }
 
-    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, a slot is
-    /// requested for it from another group, and its next review draws a new sample of workers to probe. The wait
-    /// also prevents an endless loop of probes that fail at once.
+    /// Lets a job wait because no worker has capacity. A job without an outstanding attempt is queued, a
+    /// slot is requested for it from another group, and its next review draws a new sample of workers to
+    /// probe. The wait also prevents an endless loop of probes that fail at once.
     fn queue_or_wait(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.state.job(id) else { return };
         let slack = self.slack(job);
@@ -121,10 +122,10 @@
         self.state.schedule_review(id, until, actions);
     }
 
-    /// A job's position in this dispatcher's queue: the job with the earliest latest start is first. If late
-    /// responses earn weight too, jobs past their latency objective come last, the newest first; otherwise
-    /// all jobs would be served just too late under overload. A job that was rejected repeatedly has no
-    /// position, because its last attempts are spread over its slack.
+    /// A job's position in this dispatcher's queue: the job with the earliest latest start is first. If
+    /// late responses earn weight too, jobs past their latency objective come last, the newest first;
+    /// otherwise all jobs would be served just too late under overload. A job that was rejected repeatedly
+    /// has no position, because its last attempts are spread over its slack.
     fn queue_position(&self, id: JobId) -> Option<QueuePosition> {
         let job = self.state.job(id).filter(|job| job.never_ran_count() < QUICK_RETRIES)?;
         let latest = self.latest_start(job);
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Probes a few random workers for their load before the job is placed. Returns whether the job must wait
-    /// for a response.
+    /// Probes a few random workers for their load before the job is placed. Returns whether the job must
+    /// wait for a response.
     fn probe_sample(&mut self, id: JobId, actions: &mut Vec<Action>) -> bool {
         if !self.settings.may_probe || self.state.is_sampled(id) {
             return false;
@@ -184,8 +185,8 @@
         self.state.probe_sample(id, sample, self.window(), until, actions)
     }
 
-    /// Draws the workers to probe for a job. Workers of other zones are preferred if the job may cross zones
-    /// and there is no group, otherwise workers of the dispatcher's own zone.
+    /// Draws the workers to probe for a job. Workers of other zones are preferred if the job may cross
+    /// zones and there is no group, otherwise workers of the dispatcher's own zone.
     fn draw_sample(&mut self, id: JobId) -> Vec<WorkerId> {
         let is_grouped = self.is_grouped();
         let mut pool = self.candidates(id, Purpose::Probing);
@@ -200,8 +201,8 @@
         pool
     }
 
-    /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed from
-    /// other groups, only if it is suspect or its number of slots is unknown.
+    /// Whether a worker may be probed in a group: not while it is ejected, and if slots can be borrowed
+    /// from other groups, only if it is suspect or its number of slots is unknown.
     fn may_probe_in_group(&self, worker: &Worker, can_borrow: bool) -> bool {
         let needs_probe = || self.state.is_suspect(worker) || self.state.has_unknown_slots(worker);
         !self.state.is_ejected(worker) && (!can_borrow || needs_probe())
