--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -9,39 +9,44 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-fn op(n: u64) -> Operation {
+fn operation(n: u64) -> Operation {
     let key = format!("key-{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes();
     Operation { key, value: Some(vec![n as u8; 200]), expires_at: None }
 }
 
-fn filled(records: u64) -> (SimDisk, Writer, SharedView) {
+fn filled_store(records: u64) -> (SimDisk, Writer, SharedView) {
     let disk = SimDisk::new(1);
     let options = Options { seed: 1, ..Options::default() };
     let OpenedWriter { mut writer, shared, .. } =
-        open_writer(Arc::new(disk.clone()), options).expect("an empty disk");
+        open_writer(Arc::new(disk.clone()), options).expect("store opens on an empty disk");
     for group in 0..records / 100 {
-        let ops: Vec<Operation> = (group * 100..group * 100 + 100).map(op).collect();
-        writer.commit(&shared, &[&ops], 1).expect("a sound disk");
+        let ops: Vec<Operation> = (group * 100..group * 100 + 100).map(operation).collect();
+        writer.commit(&shared, &[&ops], 1).expect("disk without faults");
     }
     (disk, writer, shared)
 }
 
 fn store(c: &mut Criterion) {
-    let (disk, mut writer, shared) = filled(50_000);
+    let (disk, mut writer, shared) = filled_store(50_000);
     let mut group = c.benchmark_group("store");
     group.sample_size(20);
     let (view, mut n) = (view_of(&shared), 0);
     group.bench_function("look-up of one key among 50,000", |b| {
         b.iter(|| {
             n = (n + 7919) % 50_000;
-            black_box(view.get(&op(n).key, 1).expect("sound"))
+            black_box(view.get(&operation(n).key, 1).expect("disk without damage"))
         });
     });
     drop(view);
     group.throughput(Throughput::Elements(50_000));
     group.bench_function("recovery of 50,000 records from memory", |b| {
         b.iter(|| {
-            black_box(open_writer(Arc::new(disk.copy()), Options::default()).expect("sound").recovery.keys)
+            black_box(
+                open_writer(Arc::new(disk.copy()), Options::default())
+                    .expect("disk without damage")
+                    .recovery
+                    .keys,
+            )
         });
     });
     group.bench_function("walk over 50,000 records in order", |b| {
@@ -51,9 +56,9 @@
     let mut at = 1 << 30;
     group.bench_function("group of 32 written to memory", |b| {
         b.iter(|| {
-            let ops: Vec<Operation> = (at..at + 32).map(op).collect();
+            let ops: Vec<Operation> = (at..at + 32).map(operation).collect();
             at += 32;
-            writer.commit(&shared, &[&ops], 1).expect("a sound disk");
+            writer.commit(&shared, &[&ops], 1).expect("disk without faults");
         });
     });
     group.finish();
--- a/crates/store/src/index/run.rs
+++ b/crates/store/src/index/run.rs
@@ -33,7 +33,7 @@
 
 /// An entry with its key in the run's buffer of keys.
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct PackedEntry {
     /// The first eight bytes of the key, compared before the rest.
     prefix: u64,
     key_offset: u32,
@@ -45,7 +45,7 @@
     expires_at: UnixMillis,
 }
 
-impl Slot {
+impl PackedEntry {
     fn key<'a>(&self, keys: &'a [u8]) -> &'a [u8] {
         &keys[self.key_offset as usize..self.key_offset as usize + usize::from(self.key_len)]
     }
@@ -72,14 +72,14 @@
 pub struct Run {
     pub segment: Arc<Segment>,
     keys: Vec<u8>,
-    slots: Vec<Slot>,
+    packed_entries: Vec<PackedEntry>,
     /// The length of the segment's file, in bytes.
     pub file_len: u64,
 }
 
 impl std::fmt::Debug for Run {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "run of {} keys in {}", self.slots.len(), self.segment.name)
+        write!(f, "run of {} keys in {}", self.packed_entries.len(), self.segment.name)
     }
 }
 
@@ -87,13 +87,13 @@
 #[derive(Default)]
 pub struct RunBuilder {
     keys: Vec<u8>,
-    slots: Vec<Slot>,
+    packed_entries: Vec<PackedEntry>,
 }
 
 impl RunBuilder {
     /// A builder with capacity for this many entries, and this many bytes of keys.
     pub fn with_capacity(entries: usize, key_bytes: usize) -> RunBuilder {
-        RunBuilder { keys: Vec::with_capacity(key_bytes), slots: Vec::with_capacity(entries) }
+        RunBuilder { keys: Vec::with_capacity(key_bytes), packed_entries: Vec::with_capacity(entries) }
     }
 
     /// Adds an entry.
@@ -101,7 +101,7 @@
         let IndexEntry { key, location } = entry;
         let key_offset = self.keys.len() as u32;
         self.keys.extend(key);
-        self.slots.push(Slot {
+        self.packed_entries.push(PackedEntry {
             prefix: prefix(key),
             key_offset,
             key_len: key.len() as u16,
@@ -114,36 +114,36 @@
 
     /// Whether nothing was added.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.packed_entries.is_empty()
     }
 
     /// The number of entries added.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.packed_entries.len()
     }
 
     /// The entries, in the order in which they were added.
     pub fn entries(&self) -> impl Iterator<Item = IndexEntry<'_>> {
-        self.slots.iter().map(|slot| slot.entry(&self.keys))
+        self.packed_entries.iter().map(|packed| packed.entry(&self.keys))
     }
 
     /// Builds the run from entries that were added in order of keys, each key once.
     pub fn finish_sorted(self, segment: Arc<Segment>, file_len: u64) -> Run {
-        let RunBuilder { mut keys, mut slots } = self;
+        let RunBuilder { mut keys, mut packed_entries } = self;
         keys.shrink_to_fit();
-        slots.shrink_to_fit();
-        Run { segment, keys, slots, file_len }
+        packed_entries.shrink_to_fit();
+        Run { segment, keys, packed_entries, file_len }
     }
 
     /// Builds the run from entries that were added in any order.
     pub fn finish(mut self, segment: Arc<Segment>, file_len: u64) -> Run {
         let keys = &self.keys;
         // `key_offset` grows with each added entry, so of equal keys the one added last comes first.
-        self.slots.sort_unstable_by(|a, b| {
+        self.packed_entries.sort_unstable_by(|a, b| {
             let by_key = a.prefix.cmp(&b.prefix).then_with(|| a.key(keys).cmp(b.key(keys)));
             by_key.then(b.key_offset.cmp(&a.key_offset))
         });
-        self.slots
+        self.packed_entries
             .dedup_by(|later, first| later.prefix == first.prefix && later.key(keys) == first.key(keys));
         self.finish_sorted(segment, file_len)
     }
@@ -152,29 +152,29 @@
 impl Run {
     /// The number of keys.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.packed_entries.len()
     }
 
     /// The memory of the run, in bytes.
     pub fn memory(&self) -> usize {
-        self.keys.capacity() + self.slots.capacity() * size_of::<Slot>()
+        self.keys.capacity() + self.packed_entries.capacity() * size_of::<PackedEntry>()
     }
 
     /// The key at a position in the order of keys.
     pub fn key_at(&self, position: usize) -> Option<&[u8]> {
-        self.slots.get(position).map(|slot| slot.key(&self.keys))
+        self.packed_entries.get(position).map(|packed| packed.key(&self.keys))
     }
 
     /// The entry at a position in the order of keys.
     pub fn entry_at(&self, position: usize) -> Option<IndexEntry<'_>> {
-        self.slots.get(position).map(|slot| slot.entry(&self.keys))
+        self.packed_entries.get(position).map(|packed| packed.entry(&self.keys))
     }
 
     /// The first position whose key is equal to or greater than this one.
     pub fn lower_bound(&self, key: &[u8]) -> usize {
         let first = prefix(key);
-        self.slots.partition_point(|slot| {
-            slot.prefix.cmp(&first).then_with(|| slot.key(&self.keys).cmp(key)) == Ordering::Less
+        self.packed_entries.partition_point(|packed| {
+            packed.prefix.cmp(&first).then_with(|| packed.key(&self.keys).cmp(key)) == Ordering::Less
         })
     }
 
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -13,11 +13,11 @@
 /// The time to live of records that must not expire during a test.
 const HOUR: Duration = Duration::from_secs(3600);
 
-fn small() -> Options {
+fn small_segments() -> Options {
     Options { segment_bytes: 8 << 10, ..Options::default() }
 }
 
-fn all(store: &Store) -> Vec<(Vec<u8>, Vec<u8>)> {
+fn all_records(store: &Store) -> Vec<(Vec<u8>, Vec<u8>)> {
     store.snapshot().iter_from(&[]).collect::<Result<_, _>>().expect("readable records")
 }
 
@@ -27,13 +27,13 @@
     let keys: [&[u8]; 5] = [b"\0", b"plain", &[0xff; 300], "\u{443}\u{448}".as_bytes(), &[7; MAX_KEY]];
     for mode in [SyncMode::Always, SyncMode::Interval(Duration::from_millis(5)), SyncMode::Never] {
         let path = dir.path().join(format!("{mode:?}"));
-        let options = Options { sync: mode, ..small() };
+        let options = Options { sync: mode, ..small_segments() };
         let (store, _) = Store::open(&path, options).expect("store opens");
         for (n, key) in keys.iter().enumerate() {
             store.write(Batch::new().put(*key, vec![n as u8; n * 1000])).expect("write succeeds");
         }
         store.write(Batch::new().delete(keys[1]).put("late", "x")).expect("write succeeds");
-        let before = all(&store);
+        let before = all_records(&store);
         assert_eq!(before.len(), 5);
         assert_eq!(
             store.get(keys[0]).expect("key can be read"),
@@ -42,14 +42,14 @@
         );
         store.close().expect("store closes");
         let (store, recovery) = Store::open(&path, options).expect("store opens again");
-        assert_eq!((all(&store), recovery.damage.len(), recovery.torn_bytes), (before, 0, 0));
+        assert_eq!((all_records(&store), recovery.damage.len(), recovery.torn_bytes), (before, 0, 0));
     }
 }
 
 #[test]
 fn a_batch_out_of_bounds_is_rejected_as_a_whole() {
     let dir = tempfile::tempdir().expect("temporary directory");
-    let (store, _) = Store::open(dir.path(), small()).expect("store opens");
+    let (store, _) = Store::open(dir.path(), small_segments()).expect("store opens");
     let cases = [
         (Batch::new().put("a", "1").put("", "2"), BatchError::EmptyKey),
         (Batch::new().put("a", "1").put(vec![1; MAX_KEY + 1], "2"), BatchError::KeyTooLong(MAX_KEY + 1)),
@@ -64,20 +64,20 @@
             other => panic!("{expected}: {other:?}"),
         }
     }
-    assert_eq!(all(&store), []);
+    assert_eq!(all_records(&store), []);
 }
 
 #[test]
 fn a_locked_directory_and_another_format_version_are_rejected() {
     let dir = tempfile::tempdir().expect("temporary directory");
-    let (store, _) = Store::open(dir.path(), small()).expect("store opens");
+    let (store, _) = Store::open(dir.path(), small_segments()).expect("store opens");
     store.write(Batch::new().put("a", "1")).expect("write succeeds");
-    assert!(matches!(Store::open(dir.path(), small()), Err(StoreError::Locked(_))));
+    assert!(matches!(Store::open(dir.path(), small_segments()), Err(StoreError::Locked(_))));
     assert!(matches!(open_reader(dir.path()), Err(StoreError::Locked(_))));
     store.close().expect("store closes");
     let reader = open_reader(dir.path()).expect("reader opens");
     assert!(
-        matches!(Store::open(dir.path(), small()), Err(StoreError::Locked(_))),
+        matches!(Store::open(dir.path(), small_segments()), Err(StoreError::Locked(_))),
         "a reader excludes writers"
     );
     drop(reader);
@@ -90,14 +90,17 @@
         bytes[copy + 56..copy + 60].copy_from_slice(&sum.to_le_bytes());
     }
     std::fs::write(&file, &bytes).expect("write succeeds");
-    assert!(matches!(Store::open(dir.path(), small()), Err(StoreError::Version { found: 2, known: 1, .. })));
+    assert!(matches!(
+        Store::open(dir.path(), small_segments()),
+        Err(StoreError::Version { found: 2, known: 1, .. })
+    ));
     assert_eq!(std::fs::read(&file).expect("segment file"), bytes, "the rejected segment was changed");
 }
 
 #[test]
 fn expiry_follows_a_clock_that_never_goes_back() {
     let disk = SimDisk::new(3);
-    let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("store opens");
+    let (store, _) = Store::open_on(Arc::new(disk.clone()), small_segments()).expect("store opens");
     store
         .write(
             Batch::new()
@@ -111,7 +114,7 @@
     // The last writer was a process whose clock was an hour ahead. Then the clock was corrected.
     let ahead = {
         let OpenedWriter { mut writer, shared, written_at: last_written_at, .. } =
-            open_writer(Arc::new(disk.clone()), small()).expect("store opens");
+            open_writer(Arc::new(disk.clone()), small_segments()).expect("store opens");
         let op = Operation {
             key: b"stamp".to_vec(),
             value: Some(b"3".to_vec()),
@@ -120,7 +123,7 @@
         writer.commit(&shared, &[&[op]], last_written_at + 3_600_000).expect("write succeeds");
         last_written_at + 3_600_000
     };
-    let (store, _) = Store::open_on(Arc::new(disk.copy()), small()).expect("store opens");
+    let (store, _) = Store::open_on(Arc::new(disk.copy()), small_segments()).expect("store opens");
     assert!(store.now() >= ahead, "the store's clock went back");
     assert_eq!(store.get(b"short").expect("key can be read"), None, "an expired record is visible again");
     assert_eq!(store.get(b"stamp").expect("key can be read"), Some(b"3".to_vec()));
@@ -138,7 +141,7 @@
 #[test]
 fn snapshots_do_not_change_during_writes_and_compaction() {
     let dir = tempfile::tempdir().expect("temporary directory");
-    let (store, _) = Store::open(dir.path(), small()).expect("store opens");
+    let (store, _) = Store::open(dir.path(), small_segments()).expect("store opens");
     let key = |n: u64| format!("key-{n:03}");
     (0..200).for_each(|n| store.write(Batch::new().put(key(n), vec![1; 100])).expect("write succeeds"));
     let snapshot = store.snapshot();
@@ -163,7 +166,7 @@
 #[test]
 fn concurrent_writers_share_syncs_and_each_gets_its_result() {
     let dir = tempfile::tempdir().expect("temporary directory");
-    let (store, _) = Store::open(dir.path(), small()).expect("store opens");
+    let (store, _) = Store::open(dir.path(), small_segments()).expect("store opens");
     std::thread::scope(|scope| {
         for writer in 0..16 {
             let store = &store;
@@ -185,18 +188,18 @@
     }
     let metrics = store.metrics();
     assert!(metrics.groups < metrics.batches, "{} groups for {} batches", metrics.groups, metrics.batches);
-    let count = all(&store).len();
+    let count = all_records(&store).len();
     assert!(count >= 640);
     store.close().expect("store closes");
     assert_eq!(called.load(Ordering::SeqCst), 100, "close calls the callbacks of queued batches");
-    let (store, _) = Store::open(dir.path(), small()).expect("store opens");
-    assert_eq!(all(&store).len(), 740);
+    let (store, _) = Store::open(dir.path(), small_segments()).expect("store opens");
+    assert_eq!(all_records(&store).len(), 740);
 }
 
 #[test]
 fn a_full_disk_fails_writes_until_there_is_space_and_loses_nothing() {
     let disk = SimDisk::new(5);
-    let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("store opens");
+    let (store, _) = Store::open_on(Arc::new(disk.clone()), small_segments()).expect("store opens");
     let mut kept = Vec::new();
     let (mut failed, mut rng) = (0, Rng::new(1));
     for n in 0..300 {
@@ -229,16 +232,16 @@
     }
     assert!((50..=100).contains(&failed), "{failed} writes failed, not 50 to 100");
     assert!(store.last_failure().is_none(), "last_failure is still set after successful writes");
-    assert_eq!(all(&store), kept);
+    assert_eq!(all_records(&store), kept);
     drop(store);
-    let (store, recovery) = Store::open_on(Arc::new(disk.reboot(1)), small()).expect("store opens");
-    assert_eq!((all(&store), recovery.damage), (kept, vec![]));
+    let (store, recovery) = Store::open_on(Arc::new(disk.reboot(1)), small_segments()).expect("store opens");
+    assert_eq!((all_records(&store), recovery.damage), (kept, vec![]));
 }
 
 #[test]
 fn a_failed_sync_fails_its_writes_and_the_next_write_is_durable() {
     let disk = SimDisk::new(6);
-    let (store, _) = Store::open_on(Arc::new(disk.clone()), small()).expect("store opens");
+    let (store, _) = Store::open_on(Arc::new(disk.clone()), small_segments()).expect("store opens");
     store.write(Batch::new().put("a", "1")).expect("write succeeds");
     disk.set_faults(Faults { sync: 1, ..Faults::default() });
     assert!(store.write(Batch::new().put("a", "2")).is_err());
@@ -246,8 +249,8 @@
     disk.set_faults(Faults::default());
     store.write(Batch::new().put("b", "3")).expect("write succeeds");
     for seed in 0..50 {
-        let (again, _) = Store::open_on(Arc::new(disk.reboot(seed)), small()).expect("store opens");
+        let (again, _) = Store::open_on(Arc::new(disk.reboot(seed)), small_segments()).expect("store opens");
         let expected = [(b"a".to_vec(), b"1".to_vec()), (b"b".to_vec(), b"3".to_vec())];
-        assert_eq!(all(&again), expected, "seed {seed}: an unsynced write was recovered");
+        assert_eq!(all_records(&again), expected, "seed {seed}: an unsynced write was recovered");
     }
 }
--- a/crates/streams/tests/broker.rs
+++ b/crates/streams/tests/broker.rs
@@ -126,18 +126,18 @@
     let job = broker.add_job(0, new_job(1, TOKEN, 0, true)).expect("below the limits");
     let other = broker.add_job(0, new_job(2, TOKEN, 0, false)).expect("below the limits");
     let mut effects = Vec::new();
-    let (one, two) = (
+    let (first_watcher, second_watcher) = (
         watch(&mut broker, 1, TOKEN, None).expect("id and token are valid"),
         watch(&mut broker, 1, TOKEN, None).expect("id and token are valid"),
     );
-    broker.remove_watcher(10, one);
+    broker.remove_watcher(10, first_watcher);
     broker.on_timer(10 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [], "a watcher is left");
-    broker.remove_watcher(20, two);
-    let back = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
+    broker.remove_watcher(20, second_watcher);
+    let third = watch(&mut broker, 1, TOKEN, None).expect("id and token are valid");
     broker.on_timer(20 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [], "a new watcher was added before the timeout");
-    broker.remove_watcher(30, back);
+    broker.remove_watcher(30, third);
     broker.on_timer(30 + limits.unwatched_timeout, &mut effects);
     assert_eq!(effects, [Effect::End(job)]);
     assert!(broker.jobs().contains(&other));
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -31,8 +31,8 @@
 /// # Errors
 /// [`CommandError`] if the directory is not empty or a measurement fails.
 pub(super) fn run(dir: &Path, records: u64, as_json: bool) -> Result<(), CommandError> {
-    let has_existed = dir.exists();
-    if has_existed && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
+    let existed_before = dir.exists();
+    if existed_before && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
         return Err(CommandError::NotEmpty(dir.to_owned()));
     }
     std::fs::create_dir_all(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
@@ -41,7 +41,7 @@
         let path = dir.join(name);
         let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // left behind by a failed measurement
     }
-    if !has_existed {
+    if !existed_before {
         let _ = std::fs::remove_dir(dir);
     }
     let measured = measured?;
