--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -30,7 +30,7 @@
     pub end: u64,
 }
 
-/// What is known of the segment that follows another one. Its header states the valid length of the segment before it.
+/// The state of a segment's successor, whose header states the valid length of the segment.
 #[derive(Clone, Copy, Debug)]
 pub enum Successor {
     /// The header of the successor is intact and states the valid length of the segment, in bytes.
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -13,7 +13,7 @@
 
 /// The length of each value, in bytes.
 const VALUE_LENGTH: usize = 200;
-/// How often each measurement is repeated. The median is reported, because the speed of a disk varies.
+/// How often each measurement is repeated. The median is reported, because results vary between rounds.
 const ROUNDS: usize = 5;
 /// The numbers of records for which recovery is measured, if they are below the requested number.
 const RECOVERY_SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -47,11 +47,11 @@
     if field.is_empty() { String::new() } else { format!("{field}: ") }
 }
 
-/// What is wrong with a field, or with the file as a whole.
+/// The kind of a fault in a field, a section or the file.
 #[derive(Debug, Error)]
 pub enum FaultKind {
     /// The file cannot be read.
-    #[error("cannot read it: {0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[source] std::io::Error),
     /// The text does not match the schema.
     #[error("{0}")]
@@ -80,7 +80,7 @@
     #[error("is used only with sync: INTERVAL")]
     IntervalUnused,
     /// The idempotency store has no directory.
-    #[error("it has no directory")]
+    #[error("directory is not set")]
     DirectoryMissing,
     /// The probe timeout is not below the probe interval.
     #[error("is not below probe_interval_ms (500 if not set)")]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -53,7 +53,7 @@
     let nowhere = Path::new("/nowhere.txtpb");
     assert!(load(nowhere, FilePresence::Optional).expect("not there is off").streams.is_none());
     let missing = load(nowhere, FilePresence::Required);
-    assert!(missing.is_err_and(|e| e.to_string().contains("cannot read it")));
+    assert!(missing.is_err_and(|e| e.to_string().contains("cannot read the file")));
 }
 
 /// Each fault of a file is named with its line and field, all in one go.
@@ -75,7 +75,7 @@
             "state {\n  sync: INTERVAL\n  directory: \"/x\"\n}",
             &["f:2: state.sync: INTERVAL needs interval_ms"],
         ),
-        ("state {\n  sync: NEVER\n}", &["f:1: state: it has no directory"]),
+        ("state {\n  sync: NEVER\n}", &["f:1: state: directory is not set"]),
         ("state { directory: \"/x\"\n interval_ms: 5 }", &["f:2: state.interval_ms: "]),
         (
             "fleet {\n membership {\n  probe_interval_ms: 3\n  suspicion_mult: 1e9\n }\n}",
--- a/tests/store_cli.rs
+++ b/tests/store_cli.rs
@@ -17,7 +17,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("mothproxy starts");
-    let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes()); // the program may have ended already
+    let _ = child.stdin.take().expect("standard input is a pipe").write_all(input.as_bytes()); // fails if the program has ended
     let Output { status, stdout, stderr } = child.wait_with_output().expect("mothproxy ends");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     (status.code().expect("an exit code"), text(stdout), text(stderr))
@@ -46,7 +46,7 @@
     assert_eq!(mothproxy(&["store", "verify", &at], "").0, 0);
     assert_eq!(mothproxy(&["store", "compact", &at], "").0, 0);
     let (code, stat, _) = mothproxy(&["store", "stat", &at, "--json"], "");
-    let stat: serde_json::Value = serde_json::from_str(&stat).expect("JSON");
+    let stat: serde_json::Value = serde_json::from_str(&stat).expect("a JSON object");
     assert_eq!((code, stat["records"].as_u64(), stat["segments"].as_u64()), (0, Some(2), Some(1)));
     assert_eq!(mothproxy(&["store", "dump", &at], "").1, whole);
     // Bytes that are not UTF-8 are read and printed in base64.
@@ -63,10 +63,10 @@
     let input: String = (0..50).map(|n| line(&format!("key-{n}"), &format!("value-{n}"))).collect();
     assert_eq!(mothproxy(&["store", "put", &at], &input).0, 0);
     let file = dir.path().join("000000000001-000000000001.seg");
-    let mut bytes = std::fs::read(&file).expect("the segment");
-    let offset = bytes.windows(8).position(|w| w == b"value-25").expect("a value");
+    let mut bytes = std::fs::read(&file).expect("segment file");
+    let offset = bytes.windows(8).position(|w| w == b"value-25").expect("value-25 is in the segment");
     bytes[offset] ^= 4;
-    std::fs::write(&file, &bytes).expect("written");
+    std::fs::write(&file, &bytes).expect("file is written");
     let (code, report, _) = mothproxy(&["store", "verify", &at], "");
     assert_eq!(code, 1);
     assert!(report.contains("000000000001-000000000001.seg: offset "), "{report}");
@@ -74,7 +74,7 @@
     assert_eq!((code, dump.lines().count()), (1, 49), "{errors}");
     assert!(!dump.contains("key-25") && errors.contains("damaged"), "{errors}");
     assert_eq!(mothproxy(&["store", "compact", &at], "").0, 1, "a compaction must not hide damage");
-    assert_eq!(std::fs::read(&file).expect("the segment").len(), bytes.len());
+    assert_eq!(std::fs::read(&file).expect("segment file").len(), bytes.len());
     assert_eq!(mothproxy(&["store", "compact", &at, "--drop-damaged"], "").0, 0);
     assert_eq!(mothproxy(&["store", "verify", &at], "").0, 0);
     assert_eq!(mothproxy(&["store", "dump", &at], "").1.lines().count(), 49);
@@ -85,10 +85,10 @@
 fn exits_with_2_on_bad_input_and_changes_nothing() {
     let dir = tempfile::tempdir().expect("temporary directory");
     let at = |name: &str| dir.path().join(name).display().to_string();
-    std::fs::write(dir.path().join("file"), "x").expect("written");
+    std::fs::write(dir.path().join("file"), "x").expect("file is written");
     std::fs::create_dir(dir.path().join("other")).expect("directory created");
-    std::fs::write(dir.path().join("other/notes.txt"), "mine").expect("written");
-    std::fs::write(dir.path().join("bad.json"), "{").expect("written");
+    std::fs::write(dir.path().join("other/notes.txt"), "mine").expect("file is written");
+    std::fs::write(dir.path().join("bad.json"), "{").expect("file is written");
     let (fresh, file, other, bad) = (at("fresh"), at("file"), at("other"), at("bad.json"));
     let long = format!("{{\"key\":\"{}\",\"value\":\"\"}}\n", "k".repeat(5000));
     let cases: &[(&[&str], &str, &str)] = &[
@@ -147,24 +147,24 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("mothproxy starts");
-    let mut input = child.stdin.take().expect("a pipe");
+    let mut input = child.stdin.take().expect("standard input is a pipe");
     let feed = std::thread::spawn(move || {
         // The same 500 keys are written again and again, with increasing values.
         (from..).try_for_each(|n| input.write_all(line(&format!("k{}", n % 500), &n.to_string()).as_bytes()))
     });
-    let output = BufReader::new(child.stdout.take().expect("a pipe"));
+    let output = BufReader::new(child.stdout.take().expect("standard output is a pipe"));
     let (line_printed, lines_printed) = mpsc::channel();
     let printed = std::thread::spawn(move || {
         output.lines().map_while(Result::ok).inspect(|_| line_printed.send(()).unwrap_or(())).count() as u64
     });
     if event == KillAfter::FirstLine {
-        lines_printed.recv_timeout(WAIT_TIMEOUT).expect("a line of the writer");
+        lines_printed.recv_timeout(WAIT_TIMEOUT).expect("the writer prints a line");
     }
     std::thread::sleep(delay);
-    child.kill().expect("killed");
+    child.kill().expect("writer can be killed");
     child.wait().expect("the writer ended");
-    let _ = feed.join().expect("a thread"); // its write fails once the writer is killed
-    let acknowledged = printed.join().expect("a thread");
+    let _ = feed.join().expect("thread does not panic"); // its write fails once the writer is killed
+    let acknowledged = printed.join().expect("thread does not panic");
     let (code, dump, errors) = mothproxy(&["store", "dump", &dir.display().to_string()], "");
     if from == 0 && acknowledged == 0 && errors.contains("the directory contains no store") {
         return from; // the writer was killed before it created the store
@@ -172,9 +172,9 @@
     assert_eq!((code, errors.as_str()), (0, ""));
     let mut found = BTreeMap::new();
     for line in dump.lines() {
-        let record: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let record: serde_json::Value = serde_json::from_str(line).expect("a JSON object");
         let text = |name: &str| record[name].as_str().expect("a string").to_owned();
-        found.insert(text("key"), text("value").parse::<u64>().expect("a number"));
+        found.insert(text("key"), text("value").parse::<u64>().expect("a decimal number"));
     }
     for n in from..from + acknowledged {
         let value = found.get(&format!("k{}", n % 500));
