--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -13,7 +13,7 @@
 
 /// The length of each value, in bytes.
 const VALUE_LENGTH: usize = 200;
-/// How often each measurement is repeated. The median is reported, because the speed of a disk varies.
+/// How often each measurement is repeated. The median is reported, because results vary between rounds.
 const ROUNDS: usize = 5;
 /// The numbers of records for which recovery is measured, if they are below the requested number.
 const RECOVERY_SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
@@ -31,8 +31,8 @@
 /// # Errors
 /// [`CommandError`] if the directory is not empty or a measurement fails.
 pub(super) fn run(dir: &Path, records: u64, as_json: bool) -> Result<(), CommandError> {
-    let has_existed = dir.exists();
-    if has_existed && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
+    let existed_before = dir.exists();
+    if existed_before && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
         return Err(CommandError::NotEmpty(dir.to_owned()));
     }
     std::fs::create_dir_all(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
@@ -41,7 +41,7 @@
         let path = dir.join(name);
         let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // left behind by a failed measurement
     }
-    if !has_existed {
+    if !existed_before {
         let _ = std::fs::remove_dir(dir);
     }
     let measured = measured?;
