--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -11,7 +11,7 @@
 use crate::server::downstream::event_streams::EventStreams;
 use crate::server::reactor::Reading;
 use crate::server::tokens::{ADMIN, Token};
-use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
+use crate::server::{MAX_ARRIVALS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
 use rustix::net::SocketFlags;
 use std::collections::VecDeque;
@@ -164,7 +164,7 @@
 impl Server {
     /// Accepts the waiting connections, and serves each one at once, because its call has often arrived already.
     pub(in crate::server) fn accept_admin(&mut self) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ARRIVALS_PER_TURN {
             let Some(connection) = self.admin.accept() else { return };
             if let Some(token) = self.admin.add(&mut context!(self), connection) {
                 self.on_ready(token, EventFlags::IN);
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -93,7 +93,7 @@
 
     /// Opens a watch at the request of the decision module. If the watch timer is already set, the request is ignored and the
     /// timer decides: the module's retry delays can grow beyond the time within which a change must be notified.
-    pub(in crate::server) fn on_watch_wanted(
+    pub(in crate::server) fn on_watch_requested(
         &mut self,
         context: &mut Context<'_>,
         membership: &mut MembershipLink,
--- a/src/server/downstream/accept.rs
+++ b/src/server/downstream/accept.rs
@@ -6,7 +6,7 @@
 use crate::server::downstream::context::client_context;
 use crate::server::downstream::{ClientConnection, MAX_UNREAD_PROGRESS, MIN_IDLE_BEFORE_CLOSE};
 use crate::server::listeners::ListenerKind;
-use crate::server::{MAX_ACCEPTS_PER_TURN, Server};
+use crate::server::{MAX_ARRIVALS_PER_TURN, Server};
 use rustix::event::epoll::EventFlags;
 use rustix::io::Errno;
 use rustix::net::SocketFlags;
@@ -15,10 +15,10 @@
 /// Methods of the server, since a new connection needs a descriptor: idle connections of clients and to workers may be closed
 /// to free one.
 impl Server {
-    /// Accepts the connections that wait at a listener, at most [`MAX_ACCEPTS_PER_TURN`] of them. Pauses the listener when
+    /// Accepts the connections that wait at a listener, at most [`MAX_ARRIVALS_PER_TURN`] of them. Pauses the listener when
     /// there is no capacity left.
     pub(in crate::server) fn accept_clients(&mut self, kind: ListenerKind) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ARRIVALS_PER_TURN {
             if !self.ensure_accept_capacity() {
                 return self.listeners.pause(&mut context!(self));
             }
@@ -53,13 +53,13 @@
 
     /// Registers an accepted connection and reads the bytes that have already arrived.
     fn on_accepted(&mut self, kind: ListenerKind, stream: TcpStream) {
-        let is_sse = kind == ListenerKind::Sse;
-        if is_sse {
+        let is_from_sse_listener = kind == ListenerKind::Sse;
+        if is_from_sse_listener {
             // Progress events that queue in the kernel for a slow reader are stale by the time they are read, and without a
             // bound the queue grows to megabytes. If the bound cannot be set, only more memory is used.
             let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, MAX_UNREAD_PROGRESS);
         }
-        let client = ClientConnection::new(is_sse, self.clock.now());
+        let client = ClientConnection::new(is_from_sse_listener, self.clock.now());
         let Some(token) = self.reactor.add(Connection::new(stream), Role::Client(client)) else { return };
         // Often the request has already arrived.
         if let Some((connection, Role::Client(client))) = self.reactor.take(token) {
--- a/src/server/downstream/client.rs
+++ b/src/server/downstream/client.rs
@@ -60,7 +60,7 @@
 /// A client's connection.
 pub(in crate::server) struct ClientConnection {
     /// Whether the connection was accepted at the SSE listener.
-    pub(super) is_sse: bool,
+    pub(super) is_from_sse_listener: bool,
     pub(super) state: ClientState,
     /// When the connection became idle; `None` if it is not idle.
     pub(super) idle_since: Option<Micros>,
@@ -75,9 +75,9 @@
 
 impl ClientConnection {
     /// Creates the state of a connection accepted at `now`, whose first request is awaited.
-    pub(super) fn new(is_sse: bool, now: Micros) -> ClientConnection {
+    pub(super) fn new(is_from_sse_listener: bool, now: Micros) -> ClientConnection {
         ClientConnection {
-            is_sse,
+            is_from_sse_listener,
             state: ClientState::Reading,
             idle_since: None,
             awaiting_request_since: Some(now),
@@ -91,14 +91,14 @@
         ClientConnection {
             awaiting_request_since: transferred.is_awaiting_request.then_some(now),
             has_callbacks: transferred.has_callbacks,
-            ..ClientConnection::new(transferred.is_sse, now)
+            ..ClientConnection::new(transferred.is_from_sse_listener, now)
         }
     }
 
     /// The state that the successor needs. The caller fills in the request.
     pub(in crate::server) fn to_transferred(&self) -> TransferredClient {
         TransferredClient {
-            is_sse: self.is_sse,
+            is_from_sse_listener: self.is_from_sse_listener,
             is_awaiting_request: self.is_awaiting_request(),
             has_callbacks: self.has_callbacks,
             request: None,
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -41,7 +41,9 @@
         if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
             return reject(context, connection, client, Reject::BadRequest);
         }
-        if client.is_sse && on_stream_request(context, token, connection, client, &raw, keep_alive) {
+        if client.is_from_sse_listener
+            && on_stream_request(context, token, connection, client, &raw, keep_alive)
+        {
             return;
         }
         let Err(reason) = self.route_request(context, token, connection, client, raw, keep_alive) else {
@@ -71,7 +73,7 @@
             context.shared.core.names(),
             &context.shared.config.settings.classes,
             &raw,
-            !client.is_sse,
+            !client.is_from_sse_listener,
         )? {
             Route::Ready
                 if context.shared.lifecycle.is_draining() || context.shared.core.endpoints().is_stale() =>
@@ -93,7 +95,7 @@
                     context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
                 }
-                if client.is_sse && event_streams::prefers_async(&raw) {
+                if client.is_from_sse_listener && event_streams::prefers_async(&raw) {
                     on_job_submitted(context, connection, request, raw, keep_alive)
                 } else {
                     on_request_submitted(context, token, client, request, raw, keep_alive)
@@ -197,7 +199,7 @@
     if is_open_elsewhere {
         return Err(Reject::DuplicateId);
     }
-    let has_stream = client.is_sse && sse::wants_stream(&raw);
+    let has_stream = client.is_from_sse_listener && sse::wants_stream(&raw);
     let request_id = context.shared.core.accept(context.now(), request).ok_or(Reject::DuplicateId)?;
     context.pending.insert(request_id, raw);
     let stream = has_stream.then_some(ResponseStream { has_begun: false, last_write: context.now() });
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -111,7 +111,7 @@
                 Command::Probe(worker) => self.send_load_probe(worker),
                 Command::SendToPeer(to, bytes) => context!(self).send_to_peer(to, &bytes),
                 Command::OpenWatch => {
-                    self.discovery.on_watch_wanted(&mut context!(self), &mut self.membership);
+                    self.discovery.on_watch_requested(&mut context!(self), &mut self.membership);
                 }
                 Command::FetchList => {
                     self.discovery.open_call(&mut context!(self), &mut self.membership, CallKind::FullList);
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -17,7 +17,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(in crate::server) use receiver::{Inheritance, TakeoverResult, request_takeover};
+pub(in crate::server) use receiver::{PredecessorState, TakeoverResult, request_takeover};
 
 use crate::core::{PersistOutcome, RecordTicket};
 use crate::server::Server;
@@ -168,11 +168,11 @@
     pub(in crate::server) fn join_hot_restart(
         &mut self,
         path: Option<PathBuf>,
-        inheritance: Option<Inheritance>,
+        predecessor_state: Option<PredecessorState>,
     ) {
         self.hot_restart.socket_path = path;
         self.hot_restart.open_socket(&self.reactor);
-        let Some(Inheritance { link, is_drained, open, .. }) = inheritance else { return };
+        let Some(PredecessorState { link, is_drained, open, .. }) = predecessor_state else { return };
         self.lifecycle.drained_since = is_drained.then_some(self.clock.now());
         let is_nonblocking = rustix::io::ioctl_fionbio(&link, true).is_ok();
         if is_nonblocking && self.reactor.watch(&link, PEER_PROCESS).is_ok() {
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -35,7 +35,7 @@
 }
 
 /// Everything that the successor receives at its start.
-pub(in crate::server) struct Inheritance {
+pub(in crate::server) struct PredecessorState {
     pub sockets: InheritedSockets,
     /// The last endpoint list that the predecessor received.
     pub list: EndpointList,
@@ -58,14 +58,14 @@
     /// Another process serves, or has just stopped, and hands nothing over. Its address may soon be free.
     Refused,
     /// Everything that the predecessor handed over.
-    Inherited(Box<Inheritance>),
+    Inherited(Box<PredecessorState>),
 }
 
 impl TakeoverResult {
     /// Returns what the predecessor handed over; `None` if it handed nothing over.
-    pub fn into_inheritance(self) -> Option<Inheritance> {
+    pub fn into_predecessor_state(self) -> Option<PredecessorState> {
         match self {
-            TakeoverResult::Inherited(inheritance) => Some(*inheritance),
+            TakeoverResult::Inherited(predecessor_state) => Some(*predecessor_state),
             TakeoverResult::Refused | TakeoverResult::NoPredecessor => None,
         }
     }
@@ -81,9 +81,9 @@
     if rustix::net::connect(&link, &address).is_err() {
         return TakeoverResult::NoPredecessor;
     }
-    let inheritance = exchange_hello(&link).and_then(|packet| inherit(link, packet));
-    match inheritance {
-        Some(inheritance) => TakeoverResult::Inherited(Box::new(inheritance)),
+    let predecessor_state = exchange_hello(&link).and_then(|packet| parse_predecessor_state(link, packet));
+    match predecessor_state {
+        Some(predecessor_state) => TakeoverResult::Inherited(Box::new(predecessor_state)),
         None => {
             tracing::info!("hot restart: the running process does not hand over");
             TakeoverResult::Refused
@@ -100,7 +100,7 @@
 
 /// Reads the predecessor's answer. The descriptors have a fixed order: the platform's listener, the SSE listener if there is
 /// one, the peer socket if there is one. Returns `None` if the answer is another message.
-fn inherit(link: OwnedFd, packet: Packet) -> Option<Inheritance> {
+fn parse_predecessor_state(link: OwnedFd, packet: Packet) -> Option<PredecessorState> {
     let HandoverMessage::Listeners { has_sse, has_peers, is_drained, list, is_list_stale, open, learned } =
         packet.message
     else {
@@ -112,7 +112,7 @@
     let peers = if has_peers { descriptors.next().map(UdpSocket::from) } else { None };
     let sockets = InheritedSockets { listeners: InheritedListeners { platform, sse }, peers };
     let learned = serde_json::from_value(learned).ok();
-    Some(Inheritance { sockets, list, is_list_stale, learned, link, is_drained, open })
+    Some(PredecessorState { sockets, list, is_list_stale, learned, link, is_drained, open })
 }
 
 impl Server {
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -15,7 +15,7 @@
     /// Attempts whose last byte has been written.
     pub attempts_written: u64,
     /// Attempts that were ended before their last byte was written, because they may no longer be sent.
-    pub withheld: u64,
+    pub attempts_withheld: u64,
     /// Configurations reloaded.
     pub reloads: u64,
     /// Reloads whose configuration was rejected.
@@ -27,7 +27,7 @@
     /// Connections to workers that broke during an exchange.
     pub resets: u64,
     /// Attempts that were written and got no response from the worker in time.
-    pub untaken: u64,
+    pub attempts_unanswered: u64,
     /// Requests and messages that were rejected.
     pub rejects: u64,
     /// Datagrams from unknown addresses, and datagrams that were too long.
@@ -68,11 +68,11 @@
             ledger.open(),
             network.attempts,
             network.attempts_written,
-            network.withheld,
+            network.attempts_withheld,
             network.connects,
             network.connect_failures,
             network.resets,
-            network.untaken,
+            network.attempts_unanswered,
             network.rejects,
             core.stale_status_callbacks(),
             core.endpoints().bad_rows(),
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -59,8 +59,9 @@
 use std::path::PathBuf;
 use upstream::UpstreamPool;
 
-/// The most connections accepted at a time, so that a burst of new connections does not delay responses.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// The maximum number of connections accepted, or datagrams received, at one socket in one iteration of the event loop, so that a
+/// burst does not delay responses.
+const MAX_ARRIVALS_PER_TURN: usize = 64;
 
 /// Where idempotency records are stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -14,7 +14,7 @@
 use crate::server::idempotency_store::{open_record_store, reserved_files};
 use crate::server::lifecycle::Lifecycle;
 use crate::server::lifecycle::hot_restart::{
-    HotRestart, Inheritance, TakeoverResult, request_takeover, socket_path,
+    HotRestart, PredecessorState, TakeoverResult, request_takeover, socket_path,
 };
 use crate::server::lifecycle::signals::Signals;
 use crate::server::listeners::{Listeners, listen};
@@ -53,12 +53,12 @@
     /// # Errors
     /// If a socket cannot be opened.
     fn open(
-        inheritance: Option<&mut Inheritance>,
+        predecessor_state: Option<&mut PredecessorState>,
         config: &Config,
         sse: Option<&SseSettings>,
         should_retry: bool,
     ) -> Result<OpenSockets, ServerError> {
-        let inherited = inheritance.map(|from| std::mem::take(&mut from.sockets)).unwrap_or_default();
+        let inherited = predecessor_state.map(|from| std::mem::take(&mut from.sockets)).unwrap_or_default();
         Ok(OpenSockets {
             listeners: inherited.listeners.into_listeners(config.listen, sse, should_retry)?,
             admin: config.admin.map(listen).transpose()?,
@@ -82,9 +82,9 @@
 fn load_initial_state(
     core: &mut Core,
     config: &Config,
-    inheritance: Option<&mut Inheritance>,
+    predecessor_state: Option<&mut PredecessorState>,
 ) -> Option<Micros> {
-    let Some(from) = inheritance else { return core.load_known_list(&config.known_endpoints) };
+    let Some(from) = predecessor_state else { return core.load_known_list(&config.known_endpoints) };
     // The predecessor's last list is newer than the list in the file.
     if from.is_list_stale {
         core.load_known_list(&from.list);
@@ -118,12 +118,12 @@
         let restart_path = restart_dir.map(|dir| socket_path(dir, &config.name));
         let takeover = restart_path.as_deref().map_or(TakeoverResult::NoPredecessor, request_takeover);
         let should_retry = matches!(takeover, TakeoverResult::Refused);
-        let mut inheritance = takeover.into_inheritance();
+        let mut predecessor_state = takeover.into_predecessor_state();
         let clock = Clock::start();
         let mut core = open_core(&mut config)?;
-        let sockets = OpenSockets::open(inheritance.as_mut(), &config, sse.as_ref(), should_retry)?;
+        let sockets = OpenSockets::open(predecessor_state.as_mut(), &config, sse.as_ref(), should_retry)?;
         let reactor = Reactor::new().map_err(system("epoll"))?;
-        let newest_start = load_initial_state(&mut core, &config, inheritance.as_mut());
+        let newest_start = load_initial_state(&mut core, &config, predecessor_state.as_mut());
         core.set_timer(clock.now() + METRICS_INTERVAL, METRICS_TIMER);
         let resources = ServerResources { signals, core, clock, reactor, sockets };
         let budget = Budget::new(config.limits, reserved_files(state.is_some()));
@@ -133,7 +133,7 @@
             let now = server.clock.now();
             server.records = Some(open_record_store(state, &mut server.core, &server.reactor, now)?);
         }
-        server.join_hot_restart(restart_path, inheritance);
+        server.join_hot_restart(restart_path, predecessor_state);
         server.discovery.start(&mut server.core, server.clock.now(), newest_start);
         Ok(server)
     }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -13,7 +13,7 @@
 use crate::server::error::io_failed;
 use crate::server::listeners::has_address;
 use crate::server::tokens::PEER_TIMER;
-use crate::server::{MAX_ACCEPTS_PER_TURN, Server, ServerError};
+use crate::server::{MAX_ARRIVALS_PER_TURN, Server, ServerError};
 use datagram::{MAX_DATAGRAM, PeerDatagram};
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -207,10 +207,10 @@
 }
 
 impl Server {
-    /// Receives the datagrams that have arrived, at most [`MAX_ACCEPTS_PER_TURN`] in one iteration of the event loop.
+    /// Receives the datagrams that have arrived, at most [`MAX_ARRIVALS_PER_TURN`] in one iteration of the event loop.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ARRIVALS_PER_TURN {
             match self.peer_socket.receive(&mut buffer) {
                 None => return,
                 Some(Ok(datagram)) => self.on_peer_datagram(datagram.from, datagram.bytes),
--- a/src/server/transferred.rs
+++ b/src/server/transferred.rs
@@ -14,7 +14,7 @@
 pub(super) struct TransferredClient {
     /// Whether the connection was accepted at the address of event streams.
     #[serde(rename = "sse")]
-    pub is_sse: bool,
+    pub is_from_sse_listener: bool,
     /// Whether no complete request has arrived on the connection yet.
     #[serde(rename = "unasked")]
     pub is_awaiting_request: bool,
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -188,7 +188,7 @@
     ) -> Option<CancelRequest> {
         // The worker's other connections may be working, so this does not count as its failure. If its machine is down, new
         // connections to it fail, and those do count.
-        context.metrics.untaken += 1;
+        context.metrics.attempts_unanswered += 1;
         pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = context.core.request_name(attempt);
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -59,7 +59,7 @@
         connection.outbox.clear();
         upstream.state = UpstreamState::Idle;
         upstream.unwritten_length = None;
-        context.metrics.withheld += 1;
+        context.metrics.attempts_withheld += 1;
         let exchange = Exchange::Attempt(attempt);
         self.on_exchange_failed(context, Some(token), upstream.worker, exchange, Outcome::NeverSent);
     }
