--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -44,22 +44,22 @@
         matches!(self, Body::UntilClose)
     }
 
-    /// Moves the bytes that belong to the body from `inbox` to `out`, decoded.
+    /// Moves the bytes that belong to the body from `input` to `out`, decoded.
     ///
     /// # Errors
     /// [`BodyError`] if the chunked coding is malformed.
-    pub fn feed(&mut self, inbox: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
+    pub fn feed(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
         match self {
             Body::Length(remaining) => {
-                let taken = inbox.len().min(*remaining);
-                out.extend(inbox.drain(..taken));
+                let taken = input.len().min(*remaining);
+                out.extend(input.drain(..taken));
                 *remaining -= taken;
             }
             Body::Chunked(chunks) => {
-                let used = chunks.decode(inbox, out)?;
-                inbox.drain(..used);
+                let used = chunks.decode(input, out)?;
+                input.drain(..used);
             }
-            Body::UntilClose => out.append(inbox),
+            Body::UntilClose => out.append(input),
         }
         Ok(())
     }
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -91,7 +91,7 @@
         flags: EventFlags,
     ) {
         let is_broken = !connection.flush() || flags.intersects(EventFlags::HUP | EventFlags::ERR);
-        if is_broken || caller.is_responding && connection.outbox.is_empty() {
+        if is_broken || caller.is_responding && connection.write_queue.is_empty() {
             return self.close(context, token, connection, caller);
         }
         let reading = if caller.is_responding { Reading::Paused } else { Reading::Wanted };
@@ -130,7 +130,7 @@
             return CallRead::Pending;
         }
         let end = connection.fill(MAX_CALL_BYTES);
-        match parse_call(&connection.inbox, end) {
+        match parse_call(&connection.read_buffer, end) {
             Some(call) => CallRead::Complete(call),
             None if end != ReadEnd::WouldBlock => CallRead::Ended,
             None => CallRead::Pending,
@@ -139,8 +139,8 @@
 }
 
 /// Parses a call. Returns `None` until the call is complete or known to be invalid.
-fn parse_call(inbox: &[u8], end: ReadEnd) -> Option<Result<AdminCall, Reject>> {
-    let head = match http::read_request(inbox) {
+fn parse_call(read_buffer: &[u8], end: ReadEnd) -> Option<Result<AdminCall, Reject>> {
+    let head = match http::read_request(read_buffer) {
         Ok(Some(head)) => head,
         Ok(None) if end == ReadEnd::LimitReached => return Some(Err(Reject::HeadTooLarge)),
         Ok(None) => return None,
@@ -154,10 +154,10 @@
     if length > MAX_CALL_BYTES {
         return Some(Err(Reject::BodyTooLarge));
     }
-    if inbox.len() < length {
+    if read_buffer.len() < length {
         return None;
     }
-    Some(admin::route(inbox, &head))
+    Some(admin::route(read_buffer, &head))
 }
 
 /// Accepting and executing calls. These are methods of the server because the responses need all its parts.
@@ -183,7 +183,7 @@
         match caller.read_call(&mut connection, flags) {
             CallRead::Pending => {}
             CallRead::Complete(call) => {
-                connection.outbox.push(self.execute_admin_call(call));
+                connection.write_queue.push(self.execute_admin_call(call));
                 caller.is_responding = true;
             }
             CallRead::Ended => return self.admin.close(&mut context!(self), token, connection, caller),
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -22,7 +22,7 @@
 pub enum ReadEnd {
     /// All available bytes have been read.
     WouldBlock,
-    /// The inbox is at its limit; there may be more to read.
+    /// The read buffer is at its limit; there may be more to read.
     LimitReached,
     /// The other side has stopped sending.
     Eof,
@@ -32,7 +32,7 @@
 
 /// The pieces of bytes still to be written, in order.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WriteQueue {
     pieces: VecDeque<Piece>,
     /// Bytes of the first piece that have already been written.
     written: usize,
@@ -40,7 +40,7 @@
     len: usize,
 }
 
-impl Outbox {
+impl WriteQueue {
     /// Appends pieces; empty ones are dropped.
     pub fn push(&mut self, pieces: Vec<Piece>) {
         for piece in pieces {
@@ -54,7 +54,7 @@
 
     /// Drops all bytes still to be written.
     pub fn clear(&mut self) {
-        *self = Outbox::default();
+        *self = WriteQueue::default();
     }
 
     /// Bytes still to be written.
@@ -89,9 +89,9 @@
     /// The non-blocking socket.
     pub stream: TcpStream,
     /// Bytes read but not used yet.
-    pub inbox: Vec<u8>,
+    pub read_buffer: Vec<u8>,
     /// Bytes still to be written.
-    pub outbox: Outbox,
+    pub write_queue: WriteQueue,
     /// The events for which epoll watches the socket.
     pub interest: EventFlags,
     /// The deadline on the loop's clock, in microseconds, if one is set.
@@ -109,8 +109,8 @@
         let interest = EventFlags::empty();
         Connection {
             stream,
-            inbox: Vec::new(),
-            outbox: Outbox::default(),
+            read_buffer: Vec::new(),
+            write_queue: WriteQueue::default(),
             interest,
             timer: None,
             has_written: false,
@@ -151,18 +151,18 @@
 
     /// Writes as much as the socket accepts. Returns false if the connection broke.
     pub fn flush(&mut self) -> bool {
-        while !self.outbox.is_empty() {
+        while !self.write_queue.is_empty() {
             let mut slices = [IoSlice::new(&[]); MAX_GATHERED_PIECES];
             let mut count = 0;
-            for (piece, slice) in self.outbox.pieces.iter().zip(&mut slices) {
-                let start = if count == 0 { self.outbox.written } else { 0 };
+            for (piece, slice) in self.write_queue.pieces.iter().zip(&mut slices) {
+                let start = if count == 0 { self.write_queue.written } else { 0 };
                 *slice = IoSlice::new(&piece.bytes()[start..]);
                 count += 1;
             }
             match rustix::io::writev(&self.stream, &slices[..count]) {
                 Ok(0) => return false,
                 Ok(written) => {
-                    self.outbox.advance(written);
+                    self.write_queue.advance(written);
                     self.has_written = true;
                 }
                 Err(Errno::AGAIN) => return true,
@@ -174,27 +174,27 @@
     }
 
     /// Returns whether the other side has stopped sending or the connection is broken. To find out, it reads the available
-    /// bytes, as long as the inbox holds less than `limit` bytes.
+    /// bytes, as long as the read buffer holds less than `limit` bytes.
     pub fn has_ended(&mut self, limit: usize) -> bool {
         loop {
-            let length = self.inbox.len();
+            let length = self.read_buffer.len();
             match self.fill(limit) {
                 ReadEnd::Eof | ReadEnd::Broken => return true,
                 ReadEnd::LimitReached => return false,
-                ReadEnd::WouldBlock if self.inbox.len() == length => return false,
+                ReadEnd::WouldBlock if self.read_buffer.len() == length => return false,
                 ReadEnd::WouldBlock => {} // after a short read the end of the stream may still follow
             }
         }
     }
 
-    /// Reads until the inbox holds `limit` bytes or no more bytes are available.
+    /// Reads until the read buffer holds `limit` bytes or no more bytes are available.
     pub fn fill(&mut self, limit: usize) -> ReadEnd {
-        while self.inbox.len() < limit {
-            let length = self.inbox.len();
+        while self.read_buffer.len() < limit {
+            let length = self.read_buffer.len();
             let wanted = (limit - length).min(MAX_READ);
-            self.inbox.resize(length + wanted, 0);
-            let read = rustix::io::read(&self.stream, &mut self.inbox[length..]);
-            self.inbox.truncate(length + *read.as_ref().unwrap_or(&0));
+            self.read_buffer.resize(length + wanted, 0);
+            let read = rustix::io::read(&self.stream, &mut self.read_buffer[length..]);
+            self.read_buffer.truncate(length + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return ReadEnd::Eof,
                 Ok(read) if read < wanted => return ReadEnd::WouldBlock,
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -136,34 +136,34 @@
         }
     }
 
-    /// Parses the response head and removes it from the inbox, unless it has been read already. Returns whether the head is
+    /// Parses the response head and removes it from the read buffer, unless it has been read already. Returns whether the head is
     /// complete.
     ///
     /// # Errors
     /// If the bytes are not an HTTP response head, or the status is not 200.
-    pub(super) fn read_head(&mut self, inbox: &mut Vec<u8>) -> Result<bool, CallError> {
+    pub(super) fn read_head(&mut self, read_buffer: &mut Vec<u8>) -> Result<bool, CallError> {
         if self.body.is_some() {
             return Ok(true);
         }
-        let Some(head) = http::read_response(inbox).map_err(|_| CallError::NotHttp)? else {
+        let Some(head) = http::read_response(read_buffer).map_err(|_| CallError::NotHttp)? else {
             return Ok(false);
         };
         if head.status != 200 {
-            return Err(CallError::Refused { retry_after: retry_after(inbox, &head) });
+            return Err(CallError::Refused { retry_after: retry_after(read_buffer, &head) });
         }
-        inbox.drain(..head.len);
+        read_buffer.drain(..head.len);
         self.body = Some(Body::new(head.framing));
         Ok(true)
     }
 
-    /// Moves the bytes of the body out of the inbox. [`DiscoveryCall::next_object`] then returns the objects in them.
+    /// Moves the bytes of the body out of the read buffer. [`DiscoveryCall::next_object`] then returns the objects in them.
     ///
     /// # Errors
     /// If the framing is malformed. Objects before the error are valid and can still be read.
-    pub(super) fn read_body(&mut self, inbox: &mut Vec<u8>) -> Result<(), CallError> {
+    pub(super) fn read_body(&mut self, read_buffer: &mut Vec<u8>) -> Result<(), CallError> {
         let Some(body) = &mut self.body else { return Ok(()) };
         let mut content = Vec::new();
-        let framing = body.feed(inbox, &mut content);
+        let framing = body.feed(read_buffer, &mut content);
         self.objects.feed(&content);
         framing.map_err(|_| CallError::BrokenFraming)
     }
@@ -215,8 +215,8 @@
 
 /// Returns the delay in `Retry-After`, in microseconds. `None` if there is none, it is longer than
 /// [`MAX_RETRY_AFTER_SECONDS`], or it is not a number of seconds.
-fn retry_after(inbox: &[u8], head: &ResponseHead) -> Option<Micros> {
-    let seconds: f64 = head.fields.text(inbox, "Retry-After")?.trim().parse().ok()?;
+fn retry_after(read_buffer: &[u8], head: &ResponseHead) -> Option<Micros> {
+    let seconds: f64 = head.fields.text(read_buffer, "Retry-After")?.trim().parse().ok()?;
     let is_accepted = (0.0..=MAX_RETRY_AFTER_SECONDS).contains(&seconds);
     is_accepted.then_some((seconds * MICROS_PER_SECOND) as Micros)
 }
--- a/src/server/discovery/call/tests.rs
+++ b/src/server/discovery/call/tests.rs
@@ -2,9 +2,9 @@
 
 /// Feeds a response to a call. Returns the result of reading its head and body, and the complete objects.
 fn read(call: &mut DiscoveryCall, response: &str) -> (Result<(), CallError>, Vec<String>) {
-    let mut inbox = response.as_bytes().to_vec();
-    let read = match call.read_head(&mut inbox) {
-        Ok(true) => call.read_body(&mut inbox),
+    let mut read_buffer = response.as_bytes().to_vec();
+    let read = match call.read_head(&mut read_buffer) {
+        Ok(true) => call.read_body(&mut read_buffer),
         Ok(false) => Ok(()),
         Err(error) => Err(error),
     };
--- a/src/server/discovery/mod.rs
+++ b/src/server/discovery/mod.rs
@@ -215,11 +215,11 @@
     }
 }
 
-/// Starts to connect, with the request in the outbox. A watch requests the changes after the current list. Returns `None` if
+/// Starts to connect, with the request in the write queue. A watch requests the changes after the current list. Returns `None` if
 /// the system refuses the connection.
 fn connect(context: &mut Context<'_>, kind: CallKind) -> Option<Token> {
     let after = (kind == CallKind::Watch).then_some(context.core.endpoints().generation());
     let mut connection = Connection::connect(context.config.discovery).ok()?; // uses a descriptor of `RESERVED_DESCRIPTORS`
-    connection.outbox.push(platform::discovery_call(after));
+    connection.write_queue.push(platform::discovery_call(after));
     context.reactor.add(connection, Role::Discovery(DiscoveryCall::new(kind)))
 }
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -34,7 +34,7 @@
         }
         loop {
             let end = connection.fill(MAX_HEAD);
-            let has_read = !connection.inbox.is_empty();
+            let has_read = !connection.read_buffer.is_empty();
             match self.read_call(context, membership, token, &mut connection, &mut call) {
                 Ok(CallProgress::Pending) => {}
                 Ok(CallProgress::Complete) => {
@@ -107,11 +107,11 @@
         connection: &mut Connection,
         call: &mut DiscoveryCall,
     ) -> Result<CallProgress, CallError> {
-        if !call.read_head(&mut connection.inbox)? {
+        if !call.read_head(&mut connection.read_buffer)? {
             return Ok(CallProgress::Pending);
         }
         let had_partial_object = call.has_partial_object();
-        let framing = call.read_body(&mut connection.inbox);
+        let framing = call.read_body(&mut connection.read_buffer);
         let (has_lists, lists) = self.process_lists(context, membership, call);
         let has_data = call.take_heartbeat() || has_lists;
         if call.is_watch() {
--- a/src/server/downstream/deadline.rs
+++ b/src/server/downstream/deadline.rs
@@ -38,20 +38,20 @@
             }
             ClientState::AwaitingResponse { stream: Some(stream), .. } => {
                 stream.last_write = context.now();
-                if connection.outbox.is_empty() {
-                    connection.outbox.push(sse::heartbeat());
+                if connection.write_queue.is_empty() {
+                    connection.write_queue.push(sse::heartbeat());
                 }
             }
             ClientState::Watching(watch) => {
                 if watch.last_write + context.heartbeat_interval <= context.now() {
                     watch.last_write = context.now();
-                    if connection.outbox.is_empty() {
-                        connection.outbox.push(event_streams::heartbeat(watch.framing));
+                    if connection.write_queue.is_empty() {
+                        connection.write_queue.push(event_streams::heartbeat(watch.framing));
                     }
                 }
             }
             ClientState::AwaitingResponse { .. } => {}
-            ClientState::Reading | ClientState::ReadingChunks(_) if !connection.outbox.is_empty() => {
+            ClientState::Reading | ClientState::ReadingChunks(_) if !connection.write_queue.is_empty() => {
                 return self.on_closed(context, token, connection, client); // the client does not read its response
             }
             ClientState::Reading | ClientState::ReadingChunks(_) => {
@@ -76,7 +76,7 @@
         ClientState::Reading | ClientState::ReadingChunks(_) if client.is_awaiting_request() => {
             Some(client.awaiting_request_since.unwrap_or(context.now()) + REQUEST_TIMEOUT)
         }
-        ClientState::Reading if connection.outbox.is_empty() => Some(context.now() + IDLE_TIMEOUT),
+        ClientState::Reading if connection.write_queue.is_empty() => Some(context.now() + IDLE_TIMEOUT),
         ClientState::Closing | ClientState::Reading | ClientState::ReadingChunks(_) => {
             Some(stall_deadline.unwrap_or(context.now() + WRITE_STALL_TIMEOUT))
         }
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -180,7 +180,7 @@
     streams.submitted += 1;
     context.pending.insert(request_id, raw);
     streams.schedule_sweep(shared);
-    connection.outbox.push(event_streams::submitted(public_id, token, &cors, keep_alive));
+    connection.write_queue.push(event_streams::submitted(public_id, token, &cors, keep_alive));
     Ok(())
 }
 
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -68,8 +68,8 @@
         match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
             Some((token, (mut connection, Role::Client(mut client)))) => {
                 if let ClientState::Watching(stream) = &client.state {
-                    connection.outbox.push(event_streams::retry(stream.framing, RECONNECT_DELAY));
-                    connection.outbox.push(stream.framing.end());
+                    connection.write_queue.push(event_streams::retry(stream.framing, RECONNECT_DELAY));
+                    connection.write_queue.push(stream.framing.end());
                 }
                 client.state = ClientState::Closing;
                 self.remove_watcher(watcher);
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -137,12 +137,12 @@
     let cors = event_streams::cors(raw, &streams.origins);
     let method = &raw.bytes[raw.head.method.clone()];
     if method == b"OPTIONS" {
-        connection.outbox.push(event_streams::preflight(&cors, keep_alive));
+        connection.write_queue.push(event_streams::preflight(&cors, keep_alive));
         return true;
     }
     let Some(request) = event_streams::stream_request(raw) else { return false };
     if method != b"GET" && method != b"HEAD" {
-        connection.outbox.push(event_streams::wrong_method(keep_alive));
+        connection.write_queue.push(event_streams::wrong_method(keep_alive));
         return true;
     }
     let has_body = method == b"GET";
@@ -150,12 +150,12 @@
         if event_streams::is_http_1_0(raw) { StreamFraming::UntilClose } else { StreamFraming::Chunked };
     let options = ResponseOptions { cors, has_body, keep_alive, framing };
     if !event_streams::accepts_event_stream(raw) {
-        connection.outbox.push(options.not_acceptable());
+        connection.write_queue.push(options.not_acceptable());
         return true;
     }
     match streams.open_watcher(&request) {
         Ok(watcher) => start_stream(context, token, connection, client, watcher, &options),
-        Err(reason) => connection.outbox.push(options.refusal(&reason)),
+        Err(reason) => connection.write_queue.push(options.refusal(&reason)),
     }
     true
 }
@@ -174,13 +174,13 @@
     let Some(streams) = &mut *context.event_streams else { return };
     let framing = options.framing;
     let keep_alive = options.keep_alive && framing == StreamFraming::Chunked;
-    connection.outbox.push(event_streams::stream_head(framing, &options.cors, keep_alive));
+    connection.write_queue.push(event_streams::stream_head(framing, &options.cors, keep_alive));
     if !options.has_body {
         streams.broker.remove_watcher(context.shared.now(), watcher);
         return;
     }
     streams.tokens.insert(watcher, token);
-    connection.outbox.push(event_streams::retry(framing, reconnect_delay));
+    connection.write_queue.push(event_streams::retry(framing, reconnect_delay));
     client.state =
         ClientState::Watching(StreamWatch { watcher, keep_alive, framing, last_write: context.shared.now() });
 }
@@ -197,8 +197,8 @@
     }
 }
 
-/// Puts the next events into the outbox of a watcher's connection, until it has [`MAX_STREAM_BACKLOG`] bytes to write. After the
-/// final event, ends the stream and removes the watcher.
+/// Puts the next events into the write queue of a watcher's connection, until it has [`MAX_STREAM_BACKLOG`] bytes to write. After
+/// the final event, ends the stream and removes the watcher.
 pub(in crate::server::downstream) fn fill_stream(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
@@ -206,13 +206,13 @@
 ) {
     let ClientState::Watching(stream) = &mut client.state else { return };
     let Some(streams) = &mut *context.event_streams else { return };
-    while connection.outbox.len() < MAX_STREAM_BACKLOG {
+    while connection.write_queue.len() < MAX_STREAM_BACKLOG {
         match streams.next_for(stream.watcher, stream.framing) {
             NextPieces::Nothing => return,
-            NextPieces::More(pieces) => connection.outbox.push(pieces),
+            NextPieces::More(pieces) => connection.write_queue.push(pieces),
             NextPieces::Last(piece) => {
-                connection.outbox.push(vec![piece]);
-                connection.outbox.push(stream.framing.end());
+                connection.write_queue.push(vec![piece]);
+                connection.write_queue.push(stream.framing.end());
                 streams.broker.remove_watcher(context.shared.now(), stream.watcher);
                 streams.tokens.remove(&stream.watcher);
                 let keep_alive = stream.keep_alive;
--- a/src/server/downstream/lingering.rs
+++ b/src/server/downstream/lingering.rs
@@ -8,7 +8,7 @@
 use crate::server::connection::{Connection, ReadEnd};
 use crate::server::connection_table::Role;
 use crate::server::downstream::{
-    ClientConnection, ClientConnections, ClientContext, ClientState, MAX_INBOX, TimedToken,
+    ClientConnection, ClientConnections, ClientContext, ClientState, MAX_READ_BUFFER, TimedToken,
 };
 use crate::server::tokens::Token;
 use std::collections::BTreeSet;
@@ -55,7 +55,7 @@
     ) {
         let _ = connection.stream.shutdown(Shutdown::Write); // the client may be gone; then the timer ends the connection
         self.untrack(token, client);
-        connection.inbox = Vec::new();
+        connection.read_buffer = Vec::new();
         client.state = ClientState::Lingering { since: context.now() };
         self.lingering.insert(context.now(), token);
         connection.set_timer(context.shared.core, token, Some(context.now() + LINGER_TIMEOUT));
@@ -88,8 +88,8 @@
         mut connection: Connection,
         client: ClientConnection,
     ) {
-        connection.inbox.clear();
-        let _: ReadEnd = connection.fill(MAX_INBOX);
+        connection.read_buffer.clear();
+        let _: ReadEnd = connection.fill(MAX_READ_BUFFER);
         self.on_closed(context, token, connection, client);
     }
 }
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -37,7 +37,7 @@
 /// Maximum number of bytes buffered from a client: one complete request. Clients send one request at a time. If a client sends
 /// this much more before it has its response, its connection is closed: bytes beyond the limit are not read, so the end of the
 /// connection could not be detected.
-const MAX_INBOX: usize = MAX_HEAD + MAX_BODY;
+const MAX_READ_BUFFER: usize = MAX_HEAD + MAX_BODY;
 /// No attempt may begin for a client that disconnected longer ago than this, in microseconds.
 const MAX_DISCONNECT_AGE: Micros = 100_000;
 /// Progress events are dropped while a client has this many bytes left to read. Final events are never dropped.
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -11,7 +11,7 @@
 use crate::server::downstream::event_streams::watchers::{fill_stream, has_stream_events};
 use crate::server::downstream::respond::reject;
 use crate::server::downstream::{
-    ClientConnection, ClientConnections, ClientContext, ClientState, Downstream, MAX_INBOX,
+    ClientConnection, ClientConnections, ClientContext, ClientState, Downstream, MAX_READ_BUFFER,
 };
 use crate::server::reactor::Reading;
 use crate::server::tokens::Token;
@@ -51,15 +51,16 @@
         }
         let mut has_ended = false;
         if flags.intersects(EventFlags::IN | HANGUP) {
-            let length_before = connection.inbox.len();
-            let end = connection.fill(MAX_INBOX);
-            if connection.inbox.len() > length_before {
+            let length_before = connection.read_buffer.len();
+            let end = connection.fill(MAX_READ_BUFFER);
+            if connection.read_buffer.len() > length_before {
                 self.on_bytes_read(token, &mut client, context.now());
             }
             match end {
                 ReadEnd::WouldBlock => has_ended = flags.intersects(HANGUP),
                 ReadEnd::LimitReached
-                    if client.is_awaiting_response() || connection.outbox.len() >= MAX_UNREAD_RESPONSES =>
+                    if client.is_awaiting_response()
+                        || connection.write_queue.len() >= MAX_UNREAD_RESPONSES =>
                 {
                     context.shared.metrics.rejects += 1;
                     return self.on_closed(context, token, connection, client);
@@ -102,7 +103,9 @@
     pub(in crate::server) fn close_if_disconnected(&mut self, context: &mut ClientContext<'_>, token: Token) {
         let Some((mut connection, role)) = context.shared.reactor.take(token) else { return };
         match role {
-            Role::Client(client) if client.is_awaiting_response() && connection.has_ended(MAX_INBOX) => {
+            Role::Client(client)
+                if client.is_awaiting_response() && connection.has_ended(MAX_READ_BUFFER) =>
+            {
                 self.on_closed(context, token, connection, client);
             }
             role => context.shared.reactor.put(token, connection, role),
@@ -143,7 +146,7 @@
         loop {
             let result = match &client.state {
                 ClientState::Closing | ClientState::Lingering { .. } => {
-                    connection.inbox.clear();
+                    connection.read_buffer.clear();
                     StepResult::Wait
                 }
                 ClientState::AwaitingResponse { .. } => StepResult::Wait,
@@ -171,18 +174,18 @@
         connection: &mut Connection,
         client: &mut ClientConnection,
     ) -> StepResult {
-        if connection.inbox.is_empty() || context.shared.lifecycle.has_handed_over() {
+        if connection.read_buffer.is_empty() || context.shared.lifecycle.has_handed_over() {
             return StepResult::Wait;
         }
-        if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
+        if connection.write_queue.len() >= MAX_UNREAD_RESPONSES {
             if !connection.flush() {
                 return StepResult::Broken;
             }
-            if connection.outbox.len() >= MAX_UNREAD_RESPONSES {
+            if connection.write_queue.len() >= MAX_UNREAD_RESPONSES {
                 return StepResult::Wait;
             }
         }
-        let head = match http::read_request(&connection.inbox) {
+        let head = match http::read_request(&connection.read_buffer) {
             Ok(None) => return StepResult::Wait,
             Ok(Some(head)) => head,
             Err(error) => {
@@ -191,24 +194,24 @@
             }
         };
         // Once the body has begun, the client does not wait for the interim response.
-        let is_body_awaited = connection.inbox.len() == head.len;
-        if is_body_awaited && head.fields.has_list_item(&connection.inbox, "expect", "100-continue") {
-            connection.outbox.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
+        let is_body_awaited = connection.read_buffer.len() == head.len;
+        if is_body_awaited && head.fields.has_list_item(&connection.read_buffer, "expect", "100-continue") {
+            connection.write_queue.push(vec!["HTTP/1.1 100 Continue\r\n\r\n".into()]);
         }
         let length = match head.framing {
             Framing::Length(length) => head.len + length,
             Framing::Chunked => {
-                let bytes = split_front(&mut connection.inbox, head.len);
+                let bytes = split_front(&mut connection.read_buffer, head.len);
                 let (decoder, body) = (Chunked::default(), Vec::new());
                 client.state = ClientState::ReadingChunks(ChunkedRequest { bytes, head, decoder, body });
                 return StepResult::Continue;
             }
             Framing::Absent => head.len,
         };
-        if connection.inbox.len() < length {
+        if connection.read_buffer.len() < length {
             return StepResult::Wait;
         }
-        let bytes = split_front(&mut connection.inbox, length);
+        let bytes = split_front(&mut connection.read_buffer, length);
         let body = Piece::Shared(bytes.clone(), head.len..length);
         self.on_request(context, token, connection, client, RawRequest { bytes, head, body });
         StepResult::Continue
@@ -223,13 +226,13 @@
         client: &mut ClientConnection,
     ) -> StepResult {
         let ClientState::ReadingChunks(request) = &mut client.state else { return StepResult::Continue };
-        match request.decoder.decode(&connection.inbox, &mut request.body) {
+        match request.decoder.decode(&connection.read_buffer, &mut request.body) {
             Err(_) => reject(context, connection, client, Reject::BadRequest),
             Ok(_) if request.body.len() > MAX_BODY => {
                 reject(context, connection, client, Reject::BodyTooLarge);
             }
             Ok(used) => {
-                connection.inbox.drain(..used);
+                connection.read_buffer.drain(..used);
                 if !request.decoder.is_done() {
                     return StepResult::Wait;
                 }
@@ -255,12 +258,12 @@
         if !connection.flush() {
             return self.on_closed(context, token, connection, client);
         }
-        let is_written = connection.outbox.is_empty();
+        let is_written = connection.write_queue.is_empty();
         if matches!(client.state, ClientState::Closing) && is_written {
             self.half_close(context, token, &mut connection, &mut client);
         }
         let has_partial_request = match client.state {
-            ClientState::Reading => !connection.inbox.is_empty(),
+            ClientState::Reading => !connection.read_buffer.is_empty(),
             ClientState::ReadingChunks(_) => true,
             _ => false,
         };
@@ -275,10 +278,10 @@
         if deadline != connection.timer {
             connection.set_timer(context.shared.core, token, deadline);
         }
-        if client.is_reading() && connection.inbox.is_empty() && is_written {
+        if client.is_reading() && connection.read_buffer.is_empty() && is_written {
             self.track_idle(token, &mut client, context.now());
         }
-        let can_read = !client.is_reading() || connection.outbox.len() < MAX_UNREAD_RESPONSES;
+        let can_read = !client.is_reading() || connection.write_queue.len() < MAX_UNREAD_RESPONSES;
         let reading = if can_read { Reading::Wanted } else { Reading::Paused };
         context.shared.reactor.update_interest(token, &mut connection, reading);
         context.shared.reactor.put(token, connection, Role::Client(client));
@@ -339,15 +342,15 @@
         connection.set_timer(context.shared.core, token, None); // the timer was set for the heartbeat
         return StepResult::Wait;
     }
-    if connection.outbox.is_empty() && has_stream_events(context, client) {
+    if connection.write_queue.is_empty() && has_stream_events(context, client) {
         StepResult::Continue
     } else {
         StepResult::Wait
     }
 }
 
-/// Removes the first `length` bytes from an inbox and returns them. Panics if the inbox is shorter.
-fn split_front(inbox: &mut Vec<u8>, length: usize) -> Rc<Vec<u8>> {
-    let rest = inbox.split_off(length);
-    Rc::new(std::mem::replace(inbox, rest))
+/// Removes the first `length` bytes from a read buffer and returns them. Panics if the read buffer is shorter.
+fn split_front(read_buffer: &mut Vec<u8>, length: usize) -> Rc<Vec<u8>> {
+    let rest = read_buffer.split_off(length);
+    Rc::new(std::mem::replace(read_buffer, rest))
 }
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -27,7 +27,7 @@
         if context.shared.lifecycle.has_handed_over() {
             // The last chunk arrived after the handover began. The request is handed over as it was received, and the
             // successor handles it.
-            connection.inbox = encode_chunked(&raw, &connection.inbox);
+            connection.read_buffer = encode_chunked(&raw, &connection.read_buffer);
             client.state = ClientState::Reading;
             return;
         }
@@ -38,7 +38,7 @@
         client.finish_response(keep_alive);
         // The bytes that follow cannot begin a request, so the body is longer than its stated length. A truncated body must not
         // be processed as if it were complete.
-        if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.inbox) {
+        if raw.head.framing != Framing::Absent && !http::may_begin_request(&connection.read_buffer) {
             return reject(context, connection, client, Reject::BadRequest);
         }
         if client.is_from_sse_listener
@@ -53,7 +53,7 @@
             return reject(context, connection, client, reason);
         }
         context.shared.metrics.rejects += u64::from(reason != Reject::NotReady);
-        connection.outbox.push(platform::reject(reason, keep_alive));
+        connection.write_queue.push(platform::reject(reason, keep_alive));
     }
 
     /// Routes a request and handles it.
@@ -81,7 +81,7 @@
                 Err(Reject::NotReady)
             }
             Route::Ready => {
-                connection.outbox.push(platform::ready());
+                connection.write_queue.push(platform::ready());
                 Ok(())
             }
             Route::StatusCallback => on_status_callback(context, connection, client, &raw, keep_alive),
@@ -127,7 +127,7 @@
         if !context.hot_restart.forward_status_callback(body) {
             return Err(Reject::Overloaded); // the worker retries
         }
-        connection.outbox.push(platform::callback_accepted(keep_alive));
+        connection.write_queue.push(platform::callback_accepted(keep_alive));
         return Ok(());
     }
     let keep_alive = raw.head.keep_alive && (keep_alive || !context.shared.lifecycle.is_shutting_down());
@@ -141,7 +141,7 @@
         callback.status,
         callback.report,
     );
-    connection.outbox.push(platform::callback_accepted(keep_alive));
+    connection.write_queue.push(platform::callback_accepted(keep_alive));
     Ok(())
 }
 
--- a/src/server/downstream/respond.rs
+++ b/src/server/downstream/respond.rs
@@ -38,13 +38,13 @@
         let has_stream_begun = stream.is_some_and(|stream| stream.has_begun);
         let keep_alive = keep_alive && (context.keeps_connections() || has_stream_begun);
         match (stream, &response) {
-            (Some(_), _) if has_stream_begun => connection.outbox.push(sse::final_event(response)),
+            (Some(_), _) if has_stream_begun => connection.write_queue.push(sse::final_event(response)),
             (Some(_), FinalResponse::Served(_)) => {
-                connection.outbox.push(sse::head(keep_alive));
-                connection.outbox.push(sse::started());
-                connection.outbox.push(sse::final_event(response));
+                connection.write_queue.push(sse::head(keep_alive));
+                connection.write_queue.push(sse::started());
+                connection.write_queue.push(sse::final_event(response));
             }
-            _ => connection.outbox.push(platform::final_response(response, keep_alive)),
+            _ => connection.write_queue.push(platform::final_response(response, keep_alive)),
         }
         client.finish_response(keep_alive);
         connection.set_timer(context.shared.core, token, None);
@@ -68,11 +68,11 @@
             return context.shared.reactor.put(token, connection, Role::Client(client));
         };
         if !std::mem::replace(&mut stream.has_begun, true) {
-            connection.outbox.push(sse::head(*keep_alive));
-            connection.outbox.push(sse::started());
+            connection.write_queue.push(sse::head(*keep_alive));
+            connection.write_queue.push(sse::started());
         }
-        if let Some(fraction) = fraction.filter(|_| connection.outbox.len() < MAX_UNREAD_PROGRESS) {
-            connection.outbox.push(sse::progress(fraction));
+        if let Some(fraction) = fraction.filter(|_| connection.write_queue.len() < MAX_UNREAD_PROGRESS) {
+            connection.write_queue.push(sse::progress(fraction));
         }
         stream.last_write = context.now();
         self.finish_event(context, token, connection, client);
@@ -87,6 +87,6 @@
     reason: Reject,
 ) {
     context.shared.metrics.rejects += u64::from(reason != Reject::NotReady);
-    connection.outbox.push(platform::reject(reason, false));
+    connection.write_queue.push(platform::reject(reason, false));
     client.state = ClientState::Closing;
 }
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -178,7 +178,7 @@
             self.metrics.rejects += 1;
             return;
         };
-        connection.inbox = split.rest.to_vec();
+        connection.read_buffer = split.rest.to_vec();
         if let Some(process) = &mut self.hot_restart.peer_process {
             process.on_client_transferred(transferred.request.as_ref());
         }
@@ -199,7 +199,7 @@
                     client.await_response(request_id, exchange.keep_alive, exchange.has_stream_begun, now);
                 }
                 // The core cannot take over the request, so it fails at once.
-                None => connection.outbox.push(platform::final_response(FinalResponse::Failed, true)),
+                None => connection.write_queue.push(platform::final_response(FinalResponse::Failed, true)),
             }
         }
         let context = &mut client_context!(self);
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -113,7 +113,7 @@
         let awaited = client.awaited_request();
         let is_in_flight = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
         let is_transferable = client.is_reading() || awaited.is_some();
-        if is_in_flight || !connection.outbox.is_empty() || !is_transferable {
+        if is_in_flight || !connection.write_queue.is_empty() || !is_transferable {
             return self.reactor.put(token, connection, Role::Client(client));
         }
         let mut transferred = client.to_transferred();
@@ -126,7 +126,7 @@
             raw = Some(released.raw);
         }
         let mut bytes: Vec<&[u8]> = raw.iter().flat_map(request_bytes).collect();
-        bytes.push(&connection.inbox);
+        bytes.push(&connection.read_buffer);
         let message = HandoverMessage::Client(transferred);
         let is_sent = self.hot_restart.send(&message, &bytes, &[connection.stream.as_fd()]);
         if let Some(request_id) = awaited {
@@ -167,7 +167,7 @@
 
     /// Hands over a connection to a worker if the connection is idle. Otherwise this process keeps it.
     fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
-        let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
+        let is_unused = connection.read_buffer.is_empty() && connection.write_queue.is_empty();
         let worker = upstream.idle_worker().filter(|_| is_unused);
         let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints().get(worker)?)));
         let Some((worker, endpoint)) = endpoint else {
--- a/src/server/lifecycle/shutdown.rs
+++ b/src/server/lifecycle/shutdown.rs
@@ -92,7 +92,7 @@
     /// Whether a connection may still have a response to send or bytes to read.
     fn is_busy(&self, connection: &Connection, role: &Role) -> bool {
         let idle_before = self.clock.now().saturating_sub(MIN_IDLE_BEFORE_CLOSE);
-        let has_output = !connection.outbox.is_empty();
+        let has_output = !connection.write_queue.is_empty();
         match role {
             Role::Client(client) => {
                 client.is_busy(idle_before)
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -107,11 +107,11 @@
         }
     }
 
-    /// Watches a connection for being readable, unless reading is paused, and for being writable if its outbox is not empty.
+    /// Watches a connection for being readable, unless reading is paused, and for being writable if its write queue is not empty.
     pub fn update_interest(&self, token: Token, connection: &mut Connection, reading: Reading) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, reading == Reading::Wanted);
-        flags.set(EventFlags::OUT, !connection.outbox.is_empty());
+        flags.set(EventFlags::OUT, !connection.write_queue.is_empty());
         self.set_interest(token, connection, flags);
     }
 
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -43,7 +43,9 @@
         upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
         let accepted_request = match upstream.state {
-            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
+            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt))
+                if connection.write_queue.is_empty() =>
+            {
                 context.core.request_name(attempt)
             }
             _ => None,
@@ -62,7 +64,7 @@
         connection: Connection,
         upstream: UpstreamConnection,
     ) {
-        let is_written = connection.outbox.is_empty();
+        let is_written = connection.write_queue.is_empty();
         let worker = upstream.worker;
         match &upstream.state {
             UpstreamState::Idle => self.remove_idle(worker, token),
@@ -145,7 +147,7 @@
         mut connection: Connection,
         mut upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
-        let is_written = connection.outbox.is_empty();
+        let is_written = connection.write_queue.is_empty();
         if is_written && matches!(upstream.state, UpstreamState::AwaitingResponse(Exchange::Attempt(_))) {
             // After a long turn, the response may have arrived and not been read yet.
             let end = connection.fill(MAX_HEAD);
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -23,7 +23,7 @@
 
 /// The result of reading a part of a response.
 enum StepResult {
-    /// There may be more to process in the inbox.
+    /// There may be more to process in the read buffer.
     Continue,
     /// More must be read first.
     Wait,
@@ -36,7 +36,7 @@
 fn is_response_to(exchange: Exchange, head: &http::ResponseHead, connection: &Connection) -> bool {
     match (exchange, head.status) {
         (Exchange::Attempt(_), 200) => {
-            let content_type = head.fields.text(&connection.inbox, "content-type").unwrap_or("");
+            let content_type = head.fields.text(&connection.read_buffer, "content-type").unwrap_or("");
             content_type.trim_start().to_ascii_lowercase().starts_with("text/event-stream")
         }
         (Exchange::Attempt(_), status) => status == 202 || status >= 300,
@@ -70,7 +70,7 @@
                 _ => MAX_HEAD + MAX_BODY,
             };
             let end = connection.fill(limit);
-            let length_before = connection.inbox.len();
+            let length_before = connection.read_buffer.len();
             if !self.read(context, token, &mut connection, &mut upstream) {
                 return self.on_protocol_violation(context, pending, token, connection, upstream);
             }
@@ -79,7 +79,7 @@
                     self.finish_event(context, pending, token, connection, upstream);
                     return None;
                 }
-                ReadEnd::LimitReached if connection.inbox.len() < length_before => {}
+                ReadEnd::LimitReached if connection.read_buffer.len() < length_before => {}
                 _ => {
                     self.on_eof(context, pending, token, connection, upstream);
                     return None;
@@ -100,7 +100,7 @@
         loop {
             let result = match &mut upstream.state {
                 UpstreamState::Connecting(_) => StepResult::Wait,
-                UpstreamState::Idle if connection.inbox.is_empty() => StepResult::Wait,
+                UpstreamState::Idle if connection.read_buffer.is_empty() => StepResult::Wait,
                 UpstreamState::Idle => StepResult::Unusable,
                 UpstreamState::AwaitingResponse(exchange) => {
                     let exchange = *exchange;
@@ -127,9 +127,9 @@
         upstream: &mut UpstreamConnection,
         exchange: Exchange,
     ) -> StepResult {
-        match http::read_response(&connection.inbox) {
+        match http::read_response(&connection.read_buffer) {
             Ok(None) => return StepResult::Wait,
-            Ok(Some(head)) if head.status == 100 => drop(connection.inbox.drain(..head.len)),
+            Ok(Some(head)) if head.status == 100 => drop(connection.read_buffer.drain(..head.len)),
             Ok(Some(head)) if is_response_to(exchange, &head, connection) => {
                 self.on_response_head(context, connection, upstream, exchange, &head);
             }
@@ -147,7 +147,7 @@
         upstream: &mut UpstreamConnection,
     ) -> StepResult {
         let UpstreamState::ReadingBody(response) = &mut upstream.state else { return StepResult::Continue };
-        let is_framed = response.body.feed(&mut connection.inbox, &mut response.decoded).is_ok();
+        let is_framed = response.body.feed(&mut connection.read_buffer, &mut response.decoded).is_ok();
         if !is_framed || response.decoded.len() > MAX_BODY {
             return StepResult::Unusable;
         }
@@ -180,7 +180,7 @@
         upstream.cooldown = 0;
         if let Exchange::Attempt(attempt) = exchange {
             if head.status == 200 {
-                connection.inbox.drain(..head.len);
+                connection.read_buffer.drain(..head.len);
                 let (body, events) = (Body::new(head.framing), EventStream::default());
                 upstream.state = UpstreamState::Streaming(StatusStream { attempt, body, events });
                 return;
@@ -188,13 +188,16 @@
             self.attempts.remove(&attempt);
             if let Some(outcome) = refusal_outcome(connection, head) {
                 upstream.cooldown = context.config.connect_timeout;
-                let report =
-                    platform::load_report_from_head(context.core.names(), &connection.inbox, &head.fields);
+                let report = platform::load_report_from_head(
+                    context.core.names(),
+                    &connection.read_buffer,
+                    &head.fields,
+                );
                 let outcome = AttemptOutcome::Unserved(outcome);
                 context.core.on_attempt_ended(context.now(), attempt, outcome, report);
             }
         }
-        connection.inbox.drain(..head.len);
+        connection.read_buffer.drain(..head.len);
         upstream.state = UpstreamState::ReadingBody(ResponseBody {
             exchange,
             status: head.status,
@@ -222,7 +225,7 @@
 /// The outcome if a worker refuses an attempt: `Rejected` if a 503 or 504 says that the request was not processed, otherwise
 /// `Error`. `None` if the worker has accepted the attempt.
 fn refusal_outcome(connection: &Connection, head: &http::ResponseHead) -> Option<Outcome> {
-    let is_unprocessed = head.fields.text(&connection.inbox, names::UNPROCESSED) == Some("1");
+    let is_unprocessed = head.fields.text(&connection.read_buffer, names::UNPROCESSED) == Some("1");
     match head.status {
         202 => None,
         503 | 504 if is_unprocessed => Some(Outcome::Rejected),
@@ -238,7 +241,7 @@
 ) -> StepResult {
     // Events that arrived before the framing broke are valid: the final event may be among them.
     let mut read = Vec::new();
-    let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
+    let is_framed = stream.body.feed(&mut connection.read_buffer, &mut read).is_ok();
     let mut events: Vec<StreamEvent> = Vec::new();
     let is_parsed = stream.events.feed(&read, |event| events.push(event)).is_ok();
     for event in events {
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -141,7 +141,7 @@
     /// Uses the connection for an exchange.
     fn reuse(self, reactor: &mut Reactor, outgoing: OutgoingExchange) -> Token {
         let IdleUpstream { token, mut connection, mut upstream } = self;
-        connection.outbox.push(outgoing.message);
+        connection.write_queue.push(outgoing.message);
         upstream.reuse(outgoing.exchange, outgoing.response_timeout);
         reactor.put(token, connection, Role::Upstream(upstream));
         token
@@ -182,7 +182,7 @@
             };
             // Unusable: the worker has another address now, has ended the connection, or has sent unsolicited bytes.
             // Bytes that arrive before a request is sent cannot be the response to it.
-            if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
+            if upstream.address != address || connection.has_ended(1) || !connection.read_buffer.is_empty() {
                 context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
                 continue;
             }
@@ -203,7 +203,7 @@
         let connection = address.and_then(|at| Connection::connect(at).ok());
         context.metrics.connects += 1;
         let token = connection.and_then(|mut connection| {
-            connection.outbox.push(message);
+            connection.write_queue.push(message);
             let now = context.now();
             let upstream = UpstreamConnection::connecting(worker, address, exchange, response_timeout, now);
             context.reactor.add(connection, Role::Upstream(upstream))
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -27,7 +27,7 @@
         if let Some(length) = upstream.unwritten_length
             && let UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) = upstream.state
         {
-            let has_begun = connection.outbox.len() < length;
+            let has_begun = connection.write_queue.len() < length;
             context.clock.update(); // in a long turn, the time of the poll is too old for this check
             let is_usable = is_endpoint_usable(context, upstream);
             let may_write = context.core.may_write(context.now(), attempt, upstream.transit_allowance);
@@ -40,7 +40,7 @@
             }
         }
         let is_connected = connection.flush();
-        if is_connected && connection.outbox.is_empty() {
+        if is_connected && connection.write_queue.is_empty() {
             self.on_exchange_written(context, upstream);
         }
         is_connected
@@ -56,7 +56,7 @@
         upstream: &mut UpstreamConnection,
         attempt: AttemptId,
     ) {
-        connection.outbox.clear();
+        connection.write_queue.clear();
         upstream.state = UpstreamState::Idle;
         upstream.unwritten_length = None;
         context.metrics.attempts_withheld += 1;
@@ -118,7 +118,7 @@
         let cooldown = upstream.cooldown.min(max_idle / 2);
         let until = context.now() + if cooldown > 0 { cooldown } else { max_idle };
         connection.set_timer(context.core, token, Some(until));
-        if cooldown == 0 && connection.outbox.is_empty() {
+        if cooldown == 0 && connection.write_queue.is_empty() {
             self.add_idle(upstream.worker, token);
         }
     }
@@ -133,7 +133,7 @@
     !context.core.endpoints().is_stale() && takes_attempts
 }
 
-/// Puts an attempt's request into the outbox of its connection. The request states how much time the client has left. It is
+/// Puts an attempt's request into the write queue of its connection. The request states how much time the client has left. It is
 /// encoded only when its first byte is about to be sent, because the connection may have taken long to be established.
 fn encode_attempt(
     context: &Context<'_>,
@@ -144,7 +144,7 @@
 ) {
     let Some(raw) = pending.get(attempt.request_id) else { return };
     let time_left = context.core.time_left(context.now(), attempt);
-    connection.outbox.clear();
-    connection.outbox.push(platform::forwarded_request(raw, time_left));
-    upstream.unwritten_length = Some(connection.outbox.len());
+    connection.write_queue.clear();
+    connection.write_queue.push(platform::forwarded_request(raw, time_left));
+    upstream.unwritten_length = Some(connection.write_queue.len());
 }
--- a/tests/common/event_stream.rs
+++ b/tests/common/event_stream.rs
@@ -15,7 +15,7 @@
 pub struct StreamClient {
     connection: TcpStream,
     /// Bytes that have been read and not yet parsed.
-    inbox: Vec<u8>,
+    read_buffer: Vec<u8>,
     body: Option<Body>,
     parser: EventStream,
     pub status: u16,
@@ -46,7 +46,7 @@
         connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
         StreamClient {
             connection,
-            inbox: Vec::new(),
+            read_buffer: Vec::new(),
             body: None,
             parser: EventStream::default(),
             status: 0,
@@ -81,7 +81,7 @@
             self.is_ended = true;
             return Ok(false);
         }
-        self.inbox.extend(&buffer[..count]);
+        self.read_buffer.extend(&buffer[..count]);
         self.read_head();
         self.read_body();
         Ok(!self.is_ended)
@@ -96,18 +96,21 @@
         if self.body.is_some() {
             return;
         }
-        let Some(head) = http::read_response(&self.inbox).expect("not an HTTP response") else { return };
+        let Some(head) = http::read_response(&self.read_buffer).expect("not an HTTP response") else {
+            return;
+        };
         self.status = head.status;
-        self.head = String::from_utf8_lossy(&self.inbox[..head.len]).into_owned();
-        self.is_event_stream = head.fields.text(&self.inbox, "content-type") == Some("text/event-stream");
-        self.inbox.drain(..head.len);
+        self.head = String::from_utf8_lossy(&self.read_buffer[..head.len]).into_owned();
+        self.is_event_stream =
+            head.fields.text(&self.read_buffer, "content-type") == Some("text/event-stream");
+        self.read_buffer.drain(..head.len);
         self.body = Some(Body::new(head.framing));
     }
 
     fn read_body(&mut self) {
         let Some(body) = &mut self.body else { return };
         let mut text = Vec::new();
-        body.feed(&mut self.inbox, &mut text).expect("invalid body framing");
+        body.feed(&mut self.read_buffer, &mut text).expect("invalid body framing");
         self.is_complete = body.is_done();
         self.is_ended = self.is_complete;
         let events = &mut self.events;
