--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,7 +1,7 @@
 //! The JSON document of a configuration file, and the environment variables that override it.
 
 use super::flatten::flatten;
-use super::{ConfigError, EndpointList, FileContentError, MachineLimits, ModuleSettingsError, SiteNames};
+use super::{ConfigError, EndpointList, FileContentError, MachineLimits, ModuleSettingsError, NameTable};
 use crate::policy::interface::{Micros, Settings};
 use crate::policy::settings_map::{Names, Profile, settings, to_micros};
 use serde::Deserialize;
@@ -99,11 +99,11 @@
 /// Parses the settings of the decision module and the names in them. Zones and kinds in `known_names` keep their ids.
 pub(super) fn parse_settings(
     profile: &Profile<'_>,
-    known_names: &SiteNames,
-) -> Result<(Settings, SiteNames), ConfigError> {
+    known_names: &NameTable,
+) -> Result<(Settings, NameTable), ConfigError> {
     let (settings, names) = settings(profile, &known_names.names).map_err(ModuleSettingsError::from)?;
     check_settings(&settings, &names)?;
-    Ok((settings, SiteNames { names }))
+    Ok((settings, NameTable { names }))
 }
 
 /// Checks that names and settings agree, and that the decision module accepts the settings.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use endpoint_list::{EndpointList, EndpointRow, Lifecycle};
 pub use error::{ConfigError, FileContentError, ModuleSettingsError};
 pub use flatten::flatten;
-pub use site_names::SiteNames;
+pub use site_names::NameTable;
 pub(crate) use sse::{DEFAULT_HEARTBEAT_MS, DEFAULT_STREAMS_PER_TENANT, is_origin};
 pub use sse::{SseConfig, SseSettings};
 
@@ -98,7 +98,7 @@
     /// The decision module's settings.
     pub settings: Settings,
     /// The names of the ids in the settings.
-    pub names: SiteNames,
+    pub names: NameTable,
     /// How long workers keep an idle connection open, in microseconds; the setting `Limits.ConnIdleMs`.
     pub idle_timeout: Micros,
     /// How long a connection may take to be established, in microseconds; the setting `Limits.ConnectTimeoutMs`.
@@ -120,7 +120,7 @@
     /// # Errors
     /// [`ConfigError`] if the text is invalid.
     pub fn read(text: &str, file: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        Config::parse(text, file, env, &SiteNames::default())
+        Config::parse(text, file, env, &NameTable::default())
     }
 
     /// Parses the text of a configuration file. Zones and kinds in `known_names` keep their ids.
@@ -128,7 +128,7 @@
         text: &str,
         file: &str,
         env: impl Fn(&str) -> Option<String>,
-        known_names: &SiteNames,
+        known_names: &NameTable,
     ) -> Result<Config, ConfigError> {
         let document = Document::parse(text, file, env)?;
         let listen = document.required_text("GW_LISTEN", "listen")?;
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,7 +1,7 @@
 //! Reload of the configuration of a running program.
 
 use super::flatten::join;
-use super::{Config, ConfigError, FileContentError, SiteNames, read_file};
+use super::{Config, ConfigError, FileContentError, NameTable, read_file};
 use crate::policy::interface::Settings;
 use crate::policy::settings_map::Names;
 use serde_json::Value;
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     /// [`ConfigError`] if the file cannot be read, the new configuration is invalid, or it lacks a key of this one.
-    pub fn reload(&self, known_names: &SiteNames) -> Result<Config, ConfigError> {
+    pub fn reload(&self, known_names: &NameTable) -> Result<Config, ConfigError> {
         let current_value = |variable: &str| match variable {
             "GW_NAME" => Some(self.name.clone()),
             "GW_LISTEN" => Some(self.listen.to_string()),
--- a/src/config/site_names.rs
+++ b/src/config/site_names.rs
@@ -1,15 +1,16 @@
-//! The names of the ids in the settings.
+//! The table of the names in the settings and their ids.
 
 use crate::policy::interface::{ClassId, KindId, TenantId, ZoneId};
 use crate::policy::settings_map::{Names, ReportValue};
 
-/// The names that the settings give to classes, tenants, kinds, zones and report values.
+/// The names that the settings give to classes, tenants, kinds of machines, zones and report values, with the ids that stand for
+/// them in the decision module.
 #[derive(Debug, Default)]
-pub struct SiteNames {
+pub struct NameTable {
     pub(super) names: Names,
 }
 
-impl SiteNames {
+impl NameTable {
     /// The names of all classes by id, including classes that the settings no longer have.
     pub(crate) fn class_names(&self) -> &[String] {
         self.names.classes.names()
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use super::clock::UnixClock;
 use super::idempotency::AttemptRecord;
-use crate::config::{EndpointList, EndpointRow, Lifecycle, SiteNames};
+use crate::config::{EndpointList, EndpointRow, Lifecycle, NameTable};
 use crate::policy::interface::{CellId, EndpointEntry, Status, WorkerId};
 use crate::policy::settings_map::tag;
 use std::collections::{HashMap, HashSet};
@@ -237,7 +237,7 @@
     pub(super) fn to_entry(
         &self,
         worker: WorkerId,
-        names: &mut SiteNames,
+        names: &mut NameTable,
         clock: UnixClock,
     ) -> Option<EndpointEntry> {
         let Endpoint { row, .. } = self.get(worker)?;
--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -26,7 +26,7 @@
 use super::request_table::RequestTable;
 use super::timers::{Timer, TimerQueue, TimerToken};
 use crate::Dispatcher;
-use crate::config::SiteNames;
+use crate::config::NameTable;
 use crate::fleet::Learners;
 use crate::policy::interface::{
     Action, Class, ClassId, Event, LoadReport, Micros, Outcome, PeerPresence, ProbeResponse, Settings,
@@ -41,7 +41,7 @@
 /// exactly one final response, unless its client disconnects or the request is transferred.
 pub struct Core {
     dispatcher: Dispatcher,
-    names: SiteNames,
+    names: NameTable,
     clock: UnixClock,
     /// The minimum interval between batches of events for the decision module.
     batch_interval: Micros,
@@ -70,7 +70,7 @@
     /// [`SettingsError`] if the settings contradict themselves.
     pub fn new(
         settings: Settings,
-        names: SiteNames,
+        names: NameTable,
         seed: u64,
         unix_now: u128,
     ) -> Result<Core, SettingsError> {
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// [`SettingsError`] if the settings contradict themselves or lack a class; nothing changes then.
-    pub fn reconfigure(&mut self, settings: Settings, names: SiteNames) -> Result<(), SettingsError> {
+    pub fn reconfigure(&mut self, settings: Settings, names: NameTable) -> Result<(), SettingsError> {
         let batch_interval = settings.batch_interval;
         let known_classes = self.names.class_names().len();
         self.dispatcher.reconfigure(settings)?;
@@ -155,7 +155,7 @@
     }
 
     /// The names of the ids in the settings.
-    pub fn names(&self) -> &SiteNames {
+    pub fn names(&self) -> &NameTable {
         &self.names
     }
 
--- a/src/core/job_labels.rs
+++ b/src/core/job_labels.rs
@@ -1,12 +1,12 @@
 //! The labels by which run times are learned: the names of a job's class and tenant, and its subject.
 
-use crate::config::SiteNames;
+use crate::config::NameTable;
 use crate::fleet::JobLabels;
 use crate::policy::interface::{ClassId, KeyId, TenantId};
 
 /// The labels of a job; `None` if the class is unknown. The number of a subject is a hash, which is the same at every dispatcher.
 pub(super) fn job_labels(
-    names: &SiteNames,
+    names: &NameTable,
     class: ClassId,
     tenant: Option<TenantId>,
     key: Option<KeyId>,
--- a/src/protocol/platform/callbacks.rs
+++ b/src/protocol/platform/callbacks.rs
@@ -1,7 +1,7 @@
 //! Status callbacks: a worker's reports on the status of a job, as JSON.
 
 use super::load_reports::load_report_from_json;
-use crate::config::SiteNames;
+use crate::config::NameTable;
 use crate::core::JobStatus;
 use crate::policy::interface::LoadReport;
 use serde::Deserialize;
@@ -31,7 +31,11 @@
 
 /// Parses a status callback, or the data of an event of a worker's stream; `state` is then the name of the event. Returns `None`
 /// if the JSON is malformed, the state is missing or unknown, or a done job has no result.
-pub fn parse_status_callback(site: &SiteNames, json: &[u8], state: Option<&str>) -> Option<StatusCallback> {
+pub fn parse_status_callback(
+    name_table: &NameTable,
+    json: &[u8],
+    state: Option<&str>,
+) -> Option<StatusCallback> {
     let object: StatusCallbackJson = serde_json::from_slice(json).ok()?;
     let status = match state.or(object.state.as_deref())? {
         "started" => JobStatus::Started,
@@ -42,7 +46,7 @@
         "lost" => JobStatus::Lost,
         _ => return None,
     };
-    let report = object.load.as_ref().and_then(|load| load_report_from_json(site, load));
+    let report = object.load.as_ref().and_then(|load| load_report_from_json(name_table, load));
     Some(StatusCallback {
         id: object.id.unwrap_or_default(),
         from: object.from.unwrap_or_default(),
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -1,7 +1,7 @@
 //! Routes requests of the platform's protocol, and validates their fields.
 
 use super::{RawRequest, Reject};
-use crate::config::SiteNames;
+use crate::config::NameTable;
 use crate::core::idempotency::IdempotencyKey;
 use crate::core::{DownstreamId, NewRequest};
 use crate::http::Framing;
@@ -35,7 +35,7 @@
 /// # Errors
 /// The reason why the request is refused.
 pub fn route(
-    site: &SiteNames,
+    name_table: &NameTable,
     classes: &[Class],
     request: &RawRequest,
     serves_platform: bool,
@@ -50,13 +50,13 @@
         }
     }
     let class_name = first_segment(path);
-    let class = find_class(site, classes, request, class_name)?;
+    let class = find_class(name_table, classes, request, class_name)?;
     require_post(request)?;
     require_length(request)?;
     if request.field(names::CLASS) != Some(class_name) {
         return Err(Reject::BadRequest);
     }
-    parse_submission(site, class, &classes[usize::from(class.0)], request).map(Route::Submit)
+    parse_submission(name_table, class, &classes[usize::from(class.0)], request).map(Route::Submit)
 }
 
 fn route_ready(request: &RawRequest) -> Result<Route, Reject> {
@@ -89,12 +89,13 @@
 /// # Errors
 /// [`Reject::BadRequest`] or [`Reject::NotFound`] if there is no such class.
 fn find_class(
-    site: &SiteNames,
+    name_table: &NameTable,
     classes: &[Class],
     request: &RawRequest,
     class_name: &str,
 ) -> Result<ClassId, Reject> {
-    if let Some(class) = site.class_id(class_name).filter(|class| usize::from(class.0) < classes.len()) {
+    if let Some(class) = name_table.class_id(class_name).filter(|class| usize::from(class.0) < classes.len())
+    {
         return Ok(class);
     }
     // If path and header name the same unknown class, the request is malformed. Any other path is unknown.
@@ -104,7 +105,7 @@
 
 /// Parses the fields of a submitted job.
 fn parse_submission(
-    site: &SiteNames,
+    name_table: &NameTable,
     class_id: ClassId,
     class: &Class,
     request: &RawRequest,
@@ -120,7 +121,7 @@
         name: request_id.to_owned(),
         downstream: DownstreamId(0),
         class: class_id,
-        tenant: parse_tenant(site, request)?,
+        tenant: parse_tenant(name_table, request)?,
         key: object_cookie(request).map(|object| KeyId(tag(object) as u32)),
         time_budget: parse_time_left(request)?.map_or(class.deadline, |left| left.min(class.deadline)),
         hint: hint_ms.map(to_micros).filter(|hint| *hint > 0),
@@ -146,13 +147,13 @@
     Ok(id)
 }
 
-/// The tenant of a request; `None` if the site has no tenants.
-fn parse_tenant(site: &SiteNames, request: &RawRequest) -> Result<Option<TenantId>, Reject> {
-    if !site.has_tenants() {
+/// The tenant of a request; `None` if the settings have no tenants.
+fn parse_tenant(name_table: &NameTable, request: &RawRequest) -> Result<Option<TenantId>, Reject> {
+    if !name_table.has_tenants() {
         return Ok(None);
     }
     let name = request.field(names::TENANT).ok_or(Reject::BadRequest)?;
-    site.tenant_id(name).map(Some).ok_or(Reject::BadRequest)
+    name_table.tenant_id(name).map(Some).ok_or(Reject::BadRequest)
 }
 
 /// How long the client will wait, in microseconds; `None` if the request does not state it. The header holds whole milliseconds,
