--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -200,9 +200,9 @@
     job_request(id, "balance", "take started done=x", "")
 }
 
-/// A worker's status callback with this update, after which the connection closes.
-pub fn status_update_request(update: &Value) -> String {
-    let text = update.to_string();
+/// A worker's status callback with this status as its JSON body. The connection closes after the response.
+pub fn status_callback_request(status: &Value) -> String {
+    let text = status.to_string();
     let head = "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n";
     format!("{head}Content-Length: {}\r\n\r\n{text}", text.len())
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -21,7 +21,7 @@
 pub use discovery::{FakeDiscovery, ScriptedResponse, WATCH_RESPONSE_HEAD, list_response};
 pub use http::{
     HttpReply, chunk, connect, is_closed, job_request, read_next_reply, read_reply, send, simple_job,
-    status_update_request,
+    status_callback_request,
 };
 pub use process::{DispatcherBuilder, DispatcherProcess, program_path};
 pub use timestamp::{micros_since, timestamp_fraction};
--- a/crates/testkit/src/site.rs
+++ b/crates/testkit/src/site.rs
@@ -3,7 +3,7 @@
 use mothproxy::config::{Config, EndpointList};
 use serde_json::{Value, json};
 
-/// The configuration with two classes, one tenant, a tick of 2 ms and the given entries of the endpoint list.
+/// The configuration with two classes, one tenant, a batch interval of 2 ms and the given entries of the endpoint list.
 pub fn config(listen: &str, discovery: &str, instances: Value) -> Value {
     let mut config = json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
--- a/crates/testkit/src/worker/mod.rs
+++ b/crates/testkit/src/worker/mod.rs
@@ -2,7 +2,7 @@
 
 mod script;
 
-use crate::http::{BodyFraming, MAX_HEADERS, read_body, read_more, read_reply, status_update_request};
+use crate::http::{BodyFraming, MAX_HEADERS, read_body, read_more, read_reply, status_callback_request};
 use crate::job_status::JobStatus;
 use crate::{site, wait_until};
 use script::ScriptRun;
@@ -161,7 +161,7 @@
     /// Reports a status to the dispatcher by a status callback. Returns false if that was not answered with 204.
     fn call_back(&self, job_id: &str, status: &JobStatus) -> bool {
         let dispatcher = self.callback_address.lock().expect("mutex poisoned").expect("no callback address");
-        let call = status_update_request(&status.to_callback(job_id, &self.name));
+        let call = status_callback_request(&status.to_callback(job_id, &self.name));
         // The connect fails if the dispatcher was killed.
         let Ok(mut stream) = TcpStream::connect(dispatcher) else { return false };
         let _ = stream.write_all(call.as_bytes());
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -115,7 +115,7 @@
 /// Sends a status callback of the worker `s-1`.
 fn send_status_callback(program: &DispatcherProcess, id: &str, state: &str) {
     let callback = json!({"id": id, "from": "s-1", "state": state, "result": "x"});
-    assert_eq!(send(program.platform, &status_update_request(&callback)).expect("a response").status, 204);
+    assert_eq!(send(program.platform, &status_callback_request(&callback)).expect("a response").status, 204);
 }
 
 /// An attempt ends by a status callback, and no response arrives on its connection. The connection is closed at its timeout, and
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -178,7 +178,7 @@
 fn send_status_update(to: SocketAddr, id: &str, from: &str, state: &str) -> TcpStream {
     let mut stream = connect(to);
     let update = json!({"id": id, "from": from, "state": state});
-    stream.write_all(status_update_request(&update).as_bytes()).expect("write failed");
+    stream.write_all(status_callback_request(&update).as_bytes()).expect("write failed");
     stream
 }
 
