--- a/crates/testkit/src/fleet/admin.rs
+++ b/crates/testkit/src/fleet/admin.rs
@@ -18,13 +18,13 @@
     }
 
     /// Sends a GET request to a process's admin address; `None` if it does not answer.
-    pub fn admin(&self, dispatcher: usize, path: &str) -> Option<HttpMessage> {
+    pub fn call_admin(&self, dispatcher: usize, path: &str) -> Option<HttpMessage> {
         self.get(self.block.admin(dispatcher), path)
     }
 
     /// The counters of `/control/counters`, by name without `dispatcher.`; empty if the process does not answer.
     pub fn counters(&self, dispatcher: usize) -> BTreeMap<String, f64> {
-        let answer = self.admin(dispatcher, "/control/counters").filter(|answer| answer.status == 200);
+        let answer = self.call_admin(dispatcher, "/control/counters").filter(|answer| answer.status == 200);
         let body = answer.map_or(String::new(), |answer| answer.body);
         let counter = |line: &str| {
             let (name, value) = line.strip_prefix("dispatcher.")?.rsplit_once(':')?;
--- a/crates/testkit/src/fleet/builder.rs
+++ b/crates/testkit/src/fleet/builder.rs
@@ -11,7 +11,7 @@
 use super::process::Process;
 use super::tcp_relay::{self, TcpRelay};
 use super::worker::{ScriptedWorker, WorkerContext};
-use super::{Fleet, FleetError, Plan, WorkerScript};
+use super::{Fleet, FleetError, FleetPlan, WorkerScript};
 use crate::site;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 const RUNTIME_THREADS: usize = 3;
 
 /// Builds a fleet and starts everything except its processes. Prints the seed.
-pub(super) fn build(plan: Plan) -> Result<Fleet, FleetError> {
+pub(super) fn build(plan: FleetPlan) -> Result<Fleet, FleetError> {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
     plan.check_size()?;
     let (size, seed) = (plan.size, plan.seed);
@@ -76,7 +76,7 @@
 
 /// Creates the processes without starting them, each with its own subdirectory of `folder`.
 fn prepare_processes(
-    plan: &Plan,
+    plan: &FleetPlan,
     folder: &Path,
     event_log: &Arc<EventLog>,
 ) -> Result<Vec<Process>, FleetError> {
@@ -150,7 +150,7 @@
 
     fn start_discovery(
         &self,
-        plan: &Plan,
+        plan: &FleetPlan,
         workers: &[Arc<ScriptedWorker>],
         worker_links: &[Vec<Arc<Link>>],
     ) -> Result<Arc<ScriptedDiscovery>, FleetError> {
@@ -184,7 +184,7 @@
 /// The configuration of a dispatcher.
 fn configure(
     dispatcher: usize,
-    plan: &Plan,
+    plan: &FleetPlan,
     block: &AddressBlock,
     discovery: &ScriptedDiscovery,
     datagrams: &DatagramRelay,
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -4,8 +4,8 @@
 
 /// The maximum time in the queue of a throttled pair; datagrams that would wait longer are dropped.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
-/// The maximum delay of the second copy of a repeated datagram after the first.
-const MAX_REPEAT_DELAY: Duration = Duration::from_millis(5);
+/// The maximum delay of the second copy of a duplicated datagram after the first.
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(5);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// The faults of datagrams from one dispatcher to another.
@@ -14,7 +14,7 @@
     /// The fraction that is dropped, from 0 to 1; 1 is a cut.
     pub drop: f64,
     /// The fraction that arrives twice, with the second copy up to 5 ms after the first.
-    pub repeat: f64,
+    pub duplicate: f64,
     /// The fraction that is delayed by up to `reorder_delay` in addition, so that later datagrams may overtake it.
     pub reorder: f64,
     /// The maximum additional delay of reordered datagrams.
@@ -31,7 +31,7 @@
     /// No faults.
     pub const NONE: DatagramFaults = DatagramFaults {
         drop: 0.0,
-        repeat: 0.0,
+        duplicate: 0.0,
         reorder: 0.0,
         reorder_delay: Duration::from_millis(20),
         delay: Duration::ZERO,
@@ -59,11 +59,11 @@
 /// The random draws for one datagram: a number from 0 to 1 for each kind of fault.
 struct Draws {
     drop: f64,
-    repeat: f64,
+    duplicate: f64,
     reorder: f64,
     jitter: f64,
     reorder_delay: f64,
-    repeat_delay: f64,
+    duplicate_delay: f64,
 }
 
 impl Draws {
@@ -72,11 +72,11 @@
     fn next(rng: &mut fastrand::Rng) -> Draws {
         Draws {
             drop: rng.f64(),
-            repeat: rng.f64(),
+            duplicate: rng.f64(),
             reorder: rng.f64(),
             jitter: rng.f64(),
             reorder_delay: rng.f64(),
-            repeat_delay: rng.f64(),
+            duplicate_delay: rng.f64(),
         }
     }
 }
@@ -104,8 +104,8 @@
             delay += queue_time;
         }
         let mut delays = vec![delay];
-        if draws.repeat < faults.repeat {
-            delays.push(delay + scaled_micros(MAX_REPEAT_DELAY, draws.repeat_delay));
+        if draws.duplicate < faults.duplicate {
+            delays.push(delay + scaled_micros(MAX_DUPLICATE_DELAY, draws.duplicate_delay));
         }
         delays
     }
--- a/crates/testkit/src/fleet/discovery/connection.rs
+++ b/crates/testkit/src/fleet/discovery/connection.rs
@@ -92,7 +92,8 @@
                 CallHandling::Hang => return self.hang().await,
                 CallHandling::Answer => {}
             }
-            if !script.pushed && matches!(self.discovery.wait_for_turn(&script).await?, Turn::Refused) {
+            if !script.is_local_agent && matches!(self.discovery.wait_for_turn(&script).await?, Turn::Refused)
+            {
                 self.refuse(&script).await?;
                 continue;
             }
--- a/crates/testkit/src/fleet/discovery/script.rs
+++ b/crates/testkit/src/fleet/discovery/script.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length of a span of [`DiscoveryMetrics::per_100ms`], in microseconds.
+/// The length of a span of [`DiscoveryMetrics::calls_per_100ms`], in microseconds.
 const METRICS_SPAN: u64 = 100_000;
 
 /// Whether the service works.
@@ -35,7 +35,7 @@
     pub retry_after: Option<f64>,
     /// Whether the service acts as a local agent of each dispatcher's machine: it answers at once, without a queue, and is
     /// silent while it is down.
-    pub pushed: bool,
+    pub is_local_agent: bool,
     /// Whether JSON objects are written over several lines.
     pub indented: bool,
     /// The interval of heartbeats (empty lines) on a watch while nothing changes.
@@ -50,7 +50,7 @@
             queue: 1_000,
             max_wait: Duration::from_secs(1),
             retry_after: None,
-            pushed: false,
+            is_local_agent: false,
             indented: false,
             heartbeat_interval: Duration::from_secs(2),
         }
@@ -70,13 +70,13 @@
 impl DiscoveryScript {
     /// Whether connections are reset and watches end. A local agent becomes silent instead.
     pub(super) fn resets_connections(&self) -> bool {
-        self.mode == DiscoveryMode::Down && !self.pushed
+        self.mode == DiscoveryMode::Down && !self.is_local_agent
     }
 
     /// How a call is treated; `opens_watch` is false for a call for the full list.
     pub(super) fn handling_of(&self, opens_watch: bool) -> CallHandling {
         match self.mode {
-            DiscoveryMode::Down if !self.pushed => CallHandling::Reset,
+            DiscoveryMode::Down if !self.is_local_agent => CallHandling::Reset,
             DiscoveryMode::Down | DiscoveryMode::Mute => CallHandling::Hang,
             DiscoveryMode::Silent if !opens_watch => CallHandling::Hang,
             DiscoveryMode::Up | DiscoveryMode::Silent => CallHandling::Answer,
@@ -98,7 +98,7 @@
     /// The maximum number of calls that waited at once, including the one being handled.
     pub longest_queue: usize,
     /// Calls by span of 100 ms of the harness's clock.
-    pub per_100ms: BTreeMap<u64, u64>,
+    pub calls_per_100ms: BTreeMap<u64, u64>,
 }
 
 impl DiscoveryMetrics {
@@ -110,11 +110,11 @@
     /// Counts a call at a time in microseconds of the harness's clock.
     pub(super) fn count_call(&mut self, dispatcher: usize, at: u64) {
         self.calls[dispatcher] += 1;
-        *self.per_100ms.entry(at / METRICS_SPAN).or_default() += 1;
+        *self.calls_per_100ms.entry(at / METRICS_SPAN).or_default() += 1;
     }
 
     /// The maximum number of calls within 100 ms from a time on, in microseconds of the harness's clock.
     pub fn peak_since(&self, at: u64) -> u64 {
-        self.per_100ms.range(at / METRICS_SPAN..).map(|(_, calls)| *calls).max().unwrap_or(0)
+        self.calls_per_100ms.range(at / METRICS_SPAN..).map(|(_, calls)| *calls).max().unwrap_or(0)
     }
 }
--- a/crates/testkit/src/fleet/load.rs
+++ b/crates/testkit/src/fleet/load.rs
@@ -38,7 +38,7 @@
     /// All jobs of the load.
     pub jobs: u64,
     /// Replies by status.
-    pub answers: BTreeMap<u16, u64>,
+    pub replies_by_status: BTreeMap<u16, u64>,
     /// Jobs that no process accepted.
     pub unreachable: u64,
     /// Jobs that were sent and got no complete reply.
@@ -50,14 +50,14 @@
 impl LoadSummary {
     fn new() -> LoadSummary {
         let latency = Histogram::new_with_bounds(1, 120_000_000, 3).expect("invalid histogram bounds");
-        LoadSummary { jobs: 0, answers: BTreeMap::new(), unreachable: 0, unanswered: 0, latency }
+        LoadSummary { jobs: 0, replies_by_status: BTreeMap::new(), unreachable: 0, unanswered: 0, latency }
     }
 
     fn add(&mut self, outcome: &JobOutcome) {
         self.jobs += 1;
         match outcome {
             JobOutcome::Answer { status, latency, .. } => {
-                *self.answers.entry(*status).or_default() += 1;
+                *self.replies_by_status.entry(*status).or_default() += 1;
                 if *status == 200 {
                     self.latency.saturating_record(latency.as_micros() as u64);
                 }
@@ -69,7 +69,7 @@
 
     /// The number of jobs answered with status 200.
     pub fn served(&self) -> u64 {
-        self.answers.get(&200).copied().unwrap_or(0)
+        self.replies_by_status.get(&200).copied().unwrap_or(0)
     }
 }
 
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -40,7 +40,7 @@
 pub use link::{ConnectBehavior, Link, LinkFaults, LinkTarget};
 pub use load::{JobGenerator, LoadPlan, LoadSummary, RunningLoad};
 pub use partition::PartitionSide;
-pub use plan::{ConfigChange, MAX_PROCESSES, MAX_WORKERS, Plan, seed_or};
+pub use plan::{ConfigChange, FleetPlan, MAX_PROCESSES, MAX_WORKERS, seed_from_env_or};
 pub use process::LogLine;
 pub use worker::{ScriptedWorker, WorkerBehavior, WorkerMetrics, WorkerScript};
 
@@ -98,7 +98,7 @@
     /// # Panics
     ///
     /// If a process is not up within [`crate::WAIT_TIMEOUT`].
-    pub fn start(plan: Plan) -> Result<Fleet, FleetError> {
+    pub fn start(plan: FleetPlan) -> Result<Fleet, FleetError> {
         let fleet = Fleet::prepare(plan)?;
         fleet.start_all()?;
         fleet.wait_until_up(&fleet.all());
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// If the plan has too many processes or workers, or if a socket, file or directory cannot be created.
-    pub fn prepare(plan: Plan) -> Result<Fleet, FleetError> {
+    pub fn prepare(plan: FleetPlan) -> Result<Fleet, FleetError> {
         builder::build(plan)
     }
 
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -15,7 +15,7 @@
 
 /// The plan of a fleet.
 #[derive(Clone)]
-pub struct Plan {
+pub struct FleetPlan {
     /// The built program: `env!("CARGO_BIN_EXE_mothproxy")` in a test.
     pub program: PathBuf,
     /// The number of processes.
@@ -34,10 +34,10 @@
     pub has_peer_broadcast: bool,
 }
 
-impl Plan {
+impl FleetPlan {
     /// A plan with `size` processes of a program, and with `workers` workers of the default script.
-    pub fn new(program: impl Into<PathBuf>, size: usize, workers: usize, seed: u64) -> Plan {
-        Plan {
+    pub fn new(program: impl Into<PathBuf>, size: usize, workers: usize, seed: u64) -> FleetPlan {
+        FleetPlan {
             program: program.into(),
             size,
             seed,
@@ -60,7 +60,7 @@
 }
 
 /// The seed in the environment variable `FLEET_SEED`, to replay a run; `seed` if it is not set.
-pub fn seed_or(seed: u64) -> u64 {
+pub fn seed_from_env_or(seed: u64) -> u64 {
     let text = std::env::var("FLEET_SEED").ok();
     let parse = |text: &str| match text.strip_prefix("0x") {
         Some(hex) => u64::from_str_radix(hex, 16).ok(),
--- a/crates/testkit/src/fleet/worker/connection.rs
+++ b/crates/testkit/src/fleet/worker/connection.rs
@@ -163,7 +163,7 @@
         self.worker.context.event_log.add_at(received_at, reached);
         self.worker.count(|metrics| {
             metrics.jobs[dispatcher] += 1;
-            *metrics.per_second.entry(received_at / MICROS_PER_SECOND).or_default() += 1;
+            *metrics.jobs_per_second.entry(received_at / MICROS_PER_SECOND).or_default() += 1;
         });
     }
 
--- a/crates/testkit/src/fleet/worker/script.rs
+++ b/crates/testkit/src/fleet/worker/script.rs
@@ -85,7 +85,7 @@
     /// Jobs that arrived completely, by dispatcher.
     pub jobs: Vec<u64>,
     /// Jobs by second of the harness's clock.
-    pub per_second: BTreeMap<u64, u64>,
+    pub jobs_per_second: BTreeMap<u64, u64>,
     /// Jobs whose work was done.
     pub done: u64,
     /// Jobs rejected.
--- a/crates/testkit/tests/harness.rs
+++ b/crates/testkit/tests/harness.rs
@@ -9,8 +9,13 @@
 
 fn fleet(size: usize, seed: u64) -> Fleet {
     // The program is never started here, so any existing file can stand in for it.
-    Fleet::prepare(Plan::new(std::env::current_exe().expect("no path of this executable"), size, 2, seed))
-        .expect("cannot build the fleet")
+    Fleet::prepare(FleetPlan::new(
+        std::env::current_exe().expect("no path of this executable"),
+        size,
+        2,
+        seed,
+    ))
+    .expect("cannot build the fleet")
 }
 
 fn address(value: &serde_json::Value) -> SocketAddr {
@@ -89,7 +94,7 @@
     let lost = send_numbers(&fleet, &peers[0], &peers[1], DatagramFaults::loss(0.3));
     assert!((50..90).contains(&lost.len()) && lost.is_sorted(), "{} of 100 at 30 % loss", lost.len());
     let repeated =
-        send_numbers(&fleet, &peers[0], &peers[1], DatagramFaults { repeat: 0.5, ..DatagramFaults::NONE });
+        send_numbers(&fleet, &peers[0], &peers[1], DatagramFaults { duplicate: 0.5, ..DatagramFaults::NONE });
     assert!((125..175).contains(&repeated.len()), "{} for 100 received at 50 % repeats", repeated.len());
     let reordered =
         send_numbers(&fleet, &peers[0], &peers[1], DatagramFaults { reorder: 0.3, ..DatagramFaults::NONE });
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -6,7 +6,7 @@
 use mothproxy_coldstart::simulation::{
     MassRestart, Outage, Pause, PollingStrategy, SimulationScenario, SimulationSummary, simulate,
 };
-use mothproxy_testkit::fleet::{AuditRules, DiscoveryMode, DiscoveryScript, Fleet, Plan};
+use mothproxy_testkit::fleet::{AuditRules, DiscoveryMode, DiscoveryScript, Fleet, FleetPlan};
 use serde_json::{Map, Value, json};
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -35,9 +35,9 @@
 }
 
 impl FleetCase {
-    fn plan(&self, seed: u64) -> Plan {
+    fn plan(&self, seed: u64) -> FleetPlan {
         let ask_within_ms = self.ask_within_ms;
-        let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, 6, seed);
+        let mut plan = FleetPlan::new(mothproxy_testkit::program_path(), SIZE, 6, seed);
         plan.settings = self.settings.map(str::to_owned);
         plan.discovery = DiscoveryScript {
             mode: DiscoveryMode::Down,
--- a/examples/proof_membership.rs
+++ b/examples/proof_membership.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use members::*;
 use mothproxy_membership::simulation::{Extent, run};
-use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Fleet, Plan};
+use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Fleet, FleetPlan};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
@@ -62,7 +62,8 @@
 impl<'a> Run<'a> {
     fn new(name: &'static str, size: usize, seed: u64, report: &'a Report) -> Run<'a> {
         let program = mothproxy_testkit::program_path();
-        let plan = Plan { settings: Some(SETTINGS.to_owned()), ..Plan::new(program, size, 2, seed) };
+        let plan =
+            FleetPlan { settings: Some(SETTINGS.to_owned()), ..FleetPlan::new(program, size, 2, seed) };
         let fleet = Fleet::start(plan).expect("a fleet");
         report.seeds.lock().expect("a lock").insert(seed);
         let mut run = Run { name, fleet, report, expected_deaths: Vec::new() };
--- a/examples/proof_ramp.rs
+++ b/examples/proof_ramp.rs
@@ -4,7 +4,7 @@
 //! while it is warming up may exceed its budget N by at most 2 x sqrt(N) + 2. The last line is JSON; the exit code is 1 if a check
 //! fails. `proof_ramp SEED` runs with another seed.
 
-use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Event, Fleet, Plan, seed_or};
+use mothproxy_testkit::fleet::{AuditRules, DatagramFaults, Event, Fleet, FleetPlan, seed_from_env_or};
 use serde_json::json;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -88,8 +88,9 @@
 }
 
 fn main() -> ExitCode {
-    let seed = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| seed_or(0x7261_6d70));
-    let mut plan = Plan::new(mothproxy_testkit::program_path(), SIZE, WORKERS, seed);
+    let seed =
+        std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| seed_from_env_or(0x7261_6d70));
+    let mut plan = FleetPlan::new(mothproxy_testkit::program_path(), SIZE, WORKERS, seed);
     for worker in &mut plan.workers {
         worker.work = WORK;
         worker.random_work = true;
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -192,7 +192,7 @@
 /// Discovery is down at the start, refuses, comes back, falls silent, and ends all watches; jobs are served all along.
 #[test]
 fn paced_processes_survive_outage_at_start() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
+    let mut plan = FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
     plan.settings =
         Some("fleet { membership { probe_interval_ms: 100 } cold_start { call_ms: 40 } }".to_owned());
     plan.discovery = DiscoveryScript {
--- a/tests/common/members.rs
+++ b/tests/common/members.rs
@@ -7,7 +7,7 @@
 
 /// The membership page of one dispatcher; `None` if it does not answer.
 pub fn members_page(fleet: &Fleet, i: usize) -> Option<Value> {
-    let answer = fleet.admin(i, "/control/members").filter(|answer| answer.status == 200)?;
+    let answer = fleet.call_admin(i, "/control/members").filter(|answer| answer.status == 200)?;
     serde_json::from_str(&answer.body).ok()
 }
 
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn plan(size: usize, workers: usize, seed: u64) -> Plan {
-    Plan::new(env!("CARGO_BIN_EXE_mothproxy"), size, workers, seed_or(seed))
+fn plan(size: usize, workers: usize, seed: u64) -> FleetPlan {
+    FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), size, workers, seed_from_env_or(seed))
 }
 
 /// One job in four has an idempotency key.
@@ -49,11 +49,11 @@
     let report = load.stop();
     eprintln!(
         "{:?}, {} unreachable, {} without an answer",
-        report.answers, report.unreachable, report.unanswered
+        report.replies_by_status, report.unreachable, report.unanswered
     );
     let found = fleet.audit(&AuditRules::default());
     assert!(found.is_empty(), "{found:#?}");
-    assert!(report.served() > 300, "{:?}", report.answers);
+    assert!(report.served() > 300, "{:?}", report.replies_by_status);
     let (entries, _) = fleet.event_log.events();
     assert_auditor_sees_mistakes(&entries, generation);
     let totals = fleet.datagrams.totals();
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -94,7 +94,8 @@
 
 impl OutageTest {
     fn start() -> OutageTest {
-        let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), PROCESSES, 4, seed_or(0x6c69_7374));
+        let mut plan =
+            FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), PROCESSES, 4, seed_from_env_or(0x6c69_7374));
         set_service_time(&mut plan.discovery, 50);
         plan.discovery.max_wait = Duration::from_millis(2_500);
         plan.change = Some(Arc::new(|_, config| {
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -20,9 +20,9 @@
 /// Settings with membership on.
 const ON: &str = "fleet { membership { probe_interval_ms: 100 } }";
 
-fn plan(size: usize, seed: u64, settings: Option<&str>) -> Plan {
-    let plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), size, 2, seed);
-    Plan { settings: settings.map(str::to_owned), ..plan }
+fn plan(size: usize, seed: u64, settings: Option<&str>) -> FleetPlan {
+    let plan = FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), size, 2, seed);
+    FleetPlan { settings: settings.map(str::to_owned), ..plan }
 }
 
 fn others(fleet: &Fleet, member: usize) -> Vec<usize> {
@@ -180,7 +180,7 @@
     let fleet = Fleet::start(plan(3, 0x6d65_6d03, None)).expect("a fleet");
     let load = fleet.start_plain_load(&fleet.all(), 50.0, Duration::from_secs(10));
     fleet.wait_until("jobs are served", || load.summary().served() > 20);
-    let answer = fleet.admin(0, "/control/members").expect("an answer");
+    let answer = fleet.call_admin(0, "/control/members").expect("an answer");
     assert_eq!(answer.status, 404);
     assert!(!fleet.counters(0).contains_key("members_alive"));
     let totals = fleet.datagrams.totals();
