--- a/src/core/engine/mod.rs
+++ b/src/core/engine/mod.rs
@@ -209,7 +209,7 @@
         self.tallies.by_name(self.names.class_names())
     }
 
-    /// The other dispatchers in this one's peer group.
+    /// The places of the other dispatchers in this one's peer group.
     pub fn peer_group(&self) -> &[u32] {
         self.dispatcher.group_peers()
     }
--- a/src/core/engine/turn.rs
+++ b/src/core/engine/turn.rs
@@ -70,7 +70,7 @@
 
     fn on_action(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { job, worker, limit } => self.start_attempt(now, job.into(), worker, limit),
+            Action::Send { job, worker, timeout } => self.start_attempt(now, job.into(), worker, timeout),
             Action::Cancel { job, attempt } => {
                 let id = AttemptId { request_id: job.into(), number: attempt };
                 self.cancel_attempt(now, id, Outcome::Cancelled);
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Starts an attempt for the decision module. The attempt times out after `time_limit`, or at the request's deadline if that
+    /// Starts an attempt for the decision module. The attempt times out after `timeout`, or at the request's deadline if that
     /// is earlier.
     fn start_attempt(
         &mut self,
         now: Micros,
         request_id: RequestId,
         worker: WorkerId,
-        time_limit: Option<Micros>,
+        timeout: Option<Micros>,
     ) {
         let Some(request) = self.requests.get_mut(request_id) else {
             invariant!(false, "an attempt for the unknown request {request_id}");
@@ -124,7 +124,7 @@
             "request {request_id} already has an attempt in flight at worker {}",
             worker.0
         );
-        let timeout_at = time_limit.map(|span| now + span).filter(|at| *at < request.job().deadline);
+        let timeout_at = timeout.map(|span| now + span).filter(|at| *at < request.job().deadline);
         request.add_attempt(Attempt::in_flight(worker, now, timeout_at));
         let has_key = request.idempotency_key().is_some();
         if let Some(at) = timeout_at {
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -174,7 +174,7 @@
         &self.policy.settings
     }
 
-    /// The indices of the other dispatchers in this dispatcher's group.
+    /// The places of the other dispatchers in this dispatcher's group.
     pub(crate) fn group_peers(&self) -> &[u32] {
         self.policy.state.gossip().peers()
     }
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -12,7 +12,7 @@
         /// The worker that receives the attempt.
         worker: WorkerId,
         /// The attempt's timeout; `None` if it may run until the client gives up.
-        limit: Option<Micros>,
+        timeout: Option<Micros>,
     },
     /// Cancel one attempt. [`super::Event::AttemptEnded`] still reports its end.
     Cancel {
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -227,7 +227,7 @@
     /// Appends the line of an action to the reply. An action of an unknown job is ignored.
     pub fn print(&mut self, action: &Action, reply: &mut String) {
         let line = match action {
-            Action::Send { job, worker, limit } => self.print_send(*job, *worker, *limit, reply),
+            Action::Send { job, worker, timeout } => self.print_send(*job, *worker, *timeout, reply),
             Action::Cancel { job, attempt } => {
                 let Some(open) = self.jobs.get(job) else { return };
                 writeln!(reply, "abandon\tJob={}\tRoundNo={attempt}", open.name)
@@ -260,14 +260,14 @@
         &mut self,
         job: JobId,
         worker: WorkerId,
-        limit: Option<Micros>,
+        timeout: Option<Micros>,
         reply: &mut String,
     ) -> std::fmt::Result {
         let Some(open) = self.jobs.get_mut(&job) else { return Ok(()) };
         open.sent += 1;
         write!(reply, "transmit\tJob={}", open.name)?;
-        if let Some(limit) = limit {
-            write!(reply, "\tLimitMs={}", to_ms(limit))?;
+        if let Some(timeout) = timeout {
+            write!(reply, "\tLimitMs={}", to_ms(timeout))?;
         }
         writeln!(reply, "\tExecutor={}", self.worker_name(worker))
     }
--- a/src/policy/state/attempts.rs
+++ b/src/policy/state/attempts.rs
@@ -76,7 +76,7 @@
         self.gossip.mark_changed();
         self.last_assigned = Some(worker);
         self.queue.remove(id);
-        actions.push(Action::Send { job: id, worker, limit: None });
+        actions.push(Action::Send { job: id, worker, timeout: None });
         Some(work)
     }
 
