--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -4,7 +4,7 @@
 use super::idempotency::IdempotencyKey;
 use super::request::RequestId;
 use super::timers::TimerToken;
-use crate::policy::interface::{ClassId, KeyId, Micros, Outcome, TenantId, WorkerId};
+use crate::policy::interface::{ClassId, Micros, Outcome, SubjectId, TenantId, WorkerId};
 use serde::{Deserialize, Serialize};
 
 /// Identifies the receiver of a request's final response: a downstream connection, or a submitted job of the SSE listener. The
@@ -44,7 +44,7 @@
     /// The tenant that sent the request; `None` if it has none.
     pub tenant: Option<TenantId>,
     /// The subject of the request. Requests that concern the same object have the same subject.
-    pub key: Option<KeyId>,
+    pub subject: Option<SubjectId>,
     /// How long the client will wait from now on, in microseconds.
     pub time_budget: Micros,
     /// The expected work, in microseconds on a standard core; `None` if the client does not state it.
--- a/src/core/engine/attempts.rs
+++ b/src/core/engine/attempts.rs
@@ -163,7 +163,7 @@
         let Some(request) = self.requests.get(id.request_id) else { return };
         let endpoint = self.requests.attempt(id).and_then(|attempt| self.endpoints.get(attempt.worker()));
         let job = request.job();
-        let job = job_labels(&self.names, job.class, job.tenant, job.key);
+        let job = job_labels(&self.names, job.class, job.tenant, job.subject);
         if let Some((endpoint, job)) = endpoint.zip(job) {
             let machine_type = &endpoint.row().machine_type;
             self.learners.on_started(now, id.into(), &job, endpoint.instance_id(), machine_type);
--- a/src/core/engine/requests.rs
+++ b/src/core/engine/requests.rs
@@ -38,8 +38,8 @@
 
     /// The job that the decision module sees for a request.
     fn new_job(&mut self, now: Micros, id: RequestId, request: &NewRequest) -> NewJob {
-        let NewRequest { class, tenant, key, .. } = *request;
-        let labels = job_labels(&self.names, class, tenant, key);
+        let NewRequest { class, tenant, subject, .. } = *request;
+        let labels = job_labels(&self.names, class, tenant, subject);
         let estimate = labels.and_then(|job| self.learners.estimate(&job));
         let class_weight = self.class_settings(class).map_or(0.0, |class| class.weight);
         let tenant_name = tenant.and_then(|tenant| self.names.tenant_name(tenant));
@@ -47,7 +47,7 @@
             job: id.job(),
             class,
             tenant,
-            key,
+            subject,
             deadline: now + request.time_budget,
             hint: request.hint,
             slots: request.slots,
--- a/src/core/engine/restart.rs
+++ b/src/core/engine/restart.rs
@@ -7,7 +7,7 @@
 use crate::core::request::{PendingRequest, RequestId};
 use crate::core::timers::Timer;
 use crate::core::transfer::{LearnedState, TransferredAttempt, TransferredPhase, TransferredRequest};
-use crate::policy::interface::{ClassId, Event, KeyId, NewJob, Outcome};
+use crate::policy::interface::{ClassId, Event, NewJob, Outcome, SubjectId};
 
 impl Core {
     /// The state that the decision module has learned, for the successor.
@@ -74,7 +74,7 @@
             name: request.name().to_owned(),
             class: class.to_owned(),
             tenant: job.tenant.and_then(|tenant| self.names.tenant_name(tenant)).map(str::to_owned),
-            key: job.key.map(|key| key.0),
+            subject: job.subject.map(|subject| subject.0),
             arrived_at: self.clock.unix_time(request.arrived_at()),
             deadline: self.clock.unix_time(job.deadline),
             hint: job.hint,
@@ -130,18 +130,18 @@
     /// The job that the decision module of this process gets for a transferred request.
     fn adopted_job(&self, id: RequestId, class: ClassId, transferred: &TransferredRequest) -> NewJob {
         let tenant = transferred.tenant.as_ref().and_then(|name| self.names.tenant_id(name));
-        let key = transferred.key.map(KeyId);
+        let subject = transferred.subject.map(SubjectId);
         NewJob {
             job: id.job(),
             class,
             tenant,
-            key,
+            subject,
             deadline: self.clock.module_time(transferred.deadline),
             hint: transferred.hint,
             slots: transferred.slots,
             memory: transferred.memory,
             is_retry: transferred.is_retry,
-            estimate: job_labels(&self.names, class, tenant, key)
+            estimate: job_labels(&self.names, class, tenant, subject)
                 .and_then(|job| self.learners.estimate(&job)),
             tenant_weight: None,
         }
--- a/src/core/job_labels.rs
+++ b/src/core/job_labels.rs
@@ -2,18 +2,18 @@
 
 use crate::config::NameTable;
 use crate::fleet::JobLabels;
-use crate::policy::interface::{ClassId, KeyId, TenantId};
+use crate::policy::interface::{ClassId, SubjectId, TenantId};
 
 /// The labels of a job; `None` if the class is unknown. The number of a subject is a hash, which is the same at every dispatcher.
 pub(super) fn job_labels(
     names: &NameTable,
     class: ClassId,
     tenant: Option<TenantId>,
-    key: Option<KeyId>,
+    subject: Option<SubjectId>,
 ) -> Option<JobLabels<'_>> {
     Some(JobLabels {
         class: names.class_name(class)?,
         tenant: tenant.and_then(|tenant| names.tenant_name(tenant)),
-        subject: key.map(|key| u64::from(key.0)),
+        subject: subject.map(|subject| u64::from(subject.0)),
     })
 }
--- a/src/core/transfer.rs
+++ b/src/core/transfer.rs
@@ -21,7 +21,8 @@
     /// The name of the request's tenant; `None` if it has none.
     pub tenant: Option<String>,
     /// The number of the request's subject; `None` if it has none.
-    pub key: Option<u32>,
+    #[serde(rename = "key")]
+    pub subject: Option<u32>,
     /// When the request arrived.
     #[serde(rename = "arrived")]
     pub arrived_at: UnixMicros,
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -1,6 +1,6 @@
 //! The events that the host reports to the decision module: endpoint lists, jobs, attempts, probe responses, peer messages.
 
-use super::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
+use super::{CellId, ClassId, JobId, KindId, Micros, SubjectId, TenantId, TimerId, WorkerId, ZoneId};
 
 /// A worker's lifecycle as the endpoint list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
     /// The tenant that the job counts for; `None` if it has none.
     pub tenant: Option<TenantId>,
     /// The job's subject; jobs with the same program or data set have the same one.
-    pub key: Option<KeyId>,
+    pub subject: Option<SubjectId>,
     /// When the client gives up on this request.
     pub deadline: Micros,
     /// The job's expected work as the client gives it, as time on a standard core.
--- a/src/policy/interface/ids.rs
+++ b/src/policy/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Times, and the ids of jobs, workers, classes, tenants, kinds, zones, cells, keys and timers.
+//! Times, and the ids of jobs, workers, classes, tenants, kinds, zones, cells, subjects and timers.
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
@@ -30,9 +30,9 @@
 /// A cell: workers that share one record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
-/// The subject of a job, such as a program or data set. Jobs with the same key share it.
+/// The subject of a job, such as a program or data set. Jobs that concern the same object have the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyId(pub u32);
+pub struct SubjectId(pub u32);
 /// A timer. The module chooses the id, and [`Event::Timer`](super::Event::Timer) returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
--- a/src/policy/interface/mod.rs
+++ b/src/policy/interface/mod.rs
@@ -14,7 +14,7 @@
     PriorAttempt, ProbeResponse, Status,
 };
 pub use ids::{
-    CellId, ClassId, JobId, KeyId, KindId, MICROS_PER_MS, MICROS_PER_SECOND, Micros, TenantId, TimerId,
+    CellId, ClassId, JobId, KindId, MICROS_PER_MS, MICROS_PER_SECOND, Micros, SubjectId, TenantId, TimerId,
     WorkerId, ZoneId,
 };
 pub use settings::{
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -4,8 +4,8 @@
 use super::fields::{Fields, from_hex};
 use crate::policy::Dispatcher;
 use crate::policy::interface::{
-    Action, AttemptEnded, CellId, ClassId, EndpointEntry, Event, JobId, KeyId, KindId, ListKind, LoadReport,
-    Micros, NewJob, Outcome, ProbeResponse, Status, TenantId, TimerId, WorkerId, ZoneId,
+    Action, AttemptEnded, CellId, ClassId, EndpointEntry, Event, JobId, KindId, ListKind, LoadReport, Micros,
+    NewJob, Outcome, ProbeResponse, Status, SubjectId, TenantId, TimerId, WorkerId, ZoneId,
 };
 use crate::policy::interner::Interner;
 use crate::policy::settings_map::{Names, Profile, settings, tag, to_ms};
@@ -33,7 +33,7 @@
     pub dispatcher: Dispatcher,
     workers: Interner,
     names: Names,
-    keys: Interner,
+    subjects: Interner,
     job_ids: HashMap<String, JobId>,
     jobs: HashMap<JobId, OpenJob>,
     next_job: u64,
@@ -51,7 +51,7 @@
             dispatcher: Dispatcher::new(settings, seed).map_err(LineError::BadSettings)?,
             workers: Interner::default(),
             names,
-            keys: Interner::default(),
+            subjects: Interner::default(),
             job_ids: HashMap::new(),
             jobs: HashMap::new(),
             next_job: 0,
@@ -141,7 +141,7 @@
             job,
             class: ClassId(self.names.classes.id(fields.find("Lane").unwrap_or("")) as u16),
             tenant: tenant.map(|party| TenantId(self.names.tenants.id(party) as u16)),
-            key: fields.find("NameKey").map(|key| KeyId(self.keys.id(key))),
+            subject: fields.find("NameKey").map(|subject| SubjectId(self.subjects.id(subject))),
             deadline: fields.required_micros("ValidUntilMs")?,
             hint: hint.filter(|hint| flags & HAS_HINT != 0 && *hint > 0),
             slots: fields.finite("Needs")?.unwrap_or(1.0),
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -6,7 +6,7 @@
 use crate::core::{DownstreamId, NewRequest};
 use crate::http::Framing;
 use crate::http::load::parse_pairs;
-use crate::policy::interface::{Class, ClassId, Idempotency, KeyId, MICROS_PER_MS, Micros, TenantId};
+use crate::policy::interface::{Class, ClassId, Idempotency, MICROS_PER_MS, Micros, SubjectId, TenantId};
 use crate::policy::settings_map::{tag, to_micros};
 use crate::protocol::names;
 
@@ -122,7 +122,7 @@
         downstream: DownstreamId(0),
         class: class_id,
         tenant: parse_tenant(name_table, request)?,
-        key: object_cookie(request).map(|object| KeyId(tag(object) as u32)),
+        subject: object_cookie(request).map(|object| SubjectId(tag(object) as u32)),
         time_budget: parse_time_left(request)?.map_or(class.deadline, |left| left.min(class.deadline)),
         hint: hint_ms.map(to_micros).filter(|hint| *hint > 0),
         slots: find_fact(&facts, SLOTS_FACTS).unwrap_or(1.0),
@@ -176,7 +176,7 @@
     }
 }
 
-/// The key of the object that the request concerns, from its cookie.
+/// The object that the request concerns, from its cookie.
 fn object_cookie(request: &RawRequest) -> Option<&str> {
     let mut cookies = request.field("cookie")?.split(';').filter_map(|pair| pair.trim().split_once('='));
     cookies.find(|(name, _)| *name == names::OBJECT_COOKIE).map(|(_, value)| value)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -134,7 +134,7 @@
             job: JobId(job),
             class: ClassId(class),
             tenant: None,
-            key: None,
+            subject: None,
             deadline: self.now + time_budget,
             hint: Some(hint),
             slots: 1.0,
--- a/tests/conformance/decision/mod.rs
+++ b/tests/conformance/decision/mod.rs
@@ -137,7 +137,7 @@
             job: JobId(new.job),
             class: ClassId(new.class),
             tenant: None,
-            key: None,
+            subject: None,
             deadline: self.dispatcher.now + new.time_budget * MS,
             hint: (new.work > 0).then_some(new.work * MS),
             slots: new.slots,
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -119,7 +119,7 @@
         downstream: DownstreamId(70),
         class: ClassId(class),
         tenant: Some(TenantId(0)),
-        key: None,
+        subject: None,
         time_budget,
         hint: None,
         slots: 1.0,
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -142,7 +142,7 @@
         job: JobId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        subject: None,
         deadline: dispatcher.now + TIME_BUDGET,
         hint: None,
         slots: 2.0,
--- a/tests/ramp/simulation.rs
+++ b/tests/ramp/simulation.rs
@@ -313,7 +313,7 @@
             job: JobId(self.arrived_jobs),
             class: ClassId(0),
             tenant: None,
-            key: None,
+            subject: None,
             deadline: self.now + TIME_BUDGET,
             hint: None,
             slots: 1.0,
