--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -201,7 +201,7 @@
 /// Jobs are served while discovery is down at the start, becomes available, falls silent, and ends all watches.
 #[test]
 fn processes_survive_discovery_outage_at_start() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
+    let mut plan = FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
     plan.settings =
         Some("fleet { membership { probe_interval_ms: 100 } cold_start { call_ms: 40 } }".to_owned());
     plan.discovery = DiscoveryScript {
