--- a/src/policy/gossip/messages.rs
+++ b/src/policy/gossip/messages.rs
@@ -99,7 +99,8 @@
 
     /// The number of slots that are occupied at the worker with this short tag.
     pub fn slots_at(&self, tag: u16) -> usize {
-        self.outstanding.partition_point(|t| *t <= tag) - self.outstanding.partition_point(|t| *t < tag)
+        self.outstanding.partition_point(|other| *other <= tag)
+            - self.outstanding.partition_point(|other| *other < tag)
     }
 
     /// Removes the load of the workers in this range.
@@ -156,7 +157,8 @@
         };
         let (suspect_count, tags) = rest.split_first()?;
         let has_whole_tags = tags.len() % 2 == 0;
-        let tags: Vec<u16> = tags.chunks_exact(2).map(|t| u16::from_be_bytes([t[0], t[1]])).collect();
+        let tags: Vec<u16> =
+            tags.chunks_exact(2).map(|pair| u16::from_be_bytes([pair[0], pair[1]])).collect();
         let (suspects, outstanding) = tags.split_at_checked(usize::from(*suspect_count))?;
         let is_valid = has_whole_tags && tags.iter().all(|tag| range.contains(tag));
         is_valid
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -55,7 +55,8 @@
 
 /// The FNV-1a hash of a name, which is the same at every dispatcher.
 pub(crate) fn tag(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl ReportValue {
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -64,7 +64,7 @@
             "announce" => Some(self.endpoint_list(fields, tables)?),
             "accept" => Some(self.arrived(fields)?),
             "begun" => match self.job(fields)? {
-                Some(job) => Some(Event::StreamStarted { job, attempt: attempt(fields)? }),
+                Some(job) => Some(Event::StreamStarted { job, attempt: attempt_index(fields)? }),
                 None => None,
             },
             "change" => self.attempt_changed(fields)?,
@@ -73,7 +73,7 @@
             "wake" => Some(Event::Timer(TimerId(fields.required("Ctx")?))),
             "echo" => Some(Event::ProbeResponse(ProbeResponse {
                 worker: self.worker(fields.text("Executor")?),
-                outcome: outcome(fields)?,
+                outcome: parse_outcome(fields)?,
                 elapsed: fields.micros("TimeTakenMs")?.unwrap_or(0),
                 report: self.report(fields)?,
             })),
@@ -159,9 +159,9 @@
     /// The event of a `change` line: the start or the progress of an attempt; `None` for other topics.
     fn attempt_changed(&self, fields: &Fields) -> Result<Option<Event>, LineError> {
         Ok(match (self.job(fields)?, fields.required::<i64>("Topic")?) {
-            (Some(job), 1) => Some(Event::Started { job, attempt: attempt(fields)? }),
+            (Some(job), 1) => Some(Event::Started { job, attempt: attempt_index(fields)? }),
             (Some(job), 2) => {
-                let attempt = attempt(fields)?;
+                let attempt = attempt_index(fields)?;
                 Some(Event::Progress { job, attempt, done: fields.finite("Level")?.unwrap_or(0.0) })
             }
             _ => None,
@@ -171,9 +171,9 @@
     /// The event of an `ended` line: the end of an attempt.
     fn attempt_ended(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let elapsed = fields.micros("TimeTakenMs")?.unwrap_or(0);
-        let outcome = outcome(fields)?;
+        let outcome = parse_outcome(fields)?;
         let report = self.report(fields)?;
-        let attempt = attempt(fields)?;
+        let attempt = attempt_index(fields)?;
         let worker = self.worker(fields.text("Executor")?);
         let is_job_closed = fields.parsed::<u8>("Closed")?.unwrap_or(0) == 1;
         let Some(job) = self.job(fields)? else { return Ok(None) };
@@ -290,12 +290,12 @@
 }
 
 /// The index of the attempt that a line names; 0 if the line has none.
-fn attempt(fields: &Fields) -> Result<u32, LineError> {
+fn attempt_index(fields: &Fields) -> Result<u32, LineError> {
     Ok(fields.parsed("RoundNo")?.unwrap_or(0))
 }
 
-/// The outcome of an attempt or a probe, from the field `Ending` of a line.
-fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
+/// Parses the outcome of an attempt or a probe, from the field `Ending` of a line.
+fn parse_outcome(fields: &Fields) -> Result<Outcome, LineError> {
     Ok(match fields.text("Ending")? {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
--- a/src/policy/state/estimates.rs
+++ b/src/policy/state/estimates.rs
@@ -191,7 +191,7 @@
     ) -> BoundFraction {
         let stats = classes.iter().zip(&self.classes);
         let bound_work: f64 =
-            stats.filter(|(c, _)| c.kind == Some(kind)).map(|(_, stats)| stats.work_sum).sum();
+            stats.filter(|(class, _)| class.kind == Some(kind)).map(|(_, stats)| stats.work_sum).sum();
         let all_work: f64 = self.classes.iter().map(|stats| stats.work_sum).sum();
         let fair_work =
             all_work * self.capacity(weight_by_kind, Some(kind)) / self.capacity(weight_by_kind, None);
