--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -32,8 +32,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the new settings are not consistent or have fewer classes than the present ones. The present
-    /// settings then stay in force.
+    /// Returns an error if the new settings are not consistent or have fewer classes than the current ones. The current
+    /// settings then stay in use.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         if settings.classes.len() < self.policy.settings.classes.len() {
@@ -75,7 +75,7 @@
     }
 
     /// Applies an endpoint list. A cached list, for example one from an earlier run, may be out of date, so a watch is scheduled
-    /// to get the present list.
+    /// to get the current list.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         let policy = &mut self.policy;
         policy.state.update_list(kind, entries, &policy.settings);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub(crate) fn settings(&self) -> &Settings {
         &self.policy.settings
     }
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -31,7 +31,7 @@
     /// Give the final response "failed": the job may have run.
     Fail(JobId),
     /// Report [`super::Event::Timer`] with this id in the first batch of events after this span has passed, never within the
-    /// present call.
+    /// current call.
     SetTimer(TimerId, Micros),
     /// Send a load probe to a worker.
     Probe(WorkerId),
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -41,7 +41,7 @@
     Delta,
     /// The complete list: workers not in it are gone.
     Snapshot,
-    /// The complete list as this dispatcher last held it, for example before its start. It may be out of date.
+    /// The complete list as this dispatcher last had it, for example before its start. It may be out of date.
     Cached,
 }
 
@@ -227,9 +227,9 @@
 pub enum Event {
     /// An endpoint list has arrived, either complete or with the changes only.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A request for the endpoint list failed, or the watch was interrupted. The present list stays in force.
+    /// A request for the endpoint list failed, or the watch was interrupted. The current list stays in use.
     ListFailed,
-    /// Another discovery service is used from now on; its list must be requested at once. The present list stays in force.
+    /// Another discovery service is used from now on; its list must be requested at once. The current list stays in use.
     DiscoveryMoved,
     /// A job has arrived. Exactly one final response is due before its deadline.
     Arrived(NewJob),
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -150,7 +150,7 @@
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
     pub warm_up_time: Micros,
-    /// The multiple of its present capacity at which a worker that is warming up collapses.
+    /// The multiple of its current capacity at which a worker that is warming up collapses.
     pub collapse_multiple: f64,
     /// The time for which that load must last to cause the collapse.
     pub collapse_window: Micros,
@@ -233,7 +233,7 @@
     /// A class has a deadline or a latency objective of 0.
     #[error("a class has a deadline or a latency objective that is not above 0")]
     ZeroDuration,
-    /// The new settings of a running module have fewer classes than its present ones.
+    /// The new settings of a running module have fewer classes than its current ones.
     #[error("settings lack a class that the running module has")]
     MissingClass,
     /// A number is negative or not finite, or a fraction is above 1.
--- a/src/policy/rules/load.rs
+++ b/src/policy/rules/load.rs
@@ -62,7 +62,7 @@
     ///
     /// Each dispatcher assumes that every dispatcher that may send to the worker has sent as much as itself,
     /// and that those ranked before it send one more attempt each. The ranks do not depend on messages. The
-    /// dispatcher with rank 0 may send one job within a window whatever the budget is. If peers have advertised
+    /// dispatcher with rank 0 may send one job within a window regardless of the budget. If peers have advertised
     /// recently, their work at the worker is known, and only the attempts that several dispatchers send at once
     /// must fit.
     pub(super) fn fits_warm_up_budget(&self, worker: &Worker, listed: &EndpointEntry, work: f64) -> bool {
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -102,7 +102,7 @@
     /// Ranks a worker for a job with these needs.
     fn rank(&self, needs: &Needs, considered: &Considered) -> Candidate {
         let Considered { worker, listed, slowness, occupied, random, .. } = *considered;
-        // A worker that has not started an attempt in time counts as full, whatever load it reports.
+        // A worker that has not started an attempt in time counts as full, regardless of the load that it reports.
         let is_start_overdue = worker.has_unstarted_before(self.now(), needs.start_timeout);
         let is_avoided = self.state.is_ejected(worker) || is_start_overdue;
         if self.is_last_resort(considered, is_avoided) {
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -109,7 +109,7 @@
         Ok(to_micros(self.number(path, default_ms)?))
     }
 
-    /// A setting in milliseconds if `flag` is set; otherwise `None`, whatever the setting contains.
+    /// A setting in milliseconds if `flag` is set; otherwise `None`, even if the setting has a value.
     fn micros_if(&self, flag: bool, path: &str, default_ms: f64) -> Result<Option<Micros>, NotANumber> {
         if flag { self.micros(path, default_ms).map(Some) } else { Ok(None) }
     }
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -46,7 +46,7 @@
     /// The time of the open batch; `None` between two batches.
     now: Option<Micros>,
     actions: Vec<Action>,
-    /// The instance to which the present lines of the batch belong.
+    /// The instance to which the lines being read belong.
     current: Option<String>,
     /// The instance whose actions were printed last in the reply.
     printed: Option<String>,
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// The name of the instance to which the present lines of the batch belong.
+    /// The name of the instance to which the lines being read belong.
     fn current_name(&self, fields: &Fields) -> Result<&str, LineError> {
         self.current.as_deref().ok_or_else(|| LineError::NoInstance(fields.message.to_owned()))
     }
--- a/src/policy/state/learned.rs
+++ b/src/policy/state/learned.rs
@@ -121,7 +121,7 @@
         LearnedClass { run_time: stats.run_time, work_sum: stats.work_sum, job_count: stats.job_count }
     }
 
-    /// The statistics `stats` with the learned values in place of the present ones.
+    /// The statistics `stats` with the learned values in place of the current ones.
     fn restored(self, stats: &ClassStats) -> ClassStats {
         let LearnedClass { run_time, work_sum, job_count } = self;
         ClassStats { run_time, work_sum, job_count, ..*stats }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sets the time to `now`, unless that is earlier than the present time.
+    /// Sets the time to `now`, unless that is earlier than the current time.
     pub fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
--- a/src/policy/state/worker.rs
+++ b/src/policy/state/worker.rs
@@ -177,7 +177,7 @@
         self.recent_work.iter().filter(|sent| sent.at > since).map(|sent| sent.work).sum()
     }
 
-    /// The last load sample, whatever its age.
+    /// The last load sample, regardless of its age.
     pub fn last_load(&self) -> Option<&LoadSample> {
         self.load.as_ref()
     }
@@ -217,8 +217,8 @@
                 self.outlier = OutlierRecord::default();
             }
         }
-        // Work sent before the start did not reach the present process. Work sent after the start counts, even if the start is
-        // reported late.
+        // Work sent before the start did not reach the worker's current process. Work sent after the start counts, even if the
+        // start is reported late.
         self.recent_work.retain(|sent| entry.started_at.is_none_or(|start| sent.at > start));
         self.listed = is_listed.then_some(*entry);
     }
