--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -51,7 +51,7 @@
         *count += 1;
         invariant!(
             self.ended() + self.transferred <= self.accepted,
-            "more completed requests than accepted ones: {self:?}"
+            "more completed and transferred requests than accepted ones: {self:?}"
         );
     }
 
