--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,4 +1,4 @@
-//! An incremental reader of message bodies under each kind of framing (RFC 9112, 6.3).
+//! An incremental reader of response bodies under each kind of framing (RFC 9112, 6.3).
 
 use super::chunked::ChunkError;
 use super::{Chunked, Framing};
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -37,7 +37,7 @@
 /// The value of a field that may occur at most once in a head.
 ///
 /// # Errors
-/// [`HeadError::AmbiguousLength`] if it occurs more than once.
+/// [`HeadError::AmbiguousLength`] if the field occurs more than once.
 fn find_only(buffer: &[u8], fields: &Fields, name: &str) -> Result<Option<Range<usize>>, HeadError> {
     let mut values = fields.find_all(buffer, name);
     let first = values.next();
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -63,7 +63,7 @@
         self.gauge("members_view", page.version);
         self.counter("members_sent_bytes", membership_metrics.sent_bytes);
         self.counter("members_received_bytes", membership_metrics.received_bytes);
-        self.counter("members_refused", refused(membership_metrics));
+        self.counter("members_refused", refused_datagrams(membership_metrics));
         self.counter("members_over_budget", membership_metrics.over_budget);
         self.counter("members_declared_dead", membership_metrics.declared_dead);
         self.counter("members_refuted", membership_metrics.refuted);
@@ -110,7 +110,7 @@
 }
 
 /// The number of datagrams that were refused, for any reason.
-fn refused(membership_metrics: &MemberMetrics) -> u64 {
+fn refused_datagrams(membership_metrics: &MemberMetrics) -> u64 {
     membership_metrics.refused_long
         + membership_metrics.refused_version
         + membership_metrics.refused_foreign
@@ -146,7 +146,7 @@
         "sent_bytes": membership_metrics.sent_bytes,
         "received": membership_metrics.received,
         "received_bytes": membership_metrics.received_bytes,
-        "refused": refused(membership_metrics),
+        "refused": refused_datagrams(membership_metrics),
         "refused_long": membership_metrics.refused_long,
         "refused_version": membership_metrics.refused_version,
         "refused_foreign": membership_metrics.refused_foreign,
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -30,7 +30,8 @@
     Submit(NewRequest),
 }
 
-/// Finds the purpose of a request. `serves_platform` tells whether the listener serves readiness checks and status callbacks.
+/// Finds the purpose of a request. `serves_platform` is true if the listener serves readiness checks and status
+/// callbacks.
 ///
 /// # Errors
 /// The reason why the request is refused.
--- a/src/protocol/sse.rs
+++ b/src/protocol/sse.rs
@@ -8,7 +8,7 @@
 use crate::http::{Piece, events::write_event};
 use serde_json::json;
 
-/// Whether a request accepts an event stream as its response.
+/// Whether a request asks for an event stream as its response: its `Accept` header names `text/event-stream`.
 pub fn wants_stream(request: &RawRequest) -> bool {
     let accept = request.field("accept").unwrap_or("");
     let mut media_types = accept.split(',').map(|item| item.split(';').next().unwrap_or("").trim());
--- a/src/server/admin.rs
+++ b/src/server/admin.rs
@@ -32,7 +32,7 @@
     connections: VecDeque<Token>,
 }
 
-/// A connection to the admin address; it carries one call.
+/// A connection to the admin address, which carries one call.
 pub(in crate::server) struct AdminConnection {
     /// Whether the response is being written.
     is_responding: bool,
@@ -123,7 +123,7 @@
 }
 
 impl AdminConnection {
-    /// Reads the available bytes, if the flags say that there may be any.
+    /// Reads the available bytes, if the flags indicate that there may be any.
     fn read_call(&self, connection: &mut Connection, flags: EventFlags) -> CallRead {
         let is_readable = flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP);
         if self.is_responding || !is_readable {
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -120,7 +120,7 @@
     /// Starts to connect. The socket becomes writable once connecting has succeeded or failed.
     ///
     /// # Errors
-    /// If the system refuses at once.
+    /// If the socket cannot be created, or connecting fails at once.
     pub fn connect(to: SocketAddr) -> Result<Connection, Errno> {
         use rustix::net::{SocketFlags, SocketType, connect, ipproto, socket_with};
         let family = match to {
--- a/src/server/discovery/lists.rs
+++ b/src/server/discovery/lists.rs
@@ -30,7 +30,9 @@
         (has_lists, Ok(()))
     }
 
-    /// Sets the watch's deadline after a list or an empty line has arrived. Other bytes do not prove that the watch is alive.
+    /// Sets the watch's deadline after a list or an empty line has arrived. Other bytes do not prove that the watch is alive. If
+    /// the address of discovery has changed and the new service has sent no list yet, keeps the deadline and fetches the full
+    /// list instead.
     pub(super) fn on_watch_data(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -77,7 +77,7 @@
         mut connection: Connection,
         mut call: DiscoveryCall,
     ) {
-        // After a long iteration of the event loop, data may have arrived that has not been read yet.
+        // After a long turn of the event loop, data may have arrived that has not been read yet.
         if !call.is_connecting && connection.fill(MAX_HEAD) != ReadEnd::Broken {
             match self.read_call(context, membership, token, &mut connection, &mut call) {
                 Ok(CallProgress::Pending) if connection.timer.is_none() => {}
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -149,7 +149,7 @@
 /// Accepts a job that its client will watch later, and writes the job's id and token as the response.
 ///
 /// # Errors
-/// - `BadRequest`: the field that says whether the job ends when nobody watches it has an unknown value.
+/// - `BadRequest`: the header field that states whether the job ends when nobody watches it has an unknown value.
 /// - `NotFound`: event streams are off.
 /// - `Overloaded`: the broker has no room, or the system provides no random bytes.
 /// - `DuplicateId`: a request of this name is open.
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -36,7 +36,7 @@
         let mut exchange = None;
         if let Some(request_id) = request_id {
             if self.upstream.has_attempt_of(request_id) {
-                return None; // an attempt still awaits its first response, or reads an event stream
+                return None; // an attempt awaits its first response, reads an event stream, or is ending by a cancel
             }
             let request = self.pending.get(request_id).cloned()?;
             let transferred = self.core.transfer(request_id)?;
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -109,7 +109,7 @@
     Last(Piece),
 }
 
-/// Encodes an event, and keeps its bytes in `last_encoded`. If `last_encoded` is the same event already, returns those bytes.
+/// Encodes an event, and keeps the result in `last_encoded`. If `last_encoded` already holds this event, returns its bytes.
 fn encode(
     last_encoded: &mut Option<EncodedEvent>,
     job: JobId,
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -144,7 +144,7 @@
     ) -> bool {
         let silent: Vec<TimedToken> = self.silent_for(SILENT_GRACE, context.now()).collect();
         for (last_read, token) in silent {
-            // The connection was closed, and so removed from the set, by an earlier step of this loop, or its handler is running.
+            // An earlier step of this loop has closed the connection and removed it from the set, or its handler is running.
             let Some((connection, role)) = context.shared.reactor.take(token) else { continue };
             let Role::Client(client) = role else {
                 mothproxy_invariant::invariant!(
--- a/src/server/downstream/mod.rs
+++ b/src/server/downstream/mod.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Encodes it as the id that the core keeps.
+    /// Encodes the recipient as the id that the core keeps.
     pub fn to_id(self) -> DownstreamId {
         match self {
             Downstream::Connection(token) => DownstreamId(token.0),
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -20,7 +20,7 @@
 
 /// No more requests of a client are read while this many bytes of its responses are unwritten.
 const MAX_UNREAD_RESPONSES: usize = 16 * 1024;
-/// The flags that say that the other side of a connection has ended it.
+/// The flags that indicate that the client has ended the connection.
 const HANGUP: EventFlags = EventFlags::RDHUP.union(EventFlags::HUP).union(EventFlags::ERR);
 
 /// The result of one step of [`ClientConnections::advance`].
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -87,8 +87,8 @@
                 if let Some(plan) = context.shared.lifecycle.shutdown() {
                     request.time_budget = plan.time_budget(context.now(), request.time_budget);
                 }
-                // All descriptors for clients are in use. The request is rejected here, before anything has run. Had its connection
-                // been left in the listener's queue, the request would be lost at its deadline.
+                // If all descriptors for clients are in use, the request is rejected here, before anything has run. Had its
+                // connection been left in the listener's queue, the request would be lost at its deadline.
                 if !self.ensure_capacity(context) {
                     context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -31,6 +31,6 @@
 }
 
 /// Wraps the error of a system call with the name of the operation.
-pub(super) fn system(operation: &'static str) -> impl Fn(rustix::io::Errno) -> ServerError {
+pub(super) fn syscall_failed(operation: &'static str) -> impl Fn(rustix::io::Errno) -> ServerError {
     move |error| ServerError::System(operation, error.into())
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -10,7 +10,7 @@
 use crate::server::discovery::CallKind;
 use crate::server::downstream::context::client_context;
 use crate::server::downstream::{Downstream, PollTime};
-use crate::server::error::{ServerError, system};
+use crate::server::error::{ServerError, syscall_failed};
 use crate::server::listeners::ListenerKind;
 use crate::server::metrics::METRICS_INTERVAL;
 use crate::server::poller::MAX_EVENTS_PER_WAIT;
@@ -51,7 +51,7 @@
     fn wait_for_events(&self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let wake = self.core.next_wake();
         let timeout = wake.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
-        self.reactor.wait(events, timeout).map_err(system("epoll"))
+        self.reactor.wait(events, timeout).map_err(syscall_failed("epoll"))
     }
 
     /// Passes the events of a turn to their handlers, in the order that the module's documentation states.
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -9,7 +9,7 @@
 use crate::core::{Core, PersistOutcome, RecordTicket};
 use crate::policy::interface::Micros;
 use crate::protocol::admin::IdempotencyMetrics;
-use crate::server::error::system;
+use crate::server::error::syscall_failed;
 use crate::server::lifecycle::hot_restart::HotRestart;
 use crate::server::reactor::Reactor;
 use crate::server::tokens::IDEMPOTENCY_STORE;
@@ -25,7 +25,7 @@
 }
 
 /// Opens the store and loads its records into the core. Must be called before any client is served. If the system's clock is
-/// behind the newest time in the store, earlier jobs are not retried.
+/// too far behind the newest time in the store, earlier jobs are not retried.
 ///
 /// # Errors
 /// If the store cannot be opened or watched.
@@ -43,7 +43,7 @@
     for (key, error) in unreadable {
         tracing::error!(key, %error, "idempotency store: unreadable record");
     }
-    reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(system("epoll"))?;
+    reactor.watch(records.socket(), IDEMPOTENCY_STORE).map_err(syscall_failed("epoll"))?;
     Ok(records)
 }
 
--- a/src/server/idempotency_store/record_store.rs
+++ b/src/server/idempotency_store/record_store.rs
@@ -42,7 +42,7 @@
 pub(in crate::server) struct LoadedRecords {
     /// The encoded records, each with its key.
     pub(in crate::server) records: Vec<(String, Vec<u8>)>,
-    /// Whether the system's clock is not behind the newest time in the store.
+    /// Whether the system's clock is at most [`CLOCK_TOLERANCE_MS`] behind the newest time in the store.
     pub(in crate::server) is_clock_plausible: bool,
 }
 
--- a/src/server/lifecycle/drain.rs
+++ b/src/server/lifecycle/drain.rs
@@ -75,7 +75,7 @@
         self.resume_drain();
     }
 
-    /// Closes the client connections of kind `which` that have been idle for at least `min_idle` microseconds.
+    /// Closes the client connections that `which` selects and that have been idle for at least `min_idle` microseconds.
     pub(super) fn close_idle_clients(&mut self, min_idle: Micros, which: IdleClients) {
         let idle: Vec<Token> = self.clients.idle_for(min_idle, self.clock.now()).collect();
         for token in idle {
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -3,9 +3,9 @@
 //! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and sends `Hello` ([`receiver`]).
 //! 2. The predecessor answers with its listening sockets, its endpoint list and the state that the policy has learned. From
 //!    then on the predecessor accepts no new connections ([`sender`]).
-//! 3. The predecessor transfers each connection and job, with all its state, as soon as no attempt for it is in flight. After
-//!    each step it reports the work that it still holds. Status callbacks and idempotency records are forwarded to the process
-//!    that they concern.
+//! 3. The predecessor transfers each connection and job, with all its state, as soon as no attempt for it is in flight and no
+//!    bytes to its client are unwritten. After each step it reports the work that it still holds. Status callbacks and
+//!    idempotency records are forwarded to the process that they concern.
 //! 4. The predecessor ends once it holds no more work. If the successor ends first, the predecessor uses its listening sockets
 //!    again.
 //!
@@ -33,7 +33,7 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
-/// The maximum number of packets read from the other process in one iteration of the event loop.
+/// The maximum number of packets read from the other process in one turn of the event loop.
 const MAX_PACKETS_PER_TURN: usize = 64;
 /// The backlog of the restart socket: the number of processes that may wait to be accepted.
 const RESTART_BACKLOG: i32 = 4;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Another process has connected to the restart socket. Its first packet says what it requests.
+    /// Another process has connected to the restart socket. Its first packet states the request.
     pub fn on_process_connected(&mut self, reactor: &Reactor) {
         let Some(socket) = &self.socket else { return };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -153,7 +153,7 @@
 /// # Errors
 /// If a system call fails.
 fn listen_for_successor(path: &Path) -> Result<OwnedFd, Errno> {
-    let _ = std::fs::remove_file(path); // the file of an ended process, or of the predecessor, which has closed its socket
+    let _ = std::fs::remove_file(path); // the file of an ended process, or of the predecessor, which no longer uses it
     let listener = packet_socket()?;
     rustix::net::bind(&listener, &SocketAddrUnix::new(path)?)?;
     rustix::fs::chmod(path, Mode::RUSR | Mode::WUSR)?;
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Hands over a client connection if it is between requests, or awaits a response and no attempt of its request is in
-    /// flight. Otherwise this process keeps the connection.
+    /// Hands over a client connection without unwritten bytes if it is idle, has read a part of a request, or awaits a response
+    /// to a request that has no attempt in flight. Otherwise this process keeps the connection.
     fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
         let awaited = client.awaited_request();
         let is_in_flight = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -46,9 +46,9 @@
     fn reload(&mut self) {
         match self.load_new_config() {
             Ok(config) => self.apply_config(config),
-            Err(why) => {
+            Err(error) => {
                 self.metrics.bad_reloads += 1;
-                tracing::warn!(error = %why, "reload rejected, keeping the old configuration");
+                tracing::warn!(error = %error, "reload rejected, keeping the old configuration");
             }
         }
     }
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -11,8 +11,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// The number of retries of listening on an address that a predecessor still uses.
-const MAX_LISTEN_ATTEMPTS: u32 = 100;
+/// The maximum number of retries of listening on an address that a predecessor still uses.
+const MAX_LISTEN_RETRIES: u32 = 100;
 /// The interval between these retries.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
@@ -32,7 +32,7 @@
 pub(super) struct SseListener {
     /// The listening socket.
     pub socket: TcpListener,
-    /// A stream without an event for this long gets a heartbeat, in microseconds.
+    /// The time without an event after which a stream is sent a heartbeat, in microseconds.
     pub heartbeat_interval: Micros,
 }
 
@@ -154,7 +154,7 @@
 }
 
 /// Returns the predecessor's listening socket, with the connections in its queue, if it has the wanted address; otherwise opens a
-/// new one. With `should_retry`, blocks while the address is in use, for at most [`MAX_LISTEN_ATTEMPTS`] retries.
+/// new one. With `should_retry`, blocks while the address is in use, for at most [`MAX_LISTEN_RETRIES`] retries.
 fn inherit_or_listen(
     inherited: Option<TcpListener>,
     address: SocketAddr,
@@ -163,7 +163,7 @@
     if let Some(inherited) = inherited.filter(|listener| has_address(listener.local_addr(), address)) {
         return Ok(inherited);
     }
-    let retries = if should_retry { MAX_LISTEN_ATTEMPTS } else { 0 };
+    let retries = if should_retry { MAX_LISTEN_RETRIES } else { 0 };
     for _ in 0..retries {
         match listen(address) {
             Err(ServerError::Listen(_, error)) if error.kind() == ErrorKind::AddrInUse => {
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -27,7 +27,7 @@
     /// Connections to workers that broke during an exchange.
     pub resets: u64,
     /// Attempts that were written and got no response from the worker in time.
-    pub untaken: u64,
+    pub unanswered: u64,
     /// Requests and messages that were rejected.
     pub rejects: u64,
     /// Datagrams from unknown addresses, and datagrams that were too long.
@@ -72,7 +72,7 @@
             network.connects,
             network.connect_failures,
             network.resets,
-            network.untaken,
+            network.unanswered,
             network.rejects,
             core.stale_status_updates(),
             core.endpoints().bad_rows(),
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! The network side: one epoll loop. It turns incoming bytes into events for the core, and the core's commands into bytes.
 //!
-//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
-//! defines the order in which a turn serves them.
+//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and
+//! `event_loop` defines the order in which one turn of the loop serves them.
 //!
 //! - Only the `reactor` holds epoll and the table of connections. It begins and ends the lifecycle of each connection.
 //! - The handlers of a part are its methods. Each receives a `Context` (`context`): it may use the core, the reactor, the
@@ -59,7 +59,8 @@
 use std::path::PathBuf;
 use upstream::UpstreamPool;
 
-/// The most connections accepted at a time, so that a burst of new connections does not delay responses.
+/// The maximum number of connections accepted, or datagrams received, on one socket in a turn of the loop, so that a burst of
+/// them does not delay responses.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// Where idempotency records are stored.
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -10,7 +10,7 @@
 use crate::server::discovery::DiscoveryClient;
 use crate::server::downstream::event_streams::EventStreams;
 use crate::server::downstream::{ClientConnections, PollTime};
-use crate::server::error::{io_failed, system};
+use crate::server::error::{io_failed, syscall_failed};
 use crate::server::idempotency_store::{open_record_store, reserved_files};
 use crate::server::lifecycle::Lifecycle;
 use crate::server::lifecycle::hot_restart::{
@@ -77,8 +77,8 @@
     Core::new(config.settings.clone(), names, config.seed, unix_now).map_err(ServerError::Settings)
 }
 
-/// Loads the endpoint list known at the start, and the state that a predecessor has learned. Without a predecessor the list
-/// comes from the configuration; the function then returns the latest start time of its workers.
+/// Loads the endpoint list that this process starts with, and the state that a predecessor has learned. Without a predecessor
+/// the list comes from the configuration; the function then returns the latest start time of its workers.
 fn load_initial_state(
     core: &mut Core,
     config: &Config,
@@ -122,7 +122,7 @@
         let clock = Clock::start();
         let mut core = open_core(&mut config)?;
         let sockets = OpenSockets::open(inheritance.as_mut(), &config, sse.as_ref(), should_retry)?;
-        let reactor = Reactor::new().map_err(system("epoll"))?;
+        let reactor = Reactor::new().map_err(syscall_failed("epoll"))?;
         let newest_start = load_initial_state(&mut core, &config, inheritance.as_mut());
         core.set_timer(clock.now() + METRICS_INTERVAL, METRICS_TIMER);
         let resources = ServerResources { signals, core, clock, reactor, sockets };
@@ -201,6 +201,6 @@
     /// # Errors
     /// If epoll refuses it.
     fn watch_descriptor(&self, fd: BorrowedFd<'_>, token: Token) -> Result<(), ServerError> {
-        self.reactor.watch(fd, token).map_err(system("epoll"))
+        self.reactor.watch(fd, token).map_err(syscall_failed("epoll"))
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -123,7 +123,8 @@
             messages.filter_map(|(old, arrived_at)| Some((new_place(old)?, arrived_at))).collect();
     }
 
-    /// Whether every dispatcher that sends its announcements to this one has announced that it stops.
+    /// Whether all neighbors of this dispatcher, with which it exchanges announcements, have announced that they stop; false if
+    /// it has none.
     pub(in crate::server) fn have_all_stopped(&self) -> bool {
         self.lifecycle.are_all_stopping()
     }
@@ -152,8 +153,8 @@
         context.core.set_timer(context.clock.now() + REPEAT_INTERVAL, PEER_TIMER);
     }
 
-    /// Sends a datagram to each neighbor of this dispatcher. In a small fleet the datagram is sent to the address that reaches
-    /// all dispatchers, if one is configured.
+    /// Sends a datagram to each neighbor of this dispatcher ([`PeerLifecycle::neighbors`]). In a small fleet the datagram is sent
+    /// to the address that reaches all dispatchers, if one is configured.
     fn announce(&self, context: &Context<'_>, datagram: PeerDatagram<'_>) {
         let bytes = datagram.encode();
         let (peer_socket, config) = (context.peer_socket, context.config);
@@ -207,7 +208,7 @@
 }
 
 impl Server {
-    /// Receives the datagrams that have arrived, at most [`MAX_ACCEPTS_PER_TURN`] in one iteration of the event loop.
+    /// Receives the datagrams that have arrived, at most [`MAX_ACCEPTS_PER_TURN`] in one turn of the event loop.
     pub(in crate::server) fn on_peers_readable(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM + 1];
         for _ in 0..MAX_ACCEPTS_PER_TURN {
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -70,7 +70,7 @@
         self.epoll.remove(fd);
     }
 
-    /// Gives a connection a slot and registers it with epoll. If epoll refuses it, closes it and returns `None`.
+    /// Assigns a slot to a connection and registers it with epoll. If epoll refuses it, closes it and returns `None`.
     pub fn add(&mut self, connection: Connection, role: Role) -> Option<Token> {
         let token = self.connections.reserve();
         if self.epoll.add(&connection.stream, token, EventFlags::empty()).is_err() {
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -15,7 +15,7 @@
         TimerSlot { token, at: None }
     }
 
-    /// Sets the timer to fire at `at` instead of any earlier set time, or cancels it if `at` is `None`.
+    /// Sets the timer to fire at `at`, which replaces the time set before. `None` cancels the timer.
     pub(in crate::server) fn set(&mut self, core: &mut Core, at: Option<Micros>) {
         if at == self.at {
             return;
--- a/src/server/transferred.rs
+++ b/src/server/transferred.rs
@@ -87,7 +87,7 @@
 
 /// The bytes of a packet, split into their parts.
 pub(super) struct SplitBytes<'a> {
-    /// The request, if the message says that one follows.
+    /// The request; `None` if the message states that none follows.
     pub request: Option<RawRequest>,
     /// The bytes read after the request.
     pub rest: &'a [u8],
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -13,7 +13,7 @@
 /// A cancel to send to a worker.
 pub(super) struct CancelRequest {
     pub worker: WorkerId,
-    /// The request's name, by which the worker knows the job.
+    /// The request's name, by which the worker identifies the job.
     pub name: String,
     /// The attempt that ends only once the cancel is written; `None` if no attempt depends on it.
     pub ending_attempt: Option<AttemptId>,
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -188,7 +188,7 @@
     ) -> Option<CancelRequest> {
         // The worker's other connections may be working, so this does not count as its failure. If its machine is down, new
         // connections to it fail, and those do count.
-        context.metrics.untaken += 1;
+        context.metrics.unanswered += 1;
         pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = context.core.request_name(attempt);
@@ -204,8 +204,8 @@
 }
 
 /// The outcome of an exchange whose connection broke before a response. A reused connection that breaks under the next request
-/// was closed in the meantime. That says nothing about the worker, so it does not count as its failure. If the worker's process
-/// has ended, new connections are refused, and that does count.
+/// was closed in the meantime. That does not indicate a fault of the worker, so it does not count as its failure. If the worker's
+/// process has ended, new connections are refused, and those do count.
 fn outcome_of_broken_connection(is_written: bool, is_reused: bool) -> Outcome {
     match (is_written, is_reused) {
         (true, true) => Outcome::Cancelled,
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! Upstream: connections to workers, for attempts, cancels and load probes, and the pool of idle ones.
 //!
-//! An exchange is one message to a worker with its response. `start` gives an exchange a connection, `write` writes the
-//! message, `read` reads the response, and `end` determines the outcome of an exchange whose connection is over. Most functions
-//! are methods of [`UpstreamPool`]. They get a [`Context`] and, if they need a request's bytes, the open requests. Operations
-//! that involve clients too are methods of the [`Server`].
+//! An exchange is one message to a worker with its response. `start` assigns a connection to an exchange, `write` writes
+//! the message, `read` reads the response, and `end` determines the outcome of an exchange whose connection is over. Most
+//! functions are methods of [`UpstreamPool`]. They get a [`Context`] and, if they need a request's bytes, the open requests.
+//! Operations that involve clients too are methods of the [`Server`].
 //!
 //! [`Context`]: crate::server::context::Context
 
@@ -39,7 +39,7 @@
     sent_at: Micros,
 }
 
-/// The idle connections to workers, and the connections of the exchanges under way.
+/// The idle connections to workers, and the connections of the exchanges in progress.
 #[derive(Default)]
 pub(in crate::server) struct UpstreamPool {
     /// Idle connections by worker, the most recently added last.
@@ -79,8 +79,8 @@
 
     /// Removes an idle connection and returns it: the one that has been idle for longest, of the worker with the most idle ones.
     fn pop_oldest_idle(&mut self) -> Option<Token> {
-        let most = self.idle.values_mut().max_by_key(|idle| idle.len())?;
-        if most.is_empty() { None } else { Some(most.remove(0)) }
+        let largest = self.idle.values_mut().max_by_key(|idle| idle.len())?;
+        if largest.is_empty() { None } else { Some(largest.remove(0)) }
     }
 
     /// Closes one idle connection: the one that has been idle for longest, of the worker with the most idle ones. Returns false
--- a/src/server/upstream/read.rs
+++ b/src/server/upstream/read.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of bytes buffered at a time from a worker's event stream.
 const MAX_STREAM_READ: usize = 64 * 1024;
-/// The flags that say that there is something to read, or that the other side has ended the connection.
+/// The flags that indicate that there are bytes to read, or that the worker has ended the connection.
 const READABLE: EventFlags =
     EventFlags::IN.union(EventFlags::RDHUP).union(EventFlags::HUP).union(EventFlags::ERR);
 
@@ -165,7 +165,7 @@
         StepResult::Continue
     }
 
-    /// Handles the head of a worker's response. The outcome of an attempt is reported at once, before the body is read.
+    /// Handles the head of a worker's response. The refusal of an attempt is reported at once, before the body is read.
     ///
     /// A duplicate of a response that refuses a job would refuse the next job on this connection too. So after a refusal the
     /// connection is not used until a duplicate has had time to arrive.
@@ -237,10 +237,10 @@
     stream: &mut StatusStream,
 ) -> StepResult {
     // Events that arrived before the framing broke are valid: the final event may be among them.
-    let mut read = Vec::new();
-    let is_framed = stream.body.feed(&mut connection.inbox, &mut read).is_ok();
+    let mut decoded = Vec::new();
+    let is_framed = stream.body.feed(&mut connection.inbox, &mut decoded).is_ok();
     let mut events: Vec<StreamEvent> = Vec::new();
-    let is_parsed = stream.events.feed(&read, |event| events.push(event)).is_ok();
+    let is_parsed = stream.events.feed(&decoded, |event| events.push(event)).is_ok();
     for event in events {
         report_stream_event(context, stream.attempt, &event);
     }
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -149,7 +149,8 @@
 }
 
 impl UpstreamPool {
-    /// Adopts an idle connection from another process. It may stay idle for `idle_time_left`, but no longer than any other.
+    /// Adopts an idle connection from another process. The connection may stay idle for `idle_time_left` microseconds, but no
+    /// longer than [`max_idle_time`].
     pub(in crate::server) fn adopt(
         &mut self,
         context: &mut Context<'_>,
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Takes the most recently added idle connection to a worker that is still usable, and closes unusable ones on the way.
+    /// Takes the most recently added idle connection to a worker that is still usable, and closes the unusable ones
+    /// that were added after it.
     fn take_idle(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/upstream/write.rs
+++ b/src/server/upstream/write.rs
@@ -92,7 +92,7 @@
             return self.on_closed(context, pending, token, connection, upstream);
         }
         match upstream.state {
-            // The stream ends with the deadline of its request.
+            // The stream needs no deadline of its own: that of its request ends it.
             UpstreamState::Streaming(_) => connection.set_timer(context.core, token, None),
             // Without a deadline, the body might never end. The limit for cancels and probes applies to it too.
             UpstreamState::ReadingBody(_) if connection.timer.is_none() => {
