--- a/src/protocol/event_streams/framing.rs
+++ b/src/protocol/event_streams/framing.rs
@@ -8,7 +8,6 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Milliseconds in one second.
 const MS_PER_SECOND: f64 = 1_000.0;
 
 /// How the bytes of a stream are framed.
--- a/src/server/discovery/call.rs
+++ b/src/server/discovery/call.rs
@@ -86,7 +86,7 @@
     Unreachable,
     /// The connection ended.
     Failed,
-    /// The service sent nothing before the deadline of the call.
+    /// The call was not answered, or the open watch sent no list and no heartbeat, before its deadline.
     Silent,
 }
 
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -209,7 +209,7 @@
         self.pacing.update(context.now(), membership, context.core);
     }
 
-    /// A member's state or epoch has changed.
+    /// Passes a change of a member's state or epoch to the pacing.
     pub(in crate::server) fn on_member_changed(
         &mut self,
         context: &mut Context<'_>,
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A fact has arrived, of any kind and from any place, including this dispatcher's own.
+    /// Passes a fact to the pacing. Facts of other kinds, and those published at this dispatcher's own place, are ignored.
     pub(in crate::server) fn on_fact(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/discovery/transport.rs
+++ b/src/server/discovery/transport.rs
@@ -12,7 +12,7 @@
 use rustix::event::epoll::EventFlags;
 
 impl DiscoveryClient {
-    /// The connection of a call is established, readable, writable or closed.
+    /// Handles the connection of a call that is established now, is readable or writable, or was closed by the service.
     pub(in crate::server) fn on_ready(
         &mut self,
         context: &mut Context<'_>,
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -152,7 +152,7 @@
 /// - `BadRequest`: the header field that states whether the job ends when nobody watches it has an unknown value.
 /// - `NotFound`: event streams are off.
 /// - `Overloaded`: the broker has no room, or the system provides no random bytes.
-/// - `DuplicateId`: a request of this name is open.
+/// - `DuplicateId`: a request with this id is open.
 pub(super) fn submit_job(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -152,7 +152,7 @@
 /// Accepts a job whose events the client will read on other connections.
 ///
 /// # Errors
-/// `DuplicateId` if the other process of a hot restart has a request of this name; `KeyReused` if the idempotency key was used
+/// `DuplicateId` if the other process of a hot restart has a request with this id; `KeyReused` if the idempotency key was used
 /// with another body or class; else the errors of [`submit_job`].
 fn on_job_submitted(
     context: &mut ClientContext<'_>,
@@ -176,7 +176,7 @@
 /// Accepts a request whose response the client awaits on this connection.
 ///
 /// # Errors
-/// `KeyReused` if the idempotency key was used with another body or class; `DuplicateId` if a request of this name is open, here
+/// `KeyReused` if the idempotency key was used with another body or class; `DuplicateId` if a request with this id is open, here
 /// or in the other process of a hot restart.
 fn on_request_submitted(
     context: &mut ClientContext<'_>,
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -11,7 +11,7 @@
     /// The configuration is invalid.
     #[error("configuration: {0}")]
     Config(#[from] ConfigError),
-    /// The policy rejected the settings.
+    /// The decision module rejected the settings.
     #[error("configuration: {0}")]
     Settings(#[source] SettingsError),
     /// An address cannot be listened on.
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -1,8 +1,8 @@
 //! Hot restart: a new version takes over under load. During the handover two processes act as one dispatcher.
 //!
 //! 1. The successor connects to the predecessor's Unix socket in `$TMPDIR` and sends `Hello` ([`receiver`]).
-//! 2. The predecessor answers with its listening sockets, its endpoint list and the state that the policy has learned. From
-//!    then on the predecessor accepts no new connections ([`sender`]).
+//! 2. The predecessor answers with its listening sockets, its endpoint list and the state that the decision module has
+//!    learned. From then on the predecessor accepts no new connections ([`sender`]).
 //! 3. The predecessor transfers each connection and job, with all its state, as soon as no attempt for it is in flight and no
 //!    bytes to its client are unwritten. After each step it reports the work that it still holds. Status callbacks and
 //!    idempotency records are forwarded to the process that they concern.
@@ -63,7 +63,7 @@
         PeerProcess { link, open, last_sent: OpenWork::default() }
     }
 
-    /// A client connection has been transferred to this process, with its request if it has one.
+    /// Records that a client connection was transferred to this process, with its request if it has one.
     fn on_client_transferred(&mut self, exchange: Option<&TransferredExchange>) {
         if let Some(exchange) = exchange {
             self.open.request_names.remove(&exchange.request.name);
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Another process has connected to the restart socket. Its first packet states the request.
+    /// Accepts a process that has connected to the restart socket, unless a hot restart is in progress. The process states its
+    /// request in its first packet.
     pub fn on_process_connected(&mut self, reactor: &Reactor) {
         let Some(socket) = &self.socket else { return };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The other process has sent packets, or has closed the link.
+    /// Handles the packets that the other process has sent, or the end of the link.
     pub(in crate::server) fn on_peer_process_readable(&mut self) {
         for _ in 0..MAX_PACKETS_PER_TURN {
             let Some(process) = &self.hot_restart.peer_process else { return };
--- a/src/server/lifecycle/hot_restart/protocol.rs
+++ b/src/server/lifecycle/hot_restart/protocol.rs
@@ -52,7 +52,8 @@
         #[serde(rename = "stale", default)]
         is_list_stale: bool,
         open: OpenWork,
-        /// The state that the policy has learned. It is parsed separately, because another version may encode it differently.
+        /// The state that the decision module has learned. It is parsed separately, because another version may encode it
+        /// differently.
         #[serde(rename = "lesson")]
         learned: serde_json::Value,
     },
@@ -112,7 +113,6 @@
 /// Why no packet was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReceiveError {
-    /// The packet is malformed.
     #[error("malformed handover packet")]
     Malformed,
     /// The system returned an error.
--- a/src/server/lifecycle/hot_restart/receiver.rs
+++ b/src/server/lifecycle/hot_restart/receiver.rs
@@ -41,7 +41,7 @@
     pub list: EndpointList,
     /// Whether the list must still be revalidated.
     pub is_list_stale: bool,
-    /// The state that the policy has learned; `None` if this version cannot read it.
+    /// The state that the decision module has learned; `None` if this version cannot read it.
     pub learned: Option<LearnedState>,
     /// The link to the predecessor.
     pub(super) link: OwnedFd,
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -73,7 +73,7 @@
         if !self.lifecycle.has_handed_over {
             return;
         }
-        // The policy's pending decisions about these requests are carried out first.
+        // The decision module's pending decisions about these requests are carried out first.
         self.core.batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -23,7 +23,6 @@
     quiescent_since: Option<Micros>,
     /// The start of the drain; `None` while not draining.
     drained_since: Option<Micros>,
-    /// Whether the drain timer is set.
     is_drain_timer_set: bool,
     /// Whether the shutdown is complete.
     is_done: bool,
--- a/src/server/lifecycle/reload.rs
+++ b/src/server/lifecycle/reload.rs
@@ -23,7 +23,7 @@
     /// The membership cannot start with the configuration.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The policy rejected the settings.
+    /// The decision module rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/src/server/open.rs
+++ b/src/server/open.rs
@@ -138,7 +138,6 @@
         Ok(server)
     }
 
-    /// Assembles the server from its parts.
     fn assemble(
         resources: ServerResources,
         config: Config,
--- a/src/server/peers/datagram.rs
+++ b/src/server/peers/datagram.rs
@@ -38,7 +38,6 @@
         }
     }
 
-    /// Encodes the datagram.
     pub(in crate::server) fn encode(self) -> Vec<u8> {
         match self {
             PeerDatagram::Serving => vec![SERVING],
--- a/src/server/timer_slot.rs
+++ b/src/server/timer_slot.rs
@@ -29,7 +29,6 @@
         self.at = at;
     }
 
-    /// Whether the timer is set.
     pub(in crate::server) fn is_set(&self) -> bool {
         self.at.is_some()
     }
--- a/src/server/upstream/connection.rs
+++ b/src/server/upstream/connection.rs
@@ -13,7 +13,7 @@
 /// A cancel to send to a worker.
 pub(super) struct CancelRequest {
     pub worker: WorkerId,
-    /// The request's name, by which the worker identifies the job.
+    /// The request's id, by which the worker identifies the job.
     pub name: String,
     /// The attempt that ends only once the cancel is written; `None` if no attempt depends on it.
     pub ending_attempt: Option<AttemptId>,
@@ -34,7 +34,6 @@
 }
 
 impl Exchange {
-    /// Whether the exchange is an attempt.
     pub fn is_attempt(self) -> bool {
         matches!(self, Exchange::Attempt(_))
     }
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -104,7 +104,6 @@
         }
     }
 
-    /// Sends a load probe to a worker.
     pub(in crate::server) fn send_load_probe(&mut self, worker: WorkerId) {
         let outgoing = OutgoingExchange {
             worker,
