--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -55,7 +55,7 @@
 pub struct MemberRow {
     /// The number of the place.
     pub place: u16,
-    /// The address to which this process sends the member's datagrams.
+    /// The address to which this process sends datagrams for the member.
     pub address: String,
     /// The member's state: `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
--- a/src/protocol/raw_request.rs
+++ b/src/protocol/raw_request.rs
@@ -7,7 +7,7 @@
 /// A complete request: its head as it was read, and its body.
 #[derive(Clone, Debug)]
 pub struct RawRequest {
-    /// The bytes of the head; the ranges of `head` refer to them.
+    /// The bytes of the head, followed by those of the body unless it was chunked. The ranges of `head` refer to them.
     pub bytes: Rc<Vec<u8>>,
     /// The head, parsed in place.
     pub head: RequestHead,
--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -36,7 +36,7 @@
     bytes: Rc<Vec<u8>>,
 }
 
-/// Submitted jobs and their watchers. It exists only if the SSE listener is on.
+/// Submitted jobs and their watchers. This part of the server exists only if the SSE listener is on.
 pub(in crate::server) struct EventStreams {
     broker: EventBroker,
     /// The origins whose web pages may use the listener (CORS).
--- a/src/server/downstream/idle.rs
+++ b/src/server/downstream/idle.rs
@@ -41,9 +41,11 @@
         true
     }
 
-    /// Closes one connection of a client to make room. The order is: a silent one, one that has been idle for `min_idle`
-    /// (connections that have been served come before others), one with a partial request that has been silent for
-    /// [`SILENT_GRACE`]. Returns false if there is none.
+    /// Closes one connection of a client to make room. Returns false if there is none to close. The order is:
+    /// 1. a connection that has sent no request and been silent for [`SILENT_GRACE`], or has a partial request and been silent
+    ///    for [`PARTIAL_REQUEST_GRACE`];
+    /// 2. a connection that has been idle for `min_idle`; those that have been served come before others;
+    /// 3. a connection with a partial request that has been silent for [`SILENT_GRACE`].
     pub(super) fn close_any_idle(&mut self, context: &mut ClientContext<'_>, min_idle: Micros) -> bool {
         self.close_silent(context, PARTIAL_REQUEST_GRACE)
             || self.close_oldest_served(context, min_idle)
@@ -134,9 +136,9 @@
         self.idle_for(min_idle, context.now()).next()
     }
 
-    /// Closes the connection that has been silent for longest of those that have yet to complete a request. It must have
-    /// been silent for at least [`SILENT_GRACE`], or for at least `partial_grace` if it has a partial request. Returns false
-    /// if there is none.
+    /// Closes, of the connections whose request is not complete, the one that has been silent for longest. The connection must
+    /// have been silent for at least [`SILENT_GRACE`], or for at least `partial_grace` if it has a partial request. Returns
+    /// false if there is none.
     pub(in crate::server) fn close_silent(
         &mut self,
         context: &mut ClientContext<'_>,
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -10,7 +10,7 @@
 /// The counters of the network side, in addition to the core's ledger.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Metrics {
-    /// Attempts that the core started.
+    /// Attempts that the core started while their client was connected.
     pub attempts: u64,
     /// Attempts whose last byte has been written.
     pub attempts_written: u64,
@@ -20,11 +20,11 @@
     pub reloads: u64,
     /// Reloads whose configuration was rejected.
     pub bad_reloads: u64,
-    /// Connections to workers that were started.
+    /// New connections to workers that exchanges needed, including those that could not be started.
     pub connects: u64,
-    /// Connections to workers that failed.
+    /// Connections to workers that could not be established, also for lack of a descriptor.
     pub connect_failures: u64,
-    /// Connections to workers that broke during an exchange.
+    /// Connections to workers that broke while a response was awaited.
     pub resets: u64,
     /// Attempts that were written and got no response from the worker in time.
     pub unanswered: u64,
@@ -34,7 +34,7 @@
     pub bad_datagrams: u64,
     /// Endpoint lists that could not be used.
     pub bad_lists: u64,
-    /// How often accepting was paused.
+    /// The number of times that accepting was paused.
     pub accept_pauses: u64,
 }
 
