--- a/src/server/downstream/event_streams/mod.rs
+++ b/src/server/downstream/event_streams/mod.rs
@@ -36,7 +36,7 @@
     bytes: Rc<Vec<u8>>,
 }
 
-/// Submitted jobs and their watchers. It exists only if the SSE listener is on.
+/// Submitted jobs and their watchers. This part of the server exists only if the SSE listener is on.
 pub(in crate::server) struct EventStreams {
     broker: EventBroker,
     /// The origins whose web pages may use the listener (CORS).
@@ -149,10 +149,10 @@
 /// Accepts a job that its client will watch later, and writes the job's id and token as the response.
 ///
 /// # Errors
-/// - `BadRequest`: the field that says whether the job ends when nobody watches it has an unknown value.
+/// - `BadRequest`: the header field that states whether the job ends when nobody watches it has an unknown value.
 /// - `NotFound`: event streams are off.
 /// - `Overloaded`: the broker has no room, or the system provides no random bytes.
-/// - `DuplicateId`: a request of this name is open.
+/// - `DuplicateId`: a request with this id is open.
 pub(super) fn submit_job(
     context: &mut ClientContext<'_>,
     connection: &mut Connection,
--- a/src/server/downstream/request.rs
+++ b/src/server/downstream/request.rs
@@ -89,8 +89,8 @@
                 if let Some(plan) = context.shared.lifecycle.shutdown() {
                     request.time_budget = plan.time_budget(context.now(), request.time_budget);
                 }
-                // All descriptors for clients are in use. The request is rejected here, before anything has run. Had its connection
-                // been left in the listener's queue, the request would be lost at its deadline.
+                // If all descriptors for clients are in use, the request is rejected here, before anything has run. Had its
+                // connection been left in the listener's queue, the request would be lost at its deadline.
                 if !self.ensure_capacity(context) {
                     context.shared.core.count_rejected(request.class);
                     return Err(Reject::Overloaded);
@@ -156,7 +156,7 @@
 /// Accepts a job whose events the client will read on other connections.
 ///
 /// # Errors
-/// `DuplicateId` if the other process of a hot restart has a request of this name; `KeyReused` if the idempotency key was used
+/// `DuplicateId` if the other process of a hot restart has a request with this id; `KeyReused` if the idempotency key was used
 /// with another body or class; else the errors of [`submit_job`].
 fn on_job_submitted(
     context: &mut ClientContext<'_>,
@@ -180,7 +180,7 @@
 /// Accepts a request whose response the client awaits on this connection.
 ///
 /// # Errors
-/// `KeyReused` if the idempotency key was used with another body or class; `DuplicateId` if a request of this name is open, here
+/// `KeyReused` if the idempotency key was used with another body or class; `DuplicateId` if a request with this id is open, here
 /// or in the other process of a hot restart.
 fn on_request_submitted(
     context: &mut ClientContext<'_>,
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -73,7 +73,7 @@
         if !self.lifecycle.has_handed_over {
             return;
         }
-        // The policy's pending decisions about these requests are carried out first.
+        // The decision module's pending decisions about these requests are carried out first.
         self.core.process_batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Hands over a client connection if it is between requests, or awaits a response and no attempt of its request is in
-    /// flight. Otherwise this process keeps the connection.
+    /// Hands over a client connection without unwritten bytes if it is idle, has read a part of a request, or awaits a response
+    /// to a request that has no attempt in flight. Otherwise this process keeps the connection.
     fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
         let awaited = client.awaited_request();
         let is_in_flight = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -206,8 +206,8 @@
 }
 
 /// The outcome of an exchange whose connection broke before a response. A reused connection that breaks under the next request
-/// was closed in the meantime. That says nothing about the worker, so it does not count as its failure. If the worker's process
-/// has ended, new connections are refused, and that does count.
+/// was closed in the meantime. That does not indicate a fault of the worker, so it does not count as its failure. If the worker's
+/// process has ended, new connections are refused, and those do count.
 fn outcome_of_broken_connection(is_written: bool, is_reused: bool) -> Outcome {
     match (is_written, is_reused) {
         (true, true) => Outcome::Cancelled,
