--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -20,8 +20,8 @@
 impl ManualWorker {
     /// Starts the worker, and a dispatcher that knows only this worker. `change` changes the dispatcher's configuration.
     fn start(change: impl FnOnce(&mut Value)) -> (ManualWorker, DispatcherProcess) {
-        let worker = ManualWorker(TcpListener::bind("127.0.0.1:0").expect("bind to a free port"));
-        let address = worker.0.local_addr().expect("the local address").to_string();
+        let worker = ManualWorker(TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port"));
+        let address = worker.0.local_addr().expect("no local address").to_string();
         let program = DispatcherProcess::builder(&[])
             .configure(|config| {
                 config["known"]["instances"] = json!([site::endpoint_entry("s-1", &address, "up")]);
@@ -34,10 +34,10 @@
 
     /// Accepts a connection of the dispatcher; `None` if none is waiting.
     fn accept(&self) -> Option<WorkerConnection> {
-        self.0.set_nonblocking(true).expect("set a socket option");
+        self.0.set_nonblocking(true).expect("cannot set socket option");
         let (stream, _) = self.0.accept().ok()?;
-        stream.set_nonblocking(false).expect("set a socket option");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
+        stream.set_nonblocking(false).expect("cannot set socket option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
         Some(WorkerConnection(stream))
     }
 
@@ -48,7 +48,7 @@
             connection = self.accept();
             connection.is_some()
         });
-        connection.expect("a connection")
+        connection.expect("no connection of the dispatcher")
     }
 }
 
@@ -67,28 +67,31 @@
         let head =
             HttpReply { status: 0, head: String::from_utf8_lossy(&seen).into_owned(), body: String::new() };
         let length =
-            head.header("content-length").map_or(0, |n| n.parse().expect("a numeric Content-Length"));
+            head.header("content-length").map_or(0, |n| n.parse().expect("Content-Length is not a number"));
         self.0.read_exact(&mut vec![0; length]).ok()?;
-        let line = head.head.lines().next().expect("a request line").trim_end_matches(" HTTP/1.1").to_owned();
+        let line =
+            head.head.lines().next().expect("no request line").trim_end_matches(" HTTP/1.1").to_owned();
         Some(format!("{line} {}", head.header("x-correlation-id").unwrap_or("")).trim_end().to_owned())
     }
 
     fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).expect("write to the dispatcher");
+        self.0.write_all(text.as_bytes()).expect("write failed");
     }
 }
 
 /// Sends a request on a new connection, and returns the connection.
 fn submit(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
-    client.write_all(request.as_bytes()).expect("write the request");
+    client.write_all(request.as_bytes()).expect("write failed");
     client
 }
 
 /// Connects further clients, and waits until the dispatcher has accepted all of them.
 fn connect_clients(program: &DispatcherProcess, count: usize) -> Vec<TcpStream> {
     let mut clients: Vec<TcpStream> = (0..count).map(|_| submit(program, READY_REQUEST)).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(read_reply(client).expect("a response").status, 200));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(read_reply(client).expect("no complete response").status, 200));
     clients
 }
 
@@ -115,7 +118,10 @@
 /// Sends a status callback of the worker `s-1`.
 fn send_status_callback(program: &DispatcherProcess, id: &str, state: &str) {
     let callback = json!({"id": id, "from": "s-1", "state": state, "result": "x"});
-    assert_eq!(send(program.platform, &status_update_request(&callback)).expect("a response").status, 204);
+    assert_eq!(
+        send(program.platform, &status_update_request(&callback)).expect("no complete response").status,
+        204
+    );
 }
 
 /// An attempt ends by a status callback, and no response arrives on its connection. The connection is closed at its timeout, and
@@ -126,7 +132,7 @@
     let (mut client, mut connection) = start_attempt(&worker, &program, "a0", "X-Time-Left-Ms: 1500\r\n");
     send_status_callback(&program, "a0", "returned");
     assert_eq!(connection.request(), None, "the connection is closed at its timeout");
-    assert_eq!(read_reply(&mut client).expect("a response").status, 503);
+    assert_eq!(read_reply(&mut client).expect("no complete response").status, 503);
     assert_eq!((program.shut_down_for_metrics()["connects"], connection.request()), (1, None));
 }
 
@@ -153,7 +159,11 @@
         if !state.is_empty() {
             send_status_callback(&program, "b0", state);
         }
-        assert_eq!(read_reply(&mut client).expect("a response").status / 100, 5, "{response}{state}");
+        assert_eq!(
+            read_reply(&mut client).expect("no complete response").status / 100,
+            5,
+            "{response}{state}"
+        );
         assert_eq!(program.shut_down_for_metrics()["dispatches"], 1, "{response}{state}");
     }
 }
@@ -166,13 +176,10 @@
     let (worker, program) = ManualWorker::start(|config| {
         config["settings"]["Limits"]["SecondCopies"] = json!(false);
         config["settings"]["Limits"]["ConnectTimeoutMs"] = json!(3_000.0);
-        config["known"]["instances"]
-            .as_array_mut()
-            .expect("the list of instances")
-            .push(other.endpoint_entry("up"));
+        config["known"]["instances"].as_array_mut().expect("not an array").push(other.endpoint_entry("up"));
     });
     other.set_callback_address(program.platform);
-    rustix::net::listen(&worker.0, 0).expect("shorten the accept queue");
+    rustix::net::listen(&worker.0, 0).expect("cannot shorten the accept queue");
     // The other worker serves every job that it gets. The first job that this worker gets is the one under test.
     let (mut served, mut connection) = (0, None);
     let (id, mut client) = loop {
@@ -185,17 +192,17 @@
         if connection.is_some() {
             break (id, client);
         }
-        assert_eq!(read_reply(&mut client).expect("a response").status, 200);
+        assert_eq!(read_reply(&mut client).expect("no complete response").status, 200);
         served += 1;
     };
-    let filler = connect(worker.0.local_addr().expect("the local address"));
+    let filler = connect(worker.0.local_addr().expect("no local address"));
     wait_for_connection_attempt(&worker.0);
     let cancel_began = Instant::now();
     wait_until("time for another attempt has passed", || cancel_began.elapsed() > Duration::from_millis(300));
     assert_eq!(other.job_count.load(Ordering::SeqCst), served);
     drop((worker.connection(), filler));
     assert_eq!(worker.connection().request(), Some(format!("DELETE /jobs/{id}")));
-    assert_eq!(read_reply(&mut client).expect("a response").status, 200);
+    assert_eq!(read_reply(&mut client).expect("no complete response").status, 200);
 }
 
 /// A worker writes a refusal on an idle connection. The events of many other clients keep the dispatcher from reading it before
@@ -206,12 +213,12 @@
     let (mut first, mut connection) = start_attempt(&worker, &program, "d0", "");
     connection.write(ACCEPTED);
     send_status_callback(&program, "d0", "done");
-    assert_eq!(read_reply(&mut first).expect("a response").status, 200);
+    assert_eq!(read_reply(&mut first).expect("no complete response").status, 200);
     let mut others = connect_clients(&program, 300);
     within_one_turn(&program, || {
-        first.write_all(job_request("d1", "balance", "", "").as_bytes()).expect("write the request");
+        first.write_all(job_request("d1", "balance", "", "").as_bytes()).expect("write failed");
         for other in &mut others {
-            other.write_all(READY_REQUEST.as_bytes()).expect("write the request");
+            other.write_all(READY_REQUEST.as_bytes()).expect("write failed");
         }
         connection.write(REFUSED);
     });
@@ -220,7 +227,7 @@
     assert_eq!(connection.request().as_deref(), Some("POST /balance d1"));
     connection.write(ACCEPTED);
     send_status_callback(&program, "d1", "done");
-    assert_eq!(read_reply(&mut first).expect("a response").status, 200);
+    assert_eq!(read_reply(&mut first).expect("no complete response").status, 200);
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 2);
 }
 
@@ -236,7 +243,7 @@
     let mut clients = connect_clients(&program, 1);
     clients.insert(0, first);
     within_one_turn(&program, || {
-        clients[1].write_all(job_request("e1", "balance", "", "").as_bytes()).expect("write the request");
+        clients[1].write_all(job_request("e1", "balance", "", "").as_bytes()).expect("write failed");
         connection.write(REFUSED);
     });
     let mut other = worker.connection();
@@ -249,7 +256,7 @@
     assert_eq!(connection.request(), None, "unsolicited bytes close the connection");
     for (n, client) in clients.iter_mut().enumerate() {
         send_status_callback(&program, &format!("e{n}"), "done");
-        assert_eq!(read_reply(client).expect("a response").status, 200);
+        assert_eq!(read_reply(client).expect("no complete response").status, 200);
     }
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 3);
 }
@@ -263,6 +270,6 @@
     connection.write("HTTP/1.1 204 No Content\r\n\r\n");
     assert_eq!(connection.request(), None);
     assert_eq!(worker.connection().request().as_deref(), Some("DELETE /jobs/f0"));
-    assert_eq!(read_reply(&mut client).expect("a response").status, 503);
+    assert_eq!(read_reply(&mut client).expect("no complete response").status, 503);
     assert_eq!(program.shut_down_for_metrics()["dispatches"], 1);
 }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -13,7 +13,7 @@
 
 /// Reads until the other side closes or resets the connection, and returns the bytes.
 fn read_until_close(mut stream: TcpStream) -> String {
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
     let (mut seen, mut buf) = (Vec::new(), [0; 4096]);
     loop {
         match stream.read(&mut buf) {
@@ -42,7 +42,7 @@
 
 /// The addresses of the platform's listener and of the one for event streams.
 fn listeners(program: &DispatcherProcess) -> [SocketAddr; 2] {
-    [program.platform, program.sse.expect("the address of the SSE listener")]
+    [program.platform, program.sse.expect("no SSE listener")]
 }
 
 /// A connection on which nothing is sent is closed, and an incomplete request gets a 408; a connection that has been served is
@@ -57,13 +57,13 @@
     for (n, address) in listeners(&program).into_iter().enumerate() {
         // A connection that has been served once is kept although nothing is sent on it for a while.
         let mut kept = connect(address);
-        kept.write_all(simple_job(&format!("k{n}")).as_bytes()).expect("write the request");
-        assert_eq!(read_reply(&mut kept).expect("a response").status, 200);
+        kept.write_all(simple_job(&format!("k{n}")).as_bytes()).expect("write failed");
+        assert_eq!(read_reply(&mut kept).expect("no complete response").status, 200);
         let waiting: Vec<TcpStream> = ["", "POST /bal", half_body, chunks]
             .iter()
             .map(|sent| {
                 let mut stream = connect(address);
-                stream.write_all(sent.as_bytes()).expect("write the request");
+                stream.write_all(sent.as_bytes()).expect("write failed");
                 stream
             })
             .collect();
@@ -72,8 +72,8 @@
         for response in &responses[1..] {
             assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
         }
-        kept.write_all(simple_job(&format!("l{n}")).as_bytes()).expect("write the request");
-        assert_eq!(read_reply(&mut kept).expect("a response").status, 200);
+        kept.write_all(simple_job(&format!("l{n}")).as_bytes()).expect("write failed");
+        assert_eq!(read_reply(&mut kept).expect("no complete response").status, 200);
     }
     assert!(!worker.has_received("a0"));
     let metrics = program.shut_down_for_metrics();
@@ -92,7 +92,7 @@
         let filler = "X-Filler: 0123456789abcdef0123456789abcdef\r\n".repeat(1500);
         for (start, status) in [(huge, "413"), (endless, "431")] {
             let stream = connect(address);
-            let mut writer = stream.try_clone().expect("duplicate the stream");
+            let mut writer = stream.try_clone().expect("cannot duplicate the stream");
             let filler = filler.clone();
             let sender = std::thread::spawn(move || {
                 // The dispatcher closes the connection at some point, so writing may fail.
@@ -101,7 +101,7 @@
             });
             let response = read_until_close(stream);
             assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{status}: {response}");
-            sender.join().expect("join the sender");
+            sender.join().expect("sender thread panicked");
         }
     }
     assert_eq!(program.shut_down_for_metrics()["taken"], 0);
@@ -116,7 +116,7 @@
         let mut stream = connect(program.platform);
         stream
             .write_all(&job_request(&format!("c{n}"), "balance", "x", "").as_bytes()[..40])
-            .expect("write the request");
+            .expect("write failed");
         stream
     };
     let _stalled: Vec<TcpStream> = (0..30).map(send_incomplete_request).collect();
@@ -126,7 +126,7 @@
     for n in 0..20 {
         let mut stream = connect(program.platform);
         let request = simple_job(&format!("d{n}"));
-        stream.write_all(request.as_bytes()).expect("write the request");
+        stream.write_all(request.as_bytes()).expect("write failed");
         statuses.push(read_reply(&mut stream).map(|reply| reply.status));
         well_behaved.push(stream);
     }
@@ -143,7 +143,7 @@
     let mut slow = connect(program.platform);
     let mut stalled = Vec::new();
     for piece in request.as_bytes().chunks(request.len() / 24) {
-        slow.write_all(piece).expect("write a piece of the slow request");
+        slow.write_all(piece).expect("write of the slow request failed");
         for _ in 0..4 {
             let mut connection = connect(program.platform);
             let _ = connection.write_all(b"POST /balance HTTP/1.1\r\nHost: or"); // it may be closed by now
@@ -151,13 +151,13 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert_eq!(read_reply(&mut slow).expect("a response").body, "whole");
+    assert_eq!(read_reply(&mut slow).expect("no complete response").body, "whole");
     // A connection that was closed to make room has got a 503 before its end, or nothing.
     let was_closed = |connection: &mut TcpStream| {
-        connection.set_nonblocking(true).expect("set a socket option");
+        connection.set_nonblocking(true).expect("cannot set socket option");
         let has_response = matches!(connection.peek(&mut [0]), Ok(read) if read > 0);
-        connection.set_nonblocking(false).expect("set a socket option");
-        let reply = has_response.then(|| read_reply(connection).expect("a response"));
+        connection.set_nonblocking(false).expect("cannot set socket option");
+        let reply = has_response.then(|| read_reply(connection).expect("no complete response"));
         let is_rejection =
             |reply: &HttpReply| (reply.status, reply.header("Connection")) == (503, Some("close"));
         reply.is_none_or(|reply| is_rejection(&reply)) && is_closed(connection)
@@ -194,7 +194,7 @@
 
 /// Reads until the other side closes or resets the connection, at most 1 MiB, and returns the bytes.
 fn read_bounded(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
     let mut seen = Vec::new();
     let ended = stream.take(1 << 20).read_to_end(&mut seen);
     let has_failed = ended.is_err_and(|error| error.kind() != std::io::ErrorKind::ConnectionReset);
@@ -234,10 +234,10 @@
     /// Runs the client on a connection until the dispatcher closes the connection or the client disconnects. Returns the
     /// connection, unless the client has disconnected.
     fn run(&self, mut stream: TcpStream, name: &str) -> Option<TcpStream> {
-        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
         match &self.fault {
             Fault::Stops { sent, status } => {
-                stream.write_all(sent.as_bytes()).expect("write the request");
+                stream.write_all(sent.as_bytes()).expect("write failed");
                 let response = read_bounded(&mut stream);
                 assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {response}");
                 Some(stream)
@@ -269,13 +269,13 @@
         tries += 1;
         let mut stream = connect(address);
         let id = format!("{name}, {tries}").replace([' ', ','], "-");
-        stream.write_all(simple_job(&id).as_bytes()).expect("write the request");
-        let status = read_reply(&mut stream).expect("a response").status;
+        stream.write_all(simple_job(&id).as_bytes()).expect("write failed");
+        let status = read_reply(&mut stream).expect("no complete response").status;
         assert!(matches!(status, 200 | 503), "{name}: {status}");
         served = Some(stream).filter(|_| status == 200);
         status == 200
     });
-    served.expect("the connection of the served client")
+    served.expect("no connection of a served client")
 }
 
 /// Runs a bad client on a new connection, and a well-behaved one after it.
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -209,7 +209,7 @@
         service_time: Duration::from_millis(40),
         ..DiscoveryScript::default()
     };
-    let fleet = Fleet::start(plan).expect("the fleet starts");
+    let fleet = Fleet::start(plan).expect("cannot start the fleet");
     let load = fleet.start_plain_load(&fleet.all(), 20.0, Duration::from_secs(60));
     fleet.wait_until("calls are reset", || fleet.discovery.metrics().reset >= 3);
     fleet.wait_until("jobs are served with the known workers", || load.summary().served() > 20);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,7 @@
     /// Creates a module with these settings and this seed.
     pub fn with_seed(settings: Settings, seed: u64) -> TestDispatcher {
         TestDispatcher {
-            dispatcher: Dispatcher::new(settings, seed).expect("consistent settings"),
+            dispatcher: Dispatcher::new(settings, seed).expect("inconsistent settings"),
             now: CLOCK_START,
             timers: BinaryHeap::new(),
             timers_set: 0,
--- a/tests/conformance/decision/simple_balancers.rs
+++ b/tests/conformance/decision/simple_balancers.rs
@@ -39,13 +39,13 @@
 
 /// Whether the row fails when this balancer chooses the workers.
 fn row_fails(row: &Row, choose: ChooseWorker) -> bool {
-    let machine: DecisionMachine = machine_for(row, 1).expect("the initial state must be valid");
+    let machine: DecisionMachine = machine_for(row, 1).expect("invalid initial state");
     !run_row(machine.with_balancer(choose), row).passes(row)
 }
 
 /// Asserts that each simple balancer fails at least one row of each clause.
 pub fn assert_each_fails_every_clause(name: &str, text: &str) {
-    let table = ConformanceTable::parse(text).expect("the table must be valid");
+    let table = ConformanceTable::parse(text).expect("invalid table");
     let clauses: BTreeSet<&str> = table.rows.iter().map(|row| row.of.as_str()).collect();
     for clause in clauses {
         for SimpleBalancer { name: balancer, choose } in SIMPLE_BALANCERS {
--- a/tests/conformance/runner.rs
+++ b/tests/conformance/runner.rs
@@ -230,13 +230,13 @@
 
 /// Asserts that each row fails with every seed once any of its expectations is inverted or left out.
 pub fn assert_inversions_fail<M: Machine>(name: &str, text: &str) {
-    let table = ConformanceTable::parse(text).expect("the table must be valid");
+    let table = ConformanceTable::parse(text).expect("invalid table");
     let mut count = 0;
     for row in &table.rows {
         let inverted = inverted_rows::<M>(row);
         count += inverted.len();
         for seed in 1..=M::SEEDS {
-            let machine = machine_for::<M>(row, seed).expect("the initial state must be valid");
+            let machine = machine_for::<M>(row, seed).expect("invalid initial state");
             let run = run_row(machine, row);
             let passing = inverted.iter().find(|other| run.passes(other));
             let Row { of, says, .. } = row;
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -12,12 +12,12 @@
         .event_streams(sse)
         .configure(|config| config["admin_addr"] = json!("127.0.0.1:0"))
         .start();
-    let admin = dispatcher.admin.expect("the admin address is on");
+    let admin = dispatcher.admin.expect("no admin address");
     (dispatcher, admin)
 }
 
 fn call(admin: SocketAddr, method: &str, path: &str) -> HttpReply {
-    send(admin, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("the dispatcher answers")
+    send(admin, &format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).expect("no complete response")
 }
 
 fn counters(admin: SocketAddr) -> BTreeMap<String, (u64, char)> {
@@ -32,7 +32,7 @@
 }
 
 fn send_job(to: SocketAddr, id: &str, class: &str, body: &str) -> HttpReply {
-    send(to, &job_request(id, class, body, "")).expect("the dispatcher answers")
+    send(to, &job_request(id, class, body, "")).expect("no complete response")
 }
 
 /// Each job is counted once, when it has ended, under the outcome that its client received.
@@ -54,14 +54,14 @@
     }
     // The job may have run and no other worker can run it, so it fails at the end of the client's time limit.
     let failing = job_request("b0", "redeem", "take started failed", "X-Time-Left-Ms: 300\r\n");
-    assert!(send(dispatcher.platform, &failing).expect("the dispatcher answers").status >= 500);
+    assert!(send(dispatcher.platform, &failing).expect("no complete response").status >= 500);
     assert_eq!(send_job(dispatcher.platform, "b1", "nothing", "take").status, 400);
-    let mut open = connect(dispatcher.sse.expect("the SSE listener is on"));
+    let mut open = connect(dispatcher.sse.expect("no SSE listener"));
     open.write_all(job_request("c0", "redeem", "take started wait=counted done=x", "").as_bytes())
-        .expect("the request is written");
+        .expect("write failed");
     wait_until("the open job is counted", || counters(admin)["inflight"] == (1, 'g'));
     worker.open_gate("counted");
-    assert_eq!(read_reply(&mut open).expect("the dispatcher answers").status, 200);
+    assert_eq!(read_reply(&mut open).expect("no complete response").status, 200);
     let after = counters(admin);
     let expected =
         [("success.balance", 3), ("success.redeem", 1), ("failure.redeem", 1), ("failure.balance", 0)];
@@ -85,20 +85,20 @@
             config["limits"]["sockets"] = json!(80);
         })
         .start();
-    let admin = dispatcher.admin.expect("the admin address is on");
+    let admin = dispatcher.admin.expect("no admin address");
     let mut incomplete_calls: Vec<_> = (0..40).map(|_| connect(admin)).collect();
     incomplete_calls
         .iter_mut()
-        .for_each(|stream| stream.write_all(b"GET /control/rea").expect("the request is written"));
+        .for_each(|stream| stream.write_all(b"GET /control/rea").expect("write failed"));
     let mut incomplete_requests: Vec<_> = (0..100).map(|_| connect(dispatcher.platform)).collect();
     incomplete_requests.iter_mut().for_each(|stream| drop(stream.write_all(b"POST /balance HTTP/1.1\r\nHo")));
     for _ in 0..5 {
         assert_eq!(call(admin, "GET", "/control/ready").status, 200);
     }
     // The newest incomplete call can still be completed; the oldest has been closed to free its descriptor.
-    let mut newest = incomplete_calls.pop().expect("there are incomplete calls");
-    newest.write_all(b"dy HTTP/1.1\r\nHost: n0\r\n\r\n").expect("the request is written");
-    assert_eq!(read_reply(&mut newest).expect("the dispatcher answers").status, 200);
+    let mut newest = incomplete_calls.pop().expect("no incomplete call is left");
+    newest.write_all(b"dy HTTP/1.1\r\nHost: n0\r\n\r\n").expect("write failed");
+    assert_eq!(read_reply(&mut newest).expect("no complete response").status, 200);
     wait_until("the oldest is closed", || is_closed(&incomplete_calls[0]));
     // A job is rejected at once while the incomplete requests are recent, and served once they are old enough to be closed.
     let mut attempts = 0;
@@ -120,8 +120,8 @@
     assert_eq!(call(admin, "GET", "/control/nothing").status, 404);
     assert_eq!(call(admin, "GET", "/control/out-of-service").status, 405);
     assert_eq!(call(admin, "PUT", "/control/ready").status, 405);
-    assert_eq!(send(admin, "what is this\r\n\r\n").expect("the dispatcher answers").status, 400);
-    assert_eq!(dispatcher.up_status(), 200, "none of these calls started a drain");
+    assert_eq!(send(admin, "what is this\r\n\r\n").expect("no complete response").status, 400);
+    assert_eq!(dispatcher.up_status(), 200, "one of these calls started a drain");
     // Clients are not served at the admin address, nor admin calls at the clients' address.
     assert_eq!(call(dispatcher.platform, "GET", "/control/ready").status, 404);
     assert_eq!(send_job(admin, "e0", "balance", "take started done=x").status, 404);
@@ -134,12 +134,12 @@
     // Two workers, because a worker that has not sent a load report yet is not given a third job while it has two.
     let workers = [FakeWorker::start("s-1"), FakeWorker::start("s-2")];
     let (dispatcher, admin) = start_with_admin(&workers, true);
-    let (sse, accept) = (dispatcher.sse.expect("the SSE listener is on"), "Accept: text/event-stream\r\n");
+    let (sse, accept) = (dispatcher.sse.expect("no SSE listener"), "Accept: text/event-stream\r\n");
     let idle = [connect(dispatcher.platform), connect(dispatcher.platform), connect(sse)];
     let mut busy = [connect(dispatcher.platform), connect(sse)];
     for (n, stream) in busy.iter_mut().enumerate() {
         let text = job_request(&format!("f{n}"), "balance", "take started wait=drained done=kept", accept);
-        stream.write_all(text.as_bytes()).expect("the request is written");
+        stream.write_all(text.as_bytes()).expect("write failed");
     }
     let jobs = |worker: &Arc<FakeWorker>| worker.job_count.load(std::sync::atomic::Ordering::SeqCst);
     wait_until("both jobs arrive", || workers.iter().map(jobs).sum::<u64>() == 2);
@@ -153,7 +153,7 @@
     wait_until("idle connections are closed", || idle.iter().all(is_closed));
     workers.iter().for_each(|worker| worker.open_gate("drained"));
     for stream in &mut busy {
-        let reply = read_reply(stream).expect("the dispatcher answers");
+        let reply = read_reply(stream).expect("no complete response");
         assert!(reply.body.contains("kept"), "{} {}", reply.status, reply.body);
         wait_until("a busy connection is closed after its job", || is_closed(stream));
     }
@@ -163,8 +163,8 @@
     let mut kept = connect(dispatcher.platform);
     for n in 0..2 {
         let text = simple_job(&format!("h{n}"));
-        kept.write_all(text.as_bytes()).expect("the request is written");
-        let reply = read_reply(&mut kept).expect("the kept connection is answered");
+        kept.write_all(text.as_bytes()).expect("write failed");
+        let reply = read_reply(&mut kept).expect("no complete response on the kept connection");
         assert_eq!((reply.status, reply.header("Connection")), (200, None));
     }
     let metrics = dispatcher.shut_down_for_metrics();
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -43,10 +43,8 @@
     let feed = |harness: &mut CoreHarness, objects: &mut ObjectSplitter, bytes: &[u8]| {
         objects.feed(bytes);
         while let Some(object) = objects.next_object() {
-            let value = serde_json::from_slice(&object).expect("an object of the watch is JSON");
-            harness.core.on_endpoint_list(
-                &EndpointList::from_json(&value).expect("an object of the watch is an endpoint list"),
-            );
+            let value = serde_json::from_slice(&object).expect("not JSON");
+            harness.core.on_endpoint_list(&EndpointList::from_json(&value).expect("not an endpoint list"));
         }
         harness.core.endpoints().rows()
     };
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -33,8 +33,7 @@
         };
         let rows: Vec<_> = (0..workers).map(row).collect();
         let config = site::read(&site::config("127.0.0.1:0", "127.0.0.1:1", json!(rows)));
-        let mut core =
-            Core::new(config.settings, config.names, config.seed, unix).expect("the settings are valid");
+        let mut core = Core::new(config.settings, config.names, config.seed, unix).expect("invalid settings");
         let now = Core::clock_start();
         core.on_cached_list(&config.known_endpoints);
         CoreHarness { core, now, offered: 0 }
@@ -106,7 +105,7 @@
             .core
             .endpoints()
             .get(from)
-            .expect("the worker is in the endpoint table")
+            .expect("the worker is not in the endpoint table")
             .instance_id()
             .to_owned();
         self.core.on_job_status(self.now, name, &from, status, None)
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -34,7 +34,7 @@
 fn with_keyed_request(workers: usize) -> KeyedRequest {
     let mut harness = CoreHarness::with_idempotency(workers);
     let mut records = BTreeMap::new();
-    harness.accept_keyed("r-1", "k", 5).expect("the request is new");
+    harness.accept_keyed("r-1", "k", 5).expect("the request was not accepted");
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands), [], "an attempt was sent before its record was persisted");
     let tickets = persist(&mut records, &commands);
@@ -48,7 +48,7 @@
 #[test]
 fn sends_a_keyed_request_once_its_record_is_persisted_and_others_at_once() {
     let KeyedRequest { mut harness, .. } = with_keyed_request(4);
-    harness.accept(0, 5_000 * MS).expect("the request is new");
+    harness.accept(0, 5_000 * MS).expect("the request was not accepted");
     let commands = harness.advance(5 * MS);
     assert_eq!(started(&commands).len(), 1);
     let is_persist = |command: &Command| matches!(command, Command::PersistRecord { .. });
@@ -58,7 +58,7 @@
 #[test]
 fn rejects_a_request_whose_record_cannot_be_persisted() {
     let mut harness = CoreHarness::with_idempotency(4);
-    let id = harness.accept_keyed("r-1", "k", 5).expect("the request is new");
+    let id = harness.accept_keyed("r-1", "k", 5).expect("the request was not accepted");
     let tickets = persist(&mut BTreeMap::new(), &harness.advance(5 * MS));
     harness.core.on_record_persisted(tickets[0], PersistOutcome::Failed);
     let commands = harness.advance(5 * MS);
@@ -69,8 +69,8 @@
         "{commands:?}"
     );
     assert!(
-        harness.core.idempotency().expect("records are kept").is_empty(),
-        "a request that never ran needs no record"
+        harness.core.idempotency().expect("idempotency is not enabled").is_empty(),
+        "a request that never ran has a record"
     );
 }
 
@@ -81,7 +81,7 @@
     {
         let KeyedRequest { harness, records, worker } = with_keyed_request(6);
         let mut next = harness.restarted_after_crash(&records, elapsed * MS, is_clock_sound);
-        let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
+        let id = next.accept_keyed("r-2", "k", 5).expect("the request was not accepted");
         let commands = next.advance(5 * MS);
         let tickets = persist(&mut records.clone(), &commands);
         if may_be_sent {
@@ -111,7 +111,7 @@
     persist(&mut records, &harness.advance(5 * MS));
     let mut next = harness.restarted_after_crash(&records, 100_000 * MS, true);
     assert_eq!(next.accept_keyed("r-3", "k", 6), None, "the same key with another body was accepted");
-    let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
+    let id = next.accept_keyed("r-2", "k", 5).expect("the request was not accepted");
     let commands = next.advance(5 * MS);
     assert_eq!(responses(&commands), [(id, FinalResponse::Served(b"paid".to_vec()))]);
     assert_eq!((started(&commands), next.core.ledger().open()), (vec![], 0));
@@ -123,11 +123,11 @@
     let mut next = harness.restarted_after_crash(&records, 2_000 * MS, true);
     assert!(
         !next.report_status("r-1", worker, JobStatus::Done(b"paid".to_vec())),
-        "the request of the callback ended with the crash"
+        "a callback changed a request that ended with the crash"
     );
     persist(&mut records, &next.advance(5 * MS));
     let mut third = next.restarted_after_crash(&records, 2_000 * MS, true);
-    let id = third.accept_keyed("r-2", "k", 5).expect("the request is new");
+    let id = third.accept_keyed("r-2", "k", 5).expect("the request was not accepted");
     assert_eq!(responses(&third.advance(5 * MS)), [(id, FinalResponse::Served(b"paid".to_vec()))]);
 }
 
@@ -141,9 +141,10 @@
         row["cell"] = json!(cell);
         row
     };
-    let old = harness.core.endpoints().get(worker).expect("the worker is in the endpoint table").row().cell;
+    let old =
+        harness.core.endpoints().get(worker).expect("the worker is not in the endpoint table").row().cell;
     next.core.on_endpoint_list(&site::read_list(&site::snapshot(2, &[row(0, old + 10), row(1, old + 11)])));
-    let id = next.accept_keyed("r-2", "k", 5).expect("the request is new");
+    let id = next.accept_keyed("r-2", "k", 5).expect("the request was not accepted");
     let commands = next.advance(26_000 * MS);
     assert_eq!(started(&commands), []);
     assert!(
--- a/tests/core/requests.rs
+++ b/tests/core/requests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn responds_with_the_first_result_and_ignores_later_ones() {
     let mut harness = CoreHarness::new(2);
-    let id = harness.accept(0, 5_000 * MS).expect("the request is new");
+    let id = harness.accept(0, 5_000 * MS).expect("the request was not accepted");
     let worker = started(&harness.advance(5 * MS))[0].worker;
     // The callback may arrive before the worker's 202 response. A worker tries a callback up to ten times; only the first counts.
     assert!(harness.report_status("job-1", worker, JobStatus::Done(b"ok".to_vec())));
@@ -47,7 +47,7 @@
 #[test]
 fn fails_and_does_not_reject_what_may_have_run() {
     let mut harness = CoreHarness::new(1);
-    harness.accept(1, 1_000 * MS).expect("the request is new");
+    harness.accept(1, 1_000 * MS).expect("the request was not accepted");
     let attempt = started(&harness.advance(5 * MS))[0].id;
     harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Reset), None);
     let all = responses(&harness.advance(1_050 * MS));
@@ -58,28 +58,34 @@
 #[test]
 fn writes_only_before_the_deadline_and_within_the_idempotency_window() {
     let mut harness = CoreHarness::new(2);
-    let id = harness.accept(1, 5_000 * MS).expect("the request is new");
+    let id = harness.accept(1, 5_000 * MS).expect("the request was not accepted");
     let first = started(&harness.advance(5 * MS))[0].id;
     let at = harness.now;
     assert!(harness.core.may_write(at, first, 0));
-    assert!(!harness.core.may_write(at + 5_000 * MS, first, 0), "the deadline has passed");
+    assert!(
+        !harness.core.may_write(at + 5_000 * MS, first, 0),
+        "an attempt may be written after the deadline"
+    );
     harness.core.on_attempt_ended(harness.now, first, AttemptOutcome::Unserved(Outcome::Reset), None);
-    assert!(!harness.core.may_write(at, first, 0), "the attempt has ended");
+    assert!(!harness.core.may_write(at, first, 0), "an ended attempt may be written");
     let second = (0..100).find_map(|_| started(&harness.advance(20 * MS)).pop());
-    let second = second.expect("a second attempt in the same cell").id;
+    let second = second.expect("no second attempt in the same cell").id;
     assert!(harness.core.may_write(harness.now, second, 0));
     assert!(
         !harness.core.may_write(harness.now, second, 40_000 * MS),
-        "the attempt would arrive after the window"
+        "an attempt may be written that would arrive after the window"
     );
     harness.core.on_client_disconnected(harness.now, id);
-    assert!(!harness.core.may_write(harness.now, second, 0), "the client has disconnected");
+    assert!(
+        !harness.core.may_write(harness.now, second, 0),
+        "an attempt may be written for a disconnected client"
+    );
 }
 
 #[test]
 fn times_out_at_the_deadline_when_the_worker_is_silent() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 800 * MS).expect("the request is new");
+    let id = harness.accept(1, 800 * MS).expect("the request was not accepted");
     let from = harness.now;
     assert_eq!(started(&harness.advance(5 * MS)).len(), 1);
     assert_eq!(responses(&harness.advance(780 * MS)), []);
@@ -97,7 +103,7 @@
 #[test]
 fn the_decision_module_responds_first_after_a_late_turn() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(1, 200 * MS).expect("the request is new");
+    let id = harness.accept(1, 200 * MS).expect("the request was not accepted");
     let worker = started(&harness.advance(10 * MS))[0].worker;
     assert!(harness.report_status("job-1", worker, JobStatus::Started));
     harness.advance(0);
@@ -109,7 +115,7 @@
 #[test]
 fn serves_an_open_request_with_the_result_of_an_ended_attempt() {
     let mut harness = CoreHarness::new(3);
-    let id = harness.accept(0, 7_000 * MS).expect("the request is new");
+    let id = harness.accept(0, 7_000 * MS).expect("the request was not accepted");
     let first = started(&harness.advance(5 * MS))[0].worker;
     let attempt = AttemptId { request_id: id, number: 0 };
     harness.core.on_attempt_ended(harness.now, attempt, AttemptOutcome::Unserved(Outcome::Timeout), None);
@@ -121,7 +127,7 @@
 #[test]
 fn sends_nothing_after_the_client_disconnected() {
     let mut harness = CoreHarness::new(1);
-    let id = harness.accept(0, 5_000 * MS).expect("the request is new");
+    let id = harness.accept(0, 5_000 * MS).expect("the request was not accepted");
     harness.core.on_client_disconnected(harness.now, id);
     let all = harness.advance(6_000 * MS);
     assert_eq!((started(&all), responses(&all)), (vec![], vec![]));
@@ -136,7 +142,7 @@
     harness.accept(0, 5_000 * MS);
     harness.core.turn(harness.now);
     let first = std::iter::from_fn(|| harness.core.next_command()).count();
-    assert!(first > 0, "an idle core handles the event at once");
+    assert!(first > 0, "an idle core did not handle the event at once");
     harness.accept(0, 5_000 * MS);
     harness.core.turn(harness.now + MS);
     assert_eq!(harness.core.next_command(), None, "the next batch is due 2 ms after the first");
--- a/tests/failures/retries.rs
+++ b/tests/failures/retries.rs
@@ -121,10 +121,10 @@
     }
     let actions = dispatcher.advance(4_000 * MS);
     let first = actions.iter().find_map(|action| match action {
-        Action::Reject { retry_after, .. } => Some(retry_after.expect("the settings allow a Retry-After")),
+        Action::Reject { retry_after, .. } => Some(retry_after.expect("the rejection has no Retry-After")),
         _ => None,
     });
-    first.expect("a job is rejected because no worker has capacity")
+    first.expect("no job was rejected")
 }
 
 /// A rejection carries a time after which to retry, which grows with the number of queued jobs up to the maximum of the settings.
--- a/tests/failures/warm_up.rs
+++ b/tests/failures/warm_up.rs
@@ -49,7 +49,7 @@
             }
         }
     }
-    assert!(!sent_at.is_empty(), "a worker that is warming up gets some work");
+    assert!(!sent_at.is_empty(), "the worker that is warming up got no work");
     for &from in &sent_at {
         let window = from..from + settings.collapse_window;
         let work: f64 = sent_at.iter().filter(|at| window.contains(at)).map(|_| JOB_SECONDS).sum();
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -22,16 +22,16 @@
 
 impl LateWorker {
     fn start() -> LateWorker {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
-        rustix::net::listen(&listener, 0).expect("shorten the accept queue");
-        let filler = connect(listener.local_addr().expect("the local address"));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+        rustix::net::listen(&listener, 0).expect("cannot shorten the accept queue");
+        let filler = connect(listener.local_addr().expect("no local address"));
         LateWorker { listener, filler }
     }
 
     fn endpoint_entry(&self, lifecycle: &str) -> Value {
         site::endpoint_entry(
             "s-late",
-            &self.listener.local_addr().expect("the local address").to_string(),
+            &self.listener.local_addr().expect("no local address").to_string(),
             lifecycle,
         )
     }
@@ -42,17 +42,17 @@
         self,
         program: DispatcherProcess,
     ) -> (String, std::collections::BTreeMap<String, u64>) {
-        let (filler, _) = self.listener.accept().expect("accept the filler");
+        let (filler, _) = self.listener.accept().expect("cannot accept the filler connection");
         drop((filler, self.filler));
-        let (mut stream, _) = self.listener.accept().expect("accept the connection of the dispatcher");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set a socket option");
+        let (mut stream, _) = self.listener.accept().expect("cannot accept the connection of the dispatcher");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
         let mut seen = Vec::new();
         let reader = std::thread::spawn(move || {
             let _ = stream.read_to_end(&mut seen);
             String::from_utf8_lossy(&seen).into_owned()
         });
         let metrics = program.shut_down_for_metrics();
-        (reader.join().expect("join the reader"), metrics)
+        (reader.join().expect("reader thread panicked"), metrics)
     }
 }
 
@@ -82,7 +82,7 @@
 /// Sends a request on a new connection, and returns the connection.
 fn submit(program: &DispatcherProcess, request: &str) -> TcpStream {
     let mut client = connect(program.platform);
-    client.write_all(request.as_bytes()).expect("write the request");
+    client.write_all(request.as_bytes()).expect("write failed");
     client
 }
 
@@ -105,13 +105,14 @@
             _ => (vec![moved.endpoint_entry("up")], &moved),
         };
         discovery.push_change(&site::snapshot(3, &rows).to_string(), site::snapshot(3, &rows));
-        let reader = std::thread::spawn(move || read_reply(&mut client).expect("a response").status);
-        let listener = late.listener.try_clone().expect("duplicate the listener");
-        let (filler, _) = listener.accept().expect("accept the filler");
+        let reader =
+            std::thread::spawn(move || read_reply(&mut client).expect("no complete response").status);
+        let listener = late.listener.try_clone().expect("cannot duplicate the listener");
+        let (filler, _) = listener.accept().expect("cannot accept the filler connection");
         drop(filler);
-        assert_eq!(reader.join().expect("join the reader"), 200, "{case}");
+        assert_eq!(reader.join().expect("reader thread panicked"), 200, "{case}");
         assert!(serving_worker.has_received("a0"), "{case}: {} did not get the job", serving_worker.name);
-        let (mut stream, _) = listener.accept().expect("accept the connection of the dispatcher");
+        let (mut stream, _) = listener.accept().expect("cannot accept the connection of the dispatcher");
         let metrics = program.shut_down_for_metrics();
         let mut seen = String::new();
         let _ = stream.read_to_string(&mut seen);
@@ -173,11 +174,11 @@
     worker.open_gate("told");
     wait_for_connection_attempt(&late.listener);
     wait_until("the end of the repeat window", || sent.elapsed() > Duration::from_millis(2_000));
-    let reader = std::thread::spawn(move || read_reply(&mut client).expect("a response").status);
-    let (filler, _) = late.listener.accept().expect("accept the filler");
+    let reader = std::thread::spawn(move || read_reply(&mut client).expect("no complete response").status);
+    let (filler, _) = late.listener.accept().expect("cannot accept the filler connection");
     drop(filler);
-    let (mut stream, _) = late.listener.accept().expect("accept the connection of the dispatcher");
-    let status = reader.join().expect("join the reader");
+    let (mut stream, _) = late.listener.accept().expect("cannot accept the connection of the dispatcher");
+    let status = reader.join().expect("reader thread panicked");
     let metrics = program.shut_down_for_metrics();
     let mut seen = String::new();
     let _ = stream.read_to_string(&mut seen);
@@ -204,6 +205,6 @@
         workers.iter().for_each(|worker| worker.open_gate("held"));
     });
     workers.iter().for_each(|worker| worker.open_gate("read"));
-    assert_eq!(read_reply(&mut client).expect("a response").status, 200);
+    assert_eq!(read_reply(&mut client).expect("no complete response").status, 200);
     assert_eq!((jobs(), program.shut_down_for_metrics()["untaken"]), (1, 0));
 }
--- a/tests/fleet/failing_workers.rs
+++ b/tests/fleet/failing_workers.rs
@@ -25,7 +25,7 @@
     actions.extend(dispatcher.arrive(2, 0, TIME_BUDGET));
     assert!(sends(&actions).is_empty(), "{actions:?}");
     let sent = sends(&dispatcher.end_probe(0, Outcome::Ok, healthy()));
-    assert!(!sent.is_empty(), "the worker is alive again");
+    assert!(!sent.is_empty(), "no job was sent after a successful probe");
 }
 
 /// A dispatcher probes a worker that a peer advertises as suspect before it sends a job there. When each of the ten dispatchers of
@@ -41,9 +41,9 @@
     }
     let actions = dispatcher.arrive(1, 0, TIME_BUDGET);
     assert!(sends(&actions).is_empty(), "{actions:?}");
-    assert_eq!(probes(&actions), [WorkerId(0)], "it probes the worker itself");
+    assert_eq!(probes(&actions), [WorkerId(0)], "the dispatcher must probe the worker itself");
     let sent = sends(&dispatcher.end_probe(0, Outcome::Ok, healthy()));
-    assert!(!sent.is_empty(), "its own later probe counts");
+    assert!(!sent.is_empty(), "no job was sent after the dispatcher's own probe");
 }
 
 /// A worker that reports errors gets no job until it reports none. A worker that fails all jobs within milliseconds looks idle:
@@ -60,5 +60,5 @@
     dispatcher.arrive(2, 0, TIME_BUDGET);
     let recovered = load_report(0.4, SLOTS, 0.0);
     let sent = sends(&dispatcher.end_probe(0, Outcome::Ok, recovered));
-    assert!(!sent.is_empty(), "the worker reports no errors any more");
+    assert!(!sent.is_empty(), "no job was sent after a report without errors");
 }
--- a/tests/fleet/outstanding_work.rs
+++ b/tests/fleet/outstanding_work.rs
@@ -79,19 +79,22 @@
     }
     sender.arrive(1, 0, 60_000 * MS);
     let first = datagrams_to(&sender.advance(10 * MS), OWN_INDEX);
-    let bytes = first.first().cloned().expect("its work is advertised");
-    assert!(bytes.len() <= CHEAP_DATAGRAM_LEN, "a longer datagram has a higher price: {bytes:?}");
+    let bytes = first.first().cloned().expect("no load advertisement");
+    assert!(
+        bytes.len() <= CHEAP_DATAGRAM_LEN,
+        "datagram longer than {CHEAP_DATAGRAM_LEN} bytes, which has a higher price: {bytes:?}"
+    );
     dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes });
     dispatcher.arrive(1, 0, 60_000 * MS);
     let sent = sends(&dispatcher.advance(100 * MS));
-    assert!(sent.is_empty(), "the only slot is occupied: {sent:?}");
+    assert!(sent.is_empty(), "sent although the only slot is occupied: {sent:?}");
     sender.feed(Event::Started { job: JobId(1), attempt: 0 });
     let repeated = datagrams_to(&sender.advance(2_500 * MS), OWN_INDEX);
-    assert!(!repeated.is_empty(), "the work is advertised again");
+    assert!(!repeated.is_empty(), "the work was not advertised again");
     // While the peer counts as silent, load reports count as well; afterwards it counts as dead.
     dispatcher.advance(11_000 * MS);
     let sent = sends(&dispatcher.arrive(2, 0, TIME_BUDGET));
-    assert!(!sent.is_empty(), "the peer has been silent for too long");
+    assert!(!sent.is_empty(), "no job was sent although the peer has been silent for too long");
 }
 
 /// When a third of the workers is replaced, many of the others are assigned to another group, which is informed of their
@@ -121,7 +124,7 @@
     }
     assert_eq!(sends(&peer.arrive(1, 0, TIME_BUDGET)).len(), 1);
     let advertised = datagrams_to(&peer.advance(5 * MS), OWN_INDEX);
-    let bytes = advertised.first().cloned().expect("its work is advertised");
+    let bytes = advertised.first().cloned().expect("no load advertisement");
     dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes: bytes.clone() });
     assert_eq!(sends(&dispatcher.arrive(2, 0, TIME_BUDGET)).len(), 1, "three slots are free");
     dispatcher.end_attempt(2, 0, WorkerId(0), Outcome::Ok);
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -21,7 +21,7 @@
 /// key runs twice, and no job is sent to a draining worker.
 #[test]
 fn five_processes_answer_each_job_once_through_faults() {
-    let fleet = Fleet::start(plan(5, 4, 0x5eed_0001)).expect("the fleet starts");
+    let fleet = Fleet::start(plan(5, 4, 0x5eed_0001)).expect("cannot start the fleet");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_load(&LoadPlan {
         dispatchers: fleet.all(),
@@ -39,7 +39,7 @@
     fleet.kill(3);
     wait_for_more_served(60);
     fleet.datagrams.heal();
-    fleet.restart(3).expect("the process restarts");
+    fleet.restart(3).expect("cannot restart the process");
     fleet.set_worker_cut(1, true);
     wait_for_more_served(60);
     fleet.set_worker_cut(1, false);
@@ -104,7 +104,7 @@
 
 /// The index of the first matching event.
 fn first(entries: &[LoggedEvent], is_match: impl Fn(&Event) -> bool) -> usize {
-    entries.iter().position(|entry| is_match(&entry.event)).expect("a matching event is recorded")
+    entries.iter().position(|entry| is_match(&entry.event)).expect("no matching event is recorded")
 }
 
 /// Appends a copy of the first matching event.
@@ -116,7 +116,7 @@
 /// The harness supports thirty processes, which all receive the list and serve.
 #[test]
 fn thirty_processes_serve() {
-    let fleet = Fleet::start(plan(30, 6, 0x5eed_0030)).expect("the fleet starts");
+    let fleet = Fleet::start(plan(30, 6, 0x5eed_0030)).expect("cannot start the fleet");
     fleet.wait_until_notified(&fleet.all(), 1, 0);
     let load = fleet.start_plain_load(&fleet.all(), 5.0, Duration::from_secs(60));
     fleet.wait_until("jobs are served", || load.served() >= 150);
--- a/tests/four_rules/checker.rs
+++ b/tests/four_rules/checker.rs
@@ -128,7 +128,7 @@
     }
 
     fn job_mut(&mut self, id: u64) -> &mut Job {
-        self.jobs.get_mut(&id).expect("the job is known")
+        self.jobs.get_mut(&id).expect("unknown job")
     }
 
     fn check(&mut self, actions: &[Action]) {
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -19,8 +19,8 @@
 
 /// Opens a listener that forwards connections to this address. Returns the listener's address.
 fn forward(to: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a local port");
-    let address = listener.local_addr().expect("the listener has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+    let address = listener.local_addr().expect("no local address");
     spawn(move || {
         for inbound in listener.incoming().flatten() {
             let Ok(outbound) = TcpStream::connect(to) else { continue };
@@ -69,7 +69,7 @@
         let generation = self.fleet.discovery.set_lifecycle(worker, Lifecycle::Draining);
         self.fleet.wait_until_notified(&self.fleet.all(), generation, 0);
         let notified_at = self.fleet.notified_at(generation, 0);
-        let last = notified_at.iter().flatten().max().expect("all processes are notified") - reachable_since;
+        let last = notified_at.iter().flatten().max().expect("no process was notified") - reachable_since;
         println!("{what}: the last process is notified after {} ms", last / 1_000);
         assert!(last <= max_seconds * 1_000_000, "{what}: {last} us, {notified_at:?}");
         // The worker takes work again, so that the next check has enough workers.
@@ -100,7 +100,7 @@
         plan.change = Some(Arc::new(|_, config| {
             config["settings"]["Obligations"]["AskWithinMs"] = json!(10_000.0);
         }));
-        let fleet = Fleet::start(plan).expect("start the fleet");
+        let fleet = Fleet::start(plan).expect("cannot start the fleet");
         fleet.wait_until_notified(&fleet.all(), 1, 0);
         OutageTest { fleet, failures_before: vec![0; PROCESSES] }
     }
@@ -147,7 +147,7 @@
         for dispatcher in 0..PROCESSES {
             let address = forward(self.fleet.discovery_link(dispatcher).address).to_string();
             self.fleet.change_config(dispatcher, |config| config["discovery"] = json!(address));
-            self.fleet.reload(dispatcher).expect("the process reloads its configuration");
+            self.fleet.reload(dispatcher).expect("cannot reload the configuration");
         }
         self.wait_until_all_call(&before);
         self.check_worker_leaves("moved", 1, reloaded_at, NOTIFICATION_SECONDS_AFTER_MOVE);
--- a/tests/lists/case.rs
+++ b/tests/lists/case.rs
@@ -118,7 +118,7 @@
         let [when, next_watch, used_workers, counts, sent, next_list @ ..] = &fields[..] else {
             panic!("{line}")
         };
-        let counts: Vec<u64> = counts.split(' ').map(|count| count.parse().expect("a count")).collect();
+        let counts: Vec<u64> = counts.split(' ').map(|count| count.parse().expect("not a count")).collect();
         let [bad_lists, stale_lists, bad_rows] = counts[..] else { panic!("{line}") };
         Case {
             line,
@@ -126,7 +126,7 @@
             next_watch: match *next_watch {
                 "goes on" => NextWatch::SameWatch,
                 "all" => NextWatch::FromStart,
-                generation => NextWatch::After(generation.parse().expect("a generation")),
+                generation => NextWatch::After(generation.parse().expect("not a generation")),
             },
             used_workers,
             counts: ListCounts { bad_lists, stale_lists, bad_rows },
@@ -144,10 +144,10 @@
     /// The list as JSON, for a program that holds this generation.
     pub fn to_list(self, held_generation: u64, workers: &TableWorkers) -> Value {
         let mut words = self.0.split(' ').filter(|word| !word.is_empty());
-        let offset: i64 = words.next().and_then(|word| word.parse().ok()).expect("a generation");
+        let offset: i64 = words.next().and_then(|word| word.parse().ok()).expect("not a generation");
         let is_snapshot = words.next() == Some("whole");
         let entries: Vec<Value> = words.map(|word| workers.entry(word)).collect();
-        let generation = held_generation.checked_add_signed(offset).expect("above 0");
+        let generation = held_generation.checked_add_signed(offset).expect("generation below 0");
         if is_snapshot { site::snapshot(generation, &entries) } else { site::delta(generation, &entries) }
     }
 }
@@ -235,7 +235,8 @@
 
     /// The worker that a word names, with or without a state.
     pub fn get(&self, word: &str) -> &FakeWorker {
-        let index = if word.ends_with('m') { 3 } else { word[..1].parse::<usize>().expect("a number") - 1 };
+        let index =
+            if word.ends_with('m') { 3 } else { word[..1].parse::<usize>().expect("not a number") - 1 };
         &self.0[index]
     }
 
--- a/tests/lists/full_list.rs
+++ b/tests/lists/full_list.rs
@@ -43,7 +43,10 @@
     });
     send_until_unused(&program, &workers.old, &workers.new); // the response has been read
     let metrics = program.shut_down_for_metrics();
-    assert_eq!(metrics["workers"], 1, "the old worker is not on the list of the new service");
+    assert_eq!(
+        metrics["workers"], 1,
+        "the old worker, which the new service does not list, is still in the table"
+    );
     assert_eq!((metrics["bad_lists"], second.list_call_count()), (4, responses.len()));
 }
 
--- a/tests/lists/main.rs
+++ b/tests/lists/main.rs
@@ -69,7 +69,7 @@
     wait_until(&format!("{} gets work", worker.name), || {
         number += 1;
         let request = simple_job(&format!("{id_prefix}{number}"));
-        assert_eq!(send(program.platform, &request).expect("a response").status, 200);
+        assert_eq!(send(program.platform, &request).expect("no complete response").status, 200);
         job_count(worker) > before
     });
 }
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -57,7 +57,7 @@
     fleet.kill(victim);
     fleet.wait_until("the killed member is dead", || all_observe(fleet, &others, &[victim], "dead"));
     assert!(all_observe(fleet, &others, &others, "alive"), "another member is not alive");
-    fleet.restart(victim).expect("the process restarts");
+    fleet.restart(victim).expect("cannot restart the process");
     wait_for_agreement(fleet, "after a restart");
     assert!(member_epoch(fleet, 0, victim) > epoch, "the restarted member must have a greater epoch");
 }
@@ -118,7 +118,8 @@
 /// are served.
 #[test]
 fn five_processes_agree_on_members_through_faults() {
-    let fleet = Fleet::start(plan(5, 0x6d65_6d01, Some(MEMBERSHIP_SETTINGS))).expect("the fleet starts");
+    let fleet =
+        Fleet::start(plan(5, 0x6d65_6d01, Some(MEMBERSHIP_SETTINGS))).expect("cannot start the fleet");
     wait_for_agreement(&fleet, "at the start");
     let load = fleet.start_plain_load(&[0, 2], 20.0, Duration::from_secs(60));
     send_malformed_datagrams(&fleet, 4);
@@ -140,7 +141,7 @@
 fn learned_facts_reach_peers() {
     let settings = "fleet { membership { probe_interval_ms: 100 } runtimes {} fair_share { points_per_s: 100 \
               installations { name: \"a\" weight: 1 tenants { name: \"steppe-mart\" weight: 1 } } } }";
-    let fleet = Fleet::start(plan(3, 0x6d65_6d04, Some(settings))).expect("the fleet starts");
+    let fleet = Fleet::start(plan(3, 0x6d65_6d04, Some(settings))).expect("cannot start the fleet");
     let load = fleet.start_plain_load(&[0], 40.0, Duration::from_secs(60));
     let counter = |i: usize, name: &str| fleet.counters(i).get(name).copied().unwrap_or(0.0);
     fleet.wait_until("ended jobs are observed", || counter(0, "runtimes_seen") > 10.0);
@@ -151,10 +152,10 @@
     assert_eq!(
         (counter(1, "runtimes_seen"), counter(1, "runtimes_told")),
         (0.0, 0.0),
-        "dispatcher 1 has observed no jobs itself"
+        "dispatcher 1 must not have observed any job itself"
     );
     fleet.kill(1);
-    fleet.restart(1).expect("the process restarts");
+    fleet.restart(1).expect("cannot restart the process");
     fleet
         .wait_until("the restarted dispatcher has received run times", || counter(1, "runtimes_taken") > 0.0);
     assert!(
@@ -167,12 +168,13 @@
 /// SIGHUP with a different list of peers starts a new membership with a new epoch; an invalid configuration changes nothing.
 #[test]
 fn reload_with_other_peers_starts_new_membership() {
-    let fleet = Fleet::start(plan(3, 0x6d65_6d02, Some(MEMBERSHIP_SETTINGS))).expect("the fleet starts");
+    let fleet =
+        Fleet::start(plan(3, 0x6d65_6d02, Some(MEMBERSHIP_SETTINGS))).expect("cannot start the fleet");
     wait_for_agreement(&fleet, "at the start");
     let before = member_epoch(&fleet, 0, 0);
     let peers = fleet.config(0)["peers"].clone();
     fleet.change_config(0, |config| config["peers"] = serde_json::json!([]));
-    fleet.reload(0).expect("the configuration is written");
+    fleet.reload(0).expect("cannot write the configuration");
     fleet.wait_until("the configuration is rejected", || {
         fleet.counters(0).get("reconfig_failed") == Some(&1.0)
     });
@@ -184,7 +186,7 @@
             config["peers"] = serde_json::json!([peers[0], peers[1]]);
             config["settings"]["Siblings"] = serde_json::json!(2);
         });
-        fleet.reload(i).expect("the configuration is written");
+        fleet.reload(i).expect("cannot write the configuration");
     }
     fleet.wait_until("two members remain", || (0..2).all(|i| member_states(&fleet, i) == ["alive", "alive"]));
     assert!(member_epoch(&fleet, 1, 0) > before, "the new membership must have a greater epoch");
@@ -193,10 +195,10 @@
 /// Without membership settings there are no membership datagrams, no admin page, no counters and no log lines.
 #[test]
 fn disabled_membership_leaves_no_trace() {
-    let fleet = Fleet::start(plan(3, 0x6d65_6d03, None)).expect("the fleet starts");
+    let fleet = Fleet::start(plan(3, 0x6d65_6d03, None)).expect("cannot start the fleet");
     let load = fleet.start_plain_load(&fleet.all(), 50.0, Duration::from_secs(10));
     fleet.wait_until("jobs are served", || load.summary().served() > 20);
-    let response = fleet.admin(0, "/control/members").expect("the admin address responds");
+    let response = fleet.admin(0, "/control/members").expect("no response from the admin address");
     assert_eq!(response.status, 404);
     assert!(!fleet.counters(0).contains_key("members_alive"));
     let totals = fleet.datagrams.totals();
--- a/tests/membership/partitioned_fleet.rs
+++ b/tests/membership/partitioned_fleet.rs
@@ -28,7 +28,7 @@
         dispatcher / 2 % 2
     }
 
-    fn settings(me: u32) -> mothproxy::Settings {
+    fn settings(index: u32) -> mothproxy::Settings {
         let default = mothproxy::Settings::default();
         let class = mothproxy::Class {
             latency_objective: 20_000 * MS,
@@ -36,7 +36,7 @@
             ..default.classes[0].clone()
         };
         mothproxy::Settings {
-            own_index: me,
+            own_index: index,
             dispatcher_count: PartitionedFleet::DISPATCHERS,
             classes: vec![class],
             may_probe: true,
@@ -53,23 +53,23 @@
 
     /// A fleet whose dispatchers consider the peers on the other side unreachable.
     fn aware() -> PartitionedFleet {
-        let is_near = |me, other| PartitionedFleet::side(me) == PartitionedFleet::side(other);
-        PartitionedFleet::with_presence(|me, other| {
-            Some(if is_near(me, other) { Present } else { Unreachable })
+        let is_same_side = |index, other| PartitionedFleet::side(index) == PartitionedFleet::side(other);
+        PartitionedFleet::with_presence(|index, other| {
+            Some(if is_same_side(index, other) { Present } else { Unreachable })
         })
     }
 
     /// A fleet in which each dispatcher is notified of the presence of its peers; not if `presence` returns `None`.
     fn with_presence(presence: impl Fn(u32, u32) -> Option<PeerPresence>) -> PartitionedFleet {
         let count = PartitionedFleet::DISPATCHERS;
-        let dispatcher = |me| {
-            let settings = PartitionedFleet::settings(me);
-            let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(me));
+        let dispatcher = |index| {
+            let settings = PartitionedFleet::settings(index);
+            let mut dispatcher = TestDispatcher::with_seed(settings, u64::from(index));
             dispatcher.load_cached_list(workers(PartitionedFleet::WORKERS));
             // One load report suffices for the number of slots of all workers of a kind.
             dispatcher.report_load(0, 0.0, PartitionedFleet::SLOTS as f64);
             let known_presence: Option<Vec<PeerPresence>> =
-                (0..count).map(|other| presence(me, other)).collect();
+                (0..count).map(|other| presence(index, other)).collect();
             if let Some(known_presence) = known_presence {
                 dispatcher.feed(Event::Peers(known_presence));
             }
--- a/tests/membership/peer_presence.rs
+++ b/tests/membership/peer_presence.rs
@@ -33,9 +33,9 @@
         };
         let settings = FleetSettings { membership: Some(membership), ..FleetSettings::default() };
         let identity =
-            |me| ProcessIdentity { place: me, peers: places, epoch: 1_000 + u64::from(me), seed: 3 };
-        let components = (0..2).map(|me| {
-            FleetComponents::new(settings.clone(), identity(me), 0).expect("the settings are valid")
+            |index| ProcessIdentity { place: index, peers: places, epoch: 1_000 + u64::from(index), seed: 3 };
+        let components = (0..2).map(|index| {
+            FleetComponents::new(settings.clone(), identity(index), 0).expect("invalid settings")
         });
         Pair {
             components: components.collect(),
@@ -50,27 +50,27 @@
         let end = self.now + span;
         while self.now < end {
             self.now += MS;
-            for me in 0..2 {
-                if self.components[me].next_wake(self.now).is_some_and(|at| at <= self.now) {
-                    self.components[me].on_timer(self.now);
+            for index in 0..2 {
+                if self.components[index].next_wake(self.now).is_some_and(|at| at <= self.now) {
+                    self.components[index].on_timer(self.now);
                 }
-                while let Some(output) = self.components[me].poll() {
-                    self.handle(me, output, link);
+                while let Some(output) = self.components[index].poll() {
+                    self.handle(index, output, link);
                 }
             }
         }
     }
 
-    fn handle(&mut self, me: usize, output: FleetOutput, link: Link) {
+    fn handle(&mut self, index: usize, output: FleetOutput, link: Link) {
         match output {
             FleetOutput::Send { to, bytes } if link == Link::Connected && to < 2 => {
                 let receiver = &mut self.components[to as usize];
                 assert!(receiver.accepts(&bytes) && bytes.len() <= 256);
-                receiver.on_datagram(self.now, me as u32, &bytes);
+                receiver.on_datagram(self.now, index as u32, &bytes);
             }
             FleetOutput::Send { .. } | FleetOutput::MemberChanged(_) | FleetOutput::Fact(_) => {}
-            FleetOutput::PeerPresence(presence) => self.presence[me].push(presence),
-            FleetOutput::LogChange { suppressed, .. } => self.suppressed_before[me].push(suppressed),
+            FleetOutput::PeerPresence(presence) => self.presence[index].push(presence),
+            FleetOutput::LogChange { suppressed, .. } => self.suppressed_before[index].push(suppressed),
         }
     }
 }
@@ -81,16 +81,16 @@
 fn policy_is_notified_of_peer_presence() {
     let mut pair = Pair::new(3);
     pair.run(400 * MS, Link::Connected);
-    assert_eq!(pair.presence[0], [[Present; 3]], "all places are present at first");
+    assert_eq!(pair.presence[0], [[Present; 3]], "all places must be present at first");
     pair.run(10_000 * MS, Link::Connected);
     assert_eq!(
         pair.presence[0].last(),
         Some(&vec![Present, Present, Unreachable]),
-        "the unknown place is unreachable"
+        "the unknown place must be unreachable"
     );
     pair.run(20_000 * MS, Link::Cut);
     let isolated = [vec![Present, Unreachable, Unreachable], vec![Unreachable, Present, Unreachable]];
-    assert!((0..2).all(|me| pair.presence[me].last() == Some(&isolated[me])), "{:?}", pair.presence);
+    assert!((0..2).all(|index| pair.presence[index].last() == Some(&isolated[index])), "{:?}", pair.presence);
     pair.run(20_000 * MS, Link::Connected);
     assert!(
         pair.presence.iter().all(|presence| presence.last() == Some(&vec![Present, Present, Unreachable])),
@@ -105,10 +105,10 @@
     pair.components[0].announce_leave(pair.now);
     assert!(pair.components[0].next_wake(pair.now).is_none() && pair.components[0].poll().is_none());
     let identity = ProcessIdentity { place: 0, peers: 3, epoch: 9_000, seed: 4 };
-    pair.components[0].restart(identity, pair.now).expect("the membership restarts");
+    pair.components[0].restart(identity, pair.now).expect("cannot restart the membership");
     pair.run(2_000 * MS, Link::Connected);
     let known =
-        pair.components[1].view().and_then(|view| view.member(0).copied()).expect("the member is known");
+        pair.components[1].view().and_then(|view| view.member(0).copied()).expect("the member is unknown");
     assert_eq!((known.epoch, known.state), (9_000, mothproxy_membership::State::Alive));
 }
 
@@ -119,7 +119,7 @@
     for _ in 0..60 {
         pair.components[1]
             .restart(ProcessIdentity { place: 1, peers: 2, epoch: 2_000 + pair.now, seed: 3 }, pair.now)
-            .expect("the membership restarts");
+            .expect("cannot restart the membership");
         pair.run(100 * MS, Link::Connected);
     }
     pair.run(3_000 * MS, Link::Connected);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -56,9 +56,8 @@
             } else if length > http::MAX_BODY {
                 assert_eq!(read, Err(HeadError::BodyTooLarge));
             } else {
-                let read = read
-                    .expect("the head is valid")
-                    .unwrap_or_else(|| panic!("incomplete after byte {before}"));
+                let read =
+                    read.expect("invalid head").unwrap_or_else(|| panic!("incomplete after byte {before}"));
                 assert_eq!((read.framing, read.len), (Framing::Length(length), head_len));
                 assert_eq!(&seen[read.target.clone()], format!("/{path}").as_bytes());
                 assert_eq!(read.fields.text(&seen, "x-ID"), Some(id.as_str()));
@@ -80,7 +79,7 @@
         wire.extend(b"0\r\nTrailer: x\r\n\r\nnext");
         let (mut decoder, mut body, mut used) = (Chunked::default(), Vec::new(), 0);
         for piece in split_at_random(&wire, g) {
-            used += decoder.decode(&piece, &mut body).expect("the chunked coding is valid");
+            used += decoder.decode(&piece, &mut body).expect("invalid chunked coding");
         }
         assert!(decoder.is_done());
         assert_eq!((body, used), (chunks.concat(), wire.len() - 4));
@@ -100,14 +99,14 @@
             };
             let text = events::write_event(&event.name, &event.data);
             let text = String::from_utf8(text)
-                .expect("the event is UTF-8")
-                .replace('\n', g.choose(&["\n", "\r\n"]).expect("a line end"));
+                .expect("the event is not UTF-8")
+                .replace('\n', g.choose(&["\n", "\r\n"]).expect("no line end"));
             wire.extend(text.bytes());
             sent.push(event);
         }
         let (mut stream, mut seen) = (EventStream::default(), Vec::new());
         for piece in split_at_random(&wire, g) {
-            stream.feed(&piece, |event| seen.push(event)).expect("the event is within the length limit");
+            stream.feed(&piece, |event| seen.push(event)).expect("the event exceeds the length limit");
         }
         assert_eq!(seen, sent);
     });
@@ -215,7 +214,7 @@
         for split in 0..=bytes.len() {
             let (mut stream, mut seen) = (EventStream::default(), Vec::new());
             for part in [&bytes[..split], &bytes[split..]] {
-                stream.feed(part, |event| seen.push(event)).expect("the event is within the length limit");
+                stream.feed(part, |event| seen.push(event)).expect("the event exceeds the length limit");
             }
             let input = String::from_utf8_lossy(bytes);
             assert_eq!((&seen, stream.retry()), (expected, *retry), "{input:?} split at byte {split}");
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -73,7 +73,7 @@
         assert_eq!(rng.u64(..), counted.u64(..), "8 random numbers are drawn for 8 of {size} workers");
         let distinct: BTreeSet<WorkerId> = drawn.iter().copied().collect();
         assert_eq!((drawn.len(), distinct.len()), (8, 8));
-        drawn.iter().for_each(|w| *times.get_mut(w).expect("a worker of the group") += 1);
+        drawn.iter().for_each(|w| *times.get_mut(w).expect("not a worker of the group") += 1);
     }
     let mean = 2_000.0 * 8.0 / size as f64;
     let (least, most) = (times.values().min().copied(), times.values().max().copied());
@@ -209,19 +209,22 @@
     let present = PeerPresence::Present;
     assert!(
         !gossip.set_presence(1, &[present; 7]) && !gossip.set_presence(1, &[PeerPresence::Gone; 100]),
-        "neither list is applied"
+        "a presence list that must be ignored was applied"
     );
-    assert!(!gossip.set_presence(1, &[present; 100]), "all dispatchers were present before");
+    assert!(!gossip.set_presence(1, &[present; 100]), "an unchanged presence list counts as a change");
     let mut peers = vec![present; 100];
     peers[4] = PeerPresence::Gone;
-    assert!(gossip.set_presence(1, &peers) && !gossip.set_presence(1, &peers), "a change is applied once");
+    assert!(
+        gossip.set_presence(1, &peers) && !gossip.set_presence(1, &peers),
+        "the change was not applied, or was applied twice"
+    );
     let mut actions = Vec::new();
     (0..1_000).for_each(|random| gossip.request_slot(ZoneId(0), random, &mut actions));
     let is_asked =
         |peer| actions.iter().any(|act| matches!(act, Action::SendToPeer { to, .. } if *to == peer));
     assert!(
         !is_asked(4) && (14..100).step_by(10).all(is_asked),
-        "slots are requested from the members of a group that are present, not from the one that is gone"
+        "a slot was requested from the member that is gone, or none from a member that is present"
     );
 }
 
@@ -233,7 +236,7 @@
     all.extend((52..60).map(|n| EndpointEntry { started_at: Some(1), ..listed(n) }));
     let after = groups_of(&all);
     let moved = before.iter().filter(|(w, group)| after[w] != **group).count();
-    assert_eq!(moved, 0, "the older workers keep their group");
+    assert_eq!(moved, 0, "older workers moved to another group");
 }
 
 /// The group of dispatcher 0 is the same with 92 dispatchers and with 91, but slots must not be requested from the removed one.
--- a/tests/size/groups.rs
+++ b/tests/size/groups.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_group_knows_all_outstanding_work_at_a_thousand_workers() {
     let workers = workers_with_colliding_tags(SIZE);
-    let [mut dispatcher, mut peer] = [0, 1].map(|me| dispatcher_among(me, 2, &workers));
+    let [mut dispatcher, mut peer] = [0, 1].map(|index| dispatcher_among(index, 2, &workers));
     let SubmissionResult { sent: mut outstanding, datagrams } = submit(&mut dispatcher, 0..600, 1);
     assert_eq!(outstanding.len(), 600);
     assert!(datagrams.iter().all(|bytes| bytes.len() <= MAX_DATAGRAM_LEN));
@@ -120,7 +120,7 @@
 #[test]
 fn an_offer_is_used_at_the_worker_it_names() {
     let workers = workers_with_colliding_tags(300);
-    let [mut lender, mut borrower] = [0, 1].map(|me| dispatcher_among(me, 30, &workers));
+    let [mut lender, mut borrower] = [0, 1].map(|index| dispatcher_among(index, 30, &workers));
     let mut lenders_group = GroupGossip::new(&settings(0, 30));
     lenders_group.assign(&workers, &[]);
     let own = submit(&mut borrower, 0..160, 0).sent;
@@ -145,8 +145,8 @@
 fn assigned_to_group(group: u32, dispatchers: u32, listed: &[EndpointEntry]) -> Vec<WorkerId> {
     let groups = dispatchers.div_ceil(GROUP_SIZE);
     let last_of_group = group + (dispatchers - 1 - group) / groups * groups;
-    let [first, last] = [group, last_of_group].map(|me| {
-        let mut gossip = GroupGossip::new(&settings(me, dispatchers));
+    let [first, last] = [group, last_of_group].map(|index| {
+        let mut gossip = GroupGossip::new(&settings(index, dispatchers));
         gossip.assign(listed, &[]);
         gossip.assigned().to_vec()
     });
@@ -191,10 +191,8 @@
 impl RandomInput {
     /// A random change of one worker, which may not be listed yet.
     fn list_change(&mut self) -> Event {
-        let status = self
-            .rng
-            .choice([Status::Ready, Status::Draining, Status::Gone])
-            .expect("the choices are not empty");
+        let status =
+            self.rng.choice([Status::Ready, Status::Draining, Status::Gone]).expect("nothing to choose from");
         let entry = EndpointEntry { status, ..worker(self.rng.u32(..SIZE * 2)) };
         self.ready.remove(&entry.worker);
         self.ready.extend((status == Status::Ready).then_some(entry.worker));
@@ -215,7 +213,7 @@
     let mut sent = 0;
     for step in 0..STEPS {
         let payload: Vec<u8> = (0..input.rng.usize(..40)).map(|_| input.rng.u8(..)).collect();
-        let kind = *input.rng.choice(MESSAGE_KINDS).expect("the choices are not empty");
+        let kind = *input.rng.choice(MESSAGE_KINDS).expect("nothing to choose from");
         let mut actions = Vec::new();
         if step % 10 == 0 {
             let change = input.list_change();
@@ -225,7 +223,7 @@
         actions.extend(dispatcher.feed(Event::PeerMessage { from, bytes: [&[kind], &payload[..]].concat() }));
         if step % 500 == 499 {
             let fewer = settings(0, SIZE - step as u32 / 20);
-            dispatcher.dispatcher.reconfigure(fewer).expect("the settings are valid");
+            dispatcher.dispatcher.reconfigure(fewer).expect("invalid settings");
         }
         actions.extend(dispatcher.arrive(step, 0, 7_000 * MS));
         actions.extend(dispatcher.advance(3 * MS));
--- a/tests/size/main.rs
+++ b/tests/size/main.rs
@@ -17,12 +17,12 @@
 /// The number of dispatchers, and of workers on the endpoint list.
 const SIZE: u32 = 1_024;
 
-/// The settings of dispatcher `me` of `nodes`, which may message its peers.
-fn settings(me: u32, nodes: u32) -> Settings {
+/// The settings of dispatcher `index` of `dispatchers`, which may message its peers.
+fn settings(index: u32, dispatchers: u32) -> Settings {
     let class = Class { latency_objective: 250 * MS, deadline: 7_500 * MS, ..class(Idempotency::Idempotent) };
     Settings {
-        own_index: me,
-        dispatcher_count: nodes,
+        own_index: index,
+        dispatcher_count: dispatchers,
         classes: vec![class],
         may_probe: true,
         may_message_peers: true,
@@ -31,9 +31,9 @@
     }
 }
 
-/// Dispatcher `me` of `nodes`, with workers that have one slot each.
-fn dispatcher_among(me: u32, nodes: u32, workers: &[EndpointEntry]) -> TestDispatcher {
-    let mut dispatcher = TestDispatcher::with_seed(settings(me, nodes), me.into());
+/// Dispatcher `index` of `dispatchers`, with workers that have one slot each.
+fn dispatcher_among(index: u32, dispatchers: u32, workers: &[EndpointEntry]) -> TestDispatcher {
+    let mut dispatcher = TestDispatcher::with_seed(settings(index, dispatchers), index.into());
     dispatcher.load_cached_list(workers.to_vec());
     dispatcher.report_load(0, 0.0, 1.0);
     dispatcher
--- a/tests/size/process.rs
+++ b/tests/size/process.rs
@@ -35,8 +35,8 @@
 
     fn bind(numbers: impl IntoIterator<Item = u32>) -> Peers {
         let bind = |number| {
-            let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-            socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket option is set");
+            let socket = UdpSocket::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+            socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("cannot set socket option");
             (number, socket)
         };
         Peers(numbers.into_iter().map(bind).collect())
@@ -45,7 +45,7 @@
     /// The address of a dispatcher; an unused one if it has no socket.
     fn address(&self, number: u32) -> SocketAddr {
         match self.0.get(&number) {
-            Some(socket) => socket.local_addr().expect("the socket has an address"),
+            Some(socket) => socket.local_addr().expect("no local address"),
             None => SocketAddr::from(([127, 8, (number >> 8) as u8, number as u8], 9)),
         }
     }
@@ -54,7 +54,7 @@
     fn receive(&self, number: u32, is_expected: impl Fn(&[u8]) -> bool) -> SocketAddr {
         let mut buffer = [0; 256];
         loop {
-            let (len, from) = self.0[&number].recv_from(&mut buffer).expect("a datagram arrives");
+            let (len, from) = self.0[&number].recv_from(&mut buffer).expect("no datagram");
             if is_expected(&buffer[..len]) {
                 return from;
             }
@@ -62,19 +62,19 @@
     }
 
     fn send(&self, number: u32, to: SocketAddr, datagram: &[u8]) {
-        self.0[&number].send_to(datagram, to).expect("the datagram is sent");
+        self.0[&number].send_to(datagram, to).expect("cannot send the datagram");
     }
 
     /// Swaps the sockets of two dispatchers.
     fn swap(&mut self, one: u32, other: u32) {
-        let first = self.0.remove(&one).expect("the dispatcher has a socket");
-        let second = self.0.remove(&other).expect("the dispatcher has a socket");
+        let first = self.0.remove(&one).expect("the dispatcher has no socket");
+        let second = self.0.remove(&other).expect("the dispatcher has no socket");
         self.0.extend([(one, second), (other, first)]);
     }
 
     fn assert_received_nothing(&self, number: u32) {
         let socket = &self.0[&number];
-        socket.set_nonblocking(true).expect("the socket option is set");
+        socket.set_nonblocking(true).expect("cannot set socket option");
         let received = socket.recv_from(&mut [0; 256]);
         assert!(received.is_err(), "dispatcher {number} received a datagram, although it is no neighbor");
     }
@@ -100,8 +100,8 @@
 /// Sends a request, and asserts that it is served.
 fn serve_request(client: &mut TcpStream, id: &str) -> HttpReply {
     let request = job_request(id, "balance", "stream started pause=5 done=x", "");
-    client.write_all(request.as_bytes()).expect("the request is written");
-    let reply = read_reply(client).expect("the program responds");
+    client.write_all(request.as_bytes()).expect("write failed");
+    let reply = read_reply(client).expect("no complete response");
     assert_eq!((reply.status, reply.body.as_str()), (200, "x"), "{id}");
     reply
 }
@@ -225,7 +225,7 @@
         assert_eq!(
             reply.header("Connection"),
             None,
-            "all peers are stopping, so the client's connection must stay open"
+            "the client's connection is closed although all peers are stopping"
         );
         let serving = self.neighbors[1];
         self.peers.send(serving, self.source_address, SERVING);
@@ -257,7 +257,7 @@
     let Site { program, peers, .. } = site;
     let (is_clean, log) = program.wait_for_exit();
     let summary =
-        log.iter().rev().find(|line| line.starts_with("figures ")).expect("the log has a summary line");
+        log.iter().rev().find(|line| line.starts_with("figures ")).expect("no summary line in the log");
     let figures =
         [" bad_datagrams=0 ", " bad_lists=0 ", " bad_rows=0 ", " workers=512 ", " broken_invariants=0"];
     assert!(is_clean && figures.iter().all(|figure| summary.contains(figure)), "{summary}");
@@ -270,7 +270,7 @@
 #[test]
 fn transfers_a_thousand_workers_to_the_successor() {
     let worker = FakeWorker::start("s-0000");
-    let temp_dir = tempfile::tempdir().expect("a temporary directory");
+    let temp_dir = tempfile::tempdir().expect("cannot create the temporary directory");
     let start = |listen: String| {
         DispatcherProcess::builder(&[])
             .temp_dir(temp_dir.path())
--- a/tests/size/shutdown.rs
+++ b/tests/size/shutdown.rs
@@ -13,17 +13,17 @@
 /// Runs one round in which each stopping dispatcher notifies its neighbors.
 fn run_round(count: u32, stops: impl Fn(u32) -> bool) -> Round {
     let mut lifecycles: Vec<PeerLifecycle> =
-        (0..count).map(|me| PeerLifecycle::new(me, count as usize)).collect();
+        (0..count).map(|index| PeerLifecycle::new(index, count as usize)).collect();
     let stopping: Vec<u32> = (0..count).filter(|number| stops(*number)).collect();
     let mut datagrams = 0;
-    for &me in &stopping {
-        for to in lifecycles[me as usize].neighbors() {
-            let is_mutual = lifecycles[to as usize].neighbors().contains(&me);
+    for &index in &stopping {
+        for to in lifecycles[index as usize].neighbors() {
+            let is_mutual = lifecycles[to as usize].neighbors().contains(&index);
             assert!(
-                to != me && is_mutual,
-                "{me} of {count} dispatchers notifies {to}, which is itself or does not have {me} as a neighbor"
+                to != index && is_mutual,
+                "{index} of {count} dispatchers notifies {to}, which is itself or does not have {index} as a neighbor"
             );
-            lifecycles[to as usize].on_stopping(me);
+            lifecycles[to as usize].on_stopping(index);
             datagrams += 1;
         }
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -14,7 +14,7 @@
 impl SharedDirectory {
     fn new(name: &str) -> SharedDirectory {
         let path = std::env::temp_dir().join(format!("mothproxy-up-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("the temporary directory is created");
+        std::fs::create_dir_all(&path).expect("cannot create the temporary directory");
         SharedDirectory(path)
     }
 }
@@ -42,7 +42,10 @@
     predecessor: &DispatcherProcess,
 ) -> DispatcherProcess {
     let successor = start_in(&directory.0, workers, &predecessor.platform.to_string());
-    assert_eq!(successor.platform, predecessor.platform, "the successor inherits the listening socket");
+    assert_eq!(
+        successor.platform, predecessor.platform,
+        "the successor has not inherited the listening socket"
+    );
     successor
 }
 
@@ -60,42 +63,41 @@
     let (directory, worker) = (SharedDirectory::new("all"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
     let predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
-    let (platform, sse) = (predecessor.platform, predecessor.sse.expect("the SSE listener is on"));
+    let (platform, sse) = (predecessor.platform, predecessor.sse.expect("no SSE listener"));
     let mut idle = connect(platform);
-    idle.write_all(simple_job("a0").as_bytes()).expect("the request is written");
-    assert_eq!(read_reply(&mut idle).expect("the dispatcher answers").status, 200);
+    idle.write_all(simple_job("a0").as_bytes()).expect("write failed");
+    assert_eq!(read_reply(&mut idle).expect("no complete response").status, 200);
     let request = job_request("a1", "redeem", "take started done=half", "");
     let (first, rest) = request.split_at(request.len() - 9);
     let mut partial = connect(platform);
-    partial.write_all(first.as_bytes()).expect("the request is written");
+    partial.write_all(first.as_bytes()).expect("write failed");
     let mut chunked = connect(platform);
     let head = job_request("a2", "redeem", "", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    chunked.write_all(format!("{head}5\r\ntake \r\n").as_bytes()).expect("the request is written");
+    chunked.write_all(format!("{head}5\r\ntake \r\n").as_bytes()).expect("write failed");
     let mut waiting = connect(platform);
     let body = "take started wait=all running=0.5 done=kept";
-    waiting.write_all(job_request("b0", "redeem", body, "").as_bytes()).expect("the request is written");
+    waiting.write_all(job_request("b0", "redeem", body, "").as_bytes()).expect("write failed");
     let mut stream = connect(sse);
     let accept = "Accept: text/event-stream\r\n";
-    stream.write_all(job_request("b1", "redeem", body, accept).as_bytes()).expect("the request is written");
+    stream.write_all(job_request("b1", "redeem", body, accept).as_bytes()).expect("write failed");
     wait_until_arrived(&worker, 3);
     let successor = start_successor(&directory, workers, &predecessor);
     assert_eq!((ready_status(&successor), ready_status(&predecessor)), (200, 503));
     // A request id that is open in one process is a duplicate in the other too.
     let duplicate = send(platform, &job_request("b0", "redeem", "take started done=twice", ""))
-        .expect("the dispatcher answers");
+        .expect("no complete response");
     assert_eq!(duplicate.status, 409);
     predecessor.terminate();
     worker.open_gate("all");
-    assert_eq!(read_reply(&mut waiting).expect("the dispatcher answers").body, "kept");
-    let streamed = read_reply(&mut stream).expect("the stream is answered").body;
+    assert_eq!(read_reply(&mut waiting).expect("no complete response").body, "kept");
+    let streamed = read_reply(&mut stream).expect("no complete response to the stream request").body;
     assert!(streamed.contains("progress") && streamed.matches("event: done").count() == 1, "{streamed}");
-    idle.write_all(job_request("c0", "balance", "take started done=y", "").as_bytes())
-        .expect("the request is written");
-    assert_eq!(read_reply(&mut idle).expect("the same connection is answered").body, "y");
-    partial.write_all(rest.as_bytes()).expect("the request is written");
-    assert_eq!(read_reply(&mut partial).expect("the dispatcher answers").body, "half");
-    chunked.write_all(b"13\r\nstarted done=chunks\r\n0\r\n\r\n").expect("the request is written");
-    assert_eq!(read_reply(&mut chunked).expect("the dispatcher answers").body, "chunks");
+    idle.write_all(job_request("c0", "balance", "take started done=y", "").as_bytes()).expect("write failed");
+    assert_eq!(read_reply(&mut idle).expect("no complete response on the same connection").body, "y");
+    partial.write_all(rest.as_bytes()).expect("write failed");
+    assert_eq!(read_reply(&mut partial).expect("no complete response").body, "half");
+    chunked.write_all(b"13\r\nstarted done=chunks\r\n0\r\n\r\n").expect("write failed");
+    assert_eq!(read_reply(&mut chunked).expect("no complete response").body, "chunks");
     let (is_clean, log) = predecessor.wait_for_exit();
     assert!(is_clean && log.iter().any(|line| line == "shutdown complete open=0"), "{log:?}");
     // Each job was sent to the worker once, including the jobs that were in progress during the handover.
@@ -103,7 +105,7 @@
         let sent = worker
             .received
             .lock()
-            .expect("the lock is not poisoned")
+            .expect("mutex poisoned")
             .iter()
             .filter(|line| line.contains(&format!(" {id} ")))
             .count();
@@ -124,23 +126,23 @@
     // The worker answers with an event stream, which only the process that opened the connection can read.
     client
         .write_all(job_request("d0", "balance", "stream started wait=ever done=streamed", "").as_bytes())
-        .expect("the request is written");
+        .expect("write failed");
     wait_until_arrived(&worker, 1);
     let successor = start_successor(&directory, workers, &predecessor);
     assert_eq!(ready_status(&successor), 200);
     let duplicate = send(successor.platform, &job_request("d0", "balance", "take started done=twice", ""))
-        .expect("the dispatcher answers");
-    assert_eq!(duplicate.status, 409, "the request is open in the predecessor");
+        .expect("no complete response");
+    assert_eq!(duplicate.status, 409, "a duplicate of a request that is open in the predecessor");
     let status_update =
         json!({"id": "d0", "from": "s-1", "state": "done", "result": "called back"}).to_string();
     let callback = format!(
         "POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nContent-Length: {}\r\n\r\n{status_update}",
         status_update.len()
     );
-    assert_eq!(send(successor.platform, &callback).expect("the dispatcher answers").status, 204);
-    assert_eq!(read_reply(&mut client).expect("the dispatcher answers").body, "called back");
+    assert_eq!(send(successor.platform, &callback).expect("no complete response").status, 204);
+    assert_eq!(read_reply(&mut client).expect("no complete response").body, "called back");
     assert_eq!(
-        send(successor.platform, &callback).expect("the dispatcher answers").status,
+        send(successor.platform, &callback).expect("no complete response").status,
         204,
         "a repeated callback"
     );
@@ -155,7 +157,7 @@
     let (directory, worker) = (SharedDirectory::new("die"), FakeWorker::start("s-1"));
     let workers = std::slice::from_ref(&worker);
     let send_job = |to: &DispatcherProcess, id: &str| {
-        send(to.platform, &simple_job(id)).expect("the dispatcher answers").status
+        send(to.platform, &simple_job(id)).expect("no complete response").status
     };
     let mut predecessor = start_in(&directory.0, workers, "127.0.0.1:0");
     let successor = start_successor(&directory, workers, &predecessor);
@@ -172,8 +174,8 @@
     let listen = third.platform.to_string();
     drop(third);
     assert!(
-        std::fs::read_dir(&directory.0).expect("the directory is readable").count() > 0,
-        "the socket file of the killed process remains"
+        std::fs::read_dir(&directory.0).expect("cannot read the directory").count() > 0,
+        "the socket file of the killed process is gone"
     );
     let fourth = start_in(&directory.0, workers, &listen);
     assert_eq!((ready_status(&fourth), send_job(&fourth, "e4")), (200, 200));
@@ -193,10 +195,10 @@
     let successor = std::thread::spawn(move || start_in(&path, &own_workers, &own_listen));
     std::thread::sleep(std::time::Duration::from_millis(300));
     drop(predecessor); // kills the process
-    let successor = successor.join().expect("the successor starts");
+    let successor = successor.join().expect("the successor did not start");
     assert_eq!((successor.platform.to_string(), ready_status(&successor)), (listen, 200));
     let request = simple_job("f0");
-    assert_eq!(send(successor.platform, &request).expect("the dispatcher answers").status, 200);
+    assert_eq!(send(successor.platform, &request).expect("no complete response").status, 200);
 }
 
 /// The successor continues a drain that was started in the predecessor, and the predecessor can no longer end it.
@@ -215,7 +217,7 @@
     assert_eq!(
         (call(&predecessor, "in-service"), up(&successor)),
         (503, 503),
-        "after the handover the predecessor rejects the call"
+        "the predecessor must reject the call after the handover"
     );
     assert_eq!((call(&successor, "in-service"), up(&successor)), (200, 200));
 }
--- a/tests/watch_liveness/retries.rs
+++ b/tests/watch_liveness/retries.rs
@@ -31,7 +31,7 @@
         let remaining_refusals = remaining_refusals.max(u8::from(unanswered_calls == 0));
         for _ in 0..rng.u8(0..=max_refused.min(remaining_refusals)) {
             let after = rng.u64(0..=MAX_QUEUE_TIME);
-            simulation.now = simulation.call(CallOutcome::Refused(after)).expect("the call is refused");
+            simulation.now = simulation.call(CallOutcome::Refused(after)).expect("the call was not refused");
         }
         let last = simulation.call(CallOutcome::List(rng.u64(0..=MAX_QUEUE_TIME)));
         assert_eq!(last, None, "seed {seed}: the last call was not answered in time");
@@ -88,7 +88,7 @@
             simulation.fail(from + 2_500 * MS, WatchFailure::Silent)
         };
         let outcome = simulation.random_failure(MAX_QUEUE_TIME);
-        simulation.now = simulation.call(outcome).expect("the call fails");
+        simulation.now = simulation.call(outcome).expect("the call did not fail");
         let last = simulation.call(CallOutcome::List(MAX_QUEUE_TIME));
         assert_eq!(last, None, "seed {seed}: the last call was not answered in time");
         let deadline = if moves { 4 * S } else { NOTIFICATION_DEADLINE };
@@ -113,7 +113,7 @@
         while simulation.now < from + outage {
             calls_by_tenth[((simulation.now - from) / (100 * MS)) as usize] += 1;
             calls += 1;
-            simulation.now = simulation.call(CallOutcome::Refused(MS)).expect("the call is refused");
+            simulation.now = simulation.call(CallOutcome::Refused(MS)).expect("the call was not refused");
         }
         calls_by_tenth[((simulation.now - from) / (100 * MS)) as usize] += 1;
     }
@@ -121,7 +121,7 @@
     // Evenly spread, there would be 7 calls in a tenth of a second. In the first half second there are 40, because all
     // dispatchers lost their watches together.
     let peak =
-        |from: usize| *calls_by_tenth[from..].iter().max().expect("the outage has more tenths of a second");
+        |from: usize| *calls_by_tenth[from..].iter().max().expect("no tenth of a second left in the outage");
     assert!(peak(0) < 70 && peak(60) < 50, "{calls_by_tenth:?}");
 }
 
