--- a/crates/coldstart/src/poll_scheduler/round_length.rs
+++ b/crates/coldstart/src/poll_scheduler/round_length.rs
@@ -9,8 +9,8 @@
 /// The maximum time from one call of a member to its next one while the service is down, in microseconds, unless a regular
 /// round is longer.
 const OUTAGE_TURN: Micros = 26_000_000;
-/// The time from a call of one member to the call of the next member while the service is down, in microseconds, in a group
-/// that is small enough for [`OUTAGE_TURN`].
+/// The mean time between two calls of the whole group while the service is down, in microseconds. Groups that are too large
+/// for [`OUTAGE_TURN`] call more often.
 const OUTAGE_GROUP_TURN: Micros = 1_000_000;
 
 /// The inputs from which the length of a round is computed, at one point in time.
--- a/crates/coldstart/src/poll_scheduler/service_status.rs
+++ b/crates/coldstart/src/poll_scheduler/service_status.rs
@@ -12,7 +12,7 @@
 /// The number of members that must report the time of their calls before it is used: with fewer, a slow service cannot be
 /// distinguished from a long queue.
 const MIN_ANSWER_TIMES: usize = 8;
-/// The length of a short queue at the service, in calls, including the call itself.
+/// The queue length up to which the service counts as kept busy but not overloaded, in calls, including the call itself.
 const SHORT_QUEUE: u64 = 3;
 /// The maximum number of times that rounds are doubled.
 pub(super) const MAX_BACKOFF_LEVEL: u8 = 4;
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Handles the death of a suspect that another member has declared. That counts as all required confirmations.
+    /// Shortens the suspicion of a place that another member has declared dead. That counts as all required confirmations.
     pub(super) fn confirm_suspicion(&mut self, place: u16) {
         self.shorten_suspicion(place, self.required_confirmations());
     }
--- a/crates/membership/src/member/tests.rs
+++ b/crates/membership/src/member/tests.rs
@@ -112,7 +112,7 @@
     ]);
 }
 
-/// Only the suspect itself raises its incarnation, so only a record from it can refute.
+/// Only the suspect itself raises its incarnation, so a record with a later one shows that it has refuted.
 #[test]
 fn only_a_later_incarnation_refutes_a_suspicion_or_a_death() {
     check_records(&[
@@ -217,7 +217,7 @@
 
 /// The facts of a member that left are kept for `forget_after`, then refused until the member returns.
 #[test]
-fn forgets_facts_of_the_departed_after_their_retention() {
+fn forgets_facts_of_a_member_that_left_after_their_retention() {
     let mut member = member();
     let fact = Record::Fact(FactRecord {
         place: 3,
--- a/crates/membership/src/partition/slot_claims.rs
+++ b/crates/membership/src/partition/slot_claims.rs
@@ -39,7 +39,7 @@
 ///
 /// Two limits apply to the claims of the last `max_report_age + max_flight_time` whose jobs have not ended: the place's
 /// [`allotment`] of the reserve, and its allotment of the reported free slots minus the reserve. No worker then ever exceeds
-/// its limit, for any views of the places: docs/design/membership.md has the proof. Each report that shows
+/// its limit, even while the views of the places differ: docs/design/membership.md has the proof. Each report that shows
 /// earlier claims and ended jobs allows new claims. So after a failure the remaining places can use all slots of a worker but
 /// the reserve, although no place takes over the part of another.
 #[derive(Debug, Clone, Default)]
--- a/crates/membership/src/simulation/scenarios/network_faults.rs
+++ b/crates/membership/src/simulation/scenarios/network_faults.rs
@@ -121,7 +121,7 @@
     );
     report.check(
         runs.iter().all(|run| run.has_agreed && run.is_agreed_at_end),
-        format!("{name}: the views do not agree after the partition healed"),
+        format!("{name}: the views do not agree 60 s after the partition healed, or at the end of the run"),
     );
     report.check(
         deaths_after_heal == 0,
--- a/crates/membership/src/simulation/scenarios/publishing.rs
+++ b/crates/membership/src/simulation/scenarios/publishing.rs
@@ -43,8 +43,8 @@
     network.faults.loss = 0.1;
     let (sent_before, started_at) = (network.sent_bytes(), network.now);
     for second in 0..40_u64 {
-        let is_cut = (10..25).contains(&second);
-        network.faults.sides = (0..members).map(|place| u8::from(is_cut && place % 2 == 0)).collect();
+        let is_partitioned = (10..25).contains(&second);
+        network.faults.sides = (0..members).map(|place| u8::from(is_partitioned && place % 2 == 0)).collect();
         if second == 30 {
             network.kill(1);
             network.start(1);
