--- a/crates/fairshare/src/members.rs
+++ b/crates/fairshare/src/members.rs
@@ -14,7 +14,7 @@
 
 /// The number of whole buckets over which a member's recent rate is computed.
 pub(crate) const RATE_WINDOW: u64 = 4;
-/// The maximum number of epochs that are kept of a place. These are the latest ones.
+/// The maximum number of epochs of a place that are kept. Facts of older epochs are refused.
 const MAX_EPOCHS: usize = 8;
 /// The high estimate for a silent member exceeds its likely usage by at most this many times that usage.
 const MAX_WIDENING: u64 = 3;
--- a/crates/fairshare/src/own_usage.rs
+++ b/crates/fairshare/src/own_usage.rs
@@ -1,7 +1,7 @@
 //! This member's own usage, on the pages that it publishes.
 //!
 //! A page is a register: a later revision replaces an earlier one. An account that outgrows its page continues with a line on
-//! another page. The lines of a bucket add up, so no line has to move to another page.
+//! another page. The lines of a bucket add up, so no page ever has to drop a line.
 
 mod bucket;
 
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -248,7 +248,8 @@
     }
 }
 
-/// The key of a tenant, after checking that the tenant and its key are listed only once and that it has not too many classes.
+/// The key of a tenant, after checking that the tenant and its key are listed only once and that it has at most
+/// [`MAX_CLASSES`] classes.
 fn checked_key<'a>(
     tenant: &'a Tenant,
     names: &mut FxHashMap<TenantKey, &'a str>,
--- a/crates/fairshare/src/shares/tests.rs
+++ b/crates/fairshare/src/shares/tests.rs
@@ -24,7 +24,7 @@
         (&[(1, &[1, 1]), (2, &[1])], &[0, 900, 900], &[200, 400, 800]),
         // An installation needs half of its share: the rest goes to the tenants of the other one, by weight.
         (&[(1, &[1, 3]), (2, &[1])], &[900, 900, 400], &[200, 600, 800]),
-        // A tenant or installation of weight 0 gets nothing while another needs more than its share, and else the rest.
+        // A tenant or installation of weight 0 gets nothing while another needs its whole share, and otherwise the rest.
         (&[(1, &[0, 1])], &[500, 1_200], &[0, 1_200]),
         (&[(1, &[0, 1])], &[500, 300], &[900, 1_200]),
         (&[(1, &[0, 0])], &[5, 5], &[600, 600]),
--- a/crates/fairshare/src/valuation.rs
+++ b/crates/fairshare/src/valuation.rs
@@ -116,8 +116,12 @@
     pub fn within_share(&self, limits: &ValueLimits) -> JobValue {
         let Interval { low, likely, .. } = self.position.used;
         let share = self.position.share;
-        let excess = if likely > share { (likely - share) as f64 / (likely - low) as f64 } else { 0.0 };
-        JobValue { fraction: 1.0 - limits.uncertainty_discount * (1.0 + excess) / 2.0, tier: Tier::Within }
+        let excess_fraction =
+            if likely > share { (likely - share) as f64 / (likely - low) as f64 } else { 0.0 };
+        JobValue {
+            fraction: 1.0 - limits.uncertainty_discount * (1.0 + excess_fraction) / 2.0,
+            tier: Tier::Within,
+        }
     }
 
     /// The value of a job beyond the share. It falls from below the values within the share to the value over quota, which it
--- a/crates/fairshare/src/wire.rs
+++ b/crates/fairshare/src/wire.rs
@@ -6,8 +6,8 @@
 
 /// The version of the format: the first byte of each fact.
 const VERSION: u8 = 1;
-/// The maximum length of a fact, in bytes: the contract of docs/design/parts.md. Each crate that encodes facts repeats it,
-/// since none of them depends on the crate that carries them.
+/// The maximum length of a fact, in bytes, as specified in docs/design/parts.md. Each crate that encodes facts defines this
+/// constant, since none of them depends on the crate that transports facts.
 const MAX_FACT_BYTES: usize = 160;
 /// The space for the lines of a page, in bytes. The version, bucket, `through`, revision and count take at most 20 bytes.
 pub(crate) const PAGE_LINE_BYTES: usize = MAX_FACT_BYTES - 20;
--- a/crates/runtimes/src/distribution.rs
+++ b/crates/runtimes/src/distribution.rs
@@ -12,7 +12,7 @@
 const MIN_SURVIVAL: f64 = 0.005;
 /// The lower edge of the first bin.
 const LOWEST: f64 = -(BIN_COUNT as f64) / 2.0 * BIN_WIDTH;
-/// The number of observations, or the probability, up to which a value counts as 0.
+/// Numbers of observations, and probabilities, up to this value count as 0.
 const MIN_MASS: f64 = 1e-9;
 
 /// The bin of a residual. Residuals beyond either end are in the outermost bin.
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -192,7 +192,7 @@
         let is_possible =
             |kind: &KindTotal| kind.jobs > 0 && kind.log_sum.unsigned_abs() <= max_log_sum(kind.jobs);
         let end = BIN_COUNT + (1 << self.coarseness.min(MAX_COARSENESS)) - 1;
-        let is_sound = self.coarseness <= MAX_COARSENESS
+        let is_valid = self.coarseness <= MAX_COARSENESS
             && (1..=MAX_JOBS).contains(&jobs)
             && binned <= jobs
             && self.kinds.len() <= MAX_KINDS + 1
@@ -201,6 +201,6 @@
             && self.expected.unsigned_abs() <= max_log_sum(jobs)
             && self.ended.end(self.coarseness) <= end
             && self.censored.end(self.coarseness) <= end;
-        is_sound.then_some(jobs)
+        is_valid.then_some(jobs)
     }
 }
--- a/crates/runtimes/src/estimator.rs
+++ b/crates/runtimes/src/estimator.rs
@@ -26,7 +26,7 @@
 const FIT_INTERVAL_PER_SUMMARY: Micros = 1_000;
 /// A fit is done early if the number of new jobs is at least this fraction of the jobs of the last fit.
 const EARLY_FIT_FRACTION: f64 = 1.0 / 8.0;
-/// The divisor of the regular interval between two fits that gives the minimum interval before an early fit.
+/// The minimum interval before an early fit is the regular interval divided by this.
 const EARLY_FIT_FACTOR: u64 = 5;
 /// The number of jobs of the last fit below which an early fit needs no minimum interval.
 const FEW_JOBS: f64 = 64.0;
@@ -280,13 +280,13 @@
     pub fn remaining(&self, now: Micros, attempt: AttemptId) -> Option<Estimate> {
         let job = self.running.get(attempt)?;
         let elapsed = (self.slowdown.work_at(now) - job.started.work).max(1.0);
-        let whole = job.log_runtime(&self.model, elapsed, self.config.long_quantile);
+        let total = job.log_runtime(&self.model, elapsed, self.config.long_quantile);
         let factor = self.slowdown.log().exp();
         let left = |log_runtime: f64| {
             let work = (log_runtime.exp() - elapsed).max(MIN_REMAINING * elapsed);
             (work * factor).clamp(1.0, MAX_RUNTIME) as u64
         };
-        Some(Estimate { typical: left(whole.typical), long: left(whole.long.max(whole.typical)) })
+        Some(Estimate { typical: left(total.typical), long: left(total.long.max(total.typical)) })
     }
 
     /// The slot and bytes of the next fact of kind [`crate::KIND`] to publish: the own summary that has grown most since it
--- a/crates/runtimes/src/kind_slowness.rs
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -13,7 +13,7 @@
 const PRIOR_JOBS: f64 = 2.0;
 /// The maximum number of rounds of the fit.
 const MAX_ROUNDS: usize = 50;
-/// The change of a kind's slowness in one round below which the fit has converged, if it holds for all kinds.
+/// The fit has converged once the slowness of every kind changes by less than this in one round.
 const TOLERANCE: f64 = 1e-4;
 /// The weighted number of jobs up to which a kind is ignored in a unit.
 const MIN_UNIT_JOBS: f64 = 0.05;
--- a/crates/runtimes/src/running_jobs.rs
+++ b/crates/runtimes/src/running_jobs.rs
@@ -140,12 +140,12 @@
         let at_kind = elapsed - model.worker_effect(worker);
         let residual = at_kind - model.slowness(kind) - expected.work;
         let distribution = model.distribution(&expected);
-        let whole = at_kind - residual + distribution.mean_beyond(residual);
+        let expected_runtime = at_kind - residual + distribution.mean_beyond(residual);
         let ended = 1.0 - distribution.survival_at(residual);
         for (index, cell) in self.chain.cells().iter().enumerate() {
             let Some(sum) = sums.get_mut(cell) else { continue };
             let weight = ended * count as f64;
-            sum.add_kind(kind, weight, weight * whole);
+            sum.add_kind(kind, weight, weight * expected_runtime);
             sum.expected += weight * expected.above[index];
             sum.counts_mut().censored[usize::from(bin_of(residual))] += count as f32;
         }
--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtimes/tests/estimates.rs
@@ -90,7 +90,7 @@
         is_near(observed, 100_000.0, 0.2) && is_near(predicted, 300_000.0, 0.3),
         "{observed} and {predicted}"
     );
-    // The work at speed 1 is the geometric mean of the run times at the two kinds, at whichever the subject ran.
+    // The work is the geometric mean of the run times at the two kinds, no matter at which of them the subject ran.
     let work = estimator.estimate_work(&features_of(0)).typical;
     assert!(is_near(work, 20_000.0 * 3f64.sqrt(), 0.3), "{work}");
 }
