--- a/crates/testkit/src/bin/streams-load.rs
+++ b/crates/testkit/src/bin/streams-load.rs
@@ -20,8 +20,9 @@
 /// The minimum number of events of the baseline.
 const MIN_BASELINE_EVENTS: u32 = 200;
 const BASELINE_INTERVAL: Duration = Duration::from_millis(2);
-/// Times to wait before the memory is measured, so that the dispatcher has finished the work of submissions or opened streams.
+/// The time from the submission of the jobs until the memory is measured, in which the dispatcher finishes its work for them.
 const SETTLE_AFTER_JOBS: Duration = Duration::from_millis(500);
+/// The time from the opening of the streams until the memory is measured.
 const SETTLE_AFTER_STREAMS: Duration = Duration::from_millis(1_500);
 const WORKERS: usize = 8;
 
@@ -131,7 +132,7 @@
 }
 
 fn write_baseline_events(listener: &TcpListener, events: u32) {
-    let (mut connection, _) = listener.accept().expect("connection lost");
+    let (mut connection, _) = listener.accept().expect("cannot accept the connection");
     connection.set_nodelay(true).expect("cannot set socket option");
     for _ in 0..events {
         std::thread::sleep(BASELINE_INTERVAL);
--- a/crates/testkit/src/fleet/auditor/exits.rs
+++ b/crates/testkit/src/fleet/auditor/exits.rs
@@ -1,10 +1,10 @@
-//! The rule that a process exits only when it is asked to, and then with code 0.
+//! The rule that a process exits only after SIGTERM, and then with code 0.
 
 use super::Finding;
 use crate::fleet::event_log::{Event, LoggedEvent};
 use std::collections::BTreeSet;
 
-/// The processes that exited without being asked to, or not with code 0.
+/// The processes that exited without SIGTERM, or not with code 0.
 pub(super) fn find(events: &[LoggedEvent]) -> Vec<Finding> {
     let mut terminated = BTreeSet::new();
     let mut findings = Vec::new();
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -67,7 +67,7 @@
 }
 
 impl Draws {
-    /// Each datagram takes the same number of draws whatever the faults are, so that a change of faults does not shift the
+    /// Each datagram takes the same number of draws under all faults, so that a change of faults does not shift the
     /// draws of later datagrams.
     fn next(rng: &mut fastrand::Rng) -> Draws {
         Draws {
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -160,25 +160,25 @@
                 continue;
             };
             match to {
-                Some(to) => self.pass(from, to, &buffer[..length]),
+                Some(to) => self.forward(from, to, &buffer[..length]),
                 None => (0..self.own.len())
                     .filter(|to| *to != from)
-                    .for_each(|to| self.pass(from, to, &buffer[..length])),
+                    .for_each(|to| self.forward(from, to, &buffer[..length])),
             }
         }
     }
 
     /// Forwards a datagram, immediately or later, with the faults of its ordered pair.
-    fn pass(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
+    fn forward(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         let now = self.clock.now();
         if bytes.len() > MAX_DATAGRAM_LENGTH {
             self.event_log.add_at(now, Event::LongDatagram { dispatcher: from, length: bytes.len() });
         }
         for delay in self.draw_delays(now, from, to, bytes) {
             if delay == 0 {
-                self.send_on(from, to, bytes);
+                self.send_from(from, to, bytes);
             } else {
-                self.pass_later(Duration::from_micros(delay), from, to, bytes);
+                self.forward_later(Duration::from_micros(delay), from, to, bytes);
             }
         }
     }
@@ -192,18 +192,18 @@
         delays
     }
 
-    fn pass_later(self: &Arc<Self>, delay: Duration, from: usize, to: usize, bytes: &[u8]) {
+    fn forward_later(self: &Arc<Self>, delay: Duration, from: usize, to: usize, bytes: &[u8]) {
         let Ok(permit) = self.in_flight.clone().try_acquire_owned() else { return };
         let (relay, bytes) = (self.clone(), bytes.to_vec());
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            relay.send_on(from, to, &bytes);
+            relay.send_from(from, to, &bytes);
             drop(permit);
         });
     }
 
     /// Sends bytes to a dispatcher from the relay socket of another.
-    fn send_on(&self, from: usize, to: usize, bytes: &[u8]) {
+    fn send_from(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.relay_sockets[from].send_to(bytes, self.own[to]);
     }
 
@@ -260,7 +260,7 @@
 
     /// Sends bytes to a dispatcher as if they came from another, without faults or counts.
     pub fn forge(&self, from: usize, to: usize, bytes: &[u8]) {
-        self.send_on(from, to, bytes);
+        self.send_from(from, to, bytes);
     }
 
     /// The totals of each dispatcher so far, by number.
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -38,7 +38,7 @@
     script: watch::Sender<DiscoveryScript>,
     generation: watch::Sender<u64>,
     inner: Mutex<Inner>,
-    /// Calls are handled one after another.
+    /// The permit to handle a call: calls are handled one after another.
     turn: Semaphore,
     relay: Arc<TcpRelay>,
     event_log: Arc<EventLog>,
--- a/crates/testkit/src/fleet/discovery/script.rs
+++ b/crates/testkit/src/fleet/discovery/script.rs
@@ -29,7 +29,7 @@
     pub service_time: Duration,
     /// The maximum number of waiting calls. Further ones are refused (503) at once.
     pub queue: usize,
-    /// A call that waited for this long is refused.
+    /// The wait after which a call is refused.
     pub max_wait: Duration,
     /// `Retry-After` of refusals, in seconds.
     pub retry_after: Option<f64>,
--- a/crates/testkit/src/fleet/link.rs
+++ b/crates/testkit/src/fleet/link.rs
@@ -29,7 +29,7 @@
     Refused,
     /// New connections are established and reset at once.
     Reset,
-    /// New connections are established, but no bytes are passed on. They are reset once the behaviour changes.
+    /// New connections are established, but no bytes are forwarded. They are reset once the behaviour changes.
     Silent,
     /// New connections are not established until the behaviour changes, as with an unreachable machine.
     Unreachable,
@@ -95,7 +95,7 @@
         self.is_cut || stall
     }
 
-    /// Whether bytes are passed on in both directions.
+    /// Whether bytes are forwarded in both directions.
     pub(super) fn flows(&self) -> bool {
         !self.is_stalled(Direction::Out) && !self.is_stalled(Direction::In)
     }
@@ -179,7 +179,7 @@
     at: u64,
 }
 
-/// The number of bytes written to the dispatcher, and the events that are logged once more have been.
+/// The number of bytes written to the dispatcher, and the events to log once more bytes are written.
 #[derive(Default)]
 struct Written {
     total: u64,
--- a/crates/testkit/src/fleet/tcp_relay.rs
+++ b/crates/testkit/src/fleet/tcp_relay.rs
@@ -179,7 +179,7 @@
     async fn relay(&self, link: Arc<Link>, near: TcpStream) {
         let Ok(far) = self.connect_far_side(&link).await else { return reset_on_drop(&near) };
         let _ = far.stream.set_nodelay(true);
-        self.pass_both_ways(&link, &far.connection, near, far.stream).await;
+        self.forward_both_ways(&link, &far.connection, near, far.stream).await;
         self.connections.lock().expect("mutex poisoned").remove(&far.own_address);
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Forwards bytes in both directions until both have ended, one breaks, or the link ends its connections.
-    async fn pass_both_ways(
+    async fn forward_both_ways(
         &self,
         link: &Arc<Link>,
         connection: &RelayedConnection,
@@ -212,8 +212,8 @@
             let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
             let both = async {
                 tokio::try_join!(
-                    self.pass(link, connection, Direction::Out, near_read, far_write),
-                    self.pass(link, connection, Direction::In, far_read, near_write),
+                    self.forward(link, connection, Direction::Out, near_read, far_write),
+                    self.forward(link, connection, Direction::In, far_read, near_write),
                 )
             };
             tokio::select! {
@@ -239,7 +239,7 @@
     }
 
     /// Forwards bytes in one direction, each piece when it is due.
-    async fn pass(
+    async fn forward(
         &self,
         link: &Link,
         connection: &RelayedConnection,
--- a/crates/testkit/src/fleet/worker/executed_keys.rs
+++ b/crates/testkit/src/fleet/worker/executed_keys.rs
@@ -41,7 +41,7 @@
     /// Another job with the key is being executed or was.
     Repeat(Arc<watch::Sender<KeyState>>),
     /// The maximum number of keys is remembered: the job is executed without deduplication.
-    Unremembered,
+    Untracked,
 }
 
 impl ExecutedKeys {
@@ -53,7 +53,7 @@
             return KeyClaim::Repeat(state.clone());
         }
         if states.len() >= MAX_KEYS {
-            return KeyClaim::Unremembered;
+            return KeyClaim::Untracked;
         }
         let state = Arc::new(watch::Sender::new(KeyState::Open));
         states.insert(cell_key.clone(), state.clone());
--- a/crates/testkit/src/fleet/worker/job.rs
+++ b/crates/testkit/src/fleet/worker/job.rs
@@ -91,7 +91,7 @@
         let mut deaths = self.worker.subscribe_to_deaths();
         tokio::select! {
             () = self.run() => {}
-            // The worker's machine has an agent, which reports the loss after the worker process died.
+            // The agent of the worker's machine reports the loss, provided that the machine itself can still be reached.
             _ = deaths.changed() => self.report(JobStatus::Lost).await,
         }
         self.worker.pending.remove(&self.job.id);
@@ -104,7 +104,7 @@
         let mut execution = match claim {
             Some(KeyClaim::Repeat(state)) => return self.repeat(&state).await,
             Some(KeyClaim::Execute(execution)) => Some(execution),
-            Some(KeyClaim::Unremembered) | None => None,
+            Some(KeyClaim::Untracked) | None => None,
         };
         if !self.execute(execution.as_mut()).await {
             return;
--- a/crates/testkit/src/fleet/worker/mod.rs
+++ b/crates/testkit/src/fleet/worker/mod.rs
@@ -117,8 +117,8 @@
         self.metrics.lock().expect("mutex poisoned").clone()
     }
 
-    /// Kills the worker: its connections are reset, and its jobs are lost. If it serves again, it warms up from now on. Its links
-    /// determine whether connections are refused in the meantime.
+    /// Kills the worker: its connections are reset, and its jobs are lost. If it serves again, it warms up from now on. Its
+    /// links determine whether connections are refused in the meantime.
     pub(super) fn die(&self) {
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
         self.pending.clear();
--- a/crates/testkit/src/fleet/worker/status_callback.rs
+++ b/crates/testkit/src/fleet/worker/status_callback.rs
@@ -49,9 +49,9 @@
     /// the link is cut, an attempt takes as long as a connect that times out.
     pub(super) async fn deliver(&self, link: &Link, update: &Value) -> bool {
         for _ in 0..MAX_ATTEMPTS {
-            let is_through =
+            let is_reachable =
                 tokio::time::timeout(ATTEMPT_TIMEOUT, link.wait_until_not_silent()).await.is_ok();
-            if is_through && self.call_back(link.dispatcher, update).await.is_ok() {
+            if is_reachable && self.call_back(link.dispatcher, update).await.is_ok() {
                 return true;
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
--- a/crates/testkit/src/worker/script.rs
+++ b/crates/testkit/src/worker/script.rs
@@ -244,7 +244,8 @@
         Next::RunNextCommand
     }
 
-    /// Sends many progress events in one write, since a client that reads nothing for 2.5 s is disconnected.
+    /// Sends many progress events in one write, so that all of them are sent before a client that reads nothing is
+    /// disconnected, after 2.5 s.
     fn flood(&mut self, count: u32) -> Next {
         let progress = |number: u32| JobStatus::Running { fraction: f64::from(number % 100) / 100.0 };
         let events: String = (0..count).map(|number| event(&progress(number).to_update())).collect();
