--- a/crates/coldstart/src/poll_scheduler/backoff.rs
+++ b/crates/coldstart/src/poll_scheduler/backoff.rs
@@ -68,7 +68,7 @@
         self.not_before
     }
 
-    /// Starts the backoff anew after an answer; the last `Retry-After` stays in force.
+    /// Resets the backoff after an answer; the last `Retry-After` stays in force.
     pub fn reset(&mut self) {
         self.last_wait = 0;
     }
--- a/crates/coldstart/src/simulation/workers.rs
+++ b/crates/coldstart/src/simulation/workers.rs
@@ -202,8 +202,9 @@
         work: f64,
     ) -> bool {
         let Some(age) = self.workers[index].warm_up_age(self.now) else { return true };
-        let warmth = age.saturating_sub(OVERLOAD_WINDOW) as f64;
-        let fraction = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * warmth / WARM_UP_TIME as f64;
+        let age_at_window_start = age.saturating_sub(OVERLOAD_WINDOW) as f64;
+        let fraction =
+            INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age_at_window_start / WARM_UP_TIME as f64;
         let budget = fraction * OVERLOAD_MULTIPLE * 0.5 * REQUESTS_PER_SECOND * OVERLOAD_WINDOW as f64 / 1e6;
         let places = u64::from(self.scenario.dispatchers);
         let owners = ((budget / 2.0) as u64).clamp(1, places);
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -22,7 +22,7 @@
 use std::collections::HashMap;
 use turn::{Phase, Turn};
 
-/// The number of phases of a warm-up; the budget is computed anew for each.
+/// The number of phases of a warm-up; the budget is computed separately for each.
 const PHASES: u64 = 8;
 /// Handshakes and probes each use at most this fraction of a warm worker's capacity. First jobs at an unconfirmed worker
 /// use at most its whole capacity.
@@ -145,8 +145,8 @@
     /// The budget of a worker that warms up, in requests of mean work, for a window that begins at this age of the worker,
     /// in microseconds.
     pub fn warming_budget(&self, worker: &Worker, age: Micros) -> u64 {
-        let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
-        let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * warmth;
+        let progress = (age as f64 / self.config.warm_up_time.max(1) as f64).min(1.0);
+        let fraction = self.config.initial_capacity + (1.0 - self.config.initial_capacity) * progress;
         budget(self.config.overload_multiple * fraction * self.warm_capacity(worker))
     }
 
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -25,9 +25,9 @@
     pub suspicion_spread: f64,
     /// The number of independent confirmations that shorten a suspicion to its minimum (Lifeguard).
     pub confirmations: u32,
-    /// A change of the view is passed on `gossip_factor * ln(members + 1)` times, rounded up.
+    /// A change of the view is sent `gossip_factor * ln(members + 1)` times, rounded up.
     pub gossip_factor: f64,
-    /// A fact is passed on `fact_factor * ln(members + 1)` times, rounded up. Anti-entropy delivers facts that dissemination
+    /// A fact is sent `fact_factor * ln(members + 1)` times, rounded up. Anti-entropy delivers facts that dissemination
     /// misses.
     pub fact_factor: f64,
     /// The interval between two rounds of gossip while there are updates. Updates also travel with probes.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,7 +1,7 @@
 //! The state machine of one member: its life cycle, its inputs and its outputs.
 //!
 //! The submodules are the parts of the protocol: `probing` detects failures, `suspicion` decides when a failed probe becomes
-//! a death, `records` processes the records of other members, `dissemination` passes on updates, and `anti_entropy` finds
+//! a death, `records` processes the records of other members, `dissemination` spreads updates, and `anti_entropy` finds
 //! what dissemination missed. `local_health` and `send_budget` limit this member itself.
 
 mod anti_entropy;
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -81,7 +81,7 @@
         self.dissemination.next_gossip = self.now + self.config.gossip_period;
     }
 
-    /// How often an update is passed on, which grows with the number of members present.
+    /// The number of times that an update is sent, which grows with the number of members present.
     pub(super) fn retransmissions(&self, factor: f64) -> u32 {
         (factor * (self.present as f64 + 1.0).ln()).ceil().max(1.0) as u32
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -51,7 +51,7 @@
     Ping { seq: u32 },
     /// The answer to a probe, or to a `PingRequest` whose target answered.
     Ack { seq: u32 },
-    /// Asks the receiver to probe this place and to pass on the answer (SWIM's `ping-req`).
+    /// Asks the receiver to probe this place and to forward the answer (SWIM's `ping-req`).
     PingRequest { seq: u32, target: u16 },
     /// The answer to a `PingRequest` whose target did not answer. It shows that the sender of this datagram is alive.
     Nack { seq: u32 },
--- a/crates/runtimes/src/encoding.rs
+++ b/crates/runtimes/src/encoding.rs
@@ -29,9 +29,9 @@
     /// The fact is too long or cannot be decoded.
     #[error("a summary of run times is too long or cannot be decoded")]
     Malformed,
-    /// The figures of the summary contradict each other or are out of bounds.
-    #[error("the figures of a summary of run times contradict each other or are out of range")]
-    Figures,
+    /// The counts and sums of the summary contradict each other or are out of bounds.
+    #[error("the counts and sums of a summary of run times contradict each other or are out of range")]
+    Inconsistent,
     /// The span of the summary is further in the future than clocks may differ. Holds the number of the span.
     #[error("a summary of run times is from the future (span {0}); check the clocks of the members")]
     Future(u32),
@@ -157,7 +157,7 @@
         if !rest.is_empty() {
             return Err(AbsorbError::Malformed);
         }
-        let jobs = encoded.checked_jobs().ok_or(AbsorbError::Figures)?;
+        let jobs = encoded.checked_jobs().ok_or(AbsorbError::Inconsistent)?;
         let cell = CellId { level, hash: u64::from_le_bytes(encoded.hash) };
         let key = SummaryKey { cell, span: encoded.span, place, run: encoded.run };
         Ok(ReceivedSummary { key, jobs, encoded })
@@ -184,7 +184,7 @@
 }
 
 impl EncodedSummary {
-    /// The number of jobs; `None` if the figures contradict each other or are out of bounds.
+    /// The number of jobs; `None` if the counts and sums contradict each other or are out of bounds.
     fn checked_jobs(&self) -> Option<u32> {
         let jobs = self.kinds.iter().try_fold(0u32, |sum, kind| sum.checked_add(kind.jobs))?;
         let binned = self.ended.total()?.checked_add(self.censored.total()?)?;
