--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -35,7 +35,7 @@
 /// A client's request as it arrives.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
-    /// The client's id of the request, which workers repeat in callbacks.
+    /// The request id that the client chose. Workers state it in their callbacks.
     pub name: String,
     /// The receiver of the final response.
     pub downstream: DownstreamId,
@@ -64,7 +64,7 @@
 pub enum JobStatus {
     /// The job has started.
     Started,
-    /// The job has made progress: the fraction done, 0 to 1.
+    /// The job has made progress: the fraction of its work that is done, 0 to 1.
     Progress(f64),
     /// The job is done, with this result.
     Done(Vec<u8>),
@@ -86,7 +86,7 @@
 }
 
 impl AttemptOutcome {
-    /// The outcome for the decision module, and the worker's result if there is one.
+    /// Splits the outcome into the one for the decision module, and the worker's result if there is one.
     pub(super) fn into_parts(self) -> (Outcome, Option<Vec<u8>>) {
         match self {
             AttemptOutcome::Done(result) => (Outcome::Ok, Some(result)),
@@ -150,7 +150,7 @@
     NotifyProgress {
         /// The receiver, from [`NewRequest::downstream`].
         downstream: DownstreamId,
-        /// The fraction done; `None` when the job starts.
+        /// The fraction of the job that is done, 0 to 1; `None` when the job starts.
         fraction: Option<f64>,
     },
     /// Send a load probe to a worker.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The request engine: a state machine between the server's sockets and the decision module.
 //!
-//! The engine knows no wire format and no file descriptor. Timed events go in through the methods of [`Core`]; [`Command`]s come
-//! out through [`Core::next_command`]. All times are [`Micros`](crate::Micros) on the module's clock, which starts at
-//! [`Core::clock_start`].
+//! The engine handles no wire formats and no file descriptors. Timed events go in through the methods of [`Core`]; [`Command`]s
+//! come out through [`Core::next_command`]. All times are [`Micros`](crate::Micros) on the clock of the decision module, which
+//! starts at [`Core::clock_start`].
 //!
 //! The parts of the engine, each of which owns its state:
 //! - [`commands`](Command): the messages between the engine and the server;
--- a/src/policy/interface/actions.rs
+++ b/src/policy/interface/actions.rs
@@ -21,17 +21,17 @@
         /// The attempt's index within its job, from 0.
         attempt: u32,
     },
-    /// Give the final response "rejected": the client may retry without harm.
+    /// Give the final response "rejected", after which the client may safely retry.
     Reject {
         /// The job that is rejected.
         job: JobId,
-        /// How long the client should wait before it retries; `None` if it is given no time.
+        /// How long the client should wait before it retries; `None` if the rejection states no time.
         retry_after: Option<Micros>,
     },
     /// Give the final response "failed": the job may have run.
     Fail(JobId),
-    /// Report [`super::Event::Timer`] with this id in the first batch of events after this span has passed, never within the
-    /// present call.
+    /// Set a timer: report [`super::Event::Timer`] with this id in the first batch of events after this span has passed, never
+    /// within the present call.
     SetTimer(TimerId, Micros),
     /// Send a load probe to a worker.
     Probe(WorkerId),
@@ -42,8 +42,8 @@
         /// The content of the datagram.
         bytes: Vec<u8>,
     },
-    /// Open a watch of the endpoint list. One list event or failure follows.
+    /// Open a watch of the endpoint list. One [`super::Event::EndpointList`] or [`super::Event::ListFailed`] follows.
     OpenWatch,
-    /// Fetch the complete endpoint list once. One list event or failure follows.
+    /// Fetch the complete endpoint list once. One [`super::Event::EndpointList`] or [`super::Event::ListFailed`] follows.
     FetchList,
 }
--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::{CellId, ClassId, JobId, KindId, Micros, SubjectId, TenantId, TimerId, WorkerId, ZoneId};
 
-/// A worker's lifecycle as the endpoint list gives it.
+/// A worker's lifecycle state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// The worker takes new work.
@@ -100,9 +100,9 @@
     pub job: JobId,
     /// The class that determines the job's latency objective, deadline and weight.
     pub class: ClassId,
-    /// The tenant that the job counts for; `None` if it has none.
+    /// The tenant to which the job is charged; `None` if it has none.
     pub tenant: Option<TenantId>,
-    /// The job's subject; jobs with the same program or data set have the same one.
+    /// The subject of the job, such as a program or data set; `None` if the request names none.
     pub subject: Option<SubjectId>,
     /// When the client gives up on this request.
     pub deadline: Micros,
@@ -140,7 +140,7 @@
     Reset,
     /// This dispatcher cancelled the attempt, which may have run.
     Cancelled,
-    /// The attempt was never sent and does not count as one.
+    /// The attempt was never sent, and does not count as an attempt of the job.
     NeverSent,
 }
 
@@ -172,7 +172,7 @@
     pub worker: WorkerId,
     /// The time since the attempt was sent.
     pub elapsed: Micros,
-    /// Whether the job's final response has been given, by this attempt or before it. If not, it is still due.
+    /// Whether the job's final response has been given, with this attempt's result or earlier. If not, the response is still due.
     pub is_job_closed: bool,
     /// How the attempt ended.
     pub outcome: Outcome,
@@ -231,7 +231,7 @@
     ListFailed,
     /// Another discovery service is used from now on; its list must be requested at once. The present list stays in force.
     DiscoveryMoved,
-    /// A job has arrived. Exactly one final response is due before its deadline.
+    /// A job has arrived. Exactly one final response is due before the job's deadline.
     Arrived(NewJob),
     /// This process takes over a job that another process of this dispatcher had accepted, and is responsible for the final
     /// response from now on.
--- a/src/policy/interface/settings.rs
+++ b/src/policy/interface/settings.rs
@@ -65,7 +65,7 @@
     pub latency_objective: Micros,
     /// The multiple of the job's own work that is added to `latency_objective`.
     pub latency_factor: f64,
-    /// The client gives up after this time, counted over all its retries.
+    /// The total time, over all its retries, after which the client gives up.
     pub deadline: Micros,
     /// Whether the class's jobs may be repeated.
     pub idempotency: Idempotency,
@@ -146,13 +146,13 @@
     pub drain_grace: Micros,
     /// The longest time from one poll of the endpoint list to the next; `None` if changes of the list are pushed.
     pub max_poll_interval: Option<Micros>,
-    /// The fraction of its capacity that a worker has at least when it starts, 0 to 1.
+    /// The minimum capacity of a worker that has just started, as a fraction of its full capacity, 0 to 1.
     pub initial_capacity: f64,
     /// The longest time that a worker takes to warm up.
     pub warm_up_time: Micros,
-    /// The multiple of its present capacity at which a worker that is warming up collapses.
+    /// The load at which a worker that is warming up collapses, as a multiple of its present capacity.
     pub collapse_multiple: f64,
-    /// The time for which that load must last to cause the collapse.
+    /// The time for which the load of `collapse_multiple` must last to cause the collapse.
     pub collapse_window: Micros,
     /// The price of sending every job to another zone once, as a fraction of the total weight of all jobs.
     pub price_cross_zone: f64,
@@ -160,7 +160,7 @@
     pub price_probe: f64,
     /// The price of wasting as much work as was requested, as a fraction of the total weight.
     pub price_waste: f64,
-    /// The price if every job ended unserved after its latency objective, as a fraction of the total weight.
+    /// The price of every job ending unserved after its latency objective, as a fraction of the total weight.
     pub price_late_failure: f64,
 }
 
--- a/src/server/context.rs
+++ b/src/server/context.rs
@@ -24,7 +24,7 @@
     pub lifecycle: &'a Lifecycle,
     /// The datagram socket to the other dispatchers.
     pub peer_socket: &'a PeerSocket,
-    /// The clock of the loop.
+    /// The clock of the event loop.
     pub clock: &'a mut Clock,
 }
 
@@ -34,8 +34,8 @@
         self.clock.now()
     }
 
-    /// Sends a datagram to another dispatcher; it may get lost. After a handover this sends nothing, since the successor then
-    /// sends on behalf of both processes.
+    /// Sends a datagram, which may get lost, to the dispatcher at place `to`. After a handover nothing is sent, because the
+    /// successor then sends on behalf of both processes.
     pub fn send_to_peer(&self, to: u32, bytes: &[u8]) {
         if !self.lifecycle.has_handed_over() {
             self.peer_socket.send(self.config, to, bytes);
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of the loop: run the core's commands, wait for events, and pass each event to its handler.
+//! The event loop. One turn runs the core's commands, waits for events, and passes each event to its handler.
 //!
 //! The handlers rely on the order of events within a turn. Events of the admin address and of the watch of discovery come
 //! first, then those of clients that have disconnected, then all others in the order in which epoll reports them.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,14 +1,14 @@
 //! The network side: one epoll loop. It turns incoming bytes into events for the core, and the core's commands into bytes.
 //!
-//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and `event_loop`
-//! defines the order in which a turn serves them.
+//! This module makes no decisions; the core does. [`Server`] owns the parts, each with its own state. `open` starts them, and
+//! `event_loop` defines the order in which one iteration of the loop, a turn, serves them.
 //!
 //! - Only the `reactor` holds epoll and the table of connections. It begins and ends the lifecycle of each connection.
 //! - The handlers of a part are its methods. Each receives a `Context` (`context`): it may use the core, the reactor, the
 //!   counters and the clock, and read the configuration, the lifecycle and the peers' socket. If a handler changes another
 //!   part, its signature names that part.
-//! - An operation on several parts at once is a method of [`Server`], in the file of the part where it begins: making room for
-//!   a descriptor, the start of an attempt, a handover, the steps of a shutdown.
+//! - An operation on several parts at once is a method of [`Server`], in the file of the part where it begins. Examples are
+//!   freeing a descriptor, starting an attempt, a handover, and the steps of a shutdown.
 
 mod admin;
 mod budget;
@@ -63,7 +63,7 @@
 /// burst does not delay responses.
 const MAX_ARRIVALS_PER_TURN: usize = 64;
 
-/// Where idempotency records are stored.
+/// The directory of the idempotency store, and its durability.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateDir {
     /// The directory of the store.
@@ -79,7 +79,7 @@
     /// The core, which makes all decisions.
     core: Core,
     clock: Clock,
-    /// When all connections were last polled.
+    /// When the event loop last polled for events.
     polled_at: PollTime,
     /// Epoll and all connections: of clients, to workers, to discovery and of the admin address.
     reactor: Reactor,
@@ -113,11 +113,11 @@
 /// The addresses on which the program listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
-    /// The platform's address; `None` if the system does not report it.
+    /// The address for jobs and status callbacks; `None` if the system does not report it.
     pub platform: Option<SocketAddr>,
-    /// The address of event streams, if it is on.
+    /// The address of event streams; `None` if it is off.
     pub sse: Option<SocketAddr>,
-    /// The admin address, if it is on.
+    /// The admin address; `None` if it is off.
     pub admin: Option<SocketAddr>,
 }
 
