--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -83,7 +83,7 @@
         PendingRequest { attempts, ..self }
     }
 
-    /// The client's id of the request, which workers repeat in callbacks.
+    /// The request id that the client chose. Workers state it in their callbacks.
     pub fn name(&self) -> &str {
         &self.name
     }
--- a/src/policy/gossip/assignment.rs
+++ b/src/policy/gossip/assignment.rs
@@ -30,7 +30,7 @@
     pub presence_changed_at: Option<Micros>,
 }
 
-/// The place of a worker's bit in a bit set that has one bit for each position in [`Assignment::assigned`].
+/// The position of a worker's bit in a bit set that has one bit for each position in [`Assignment::assigned`].
 struct PositionBit {
     word: usize,
     mask: u64,
--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -20,7 +20,7 @@
 }
 
 impl SlowStartRank {
-    /// The rank, for the worker with this tag, of the dispatcher with this index among `candidate_count` dispatchers. It
+    /// The rank, for the worker with this tag, of the dispatcher with this index, from 0, among `candidate_count` dispatchers. It
     /// differs from worker to worker.
     fn new(tag: u64, index: u32, candidate_count: u32) -> SlowStartRank {
         let first = (mix(tag ^ RANK_SALT) % u64::from(candidate_count)) as u32;
@@ -37,7 +37,7 @@
     pub index: u32,
     /// The number of groups.
     pub count: u32,
-    /// The other dispatchers of the group.
+    /// The places of the other dispatchers of the group.
     pub peers: Vec<u32>,
     /// The presence of each dispatcher, by place. Empty if all dispatchers are present.
     presence: Vec<PeerPresence>,
--- a/src/policy/gossip/mod.rs
+++ b/src/policy/gossip/mod.rs
@@ -108,7 +108,7 @@
         self.group.index
     }
 
-    /// The other dispatchers of the group.
+    /// The places of the other dispatchers of the group.
     pub(crate) fn peers(&self) -> &[u32] {
         &self.group.peers
     }
--- a/src/server/clock.rs
+++ b/src/server/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the loop.
+//! The clock of the event loop.
 
 use crate::core::Core;
 use crate::policy::interface::Micros;
--- a/src/server/poller.rs
+++ b/src/server/poller.rs
@@ -1,4 +1,4 @@
-//! The epoll instance of the loop.
+//! The epoll instance of the event loop.
 
 use crate::server::tokens::Token;
 use rustix::event::Timespec;
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -23,7 +23,7 @@
     Paused,
 }
 
-/// The epoll instance of the loop, and all connections.
+/// The epoll instance of the event loop, and all connections.
 pub(super) struct Reactor {
     epoll: Poller,
     connections: ConnectionTable,
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -32,7 +32,7 @@
     }
 }
 
-// Descriptors of the loop other than connections.
+// Descriptors of the event loop other than connections.
 pub(super) const PLATFORM: Token = Token(u64::MAX);
 pub(super) const SSE: Token = Token(u64::MAX - 1);
 pub(super) const SIGNAL: Token = Token(u64::MAX - 2);
--- a/tests/watch_liveness/retries.rs
+++ b/tests/watch_liveness/retries.rs
@@ -104,8 +104,8 @@
     let (dispatchers, outage) = (300, 8 * S);
     let mut calls = 0;
     let mut calls_by_tenth = vec![0_u32; 130];
-    for own_number in 0..dispatchers {
-        let mut simulation = Simulation::new(settings_for(dispatchers), u64::from(own_number));
+    for own_place in 0..dispatchers {
+        let mut simulation = Simulation::new(settings_for(dispatchers), u64::from(own_place));
         simulation.call(CallOutcome::List(0));
         simulation.now += 3 * S;
         let from = simulation.now;
