--- a/src/policy/gossip/group.rs
+++ b/src/policy/gossip/group.rs
@@ -37,7 +37,7 @@
     pub index: u32,
     /// The number of groups.
     pub count: u32,
-    /// The other dispatchers of the group.
+    /// The places of the other dispatchers of the group.
     pub peers: Vec<u32>,
     /// The presence of each dispatcher, by place. Empty if all dispatchers are present.
     presence: Vec<PeerPresence>,
