--- a/src/protocol/admin/mod.rs
+++ b/src/protocol/admin/mod.rs
@@ -13,7 +13,7 @@
 /// A call at the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Asks whether this process accepts clients.
+    /// Asks whether this process serves clients. It does so during a drain too, but not after a handover to a successor.
     Ready,
     /// Asks for the metrics.
     Counters,
--- a/src/server/discovery/pacing.rs
+++ b/src/server/discovery/pacing.rs
@@ -15,7 +15,7 @@
 use crate::server::context::Context;
 use crate::server::membership::MembershipLink;
 use crate::server::timer_slot::TimerSlot;
-use crate::server::tokens::POLL_TIMER;
+use crate::server::tokens::PACING_TIMER;
 use mothproxy_coldstart::poll_scheduler::{Config as SchedulerConfig, Event, PollScheduler};
 use mothproxy_coldstart::{KIND, Origin, SharedObservations};
 use mothproxy_membership::{Change, OwnedFact, State, View};
@@ -80,7 +80,7 @@
             scheduler,
             observations,
             epochs: HashMap::new(),
-            timer: TimerSlot::new(POLL_TIMER),
+            timer: TimerSlot::new(PACING_TIMER),
             call_started: 0,
             is_answered: false,
         }
--- a/src/server/downstream/read.rs
+++ b/src/server/downstream/read.rs
@@ -70,8 +70,8 @@
             }
         }
         self.advance(context, token, connection, client);
-        // A short read does not show the end of the connection that follows the bytes. A request that arrived before the end has
-        // been processed, but no attempt may begin for it.
+        // The read stopped before the end of the connection that the flags report. A request that arrived before that end has been
+        // processed, but no attempt may begin for it.
         if has_ended && let Some((connection, role)) = context.shared.reactor.take(token) {
             match role {
                 Role::Client(client) => self.on_closed(context, token, connection, client),
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -16,7 +16,7 @@
 use crate::server::poller::MAX_EVENTS_PER_WAIT;
 use crate::server::tokens::{
     ACCEPT_TIMER, ADMIN, DRAIN_TIMER, FLEET_TIMER, FULL_LIST_TIMER, HANDOVER_TIMER, IDEMPOTENCY_STORE,
-    METRICS_TIMER, PEER_PROCESS, PEER_TIMER, PEERS, PLATFORM, POLL_TIMER, RESTART_SOCKET, SHUTDOWN_TIMER,
+    METRICS_TIMER, PACING_TIMER, PEER_PROCESS, PEER_TIMER, PEERS, PLATFORM, RESTART_SOCKET, SHUTDOWN_TIMER,
     SIGNAL, SSE, STALE_LIST_TIMER, STREAM_SWEEP_TIMER, Token, WATCH_TIMER,
 };
 use rustix::event::epoll::{Event, EventFlags};
@@ -167,7 +167,7 @@
             HANDOVER_TIMER => self.on_handover_timer(),
             DRAIN_TIMER => self.on_drain_timer(),
             FLEET_TIMER => self.membership.on_timer(&mut context!(self), &mut self.discovery),
-            POLL_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
+            PACING_TIMER => self.discovery.on_pacing_timer(&mut context!(self), &mut self.membership),
             PEER_TIMER => self.peers.on_timer(&mut context!(self)),
             ACCEPT_TIMER => self.listeners.resume(&context!(self)),
             timer => self.on_connection_timer(Token::from_timer(timer)),
--- a/src/server/tokens.rs
+++ b/src/server/tokens.rs
@@ -52,6 +52,6 @@
 pub(super) const STREAM_SWEEP_TIMER: TimerToken = TimerToken(u64::MAX - 14);
 pub(super) const WATCH_TIMER: TimerToken = TimerToken(u64::MAX - 15);
 pub(super) const FLEET_TIMER: TimerToken = TimerToken(u64::MAX - 16);
-pub(super) const POLL_TIMER: TimerToken = TimerToken(u64::MAX - 17);
+pub(super) const PACING_TIMER: TimerToken = TimerToken(u64::MAX - 17);
 pub(super) const FULL_LIST_TIMER: TimerToken = TimerToken(u64::MAX - 21);
 pub(super) const STALE_LIST_TIMER: TimerToken = TimerToken(u64::MAX - 22);
