--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,9 +1,9 @@
 //! The decision module's time per job at 10, 100, 1,000 and 10,000 workers: `make bench-decision`.
 //!
 //! Each job is one complete cycle through [`Dispatcher::handle`]: the job arrives, is sent, and ends served with a load report;
-//! then the clock advances by a millisecond, timers that are due fire, and probes are answered at once. The dispatcher is one of
-//! 30 in a fleet, so that the workers are assigned to groups (`src/policy/gossip`). The last line of the output gives the ratio of
-//! the time per job at 10,000 workers to that at 10 (issue 21 requires at most 4).
+//! then the clock advances by a millisecond, timers that are due fire, and probes are answered immediately. The dispatcher is
+//! one of 30 in a fleet, so that the workers are assigned to groups (`src/policy/gossip`). The last line of the output gives the
+//! ratio of the time per job at 10,000 workers to that at 10 (issue 21 requires at most 4).
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -19,7 +19,7 @@
 const WARM_UP: u64 = 2_000;
 
 /// One of 30 dispatchers in steady state, past the cold start and the first probes: it has finished [`WARM_UP`] jobs at workers
-/// that answer at once.
+/// that answer immediately.
 fn steady_dispatcher(workers: u32) -> TestDispatcher {
     let mut dispatcher = TestDispatcher::new(Settings {
         dispatcher_count: 30,
--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirmation of the workers of an old endpoint list after a start.
 //!
-//! Nobody has seen these workers alive since the start, so only a few of them are tried at a time. A worker is confirmed
-//! once a dispatcher has seen it alive.
+//! No dispatcher has seen these workers alive since the start, so only a few of them are tried at a time. A worker is
+//! confirmed once a dispatcher has seen it alive.
 
 use crate::shared_observations::WorkerStatus;
 use crate::{Micros, WorkerTag};
--- a/crates/coldstart/src/lib.rs
+++ b/crates/coldstart/src/lib.rs
@@ -8,7 +8,7 @@
 //!   observations travel as facts, which the caller carries between dispatchers.
 //! - [`WarmUpBudget`] decides when a handshake, a probe or a job may go to a worker, so that all dispatchers together stay
 //!   below a bound.
-//! - [`HealthConfirmation`] limits how many workers of an unconfirmed list are tried at once. A list is unconfirmed if no
+//! - [`HealthConfirmation`] limits how many workers of an unconfirmed list are tried at a time. A list is unconfirmed if no
 //!   dispatcher has seen its workers alive since the start.
 //!
 //! Time is in microseconds of the caller's monotonic clock. Dispatchers coordinate by Unix time: when a state machine is
--- a/crates/coldstart/src/poll_scheduler/round_length.rs
+++ b/crates/coldstart/src/poll_scheduler/round_length.rs
@@ -53,7 +53,7 @@
         } else {
             0
         };
-        // If many members ended at once, more may have ended that still count as present.
+        // If many members ended at the same time, more may have ended that still count as present.
         if self.need.members_gone * 8 > holders { 0 } else { holders }
     }
 
--- a/crates/coldstart/src/simulation.rs
+++ b/crates/coldstart/src/simulation.rs
@@ -186,8 +186,8 @@
     }
 
     /// Whether facts and views are exchanged between two places, which a network partition prevents.
-    fn are_connected(&self, one: u16, other: u16) -> bool {
-        self.scenario.partitioned_until.is_none_or(|heal| self.now >= heal) || one % 2 == other % 2
+    fn are_connected(&self, place: u16, other: u16) -> bool {
+        self.scenario.partitioned_until.is_none_or(|heal| self.now >= heal) || place % 2 == other % 2
     }
 
     fn on_start(&mut self, place: u16) {
--- a/crates/coldstart/src/simulation/scenario.rs
+++ b/crates/coldstart/src/simulation/scenario.rs
@@ -10,7 +10,7 @@
     /// each failure, at most three times. Each dispatcher computes its backoff from workers, and its turns at workers that
     /// warm up, without information from the others.
     RandomWait,
-    /// The first call is made at once. After a failure, the wait is drawn with full jitter up to a limit, which is 100 ms,
+    /// The first call is made immediately. After a failure, the wait is drawn with full jitter up to a limit, which is 100 ms,
     /// doubled with each failure, at most 10 s. Otherwise like `RandomWait`.
     FullJitter,
     /// The state machines of this crate, without facts from other dispatchers.
--- a/crates/coldstart/src/simulation/summary.rs
+++ b/crates/coldstart/src/simulation/summary.rs
@@ -46,7 +46,7 @@
     pub facts: u64,
     /// The total length of all published facts, in bytes.
     pub fact_bytes: u64,
-    /// The maximum number of calls that one dispatcher had open at once.
+    /// The maximum number of calls that one dispatcher had open at the same time.
     pub max_open_calls: u64,
 }
 
--- a/crates/fairshare/src/decay/tests.rs
+++ b/crates/fairshare/src/decay/tests.rs
@@ -17,9 +17,10 @@
         }
         // An even flow has the same balance at every sub-step of a bucket.
         let flow = |step: u64| {
-            let whole: i128 = (0..step / SUB_STEPS).map(|b| decay.weight(Bucket(b)) * 16_000).sum();
-            let begun = decay.weight(Step(step).bucket()) * (step % SUB_STEPS) as i128 * 1_000;
-            decay.decayed(whole + begun, Step(step)) as f64
+            let complete_buckets: i128 =
+                (0..step / SUB_STEPS).map(|b| decay.weight(Bucket(b)) * 16_000).sum();
+            let current_bucket = decay.weight(Step(step).bucket()) * (step % SUB_STEPS) as i128 * 1_000;
+            decay.decayed(complete_buckets + current_bucket, Step(step)) as f64
                 / (decay.memory() as f64 / f64::from(1 << SPAN_BITS) * 16e3)
         };
         for step in 60 * SUB_STEPS..61 * SUB_STEPS {
--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -108,9 +108,9 @@
     share: u64,
 }
 
-/// The part of `whole` for a weight out of `total_weight`; 0 if the total is 0.
-fn proportion(whole: u64, weight: u64, total_weight: u64) -> u64 {
-    (u128::from(whole) * u128::from(weight)).checked_div(u128::from(total_weight)).unwrap_or(0) as u64
+/// The part of `amount` for a weight out of `total_weight`; 0 if the total is 0.
+fn proportion(amount: u64, weight: u64, total_weight: u64) -> u64 {
+    (u128::from(amount) * u128::from(weight)).checked_div(u128::from(total_weight)).unwrap_or(0) as u64
 }
 
 /// A participant of one level of the tree: its weight, its share and its need.
@@ -150,11 +150,12 @@
         }
     }
 
-    /// The part of `whole` that a participant could get at most, by max-min fairness (water-filling). A participant that needs
-    /// less than its share is satisfied at once, since the level only rises. The others divide the rest by their weights.
-    fn allowance(&self, whole: u64, participant: Participant) -> u64 {
+    /// The part of `capacity` that a participant could get at most, by max-min fairness (water-filling). A participant that
+    /// needs less than its share is satisfied from the start, since the level only rises. The others divide the rest by their
+    /// weights.
+    fn allowance(&self, capacity: u64, participant: Participant) -> u64 {
         let Participant { weight, share, need } = participant;
-        let left = whole.saturating_sub(self.satisfied_need);
+        let left = capacity.saturating_sub(self.satisfied_need);
         if weight == 0 {
             return if self.unsatisfied_weight > 0 { 0 } else { left / self.zero_weight_participants.max(1) };
         }
@@ -166,8 +167,8 @@
 }
 
 impl ShareTree {
-    /// Validates the shares, and divides `whole` by them.
-    pub fn new(shares: &Shares, whole: u64) -> Result<ShareTree, SharesError> {
+    /// Validates the shares, and divides `capacity` by them.
+    pub fn new(shares: &Shares, capacity: u64) -> Result<ShareTree, SharesError> {
         let tenants = shares.installations.iter().map(|installation| installation.tenants.len()).sum();
         if tenants > MAX_TENANTS {
             return Err(SharesError::TooManyTenants(tenants));
@@ -178,7 +179,7 @@
         let total_weight: u64 = weights.sum();
         for installation in &shares.installations {
             let weight = u64::from(installation.weight);
-            let share = proportion(whole, weight, total_weight);
+            let share = proportion(capacity, weight, total_weight);
             let tenant_weight: u64 = installation.tenants.iter().map(|tenant| u64::from(tenant.weight)).sum();
             for tenant in &installation.tenants {
                 let key = checked_key(tenant, &mut names)?;
@@ -210,7 +211,7 @@
 
     /// Lends unused capacity: first within each installation, then between installations. `needs` are the high ends of the
     /// usage of the leaves, in their order, so capacity that may be in use is not lent.
-    pub fn lend(&mut self, whole: u64, needs: &[u64]) {
+    pub fn lend(&mut self, capacity: u64, needs: &[u64]) {
         let mut within = vec![Demand::default(); self.installations.len()];
         for (leaf, need) in self.leaves.iter().zip(needs) {
             within[leaf.installation].add(leaf.participant(*need));
@@ -221,12 +222,12 @@
             participant.need = participant.need.max(u64::from(demand.zero_weight_participants > 0));
             level.add(participant);
         }
-        let wholes: Vec<u64> = (self.installations.iter().zip(&within))
-            .map(|(installation, demand)| level.allowance(whole, installation.participant(demand)))
+        let capacities: Vec<u64> = (self.installations.iter().zip(&within))
+            .map(|(installation, demand)| level.allowance(capacity, installation.participant(demand)))
             .collect();
         for (leaf, need) in self.leaves.iter_mut().zip(needs) {
-            let whole = wholes[leaf.installation];
-            let allowance = within[leaf.installation].allowance(whole, leaf.participant(*need));
+            let capacity = capacities[leaf.installation];
+            let allowance = within[leaf.installation].allowance(capacity, leaf.participant(*need));
             leaf.allowance = allowance.max(leaf.share);
         }
     }
--- a/crates/fairshare/tests/ledger/extrapolation.rs
+++ b/crates/fairshare/tests/ledger/extrapolation.rs
@@ -21,7 +21,7 @@
         assert!(low < likely * 0.95 && high > last, "{low} {high} after {last}");
         last = high;
     }
-    // All facts that member 1 has published arrive at once, the latest first.
+    // All facts that member 1 has published arrive at the same time, the latest first.
     let mut late = fleet.members[1].published.clone();
     late.reverse();
     let now = fleet.now;
--- a/crates/fairshare/tests/ledger/valuation.rs
+++ b/crates/fairshare/tests/ledger/valuation.rs
@@ -66,7 +66,7 @@
         [late, early].iter().map(|at| fleet.members[*at].ledger.position(key("b"), now)).collect();
     assert_eq!((positions[0].share, positions[0].used.low > 0), (positions[1].share, true));
     // Tenant b is removed: it has no share any more, and its account is closed once its usage expires. The new tenant c has
-    // its share at once.
+    // its share immediately.
     for member in &mut fleet.members {
         member.ledger.set_shares(&shares(&[("a", 1), ("c", 1)])).unwrap();
     }
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -91,7 +91,7 @@
         if self.now < self.dissemination.next_gossip || self.present < 2 {
             return;
         }
-        // If many members fail at once, the updates do not fit into a few datagrams.
+        // If many members fail at the same time, the updates do not fit into a few datagrams.
         let has_many_updates = self.dissemination.states.len() > MAX_UPDATES_TRIED;
         let fanout = self.config.gossip_fanout * if has_many_updates { 2 } else { 1 };
         for _ in 0..fanout {
--- a/crates/membership/src/partition.rs
+++ b/crates/membership/src/partition.rs
@@ -50,8 +50,8 @@
     order.sort_unstable_by_key(|worker| (hash(&[tags[*worker]]), tags[*worker], *worker));
     let mut assigned = vec![None; tags.len()];
     for worker in order {
-        let open = present.iter().filter(|place| capacity[usize::from(*place % groups)] > 0);
-        if let Some(place) = open.max_by_key(|place| (score(tags[worker], **place), **place)) {
+        let available = present.iter().filter(|place| capacity[usize::from(*place % groups)] > 0);
+        if let Some(place) = available.max_by_key(|place| (score(tags[worker], **place), **place)) {
             let group = place % groups;
             capacity[usize::from(group)] -= 1;
             assigned[worker] = Some(group);
--- a/crates/membership/src/partition/search.rs
+++ b/crates/membership/src/partition/search.rs
@@ -13,24 +13,25 @@
 }
 
 /// Simulates a worker and the places that claim its slots, each by a random recent report. Returns by how many jobs the
-/// worker exceeded its limit at worst. With a `window` of 1 the result must be 0. A smaller `window` is a deliberate fault: a
-/// place then drops its claims too early.
+/// worker exceeded its limit at worst. With a `window_fraction` of 1 the result must be 0. A smaller one is a deliberate fault:
+/// a place then drops its claims too early.
 #[doc(hidden)]
-pub fn worst_overcommit(seed: u64, window: f64) -> u32 {
+pub fn worst_overcommit(seed: u64, window_fraction: f64) -> u32 {
     const STEPS: usize = 80;
     let mut rng = fastrand::Rng::with_seed(seed);
     let peers = [2, 3, 4, 6, 10, 30][rng.usize(0..6)];
     let limit = [3, 10, 37, 100, u32::from(peers) * 8][rng.usize(0..5)];
-    let (lag, flight) = (1_000_u64, [0, 300][rng.usize(0..2)]);
+    let (window, flight_time) = (1_000_u64, [0, 300][rng.usize(0..2)]);
     let reserve = limit / [2, 3, 4, 8][rng.usize(0..4)];
-    let bound = StalenessBound { peers, max_report_age: lag - flight, max_flight_time: flight, reserve };
+    let bound =
+        StalenessBound { peers, max_report_age: window - flight_time, max_flight_time: flight_time, reserve };
     let jobs_end = rng.bool();
     let ranks: Vec<u16> = (0..peers).map(|place| rank(seed, place, peers)).collect();
     // The places with a running process. Their views do not matter.
     let live: Vec<u16> = (0..peers).filter(|_| rng.u8(0..10) < 6).collect();
     let mut claims: Vec<SlotClaims> = vec![SlotClaims::default(); peers.into()];
     let mut jobs: Vec<Job> = Vec::new();
-    let (mut now, mut worst) = (10 * lag, 0);
+    let (mut now, mut worst) = (10 * window, 0);
     for _ in 0..STEPS {
         let before = now;
         now += [0, 0, 50, 300, 950, 999, rng.u64(0..2_000)][rng.usize(0..7)];
@@ -43,13 +44,13 @@
         let is_running = |job: &&Job| job.starts_at <= measured_at && measured_at < job.ends_at;
         let used = jobs.iter().filter(is_running).count() as u32;
         let reported = ReportedCapacity { free: limit.saturating_sub(used), measured_at };
-        let remembered = (window * lag as f64) as u64;
-        claims[place].expire(now, remembered);
+        let claim_lifetime = (window_fraction * window as f64) as u64;
+        claims[place].expire(now, claim_lifetime);
         let available = claims[place].available(now, reported, &bound, ranks[place]);
         let slots = if rng.u8(0..10) < 8 { available } else { rng.u32(0..=available) };
         claims[place].record_claimed(now, slots);
         for _ in 0..slots {
-            let starts_at = now + [0, flight, rng.u64(0..=flight)][rng.usize(0..3)];
+            let starts_at = now + [0, flight_time, rng.u64(0..=flight_time)][rng.usize(0..3)];
             let ends_at = if jobs_end { starts_at + rng.u64(1..6_000) } else { u64::MAX };
             jobs.push(Job { place, decided_at: now, starts_at, ends_at });
         }
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -43,7 +43,7 @@
 pub enum Start {
     /// All members know each other.
     Warm,
-    /// The members start at once and know no other member.
+    /// The members start at the same time and know no other member.
     Cold,
 }
 
--- a/crates/membership/src/simulation/scenarios/failures.rs
+++ b/crates/membership/src/simulation/scenarios/failures.rs
@@ -71,7 +71,7 @@
     restart_detected_after: f64,
 }
 
-/// 70% of the members are killed at once and later start again. Measures the time until all views agree, both times.
+/// 70% of the members are killed at the same time and later start again. Measures the time until all views agree, both times.
 pub(super) fn mass_kill(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| {
         let mut network = extent.settled_network(members, seed);
--- a/crates/membership/src/simulation/scenarios/startup.rs
+++ b/crates/membership/src/simulation/scenarios/startup.rs
@@ -14,8 +14,8 @@
     false_deaths: usize,
 }
 
-/// All members start at once and know no other member. Measures the time until all views agree, and the maximum number
-/// of bytes that one member sent in a second.
+/// All members start at the same time and know no other member. Measures the time until all views agree, and the maximum
+/// number of bytes that one member sent in a second.
 pub(super) fn cold_start(extent: Extent, members: u16, seeds: u64) -> Report {
     let runs = extent.for_each_seed(seeds, |seed| cold_start_run(extent, members, seed));
     let mut report = Report::default();
--- a/crates/testkit/src/fleet/datagram_relay.rs
+++ b/crates/testkit/src/fleet/datagram_relay.rs
@@ -1,9 +1,9 @@
 //! The datagram relay.
 //!
-//! The relay has one **relay socket** for each dispatcher, whose address is that dispatcher's entry in `peers` of all others. When
-//! a datagram arrives at the relay socket of its receiver, the relay identifies the sender by its source address, applies the
-//! faults of that ordered pair, and forwards the datagram to the receiver from the relay socket of the sender. So datagrams come
-//! from the address in `peers`, as the protocol requires.
+//! The relay has one **relay socket** for each dispatcher, whose address is that dispatcher's entry in `peers` of all others.
+//! When a datagram arrives at the relay socket of its receiver, the relay identifies the sender by its source address, applies
+//! the faults of that ordered pair, and forwards the datagram to the receiver from the relay socket of the sender. So datagrams
+//! come from the address in `peers`, as the protocol requires.
 
 use super::datagram_faults::{DatagramFaults, Pair};
 use super::event_log::{Clock, Event, EventLog};
@@ -89,7 +89,7 @@
 /// The datagram relay of a fleet. The methods take dispatchers by number from 0. They panic if there is no such dispatcher, or
 /// if a thread of the relay has panicked.
 pub struct DatagramRelay {
-    /// The relay sockets for sending, by dispatcher. Sending bypasses the runtime: a datagram that cannot be sent at once is lost.
+    /// The relay sockets for sending, by dispatcher. Sending bypasses the runtime: a datagram that would block is lost.
     relay_sockets: Vec<std::net::UdpSocket>,
     /// The addresses of the relay sockets.
     addresses: Vec<SocketAddr>,
--- a/crates/testkit/src/fleet/discovery/script.rs
+++ b/crates/testkit/src/fleet/discovery/script.rs
@@ -27,13 +27,13 @@
     pub mode: DiscoveryMode,
     /// The time to handle a call; calls are handled one after another.
     pub service_time: Duration,
-    /// The maximum number of waiting calls. Further ones are refused (503) at once.
+    /// The maximum number of waiting calls. Further ones are refused (503) immediately.
     pub queue: usize,
     /// The wait after which a call is refused.
     pub max_wait: Duration,
     /// `Retry-After` of refusals, in seconds.
     pub retry_after: Option<f64>,
-    /// Whether the service acts as a local agent of each dispatcher's machine: it answers at once, without a queue, and is
+    /// Whether the service acts as a local agent of each dispatcher's machine: it answers immediately, without a queue, and is
     /// silent while it is down.
     pub pushed: bool,
     /// Whether JSON objects are written over several lines.
@@ -95,7 +95,7 @@
     pub refused: u64,
     /// Calls reset because the service was down.
     pub reset: u64,
-    /// The maximum number of calls that waited at once, including the one being handled.
+    /// The maximum number of calls that waited at the same time, including the one being handled.
     pub longest_queue: usize,
     /// Calls by span of 100 ms of the harness's clock.
     pub per_100ms: BTreeMap<u64, u64>,
