--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -74,7 +74,11 @@
             *state = TrialState::UnderWay;
             self.trials += 1;
         }
-        mothproxy_invariant::invariant!(self.trials <= MAX_TRIALS, "more concurrent trials than the limit");
+        mothproxy_invariant::invariant!(
+            self.trials <= MAX_TRIALS,
+            "{} concurrent trials exceed the limit of {MAX_TRIALS}",
+            self.trials
+        );
     }
 
     /// Records the result of a trial or of any other use: whether the worker is alive.
--- a/crates/coldstart/src/warm_up_budget.rs
+++ b/crates/coldstart/src/warm_up_budget.rs
@@ -213,7 +213,11 @@
         let cost = (units * MILLI_UNITS as f64).ceil() as u64;
         let current = self.spent.get(&key).filter(|spent| spent.start == turn.start);
         let spent = current.map_or(0, |turn| turn.spent);
-        invariant!(spent <= turn.units * MILLI_UNITS, "more was spent than this place's share of the turn");
+        invariant!(
+            spent <= turn.units * MILLI_UNITS,
+            "{spent} thousandths of a unit were spent, more than the {} units of this place in the turn",
+            turn.units
+        );
         let is_own = self.config.skip_turns || turn.start >= self.created_at && self.owns(&turn, worker.tag);
         let is_open = is_own && spent + cost <= turn.units * MILLI_UNITS;
         Some(Claim { key, turn, cost, spent, is_open })
--- a/crates/coldstart/src/warm_up_budget/turn.rs
+++ b/crates/coldstart/src/warm_up_budget/turn.rs
@@ -44,7 +44,11 @@
         let turns = (1..=MAX_TURNS).rev().find(|turns| budget / (turns + 2) > 0).unwrap_or(1);
         let turn_budget = (budget / (turns + 2)).max(1);
         let length = window.div_ceil(turns);
-        invariant!(turn_budget * (turns + 2) <= budget, "turns hold more than the budget");
+        invariant!(
+            turn_budget * (turns + 2) <= budget,
+            "{} turns of {turn_budget} units exceed the budget of {budget} units",
+            turns + 2
+        );
         let places = u64::from(places);
         let index = phase.elapsed / length;
         let (kinds, min_units) = if kind == BudgetKind::WarmingUp {
--- a/crates/coldstart/tests/poll_scheduler.rs
+++ b/crates/coldstart/tests/poll_scheduler.rs
@@ -150,7 +150,7 @@
         for place in 0..count {
             let mut scheduler = PollScheduler::new(config(place, count, place % 2 == 0), 0, 1).expect("a valid configuration");
             let first = (0..9).find_map(|_| scheduler.next_wake().filter(|due| scheduler.tick(*due).is_some()));
-            scheduler.handle(first.expect("a first call"), Event::Answered { generation: 2, waited: 20 * MS });
+            scheduler.handle(first.expect("a first call is due"), Event::Answered { generation: 2, waited: 20 * MS });
             scheduler.handle(at.max(first.unwrap_or(0)), Event::WatchSilent { deadline });
             while let Some(due) = scheduler.next_wake() {
                 if scheduler.tick(due).is_some() {
@@ -160,7 +160,7 @@
         }
         times.sort_unstable();
         prop_assert_eq!(times.len(), usize::from(count));
-        prop_assert!(*times.last().expect("a call") <= deadline, "a call after the deadline");
+        prop_assert!(*times.last().expect("at least one call") <= deadline, "a call after the deadline");
         // Half of the dispatchers have membership and so shifted slots. Each half keeps to the rate of the service.
         let evenly_spread_calls = usize::from(count) * 100 / 2_500;
         prop_assert!(max_calls_within(&times, 100 * MS) <= 4 * evenly_spread_calls + 2 * 6, "{times:?}");
--- a/crates/coldstart/tests/shared_observations.rs
+++ b/crates/coldstart/tests/shared_observations.rs
@@ -66,7 +66,7 @@
     let (slot, bytes) = publisher.publish(2 * SECOND).expect("a fault is published");
     let origin = Origin { place: 0, epoch: 1 };
     assert_eq!(receiver.absorb(2 * SECOND, origin, slot, 1, &bytes), Ok(()));
-    let status_of_8 = receiver.worker_status(8, 3 * SECOND).expect("a status from the absorbed fact");
+    let status_of_8 = receiver.worker_status(8, 3 * SECOND).expect("the absorbed fact gives a status");
     assert_eq!(status_of_8.fault, Some((Fault::Refuses, SECOND)), "the worst fault counts");
     receiver.record(4 * SECOND, 8, Observation::Alive);
     assert_eq!(receiver.absorb(5 * SECOND, origin, slot, 1, &bytes), Ok(()), "a repeated fact");
--- a/examples/proof_coldstart.rs
+++ b/examples/proof_coldstart.rs
@@ -371,7 +371,7 @@
 fn check_injected_fault(scenarios: &[NamedScenario], violations: &mut Vec<String>) -> Vec<&'static str> {
     let is_used = |named: &&NamedScenario| named.name == "down_8s" && named.scenario.dispatchers == 300;
     let mut faulty =
-        scenarios.iter().find(is_used).cloned().expect("the scenario down_8s with 300 dispatchers");
+        scenarios.iter().find(is_used).cloned().expect("the scenario down_8s with 300 dispatchers exists");
     faulty.scenario.skip_scheduling = true;
     let detected = failed_checks(&faulty, &simulate(&faulty.scenario, PollingStrategy::SchedulerWithGossip));
     if !(detected.contains(&"calls") && detected.contains(&"peak")) {
--- a/examples/proof_runtimes/results.rs
+++ b/examples/proof_runtimes/results.rs
@@ -102,12 +102,14 @@
         Results {
             seed,
             started,
-            groups: groups.map(|thread| thread.join().expect("the simulation of a group")).into(),
-            censored: censored.join().expect("the simulation with a hard limit"),
-            faulty: faulty.join().expect("the simulation with the injected fault"),
-            slowdowns: slowdowns.map(|thread| thread.join().expect("the simulation of a slowdown")).into(),
-            pools: pools.map(|thread| thread.join().expect("the simulation of a pool")).into(),
-            full_pool: full_pool.join().expect("the simulation of the full pool"),
+            groups: groups.map(|thread| thread.join().expect("the simulation of a group finishes")).into(),
+            censored: censored.join().expect("the simulation with a hard limit finishes"),
+            faulty: faulty.join().expect("the simulation with the injected fault finishes"),
+            slowdowns: slowdowns
+                .map(|thread| thread.join().expect("the simulation of a slowdown finishes"))
+                .into(),
+            pools: pools.map(|thread| thread.join().expect("the simulation of a pool finishes")).into(),
+            full_pool: full_pool.join().expect("the simulation of the full pool finishes"),
             costs: Value::Null,
             properties_hold: false,
         }
