--- a/crates/fairshare/src/shares.rs
+++ b/crates/fairshare/src/shares.rs
@@ -12,11 +12,11 @@
 /// guaranteed nothing, and gets only capacity that others leave unused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shares {
-    /// The installations.
+    /// The installations of the federation.
     pub installations: Vec<Installation>,
 }
 
-/// One installation with its tenants. The usage of a tenant counts wherever it happens.
+/// An installation with its tenants. The usage of a tenant counts wherever it happens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Installation {
     /// The name of the installation, for messages.
@@ -27,7 +27,7 @@
     pub tenants: Vec<Tenant>,
 }
 
-/// One tenant.
+/// A tenant, with its weight within its installation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenant {
     /// The name of the tenant, the same in the whole federation.
--- a/crates/membership/src/member/suspicion.rs
+++ b/crates/membership/src/member/suspicion.rs
@@ -10,7 +10,7 @@
 use mothproxy_invariant::invariant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One suspicion.
+/// The suspicion of one place, with its timeout.
 #[derive(Debug)]
 struct Suspicion {
     since: Micros,
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -14,7 +14,7 @@
 pub use faults::{Direction, Faults};
 pub use scenarios::{Extent, Report, proof, run};
 
-/// One second.
+/// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 /// The number of datagrams that a socket buffers for a paused process.
 const PAUSED_INBOX_CAPACITY: usize = 256;
--- a/crates/runtimes/src/config.rs
+++ b/crates/runtimes/src/config.rs
@@ -8,7 +8,7 @@
 /// The speed of a kind of worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindSpeed {
-    /// The kind.
+    /// The kind of worker.
     pub kind: WorkerKind,
     /// The speed relative to the usual speed of the fleet, which is 1.
     pub speed: f64,
--- a/crates/runtimes/src/features.rs
+++ b/crates/runtimes/src/features.rs
@@ -23,7 +23,7 @@
 /// like those of [`stable_hash`] and unlike an index into a table of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobFeatures {
-    /// The class.
+    /// The class of the job.
     pub class: u64,
     /// The tenant of the job.
     pub tenant: Option<u64>,
--- a/crates/runtimes/src/ids.rs
+++ b/crates/runtimes/src/ids.rs
@@ -38,6 +38,6 @@
 pub struct Placement {
     /// The kind of the worker.
     pub kind: WorkerKind,
-    /// The worker.
+    /// The worker at which the attempt runs.
     pub worker: WorkerKey,
 }
--- a/crates/runtimes/src/lib.rs
+++ b/crates/runtimes/src/lib.rs
@@ -87,9 +87,9 @@
 /// An estimate of a span of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// The median.
+    /// The median, in microseconds.
     pub typical: Micros,
-    /// The quantile [`Config::long_quantile`].
+    /// The quantile [`Config::long_quantile`], in microseconds.
     pub long: Micros,
 }
 
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -172,7 +172,7 @@
         self.inner().table.list_for(dispatcher, after)
     }
 
-    /// Like `list_for`, and counts an answered call.
+    /// Returns the list that answers a call, as `list_for` does, and counts the answer.
     fn answer_call(&self, dispatcher: usize, after: Option<u64>) -> ListFor {
         let mut inner = self.inner();
         inner.metrics.answered[dispatcher] += 1;
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -19,7 +19,7 @@
     pub status: u16,
     /// The header fields; names are in lower case.
     pub fields: Vec<(String, String)>,
-    /// The body.
+    /// The body, as text.
     pub body: String,
     /// The offset of the first byte in the bytes read from the connection.
     pub offset: u64,
--- a/crates/testkit/src/fleet/outcome.rs
+++ b/crates/testkit/src/fleet/outcome.rs
@@ -50,7 +50,7 @@
         findings
     }
 
-    /// Like [`crate::wait_until`].
+    /// Polls a condition until it holds, as [`crate::wait_until`] does.
     ///
     /// # Panics
     ///
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -22,9 +22,9 @@
     pub size: usize,
     /// The seed of all random choices.
     pub seed: u64,
-    /// The workers.
+    /// The scripts of the workers.
     pub workers: Vec<WorkerScript>,
-    /// The discovery service.
+    /// The script of the discovery service.
     pub discovery: DiscoveryScript,
     /// The operators' settings file of every process (protobuf text format), if there is one.
     pub settings: Option<String>,
