--- a/crates/coldstart/src/health_confirmation.rs
+++ b/crates/coldstart/src/health_confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirmation of the workers of an old endpoint list after a start.
 //!
-//! Nobody has seen these workers alive since the start, so only a few of them are tried at a time. A worker is confirmed
-//! once a dispatcher has seen it alive.
+//! No dispatcher has seen these workers alive since the start, so only a few of them are tried at a time. A worker is
+//! confirmed once a dispatcher has seen it alive.
 
 use crate::shared_observations::WorkerStatus;
 use crate::{Micros, WorkerTag};
@@ -74,7 +74,11 @@
             *state = TrialState::UnderWay;
             self.trials += 1;
         }
-        mothproxy_invariant::invariant!(self.trials <= MAX_TRIALS, "more concurrent trials than the limit");
+        mothproxy_invariant::invariant!(
+            self.trials <= MAX_TRIALS,
+            "{} concurrent trials exceed the limit of {MAX_TRIALS}",
+            self.trials
+        );
     }
 
     /// Records the result of a trial or of any other use: whether the worker is alive.
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -14,7 +14,7 @@
 pub use faults::{Direction, Faults};
 pub use scenarios::{Extent, Report, proof, run};
 
-/// One second.
+/// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 /// The number of datagrams that a socket buffers for a paused process.
 const PAUSED_INBOX_CAPACITY: usize = 256;
@@ -43,7 +43,7 @@
 pub enum Start {
     /// All members know each other.
     Warm,
-    /// The members start at once and know no other member.
+    /// The members start at the same time and know no other member.
     Cold,
 }
 
