--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -44,7 +44,7 @@
     /// Waits for a connection of the dispatcher, and accepts it.
     fn connection(&self) -> WorkerConnection {
         let mut connection = None;
-        wait_until("a connection of the dispatcher", || {
+        wait_until("the dispatcher connects", || {
             connection = self.accept();
             connection.is_some()
         });
@@ -185,7 +185,7 @@
     let (id, mut client) = loop {
         let id = format!("c{served}");
         let mut client = submit(&program, &simple_job(&id));
-        wait_until("an attempt", || {
+        wait_until("a worker gets an attempt", || {
             connection = worker.accept();
             connection.is_some() || other.job_count.load(Ordering::SeqCst) > served
         });
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -8,11 +8,12 @@
 use std::time::Duration;
 
 const SECOND: u64 = 1_000_000;
-const SIZE: u16 = 40;
+/// The number of simulated dispatchers.
+const DISPATCHERS: u16 = 40;
 /// The number of calls that the discovery service can handle in 100 ms, at 20 ms per call.
 const CALLS_IN_100MS: u64 = 5;
 /// The time that the discovery service needs for one call of every dispatcher, in microseconds.
-const SERVICE_TIME_FOR_ALL: u64 = 20_000 * SIZE as u64;
+const SERVICE_TIME_FOR_ALL: u64 = 20_000 * DISPATCHERS as u64;
 
 /// Whether the summary of a simulation meets a requirement.
 type Check = fn(&SimulationSummary) -> bool;
@@ -30,8 +31,11 @@
 
 impl ColdStartCase {
     fn check(&self, seed: u64) {
-        let mut scenario =
-            SimulationScenario { duration: 20 * SECOND, load: 0.1, ..SimulationScenario::start(SIZE, seed) };
+        let mut scenario = SimulationScenario {
+            duration: 20 * SECOND,
+            load: 0.1,
+            ..SimulationScenario::start(DISPATCHERS, seed)
+        };
         (self.change)(&mut scenario);
         for (behaviour, holds) in [
             (PollingStrategy::SchedulerAlone, self.without_gossip),
@@ -175,7 +179,7 @@
         outage: Some(Outage { from: 0, until: 8 * SECOND }),
         duration: 20 * SECOND,
         load: 0.1,
-        ..SimulationScenario::start(SIZE, 1)
+        ..SimulationScenario::start(DISPATCHERS, 1)
     };
     let without_scheduling = simulate(
         &SimulationScenario { skip_scheduling: true, ..down.clone() },
--- a/tests/conformance/decision/situation.rs
+++ b/tests/conformance/decision/situation.rs
@@ -12,7 +12,8 @@
     pub workers: Vec<ListedWorker>,
     classes: Vec<JobClass>,
     zone: u16,
-    nodes: u32,
+    #[serde(rename = "nodes")]
+    dispatcher_count: u32,
     #[serde(rename = "probe")]
     may_probe: bool,
     #[serde(rename = "tells_start")]
@@ -37,7 +38,7 @@
             workers: Vec::new(),
             classes: vec![JobClass::default()],
             zone: 0,
-            nodes: 1,
+            dispatcher_count: 1,
             may_probe: false,
             reports_start: false,
             may_hedge: true,
@@ -55,7 +56,7 @@
     pub fn settings(&self) -> Settings {
         Settings {
             zone: ZoneId(self.zone),
-            dispatcher_count: self.nodes,
+            dispatcher_count: self.dispatcher_count,
             classes: self.classes.iter().map(JobClass::to_class).collect(),
             may_probe: self.may_probe,
             reports_start: self.reports_start,
--- a/tests/conformance/watch_liveness.rs
+++ b/tests/conformance/watch_liveness.rs
@@ -30,8 +30,8 @@
     /// The phase of a call that has just started, if there is one.
     call: Option<CallPhase>,
     /// The number of dispatchers.
-    #[serde(default = "default_nodes")]
-    nodes: u32,
+    #[serde(default = "default_dispatchers", rename = "nodes")]
+    dispatchers: u32,
     /// The maximum poll interval of the settings, in milliseconds.
     #[serde(default = "default_poll_interval", rename = "within")]
     max_poll_interval: u64,
@@ -48,7 +48,7 @@
     Partial,
 }
 
-fn default_nodes() -> u32 {
+fn default_dispatchers() -> u32 {
     10
 }
 
@@ -171,7 +171,7 @@
         let settings = DiscoverySettings {
             is_pushed: given.is_pushed,
             max_poll_interval: Some(given.max_poll_interval * MILLISECOND),
-            dispatchers: given.nodes,
+            dispatchers: given.dispatchers,
         };
         let mut liveness = WatchLiveness::new(settings, seed);
         if given.is_open {
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -157,7 +157,11 @@
         assert!(reply.body.contains("kept"), "{} {}", reply.status, reply.body);
         wait_until("a busy connection is closed after its job", || is_closed(stream));
     }
-    assert_eq!(call(admin, "GET", "/control/ready").status, 200, "the process still takes clients");
+    assert_eq!(
+        call(admin, "GET", "/control/ready").status,
+        200,
+        "the process must stay ready during a drain"
+    );
     assert_eq!(call(admin, "PUT", "/control/in-service").status, 200);
     assert_eq!(dispatcher.up_status(), 200);
     let mut kept = connect(dispatcher.platform);
--- a/tests/core/endpoint_list.rs
+++ b/tests/core/endpoint_list.rs
@@ -56,8 +56,12 @@
     for split_at in 0..=text.len() {
         let (mut harness, mut objects) = (CoreHarness::new(2), ObjectSplitter::default());
         let (before, after) = text.as_bytes().split_at(split_at);
-        let whole = ends.iter().filter(|end| **end <= split_at).count();
-        assert_eq!(feed(&mut harness, &mut objects, before), expected[whole], "split at byte {split_at}");
+        let complete_lists = ends.iter().filter(|end| **end <= split_at).count();
+        assert_eq!(
+            feed(&mut harness, &mut objects, before),
+            expected[complete_lists],
+            "split at byte {split_at}"
+        );
         assert_eq!(feed(&mut harness, &mut objects, after), expected[3], "split at byte {split_at}");
     }
 }
--- a/tests/core/harness.rs
+++ b/tests/core/harness.rs
@@ -64,19 +64,19 @@
         if is_reused { None } else { self.core.accept(self.now, request) }
     }
 
-    /// Creates a core as after a crash, which begins with the records that this one had persisted before. If the clock is not
-    /// sound, the deduplication windows of all records are treated as over.
+    /// Creates a core as after a crash, which begins with the records that this one had persisted before. If the system clock is
+    /// not reliable, the deduplication windows of all records are treated as over.
     pub fn restarted_after_crash(
         &self,
         records: &BTreeMap<String, Vec<u8>>,
         elapsed: Micros,
-        is_clock_sound: bool,
+        is_clock_reliable: bool,
     ) -> CoreHarness {
         let workers = self.core.endpoints().listed();
         let unix = u128::from(self.now - Core::clock_start() + elapsed);
         let mut next = CoreHarness::starting_at(workers, unix);
         let unreadable = next.core.enable_idempotency(next.now, records.clone().into_iter());
-        if !is_clock_sound {
+        if !is_clock_reliable {
             next.core.expire_idempotency_windows();
         }
         assert_eq!(unreadable, []);
--- a/tests/core/idempotency.rs
+++ b/tests/core/idempotency.rs
@@ -76,11 +76,11 @@
 
 #[test]
 fn sends_a_repeat_after_a_crash_to_the_same_cell_or_not_at_all() {
-    for (elapsed, is_clock_sound, may_be_sent) in
+    for (elapsed, is_clock_reliable, may_be_sent) in
         [(5_000, true, true), (39_000, true, true), (41_000, true, false), (1_000, false, false)]
     {
         let KeyedRequest { harness, records, worker } = with_keyed_request(6);
-        let mut next = harness.restarted_after_crash(&records, elapsed * MS, is_clock_sound);
+        let mut next = harness.restarted_after_crash(&records, elapsed * MS, is_clock_reliable);
         let id = next.accept_keyed("r-2", "k", 5).expect("the request was not accepted");
         let commands = next.advance(5 * MS);
         let tickets = persist(&mut records.clone(), &commands);
--- a/tests/failures/outliers.rs
+++ b/tests/failures/outliers.rs
@@ -48,8 +48,8 @@
     assert!(again.iter().all(|(_, worker)| *worker == WorkerId(0)), "{again:?}");
 }
 
-/// A worker in whose queue a job waited gets the next one only after as long a time. Under overload, a worker with jobs of other
-/// dispatchers in its queue would otherwise get the next job as soon as it has started one, and that job would wait as long.
+/// A worker in whose queue a job has waited gets no other job for as long as that one waited. Otherwise, under overload, a worker
+/// with jobs of other dispatchers in its queue gets the next job as soon as it has started one, and that job waits as long again.
 #[test]
 fn ejects_a_worker_for_as_long_as_a_job_queued_there() {
     let mut dispatcher = TestDispatcher::new(settings_with_start_reports());
--- a/tests/first_byte.rs
+++ b/tests/first_byte.rs
@@ -75,7 +75,7 @@
         })
         .start();
     others.iter().for_each(|worker| worker.set_callback_address(program.platform));
-    wait_until("a watch", || discovery.calls.load(Ordering::SeqCst) > 0);
+    wait_until("a watch is open", || discovery.calls.load(Ordering::SeqCst) > 0);
     (program, discovery)
 }
 
@@ -173,7 +173,7 @@
     discovery.push_change(&site::snapshot(4, &rows).to_string(), site::snapshot(4, &rows));
     worker.open_gate("told");
     wait_for_connection_attempt(&late.listener);
-    wait_until("the end of the repeat window", || sent.elapsed() > Duration::from_millis(2_000));
+    wait_until("the repeat window has passed", || sent.elapsed() > Duration::from_millis(2_000));
     let reader = std::thread::spawn(move || read_reply(&mut client).expect("no complete response").status);
     let (filler, _) = late.listener.accept().expect("cannot accept the filler connection");
     drop(filler);
--- a/tests/fleet/outstanding_work.rs
+++ b/tests/fleet/outstanding_work.rs
@@ -5,7 +5,7 @@
 use crate::*;
 use std::collections::BTreeSet;
 
-/// A datagram of more bytes has a higher price.
+/// The length of the longest datagram that has the lowest price, in bytes.
 const CHEAP_DATAGRAM_LEN: usize = 16;
 
 /// If each dispatcher gets two jobs, they are spread over the workers, none of which gets more jobs than it has slots; slots that
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -145,14 +145,14 @@
         let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: n0\r\nContent-Length: {}\r\n\r\n", text.len());
         head + &text
     };
-    let (mut idle, mut half) = (connect(program.platform), connect(program.platform));
+    let (mut idle, mut split_callback) = (connect(program.platform), connect(program.platform));
     let mut clients = ["d0", "d1"].map(|id| {
         let mut client = connect(program.platform);
         client.write_all(job_request(id, "redeem", "take hang", "").as_bytes()).expect("write failed");
         client
     });
     wait_until("the jobs arrive", || worker.job_count.load(Ordering::SeqCst) == 2);
-    for (callbacks, id) in [(&mut idle, "d0"), (&mut half, "d1")] {
+    for (callbacks, id) in [(&mut idle, "d0"), (&mut split_callback, "d1")] {
         callbacks.write_all(callback(id, "started").as_bytes()).expect("write failed");
         assert_eq!(read_reply(callbacks).expect("no complete response").status, 204);
     }
@@ -160,15 +160,15 @@
     program.terminate();
     let text = callback("d1", "done");
     let (first, rest) = text.split_at(text.len() / 2);
-    half.write_all(first.as_bytes()).expect("write failed");
+    split_callback.write_all(first.as_bytes()).expect("write failed");
     assert_eq!(read_to_close(&mut idle_client), Ok(Vec::new()), "bytes on an idle connection");
-    half.write_all(rest.as_bytes()).expect("write failed");
+    split_callback.write_all(rest.as_bytes()).expect("write failed");
     idle.write_all(callback("d0", "done").as_bytes()).expect("write failed");
-    for (callbacks, client) in [&mut idle, &mut half].into_iter().zip(&mut clients) {
+    for (callbacks, client) in [&mut idle, &mut split_callback].into_iter().zip(&mut clients) {
         assert_eq!(read_reply(callbacks).expect("no complete response").status, 204);
         assert_eq!(read_reply(client).expect("no complete response").status, 200);
     }
-    drop((idle, half, clients, idle_client));
+    drop((idle, split_callback, clients, idle_client));
     assert!(program.wait_for_exit().0);
 }
 
@@ -179,20 +179,20 @@
     let worker = FakeWorker::start("s-1");
     let few_sockets = |config: &mut serde_json::Value| config["limits"]["sockets"] = serde_json::json!(80);
     let program = DispatcherProcess::builder(std::slice::from_ref(&worker)).configure(few_sockets).start();
-    let mut half = connect(program.platform);
+    let mut incomplete = connect(program.platform);
     let request = job_request("e0", "balance", "take started done=x", "");
     let (first, rest) = request.split_at(request.len() - 5);
-    half.write_all(first.as_bytes()).expect("write failed");
-    half.set_nonblocking(true).expect("cannot set socket option");
+    incomplete.write_all(first.as_bytes()).expect("write failed");
+    incomplete.set_nonblocking(true).expect("cannot set socket option");
     let mut idle_clients = Vec::new();
     wait_until("the connection of the incomplete request is closed", || {
         idle_clients.push(connect(program.platform));
-        !matches!(half.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
+        !matches!(incomplete.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
     });
-    half.set_nonblocking(false).expect("cannot set socket option");
-    let reply = read_reply(&mut half).expect("no complete response");
+    incomplete.set_nonblocking(false).expect("cannot set socket option");
+    let reply = read_reply(&mut incomplete).expect("no complete response");
     assert_eq!((reply.status, reply.header("Connection")), (503, Some("close")));
-    let _ = half.write_all(rest.as_bytes());
+    let _ = incomplete.write_all(rest.as_bytes());
     assert!(!worker.has_received("e0"));
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["taken"], metrics["broken_invariants"]), (0, 0));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -100,8 +100,8 @@
 fn start_worker_with_full_queue() -> (TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
     rustix::net::listen(&listener, 0).expect("cannot shorten the accept queue");
-    let first = connect(listener.local_addr().expect("no local address"));
-    (listener, first)
+    let filler = connect(listener.local_addr().expect("no local address"));
+    (listener, filler)
 }
 
 /// An attempt whose connection is established only after its client has disconnected is not written to the worker. With
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -59,19 +59,19 @@
     /// Waits until each process has called discovery since `before`. Its earlier connections are closed by then, so that nothing
     /// more can be sent on them.
     fn wait_until_all_call(&self, before: &[u64]) {
-        self.fleet.wait_until("all call", || {
+        self.fleet.wait_until("all processes call discovery", || {
             self.fleet.discovery.metrics().calls.iter().zip(before).all(|(now, before)| now > before)
         });
     }
 
     /// Makes a worker leave and checks that all processes are notified within `max_seconds` of `reachable_since`.
-    fn check_worker_leaves(&mut self, what: &str, worker: usize, reachable_since: u64, max_seconds: u64) {
+    fn check_worker_leaves(&mut self, outage: &str, worker: usize, reachable_since: u64, max_seconds: u64) {
         let generation = self.fleet.discovery.set_lifecycle(worker, Lifecycle::Draining);
         self.fleet.wait_until_notified(&self.fleet.all(), generation, 0);
         let notified_at = self.fleet.notified_at(generation, 0);
         let last = notified_at.iter().flatten().max().expect("no process was notified") - reachable_since;
-        println!("{what}: the last process is notified after {} ms", last / 1_000);
-        assert!(last <= max_seconds * 1_000_000, "{what}: {last} us, {notified_at:?}");
+        println!("{outage}: the last process is notified after {} ms", last / 1_000);
+        assert!(last <= max_seconds * 1_000_000, "{outage}: {last} us, {notified_at:?}");
         // The worker takes work again, so that the next check has enough workers.
         let generation = self.fleet.discovery.set_lifecycle(worker, Lifecycle::Up);
         self.fleet.wait_until_notified(&self.fleet.all(), generation, 0);
@@ -123,12 +123,12 @@
     }
 
     /// Sets the service to this mode until all processes have called it in that mode. Then a worker leaves.
-    fn test_mode(&mut self, mode: DiscoveryMode, what: &str, worker: usize) {
+    fn test_mode(&mut self, mode: DiscoveryMode, outage: &str, worker: usize) {
         self.fleet.discovery.set_mode(mode);
         self.wait_until_all_watches_fail();
         self.wait_until_all_call(&self.fleet.discovery.metrics().calls);
         self.fleet.discovery.set_mode(DiscoveryMode::Up);
-        self.check_worker_leaves(what, worker, self.fleet.now(), NOTIFICATION_SECONDS);
+        self.check_worker_leaves(outage, worker, self.fleet.now(), NOTIFICATION_SECONDS);
     }
 
     fn test_cut_links(&mut self) {
--- a/tests/lists/main.rs
+++ b/tests/lists/main.rs
@@ -59,7 +59,7 @@
 }
 
 fn wait_for_watch(discovery: &FakeDiscovery) {
-    wait_until("a watch", || watch_calls(discovery) > 0);
+    wait_until("a watch is open", || watch_calls(discovery) > 0);
 }
 
 /// Sends jobs, whose ids begin with this prefix, until this worker has got one more.
--- a/tests/lists/table.rs
+++ b/tests/lists/table.rs
@@ -113,7 +113,7 @@
 #[test]
 fn endpoint_table_stays_consistent_for_any_data_of_a_watch() {
     let site = Site::start();
-    wait_until("a watch", || site.watch_count() > 0);
+    wait_until("a watch is open", || site.watch_count() > 0);
     let mut held_generation = 0;
     let mut expected_counts = ListCounts::default();
     for case in case::all() {
--- a/tests/lists/watch.rs
+++ b/tests/lists/watch.rs
@@ -15,8 +15,8 @@
     let used = job_count(&workers.old);
     // Another watch is opened after the end, and again after the silence, because this agent sends no empty lines.
     agent.close_watches();
-    wait_until("a watch after the end", || watch_calls(&agent) >= 2);
-    wait_until("a watch after the silence", || watch_calls(&agent) >= 3);
+    wait_until("a watch is opened after the end", || watch_calls(&agent) >= 2);
+    wait_until("a watch is opened after the silence", || watch_calls(&agent) >= 3);
     // A list may be spread over many lines.
     let swapped = workers.entries("up", "draining");
     let indented = serde_json::to_string_pretty(&site::delta(3, &swapped)).expect("not JSON");
@@ -65,7 +65,7 @@
             discovery.script_watches(responses, after.clone());
         }
         let program = workers.start_program(&discovery, set_long_poll_interval);
-        wait_until("a call", || watch_calls(&discovery) > 0);
+        wait_until("discovery is called", || watch_calls(&discovery) > 0);
         if *had_watch {
             discovery.script_watches(responses, after.clone());
             discovery.close_watches();
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -34,9 +34,9 @@
     for group in 0..10 {
         let mut gossip = GroupGossip::new(&settings(group));
         gossip.assign(workers, &[]);
-        let part: Vec<WorkerId> = gossip.workers().collect();
-        assert!((3..=8).contains(&part.len()), "group {group} has {part:?}");
-        part.into_iter().for_each(|w| assert_eq!(owner.insert(w, group), None, "{w:?} has two groups"));
+        let assigned: Vec<WorkerId> = gossip.workers().collect();
+        assert!((3..=8).contains(&assigned.len()), "group {group} has {assigned:?}");
+        assigned.into_iter().for_each(|w| assert_eq!(owner.insert(w, group), None, "{w:?} has two groups"));
     }
     owner
 }
@@ -115,18 +115,18 @@
     let initial = before.clone();
     for step in 0..40 {
         let changed = rng.usize(0..dispatchers as usize);
-        let left = is_present.iter().filter(|present| **present).count();
-        if left == 1 && is_present[changed] {
+        let present_before = is_present.iter().filter(|present| **present).count();
+        if present_before == 1 && is_present[changed] {
             continue;
         }
         is_present[changed] = !is_present[changed];
         let after = groups_by_presence(dispatchers, &is_present, &all);
         assert_eq!(after.len(), 300, "step {step}: a worker has no group");
         let moved_now = after.iter().filter(|(w, group)| before[*w] != **group).count();
-        let (least, most) = (left - usize::from(!is_present[changed]), 300.0);
+        let (min_present, workers) = (present_before - usize::from(!is_present[changed]), 300.0);
         assert!(
-            moved_now as f64 <= 3.0 * most / least.max(1) as f64,
-            "step {step}: {moved_now} workers moved, {least} dispatchers are left"
+            moved_now as f64 <= 3.0 * workers / min_present.max(1) as f64,
+            "step {step}: {moved_now} workers moved, {min_present} dispatchers are left"
         );
         (moved, changes, before) = (moved + moved_now, changes + 1, after);
     }
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -75,22 +75,22 @@
 #[test]
 fn rejects_bad_requests_with_their_status() {
     let (_worker, program) = start_with_one_worker();
-    let good = job_request("d0", "balance", "done=x", "");
+    let valid = job_request("d0", "balance", "done=x", "");
     let big = "x".repeat(70_000);
     let cases = [
         ("nonsense\r\n\r\n".to_owned(), 400),
-        (good.replace("X-Account: steppe-mart", "X-Account: nobody"), 400),
-        (good.replace("X-Service-Class: balance", "X-Service-Class: redeem"), 400),
-        (good.replace("X-Correlation-Id: d0\r\n", ""), 400),
-        (good.replace("/balance", "/loan").replace(": balance", ": loan"), 400),
-        (good.replace("/balance", "/elsewhere"), 404),
-        (good.replace("POST /balance", "PUT /balance"), 405),
+        (valid.replace("X-Account: steppe-mart", "X-Account: nobody"), 400),
+        (valid.replace("X-Service-Class: balance", "X-Service-Class: redeem"), 400),
+        (valid.replace("X-Correlation-Id: d0\r\n", ""), 400),
+        (valid.replace("/balance", "/loan").replace(": balance", ": loan"), 400),
+        (valid.replace("/balance", "/elsewhere"), 404),
+        (valid.replace("POST /balance", "PUT /balance"), 405),
         ("POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".to_owned(), 405),
-        (good.replace("Content-Length: 6\r\n", ""), 411),
+        (valid.replace("Content-Length: 6\r\n", ""), 411),
         (job_request("d1", "balance", &big, ""), 413),
         (job_request("d2", "balance", "x", &format!("X-Long: {big}\r\n")), 431),
-        (good.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400),
-        (good.replace("Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), 400),
+        (valid.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"), 400),
+        (valid.replace("Content-Length: 6", "Content-Length: 6\r\nContent-Length: 6"), 400),
         (job_request("d3", "redeem", "done=x", "").replace("Idempotency-Key: key-d3\r\n", ""), 400),
         // Invalid numbers of milliseconds. The last one used to be forwarded to a worker.
         (job_request("d4", "balance", "done=x", "X-Time-Left-Ms: soon\r\n"), 400),
@@ -99,8 +99,8 @@
         (job_request("d7", "balance", "done=x", "X-Time-Left-Ms: 99999999999999999999999\r\n"), 400),
         // A body longer than its declared length: the remaining bytes are not a valid request.
         (job_request("d8", "balance", "done=x", "") + "yyyy", 400),
-        (good.replace("Content-Length: 6", "Content-Length: -6"), 400),
-        (good.replace("Content-Length: 6", "Content-Length: 60000000"), 413),
+        (valid.replace("Content-Length: 6", "Content-Length: -6"), 400),
+        (valid.replace("Content-Length: 6", "Content-Length: 60000000"), 413),
         ("POST /_jobs/news HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}".to_owned(), 400),
     ];
     for (request, status) in cases {
--- a/tests/watch/resuming.rs
+++ b/tests/watch/resuming.rs
@@ -94,14 +94,14 @@
 fn cancels_only_unwatched_job_that_asked_for_it() {
     let worker = FakeWorker::start("s-1");
     let (program, sse) = start_with_event_streams(std::slice::from_ref(&worker));
-    let ends = submit(sse, "a1", "take started hang", "X-Unwatched: end\r\n");
-    let goes_on = submit(sse, "a2", "take started wait=go done=x", "");
-    let mut watched = open_stream(sse, &ends, "");
+    let ends_unwatched = submit(sse, "a1", "take started hang", "X-Unwatched: end\r\n");
+    let continues = submit(sse, "a2", "take started wait=go done=x", "");
+    let mut watched = open_stream(sse, &ends_unwatched, "");
     assert_eq!(watched.read_events(1), ["1 started"]);
     drop(watched);
     wait_until("the unwatched job is cancelled", || worker.has_received("DELETE /jobs/a1"));
     worker.open_gate("go");
-    wait_for_last_event(sse, &goes_on, "2 done");
+    wait_for_last_event(sse, &continues, "2 done");
     let metrics = program.shut_down_for_metrics();
     assert_eq!((metrics["taken"], metrics["served"], metrics["gone"]), (2, 1, 1));
 }
--- a/tests/watch_liveness/calls.rs
+++ b/tests/watch_liveness/calls.rs
@@ -35,7 +35,7 @@
     pub calls: Vec<Micros>,
     /// How and when the last watch ended, if it had sent data.
     pub lost: Option<(WatchFailure, Micros)>,
-    /// The maximum wait before a call.
+    /// The maximum wait before a call. The timeout of an answer may be as long.
     max_wait: Micros,
     /// The number of consecutive calls, up to the last one, that waited and were not answered. The service may be too slow for
     /// all callers.
