--- a/tests/failures/placement.rs
+++ b/tests/failures/placement.rs
@@ -70,7 +70,7 @@
     assert_eq!(
         sends(&dispatcher.arrive(9, 0, TIME_BUDGET)),
         [(9, WorkerId(0))],
-        "one more job is sent at once"
+        "one more job must be sent at once"
     );
     dispatcher.advance(25 * MS);
     dispatcher.report_load(0, 1.0, 0.0);
--- a/tests/failures/retries.rs
+++ b/tests/failures/retries.rs
@@ -19,7 +19,7 @@
         let to = sent[attempt as usize].1;
         sent.extend(sends(&dispatcher.end_attempt(1, attempt, to, Outcome::Rejected)));
     }
-    assert_eq!(sent.len(), 2, "the third attempt waits");
+    assert_eq!(sent.len(), 2, "the third attempt must wait");
     assert_eq!(sends(&dispatcher.advance(TIME_BUDGET)).len(), 1);
 }
 
@@ -66,7 +66,7 @@
     let mut dispatcher = TestDispatcher::new(settings.clone());
     dispatcher.load_cached_list(workers(3));
     let first = sends(&dispatcher.arrive(1, 0, TIME_BUDGET))[0].1;
-    assert_eq!(sends(&dispatcher.advance(30 * MS)), [], "it is not hedged at the first delay");
+    assert_eq!(sends(&dispatcher.advance(30 * MS)), [], "the job must not be hedged at the first delay");
     for id in 0..3 {
         dispatcher.report_idle_unless(id, first);
     }
--- a/tests/fleet/borrowed_slots.rs
+++ b/tests/fleet/borrowed_slots.rs
@@ -23,7 +23,7 @@
         fleet.submit(member, u64::from(job));
     }
     fleet.advance(100 * MS);
-    assert_eq!(fleet.running_jobs(), JOBS as usize, "all jobs run at once");
+    assert_eq!(fleet.running_jobs(), JOBS as usize, "all jobs must run at once");
     fleet.assert_within_slots();
     assert_eq!(fleet.counters.probes, 0);
     // The lending groups know which slots are borrowed: their own dispatchers send jobs to other workers.
@@ -60,9 +60,9 @@
         .iter()
         .flat_map(|worker| sends(&dispatcher.end_probe(worker.0, Outcome::Ok, one_slot_taken)))
         .collect();
-    assert_eq!(sent.len(), 1, "the waiting job is sent");
+    assert_eq!(sent.len(), 1, "the waiting job must be sent");
     let more: usize = (0..20).map(|_| sends(&arrive(&mut dispatcher)).len()).sum();
-    assert_eq!(busy.len() + 1 + more, busy.len() * SLOTS as usize, "all slots are used, and no more");
+    assert_eq!(busy.len() + 1 + more, busy.len() * SLOTS as usize, "all slots must be used, and no more");
 }
 
 /// An offered slot is reserved for a short time, of which the lender's group is informed, and is free again if it is not used.
@@ -89,8 +89,8 @@
     for bytes in datagrams_to(&lender.advance(5 * MS), LENDERS_PEER) {
         peer.feed(Event::PeerMessage { from: LENDER, bytes });
     }
-    assert_eq!(offers(&peer.feed(request())), 0, "the peer knows the offers");
+    assert_eq!(offers(&peer.feed(request())), 0, "the peer must know the offers");
     assert!(sends(&peer.arrive(1, 0, TIME_BUDGET)).is_empty());
     lender.advance(100 * MS);
-    assert_eq!(offers(&lender.feed(request())), 1, "the offers have expired unused");
+    assert_eq!(offers(&lender.feed(request())), 1, "a slot must be free once the offers have expired");
 }
--- a/tests/fleet/outstanding_work.rs
+++ b/tests/fleet/outstanding_work.rs
@@ -138,7 +138,7 @@
     // Once the peer has advertised again, its advertisement counts.
     dispatcher.feed(Event::PeerMessage { from: PEER_INDEX, bytes });
     let sent = sends(&dispatcher.arrive(4, 0, TIME_BUDGET));
-    assert_eq!(sent.len(), 2, "the queued job is sent as well");
+    assert_eq!(sent.len(), 2, "the queued job must be sent as well");
 }
 
 /// Jobs that start and end within one tick are spread over all workers. A run time of 0 gave all workers a slowness of 0, which
--- a/tests/list_callers.rs
+++ b/tests/list_callers.rs
@@ -147,7 +147,7 @@
         for dispatcher in 0..PROCESSES {
             let address = forward(self.fleet.discovery_link(dispatcher).address).to_string();
             self.fleet.change_config(dispatcher, |config| config["discovery"] = json!(address));
-            self.fleet.reload(dispatcher).expect("cannot reload the configuration");
+            self.fleet.reload(dispatcher).expect("cannot write the configuration");
         }
         self.wait_until_all_call(&before);
         self.check_worker_leaves("moved", 1, reloaded_at, NOTIFICATION_SECONDS_AFTER_MOVE);
--- a/tests/lists/watch.rs
+++ b/tests/lists/watch.rs
@@ -19,7 +19,8 @@
     wait_until("a watch is opened after the silence", || watch_calls(&agent) >= 3);
     // A list may be spread over many lines.
     let swapped = workers.entries("up", "draining");
-    let indented = serde_json::to_string_pretty(&site::delta(3, &swapped)).expect("not JSON");
+    let indented =
+        serde_json::to_string_pretty(&site::delta(3, &swapped)).expect("cannot serialize the list");
     agent.push_change(&indented, site::snapshot(3, &swapped));
     assert_eq!(job_count(&workers.old), used, "a draining worker got a job");
     send_until_used(&program, &workers.old, "b");
@@ -33,7 +34,7 @@
     let program = workers.start_program(&discovery, |_| {});
     wait_for_watch(&discovery);
     let whole = site::snapshot(2, &[workers.new.endpoint_entry("up")]);
-    discovery.push_change(&serde_json::to_string_pretty(&whole).expect("not JSON"), whole);
+    discovery.push_change(&serde_json::to_string_pretty(&whole).expect("cannot serialize the list"), whole);
     send_until_used(&program, &workers.new, "a");
     assert_eq!(program.shut_down_for_metrics()["bad_lists"], 0);
 }
@@ -90,5 +91,5 @@
     let change = site::delta(2, &workers.entries("draining", "up"));
     program.suspend_for(SUSPENSION, || discovery.push_change(&change.to_string(), change.clone()));
     send_until_used(&program, &workers.new, "b");
-    assert_eq!(discovery.watch_indices(), [1], "the watch stays open");
+    assert_eq!(discovery.watch_indices(), [1], "the watch must stay open");
 }
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -31,7 +31,7 @@
 
 /// Waits until all members hold all members alive.
 fn wait_for_agreement(fleet: &Fleet, when: &str) {
-    fleet.wait_until(&format!("all members hold all alive {when}"), || {
+    fleet.wait_until(&format!("all members hold all members alive {when}"), || {
         all_observe(fleet, &fleet.all(), &fleet.all(), "alive")
     });
 }
@@ -133,7 +133,7 @@
     assert!(found.is_empty(), "{found:#?}");
     assert!(report.served() > 10, "{report:?}");
     assert!(fleet.counters(0)["members_left"] == 1.0, "{:?}", fleet.counters(0));
-    fleet.wait_until("the final metrics", || membership_metric(&fleet, 0, "declared_dead") > 0);
+    fleet.wait_until("a dead member is counted", || membership_metric(&fleet, 0, "declared_dead") > 0);
 }
 
 /// Run times and usage observed by one dispatcher reach the others as facts, also a dispatcher that restarts later.
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -210,6 +210,6 @@
     assert_eq!(
         sends(&dispatcher.end_attempt(2, 0, WorkerId(0), Outcome::Ok)),
         [(6, WorkerId(0))],
-        "late jobs follow, the newest first"
+        "late jobs must follow, the newest first"
     );
 }
--- a/tests/peer_groups.rs
+++ b/tests/peer_groups.rs
@@ -70,7 +70,7 @@
         for _ in 0..8 {
             counted.u64(..);
         }
-        assert_eq!(rng.u64(..), counted.u64(..), "8 random numbers are drawn for 8 of {size} workers");
+        assert_eq!(rng.u64(..), counted.u64(..), "8 random numbers must be drawn for 8 of {size} workers");
         let distinct: BTreeSet<WorkerId> = drawn.iter().copied().collect();
         assert_eq!((drawn.len(), distinct.len()), (8, 8));
         drawn.iter().for_each(|w| *times.get_mut(w).expect("not a worker of the group") += 1);
@@ -79,7 +79,7 @@
     let (least, most) = (times.values().min().copied(), times.values().max().copied());
     let (least, most) = (f64::from(least.unwrap_or(0)), f64::from(most.unwrap_or(0)));
     assert!(least > mean * 0.2 && most < mean * 2.5, "drawn {least} to {most} times, on average {mean:.1}");
-    assert_eq!(gossip.sample(&mut rng, size + 5).len(), size, "a larger sample has all workers");
+    assert_eq!(gossip.sample(&mut rng, size + 5).len(), size, "a larger sample must have all workers");
 }
 
 /// The group of each worker if only some dispatchers are present, as computed by each of these.
@@ -134,7 +134,7 @@
     assert_eq!(
         groups_by_presence(dispatchers, &vec![true; dispatchers as usize], &all),
         initial,
-        "the same as at first"
+        "the groups must be the same as at first"
     );
     // One dispatcher after the other is lost until one is left: every worker has a group with a dispatcher that is present.
     let mut is_present = vec![true; dispatchers as usize];
--- a/tests/size/groups.rs
+++ b/tests/size/groups.rs
@@ -110,7 +110,7 @@
         dispatcher.end_attempt(job, 0, worker, Outcome::Ok);
     }
     let remaining = datagrams_to(&dispatcher.advance(3 * MS), 1);
-    assert_eq!(remaining.len(), 1, "20 outstanding jobs fit into one message");
+    assert_eq!(remaining.len(), 1, "20 outstanding jobs must fit into one message");
     receive(&mut peer, remaining);
     assert_avoids_full_workers(&mut peer, 330..630, &outstanding);
 }
