--- a/tests/fleet/outstanding_work.rs
+++ b/tests/fleet/outstanding_work.rs
@@ -5,7 +5,7 @@
 use crate::*;
 use std::collections::BTreeSet;
 
-/// A datagram of more bytes has a higher price.
+/// The length of the longest datagram that has the lowest price, in bytes.
 const CHEAP_DATAGRAM_LEN: usize = 16;
 
 /// If each dispatcher gets two jobs, they are spread over the workers, none of which gets more jobs than it has slots; slots that
@@ -138,7 +138,7 @@
     // Once the peer has advertised again, its advertisement counts.
     dispatcher.feed(Event::PeerMessage { from: PEER_PLACE, bytes });
     let sent = sends(&dispatcher.arrive(4, 0, TIME_BUDGET));
-    assert_eq!(sent.len(), 2, "the queued job is sent as well");
+    assert_eq!(sent.len(), 2, "the queued job must be sent as well");
 }
 
 /// Jobs that start and end within one tick are spread over all workers. A run time of 0 gave all workers a slowness of 0, which
