--- a/crates/store/src/active_segment.rs
+++ b/crates/store/src/active_segment.rs
@@ -113,7 +113,7 @@
         let step = u64::from(segment_bytes / ZEROS_AHEAD_DIVISOR).min(MAX_ZEROS_AHEAD);
         let ahead = (end + step).min(u64::from(segment_bytes)).max(end);
         let zeros = vec![0; (ahead - end) as usize];
-        // If there is no space for them, the segment continues without zeros.
+        // If there is no space for the zeros, the segment continues without zeros.
         let is_written = write_all(&*self.segment.file, end, &zeros).is_ok();
         self.zeroed_len = if is_written { ahead } else { u64::MAX };
     }
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -7,14 +7,14 @@
 /// When writes become durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SyncMode {
-    /// Before they are acknowledged. A power cut loses no acknowledged write.
+    /// Writes are durable before they are acknowledged. A power cut loses no acknowledged write.
     #[default]
     Always,
-    /// At most this long after they are acknowledged. A power cut may lose the newest writes of that time. If only the
-    /// process ends, none is lost.
+    /// Writes become durable at most this long after they are acknowledged. A power cut may lose the newest writes of that
+    /// time. If only the process ends, no write is lost.
     Interval(Duration),
-    /// When a segment is sealed. A power cut may lose the newest writes, up to a whole segment. If only the process ends, none
-    /// is lost.
+    /// Writes become durable when their segment is sealed. A power cut may lose the newest writes, up to a whole segment. If
+    /// only the process ends, no write is lost.
     Never,
 }
 
@@ -37,7 +37,7 @@
     pub compacts: bool,
     /// The maximum size of the queue of batches, in bytes. Batches beyond it are refused.
     pub max_queued_bytes: usize,
-    /// The seed of the salts. It is random by default; tests set it to get the same files every time.
+    /// The seed of the salts: random by default, fixed in tests so that every run writes the same files.
     pub seed: u64,
 }
 
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -29,9 +29,9 @@
     name.strip_suffix(".tmp").is_some_and(|name| segment_numbers(name).is_some())
 }
 
-/// The segments of a directory, by whether they are valid.
+/// The segments of a directory, classified by whether they are valid.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Tiling {
+pub struct ClassifiedSegments {
     /// The valid segments, oldest first.
     pub kept: Vec<SegmentNumbers>,
     /// The segments that a merged one replaces.
@@ -40,26 +40,26 @@
     pub gaps: Vec<SegmentNumbers>,
 }
 
-/// Determines which segments are valid. A merged segment gets its name only once it is complete and durable, so it replaces
-/// the segments whose numbers it covers.
-pub fn tile(mut segments: Vec<SegmentNumbers>) -> Tiling {
+/// Classifies segments by whether they are valid. A merged segment gets its name only once it is complete and durable, so it
+/// replaces the segments whose numbers it covers.
+pub fn classify_segments(mut segments: Vec<SegmentNumbers>) -> ClassifiedSegments {
     // Of the segments that begin at the same number, the one that covers most comes first.
     segments.sort_by_key(|numbers| (numbers.first, Reverse(numbers.last)));
-    let mut tiling = Tiling::default();
+    let mut classified = ClassifiedSegments::default();
     let mut next = 1;
     for numbers in segments {
         if numbers.last < next {
-            tiling.replaced.push(numbers);
+            classified.replaced.push(numbers);
             continue;
         }
         // This program never writes two segments that overlap in part. If there are any, both are kept.
         if numbers.first > next {
-            tiling.gaps.push(SegmentNumbers { first: next, last: numbers.first - 1 });
+            classified.gaps.push(SegmentNumbers { first: next, last: numbers.first - 1 });
         }
-        tiling.kept.push(numbers);
+        classified.kept.push(numbers);
         next = numbers.last + 1;
     }
-    tiling
+    classified
 }
 
 /// The space that a sealed segment uses.
--- a/crates/store/src/plan/tests.rs
+++ b/crates/store/src/plan/tests.rs
@@ -1,8 +1,8 @@
 //! Tables of cases: segment names, the choice of valid segments, and the choice of segments to compact.
 
 use super::{
-    SegmentUsage, Tiling, is_unfinished_name, range_to_compact, segment_name, segment_numbers, tile,
-    unfinished_name,
+    ClassifiedSegments, SegmentUsage, classify_segments, is_unfinished_name, range_to_compact, segment_name,
+    segment_numbers, unfinished_name,
 };
 use crate::format::SegmentNumbers;
 use std::ops::Range;
@@ -15,24 +15,24 @@
     SegmentNumbers { first, last }
 }
 
-fn tiling(kept: &[(u64, u64)], replaced: &[(u64, u64)], gaps: &[(u64, u64)]) -> Tiling {
+fn classified(kept: &[(u64, u64)], replaced: &[(u64, u64)], gaps: &[(u64, u64)]) -> ClassifiedSegments {
     let all = |pairs: &[(u64, u64)]| pairs.iter().map(|(first, last)| numbers(*first, *last)).collect();
-    Tiling { kept: all(kept), replaced: all(replaced), gaps: all(gaps) }
+    ClassifiedSegments { kept: all(kept), replaced: all(replaced), gaps: all(gaps) }
 }
 
 #[test]
 fn merged_segment_replaces_covered_segments_and_gaps_are_reported() {
-    let cases: [(&[(u64, u64)], Tiling); 5] = [
-        (&[], Tiling::default()),
-        (&[(1, 1), (2, 2)], tiling(&[(1, 1), (2, 2)], &[], &[])),
-        (&[(1, 1), (2, 2), (3, 3), (1, 2)], tiling(&[(1, 2), (3, 3)], &[(1, 1), (2, 2)], &[])),
-        (&[(2, 2)], tiling(&[(2, 2)], &[], &[(1, 1)])),
-        (&[(1, 2), (5, 5)], tiling(&[(1, 2), (5, 5)], &[], &[(3, 4)])),
+    let cases: [(&[(u64, u64)], ClassifiedSegments); 5] = [
+        (&[], ClassifiedSegments::default()),
+        (&[(1, 1), (2, 2)], classified(&[(1, 1), (2, 2)], &[], &[])),
+        (&[(1, 1), (2, 2), (3, 3), (1, 2)], classified(&[(1, 2), (3, 3)], &[(1, 1), (2, 2)], &[])),
+        (&[(2, 2)], classified(&[(2, 2)], &[], &[(1, 1)])),
+        (&[(1, 2), (5, 5)], classified(&[(1, 2), (5, 5)], &[], &[(3, 4)])),
     ];
     for (segments, expected) in cases {
         let segments: Vec<SegmentNumbers> =
             segments.iter().map(|(first, last)| numbers(*first, *last)).collect();
-        assert_eq!(tile(segments.clone()), expected, "{segments:?}");
+        assert_eq!(classify_segments(segments.clone()), expected, "{segments:?}");
     }
 }
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -5,7 +5,7 @@
 use crate::error::{StoreError, io_error};
 use crate::format::{self, HEADER_LEN, Header, HeaderFault, SegmentNumbers};
 use crate::index::{DamagedRegion, Layer};
-use crate::plan::{self, Tiling};
+use crate::plan::{self, ClassifiedSegments};
 use crate::segment_loader::{self, LoadedSegment, Successor};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -95,8 +95,8 @@
     let mut leftovers: Vec<String> =
         names.iter().filter(|name| plan::is_unfinished_name(name)).cloned().collect();
     loop {
-        let tiling = plan::tile(candidates.clone());
-        let segments: Vec<OpenedSegment> = tiling
+        let classified = plan::classify_segments(candidates.clone());
+        let segments: Vec<OpenedSegment> = classified
             .kept
             .iter()
             .map(|numbers| OpenedSegment::open(disk, *numbers))
@@ -109,29 +109,33 @@
             continue;
         }
         let loaded = load_all(&segments)?;
-        if let Some(damaged) = replaceable_damaged(&tiling, &loaded) {
+        if let Some(damaged) = replaceable_damaged(&classified, &loaded) {
             candidates.retain(|numbers| *numbers != damaged);
             continue;
         }
-        leftovers.extend(tiling.replaced.iter().map(|numbers| plan::segment_name(*numbers)));
-        return Ok(assemble(&tiling, segments, loaded, leftovers));
+        leftovers.extend(classified.replaced.iter().map(|numbers| plan::segment_name(*numbers)));
+        return Ok(assemble(&classified, segments, loaded, leftovers));
     }
 }
 
 /// A damaged merged segment whose source segments are all still present: they are used in its place.
-fn replaceable_damaged(tiling: &Tiling, loaded: &[Option<LoadedSegment>]) -> Option<SegmentNumbers> {
+fn replaceable_damaged(
+    classified: &ClassifiedSegments,
+    loaded: &[Option<LoadedSegment>],
+) -> Option<SegmentNumbers> {
     let is_damaged =
         |loaded: &Option<LoadedSegment>| loaded.as_ref().is_none_or(|loaded| !loaded.damage.is_empty());
-    let damaged = tiling.kept.iter().zip(loaded).filter(|(_, loaded)| is_damaged(loaded));
-    damaged.map(|(numbers, _)| *numbers).find(|numbers| is_covered(*numbers, &tiling.replaced))
+    let damaged = classified.kept.iter().zip(loaded).filter(|(_, loaded)| is_damaged(loaded));
+    damaged.map(|(numbers, _)| *numbers).find(|numbers| is_covered(*numbers, &classified.replaced))
 }
 
 /// Whether the replaced segments cover all these numbers without a gap.
 fn is_covered(numbers: SegmentNumbers, replaced: &[SegmentNumbers]) -> bool {
-    let tiling = plan::tile(replaced.iter().copied().filter(|part| numbers.covers(*part)).collect());
-    tiling.kept.first().is_some_and(|first| first.first == numbers.first)
-        && tiling.kept.last().is_some_and(|last| last.last == numbers.last)
-        && tiling.gaps.iter().all(|gap| gap.last < numbers.first)
+    let classified =
+        plan::classify_segments(replaced.iter().copied().filter(|part| numbers.covers(*part)).collect());
+    classified.kept.first().is_some_and(|first| first.first == numbers.first)
+        && classified.kept.last().is_some_and(|last| last.last == numbers.last)
+        && classified.gaps.iter().all(|gap| gap.last < numbers.first)
 }
 
 /// Loads the segments with several threads. The result is `None` for segments whose header cannot be read.
@@ -171,7 +175,7 @@
 }
 
 fn assemble(
-    tiling: &Tiling,
+    classified: &ClassifiedSegments,
     segments: Vec<OpenedSegment>,
     loaded: Vec<Option<LoadedSegment>>,
     leftovers: Vec<String>,
@@ -179,14 +183,14 @@
     let mut opened = OpenedDirectory {
         layers: Vec::new(),
         recovery: Recovery { leftovers: leftovers.len(), ..Recovery::default() },
-        next_segment: tiling.kept.last().map_or(1, |last| last.last + 1),
+        next_segment: classified.kept.last().map_or(1, |last| last.last + 1),
         next_seq: 1,
         written_at: 0,
         last_end: 0,
         leftovers,
     };
-    for ((numbers, segment), loaded) in tiling.kept.iter().zip(segments).zip(loaded) {
-        if let Some(gap) = tiling.gaps.iter().find(|gap| gap.last + 1 == numbers.first) {
+    for ((numbers, segment), loaded) in classified.kept.iter().zip(segments).zip(loaded) {
+        if let Some(gap) = classified.gaps.iter().find(|gap| gap.last + 1 == numbers.first) {
             let SegmentNumbers { first, last } = gap;
             let description = format!("segments {first} to {last} are missing; their keys are unknown");
             opened.add_lost(plan::segment_name(*gap), description);
--- a/crates/store/src/segment_loader.rs
+++ b/crates/store/src/segment_loader.rs
@@ -166,7 +166,7 @@
         }
         layers.close_run();
         let is_truncated = valid_len.is_some_and(|valid_len| self.len < valid_len);
-        // A merged segment gets its name only after its footer is written. Without a footer it was truncated.
+        // A merged segment gets its name only after its footer is written. Without a footer, the file was truncated.
         let is_truncated_merge =
             self.header.is_merged && layers.damage.is_empty() && self.warnings.is_empty();
         if is_truncated || is_truncated_merge {
--- a/crates/store/src/segment_usage.rs
+++ b/crates/store/src/segment_usage.rs
@@ -50,14 +50,14 @@
 /// The names of segments with damage, and of those that follow damage: a merge across lost records would hide the loss.
 fn damaged_segments(layers: &[Layer]) -> Vec<&str> {
     let mut names = Vec::new();
-    let mut is_behind_damage = false;
+    let mut follows_damage = false;
     for layer in layers {
         match layer {
             Layer::Damaged(region) => {
                 names.push(region.file.as_str());
-                is_behind_damage = true;
+                follows_damage = true;
             }
-            Layer::Run(run) if std::mem::take(&mut is_behind_damage) => names.push(&run.segment.name),
+            Layer::Run(run) if std::mem::take(&mut follows_damage) => names.push(&run.segment.name),
             Layer::Run(_) => {}
         }
     }
--- a/crates/store/src/sim/mod.rs
+++ b/crates/store/src/sim/mod.rs
@@ -39,7 +39,7 @@
     faults: Faults,
     rng: Rng,
     calls: u64,
-    /// The power is cut at this call: all later calls fail.
+    /// The number of the call at which the power is cut. If that call is a write, it is torn. All later calls fail.
     cut_at: Option<u64>,
     /// The maximum size of all files together, in bytes.
     capacity: u64,
@@ -87,7 +87,8 @@
         self.state().capacity = capacity;
     }
 
-    /// Cuts the power at the n-th call from now.
+    /// Cuts the power at the call with this number, counted from now. If that call is a write, it is torn. All later calls
+    /// fail.
     pub fn cut_after(&self, calls: u64) {
         let mut state = self.state();
         state.cut_at = Some(state.calls + calls);
@@ -106,13 +107,13 @@
         SimDisk::with_files(inodes, names, rng, state.capacity)
     }
 
-    /// The bytes of a file, to inspect or to damage.
+    /// The bytes of a file, as a reader sees them; `None` if there is no file with this name.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.directory.inode(name).map(|inode| state.inodes[inode].bytes().to_vec())
     }
 
-    /// Replaces the bytes of a file.
+    /// Replaces the bytes of a file, and makes them durable. Does nothing if there is no file with this name.
     pub fn replace(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.state();
         if let Some(inode) = state.directory.inode(name) {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Another disk with the same files.
+    /// Another disk without faults that has the same files, all of them durable.
     pub fn copy(&self) -> SimDisk {
         let state = self.state();
         let inodes = state.inodes.iter().map(|inode| Inode::durable(inode.bytes().to_vec())).collect();
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -25,7 +25,7 @@
     active: Option<ActiveSegment>,
     next_segment: u64,
     next_seq: u64,
-    /// The valid length of the last complete segment, in bytes. The header of the next segment will state it.
+    /// The valid length of the last segment that has ended, in bytes. The header of the next segment states it.
     previous_len: u64,
     /// Batches that are acknowledged and not synced yet. If their sync fails, they are written again. Empty in mode
     /// [`SyncMode::Always`].
@@ -247,12 +247,12 @@
         Ok(())
     }
 
-    /// Ends the active segment without a footer. Only its durable part is valid, as the next segment's header will say.
+    /// Ends the active segment without a footer. Only its durable part is valid, as the header of the next segment states.
     fn abandon_active(&mut self, shared: &SharedView) {
         let Some(active) = self.active.take() else { return };
         if self.unsynced.is_empty() {
-            // Best effort: the header of the next segment states the valid length too. If there are unsynced batches, the file
-            // keeps its length, since they are still read from it until they are written again.
+            // A failure is ignored: the header of the next segment states the valid length too. If there are unsynced batches,
+            // the file keeps its length, since they are still read from it until they are written again.
             active.truncate_to_durable();
         }
         self.previous_len = active.durable_len();
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -206,7 +206,7 @@
             scope.spawn(move || {
                 for seed in (0..count).filter(|seed| seed % threads == thread) {
                     let failed = std::panic::catch_unwind(|| history(seed)).is_err();
-                    assert!(!failed, "history {seed} fails; replay it with STORE_SEED={seed}");
+                    assert!(!failed, "history {seed} failed; STORE_SEED={seed} runs it alone");
                 }
             });
         }
@@ -310,7 +310,7 @@
                 let (found, _, _) = match read_damaged(&flipped) {
                     Ok(read) => read,
                     Err(StoreError::Version { .. }) => {
-                        panic!("{name} at {at}: the flip is taken for another version")
+                        panic!("{name} at {at}: a bit flip is reported as an unsupported format version")
                     }
                     Err(error) => panic!("{name} at {at}: {error}"),
                 };
--- a/crates/streams/src/limits.rs
+++ b/crates/streams/src/limits.rs
@@ -11,7 +11,7 @@
     pub ring_bytes: usize,
     /// The maximum number of jobs.
     pub jobs: usize,
-    /// The size of all kept events, in bytes, at which finished jobs are dropped before a new job is added.
+    /// The total size of the kept events, in bytes, at which a new job is added only if enough finished jobs can be dropped.
     pub bytes: usize,
     /// The maximum number of streams of one tenant.
     pub streams_per_tenant: usize,
--- a/crates/streams/src/watcher.rs
+++ b/crates/streams/src/watcher.rs
@@ -22,7 +22,8 @@
     pub job: JobId,
     /// The number of the first event that the watcher has not received.
     next_id: u64,
-    /// The watcher receives every event before this number: they existed before it was added, so it asked to replay them.
+    /// The number of the next event at the time when the watcher was added. The watcher receives every earlier event, even one
+    /// that a later event has replaced, since its client asked for a replay of them.
     replay_until: u64,
 }
 
