--- a/examples/proof_store.rs
+++ b/examples/proof_store.rs
@@ -66,11 +66,11 @@
 
 /// Runs the benchmark of the store against the raw disk. Returns the results, or `None` if it failed.
 fn run_bench() -> Option<Value> {
-    let folder = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
-    let path = folder.display().to_string();
+    let dir = std::env::temp_dir().join(format!("mothproxy-proof-{}", std::process::id()));
+    let path = dir.display().to_string();
     let command = ["target/release/mothproxy", "store", "bench", &path, "--records", "1000000", "--json"];
     let output = run_part("figures", &[], &command);
-    let _ = std::fs::remove_dir_all(&folder); // the benchmark removes the directory itself, unless it failed
+    let _ = std::fs::remove_dir_all(&dir); // the benchmark removes the directory itself, unless it failed
     serde_json::from_str(&output?).ok()
 }
 
--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -26,20 +26,21 @@
 /// An odd multiplier (the 64-bit golden ratio) that scatters consecutive numbers.
 const SCATTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Runs all measurements, prints the results, and restores the directory to its previous state.
+/// Runs all measurements, prints the results, and removes the files of the measurements. Also removes the directory if it did
+/// not exist before.
 ///
 /// # Errors
 /// [`CommandError`] if the directory is not empty or a measurement fails.
 pub(super) fn run(dir: &Path, records: u64, as_json: bool) -> Result<(), CommandError> {
     let existed_before = dir.exists();
-    if existed_before && std::fs::read_dir(dir).map_err(BenchError::Folder)?.next().is_some() {
+    if existed_before && std::fs::read_dir(dir).map_err(BenchError::ReadDirectory)?.next().is_some() {
         return Err(CommandError::NotEmpty(dir.to_owned()));
     }
     std::fs::create_dir_all(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let measured = measure_all(dir, records);
     for name in [writes::BASELINE_FILE, writes::SINGLE_DIR, writes::MANY_DIR, compaction::STORE_DIR] {
         let path = dir.join(name);
-        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // left behind by a failed measurement
+        let _ = std::fs::remove_dir_all(&path).or_else(|_| std::fs::remove_file(&path)); // fails if no measurement created it
     }
     if !existed_before {
         let _ = std::fs::remove_dir(dir);
@@ -69,7 +70,7 @@
 
 /// The write of one record. The same number always gives the same record.
 fn operation(number: u64) -> Operation {
-    // The keys are not in ascending order, like idempotency keys.
+    // Like idempotency keys, the keys are not written in ascending order.
     let key = format!("key-{:016x}", number.wrapping_mul(SCATTER_MULTIPLIER)).into_bytes();
     Operation { key, value: Some(vec![number as u8; VALUE_LENGTH]), expires_at: None }
 }
--- a/src/cli/bench/recovery.rs
+++ b/src/cli/bench/recovery.rs
@@ -67,7 +67,7 @@
         writer.commit(&shared, &[&group], 1)?;
         written += group.len() as u64;
     }
-    Ok(()) // the writer is dropped without a seal, as by a crash
+    Ok(()) // the segment is not sealed, as after a crash
 }
 
 fn milliseconds(time: Duration) -> f64 {
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -87,7 +87,7 @@
 pub enum BenchError {
     /// The directory cannot be read.
     #[error("bench: {0}")]
-    Folder(#[source] io::Error),
+    ReadDirectory(#[source] io::Error),
     /// A system call failed.
     #[error("bench: {0}")]
     Io(#[from] io::Error),
@@ -127,7 +127,7 @@
             | CommandError::NotEmpty(_)
             | CommandError::BadLine { .. }
             | CommandError::Serve(ServerError::Config(_) | ServerError::Settings(_))
-            | CommandError::Bench(BenchError::Folder(_)) => EXIT_BAD_INPUT,
+            | CommandError::Bench(BenchError::ReadDirectory(_)) => EXIT_BAD_INPUT,
             CommandError::Serve(_)
             | CommandError::StandardInput(_)
             | CommandError::StandardOutputClosed
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -9,7 +9,7 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Default, PartialEq, ValueEnum)]
 pub(super) enum LogFormat {
     /// One line of text for each event.
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -17,7 +17,7 @@
 use store::StoreCommand;
 
 #[derive(Parser)]
-#[command(name = "mothproxy", version, about = "A dispatcher that hands jobs to uneven workers")]
+#[command(name = "mothproxy", version, about = "A dispatcher that forwards clients' jobs to workers")]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -34,7 +34,7 @@
     Serve(ServeArgs),
     /// Check a configuration or an operators' file without serving.
     Check {
-        /// A configuration, as GW_CONFIG names it, or an operators' file (*.txtpb).
+        /// The configuration file that GW_CONFIG would name, or an operators' file (*.txtpb).
         file: PathBuf,
     },
     /// Inspect, change or measure a store.
--- a/src/cli/store/dump.rs
+++ b/src/cli/store/dump.rs
@@ -30,6 +30,6 @@
             }
         }
     }
-    let _ = out.flush(); // a closed standard output is no error here either
+    let _ = out.flush(); // a closed standard output is not an error, as above
     if damaged == 0 { Ok(()) } else { Err(CommandError::DamageSkipped { dir: dir.to_owned(), damaged }) }
 }
--- a/src/cli/store/mod.rs
+++ b/src/cli/store/mod.rs
@@ -126,7 +126,7 @@
 
 fn verify_all(dir: &Path) -> Result<(), CommandError> {
     require_store(dir)?;
-    let OpenedReader { lock: _lock, .. } = open_reader(dir)?; // its lock keeps writers out
+    let OpenedReader { lock: _lock, .. } = open_reader(dir)?; // the lock excludes writers during the verification
     let disk = RealDisk::open(dir).map_err(|error| CommandError::Directory { dir: dir.to_owned(), error })?;
     let Verification { recovery, records } = verify(&disk)?;
     for damage in &recovery.damage {
--- a/src/settings/location.rs
+++ b/src/settings/location.rs
@@ -36,7 +36,7 @@
     text: &'a str,
     /// The names of the messages around the current position, from the outermost.
     enclosing: Vec<&'a str>,
-    /// The field that was named last.
+    /// The field name that was read last; empty directly after a brace.
     field: &'a str,
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -57,7 +57,7 @@
     assert_eq!(
         (shipped.streams, shipped.state, shipped.json_log),
         (None, None, false),
-        "everything is off in the file of the release"
+        "deploy/mothproxy.txtpb turns everything off"
     );
     let nowhere = Path::new("/nowhere.txtpb");
     assert!(
