--- a/src/policy/interface/events.rs
+++ b/src/policy/interface/events.rs
@@ -1,6 +1,6 @@
 //! The events that the host reports to the decision module: endpoint lists, jobs, attempts, probe responses, peer messages.
 
-use super::{CellId, ClassId, JobId, KeyId, KindId, Micros, TenantId, TimerId, WorkerId, ZoneId};
+use super::{CellId, ClassId, JobId, KindId, Micros, SubjectId, TenantId, TimerId, WorkerId, ZoneId};
 
 /// A worker's lifecycle as the endpoint list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     Delta,
     /// The complete list: workers not in it are gone.
     Snapshot,
-    /// The complete list as this dispatcher last held it, for example before its start. It may be out of date.
+    /// The complete list as this dispatcher last had it, for example before its start. It may be out of date.
     Cached,
 }
 
@@ -103,7 +103,7 @@
     /// The tenant that the job counts for; `None` if it has none.
     pub tenant: Option<TenantId>,
     /// The job's subject; jobs with the same program or data set have the same one.
-    pub key: Option<KeyId>,
+    pub subject: Option<SubjectId>,
     /// When the client gives up on this request.
     pub deadline: Micros,
     /// The job's expected work as the client gives it, as time on a standard core.
@@ -227,9 +227,9 @@
 pub enum Event {
     /// An endpoint list has arrived, either complete or with the changes only.
     EndpointList(ListKind, Vec<EndpointEntry>),
-    /// A request for the endpoint list failed, or the watch was interrupted. The present list stays in force.
+    /// A request for the endpoint list failed, or the watch was interrupted. The current list stays in use.
     ListFailed,
-    /// Another discovery service is used from now on; its list must be requested at once. The present list stays in force.
+    /// Another discovery service is used from now on; its list must be requested at once. The current list stays in use.
     DiscoveryMoved,
     /// A job has arrived. Exactly one final response is due before its deadline.
     Arrived(NewJob),
--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -36,7 +36,7 @@
         let mut exchange = None;
         if let Some(request_id) = request_id {
             if self.upstream.has_attempt_of(request_id) {
-                return None; // an attempt still awaits its first response, or reads an event stream
+                return None; // an attempt awaits its first response, reads an event stream, or is ending by a cancel
             }
             let request = self.pending.get(request_id).cloned()?;
             let transferred = self.core.transfer(request_id)?;
@@ -68,8 +68,8 @@
         match token.and_then(|token| Some((token, self.reactor.take(token)?))) {
             Some((token, (mut connection, Role::Client(mut client)))) => {
                 if let ClientState::Watching(stream) = &client.state {
-                    connection.outbox.push(event_streams::retry(stream.framing, RECONNECT_DELAY));
-                    connection.outbox.push(stream.framing.end());
+                    connection.write_queue.push(event_streams::retry(stream.framing, RECONNECT_DELAY));
+                    connection.write_queue.push(stream.framing.end());
                 }
                 client.state = ClientState::Closing;
                 self.remove_watcher(watcher);
--- a/src/server/lifecycle/hot_restart/sender.rs
+++ b/src/server/lifecycle/hot_restart/sender.rs
@@ -73,7 +73,7 @@
         if !self.lifecycle.has_handed_over {
             return;
         }
-        // The policy's pending decisions about these requests are carried out first.
+        // The decision module's pending decisions about these requests are carried out first.
         self.core.process_batch(self.clock.now());
         self.run_commands();
         for slot in 0..self.reactor.connections().slot_count() {
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Hands over a client connection if it is between requests, or awaits a response and no attempt of its request is in
-    /// flight. Otherwise this process keeps the connection.
+    /// Hands over a client connection without unwritten bytes if it is idle, has read a part of a request, or awaits a response
+    /// to a request that has no attempt in flight. Otherwise this process keeps the connection.
     fn transfer_client(&mut self, token: Token, connection: Connection, mut client: ClientConnection) {
         let awaited = client.awaited_request();
         let is_in_flight = awaited.is_some_and(|request_id| self.upstream.has_attempt_of(request_id));
         let is_transferable = client.is_reading() || awaited.is_some();
-        if is_in_flight || !connection.outbox.is_empty() || !is_transferable {
+        if is_in_flight || !connection.write_queue.is_empty() || !is_transferable {
             return self.reactor.put(token, connection, Role::Client(client));
         }
         let mut transferred = client.to_transferred();
@@ -126,7 +126,7 @@
             raw = Some(released.raw);
         }
         let mut bytes: Vec<&[u8]> = raw.iter().flat_map(request_bytes).collect();
-        bytes.push(&connection.inbox);
+        bytes.push(&connection.read_buffer);
         let message = HandoverMessage::Client(transferred);
         let is_sent = self.hot_restart.send(&message, &bytes, &[connection.stream.as_fd()]);
         if let Some(request_id) = awaited {
@@ -167,7 +167,7 @@
 
     /// Hands over a connection to a worker if the connection is idle. Otherwise this process keeps it.
     fn transfer_upstream(&mut self, token: Token, connection: Connection, upstream: UpstreamConnection) {
-        let is_unused = connection.inbox.is_empty() && connection.outbox.is_empty();
+        let is_unused = connection.read_buffer.is_empty() && connection.write_queue.is_empty();
         let worker = upstream.idle_worker().filter(|_| is_unused);
         let endpoint = worker.and_then(|worker| Some((worker, self.core.endpoints().get(worker)?)));
         let Some((worker, endpoint)) = endpoint else {
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -10,31 +10,31 @@
 /// The counters of the network side, in addition to the core's ledger.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Metrics {
-    /// Attempts that the core started.
+    /// Attempts that the core started while their client was connected.
     pub attempts: u64,
     /// Attempts whose last byte has been written.
     pub attempts_written: u64,
     /// Attempts that were ended before their last byte was written, because they may no longer be sent.
-    pub withheld: u64,
+    pub attempts_withheld: u64,
     /// Configurations reloaded.
     pub reloads: u64,
     /// Reloads whose configuration was rejected.
     pub bad_reloads: u64,
-    /// Connections to workers that were started.
+    /// New connections to workers that exchanges needed, including those that could not be started.
     pub connects: u64,
-    /// Connections to workers that failed.
+    /// Connections to workers that could not be established, also for lack of a descriptor.
     pub connect_failures: u64,
-    /// Connections to workers that broke during an exchange.
+    /// Connections to workers that broke while a response was awaited.
     pub resets: u64,
     /// Attempts that were written and got no response from the worker in time.
-    pub untaken: u64,
+    pub attempts_unanswered: u64,
     /// Requests and messages that were rejected.
     pub rejects: u64,
     /// Datagrams from unknown addresses, and datagrams that were too long.
     pub bad_datagrams: u64,
     /// Endpoint lists that could not be used.
     pub bad_lists: u64,
-    /// How often accepting was paused.
+    /// The number of times that accepting was paused.
     pub accept_pauses: u64,
 }
 
@@ -68,11 +68,11 @@
             ledger.open(),
             network.attempts,
             network.attempts_written,
-            network.withheld,
+            network.attempts_withheld,
             network.connects,
             network.connect_failures,
             network.resets,
-            network.untaken,
+            network.attempts_unanswered,
             network.rejects,
             core.stale_status_callbacks(),
             core.endpoints().bad_rows(),
--- a/src/server/reactor.rs
+++ b/src/server/reactor.rs
@@ -70,7 +70,7 @@
         self.epoll.remove(fd);
     }
 
-    /// Gives a connection a slot and registers it with epoll. If epoll refuses it, closes it and returns `None`.
+    /// Assigns a slot to a connection and registers it with epoll. If epoll refuses it, closes it and returns `None`.
     pub fn add(&mut self, connection: Connection, role: Role) -> Option<Token> {
         let token = self.connections.reserve();
         if self.epoll.add(&connection.stream, token, EventFlags::empty()).is_err() {
@@ -107,11 +107,11 @@
         }
     }
 
-    /// Watches a connection for being readable, unless reading is paused, and for being writable if its outbox is not empty.
+    /// Watches a connection for being readable, unless reading is paused, and for being writable if its write queue is not empty.
     pub fn update_interest(&self, token: Token, connection: &mut Connection, reading: Reading) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, reading == Reading::Wanted);
-        flags.set(EventFlags::OUT, !connection.outbox.is_empty());
+        flags.set(EventFlags::OUT, !connection.write_queue.is_empty());
         self.set_interest(token, connection, flags);
     }
 
--- a/src/server/upstream/end.rs
+++ b/src/server/upstream/end.rs
@@ -43,7 +43,9 @@
         upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
         let accepted_request = match upstream.state {
-            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt)) if connection.outbox.is_empty() => {
+            UpstreamState::AwaitingResponse(Exchange::Attempt(attempt))
+                if connection.write_queue.is_empty() =>
+            {
                 context.core.request_name(attempt)
             }
             _ => None,
@@ -62,7 +64,7 @@
         connection: Connection,
         upstream: UpstreamConnection,
     ) {
-        let is_written = connection.outbox.is_empty();
+        let is_written = connection.write_queue.is_empty();
         let worker = upstream.worker;
         match &upstream.state {
             UpstreamState::Idle => self.remove_idle(worker, token),
@@ -145,7 +147,7 @@
         mut connection: Connection,
         mut upstream: UpstreamConnection,
     ) -> Option<CancelRequest> {
-        let is_written = connection.outbox.is_empty();
+        let is_written = connection.write_queue.is_empty();
         if is_written && matches!(upstream.state, UpstreamState::AwaitingResponse(Exchange::Attempt(_))) {
             // After a long turn, the response may have arrived and not been read yet.
             let end = connection.fill(MAX_HEAD);
@@ -188,7 +190,7 @@
     ) -> Option<CancelRequest> {
         // The worker's other connections may be working, so this does not count as its failure. If its machine is down, new
         // connections to it fail, and those do count.
-        context.metrics.untaken += 1;
+        context.metrics.attempts_unanswered += 1;
         pending.record_broken_attempt(attempt.request_id);
         let worker = upstream.worker;
         let name = context.core.request_name(attempt);
@@ -204,8 +206,8 @@
 }
 
 /// The outcome of an exchange whose connection broke before a response. A reused connection that breaks under the next request
-/// was closed in the meantime. That says nothing about the worker, so it does not count as its failure. If the worker's process
-/// has ended, new connections are refused, and that does count.
+/// was closed in the meantime. That does not indicate a fault of the worker, so it does not count as its failure. If the worker's
+/// process has ended, new connections are refused, and those do count.
 fn outcome_of_broken_connection(is_written: bool, is_reused: bool) -> Outcome {
     match (is_written, is_reused) {
         (true, true) => Outcome::Cancelled,
--- a/src/server/upstream/start.rs
+++ b/src/server/upstream/start.rs
@@ -104,7 +104,6 @@
         }
     }
 
-    /// Sends a load probe to a worker.
     pub(in crate::server) fn send_load_probe(&mut self, worker: WorkerId) {
         let outgoing = OutgoingExchange {
             worker,
@@ -141,7 +140,7 @@
     /// Uses the connection for an exchange.
     fn reuse(self, reactor: &mut Reactor, outgoing: OutgoingExchange) -> Token {
         let IdleUpstream { token, mut connection, mut upstream } = self;
-        connection.outbox.push(outgoing.message);
+        connection.write_queue.push(outgoing.message);
         upstream.reuse(outgoing.exchange, outgoing.response_timeout);
         reactor.put(token, connection, Role::Upstream(upstream));
         token
@@ -149,7 +148,8 @@
 }
 
 impl UpstreamPool {
-    /// Adopts an idle connection from another process. It may stay idle for `idle_time_left`, but no longer than any other.
+    /// Adopts an idle connection from another process. The connection may stay idle for `idle_time_left` microseconds, but no
+    /// longer than [`max_idle_time`].
     pub(in crate::server) fn adopt(
         &mut self,
         context: &mut Context<'_>,
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Takes the most recently added idle connection to a worker that is still usable, and closes unusable ones on the way.
+    /// Takes the most recently added idle connection to a worker that is still usable, and closes the unusable ones
+    /// that were added after it.
     fn take_idle(
         &mut self,
         context: &mut Context<'_>,
@@ -182,7 +183,7 @@
             };
             // Unusable: the worker has another address now, has ended the connection, or has sent unsolicited bytes.
             // Bytes that arrive before a request is sent cannot be the response to it.
-            if upstream.address != address || connection.has_ended(1) || !connection.inbox.is_empty() {
+            if upstream.address != address || connection.has_ended(1) || !connection.read_buffer.is_empty() {
                 context.reactor.close(context.core, token, connection, Role::Upstream(upstream));
                 continue;
             }
@@ -203,7 +204,7 @@
         let connection = address.and_then(|at| Connection::connect(at).ok());
         context.metrics.connects += 1;
         let token = connection.and_then(|mut connection| {
-            connection.outbox.push(message);
+            connection.write_queue.push(message);
             let now = context.now();
             let upstream = UpstreamConnection::connecting(worker, address, exchange, response_timeout, now);
             context.reactor.add(connection, Role::Upstream(upstream))
--- a/tests/coldstart.rs
+++ b/tests/coldstart.rs
@@ -201,7 +201,7 @@
 /// Jobs are served while discovery is down at the start, becomes available, falls silent, and ends all watches.
 #[test]
 fn processes_survive_discovery_outage_at_start() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
+    let mut plan = FleetPlan::new(env!("CARGO_BIN_EXE_mothproxy"), 5, 3, 0x636f_6c64);
     plan.settings =
         Some("fleet { membership { probe_interval_ms: 100 } cold_start { call_ms: 40 } }".to_owned());
     plan.discovery = DiscoveryScript {
@@ -209,7 +209,7 @@
         service_time: Duration::from_millis(40),
         ..DiscoveryScript::default()
     };
-    let fleet = Fleet::start(plan).expect("the fleet starts");
+    let fleet = Fleet::start(plan).expect("cannot start the fleet");
     let load = fleet.start_plain_load(&fleet.all(), 20.0, Duration::from_secs(60));
     fleet.wait_until("calls are reset", || fleet.discovery.metrics().reset >= 3);
     fleet.wait_until("jobs are served with the known workers", || load.summary().served() > 20);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -64,7 +64,7 @@
         load(nowhere, FilePresence::Optional).expect("an optional file may be missing").streams.is_none()
     );
     let missing = load(nowhere, FilePresence::Required);
-    assert!(missing.is_err_and(|e| e.to_string().contains("cannot read it")));
+    assert!(missing.is_err_and(|e| e.to_string().contains("cannot read the file")));
 }
 
 /// All faults of a file are reported together, each with its line and field.
@@ -86,7 +86,7 @@
             "state {\n  sync: INTERVAL\n  directory: \"/x\"\n}",
             &["f:2: state.sync: INTERVAL needs interval_ms"],
         ),
-        ("state {\n  sync: NEVER\n}", &["f:1: state: it has no directory"]),
+        ("state {\n  sync: NEVER\n}", &["f:1: state: directory is not set"]),
         ("state { directory: \"/x\"\n interval_ms: 5 }", &["f:2: state.interval_ms: "]),
         (
             "fleet {\n membership {\n  probe_interval_ms: 3\n  suspicion_mult: 1e9\n }\n}",
