--- a/tests/store_cli.rs
+++ b/tests/store_cli.rs
@@ -60,7 +60,7 @@
 fn names_damage_with_file_and_offset_and_dumps_the_rest() {
     let dir = tempfile::tempdir().expect("temporary directory");
     let at = dir.path().display().to_string();
-    let input: String = (0..50).map(|n| line(&format!("key-{n}"), &format!("value-{n}"))).collect();
+    let input: String = (0..50).map(|n| line(&format!("key-{n}"), &format!("value-{n:02}"))).collect();
     assert_eq!(mothproxy(&["store", "put", &at], &input).0, 0);
     let file = dir.path().join("000000000001-000000000001.seg");
     let mut bytes = std::fs::read(&file).expect("segment file");
