--- a/crates/store/src/batch_group.rs
+++ b/crates/store/src/batch_group.rs
@@ -32,7 +32,7 @@
         group
     }
 
-    /// An estimate of the encoded length in bytes. It assumes that heads and fingerprints take no more than the records.
+    /// An estimate of the encoded length, in bytes: the records, plus heads and fingerprints of at most the same size.
     pub fn encoded_len(&self) -> usize {
         let overhead = FRAME_HEAD_LEN + 8 * MAX_FINGERPRINTS + 10;
         self.bytes + (self.frames.len() * overhead).min(self.bytes)
--- a/crates/store/src/compaction.rs
+++ b/crates/store/src/compaction.rs
@@ -28,7 +28,7 @@
     Drop,
 }
 
-/// A planned compaction. It reads sealed segments only, and needs no lock.
+/// A planned compaction. A compaction reads sealed segments only, and needs no lock.
 pub struct Compaction {
     pub(crate) disk: Arc<dyn Disk>,
     pub(crate) selection: SegmentSelection,
--- a/crates/store/src/index/run.rs
+++ b/crates/store/src/index/run.rs
@@ -1,4 +1,4 @@
-//! A run: the keys of one segment, sorted, each with the location of its newest record there. It holds no values.
+//! A run: the keys of one segment, sorted, each with the location of its newest record there. A run holds no values.
 
 use crate::UnixMillis;
 use crate::disk::DiskFile;
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -89,13 +89,13 @@
 /// The maximum input of a merge, in bytes, since offsets have 32 bits.
 const MAX_MERGED_BYTES: u64 = 1 << 30;
 
-/// The range of segments to compact next, if any; `segments` are in order, oldest first. It is the range with the greatest
-/// gain, if it has at least `min_dead` dead bytes, or else a range of small neighbours.
+/// The range of segments to compact next, if any; `segments` are in order, oldest first. The choice is the range with the
+/// greatest gain of those with at least `min_dead` dead bytes, or else a range of neighbours of similar size.
 pub fn range_to_compact(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
-    best_gain(segments, min_dead).or_else(|| small_neighbours(segments))
+    best_gain(segments, min_dead).or_else(|| similar_neighbours(segments))
 }
 
-/// The range with the greatest gain.
+/// The range with the greatest gain of those with at least `min_dead` dead bytes.
 fn best_gain(segments: &[SegmentUsage], min_dead: u64) -> Option<Range<usize>> {
     let mut best = None::<(f64, Range<usize>)>;
     // The current candidate range begins at `start`; `gain` and `bytes` are its sums.
@@ -118,8 +118,8 @@
     best.map(|(_, range)| range)
 }
 
-/// The first range of neighbours of similar size.
-fn small_neighbours(segments: &[SegmentUsage]) -> Option<Range<usize>> {
+/// The first range of [`MERGED_NEIGHBOURS`] segments of similar size.
+fn similar_neighbours(segments: &[SegmentUsage]) -> Option<Range<usize>> {
     let is_mergeable = |window: &[SegmentUsage]| {
         let sizes = || window.iter().map(|segment| segment.bytes);
         let (smallest, largest) = (sizes().min().unwrap_or(0), sizes().max().unwrap_or(0));
--- a/crates/store/src/sim/inode.rs
+++ b/crates/store/src/sim/inode.rs
@@ -110,7 +110,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Selection {
     All,
+    /// About half of them, chosen at random. Some of the others are torn.
     Some,
+    /// None of them, but some are torn.
     Partial,
 }
 
--- a/crates/store/src/store/compactor.rs
+++ b/crates/store/src/store/compactor.rs
@@ -96,7 +96,7 @@
         Ok(CompactionOutcome::Compacted)
     }
 
-    /// Plans a compaction that pays off. It visits all keys without holding the writer's lock.
+    /// Plans a compaction that pays off; `None` if there is none. This visits all keys without holding the writer's lock.
     fn plan_best(&self, view: &View) -> Result<Option<Compaction>, StoreError> {
         let now = self.context.clock.now();
         let min_dead_bytes = self.context.with_writer(|writer| Ok(writer.min_dead_bytes()))?;
--- a/crates/streams/src/broker.rs
+++ b/crates/streams/src/broker.rs
@@ -256,7 +256,7 @@
         found.is_some_and(|(watcher, job)| watcher.has_more(&job.log))
     }
 
-    /// Removes a watcher. Its job continues. If the job ends unwatched and has no watcher left, its timer starts.
+    /// Removes a watcher. The watched job continues. If that job ends unwatched and has no watcher left, its timer starts.
     pub fn remove_watcher(&mut self, now: Micros, id: WatcherId) {
         let Some(watcher) = self.watchers.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&watcher.job) else { return };
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Drops the events of a finished job. Its token is kept for [`Limits::token_ttl`].
+    /// Drops the events of a finished job. The token of the job is kept for [`Limits::token_ttl`].
     fn expire(&mut self, now: Micros, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.bytes -= job.log.bytes();
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,5 @@
 //! The command line. Without a sub-command the program serves. Exit codes: 0 for success, 1 for a failure or if damage was
-//! found, 2 for bad input. Bad input changes nothing, except that `store put` keeps the records of the lines before it.
+//! found, 2 for bad input. Bad input changes nothing, except that `store put` keeps the records of the lines before a bad one.
 
 mod bench;
 mod check;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -103,10 +103,10 @@
         ),
         ("log {\n  form: XML\n}\n", &["f:2: ", "XML"]),
     ];
-    for (text, named) in cases {
+    for (text, messages) in cases {
         let faults = parse(text, "f").expect_err(text).to_string();
-        for name in named {
-            assert!(faults.contains(name), "{text:?}: {name:?} is not in {faults:?}");
+        for message in messages {
+            assert!(faults.contains(message), "{text:?}: {message:?} is not in {faults:?}");
         }
     }
 }
--- a/tests/store_cli.rs
+++ b/tests/store_cli.rs
@@ -41,18 +41,18 @@
     ];
     let put = mothproxy(&["store", "put", &at], &input.concat());
     assert_eq!(put, (0, "b\na\nc\nb\na\n".to_owned(), String::new()));
-    let whole = [line("a", "3"), line("c", "")].concat();
-    assert_eq!(mothproxy(&["store", "dump", &at], ""), (0, whole.clone(), String::new()));
+    let expected_dump = [line("a", "3"), line("c", "")].concat();
+    assert_eq!(mothproxy(&["store", "dump", &at], ""), (0, expected_dump.clone(), String::new()));
     assert_eq!(mothproxy(&["store", "verify", &at], "").0, 0);
     assert_eq!(mothproxy(&["store", "compact", &at], "").0, 0);
     let (code, stat, _) = mothproxy(&["store", "stat", &at, "--json"], "");
     let stat: serde_json::Value = serde_json::from_str(&stat).expect("a JSON object");
     assert_eq!((code, stat["records"].as_u64(), stat["segments"].as_u64()), (0, Some(2), Some(1)));
-    assert_eq!(mothproxy(&["store", "dump", &at], "").1, whole);
+    assert_eq!(mothproxy(&["store", "dump", &at], "").1, expected_dump);
     // Bytes that are not UTF-8 are read and printed in base64.
-    let odd = "{\"key_base64\":\"/wA=\",\"value_base64\":\"AP8=\"}\n";
-    assert_eq!(mothproxy(&["store", "put", &at], odd).0, 0);
-    assert!(mothproxy(&["store", "dump", &at], "").1.contains(odd.trim()));
+    let base64_line = "{\"key_base64\":\"/wA=\",\"value_base64\":\"AP8=\"}\n";
+    assert_eq!(mothproxy(&["store", "put", &at], base64_line).0, 0);
+    assert!(mothproxy(&["store", "dump", &at], "").1.contains(base64_line.trim()));
 }
 
 /// Damage is printed with its file and offset, and all undamaged records are dumped.
