--- a/src/cli/bench/mod.rs
+++ b/src/cli/bench/mod.rs
@@ -27,7 +27,7 @@
 const SCATTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Runs all measurements, prints the results, and removes the files of the measurements. Also removes the directory if it did
-/// not exist before.
+/// not exist before. If the measurement of recovery fails, its store is left in the directory.
 ///
 /// # Errors
 /// [`CommandError`] if the directory is not empty or a measurement fails.
