--- a/src/server/downstream/event_streams/transfer.rs
+++ b/src/server/downstream/event_streams/transfer.rs
@@ -96,7 +96,7 @@
         };
         let Some(job) = streams.broker.restore(self.clock.now(), transferred.job) else { return };
         if let Some((exchange, raw)) = transferred.request.zip(raw) {
-            self.hot_restart.forget_in_peer_process(&exchange.request.name);
+            self.hot_restart.mark_closed_in_peer_process(&exchange.request.name);
             match self.core.adopt(exchange.request, Downstream::Job(job).to_id()) {
                 Some(request_id) => {
                     streams.requests.insert(job, request_id);
--- a/src/server/lifecycle/hot_restart/mod.rs
+++ b/src/server/lifecycle/hot_restart/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that the other process no longer holds the request with this id.
-    pub fn forget_in_peer_process(&mut self, name: &str) {
+    pub fn mark_closed_in_peer_process(&mut self, name: &str) {
         if let Some(process) = &mut self.peer_process {
             process.open.request_names.remove(name);
         }
--- a/src/server/lifecycle/mod.rs
+++ b/src/server/lifecycle/mod.rs
@@ -62,7 +62,8 @@
         if self.has_handed_over {
             return true; // open connections are handed over to the successor
         }
-        let keeps_clients = |plan: ShutdownPlan| now < plan.keep_clients_until && peers.have_all_stopped();
+        let keeps_clients =
+            |plan: ShutdownPlan| now < plan.keep_clients_until && peers.are_all_neighbors_stopping();
         self.drained_since.is_none() && self.shutdown.is_none_or(keeps_clients)
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -125,7 +125,7 @@
 
     /// Whether all neighbors of this dispatcher, with which it exchanges announcements, have announced that they stop; false if
     /// it has none.
-    pub(in crate::server) fn have_all_stopped(&self) -> bool {
+    pub(in crate::server) fn are_all_neighbors_stopping(&self) -> bool {
         self.lifecycle.are_all_stopping()
     }
 
