--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -26,7 +26,7 @@
     /// The number of repeated requests that were answered with a recorded result.
     pub repeats_answered: u64,
     /// The number of repeats of requests that may have run. Each was either sent within its deduplication scope or failed.
-    pub repeats_bound: u64,
+    pub restricted_repeats: u64,
     /// The number of keys evicted before they expired, because the store was full.
     pub evicted: u64,
 }
--- a/src/protocol/admin/pages.rs
+++ b/src/protocol/admin/pages.rs
@@ -40,7 +40,7 @@
         self.gauge("state_keys", store.keys as u64);
         self.counter("state_failures", store.failures);
         self.counter("state_repeats_answered", store.repeats_answered);
-        self.counter("state_repeats_bound", store.repeats_bound);
+        self.counter("state_repeats_bound", store.restricted_repeats);
         self.counter("state_evicted", store.evicted);
     }
 
--- a/src/protocol/event_streams/mod.rs
+++ b/src/protocol/event_streams/mod.rs
@@ -10,4 +10,4 @@
 pub use request::{
     StreamRequest, accepts_event_stream, ends_unwatched, is_http_1_0, prefers_async, stream_request,
 };
-pub use responses::{cors, plain_text, preflight, stream_head, submitted, wrong_method};
+pub use responses::{cors, method_not_allowed, plain_text, preflight, stream_head, submitted};
--- a/src/protocol/event_streams/responses.rs
+++ b/src/protocol/event_streams/responses.rs
@@ -60,7 +60,7 @@
 }
 
 /// The response to a method that is not allowed at a stream's path.
-pub fn wrong_method(keep_alive: bool) -> Vec<Piece> {
+pub fn method_not_allowed(keep_alive: bool) -> Vec<Piece> {
     let allow = format!("Allow: {STREAM_METHODS}\r\n");
     let text = "Method Not Allowed";
     vec![plain_text_head("405 Method Not Allowed", &allow, text.len(), keep_alive), text.into()]
--- a/src/server/downstream/event_streams/watchers.rs
+++ b/src/server/downstream/event_streams/watchers.rs
@@ -144,7 +144,7 @@
     }
     let Some(request) = event_streams::stream_request(raw) else { return false };
     if method != b"GET" && method != b"HEAD" {
-        connection.write_queue.push(event_streams::wrong_method(keep_alive));
+        connection.write_queue.push(event_streams::method_not_allowed(keep_alive));
         return true;
     }
     let has_body = method == b"GET";
--- a/src/server/idempotency_store.rs
+++ b/src/server/idempotency_store.rs
@@ -72,7 +72,7 @@
             keys: keys.len(),
             failures: self.failures(),
             repeats_answered: keys.repeats_answered(),
-            repeats_bound: keys.restricted_repeats(),
+            restricted_repeats: keys.restricted_repeats(),
             evicted: keys.evicted(),
         })
     }
--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -72,7 +72,7 @@
             keys: 60,
             failures: 61,
             repeats_answered: 62,
-            repeats_bound: 63,
+            restricted_repeats: 63,
             evicted: 64,
         }),
         streams: Some(StreamMetrics {
