--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -53,7 +53,7 @@
 }
 
 /// The requirements of a job, which are the same for all candidates.
-pub(crate) struct Needs {
+pub(crate) struct JobRequirements {
     pub request: NewJob,
     /// The time left until the job's latest start, in microseconds.
     pub slack: f64,
@@ -63,7 +63,7 @@
     pub spare_by_kind: Vec<(KindId, f64)>,
 }
 
-impl Needs {
+impl JobRequirements {
     /// Whether a worker reports less free memory than the job needs.
     pub fn exceed_memory_of(&self, sample: &LoadSample) -> bool {
         self.request.memory.zip(sample.memory).is_some_and(|(needed, free)| free < needed)
@@ -162,7 +162,7 @@
 }
 
 /// A worker that is considered for a job, with the data that its rank depends on.
-pub(crate) struct Considered<'a> {
+pub(crate) struct ConsideredWorker<'a> {
     pub worker: &'a Worker,
     /// The worker's list entry.
     pub listed: &'a EndpointEntry,
@@ -176,7 +176,7 @@
     pub random: f64,
 }
 
-impl<'a> Considered<'a> {
+impl<'a> ConsideredWorker<'a> {
     /// Collects the data of a listed worker for a dispatcher in `own_zone`. `random` breaks ties between equal workers.
     pub fn new(
         state: &PolicyState,
@@ -184,8 +184,8 @@
         listed: &'a EndpointEntry,
         own_zone: ZoneId,
         random: f64,
-    ) -> Considered<'a> {
-        Considered {
+    ) -> ConsideredWorker<'a> {
+        ConsideredWorker {
             worker,
             listed,
             is_remote: listed.zone != own_zone,
--- a/src/policy/rules/placement.rs
+++ b/src/policy/rules/placement.rs
@@ -55,15 +55,15 @@
     /// The best candidate for a job; `None` if no worker is eligible.
     pub(super) fn pick(&mut self, id: JobId) -> Option<Candidate> {
         let pool = self.candidates(id, Purpose::Placing);
-        let needs = self.needs(self.state.job(id)?);
+        let requirements = self.requirements(self.state.job(id)?);
         let mut ranked = Vec::new();
         let mut lowest_cpu = f64::INFINITY;
         for id in pool {
             let worker = self.state.worker(id);
             let Some(listed) = worker.listed() else { continue };
             let random = exponential(&mut self.random);
-            let considered = Considered::new(&self.state, worker, listed, self.settings.zone, random);
-            let candidate = self.rank(&needs, &considered);
+            let considered = ConsideredWorker::new(&self.state, worker, listed, self.settings.zone, random);
+            let candidate = self.rank(&requirements, &considered);
             let load = self.state.fresh_load(id, self.window()).filter(|_| candidate.rank == Rank::Fresh);
             lowest_cpu = load.map_or(lowest_cpu, |load| lowest_cpu.min(load.cpu));
             ranked.push(candidate);
@@ -80,19 +80,19 @@
         let worker = self.state.worker(first.worker);
         let is_repeat = self.state.is_last_assigned(first.worker);
         let is_lowest = worker.last_load().is_none_or(|load| load.cpu <= lowest_cpu);
-        let may_repeat = worker.has_changed_since_assignment() && is_lowest;
+        let may_repeat = worker.has_cpu_changed_since_assignment() && is_lowest;
         let next = ranked.get(1).filter(|next| next.rank <= Rank::Unknown);
         Some(next.filter(|_| is_repeat && !may_repeat).unwrap_or(first))
     }
 
     /// The requirements of a job.
-    fn needs(&self, job: &Job) -> Needs {
+    fn requirements(&self, job: &Job) -> JobRequirements {
         let max_start_timeout = if self.settings.reports_start { QUEUE_DETECTION_DELAY } else { Micros::MAX };
         let competing_classes: &[Class] =
             if self.class(job).kind.is_some() { &[] } else { &self.settings.classes };
         let spare = |bound: BoundFraction| (bound.kind, (1.0 - bound.fraction).clamp(MIN_SPARE, 1.0));
         let bound_fractions = self.state.bound_fractions(competing_classes);
-        Needs {
+        JobRequirements {
             request: job.request,
             slack: self.slack(job) as f64,
             start_timeout: self.start_timeout(job.work).min(max_start_timeout),
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Ranks a worker for a job with these needs.
-    fn rank(&self, needs: &Needs, considered: &Considered) -> Candidate {
-        let Considered { worker, listed, slowness, occupied, random, .. } = *considered;
+    /// Ranks a worker for a job with these requirements.
+    fn rank(&self, requirements: &JobRequirements, considered: &ConsideredWorker) -> Candidate {
+        let ConsideredWorker { worker, listed, slowness, occupied, random, .. } = *considered;
         // A worker that has not started an attempt in time counts as full, regardless of the load that it
         // reports.
-        let is_start_overdue = worker.has_unstarted_before(self.now(), needs.start_timeout);
+        let is_start_overdue = worker.has_unstarted_before(self.now(), requirements.start_timeout);
         let is_avoided = self.state.is_ejected(worker) || is_start_overdue;
         if self.is_last_resort(considered, is_avoided) {
             return considered.without_capacity(Rank::Ejected);
@@ -113,10 +113,10 @@
         if is_avoided {
             return considered.without_capacity(Rank::Overloaded);
         }
-        let spare = needs.spare(listed.kind);
+        let spare = requirements.spare(listed.kind);
         if let Some(inputs) = self.load_inputs(worker, listed) {
-            if self.lacks_capacity(needs, listed, &inputs) {
-                return considered.without_capacity(self.rank_of_full(needs, considered, &inputs));
+            if self.lacks_capacity(requirements, listed, &inputs) {
+                return considered.without_capacity(self.rank_of_full(requirements, considered, &inputs));
             }
             let remote_cost = if considered.is_remote { REMOTE_COST } else { 0.0 };
             let tie_break = if self.is_grouped() { random * slowness } else { slowness };
@@ -127,7 +127,8 @@
             // A worker that is warming up and passed the slow-start check counts as half loaded.
             return considered.candidate(Rank::Fresh, -score(&LoadInputs::half_loaded(1.0), spare), slowness);
         }
-        if occupied + needs.request.slots > self.estimates().slots(listed.kind).max(MIN_UNKNOWN_SLOTS) {
+        if occupied + requirements.request.slots > self.estimates().slots(listed.kind).max(MIN_UNKNOWN_SLOTS)
+        {
             return considered.without_capacity(Rank::Overloaded);
         }
         if self.must_probe_first(considered.is_remote) {
@@ -139,31 +140,46 @@
 
     /// Whether a worker gets the job only if there is no other. In a group, a worker that has failed must
     /// show a sign of life before it gets work again.
-    fn is_last_resort(&self, considered: &Considered, is_avoided: bool) -> bool {
+    fn is_last_resort(&self, considered: &ConsideredWorker, is_avoided: bool) -> bool {
         considered.worker.has_failed() && is_avoided
             || self.is_grouped() && self.state.is_suspect(considered.worker)
             || considered.is_remote && self.state.is_zone_ejected(considered.listed.zone)
     }
 
     /// Whether a worker of known load has too few free slots or too little free memory for the job.
-    fn lacks_capacity(&self, needs: &Needs, listed: &EndpointEntry, inputs: &LoadInputs) -> bool {
+    fn lacks_capacity(
+        &self,
+        requirements: &JobRequirements,
+        listed: &EndpointEntry,
+        inputs: &LoadInputs,
+    ) -> bool {
         let sample = self.state.fresh_load(listed.worker, self.window());
-        inputs.free_slots < needs.request.slots || sample.is_some_and(|sample| needs.exceed_memory_of(sample))
+        inputs.free_slots < requirements.request.slots
+            || sample.is_some_and(|sample| requirements.exceed_memory_of(sample))
     }
 
     /// The rank of a worker without capacity for the job: [`Rank::Full`] or [`Rank::Overloaded`], by the
     /// time that the job would wait in the worker's queue. The queue is the one that the worker reports,
     /// with the attempts of the group or, without a group, of this dispatcher. Without a group and with
     /// reported starts, at most one attempt of this dispatcher waits there.
-    fn rank_of_full(&self, needs: &Needs, considered: &Considered, inputs: &LoadInputs) -> Rank {
-        let Considered { worker, listed, is_remote, slowness, occupied, .. } = *considered;
+    fn rank_of_full(
+        &self,
+        requirements: &JobRequirements,
+        considered: &ConsideredWorker,
+        inputs: &LoadInputs,
+    ) -> Rank {
+        let ConsideredWorker { worker, listed, is_remote, slowness, occupied, .. } = *considered;
         let is_start_reported = self.settings.reports_start && !self.is_grouped();
         let slots_ahead = if is_start_reported { 0.0 } else { occupied.max(-inputs.free_slots) };
         let sample = self.state.fresh_load(listed.worker, self.window());
         let queue = sample.and_then(|sample| sample.waiting).unwrap_or(0.0) + slots_ahead + 1.0;
         let wait = queue * self.estimates().mean_work() * slowness / self.estimates().slots(listed.kind);
         let is_queue_forbidden = is_start_reported && (is_remote || worker.has_unstarted());
-        if wait * OVERDUE_FACTOR > needs.slack || is_queue_forbidden { Rank::Overloaded } else { Rank::Full }
+        if wait * OVERDUE_FACTOR > requirements.slack || is_queue_forbidden {
+            Rank::Overloaded
+        } else {
+            Rank::Full
+        }
     }
 
     /// Whether a worker of unknown load must be probed before it gets a job. In a group, it always must.
--- a/src/policy/state/worker.rs
+++ b/src/policy/state/worker.rs
@@ -184,7 +184,7 @@
 
     /// Whether the worker has reported another CPU utilisation since it was last assigned a job; also `true` if it has no load
     /// sample.
-    pub fn has_changed_since_assignment(&self) -> bool {
+    pub fn has_cpu_changed_since_assignment(&self) -> bool {
         self.load.as_ref().is_none_or(|load| self.cpu_at_last_assignment != Some(load.cpu))
     }
 }
