--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -3,7 +3,7 @@
 use super::flatten::flatten;
 use super::{ConfigError, EndpointList, FileContentError, MachineLimits, ModuleSettingsError, NameTable};
 use crate::policy::interface::{Micros, Settings};
-use crate::policy::settings_map::{Names, Profile, settings, to_micros};
+use crate::policy::settings_map::{Names, SettingTexts, settings, to_micros};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -98,10 +98,10 @@
 
 /// Parses the settings of the decision module and the names in them. Zones and kinds in `known_names` keep their ids.
 pub(super) fn parse_settings(
-    profile: &Profile<'_>,
+    setting_texts: &SettingTexts<'_>,
     known_names: &NameTable,
 ) -> Result<(Settings, NameTable), ConfigError> {
-    let (settings, names) = settings(profile, &known_names.names).map_err(ModuleSettingsError::from)?;
+    let (settings, names) = settings(setting_texts, &known_names.names).map_err(ModuleSettingsError::from)?;
     check_settings(&settings, &names)?;
     Ok((settings, NameTable { names }))
 }
@@ -118,11 +118,11 @@
 
 /// A duration above 0 from the settings. The setting and `default_ms` are in milliseconds, the result is in microseconds.
 pub(super) fn positive_duration(
-    profile: &Profile<'_>,
+    setting_texts: &SettingTexts<'_>,
     path: &'static str,
     default_ms: f64,
 ) -> Result<Micros, ConfigError> {
-    let ms = profile.number(path, default_ms).map_err(ModuleSettingsError::from)?;
+    let ms = setting_texts.number(path, default_ms).map_err(ModuleSettingsError::from)?;
     if ms > 0.0 { Ok(to_micros(ms)) } else { Err(ModuleSettingsError::NotPositive(path).into()) }
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
 pub use sse::{SseConfig, SseSettings};
 
 use crate::policy::interface::{Micros, Settings};
-use crate::policy::settings_map::Profile;
+use crate::policy::settings_map::SettingTexts;
 use document::{Document, parse_address, parse_settings, positive_duration};
 use serde::Deserialize;
 use serde_json::Value;
@@ -138,8 +138,9 @@
         let peers = document.peers()?;
         let known_endpoints = document.known_endpoints()?;
         let pairs = document.settings()?;
-        let profile = Profile(pairs.iter().map(|(path, text)| (path.as_str(), text.as_str())).collect());
-        let (mut settings, names) = parse_settings(&profile, known_names)?;
+        let setting_texts =
+            SettingTexts(pairs.iter().map(|(path, text)| (path.as_str(), text.as_str())).collect());
+        let (mut settings, names) = parse_settings(&setting_texts, known_names)?;
         let peer_listen = document.optional_address("peer_listen")?;
         let may_announce_lifecycle = settings.may_message_peers;
         // If the address of a peer were unknown, its peer group would take the lack of messages from it for idle workers.
@@ -160,9 +161,9 @@
             peers,
             peers_all: document.optional_address("peers_all")?,
             known_endpoints,
-            idle_timeout: positive_duration(&profile, "Limits.ConnIdleMs", DEFAULT_IDLE_TIMEOUT_MS)?,
+            idle_timeout: positive_duration(&setting_texts, "Limits.ConnIdleMs", DEFAULT_IDLE_TIMEOUT_MS)?,
             connect_timeout: positive_duration(
-                &profile,
+                &setting_texts,
                 "Limits.ConnectTimeoutMs",
                 DEFAULT_CONNECT_TIMEOUT_MS,
             )?,
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -4,7 +4,7 @@
 use super::idempotency::AttemptRecord;
 use crate::config::{EndpointList, EndpointRow, Lifecycle, NameTable};
 use crate::policy::interface::{CellId, EndpointEntry, Status, WorkerId};
-use crate::policy::settings_map::tag;
+use crate::policy::settings_map::hash_name;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -243,7 +243,7 @@
         let Endpoint { row, .. } = self.get(worker)?;
         Some(EndpointEntry {
             worker,
-            tag: tag(&row.instance_id),
+            tag: hash_name(&row.instance_id),
             zone: names.intern_zone(&row.zone),
             kind: names.intern_kind(&row.machine_type),
             cell: CellId(row.cell),
--- a/src/policy/settings_map.rs
+++ b/src/policy/settings_map.rs
@@ -17,7 +17,7 @@
 }
 
 /// The texts of settings by their paths, such as `Grades.0.TargetMs`.
-pub(crate) struct Profile<'a>(pub(crate) HashMap<&'a str, &'a str>);
+pub(crate) struct SettingTexts<'a>(pub(crate) HashMap<&'a str, &'a str>);
 
 /// The field of [`LoadReport`] that a value in a load report belongs to.
 #[derive(Clone, Copy, Debug)]
@@ -55,14 +55,14 @@
 }
 
 /// The FNV-1a hash of a name, which is the same at every dispatcher.
-pub(crate) fn tag(name: &str) -> u64 {
+pub(crate) fn hash_name(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl ReportValue {
-    /// The meaning that the deployment `profile` gives to the value with this name.
-    fn new(name: &str, profile: &Profile) -> ReportValue {
+    /// The meaning that the deployment's settings give to the value with this name.
+    fn new(name: &str, setting_texts: &SettingTexts) -> ReportValue {
         match name {
             "cpu" => ReportValue::Cpu,
             "active" => ReportValue::Active,
@@ -70,8 +70,8 @@
             "avg_ms" => ReportValue::AvgMs,
             "rps" => ReportValue::Rps,
             "err_rps" => ReportValue::ErrRps,
-            "x0" if profile.text("Domain.ReportX0") == Some("free_slots") => ReportValue::FreeSlots,
-            "x1" if profile.text("Domain.ReportX1") == Some("free_memory") => ReportValue::FreeMemory,
+            "x0" if setting_texts.text("Domain.ReportX0") == Some("free_slots") => ReportValue::FreeSlots,
+            "x1" if setting_texts.text("Domain.ReportX1") == Some("free_memory") => ReportValue::FreeMemory,
             _ => ReportValue::Unknown,
         }
     }
@@ -93,7 +93,7 @@
     }
 }
 
-impl<'a> Profile<'a> {
+impl<'a> SettingTexts<'a> {
     /// The text of a setting, if it is set.
     fn text(&self, path: &str) -> Option<&'a str> {
         self.0.get(path).copied()
@@ -209,51 +209,51 @@
     }
 }
 
-/// Reads [`Settings`] from a profile, and returns them with the names that the profile contains. Zones and kinds that have a
-/// number in `known` keep it.
+/// Reads [`Settings`] from the texts of a deployment's settings, and returns them with the names that the texts contain. Zones
+/// and kinds that have a number in `known` keep it.
 ///
 /// # Errors
 ///
 /// Returns an error if a setting that must be a number is not one. Whether the settings are consistent is not checked here.
-pub(crate) fn settings(profile: &Profile, known: &Names) -> Result<(Settings, Names), NotANumber> {
-    let classes = (0..profile.count("Grades.count")?).map(|index| profile.class(index));
+pub(crate) fn settings(setting_texts: &SettingTexts, known: &Names) -> Result<(Settings, Names), NotANumber> {
+    let classes = (0..setting_texts.count("Grades.count")?).map(|index| setting_texts.class(index));
     let classes = classes.collect::<Result<Vec<Class>, _>>()?;
-    let tenants = (0..profile.count("Projects.count")?).map(|index| profile.tenant(index));
+    let tenants = (0..setting_texts.count("Projects.count")?).map(|index| setting_texts.tenant(index));
     let tenants = tenants.collect::<Result<Vec<Tenant>, _>>()?;
-    let mut names = profile.names(known, classes.len(), tenants.len());
-    let progress_interval = profile.micros("Domain.ProgressMs", 0.0)?;
-    let list_on_request = profile.text("Discovery") == Some("on_request");
-    let has_retry_after = profile.flag("Limits.RetryAfter", false);
+    let mut names = setting_texts.names(known, classes.len(), tenants.len());
+    let progress_interval = setting_texts.micros("Domain.ProgressMs", 0.0)?;
+    let list_on_request = setting_texts.text("Discovery") == Some("on_request");
+    let has_retry_after = setting_texts.flag("Limits.RetryAfter", false);
     let settings = Settings {
-        own_place: profile.number("Me", 0.0)? as u32,
-        dispatcher_count: profile.number("Siblings", 1.0)? as u32,
-        zone: ZoneId(names.zones.id(profile.text("Zone").unwrap_or("")) as u16),
+        own_place: setting_texts.number("Me", 0.0)? as u32,
+        dispatcher_count: setting_texts.number("Siblings", 1.0)? as u32,
+        zone: ZoneId(names.zones.id(setting_texts.text("Zone").unwrap_or("")) as u16),
         classes,
         tenants,
-        over_quota_weight: profile.number("OverShareWorth", 1.0)?,
-        batch_interval: profile.micros("GranularityMs", 1.0)?,
-        weight_by_work: profile.text("CountedBy") == Some("work"),
-        load_reporting: profile.load_reporting(),
-        reports_start: profile.flag("Domain.TellsStart", false),
+        over_quota_weight: setting_texts.number("OverShareWorth", 1.0)?,
+        batch_interval: setting_texts.micros("GranularityMs", 1.0)?,
+        weight_by_work: setting_texts.text("CountedBy") == Some("work"),
+        load_reporting: setting_texts.load_reporting(),
+        reports_start: setting_texts.flag("Domain.TellsStart", false),
         progress_interval: (progress_interval > 0).then_some(progress_interval),
         list_on_request,
-        may_cancel: profile.flag("Limits.Cancel", false),
-        may_probe: profile.flag("Limits.Probing", false),
-        may_message_peers: profile.flag("Limits.Peers", false),
-        may_hedge: profile.flag("Limits.SecondCopies", false),
-        max_attempts: profile.number("Limits.MaxAttempts", 1.0)? as u32,
-        max_retry_after: profile.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
-        response_grace: profile.micros("Obligations.AnswerSlackMs", 20.0)?,
-        drain_grace: profile.micros("Obligations.StopSendingWithinMs", 0.0)?,
-        max_poll_interval: profile.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
-        initial_capacity: profile.number("Obligations.ColdFrom", 0.1)?,
-        warm_up_time: profile.micros("Obligations.ColdMs", 0.0)?,
-        collapse_multiple: profile.number("Obligations.FallMultiple", 1.0)?,
-        collapse_window: profile.micros("Obligations.FallMs", 1000.0)?,
-        price_cross_zone: profile.number("Prices.CrossZone", 0.0)?,
-        price_probe: profile.number("Prices.Probe", 0.0)?,
-        price_waste: profile.number("Prices.Waste", 0.0)?,
-        price_late_failure: profile.number("Prices.LateFail", 0.0)?,
+        may_cancel: setting_texts.flag("Limits.Cancel", false),
+        may_probe: setting_texts.flag("Limits.Probing", false),
+        may_message_peers: setting_texts.flag("Limits.Peers", false),
+        may_hedge: setting_texts.flag("Limits.SecondCopies", false),
+        max_attempts: setting_texts.number("Limits.MaxAttempts", 1.0)? as u32,
+        max_retry_after: setting_texts.micros_if(has_retry_after, "Limits.MaxRetryAfterMs", 1000.0)?,
+        response_grace: setting_texts.micros("Obligations.AnswerSlackMs", 20.0)?,
+        drain_grace: setting_texts.micros("Obligations.StopSendingWithinMs", 0.0)?,
+        max_poll_interval: setting_texts.micros_if(list_on_request, "Obligations.AskWithinMs", 10_000.0)?,
+        initial_capacity: setting_texts.number("Obligations.ColdFrom", 0.1)?,
+        warm_up_time: setting_texts.micros("Obligations.ColdMs", 0.0)?,
+        collapse_multiple: setting_texts.number("Obligations.FallMultiple", 1.0)?,
+        collapse_window: setting_texts.micros("Obligations.FallMs", 1000.0)?,
+        price_cross_zone: setting_texts.number("Prices.CrossZone", 0.0)?,
+        price_probe: setting_texts.number("Prices.Probe", 0.0)?,
+        price_waste: setting_texts.number("Prices.Waste", 0.0)?,
+        price_late_failure: setting_texts.number("Prices.LateFail", 0.0)?,
     };
     Ok((settings, names))
 }
--- a/src/policy/simulator/instance.rs
+++ b/src/policy/simulator/instance.rs
@@ -8,7 +8,7 @@
     NewJob, Outcome, ProbeResponse, Status, SubjectId, TenantId, TimerId, WorkerId, ZoneId,
 };
 use crate::policy::interner::Interner;
-use crate::policy::settings_map::{Names, Profile, settings, tag, to_ms};
+use crate::policy::settings_map::{Names, SettingTexts, hash_name, settings, to_ms};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
@@ -43,8 +43,8 @@
     /// Creates the instance of a `hello` line. Returns an error if the settings cannot be read or are not consistent, or if the
     /// seed is missing.
     pub fn new(fields: &Fields) -> Result<Instance, LineError> {
-        let profile = Profile(fields.pairs.iter().copied().collect());
-        let (settings, names) = settings(&profile, &Names::default())
+        let setting_texts = SettingTexts(fields.pairs.iter().copied().collect());
+        let (settings, names) = settings(&setting_texts, &Names::default())
             .map_err(|error| LineError::UnreadableSettings(SettingNotANumber::from(error)))?;
         let seed = fields.required("InitSeed")?;
         Ok(Instance {
@@ -115,7 +115,7 @@
         let name = fields.text("Executor")?;
         Ok(EndpointEntry {
             worker: self.worker(name),
-            tag: tag(name),
+            tag: hash_name(name),
             zone: ZoneId(self.names.zones.id(fields.find("RackZone").unwrap_or("")) as u16),
             kind: KindId(self.names.kinds.id(fields.find("Shape").unwrap_or("")) as u16),
             cell: CellId(fields.parsed("Group")?.unwrap_or(0)),
--- a/src/protocol/platform/routing.rs
+++ b/src/protocol/platform/routing.rs
@@ -7,7 +7,7 @@
 use crate::http::Framing;
 use crate::http::load::parse_pairs;
 use crate::policy::interface::{Class, ClassId, Idempotency, MICROS_PER_MS, Micros, SubjectId, TenantId};
-use crate::policy::settings_map::{tag, to_micros};
+use crate::policy::settings_map::{hash_name, to_micros};
 use crate::protocol::names;
 
 /// The maximum length of a request id, in bytes.
@@ -123,7 +123,7 @@
         downstream: DownstreamId(0),
         class: class_id,
         tenant: parse_tenant(name_table, request)?,
-        subject: object_cookie(request).map(|object| SubjectId(tag(object) as u32)),
+        subject: object_cookie(request).map(|object| SubjectId(hash_name(object) as u32)),
         time_budget: parse_time_left(request)?.map_or(class.deadline, |left| left.min(class.deadline)),
         hint: hint_ms.map(to_micros).filter(|hint| *hint > 0),
         slots: find_fact(&facts, SLOTS_FACTS).unwrap_or(1.0),
