--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -17,7 +17,7 @@
 /// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 /// The number of datagrams that a socket buffers for a paused process.
-const PAUSED_INBOX_CAPACITY: usize = 256;
+const RECEIVE_BUFFER_CAPACITY: usize = 256;
 /// The minimum interval between two evaluations of the condition of [`Network::run_while`].
 const CONDITION_INTERVAL: Micros = 5_000;
 /// The epochs of members that start cold get a random offset below this, in milliseconds.
@@ -54,7 +54,7 @@
     starts: u64,
     is_paused: bool,
     /// The sender and the bytes of each datagram that arrived while the process was paused.
-    inbox: VecDeque<(u16, Vec<u8>)>,
+    receive_buffer: VecDeque<(u16, Vec<u8>)>,
     /// The time of the earliest wake in the queue.
     wake: Micros,
     facts: Vec<OwnedFact>,
@@ -123,7 +123,7 @@
                 epoch: FIRST_EPOCH + delay + u64::from(place),
                 starts: 0,
                 is_paused: false,
-                inbox: VecDeque::new(),
+                receive_buffer: VecDeque::new(),
                 wake: u64::MAX,
                 facts: Vec::new(),
             });
@@ -170,7 +170,7 @@
     pub fn kill(&mut self, place: u16) {
         let node = self.node_mut(place);
         node.member = None;
-        node.inbox.clear();
+        node.receive_buffer.clear();
         node.is_paused = false;
     }
 
@@ -183,8 +183,8 @@
     pub fn resume(&mut self, place: u16) {
         let node = self.node_mut(place);
         node.is_paused = false;
-        let inbox = std::mem::take(&mut node.inbox);
-        inbox.into_iter().for_each(|(from, bytes)| self.on_datagram(place, from, &bytes));
+        let receive_buffer = std::mem::take(&mut node.receive_buffer);
+        receive_buffer.into_iter().for_each(|(from, bytes)| self.on_datagram(place, from, &bytes));
         self.on_wake(place);
     }
 
@@ -262,8 +262,8 @@
         let now = self.now;
         let node = self.node_mut(to);
         if node.is_paused {
-            if node.inbox.len() < PAUSED_INBOX_CAPACITY {
-                node.inbox.push_back((from, bytes.to_vec()));
+            if node.receive_buffer.len() < RECEIVE_BUFFER_CAPACITY {
+                node.receive_buffer.push_back((from, bytes.to_vec()));
             }
         } else if let Some(member) = &mut node.member {
             member.receive(now, from, bytes);
