--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -120,7 +120,7 @@
         self.wake = self.next_wake();
     }
 
-    /// Processes a datagram from the address of the place `from`. The caller may cut a datagram that is too long to
+    /// Processes a datagram from the address of the place `from`. The caller may truncate a datagram that is too long to
     /// [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) plus one byte.
     pub fn receive(&mut self, now: Micros, from: u16, datagram: &[u8]) {
         self.advance(now);
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -11,15 +11,16 @@
     pub received: u64,
     /// Bytes of all datagrams received.
     pub received_bytes: u64,
-    /// Refused: longer than [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
+    /// Datagrams refused because they were longer than [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
     pub refused_long: u64,
-    /// Refused: of another version.
+    /// Datagrams refused because they were of another version.
     pub refused_version: u64,
-    /// Refused: from or about a place that is not among the peers.
+    /// Datagrams refused because they were from or about a place that is not among the peers.
     pub refused_foreign: u64,
-    /// Refused: cut short, or not decodable.
+    /// Datagrams refused because they were truncated or could not be decoded.
     pub refused_malformed: u64,
-    /// Refused: from an earlier epoch of its sender, or a record about an earlier epoch of a place.
+    /// Datagrams refused because they were from an earlier epoch of their sender, and records refused because they were about an
+    /// earlier epoch of a place.
     pub refused_stale: u64,
     /// Datagrams not sent because of the budget.
     pub over_budget: u64,
--- a/crates/membership/src/wire/reader.rs
+++ b/crates/membership/src/wire/reader.rs
@@ -29,7 +29,7 @@
     /// The datagram is from a place that is not among the peers, or names one.
     #[error("the datagram is from or about a place that is not among the peers")]
     ForeignPlace,
-    /// The datagram is cut short, its checksum is wrong, or a value in it is out of its range.
+    /// The datagram is truncated, its checksum is wrong, or a value in it is out of its range.
     #[error("the datagram is malformed")]
     Malformed,
 }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -70,7 +70,7 @@
 }
 
 proptest! {
-    /// An encoded datagram decodes to the same values. It is refused if it is cut short, if a bit is flipped, or if its sender
+    /// An encoded datagram decodes to the same values. It is refused if it is truncated, if a bit is flipped, or if its sender
     /// and receiver are swapped.
     #[test]
     fn decodes_encoded_datagrams_and_refuses_altered_ones(
--- a/crates/runtimes/src/kind_slowness.rs
+++ b/crates/runtimes/src/kind_slowness.rs
@@ -1,7 +1,7 @@
 //! The slowness of each kind of worker: the logarithm of the inverse of its speed.
 //!
 //! The model is two-way additive: `log run time = work(unit) + slowness(kind)`, with a unit for each group of similar jobs.
-//! It is fitted by alternating least squares, with a ridge penalty toward the configured speeds. Work and slowness are
+//! The model is fitted by alternating least squares, with a ridge penalty toward the configured speeds. Work and slowness are
 //! determined only up to a constant, so the mean slowness is kept at that of the configured speeds.
 
 use crate::cell_sum::{CellSum, KindSum};
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// The same as for [`DiskFile::len`].
+    /// The errors of [`DiskFile::len`].
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// The same as for [`RealDisk::open`].
+    /// The errors of [`RealDisk::open`].
     pub fn open_or_create(dir: &Path) -> io::Result<RealDisk> {
         if !dir.exists() {
             std::fs::create_dir_all(dir)?;
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// The same as for [`Store::open`].
+    /// The errors of [`Store::open`].
     pub fn open_on(disk: Arc<dyn Disk>, options: Options) -> Result<(Store, Recovery), StoreError> {
         let OpenedWriter { writer, shared, recovery, written_at } = writer::open(disk, options)?;
         let salt = writer.salt();
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// The same as for [`Store::write`], except for [`StoreError::Failing`], which `callback` receives. After an error the
+    /// The errors of [`Store::write`], except for [`StoreError::Failing`], which `callback` receives. After an error the
     /// batch is not queued, and `callback` is never called.
     pub fn submit(&self, batch: Batch, callback: Callback) -> Result<(), StoreError> {
         self.writes.submit(batch, callback)
--- a/crates/testkit/src/fleet/datagram_faults.rs
+++ b/crates/testkit/src/fleet/datagram_faults.rs
@@ -11,7 +11,7 @@
 /// The faults of datagrams from one dispatcher to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatagramFaults {
-    /// The fraction that is dropped, from 0 to 1; 1 is a cut.
+    /// The fraction that is dropped, from 0 to 1; at 1 all datagrams are lost.
     pub drop: f64,
     /// The fraction that arrives twice, with the second copy up to 5 ms after the first.
     pub duplicate: f64,
--- a/crates/testkit/src/fleet/discovery/mod.rs
+++ b/crates/testkit/src/fleet/discovery/mod.rs
@@ -100,7 +100,7 @@
         self.change(worker, |endpoint| endpoint.lifecycle = lifecycle)
     }
 
-    /// Makes the service forget its changes: every watch that begins from now on gets the full list.
+    /// Discards the changes that the service has kept: every watch that begins from now on gets the full list.
     pub fn forget_changes(&self) {
         self.inner().table.forget_changes();
     }
--- a/crates/testkit/src/fleet/worker/executed_keys.rs
+++ b/crates/testkit/src/fleet/worker/executed_keys.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// The one execution of a key. If it ends before the job ran, the cell forgets the key.
+/// The one execution of a key. If it ends before the job ran, the key is removed from the cell's keys.
 pub(super) struct KeyExecution<'a> {
     keys: &'a ExecutedKeys,
     cell_key: CellKey,
--- a/crates/testkit/src/fleet/worker/job.rs
+++ b/crates/testkit/src/fleet/worker/job.rs
@@ -168,7 +168,7 @@
                 self.report_done(result).await;
             }
             KeyState::Lost => self.report(JobStatus::Failed).await,
-            // The key was forgotten, so the dispatcher may send the job again.
+            // The key was removed, so the dispatcher may send the job again.
             KeyState::NeverRan | KeyState::Open => self.report(JobStatus::Returned).await,
         }
     }
--- a/src/policy/simulator/mod.rs
+++ b/src/policy/simulator/mod.rs
@@ -201,7 +201,7 @@
     LineError::UnknownInstance { message: fields.message.to_owned(), name: name.to_owned() }
 }
 
-/// The job that an event ends, or one of whose attempts it ends. Afterwards the job may have to be forgotten.
+/// The job that an event ends, or one of whose attempts it ends. Afterwards the job may have to be removed.
 fn ended_job(event: &Event) -> Option<JobId> {
     match event {
         Event::AttemptEnded(AttemptEnded { job, .. }) | Event::ClientDisconnected(job) => Some(*job),
--- a/src/policy/state/failures.rs
+++ b/src/policy/state/failures.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Records that a worker has served an attempt: halves its count of failures, ends its ejection and forgets the failures of
+    /// Records that a worker has served an attempt: halves its count of failures, ends its ejection and clears the failures of
     /// its zone. Returns the attempt's run time in microseconds, at least 1.
     pub fn record_success(&mut self, end: &AttemptEnded, ended: &EndedAttempt, settings: &Settings) -> f64 {
         let running_since = ended.running_since.filter(|_| settings.reports_start);
--- a/src/policy/state/zone_outliers.rs
+++ b/src/policy/state/zone_outliers.rs
@@ -15,7 +15,7 @@
         self.0.entry(zone).or_default().record_failure(now, window, max_failures);
     }
 
-    /// Records that a worker of the zone has served an attempt: forgets the zone's failures.
+    /// Records that a worker of the zone has served an attempt: clears the record of the zone's failures.
     pub fn record_success(&mut self, zone: ZoneId) {
         self.0.remove(&zone);
     }
--- a/src/server/context.rs
+++ b/src/server/context.rs
@@ -16,7 +16,7 @@
     pub core: &'a mut Core,
     /// Epoll and all connections.
     pub reactor: &'a mut Reactor,
-    /// The counters.
+    /// The counters of this process.
     pub metrics: &'a mut Metrics,
     /// The current configuration.
     pub config: &'a Config,
