--- a/Makefile
+++ b/Makefile
@@ -13,14 +13,14 @@
 doc:
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
-# GW_CONFIG names the configuration; ARGS are passed on, such as ARGS="--sse my-sse.toml".
+# GW_CONFIG names the configuration file. ARGS is passed to the program, for example ARGS="--sse my-sse.toml".
 run: build
 	target/release/mothproxy $(ARGS)
 
 ci:
 	bash .ci/run
 
-# Proofs, reduced, each in under 50 s and ending in one JSON line; building comes first and does not count.
+# Reduced versions of the proofs. Each runs in under 50 s, not counting the build, and ends with one line of JSON.
 build-proof:
 	cargo build --locked --release --workspace
 	cargo test --locked --release --workspace --no-run
@@ -51,10 +51,11 @@
 proof-lists: build-proof
 	target/release/examples/proof_lists
 
-# A fleet of test doubles, the dispatcher and a small load on loopback, with a page that follows a job.
+# Runs the dispatcher with test doubles and a small load on loopback, and serves a web page that follows a job.
 demo: build
 	cargo run --locked --release -q -p mothproxy-testkit --bin demo
 
-# The module's time for one job at 10 to 10,000 workers; the last line gives the ratio of 10,000 to 10.
+# Measures the decision module's time per job at 10 to 10,000 workers. The last line of the output gives the ratio of the
+# time at 10,000 workers to that at 10.
 bench-decision:
 	cargo bench --locked --bench decision
--- a/crates/testkit/src/bin/demo/main.rs
+++ b/crates/testkit/src/bin/demo/main.rs
@@ -29,7 +29,8 @@
     let is_stopped = stop_on_signals();
     let workers: Vec<_> = (0..WORKERS).map(|n| FakeWorker::start(&format!("node-{n}"))).collect();
     let pages = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
-    let origin = format!("http://{}", pages.local_addr().expect("no local address"));
+    let origin =
+        format!("http://{}", pages.local_addr().expect("cannot get the address of the page's listener"));
     let dispatcher = start_dispatcher(&workers, &origin);
     let page = page(sse_address(&dispatcher));
     std::thread::spawn(move || serve_page(&pages, &page));
@@ -59,7 +60,7 @@
     let discovery = FakeDiscovery::start(site::snapshot(1, &instances));
     let streams_file = std::env::temp_dir().join(format!("mothproxy-demo-{}.toml", std::process::id()));
     let streams = format!("listen = \"127.0.0.1:0\"\norigins = [\"{origin}\"]\n");
-    std::fs::write(&streams_file, streams).expect("cannot write the temporary file");
+    std::fs::write(&streams_file, streams).expect("cannot write the configuration file of the SSE listener");
     let dispatcher = DispatcherProcess::builder(workers)
         .discovery(discovery.address)
         .args(&[OsStr::new("--sse"), streams_file.as_os_str()])
@@ -70,7 +71,7 @@
 }
 
 fn sse_address(dispatcher: &DispatcherProcess) -> SocketAddr {
-    dispatcher.sse.expect("no SSE listener")
+    dispatcher.sse.expect("the dispatcher has no SSE listener")
 }
 
 fn page(sse: SocketAddr) -> String {
@@ -93,7 +94,7 @@
 
 fn print_addresses(dispatcher: &DispatcherProcess, origin: &str) {
     let (platform, sse) = (dispatcher.platform, sse_address(dispatcher));
-    let admin = dispatcher.admin.expect("no admin address");
+    let admin = dispatcher.admin.expect("the dispatcher has no admin address");
     println!("A page that follows a job:  {origin}/");
     println!("Jobs (HTTP):                http://{platform}/balance");
     println!("Jobs and streams (SSE):     http://{sse}/redeem");
